--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -14,17 +14,32 @@
 const TOGETHER: u64 = 50;
 
 fn settings() -> Settings {
-    let class = |effect, spread, priority| Class { aim: 900_000, spread, priority, ..common::class(effect) };
+    let class = |effect, spread, priority| Class {
+        aim: 900_000,
+        spread,
+        priority,
+        ..common::class(effect)
+    };
     Settings {
         placers: 16,
         number: 3,
         classes: vec![
             class(Effect::Safe, Some((Place::Zone, 4)), 0),
-            class(Effect::Keyed { group: Group::Zone, window: 6_000_000 }, None, 1),
+            class(
+                Effect::Keyed {
+                    group: Group::Zone,
+                    window: 6_000_000,
+                },
+                None,
+                1,
+            ),
         ],
         kinds: vec![Room::new(32.0, 64.0)],
         seated: SeatedWhen::Running,
-        prices: Prices { cross_zone: 0.05, ..Prices::default() },
+        prices: Prices {
+            cross_zone: 0.05,
+            ..Prices::default()
+        },
         ..common::settings(Effect::Safe)
     }
 }
@@ -38,7 +53,14 @@
         ..common::machine(n)
     });
     let (mut now, mut actions, mut sum, mut offers) = (1_000_000, Vec::new(), 0u64, 0u64);
-    placer.turn(now, &[Event::Listed { scope: Scope::Full, machines: list.collect() }], &mut actions);
+    placer.turn(
+        now,
+        &[Event::Listed {
+            scope: Scope::Full,
+            machines: list.collect(),
+        }],
+        &mut actions,
+    );
     let began = Instant::now();
     let mut running: std::collections::VecDeque<AttemptId> = Default::default();
     for first in (0..ASKS).step_by(TOGETHER as usize) {
@@ -46,10 +68,18 @@
         let mut events = Vec::new();
         for n in first..first + TOGETHER {
             let task = common::task(n, n * n % SERVICES, now + 3_000_000);
-            events.push(Event::Asked(Task { class: usize::from(n % 10 == 0), ..task }));
+            events.push(Event::Asked(Task {
+                class: usize::from(n % 10 == 0),
+                ..task
+            }));
         }
         while running.len() > 600 {
-            let end = End { ending: Ending::Done, why: None, closed: true, load: None };
+            let end = End {
+                ending: Ending::Done,
+                why: None,
+                closed: true,
+                load: None,
+            };
             events.extend(running.pop_front().map(|id| Event::Ended(id, end)));
         }
         actions.clear();
@@ -68,7 +98,10 @@
         actions.clear();
         placer.turn(now, &seated, &mut actions);
     }
-    (began.elapsed().as_secs_f64() * 1e6 / offers.max(1) as f64, sum)
+    (
+        began.elapsed().as_secs_f64() * 1e6 / offers.max(1) as f64,
+        sum,
+    )
 }
 
 fn main() {
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -182,7 +182,9 @@
 
     /// What is asked for by all that was taken: cores and memory.
     pub fn asked(&self) -> (f64, f64) {
-        self.taken.values().fold((0.0, 0.0), |(c, m), t| (c + t.ask.cores, m + t.ask.memory))
+        self.taken
+            .values()
+            .fold((0.0, 0.0), |(c, m), t| (c + t.ask.cores, m + t.ask.memory))
     }
 
     /// Looks at the first ask in the line.
@@ -196,7 +198,13 @@
             if let Copies::One { group, key } = ask.copies {
                 keys.stand(group, key, ask.attempt);
             }
-            self.taken.insert(ask.attempt, Taken { ask: ask.clone(), stage: Stage::Waiting });
+            self.taken.insert(
+                ask.attempt,
+                Taken {
+                    ask: ask.clone(),
+                    stage: Stage::Waiting,
+                },
+            );
             self.waiting.push_back(ask.attempt);
         }
         Some((ask, verdict))
@@ -211,20 +219,31 @@
         {
             return Verdict::Refused(Refusal::CopyStands);
         }
-        let limit =
-            (self.policy.cores * self.policy.over_cores, self.policy.memory * self.policy.over_memory);
+        let limit = (
+            self.policy.cores * self.policy.over_cores,
+            self.policy.memory * self.policy.over_memory,
+        );
         let (mut cores, mut memory) = self.asked();
         let fits = |cores: f64, memory: f64| {
-            (cores + ask.cores <= limit.0 + 1e-9, memory + ask.memory <= limit.1 + 1e-9)
+            (
+                cores + ask.cores <= limit.0 + 1e-9,
+                memory + ask.memory <= limit.1 + 1e-9,
+            )
         };
         let mut push_out = Vec::new();
         if self.policy.push_out && fits(cores, memory) != (true, true) {
             // The lowest priority goes first, and of those the largest, so that few have to go.
-            let mut lower: Vec<&Taken> =
-                self.taken.values().filter(|t| t.ask.priority < ask.priority).collect();
+            let mut lower: Vec<&Taken> = self
+                .taken
+                .values()
+                .filter(|t| t.ask.priority < ask.priority)
+                .collect();
             lower.sort_by(|a, b| {
                 let size = |t: &Taken| t.ask.cores / limit.0 + t.ask.memory / limit.1;
-                a.ask.priority.cmp(&b.ask.priority).then(size(b).total_cmp(&size(a)))
+                a.ask
+                    .priority
+                    .cmp(&b.ask.priority)
+                    .then(size(b).total_cmp(&size(a)))
             });
             for t in lower {
                 if fits(cores, memory) == (true, true) {
@@ -242,7 +261,9 @@
     }
 
     fn has(&self, program: u64) -> bool {
-        self.taken.values().any(|t| t.ask.program == program && t.stage == Stage::Running)
+        self.taken
+            .values()
+            .any(|t| t.ask.program == program && t.stage == Stage::Running)
     }
 
     /// The next task to be started, if one may; with whether its program is there already.
@@ -275,7 +296,11 @@
 
     /// A task that was to start does not, and waits for a start again, before all others.
     pub fn put_back(&mut self, attempt: u64) {
-        if let Some(taken) = self.taken.get_mut(&attempt).filter(|t| t.stage == Stage::Starting) {
+        if let Some(taken) = self
+            .taken
+            .get_mut(&attempt)
+            .filter(|t| t.stage == Stage::Starting)
+        {
             taken.stage = Stage::Waiting;
             self.starting -= 1;
             self.waiting.push_front(attempt);
@@ -284,7 +309,11 @@
 
     /// A task that was starting runs.
     pub fn started(&mut self, attempt: u64) {
-        if let Some(taken) = self.taken.get_mut(&attempt).filter(|t| t.stage == Stage::Starting) {
+        if let Some(taken) = self
+            .taken
+            .get_mut(&attempt)
+            .filter(|t| t.stage == Stage::Starting)
+        {
             taken.stage = Stage::Running;
             self.starting -= 1;
             let program = taken.ask.program;
@@ -323,10 +352,17 @@
     /// what they asked for. `used` tells the memory that a task uses.
     pub fn evict(&self, limit: f64, used: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut sum: f64 = self.taken.keys().map(|&a| used(a)).sum();
-        let mut all: Vec<(&Taken, f64)> = self.taken.values().map(|t| (t, used(t.ask.attempt))).collect();
+        let mut all: Vec<(&Taken, f64)> = self
+            .taken
+            .values()
+            .map(|t| (t, used(t.ask.attempt)))
+            .collect();
         all.sort_by(|a, b| {
             let over = |x: &(&Taken, f64)| x.1 - x.0.ask.memory;
-            a.0.ask.priority.cmp(&b.0.ask.priority).then(over(b).total_cmp(&over(a)))
+            a.0.ask
+                .priority
+                .cmp(&b.0.ask.priority)
+                .then(over(b).total_cmp(&over(a)))
         });
         let mut out = Vec::new();
         for (taken, memory) in all {
@@ -370,7 +406,14 @@
     }
 
     fn ask(attempt: u64, cores: f64, priority: u32) -> Ask {
-        Ask { attempt, program: attempt % 10, cores, memory: 1.0, priority, copies: Copies::Any }
+        Ask {
+            attempt,
+            program: attempt % 10,
+            cores,
+            memory: 1.0,
+            priority,
+            copies: Copies::Any,
+        }
     }
 
     fn offer(host: &mut Admission, keys: &mut KeyTable, ask: Ask) -> Verdict {
@@ -381,17 +424,32 @@
     #[test]
     fn refuses_with_the_reason() {
         let (mut host, mut keys) = (Admission::new(policy()), KeyTable::default());
-        assert_eq!(offer(&mut host, &mut keys, ask(1, 12.0, 0)), Verdict::Taken { push_out: vec![] });
-        assert_eq!(offer(&mut host, &mut keys, ask(2, 0.5, 0)), Verdict::Refused(Refusal::Cores));
-        let large = Ask { memory: 16.0, ..ask(3, 0.0, 0) };
-        assert_eq!(offer(&mut host, &mut keys, large), Verdict::Refused(Refusal::Memory));
+        assert_eq!(
+            offer(&mut host, &mut keys, ask(1, 12.0, 0)),
+            Verdict::Taken { push_out: vec![] }
+        );
+        assert_eq!(
+            offer(&mut host, &mut keys, ask(2, 0.5, 0)),
+            Verdict::Refused(Refusal::Cores)
+        );
+        let large = Ask {
+            memory: 16.0,
+            ..ask(3, 0.0, 0)
+        };
+        assert_eq!(
+            offer(&mut host, &mut keys, large),
+            Verdict::Refused(Refusal::Memory)
+        );
         for n in 4..7 {
             host.queue(ask(n, 0.0, 0)).expect("room in the line");
         }
         assert_eq!(host.queue(ask(7, 0.0, 0)), Err(Refusal::Line));
         host.drain();
         assert_eq!(host.queue(ask(8, 0.0, 0)), Err(Refusal::Draining));
-        assert_eq!(host.look(&mut keys).map(|v| v.1), Some(Verdict::Refused(Refusal::Draining)));
+        assert_eq!(
+            host.look(&mut keys).map(|v| v.1),
+            Some(Verdict::Refused(Refusal::Draining))
+        );
     }
 
     #[test]
@@ -400,8 +458,14 @@
         for (n, cores) in [(1, 2.0), (2, 5.0), (3, 5.0)] {
             offer(&mut host, &mut keys, ask(n, cores, 0));
         }
-        assert_eq!(offer(&mut host, &mut keys, ask(4, 4.0, 1)), Verdict::Taken { push_out: vec![2] });
-        assert_eq!(offer(&mut host, &mut keys, ask(5, 11.0, 1)), Verdict::Refused(Refusal::Cores));
+        assert_eq!(
+            offer(&mut host, &mut keys, ask(4, 4.0, 1)),
+            Verdict::Taken { push_out: vec![2] }
+        );
+        assert_eq!(
+            offer(&mut host, &mut keys, ask(5, 11.0, 1)),
+            Verdict::Refused(Refusal::Cores)
+        );
         assert_eq!(host.taken().count(), 3);
     }
 
@@ -410,13 +474,31 @@
         let mut keys = KeyTable::default();
         let (mut a, mut b) = (Admission::new(policy()), Admission::new(policy()));
         let mut other = Admission::new(policy());
-        let keyed = |n| Ask { copies: Copies::One { group: 7, key: 99 }, ..ask(n, 1.0, 0) };
-        let elsewhere = Ask { copies: Copies::One { group: 8, key: 99 }, ..ask(3, 1.0, 0) };
-        assert!(matches!(offer(&mut a, &mut keys, keyed(1)), Verdict::Taken { .. }));
-        assert_eq!(offer(&mut b, &mut keys, keyed(2)), Verdict::Refused(Refusal::CopyStands));
-        assert!(matches!(offer(&mut other, &mut keys, elsewhere), Verdict::Taken { .. }));
+        let keyed = |n| Ask {
+            copies: Copies::One { group: 7, key: 99 },
+            ..ask(n, 1.0, 0)
+        };
+        let elsewhere = Ask {
+            copies: Copies::One { group: 8, key: 99 },
+            ..ask(3, 1.0, 0)
+        };
+        assert!(matches!(
+            offer(&mut a, &mut keys, keyed(1)),
+            Verdict::Taken { .. }
+        ));
+        assert_eq!(
+            offer(&mut b, &mut keys, keyed(2)),
+            Verdict::Refused(Refusal::CopyStands)
+        );
+        assert!(matches!(
+            offer(&mut other, &mut keys, elsewhere),
+            Verdict::Taken { .. }
+        ));
         a.end(1, &mut keys);
-        assert!(matches!(offer(&mut b, &mut keys, keyed(4)), Verdict::Taken { .. }));
+        assert!(matches!(
+            offer(&mut b, &mut keys, keyed(4)),
+            Verdict::Taken { .. }
+        ));
     }
 
     #[test]
@@ -440,17 +522,27 @@
         host.started(2);
         host.end(2, &mut keys);
         offer(&mut host, &mut keys, ask(31, 1.0, 0));
-        assert_eq!(host.next_start(), Some((31, false)), "another took its place");
+        assert_eq!(
+            host.next_start(),
+            Some((31, false)),
+            "another took its place"
+        );
     }
 
     #[test]
     fn what_was_taken_in_an_earlier_life_counts_and_a_start_can_be_put_back() {
         let (mut host, mut keys) = (Admission::new(policy()), KeyTable::default());
-        let keyed = |attempt| Ask { copies: Copies::One { group: 1, key: 7 }, ..ask(attempt, 4.0, 0) };
+        let keyed = |attempt| Ask {
+            copies: Copies::One { group: 1, key: 7 },
+            ..ask(attempt, 4.0, 0)
+        };
         host.restore(keyed(1), Stage::Running, &mut keys);
         host.restore(ask(2, 1.0, 0), Stage::Waiting, &mut keys);
         assert_eq!(host.asked().0, 5.0);
-        assert_eq!(offer(&mut host, &mut keys, keyed(3)), Verdict::Refused(Refusal::CopyStands));
+        assert_eq!(
+            offer(&mut host, &mut keys, keyed(3)),
+            Verdict::Refused(Refusal::CopyStands)
+        );
         assert_eq!(host.next_start().map(|s| s.0), Some(2));
         assert_eq!(host.next_start(), None);
         host.put_back(2);
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -15,7 +15,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use maplethread_admission::{Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict};
+use maplethread_admission::{
+    Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict,
+};
 use maplethread_wire::frame::{Copies, Frame, Load, NoteKind, Offer, Reason};
 
 /// Ends that no placer has heard of yet; beyond it the oldest attempt is forgotten, and its placer finds it missing.
@@ -175,8 +177,16 @@
                     }
                 },
             };
-            self.admission.restore(ask(&kept.offer), stage, &mut self.keys);
-            self.tasks.insert(attempt, Task { kept, read: 0, stopping: None });
+            self.admission
+                .restore(ask(&kept.offer), stage, &mut self.keys);
+            self.tasks.insert(
+                attempt,
+                Task {
+                    kept,
+                    read: 0,
+                    stopping: None,
+                },
+            );
         }
         if drains {
             self.admission.drain();
@@ -191,16 +201,21 @@
 
     /// All that is held, with its process if it has one.
     pub fn running(&self) -> impl Iterator<Item = (u64, Identity)> {
-        self.tasks.iter().filter_map(|(&attempt, t)| match t.kept.fate {
-            Fate::Running(identity) => Some((attempt, identity)),
-            _ => None,
-        })
+        self.tasks
+            .iter()
+            .filter_map(|(&attempt, t)| match t.kept.fate {
+                Fate::Running(identity) => Some((attempt, identity)),
+                _ => None,
+            })
     }
 
     fn load(&self) -> Load {
         let (cores, memory) = self.admission.asked();
         let policy = self.admission.policy();
-        Load { cores: policy.cores - cores, memory: policy.memory - memory }
+        Load {
+            cores: policy.cores - cores,
+            memory: policy.memory - memory,
+        }
     }
 
     /// A placer has greeted: who this is, the ends that it has not heard of, and all that is held of it. A placer of
@@ -233,11 +248,16 @@
         match frame {
             Frame::Offer(offer) => self.offered(placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt)
-                if self.tasks.get(&attempt).is_some_and(|t| t.kept.placer == *placer) =>
+                if self
+                    .tasks
+                    .get(&attempt)
+                    .is_some_and(|t| t.kept.placer == *placer) =>
             {
                 self.stop(attempt, Reason::Stopped, out);
             }
-            Frame::Probe(nonce) => out.push(Do::Send(placer.clone(), Frame::Report(nonce, self.load()))),
+            Frame::Probe(nonce) => {
+                out.push(Do::Send(placer.clone(), Frame::Report(nonce, self.load())))
+            }
             Frame::Ping(nonce) => out.push(Do::Send(placer.clone(), Frame::Pong(nonce))),
             _ => {}
         }
@@ -250,7 +270,8 @@
             tracing::warn!(%placer, attempt, "an attempt was offered twice");
             return;
         }
-        let refuse = |reason, load| Do::Send(placer.clone(), Frame::Refused(attempt, reason, Some(load)));
+        let refuse =
+            |reason, load| Do::Send(placer.clone(), Frame::Refused(attempt, reason, Some(load)));
         if self.closed {
             out.push(refuse(Reason::NotHere, self.load()));
             return;
@@ -260,7 +281,11 @@
             return;
         }
         let task = Task {
-            kept: Kept { placer: placer.clone(), offer, fate: Fate::Accepted },
+            kept: Kept {
+                placer: placer.clone(),
+                offer,
+                fate: Fate::Accepted,
+            },
             read: self.now,
             stopping: None,
         };
@@ -281,22 +306,35 @@
             }
             Verdict::Taken { push_out } => {
                 // Their room is another's already.
-                push_out.into_iter().for_each(|gone| self.stop(gone, Reason::PushedOut, out));
-                let Some(task) = self.tasks.get(&attempt) else { return };
+                push_out
+                    .into_iter()
+                    .for_each(|gone| self.stop(gone, Reason::PushedOut, out));
+                let Some(task) = self.tasks.get(&attempt) else {
+                    return;
+                };
                 out.push(Do::Keep(attempt, task.kept.clone()));
                 let took = self.took(task);
-                out.push(Do::Send(task.kept.placer.clone(), Frame::Accepted(attempt, took)));
+                out.push(Do::Send(
+                    task.kept.placer.clone(),
+                    Frame::Accepted(attempt, took),
+                ));
             }
         }
     }
 
     fn took(&self, task: &Task) -> u32 {
-        if task.read == 0 { 0 } else { (self.now.saturating_sub(task.read) / 1000) as u32 }
+        if task.read == 0 {
+            0
+        } else {
+            (self.now.saturating_sub(task.read) / 1000) as u32
+        }
     }
 
     fn start_more(&mut self, out: &mut Vec<Do>) {
         while let Some((attempt, _)) = self.admission.next_start() {
-            let Some(task) = self.tasks.get_mut(&attempt) else { continue };
+            let Some(task) = self.tasks.get_mut(&attempt) else {
+                continue;
+            };
             task.kept.fate = Fate::Starting;
             out.push(Do::Keep(attempt, task.kept.clone()));
             out.push(Do::Spawn(attempt));
@@ -304,16 +342,27 @@
     }
 
     /// A program was started, or could not be.
-    pub fn spawned(&mut self, now: u64, attempt: u64, process: Result<Identity, Reason>, out: &mut Vec<Do>) {
+    pub fn spawned(
+        &mut self,
+        now: u64,
+        attempt: u64,
+        process: Result<Identity, Reason>,
+        out: &mut Vec<Do>,
+    ) {
         self.now = self.now.max(now);
         match process {
             Ok(identity) => {
                 self.admission.started(attempt);
-                let Some(task) = self.tasks.get_mut(&attempt) else { return };
+                let Some(task) = self.tasks.get_mut(&attempt) else {
+                    return;
+                };
                 task.kept.fate = Fate::Running(identity);
                 out.push(Do::Keep(attempt, task.kept.clone()));
                 let task = &self.tasks[&attempt];
-                out.push(Do::Send(task.kept.placer.clone(), Frame::Started(attempt, self.took(task))));
+                out.push(Do::Send(
+                    task.kept.placer.clone(),
+                    Frame::Started(attempt, self.took(task)),
+                ));
                 if let Some(reason) = task.stopping {
                     self.stop(attempt, reason, out);
                 }
@@ -338,7 +387,9 @@
 
     fn ended(&mut self, attempt: u64, reason: Reason, ran: bool, out: &mut Vec<Do>) {
         self.admission.end(attempt, &mut self.keys);
-        let Some(mut task) = self.tasks.remove(&attempt) else { return };
+        let Some(mut task) = self.tasks.remove(&attempt) else {
+            return;
+        };
         task.kept.fate = Fate::Ended(reason, ran);
         out.push(Do::Keep(attempt, task.kept.clone()));
         self.untold.insert(attempt, task.kept);
@@ -353,10 +404,16 @@
     /// the store until it has left.
     pub fn tell(&mut self, connected: impl Fn(&str) -> bool, out: &mut Vec<Do>) {
         out.extend(self.told.drain(..).map(Do::Forget));
-        let heard: Vec<u64> =
-            self.untold.iter().filter(|(_, k)| connected(&k.placer)).map(|(&attempt, _)| attempt).collect();
+        let heard: Vec<u64> = self
+            .untold
+            .iter()
+            .filter(|(_, k)| connected(&k.placer))
+            .map(|(&attempt, _)| attempt)
+            .collect();
         for attempt in heard {
-            let Some(kept) = self.untold.remove(&attempt) else { continue };
+            let Some(kept) = self.untold.remove(&attempt) else {
+                continue;
+            };
             if let Fate::Ended(reason, ran) = kept.fate {
                 let ended = Frame::Ended(attempt, reason, ran, Some(self.load()));
                 out.push(Do::Send(kept.placer, ended));
@@ -367,7 +424,9 @@
 
     /// A task is to end, and to be told so.
     fn stop(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Do>) {
-        let Some(task) = self.tasks.get_mut(&attempt) else { return };
+        let Some(task) = self.tasks.get_mut(&attempt) else {
+            return;
+        };
         match task.kept.fate {
             // Its process is being made: it is asked to end as soon as there is one.
             Fate::Starting => task.stopping = Some(reason),
@@ -389,7 +448,11 @@
         match later {
             Later::Force(attempt) => {
                 if let Some(Task {
-                    kept: Kept { fate: Fate::Running(identity), .. },
+                    kept:
+                        Kept {
+                            fate: Fate::Running(identity),
+                            ..
+                        },
                     stopping: Some(_),
                     ..
                 }) = self.tasks.get(&attempt)
@@ -446,7 +509,9 @@
 
     /// Notes of what a task's processes use.
     pub fn used(&self, attempt: u64, cores: f64, memory_gib: f64, out: &mut Vec<Do>) {
-        let Some(task) = self.tasks.get(&attempt) else { return };
+        let Some(task) = self.tasks.get(&attempt) else {
+            return;
+        };
         let note = |kind, x| Do::Send(task.kept.placer.clone(), Frame::Note(attempt, kind, x));
         out.push(note(NoteKind::Cores, cores));
         out.push(note(NoteKind::Memory, memory_gib));
@@ -460,7 +525,9 @@
     };
     Ask {
         attempt: offer.attempt,
-        program: offer.service.bytes().fold(7, |h: u64, b| h.wrapping_mul(131).wrapping_add(u64::from(b))),
+        program: offer.service.bytes().fold(7, |h: u64, b| {
+            h.wrapping_mul(131).wrapping_add(u64::from(b))
+        }),
         cores: offer.asks.cores,
         memory: offer.asks.memory,
         priority: offer.priority,
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -123,8 +123,15 @@
     }
 
     fn fits(&self, offer: &Offer) -> bool {
-        self.program.class.as_ref().is_none_or(|c| *c == offer.class)
-            && self.program.service.as_ref().is_none_or(|s| *s == offer.service)
+        self.program
+            .class
+            .as_ref()
+            .is_none_or(|c| *c == offer.class)
+            && self
+                .program
+                .service
+                .as_ref()
+                .is_none_or(|s| *s == offer.service)
     }
 }
 
@@ -138,11 +145,20 @@
     pub fn load(path: &Path) -> Result<(AgentConfig, Vec<Runnable>), String> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-        let mut config: AgentConfig = parse(Doc { file: &file, text: &text }).map_err(|e| e.to_string())?;
+        let mut config: AgentConfig = parse(Doc {
+            file: &file,
+            text: &text,
+        })
+        .map_err(|e| e.to_string())?;
         let here = path.parent().unwrap_or(Path::new(""));
-        config.folder = std::path::absolute(here.join(&config.folder)).map_err(|e| format!("{file}: {e}"))?;
+        config.folder =
+            std::path::absolute(here.join(&config.folder)).map_err(|e| format!("{file}: {e}"))?;
         let programs = config.check().map_err(|faults| {
-            faults.into_iter().map(|f| format!("{file}: {f}")).collect::<Vec<_>>().join("\n")
+            faults
+                .into_iter()
+                .map(|f| format!("{file}: {f}"))
+                .collect::<Vec<_>>()
+                .join("\n")
         })?;
         Ok((config, programs))
     }
@@ -157,21 +173,61 @@
         };
         let limits = &self.limits;
         let above = |x: f64| x.is_finite() && x > 0.0;
-        must(!self.name.is_empty() && self.name.len() <= 255, "name", "1 to 255 octets");
-        must(self.listen.ip().is_loopback(), "listen", "a loopback address");
-        must(above(limits.cores) && limits.cores <= 4096.0, "limits.cores", "above 0, at most 4096");
+        must(
+            !self.name.is_empty() && self.name.len() <= 255,
+            "name",
+            "1 to 255 octets",
+        );
+        must(
+            self.listen.ip().is_loopback(),
+            "listen",
+            "a loopback address",
+        );
+        must(
+            above(limits.cores) && limits.cores <= 4096.0,
+            "limits.cores",
+            "above 0, at most 4096",
+        );
         must(
             above(limits.memory_gib) && limits.memory_gib <= 65536.0,
             "limits.memory_gib",
             "above 0, at most 65536",
         );
-        must((1.0..=100.0).contains(&limits.over_cores), "limits.over_cores", "1 to 100");
-        must((1.0..=100.0).contains(&limits.over_memory), "limits.over_memory", "1 to 100");
-        must((1..=65536).contains(&limits.line), "limits.line", "1 to 65536");
-        must((1..=1024).contains(&limits.starts), "limits.starts", "1 to 1024");
-        must((1..=3_600_000).contains(&self.stop_grace_ms), "stop_grace_ms", "1 to 3600000");
-        must((1..=1 << 20).contains(&self.output_kib), "output_kib", "1 to 1048576");
-        must((100..=600_000).contains(&self.measure_ms), "measure_ms", "100 to 600000");
+        must(
+            (1.0..=100.0).contains(&limits.over_cores),
+            "limits.over_cores",
+            "1 to 100",
+        );
+        must(
+            (1.0..=100.0).contains(&limits.over_memory),
+            "limits.over_memory",
+            "1 to 100",
+        );
+        must(
+            (1..=65536).contains(&limits.line),
+            "limits.line",
+            "1 to 65536",
+        );
+        must(
+            (1..=1024).contains(&limits.starts),
+            "limits.starts",
+            "1 to 1024",
+        );
+        must(
+            (1..=3_600_000).contains(&self.stop_grace_ms),
+            "stop_grace_ms",
+            "1 to 3600000",
+        );
+        must(
+            (1..=1 << 20).contains(&self.output_kib),
+            "output_kib",
+            "1 to 1048576",
+        );
+        must(
+            (100..=600_000).contains(&self.measure_ms),
+            "measure_ms",
+            "100 to 600000",
+        );
         must(!self.program.is_empty(), "program", "at least one");
         let mut programs = Vec::new();
         for (n, program) in self.program.iter().enumerate() {
@@ -180,13 +236,24 @@
             let args: Result<Vec<Argument>, String> =
                 program.args.iter().map(|a| Argument::parse(a)).collect();
             match args {
-                Ok(args) => programs.push(Runnable { program: program.clone(), args }),
+                Ok(args) => programs.push(Runnable {
+                    program: program.clone(),
+                    args,
+                }),
                 Err(why) => must(false, &key("args"), &why),
             }
             let name = |n: &String| !n.is_empty() && !n.contains(['=', '\0']);
-            must(program.env.iter().chain(program.set.keys()).all(name), &key("env"), "names without `=`");
+            must(
+                program.env.iter().chain(program.set.keys()).all(name),
+                &key("env"),
+                "names without `=`",
+            );
+        }
+        if faults.is_empty() {
+            Ok(programs)
+        } else {
+            Err(faults)
         }
-        if faults.is_empty() { Ok(programs) } else { Err(faults) }
     }
 
     /// What admission goes by.
@@ -223,7 +290,10 @@
 
     #[test]
     fn all_faults_are_told_at_once() {
-        let doc = Doc { file: "a.toml", text: SOUND };
+        let doc = Doc {
+            file: "a.toml",
+            text: SOUND,
+        };
         let mut config: AgentConfig = parse(doc).expect("sound");
         assert_eq!(config.check().expect("sound").len(), 1);
         config.limits.cores = f64::NAN;
@@ -232,8 +302,12 @@
         let faults = config.check().expect_err("faults");
         assert_eq!(faults.len(), 3, "{faults:?}");
         let unknown = SOUND.replace("cores = 4.0", "cores = 4.0\nmany = 1");
-        let told =
-            parse::<AgentConfig>(Doc { file: "a.toml", text: &unknown }).expect_err("a fault").to_string();
+        let told = parse::<AgentConfig>(Doc {
+            file: "a.toml",
+            text: &unknown,
+        })
+        .expect_err("a fault")
+        .to_string();
         assert!(told.contains("a.toml:7"), "{told}");
     }
 }
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -24,7 +24,9 @@
 
 /// The kernel's id of this boot.
 pub fn boot_id() -> io::Result<String> {
-    Ok(std::fs::read_to_string("/proc/sys/kernel/random/boot_id")?.trim().to_owned())
+    Ok(std::fs::read_to_string("/proc/sys/kernel/random/boot_id")?
+        .trim()
+        .to_owned())
 }
 
 /// What `/proc/PID/stat` tells.
@@ -59,7 +61,9 @@
 
 /// What runs under a pid.
 pub fn stat(pid: u32) -> Option<Stat> {
-    parse_stat(&String::from_utf8_lossy(&std::fs::read(format!("/proc/{pid}/stat")).ok()?))
+    parse_stat(&String::from_utf8_lossy(
+        &std::fs::read(format!("/proc/{pid}/stat")).ok()?,
+    ))
 }
 
 /// Whether this very process still runs.
@@ -77,16 +81,31 @@
     let mut found: BTreeMap<u64, Vec<Identity>> = BTreeMap::new();
     let prefix = format!("{MARKER}={agent}:");
     for pid in pids() {
-        let Ok(environ) = std::fs::read(format!("/proc/{pid}/environ")) else { continue };
-        let mut vars = environ.split(|&b| b == 0).filter_map(|var| std::str::from_utf8(var).ok());
-        let Some(attempt) = vars.find_map(|var| var.strip_prefix(&prefix)) else { continue };
-        let (Ok(attempt), Some(stat)) = (u64::from_str_radix(attempt, 16), stat(pid)) else { continue };
+        let Ok(environ) = std::fs::read(format!("/proc/{pid}/environ")) else {
+            continue;
+        };
+        let mut vars = environ
+            .split(|&b| b == 0)
+            .filter_map(|var| std::str::from_utf8(var).ok());
+        let Some(attempt) = vars.find_map(|var| var.strip_prefix(&prefix)) else {
+            continue;
+        };
+        let (Ok(attempt), Some(stat)) = (u64::from_str_radix(attempt, 16), stat(pid)) else {
+            continue;
+        };
         if stat.state == 'Z' {
             continue;
         }
         let all = found.entry(attempt).or_default();
-        let identity = Identity { pid, born: stat.born };
-        if stat.group == pid { all.insert(0, identity) } else { all.push(identity) }
+        let identity = Identity {
+            pid,
+            born: stat.born,
+        };
+        if stat.group == pid {
+            all.insert(0, identity)
+        } else {
+            all.push(identity)
+        }
     }
     found
 }
@@ -100,12 +119,20 @@
 ) -> io::Result<(Child, Identity)> {
     let bad = |e| io::Error::new(io::ErrorKind::InvalidInput, e);
     let program = &runnable.program;
-    let output = OpenOptions::new().create(true).append(true).open(output(folder, offer.attempt))?;
+    let output = OpenOptions::new()
+        .create(true)
+        .append(true)
+        .open(output(folder, offer.attempt))?;
     let mut command = Command::new(&program.path);
     command
         .args(runnable.args(offer).map_err(bad)?)
         .env_clear()
-        .envs(program.env.iter().filter_map(|name| Some((name, std::env::var_os(name)?))))
+        .envs(
+            program
+                .env
+                .iter()
+                .filter_map(|name| Some((name, std::env::var_os(name)?))),
+        )
         .envs(&program.set)
         .env(MARKER, marker(agent, offer.attempt))
         .current_dir(program.folder.as_deref().unwrap_or(folder))
@@ -128,7 +155,10 @@
 /// Asks a task's processes to end, or makes them. Nothing is sent to a pid that is another's by now, unless it
 /// becomes so in the instant after the look.
 pub fn kill(identity: Identity, force: bool) {
-    let (signal, pid) = (if force { Signal::KILL } else { Signal::TERM }, Pid::from_raw(identity.pid as i32));
+    let (signal, pid) = (
+        if force { Signal::KILL } else { Signal::TERM },
+        Pid::from_raw(identity.pid as i32),
+    );
     // A leader that has ended and is not reaped still holds its pid, and others of its group may live.
     if let Some(pid) = pid
         && stat(identity.pid).is_some_and(|s| s.born == identity.born)
@@ -171,7 +201,16 @@
     fn a_programs_name_may_hold_anything() {
         let line = "12 (a) b) 3) S 1 77 0 0 -1 0 0 0 0 0 30 12 0 0 20 0 1 0 4242 9000 55 0";
         let stat = parse_stat(line).expect("a line");
-        assert_eq!(stat, Stat { state: 'S', group: 77, born: 4242, ticks: 42, pages: 55 });
+        assert_eq!(
+            stat,
+            Stat {
+                state: 'S',
+                group: 77,
+                born: 4242,
+                ticks: 42,
+                pages: 55
+            }
+        );
         assert_eq!(parse_stat("12 (cut) S 1"), None);
         assert_eq!(parse_stat(""), None);
     }
@@ -181,6 +220,9 @@
         let pid = std::process::id();
         let born = stat(pid).expect("this process").born;
         assert!(alive(Identity { pid, born }));
-        assert!(!alive(Identity { pid, born: born + 1 }));
+        assert!(!alive(Identity {
+            pid,
+            born: born + 1
+        }));
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -101,8 +101,15 @@
         let listener = TcpListener::bind(config.listen)?;
         listener.set_nonblocking(true)?;
         poller.add(&listener, LISTENER, false)?;
-        let started_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-        let agent = Agent::new(&config.name, started_ms, config.policy(), config.stop_grace_ms * 1000);
+        let started_ms = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64);
+        let agent = Agent::new(
+            &config.name,
+            started_ms,
+            config.policy(),
+            config.stop_grace_ms * 1000,
+        );
         let shell = Shell {
             config,
             programs,
@@ -148,7 +155,8 @@
         // What carries the marker and belongs to no task that runs is what an end left behind.
         for (attempt, all) in &marked {
             if !adopted.iter().any(|(a, _)| a == attempt) {
-                all.iter().for_each(|&identity| process::kill(identity, true));
+                all.iter()
+                    .for_each(|&identity| process::kill(identity, true));
             }
         }
         tracing::info!(adopted = adopted.len(), "recovered");
@@ -173,7 +181,15 @@
         let token = self.next;
         self.next += 1;
         self.poller.add(&pidfd, token, false)?;
-        self.watched.insert(token, Watched { attempt, identity, pidfd, child });
+        self.watched.insert(
+            token,
+            Watched {
+                attempt,
+                identity,
+                pidfd,
+                child,
+            },
+        );
         Ok(())
     }
 
@@ -183,9 +199,18 @@
         let mut measured = self.now();
         loop {
             let now = self.now();
-            let next = self.timers.iter().map(|t| t.0).min().unwrap_or(u64::MAX).min(measured + measure);
+            let next = self
+                .timers
+                .iter()
+                .map(|t| t.0)
+                .min()
+                .unwrap_or(u64::MAX)
+                .min(measured + measure);
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(next.saturating_sub(now))), &mut ready)?;
+            self.poller.wait(
+                Some(Duration::from_micros(next.saturating_sub(now))),
+                &mut ready,
+            )?;
             let mut out = Vec::new();
             for r in &ready {
                 match r.token {
@@ -200,14 +225,22 @@
                         }
                     }
                     LISTENER => self.accept(),
-                    token if self.watched.contains_key(&token) => self.process_ended(token, &mut out),
+                    token if self.watched.contains_key(&token) => {
+                        self.process_ended(token, &mut out)
+                    }
                     token => self.link_ready(token, r, &mut out),
                 }
             }
             let now = self.now();
-            let due: Vec<Later> = self.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
+            let due: Vec<Later> = self
+                .timers
+                .iter()
+                .filter(|t| t.0 <= now)
+                .map(|t| t.1)
+                .collect();
             self.timers.retain(|t| t.0 > now);
-            due.into_iter().for_each(|later| self.agent.due(now, later, &mut out));
+            due.into_iter()
+                .for_each(|later| self.agent.due(now, later, &mut out));
             if measured + measure <= now {
                 self.measure(now - measured, &mut out);
                 measured = now;
@@ -219,7 +252,8 @@
     /// Makes durable what a turn wants kept, then does the rest, and what comes of it.
     fn carry_out(&mut self, mut turn: Vec<Do>) {
         loop {
-            self.agent.tell(|placer| self.by_placer.contains_key(placer), &mut turn);
+            self.agent
+                .tell(|placer| self.by_placer.contains_key(placer), &mut turn);
             if turn.is_empty() {
                 return;
             }
@@ -251,7 +285,9 @@
     }
 
     fn spawn(&mut self, attempt: u64, next: &mut Vec<Do>) {
-        let Some(offer) = self.agent.offer(attempt) else { return };
+        let Some(offer) = self.agent.offer(attempt) else {
+            return;
+        };
         let started = program(&self.programs, offer)
             .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no program for it"))
             .and_then(|runnable| process::spawn(runnable, offer, &self.config.name, &self.outputs));
@@ -274,11 +310,17 @@
     }
 
     fn process_ended(&mut self, token: u64, out: &mut Vec<Do>) {
-        let Some(mut watched) = self.watched.remove(&token) else { return };
+        let Some(mut watched) = self.watched.remove(&token) else {
+            return;
+        };
         let _ = self.poller.remove(&watched.pidfd);
         // The rest of its group goes with it; until it is reaped the group's number is its own.
         process::kill(watched.identity, true);
-        let well = watched.child.as_mut().and_then(|c| c.wait().ok()).map(|status| status.success());
+        let well = watched
+            .child
+            .as_mut()
+            .and_then(|c| c.wait().ok())
+            .map(|status| status.success());
         self.used.remove(&watched.attempt);
         let now = self.now();
         self.agent.exited(now, watched.attempt, well, out);
@@ -290,11 +332,19 @@
         let running: Vec<(u64, Identity)> = self.agent.running().collect();
         for (attempt, identity) in running {
             self.rotate(attempt);
-            let Some(used) = groups.get(&identity.pid) else { continue };
+            let Some(used) = groups.get(&identity.pid) else {
+                continue;
+            };
             let before = self.used.insert(attempt, used.ticks);
             if let Some(before) = before {
-                let cores = used.ticks.saturating_sub(before) as f64 * tick / (span as f64 / 1e6).max(1e-3);
-                self.agent.used(attempt, cores, used.memory as f64 / (1u64 << 30) as f64, out);
+                let cores =
+                    used.ticks.saturating_sub(before) as f64 * tick / (span as f64 / 1e6).max(1e-3);
+                self.agent.used(
+                    attempt,
+                    cores,
+                    used.memory as f64 / (1u64 << 30) as f64,
+                    out,
+                );
             }
         }
     }
@@ -303,8 +353,12 @@
     fn rotate(&self, attempt: u64) {
         let file = process::output(&self.outputs, attempt);
         if std::fs::metadata(&file).is_ok_and(|m| m.len() > self.config.output_kib << 10) {
-            let kept = std::fs::copy(&file, file.with_extension("log.1"))
-                .and_then(|_| std::fs::OpenOptions::new().write(true).open(&file)?.set_len(0));
+            let kept = std::fs::copy(&file, file.with_extension("log.1")).and_then(|_| {
+                std::fs::OpenOptions::new()
+                    .write(true)
+                    .open(&file)?
+                    .set_len(0)
+            });
             if let Err(e) = kept {
                 tracing::warn!(file = %file.display(), error = %e, "output could not be put aside");
             }
@@ -326,7 +380,10 @@
     }
 
     fn lose(&mut self, token: u64) {
-        if let Some(Link { placer: Some(placer), .. }) = self.conns.remove(&token)
+        if let Some(Link {
+            placer: Some(placer),
+            ..
+        }) = self.conns.remove(&token)
             && self.by_placer.get(&placer) == Some(&token)
         {
             self.by_placer.remove(&placer);
@@ -334,7 +391,9 @@
     }
 
     fn link_ready(&mut self, token: u64, r: &Readiness, out: &mut Vec<Do>) {
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         if r.write && link.conn.flush(&self.poller).is_err() {
             return self.lose(token);
         }
@@ -362,10 +421,17 @@
 
     fn frame(&mut self, token: u64, frame: Frame, out: &mut Vec<Do>) {
         let now = self.now();
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         match (&link.placer, frame) {
             (_, Frame::Bye(_)) => self.lose(token),
-            (None, Frame::Hello { major, minor, name, .. }) if major == frame::MAJOR => {
+            (
+                None,
+                Frame::Hello {
+                    major, minor, name, ..
+                },
+            ) if major == frame::MAJOR => {
                 let placer: Arc<str> = name.into();
                 link.placer = Some(placer.clone());
                 if let Some(before) = self.by_placer.insert(placer.clone(), token) {
@@ -374,7 +440,10 @@
                 self.agent.greeted(&placer, minor, out);
             }
             (None, _) => {
-                frame::encode(&Frame::Bye(format!("speaks version {}", frame::MAJOR)), link.conn.out());
+                frame::encode(
+                    &Frame::Bye(format!("speaks version {}", frame::MAJOR)),
+                    link.conn.out(),
+                );
                 let _ = link.conn.flush(&self.poller);
                 self.lose(token);
             }
@@ -390,8 +459,12 @@
     }
 
     fn send(&mut self, placer: &str, frame: &Frame) {
-        let Some(&token) = self.by_placer.get(placer) else { return };
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(&token) = self.by_placer.get(placer) else {
+            return;
+        };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         frame::encode(frame, link.conn.out());
         if link.conn.flush(&self.poller).is_err() || link.conn.unwritten() > MOST_UNWRITTEN {
             self.lose(token);
--- a/crates/agent/src/store.rs
+++ b/crates/agent/src/store.rs
@@ -5,7 +5,8 @@
 
 use maplethread_wire::frame::{self, Frame, Reason};
 use redb::{
-    Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageError, TableDefinition,
+    Database, DatabaseError, Durability, ReadableDatabase, ReadableTable, StorageError,
+    TableDefinition,
 };
 use serde::{Deserialize, Serialize};
 
@@ -80,9 +81,17 @@
         Fate::Accepted => KeptFate::Accepted,
         Fate::Starting => KeptFate::Starting,
         Fate::Running(Identity { pid, born }) => KeptFate::Running { pid, born },
-        Fate::Ended(reason, ran) => KeptFate::Ended { reason: reason as u8, ran },
+        Fate::Ended(reason, ran) => KeptFate::Ended {
+            reason: reason as u8,
+            ran,
+        },
     };
-    postcard::to_stdvec(&Row { placer: &kept.placer, fate, offer }).map_err(|e| StoreError::Io(e.to_string()))
+    postcard::to_stdvec(&Row {
+        placer: &kept.placer,
+        fate,
+        offer,
+    })
+    .map_err(|e| StoreError::Io(e.to_string()))
 }
 
 fn unpack(attempt: u64, bytes: &[u8]) -> Result<Kept, StoreError> {
@@ -100,7 +109,11 @@
         KeptFate::Running { pid, born } => Fate::Running(Identity { pid, born }),
         KeptFate::Ended { reason, ran } => Fate::Ended(Reason::from_byte(reason), ran),
     };
-    Ok(Kept { placer: row.placer.into(), offer, fate })
+    Ok(Kept {
+        placer: row.placer.into(),
+        offer,
+        fate,
+    })
 }
 
 /// The store.
@@ -112,7 +125,9 @@
     /// Opens it, or makes it.
     pub fn open(path: &Path) -> Result<Store, StoreError> {
         let base = Database::create(path).map_err(|e| match e {
-            DatabaseError::Storage(StorageError::Io(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
+            DatabaseError::Storage(StorageError::Io(e))
+                if e.kind() == std::io::ErrorKind::InvalidData =>
+            {
                 StoreError::Damaged("it is no store".to_owned())
             }
             e => io(e),
@@ -127,9 +142,16 @@
         write.set_durability(Durability::Immediate).map_err(io)?;
         {
             let mut facts = write.open_table(FACTS).map_err(io)?;
-            let version = facts.get("version").map_err(io)?.map(|v| v.value().to_vec());
+            let version = facts
+                .get("version")
+                .map_err(io)?
+                .map(|v| v.value().to_vec());
             match version {
-                None => drop(facts.insert("version", &VERSION.to_le_bytes()[..]).map_err(io)?),
+                None => drop(
+                    facts
+                        .insert("version", &VERSION.to_le_bytes()[..])
+                        .map_err(io)?,
+                ),
                 Some(bytes) => {
                     let bytes: [u8; 4] = bytes
                         .try_into()
@@ -164,7 +186,9 @@
 
     /// Makes what a turn wants kept durable, all of it or nothing; whether there was anything.
     pub fn commit(&self, turn: &[Do], facts: Option<&Facts>) -> Result<bool, StoreError> {
-        let any = turn.iter().any(|d| matches!(d, Do::Keep(..) | Do::Forget(_) | Do::KeepDrain));
+        let any = turn
+            .iter()
+            .any(|d| matches!(d, Do::Keep(..) | Do::Forget(_) | Do::KeepDrain));
         if !any && facts.is_none() {
             return Ok(false);
         }
@@ -184,7 +208,8 @@
                 }
             }
             if let Some(facts) = facts {
-                let bytes = postcard::to_stdvec(facts).map_err(|e| StoreError::Io(e.to_string()))?;
+                let bytes =
+                    postcard::to_stdvec(facts).map_err(|e| StoreError::Io(e.to_string()))?;
                 let mut table = write.open_table(FACTS).map_err(io)?;
                 table.insert("host", &bytes[..]).map_err(io)?;
             }
@@ -208,13 +233,20 @@
             actor: "ä".into(),
             class: "c".into(),
             request: "r".into(),
-            asks: Load { cores: 0.5, memory: 1.5 },
+            asks: Load {
+                cores: 0.5,
+                memory: 1.5,
+            },
             priority: 2,
             copies: Copies::Keyed(9),
             life_ms: 700,
             wait_ms: 250,
         };
-        Kept { placer: "p".into(), offer, fate }
+        Kept {
+            placer: "p".into(),
+            offer,
+            fate,
+        }
     }
 
     #[test]
@@ -224,19 +256,34 @@
         let fates = [
             Fate::Accepted,
             Fate::Starting,
-            Fate::Running(Identity { pid: 7, born: 1 << 40 }),
+            Fate::Running(Identity {
+                pid: 7,
+                born: 1 << 40,
+            }),
             Fate::Ended(Reason::PushedOut, true),
         ];
-        let all: Vec<(u64, Kept)> = (1..).zip(fates).map(|(n, fate)| (n, kept(n, fate))).collect();
-        let facts = Facts { boot: "b".into(), drains: true };
+        let all: Vec<(u64, Kept)> = (1..)
+            .zip(fates)
+            .map(|(n, fate)| (n, kept(n, fate)))
+            .collect();
+        let facts = Facts {
+            boot: "b".into(),
+            drains: true,
+        };
         {
             let store = Store::open(&path).expect("a store");
-            let mut turn: Vec<Do> = all.iter().map(|(n, kept)| Do::Keep(*n, kept.clone())).collect();
+            let mut turn: Vec<Do> = all
+                .iter()
+                .map(|(n, kept)| Do::Keep(*n, kept.clone()))
+                .collect();
             turn.push(Do::Keep(99, kept(99, Fate::Accepted)));
             assert!(store.commit(&turn, Some(&facts)).expect("a commit"));
             assert!(store.commit(&[Do::Forget(99)], None).expect("a commit"));
             assert!(!store.commit(&[Do::Spawn(1)], None).expect("nothing to do"));
-            assert!(matches!(Store::open(&path), Err(StoreError::Locked)), "one agent at a time");
+            assert!(
+                matches!(Store::open(&path), Err(StoreError::Locked)),
+                "one agent at a time"
+            );
         }
         let store = Store::open(&path).expect("a store");
         assert_eq!(store.read().expect("readable"), (facts, all));
@@ -247,7 +294,10 @@
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("agent.redb");
         std::fs::write(&path, vec![7; 100_000]).expect("a file");
-        assert!(matches!(Store::open(&path), Err(StoreError::Damaged(_) | StoreError::Io(_))));
+        assert!(matches!(
+            Store::open(&path),
+            Err(StoreError::Damaged(_) | StoreError::Io(_))
+        ));
         let path = folder.path().join("newer.redb");
         {
             let store = Store::open(&path).expect("a store");
@@ -263,7 +313,11 @@
         let path = folder.path().join("row.redb");
         let store = Store::open(&path).expect("a store");
         let write = store.base.begin_write().expect("a write");
-        write.open_table(TASKS).expect("a table").insert(5, &[1u8, 2, 3][..]).expect("a row");
+        write
+            .open_table(TASKS)
+            .expect("a table")
+            .insert(5, &[1u8, 2, 3][..])
+            .expect("a row");
         write.commit().expect("a commit");
         let told = store.read().expect_err("a damaged row").to_string();
         assert!(told.contains("0000000000000005"), "{told}");
--- a/crates/agent/src/template.rs
+++ b/crates/agent/src/template.rs
@@ -60,8 +60,8 @@
                 let (name, after) = rest[1..].split_once('}').ok_or("a `{` is not closed")?;
                 let known = FIELDS.iter().find(|(n, _)| *n == name);
                 let names = || FIELDS.iter().map(|f| f.0).collect::<Vec<_>>().join(", ");
-                let (_, field) =
-                    known.ok_or_else(|| format!("no placeholder `{{{name}}}`; there are {}", names()))?;
+                let (_, field) = known
+                    .ok_or_else(|| format!("no placeholder `{{{name}}}`; there are {}", names()))?;
                 if !plain.is_empty() {
                     parts.push(Part::Text(std::mem::take(&mut plain)));
                 }
@@ -122,7 +122,10 @@
             actor: actor.into(),
             class: "c".into(),
             request: "r".into(),
-            asks: Load { cores: 0.5, memory: 1.5 },
+            asks: Load {
+                cores: 0.5,
+                memory: 1.5,
+            },
             priority: 0,
             copies: Copies::Safe,
             life_ms: 700,
@@ -133,15 +136,21 @@
     #[test]
     fn placeholders_are_filled_in() {
         let argument = Argument::parse("--name={service}/{actor}:{attempt}").expect("a template");
-        assert_eq!(argument.fill(&offer("a b;$(x)")).expect("text"), "--name=web/a b;$(x):00000000000000ab");
+        assert_eq!(
+            argument.fill(&offer("a b;$(x)")).expect("text"),
+            "--name=web/a b;$(x):00000000000000ab"
+        );
         let sizes = Argument::parse("{cores} {memory_mib} {life_ms} {{}}").expect("a template");
         assert_eq!(sizes.fill(&offer("a")).expect("text"), "0.5 1536 700 {}");
     }
 
     #[test]
     fn what_is_no_template_is_told() {
-        for (text, why) in [("{nobody}", "no placeholder"), ("{actor", "not closed"), ("a}", "stands alone")]
-        {
+        for (text, why) in [
+            ("{nobody}", "no placeholder"),
+            ("{actor", "not closed"),
+            ("a}", "stands alone"),
+        ] {
             let error = Argument::parse(text).expect_err(text);
             assert!(error.contains(why), "{text}: {error}");
         }
@@ -153,6 +162,9 @@
         assert_eq!(alone.fill(&offer("--force")), Err(BadName::Option));
         assert_eq!(alone.fill(&offer("a\0b")), Err(BadName::Zero));
         let after = Argument::parse("--actor={actor}").expect("a template");
-        assert_eq!(after.fill(&offer("--force")).expect("text"), "--actor=--force");
+        assert_eq!(
+            after.fill(&offer("--force")).expect("text"),
+            "--actor=--force"
+        );
     }
 }
--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/turns.rs
@@ -53,7 +53,15 @@
 
 fn spawned(agent: &mut Agent, attempt: u64) -> Vec<Do> {
     let mut out = Vec::new();
-    agent.spawned(2, attempt, Ok(Identity { pid: attempt as u32, born: 5 }), &mut out);
+    agent.spawned(
+        2,
+        attempt,
+        Ok(Identity {
+            pid: attempt as u32,
+            born: 5,
+        }),
+        &mut out,
+    );
     out
 }
 
@@ -97,14 +105,26 @@
     let mut instead = Vec::new();
     agent.unkept(&turn, &mut instead);
     // It may be in the store all the same, and a later life might start it.
-    assert!(matches!(frames(&instead)[..], [Frame::Ended(1, Reason::Error, true, _)]), "{instead:?}");
+    assert!(
+        matches!(
+            frames(&instead)[..],
+            [Frame::Ended(1, Reason::Error, true, _)]
+        ),
+        "{instead:?}"
+    );
     assert!(!instead.contains(&Do::Spawn(1)) && agent.offer(1).is_none());
     let refused = ask(&mut agent, offer(2, 1.0, 0));
-    assert!(matches!(frames(&refused)[..], [Frame::Refused(2, Reason::NotHere, _)]));
+    assert!(matches!(
+        frames(&refused)[..],
+        [Frame::Refused(2, Reason::NotHere, _)]
+    ));
     let mut out = Vec::new();
     agent.due(3, Later::TryStore, &mut out);
     assert_eq!(out, [Do::Forget(1)]);
-    assert!(ask(&mut agent, offer(3, 1.0, 0)).contains(&Do::Spawn(3)), "the room of the first is free");
+    assert!(
+        ask(&mut agent, offer(3, 1.0, 0)).contains(&Do::Spawn(3)),
+        "the room of the first is free"
+    );
 }
 
 #[test]
@@ -115,11 +135,17 @@
     let turn = spawned(&mut agent, 1);
     let mut instead = Vec::new();
     agent.unkept(&turn, &mut instead);
-    assert!(matches!(frames(&instead)[..], [Frame::Started(1, _)]), "what runs is told: {instead:?}");
+    assert!(
+        matches!(frames(&instead)[..], [Frame::Started(1, _)]),
+        "what runs is told: {instead:?}"
+    );
     assert!(!instead.contains(&Do::Spawn(2)));
     let mut out = Vec::new();
     agent.due(3, Later::TryStore, &mut out);
-    assert!(out.contains(&Do::Spawn(2)) && fates(&out) == [Fate::Starting], "{out:?}");
+    assert!(
+        out.contains(&Do::Spawn(2)) && fates(&out) == [Fate::Starting],
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -137,7 +163,13 @@
     let mut out = Vec::new();
     agent.exited(5, 1, Some(false), &mut out);
     agent.tell(|_| true, &mut out);
-    assert!(matches!(frames(&out)[..], [Frame::Ended(1, Reason::Stopped, true, _)]), "{out:?}");
+    assert!(
+        matches!(
+            frames(&out)[..],
+            [Frame::Ended(1, Reason::Stopped, true, _)]
+        ),
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -152,7 +184,10 @@
     assert!(frames(&out).is_empty(), "nobody is there to hear it");
     let mut out = Vec::new();
     agent.tell(|_| true, &mut out);
-    assert!(matches!(frames(&out)[..], [Frame::Ended(1, Reason::Done, true, _)]));
+    assert!(matches!(
+        frames(&out)[..],
+        [Frame::Ended(1, Reason::Done, true, _)]
+    ));
     let mut out = Vec::new();
     agent.tell(|_| true, &mut out);
     assert_eq!(out, [Do::Forget(1)]);
@@ -160,7 +195,11 @@
 
 #[test]
 fn a_later_life_finishes_what_an_earlier_one_began() {
-    let kept = |fate| Kept { placer: placer(), offer: offer(0, 0.5, 0), fate };
+    let kept = |fate| Kept {
+        placer: placer(),
+        offer: offer(0, 0.5, 0),
+        fate,
+    };
     let all = [
         (1, Fate::Accepted),
         (2, Fate::Starting),
@@ -178,18 +217,31 @@
         })
         .collect();
     let found = |attempt: u64, _: &Kept| match attempt {
-        2 | 4 => Found::Alive(Identity { pid: attempt as u32, born: 9 }),
+        2 | 4 => Found::Alive(Identity {
+            pid: attempt as u32,
+            born: 9,
+        }),
         _ => Found::Gone,
     };
     let (mut agent, mut out) = (agent(), Vec::new());
     agent.recover(1, true, all, found, &mut out);
     let spawns: Vec<&Do> = out.iter().filter(|d| matches!(d, Do::Spawn(_))).collect();
-    assert_eq!(spawns, [&Do::Spawn(1)], "only what provably never started is started");
+    assert_eq!(
+        spawns,
+        [&Do::Spawn(1)],
+        "only what provably never started is started"
+    );
     let mut greeting = Vec::new();
     agent.greeted(&placer(), 1, &mut greeting);
     assert_eq!(frames(&greeting).last(), Some(&&Frame::Drain));
-    let held_end = frames(&greeting).iter().position(|f| **f == Frame::HeldEnd).expect("all is named");
-    let ends = frames(&greeting)[..held_end].iter().filter(|f| matches!(f, Frame::Ended(..))).count();
+    let held_end = frames(&greeting)
+        .iter()
+        .position(|f| **f == Frame::HeldEnd)
+        .expect("all is named");
+    let ends = frames(&greeting)[..held_end]
+        .iter()
+        .filter(|f| matches!(f, Frame::Ended(..)))
+        .count();
     assert_eq!(ends, 3, "ends come before what is held is all named");
     let told = frames(&greeting);
     let held: Vec<(u64, bool)> = told
@@ -209,7 +261,14 @@
         })
         .collect();
     // A start that was cut off may have run; how the other one ended nobody saw.
-    assert_eq!(ended, [(3, Reason::Error, true), (5, Reason::Unknown, true), (6, Reason::Done, true)]);
+    assert_eq!(
+        ended,
+        [
+            (3, Reason::Error, true),
+            (5, Reason::Unknown, true),
+            (6, Reason::Done, true)
+        ]
+    );
 }
 
 #[test]
@@ -218,10 +277,19 @@
     ask(&mut agent, offer(1, 3.0, 0));
     spawned(&mut agent, 1);
     let out = ask(&mut agent, offer(2, 2.0, 1));
-    assert!(out.contains(&Do::Kill(Identity { pid: 1, born: 5 }, false)), "{out:?}");
+    assert!(
+        out.contains(&Do::Kill(Identity { pid: 1, born: 5 }, false)),
+        "{out:?}"
+    );
     assert!(out.contains(&Do::Spawn(2)));
     let mut out = Vec::new();
     agent.exited(5, 1, None, &mut out);
     agent.tell(|_| true, &mut out);
-    assert!(matches!(frames(&out)[..], [Frame::Ended(1, Reason::PushedOut, true, _)]), "{out:?}");
+    assert!(
+        matches!(
+            frames(&out)[..],
+            [Frame::Ended(1, Reason::PushedOut, true, _)]
+        ),
+        "{out:?}"
+    );
 }
--- a/crates/capacity/src/budget_block.rs
+++ b/crates/capacity/src/budget_block.rs
@@ -25,14 +25,28 @@
     quantity: Quantity,
 ) -> Option<MeasuredAtSize<'_>> {
     let of_sweep = |result: &SweepResult| {
-        let at_size = result.points.iter().filter(|point| DESIGN_SIZE.is_met_by(&point.settings, phase));
+        let at_size = result
+            .points
+            .iter()
+            .filter(|point| DESIGN_SIZE.is_met_by(&point.settings, phase));
         let samples = at_size.filter_map(|point| phase_of(point, phase));
-        samples.filter_map(|sample| quantity.measured(sample, Across::Highest)).reduce(f64::max)
+        samples
+            .filter_map(|sample| quantity.measured(sample, Across::Highest))
+            .reduce(f64::max)
     };
-    let of_sweeps = results
-        .iter()
-        .filter_map(|result| Some(MeasuredAtSize { value: of_sweep(result)?, sweep: &result.sweep }));
-    of_sweeps.reduce(|highest, next| if next.value > highest.value { next } else { highest })
+    let of_sweeps = results.iter().filter_map(|result| {
+        Some(MeasuredAtSize {
+            value: of_sweep(result)?,
+            sweep: &result.sweep,
+        })
+    });
+    of_sweeps.reduce(|highest, next| {
+        if next.value > highest.value {
+            next
+        } else {
+            highest
+        }
+    })
 }
 
 /// The block of the size.
@@ -40,8 +54,14 @@
     let mut table = Table::new(&["", "the size"]);
     table.row(&["workers", &figure(f64::from(DESIGN_SIZE.workers))]);
     table.row(&["tasks running", &figure(f64::from(DESIGN_SIZE.tasks))]);
-    table.row(&["task starts a second", &figure(DESIGN_SIZE.starts_per_second)]);
-    table.row(&["control machines, with a placer each", &figure(f64::from(DESIGN_SIZE.control_machines))]);
+    table.row(&[
+        "task starts a second",
+        &figure(DESIGN_SIZE.starts_per_second),
+    ]);
+    table.row(&[
+        "control machines, with a placer each",
+        &figure(f64::from(DESIGN_SIZE.control_machines)),
+    ]);
     table.into_text()
 }
 
@@ -83,7 +103,9 @@
 pub fn budget_cell(budget: Budget, measured: f64) -> String {
     match budget.headroom(measured) {
         None => figure(measured),
-        Some(headroom) if headroom < 1.0 => format!("**{} ({})**", figure(measured), times(headroom)),
+        Some(headroom) if headroom < 1.0 => {
+            format!("**{} ({})**", figure(measured), times(headroom))
+        }
         Some(headroom) => format!("{} ({})", figure(measured), times(headroom)),
     }
 }
--- a/crates/capacity/src/dimension.rs
+++ b/crates/capacity/src/dimension.rs
@@ -31,6 +31,10 @@
             _ => largest / 2.0,
         };
         let fitted = sizes.iter().filter(|&&size| size <= limit).count();
-        if fitted >= MIN_FITTED_SIZES { Some(limit) } else { smaller.last().copied() }
+        if fitted >= MIN_FITTED_SIZES {
+            Some(limit)
+        } else {
+            smaller.last().copied()
+        }
     }
 }
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -73,18 +73,30 @@
         match parts.as_slice() {
             ["budget", phase, quantity] => budget_key(phase, quantity, false),
             ["budget", phase, quantity, "headroom"] => budget_key(phase, quantity, true),
-            [sweep, "law", phase, quantity, name] => {
-                sweep_key(sweep, phase, quantity, SweepAspect::Coefficient((*name).to_owned()))
-            }
-            [sweep, size, phase, quantity] => {
-                sweep_key(sweep, phase, quantity, SweepAspect::Measured(parse_size(size)?))
-            }
-            [sweep, size, phase, quantity, "foretold"] => {
-                sweep_key(sweep, phase, quantity, SweepAspect::Foretold(parse_size(size)?))
-            }
-            [sweep, size, phase, quantity, "error"] => {
-                sweep_key(sweep, phase, quantity, SweepAspect::Error(parse_size(size)?))
-            }
+            [sweep, "law", phase, quantity, name] => sweep_key(
+                sweep,
+                phase,
+                quantity,
+                SweepAspect::Coefficient((*name).to_owned()),
+            ),
+            [sweep, size, phase, quantity] => sweep_key(
+                sweep,
+                phase,
+                quantity,
+                SweepAspect::Measured(parse_size(size)?),
+            ),
+            [sweep, size, phase, quantity, "foretold"] => sweep_key(
+                sweep,
+                phase,
+                quantity,
+                SweepAspect::Foretold(parse_size(size)?),
+            ),
+            [sweep, size, phase, quantity, "error"] => sweep_key(
+                sweep,
+                phase,
+                quantity,
+                SweepAspect::Error(parse_size(size)?),
+            ),
             _ => Err(KeyError::Form),
         }
     }
@@ -94,10 +106,19 @@
     let phase = parse_phase(phase)?;
     let budget = Budget::of_quantity(parse_quantity(quantity)?);
     let budget = budget.ok_or_else(|| KeyError::Budget(quantity.to_owned()))?;
-    Ok(FigureKey::Budget { phase, budget, headroom })
+    Ok(FigureKey::Budget {
+        phase,
+        budget,
+        headroom,
+    })
 }
 
-fn sweep_key(sweep: &str, phase: &str, quantity: &str, aspect: SweepAspect) -> Result<FigureKey, KeyError> {
+fn sweep_key(
+    sweep: &str,
+    phase: &str,
+    quantity: &str,
+    aspect: SweepAspect,
+) -> Result<FigureKey, KeyError> {
     Ok(FigureKey::Sweep {
         sweep: sweep.to_owned(),
         phase: parse_phase(phase)?,
@@ -116,5 +137,9 @@
 
 fn parse_size(text: &str) -> Result<f64, KeyError> {
     let size: f64 = text.parse().map_err(|_| KeyError::Size(text.to_owned()))?;
-    if size.is_finite() && size >= 0.0 { Ok(size) } else { Err(KeyError::Size(text.to_owned())) }
+    if size.is_finite() && size >= 0.0 {
+        Ok(size)
+    } else {
+        Err(KeyError::Size(text.to_owned()))
+    }
 }
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -35,7 +35,10 @@
 
 impl Interval {
     fn around(middle: f64, half_width: f64) -> Self {
-        Self { low: middle - half_width, high: middle + half_width }
+        Self {
+            low: middle - half_width,
+            high: middle + half_width,
+        }
     }
 
     /// Whether a value lies in the range, but for rounding.
@@ -105,19 +108,38 @@
     pub fn new(law: Law, observations: &[Observation]) -> Result<Self, FitError> {
         let found = distinct_sizes(observations).len();
         if found < law.min_sizes() {
-            return Err(FitError::TooFewSizes { found, needed: law.min_sizes() });
+            return Err(FitError::TooFewSizes {
+                found,
+                needed: law.min_sizes(),
+            });
         }
-        let rows = observations.iter().map(|o| law.terms(o.size)).collect::<Option<Vec<_>>>();
-        let targets = observations.iter().map(|o| law.to_fitted_scale(o.value)).collect::<Option<Vec<_>>>();
+        let rows = observations
+            .iter()
+            .map(|o| law.terms(o.size))
+            .collect::<Option<Vec<_>>>();
+        let targets = observations
+            .iter()
+            .map(|o| law.to_fitted_scale(o.value))
+            .collect::<Option<Vec<_>>>();
         let (rows, targets) = rows.zip(targets).ok_or(FitError::Undefined)?;
         let coefficients = law.coefficient_names().len();
-        let design = DMatrix::from_row_iterator(rows.len(), coefficients, rows.into_iter().flatten());
+        let design =
+            DMatrix::from_row_iterator(rows.len(), coefficients, rows.into_iter().flatten());
         let targets = DVector::from_vec(targets);
         let (estimates, inverse_gram) = solve(&design, &targets).ok_or(FitError::Degenerate)?;
         let fitted_residuals = &targets - &design * &estimates;
         let error = error_estimate(&fitted_residuals, coefficients);
-        let mut fit = Self { law, estimates, inverse_gram, error, residuals: Vec::new() };
-        fit.residuals = observations.iter().map(|o| o.value - fit.value(o.size)).collect();
+        let mut fit = Self {
+            law,
+            estimates,
+            inverse_gram,
+            error,
+            residuals: Vec::new(),
+        };
+        fit.residuals = observations
+            .iter()
+            .map(|o| o.value - fit.value(o.size))
+            .collect();
         Ok(fit)
     }
 
@@ -131,8 +153,9 @@
         let coefficient = |at: usize| {
             let value = self.estimates[at];
             let spread = self.inverse_gram[(at, at)].max(0.0).sqrt();
-            let interval =
-                self.error.map(|error| Interval::around(value, error.quantile * error.deviation * spread));
+            let interval = self
+                .error
+                .map(|error| Interval::around(value, error.quantile * error.deviation * spread));
             Coefficient { value, interval }
         };
         (0..self.estimates.len()).map(coefficient).collect()
@@ -151,7 +174,8 @@
 
     /// The cost at a size; not a number where the law is not defined.
     pub fn value(&self, size: f64) -> f64 {
-        self.predict(size).map_or(f64::NAN, |prediction| prediction.value)
+        self.predict(size)
+            .map_or(f64::NAN, |prediction| prediction.value)
     }
 
     /// The cost of one more measurement at a size; nothing where the law is not defined.
@@ -163,9 +187,15 @@
             let leverage = terms.dot(&(&self.inverse_gram * &terms)).max(0.0);
             let half_width = error.quantile * error.deviation * (1.0 + leverage).sqrt();
             let Interval { low, high } = Interval::around(middle, half_width);
-            Interval { low: back(low), high: back(high) }
+            Interval {
+                low: back(low),
+                high: back(high),
+            }
         });
-        Some(Prediction { value: back(middle), interval })
+        Some(Prediction {
+            value: back(middle),
+            interval,
+        })
     }
 }
 
@@ -184,11 +214,17 @@
     if norms.iter().any(|&norm| !(norm > 0.0 && norm.is_finite())) {
         return None;
     }
-    let unscale =
-        DMatrix::from_diagonal(&DVector::from_iterator(norms.len(), norms.iter().map(|norm| 1.0 / norm)));
+    let unscale = DMatrix::from_diagonal(&DVector::from_iterator(
+        norms.len(),
+        norms.iter().map(|norm| 1.0 / norm),
+    ));
     let decomposition = (design * &unscale).qr();
     let upper = decomposition.r();
-    if upper.diagonal().iter().any(|pivot| pivot.abs() < MIN_RELATIVE_PIVOT) {
+    if upper
+        .diagonal()
+        .iter()
+        .any(|pivot| pivot.abs() < MIN_RELATIVE_PIVOT)
+    {
         return None;
     }
     let scaled = upper.solve_upper_triangular(&(decomposition.q().transpose() * targets))?;
@@ -198,8 +234,14 @@
 }
 
 fn error_estimate(residuals: &DVector<f64>, coefficients: usize) -> Option<ErrorEstimate> {
-    let freedom = residuals.len().checked_sub(coefficients).filter(|&freedom| freedom > 0)? as f64;
+    let freedom = residuals
+        .len()
+        .checked_sub(coefficients)
+        .filter(|&freedom| freedom > 0)? as f64;
     let student = StudentsT::new(0.0, 1.0, freedom).ok()?;
     let quantile = student.inverse_cdf((1.0 + CONFIDENCE) / 2.0);
-    Some(ErrorEstimate { deviation: (residuals.norm_squared() / freedom).sqrt(), quantile })
+    Some(ErrorEstimate {
+        deviation: (residuals.norm_squared() / freedom).sqrt(),
+        quantile,
+    })
 }
--- a/crates/capacity/src/law.rs
+++ b/crates/capacity/src/law.rs
@@ -15,7 +15,12 @@
 
 impl Law {
     /// Every law, the line first.
-    pub const ALL: [Self; 4] = [Self::Linear, Self::Constant, Self::LinearLogarithmic, Self::Power];
+    pub const ALL: [Self; 4] = [
+        Self::Linear,
+        Self::Constant,
+        Self::LinearLogarithmic,
+        Self::Power,
+    ];
 
     /// The law as a formula.
     pub fn formula(self) -> &'static str {
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -61,6 +61,8 @@
     Dimension, Direction, Fault, Machine, MessageCount, MessageKind, Phase, PhaseSample, Point,
     PointSettings, ProcessSample, RESULT_FORMAT, Share, SweepResult,
 };
-pub use size::{Budget, DESIGN_SIZE, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT, MAX_MEMORY_BYTES, Size};
+pub use size::{
+    Budget, DESIGN_SIZE, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT, MAX_MEMORY_BYTES, Size,
+};
 pub use study::{HeldOut, MAX_RELATIVE_ERROR, Study, Trial, Verdict};
 pub use sweep_block::NOT_MEASURED;
--- a/crates/capacity/src/markdown.rs
+++ b/crates/capacity/src/markdown.rs
@@ -10,10 +10,14 @@
 impl Table {
     /// A table with a header and no rows.
     pub fn new<S: AsRef<str>>(header: &[S]) -> Self {
-        let mut table = Self { columns: header.len(), text: String::new() };
+        let mut table = Self {
+            columns: header.len(),
+            text: String::new(),
+        };
         table.row(header);
-        let rule: Vec<&str> =
-            (0..header.len()).map(|column| if column == 0 { "---" } else { "---:" }).collect();
+        let rule: Vec<&str> = (0..header.len())
+            .map(|column| if column == 0 { "---" } else { "---:" })
+            .collect();
         table.row(&rule);
         table
     }
@@ -37,5 +41,8 @@
 
 /// Text that a reader of the page unfolds.
 pub fn folded(title: &str, text: &str) -> String {
-    format!("<details>\n<summary>{title}</summary>\n\n{}\n\n</details>\n", text.trim_end())
+    format!(
+        "<details>\n<summary>{title}</summary>\n\n{}\n\n</details>\n",
+        text.trim_end()
+    )
 }
--- a/crates/capacity/src/number.rs
+++ b/crates/capacity/src/number.rs
@@ -24,7 +24,11 @@
     if !part.is_empty() {
         written = format!("{written}.{part}");
     }
-    if value < 0.0 && written != "0" { format!("−{written}") } else { written }
+    if value < 0.0 && written != "0" {
+        format!("−{written}")
+    } else {
+        written
+    }
 }
 
 /// A part of a whole as percent with one digit behind the point and its sign.
@@ -45,7 +49,11 @@
 
 /// How often something goes into something else.
 pub fn times(factor: f64) -> String {
-    if factor >= 100.0 { format!("{}×", grouped(&format!("{factor:.0}"))) } else { format!("{factor:.2}×") }
+    if factor >= 100.0 {
+        format!("{}×", grouped(&format!("{factor:.0}")))
+    } else {
+        format!("{factor:.2}×")
+    }
 }
 
 fn grouped(whole: &str) -> String {
@@ -55,6 +63,10 @@
     if !head.is_empty() {
         groups.push(head);
     }
-    groups.extend((0..tail.len()).step_by(GROUP).map(|at| &tail[at..at + GROUP]));
+    groups.extend(
+        (0..tail.len())
+            .step_by(GROUP)
+            .map(|at| &tail[at..at + GROUP]),
+    );
     groups.join(",")
 }
--- a/crates/capacity/src/other_points.rs
+++ b/crates/capacity/src/other_points.rs
@@ -11,11 +11,15 @@
 
 /// The table, folded; nothing without such points.
 pub fn other_points(results: &[SweepResult]) -> String {
-    let rows: Vec<Vec<String>> = Phase::all().flat_map(|phase| phase_rows(results, phase)).collect();
+    let rows: Vec<Vec<String>> = Phase::all()
+        .flat_map(|phase| phase_rows(results, phase))
+        .collect();
     if rows.is_empty() {
         return String::new();
     }
-    let mut header = ["phase", "sweep", "placers", "tasks", "starts/s"].map(str::to_owned).to_vec();
+    let mut header = ["phase", "sweep", "placers", "tasks", "starts/s"]
+        .map(str::to_owned)
+        .to_vec();
     header.extend(Budget::ALL.map(|budget| budget.quantity().title()));
     let mut table = Table::new(&header);
     for row in &rows {
@@ -29,7 +33,11 @@
 fn phase_rows(results: &[SweepResult], phase: Phase) -> Vec<Vec<String>> {
     let mut rows = Vec::new();
     for result in results {
-        for point in result.points.iter().filter(|point| is_other(&point.settings, phase)) {
+        for point in result
+            .points
+            .iter()
+            .filter(|point| is_other(&point.settings, phase))
+        {
             let sample = phase_of(point, phase);
             rows.extend(sample.map(|sample| row(&result.sweep, &point.settings, sample)));
         }
@@ -42,8 +50,16 @@
 }
 
 fn row(sweep: &str, settings: &PointSettings, sample: &PhaseSample) -> Vec<String> {
-    let starts = if sample.phase == Phase::Rest { 0.0 } else { settings.starts_per_second };
-    let sizes = [settings.value(Dimension::Placers), settings.value(Dimension::Tasks), starts];
+    let starts = if sample.phase == Phase::Rest {
+        0.0
+    } else {
+        settings.starts_per_second
+    };
+    let sizes = [
+        settings.value(Dimension::Placers),
+        settings.value(Dimension::Tasks),
+        starts,
+    ];
     let mut row = vec![sample.phase.title(), sweep.to_owned()];
     row.extend(sizes.map(figure));
     row.extend(Budget::ALL.map(|budget| {
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -102,7 +102,12 @@
 
 /// Generates the parts of a page anew and leaves the rest as it is.
 pub fn regenerate(page: &str, contents: &dyn Contents) -> Result<Regenerated, PageError> {
-    let mut writer = Writer { contents, text: String::new(), changed: Vec::new(), blocks: BTreeSet::new() };
+    let mut writer = Writer {
+        contents,
+        text: String::new(),
+        changed: Vec::new(),
+        blocks: BTreeSet::new(),
+    };
     let mut lines = page.split_inclusive('\n').zip(1..);
     while let Some((line, number)) = lines.next() {
         if let Some(name) = marker(line, BEGIN) {
@@ -114,16 +119,27 @@
             writer.line(line, number)?;
         }
     }
-    let missing = contents.required_blocks().into_iter().find(|name| !writer.blocks.contains(name));
+    let missing = contents
+        .required_blocks()
+        .into_iter()
+        .find(|name| !writer.blocks.contains(name));
     match missing {
         Some(name) => Err(PageError::MissingBlock { name }),
-        None => Ok(Regenerated { text: writer.text, changed: writer.changed }),
+        None => Ok(Regenerated {
+            text: writer.text,
+            changed: writer.changed,
+        }),
     }
 }
 
 /// The name in a marker that has a line of its own.
 fn marker<'a>(line: &'a str, opening: &str) -> Option<&'a str> {
-    Some(line.trim().strip_prefix(opening)?.strip_suffix(CLOSE)?.trim())
+    Some(
+        line.trim()
+            .strip_prefix(opening)?
+            .strip_suffix(CLOSE)?
+            .trim(),
+    )
 }
 
 /// The lines of a block up to its end marker.
@@ -142,7 +158,10 @@
         }
         body += line;
     }
-    Err(PageError::UnendedBlock { line: begun, name: name.to_owned() })
+    Err(PageError::UnendedBlock {
+        line: begun,
+        name: name.to_owned(),
+    })
 }
 
 struct Writer<'a> {
@@ -155,7 +174,10 @@
 impl Writer<'_> {
     fn block(&mut self, name: &str, line: usize, before: &str) -> Result<(), PageError> {
         if !self.blocks.insert(name.to_owned()) {
-            return Err(PageError::RepeatedBlock { line, name: name.to_owned() });
+            return Err(PageError::RepeatedBlock {
+                line,
+                name: name.to_owned(),
+            });
         }
         let body = format!("\n{}\n\n", self.contents.block(name).trim());
         if body != before {
@@ -180,7 +202,11 @@
     }
 
     fn figure(&mut self, key: &str, before: &str, line: usize) -> Result<(), PageError> {
-        let problem = |problem| PageError::Figure { line, key: key.to_owned(), problem };
+        let problem = |problem| PageError::Figure {
+            line,
+            key: key.to_owned(),
+            problem,
+        };
         let value = self.contents.figure(key).map_err(problem)?;
         if value != before {
             self.changed.push(PartName::Figure(key.to_owned()));
--- a/crates/capacity/src/parse.rs
+++ b/crates/capacity/src/parse.rs
@@ -77,10 +77,16 @@
 
 /// Reads the result of a sweep. `file` names the text in errors; its stem has to be the name of the sweep.
 pub fn parse_result(file: &str, text: &str) -> Result<SweepResult, ResultError> {
-    let json_error = |source| ResultError::Json { file: file.to_owned(), source };
+    let json_error = |source| ResultError::Json {
+        file: file.to_owned(),
+        source,
+    };
     let Versioned { format } = serde_json::from_str(text).map_err(json_error)?;
     if format != RESULT_FORMAT {
-        return Err(ResultError::Format { file: file.to_owned(), found: format });
+        return Err(ResultError::Format {
+            file: file.to_owned(),
+            found: format,
+        });
     }
     let result: SweepResult = serde_json::from_str(text).map_err(json_error)?;
     check_name(file, &result)?;
@@ -99,13 +105,19 @@
     if name.strip_suffix(".json") == Some(result.sweep.as_str()) {
         return Ok(());
     }
-    Err(ResultError::Name { file: file.to_owned(), sweep: result.sweep.clone() })
+    Err(ResultError::Name {
+        file: file.to_owned(),
+        sweep: result.sweep.clone(),
+    })
 }
 
 fn check_point(point: &Point) -> Result<(), PointProblem> {
     let settings = &point.settings;
-    let rates =
-        [settings.starts_per_second, settings.list_changes_per_second, settings.config_changes_per_hour];
+    let rates = [
+        settings.starts_per_second,
+        settings.list_changes_per_second,
+        settings.config_changes_per_hour,
+    ];
     if !rates.into_iter().all(is_measure) {
         return Err(PointProblem::Rate);
     }
@@ -117,7 +129,11 @@
         if !is_measure(sample.seconds) || sample.seconds < MIN_SECONDS {
             return Err(PointProblem::Seconds(sample.phase));
         }
-        if !sample.placers.iter().all(|placer| is_measure(placer.cpu_cores)) {
+        if !sample
+            .placers
+            .iter()
+            .all(|placer| is_measure(placer.cpu_cores))
+        {
             return Err(PointProblem::Cpu(sample.phase));
         }
     }
--- a/crates/capacity/src/phase.rs
+++ b/crates/capacity/src/phase.rs
@@ -47,7 +47,9 @@
 impl Phase {
     /// Every phase, in the order of the page.
     pub fn all() -> impl Iterator<Item = Self> {
-        [Self::Rest, Self::Peak].into_iter().chain(Fault::ALL.map(Self::WorstSecond))
+        [Self::Rest, Self::Peak]
+            .into_iter()
+            .chain(Fault::ALL.map(Self::WorstSecond))
     }
 
     /// The name in keys of figures: `rest`, `peak` or the fault's name.
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -36,14 +36,18 @@
 ];
 
 /// Colours that stay apart for people who see few of them (Okabe and Ito).
-const SERIES: [(Phase, RGBColor); 2] =
-    [(Phase::Rest, RGBColor(0, 114, 178)), (Phase::Peak, RGBColor(213, 94, 0))];
+const SERIES: [(Phase, RGBColor); 2] = [
+    (Phase::Rest, RGBColor(0, 114, 178)),
+    (Phase::Peak, RGBColor(213, 94, 0)),
+];
 
 /// Draws a sweep. Sizes that laws were fitted to are full, those that they foretold are hollow.
 pub fn sweep_plot(result: &SweepResult) -> Result<String, PlotError> {
     let mut svg = String::new();
-    draw(&mut svg, result)
-        .map_err(|error| PlotError { sweep: result.sweep.clone(), problem: error.to_string() })?;
+    draw(&mut svg, result).map_err(|error| PlotError {
+        sweep: result.sweep.clone(),
+        problem: error.to_string(),
+    })?;
     Ok(svg)
 }
 
@@ -65,7 +69,11 @@
     let observed = SERIES.map(|(phase, _)| result.observations(phase, quantity));
     let all = || observed.iter().flatten();
     let largest = all().map(|o| o.size).fold(1.0, f64::max);
-    let highest = all().map(|o| o.value).reduce(f64::max).filter(|&value| value > 0.0).unwrap_or(1.0);
+    let highest = all()
+        .map(|o| o.value)
+        .reduce(f64::max)
+        .filter(|&value| value > 0.0)
+        .unwrap_or(1.0);
     let mut chart = ChartBuilder::on(area)
         .caption(quantity.title(), ("sans-serif", 18))
         .margin(12)
@@ -84,15 +92,20 @@
         let limit = study.as_ref().map_or(f64::INFINITY, Study::limit);
         let (fitted, held_out): (Vec<Observation>, Vec<Observation>) =
             observations.iter().partition(|o| o.size <= limit);
-        let curve = study.map(|study| curve(&study, observations, highest * HEADROOM)).unwrap_or_default();
+        let curve = study
+            .map(|study| curve(&study, observations, highest * HEADROOM))
+            .unwrap_or_default();
         chart
             .draw_series(LineSeries::new(curve, colour.stroke_width(2)))?
             .label(phase.title())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2)));
         chart.draw_series(
-            fitted.iter().map(|o| Circle::new((o.size, o.value), POINT_RADIUS, colour.filled())),
+            fitted
+                .iter()
+                .map(|o| Circle::new((o.size, o.value), POINT_RADIUS, colour.filled())),
         )?;
-        let hollow = |o: &Observation| Circle::new((o.size, o.value), POINT_RADIUS, colour.stroke_width(2));
+        let hollow =
+            |o: &Observation| Circle::new((o.size, o.value), POINT_RADIUS, colour.stroke_width(2));
         chart.draw_series(held_out.iter().map(hollow))?;
     }
     chart
@@ -107,8 +120,15 @@
 fn curve(study: &Study, observations: &[Observation], highest: f64) -> Vec<(f64, f64)> {
     let fit = &study.chosen().fit;
     let sizes = || observations.iter().map(|o| o.size);
-    let (first, last) = (sizes().fold(f64::INFINITY, f64::min), sizes().fold(0.0, f64::max));
+    let (first, last) = (
+        sizes().fold(f64::INFINITY, f64::min),
+        sizes().fold(0.0, f64::max),
+    );
     let at = |step: u32| first + (last - first) * f64::from(step) / f64::from(CURVE_STEPS);
-    let points = (0..=CURVE_STEPS).map(at).map(|size| (size, fit.value(size)));
-    points.filter(|(_, value)| (0.0..=highest).contains(value)).collect()
+    let points = (0..=CURVE_STEPS)
+        .map(at)
+        .map(|size| (size, fit.value(size)));
+    points
+        .filter(|(_, value)| (0.0..=highest).contains(value))
+        .collect()
 }
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -76,7 +76,13 @@
 
 impl Traffic {
     /// Every choice, in the order of the page.
-    pub const ALL: [Self; 5] = [Self::Control, Self::Placing, Self::Either, Self::WideControl, Self::All];
+    pub const ALL: [Self; 5] = [
+        Self::Control,
+        Self::Placing,
+        Self::Either,
+        Self::WideControl,
+        Self::All,
+    ];
 
     /// Whether messages of this share count.
     pub fn counts(self, share: Share) -> bool {
@@ -130,7 +136,10 @@
         ];
         let counts = [Self::Messages, Self::PayloadBytes, Self::WireBytes];
         let answers = AnswerTime::ALL.map(Self::Answer);
-        process.into_iter().chain(answers).chain(counts.into_iter().flat_map(|count| Traffic::ALL.map(count)))
+        process
+            .into_iter()
+            .chain(answers)
+            .chain(counts.into_iter().flat_map(|count| Traffic::ALL.map(count)))
     }
 
     /// The name in keys of figures, such as `cpu` or `control_wire_bytes`.
@@ -175,8 +184,12 @@
             Self::ResidentMemory => of_processes(sample, across, |p| p.resident_kib as f64),
             Self::ProportionalMemory => of_processes(sample, across, |p| p.proportional_kib as f64),
             Self::Descriptors => of_processes(sample, across, |p| f64::from(p.descriptors)),
-            Self::HostConnections => of_processes(sample, across, |p| f64::from(p.host_connections)),
-            Self::Answer(time) => sample.answer_us.map(|times| times[time as usize] as f64 / US_PER_MS),
+            Self::HostConnections => {
+                of_processes(sample, across, |p| f64::from(p.host_connections))
+            }
+            Self::Answer(time) => sample
+                .answer_us
+                .map(|times| times[time as usize] as f64 / US_PER_MS),
             Self::Messages(traffic) => of_messages(sample, traffic, |m| m.count),
             Self::PayloadBytes(traffic) => of_messages(sample, traffic, |m| m.payload_bytes),
             Self::WireBytes(traffic) => of_messages(sample, traffic, |m| m.wire_bytes),
@@ -184,7 +197,11 @@
     }
 }
 
-fn of_processes(sample: &PhaseSample, across: Across, of: fn(&ProcessSample) -> f64) -> Option<f64> {
+fn of_processes(
+    sample: &PhaseSample,
+    across: Across,
+    of: fn(&ProcessSample) -> f64,
+) -> Option<f64> {
     let values = sample.placers.iter().map(of);
     match across {
         Across::Mean => {
@@ -194,9 +211,16 @@
     }
 }
 
-fn of_messages(sample: &PhaseSample, traffic: Traffic, of: fn(&MessageCount) -> u64) -> Option<f64> {
+fn of_messages(
+    sample: &PhaseSample,
+    traffic: Traffic,
+    of: fn(&MessageCount) -> u64,
+) -> Option<f64> {
     let placer_seconds = sample.placers.len() as f64 * sample.seconds;
-    let counted = sample.messages.iter().filter(|m| traffic.counts(m.kind.share()));
+    let counted = sample
+        .messages
+        .iter()
+        .filter(|m| traffic.counts(m.kind.share()));
     let total: f64 = counted.map(|m| of(m) as f64).sum();
     (placer_seconds > 0.0).then(|| total / placer_seconds)
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -35,13 +35,19 @@
     /// A report of results, whose page finds the plots in `plot_folder`.
     pub fn new(mut results: Vec<SweepResult>, plot_folder: &str) -> Self {
         results.sort_by(|a, b| a.sweep.cmp(&b.sweep));
-        Self { results, plot_folder: plot_folder.to_owned() }
+        Self {
+            results,
+            plot_folder: plot_folder.to_owned(),
+        }
     }
 
     /// The plot of each sweep.
     pub fn plots(&self) -> Result<Vec<Plot>, PlotError> {
         let plot = |result: &SweepResult| {
-            Ok(Plot { file_name: plot_file_name(&result.sweep), svg: sweep_plot(result)? })
+            Ok(Plot {
+                file_name: plot_file_name(&result.sweep),
+                svg: sweep_plot(result)?,
+            })
         };
         self.results.iter().map(plot).collect()
     }
@@ -67,12 +73,23 @@
 
     fn key_figure(&self, key: &FigureKey) -> Option<String> {
         match key {
-            FigureKey::Sweep { sweep, phase, quantity, aspect } => {
-                self.sweep_figure(sweep, *phase, *quantity, aspect)
-            }
-            FigureKey::Budget { phase, budget, headroom } => {
+            FigureKey::Sweep {
+                sweep,
+                phase,
+                quantity,
+                aspect,
+            } => self.sweep_figure(sweep, *phase, *quantity, aspect),
+            FigureKey::Budget {
+                phase,
+                budget,
+                headroom,
+            } => {
                 let measured = measured_at_size(&self.results, *phase, budget.quantity())?.value;
-                if *headroom { budget.headroom(measured).map(times) } else { Some(figure(measured)) }
+                if *headroom {
+                    budget.headroom(measured).map(times)
+                } else {
+                    Some(figure(measured))
+                }
             }
         }
     }
@@ -81,7 +98,10 @@
 impl Contents for Report {
     fn required_blocks(&self) -> Vec<String> {
         let fixed = [SIZE_BLOCK, BUDGET_BLOCK].map(str::to_owned);
-        fixed.into_iter().chain(self.results.iter().map(|result| result.sweep.clone())).collect()
+        fixed
+            .into_iter()
+            .chain(self.results.iter().map(|result| result.sweep.clone()))
+            .collect()
     }
 
     fn block(&self, name: &str) -> String {
@@ -89,9 +109,10 @@
             SIZE_BLOCK => size_block(),
             BUDGET_BLOCK => budget_block(&self.results),
             sweep => match self.result(sweep) {
-                Some(result) => {
-                    sweep_block(result, &format!("{}/{}", self.plot_folder, plot_file_name(sweep)))
-                }
+                Some(result) => sweep_block(
+                    result,
+                    &format!("{}/{}", self.plot_folder, plot_file_name(sweep)),
+                ),
                 None => format!("This sweep is {NOT_MEASURED}.\n"),
             },
         }
@@ -99,19 +120,35 @@
 
     fn figure(&self, key: &str) -> Result<String, KeyError> {
         let key = FigureKey::parse(key)?;
-        Ok(self.key_figure(&key).unwrap_or_else(|| NOT_MEASURED.to_owned()))
+        Ok(self
+            .key_figure(&key)
+            .unwrap_or_else(|| NOT_MEASURED.to_owned()))
     }
 }
 
 fn trial_figure(trial: &Trial, aspect: &SweepAspect) -> Option<String> {
-    let held_out = |size: f64| trial.held_out.iter().find(|held_out| held_out.measured.size == size);
+    let held_out = |size: f64| {
+        trial
+            .held_out
+            .iter()
+            .find(|held_out| held_out.measured.size == size)
+    };
     match aspect {
         SweepAspect::Measured(_) => None,
         SweepAspect::Foretold(size) => held_out(*size).map(|h| figure(h.foretold.value)),
         SweepAspect::Error(size) => held_out(*size).map(|h| percent(h.relative_error())),
         SweepAspect::Coefficient(name) => {
-            let position = trial.fit.law().coefficient_names().iter().position(|n| n == name)?;
-            trial.fit.coefficients().get(position).map(|c| figure(c.value))
+            let position = trial
+                .fit
+                .law()
+                .coefficient_names()
+                .iter()
+                .position(|n| n == name)?;
+            trial
+                .fit
+                .coefficients()
+                .get(position)
+                .map(|c| figure(c.value))
         }
     }
 }
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -248,9 +248,13 @@
     /// What messages of this kind are sent for.
     pub fn share(self) -> Share {
         match self {
-            Self::Hello | Self::HeldEnd | Self::Ping | Self::Pong | Self::Drain | Self::Bye => Share::Control,
+            Self::Hello | Self::HeldEnd | Self::Ping | Self::Pong | Self::Drain | Self::Bye => {
+                Share::Control
+            }
             Self::Connection | Self::FleetDatagram => Share::Control,
-            Self::Offer | Self::Accepted | Self::Refused | Self::Started | Self::Ended => Share::Placing,
+            Self::Offer | Self::Accepted | Self::Refused | Self::Started | Self::Ended => {
+                Share::Placing
+            }
             Self::Cancel | Self::Stop => Share::Placing,
             Self::Held | Self::Probe | Self::Report | Self::Note => Share::Either,
         }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -17,8 +17,12 @@
 }
 
 /// The size that the design is made for.
-pub const DESIGN_SIZE: Size =
-    Size { workers: 1_300, tasks: 24_000, starts_per_second: 190.0, control_machines: 6 };
+pub const DESIGN_SIZE: Size = Size {
+    workers: 1_300,
+    tasks: 24_000,
+    starts_per_second: 190.0,
+    control_machines: 6,
+};
 
 /// Processor time that a placer may take at the size, percent of a core.
 pub const MAX_CPU_PERCENT: f64 = 2.5;
@@ -100,7 +104,9 @@
 
     /// The budget of a quantity.
     pub fn of_quantity(quantity: Quantity) -> Option<Self> {
-        Self::ALL.into_iter().find(|budget| budget.quantity() == quantity)
+        Self::ALL
+            .into_iter()
+            .find(|budget| budget.quantity() == quantity)
     }
 
     /// How often the measured figure goes into the budget: below 1 it is exceeded. Nothing for a figure of 0.
--- a/crates/capacity/src/study.rs
+++ b/crates/capacity/src/study.rs
@@ -23,12 +23,18 @@
     /// Foretold less measured, as a part of the measured; infinite where something was foretold of a cost of 0.
     pub fn relative_error(&self) -> f64 {
         let error = self.foretold.value - self.measured.value;
-        if error.abs() < ZERO { 0.0 } else { error / self.measured.value.abs() }
+        if error.abs() < ZERO {
+            0.0
+        } else {
+            error / self.measured.value.abs()
+        }
     }
 
     /// Whether the measured cost lies in the interval of the prediction; nothing without an interval.
     pub fn in_interval(&self) -> Option<bool> {
-        self.foretold.interval.map(|interval| interval.contains(self.measured.value))
+        self.foretold
+            .interval
+            .map(|interval| interval.contains(self.measured.value))
     }
 }
 
@@ -55,15 +61,22 @@
 impl Trial {
     fn new(law: Law, fitted: &[Observation], held_out: &[Observation]) -> Option<Self> {
         let fit = Fit::new(law, fitted).ok()?;
-        let foretell =
-            |&measured: &Observation| Some(HeldOut { measured, foretold: fit.predict(measured.size)? });
+        let foretell = |&measured: &Observation| {
+            Some(HeldOut {
+                measured,
+                foretold: fit.predict(measured.size)?,
+            })
+        };
         let held_out = held_out.iter().map(foretell).collect::<Option<Vec<_>>>()?;
         Some(Self { fit, held_out })
     }
 
     /// The largest relative error of the sizes held out, without its sign.
     pub fn worst_error(&self) -> Option<f64> {
-        self.held_out.iter().map(|h| h.relative_error().abs()).reduce(f64::max)
+        self.held_out
+            .iter()
+            .map(|h| h.relative_error().abs())
+            .reduce(f64::max)
     }
 
     /// Whether the law is believed.
@@ -96,10 +109,16 @@
     pub fn new(limit: f64, observations: &[Observation]) -> Option<Self> {
         let (fitted, held_out): (Vec<Observation>, Vec<Observation>) =
             observations.iter().partition(|o| o.size <= limit);
-        let trials: Vec<Trial> =
-            Law::ALL.into_iter().filter_map(|law| Trial::new(law, &fitted, &held_out)).collect();
+        let trials: Vec<Trial> = Law::ALL
+            .into_iter()
+            .filter_map(|law| Trial::new(law, &fitted, &held_out))
+            .collect();
         let chosen = choose(&trials)?;
-        Some(Self { limit, trials, chosen })
+        Some(Self {
+            limit,
+            trials,
+            chosen,
+        })
     }
 
     /// The size up to which laws were fitted.
@@ -119,7 +138,9 @@
 
     /// How the line did.
     pub fn line(&self) -> Option<&Trial> {
-        self.trials.iter().find(|trial| trial.fit.law() == Law::Linear)
+        self.trials
+            .iter()
+            .find(|trial| trial.fit.law() == Law::Linear)
     }
 }
 
--- a/crates/capacity/src/sweep.rs
+++ b/crates/capacity/src/sweep.rs
@@ -22,14 +22,19 @@
 
     /// The phases that were measured at any size, in the order of the page.
     pub fn measured_phases(&self) -> Vec<Phase> {
-        Phase::all().filter(|&phase| !self.samples(phase).is_empty()).collect()
+        Phase::all()
+            .filter(|&phase| !self.samples(phase).is_empty())
+            .collect()
     }
 
     /// The samples of a phase, in the order of the sweep.
     pub fn samples(&self, phase: Phase) -> Vec<SizedSample<'_>> {
         let sized = |point| {
             let sample = phase_of(point, phase)?;
-            Some(SizedSample { size: self.size_of(point), sample })
+            Some(SizedSample {
+                size: self.size_of(point),
+                sample,
+            })
         };
         self.points.iter().filter_map(sized).collect()
     }
@@ -38,9 +43,15 @@
     pub fn observations(&self, phase: Phase, quantity: Quantity) -> Vec<Observation> {
         let observed = |sized: SizedSample<'_>| {
             let value = quantity.measured(sized.sample, Across::Mean)?;
-            Some(Observation { size: sized.size, value })
+            Some(Observation {
+                size: sized.size,
+                value,
+            })
         };
-        self.samples(phase).into_iter().filter_map(observed).collect()
+        self.samples(phase)
+            .into_iter()
+            .filter_map(observed)
+            .collect()
     }
 
     /// A quantity of a phase at a size, the mean of its points and of the placers.
@@ -61,7 +72,10 @@
 
     /// The sizes of the sweep, rising and without repeats.
     pub fn sizes(&self) -> Vec<f64> {
-        let sized = |point| Observation { size: self.size_of(point), value: 0.0 };
+        let sized = |point| Observation {
+            size: self.size_of(point),
+            value: 0.0,
+        };
         distinct_sizes(&self.points.iter().map(sized).collect::<Vec<_>>())
     }
 }
--- a/crates/capacity/src/sweep_block.rs
+++ b/crates/capacity/src/sweep_block.rs
@@ -15,16 +15,30 @@
 const ABSENT: &str = "–";
 
 /// Traffic columns of the tables of points.
-const SHOWN_TRAFFIC: [Traffic; 4] = [Traffic::Control, Traffic::Placing, Traffic::Either, Traffic::All];
+const SHOWN_TRAFFIC: [Traffic; 4] = [
+    Traffic::Control,
+    Traffic::Placing,
+    Traffic::Either,
+    Traffic::All,
+];
 
 /// The block of a sweep. `plot` is where the page finds its plot.
 pub fn sweep_block(result: &SweepResult, plot: &str) -> String {
     let mut text = provenance(result);
-    text += &format!("\n![{}: cost of a placer over {}]({plot})\n", result.sweep, result.dimension.title());
+    text += &format!(
+        "\n![{}: cost of a placer over {}]({plot})\n",
+        result.sweep,
+        result.dimension.title()
+    );
     text += "\nMean of the placers; packets and answers are those of all placers together.\n\n";
     text += &process_table(result);
-    text +=
-        &format!("\n{}", folded("Traffic of one placer a second, both directions", &traffic_table(result)));
+    text += &format!(
+        "\n{}",
+        folded(
+            "Traffic of one placer a second, both directions",
+            &traffic_table(result)
+        )
+    );
     text += &missing_phases(result);
     text += &fits(result);
     text
@@ -34,7 +48,12 @@
     let machine = &result.machine;
     format!(
         "`{}` at {}, on {} ({} cores, {} MiB, Linux {}).\n",
-        result.command, result.commit, machine.processor, machine.cores, machine.memory_mib, machine.kernel
+        result.command,
+        result.commit,
+        machine.processor,
+        machine.cores,
+        machine.memory_mib,
+        machine.kernel
     )
 }
 
@@ -42,7 +61,10 @@
 fn rows(result: &SweepResult, mut row: impl FnMut(Vec<String>, Option<&PhaseSample>)) {
     for phase in result.measured_phases() {
         for point in &result.points {
-            row(vec![phase.title(), figure(result.size_of(point))], phase_of(point, phase));
+            row(
+                vec![phase.title(), figure(result.size_of(point))],
+                phase_of(point, phase),
+            );
         }
     }
 }
@@ -77,25 +99,42 @@
 }
 
 fn traffic_table(result: &SweepResult) -> String {
-    let counts = [Quantity::Messages, Quantity::PayloadBytes, Quantity::WireBytes];
-    let columns: Vec<Quantity> = counts.into_iter().flat_map(|count| SHOWN_TRAFFIC.map(count)).collect();
+    let counts = [
+        Quantity::Messages,
+        Quantity::PayloadBytes,
+        Quantity::WireBytes,
+    ];
+    let columns: Vec<Quantity> = counts
+        .into_iter()
+        .flat_map(|count| SHOWN_TRAFFIC.map(count))
+        .collect();
     let mut table = Table::new(&header(result, &columns));
     rows(result, |mut cells, sample| {
-        cells.extend(columns.iter().map(|&quantity| measured_cell(quantity, sample)));
+        cells.extend(
+            columns
+                .iter()
+                .map(|&quantity| measured_cell(quantity, sample)),
+        );
         table.row(&cells);
     });
     table.into_text()
 }
 
 fn measured_cell(quantity: Quantity, sample: Option<&PhaseSample>) -> String {
-    let Some(sample) = sample else { return NOT_MEASURED.to_owned() };
-    quantity.measured(sample, Across::Mean).map_or(ABSENT.to_owned(), figure)
+    let Some(sample) = sample else {
+        return NOT_MEASURED.to_owned();
+    };
+    quantity
+        .measured(sample, Across::Mean)
+        .map_or(ABSENT.to_owned(), figure)
 }
 
 fn missing_phases(result: &SweepResult) -> String {
     let measured = result.measured_phases();
-    let missing: Vec<String> =
-        Phase::all().filter(|phase| !measured.contains(phase)).map(Phase::title).collect();
+    let missing: Vec<String> = Phase::all()
+        .filter(|phase| !measured.contains(phase))
+        .map(Phase::title)
+        .collect();
     match missing.as_slice() {
         [] => String::new(),
         missing => format!("\nNot measured in this sweep: {}.\n", missing.join("; ")),
@@ -164,7 +203,11 @@
 /// A row for each size held out; what belongs to the law stands in the first.
 fn fit_rows(table: &mut Table, quantity: Quantity, study: &Study) {
     let trial = study.chosen();
-    let mut cells = vec![quantity.title(), law_cell(study), figure(trial.fit.residual_root_mean_square())];
+    let mut cells = vec![
+        quantity.title(),
+        law_cell(study),
+        figure(trial.fit.residual_root_mean_square()),
+    ];
     if trial.held_out.is_empty() {
         cells.extend([ABSENT; 5].map(str::to_owned));
         cells.push(verdict_cell(trial));
@@ -172,9 +215,17 @@
     }
     for (position, held_out) in trial.held_out.iter().enumerate() {
         let first = position == 0;
-        let mut row = if first { cells.clone() } else { vec![String::new(); cells.len()] };
+        let mut row = if first {
+            cells.clone()
+        } else {
+            vec![String::new(); cells.len()]
+        };
         row.extend(held_out_cells(held_out));
-        row.push(if first { verdict_cell(trial) } else { String::new() });
+        row.push(if first {
+            verdict_cell(trial)
+        } else {
+            String::new()
+        });
         table.row(&row);
     }
 }
@@ -185,10 +236,17 @@
     let coefficient = |(name, c): (&&str, crate::fit::Coefficient)| {
         format!("{name} = {}{}", figure(c.value), interval_text(c.interval))
     };
-    let coefficients: Vec<String> = names.iter().zip(fit.coefficients()).map(coefficient).collect();
+    let coefficients: Vec<String> = names
+        .iter()
+        .zip(fit.coefficients())
+        .map(coefficient)
+        .collect();
     let mut text = format!("{}: {}", fit.law().formula(), coefficients.join(", "));
     if let Some(error) = missed_line_error(study) {
-        text += &format!("; a line misses by {}", percent(error).trim_start_matches('+'));
+        text += &format!(
+            "; a line misses by {}",
+            percent(error).trim_start_matches('+')
+        );
     }
     text
 }
@@ -208,7 +266,11 @@
     };
     vec![
         figure(held_out.measured.size),
-        format!("{}{}", figure(held_out.foretold.value), interval_text(held_out.foretold.interval)),
+        format!(
+            "{}{}",
+            figure(held_out.foretold.value),
+            interval_text(held_out.foretold.interval)
+        ),
         figure(held_out.measured.value),
         percent(held_out.relative_error()),
         inside.to_owned(),
@@ -216,7 +278,9 @@
 }
 
 fn interval_text(interval: Option<Interval>) -> String {
-    interval.map_or(String::new(), |i| format!(" ({} to {})", figure(i.low), figure(i.high)))
+    interval.map_or(String::new(), |i| {
+        format!(" ({} to {})", figure(i.low), figure(i.high))
+    })
 }
 
 fn verdict_cell(trial: &Trial) -> String {
--- a/crates/capacity/tests/laws.rs
+++ b/crates/capacity/tests/laws.rs
@@ -18,7 +18,10 @@
     assert_eq!(trial.fit.law(), Law::Linear);
     assert_eq!(trial.verdict(), Verdict::Foretold);
     let coefficients = trial.fit.coefficients();
-    assert!(close(coefficients[0].value, 7.0) && close(coefficients[1].value, 0.25), "{coefficients:?}");
+    assert!(
+        close(coefficients[0].value, 7.0) && close(coefficients[1].value, 0.25),
+        "{coefficients:?}"
+    );
     assert!(trial.fit.residual_root_mean_square() < 1e-9);
     assert_eq!(trial.held_out.len(), 2);
     for held_out in &trial.held_out {
@@ -37,7 +40,10 @@
     assert_eq!(trial.fit.law(), Law::LinearLogarithmic);
     assert_eq!(trial.verdict(), Verdict::Foretold);
     let found: Vec<f64> = trial.fit.coefficients().iter().map(|c| c.value).collect();
-    assert!(close(found[0], 5.0) && close(found[1], -2.0) && close(found[2], 0.9), "{found:?}");
+    assert!(
+        close(found[0], 5.0) && close(found[1], -2.0) && close(found[2], 0.9),
+        "{found:?}"
+    );
 }
 
 #[test]
@@ -52,12 +58,18 @@
 #[test]
 fn a_constant_is_found_where_noise_tilts_the_line() {
     let costs = [100.0, 101.0, 102.0, 104.0, 104.0, 101.0, 102.0];
-    let measure = |(&size, value): (&u32, f64)| Observation { size: f64::from(size), value };
+    let measure = |(&size, value): (&u32, f64)| Observation {
+        size: f64::from(size),
+        value,
+    };
     let measured: Vec<Observation> = SIZES.iter().zip(costs).map(measure).collect();
     let study = Study::new(LIMIT, &measured).expect("enough sizes");
     assert_eq!(study.line().expect("a line").verdict(), Verdict::Missed);
     let trial = study.chosen();
-    assert_eq!((trial.fit.law(), trial.verdict()), (Law::Constant, Verdict::Foretold));
+    assert_eq!(
+        (trial.fit.law(), trial.verdict()),
+        (Law::Constant, Verdict::Foretold)
+    );
     assert!(close(trial.fit.value(5_000.0), 102.2));
 }
 
@@ -65,11 +77,26 @@
 fn a_step_above_the_fitted_sizes_is_foretold_by_no_law() {
     let step = |n: f64| if n > 1_000.0 { 5_000.0 + n } else { 100.0 + n };
     let study = Study::new(LIMIT, &observations(&SIZES, step)).expect("enough sizes");
-    assert!(study.trials().iter().all(|trial| trial.verdict() == Verdict::Missed));
+    assert!(
+        study
+            .trials()
+            .iter()
+            .all(|trial| trial.verdict() == Verdict::Missed)
+    );
     let trial = study.chosen();
-    assert!(trial.held_out.iter().all(|h| h.in_interval() == Some(false)));
+    assert!(
+        trial
+            .held_out
+            .iter()
+            .all(|h| h.in_interval() == Some(false))
+    );
     let error = trial.worst_error().expect("held out");
-    assert!(study.trials().iter().all(|other| other.worst_error() >= Some(error)));
+    assert!(
+        study
+            .trials()
+            .iter()
+            .all(|other| other.worst_error() >= Some(error))
+    );
 }
 
 #[test]
@@ -79,7 +106,10 @@
     let study = Study::new(LIMIT, &measured).expect("enough sizes");
     let line = study.line().expect("a line");
     assert_eq!(line.verdict(), Verdict::Missed);
-    assert!(close(line.held_out[0].relative_error(), 1.0), "twice the measured cost was foretold");
+    assert!(
+        close(line.held_out[0].relative_error(), 1.0),
+        "twice the measured cost was foretold"
+    );
     assert_eq!(line.held_out[0].in_interval(), Some(false));
     assert_eq!(line.held_out[1].in_interval(), Some(true));
 }
@@ -96,7 +126,10 @@
     let deviation = 0.06_f64.sqrt();
     let Interval { low, high } = slope.interval.expect("an error");
     let half = t * deviation / 2.0_f64.sqrt();
-    assert!(close(slope.value, 2.0) && close(low, 2.0 - half) && close(high, 2.0 + half), "{low} {high}");
+    assert!(
+        close(slope.value, 2.0) && close(low, 2.0 - half) && close(high, 2.0 + half),
+        "{low} {high}"
+    );
     let prediction = fit.predict(5.0).expect("defined");
     let Interval { low, high } = prediction.interval.expect("an error");
     let half = t * deviation * (1.0 + 1.0 / 3.0 + 9.0 / 2.0_f64).sqrt();
@@ -114,12 +147,24 @@
 fn what_cannot_be_fitted_is_told() {
     let one_size = observations(&[5, 5], |n| n);
     let error = Fit::new(Law::Linear, &one_size).expect_err("one size");
-    assert_eq!(error, FitError::TooFewSizes { found: 1, needed: 2 });
+    assert_eq!(
+        error,
+        FitError::TooFewSizes {
+            found: 1,
+            needed: 2
+        }
+    );
     assert!(Study::new(LIMIT, &one_size).is_none());
     let zero = observations(&[1, 2, 3], |n| n - 1.0);
-    assert_eq!(Fit::new(Law::Power, &zero).expect_err("a cost of 0"), FitError::Undefined);
+    assert_eq!(
+        Fit::new(Law::Power, &zero).expect_err("a cost of 0"),
+        FitError::Undefined
+    );
     let huge = observations(&[1, 2], |_| 1.0).map_sizes(|size| 1e15 + size);
-    assert_eq!(Fit::new(Law::Linear, &huge).expect_err("no difference"), FitError::Degenerate);
+    assert_eq!(
+        Fit::new(Law::Linear, &huge).expect_err("no difference"),
+        FitError::Degenerate
+    );
 }
 
 /// Observations at other sizes.
@@ -148,9 +193,19 @@
 #[test]
 fn noise_is_covered_by_the_interval() {
     // Alternating errors of 1% of the largest fitted cost.
-    let noisy = |n: f64| 50.0 + n + if (n / 100.0) as u32 % 4 == 2 { 8.0 } else { -8.0 };
+    let noisy = |n: f64| {
+        50.0 + n
+            + if (n / 100.0) as u32 % 4 == 2 {
+                8.0
+            } else {
+                -8.0
+            }
+    };
     let study = Study::new(LIMIT, &observations(&SIZES, noisy)).expect("enough sizes");
     let trial = study.chosen();
-    assert_eq!((trial.fit.law(), trial.verdict()), (Law::Linear, Verdict::Foretold));
+    assert_eq!(
+        (trial.fit.law(), trial.verdict()),
+        (Law::Linear, Verdict::Foretold)
+    );
     assert!(trial.held_out.iter().all(|h| h.in_interval() == Some(true)));
 }
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use maplethread_capacity::{Dimension, Fault, PageError, PartName, Phase, ProcessSample, Report, regenerate};
+use maplethread_capacity::{
+    Dimension, Fault, PageError, PartName, Phase, ProcessSample, Report, regenerate,
+};
 use support::{SIZES, sweep};
 
 const PAGE: &str = "# Capacity\n
@@ -21,8 +23,13 @@
 }
 
 fn block<'a>(page: &'a str, name: &str) -> &'a str {
-    let (_, after) = page.split_once(&format!("begin generated: {name} -->")).expect("a beginning");
-    after.split_once(&format!("<!-- end generated: {name}")).expect("an end").0
+    let (_, after) = page
+        .split_once(&format!("begin generated: {name} -->"))
+        .expect("a beginning");
+    after
+        .split_once(&format!("<!-- end generated: {name}"))
+        .expect("an end")
+        .0
 }
 
 fn row<'a>(text: &'a str, start: &str) -> Vec<&'a str> {
@@ -37,25 +44,34 @@
 #[test]
 fn blocks_and_figures_are_written_and_the_rest_stays() {
     let page = regenerate(PAGE, &report(&[Phase::Rest])).expect("a page");
-    assert!(
-        page.text
-            .contains("a figure: <!-- figure: workers/1300/rest/host_connections -->1,300<!-- /figure --> c")
-    );
+    assert!(page.text.contains(
+        "a figure: <!-- figure: workers/1300/rest/host_connections -->1,300<!-- /figure --> c"
+    ));
     assert!(page.text.starts_with("# Capacity\n") && page.text.ends_with("\nThe end."));
     assert!(!page.text.contains("\nold\n"));
     let parts: Vec<String> = page.changed.iter().map(PartName::to_string).collect();
     let figure = "figure `workers/1300/rest/host_connections`";
-    assert_eq!(parts, ["block `size`", figure, "block `workers`", "block `budgets`"]);
+    assert_eq!(
+        parts,
+        ["block `size`", figure, "block `workers`", "block `budgets`"]
+    );
     let again = regenerate(&page.text, &report(&[Phase::Rest])).expect("a page");
     assert_eq!((again.text, again.changed), (page.text, Vec::new()));
 }
 
 #[test]
 fn the_parts_that_differ_are_named() {
-    let page = regenerate(PAGE, &report(&[Phase::Rest])).expect("a page").text;
+    let page = regenerate(PAGE, &report(&[Phase::Rest]))
+        .expect("a page")
+        .text;
     let edited = page.replace("connections -->1,300", "connections -->9");
     let found = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
-    assert_eq!(found.changed, [PartName::Figure("workers/1300/rest/host_connections".to_owned())]);
+    assert_eq!(
+        found.changed,
+        [PartName::Figure(
+            "workers/1300/rest/host_connections".to_owned()
+        )]
+    );
     let edited = page.replace("| workers | 1,300 |", "| workers | 1,200 |");
     let found = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
     assert_eq!(found.changed, [PartName::Block("size".to_owned())]);
@@ -63,26 +79,52 @@
 
 #[test]
 fn a_line_is_reported_with_what_it_foretold() {
-    let page = regenerate(PAGE, &report(&[Phase::Rest])).expect("a page").text;
+    let page = regenerate(PAGE, &report(&[Phase::Rest]))
+        .expect("a page")
+        .text;
     let workers = block(&page, "workers");
     let cells = row(workers, "| host connections | a + b·n");
     assert!(cells[1].contains("b = 1 (1 to 1)"), "{cells:?}");
-    assert_eq!(cells[3..], ["1,300", "1,300 (1,300 to 1,300)", "1,300", "0.0%", "yes", "foretold"]);
-    assert!(workers.contains("| | | | 2,600 | 2,600 (2,600 to 2,600) | 2,600 | 0.0% | yes | |"), "{workers}");
+    assert_eq!(
+        cells[3..],
+        [
+            "1,300",
+            "1,300 (1,300 to 1,300)",
+            "1,300",
+            "0.0%",
+            "yes",
+            "foretold"
+        ]
+    );
+    assert!(
+        workers.contains("| | | | 2,600 | 2,600 (2,600 to 2,600) | 2,600 | 0.0% | yes | |"),
+        "{workers}"
+    );
 }
 
 #[test]
 fn budgets_tell_headroom_and_what_was_not_measured() {
     let fault = Phase::WorstSecond(Fault::RackDies);
-    let page = regenerate(PAGE, &report(&[Phase::Rest, fault])).expect("a page").text;
+    let page = regenerate(PAGE, &report(&[Phase::Rest, fault]))
+        .expect("a page")
+        .text;
     let budgets = block(&page, "budgets");
     let rest = row(budgets, "| at rest");
     assert_eq!(rest[1], "1.4 (1.79×)");
-    assert_eq!(rest[4], "**52,000 (0.23×)**", "control payload: 1,300 pings and pongs of 20 bytes a second");
+    assert_eq!(
+        rest[4], "**52,000 (0.23×)**",
+        "control payload: 1,300 pings and pongs of 20 bytes a second"
+    );
     assert_eq!(rest[8], "workers");
-    assert_eq!(row(budgets, "| worst second: a rack of 40 dies")[1], "1.4 (1.79×)");
+    assert_eq!(
+        row(budgets, "| worst second: a rack of 40 dies")[1],
+        "1.4 (1.79×)"
+    );
     let peak = row(budgets, "| at the peak");
-    assert!(peak[1..8].iter().all(|cell| *cell == "not measured"), "{peak:?}");
+    assert!(
+        peak[1..8].iter().all(|cell| *cell == "not measured"),
+        "{peak:?}"
+    );
     assert!(
         block(&page, "workers")
             .contains("Not measured in this sweep: at the peak; worst second: a worker dies")
@@ -93,14 +135,29 @@
 fn points_short_of_the_size_are_told_apart_from_it() {
     let mut result = sweep(&[800, 1_300], &[Phase::Peak]);
     result.points[1].settings.tasks = 12_000;
-    let page = regenerate(PAGE, &Report::new(vec![result], "capacity")).expect("a page").text;
-    let (at_size, other) = block(&page, "budgets").split_once("<details>").expect("other points");
+    let page = regenerate(PAGE, &Report::new(vec![result], "capacity"))
+        .expect("a page")
+        .text;
+    let (at_size, other) = block(&page, "budgets")
+        .split_once("<details>")
+        .expect("other points");
     assert_eq!(row(at_size, "| at the peak")[1], "not measured");
     assert_eq!(
         row(other, "| at the peak")[..6],
-        ["at the peak", "workers", "6", "12,000", "190", "1.4 (1.79×)"]
+        [
+            "at the peak",
+            "workers",
+            "6",
+            "12,000",
+            "190",
+            "1.4 (1.79×)"
+        ]
+    );
+    assert_eq!(
+        other.matches("| at the peak").count(),
+        1,
+        "fewer workers are not listed"
     );
-    assert_eq!(other.matches("| at the peak").count(), 1, "fewer workers are not listed");
 }
 
 #[test]
@@ -112,10 +169,15 @@
             placer.resident_kib = workers * workers;
         }
     }
-    let page = regenerate(PAGE, &Report::new(vec![result], "capacity")).expect("a page").text;
+    let page = regenerate(PAGE, &Report::new(vec![result], "capacity"))
+        .expect("a page")
+        .text;
     let cells = row(block(&page, "workers"), "| resident memory, KiB | a·n^b");
     // The line through these squares is 242,000 + 892.68 (n - 420): 2,188,049 at 2,600, of 6,760,000.
-    assert!(cells[1].contains("b = 2 (2 to 2); a line misses by 67.6%"), "{cells:?}");
+    assert!(
+        cells[1].contains("b = 2 (2 to 2); a line misses by 67.6%"),
+        "{cells:?}"
+    );
     assert_eq!((cells[7], cells[8]), ("yes", "foretold"));
 }
 
@@ -123,9 +185,14 @@
 fn a_phase_that_is_missing_at_some_sizes_is_told_there() {
     let mut result = sweep(&SIZES, &[Phase::Rest]);
     result.points[1].phases.clear();
-    let page = regenerate(PAGE, &Report::new(vec![result], "capacity")).expect("a page").text;
+    let page = regenerate(PAGE, &Report::new(vec![result], "capacity"))
+        .expect("a page")
+        .text;
     let cells = row(block(&page, "workers"), "| at rest | 200 ");
-    assert!(cells[2..7].iter().all(|cell| *cell == "not measured"), "{cells:?}");
+    assert!(
+        cells[2..7].iter().all(|cell| *cell == "not measured"),
+        "{cells:?}"
+    );
 }
 
 #[test]
@@ -150,16 +217,26 @@
         ("tasks/24000/rest/cpu", "not measured"),
     ];
     let page: String = keys.iter().map(|(key, _)| line(key)).collect();
-    let page = regenerate(&format!("{PAGE}\n{page}"), &report(&[Phase::Rest])).expect("a page").text;
+    let page = regenerate(&format!("{PAGE}\n{page}"), &report(&[Phase::Rest]))
+        .expect("a page")
+        .text;
     for (key, value) in keys {
-        assert!(page.contains(&format!("{key} -->{value}<")), "{key} in\n{page}");
+        assert!(
+            page.contains(&format!("{key} -->{value}<")),
+            "{key} in\n{page}"
+        );
     }
 }
 
 #[test]
 fn a_sweep_without_results_is_told_as_not_measured() {
-    let page = regenerate(PAGE, &Report::new(Vec::new(), "capacity")).expect("a page").text;
-    assert_eq!(block(&page, "workers").trim(), "This sweep is not measured.");
+    let page = regenerate(PAGE, &Report::new(Vec::new(), "capacity"))
+        .expect("a page")
+        .text;
+    assert_eq!(
+        block(&page, "workers").trim(),
+        "This sweep is not measured."
+    );
     assert!(page.contains("-->not measured<!-- /figure --> connections."));
 }
 
@@ -167,16 +244,34 @@
 fn markers_that_are_wrong_are_told_with_their_line() {
     let error = |page: &str| regenerate(page, &report(&[Phase::Rest])).expect_err("a wrong page");
     let name = "workers".to_owned();
-    assert_eq!(error("# Capacity\n"), PageError::MissingBlock { name: "size".to_owned() });
+    assert_eq!(
+        error("# Capacity\n"),
+        PageError::MissingBlock {
+            name: "size".to_owned()
+        }
+    );
     let renamed = PAGE.replace("generated: workers", "generated: workmen");
-    assert_eq!(error(&renamed), PageError::MissingBlock { name: name.clone() });
+    assert_eq!(
+        error(&renamed),
+        PageError::MissingBlock { name: name.clone() }
+    );
     let unended = PAGE.replace("<!-- end generated: workers -->\n", "");
-    assert_eq!(error(&unended), PageError::UnendedBlock { line: 6, name: name.clone() });
+    assert_eq!(
+        error(&unended),
+        PageError::UnendedBlock {
+            line: 6,
+            name: name.clone()
+        }
+    );
     let unbegun = PAGE.replace("<!-- begin generated: workers -->\n", "");
     assert_eq!(error(&unbegun), PageError::UnbegunBlock { line: 7 });
-    let twice = format!("{PAGE}\n<!-- begin generated: workers -->\n<!-- end generated: workers -->");
+    let twice =
+        format!("{PAGE}\n<!-- begin generated: workers -->\n<!-- end generated: workers -->");
     assert_eq!(error(&twice), PageError::RepeatedBlock { line: 12, name });
-    assert_eq!(error(&PAGE.replace("<!-- /figure -->", "")), PageError::UnendedFigure { line: 5 });
+    assert_eq!(
+        error(&PAGE.replace("<!-- /figure -->", "")),
+        PageError::UnendedFigure { line: 5 }
+    );
     let unknown = PAGE.replace("host_connections", "warmth");
     let expected = "line 5: figure `workers/1300/rest/warmth`: no quantity `warmth`";
     assert_eq!(error(&unknown).to_string(), expected);
@@ -187,12 +282,16 @@
     let mut largest = sweep(&[1, 2, 3, 4, 1_000_000_000], &[Phase::Rest, Phase::Peak]);
     largest.dimension = Dimension::Placers;
     for point in &mut largest.points {
-        (point.settings.placers, point.settings.hollow_placers) = (point.settings.workers, u32::MAX - 1);
+        (point.settings.placers, point.settings.hollow_placers) =
+            (point.settings.workers, u32::MAX - 1);
         for sample in &mut point.phases {
             sample.seconds = 0.001;
             sample.answer_us = Some([u64::MAX; 3]);
-            sample.placers[0] =
-                ProcessSample { cpu_cores: 1e9, proportional_kib: u64::MAX, ..sample.placers[0] };
+            sample.placers[0] = ProcessSample {
+                cpu_cores: 1e9,
+                proportional_kib: u64::MAX,
+                ..sample.placers[0]
+            };
             sample.messages[0].wire_bytes = u64::MAX;
         }
     }
@@ -211,7 +310,16 @@
     assert_eq!(plots.len(), 1);
     assert_eq!(plots[0].file_name, "workers.svg");
     let svg = &plots[0].svg;
-    assert!(svg.starts_with("<svg") && svg.contains("CPU, % of a core") && svg.contains("at the peak"));
-    assert_eq!(svg.matches("<circle").count(), 4 * 2 * SIZES.len(), "a point a size, phase and panel");
-    assert_eq!(plots, report(&[Phase::Rest, Phase::Peak]).plots().expect("plots"));
+    assert!(
+        svg.starts_with("<svg") && svg.contains("CPU, % of a core") && svg.contains("at the peak")
+    );
+    assert_eq!(
+        svg.matches("<circle").count(),
+        4 * 2 * SIZES.len(),
+        "a point a size, phase and panel"
+    );
+    assert_eq!(
+        plots,
+        report(&[Phase::Rest, Phase::Peak]).plots().expect("plots")
+    );
 }
--- a/crates/capacity/tests/quantities.rs
+++ b/crates/capacity/tests/quantities.rs
@@ -3,13 +3,15 @@
 mod support;
 
 use maplethread_capacity::{
-    Across, AnswerTime, Budget, DESIGN_SIZE, Dimension, Fault, FigureKey, KeyError, Phase, Quantity, Traffic,
-    measured_at_size,
+    Across, AnswerTime, Budget, DESIGN_SIZE, Dimension, Fault, FigureKey, KeyError, Phase,
+    Quantity, Traffic, measured_at_size,
 };
 use support::{PLACERS, point, sample, sweep};
 
 fn mean(quantity: Quantity) -> f64 {
-    quantity.measured(&sample(Phase::Rest, 100), Across::Mean).expect("placers")
+    quantity
+        .measured(&sample(Phase::Rest, 100), Across::Mean)
+        .expect("placers")
 }
 
 #[test]
@@ -34,8 +36,14 @@
 fn processes_are_taken_as_mean_or_highest() {
     let mut sample = sample(Phase::Rest, 100);
     sample.placers[1].host_connections = 200;
-    assert_eq!(Quantity::HostConnections.measured(&sample, Across::Mean), Some(150.0));
-    assert_eq!(Quantity::HostConnections.measured(&sample, Across::Highest), Some(200.0));
+    assert_eq!(
+        Quantity::HostConnections.measured(&sample, Across::Mean),
+        Some(150.0)
+    );
+    assert_eq!(
+        Quantity::HostConnections.measured(&sample, Across::Highest),
+        Some(200.0)
+    );
     sample.placers.clear();
     sample.answer_us = None;
     assert!(Quantity::all().all(|quantity| quantity.measured(&sample, Across::Mean).is_none()));
@@ -59,24 +67,45 @@
 fn keys_that_are_none_are_told() {
     let error = |key| FigureKey::parse(key).expect_err("no key");
     assert_eq!(error("workers"), KeyError::Form);
-    assert_eq!(error("workers/1300/noon/cpu"), KeyError::Phase("noon".to_owned()));
-    assert_eq!(error("workers/1300/rest/heat"), KeyError::Quantity("heat".to_owned()));
-    assert_eq!(error("workers/many/rest/cpu"), KeyError::Size("many".to_owned()));
-    assert_eq!(error("workers/-1/rest/cpu"), KeyError::Size("-1".to_owned()));
-    assert_eq!(error("budget/rest/descriptors"), KeyError::Budget("descriptors".to_owned()));
+    assert_eq!(
+        error("workers/1300/noon/cpu"),
+        KeyError::Phase("noon".to_owned())
+    );
+    assert_eq!(
+        error("workers/1300/rest/heat"),
+        KeyError::Quantity("heat".to_owned())
+    );
+    assert_eq!(
+        error("workers/many/rest/cpu"),
+        KeyError::Size("many".to_owned())
+    );
+    assert_eq!(
+        error("workers/-1/rest/cpu"),
+        KeyError::Size("-1".to_owned())
+    );
+    assert_eq!(
+        error("budget/rest/descriptors"),
+        KeyError::Budget("descriptors".to_owned())
+    );
 }
 
 #[test]
 fn the_size_is_that_of_the_design() {
     let at_size = point(1_300, &[]).settings;
-    assert!(DESIGN_SIZE.is_met_by(&at_size, Phase::Peak), "two real and four hollow placers");
+    assert!(
+        DESIGN_SIZE.is_met_by(&at_size, Phase::Peak),
+        "two real and four hollow placers"
+    );
     let mut other = at_size;
     other.tasks -= 1;
     assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
     other = at_size;
     other.starts_per_second = 0.0;
     assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
-    assert!(DESIGN_SIZE.is_met_by(&other, Phase::Rest), "nothing starts at rest");
+    assert!(
+        DESIGN_SIZE.is_met_by(&other, Phase::Rest),
+        "nothing starts at rest"
+    );
     other = at_size;
     other.hollow_placers -= PLACERS;
     assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
@@ -96,18 +125,33 @@
     tasks.sweep = "tasks".to_owned();
     tasks.points[0].phases[0].placers[1].resident_kib = 99_999;
     let results = [sweep(&[800, 1_300], &[Phase::Rest]), tasks];
-    let found = measured_at_size(&results, Phase::Rest, Quantity::ResidentMemory).expect("measured");
+    let found =
+        measured_at_size(&results, Phase::Rest, Quantity::ResidentMemory).expect("measured");
     assert_eq!((found.value, found.sweep), (99_999.0, "tasks"));
-    assert_eq!(measured_at_size(&results, Phase::Peak, Quantity::ResidentMemory), None);
+    assert_eq!(
+        measured_at_size(&results, Phase::Peak, Quantity::ResidentMemory),
+        None
+    );
 }
 
 #[test]
 fn laws_are_fitted_to_800_workers_or_half_of_other_dimensions() {
     let workers = [100.0, 400.0, 800.0, 1_300.0];
     assert_eq!(Dimension::Workers.fit_limit(&workers), Some(800.0));
-    assert_eq!(Dimension::Workers.fit_limit(&[100.0, 200.0, 300.0, 600.0]), Some(300.0), "a small fleet");
-    assert_eq!(Dimension::Placers.fit_limit(&[1.0, 2.0, 4.0, 8.0, 12.0]), Some(6.0));
-    assert_eq!(Dimension::Placers.fit_limit(&[1.0, 6.0, 12.0]), Some(6.0), "all but the largest");
+    assert_eq!(
+        Dimension::Workers.fit_limit(&[100.0, 200.0, 300.0, 600.0]),
+        Some(300.0),
+        "a small fleet"
+    );
+    assert_eq!(
+        Dimension::Placers.fit_limit(&[1.0, 2.0, 4.0, 8.0, 12.0]),
+        Some(6.0)
+    );
+    assert_eq!(
+        Dimension::Placers.fit_limit(&[1.0, 6.0, 12.0]),
+        Some(6.0),
+        "all but the largest"
+    );
     assert_eq!(Dimension::Placers.fit_limit(&[1.0]), None);
     assert_eq!(Dimension::Placers.fit_limit(&[]), None);
 }
--- a/crates/capacity/tests/results.rs
+++ b/crates/capacity/tests/results.rs
@@ -14,7 +14,9 @@
 }
 
 fn error_of(text: &str) -> String {
-    parse_result(FILE, text).expect_err("not a result").to_string()
+    parse_result(FILE, text)
+        .expect_err("not a result")
+        .to_string()
 }
 
 #[test]
@@ -26,15 +28,24 @@
 #[test]
 fn text_that_is_no_json_is_told_with_file_and_place() {
     let error = error_of("{\n  \"format\": 1,\n  \"sweep\": }");
-    assert!(error.starts_with("docs/capacity/workers.json: line 3, column 12: "), "{error}");
+    assert!(
+        error.starts_with("docs/capacity/workers.json: line 3, column 12: "),
+        "{error}"
+    );
 }
 
 #[test]
 fn an_unknown_key_is_told_with_file_and_line() {
     let text = written(|json| json["points"][1]["weather"] = "fine".into());
-    let line = 1 + text.lines().position(|line| line.contains("weather")).expect("the key");
+    let line = 1 + text
+        .lines()
+        .position(|line| line.contains("weather"))
+        .expect("the key");
     let error = error_of(&text);
-    assert!(error.starts_with(&format!("{FILE}: line {line}, column ")), "{error}");
+    assert!(
+        error.starts_with(&format!("{FILE}: line {line}, column ")),
+        "{error}"
+    );
     assert!(error.contains("unknown field `weather`"), "{error}");
 }
 
@@ -44,7 +55,10 @@
         json["format"] = 2.into();
         json["new_key"] = 1.into();
     });
-    assert_eq!(error_of(&text), format!("{FILE}: format 2 is unknown; this program reads format 1"));
+    assert_eq!(
+        error_of(&text),
+        format!("{FILE}: format 2 is unknown; this program reads format 1")
+    );
 }
 
 #[test]
@@ -60,8 +74,12 @@
 fn values_that_cannot_be_are_told_with_their_point() {
     let no_length = written(|json| json["points"][1]["phases"][0]["seconds"] = 0.into());
     let problem = "phase rest: seconds has to be a number from 0.001 to 1000000000";
-    assert_eq!(error_of(&no_length), format!("{FILE}: points[1]: {problem}"));
-    let negative = written(|json| json["points"][0]["phases"][0]["placers"][1]["cpu_cores"] = (-1).into());
+    assert_eq!(
+        error_of(&no_length),
+        format!("{FILE}: points[1]: {problem}")
+    );
+    let negative =
+        written(|json| json["points"][0]["phases"][0]["placers"][1]["cpu_cores"] = (-1).into());
     let problem = "phase rest: cpu_cores has to be a number from 0 to 1000000000";
     assert_eq!(error_of(&negative), format!("{FILE}: points[0]: {problem}"));
     let rate = written(|json| json["points"][0]["settings"]["starts_per_second"] = (-1).into());
@@ -71,7 +89,13 @@
     );
     let twice = written(|json| {
         let phase = json["points"][0]["phases"][0].clone();
-        json["points"][0]["phases"].as_array_mut().expect("phases").push(phase);
+        json["points"][0]["phases"]
+            .as_array_mut()
+            .expect("phases")
+            .push(phase);
     });
-    assert_eq!(error_of(&twice), format!("{FILE}: points[0]: phase rest is there twice"));
+    assert_eq!(
+        error_of(&twice),
+        format!("{FILE}: points[0]: phase rest is there twice")
+    );
 }
--- a/crates/capacity/tests/support/mod.rs
+++ b/crates/capacity/tests/support/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test file uses a part.
 
 use maplethread_capacity::{
-    Dimension, Direction, Machine, MessageCount, MessageKind, Observation, Phase, PhaseSample, Point,
-    PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
+    Dimension, Direction, Machine, MessageCount, MessageKind, Observation, Phase, PhaseSample,
+    Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
 };
 
 /// Real placers of each made-up point.
@@ -14,7 +14,10 @@
 
 /// Costs at sizes by a law.
 pub fn observations(sizes: &[u32], cost: impl Fn(f64) -> f64) -> Vec<Observation> {
-    let observe = |&size: &u32| Observation { size: f64::from(size), value: cost(f64::from(size)) };
+    let observe = |&size: &u32| Observation {
+        size: f64::from(size),
+        value: cost(f64::from(size)),
+    };
     sizes.iter().map(observe).collect()
 }
 
@@ -30,7 +33,13 @@
 }
 
 fn count(kind: MessageKind, direction: Direction, count: u64) -> MessageCount {
-    MessageCount { kind, direction, count, payload_bytes: count * 20, wire_bytes: count * 100 }
+    MessageCount {
+        kind,
+        direction,
+        count,
+        payload_bytes: count * 20,
+        wire_bytes: count * 100,
+    }
 }
 
 /// What a phase of 10 s came to: a ping and a pong for each worker and placer a second, an offer a second.
@@ -43,8 +52,16 @@
         messages: vec![
             count(MessageKind::Ping, Direction::FromPlacer, per_phase),
             count(MessageKind::Pong, Direction::ToPlacer, per_phase),
-            count(MessageKind::Offer, Direction::FromPlacer, 10 * u64::from(PLACERS)),
-            count(MessageKind::Report, Direction::ToPlacer, 30 * u64::from(PLACERS)),
+            count(
+                MessageKind::Offer,
+                Direction::FromPlacer,
+                10 * u64::from(PLACERS),
+            ),
+            count(
+                MessageKind::Report,
+                Direction::ToPlacer,
+                30 * u64::from(PLACERS),
+            ),
         ],
         loopback_packets: None,
         answer_us: Some([800, 2_500, 12_345]),
@@ -81,6 +98,9 @@
             memory_mib: 4_096,
             kernel: "6.1".to_owned(),
         },
-        points: sizes.iter().map(|&workers| point(workers, phases)).collect(),
+        points: sizes
+            .iter()
+            .map(|&workers| point(workers, phases))
+            .collect(),
     }
 }
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -20,10 +20,20 @@
     #[arg(long, default_value_t = 1, value_name = "N")]
     drills: u64,
     /// Placers, where the schedule is drawn
-    #[arg(long, default_value_t = 8, value_name = "N", conflicts_with = "schedule")]
+    #[arg(
+        long,
+        default_value_t = 8,
+        value_name = "N",
+        conflicts_with = "schedule"
+    )]
     placers: usize,
     /// Seconds in which faults come, where the schedule is drawn
-    #[arg(long, default_value_t = 20.0, value_name = "S", conflicts_with = "schedule")]
+    #[arg(
+        long,
+        default_value_t = 20.0,
+        value_name = "S",
+        conflicts_with = "schedule"
+    )]
     seconds: f64,
     /// Write the schedule that is played to this file
     #[arg(long, value_name = "FILE")]
@@ -51,7 +61,11 @@
             Some(file) => {
                 let name = file.display().to_string();
                 let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-                Schedule::parse(Doc { file: &name, text: &text }).map_err(|e| e.to_string())?
+                Schedule::parse(Doc {
+                    file: &name,
+                    text: &text,
+                })
+                .map_err(|e| e.to_string())?
             }
         };
         if let Some(file) = &args.write_schedule {
@@ -68,15 +82,23 @@
             interrupted: interrupted.clone(),
         };
         let outcome = play(&drill).map_err(|e| format!("drill {seed}: {e}"))?;
-        good &= if args.without_view { outcome.day.good() } else { outcome.good() };
+        good &= if args.without_view {
+            outcome.day.good()
+        } else {
+            outcome.good()
+        };
         let mut json = outcome.json();
         json["seed"] = seed.into();
         if args.json {
             println!("{json}");
             continue;
         }
-        let kinds: Vec<String> =
-            drill.schedule.fault.iter().map(|f| format!("{:?} at {} s", f.kind, f.at_s)).collect();
+        let kinds: Vec<String> = drill
+            .schedule
+            .fault
+            .iter()
+            .map(|f| format!("{:?} at {} s", f.kind, f.at_s))
+            .collect();
         println!(
             "drill {seed}: {} placers, {} faults\n  {}",
             drill.schedule.placers,
@@ -85,16 +107,26 @@
         );
         let fleet = &outcome.fleet;
         match fleet.settled_s {
-            Some(s) => println!("one view {s:.1} s after the last fault, of {} members", fleet.members),
+            Some(s) => println!(
+                "one view {s:.1} s after the last fault, of {} members",
+                fleet.members
+            ),
             None => println!("NO ONE VIEW:\n  {}", fleet.broken.join("\n  ")),
         }
         let worst = fleet.seen_gone_s.iter().copied().fold(0.0, f64::max);
-        println!("{} placers gone, the slowest seen by all after {worst:.1} s", fleet.seen_gone_s.len());
+        println!(
+            "{} placers gone, the slowest seen by all after {worst:.1} s",
+            fleet.seen_gone_s.len()
+        );
         println!(
             "called down while it ran: {} times without a fault of the network, {} times under one",
             fleet.false_alarms, fleet.alarms_under_faults
         );
         print!("{}", outcome.day.text());
     }
-    Ok(if good { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if good {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    })
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -42,7 +42,10 @@
         FleetCommand::Key => {
             let mut key = [0; 32];
             getrandom::fill(&mut key).map_err(|e| format!("random numbers: {e}"))?;
-            println!("{}", key.iter().map(|b| format!("{b:02x}")).collect::<String>());
+            println!(
+                "{}",
+                key.iter().map(|b| format!("{b:02x}")).collect::<String>()
+            );
             Ok(ExitCode::SUCCESS)
         }
     }
@@ -53,7 +56,10 @@
     if status == 200 {
         Ok(body)
     } else {
-        Err(format!("{api}: {} ({status})", body["detail"].as_str().unwrap_or("?")))
+        Err(format!(
+            "{api}: {} ({status})",
+            body["detail"].as_str().unwrap_or("?")
+        ))
     }
 }
 
@@ -65,23 +71,41 @@
     }
     let text = |v: &Value| v.as_str().unwrap_or("-").to_owned();
     let line = |name: String, state: String, m: &Value, facts: &Value| {
-        let number = facts["number"].as_u64().map_or("-".to_owned(), |n| n.to_string());
-        let drains = if facts["draining"] == true { "drains" } else { "" };
+        let number = facts["number"]
+            .as_u64()
+            .map_or("-".to_owned(), |n| n.to_string());
+        let drains = if facts["draining"] == true {
+            "drains"
+        } else {
+            ""
+        };
         println!(
             "{name:<20} {state:<8} {:<22} {:<10} {:<10} {number:>6} {:>4} {drains}",
             text(&m["address"]),
             text(&facts["zone"]),
             text(&facts["version"]),
-            facts["load"].as_u64().map_or("-".to_owned(), |l| l.to_string()),
+            facts["load"]
+                .as_u64()
+                .map_or("-".to_owned(), |l| l.to_string()),
         );
     };
     println!(
         "{:<20} {:<8} {:<22} {:<10} {:<10} {:>6} {:>4}",
         "member", "state", "address", "zone", "version", "number", "load"
     );
-    line(text(&view["name"]), "itself".to_owned(), &view, &view["facts"]);
+    line(
+        text(&view["name"]),
+        "itself".to_owned(),
+        &view,
+        &view["facts"],
+    );
     for member in view["members"].as_array().into_iter().flatten() {
-        line(text(&member["name"]), text(&member["state"]), member, &member["facts"]);
+        line(
+            text(&member["name"]),
+            text(&member["state"]),
+            member,
+            &member["facts"],
+        );
     }
     println!(
         "view {} (the {}th), unchanged for {:.1} s; own condition {} of 8",
@@ -91,7 +115,10 @@
         view["health"]
     );
     for (key, what) in [
-        ("displaced_by", "takes no part: its name is held by the process at"),
+        (
+            "displaced_by",
+            "takes no part: its name is held by the process at",
+        ),
         ("claimed_by", "its name is claimed by a process at"),
     ] {
         if let Some(address) = view[key].as_str() {
@@ -110,7 +137,10 @@
             Ok(news) => {
                 silent = 0;
                 if news["lost"] == true && after > 0 {
-                    let _ = writeln!(out, "{{\"lost\":\"changes after {after} are not kept any more\"}}");
+                    let _ = writeln!(
+                        out,
+                        "{{\"lost\":\"changes after {after} are not kept any more\"}}"
+                    );
                 }
                 for change in news["changes"].as_array().into_iter().flatten() {
                     after = change["number"].as_u64().unwrap_or(after);
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -26,7 +26,11 @@
 pub fn load(path: &Path) -> Result<HostsConfig, String> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-    let mut config: HostsConfig = parse(Doc { file: &file, text: &text }).map_err(|e| e.to_string())?;
+    let mut config: HostsConfig = parse(Doc {
+        file: &file,
+        text: &text,
+    })
+    .map_err(|e| e.to_string())?;
     if let Some(folder) = path.parent() {
         config.inventory = folder.join(&config.inventory);
         config.scenario = folder.join(&config.scenario);
@@ -36,6 +40,14 @@
 
 /// Addresses of so many hosts.
 pub fn addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
-    let port = |n: usize| if config.first_port == 0 { 0 } else { config.first_port.saturating_add(n as u16) };
-    (0..count).map(|n| SocketAddr::from(([127, 0, 0, 1], port(n)))).collect()
+    let port = |n: usize| {
+        if config.first_port == 0 {
+            0
+        } else {
+            config.first_port.saturating_add(n as u16)
+        }
+    };
+    (0..count)
+        .map(|n| SocketAddr::from(([127, 0, 0, 1], port(n))))
+        .collect()
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -26,7 +26,13 @@
 #[command(name = "maplethread", version, about, max_term_width = 100)]
 struct Cli {
     /// The least important log lines to show: error, warn, info, debug, or a filter such as `info,maplethread=debug`
-    #[arg(long, global = true, default_value = "info", env = "MAPLETHREAD_LOG", value_name = "LEVEL")]
+    #[arg(
+        long,
+        global = true,
+        default_value = "info",
+        env = "MAPLETHREAD_LOG",
+        value_name = "LEVEL"
+    )]
     log: String,
     /// How log lines read
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
@@ -216,16 +222,18 @@
         Ok(filter) => filter,
         Err(e) => return fail(format!("--log {}: {e}", cli.log)),
     };
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
+    let logs = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     match cli.log_format {
         LogFormat::Text => logs.with_ansi(false).init(),
         LogFormat::Json => logs.json().with_span_list(false).init(),
     }
     let result = match cli.command {
         Command::Placer(args) => placer(&args),
-        Command::Platform { config } => {
-            maplethread_platform::run(&config).map(|()| ExitCode::SUCCESS).map_err(|e| e.to_string())
-        }
+        Command::Platform { config } => maplethread_platform::run(&config)
+            .map(|()| ExitCode::SUCCESS)
+            .map_err(|e| e.to_string()),
         Command::CheckConfig { file } => check_config(&file),
         Command::Host { config } => host(&config),
         Command::BadDay(args) => bad_day(&args),
@@ -236,7 +244,11 @@
         Command::Fleet(command) => fleet::run(&command),
         Command::Trace(command) => trace::run(&command),
         Command::Scale(command) => scale::command(&command),
-        Command::ConsulStandIn { port, servers, lag_ms } => consul_stand_in(port, servers, lag_ms),
+        Command::ConsulStandIn {
+            port,
+            servers,
+            lag_ms,
+        } => consul_stand_in(port, servers, lag_ms),
     };
     result.unwrap_or_else(fail)
 }
@@ -247,14 +259,17 @@
 }
 
 fn placer(args: &PlacerArgs) -> Result<ExitCode, String> {
-    let options = maplethread_placer::Options { config: args.config.clone() };
-    let (which, rogue) = (args.decider, args.rogue);
-    let decider = |config: &PlacerConfig, seed: u64| -> Result<Box<dyn Decide>, maplethread::SettingsError> {
-        Ok(match which {
-            Decider::Module => Box::new(maplethread::Placer::new(config.settings(), seed)?),
-            Decider::Random => Box::new(RandomChoice::new(config.settings(), seed, rogue)),
-        })
+    let options = maplethread_placer::Options {
+        config: args.config.clone(),
     };
+    let (which, rogue) = (args.decider, args.rogue);
+    let decider =
+        |config: &PlacerConfig, seed: u64| -> Result<Box<dyn Decide>, maplethread::SettingsError> {
+            Ok(match which {
+                Decider::Module => Box::new(maplethread::Placer::new(config.settings(), seed)?),
+                Decider::Random => Box::new(RandomChoice::new(config.settings(), seed, rogue)),
+            })
+        };
     maplethread_placer::run(&options, decider).map_err(|e| e.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
@@ -274,13 +289,21 @@
 
 /// The folder of traces, for placers that run elsewhere.
 fn absolute(folder: &Option<PathBuf>) -> Result<Option<PathBuf>, String> {
-    folder.as_ref().map(std::path::absolute).transpose().map_err(|e| format!("--trace: {e}"))
+    folder
+        .as_ref()
+        .map(std::path::absolute)
+        .transpose()
+        .map_err(|e| format!("--trace: {e}"))
 }
 
 fn read_scenario(file: &Path) -> Result<Scenario, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    Scenario::parse(Doc { file: &name, text: &text }).map_err(|e| e.to_string())
+    Scenario::parse(Doc {
+        file: &name,
+        text: &text,
+    })
+    .map_err(|e| e.to_string())
 }
 
 fn host(file: &Path) -> Result<ExitCode, String> {
@@ -325,7 +348,9 @@
         std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
     }
     if scenario.slots.is_some_and(|slots| slots < scenario.placers) && !args.consul {
-        return Err("fewer slots than placers: numbers have to be leased, with --consul".to_owned());
+        return Err(
+            "fewer slots than placers: numbers have to be leased, with --consul".to_owned(),
+        );
     }
     let options = day::Options {
         scenario,
@@ -369,7 +394,11 @@
 /// A day with a rogue never succeeds: the judge caught it, or the day does not show that it can.
 fn day_status(report: &Report) -> ExitCode {
     let Some(rogue) = report.rogue else {
-        return if report.good() { ExitCode::SUCCESS } else { ExitCode::FAILURE };
+        return if report.good() {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        };
     };
     match rogue.outcome() {
         RogueOutcome::Caught => ExitCode::FAILURE,
@@ -399,19 +428,29 @@
     if !(args.speed.is_finite() && (0.01..=1000.0).contains(&args.speed)) {
         return Err("--speed: 0.01 to 1000".to_owned());
     }
-    let mut traces = files.iter().map(|f| trace::open(f)).collect::<Result<Vec<_>, _>>()?;
-    recorded::read(&mut traces, base, args.speed, args.seed).map_err(|e| format!("--from-trace: {e}"))
+    let mut traces = files
+        .iter()
+        .map(|f| trace::open(f))
+        .collect::<Result<Vec<_>, _>>()?;
+    recorded::read(&mut traces, base, args.speed, args.seed)
+        .map_err(|e| format!("--from-trace: {e}"))
 }
 
 /// Answers of the recorded day and of the one that was played.
 fn beside(recorded: &serde_json::Value, played: &serde_json::Value) -> String {
     let of_classes = |outcome: &str| -> u64 {
         let classes = recorded["classes"].as_object().into_iter().flatten();
-        classes.filter_map(|(_, c)| c["outcomes"][outcome].as_u64()).sum()
+        classes
+            .filter_map(|(_, c)| c["outcomes"][outcome].as_u64())
+            .sum()
     };
     let mut text = String::from("what asks came to, returns among them: recorded, played\n");
     for outcome in ["placed", "refused", "failed"] {
-        text += &format!("  {outcome}: {}, {}\n", of_classes(outcome), played[outcome]);
+        text += &format!(
+            "  {outcome}: {}, {}\n",
+            of_classes(outcome),
+            played[outcome]
+        );
     }
     let (then, now) = (&recorded["ask_to_placed_ms"], &played["place_ms"]);
     text += &format!(
@@ -442,7 +481,8 @@
             storm: args.storm,
             trace: trace.clone(),
         };
-        let measured = maplethread_standin::load::run(&options).map_err(|e| format!("load: {e}"))?;
+        let measured =
+            maplethread_standin::load::run(&options).map_err(|e| format!("load: {e}"))?;
         if args.json {
             println!("{}", measured.json());
         } else {
@@ -462,7 +502,11 @@
         }
         for _ in 0..4 {
             let middle = (low + high) / 2.0;
-            if sustained(&measure(middle)?) { low = middle } else { high = middle }
+            if sustained(&measure(middle)?) {
+                low = middle
+            } else {
+                high = middle
+            }
         }
         println!("highest rate sustained: {low:.0} asks a second");
     }
@@ -479,8 +523,8 @@
         lag: lag_ms * 1000,
         ..maplethread_consul_standin::Settings::new(1)
     };
-    let servers =
-        maplethread_consul_standin::Servers::start(settings).map_err(|e| format!("servers: {e}"))?;
+    let servers = maplethread_consul_standin::Servers::start(settings)
+        .map_err(|e| format!("servers: {e}"))?;
     for address in &servers.addresses {
         println!("stand-in for Consul listening on {address}");
     }
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -46,7 +46,11 @@
 fn measure(args: &RunArgs) -> Result<ExitCode, String> {
     let file = args.file.display().to_string();
     let text = std::fs::read_to_string(&args.file).map_err(|e| format!("{file}: {e}"))?;
-    let sweep = SweepFile::parse(Doc { file: &file, text: &text }).map_err(|e| e.to_string())?;
+    let sweep = SweepFile::parse(Doc {
+        file: &file,
+        text: &text,
+    })
+    .map_err(|e| e.to_string())?;
     let name = stem(&args.file)?;
     let alone = if args.alone { " --alone" } else { "" };
     let own_program = || std::env::current_exe().map_err(|e| format!("own program: {e}"));
@@ -75,5 +79,6 @@
 
 fn stem(file: &Path) -> Result<String, String> {
     let stem = file.file_stem().and_then(|stem| stem.to_str());
-    stem.map(str::to_owned).ok_or_else(|| format!("{}: not a file name", file.display()))
+    stem.map(str::to_owned)
+        .ok_or_else(|| format!("{}: not a file name", file.display()))
 }
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -28,7 +28,11 @@
     let plots = report.plots().map_err(|e| e.to_string())?;
     let before = fs::read_to_string(&args.page).map_err(|e| at(&args.page, e))?;
     let page = regenerate(&before, &report).map_err(|e| at(&args.page, e))?;
-    if args.check { check(args, &before, &page, &plots) } else { write(args, &page, &plots) }
+    if args.check {
+        check(args, &before, &page, &plots)
+    } else {
+        write(args, &page, &plots)
+    }
 }
 
 fn at(file: &Path, problem: impl std::fmt::Display) -> String {
@@ -37,7 +41,10 @@
 
 /// Where the page finds the plots.
 fn plot_folder(args: &ReportArgs) -> String {
-    let beside = args.page.parent().and_then(|folder| args.results.strip_prefix(folder).ok());
+    let beside = args
+        .page
+        .parent()
+        .and_then(|folder| args.results.strip_prefix(folder).ok());
     beside.unwrap_or(&args.results).display().to_string()
 }
 
@@ -51,7 +58,10 @@
     let mut files = Vec::new();
     for entry in entries {
         let file = entry.map_err(|e| at(folder, e))?.path();
-        if file.extension().is_some_and(|extension| extension == "json") {
+        if file
+            .extension()
+            .is_some_and(|extension| extension == "json")
+        {
             files.push(file);
         }
     }
@@ -70,13 +80,26 @@
         fs::write(&file, &plot.svg).map_err(|e| at(&file, e))?;
     }
     fs::write(&args.page, &page.text).map_err(|e| at(&args.page, e))?;
-    println!("{}: {} parts changed, {} plots", args.page.display(), page.changed.len(), plots.len());
+    println!(
+        "{}: {} parts changed, {} plots",
+        args.page.display(),
+        page.changed.len(),
+        plots.len()
+    );
     Ok(ExitCode::SUCCESS)
 }
 
-fn check(args: &ReportArgs, before: &str, page: &Regenerated, plots: &[Plot]) -> Result<ExitCode, String> {
-    let mut differing: Vec<String> =
-        page.changed.iter().map(|part| at(&args.page, format!("{part} differs"))).collect();
+fn check(
+    args: &ReportArgs,
+    before: &str,
+    page: &Regenerated,
+    plots: &[Plot],
+) -> Result<ExitCode, String> {
+    let mut differing: Vec<String> = page
+        .changed
+        .iter()
+        .map(|part| at(&args.page, format!("{part} differs")))
+        .collect();
     if differing.is_empty() && before != page.text {
         differing.push(at(&args.page, "a marker is written in another way"));
     }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -133,9 +133,11 @@
         TraceCommand::Losses { files, json } => losses(files, *json),
         TraceCommand::Verify { file } => verify(file),
         TraceCommand::Repair { file, out } => repair(file, out),
-        TraceCommand::Replay { files, build_differs, settings } => {
-            replay::replay(files, *build_differs, settings.as_deref())
-        }
+        TraceCommand::Replay {
+            files,
+            build_differs,
+            settings,
+        } => replay::replay(files, *build_differs, settings.as_deref()),
         TraceCommand::Merge { out, files } => merge(out, files),
         TraceCommand::Anonymise(args) => hide::anonymise(args),
         TraceCommand::Diff { a, b } => diff(a, b),
@@ -227,12 +229,22 @@
                     out.write_all(b"\n")
                 }),
                 Part::Damaged { at, octets, why } => {
-                    writeln!(out, "{}", json!({"damaged": {"at": at, "octets": octets, "why": why}}))
+                    writeln!(
+                        out,
+                        "{}",
+                        json!({"damaged": {"at": at, "octets": octets, "why": why}})
+                    )
                 }
             };
             result.map_err(|e| e.to_string())
         })
-        .or_else(|e| if e.contains("Broken pipe") { Ok(()) } else { Err(e) })?;
+        .or_else(|e| {
+            if e.contains("Broken pipe") {
+                Ok(())
+            } else {
+                Err(e)
+            }
+        })?;
     }
     let _ = out.flush();
     Ok(ExitCode::SUCCESS)
@@ -246,16 +258,18 @@
 ) -> Result<(Option<u64>, Option<u32>, u64), String> {
     let (mut service, mut machine, mut first) = (None, None, None);
     while let Some(part) = trace.next_part().map_err(named(file))? {
-        let Part::Block { info, records, .. } = part else { continue };
+        let Part::Block { info, records, .. } = part else {
+            continue;
+        };
         first.get_or_insert(info.first);
         for r in &records {
             match &r.record {
                 Record::Service { service: n, name } if args.service.as_ref() == Some(name) => {
                     service = Some(*n)
                 }
-                Record::Host { machine: n, name, .. } if args.host.as_ref() == Some(name) => {
-                    machine = Some(*n)
-                }
+                Record::Host {
+                    machine: n, name, ..
+                } if args.host.as_ref() == Some(name) => machine = Some(*n),
                 _ => {}
             }
         }
@@ -263,9 +277,10 @@
             break;
         }
     }
-    for (wanted, found, what) in
-        [(&args.service, service.is_some(), "service"), (&args.host, machine.is_some(), "host")]
-    {
+    for (wanted, found, what) in [
+        (&args.service, service.is_some(), "service"),
+        (&args.host, machine.is_some(), "host"),
+    ] {
         if let Some(name) = wanted
             && !found
         {
@@ -290,8 +305,12 @@
     };
     // With an index only blocks that may hold something of it are read; a service's number says which.
     let index = trace.index().map_err(named(file))?;
-    let blocks: Option<Vec<u64>> =
-        index.map(|all| all.iter().filter(|e| wanted.may_be_in(e)).map(|e| e.at).collect());
+    let blocks: Option<Vec<u64>> = index.map(|all| {
+        all.iter()
+            .filter(|e| wanted.may_be_in(e))
+            .map(|e| e.at)
+            .collect()
+    });
     let mut go = |visit: &mut dyn FnMut(&Stamped) -> Result<(), String>| -> Result<(), String> {
         match &blocks {
             Some(blocks) => {
@@ -334,22 +353,34 @@
     })?;
     let totals = writer.finish().map_err(named(&args.out))?;
     let (length, read) = trace.progress();
-    println!("{} records kept; {read} of {length} octets read", totals.records);
+    println!(
+        "{} records kept; {read} of {length} octets read",
+        totals.records
+    );
     Ok(ExitCode::SUCCESS)
 }
 
 fn merge(out: &Path, files: &[PathBuf]) -> Result<ExitCode, String> {
-    let mut inputs = files.iter().map(|f| open(f)).collect::<Result<Vec<_>, _>>()?;
+    let mut inputs = files
+        .iter()
+        .map(|f| open(f))
+        .collect::<Result<Vec<_>, _>>()?;
     let plan = Merge::plan(&mut inputs).map_err(|e| e.to_string())?;
     drop(inputs);
-    let mut writer = Writer::new(BufWriter::new(create(out)?), plan.header()).map_err(named(out))?;
+    let mut writer =
+        Writer::new(BufWriter::new(create(out)?), plan.header()).map_err(named(out))?;
     let again = |n: usize| Reader::open(BufReader::new(File::open(&files[n])?));
     plan.write(again, &mut writer).map_err(|e| e.to_string())?;
     let totals = writer.finish().map_err(named(out))?;
-    println!("{} records of {} runs", totals.records, plan.header().sources.len());
+    println!(
+        "{} records of {} runs",
+        totals.records,
+        plan.header().sources.len()
+    );
     for source in &plan.header().sources {
-        let error =
-            source.error_us.map_or("unknown".to_owned(), |us| format!("{:.3} ms", us as f64 / 1000.0));
+        let error = source.error_us.map_or("unknown".to_owned(), |us| {
+            format!("{:.3} ms", us as f64 / 1000.0)
+        });
         let offset = source.offset_us as f64 / 1000.0;
         println!(
             "  {} started {}: offset {offset:.3} ms, residual error {error}",
@@ -366,7 +397,9 @@
         let summary = summary.get_or_insert_with(|| Summary::new(&trace.header));
         each(file, &mut trace, |part| {
             match part {
-                Part::Block { records, unknown, .. } => {
+                Part::Block {
+                    records, unknown, ..
+                } => {
                     records.iter().for_each(|r| summary.feed(r));
                     summary.unknown(unknown);
                 }
@@ -375,7 +408,9 @@
             Ok(())
         })?;
     }
-    let Some(summary) = summary else { return Err("no file is given".to_owned()) };
+    let Some(summary) = summary else {
+        return Err("no file is given".to_owned());
+    };
     if let Some(svg) = svg {
         timeline::draw(svg, summary.seconds())?;
     }
@@ -392,9 +427,13 @@
     for file in files {
         let mut trace = open(file)?;
         let run = (trace.header.placer.clone(), trace.header.started_ms);
-        let (losses, first) = losses.get_or_insert_with(|| (Losses::new(&trace.header.classes), run.clone()));
+        let (losses, first) =
+            losses.get_or_insert_with(|| (Losses::new(&trace.header.classes), run.clone()));
         if *first != run {
-            return Err(format!("{}: another run than the first file's; merge them first", file.display()));
+            return Err(format!(
+                "{}: another run than the first file's; merge them first",
+                file.display()
+            ));
         }
         each(file, &mut trace, |part| {
             if let Part::Block { records, .. } = part {
@@ -403,7 +442,9 @@
             Ok(())
         })?;
     }
-    let Some((losses, _)) = losses else { return Ok(ExitCode::SUCCESS) };
+    let Some((losses, _)) = losses else {
+        return Ok(ExitCode::SUCCESS);
+    };
     let counted = losses.finish();
     if as_json {
         println!("{:#}", counted.json());
@@ -419,9 +460,16 @@
     let (mut blocks, mut records, mut damaged, mut unknown, mut gaps) = (0, 0, 0, 0, 0);
     each(file, &mut trace, |part| {
         match part {
-            Part::Block { records: all, unknown: passed, .. } => {
+            Part::Block {
+                records: all,
+                unknown: passed,
+                ..
+            } => {
                 (blocks, records, unknown) = (blocks + 1, records + all.len(), unknown + passed);
-                gaps += all.iter().filter(|r| matches!(r.record, Record::Gap { .. })).count();
+                gaps += all
+                    .iter()
+                    .filter(|r| matches!(r.record, Record::Gap { .. }))
+                    .count();
             }
             Part::Damaged { at, octets, why } => {
                 damaged += 1;
@@ -436,7 +484,11 @@
     if !finished {
         println!("it has no sound index: it was cut off, or its placer still writes it");
     }
-    Ok(if damaged == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if damaged == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
 
 fn repair(file: &Path, out: &Path) -> Result<ExitCode, String> {
@@ -456,14 +508,23 @@
             Part::Damaged { octets, why, .. } => {
                 lost += octets;
                 // How many turns were in it is not known; one at least, or a replay would go on over it.
-                let record = Record::Gap { turns: 1, records: 1, why: format!("{octets} octets: {why}") };
-                writer.push(&Stamped { at: last, record }).map_err(named(out))?;
+                let record = Record::Gap {
+                    turns: 1,
+                    records: 1,
+                    why: format!("{octets} octets: {why}"),
+                };
+                writer
+                    .push(&Stamped { at: last, record })
+                    .map_err(named(out))?;
             }
         }
         Ok(())
     })?;
     let totals = writer.finish().map_err(named(out))?;
-    println!("{} records copied; {lost} octets were no sound blocks", totals.records);
+    println!(
+        "{} records copied; {lost} octets were no sound blocks",
+        totals.records
+    );
     Ok(ExitCode::SUCCESS)
 }
 
@@ -478,7 +539,8 @@
     fn next(&mut self) -> Result<Option<Stamped>, String> {
         loop {
             // Names are said wherever a block begins, which is no difference.
-            let named = |r: &Stamped| matches!(r.record, Record::Host { .. } | Record::Service { .. });
+            let named =
+                |r: &Stamped| matches!(r.record, Record::Host { .. } | Record::Service { .. });
             if let Some(record) = self.block.find(|r| !named(r)) {
                 return Ok(Some(record));
             }
@@ -493,7 +555,11 @@
 
 fn diff(a: &Path, b: &Path) -> Result<ExitCode, String> {
     let records = |file: &Path| -> Result<Records, String> {
-        Ok(Records { file: file.to_owned(), trace: open(file)?, block: Vec::new().into_iter() })
+        Ok(Records {
+            file: file.to_owned(),
+            trace: open(file)?,
+            block: Vec::new().into_iter(),
+        })
     };
     let (mut a, mut b) = (records(a)?, records(b)?);
     let mut same = 0u64;
@@ -505,8 +571,9 @@
             }
             (x, y) if x == y => same += 1,
             (x, y) => {
-                let shown =
-                    |r: Option<Stamped>| r.map_or_else(|| "the end".to_owned(), |r| json!(r).to_string());
+                let shown = |r: Option<Stamped>| {
+                    r.map_or_else(|| "the end".to_owned(), |r| json!(r).to_string())
+                };
                 println!("record {same} differs\n  {}\n  {}", shown(x), shown(y));
                 return Ok(ExitCode::from(1));
             }
--- a/crates/cli/src/trace/hide.rs
+++ b/crates/cli/src/trace/hide.rs
@@ -24,7 +24,12 @@
     #[arg(long, value_name = "FILE")]
     keep_key: Option<PathBuf>,
     /// Shift all times by so many seconds
-    #[arg(long, default_value_t = 0.0, allow_negative_numbers = true, value_name = "S")]
+    #[arg(
+        long,
+        default_value_t = 0.0,
+        allow_negative_numbers = true,
+        value_name = "S"
+    )]
     shift_s: f64,
     /// Round asked cores and memory up to multiples of this
     #[arg(long, default_value_t = 0.0, value_name = "X")]
@@ -45,13 +50,19 @@
     let out = BufWriter::new(create(&args.out)?);
     let mut writer = Writer::new(out, &hide.header(&trace.header)).map_err(named(&args.out))?;
     each(&args.file, &mut trace, |part| match part {
-        Part::Block { records, .. } => {
-            records.iter().try_for_each(|r| writer.push(&hide.record(r)).map_err(named(&args.out)))
-        }
+        Part::Block { records, .. } => records
+            .iter()
+            .try_for_each(|r| writer.push(&hide.record(r)).map_err(named(&args.out))),
         Part::Damaged { octets, .. } => {
-            let record = Record::Gap { turns: 1, records: 1, why: "other".to_owned() };
+            let record = Record::Gap {
+                turns: 1,
+                records: 1,
+                why: "other".to_owned(),
+            };
             eprintln!("{octets} damaged octets left out");
-            writer.push(&Stamped { at: 0, record }).map_err(named(&args.out))
+            writer
+                .push(&Stamped { at: 0, record })
+                .map_err(named(&args.out))
         }
     })?;
     let totals = writer.finish().map_err(named(&args.out))?;
@@ -100,9 +111,13 @@
     let any = AhoCorasick::new(&long).map_err(|e| e.to_string())?;
     let mut trace = open(copy)?;
     // Its values; its keys are the format's own.
-    let header = [&[trace.header.placer.clone()], &trace.header.classes[..]].concat().join("\n");
-    let mut found: Vec<String> =
-        any.find_iter(&header).map(|m| long[m.pattern().as_usize()].to_owned()).collect();
+    let header = [&[trace.header.placer.clone()], &trace.header.classes[..]]
+        .concat()
+        .join("\n");
+    let mut found: Vec<String> = any
+        .find_iter(&header)
+        .map(|m| long[m.pattern().as_usize()].to_owned())
+        .collect();
     let mut blocks = Vec::new();
     each(copy, &mut trace, |part| {
         if let Part::Block { at, records, .. } = part {
@@ -113,7 +128,10 @@
     })?;
     for at in blocks {
         let octets = trace.octets(at).map_err(named(copy))?;
-        found.extend(any.find_iter(&octets).map(|m| long[m.pattern().as_usize()].to_owned()));
+        found.extend(
+            any.find_iter(&octets)
+                .map(|m| long[m.pattern().as_usize()].to_owned()),
+        );
     }
     found.sort();
     found.dedup();
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -9,23 +9,36 @@
 
 use super::{each, open};
 
-pub fn replay(files: &[PathBuf], build_differs: bool, settings: Option<&Path>) -> Result<ExitCode, String> {
+pub fn replay(
+    files: &[PathBuf],
+    build_differs: bool,
+    settings: Option<&Path>,
+) -> Result<ExitCode, String> {
     let first = files.first().ok_or("no file is given")?;
     let header = open(first)?.header;
     let named_first = |e: String| format!("{}: {e}", first.display());
     if header.module != module_hash() {
         let text = "another module decided here: its text has another hash than this program's";
         if !build_differs {
-            return Err(named_first(format!("{text}; --build-differs compares all the same")));
+            return Err(named_first(format!(
+                "{text}; --build-differs compares all the same"
+            )));
         }
         eprintln!("{}", named_first(text.to_owned()));
     }
     let what_if = match settings {
         None => None,
-        Some(file) => Some(maplethread_placer::load(file).map_err(|e| e.to_string())?.settings()),
+        Some(file) => Some(
+            maplethread_placer::load(file)
+                .map_err(|e| e.to_string())?
+                .settings(),
+        ),
     };
     if let Some(file) = settings {
-        println!("WHAT IF: settings of {} in place of the recorded ones", file.display());
+        println!(
+            "WHAT IF: settings of {} in place of the recorded ones",
+            file.display()
+        );
     }
     let mut replay = Replay::with(&header, what_if).map_err(named_first)?;
     let mut names: BTreeMap<u32, String> = BTreeMap::new();
@@ -33,9 +46,17 @@
     let (mut from, mut until) = (u64::MAX, 0);
     for (n, file) in files.iter().enumerate() {
         let mut trace = open(file)?;
-        let run = (&trace.header.placer, trace.header.started_ms, trace.header.part as usize);
+        let run = (
+            &trace.header.placer,
+            trace.header.started_ms,
+            trace.header.part as usize,
+        );
         if run != (&header.placer, header.started_ms, n) {
-            return Err(format!("{}: part {} of another run, or not the next part", file.display(), run.2));
+            return Err(format!(
+                "{}: part {} of another run, or not the next part",
+                file.display(),
+                run.2
+            ));
         }
         each(file, &mut trace, |part| {
             match part {
@@ -54,7 +75,10 @@
         })?;
     }
     let found = &replay.found;
-    let (span, took) = (until.saturating_sub(from) as f64 / 1e6, begun.elapsed().as_secs_f64());
+    let (span, took) = (
+        until.saturating_sub(from) as f64 / 1e6,
+        begun.elapsed().as_secs_f64(),
+    );
     println!(
         "{} turns, {} actions compared, {} turns differ, {} turns after a gap not compared; {span:.1} s in {took:.2} s",
         found.turns, found.actions, found.differing, found.after_gap
@@ -68,7 +92,11 @@
             "{:.1}% of the offers would go to other hosts; the largest changes:",
             100.0 * found.elsewhere()
         );
-        let mut hosts: Vec<(u32, [u64; 2])> = found.hosts.iter().map(|(&n, &counts)| (n, counts)).collect();
+        let mut hosts: Vec<(u32, [u64; 2])> = found
+            .hosts
+            .iter()
+            .map(|(&n, &counts)| (n, counts))
+            .collect();
         hosts.sort_by_key(|&(n, [a, b])| (std::cmp::Reverse(a.abs_diff(b)), n));
         for (n, [recorded, replayed]) in hosts.into_iter().take(5).filter(|(_, [a, b])| a != b) {
             let name = names.get(&n).cloned().unwrap_or_else(|| format!("#{n}"));
@@ -80,5 +108,9 @@
         println!("  recorded: {:?}", first.recorded);
         println!("  replayed: {:?}", first.replayed);
     }
-    Ok(if found.differing == 0 { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if found.differing == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
 }
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -39,7 +39,10 @@
         &below,
         "offers a second, and hosts that began to drain",
         seconds,
-        &[("offers", OFFERS, |s| s.offers), ("drains", DRAINS, |s| s.drains)],
+        &[
+            ("offers", OFFERS, |s| s.offers),
+            ("drains", DRAINS, |s| s.drains),
+        ],
     )?;
     area.present()?;
     Ok(())
@@ -59,21 +62,33 @@
         };
         seconds.chunks(step).enumerate().map(mean).collect()
     };
-    let most = lines.iter().flat_map(|l| points(l.2)).map(|p| p.1).fold(1.0, f64::max);
+    let most = lines
+        .iter()
+        .flat_map(|l| points(l.2))
+        .map(|p| p.1)
+        .fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..seconds.len().max(1) as f64, 0.0..most * 1.05)?;
-    chart.configure_mesh().light_line_style(WHITE).x_desc("s since the first record").draw()?;
+    chart
+        .configure_mesh()
+        .light_line_style(WHITE)
+        .x_desc("s since the first record")
+        .draw()?;
     for &(name, colour, of) in lines {
         chart
             .draw_series(LineSeries::new(points(of), colour.stroke_width(2)))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2)));
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(ASKED).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(ASKED)
+        .draw()?;
     Ok(())
 }
 
@@ -83,10 +98,16 @@
 
     #[test]
     fn a_long_day_and_an_empty_one_are_drawn() {
-        let folder = std::env::temp_dir().join(format!("maplethread-timeline-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("maplethread-timeline-{}", std::process::id()));
         let file = folder.with_extension("svg");
         for seconds in [0, 1, 86_400] {
-            let one = Second { asked: 10, placed: 9, refused: 1, ..Second::default() };
+            let one = Second {
+                asked: 10,
+                placed: 9,
+                refused: 1,
+                ..Second::default()
+            };
             draw(&file, &vec![one; seconds]).expect("a drawing");
             let text = std::fs::read_to_string(&file).expect("a file");
             assert!(
@@ -94,7 +115,11 @@
                 "{seconds}"
             );
             // A line has a point for each second, up to the most.
-            assert_eq!(text.matches(',').count() > 6 * 1000, seconds > 1000, "{seconds}");
+            assert_eq!(
+                text.matches(',').count() > 6 * 1000,
+                seconds > 1000,
+                "{seconds}"
+            );
         }
         std::fs::remove_file(&file).expect("the file");
     }
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -37,8 +37,12 @@
 
 /// One line, in one write, so that lines of several workers do not mix.
 fn note(args: &WorkerArgs, event: &str) -> Result<(), String> {
-    let Some(file) = &args.life_log else { return Ok(()) };
-    let at = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
+    let Some(file) = &args.life_log else {
+        return Ok(());
+    };
+    let at = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64);
     let line = json!({"at": at, "event": event, "task": args.task, "pid": std::process::id()});
     let written = OpenOptions::new()
         .create(true)
@@ -54,7 +58,8 @@
     }
     let ignored = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     if args.ignore_term {
-        signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored).map_err(|e| e.to_string())?;
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored)
+            .map_err(|e| e.to_string())?;
     }
     note(args, "start")?;
     // Touched, so that it is resident.
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -27,9 +27,15 @@
             .expect("an agent");
         let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
         let address = loop {
-            let line = lines.next().expect("it says where it listens").expect("a line");
+            let line = lines
+                .next()
+                .expect("it says where it listens")
+                .expect("a line");
             let line: serde_json::Value = serde_json::from_str(&line).expect("JSON");
-            if let Some(address) = line["fields"]["address"].as_str().or(line["address"].as_str()) {
+            if let Some(address) = line["fields"]["address"]
+                .as_str()
+                .or(line["address"].as_str())
+            {
                 break address.to_owned();
             }
         };
@@ -58,8 +64,13 @@
 impl Link {
     fn greet(agent: &Agent) -> Link {
         let stream = TcpStream::connect(&agent.address).expect("a connection");
-        stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
-        let mut link = Link { stream, unread: Vec::new() };
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("a time-out");
+        let mut link = Link {
+            stream,
+            unread: Vec::new(),
+        };
         link.send(&Frame::Hello {
             major: frame::MAJOR,
             minor: frame::MINOR,
@@ -115,7 +126,10 @@
         actor: format!("a{attempt}"),
         class: class.into(),
         request: format!("r{attempt}"),
-        asks: Load { cores: 0.25, memory: 0.125 },
+        asks: Load {
+            cores: 0.25,
+            memory: 0.125,
+        },
         priority: 0,
         copies,
         life_ms: 0,
@@ -132,7 +146,10 @@
 
 fn home(name: &str) -> Home {
     let folder = tempfile::tempdir().expect("a folder");
-    let (config, log) = (folder.path().join("agent.toml"), folder.path().join("workers.jsonl"));
+    let (config, log) = (
+        folder.path().join("agent.toml"),
+        folder.path().join("workers.jsonl"),
+    );
     let name = format!("{name}-{}", std::process::id());
     let text = format!(
         r#"name = "{name}"
@@ -162,18 +179,28 @@
         log = log.display()
     );
     std::fs::write(&config, text).expect("a file");
-    Home { config, log, _folder: folder, name }
+    Home {
+        config,
+        log,
+        _folder: folder,
+        name,
+    }
 }
 
 impl Home {
     /// How often each task's worker said that it started.
     fn starts(&self) -> BTreeMap<u64, u32> {
         let mut starts = BTreeMap::new();
-        for line in std::fs::read_to_string(&self.log).unwrap_or_default().lines() {
+        for line in std::fs::read_to_string(&self.log)
+            .unwrap_or_default()
+            .lines()
+        {
             let line: serde_json::Value = serde_json::from_str(line).expect("a line of a worker");
             if line["event"] == "start" {
                 let task = line["task"].as_str().expect("a task");
-                *starts.entry(u64::from_str_radix(task, 16).expect("a number")).or_default() += 1;
+                *starts
+                    .entry(u64::from_str_radix(task, 16).expect("a number"))
+                    .or_default() += 1;
             }
         }
         starts
@@ -182,7 +209,10 @@
 
 impl Drop for Home {
     fn drop(&mut self) {
-        for identity in maplethread_agent::process::marked(&self.name).values().flatten() {
+        for identity in maplethread_agent::process::marked(&self.name)
+            .values()
+            .flatten()
+        {
             maplethread_agent::process::kill(*identity, true);
         }
     }
@@ -220,22 +250,40 @@
     assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
     link.send(&Frame::Stop(1));
     let came = link.until(is_ended(1));
-    assert!(matches!(came.last(), Some(Frame::Ended(1, Reason::Stopped, true, Some(_)))), "{came:?}");
+    assert!(
+        matches!(
+            came.last(),
+            Some(Frame::Ended(1, Reason::Stopped, true, Some(_)))
+        ),
+        "{came:?}"
+    );
 
     // One that takes no notice of being asked is made to end; one that ends by itself is done.
     link.send(&offer(2, "stubborn", Copies::Safe));
     link.until(|f| matches!(f, Frame::Started(2, _)));
     link.send(&Frame::Stop(2));
-    assert!(matches!(link.until(is_ended(2)).last(), Some(Frame::Ended(2, Reason::Stopped, true, _))));
+    assert!(matches!(
+        link.until(is_ended(2)).last(),
+        Some(Frame::Ended(2, Reason::Stopped, true, _))
+    ));
     link.send(&offer(3, "brief", Copies::Safe));
-    assert!(matches!(link.until(is_ended(3)).last(), Some(Frame::Ended(3, Reason::Done, true, _))));
+    assert!(matches!(
+        link.until(is_ended(3)).last(),
+        Some(Frame::Ended(3, Reason::Done, true, _))
+    ));
 
     // What can't be started says so and never ran; what there is no program for is turned down.
     link.send(&offer(4, "missing", Copies::Safe));
-    assert!(matches!(link.until(is_ended(4)).last(), Some(Frame::Ended(4, Reason::Error, false, _))));
+    assert!(matches!(
+        link.until(is_ended(4)).last(),
+        Some(Frame::Ended(4, Reason::Error, false, _))
+    ));
     link.send(&offer(5, "unknown", Copies::Safe));
     let refused = link.until(|f| matches!(f, Frame::Refused(5, ..)));
-    assert!(matches!(refused.last(), Some(Frame::Refused(5, Reason::NotHere, _))));
+    assert!(matches!(
+        refused.last(),
+        Some(Frame::Refused(5, Reason::NotHere, _))
+    ));
     // A copy of a key that stands is turned down, and there is room for so much only.
     link.send(&offer(6, "work", Copies::Keyed(9)));
     link.until(|f| matches!(f, Frame::Started(6, _)));
@@ -266,7 +314,9 @@
         let mut known: BTreeSet<u64> = held(&greeting).collect();
         over.extend(ends(&greeting));
         let missing = |known: &BTreeSet<u64>, over: &BTreeSet<u64>| {
-            accepted.iter().any(|a| !known.contains(a) && !over.contains(a))
+            accepted
+                .iter()
+                .any(|a| !known.contains(a) && !over.contains(a))
         };
         while missing(&known, &over) {
             if let Some(Frame::Ended(attempt, ..)) = link.next() {
@@ -312,7 +362,8 @@
     let greeting = link.until(|f| matches!(f, Frame::HeldEnd));
     let mut held: BTreeSet<u64> = held(&greeting).collect();
     over.extend(ends(&greeting));
-    held.iter().for_each(|&attempt| link.send(&Frame::Stop(attempt)));
+    held.iter()
+        .for_each(|&attempt| link.send(&Frame::Stop(attempt)));
     while !held.is_empty() || accepted.iter().any(|a| !over.contains(a)) {
         if let Some(Frame::Ended(attempt, ..)) = link.next() {
             held.remove(&attempt);
@@ -320,7 +371,16 @@
         }
     }
     let starts = home.starts();
-    assert!(starts.values().all(|&n| n == 1), "a task was started twice: {starts:?}");
-    assert!(accepted.len() >= 8 && starts.len() >= 8, "it accepted {accepted:?}, and started {starts:?}");
-    assert!(maplethread_agent::process::marked(&home.name).is_empty(), "something runs on");
+    assert!(
+        starts.values().all(|&n| n == 1),
+        "a task was started twice: {starts:?}"
+    );
+    assert!(
+        accepted.len() >= 8 && starts.len() >= 8,
+        "it accepted {accepted:?}, and started {starts:?}"
+    );
+    assert!(
+        maplethread_agent::process::marked(&home.name).is_empty(),
+        "something runs on"
+    );
 }
