--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -16,7 +16,9 @@
 /// What of a body does not fit a schema.
 fn misfit(doc: &Value, schema: &Value, body: &Value, at: &str) -> Option<String> {
     if let Some(reference) = schema["$ref"].as_str() {
-        let target = doc.pointer(reference.trim_start_matches('#')).expect("a schema");
+        let target = doc
+            .pointer(reference.trim_start_matches('#'))
+            .expect("a schema");
         return misfit(doc, target, body, at);
     }
     let fits = |kind: &str| match kind {
@@ -42,7 +44,12 @@
     {
         return Some(format!("{at}: {body} is not listed"));
     }
-    for field in schema["required"].as_array().into_iter().flatten().filter_map(Value::as_str) {
+    for field in schema["required"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(Value::as_str)
+    {
         if body.get(field).is_none() {
             return Some(format!("{at}: no {field}"));
         }
@@ -58,7 +65,9 @@
         }
     }
     let items = body.as_array().into_iter().flatten();
-    items.filter_map(|item| misfit(doc, &schema["items"], item, at)).next()
+    items
+        .filter_map(|item| misfit(doc, &schema["items"], item, at))
+        .next()
 }
 
 /// Calls, and holds the answer to the description; `path` as it stands there.
@@ -73,9 +82,19 @@
     let (status, answer) = placer.client().call(method, target, body);
     let responses = &doc["paths"][path][method.to_lowercase()]["responses"];
     let response = &responses[status.to_string()];
-    assert!(response.is_object(), "{method} {target}: {status} is not described: {answer}");
-    let content = response["content"].as_object().and_then(|c| c.values().next()).expect("a body");
-    assert_eq!(misfit(doc, &content["schema"], &answer, target), None, "{answer}");
+    assert!(
+        response.is_object(),
+        "{method} {target}: {status} is not described: {answer}"
+    );
+    let content = response["content"]
+        .as_object()
+        .and_then(|c| c.values().next())
+        .expect("a body");
+    assert_eq!(
+        misfit(doc, &content["schema"], &answer, target),
+        None,
+        "{answer}"
+    );
     (status, answer)
 }
 
@@ -95,7 +114,10 @@
         link.send(&Frame::Started(offer.attempt, 1));
         answer.join().expect("answered")
     });
-    assert_eq!((client.0, client.1["outcome"].as_str()), (200, Some("placed")));
+    assert_eq!(
+        (client.0, client.1["outcome"].as_str()),
+        (200, Some("placed"))
+    );
     let refused = std::thread::scope(|scope| {
         let answer = scope.spawn(|| place(&ask("web-api", "s", "a2", 1000)));
         let offer = link.offer();
@@ -133,8 +155,14 @@
     }
     // Actors.
     let one = "/v1/actors/{service}/{actor}";
-    assert_eq!(described(&doc, &placer, one, "GET", "/v1/actors/s/a1", "").1["state"], "running");
-    assert_eq!(described(&doc, &placer, one, "GET", "/v1/actors/s/a%31", "").0, 200);
+    assert_eq!(
+        described(&doc, &placer, one, "GET", "/v1/actors/s/a1", "").1["state"],
+        "running"
+    );
+    assert_eq!(
+        described(&doc, &placer, one, "GET", "/v1/actors/s/a%31", "").0,
+        200
+    );
     for (method, target, status) in [
         ("GET", "/v1/actors/s/none", 404),
         ("GET", "/v1/actors/s/%zz", 400),
@@ -148,17 +176,57 @@
     }
     assert!(matches!(link.next(), Frame::Stop(_)));
     let (_, page) = described(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=1", "");
-    assert_eq!((page["held"].as_u64(), page["actors"][0]["state"].as_str()), (Some(1), Some("stopping")));
-    assert_eq!(described(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=x", "").0, 400);
-    assert_eq!(described(&doc, &placer, "/v1/asks/{request}", "DELETE", "/v1/asks/none", "").0, 404);
-    assert_eq!(described(&doc, &placer, "/v1/events", "GET", "/v1/events?life=1", "").0, 410);
-    assert_eq!(described(&doc, &placer, "/v1/events", "GET", "/v1/events?after=99", "").0, 410);
-    assert_eq!(described(&doc, &placer, "/v1/status", "GET", "/v1/status", "").0, 200);
-    assert_eq!(described(&doc, &placer, "/v1/status", "GET", "/v1/status?full=1", "").0, 200);
+    assert_eq!(
+        (page["held"].as_u64(), page["actors"][0]["state"].as_str()),
+        (Some(1), Some("stopping"))
+    );
+    assert_eq!(
+        described(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=x", "").0,
+        400
+    );
+    assert_eq!(
+        described(
+            &doc,
+            &placer,
+            "/v1/asks/{request}",
+            "DELETE",
+            "/v1/asks/none",
+            ""
+        )
+        .0,
+        404
+    );
+    assert_eq!(
+        described(&doc, &placer, "/v1/events", "GET", "/v1/events?life=1", "").0,
+        410
+    );
+    assert_eq!(
+        described(
+            &doc,
+            &placer,
+            "/v1/events",
+            "GET",
+            "/v1/events?after=99",
+            ""
+        )
+        .0,
+        410
+    );
+    assert_eq!(
+        described(&doc, &placer, "/v1/status", "GET", "/v1/status", "").0,
+        200
+    );
+    assert_eq!(
+        described(&doc, &placer, "/v1/status", "GET", "/v1/status?full=1", "").0,
+        200
+    );
     let (status, problem) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
     assert_eq!(status, 404);
     kinds.extend(problem["type"].as_str().map(str::to_owned));
-    assert_eq!(described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=x", "").0, 400);
+    assert_eq!(
+        described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=x", "").0,
+        400
+    );
     // Methods that are not described are refused, with those that are.
     for (path, methods) in doc["paths"].as_object().expect("paths") {
         assert!(
@@ -170,16 +238,35 @@
         client.write("PATCH", &target, &[], "");
         let answer = client.answer().expect("an answer");
         assert_eq!(answer.head.status(), 405, "{path}");
-        let allowed: BTreeSet<String> =
-            answer.head.field("allow").expect("Allow").split(", ").map(str::to_lowercase).collect();
-        assert_eq!(allowed, methods.as_object().expect("methods").keys().cloned().collect(), "{path}");
+        let allowed: BTreeSet<String> = answer
+            .head
+            .field("allow")
+            .expect("Allow")
+            .split(", ")
+            .map(str::to_lowercase)
+            .collect();
+        assert_eq!(
+            allowed,
+            methods
+                .as_object()
+                .expect("methods")
+                .keys()
+                .cloned()
+                .collect(),
+            "{path}"
+        );
     }
     let (status, problem) = placer.client().call("GET", "/v2", "");
     assert_eq!(status, 404);
     kinds.extend(problem["type"].as_str().map(str::to_owned));
     for kind in kinds {
-        let name = kind.strip_prefix("urn:maplethread:problem:").expect("the project's own");
-        assert!(text.contains(&format!("`{name}`")), "docs/api.md does not tell of {name}");
+        let name = kind
+            .strip_prefix("urn:maplethread:problem:")
+            .expect("the project's own");
+        assert!(
+            text.contains(&format!("`{name}`")),
+            "docs/api.md does not tell of {name}"
+        );
     }
 }
 
@@ -198,11 +285,18 @@
     ready(&mut placer);
     let (status, view) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
     assert_eq!(
-        (status, view["name"].as_str(), view["members"].as_array().map(Vec::len)),
+        (
+            status,
+            view["name"].as_str(),
+            view["members"].as_array().map(Vec::len)
+        ),
         (200, Some("p0"), Some(0))
     );
     let (status, news) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=0", "");
-    assert_eq!((status, &news["digest"], news["live"].as_u64()), (200, &view["digest"], Some(1)));
+    assert_eq!(
+        (status, &news["digest"], news["live"].as_u64()),
+        (200, &view["digest"], Some(1))
+    );
 }
 
 #[test]
@@ -221,7 +315,12 @@
     for (bytes, status) in cases {
         let mut client = placer.client();
         client.stream.write_all(bytes).expect("the placer reads");
-        assert_eq!(client.json().0, status, "{}", String::from_utf8_lossy(&bytes[..bytes.len().min(60)]));
+        assert_eq!(
+            client.json().0,
+            status,
+            "{}",
+            String::from_utf8_lossy(&bytes[..bytes.len().min(60)])
+        );
         assert!(client.answer().is_none(), "the connection goes on");
     }
     // A request that never becomes whole.
@@ -230,7 +329,10 @@
     let _link = host.greet(&[]);
     ready(&mut placer);
     let mut client = placer.client();
-    client.stream.write_all(b"GET /v1/status HT").expect("the placer reads");
+    client
+        .stream
+        .write_all(b"GET /v1/status HT")
+        .expect("the placer reads");
     assert_eq!(client.json().0, 408);
     assert!(client.answer().is_none());
 }
@@ -251,7 +353,11 @@
     link.send(&Frame::Accepted(offer.attempt, 1));
     let first = client.json();
     assert_eq!(first.1["outcome"], "placed");
-    assert_eq!(other.json().1, first.1, "asked for twice at once: one placing, one answer");
+    assert_eq!(
+        other.json().1,
+        first.1,
+        "asked for twice at once: one placing, one answer"
+    );
     // Even after the actor has ended the key stands for its answer, and nothing is offered.
     link.send(&Frame::Ended(offer.attempt, Reason::Done, true, None));
     placer.wait_for("ended", |s| s["actors"] == 0);
@@ -259,12 +365,18 @@
     again.write("POST", "/v1/actors", &key, &body);
     assert_eq!(again.json(), first);
     let frames = link.all_within(Duration::from_millis(100));
-    assert!(!frames.iter().any(|f| matches!(f, Frame::Offer(_))), "{frames:?}");
+    assert!(
+        !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
+        "{frames:?}"
+    );
     // An explicit cancel is a hang-up.
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "b", 4000), "cancel-me");
     let offer = link.offer();
-    assert_eq!(placer.client().call("DELETE", "/v1/asks/cancel-me", "").0, 202);
+    assert_eq!(
+        placer.client().call("DELETE", "/v1/asks/cancel-me", "").0,
+        202
+    );
     assert_eq!(client.json().0, 410);
     assert!(matches!(link.next(), Frame::Cancel(w) if w == offer.attempt));
     assert_eq!(placer.status()["counters"]["hung_up"], 1);
@@ -281,7 +393,11 @@
     let mut follower = Follower::new(&placer, "/v1/events");
     let hello = follower.next().expect("a hello");
     assert_eq!(
-        (hello["event"].as_str(), &hello["life"], hello["next"].as_u64()),
+        (
+            hello["event"].as_str(),
+            &hello["life"],
+            hello["next"].as_u64()
+        ),
         (Some("hello"), &life, Some(1))
     );
     let mut place = |actor: &str| {
@@ -306,13 +422,18 @@
     // Resumed after the second event: nothing is left out, nothing comes twice.
     let mut follower = Follower::new(&placer, &format!("/v1/events?after=2&life={life}"));
     assert_eq!(follower.next().expect("a hello")["next"], 3);
-    let seqs: Vec<u64> = (0..4).filter_map(|_| follower.next()?["seq"].as_u64()).collect();
+    let seqs: Vec<u64> = (0..4)
+        .filter_map(|_| follower.next()?["seq"].as_u64())
+        .collect();
     assert_eq!(seqs, [3, 4, 5, 6]);
     // Only eight are kept: after six more the first ones are gone.
     (0..2).for_each(|n| place(&format!("b{n}")));
     placer.wait_for("told", |s| s["events"]["next"] == 13);
     let (status, problem) = placer.client().call("GET", "/v1/events?after=2", "");
-    assert_eq!((status, problem["type"].as_str()), (410, Some("urn:maplethread:problem:fell-behind")));
+    assert_eq!(
+        (status, problem["type"].as_str()),
+        (410, Some("urn:maplethread:problem:fell-behind"))
+    );
 }
 
 /// A connection that follows events.
@@ -328,8 +449,19 @@
         use maplethread_wire::http::{Decoder, Limits, Role};
         let mut client = placer.client();
         client.write("GET", target, &[], "");
-        let decoder = Decoder::new(Role::Responses, Limits { body: usize::MAX, ..Limits::default() });
-        Follower { client, decoder, buffer: Vec::new(), lines: Vec::new() }
+        let decoder = Decoder::new(
+            Role::Responses,
+            Limits {
+                body: usize::MAX,
+                ..Limits::default()
+            },
+        );
+        Follower {
+            client,
+            decoder,
+            buffer: Vec::new(),
+            lines: Vec::new(),
+        }
     }
 
     fn next(&mut self) -> Option<Value> {
@@ -373,7 +505,10 @@
     // Nothing new is taken.
     while other.call("GET", "/v1/status", "").1["state"] != "stopping" {}
     let (status, problem) = other.call("POST", "/v1/actors", &ask("web-api", "s", "b", 4000));
-    assert_eq!((status, problem["type"].as_str()), (503, Some("urn:maplethread:problem:stopping")));
+    assert_eq!(
+        (status, problem["type"].as_str()),
+        (503, Some("urn:maplethread:problem:stopping"))
+    );
     // What is out is answered.
     link.send(&Frame::Accepted(offer.attempt, 1));
     assert_eq!(client.json().1["outcome"], "placed");
@@ -394,15 +529,29 @@
 
 #[test]
 fn a_bad_inventory_keeps_the_last_good_list_and_limits_have_their_answers() {
-    let (h1, h2) = (ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1"));
+    let (h1, h2) = (
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    );
     let mut placer = Placer::files(&[&h1], "max_asks = 2");
     let ready = placer.start();
     let mut link = h1.greet(&[]);
     ready(&mut placer);
-    for bad in ["", "[[host", "[[host]]\nname = \"h1\"\n", "\u{0}", "[[host]]\nnom = 1\n"] {
+    for bad in [
+        "",
+        "[[host",
+        "[[host]]\nname = \"h1\"\n",
+        "\u{0}",
+        "[[host]]\nnom = 1\n",
+    ] {
         placer.raw_inventory(bad);
         let log = placer.log();
-        let told = move || std::fs::read_to_string(&log).unwrap_or_default().matches("bad inventory").count();
+        let told = move || {
+            std::fs::read_to_string(&log)
+                .unwrap_or_default()
+                .matches("bad inventory")
+                .count()
+        };
         let before = told();
         placer.wait_for("complaint", |_| told() > before || told() >= 1);
         assert_eq!(placer.status()["hosts"], 1);
@@ -414,18 +563,26 @@
     // Two asks are out; a third is turned away, and nothing of it is kept.
     let mut clients: Vec<Client> = (0..2).map(|_| placer.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask(&ask("web-api", "s", &format!("{n}"), 10_000), &format!("{n}"));
+        client.ask(
+            &ask("web-api", "s", &format!("{n}"), 10_000),
+            &format!("{n}"),
+        );
     }
     placer.wait_for("two asks", |s| s["open_asks"] == 2);
     let mut third = placer.client();
     third.write("POST", "/v1/actors", &[], &ask("web-api", "s", "x", 1000));
     let answer = third.answer().expect("an answer");
-    assert_eq!((answer.head.status(), answer.head.field("retry-after")), (503, Some("1")));
+    assert_eq!(
+        (answer.head.status(), answer.head.field("retry-after")),
+        (503, Some("1"))
+    );
     for _ in 0..2 {
         let offer = link.offer();
         link.send(&Frame::Accepted(offer.attempt, 1));
     }
-    clients.iter_mut().for_each(|c| assert_eq!(c.json().1["outcome"], "placed"));
+    clients
+        .iter_mut()
+        .for_each(|c| assert_eq!(c.json().1["outcome"], "placed"));
 }
 
 #[test]
@@ -437,7 +594,10 @@
             .arg(file)
             .output()
             .expect("runs");
-        (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+        (
+            out.status.code(),
+            String::from_utf8_lossy(&out.stderr).into_owned(),
+        )
     };
     let sound = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/placer.toml");
     assert_eq!(run(&sound).0, Some(0), "{}", run(&sound).1);
@@ -445,14 +605,46 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("p.toml");
     for (from, to, complaint) in [
-        ("max_attempts = 3", "max_atempts = 3", ":17: max_atempts: unknown field `max_atempts`"),
-        ("max_attempts = 3", "max_atempts = 3", "did you mean `max_attempts`?"),
-        ("number = 0 ", "number = 1 ", ":5: placer.number: 1 is given; below placer.placers"),
-        ("zone = \"hall-a\"", "zone = \"hall-x\"", ":7: placer.zone: `hall-x` is given; one of placer.zones"),
-        ("aim_ms = 1500", "aim_ms = 0", ": class[1].aim_ms: 0 is given; at least 1"),
-        ("group = \"zone\"", "", ": class[1].group: belongs to keyed classes"),
-        ("cores = 16.0", "cores = -1.0", ": kind[0].cores: -1 is given; above 0"),
-        ("127.0.0.1:7400", "0.0.0.0:7400", ": api.listen: 0.0.0.0:7400 is given; a loopback address"),
+        (
+            "max_attempts = 3",
+            "max_atempts = 3",
+            ":17: max_atempts: unknown field `max_atempts`",
+        ),
+        (
+            "max_attempts = 3",
+            "max_atempts = 3",
+            "did you mean `max_attempts`?",
+        ),
+        (
+            "number = 0 ",
+            "number = 1 ",
+            ":5: placer.number: 1 is given; below placer.placers",
+        ),
+        (
+            "zone = \"hall-a\"",
+            "zone = \"hall-x\"",
+            ":7: placer.zone: `hall-x` is given; one of placer.zones",
+        ),
+        (
+            "aim_ms = 1500",
+            "aim_ms = 0",
+            ": class[1].aim_ms: 0 is given; at least 1",
+        ),
+        (
+            "group = \"zone\"",
+            "",
+            ": class[1].group: belongs to keyed classes",
+        ),
+        (
+            "cores = 16.0",
+            "cores = -1.0",
+            ": kind[0].cores: -1 is given; above 0",
+        ),
+        (
+            "127.0.0.1:7400",
+            "0.0.0.0:7400",
+            ": api.listen: 0.0.0.0:7400 is given; a loopback address",
+        ),
         ("[rules]", "[rules", ": "),
         ("cold_from = 0.2", "cold_from = \"x\"", ": "),
     ] {
@@ -460,7 +652,14 @@
         std::fs::write(&file, text.replacen(from, to, 1)).expect("a file");
         let (code, told) = run(&file);
         assert_eq!(code, Some(2), "{to}");
-        assert!(told.contains(complaint) && told.contains("p.toml:"), "{to}: {told}");
+        assert!(
+            told.contains(complaint) && told.contains("p.toml:"),
+            "{to}: {told}"
+        );
     }
-    assert!(run(&folder.path().join("none.toml")).1.contains("none.toml"));
+    assert!(
+        run(&folder.path().join("none.toml"))
+            .1
+            .contains("none.toml")
+    );
 }
--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -22,7 +22,9 @@
         "{method} {path} HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
     )
     .expect("the server reads");
-    stream.set_read_timeout(Some(Duration::from_millis(500))).expect("a timeout");
+    stream
+        .set_read_timeout(Some(Duration::from_millis(500)))
+        .expect("a timeout");
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     // The server keeps connections; a whole answer has its length.
     while let Ok(n) = stream.read(&mut part) {
@@ -32,15 +34,29 @@
         bytes.extend_from_slice(&part[..n]);
         let text = String::from_utf8_lossy(&bytes);
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
-            if length.and_then(|l| l.parse().ok()).is_some_and(|l: usize| body.len() >= l) {
+            let length = head
+                .lines()
+                .find_map(|l| l.strip_prefix("Content-Length: "));
+            if length
+                .and_then(|l| l.parse().ok())
+                .is_some_and(|l: usize| body.len() >= l)
+            {
                 break;
             }
         }
     }
     let text = String::from_utf8_lossy(&bytes).into_owned();
-    let status = text.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-    (status, text.split_once("\r\n\r\n").map_or("", |(_, b)| b).to_owned())
+    let status = text
+        .split(' ')
+        .nth(1)
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(0);
+    (
+        status,
+        text.split_once("\r\n\r\n")
+            .map_or("", |(_, b)| b)
+            .to_owned(),
+    )
 }
 
 fn register(servers: &Servers, host: &ScriptedHost, status: &str) {
@@ -52,12 +68,30 @@
         },
         "Checks": [{"CheckID": format!("service:{}", host.name), "Name": "host", "Status": status, "ServiceID": host.name}],
     });
-    assert_eq!(http(servers.addresses[0], "PUT", "/v1/catalog/register", &body.to_string()).0, 200);
+    assert_eq!(
+        http(
+            servers.addresses[0],
+            "PUT",
+            "/v1/catalog/register",
+            &body.to_string()
+        )
+        .0,
+        200
+    );
 }
 
 fn deregister(servers: &Servers, host: &ScriptedHost) {
     let body = json!({"Node": format!("node-{}", host.name), "ServiceID": host.name});
-    assert_eq!(http(servers.addresses[0], "PUT", "/v1/catalog/deregister", &body.to_string()).0, 200);
+    assert_eq!(
+        http(
+            servers.addresses[0],
+            "PUT",
+            "/v1/catalog/deregister",
+            &body.to_string()
+        )
+        .0,
+        200
+    );
 }
 
 /// A placer that reads its hosts from these servers, with further settings of `[consul]`.
@@ -65,14 +99,21 @@
     let placer = Placer::files(&[], "");
     let path = placer.folder().join("placer.toml");
     let text = std::fs::read_to_string(&path).expect("a file");
-    let list: Vec<String> = servers.addresses.iter().map(|a| format!("\"{a}\"")).collect();
+    let list: Vec<String> = servers
+        .addresses
+        .iter()
+        .map(|a| format!("\"{a}\""))
+        .collect();
     let text = text
         .replace("inventory = \"hosts.toml\"", "")
         .replace("name = \"p0\"", &format!("name = \"{name}\""))
         .replace("placers = 1", &format!("placers = {placers}"))
         .replace(
             "[placing]",
-            &format!("[consul]\nservers = [{}]\nwait_ms = 1000\n{more}\n[placing]", list.join(", ")),
+            &format!(
+                "[consul]\nservers = [{}]\nwait_ms = 1000\n{more}\n[placing]",
+                list.join(", ")
+            ),
         );
     std::fs::write(&path, text).expect("a file");
     placer
@@ -97,7 +138,10 @@
 #[test]
 fn hosts_come_and_go_by_the_catalogue() {
     let servers = Servers::start(Settings::new(3)).expect("servers");
-    let (h1, h2) = (ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1"));
+    let (h1, h2) = (
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    );
     register(&servers, &h1, "passing");
     register(&servers, &h2, "passing");
     let mut placer = placer(&servers, "p0", 1, "");
@@ -110,7 +154,10 @@
     wait_gauge(&placer, "the drain", |g| g["index"].as_u64() > Some(5));
     let mut client = placer.client();
     for n in 0..20 {
-        client.ask(&ask("web-api", &format!("s{n}"), "a", 4000), &format!("{n}"));
+        client.ask(
+            &ask("web-api", &format!("s{n}"), "a", 4000),
+            &format!("{n}"),
+        );
         let offer = l2.offer();
         l2.send(&Frame::Accepted(offer.attempt, 1));
         assert_eq!(client.json().1["host"], "h2");
@@ -134,11 +181,19 @@
     let seen = told.clone();
     let watch = move |_: &str, _: u64, _: bool, body: &[u8]| {
         let drains = String::from_utf8_lossy(body).contains("\"critical\"");
-        seen.lock().expect("no panic").push((Instant::now(), drains));
+        seen.lock()
+            .expect("no panic")
+            .push((Instant::now(), drains));
+    };
+    let settings = Settings {
+        watch: Some(Arc::new(watch)),
+        ..Settings::new(1)
     };
-    let settings = Settings { watch: Some(Arc::new(watch)), ..Settings::new(1) };
     let servers = Servers::start(settings).expect("servers");
-    let (h1, h2) = (ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1"));
+    let (h1, h2) = (
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    );
     register(&servers, &h1, "passing");
     register(&servers, &h2, "passing");
     let mut placer = placer(&servers, "p0", 1, "");
@@ -147,7 +202,13 @@
     ready(&mut placer);
     // The watch of the list and the list itself are both as late.
     let late = Duration::from_secs(5);
-    servers.faults(None, Faults { late: late.as_micros() as u64, ..Faults::default() });
+    servers.faults(
+        None,
+        Faults {
+            late: late.as_micros() as u64,
+            ..Faults::default()
+        },
+    );
     register(&servers, &h1, "critical");
     // Asks go on all the while; the last offer to the draining host is noted.
     let mut client = placer.client();
@@ -156,11 +217,19 @@
     // Tasks end at once, so that room never runs out.
     let over = |link: &mut Link, attempt: u64| {
         link.send(&Frame::Accepted(attempt, 1));
-        link.send(&Frame::Ended(attempt, maplethread_wire::frame::Reason::Done, true, None));
+        link.send(&Frame::Ended(
+            attempt,
+            maplethread_wire::frame::Reason::Done,
+            true,
+            None,
+        ));
     };
     while Instant::now() < until {
         n += 1;
-        client.ask(&ask("web-api", &format!("s{n}"), "a", 2000), &format!("{n}"));
+        client.ask(
+            &ask("web-api", &format!("s{n}"), "a", 2000),
+            &format!("{n}"),
+        );
         loop {
             if let Some(Frame::Offer(offer)) = l1.next_within(Duration::from_millis(2)) {
                 last_there = Some(Instant::now());
@@ -174,36 +243,77 @@
         }
         assert_eq!(client.json().1["outcome"], "placed");
     }
-    let written = told.lock().expect("no panic").iter().find(|t| t.1).expect("it was told").0;
+    let written = told
+        .lock()
+        .expect("no panic")
+        .iter()
+        .find(|t| t.1)
+        .expect("it was told")
+        .0;
     let last = last_there.expect("it got work before");
     let margin = (written + Duration::from_secs(2)).saturating_duration_since(last);
-    assert!(last < written + Duration::from_secs(2), "offered 2 s after it was told");
+    assert!(
+        last < written + Duration::from_secs(2),
+        "offered 2 s after it was told"
+    );
     println!("margin to the grace: {margin:?}");
-    assert!(margin > Duration::from_millis(1500), "it acted late: {margin:?}");
+    assert!(
+        margin > Duration::from_millis(1500),
+        "it acted late: {margin:?}"
+    );
 }
 
 #[test]
 fn lagging_empty_partial_and_foreign_lists_do_not_lose_hosts() {
     let servers = Servers::start(Settings::new(3)).expect("servers");
-    let hosts: Vec<ScriptedHost> = (0..6).map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1")).collect();
+    let hosts: Vec<ScriptedHost> = (0..6)
+        .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
+        .collect();
     hosts.iter().for_each(|h| register(&servers, h, "passing"));
     let mut placer = placer(&servers, "p0", 1, "reads = \"stale\"");
     let ready = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
     ready(&mut placer);
     for faults in [
-        Faults { empty: true, ..Faults::default() },
-        Faults { partial: 0.2, ..Faults::default() },
-        Faults { other_datacentre: true, ..Faults::default() },
-        Faults { index_back: 1000, ..Faults::default() },
-        Faults { storm: Some((500, 1.0)), ..Faults::default() },
-        Faults { storm: Some((429, 1.0)), ..Faults::default() },
-        Faults { storm: Some((403, 1.0)), ..Faults::default() },
-        Faults { cut: 1.0, ..Faults::default() },
+        Faults {
+            empty: true,
+            ..Faults::default()
+        },
+        Faults {
+            partial: 0.2,
+            ..Faults::default()
+        },
+        Faults {
+            other_datacentre: true,
+            ..Faults::default()
+        },
+        Faults {
+            index_back: 1000,
+            ..Faults::default()
+        },
+        Faults {
+            storm: Some((500, 1.0)),
+            ..Faults::default()
+        },
+        Faults {
+            storm: Some((429, 1.0)),
+            ..Faults::default()
+        },
+        Faults {
+            storm: Some((403, 1.0)),
+            ..Faults::default()
+        },
+        Faults {
+            cut: 1.0,
+            ..Faults::default()
+        },
     ] {
         let before = gauges(&placer);
         let count = |g: &Value| {
-            ["taken", "unchanged", "rejected", "failed"].iter().filter_map(|k| g[*k].as_u64()).sum::<u64>()
+            ["taken", "unchanged", "rejected", "failed"]
+                .iter()
+                .filter_map(|k| g[*k].as_u64())
+                .sum::<u64>()
         };
         servers.faults(None, faults.clone());
         // Something changes, so that the faulty answers come.
@@ -230,7 +340,9 @@
         assert_eq!(client.json().1["outcome"], "placed", "{faults:?}");
         servers.faults(None, Faults::default());
         register(&servers, &hosts[0], "passing");
-        wait_gauge(&placer, "sound answers", |g| g["age_ms"].as_u64() < Some(300));
+        wait_gauge(&placer, "sound answers", |g| {
+            g["age_ms"].as_u64() < Some(300)
+        });
         placer.wait_for("settled", |s| s["actors"] == 0);
     }
     // A follower that lags does not bring back a host that is known to be gone.
@@ -238,7 +350,13 @@
     deregister(&servers, &hosts[5]);
     placer.wait_for("h5 drains", |_| gauges(&placer)["hosts"] == 5);
     assert!(gauges(&placer)["index"].as_u64() > index);
-    servers.faults(None, Faults { index_back: 50, ..Faults::default() });
+    servers.faults(
+        None,
+        Faults {
+            index_back: 50,
+            ..Faults::default()
+        },
+    );
     register(&servers, &hosts[0], "warning");
     wait_gauge(&placer, "rejections", |g| g["rejected"].as_u64() > Some(2));
     assert_eq!(gauges(&placer)["hosts"], 5);
@@ -256,7 +374,9 @@
     let host = ScriptedHost::new("h1", "a", "1");
     register(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
-    let mut placers: Vec<Placer> = (0..3).map(|n| placer(&servers, &format!("p{n}"), 2, more)).collect();
+    let mut placers: Vec<Placer> = (0..3)
+        .map(|n| placer(&servers, &format!("p{n}"), 2, more))
+        .collect();
     for placer in &mut placers {
         let ready = placer.start();
         let link = host.greet(&[]);
@@ -282,17 +402,31 @@
         held.iter().position(Option::is_some).expect("one"),
         held.iter().position(Option::is_none).expect("late"),
     );
-    assert_ne!(held[(late + 1) % 3], held[(late + 2) % 3], "two placers hold one number");
+    assert_ne!(
+        held[(late + 1) % 3],
+        held[(late + 2) % 3],
+        "two placers hold one number"
+    );
     // The placers are found where they registered, and their checks pass.
-    let (_, list) = http(servers.addresses[1], "GET", "/v1/health/service/maplethread-placer?passing", "");
+    let (_, list) = http(
+        servers.addresses[1],
+        "GET",
+        "/v1/health/service/maplethread-placer?passing",
+        "",
+    );
     assert_eq!(
-        serde_json::from_str::<Value>(&list).expect("JSON").as_array().map(Vec::len),
+        serde_json::from_str::<Value>(&list)
+            .expect("JSON")
+            .as_array()
+            .map(Vec::len),
         Some(3),
         "{list}"
     );
     // One is stopped beyond its session: the late one takes its number after the lock delay...
     placers[one].signal(Signal::STOP);
-    wait_gauge(&placers[late], "the number of the stopped one", |g| g["slot"] == json!(held[one]));
+    wait_gauge(&placers[late], "the number of the stopped one", |g| {
+        g["slot"] == json!(held[one])
+    });
     // ...and when the first goes on it knows at once that it has none. It never shows the number again.
     placers[one].signal(Signal::CONT);
     let log = std::fs::read_to_string(placers[one].log()).expect("a log");
@@ -303,32 +437,46 @@
     assert_eq!(gauges(&placers[late])["slot"], json!(held[one]));
     // A placer that leaves for good makes room.
     placers[late].kill();
-    wait_gauge(&placers[one], "the number is free again", |g| !g["slot"].is_null());
+    wait_gauge(&placers[one], "the number is free again", |g| {
+        !g["slot"].is_null()
+    });
 }
 
 #[test]
 fn all_hosts_critical_and_back_get_held_tasks_within_the_cold_budgets() {
     let servers = Servers::start(Settings::new(3)).expect("servers");
     let now = || {
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis()
-            as u64
+        std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .expect("a clock")
+            .as_millis() as u64
     };
-    let mut hosts: Vec<ScriptedHost> =
-        (0..4).map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1")).collect();
+    let mut hosts: Vec<ScriptedHost> = (0..4)
+        .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
+        .collect();
     hosts.iter().for_each(|h| register(&servers, h, "passing"));
     let mut placer = placer(&servers, "p0", 1, "");
     let ready = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
     ready(&mut placer);
     hosts.iter().for_each(|h| register(&servers, h, "critical"));
-    placer.wait_for("all drain", |_| gauges(&placer)["index"].as_u64() >= Some(12));
+    placer.wait_for("all drain", |_| {
+        gauges(&placer)["index"].as_u64() >= Some(12)
+    });
     // Sixty asks while nobody takes any: all are held.
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
     for n in 0..60 {
-        clients[n % 4].ask(&ask("web-api", &format!("s{n}"), "a", 15_000), &format!("{n}"));
+        clients[n % 4].ask(
+            &ask("web-api", &format!("s{n}"), "a", 15_000),
+            &format!("{n}"),
+        );
     }
     placer.wait_for("all are held", |s| s["open_asks"] == 60);
-    assert!(links.iter_mut().all(|l| l.all_within(Duration::from_millis(30)).is_empty()));
+    assert!(
+        links
+            .iter_mut()
+            .all(|l| l.all_within(Duration::from_millis(30)).is_empty())
+    );
     // Two of them come back as they were, two as new processes, cold.
     for n in [2, 3] {
         hosts[n].started_ms = now();
@@ -355,7 +503,11 @@
     }
     // A cold host bears ten offers a second; this placer is alone, so at most nine of them are its own.
     for times in &offers[2..] {
-        for (i, &at) in times.iter().enumerate().filter(|(_, at)| **at < started + 2000) {
+        for (i, &at) in times
+            .iter()
+            .enumerate()
+            .filter(|(_, at)| **at < started + 2000)
+        {
             let window = times[i..].iter().filter(|&&t| t < at + 950).count();
             assert!(window <= 10, "{window} offers within a second: {times:?}");
         }
@@ -375,7 +527,9 @@
             let (mut seen, mut part) = (0, [0; 65536]);
             while seen < 5000 {
                 let n = stream.read(&mut part).expect("answers");
-                seen += String::from_utf8_lossy(&part[..n]).matches("HTTP/1.1 200").count();
+                seen += String::from_utf8_lossy(&part[..n])
+                    .matches("HTTP/1.1 200")
+                    .count();
                 assert!(n > 0, "the server closed");
             }
         }
@@ -391,8 +545,16 @@
             3 if n == 3 => json!({"zone": "a", "note": huge}),
             _ => json!({}),
         };
-        let port = if n % 7 == 0 { json!(1_u64 << 40) } else { json!(7000) };
-        let id = if n % 11 == 0 { "dup".to_owned() } else { format!("bad-{n}\u{1}<script>") };
+        let port = if n % 7 == 0 {
+            json!(1_u64 << 40)
+        } else {
+            json!(7000)
+        };
+        let id = if n % 11 == 0 {
+            "dup".to_owned()
+        } else {
+            format!("bad-{n}\u{1}<script>")
+        };
         let body = json!({
             "Node": format!("n{n}"), "Address": "127.0.0.1",
             "Service": {"ID": id, "Service": "maplethread-host", "Port": port, "Meta": meta},
@@ -417,6 +579,12 @@
     link.send(&Frame::Accepted(offer.attempt, 1));
     assert_eq!(client.json().1["host"], "h1");
     let log = std::fs::read_to_string(placer.log()).expect("a log");
-    assert!(log.contains("catalogue entries that can't be used count=100"), "the count that is kept");
-    assert!(!log.contains('\u{1}'), "control characters of names are escaped in the log");
+    assert!(
+        log.contains("catalogue entries that can't be used count=100"),
+        "the count that is kept"
+    );
+    assert!(
+        !log.contains('\u{1}'),
+        "control characters of names are escaped in the log"
+    );
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -13,7 +13,10 @@
 const LONG: Duration = Duration::from_secs(60);
 
 fn run(args: &[&str]) -> (Option<i32>, String, String) {
-    let out = Command::new(PROGRAM).args(args).output().expect("the program starts");
+    let out = Command::new(PROGRAM)
+        .args(args)
+        .output()
+        .expect("the program starts");
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (out.status.code(), text(&out.stdout), text(&out.stderr))
 }
@@ -40,7 +43,11 @@
         let hosts = "[[host]]\nname = \"h\"\naddress = \"127.0.0.1:9\"\nzone = \"hall-a\"\ncell = \"a\"\n\
                      kind = \"std-16\"\nstate = \"ready\"\n";
         std::fs::write(folder.join("hosts.toml"), hosts).expect("a file");
-        let log = std::fs::File::options().create(true).append(true).open(folder.join("log")).expect("a log");
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(folder.join("log"))
+            .expect("a log");
         let mut child = Command::new(PROGRAM)
             .arg("placer")
             .arg("--config")
@@ -55,7 +62,10 @@
         std::io::BufRead::read_line(&mut std::io::BufReader::new(out), &mut line).expect("a line");
         let api = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
         let log = || std::fs::read_to_string(folder.join("log")).unwrap_or_default();
-        Member { api: api.unwrap_or_else(|| panic!("no address: {}", log())), child }
+        Member {
+            api: api.unwrap_or_else(|| panic!("no address: {}", log())),
+            child,
+        }
     }
 
     fn signal(&self, signal: Signal) {
@@ -64,7 +74,8 @@
     }
 
     fn view(&self) -> Value {
-        let (code, text, error) = run(&["fleet", "members", "--json", "--api", &self.api.to_string()]);
+        let (code, text, error) =
+            run(&["fleet", "members", "--json", "--api", &self.api.to_string()]);
         assert_eq!(code, Some(0), "{error}");
         serde_json::from_str(&text).expect("JSON")
     }
@@ -92,12 +103,18 @@
 
 fn state<'a>(view: &'a Value, name: &str) -> &'a str {
     let members = view["members"].as_array().expect("members");
-    members.iter().find(|m| m["name"] == name).and_then(|m| m["state"].as_str()).unwrap_or("unknown")
+    members
+        .iter()
+        .find(|m| m["name"] == name)
+        .and_then(|m| m["state"].as_str())
+        .unwrap_or("unknown")
 }
 
 /// Free addresses: held while they are drawn, so that they differ.
 fn addresses<const N: usize>() -> [SocketAddr; N] {
-    let held: Vec<UdpSocket> = (0..N).map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port")).collect();
+    let held: Vec<UdpSocket> = (0..N)
+        .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
+        .collect();
     std::array::from_fn(|n| held[n].local_addr().expect("its address"))
 }
 
@@ -112,16 +129,37 @@
 
 #[test]
 fn a_drill_of_kills_a_part_a_pause_and_loss_ends_in_one_view_and_breaks_no_rule() {
-    let schedule = concat!(env!("CARGO_MANIFEST_DIR"), "/../../config/drills/in-ci.toml");
-    let (code, text, error) = run(&["--log", "error", "fleet-drill", "--json", "--schedule", schedule]);
+    let schedule = concat!(
+        env!("CARGO_MANIFEST_DIR"),
+        "/../../config/drills/in-ci.toml"
+    );
+    let (code, text, error) = run(&[
+        "--log",
+        "error",
+        "fleet-drill",
+        "--json",
+        "--schedule",
+        schedule,
+    ]);
     let report: Value =
         serde_json::from_str(&text).unwrap_or_else(|e| panic!("no report ({e}): {text}{error}"));
-    assert_eq!(report["fleet"]["broken"], serde_json::json!([]), "{report:#}");
+    assert_eq!(
+        report["fleet"]["broken"],
+        serde_json::json!([]),
+        "{report:#}"
+    );
     assert_eq!(report["day"]["broken"], serde_json::json!({}), "{report:#}");
-    assert_eq!((code, report["day"]["unanswered"].as_u64()), (Some(0), Some(0)), "{report:#}");
+    assert_eq!(
+        (code, report["day"]["unanswered"].as_u64()),
+        (Some(0), Some(0)),
+        "{report:#}"
+    );
     assert_eq!(report["fleet"]["members"], 5, "{report:#}");
     let n = |v: &Value| v.as_u64().unwrap_or(0);
-    assert!(n(&report["fleet"]["samples"]) > 50 && n(&report["day"]["placed"]) > 50, "{report:#}");
+    assert!(
+        n(&report["fleet"]["samples"]) > 50 && n(&report["day"]["placed"]) > 50,
+        "{report:#}"
+    );
     assert!(
         n(&report["network"]["passed_on"]) > 500 && n(&report["network"]["strangers"]) == 0,
         "{report:#}"
@@ -135,10 +173,20 @@
     let first = Member::start(&path, "p-a", a, a);
     let second = Member::start(&path, "p-b", b, a);
     let third = Member::start(&path, "p-c", c, a);
-    let all = |view: &Value| ["p-a", "p-b", "p-c"].iter().filter(|n| state(view, n) == "alive").count() == 2;
-    let digests: Vec<Value> =
-        [&first, &second, &third].iter().map(|m| m.shows("all three", all)["digest"].clone()).collect();
-    first.shows("one digest", |v| v["digest"] == digests[1] || v["digest"] == second.view()["digest"]);
+    let all = |view: &Value| {
+        ["p-a", "p-b", "p-c"]
+            .iter()
+            .filter(|n| state(view, n) == "alive")
+            .count()
+            == 2
+    };
+    let digests: Vec<Value> = [&first, &second, &third]
+        .iter()
+        .map(|m| m.shows("all three", all)["digest"].clone())
+        .collect();
+    first.shows("one digest", |v| {
+        v["digest"] == digests[1] || v["digest"] == second.view()["digest"]
+    });
 
     // One that stands still is down, and back once it goes on; it calls nobody down when it wakes.
     third.signal(Signal::STOP);
@@ -146,7 +194,10 @@
     third.signal(Signal::CONT);
     first.shows("its return", |v| state(v, "p-c") == "alive");
     second.shows("its return", |v| state(v, "p-c") == "alive");
-    assert_eq!((state(&third.view(), "p-a"), state(&third.view(), "p-b")), ("alive", "alive"));
+    assert_eq!(
+        (state(&third.view(), "p-a"), state(&third.view(), "p-b")),
+        ("alive", "alive")
+    );
 
     // A restart elsewhere replaces the earlier life at once: nobody waits for a test to fail.
     let before = first.view()["members"].as_array().expect("members").len();
@@ -154,13 +205,16 @@
     let third = Member::start(&path, "p-c", elsewhere, a);
     let at_new = |v: &Value| {
         let members = v["members"].as_array().expect("members");
-        members
-            .iter()
-            .any(|m| m["name"] == "p-c" && m["address"] == elsewhere.to_string() && m["state"] == "alive")
+        members.iter().any(|m| {
+            m["name"] == "p-c" && m["address"] == elsewhere.to_string() && m["state"] == "alive"
+        })
     };
     first.shows("the new address", at_new);
     second.shows("the new address", at_new);
-    assert_eq!(first.view()["members"].as_array().expect("members").len(), before);
+    assert_eq!(
+        first.view()["members"].as_array().expect("members").len(),
+        before
+    );
 
     third.signal(Signal::TERM);
     first.shows("a farewell", |v| state(v, "p-c") == "left");
@@ -181,10 +235,15 @@
     let second = Member::start(&path, "p-b", b, a);
     first.shows("both", |v| state(v, "p-b") == "alive");
     let other = Member::start(&path, "p-b", twin, a);
-    second.shows("who holds its name", |v| v["displaced_by"] == twin.to_string());
+    second.shows("who holds its name", |v| {
+        v["displaced_by"] == twin.to_string()
+    });
     other.shows("who claims its name", |v| v["claimed_by"] == b.to_string());
     let log = std::fs::read_to_string(path.join("log")).expect("a log");
-    assert!(log.contains("Displaced") && log.contains("Claimed"), "{log}");
+    assert!(
+        log.contains("Displaced") && log.contains("Claimed"),
+        "{log}"
+    );
     let version = first.view()["version"].clone();
 
     // A stranger's datagrams of all lengths, a flood of them, and the same from a fleet of another key.
@@ -202,10 +261,15 @@
         for length in [0, 1, 17, 600, 1200, 1201, 1499] {
             let _ = stranger.send_to(&vec![1; length], a);
         }
-        counters(v, "unauthenticated") > 100 && counters(v, "foreign") > 0 && counters(v, "oversize") > 0
+        counters(v, "unauthenticated") > 100
+            && counters(v, "foreign") > 0
+            && counters(v, "oversize") > 0
     });
     assert_eq!(
-        (state(&first.view(), "p-x"), foreign.view()["members"].clone()),
+        (
+            state(&first.view(), "p-x"),
+            foreign.view()["members"].clone()
+        ),
         ("unknown", serde_json::json!([]))
     );
     assert_eq!(first.view()["version"], version, "the view has changed");
@@ -219,7 +283,12 @@
     };
     let logged = |what: &str, count: usize| {
         let until = Instant::now() + LONG;
-        while std::fs::read_to_string(path.join("log")).expect("a log").matches(what).count() < count {
+        while std::fs::read_to_string(path.join("log"))
+            .expect("a log")
+            .matches(what)
+            .count()
+            < count
+        {
             assert!(Instant::now() < until, "never logged: {what}");
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -230,7 +299,9 @@
     logged("the key file can't be used", 3);
     replace(&new);
     logged("the keys are read again", 6);
-    first.shows("the others, with the new key", |v| state(v, "p-b") == "alive");
+    first.shows("the others, with the new key", |v| {
+        state(v, "p-b") == "alive"
+    });
 }
 
 #[test]
@@ -238,7 +309,17 @@
     let (_folder, path) = folder();
     let keep = path.join("kept");
     let mut drill = Command::new(PROGRAM)
-        .args(["--log", "error", "fleet-drill", "--json", "--placers", "3", "--seconds", "30", "--keep"])
+        .args([
+            "--log",
+            "error",
+            "fleet-drill",
+            "--json",
+            "--placers",
+            "3",
+            "--seconds",
+            "30",
+            "--keep",
+        ])
         .arg(&keep)
         .stdout(Stdio::null())
         .stderr(Stdio::null())
@@ -247,7 +328,9 @@
     let of = format!("/proc/{0}/task/{0}/children", drill.id());
     let started = || -> Vec<u32> {
         let text = std::fs::read_to_string(&of).unwrap_or_default();
-        text.split_whitespace().filter_map(|n| n.parse().ok()).collect()
+        text.split_whitespace()
+            .filter_map(|n| n.parse().ok())
+            .collect()
     };
     let until = Instant::now() + LONG;
     while started().len() < 3 {
@@ -255,7 +338,11 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     let children = started();
-    kill_process(Pid::from_raw(drill.id() as i32).expect("its number"), Signal::TERM).expect("a signal");
+    kill_process(
+        Pid::from_raw(drill.id() as i32).expect("its number"),
+        Signal::TERM,
+    )
+    .expect("a signal");
     assert!(!drill.wait().expect("it ends").success());
     for child in children {
         let name = std::fs::read_to_string(format!("/proc/{child}/cmdline")).unwrap_or_default();
@@ -288,7 +375,10 @@
     std::fs::write(&config, sound).expect("a file");
     std::fs::write(path.join("short.key"), "# a key\n00ff\n").expect("a file");
     let (code, _, error) = run(&["placer", "--config", &config.display().to_string()]);
-    assert!(code == Some(2) && error.contains("short.key") && error.contains("line 2"), "{error}");
+    assert!(
+        code == Some(2) && error.contains("short.key") && error.contains("line 2"),
+        "{error}"
+    );
     let (code, _, error) = run(&["fleet", "watch", "--api", "127.0.0.1:9"]);
     assert!(code == Some(2) && error.contains("127.0.0.1:9"), "{error}");
 }
--- a/crates/cli/tests/hard_cases.rs
+++ b/crates/cli/tests/hard_cases.rs
@@ -36,7 +36,10 @@
     let (placer, mut links) = world(&hosts.iter().collect::<Vec<_>>());
     for round in 0..4 {
         let mut client = placer.client();
-        client.ask(&ask("ledger-batch", "interest", &format!("run-{round}"), 2000), &format!("r{round}"));
+        client.ask(
+            &ask("ledger-batch", "interest", &format!("run-{round}"), 2000),
+            &format!("r{round}"),
+        );
         let (first, offer) = offered(&mut links);
         assert_eq!(offer.number, 0);
         let silent = round % 2 == 0;
@@ -57,7 +60,10 @@
             }
             let Some((next, offer)) = came else { break };
             if silent {
-                assert_eq!(hosts[next].zone, hosts[first].zone, "left the group though it may have run");
+                assert_eq!(
+                    hosts[next].zone, hosts[first].zone,
+                    "left the group though it may have run"
+                );
                 links[next].send(&Frame::Refused(offer.attempt, Reason::NotHere, None));
             } else {
                 links[next].send(&Frame::Accepted(offer.attempt, 1));
@@ -78,7 +84,11 @@
     fn peek_ready(&self) -> Option<u8> {
         self.set_nonblocking(true).expect("a socket");
         let mut byte = [0];
-        let ready = self.peek(&mut byte).ok().filter(|&n| n > 0).map(|_| byte[0]);
+        let ready = self
+            .peek(&mut byte)
+            .ok()
+            .filter(|&n| n > 0)
+            .map(|_| byte[0]);
         self.set_nonblocking(false).expect("a socket");
         ready
     }
@@ -102,13 +112,24 @@
     // The hang-up reaches the host as a call-off, though it has accepted meanwhile.
     link.send(&Frame::Accepted(third.attempt, 1));
     let next = link.next();
-    assert!(matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt), "{next:?}");
+    assert!(
+        matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt),
+        "{next:?}"
+    );
     // Until the host has said that it is gone, the actor is not taken anew: it must not run twice.
-    let (status, problem) =
-        placer.client().call("POST", "/v1/actors", &ask("statements", "nightly", "s1", 1000));
-    assert_eq!((status, problem["type"].as_str()), (409, Some("urn:maplethread:problem:unsettled")));
+    let (status, problem) = placer.client().call(
+        "POST",
+        "/v1/actors",
+        &ask("statements", "nightly", "s1", 1000),
+    );
+    assert_eq!(
+        (status, problem["type"].as_str()),
+        (409, Some("urn:maplethread:problem:unsettled"))
+    );
     link.send(&Frame::Ended(third.attempt, Reason::Stopped, true, None));
-    placer.wait_for("nothing is left", |s| s["attempts"] == 0 && s["actors"] == 0 && s["open_asks"] == 0);
+    placer.wait_for("nothing is left", |s| {
+        s["attempts"] == 0 && s["actors"] == 0 && s["open_asks"] == 0
+    });
     let (status, _) = placer.client().call("GET", "/v1/actors/nightly/s1", "");
     assert_eq!(status, 404);
     let status = placer.status();
@@ -140,19 +161,36 @@
             drop(client);
         }
         // Either it was placed and stays so, its answer lost on the way, or it was called off.
-        let called_off =
-            matches!(link.next_within(MOMENT), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt);
+        let called_off = matches!(link.next_within(MOMENT), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt);
         if called_off {
             link.send(&Frame::Ended(offer.attempt, Reason::Stopped, false, None));
             placer.wait_for("called off", |s| s["attempts"] == 0);
-            assert_eq!(placer.client().call("GET", &format!("/v1/actors/cross/{actor}"), "").0, 404);
+            assert_eq!(
+                placer
+                    .client()
+                    .call("GET", &format!("/v1/actors/cross/{actor}"), "")
+                    .0,
+                404
+            );
         } else {
-            let (status, body) = placer.client().call("GET", &format!("/v1/actors/cross/{actor}"), "");
-            assert_eq!((status, body["state"].as_str()), (200, Some("placed")), "{body}");
+            let (status, body) =
+                placer
+                    .client()
+                    .call("GET", &format!("/v1/actors/cross/{actor}"), "");
+            assert_eq!(
+                (status, body["state"].as_str()),
+                (200, Some("placed")),
+                "{body}"
+            );
             // Asked again, it gets the same placing, without another offer.
             let (_, body) =
-                placer.client().call("POST", "/v1/actors", &ask("web-api", "cross", &actor, 3000));
-            assert_eq!((body["outcome"].as_str(), body["host"].as_str()), (Some("placed"), Some("h1")));
+                placer
+                    .client()
+                    .call("POST", "/v1/actors", &ask("web-api", "cross", &actor, 3000));
+            assert_eq!(
+                (body["outcome"].as_str(), body["host"].as_str()),
+                (Some("placed"), Some("h1"))
+            );
             link.send(&Frame::Ended(offer.attempt, Reason::Done, true, None));
             placer.wait_for("ended", |s| s["attempts"] == 0);
         }
@@ -179,10 +217,17 @@
     client.ask(&ask("statements", "s", "unsafe", 8000), "unsafe");
     break_inside_frame(link);
     let (_, body) = client.json();
-    assert_eq!((body["outcome"].as_str(), body["attempts"].as_u64()), (Some("failed"), Some(1)), "{body}");
+    assert_eq!(
+        (body["outcome"].as_str(), body["attempts"].as_u64()),
+        (Some("failed"), Some(1)),
+        "{body}"
+    );
     let mut link = host.greet(&[]);
     let rest = link.all_within(MOMENT);
-    assert!(!rest.iter().any(|f| matches!(f, Frame::Offer(_))), "{rest:?}");
+    assert!(
+        !rest.iter().any(|f| matches!(f, Frame::Offer(_))),
+        "{rest:?}"
+    );
 }
 
 /// Reads the first bytes of an offer, and resets the connection.
@@ -196,7 +241,10 @@
 
 #[test]
 fn an_answer_after_the_time_out_is_called_off() {
-    let (slow, other) = (ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1"));
+    let (slow, other) = (
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    );
     let (placer, mut links) = world(&[&slow, &other]);
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "late", 5000), "late");
@@ -208,7 +256,10 @@
     links[first].send(&Frame::Accepted(offer.attempt, 1));
     links[second].send(&Frame::Accepted(again.attempt, 1));
     let (_, body) = client.json();
-    assert_eq!((body["outcome"].as_str(), body["attempt"].as_u64()), (Some("placed"), Some(1)));
+    assert_eq!(
+        (body["outcome"].as_str(), body["attempt"].as_u64()),
+        (Some("placed"), Some(1))
+    );
     let mut told = links[first].all_within(MOMENT);
     told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt));
     assert_eq!(told.len(), 1, "the late acceptance is called off");
@@ -236,15 +287,23 @@
 
 #[test]
 fn a_drain_in_the_same_wake_up_as_a_hundred_asks_is_heeded() {
-    let (draining, other) = (ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1"));
+    let (draining, other) = (
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    );
     let (placer, mut links) = world(&[&draining, &other]);
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
     // All of them are known to the placer, so that nothing but asks is new.
-    clients.iter_mut().for_each(|c| assert_eq!(c.call("GET", "/v1/status", "").0, 200));
+    clients
+        .iter_mut()
+        .for_each(|c| assert_eq!(c.call("GET", "/v1/status", "").0, 200));
     placer.signal(Signal::STOP);
     for (n, client) in clients.iter_mut().enumerate() {
         for k in 0..25 {
-            client.ask(&ask("web-api", &format!("s{n}"), &format!("a{k}"), 5000), &format!("{n}.{k}"));
+            client.ask(
+                &ask("web-api", &format!("s{n}"), &format!("a{k}"), 5000),
+                &format!("{n}.{k}"),
+            );
         }
     }
     links[0].send(&Frame::Drain);
@@ -258,15 +317,24 @@
     for client in &mut clients {
         for _ in 0..25 {
             let (_, body) = client.json();
-            assert_eq!((body["outcome"].as_str(), body["host"].as_str()), (Some("placed"), Some("h2")));
+            assert_eq!(
+                (body["outcome"].as_str(), body["host"].as_str()),
+                (Some("placed"), Some("h2"))
+            );
         }
     }
     let drained = links[0].all_within(MOMENT);
-    assert!(!drained.iter().any(|f| matches!(f, Frame::Offer(_))), "{drained:?}");
+    assert!(
+        !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
+        "{drained:?}"
+    );
     // The inventory's word is heeded alike.
     placer.signal(Signal::STOP);
     for k in 0..50 {
-        clients[0].ask(&ask("web-api", "late", &format!("b{k}"), 600), &format!("b.{k}"));
+        clients[0].ask(
+            &ask("web-api", "late", &format!("b{k}"), 600),
+            &format!("b.{k}"),
+        );
     }
     placer.inventory(&[(&draining, "ready"), (&other, "draining")]);
     placer.signal(Signal::CONT);
@@ -275,7 +343,10 @@
         assert_eq!(body["outcome"], "refused", "{body}");
     }
     let drained = links[1].all_within(MOMENT);
-    assert!(!drained.iter().any(|f| matches!(f, Frame::Offer(_))), "{drained:?}");
+    assert!(
+        !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
+        "{drained:?}"
+    );
 }
 
 #[test]
@@ -283,9 +354,11 @@
     let host = ScriptedHost::new("h1", "a", "1");
     let (mut placer, mut links) = world(&[&host]);
     let mut held = Vec::new();
-    for (class, service, actor) in
-        [("spread", "web", "w1"), ("spread", "web", "w2"), ("ledger-batch", "interest", "k1")]
-    {
+    for (class, service, actor) in [
+        ("spread", "web", "w1"),
+        ("spread", "web", "w2"),
+        ("ledger-batch", "interest", "k1"),
+    ] {
         let mut client = placer.client();
         client.ask(&ask(class, service, actor, 4000), actor);
         let offer = links[0].offer();
@@ -303,15 +376,29 @@
     assert_ne!(link.life, life);
     assert_eq!(placer.status()["counters"]["adopted"], 3);
     // The spread limit of two counts those that it finds: a third is not offered.
-    let (_, body) = placer.client().call("POST", "/v1/actors", &ask("spread", "web", "w3", 500));
+    let (_, body) = placer
+        .client()
+        .call("POST", "/v1/actors", &ask("spread", "web", "w3", 500));
     assert_eq!(body["outcome"], "refused", "{body}");
     // The keyed actor runs: asked again, it is where it was, and no second attempt goes out.
-    let (_, body) = placer.client().call("POST", "/v1/actors", &ask("ledger-batch", "interest", "k1", 500));
-    assert_eq!((body["outcome"].as_str(), body["host"].as_str()), (Some("placed"), Some("h1")));
+    let (_, body) = placer.client().call(
+        "POST",
+        "/v1/actors",
+        &ask("ledger-batch", "interest", "k1", 500),
+    );
+    assert_eq!(
+        (body["outcome"].as_str(), body["host"].as_str()),
+        (Some("placed"), Some("h1"))
+    );
     let frames = link.all_within(MOMENT);
-    assert!(!frames.iter().any(|f| matches!(f, Frame::Offer(_))), "{frames:?}");
+    assert!(
+        !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
+        "{frames:?}"
+    );
     // Once one of them has ended there is room for another.
-    let Frame::Held(first, _) = &held[0] else { unreachable!("made above") };
+    let Frame::Held(first, _) = &held[0] else {
+        unreachable!("made above")
+    };
     link.send(&Frame::Ended(first.attempt, Reason::Done, true, None));
     let mut client = placer.client();
     client.ask(&ask("spread", "web", "w3", 4000), "w3");
@@ -322,13 +409,19 @@
 
 #[test]
 fn a_paused_placer_blames_no_host_and_gives_the_answers_it_still_can() {
-    let hosts = [ScriptedHost::new("h1", "a", "1"), ScriptedHost::new("h2", "a", "1")];
+    let hosts = [
+        ScriptedHost::new("h1", "a", "1"),
+        ScriptedHost::new("h2", "a", "1"),
+    ];
     let (placer, mut links) = world(&hosts.iter().collect::<Vec<_>>());
     let mut clients = BTreeMap::new();
     let mut offers = Vec::new();
     for n in 0..10 {
         let mut client = placer.client();
-        client.ask(&ask("statements", &format!("s{n}"), "a", 10_000), &format!("{n}"));
+        client.ask(
+            &ask("statements", &format!("s{n}"), "a", 10_000),
+            &format!("{n}"),
+        );
         let (host, offer) = offered(&mut links);
         offers.push((host, offer));
         clients.insert(n, client);
@@ -347,13 +440,19 @@
         // The first ones may have timed out before the pause began.
         placed += u32::from(body["outcome"] == "placed");
     }
-    assert!(placed >= 8, "only {placed} of the 10 answers that lay ready were given");
+    assert!(
+        placed >= 8,
+        "only {placed} of the 10 answers that lay ready were given"
+    );
     // Nobody was cut off or is passed over: both hosts are still connected, and both get work.
     assert_eq!(placer.status()["hosts_connected"], 2);
     let mut seen = [0; 2];
     for n in 0..40 {
         let mut client = placer.client();
-        client.ask(&ask("web-api", &format!("after{n}"), "a", 4000), &format!("after{n}"));
+        client.ask(
+            &ask("web-api", &format!("after{n}"), "a", 4000),
+            &format!("after{n}"),
+        );
         let (host, offer) = offered(&mut links);
         seen[host] += 1;
         links[host].send(&Frame::Accepted(offer.attempt, 1));
@@ -365,7 +464,10 @@
 #[test]
 fn five_hundred_slow_clients_take_nothing_from_the_others() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let mut placer = Placer::files(&[&host], "max_unread_bytes = 65536\nrequest_within_ms = 60000");
+    let mut placer = Placer::files(
+        &[&host],
+        "max_unread_bytes = 65536\nrequest_within_ms = 60000",
+    );
     let ready = placer.start();
     let mut link = host.greet(&[]);
     ready(&mut placer);
@@ -395,12 +497,23 @@
         for stream in slow.iter_mut().step_by(2) {
             let _ = stream.write(&text[n % text.len()..][..1]);
         }
-        let (_, body) = client.call("POST", "/v1/actors", &ask("web-api", "s", &format!("a{n}"), 60_000));
+        let (_, body) = client.call(
+            "POST",
+            "/v1/actors",
+            &ask("web-api", "s", &format!("a{n}"), 60_000),
+        );
         assert_eq!(body["outcome"], "placed");
     }
     answerer.join().expect("the host");
     let after = placer.rss_kib();
     // 500 connections with their buffers full: 128 KiB in and 64 KiB out at most, and a good deal less in fact.
-    assert!(after < before + 500 * 192, "memory went from {before} to {after} KiB");
-    assert!(placer.status()["clients"].as_u64().is_some_and(|n| n <= 502));
+    assert!(
+        after < before + 500 * 192,
+        "memory went from {before} to {after} KiB"
+    );
+    assert!(
+        placer.status()["clients"]
+            .as_u64()
+            .is_some_and(|n| n <= 502)
+    );
 }
--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -19,7 +19,9 @@
 
 /// Hosts that are there for one test.
 fn hosts() -> Vec<ScriptedHost> {
-    (0..HOSTS).map(|n| ScriptedHost::new(&format!("h{n}"), "a", "c")).collect()
+    (0..HOSTS)
+        .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "c"))
+        .collect()
 }
 
 /// A placer that pings its idle hosts at a low rate; nothing runs yet.
@@ -27,7 +29,8 @@
     let placer = Placer::files(&hosts.iter().collect::<Vec<_>>(), "");
     let file = placer.folder().join("placer.toml");
     let config = std::fs::read_to_string(&file).expect("the settings");
-    let rate = format!("[hosts]\nping_every_ms = 200\nmax_idle_pings_per_s = {MAX_IDLE_PINGS_PER_S:.0}\n");
+    let rate =
+        format!("[hosts]\nping_every_ms = 200\nmax_idle_pings_per_s = {MAX_IDLE_PINGS_PER_S:.0}\n");
     std::fs::write(&file, config.replace("[hosts]\n", &rate)).expect("a file");
     placer
 }
@@ -68,12 +71,17 @@
     let mut placer = placer(&hosts);
     let from = Instant::now();
     let serving = placer.start();
-    let links: Vec<_> = hosts.iter().map(|host| answers_pings(host.greet(&[]))).collect();
+    let links: Vec<_> = hosts
+        .iter()
+        .map(|host| answers_pings(host.greet(&[])))
+        .collect();
     serving(&mut placer);
     // Two rounds: none was left out, or it would have been cut off.
     let rounds = 2 * HOSTS as u64;
     let status = placer.wait_for("two rounds of pings", |s| {
-        s["counters"]["heartbeats"].as_u64().is_some_and(|n| n >= rounds)
+        s["counters"]["heartbeats"]
+            .as_u64()
+            .is_some_and(|n| n >= rounds)
     });
     let sent = status["counters"]["heartbeats"].as_u64().expect("a count") as f64;
     // The two that a late turn may bring closer.
@@ -81,7 +89,9 @@
     assert!(sent <= most, "{sent} pings where {most} are allowed");
     assert_eq!(status["hosts_connected"], HOSTS);
     placer.kill();
-    links.into_iter().for_each(|link| link.join().expect("its host"));
+    links
+        .into_iter()
+        .for_each(|link| link.join().expect("its host"));
 }
 
 #[test]
@@ -89,23 +99,35 @@
     let hosts = hosts();
     let mut placer = placer(&hosts);
     // The others take nothing, so that it gets the offer.
-    let states = hosts.iter().enumerate().map(|(n, host)| (host, if n == 0 { "ready" } else { "draining" }));
+    let states = hosts
+        .iter()
+        .enumerate()
+        .map(|(n, host)| (host, if n == 0 { "ready" } else { "draining" }));
     placer.inventory(&states.collect::<Vec<_>>());
     let serving = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|host| host.greet(&[])).collect();
     let dead = dies_at_an_offer(links.remove(0));
     let others: Vec<_> = links.into_iter().map(answers_pings).collect();
     serving(&mut placer);
-    let asked = r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":300}"#;
+    let asked =
+        r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":300}"#;
     let (status, answer) = placer.client().call("POST", "/v1/actors", asked);
     assert_eq!(status, 200, "{answer}");
     let (offer, unanswered) = dead.join().expect("its host");
-    assert!(unanswered.iter().any(|f| matches!(f, Frame::Ping(_))), "{unanswered:?}");
-    assert!(unanswered.contains(&Frame::Cancel(offer.attempt)), "{unanswered:?}");
+    assert!(
+        unanswered.iter().any(|f| matches!(f, Frame::Ping(_))),
+        "{unanswered:?}"
+    );
+    assert!(
+        unanswered.contains(&Frame::Cancel(offer.attempt)),
+        "{unanswered:?}"
+    );
     let log = std::fs::read_to_string(placer.log()).expect("a log");
     assert!(log.contains("silent; connection dropped"), "{log}");
     placer.kill();
-    others.into_iter().for_each(|link| link.join().expect("its host"));
+    others
+        .into_iter()
+        .for_each(|link| link.join().expect("its host"));
 }
 
 /// Pauses a placer for so long, which is longer than a host may be silent.
@@ -120,7 +142,10 @@
     let hosts = hosts();
     let mut placer = placer(&hosts);
     let serving = placer.start();
-    let links: Vec<_> = hosts.iter().map(|host| accepts_offers(host.greet(&[]))).collect();
+    let links: Vec<_> = hosts
+        .iter()
+        .map(|host| accepts_offers(host.greet(&[])))
+        .collect();
     serving(&mut placer);
     // A task on one of them, so that it is in use; the others are idle.
     let (status, answer) = placer.client().call("POST", "/v1/actors", ASK);
@@ -128,17 +153,24 @@
     for _ in 0..2 {
         let sent = heartbeats(&placer.status());
         pause(&placer, PAUSE);
-        placer.wait_for("a round of pings after the pause", |s| heartbeats(s) >= sent + 2 * HOSTS as u64);
+        placer.wait_for("a round of pings after the pause", |s| {
+            heartbeats(s) >= sent + 2 * HOSTS as u64
+        });
     }
     let status = placer.status();
     assert_eq!(
-        (status["hosts_connected"].as_u64(), status["actors"].as_u64()),
+        (
+            status["hosts_connected"].as_u64(),
+            status["actors"].as_u64()
+        ),
         (Some(HOSTS as u64), Some(1))
     );
     let log = std::fs::read_to_string(placer.log()).expect("a log");
     assert!(!log.contains("connection dropped"), "{log}");
     placer.kill();
-    links.into_iter().for_each(|link| link.join().expect("its host"));
+    links
+        .into_iter()
+        .for_each(|link| link.join().expect("its host"));
 }
 
 #[test]
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -9,7 +9,8 @@
 use std::process::Command;
 
 use platform_support::{
-    Commands, Host, Owner, PROGRAM, Placer, Served, TEXT, config, host_says, listed, parameter, set_up,
+    Commands, Host, Owner, PROGRAM, Placer, Served, TEXT, config, host_says, listed, parameter,
+    set_up,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -18,14 +19,21 @@
 fn a_task_is_placed_and_released_and_the_channel_is_followed_over_a_new_configuration() {
     let folder = tempfile::tempdir().expect("a folder");
     let (host, first, second) = (Host::start(), Commands::start(), Commands::start());
-    let file = config(folder.path(), first.address, &listed(3, "s-1", host.address, "active"));
+    let file = config(
+        folder.path(),
+        first.address,
+        &listed(3, "s-1", host.address, "active"),
+    );
     let mut placer = Placer::start(&file);
     let (_held, line) = first.poll();
     assert!(line.starts_with("GET /cmd/next?resume=3&block="), "{line}");
 
     let mut owner = Owner::connect(&placer);
     owner.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
-    assert_eq!((owner.hear()["msg"].as_str(), owner.hear_none()), (Some("probed"), ()));
+    assert_eq!(
+        (owner.hear()["msg"].as_str(), owner.hear_none()),
+        (Some("probed"), ())
+    );
     owner.send(&set_up("9b1f03aa5c7e2d41", 6000));
     let (mut stream, message) = host.next(1);
     assert_eq!(message[1..9], 0x9b1f_03aa_5c7e_2d41_u64.to_be_bytes());
@@ -34,13 +42,23 @@
     assert_eq!(parameter(&message, 41), Some(&b"7f3a9c21e0b4d655"[..]));
     host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
     let answer = owner.hear();
-    assert_eq!((answer["msg"].as_str(), answer["text"].as_str()), (Some("ready"), Some(TEXT)));
+    assert_eq!(
+        (answer["msg"].as_str(), answer["text"].as_str()),
+        (Some("ready"), Some(TEXT))
+    );
     host_says(&mut stream, 12, &message, 61, &[16]);
     let release = owner.hear();
-    assert_eq!((release["msg"].as_str(), release["code"].as_u64()), (Some("close"), Some(16)));
+    assert_eq!(
+        (release["msg"].as_str(), release["code"].as_u64()),
+        (Some("close"), Some(16))
+    );
 
     // A new configuration names another channel: it is asked from the last event on.
-    config(folder.path(), second.address, &listed(3, "s-1", host.address, "active"));
+    config(
+        folder.path(),
+        second.address,
+        &listed(3, "s-1", host.address, "active"),
+    );
     placer.signal(Signal::HUP);
     let (poll, line) = second.poll();
     assert!(line.starts_with("GET /cmd/next?resume=3&block="), "{line}");
@@ -54,15 +72,27 @@
     // The host drains now: the ask is not offered there, and answered before its deadline.
     owner.send(&set_up("9b1f03aa5c7e2d42", 300));
     let answer = owner.hear();
-    assert_eq!((answer["msg"].as_str(), answer["code"].as_u64()), (Some("close"), Some(34)));
+    assert_eq!(
+        (answer["msg"].as_str(), answer["code"].as_u64()),
+        (Some("close"), Some(34))
+    );
     placer.signal(Signal::TERM);
     assert!(placer.wait().success());
-    assert!(host.heard.try_iter().all(|(_, message)| message[0] != 1), "a set-up to a host that drains");
+    assert!(
+        host.heard.try_iter().all(|(_, message)| message[0] != 1),
+        "a set-up to a host that drains"
+    );
 }
 
 #[test]
 fn what_is_open_at_sigterm_is_answered_before_the_process_ends() {
-    let Served { _folder, _commands, host, mut placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        mut placer,
+        mut owner,
+    } = Served::start();
     owner.send(&set_up("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, message) = host.next(1);
     placer.signal(Signal::TERM);
@@ -79,12 +109,21 @@
 fn sockets(protocol: &str) -> Vec<String> {
     let list = std::fs::read_to_string(format!("/proc/net/{protocol}")).unwrap_or_default();
     let column = if protocol == "unix" { 6 } else { 9 };
-    list.lines().skip(1).filter_map(|l| l.split_whitespace().nth(column).map(str::to_owned)).collect()
+    list.lines()
+        .skip(1)
+        .filter_map(|l| l.split_whitespace().nth(column).map(str::to_owned))
+        .collect()
 }
 
 #[test]
 fn the_placer_in_service_is_one_process_that_opens_ipv4_sockets_alone_and_is_linked_dynamically() {
-    let Served { _folder, _commands, host, placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer,
+        mut owner,
+    } = Served::start();
     for n in 0..3 {
         owner.send(&set_up(&format!("9b1f03aa5c7e2d{n:02x}"), 60_000));
         let (mut stream, message) = host.next(1);
@@ -94,28 +133,56 @@
     let of = PathBuf::from(format!("/proc/{}", placer.child.id()));
     // A library of the operators' may be loaded into it: that takes the C library's dynamic loader.
     let maps = std::fs::read_to_string(of.join("maps")).expect("what it is made of");
-    assert!(maps.contains("libc.so") && maps.contains("ld-linux"), "{maps}");
-    let children = std::fs::read_dir(of.join("task")).expect("its threads").map(|thread| {
-        let file = thread.expect("a thread").path().join("children");
-        std::fs::read_to_string(file).unwrap_or_default()
-    });
-    assert_eq!(children.collect::<String>().trim(), "", "it started another program");
+    assert!(
+        maps.contains("libc.so") && maps.contains("ld-linux"),
+        "{maps}"
+    );
+    let children = std::fs::read_dir(of.join("task"))
+        .expect("its threads")
+        .map(|thread| {
+            let file = thread.expect("a thread").path().join("children");
+            std::fs::read_to_string(file).unwrap_or_default()
+        });
+    assert_eq!(
+        children.collect::<String>().trim(),
+        "",
+        "it started another program"
+    );
     let ours: Vec<String> = ["tcp", "udp"].into_iter().flat_map(sockets).collect();
-    let other: Vec<String> = ["tcp6", "udp6", "unix"].into_iter().flat_map(sockets).collect();
+    let other: Vec<String> = ["tcp6", "udp6", "unix"]
+        .into_iter()
+        .flat_map(sockets)
+        .collect();
     let mut found = 0;
     for entry in std::fs::read_dir(of.join("fd")).expect("its descriptors") {
         let entry = entry.expect("a descriptor").path();
-        let Ok(what) = std::fs::read_link(&entry) else { continue };
+        let Ok(what) = std::fs::read_link(&entry) else {
+            continue;
+        };
         let what = what.to_string_lossy().into_owned();
         // What it was given at its start is its parent's matter.
-        if matches!(entry.file_name().and_then(|n| n.to_str()), Some("0" | "1" | "2")) {
+        if matches!(
+            entry.file_name().and_then(|n| n.to_str()),
+            Some("0" | "1" | "2")
+        ) {
             continue;
         }
-        if let Some(inode) = what.strip_prefix("socket:[").and_then(|w| w.strip_suffix(']')) {
-            assert!(!other.iter().any(|o| o == inode), "{what} is no IPv4 socket");
+        if let Some(inode) = what
+            .strip_prefix("socket:[")
+            .and_then(|w| w.strip_suffix(']'))
+        {
+            assert!(
+                !other.iter().any(|o| o == inode),
+                "{what} is no IPv4 socket"
+            );
             found += usize::from(ours.iter().any(|o| o == inode));
         } else {
-            let known = ["anon_inode:[eventpoll]", "anon_inode:[eventfd]", "pipe:[", "/dev/null"];
+            let known = [
+                "anon_inode:[eventpoll]",
+                "anon_inode:[eventfd]",
+                "pipe:[",
+                "/dev/null",
+            ];
             assert!(known.iter().any(|k| what.starts_with(k)), "it holds {what}");
         }
     }
@@ -124,7 +191,13 @@
 
 #[test]
 fn clients_that_send_nonsense_are_refused_or_closed_and_others_go_on() {
-    let Served { _folder, _commands, host, placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer,
+        mut owner,
+    } = Served::start();
     // Nothing waits for its answer meanwhile: how long the rest takes is the machine's matter.
     owner.send(&set_up("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, standing) = host.next(1);
@@ -132,7 +205,10 @@
     assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
 
     let mut unreadable = Owner::connect(&placer);
-    unreadable.stream.write_all(b"\x16\x03\x01 this is no JSON\n").expect("it is read");
+    unreadable
+        .stream
+        .write_all(b"\x16\x03\x01 this is no JSON\n")
+        .expect("it is read");
     assert!(unreadable.closed());
     let mut endless = Owner::connect(&placer);
     let sent = (0..1000).try_for_each(|_| endless.stream.write_all(&[b'x'; 64 << 10]));
@@ -143,8 +219,9 @@
     odd.send(&set_up("9b1f03aa5c7e2d41", 60_000));
     assert_eq!(odd.hear()["msg"].as_str(), Some("close"));
     // More connections than it may hold descriptors for, which say nothing; a usual one still gets through.
-    let silent: Vec<TcpStream> =
-        (0..400).map(|_| TcpStream::connect(placer.address).expect("a connection")).collect();
+    let silent: Vec<TcpStream> = (0..400)
+        .map(|_| TcpStream::connect(placer.address).expect("a connection"))
+        .collect();
     let mut usual = Owner::connect(&placer);
     usual.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
     assert_eq!(usual.hear()["msg"].as_str(), Some("probed"));
@@ -165,8 +242,13 @@
 fn a_configuration_that_cannot_be_used_is_told_before_anything_is_served() {
     let folder = tempfile::tempdir().expect("a folder");
     let commands = Commands::start();
-    let good = config(folder.path(), commands.address, &json!({"cursor": 0, "cmds": []}));
-    let good: Value = serde_json::from_str(&std::fs::read_to_string(good).expect("text")).expect("JSON");
+    let good = config(
+        folder.path(),
+        commands.address,
+        &json!({"cursor": 0, "cmds": []}),
+    );
+    let good: Value =
+        serde_json::from_str(&std::fs::read_to_string(good).expect("text")).expect("JSON");
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let change = |path: &str, value: Value| {
         let mut config = good.clone();
@@ -176,20 +258,43 @@
     let cases = [
         ("{".to_owned(), "line 1"),
         (change("/seed", json!("x")), "seed"),
-        (change("/settings/allowed/maxAttempts", json!("three")), "maxAttempts"),
-        (change("/settings/allowed/connectTimeoutMs", json!(null)), "connectTimeoutMs"),
-        (change("/listen", json!(taken.local_addr().expect("its address"))), "127.0.0.1"),
+        (
+            change("/settings/allowed/maxAttempts", json!("three")),
+            "maxAttempts",
+        ),
+        (
+            change("/settings/allowed/connectTimeoutMs", json!(null)),
+            "connectTimeoutMs",
+        ),
+        (
+            change("/listen", json!(taken.local_addr().expect("its address"))),
+            "127.0.0.1",
+        ),
     ];
     for (text, named) in cases {
         let path = folder.path().join("wrong.json");
         std::fs::write(&path, text).expect("a file");
-        let out = Command::new(PROGRAM).arg("platform").env("RELAY_CONFIG", &path).output().expect("it ends");
+        let out = Command::new(PROGRAM)
+            .arg("platform")
+            .env("RELAY_CONFIG", &path)
+            .output()
+            .expect("it ends");
         let log = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && log.lines().count() == 1 && log.contains(named), "{named}: {log}");
+        assert!(
+            !out.status.success() && log.lines().count() == 1 && log.contains(named),
+            "{named}: {log}"
+        );
     }
-    let out = Command::new(PROGRAM).arg("platform").env_remove("RELAY_CONFIG").output().expect("it ends");
+    let out = Command::new(PROGRAM)
+        .arg("platform")
+        .env_remove("RELAY_CONFIG")
+        .output()
+        .expect("it ends");
     assert!(!out.status.success());
-    let out =
-        Command::new(PROGRAM).arg("platform").env("RELAY_CONFIG", "/nowhere").output().expect("it ends");
+    let out = Command::new(PROGRAM)
+        .arg("platform")
+        .env("RELAY_CONFIG", "/nowhere")
+        .output()
+        .expect("it ends");
     assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("/nowhere"));
 }
--- a/crates/cli/tests/platform_acceptance.rs
+++ b/crates/cli/tests/platform_acceptance.rs
@@ -11,8 +11,8 @@
 
 use platform_support::{
     Commands, Host, Owner, Placer, Served, TEXT, accept_all, answers, changed, config, descriptors,
-    host_says, limit, listed, nobody, of_service, parameter, patient, probe, running, set_up, sid_of,
-    wait_until,
+    host_says, limit, listed, nobody, of_service, parameter, patient, probe, running, set_up,
+    sid_of, wait_until,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -40,7 +40,10 @@
 /// The next poll, which has to ask for what comes after this event.
 fn poll_after(commands: &Commands, cursor: u64) -> TcpStream {
     let (poll, line) = commands.poll();
-    assert!(line.starts_with(&format!("GET /cmd/next?resume={cursor}&block=")), "{line}");
+    assert!(
+        line.starts_with(&format!("GET /cmd/next?resume={cursor}&block=")),
+        "{line}"
+    );
     poll
 }
 
@@ -50,10 +53,16 @@
     let (leaving, staying) = (Host::start(), Host::start());
     let (first, second) = (Commands::start(), Commands::start());
     let (gone, stays) = (leaving.address, staying.address);
-    let known = list(1, false, &[("s-1", gone, "active"), ("s-2", stays, "active")]);
+    let known = list(
+        1,
+        false,
+        &[("s-1", gone, "active"), ("s-2", stays, "active")],
+    );
     let placer = Placer::start(&patient(folder.path(), first.address, &known, 256));
-    let (at_leaving, _at_staying) =
-        (accept_all(leaving, Duration::from_millis(2)), accept_all(staying, Duration::from_millis(2)));
+    let (at_leaving, _at_staying) = (
+        accept_all(leaving, Duration::from_millis(2)),
+        accept_all(staying, Duration::from_millis(2)),
+    );
     let _held = poll_after(&first, 1);
     let mut owner = Owner::connect(&placer);
     ask(&mut owner, 1..21);
@@ -67,25 +76,44 @@
     ask(&mut owner, 1001..1041);
     assert_eq!(answers(&mut owner, 80).1, 0, "not all were placed");
     let there = reached(&at_leaving);
-    assert!(there.iter().any(|&sid| sid < 1000), "it took nothing before it drained");
-    assert!(there.iter().all(|&sid| sid < 1000), "asked after the drain was told: {there:?}");
+    assert!(
+        there.iter().any(|&sid| sid < 1000),
+        "it took nothing before it drained"
+    );
+    assert!(
+        there.iter().all(|&sid| sid < 1000),
+        "asked after the drain was told: {there:?}"
+    );
 }
 
 #[test]
 fn a_drain_that_a_reload_itself_tells_is_heeded() {
     let folder = tempfile::tempdir().expect("a folder");
     let (host, first, second) = (Host::start(), Commands::start(), Commands::start());
-    let placer =
-        Placer::start(&config(folder.path(), first.address, &listed(1, "s-1", host.address, "active")));
+    let placer = Placer::start(&config(
+        folder.path(),
+        first.address,
+        &listed(1, "s-1", host.address, "active"),
+    ));
     let _held = poll_after(&first, 1);
-    config(folder.path(), second.address, &listed(5, "s-1", host.address, "leaving"));
+    config(
+        folder.path(),
+        second.address,
+        &listed(5, "s-1", host.address, "leaving"),
+    );
     placer.signal(Signal::HUP);
     let _poll = poll_after(&second, 5);
     let mut owner = Owner::connect(&placer);
     owner.send(&set_up("00000000000000a1", 300));
     let answer = owner.hear();
-    assert_eq!((answer["msg"].as_str(), answer["code"].as_u64()), (Some("close"), Some(34)));
-    assert!(host.heard.try_iter().all(|(_, message)| message[0] != 1), "a set-up to a host that drains");
+    assert_eq!(
+        (answer["msg"].as_str(), answer["code"].as_u64()),
+        (Some("close"), Some(34))
+    );
+    assert!(
+        host.heard.try_iter().all(|(_, message)| message[0] != 1),
+        "a set-up to a host that drains"
+    );
 }
 
 #[test]
@@ -95,30 +123,46 @@
     let (one, two) = (first.address, second.address);
     let known = list(1, false, &[("s-1", one, "active"), ("s-2", two, "active")]);
     let placer = Placer::start(&patient(folder.path(), commands.address, &known, 256));
-    let (at_first, _at_second) = (accept_all(first, Duration::ZERO), accept_all(second, Duration::ZERO));
+    let (at_first, _at_second) = (
+        accept_all(first, Duration::ZERO),
+        accept_all(second, Duration::ZERO),
+    );
     // For a while changes are told, one after the other.
     for cursor in 2..=6 {
-        commands.tell(poll_after(&commands, cursor - 1), &list(cursor, false, &[("s-3", nobody(), "left")]));
+        commands.tell(
+            poll_after(&commands, cursor - 1),
+            &list(cursor, false, &[("s-3", nobody(), "left")]),
+        );
     }
     // Then nothing: the poll stays open, and what is asked is served on.
     let _silent = poll_after(&commands, 6);
     let mut owner = Owner::connect(&placer);
     ask(&mut owner, 1..21);
     assert_eq!(answers(&mut owner, 20).1, 0);
-    assert!(!reached(&at_first).is_empty(), "it took nothing before it was gone");
+    assert!(
+        !reached(&at_first).is_empty(),
+        "it took nothing before it was gone"
+    );
     // It is asked once more, and the list comes whole, without the first host.
     let poll = poll_after(&commands, 6);
     commands.tell(poll, &list(7, true, &[("s-2", two, "active")]));
     let poll = poll_after(&commands, 7);
     ask(&mut owner, 1001..1021);
     assert_eq!(answers(&mut owner, 20).1, 0);
-    assert_eq!(reached(&at_first), [0_u64; 0], "the whole list does not name it");
+    assert_eq!(
+        reached(&at_first),
+        [0_u64; 0],
+        "the whole list does not name it"
+    );
     // A change names it again.
     commands.tell(poll, &list(8, false, &[("s-1", one, "active")]));
     let _poll = poll_after(&commands, 8);
     ask(&mut owner, 2001..2041);
     assert_eq!(answers(&mut owner, 40).1, 0);
-    assert!(!reached(&at_first).is_empty(), "it is back and takes nothing");
+    assert!(
+        !reached(&at_first).is_empty(),
+        "it is back and takes nothing"
+    );
 }
 
 /// Reads one set-up, accepts it, and ends as a killed process does: its connection and its listener are closed.
@@ -128,7 +172,9 @@
     let reader = stream.try_clone().expect("a handle");
     std::thread::spawn(move || platform_support::read_messages(reader, &tell));
     let message = loop {
-        let (_, message) = heard.recv_timeout(platform_support::LONG).expect("a set-up");
+        let (_, message) = heard
+            .recv_timeout(platform_support::LONG)
+            .expect("a set-up");
         if message[0] == 1 {
             break message;
         }
@@ -144,15 +190,27 @@
     let folder = tempfile::tempdir().expect("a folder");
     let (commands, other) = (Commands::start(), Host::start());
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let known = listed(1, "s-1", listener.local_addr().expect("its address"), "active");
+    let known = listed(
+        1,
+        "s-1",
+        listener.local_addr().expect("its address"),
+        "active",
+    );
     let placer = Placer::start(&config(folder.path(), commands.address, &known));
     let poll = poll_after(&commands, 1);
     let mut owner = Owner::connect(&placer);
     owner.send(&set_up("00000000000000a1", 60_000));
     assert_eq!(accept_one_and_die(listener), 0xa1);
     let (ready, end) = (owner.hear(), owner.hear());
-    assert_eq!((ready["msg"].as_str(), ready["sid"].as_str()), (Some("ready"), Some("00000000000000a1")));
-    let told = (end["msg"].as_str(), end["sid"].as_str(), end["code"].as_u64());
+    assert_eq!(
+        (ready["msg"].as_str(), ready["sid"].as_str()),
+        (Some("ready"), Some("00000000000000a1"))
+    );
+    let told = (
+        end["msg"].as_str(),
+        end["sid"].as_str(),
+        end["code"].as_u64(),
+    );
     assert_eq!(told, (Some("close"), Some("00000000000000a1"), Some(41)));
     // Another host serves what is asked next, and hears nothing of the task that has ended.
     commands.tell(poll, &list(2, true, &[("s-2", other.address, "active")]));
@@ -162,12 +220,17 @@
     assert_eq!(sid_of(&message), 0xa2);
     host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
     let ready = owner.hear();
-    assert_eq!((ready["msg"].as_str(), ready["sid"].as_str()), (Some("ready"), Some("00000000000000a2")));
+    assert_eq!(
+        (ready["msg"].as_str(), ready["sid"].as_str()),
+        (Some("ready"), Some("00000000000000a2"))
+    );
 }
 
 /// A configuration for an address that a killed process listened on.
 fn at_address(folder: &Path, listen: SocketAddr, channel: SocketAddr, known: &Value) -> Placer {
-    Placer::start(&changed(folder, channel, known, |config| config["listen"] = json!(listen)))
+    Placer::start(&changed(folder, channel, known, |config| {
+        config["listen"] = json!(listen)
+    }))
 }
 
 #[test]
@@ -176,9 +239,17 @@
     let (host, commands) = (Host::start(), Commands::start());
     let known = listed(1, "s-1", host.address, "active");
     // An address that nobody connects from, so that the successor finds it free.
-    let mut placer = at_address(folder.path(), ([127, 0, 77, 1], 0).into(), commands.address, &known);
+    let mut placer = at_address(
+        folder.path(),
+        ([127, 0, 77, 1], 0).into(),
+        commands.address,
+        &known,
+    );
     for round in 1..=5_u64 {
-        let (task, other) = (format!("{:016x}", round * 2), format!("{:016x}", round * 2 + 1));
+        let (task, other) = (
+            format!("{:016x}", round * 2),
+            format!("{:016x}", round * 2 + 1),
+        );
         let mut owner = Owner::connect(&placer);
         owner.send(&set_up(&task, 60_000));
         let (mut stream, message) = host.next(1);
@@ -190,20 +261,36 @@
         let _ = owner.reader.read_to_end(&mut heard);
         let answer: Option<Value> =
             (!heard.is_empty()).then(|| serde_json::from_slice(&heard).expect("one whole line"));
-        assert!(answer.iter().all(|a| a["msg"] == "ready" && a["sid"] == task.as_str()), "{answer:?}");
+        assert!(
+            answer
+                .iter()
+                .all(|a| a["msg"] == "ready" && a["sid"] == task.as_str()),
+            "{answer:?}"
+        );
         // The successor is handed the task, and is told over its own connection how that ended.
         placer = at_address(folder.path(), placer.address, commands.address, &known);
         let mut owner = Owner::connect(&placer);
         owner.send(&running(&task, "s-1"));
         owner.send(&of_service(round * 2 + 1, round));
         let (mut stream, next) = host.next(1);
-        assert_eq!(sid_of(&next), round * 2 + 1, "a second attempt of a task that runs");
+        assert_eq!(
+            sid_of(&next),
+            round * 2 + 1,
+            "a second attempt of a task that runs"
+        );
         host_says(&mut stream, 9, &next, 63, TEXT.as_bytes());
         let ready = owner.hear();
-        assert_eq!((ready["msg"].as_str(), ready["sid"].as_str()), (Some("ready"), Some(other.as_str())));
+        assert_eq!(
+            (ready["msg"].as_str(), ready["sid"].as_str()),
+            (Some("ready"), Some(other.as_str()))
+        );
         host_says(&mut stream, 12, &message, 61, &[16]);
         let end = owner.hear();
-        let told = (end["msg"].as_str(), end["sid"].as_str(), end["code"].as_u64());
+        let told = (
+            end["msg"].as_str(),
+            end["sid"].as_str(),
+            end["code"].as_u64(),
+        );
         assert_eq!(told, (Some("close"), Some(task.as_str()), Some(16)));
     }
 }
@@ -228,7 +315,8 @@
     let mut cancels = Owner::connect(&placer);
     for sid in 0x100..0x10a {
         ask_and_wait(&mut cancels, sid);
-        cancels.send(&json!({"msg": "close", "sid": format!("{sid:016x}"), "attrs": {}, "code": 16}));
+        cancels
+            .send(&json!({"msg": "close", "sid": format!("{sid:016x}"), "attrs": {}, "code": 16}));
     }
     cancels.send(&probe(0xaa));
     while cancels.hear()["sid"] != "00000000000000aa" {}
@@ -239,10 +327,15 @@
     for sid in 0x300..0x30a {
         let mut owner = Owner::connect(&placer);
         ask_and_wait(&mut owner, sid);
-        owner.stream.shutdown(Shutdown::Write).expect("it is half-closed");
+        owner
+            .stream
+            .shutdown(Shutdown::Write)
+            .expect("it is half-closed");
         assert!(owner.closed(), "it is told nothing more");
     }
-    wait_until("those that closed are gone", || descriptors(&placer) <= before);
+    wait_until("those that closed are gone", || {
+        descriptors(&placer) <= before
+    });
     commands.tell(poll, &listed(2, "s-1", host.address, "active"));
     let at_host = accept_all(host, Duration::ZERO);
     assert_eq!(answers(&mut stays, 5).0.len(), 5);
@@ -256,7 +349,13 @@
 
 #[test]
 fn an_attempt_whose_client_goes_is_given_up_at_its_host_and_none_follows() {
-    let Served { _folder, _commands, host, placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer,
+        mut owner,
+    } = Served::start();
     let cancel = json!({"msg": "close", "sid": "00000000000000a1", "attrs": {}, "code": 16});
     let mut closes = Owner::connect(&placer);
     owner.send(&set_up("00000000000000a1", 60_000));
@@ -265,10 +364,16 @@
     let (mut closed, second) = host.next(1);
     owner.send(&cancel);
     let (_, told) = host.next(12);
-    assert_eq!((sid_of(&told), parameter(&told, 61)), (0xa1, Some(&[16][..])));
+    assert_eq!(
+        (sid_of(&told), parameter(&told, 61)),
+        (0xa1, Some(&[16][..]))
+    );
     drop(closes);
     let (_, told) = host.next(12);
-    assert_eq!((sid_of(&told), parameter(&told, 61)), (0xa2, Some(&[16][..])));
+    assert_eq!(
+        (sid_of(&told), parameter(&told, 61)),
+        (0xa2, Some(&[16][..]))
+    );
     // The host erred with both. A client that waits has another attempt for that, and this one comes last.
     host_says(&mut cancelled, 12, &first, 61, &[47]);
     host_says(&mut closed, 12, &second, 61, &[47]);
@@ -277,10 +382,17 @@
     let (mut stream, third) = host.next(1);
     host_says(&mut stream, 12, &third, 61, &[47]);
     let (mut stream, again) = host.next(1);
-    assert_eq!((sid_of(&third), sid_of(&again)), (0xa3, 0xa3), "an attempt for one that has gone");
+    assert_eq!(
+        (sid_of(&third), sid_of(&again)),
+        (0xa3, 0xa3),
+        "an attempt for one that has gone"
+    );
     host_says(&mut stream, 9, &again, 63, TEXT.as_bytes());
     assert_eq!(waits.hear()["msg"].as_str(), Some("ready"));
-    assert!(host.heard.try_iter().all(|(_, message)| message[0] != 1), "another attempt");
+    assert!(
+        host.heard.try_iter().all(|(_, message)| message[0] != 1),
+        "another attempt"
+    );
 }
 
 #[test]
@@ -289,16 +401,22 @@
     let folder = tempfile::tempdir().expect("a folder");
     let host = Host::start();
     // Discovery is down, at an address that nobody connects from.
-    let down = TcpListener::bind("127.0.79.1:0").and_then(|l| l.local_addr()).expect("an address");
+    let down = TcpListener::bind("127.0.79.1:0")
+        .and_then(|l| l.local_addr())
+        .expect("an address");
     let known = listed(1, "s-1", host.address, "leaving");
     let placer = Placer::start(&patient(folder.path(), down, &known, LIMIT));
     limit(&placer, LIMIT);
-    let _idle: Vec<TcpStream> =
-        (0..200).map(|_| TcpStream::connect(placer.address).expect("a connection")).collect();
+    let _idle: Vec<TcpStream> = (0..200)
+        .map(|_| TcpStream::connect(placer.address).expect("a connection"))
+        .collect();
     let mut owner = Owner::connect(&placer);
     ask_and_wait(&mut owner, 1);
     let commands = Commands::at(down);
-    commands.tell(poll_after(&commands, 1), &listed(2, "s-1", host.address, "active"));
+    commands.tell(
+        poll_after(&commands, 1),
+        &listed(2, "s-1", host.address, "active"),
+    );
     let _poll = poll_after(&commands, 2);
     let _reached = accept_all(host, Duration::ZERO);
     assert_eq!(answers(&mut owner, 1).0.len(), 1);
--- a/crates/cli/tests/platform_cold.rs
+++ b/crates/cli/tests/platform_cold.rs
@@ -6,14 +6,17 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use platform_support::{Commands, Owner, Placer, changed, listed, read_messages, set_up, wait_until};
+use platform_support::{
+    Commands, Owner, Placer, changed, listed, read_messages, set_up, wait_until,
+};
 use rustix::net::{AddressFamily, SocketType};
 use serde_json::json;
 
 /// A listener whose accept backlog holds one connection, and the address. While that one is not accepted, the kernel
 /// drops what asks for another, and its peer asks again after a second.
 fn narrow_listener() -> (TcpListener, SocketAddr) {
-    let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+    let socket =
+        rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     rustix::net::bind(&socket, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
     rustix::net::listen(&socket, 0).expect("it listens");
     let listener = TcpListener::from(socket);
@@ -38,7 +41,10 @@
     let commands = Commands::start();
     let (listener, address) = narrow_listener();
     let filler = TcpStream::connect(address).expect("the one that is held");
-    let started = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
+    let started = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a time")
+        .as_millis() as u64;
     let mut known = listed(1, "s-1", address, "active");
     known["cmds"][0]["nodes"]["endpoints"][0]["since_ms"] = json!(started);
     let file = changed(folder.path(), commands.address, &known, |c| {
@@ -67,15 +73,25 @@
     std::thread::spawn(move || read_messages(stream, &tell));
     let (mut times, until) = (Vec::new(), Instant::now() + Duration::from_secs(8));
     while let Some(left) = until.checked_duration_since(Instant::now()) {
-        let Ok((_, message)) = heard.recv_timeout(left) else { break };
+        let Ok((_, message)) = heard.recv_timeout(left) else {
+            break;
+        };
         if message[0] == 1 {
             times.push(Instant::now());
         }
     }
-    let within =
-        |from: &Instant| times.iter().filter(|t| *t >= from && **t - *from <= Duration::from_secs(1)).count();
+    let within = |from: &Instant| {
+        times
+            .iter()
+            .filter(|t| *t >= from && **t - *from <= Duration::from_secs(1))
+            .count()
+    };
     let most = times.iter().map(within).max().unwrap_or(0);
-    assert!(times.len() > BORNE, "{} set-ups came, so there was more than one window", times.len());
+    assert!(
+        times.len() > BORNE,
+        "{} set-ups came, so there was more than one window",
+        times.len()
+    );
     assert!(most <= BORNE, "{most} set-ups in one window, of {BORNE}");
     drop(filler);
 }
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -15,7 +15,8 @@
 
 /// A connection whose receive buffer is so small that answers wait at the sender.
 fn narrow(to: SocketAddr) -> TcpStream {
-    let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
+    let socket =
+        rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
     sockopt::set_socket_recv_buffer_size(&socket, 4096).expect("a small buffer");
     rustix::net::connect(&socket, &to).expect("a connection");
     let stream = TcpStream::from(socket);
@@ -25,30 +26,48 @@
 
 /// So many tests, each of which has an answer of about its size.
 fn probes(from: u64, count: u64) -> Vec<u8> {
-    let line = |n: u64| format!("{{\"msg\":\"probe\",\"sid\":\"{n:016x}\",\"attrs\":{{}},\"code\":0}}\n");
-    (from..from + count).map(line).collect::<String>().into_bytes()
+    let line =
+        |n: u64| format!("{{\"msg\":\"probe\",\"sid\":\"{n:016x}\",\"attrs\":{{}},\"code\":0}}\n");
+    (from..from + count)
+        .map(line)
+        .collect::<String>()
+        .into_bytes()
 }
 
 /// All lines up to the end of the connection, which has to be an orderly one.
 fn lines_to_the_end(stream: &mut TcpStream) -> Vec<Value> {
     let mut bytes = Vec::new();
     let mut end = stream.read_to_end(&mut bytes);
-    if end.as_ref().is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset) {
+    if end
+        .as_ref()
+        .is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
+    {
         end = Ok(0);
         bytes.extend_from_slice(b"\"reset\"\n");
     }
     end.expect("an end in time");
     let line = |l: &[u8]| serde_json::from_slice(l).expect("a whole line");
-    bytes.split(|&b| b == b'\n').filter(|l| !l.is_empty()).map(line).collect()
+    bytes
+        .split(|&b| b == b'\n')
+        .filter(|l| !l.is_empty())
+        .map(line)
+        .collect()
 }
 
 /// What waits in the placer's socket of this connection: to be acknowledged, to be read.
 fn queues(placer: &Placer, peer: &TcpStream) -> Option<(u64, u64)> {
-    let (ours, theirs) = (placer.address.port(), peer.local_addr().expect("its address").port());
+    let (ours, theirs) = (
+        placer.address.port(),
+        peer.local_addr().expect("its address").port(),
+    );
     let list = std::fs::read_to_string("/proc/net/tcp").expect("the list of sockets");
     list.lines().skip(1).find_map(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let port = |w: &str| w.rsplit(':').next().and_then(|p| u16::from_str_radix(p, 16).ok());
+        let port = |w: &str| {
+            w.rsplit(':')
+                .next()
+                .and_then(|p| u16::from_str_radix(p, 16).ok())
+        };
         let (tx, rx) = words[4].split_once(':')?;
         let number = |w: &str| u64::from_str_radix(w, 16).ok();
         (port(words[1])? == ours && port(words[2])? == theirs).then_some((number(tx)?, number(rx)?))
@@ -102,7 +121,13 @@
 
 #[test]
 fn answers_reach_an_owner_when_the_process_ends_with_its_bytes_unread() {
-    let Served { _folder, _commands, host: _host, mut placer, owner: mut other } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host: _host,
+        mut placer,
+        owner: mut other,
+    } = Served::start();
     let mut owner = narrow(placer.address);
     owner.write_all(&probes(1, 500)).expect("it is read");
     wait_until("all tests are answered", || {
@@ -117,7 +142,9 @@
     placer.signal(Signal::STOP);
     let idle = "{\"msg\":\"closed\",\"sid\":\"00000000000000aa\",\"attrs\":{}}\n".repeat(60_000);
     pour(&owner, idle.into_bytes());
-    wait_until("it lies there", || queues(&placer, &owner).is_some_and(|(_, unread)| unread > 30_000));
+    wait_until("it lies there", || {
+        queues(&placer, &owner).is_some_and(|(_, unread)| unread > 30_000)
+    });
     std::thread::sleep(std::time::Duration::from_millis(1000));
     placer.signal(Signal::CONT);
     let heard = lines_to_the_end(&mut owner);
@@ -136,8 +163,14 @@
     let mut still = 0;
     wait_until("it is held up", || {
         std::thread::sleep(std::time::Duration::from_millis(20));
-        let Some(now) = queues(&served.placer, &owner) else { return true };
-        still = if now == last && now.1 > 0 { still + 1 } else { 0 };
+        let Some(now) = queues(&served.placer, &owner) else {
+            return true;
+        };
+        still = if now == last && now.1 > 0 {
+            still + 1
+        } else {
+            0
+        };
         last = now;
         still >= 10
     });
@@ -147,8 +180,10 @@
     let (mut stream, message) = served.host.next(1);
     host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
     assert_eq!(other.hear()["msg"].as_str(), Some("ready"));
-    let mut reader =
-        Owner { reader: std::io::BufReader::new(owner.try_clone().expect("a handle")), stream: owner };
+    let mut reader = Owner {
+        reader: std::io::BufReader::new(owner.try_clone().expect("a handle")),
+        stream: owner,
+    };
     for n in 1..=TESTS {
         let heard = reader.hear();
         assert_eq!(heard["sid"].as_str(), Some(format!("{n:016x}").as_str()));
@@ -157,7 +192,13 @@
 
 #[test]
 fn an_end_that_comes_before_the_task_is_handed_over_is_not_lost() {
-    let Served { _folder, _commands, host, placer: _placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer: _placer,
+        mut owner,
+    } = Served::start();
     // One task opens the connection on which the host tells of another one, which is handed over later.
     owner.send(&running("00000000000000a1", "s-1"));
     owner.send(&set_up("00000000000000a2", 60_000));
@@ -166,15 +207,28 @@
     other[1..9].copy_from_slice(&0xa3_u64.to_be_bytes());
     host_says(&mut stream, 12, &other, 61, &[16]);
     host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    assert_eq!(owner.hear()["msg"].as_str(), Some("ready"), "the end before it was read");
+    assert_eq!(
+        owner.hear()["msg"].as_str(),
+        Some("ready"),
+        "the end before it was read"
+    );
     owner.send(&running("00000000000000a3", "s-1"));
     let told = owner.hear();
-    assert_eq!((told["sid"].as_str(), told["code"].as_u64()), (Some("00000000000000a3"), Some(16)));
+    assert_eq!(
+        (told["sid"].as_str(), told["code"].as_u64()),
+        (Some("00000000000000a3"), Some(16))
+    );
 }
 
 #[test]
 fn a_second_copy_of_a_refusal_is_not_taken_for_the_answer_to_the_next_attempt() {
-    let Served { _folder, _commands, host, placer: _placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer: _placer,
+        mut owner,
+    } = Served::start();
     owner.send(&set_up("00000000000000a1", 60_000));
     let (mut stream, message) = host.next(1);
     // The only host errs, so the next attempt goes there too; only then comes the copy.
--- a/crates/cli/tests/platform_fleet.rs
+++ b/crates/cli/tests/platform_fleet.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use platform_support::{
-    Commands, Host, Owner, Placer, accept_all, answers, descriptors, limit, listed, of_service, patient,
+    Commands, Host, Owner, Placer, accept_all, answers, descriptors, limit, listed, of_service,
+    patient,
 };
 use rustix::process::Signal;
 use serde_json::json;
@@ -15,9 +16,13 @@
 fn a_tenth_told_to_end_while_all_are_given_a_new_configuration_leaves_no_request_unanswered() {
     let (host, first, second) = (Host::start(), Commands::start(), Commands::start());
     let known = listed(3, "s-1", host.address, "active");
-    let folders: Vec<_> = (0..4).map(|_| tempfile::tempdir().expect("a folder")).collect();
-    let mut placers: Vec<Placer> =
-        folders.iter().map(|f| Placer::start(&patient(f.path(), first.address, &known, 256))).collect();
+    let folders: Vec<_> = (0..4)
+        .map(|_| tempfile::tempdir().expect("a folder"))
+        .collect();
+    let mut placers: Vec<Placer> = folders
+        .iter()
+        .map(|f| Placer::start(&patient(f.path(), first.address, &known, 256)))
+        .collect();
     let _polls: Vec<_> = placers.iter().map(|_| first.poll()).collect();
     accept_all(host, Duration::from_millis(2));
     let mut owners: Vec<Owner> = placers.iter().map(Owner::connect).collect();
@@ -45,16 +50,25 @@
         "told to end, they end by themselves"
     );
     // Those that stay follow the new channel, and so do the successors.
-    let mut successors: Vec<Placer> =
-        (0..2).map(|n| Placer::start(&patient(folders[n].path(), second.address, &known, 256))).collect();
+    let mut successors: Vec<Placer> = (0..2)
+        .map(|n| Placer::start(&patient(folders[n].path(), second.address, &known, 256)))
+        .collect();
     let polls: Vec<_> = (0..4).map(|_| second.poll()).collect();
-    assert!(polls.iter().all(|(_, line)| line.starts_with("GET /cmd/next?resume=3&block=")), "{polls:?}");
+    assert!(
+        polls
+            .iter()
+            .all(|(_, line)| line.starts_with("GET /cmd/next?resume=3&block=")),
+        "{polls:?}"
+    );
     let alive = placers[2..].iter().chain(&successors);
     for (n, mut owner) in alive.map(Owner::connect).enumerate() {
         owner.send(&of_service(90_000 + n as u64, 7));
         assert_eq!(answers(&mut owner, 1).0.len(), 1);
     }
-    successors.iter().chain(&placers[2..]).for_each(|p| p.signal(Signal::TERM));
+    successors
+        .iter()
+        .chain(&placers[2..])
+        .for_each(|p| p.signal(Signal::TERM));
     for placer in successors.iter_mut().chain(&mut placers[2..]) {
         assert!(placer.wait().success());
     }
@@ -76,8 +90,9 @@
     limit(&placer, LIMIT);
     accept_all(host, Duration::ZERO);
     // More clients than it may hold say nothing, and one asks on until nearly each host has a connection.
-    let silent: Vec<TcpStream> =
-        (0..500).map(|_| TcpStream::connect(placer.address).expect("a connection")).collect();
+    let silent: Vec<TcpStream> = (0..500)
+        .map(|_| TcpStream::connect(placer.address).expect("a connection"))
+        .collect();
     let mut owner = Owner::connect(&placer);
     let mut placed = 0;
     for round in 0..24_u64 {
@@ -91,7 +106,10 @@
     // What stood in the way is gone: all is served.
     let mut later = Owner::connect(&placer);
     (0..20).for_each(|i| later.send(&of_service(10_000 + i, i)));
-    assert_eq!(answers(&mut later, 20), ((0..20).map(|i| format!("{:016x}", 10_000 + i)).collect(), 0));
+    assert_eq!(
+        answers(&mut later, 20),
+        ((0..20).map(|i| format!("{:016x}", 10_000 + i)).collect(), 0)
+    );
     placer.signal(Signal::TERM);
     assert!(placer.wait().success());
 }
--- a/crates/cli/tests/platform_many.rs
+++ b/crates/cli/tests/platform_many.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use platform_support::{
-    Commands, Host, LONG, Owner, Placer, accept_all, answers, changed, listed, nobody, of_service, patient,
-    probe,
+    Commands, Host, LONG, Owner, Placer, accept_all, answers, changed, listed, nobody, of_service,
+    patient, probe,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -23,7 +23,12 @@
 const COLD_HOSTS: usize = 2;
 
 /// Configurations of so many placers that share the cold hosts.
-fn sharing(folder: &std::path::Path, channel: SocketAddr, known: &Value, placers: usize) -> Vec<PathBuf> {
+fn sharing(
+    folder: &std::path::Path,
+    channel: SocketAddr,
+    known: &Value,
+    placers: usize,
+) -> Vec<PathBuf> {
     let one = |ordinal: usize| {
         let folder = folder.join(ordinal.to_string());
         std::fs::create_dir(&folder).expect("a folder");
@@ -42,14 +47,25 @@
 
 /// Starts all at once.
 fn start_all(files: Vec<PathBuf>) -> Vec<Placer> {
-    let starting: Vec<_> = files.into_iter().map(|f| std::thread::spawn(move || Placer::start(&f))).collect();
-    starting.into_iter().map(|thread| thread.join().expect("it starts")).collect()
+    let starting: Vec<_> = files
+        .into_iter()
+        .map(|f| std::thread::spawn(move || Placer::start(&f)))
+        .collect();
+    starting
+        .into_iter()
+        .map(|thread| thread.join().expect("it starts"))
+        .collect()
 }
 
 /// The most set-ups that reached a host in one window.
 fn most_in_a_window(reached: &Receiver<(u64, Instant)>) -> usize {
     let times: Vec<Instant> = reached.try_iter().map(|(_, at)| at).collect();
-    let from = |start: &Instant| times.iter().filter(|t| *t >= start && **t - *start <= WINDOW).count();
+    let from = |start: &Instant| {
+        times
+            .iter()
+            .filter(|t| *t >= start && **t - *start <= WINDOW)
+            .count()
+    };
     times.iter().map(from).max().unwrap_or(0)
 }
 
@@ -58,7 +74,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let commands = Commands::start();
     let hosts: Vec<Host> = (0..COLD_HOSTS).map(|_| Host::start()).collect();
-    let started = SystemTime::now().duration_since(UNIX_EPOCH).expect("a time").as_millis() as u64;
+    let started = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("a time")
+        .as_millis() as u64;
     let entry = |(n, host): (usize, &Host)| {
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n,
             "status": "active", "weight": 1, "since_ms": started})
@@ -67,7 +86,10 @@
     let nodes = json!({"index": 1, "snapshot": true, "endpoints": endpoints});
     let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
     let processes = start_all(sharing(folder.path(), commands.address, &known, placers));
-    let reached: Vec<_> = hosts.into_iter().map(|host| accept_all(host, Duration::ZERO)).collect();
+    let reached: Vec<_> = hosts
+        .into_iter()
+        .map(|host| accept_all(host, Duration::ZERO))
+        .collect();
     let mut owners: Vec<Owner> = processes.iter().map(Owner::connect).collect();
     for (n, owner) in owners.iter_mut().enumerate() {
         for ask in 0..ASKS {
@@ -78,13 +100,20 @@
         }
     }
     for owner in &mut owners {
-        assert_eq!(answers(owner, ASKS).1, 0, "a process serves nobody, or not all");
+        assert_eq!(
+            answers(owner, ASKS).1,
+            0,
+            "a process serves nobody, or not all"
+        );
     }
     // What chance may add to the budget of a window.
     let chance = 2.0 * (BORNE as f64).sqrt() + 2.0;
     for host in &reached {
         let most = most_in_a_window(host);
-        assert!(most as f64 <= BORNE as f64 + chance, "{most} in one window, of {BORNE}");
+        assert!(
+            most as f64 <= BORNE as f64 + chance,
+            "{most} in one window, of {BORNE}"
+        );
     }
 }
 
@@ -110,7 +139,11 @@
     assert_eq!(owner.hear()["msg"].as_str(), Some("probed"));
     let ready = start.elapsed() <= READY_WITHIN;
     owner.send(&of_service(sid, sid));
-    assert_eq!(answers(&mut owner, 1).0.len(), 1, "a process that serves nobody");
+    assert_eq!(
+        answers(&mut owner, 1).0.len(),
+        1,
+        "a process that serves nobody"
+    );
     (placer, ready)
 }
 
@@ -141,17 +174,34 @@
     for (n, owner) in owners.iter_mut().enumerate().take(PLACERS) {
         owner.send(&of_service(n as u64 + 1, n as u64));
     }
-    placers.iter().for_each(|placer| placer.signal(Signal::KILL));
+    placers
+        .iter()
+        .for_each(|placer| placer.signal(Signal::KILL));
     for placer in &mut placers {
         placer.wait();
     }
-    let files: Vec<PathBuf> = placers.iter().enumerate().map(|(n, p)| listening(n, p.address)).collect();
+    let files: Vec<PathBuf> = placers
+        .iter()
+        .enumerate()
+        .map(|(n, p)| listening(n, p.address))
+        .collect();
     let restarts = files.into_iter().enumerate();
-    let restarts: Vec<_> =
-        restarts.map(|(n, file)| std::thread::spawn(move || restart(file, 1000 + n as u64))).collect();
+    let restarts: Vec<_> = restarts
+        .map(|(n, file)| std::thread::spawn(move || restart(file, 1000 + n as u64)))
+        .collect();
     // One that does not start, or does not serve, fails its thread.
-    let served: Vec<(Placer, bool)> = restarts.into_iter().filter_map(|thread| thread.join().ok()).collect();
+    let served: Vec<(Placer, bool)> = restarts
+        .into_iter()
+        .filter_map(|thread| thread.join().ok())
+        .collect();
     let ready = served.iter().filter(|(_, ready)| *ready).count();
-    assert_eq!(served.len(), PLACERS, "all come back and serve, in {LONG:?} at most");
-    assert!(ready * 10 >= PLACERS * 9, "{ready} of {PLACERS} were ready within {READY_WITHIN:?}");
+    assert_eq!(
+        served.len(),
+        PLACERS,
+        "all come back and serve, in {LONG:?} at most"
+    );
+    assert!(
+        ready * 10 >= PLACERS * 9,
+        "{ready} of {PLACERS} were ready within {READY_WITHIN:?}"
+    );
 }
--- a/crates/cli/tests/platform_support/mod.rs
+++ b/crates/cli/tests/platform_support/mod.rs
@@ -32,7 +32,10 @@
             .expect("a placer");
         let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
         let address = loop {
-            let line = lines.next().expect("it says where it listens").expect("a line");
+            let line = lines
+                .next()
+                .expect("it says where it listens")
+                .expect("a line");
             let line: Value = serde_json::from_str(&line).expect("JSON");
             if let Some(address) = line["fields"]["listen"].as_str() {
                 break address.parse().expect("an address");
@@ -107,7 +110,10 @@
         if message[0] == 52 {
             host_says(&mut stream, 53, &message, 61, &[1]);
         }
-        if tell.send((stream.try_clone().expect("a handle"), message)).is_err() {
+        if tell
+            .send((stream.try_clone().expect("a handle"), message))
+            .is_err()
+        {
             return;
         }
     }
@@ -157,7 +163,11 @@
                 let (stream, tell) = (stream.expect("a connection"), tell.clone());
                 std::thread::spawn(move || {
                     let reader = BufReader::new(stream.try_clone().expect("a handle"));
-                    for line in reader.lines().map_while(Result::ok).filter(|l| l.starts_with("GET ")) {
+                    for line in reader
+                        .lines()
+                        .map_while(Result::ok)
+                        .filter(|l| l.starts_with("GET "))
+                    {
                         let _ = tell.send((stream.try_clone().expect("a handle"), line));
                     }
                 });
@@ -172,7 +182,10 @@
 
     pub fn tell(&self, mut stream: TcpStream, events: &Value) {
         let body = events.to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         stream.write_all(answer.as_bytes()).expect("it is read");
     }
 }
@@ -192,7 +205,9 @@
     }
 
     pub fn send(&mut self, message: &Value) {
-        self.stream.write_all(format!("{message}\n").as_bytes()).expect("it is read");
+        self.stream
+            .write_all(format!("{message}\n").as_bytes())
+            .expect("it is read");
     }
 
     pub fn hear(&mut self) -> Value {
@@ -259,7 +274,13 @@
         let known = listed(1, "s-1", host.address, "active");
         let placer = Placer::start(&config(folder.path(), commands.address, &known));
         let owner = Owner::connect(&placer);
-        Served { _folder: folder, _commands: commands, host, placer, owner }
+        Served {
+            _folder: folder,
+            _commands: commands,
+            host,
+            placer,
+            owner,
+        }
     }
 }
 
@@ -291,13 +312,23 @@
 
 /// Sets how many descriptors a placer may hold.
 pub fn limit(placer: &Placer, descriptors: u64) {
-    let limit = Rlimit { current: Some(descriptors), maximum: Some(descriptors) };
-    prlimit(Pid::from_raw(placer.child.id() as i32), Resource::Nofile, limit).expect("a limit");
+    let limit = Rlimit {
+        current: Some(descriptors),
+        maximum: Some(descriptors),
+    };
+    prlimit(
+        Pid::from_raw(placer.child.id() as i32),
+        Resource::Nofile,
+        limit,
+    )
+    .expect("a limit");
 }
 
 /// Descriptors that a placer holds.
 pub fn descriptors(placer: &Placer) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", placer.child.id())).expect("its descriptors").count()
+    std::fs::read_dir(format!("/proc/{}/fd", placer.child.id()))
+        .expect("its descriptors")
+        .count()
 }
 
 /// Waits until something holds that happens soon.
@@ -331,14 +362,22 @@
 /// A task that runs on this host already, as its owner hands it over.
 pub fn running(sid: &str, host: &str) -> Value {
     let mut at = set_up(sid, 0);
-    at["attrs"].as_object_mut().expect("an object").remove("left");
-    at["attrs"]["extras"] = json!(format!("cores:1;memory:2;service:00000000b4d65521;at:{host}"));
+    at["attrs"]
+        .as_object_mut()
+        .expect("an object")
+        .remove("left");
+    at["attrs"]["extras"] = json!(format!(
+        "cores:1;memory:2;service:00000000b4d65521;at:{host}"
+    ));
     at
 }
 
 /// An address at which nobody listens.
 pub fn nobody() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address")
+    TcpListener::bind("127.0.0.1:0")
+        .expect("a port")
+        .local_addr()
+        .expect("its address")
 }
 
 /// A configuration with so many descriptors, whose aim lets an answer take seconds, as on a slow and busy machine.
--- a/crates/cli/tests/platform_terms.rs
+++ b/crates/cli/tests/platform_terms.rs
@@ -9,15 +9,16 @@
 use std::time::{Duration, Instant};
 
 use platform_support::{
-    Commands, Host, Owner, Placer, Served, TEXT, changed, config, descriptors, host_says, limit, listed,
-    nobody, probe, set_up, sid_of, wait_until,
+    Commands, Host, Owner, Placer, Served, TEXT, changed, config, descriptors, host_says, limit,
+    listed, nobody, probe, set_up, sid_of, wait_until,
 };
 use rustix::process::Signal;
 use serde_json::json;
 
 /// Processor time that a process has used, in ticks of 10 ms.
 fn ticks(placer: &Placer) -> u64 {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", placer.child.id())).expect("its state");
+    let stat =
+        std::fs::read_to_string(format!("/proc/{}/stat", placer.child.id())).expect("its state");
     let after_name = stat.rsplit(')').next().expect("fields");
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     fields[11].parse::<u64>().expect("user") + fields[12].parse::<u64>().expect("system")
@@ -30,7 +31,9 @@
     // Discovery is down.
     let channel = nobody();
     let known = listed(1, "s-1", host.address, "active");
-    let file = changed(folder.path(), channel, &known, |c| c["limits"]["sockets"] = json!(80));
+    let file = changed(folder.path(), channel, &known, |c| {
+        c["limits"]["sockets"] = json!(80)
+    });
     let placer = Placer::start(&file);
     limit(&placer, 80);
     // Clients of which each said something of use, and that go on to say nothing.
@@ -48,7 +51,9 @@
     assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
     // Discovery is back, at another address first told by a new configuration: it is asked.
     let commands = Commands::start();
-    changed(folder.path(), commands.address, &known, |c| c["limits"]["sockets"] = json!(80));
+    changed(folder.path(), commands.address, &known, |c| {
+        c["limits"]["sockets"] = json!(80)
+    });
     placer.signal(Signal::HUP);
     let (_poll, line) = commands.poll();
     assert!(line.starts_with("GET /cmd/next?resume=1&block="), "{line}");
@@ -80,7 +85,10 @@
     // A loop that spins takes all the processor time there is, about a hundred ticks a second.
     let (before, begin) = (ticks(&placer), Instant::now());
     std::thread::sleep(Duration::from_millis(1500));
-    let (used, took) = (ticks(&placer) - before, begin.elapsed().as_millis() as u64 / 10);
+    let (used, took) = (
+        ticks(&placer) - before,
+        begin.elapsed().as_millis() as u64 / 10,
+    );
     assert!(used * 4 < took, "{used} ticks of {took}");
     // Word of a host that takes tasks is heard, and it is reached.
     while commands.polls.try_recv().is_ok() {}
@@ -104,10 +112,21 @@
     let host = Host::start();
     let channel = nobody();
     let known = listed(1, "s-1", host.address, "active");
-    let folders: Vec<_> = (0..7).map(|_| tempfile::tempdir().expect("a folder")).collect();
-    let files: Vec<PathBuf> = folders.iter().map(|f| config(f.path(), channel, &known)).collect();
-    let starting: Vec<_> = files.into_iter().map(|f| std::thread::spawn(move || Placer::start(&f))).collect();
-    let placers: Vec<Placer> = starting.into_iter().map(|t| t.join().expect("it starts")).collect();
+    let folders: Vec<_> = (0..7)
+        .map(|_| tempfile::tempdir().expect("a folder"))
+        .collect();
+    let files: Vec<PathBuf> = folders
+        .iter()
+        .map(|f| config(f.path(), channel, &known))
+        .collect();
+    let starting: Vec<_> = files
+        .into_iter()
+        .map(|f| std::thread::spawn(move || Placer::start(&f)))
+        .collect();
+    let placers: Vec<Placer> = starting
+        .into_iter()
+        .map(|t| t.join().expect("it starts"))
+        .collect();
     let mut owners: Vec<Owner> = placers.iter().map(Owner::connect).collect();
     for (n, owner) in owners.iter_mut().enumerate() {
         owner.send(&probe(n as u64));
@@ -127,7 +146,13 @@
 
 #[test]
 fn a_byte_at_a_time_in_either_direction_is_read_and_holds_nobody_up() {
-    let Served { _folder, _commands, host, placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer,
+        mut owner,
+    } = Served::start();
     // The owner says something of use first: one that says nothing for 2.5 s is closed.
     owner.send(&probe(1));
     assert_eq!(owner.hear()["msg"].as_str(), Some("probed"));
@@ -154,17 +179,31 @@
         stream.flush().expect("it is sent");
     }
     let heard = owner.hear();
-    assert_eq!((heard["msg"].as_str(), heard["text"].as_str()), (Some("ready"), Some(TEXT)));
+    assert_eq!(
+        (heard["msg"].as_str(), heard["text"].as_str()),
+        (Some("ready"), Some(TEXT))
+    );
 }
 
 #[test]
 fn an_answer_that_breaks_off_is_not_passed_on_and_the_request_has_one_answer() {
-    let Served { _folder, _commands, host, placer: _placer, mut owner } = Served::start();
+    let Served {
+        _folder,
+        _commands,
+        host,
+        placer: _placer,
+        mut owner,
+    } = Served::start();
     owner.send(&set_up("00000000000000a1", 60_000));
     let (mut stream, message) = host.next(1);
     // Half an answer, then the end of the connection.
-    stream.write_all(&[0, 40, 9]).and_then(|()| stream.write_all(&message[1..9])).expect("it is read");
-    stream.shutdown(std::net::Shutdown::Both).expect("it is closed");
+    stream
+        .write_all(&[0, 40, 9])
+        .and_then(|()| stream.write_all(&message[1..9]))
+        .expect("it is read");
+    stream
+        .shutdown(std::net::Shutdown::Both)
+        .expect("it is closed");
     let (mut stream, again) = host.next(1);
     assert_eq!(again[1..9], message[1..9]);
     // The answer, and a copy of it in the same bytes.
@@ -190,7 +229,9 @@
     assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
     // The watch begins an answer and stops, open; the next one too, and says nothing at all.
     let (mut quiet, _) = first.poll();
-    quiet.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"cursor\":2").expect("it is read");
+    quiet
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"cursor\":2")
+        .expect("it is read");
     let (_quiet, line) = first.poll();
     assert!(line.starts_with("GET /cmd/next?resume=1&block="), "{line}");
     // Elsewhere from now on; and the old address finishes its answer with news that is no news there.
@@ -206,11 +247,20 @@
     let (poll, line) = second.poll();
     assert!(line.starts_with("GET /cmd/next?resume=2&block="), "{line}");
     // A second copy of that answer, and one that is older than what is known, change nothing.
-    second.tell(poll.try_clone().expect("a handle"), &listed(2, "s-1", host.address, "active"));
+    second.tell(
+        poll.try_clone().expect("a handle"),
+        &listed(2, "s-1", host.address, "active"),
+    );
     owner.send(&set_up("00000000000000a2", 400));
     let answer = owner.hear();
-    assert_eq!((answer["sid"].as_str(), answer["code"].as_u64()), (Some("00000000000000a2"), Some(34)));
-    assert!(host.heard.try_iter().all(|(_, m)| m[0] != 1), "a set-up to a host that drains");
+    assert_eq!(
+        (answer["sid"].as_str(), answer["code"].as_u64()),
+        (Some("00000000000000a2"), Some(34))
+    );
+    assert!(
+        host.heard.try_iter().all(|(_, m)| m[0] != 1),
+        "a set-up to a host that drains"
+    );
 }
 
 /// The ids of the clients that go.
@@ -225,7 +275,8 @@
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n,
             "status": "active", "weight": 1, "since_ms": 0})
     };
-    let nodes = json!({"index": 1, "snapshot": true, "endpoints": (0..100).map(entry).collect::<Vec<_>>()});
+    let nodes =
+        json!({"index": 1, "snapshot": true, "endpoints": (0..100).map(entry).collect::<Vec<_>>()});
     let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
     let file = changed(folder.path(), commands.address, &known, |c| {
         c["limits"]["memory_mb"] = json!(256);
@@ -250,7 +301,9 @@
     let reached = std::thread::spawn(move || {
         let (mut reached, until) = (Vec::new(), Instant::now() + Duration::from_secs(7));
         while let Some(left) = until.checked_duration_since(Instant::now()) {
-            let Ok((mut stream, message)) = host.heard.recv_timeout(left) else { break };
+            let Ok((mut stream, message)) = host.heard.recv_timeout(left) else {
+                break;
+            };
             let sid = sid_of(&message);
             if message[0] == 1 && GONE.contains(&sid) {
                 reached.push((sid, Instant::now()));
@@ -271,19 +324,26 @@
             std::thread::sleep(Duration::from_millis((sid - GONE.start) * 100));
             let mut stream = TcpStream::connect(address).expect("a connection");
             let ask = set_up(&format!("{sid:016x}"), 60_000);
-            stream.write_all(format!("{ask}\n").as_bytes()).expect("it is read");
+            stream
+                .write_all(format!("{ask}\n").as_bytes())
+                .expect("it is read");
             std::thread::sleep(Duration::from_millis(300));
             drop(stream);
             (sid, Instant::now())
         })
     });
     let clients: Vec<_> = clients.collect();
-    let gone: std::collections::HashMap<u64, Instant> =
-        clients.into_iter().map(|client| client.join().expect("it goes")).collect();
+    let gone: std::collections::HashMap<u64, Instant> = clients
+        .into_iter()
+        .map(|client| client.join().expect("it goes"))
+        .collect();
     for (sid, at) in reached.join().expect("it ends") {
         // 0.1 s is what is promised; the rest is for machines that are busy with other tests.
         let after = at.saturating_duration_since(gone[&sid]);
-        assert!(after < Duration::from_millis(600), "{sid:x}: {after:?} after it had gone");
+        assert!(
+            after < Duration::from_millis(600),
+            "{sid:x}: {after:?} after it had gone"
+        );
     }
 }
 
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -16,7 +16,13 @@
 const SHORT_LIFE_MS: u64 = 50;
 
 fn fleet(workers: usize, placers: usize, hollow_placers: usize) -> Fleet {
-    let size = FleetSize { workers, placers, hollow_placers, with_view: false, seed: 7 };
+    let size = FleetSize {
+        workers,
+        placers,
+        hollow_placers,
+        with_view: false,
+        seed: 7,
+    };
     Fleet::start(size, Path::new(PROGRAM), &Interrupted::default()).expect("a fleet")
 }
 
@@ -25,16 +31,36 @@
     let before = fleet.counter().snapshot();
     let rate = 200.0;
     let seconds = f64::from(tasks) / rate;
-    let plan = ClientPlan { rate, seconds, split_s: 0.0, life_ms: Some(SHORT_LIFE_MS) };
-    let answers = fleet.clients(plan).expect("clients").run().expect("answers");
-    assert_eq!((answers.asked, answers.placed), (u64::from(tasks), u64::from(tasks)));
+    let plan = ClientPlan {
+        rate,
+        seconds,
+        split_s: 0.0,
+        life_ms: Some(SHORT_LIFE_MS),
+    };
+    let answers = fleet
+        .clients(plan)
+        .expect("clients")
+        .run()
+        .expect("answers");
+    assert_eq!(
+        (answers.asked, answers.placed),
+        (u64::from(tasks), u64::from(tasks))
+    );
     fleet.wait_actors_at_most(0).expect("all end");
     fleet.counter().snapshot().since(&before)
 }
 
 fn one(messages: &[MessageCount], kind: MessageKind, direction: Direction) -> MessageCount {
-    let found = messages.iter().find(|m| m.kind == kind && m.direction == direction);
-    found.copied().unwrap_or(MessageCount { kind, direction, count: 0, payload_bytes: 0, wire_bytes: 0 })
+    let found = messages
+        .iter()
+        .find(|m| m.kind == kind && m.direction == direction);
+    found.copied().unwrap_or(MessageCount {
+        kind,
+        direction,
+        count: 0,
+        payload_bytes: 0,
+        wire_bytes: 0,
+    })
 }
 
 /// Kinds of heartbeats, whose number depends on the time that passes.
@@ -44,7 +70,11 @@
 
 /// All that was sent but heartbeats.
 fn without_heartbeats(messages: &[MessageCount]) -> Vec<MessageCount> {
-    messages.iter().copied().filter(|m| m.count > 0 && !is_heartbeat(m.kind)).collect()
+    messages
+        .iter()
+        .copied()
+        .filter(|m| m.count > 0 && !is_heartbeat(m.kind))
+        .collect()
 }
 
 #[test]
@@ -54,7 +84,10 @@
         let mut fleet = fleet(workers, 1, 0);
         let messages = start_and_end(&mut fleet, 40);
         let costs = without_heartbeats(&messages);
-        let kinds: Vec<_> = costs.iter().map(|m| (m.kind, m.direction, m.count)).collect();
+        let kinds: Vec<_> = costs
+            .iter()
+            .map(|m| (m.kind, m.direction, m.count))
+            .collect();
         let expected = [
             (MessageKind::Offer, Direction::FromPlacer, 40),
             (MessageKind::Accepted, Direction::ToPlacer, 40),
@@ -64,7 +97,10 @@
         assert_eq!(kinds, expected, "{workers} workers");
         payload.push(costs.iter().map(|m| m.payload_bytes).sum::<u64>());
     }
-    assert_eq!(payload[0], payload[1], "the bytes of a start do not depend on the workers");
+    assert_eq!(
+        payload[0], payload[1],
+        "the bytes of a start do not depend on the workers"
+    );
 }
 
 #[test]
@@ -75,13 +111,29 @@
         let connections = (workers * placers) as u64;
         let both = [Direction::FromPlacer, Direction::ToPlacer];
         for direction in both {
-            assert_eq!(one(&traffic, MessageKind::Hello, direction).count, connections);
-            assert_eq!(one(&traffic, MessageKind::Connection, direction).count, connections);
+            assert_eq!(
+                one(&traffic, MessageKind::Hello, direction).count,
+                connections
+            );
+            assert_eq!(
+                one(&traffic, MessageKind::Connection, direction).count,
+                connections
+            );
         }
-        assert_eq!(one(&traffic, MessageKind::HeldEnd, Direction::ToPlacer).count, connections);
-        let known =
-            |kind| matches!(kind, MessageKind::Hello | MessageKind::HeldEnd | MessageKind::Connection);
-        let others: Vec<_> = without_heartbeats(&traffic).into_iter().filter(|m| !known(m.kind)).collect();
+        assert_eq!(
+            one(&traffic, MessageKind::HeldEnd, Direction::ToPlacer).count,
+            connections
+        );
+        let known = |kind| {
+            matches!(
+                kind,
+                MessageKind::Hello | MessageKind::HeldEnd | MessageKind::Connection
+            )
+        };
+        let others: Vec<_> = without_heartbeats(&traffic)
+            .into_iter()
+            .filter(|m| !known(m.kind))
+            .collect();
         assert_eq!(others, [], "{workers} workers, {placers} placers");
     }
 }
@@ -96,7 +148,10 @@
         // Waits for events: a heartbeat of every host on the average.
         let enough = pings(&before) + workers as u64;
         while pings(&fleet.counter().snapshot()) < enough {
-            assert!(begun.elapsed() < std::time::Duration::from_secs(120), "heartbeats are sent");
+            assert!(
+                begun.elapsed() < std::time::Duration::from_secs(120),
+                "heartbeats are sent"
+            );
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
         let messages = fleet.counter().snapshot().since(&before);
@@ -105,10 +160,21 @@
         let answered = one(&messages, MessageKind::Pong, Direction::ToPlacer);
         // One a second at most for each host, and one that was due before.
         let most = workers as f64 * (seconds + 1.0);
-        assert!(sent.count as f64 <= most, "{} pings to {workers} hosts in {seconds:.1} s", sent.count);
-        assert!(sent.count.abs_diff(answered.count) <= workers as u64, "{sent:?} {answered:?}");
+        assert!(
+            sent.count as f64 <= most,
+            "{} pings to {workers} hosts in {seconds:.1} s",
+            sent.count
+        );
+        assert!(
+            sent.count.abs_diff(answered.count) <= workers as u64,
+            "{sent:?} {answered:?}"
+        );
         assert_eq!(sent.payload_bytes, sent.count * 9);
-        assert_eq!(without_heartbeats(&messages), [], "nothing else is sent at rest");
+        assert_eq!(
+            without_heartbeats(&messages),
+            [],
+            "nothing else is sent at rest"
+        );
     }
 }
 
@@ -117,7 +183,10 @@
     let fleet = fleet(3, 1, 5);
     let traffic = fleet.counter().snapshot().since(&Traffic::default());
     // The fleet waits until the hollow placers are connected too; what is counted is the real placer's alone.
-    assert_eq!(one(&traffic, MessageKind::Hello, Direction::FromPlacer).count, 3);
+    assert_eq!(
+        one(&traffic, MessageKind::Hello, Direction::FromPlacer).count,
+        3
+    );
 }
 
 #[test]
@@ -127,20 +196,38 @@
     let text = "dimension = \"members\"\nvalues = [2]\n[base]\nworkers = 2\nplacers = 1\n\
                 [phases]\nsettle_s = 0\nrest_s = 3\n";
     std::fs::write(&file, text).expect("a file");
-    let (code, errors) = run(&["scale", "run", &file.display().to_string()], folder.path());
+    let (code, errors) = run(
+        &["scale", "run", &file.display().to_string()],
+        folder.path(),
+    );
     assert_eq!(code, Some(0), "{errors}");
     let text = std::fs::read_to_string(folder.path().join("view.json")).expect("results");
     let result: SweepResult = serde_json::from_str(&text).expect("the format of results");
     let rest = &result.points[0].phases[0];
     assert_eq!((rest.phase, rest.placers.len()), (Phase::Rest, 2));
-    let datagrams = one(&rest.messages, MessageKind::FleetDatagram, Direction::FromPlacer);
+    let datagrams = one(
+        &rest.messages,
+        MessageKind::FleetDatagram,
+        Direction::FromPlacer,
+    );
     assert!(datagrams.count > 0, "{:?}", rest.messages);
-    assert_eq!(datagrams.wire_bytes, datagrams.payload_bytes + datagrams.count * 28);
+    assert_eq!(
+        datagrams.wire_bytes,
+        datagrams.payload_bytes + datagrams.count * 28
+    );
 }
 
 fn run(arguments: &[&str], output: &Path) -> (Option<i32>, String) {
-    let out = Command::new(PROGRAM).args(arguments).arg("--output").arg(output).output().expect("it runs");
-    (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+    let out = Command::new(PROGRAM)
+        .args(arguments)
+        .arg("--output")
+        .arg(output)
+        .output()
+        .expect("it runs");
+    (
+        out.status.code(),
+        String::from_utf8_lossy(&out.stderr).into_owned(),
+    )
 }
 
 fn sweeps() -> PathBuf {
@@ -151,12 +238,22 @@
 fn the_small_sweep_measures_every_phase_of_every_size() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = sweeps().join("small.toml");
-    let (code, errors) = run(&["scale", "run", &file.display().to_string()], folder.path());
+    let (code, errors) = run(
+        &["scale", "run", &file.display().to_string()],
+        folder.path(),
+    );
     assert_eq!(code, Some(0), "{errors}");
     let text = std::fs::read_to_string(folder.path().join("small.json")).expect("results");
     let result: SweepResult = serde_json::from_str(&text).expect("the format of results");
-    assert_eq!((result.format, result.dimension), (RESULT_FORMAT, Dimension::Workers));
-    let sizes: Vec<_> = result.points.iter().map(|p| p.settings.value(result.dimension)).collect();
+    assert_eq!(
+        (result.format, result.dimension),
+        (RESULT_FORMAT, Dimension::Workers)
+    );
+    let sizes: Vec<_> = result
+        .points
+        .iter()
+        .map(|p| p.settings.value(result.dimension))
+        .collect();
     assert_eq!(sizes, [4.0, 8.0]);
     for point in &result.points {
         let phases: Vec<_> = point.phases.iter().map(|p| p.phase).collect();
@@ -172,10 +269,20 @@
             let placer = sample.placers[0];
             assert!(placer.resident_kib > 0 && placer.proportional_kib > 0);
             assert!(placer.descriptors > placer.host_connections);
-            let wire = sample.messages.iter().all(|m| m.wire_bytes >= m.payload_bytes);
-            assert!(wire, "a wire carries more than the payload: {:?}", sample.messages);
+            let wire = sample
+                .messages
+                .iter()
+                .all(|m| m.wire_bytes >= m.payload_bytes);
+            assert!(
+                wire,
+                "a wire carries more than the payload: {:?}",
+                sample.messages
+            );
         }
-        assert_eq!(point.phases[0].placers[0].host_connections, point.settings.workers);
+        assert_eq!(
+            point.phases[0].placers[0].host_connections,
+            point.settings.workers
+        );
         assert!(point.phases[1].answer_us.is_some());
     }
 }
@@ -185,18 +292,42 @@
     let folder = tempfile::tempdir().expect("a folder");
     let base = "[base]\nworkers = 100\nplacers = 20\n";
     let cases = [
-        ("dimension = \"workers\"\nvalues = [100]\n", "open descriptors"),
-        ("dimension = \"config_changes_per_hour\"\nvalues = [1]\n", "no reload"),
-        ("dimension = \"members\"\nvalues = [300]\n", "values[0]: 300 is given"),
-        ("dimension = \"workers\"\nvalues = [0]\n", "values[0]: 0 is given"),
-        ("dimension = \"workers\"\nvalues = [4]\nfaults = [\"zone_returns\"]\n", "faults[0]"),
-        ("dimension = \"workers\"\nvalue = [4]\n", "did you mean `values`"),
+        (
+            "dimension = \"workers\"\nvalues = [100]\n",
+            "open descriptors",
+        ),
+        (
+            "dimension = \"config_changes_per_hour\"\nvalues = [1]\n",
+            "no reload",
+        ),
+        (
+            "dimension = \"members\"\nvalues = [300]\n",
+            "values[0]: 300 is given",
+        ),
+        (
+            "dimension = \"workers\"\nvalues = [0]\n",
+            "values[0]: 0 is given",
+        ),
+        (
+            "dimension = \"workers\"\nvalues = [4]\nfaults = [\"zone_returns\"]\n",
+            "faults[0]",
+        ),
+        (
+            "dimension = \"workers\"\nvalue = [4]\n",
+            "did you mean `values`",
+        ),
     ];
     for (number, (head, complaint)) in cases.into_iter().enumerate() {
         let file = folder.path().join(format!("sweep-{number}.toml"));
         std::fs::write(&file, format!("{head}{base}")).expect("a file");
-        let limited = format!("ulimit -n 1000 && exec '{PROGRAM}' scale run '{}'", file.display());
-        let out = Command::new("sh").args(["-c", &limited]).output().expect("it runs");
+        let limited = format!(
+            "ulimit -n 1000 && exec '{PROGRAM}' scale run '{}'",
+            file.display()
+        );
+        let out = Command::new("sh")
+            .args(["-c", &limited])
+            .output()
+            .expect("it runs");
         let errors = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{errors}");
         assert!(errors.contains(complaint), "{errors}");
@@ -210,7 +341,11 @@
         let path = entry.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("a file");
         let file = path.display().to_string();
-        SweepFile::parse(Doc { file: &file, text: &text }).expect("a sound sweep");
+        SweepFile::parse(Doc {
+            file: &file,
+            text: &text,
+        })
+        .expect("a sound sweep");
         files += 1;
     }
     assert!(files >= 8);
--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -20,7 +20,11 @@
 
 fn report(page: &Path, results: &Path, check: bool) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_maplethread"));
-    command.args(["scale", "report", "--page"]).arg(page).arg("--results").arg(results);
+    command
+        .args(["scale", "report", "--page"])
+        .arg(page)
+        .arg("--results")
+        .arg(results);
     if check {
         command.arg("--check");
     }
@@ -40,32 +44,57 @@
 
 fn folder(result: &str) -> Folder {
     let kept = tempfile::tempdir().expect("a folder");
-    let (page, results) = (kept.path().join("CAPACITY.md"), kept.path().join("capacity"));
+    let (page, results) = (
+        kept.path().join("CAPACITY.md"),
+        kept.path().join("capacity"),
+    );
     fs::create_dir(&results).expect("a folder");
     fs::write(&page, PAGE).expect("a page");
     fs::write(results.join("workers.json"), result).expect("a result");
-    Folder { _kept: kept, page, results }
+    Folder {
+        _kept: kept,
+        page,
+        results,
+    }
 }
 
 #[test]
 fn the_committed_page_and_plots_are_what_the_results_say() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let output = report(&docs.join("CAPACITY.md"), &docs.join("capacity"), true);
-    assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
 }
 
 #[test]
 fn what_was_written_passes_the_check_until_it_is_changed() {
     let folder = folder(RESULT);
     let before = complaint(&report(&folder.page, &folder.results, true));
-    assert!(before.contains("CAPACITY.md: block `workers` differs"), "{before}");
+    assert!(
+        before.contains("CAPACITY.md: block `workers` differs"),
+        "{before}"
+    );
     assert!(before.contains("workers.svg: is not there"), "{before}");
-    assert_eq!(fs::read_to_string(&folder.page).expect("a page"), PAGE, "a check writes nothing");
+    assert_eq!(
+        fs::read_to_string(&folder.page).expect("a page"),
+        PAGE,
+        "a check writes nothing"
+    );
 
-    assert!(report(&folder.page, &folder.results, false).status.success());
+    assert!(
+        report(&folder.page, &folder.results, false)
+            .status
+            .success()
+    );
     assert!(report(&folder.page, &folder.results, true).status.success());
     let page = fs::read_to_string(&folder.page).expect("a page");
-    assert!(page.contains("](capacity/workers.svg)"), "the page finds the plot beside it");
+    assert!(
+        page.contains("](capacity/workers.svg)"),
+        "the page finds the plot beside it"
+    );
 
     fs::write(&folder.page, page.replace("24,000", "25,000")).expect("a page");
     let changed = complaint(&report(&folder.page, &folder.results, true));
@@ -88,5 +117,8 @@
     let folder = folder(RESULT);
     fs::write(&folder.page, "# Capacity\n").expect("a page");
     let why = complaint(&report(&folder.page, &folder.results, false));
-    assert!(why.contains("CAPACITY.md: no block `size`: add the lines"), "{why}");
+    assert!(
+        why.contains("CAPACITY.md: no block `size`: add the lines"),
+        "{why}"
+    );
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -54,7 +54,9 @@
                 return frame;
             }
             let left = until.checked_duration_since(Instant::now())?;
-            self.stream.set_read_timeout(Some(left.max(Duration::from_millis(1)))).expect("a timeout");
+            self.stream
+                .set_read_timeout(Some(left.max(Duration::from_millis(1))))
+                .expect("a timeout");
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return None,
@@ -90,7 +92,9 @@
     /// The bare connection.
     pub fn into_stream(self) -> TcpStream {
         assert!(self.buffer.is_empty(), "frames are left unread");
-        self.stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        self.stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a timeout");
         self.stream
     }
 }
@@ -108,7 +112,13 @@
     pub fn new(name: &str, zone: &str, cell: &str) -> ScriptedHost {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let (name, zone, cell) = (name.to_owned(), zone.to_owned(), cell.to_owned());
-        ScriptedHost { listener, name, zone, cell, started_ms: 1 }
+        ScriptedHost {
+            listener,
+            name,
+            zone,
+            cell,
+            started_ms: 1,
+        }
     }
 
     pub fn address(&self) -> SocketAddr {
@@ -119,9 +129,16 @@
     pub fn greet(&self, held: &[Frame]) -> Link {
         let (stream, _) = self.listener.accept().expect("the placer connects");
         stream.set_nodelay(true).expect("a socket");
-        let mut link = Link { stream, buffer: Vec::new(), placer: String::new(), life: 0 };
+        let mut link = Link {
+            stream,
+            buffer: Vec::new(),
+            placer: String::new(),
+            life: 0,
+        };
         match link.next() {
-            Frame::Hello { name, started_ms, .. } => (link.placer, link.life) = (name, started_ms),
+            Frame::Hello {
+                name, started_ms, ..
+            } => (link.placer, link.life) = (name, started_ms),
             other => panic!("a placer greets first, not {other:?}"),
         }
         link.send(&Frame::Hello {
@@ -216,7 +233,11 @@
         );
         std::fs::write(folder.path().join("placer.toml"), config).expect("a file");
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let placer = Placer { folder, child: None, address };
+        let placer = Placer {
+            folder,
+            child: None,
+            address,
+        };
         placer.inventory(&hosts.iter().map(|h| (*h, "ready")).collect::<Vec<_>>());
         placer
     }
@@ -252,7 +273,11 @@
 
     /// Starts the process; its address is known once all hosts are greeted.
     pub fn start(&mut self) -> impl FnOnce(&mut Placer) + use<> {
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(self.log()).expect("a log");
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.log())
+            .expect("a log");
         let mut child = Command::new(env!("CARGO_BIN_EXE_maplethread"))
             .args(["placer", "--log", "debug", "--config"])
             .arg(self.folder.path().join("placer.toml"))
@@ -268,7 +293,10 @@
             BufReader::new(out).read_line(&mut line).expect("a line");
             let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
             placer.address = address.unwrap_or_else(|| {
-                panic!("no address: {}", std::fs::read_to_string(placer.log()).unwrap_or_default())
+                panic!(
+                    "no address: {}",
+                    std::fs::read_to_string(placer.log()).unwrap_or_default()
+                )
             });
         }
     }
@@ -296,16 +324,27 @@
     /// Memory, KiB.
     pub fn rss_kib(&self) -> u64 {
         let status =
-            std::fs::read_to_string(format!("/proc/{}/status", self.pid().as_raw_nonzero())).expect("runs");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).expect("a line");
-        line.split_whitespace().next().and_then(|n| n.parse().ok()).expect("a number")
+            std::fs::read_to_string(format!("/proc/{}/status", self.pid().as_raw_nonzero()))
+                .expect("runs");
+        let line = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmRSS:"))
+            .expect("a line");
+        line.split_whitespace()
+            .next()
+            .and_then(|n| n.parse().ok())
+            .expect("a number")
     }
 
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the placer listens");
         stream.set_nodelay(true).expect("a socket");
         stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
-        Client { stream, reader: Reader::new(Role::Responses, Limits::default()), buffer: Vec::new() }
+        Client {
+            stream,
+            reader: Reader::new(Role::Responses, Limits::default()),
+            buffer: Vec::new(),
+        }
     }
 
     pub fn status(&self) -> Value {
@@ -329,7 +368,10 @@
 impl Drop for Placer {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("{}", std::fs::read_to_string(self.log()).unwrap_or_default());
+            eprintln!(
+                "{}",
+                std::fs::read_to_string(self.log()).unwrap_or_default()
+            );
         }
         self.kill();
     }
--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -42,7 +42,10 @@
 
 impl PlacerConfig {
     pub(crate) fn check(&self, doc: Doc<'_>) -> Result<(), ConfigErrors> {
-        let mut faults = Faults { doc, found: ConfigErrors(Vec::new()) };
+        let mut faults = Faults {
+            doc,
+            found: ConfigErrors(Vec::new()),
+        };
         self.identity(&mut faults);
         self.limits(&mut faults);
         if let Some(trace) = &self.trace {
@@ -61,7 +64,12 @@
             );
             let zone = &self.placer.zone;
             let allowed = "with [fleet] a zone has 1 to 32 bytes";
-            faults.given((1..=32).contains(&zone.len()), "placer.zone", format_args!("`{zone}`"), allowed);
+            faults.given(
+                (1..=32).contains(&zone.len()),
+                "placer.zone",
+                format_args!("`{zone}`"),
+                allowed,
+            );
             fleet.faults(&mut faults);
         }
         self.figures(&mut faults);
@@ -73,21 +81,43 @@
         if faults.found.0.is_empty() {
             // What the module would refuse has been found above; this is its own word on it.
             let sound = self.settings().check();
-            faults.check(sound.is_ok(), "", sound.err().map(|e| e.to_string()).unwrap_or_default());
+            faults.check(
+                sound.is_ok(),
+                "",
+                sound.err().map(|e| e.to_string()).unwrap_or_default(),
+            );
+        }
+        if faults.found.0.is_empty() {
+            Ok(())
+        } else {
+            Err(faults.found)
         }
-        if faults.found.0.is_empty() { Ok(()) } else { Err(faults.found) }
     }
 
     fn identity(&self, faults: &mut Faults<'_>) {
         let who = &self.placer;
         let named = !who.name.is_empty() && who.name.len() <= 200;
-        faults.given(named, "placer.name", format_args!("`{}`", who.name), "a name has 1 to 200 bytes");
+        faults.given(
+            named,
+            "placer.name",
+            format_args!("`{}`", who.name),
+            "a name has 1 to 200 bytes",
+        );
         faults.least("placer.placers", who.placers.into(), 1);
         let below = who.number < who.placers;
         faults.given(below, "placer.number", who.number, "below placer.placers");
-        faults.check(!who.zones.is_empty(), "placer.zones", "at least one is needed");
+        faults.check(
+            !who.zones.is_empty(),
+            "placer.zones",
+            "at least one is needed",
+        );
         let known = who.zones.contains(&who.zone);
-        faults.given(known, "placer.zone", format_args!("`{}`", who.zone), "one of placer.zones");
+        faults.given(
+            known,
+            "placer.zone",
+            format_args!("`{}`", who.zone),
+            "one of placer.zones",
+        );
     }
 
     fn limits(&self, faults: &mut Faults<'_>) {
@@ -114,8 +144,16 @@
             ("hosts.connect_within_ms", hosts.connect_within_ms, 1),
             ("hosts.reconnect_first_ms", hosts.reconnect_first_ms, 1),
             ("hosts.ping_every_ms", hosts.ping_every_ms, 10),
-            ("hosts.max_idle_pings_per_s", hosts.max_idle_pings_per_s.into(), 1),
-            ("hosts.max_unwritten_bytes", hosts.max_unwritten_bytes as u64, 4096),
+            (
+                "hosts.max_idle_pings_per_s",
+                hosts.max_idle_pings_per_s.into(),
+                1,
+            ),
+            (
+                "hosts.max_unwritten_bytes",
+                hosts.max_unwritten_bytes as u64,
+                4096,
+            ),
             ("placing.max_attempts", self.placing.max_attempts.into(), 1),
         ];
         for (key, value, floor) in least {
@@ -123,14 +161,33 @@
         }
         let rising = hosts.reconnect_most_ms >= hosts.reconnect_first_ms;
         let most = hosts.reconnect_most_ms;
-        faults.given(rising, "hosts.reconnect_most_ms", most, "at least hosts.reconnect_first_ms");
+        faults.given(
+            rising,
+            "hosts.reconnect_most_ms",
+            most,
+            "at least hosts.reconnect_first_ms",
+        );
         let longer = hosts.silent_after_ms > hosts.ping_every_ms;
-        faults.given(longer, "hosts.silent_after_ms", hosts.silent_after_ms, "above hosts.ping_every_ms");
+        faults.given(
+            longer,
+            "hosts.silent_after_ms",
+            hosts.silent_after_ms,
+            "above hosts.ping_every_ms",
+        );
         let interval = hosts.max_idle_ping_interval_ms;
         let allowed = "above hosts.ping_every_ms";
-        faults.given(interval > hosts.ping_every_ms, "hosts.max_idle_ping_interval_ms", interval, allowed);
+        faults.given(
+            interval > hosts.ping_every_ms,
+            "hosts.max_idle_ping_interval_ms",
+            interval,
+            allowed,
+        );
         let one = hosts.inventory.is_some() != self.consul.is_some();
-        faults.check(one, "hosts.inventory", "either this or [consul] tells of the hosts");
+        faults.check(
+            one,
+            "hosts.inventory",
+            "either this or [consul] tells of the hosts",
+        );
     }
 
     fn figures(&self, faults: &mut Faults<'_>) {
@@ -150,7 +207,11 @@
         faults.check(!self.kind.is_empty(), "kind", "at least one is needed");
         for (i, kind) in self.kind.iter().enumerate() {
             let twice = self.kind[..i].iter().any(|k| k.name == kind.name);
-            faults.check(!twice, &format!("kind[{i}].name"), format!("`{}` stands twice", kind.name));
+            faults.check(
+                !twice,
+                &format!("kind[{i}].name"),
+                format!("`{}` stands twice", kind.name),
+            );
             faults.positive(&format!("kind[{i}].cores"), kind.cores);
             faults.positive(&format!("kind[{i}].memory_gib"), kind.memory_gib);
         }
@@ -159,17 +220,33 @@
     fn class(&self, i: usize, class: &Class, faults: &mut Faults<'_>) {
         let key = |field: &str| format!("class[{i}].{field}");
         let twice = self.class[..i].iter().any(|c| c.name == class.name);
-        faults.check(!twice, &key("name"), format!("`{}` stands twice", class.name));
+        faults.check(
+            !twice,
+            &key("name"),
+            format!("`{}` stands twice", class.name),
+        );
         let keyed = class.effect == Effect::Keyed;
         let belongs = "belongs to keyed classes, and to all of them";
         faults.check(class.group.is_some() == keyed, &key("group"), belongs);
-        faults.check(class.window_ms.is_some() == keyed, &key("window_ms"), belongs);
+        faults.check(
+            class.window_ms.is_some() == keyed,
+            &key("window_ms"),
+            belongs,
+        );
         faults.least(&key("aim_ms"), class.aim_ms, 1);
         faults.not_negative(&key("worth"), class.worth);
         faults.not_negative(&key("start_bonus_s"), class.start_bonus_s);
         let both = class.spread_over.is_some() == class.spread_most.is_some();
-        faults.check(both, &key("spread_most"), "spread_over and spread_most belong together");
-        faults.least(&key("spread_most"), class.spread_most.unwrap_or(1).into(), 1);
+        faults.check(
+            both,
+            &key("spread_most"),
+            "spread_over and spread_most belong together",
+        );
+        faults.least(
+            &key("spread_most"),
+            class.spread_most.unwrap_or(1).into(),
+            1,
+        );
         if let Some(kind) = &class.kind {
             let known = self.kind.iter().any(|k| &k.name == kind);
             faults.check(known, &key("kind"), format!("unknown kind `{kind}`"));
@@ -180,8 +257,17 @@
 impl Fleet {
     fn faults(&self, faults: &mut Faults<'_>) {
         let named = !self.name.is_empty() && self.name.len() <= 64;
-        faults.given(named, "fleet.name", format_args!("`{}`", self.name), "a name has 1 to 64 bytes");
-        faults.check(!self.key_file.as_os_str().is_empty(), "fleet.key_file", "a file is needed");
+        faults.given(
+            named,
+            "fleet.name",
+            format_args!("`{}`", self.name),
+            "a name has 1 to 64 bytes",
+        );
+        faults.check(
+            !self.key_file.as_os_str().is_empty(),
+            "fleet.key_file",
+            "a file is needed",
+        );
         let reached = |a: &SocketAddr| !a.ip().is_unspecified() && a.port() > 0;
         match self.advertise {
             Some(to) => {
@@ -194,20 +280,50 @@
             }
             None => {
                 let any = self.listen.ip().is_unspecified();
-                faults.given(!any, "fleet.listen", self.listen, "one address, or fleet.advertise beside it");
+                faults.given(
+                    !any,
+                    "fleet.listen",
+                    self.listen,
+                    "one address, or fleet.advertise beside it",
+                );
             }
         }
         for seed in self.seeds.iter().filter(|s| !reached(s)) {
-            faults.given(false, "fleet.seeds", seed, "addresses and ports that can be sent to");
+            faults.given(
+                false,
+                "fleet.seeds",
+                seed,
+                "addresses and ports that can be sent to",
+            );
         }
         let many = self.seeds.len();
-        faults.given(many <= 32, "fleet.seeds", format_args!("{many} seeds"), "at most 32");
+        faults.given(
+            many <= 32,
+            "fleet.seeds",
+            format_args!("{many} seeds"),
+            "at most 32",
+        );
         faults.least("fleet.probe_every_ms", self.probe_every_ms, 20);
         let within = (1..self.probe_every_ms).contains(&self.probe_within_ms);
         let allowed = "1 to less than fleet.probe_every_ms";
-        faults.given(within, "fleet.probe_within_ms", self.probe_within_ms, allowed);
-        faults.given((1..=16).contains(&self.helpers), "fleet.helpers", self.helpers, "1 to 16");
-        faults.given((1..=100).contains(&self.suspicion), "fleet.suspicion", self.suspicion, "1 to 100");
+        faults.given(
+            within,
+            "fleet.probe_within_ms",
+            self.probe_within_ms,
+            allowed,
+        );
+        faults.given(
+            (1..=16).contains(&self.helpers),
+            "fleet.helpers",
+            self.helpers,
+            "1 to 16",
+        );
+        faults.given(
+            (1..=100).contains(&self.suspicion),
+            "fleet.suspicion",
+            self.suspicion,
+            "1 to 100",
+        );
         faults.least("fleet.gossip_every_ms", self.gossip_every_ms, 10);
         faults.least("fleet.sync_every_ms", self.sync_every_ms, 50);
         faults.least("fleet.seek_every_ms", self.seek_every_ms, 50);
@@ -224,31 +340,59 @@
 
 impl Trace {
     fn faults(&self, faults: &mut Faults<'_>) {
-        faults.check(!self.folder.as_os_str().is_empty(), "trace.folder", "a folder is needed");
+        faults.check(
+            !self.folder.as_os_str().is_empty(),
+            "trace.folder",
+            "a folder is needed",
+        );
         faults.least("trace.rotate_mib", self.rotate_mib, 1);
         faults.least("trace.rotate_s", self.rotate_s, 1);
         let allowed = "at least trace.rotate_mib";
-        faults.given(self.keep_mib >= self.rotate_mib, "trace.keep_mib", self.keep_mib, allowed);
+        faults.given(
+            self.keep_mib >= self.rotate_mib,
+            "trace.keep_mib",
+            self.keep_mib,
+            allowed,
+        );
         faults.least("trace.queue_records", self.queue_records as u64, 64);
     }
 }
 
 impl Consul {
     fn faults(&self, ask_within_ms: u64, faults: &mut Faults<'_>) {
-        faults.check(!self.servers.is_empty(), "consul.servers", "at least one is needed");
+        faults.check(
+            !self.servers.is_empty(),
+            "consul.servers",
+            "at least one is needed",
+        );
         for server in self.servers.iter().filter(|s| !s.ip().is_loopback()) {
             let allowed = "loopback addresses, as plain text is spoken on these only";
             faults.given(false, "consul.servers", server, allowed);
         }
-        faults.check(!self.service.is_empty(), "consul.service", "a name is needed");
+        faults.check(
+            !self.service.is_empty(),
+            "consul.service",
+            "a name is needed",
+        );
         let within = self.wait_ms >= 1 && self.wait_ms <= ask_within_ms / 2;
-        let allowed = format!("1 to half of rules.ask_within_ms, which is {}", ask_within_ms / 2);
+        let allowed = format!(
+            "1 to half of rules.ask_within_ms, which is {}",
+            ask_within_ms / 2
+        );
         faults.given(within, "consul.wait_ms", self.wait_ms, allowed);
         faults.least("consul.members_every_ms", self.members_every_ms, 100);
-        faults.least("consul.max_answer_bytes", self.max_answer_bytes as u64, 1024);
+        faults.least(
+            "consul.max_answer_bytes",
+            self.max_answer_bytes as u64,
+            1024,
+        );
         if let Some(m) = &self.membership {
             faults.least("consul.membership.ttl_ms", m.ttl_ms, 1_000);
-            faults.check(!m.prefix.is_empty(), "consul.membership.prefix", "a key's prefix is needed");
+            faults.check(
+                !m.prefix.is_empty(),
+                "consul.membership.prefix",
+                "a key's prefix is needed",
+            );
         }
     }
 }
@@ -261,43 +405,103 @@
 
     #[test]
     fn all_faults_are_told_at_once_with_line_key_what_was_given_and_what_is_allowed() {
-        let sound = PlacerConfig::parse(Doc { file: "placer.toml", text: FAULTY });
-        let text = sound.expect("the settings to try are sound").to_toml().expect("TOML");
+        let sound = PlacerConfig::parse(Doc {
+            file: "placer.toml",
+            text: FAULTY,
+        });
+        let text = sound
+            .expect("the settings to try are sound")
+            .to_toml()
+            .expect("TOML");
         let with = |key: &str, value: &str| {
-            let line =
-                text.lines().position(|l| l.starts_with(&format!("{key} = "))).expect("the key stands");
+            let line = text
+                .lines()
+                .position(|l| l.starts_with(&format!("{key} = ")))
+                .expect("the key stands");
             let swapped: Vec<String> = text
                 .lines()
                 .enumerate()
-                .map(|(n, l)| if n == line { format!("{key} = {value}") } else { l.to_owned() })
+                .map(|(n, l)| {
+                    if n == line {
+                        format!("{key} = {value}")
+                    } else {
+                        l.to_owned()
+                    }
+                })
                 .collect();
             (line + 1, swapped.join("\n"))
         };
         let one = |key: &str, value: &str| {
             let (line, text) = with(key, value);
-            let faults = PlacerConfig::parse(Doc { file: "f", text: &text }).expect_err("a fault");
+            let faults = PlacerConfig::parse(Doc {
+                file: "f",
+                text: &text,
+            })
+            .expect_err("a fault");
             (line, faults)
         };
         for (key, value, full, allowed) in [
-            ("fall_multiple", "-4.0", "rules.fall_multiple", "-4 is given; above 0"),
-            ("fresh_offers", "-1.0", "rules.fresh_offers", "-1 is given; 0 or above"),
-            ("cold_from", "nan", "rules.cold_from", "NaN is given; 0 or above"),
-            ("admit_cores", "0.0", "placing.admit_cores", "0 is given; above 0"),
-            ("max_attempts", "0", "placing.max_attempts", "0 is given; at least 1"),
-            ("cross_zone", "-0.5", "prices.cross_zone", "-0.5 is given; 0 or above"),
-            ("max_clients", "0", "api.max_clients", "0 is given; at least 1"),
+            (
+                "fall_multiple",
+                "-4.0",
+                "rules.fall_multiple",
+                "-4 is given; above 0",
+            ),
+            (
+                "fresh_offers",
+                "-1.0",
+                "rules.fresh_offers",
+                "-1 is given; 0 or above",
+            ),
+            (
+                "cold_from",
+                "nan",
+                "rules.cold_from",
+                "NaN is given; 0 or above",
+            ),
+            (
+                "admit_cores",
+                "0.0",
+                "placing.admit_cores",
+                "0 is given; above 0",
+            ),
+            (
+                "max_attempts",
+                "0",
+                "placing.max_attempts",
+                "0 is given; at least 1",
+            ),
+            (
+                "cross_zone",
+                "-0.5",
+                "prices.cross_zone",
+                "-0.5 is given; 0 or above",
+            ),
+            (
+                "max_clients",
+                "0",
+                "api.max_clients",
+                "0 is given; at least 1",
+            ),
         ] {
             let (line, faults) = one(key, value);
             assert_eq!(faults.0.len(), 1, "{faults}");
             let fault = &faults.0[0];
-            assert_eq!((fault.line, fault.key.as_str(), fault.message.as_str()), (Some(line), full, allowed));
+            assert_eq!(
+                (fault.line, fault.key.as_str(), fault.message.as_str()),
+                (Some(line), full, allowed)
+            );
         }
         // Two faults, two lines of complaint.
         let (_, text) = with("fall_multiple", "-4.0");
         let text = text
             .replace("max_clients = ", "max_clients = 0 # ")
             .replace("fresh_offers = ", "fresh_offers = -");
-        let faults = PlacerConfig::parse(Doc { file: "f", text: &text }).expect_err("faults");
+        let faults = PlacerConfig::parse(Doc {
+            file: "f",
+            text: &text,
+        })
+        .expect_err("faults");
         assert_eq!(faults.0.len(), 3, "{faults}");
         assert_eq!(faults.to_string().lines().count(), 3);
     }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -70,16 +70,34 @@
     /// A complaint about the value of `key`, such as `class[1].aim_ms`.
     pub fn error(&self, key: &str, message: impl Into<String>) -> ConfigError {
         let line = self.line_of(key);
-        ConfigError { file: self.file.to_owned(), line, key: key.to_owned(), message: message.into() }
+        ConfigError {
+            file: self.file.to_owned(),
+            line,
+            key: key.to_owned(),
+            message: message.into(),
+        }
     }
 
     /// Complains unless `fine`.
-    pub fn check(&self, fine: bool, key: &str, message: impl Into<String>) -> Result<(), ConfigError> {
-        if fine { Ok(()) } else { Err(self.error(key, message)) }
+    pub fn check(
+        &self,
+        fine: bool,
+        key: &str,
+        message: impl Into<String>,
+    ) -> Result<(), ConfigError> {
+        if fine {
+            Ok(())
+        } else {
+            Err(self.error(key, message))
+        }
     }
 
     fn at(&self, offset: usize) -> usize {
-        self.text.as_bytes()[..offset.min(self.text.len())].iter().filter(|&&b| b == b'\n').count() + 1
+        self.text.as_bytes()[..offset.min(self.text.len())]
+            .iter()
+            .filter(|&&b| b == b'\n')
+            .count()
+            + 1
     }
 
     /// The line of a key, or of the nearest part above it that stands in the file.
@@ -121,13 +139,24 @@
         let quoted: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
         let mut key = String::new();
         let mut hint = String::new();
-        if let (true, Some((wrong, known))) = (message.starts_with("unknown field"), quoted.split_first()) {
+        if let (true, Some((wrong, known))) =
+            (message.starts_with("unknown field"), quoted.split_first())
+        {
             key = (*wrong).to_owned();
             let like = |k: &&&str| strsim::damerau_levenshtein(k, wrong);
-            if let Some(best) = known.iter().min_by_key(like).filter(|k| like(k) <= 1 + wrong.len() / 3) {
+            if let Some(best) = known
+                .iter()
+                .min_by_key(like)
+                .filter(|k| like(k) <= 1 + wrong.len() / 3)
+            {
                 hint = format!("; did you mean `{best}`?");
             }
         }
-        ConfigError { file: doc.file.to_owned(), line, key, message: format!("{message}{hint}") }
+        ConfigError {
+            file: doc.file.to_owned(),
+            line,
+            key,
+            message: format!("{message}{hint}"),
+        }
     })
 }
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -63,25 +63,48 @@
     /// is far more often a file cut short than a fleet that is gone, and whoever means it can list them as gone.
     pub fn parse(doc: Doc<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
         let inventory: Inventory = parse(doc)?;
-        doc.check(!inventory.host.is_empty(), "host", "no hosts; list removed ones with state = \"gone\"")?;
+        doc.check(
+            !inventory.host.is_empty(),
+            "host",
+            "no hosts; list removed ones with state = \"gone\"",
+        )?;
         let most = config.hosts.max_hosts;
-        doc.check(inventory.host.len() <= most, "host", format!("more than hosts.max_hosts = {most}"))?;
+        doc.check(
+            inventory.host.len() <= most,
+            "host",
+            format!("more than hosts.max_hosts = {most}"),
+        )?;
         let mut names = BTreeMap::new();
         for (i, host) in inventory.host.iter().enumerate() {
             let key = |field: &str| format!("host[{i}].{field}");
             let plain = !host.name.chars().any(char::is_control);
             let named = !host.name.is_empty() && host.name.len() <= 200 && plain;
-            doc.check(named, &key("name"), "a name has 1 to 200 bytes without control characters")?;
+            doc.check(
+                named,
+                &key("name"),
+                "a name has 1 to 200 bytes without control characters",
+            )?;
             if let Some(other) = names.insert(&host.name, i) {
-                return Err(doc.error(&key("name"), format!("`{}` is host[{other}] already", host.name)));
+                return Err(doc.error(
+                    &key("name"),
+                    format!("`{}` is host[{other}] already", host.name),
+                ));
             }
             let known = config.placer.zones.contains(&host.zone);
             doc.check(known, &key("zone"), format!("unknown zone `{}`", host.zone))?;
             let known = config.kind.iter().any(|k| k.name == host.kind);
             doc.check(known, &key("kind"), format!("unknown kind `{}`", host.kind))?;
             let finite = |x: Option<f64>| x.is_none_or(f64::is_finite);
-            doc.check(finite(host.unasked_cores), &key("unasked_cores"), "not a finite number")?;
-            doc.check(finite(host.unasked_memory_gib), &key("unasked_memory_gib"), "not a finite number")?;
+            doc.check(
+                finite(host.unasked_cores),
+                &key("unasked_cores"),
+                "not a finite number",
+            )?;
+            doc.check(
+                finite(host.unasked_memory_gib),
+                &key("unasked_memory_gib"),
+                "not a finite number",
+            )?;
         }
         Ok(inventory)
     }
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -438,7 +438,13 @@
 
     /// The module's settings.
     pub fn settings(&self) -> mt::Settings {
-        let index = |zone: &String| self.placer.zones.iter().position(|z| z == zone).unwrap_or(0) as u32;
+        let index = |zone: &String| {
+            self.placer
+                .zones
+                .iter()
+                .position(|z| z == zone)
+                .unwrap_or(0) as u32
+        };
         let class = |c: &Class| mt::Class {
             effect: match c.effect {
                 Effect::Safe => mt::Effect::Safe,
@@ -456,19 +462,29 @@
             worth: c.worth,
             start_bonus_s: c.start_bonus_s,
             priority: c.priority,
-            kind: c.kind.as_ref().and_then(|kind| self.kind.iter().position(|k| &k.name == kind)),
-            spread: c.spread_over.zip(c.spread_most).map(|(place, most)| match place {
-                Place::Host => (mt::Place::Machine, most),
-                Place::Cell => (mt::Place::Cell, most),
-                Place::Zone => (mt::Place::Zone, most),
-            }),
+            kind: c
+                .kind
+                .as_ref()
+                .and_then(|kind| self.kind.iter().position(|k| &k.name == kind)),
+            spread: c
+                .spread_over
+                .zip(c.spread_most)
+                .map(|(place, most)| match place {
+                    Place::Host => (mt::Place::Machine, most),
+                    Place::Cell => (mt::Place::Cell, most),
+                    Place::Zone => (mt::Place::Zone, most),
+                }),
         };
         mt::Settings {
             placers: self.placer.placers,
             number: self.placer.number,
             zone: index(&self.placer.zone),
             classes: self.class.iter().map(class).collect(),
-            kinds: self.kind.iter().map(|k| mt::Room::new(k.cores, k.memory_gib)).collect(),
+            kinds: self
+                .kind
+                .iter()
+                .map(|k| mt::Room::new(k.cores, k.memory_gib))
+                .collect(),
             discovery: mt::Discovery::Push,
             seated: match self.placing.placed_when {
                 PlacedWhen::Accepted => mt::SeatedWhen::Accepted,
--- a/crates/config/tests/heartbeat_settings.rs
+++ b/crates/config/tests/heartbeat_settings.rs
@@ -6,32 +6,71 @@
 
 /// The settings to try, written out whole.
 fn written_out() -> String {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: SOUND }).expect("sound");
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: SOUND,
+    })
+    .expect("sound");
     config.to_toml().expect("TOML")
 }
 
 #[test]
 fn idle_hosts_have_a_rate_and_a_longest_interval_where_nothing_is_set() {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: SOUND }).expect("sound");
-    assert_eq!((config.hosts.max_idle_pings_per_s, config.hosts.max_idle_ping_interval_ms), (40, 90_000));
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: SOUND,
+    })
+    .expect("sound");
+    assert_eq!(
+        (
+            config.hosts.max_idle_pings_per_s,
+            config.hosts.max_idle_ping_interval_ms
+        ),
+        (40, 90_000)
+    );
 }
 
 #[test]
 fn a_faulty_figure_is_told_with_line_key_what_was_given_and_what_is_allowed() {
     for (key, value, message) in [
         ("max_idle_pings_per_s", "0", "0 is given; at least 1"),
-        ("max_idle_ping_interval_ms", "1000", "1000 is given; above hosts.ping_every_ms"),
-        ("silent_after_ms", "900", "900 is given; above hosts.ping_every_ms"),
+        (
+            "max_idle_ping_interval_ms",
+            "1000",
+            "1000 is given; above hosts.ping_every_ms",
+        ),
+        (
+            "silent_after_ms",
+            "900",
+            "900 is given; above hosts.ping_every_ms",
+        ),
     ] {
         let text = written_out();
-        let given = text.lines().position(|l| l.starts_with(&format!("{key} = "))).expect("the key stands");
+        let given = text
+            .lines()
+            .position(|l| l.starts_with(&format!("{key} = ")))
+            .expect("the key stands");
         let lines = text.lines().enumerate();
-        let swapped: Vec<String> =
-            lines.map(|(n, l)| if n == given { format!("{key} = {value}") } else { l.to_owned() }).collect();
-        let faults = PlacerConfig::parse(Doc { file: "f", text: &swapped.join("\n") }).expect_err("a fault");
+        let swapped: Vec<String> = lines
+            .map(|(n, l)| {
+                if n == given {
+                    format!("{key} = {value}")
+                } else {
+                    l.to_owned()
+                }
+            })
+            .collect();
+        let faults = PlacerConfig::parse(Doc {
+            file: "f",
+            text: &swapped.join("\n"),
+        })
+        .expect_err("a fault");
         assert_eq!(faults.0.len(), 1, "{faults}");
         let fault = &faults.0[0];
         let told = (fault.line, fault.key.as_str(), fault.message.as_str());
-        assert_eq!(told, (Some(given + 1), format!("hosts.{key}").as_str(), message));
+        assert_eq!(
+            told,
+            (Some(given + 1), format!("hosts.{key}").as_str(), message)
+        );
     }
 }
--- a/crates/consul-standin/examples/measure.rs
+++ b/crates/consul-standin/examples/measure.rs
@@ -26,8 +26,15 @@
     fn new(at: SocketAddr) -> Result<Http> {
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
-        let limits = Limits { body: 64 << 20, ..Limits::default() };
-        Ok(Http { stream, reader: Reader::new(Role::Responses, limits), buffer: Vec::new() })
+        let limits = Limits {
+            body: 64 << 20,
+            ..Limits::default()
+        };
+        Ok(Http {
+            stream,
+            reader: Reader::new(Role::Responses, limits),
+            buffer: Vec::new(),
+        })
     }
 
     fn call(&mut self, method: &str, target: &str, body: &str) -> Result<Vec<u8>> {
@@ -60,7 +67,11 @@
 }
 
 fn config(servers: &Servers, watch: bool) -> Result<PlacerConfig> {
-    let list: Vec<String> = servers.addresses.iter().map(|a| format!("\"{a}\"")).collect();
+    let list: Vec<String> = servers
+        .addresses
+        .iter()
+        .map(|a| format!("\"{a}\""))
+        .collect();
     let text = format!(
         "[placer]\nname = \"p\"\nnumber = 0\nplacers = 1\nzone = \"a\"\nzones = [\"a\"]\n[api]\nlisten = \"127.0.0.1:0\"\n\
          [hosts]\n[consul]\nservers = [{}]\ndamping = \"off\"\nwatch = {watch}\nreads = \"stale\"\n[rules]\ncold_from = 0.2\n\
@@ -68,7 +79,10 @@
          cores = 1.0\nmemory_gib = 1.0\n[[class]]\nname = \"c\"\neffect = \"safe\"\naim_ms = 1\n",
         list.join(", ")
     );
-    Ok(PlacerConfig::parse(Doc { file: "measure", text: &text })?)
+    Ok(PlacerConfig::parse(Doc {
+        file: "measure",
+        text: &text,
+    })?)
 }
 
 struct Readers {
@@ -84,7 +98,12 @@
         for seed in 0..count {
             all.extend(Catalogue::new(config, seed as u64)?);
         }
-        Ok(Readers { poller: Poller::new()?, clock: Clock::start(), all, token: 0 })
+        Ok(Readers {
+            poller: Poller::new()?,
+            clock: Clock::start(),
+            all,
+            token: 0,
+        })
     }
 
     /// Runs for a while, or until the first reader's news names this host.
@@ -105,7 +124,8 @@
                 }
             }
             ready.clear();
-            self.poller.wait(Some(Duration::from_millis(1)), &mut ready)?;
+            self.poller
+                .wait(Some(Duration::from_millis(1)), &mut ready)?;
             let now = self.clock.now();
             for r in &ready {
                 if let Some(reader) = self.all.iter_mut().find(|c| c.has(r.token)) {
@@ -119,9 +139,14 @@
 
 /// An answer with this body, as it comes off a connection.
 fn answer(body: &[u8], index: u64) -> Result<Message> {
-    let head =
-        format!("HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n", body.len());
-    let limits = Limits { body: 64 << 20, ..Limits::default() };
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    let limits = Limits {
+        body: 64 << 20,
+        ..Limits::default()
+    };
     let bytes = [head.as_bytes(), body].concat();
     match Reader::new(Role::Responses, limits).read(&bytes)?.0 {
         Found::Message(message) => Ok(message),
@@ -131,7 +156,9 @@
 
 /// How long a source takes to read and tell lists, as a whole and at most in one turn.
 fn turns(config: &PlacerConfig, body: &[u8]) -> Result<()> {
-    let Some(consul) = &config.consul else { return Ok(()) };
+    let Some(consul) = &config.consul else {
+        return Ok(());
+    };
     let mut source = Source::new(config, consul, None, 1);
     let text = String::from_utf8_lossy(body).into_owned();
     let all_critical = text.replace("\"passing\"", "\"critical\"");
@@ -163,10 +190,18 @@
             (whole, longest, turns) = (whole + took, longest.max(took), turns + 1);
             told += updates
                 .iter()
-                .map(|u| if let Update::Hosts(hosts) = u { hosts.len() } else { 0 })
+                .map(|u| {
+                    if let Update::Hosts(hosts) = u {
+                        hosts.len()
+                    } else {
+                        0
+                    }
+                })
                 .sum::<usize>();
         }
-        println!("  {what}: {whole:?} in {turns} turns, the longest {longest:?}; {told} hosts told");
+        println!(
+            "  {what}: {whole:?} in {turns} turns, the longest {longest:?}; {told} hosts told"
+        );
     }
     Ok(())
 }
@@ -192,14 +227,21 @@
         }
         std::thread::sleep(Duration::from_millis(200));
         let body = http.call("GET", "/v1/health/service/maplethread-host", "")?;
-        let known = Known { zones: vec!["a".into()], kinds: vec!["std".into()], most: 10_000 };
+        let known = Known {
+            zones: vec!["a".into()],
+            kinds: vec!["std".into()],
+            most: 10_000,
+        };
         let from = Instant::now();
         let rounds = 20;
         for _ in 0..rounds {
             assert_eq!(read(&body, &known)?.entries.len(), hosts);
         }
         let parse = from.elapsed() / rounds;
-        println!("{hosts} hosts: an answer of {} KiB is read in {parse:?}", body.len() / 1024);
+        println!(
+            "{hosts} hosts: an answer of {} KiB is read in {parse:?}",
+            body.len() / 1024
+        );
         turns(&config(&servers, false)?, &body)?;
         for watch in [false, true] {
             let mut readers = Readers::new(&config(&servers, watch)?, 1)?;
@@ -210,7 +252,11 @@
                 readers.run(Duration::from_millis(40 + n % 17), None)?;
                 let host = (n as usize / 2 * 37) % hosts;
                 let from = Instant::now();
-                register(&mut http, host, if n % 2 == 0 { "critical" } else { "passing" })?;
+                register(
+                    &mut http,
+                    host,
+                    if n % 2 == 0 { "critical" } else { "passing" },
+                )?;
                 if readers.run(Duration::from_secs(5), Some(&format!("host-{host}")))? {
                     times.push(from.elapsed());
                 }
