--- a/crates/consul-standin/src/api.rs
+++ b/crates/consul-standin/src/api.rs
@@ -40,7 +40,12 @@
     CatalogNodes,
     CatalogService(String),
     Members,
-    Key { key: String, recurse: bool, raw: bool, keys: bool },
+    Key {
+        key: String,
+        recurse: bool,
+        raw: bool,
+        keys: bool,
+    },
     SessionInfo(String),
 }
 
@@ -74,7 +79,9 @@
     let bytes = text.as_bytes();
     let (mut out, mut i) = (Vec::new(), 0);
     while i < bytes.len() {
-        let hex = text.get(i + 1..i + 3).and_then(|h| u8::from_str_radix(h, 16).ok());
+        let hex = text
+            .get(i + 1..i + 3)
+            .and_then(|h| u8::from_str_radix(h, 16).ok());
         match (bytes[i], hex) {
             (b'%', Some(byte)) => {
                 out.push(byte);
@@ -95,9 +102,13 @@
     }
     let (mut rest, mut sum) = (text, 0.0);
     while !rest.is_empty() {
-        let digits = rest.find(|c: char| !c.is_ascii_digit() && c != '.').unwrap_or(rest.len());
+        let digits = rest
+            .find(|c: char| !c.is_ascii_digit() && c != '.')
+            .unwrap_or(rest.len());
         let n: f64 = rest[..digits].parse().ok()?;
-        let unit = rest[digits..].find(|c: char| c.is_ascii_digit()).map_or(rest.len(), |at| digits + at);
+        let unit = rest[digits..]
+            .find(|c: char| c.is_ascii_digit())
+            .map_or(rest.len(), |at| digits + at);
         sum += n * match &rest[digits..unit] {
             "ns" => 0.001,
             "us" | "µs" => 1.0,
@@ -115,8 +126,15 @@
 
 /// A field of an object, whatever the case of its key: documented servers decode bodies so. The exact key wins.
 fn field<'a>(object: &'a Value, key: &str) -> &'a Value {
-    let Some(fields) = object.as_object() else { return &Value::Null };
-    let folded = || fields.iter().find(|(k, _)| k.eq_ignore_ascii_case(key)).map(|(_, v)| v);
+    let Some(fields) = object.as_object() else {
+        return &Value::Null;
+    };
+    let folded = || {
+        fields
+            .iter()
+            .find(|(k, _)| k.eq_ignore_ascii_case(key))
+            .map(|(_, v)| v)
+    };
     fields.get(key).or_else(folded).unwrap_or(&Value::Null)
 }
 
@@ -135,7 +153,10 @@
         Value::Null => Ok(None),
         Value::String(s) if s.is_empty() => Ok(None),
         Value::String(s) => span(s).map(Some).ok_or_else(|| Undecoded(key.to_owned())),
-        Value::Number(n) => n.as_u64().map(|ns| Some(ns / 1000)).ok_or_else(|| Undecoded(key.to_owned())),
+        Value::Number(n) => n
+            .as_u64()
+            .map(|ns| Some(ns / 1000))
+            .ok_or_else(|| Undecoded(key.to_owned())),
         _ => Err(Undecoded(key.to_owned())),
     }
 }
@@ -167,7 +188,12 @@
         .map(|p| p.split_once('=').unwrap_or((p, "")))
         .map(|(k, v)| (k.to_owned(), unescape(v)))
         .collect();
-    let param = |name: &str| params.iter().find(|(k, _)| k == name).map(|(_, v)| v.as_str());
+    let param = |name: &str| {
+        params
+            .iter()
+            .find(|(k, _)| k == name)
+            .map(|(_, v)| v.as_str())
+    };
     let bad = |why: &str| Asked::Answer(400, json!(why));
     let path: String = path.trim_start_matches("/v1/").to_owned();
     let parts: Vec<String> = path.split('/').map(unescape).collect();
@@ -181,21 +207,36 @@
                 let Some((selector, value)) = part.split_once("==") else {
                     return bad("Failed to create boolean expression evaluator");
                 };
-                filter.push((selector.trim().to_owned(), value.trim().trim_matches('"').to_owned()));
+                filter.push((
+                    selector.trim().to_owned(),
+                    value.trim().trim_matches('"').to_owned(),
+                ));
             }
         }
-        let Ok(index) = param("index").unwrap_or("0").parse() else { return bad("Invalid index") };
-        let Some(wait) = span(param("wait").unwrap_or("5m")) else { return bad("Invalid wait time") };
+        let Ok(index) = param("index").unwrap_or("0").parse() else {
+            return bad("Invalid index");
+        };
+        let Some(wait) = span(param("wait").unwrap_or("5m")) else {
+            return bad("Invalid wait time");
+        };
         let (consistent, stale) = (param("consistent").is_some(), param("stale").is_some());
         if consistent && stale {
             return bad("Cannot specify ?stale with ?consistent, conflicting semantics.");
         }
-        Asked::Read(Read { what, index, wait: wait.min(600_000_000), consistent, stale, filter })
+        Asked::Read(Read {
+            what,
+            index,
+            wait: wait.min(600_000_000),
+            consistent,
+            stale,
+            filter,
+        })
     };
     match (parts.as_slice(), get) {
-        (["health", "service", name], true) => {
-            read(What::HealthService((*name).to_owned(), param("passing").is_some()))
-        }
+        (["health", "service", name], true) => read(What::HealthService(
+            (*name).to_owned(),
+            param("passing").is_some(),
+        )),
         (["health", "node", name], true) => read(What::HealthNode((*name).to_owned())),
         (["health", "state", state], true) => read(What::HealthState((*state).to_owned())),
         (["catalog", "nodes"], true) => read(What::CatalogNodes),
@@ -204,12 +245,23 @@
         (["session", "info", id], true) => read(What::SessionInfo((*id).to_owned())),
         (["kv", ..], true) => {
             let key = parts[1..].join("/");
-            let (recurse, raw, keys) =
-                (param("recurse").is_some(), param("raw").is_some(), param("keys").is_some());
-            read(What::Key { key, recurse: recurse || keys, raw, keys })
+            let (recurse, raw, keys) = (
+                param("recurse").is_some(),
+                param("raw").is_some(),
+                param("keys").is_some(),
+            );
+            read(What::Key {
+                key,
+                recurse: recurse || keys,
+                raw,
+                keys,
+            })
         }
         (["kv", ..], false) if message.head.method() == "DELETE" => {
-            let command = Command::Delete { key: parts[1..].join("/"), recurse: param("recurse").is_some() };
+            let command = Command::Delete {
+                key: parts[1..].join("/"),
+                recurse: param("recurse").is_some(),
+            };
             Asked::Write(Write::Commands(vec![command], json!(true)))
         }
         (["kv", ..], false) => {
@@ -218,7 +270,10 @@
                 (None, Some(session)) => Lock::Release(session.to_owned()),
                 (None, None) => Lock::Leave,
             };
-            let (flags, cas) = (param("flags").and_then(|f| f.parse().ok()).unwrap_or(0), param("cas"));
+            let (flags, cas) = (
+                param("flags").and_then(|f| f.parse().ok()).unwrap_or(0),
+                param("cas"),
+            );
             let cas = match cas.map(str::parse) {
                 Some(Err(_)) => return bad("Invalid cas"),
                 Some(Ok(cas)) => Some(cas),
@@ -235,35 +290,55 @@
         (["catalog", "register"], false) => catalog_register(&body()).unwrap_or_else(Asked::from),
         (["catalog", "deregister"], false) => {
             let body = body();
-            let Some(node) = field(&body, "Node").as_str() else { return bad("Must provide node") };
-            let service = field(&body, "ServiceID").as_str().filter(|s| !s.is_empty()).map(str::to_owned);
-            let command = Command::Deregister { node: node.to_owned(), service };
+            let Some(node) = field(&body, "Node").as_str() else {
+                return bad("Must provide node");
+            };
+            let service = field(&body, "ServiceID")
+                .as_str()
+                .filter(|s| !s.is_empty())
+                .map(str::to_owned);
+            let command = Command::Deregister {
+                node: node.to_owned(),
+                service,
+            };
             Asked::Write(Write::Commands(vec![command], json!(true)))
         }
         (["agent", "service", "register"], false) => {
             agent_register(&body(), node).unwrap_or_else(Asked::from)
         }
-        (["agent", "service", "deregister", id], false) => {
-            Asked::Write(Write::Service { id: (*id).to_owned(), maintenance: None })
-        }
+        (["agent", "service", "deregister", id], false) => Asked::Write(Write::Service {
+            id: (*id).to_owned(),
+            maintenance: None,
+        }),
         (["agent", "service", "maintenance", id], false) => match param("enable") {
             Some(on @ ("true" | "false")) => {
-                let why =
-                    param("reason").unwrap_or("Maintenance mode is enabled for this service").to_owned();
-                Asked::Write(Write::Service { id: (*id).to_owned(), maintenance: Some((on == "true", why)) })
+                let why = param("reason")
+                    .unwrap_or("Maintenance mode is enabled for this service")
+                    .to_owned();
+                Asked::Write(Write::Service {
+                    id: (*id).to_owned(),
+                    maintenance: Some((on == "true", why)),
+                })
             }
             _ => bad("Missing value for enable"),
         },
         (["agent", "maintenance"], false) => match param("enable") {
             Some(on @ ("true" | "false")) => {
-                let why = param("reason").unwrap_or("Maintenance mode is enabled for this node").to_owned();
+                let why = param("reason")
+                    .unwrap_or("Maintenance mode is enabled for this node")
+                    .to_owned();
                 Asked::Write(Write::NodeMaintenance(on == "true", why))
             }
             _ => bad("Missing value for enable"),
         },
-        (["agent", "check", "register"], false) => check_register(&body(), node).unwrap_or_else(Asked::from),
+        (["agent", "check", "register"], false) => {
+            check_register(&body(), node).unwrap_or_else(Asked::from)
+        }
         (["agent", "check", "deregister", id], false) => {
-            let command = Command::DropCheck { node: node.to_owned(), check: (*id).to_owned() };
+            let command = Command::DropCheck {
+                node: node.to_owned(),
+                check: (*id).to_owned(),
+            };
             Asked::Write(Write::Commands(vec![command], Value::Null))
         }
         (["agent", "check", word @ ("pass" | "warn" | "fail"), id], false) => {
@@ -287,9 +362,13 @@
             let output = field(&body, "Output").as_str().unwrap_or("").to_owned();
             Asked::Write(Write::Check((*id).to_owned(), status.to_owned(), output))
         }
-        (["session", "create"], false) => create_session(&body(), node, id).unwrap_or_else(Asked::from),
+        (["session", "create"], false) => {
+            create_session(&body(), node, id).unwrap_or_else(Asked::from)
+        }
         (["session", "renew", id], false) => Asked::Write(Write::Renew((*id).to_owned())),
-        (["session", "destroy", id], false) => Asked::Write(Write::DestroySession((*id).to_owned())),
+        (["session", "destroy", id], false) => {
+            Asked::Write(Write::DestroySession((*id).to_owned()))
+        }
         (["status", "leader"], true) => Asked::Answer(200, json!("127.0.0.1:8300")),
         _ => Asked::Answer(404, json!("no such path")),
     }
@@ -304,7 +383,16 @@
     answer: Value,
 ) -> Asked {
     let (node, address) = (node.to_owned(), address.to_owned());
-    Asked::Write(Write::Commands(vec![Command::Register { node, address, meta, service, checks }], answer))
+    Asked::Write(Write::Commands(
+        vec![Command::Register {
+            node,
+            address,
+            meta,
+            service,
+            checks,
+        }],
+        answer,
+    ))
 }
 
 fn create_session(body: &Value, node: &str, id: u64) -> Result<Asked, Undecoded> {
@@ -313,7 +401,11 @@
     if ttl > 86_400_000_000 {
         return Ok(Asked::Answer(400, json!("Invalid Session TTL")));
     }
-    let behavior = if text(body, "Behavior")? == "delete" { "delete" } else { "release" };
+    let behavior = if text(body, "Behavior")? == "delete" {
+        "delete"
+    } else {
+        "release"
+    };
     Ok(Asked::Write(Write::CreateSession(Session {
         id: uuid(&format!("session {id}")),
         name: text(body, "Name")?,
@@ -331,7 +423,13 @@
         return Ok(None);
     }
     let id = text(body, "ID")?;
-    let or = |value: &Value, default: Value| if value.is_null() { default } else { value.clone() };
+    let or = |value: &Value, default: Value| {
+        if value.is_null() {
+            default
+        } else {
+            value.clone()
+        }
+    };
     let port = match field(body, "Port") {
         Value::Null => 0,
         port => port.as_i64().ok_or_else(|| Undecoded("Port".to_owned()))?,
@@ -354,17 +452,31 @@
 
 /// `Check` and all of `Checks`.
 fn checks_of(body: &Value) -> impl Iterator<Item = &Value> {
-    let listed = field(body, "Checks").as_array().map(Vec::as_slice).unwrap_or_default();
-    std::iter::once(field(body, "Check")).chain(listed).filter(|c| c.is_object())
+    let listed = field(body, "Checks")
+        .as_array()
+        .map(Vec::as_slice)
+        .unwrap_or_default();
+    std::iter::once(field(body, "Check"))
+        .chain(listed)
+        .filter(|c| c.is_object())
 }
 
 /// An agent's check: one with a TTL is kept by its word; others are taken and stay as their `Status` says.
-fn agent_check(body: &Value, id: String, name: String, service: (&str, &str)) -> Result<Check, Undecoded> {
+fn agent_check(
+    body: &Value,
+    id: String,
+    name: String,
+    service: (&str, &str),
+) -> Result<Check, Undecoded> {
     let status = text(body, "Status")?;
     Ok(Check {
         id,
         name,
-        status: if status.is_empty() { "critical".to_owned() } else { status },
+        status: if status.is_empty() {
+            "critical".to_owned()
+        } else {
+            status
+        },
         output: String::new(),
         service_id: service.0.to_owned(),
         service_name: service.1.to_owned(),
@@ -385,24 +497,54 @@
             _ => format!("{own}:{}", n + 1),
         };
         let name = text(check, "Name")?;
-        let name = if name.is_empty() { format!("Service '{}' check", service.name) } else { name };
+        let name = if name.is_empty() {
+            format!("Service '{}' check", service.name)
+        } else {
+            name
+        };
         checks.push(agent_check(check, id, name, (&service.id, &service.name))?);
     }
-    Ok(register(node, "127.0.0.1", json!({}), Some(service), checks, Value::Null))
+    Ok(register(
+        node,
+        "127.0.0.1",
+        json!({}),
+        Some(service),
+        checks,
+        Value::Null,
+    ))
 }
 
 fn check_register(body: &Value, node: &str) -> Result<Asked, Undecoded> {
     let (name, id) = (text(body, "Name")?, text(body, "ID")?);
-    let id = if id.is_empty() { text(body, "CheckID")? } else { id };
+    let id = if id.is_empty() {
+        text(body, "CheckID")?
+    } else {
+        id
+    };
     if name.is_empty() {
         return Ok(Asked::Answer(400, json!("Missing check name")));
     }
     let service = text(body, "ServiceID")?;
-    let check = agent_check(body, if id.is_empty() { name.clone() } else { id }, name, (&service, &service))?;
+    let check = agent_check(
+        body,
+        if id.is_empty() { name.clone() } else { id },
+        name,
+        (&service, &service),
+    )?;
     if check.ttl.is_none() {
-        return Ok(Asked::Answer(400, json!("a TTL is needed; other checks are not run here")));
+        return Ok(Asked::Answer(
+            400,
+            json!("a TTL is needed; other checks are not run here"),
+        ));
     }
-    Ok(register(node, "127.0.0.1", json!({}), None, vec![check], Value::Null))
+    Ok(register(
+        node,
+        "127.0.0.1",
+        json!({}),
+        None,
+        vec![check],
+        Value::Null,
+    ))
 }
 
 fn catalog_register(body: &Value) -> Result<Asked, Undecoded> {
@@ -422,7 +564,11 @@
         checks.push(Check {
             id: if id.is_empty() { name.clone() } else { id },
             name,
-            status: if status.is_empty() { "critical".to_owned() } else { status },
+            status: if status.is_empty() {
+                "critical".to_owned()
+            } else {
+                status
+            },
             output: text(c, "Output")?,
             service_id,
             service_name,
@@ -433,7 +579,14 @@
         Value::Null => json!({}),
         meta => meta.clone(),
     };
-    Ok(register(&node, &address, meta, service, checks, json!(true)))
+    Ok(register(
+        &node,
+        &address,
+        meta,
+        service,
+        checks,
+        json!(true),
+    ))
 }
 
 impl Read {
@@ -458,7 +611,12 @@
             What::CatalogService(name) => state.catalog_service(name, dc),
             What::Members => state.members(),
             What::SessionInfo(id) => state.session(id).into_iter().collect(),
-            What::Key { key, recurse, raw, keys } => {
+            What::Key {
+                key,
+                recurse,
+                raw,
+                keys,
+            } => {
                 let entries = state.keys(key, *recurse);
                 if entries.is_empty() {
                     return (404, Vec::new());
@@ -467,14 +625,19 @@
                     let value = entries[0]["Value"].as_str().unwrap_or("");
                     return (200, STANDARD.decode(value).unwrap_or_default());
                 }
-                if *keys { entries.into_iter().map(|e| e["Key"].clone()).collect() } else { entries }
+                if *keys {
+                    entries.into_iter().map(|e| e["Key"].clone()).collect()
+                } else {
+                    entries
+                }
             }
         };
         let fits = |entry: &Value| {
             self.filter.iter().all(|(selector, value)| {
                 let at = selector.split('.').try_fold(entry, |at, part| at.get(part));
                 at.is_some_and(|at| {
-                    at.as_str() == Some(value) || at.as_i64().map(|n| n.to_string()).as_ref() == Some(value)
+                    at.as_str() == Some(value)
+                        || at.as_i64().map(|n| n.to_string()).as_ref() == Some(value)
                 })
             })
         };
--- a/crates/consul-standin/src/lib.rs
+++ b/crates/consul-standin/src/lib.rs
@@ -3,10 +3,16 @@
 //! written from the published HTTP API documentation and covers what `docs/consul.md` lists; it is no Consul, stores
 //! nothing and trusts everybody on loopback. `state` is what the servers agree on, `api` the endpoints.
 
-#[allow(missing_docs, reason = "an internal vocabulary, named as in the documentation that it follows")]
+#[allow(
+    missing_docs,
+    reason = "an internal vocabulary, named as in the documentation that it follows"
+)]
 mod api;
 mod server;
-#[allow(missing_docs, reason = "an internal vocabulary, named as in the documentation that it follows")]
+#[allow(
+    missing_docs,
+    reason = "an internal vocabulary, named as in the documentation that it follows"
+)]
 mod state;
 
 pub use server::{Faults, LockNews, Locks, Servers, Settings, Watch};
--- a/crates/consul-standin/src/server.rs
+++ b/crates/consul-standin/src/server.rs
@@ -135,7 +135,11 @@
         }
         let controls = Arc::new(Mutex::new(VecDeque::new()));
         let counts: Arc<[AtomicU64; 2]> = Arc::default();
-        let server = |_| Server { state: State::default(), applied: 0, faults: Faults::default() };
+        let server = |_| Server {
+            state: State::default(),
+            applied: 0,
+            faults: Faults::default(),
+        };
         let mut run = Run {
             poller,
             listeners,
@@ -168,10 +172,22 @@
                 service: None,
                 checks: Vec::new(),
             });
-            run.commit(Command::Member { name, address: ip, status: 1 });
+            run.commit(Command::Member {
+                name,
+                address: ip,
+                status: 1,
+            });
         }
-        let thread = std::thread::Builder::new().name("consul-stand-in".into()).spawn(move || run.run())?;
-        Ok(Servers { addresses, controls, waker, thread: Some(thread), counts })
+        let thread = std::thread::Builder::new()
+            .name("consul-stand-in".into())
+            .spawn(move || run.run())?;
+        Ok(Servers {
+            addresses,
+            controls,
+            waker,
+            thread: Some(thread),
+            counts,
+        })
     }
 
     fn control(&self, control: Control) {
@@ -191,13 +207,20 @@
 
     /// An agent's status in the gossip pool: 1 alive, 2 leaving, 3 left, 4 failed.
     pub fn member(&self, name: &str, status: i64) {
-        let command = Command::Member { name: name.to_owned(), address: "127.0.0.1".to_owned(), status };
+        let command = Command::Member {
+            name: name.to_owned(),
+            address: "127.0.0.1".to_owned(),
+            status,
+        };
         self.control(Control::Command(command));
     }
 
     /// Requests served and bytes sent so far.
     pub fn counts(&self) -> (u64, u64) {
-        (self.counts[0].load(Ordering::Relaxed), self.counts[1].load(Ordering::Relaxed))
+        (
+            self.counts[0].load(Ordering::Relaxed),
+            self.counts[1].load(Ordering::Relaxed),
+        )
     }
 
     /// Waits for the thread to end, which it does only when something fails.
@@ -286,7 +309,10 @@
             let now = self.clock.now();
             let next = self.delayed.next().unwrap_or(u64::MAX).min(now + 10_000);
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(next.saturating_sub(now))), &mut ready)?;
+            self.poller.wait(
+                Some(Duration::from_micros(next.saturating_sub(now))),
+                &mut ready,
+            )?;
             for r in &ready {
                 match r.token {
                     WAKER => self.controlled(),
@@ -374,8 +400,8 @@
         let mut still = Vec::new();
         for parked in std::mem::take(&mut self.parked) {
             let state = self.state_for(parked.server, &parked.read);
-            let moved =
-                state.is_none_or(|s| parked.read.index_in(&self.servers[s].state) > parked.read.index);
+            let moved = state
+                .is_none_or(|s| parked.read.index_in(&self.servers[s].state) > parked.read.index);
             if moved || parked.until <= now {
                 self.answer_read(parked.token, parked.server, &parked.read, &parked.who);
             } else {
@@ -391,19 +417,33 @@
         let state = &self.servers[leader].state;
         let mut commands = Vec::new();
         for ((node, check), ttl, status) in state.ttl_checks() {
-            let at = self.renewed.get(&format!("{node}/{check}")).copied().unwrap_or(0);
+            let at = self
+                .renewed
+                .get(&format!("{node}/{check}"))
+                .copied()
+                .unwrap_or(0);
             if at + ttl <= now && status != "critical" {
                 let (node, check, output) = (node.clone(), check.clone(), "TTL expired".to_owned());
-                commands.push(Command::Status { node, check, status: "critical".to_owned(), output });
+                commands.push(Command::Status {
+                    node,
+                    check,
+                    status: "critical".to_owned(),
+                    output,
+                });
             }
         }
         for (session, _) in state.sessions.values() {
             let at = self.renewed.get(&session.id).copied().unwrap_or(now);
             if session.ttl > 0 && at + session.ttl <= now {
-                commands.push(Command::End { session: session.id.clone(), at: now });
+                commands.push(Command::End {
+                    session: session.id.clone(),
+                    at: now,
+                });
             }
         }
-        commands.into_iter().for_each(|command| self.commit(command));
+        commands
+            .into_iter()
+            .for_each(|command| self.commit(command));
     }
 
     fn accept(&mut self, server: usize) {
@@ -412,8 +452,22 @@
         {
             self.next += 1;
             if let Ok(conn) = Conn::accepted(stream, self.next, &self.poller) {
-                let reader = Reader::new(Role::Requests, Limits { body: 1 << 20, ..Limits::default() });
-                self.conns.insert(self.next, Link { conn, server, reader, closing: false });
+                let reader = Reader::new(
+                    Role::Requests,
+                    Limits {
+                        body: 1 << 20,
+                        ..Limits::default()
+                    },
+                );
+                self.conns.insert(
+                    self.next,
+                    Link {
+                        conn,
+                        server,
+                        reader,
+                        closing: false,
+                    },
+                );
             }
         }
     }
@@ -424,7 +478,9 @@
     }
 
     fn link_ready(&mut self, token: u64, r: &Readiness) {
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         if link.conn.flush(&self.poller).is_err() || (link.closing && link.conn.unwritten() == 0) {
             self.drop_link(token);
             return;
@@ -442,7 +498,9 @@
                 }
                 Ok((Found::Continue, used)) => {
                     link.conn.take(used);
-                    link.conn.out().extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
+                    link.conn
+                        .out()
+                        .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     let _ = link.conn.flush(&self.poller);
                 }
                 Ok((Found::More, used)) => {
@@ -479,21 +537,36 @@
         }
         if !self.settings.tokens.is_empty() {
             let given = message.head.field("x-consul-token").unwrap_or("");
-            let may = self.settings.tokens.iter().find(|(t, _)| t == given).map(|(_, write)| *write);
+            let may = self
+                .settings
+                .tokens
+                .iter()
+                .find(|(t, _)| t == given)
+                .map(|(_, write)| *write);
             let fine = match &what {
                 Asked::Write(_) => may == Some(true),
                 _ => may.is_some(),
             };
             if !fine {
-                let why: &[u8] = if may.is_some() { b"Permission denied" } else { b"ACL not found" };
+                let why: &[u8] = if may.is_some() {
+                    b"Permission denied"
+                } else {
+                    b"ACL not found"
+                };
                 self.answer(token, server, 403, why, None);
                 return;
             }
         }
         match what {
             Asked::Answer(status, body) => {
-                let text = body.as_str().map_or_else(|| body.to_string(), str::to_owned);
-                let text = if status == 200 { body.to_string() } else { text };
+                let text = body
+                    .as_str()
+                    .map_or_else(|| body.to_string(), str::to_owned);
+                let text = if status == 200 {
+                    body.to_string()
+                } else {
+                    text
+                };
                 self.answer(token, server, status, text.as_bytes(), None);
             }
             Asked::Read(read) => {
@@ -505,7 +578,13 @@
                     // Up to a sixteenth of the wait is added, so that not all come back at once.
                     let jitter = (self.rand() * (read.wait / 16) as f64) as u64;
                     let until = self.clock.now() + read.wait + jitter;
-                    self.parked.push(Parked { token, server, read, until, who });
+                    self.parked.push(Parked {
+                        token,
+                        server,
+                        read,
+                        until,
+                        who,
+                    });
                 } else {
                     self.answer_read(token, server, &read, &who);
                 }
@@ -523,7 +602,11 @@
 
     /// The server whose state answers a read; none without a leader where one is needed.
     fn state_for(&self, server: usize, read: &Read) -> Option<usize> {
-        if read.stale || matches!(read.what, What::Members) { Some(server) } else { self.leader }
+        if read.stale || matches!(read.what, What::Members) {
+            Some(server)
+        } else {
+            self.leader
+        }
     }
 
     fn answer_read(&mut self, token: u64, server: usize, read: &Read, who: &str) {
@@ -532,7 +615,11 @@
             return;
         };
         let faults = self.servers[server].faults.clone();
-        let dc = if faults.other_datacentre { "elsewhere" } else { &self.settings.datacentre };
+        let dc = if faults.other_datacentre {
+            "elsewhere"
+        } else {
+            &self.settings.datacentre
+        };
         let state = &self.servers[from].state;
         let index = read.index_in(state).saturating_sub(faults.index_back);
         let (status, mut body) = read.answer(state, dc);
@@ -566,28 +653,53 @@
         index: Option<u64>,
         watched: Option<Watched>,
     ) {
-        let known = if self.leader.is_some() { "true" } else { "false" };
-        let contact = if Some(server) == self.leader { 0 } else { self.settings.lag / 1000 };
+        let known = if self.leader.is_some() {
+            "true"
+        } else {
+            "false"
+        };
+        let contact = if Some(server) == self.leader {
+            0
+        } else {
+            self.settings.lag / 1000
+        };
         let (index, contact) = (index.map(|i| i.to_string()), contact.to_string());
-        let mut fields = vec![("X-Consul-KnownLeader", known), ("X-Consul-LastContact", contact.as_str())];
+        let mut fields = vec![
+            ("X-Consul-KnownLeader", known),
+            ("X-Consul-LastContact", contact.as_str()),
+        ];
         fields.extend(index.as_deref().map(|i| ("X-Consul-Index", i)));
         let mut bytes = Vec::new();
-        let kind = if status == 200 { "application/json" } else { "text/plain; charset=utf-8" };
+        let kind = if status == 200 {
+            "application/json"
+        } else {
+            "text/plain; charset=utf-8"
+        };
         if body.len() > 16 << 10 {
             http::write_chunked_head(&mut bytes, status, kind, &fields);
-            body.chunks(8 << 10).for_each(|part| http::write_chunk(&mut bytes, part));
+            body.chunks(8 << 10)
+                .for_each(|part| http::write_chunk(&mut bytes, part));
             http::write_chunk(&mut bytes, b"");
         } else {
             http::write_response(&mut bytes, status, kind, &fields, body);
         }
         let faults = &self.servers[server].faults;
         let suffers = faults.writes || index.is_some();
-        let (late, cut) = if suffers { (faults.late, faults.cut) } else { (0, 0.0) };
+        let (late, cut) = if suffers {
+            (faults.late, faults.cut)
+        } else {
+            (0, 0.0)
+        };
         let cut = self.rand() < cut;
         if cut {
             bytes.truncate(bytes.len() - body.len() / 2 - 1);
         }
-        let answer = Answer { token, bytes, cut, watched };
+        let answer = Answer {
+            token,
+            bytes,
+            cut,
+            watched,
+        };
         if late > 0 {
             self.delayed.set(self.clock.now() + late, answer);
         } else {
@@ -598,7 +710,9 @@
     fn write(&mut self, answer: Answer) {
         let token = answer.token;
         self.counts[1].fetch_add(answer.bytes.len() as u64, Ordering::Relaxed);
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         link.conn.out().extend_from_slice(&answer.bytes);
         link.closing |= answer.cut;
         if let (Some((who, index, consistent, body)), Some(watch), false) =
@@ -619,7 +733,11 @@
     fn write_asked(&mut self, write: Write, node: &str) -> (u16, Vec<u8>) {
         let now = self.clock.now();
         let json = |value: Value| {
-            if value.is_null() { (200, Vec::new()) } else { (200, value.to_string().into_bytes()) }
+            if value.is_null() {
+                (200, Vec::new())
+            } else {
+                (200, value.to_string().into_bytes())
+            }
         };
         match write {
             Write::Commands(commands, answer) => {
@@ -633,7 +751,13 @@
                 }
                 json(answer)
             }
-            Write::Put { key, value, flags, lock, cas } => {
+            Write::Put {
+                key,
+                value,
+                flags,
+                lock,
+                cas,
+            } => {
                 let state = self.leader_state();
                 let session_gone = match &lock {
                     Lock::Acquire(s) | Lock::Release(s) => !state.sessions.contains_key(s),
@@ -649,7 +773,12 @@
                         Lock::Release(session) => state.holds(&key, session),
                     };
                 if fine {
-                    self.commit(Command::Put { key, value, flags, lock });
+                    self.commit(Command::Put {
+                        key,
+                        value,
+                        flags,
+                        lock,
+                    });
                 }
                 json(json!(fine))
             }
@@ -667,7 +796,10 @@
                 None => (404, format!("Session id '{id}' not found").into_bytes()),
             },
             Write::DestroySession(id) => {
-                self.commit(Command::End { session: id, at: now });
+                self.commit(Command::End {
+                    session: id,
+                    at: now,
+                });
                 json(json!(true))
             }
             Write::Check(check, status, output) => {
@@ -675,20 +807,35 @@
                     return (404, format!("Unknown check ID \"{check}\"").into_bytes());
                 }
                 self.renewed.insert(format!("{node}/{check}"), now);
-                self.commit(Command::Status { node: node.to_owned(), check, status, output });
+                self.commit(Command::Status {
+                    node: node.to_owned(),
+                    check,
+                    status,
+                    output,
+                });
                 (200, Vec::new())
             }
             Write::Service { id, maintenance } => {
-                let Some(name) = self.leader_state().service_name(node, &id).map(str::to_owned) else {
+                let Some(name) = self
+                    .leader_state()
+                    .service_name(node, &id)
+                    .map(str::to_owned)
+                else {
                     return (404, format!("Unknown service ID \"{id}\"").into_bytes());
                 };
                 let check = format!("_service_maintenance:{id}");
                 match maintenance {
                     None => {
-                        self.commit(Command::Deregister { node: node.to_owned(), service: Some(id) });
+                        self.commit(Command::Deregister {
+                            node: node.to_owned(),
+                            service: Some(id),
+                        });
                     }
                     Some((true, why)) => self.set_aside(node, check, id, name, why),
-                    Some((false, _)) => self.commit(Command::DropCheck { node: node.to_owned(), check }),
+                    Some((false, _)) => self.commit(Command::DropCheck {
+                        node: node.to_owned(),
+                        check,
+                    }),
                 }
                 (200, Vec::new())
             }
@@ -697,18 +844,42 @@
                 if on {
                     self.set_aside(node, check, String::new(), String::new(), why);
                 } else {
-                    self.commit(Command::DropCheck { node: node.to_owned(), check });
+                    self.commit(Command::DropCheck {
+                        node: node.to_owned(),
+                        check,
+                    });
                 }
                 (200, Vec::new())
             }
         }
     }
 
-    fn set_aside(&mut self, node: &str, id: String, service_id: String, service_name: String, why: String) {
+    fn set_aside(
+        &mut self,
+        node: &str,
+        id: String,
+        service_id: String,
+        service_name: String,
+        why: String,
+    ) {
         let (name, status) = ("Maintenance Mode".to_owned(), "critical".to_owned());
-        let check = Check { id, name, status, output: why, service_id, service_name, ttl: None };
+        let check = Check {
+            id,
+            name,
+            status,
+            output: why,
+            service_id,
+            service_name,
+            ttl: None,
+        };
         let address = "127.0.0.1".to_owned();
         let (node, meta) = (node.to_owned(), json!({}));
-        self.commit(Command::Register { node, address, meta, service: None, checks: vec![check] });
+        self.commit(Command::Register {
+            node,
+            address,
+            meta,
+            service: None,
+            checks: vec![check],
+        });
     }
 }
--- a/crates/consul-standin/src/state.rs
+++ b/crates/consul-standin/src/state.rs
@@ -10,11 +10,25 @@
 #[derive(Clone, Debug)]
 pub enum Command {
     /// A node with its address and metadata, and perhaps a service and checks on it.
-    Register { node: String, address: String, meta: Value, service: Option<Service>, checks: Vec<Check> },
+    Register {
+        node: String,
+        address: String,
+        meta: Value,
+        service: Option<Service>,
+        checks: Vec<Check>,
+    },
     /// A service of a node is gone, or the node with all of them.
-    Deregister { node: String, service: Option<String> },
+    Deregister {
+        node: String,
+        service: Option<String>,
+    },
     /// A check's status.
-    Status { node: String, check: String, status: String, output: String },
+    Status {
+        node: String,
+        check: String,
+        status: String,
+        output: String,
+    },
     /// A check is gone.
     DropCheck { node: String, check: String },
     /// A session begins.
@@ -22,11 +36,20 @@
     /// A session ends, and lets go of its locks.
     End { session: String, at: u64 },
     /// A key's value; with what becomes of its lock.
-    Put { key: String, value: String, flags: u64, lock: Lock },
+    Put {
+        key: String,
+        value: String,
+        flags: u64,
+        lock: Lock,
+    },
     /// A key is gone, or all under a prefix.
     Delete { key: String, recurse: bool },
     /// An agent's status in the gossip pool.
-    Member { name: String, address: String, status: i64 },
+    Member {
+        name: String,
+        address: String,
+        status: i64,
+    },
 }
 
 /// What a put does with a key's lock.
@@ -134,13 +157,25 @@
         self.index += 1;
         let index = self.index;
         match command {
-            Command::Register { node, address, meta, service, checks } => {
-                let known =
-                    self.nodes.get(node).map(|n| (n.address == *address && n.meta == *meta, n.created));
+            Command::Register {
+                node,
+                address,
+                meta,
+                service,
+                checks,
+            } => {
+                let known = self
+                    .nodes
+                    .get(node)
+                    .map(|n| (n.address == *address && n.meta == *meta, n.created));
                 if known.is_none_or(|(same, _)| !same) {
                     let created = known.map_or(index, |(_, created)| created);
-                    let entry =
-                        Node { address: address.clone(), meta: meta.clone(), created, modified: index };
+                    let entry = Node {
+                        address: address.clone(),
+                        meta: meta.clone(),
+                        created,
+                        modified: index,
+                    };
                     self.nodes.insert(node.clone(), entry);
                     self.nodes_index = index;
                     self.touch_node(node);
@@ -149,31 +184,56 @@
                     let key = (node.clone(), service.id.clone());
                     let created = self.instances.get(&key).map_or(index, |i| i.created);
                     self.touch(&service.name);
-                    self.instances
-                        .insert(key, Instance { service: service.clone(), created, modified: index });
+                    self.instances.insert(
+                        key,
+                        Instance {
+                            service: service.clone(),
+                            created,
+                            modified: index,
+                        },
+                    );
                 }
                 for check in checks {
                     let key = (node.clone(), check.id.clone());
                     let created = self.probes.get(&key).map_or(index, |p| p.created);
-                    self.probes.insert(key, Probe { check: check.clone(), created, modified: index });
+                    self.probes.insert(
+                        key,
+                        Probe {
+                            check: check.clone(),
+                            created,
+                            modified: index,
+                        },
+                    );
                     self.touch_check(node, &check.service_name.clone());
                 }
             }
-            Command::Deregister { node, service: Some(id) } => {
+            Command::Deregister {
+                node,
+                service: Some(id),
+            } => {
                 if let Some(gone) = self.instances.remove(&(node.clone(), id.clone())) {
                     self.touch(&gone.service.name);
                 }
-                self.probes.retain(|(n, _), p| n != node || p.check.service_id != *id);
+                self.probes
+                    .retain(|(n, _), p| n != node || p.check.service_id != *id);
                 self.checks_index = index;
             }
-            Command::Deregister { node, service: None } => {
+            Command::Deregister {
+                node,
+                service: None,
+            } => {
                 self.touch_node(node);
                 self.nodes.remove(node);
                 self.instances.retain(|(n, _), _| n != node);
                 self.probes.retain(|(n, _), _| n != node);
                 (self.nodes_index, self.checks_index) = (index, index);
             }
-            Command::Status { node, check, status, output } => {
+            Command::Status {
+                node,
+                check,
+                status,
+                output,
+            } => {
                 let mut service = None;
                 if let Some(probe) = self.probes.get_mut(&(node.clone(), check.clone()))
                     && (probe.check.status != *status || probe.check.output != *output)
@@ -192,11 +252,14 @@
                 }
             }
             Command::Begin(session) => {
-                self.sessions.insert(session.id.clone(), (session.clone(), index));
+                self.sessions
+                    .insert(session.id.clone(), (session.clone(), index));
                 self.sessions_index = index;
             }
             Command::End { session, at } => {
-                let Some((gone, _)) = self.sessions.remove(session) else { return };
+                let Some((gone, _)) = self.sessions.remove(session) else {
+                    return;
+                };
                 self.sessions_index = index;
                 let mut dropped = Vec::new();
                 for (name, key) in &mut self.keys {
@@ -212,7 +275,12 @@
                 }
                 dropped.iter().for_each(|name| drop(self.keys.remove(name)));
             }
-            Command::Put { key, value, flags, lock } => {
+            Command::Put {
+                key,
+                value,
+                flags,
+                lock,
+            } => {
                 let entry = self.keys.entry(key.clone()).or_insert(Key {
                     value: String::new(),
                     flags: 0,
@@ -233,12 +301,22 @@
                 self.keys_index = index;
             }
             Command::Delete { key, recurse } => {
-                self.keys
-                    .retain(|name, _| if *recurse { !name.starts_with(key.as_str()) } else { name != key });
+                self.keys.retain(|name, _| {
+                    if *recurse {
+                        !name.starts_with(key.as_str())
+                    } else {
+                        name != key
+                    }
+                });
                 self.keys_index = index;
             }
-            Command::Member { name, address, status } => {
-                self.members.insert(name.clone(), (address.clone(), *status));
+            Command::Member {
+                name,
+                address,
+                status,
+            } => {
+                self.members
+                    .insert(name.clone(), (address.clone(), *status));
             }
         }
     }
@@ -246,12 +324,20 @@
     /// Tells what a command that is about to be applied does to locks.
     pub fn lock_news(&self, command: &Command, tell: &dyn Fn(LockNews<'_>)) {
         match command {
-            Command::Put { key, lock: Lock::Acquire(session), .. } if !self.holds(key, session) => {
+            Command::Put {
+                key,
+                lock: Lock::Acquire(session),
+                ..
+            } if !self.holds(key, session) => {
                 if let Some((session, _)) = self.sessions.get(session) {
                     tell(LockNews::Locked(key, &session.name));
                 }
             }
-            Command::Put { key, lock: Lock::Release(_), .. } => tell(LockNews::Free(key, 0)),
+            Command::Put {
+                key,
+                lock: Lock::Release(_),
+                ..
+            } => tell(LockNews::Free(key, 0)),
             Command::End { session, .. } => {
                 let delay = self.sessions.get(session).map_or(0, |(s, _)| s.lock_delay);
                 for key in self.keys.keys().filter(|key| self.holds(key, session)) {
@@ -279,19 +365,26 @@
     /// A check of a service, or of a node with all its services, has changed.
     fn touch_check(&mut self, node: &str, service: &str) {
         self.checks_index = self.index;
-        if service.is_empty() { self.touch_node(node) } else { self.touch(service) }
+        if service.is_empty() {
+            self.touch_node(node)
+        } else {
+            self.touch(service)
+        }
     }
 
     /// Whether a session may lock a key now.
     pub fn may_lock(&self, key: &str, session: &str, now: u64) -> bool {
         let delayed = self.delays.get(key).is_some_and(|&until| until > now);
         let holder = self.keys.get(key).and_then(|k| k.session.as_deref());
-        self.sessions.contains_key(session) && (holder == Some(session) || (holder.is_none() && !delayed))
+        self.sessions.contains_key(session)
+            && (holder == Some(session) || (holder.is_none() && !delayed))
     }
 
     /// Whether a session holds a key.
     pub fn holds(&self, key: &str, session: &str) -> bool {
-        self.keys.get(key).is_some_and(|k| k.session.as_deref() == Some(session))
+        self.keys
+            .get(key)
+            .is_some_and(|k| k.session.as_deref() == Some(session))
     }
 
     /// A key's modify index; 0 if there is none.
@@ -301,22 +394,30 @@
 
     /// Checks with a TTL.
     pub fn ttl_checks(&self) -> impl Iterator<Item = (&(String, String), u64, &str)> {
-        self.probes.iter().filter_map(|(key, p)| Some((key, p.check.ttl?, p.check.status.as_str())))
+        self.probes
+            .iter()
+            .filter_map(|(key, p)| Some((key, p.check.ttl?, p.check.status.as_str())))
     }
 
     /// Whether a check exists.
     pub fn has_check(&self, node: &str, check: &str) -> bool {
-        self.probes.contains_key(&(node.to_owned(), check.to_owned()))
+        self.probes
+            .contains_key(&(node.to_owned(), check.to_owned()))
     }
 
     /// A service's name.
     pub fn service_name(&self, node: &str, id: &str) -> Option<&str> {
-        self.instances.get(&(node.to_owned(), id.to_owned())).map(|i| i.service.name.as_str())
+        self.instances
+            .get(&(node.to_owned(), id.to_owned()))
+            .map(|i| i.service.name.as_str())
     }
 
     /// The index that a query of a service blocks on.
     pub fn service_index(&self, service: &str) -> u64 {
-        self.service_index.get(service).copied().unwrap_or(self.index.min(1))
+        self.service_index
+            .get(service)
+            .copied()
+            .unwrap_or(self.index.min(1))
     }
 
     /// The index of the list of nodes.
@@ -335,7 +436,9 @@
     }
 
     fn node_json(&self, name: &str, dc: &str) -> Value {
-        let Some(node) = self.nodes.get(name) else { return Value::Null };
+        let Some(node) = self.nodes.get(name) else {
+            return Value::Null;
+        };
         json!({
             "ID": uuid(name), "Node": name, "Address": node.address, "Datacenter": dc,
             "TaggedAddresses": {"lan": node.address, "wan": node.address}, "Meta": node.meta,
@@ -396,20 +499,32 @@
                 "ServiceProxy": {}, "ServiceConnect": {}, "CreateIndex": i.created, "ModifyIndex": i.modified,
             })
         };
-        self.instances.iter().filter(|(_, i)| i.service.name == service).map(|(k, i)| of(k, i)).collect()
+        self.instances
+            .iter()
+            .filter(|(_, i)| i.service.name == service)
+            .map(|(k, i)| of(k, i))
+            .collect()
     }
 
     /// Entries of `/v1/catalog/nodes`.
     pub fn catalog_nodes(&self, dc: &str) -> Vec<Value> {
-        self.nodes.keys().map(|name| self.node_json(name, dc)).collect()
+        self.nodes
+            .keys()
+            .map(|name| self.node_json(name, dc))
+            .collect()
     }
 
     /// Entries of `/v1/health/node/:node`, or of `/v1/health/state/:state`.
     pub fn checks(&self, node: Option<&str>, state: Option<&str>) -> Vec<Value> {
         let wanted = |(n, _): &(String, String), p: &Probe| {
-            node.is_none_or(|node| node == n) && state.is_none_or(|s| s == "any" || s == p.check.status)
+            node.is_none_or(|node| node == n)
+                && state.is_none_or(|s| s == "any" || s == p.check.status)
         };
-        self.probes.iter().filter(|(k, p)| wanted(k, p)).map(|(k, p)| Self::check_json(&k.0, p)).collect()
+        self.probes
+            .iter()
+            .filter(|(k, p)| wanted(k, p))
+            .map(|(k, p)| Self::check_json(&k.0, p))
+            .collect()
     }
 
     /// Entries of `/v1/agent/members`.
@@ -435,7 +550,13 @@
 
     /// Entries of `/v1/kv/:key`.
     pub fn keys(&self, key: &str, recurse: bool) -> Vec<Value> {
-        let wanted = |name: &str| if recurse { name.starts_with(key) } else { name == key };
+        let wanted = |name: &str| {
+            if recurse {
+                name.starts_with(key)
+            } else {
+                name == key
+            }
+        };
         let of = |(name, k): (&String, &Key)| {
             let mut entry = Map::new();
             entry.insert("LockIndex".into(), json!(k.locks));
@@ -449,7 +570,11 @@
             entry.insert("ModifyIndex".into(), json!(k.modified));
             Value::Object(entry)
         };
-        self.keys.iter().filter(|(name, _)| wanted(name)).map(of).collect()
+        self.keys
+            .iter()
+            .filter(|(name, _)| wanted(name))
+            .map(of)
+            .collect()
     }
 }
 
@@ -458,7 +583,9 @@
     let mut h = (0xcbf2_9ce4_8422_2325_u64, 0x9e37_79b9_7f4a_7c15_u64);
     for b in name.bytes() {
         h.0 = (h.0 ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
-        h.1 = (h.1 ^ h.0).rotate_left(17).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        h.1 = (h.1 ^ h.0)
+            .rotate_left(17)
+            .wrapping_mul(0xbf58_476d_1ce4_e5b9);
     }
     let (a, b) = h;
     format!(
--- a/crates/consul-standin/tests/bodies.rs
+++ b/crates/consul-standin/tests/bodies.rs
@@ -11,10 +11,20 @@
 
 fn call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
     let mut stream = TcpStream::connect(at).expect("the stand-in listens");
-    let body = if body.is_null() { String::new() } else { body.to_string() };
-    write!(stream, "{method} {target} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-        .expect("sent");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a timeout");
+    let body = if body.is_null() {
+        String::new()
+    } else {
+        body.to_string()
+    };
+    write!(
+        stream,
+        "{method} {target} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .expect("sent");
+    stream
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("a timeout");
     let mut reader = Reader::new(Role::Responses, Limits::default());
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     loop {
@@ -37,7 +47,10 @@
         Value::Object(fields) => {
             let one = |(key, value): (&String, &Value)| {
                 let user = key == "Meta" || key == "NodeMeta";
-                (key.to_lowercase(), if user { value.clone() } else { lower(value) })
+                (
+                    key.to_lowercase(),
+                    if user { value.clone() } else { lower(value) },
+                )
             };
             Value::Object(fields.iter().map(one).collect())
         }
@@ -47,7 +60,10 @@
 }
 
 fn keys(value: &Value) -> Vec<String> {
-    value.as_object().map(|o| o.keys().cloned().collect()).unwrap_or_default()
+    value
+        .as_object()
+        .map(|o| o.keys().cloned().collect())
+        .unwrap_or_default()
 }
 
 #[test]
@@ -73,9 +89,17 @@
     let entry = &read[0][0];
     assert_eq!(entry["Service"]["ID"], "web-1");
     assert_eq!(entry["Service"]["EnableTagOverride"], true);
-    assert_eq!(entry["Service"]["Meta"], json!({"Zone": "A"}), "keys of users' maps keep their case");
-    let ids: Vec<&str> =
-        entry["Checks"].as_array().into_iter().flatten().filter_map(|c| c["CheckID"].as_str()).collect();
+    assert_eq!(
+        entry["Service"]["Meta"],
+        json!({"Zone": "A"}),
+        "keys of users' maps keep their case"
+    );
+    let ids: Vec<&str> = entry["Checks"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter_map(|c| c["CheckID"].as_str())
+        .collect();
     assert_eq!(ids, ["disk", "service:web-1", "service:web-1:3"]);
 }
 
@@ -89,7 +113,12 @@
         "check": {"checkid": "c1", "name": "c", "status": "passing", "serviceid": "h1"},
     });
     assert_eq!(call(at, "PUT", "/v1/catalog/register", &node).0, 200);
-    let (_, list) = call(at, "GET", "/v1/health/service/hosts?consistent", &Value::Null);
+    let (_, list) = call(
+        at,
+        "GET",
+        "/v1/health/service/hosts?consistent",
+        &Value::Null,
+    );
     assert_eq!(list[0]["Checks"][0]["ServiceName"], "hosts", "{list}");
     for (ttl, fine) in [
         (json!("10s"), true),
@@ -106,20 +135,46 @@
         assert_eq!(status == 200, fine, "{ttl}: {status} {answer}");
         if fine {
             let id = answer["ID"].as_str().expect("an id").to_owned();
-            let (_, info) = call(at, "GET", &format!("/v1/session/info/{id}?consistent"), &Value::Null);
+            let (_, info) = call(
+                at,
+                "GET",
+                &format!("/v1/session/info/{id}?consistent"),
+                &Value::Null,
+            );
             assert_eq!(info[0]["Behavior"], "delete", "{info}");
         }
     }
     let check = json!({"name": "own", "checkid": "own", "ttl": "30s", "status": "warning"});
     assert_eq!(call(at, "PUT", "/v1/agent/check/register", &check).0, 200);
     let update = json!({"status": "passing", "output": "well"});
-    assert_eq!(call(at, "PUT", "/v1/agent/check/update/own", &update).0, 200);
-    let (_, passing) = call(at, "GET", "/v1/health/state/passing?consistent", &Value::Null);
-    let own = passing.as_array().into_iter().flatten().find(|c| c["CheckID"] == "own").expect("it passes");
-    assert_eq!((own["Output"].as_str(), own["Type"].as_str()), (Some("well"), Some("ttl")));
+    assert_eq!(
+        call(at, "PUT", "/v1/agent/check/update/own", &update).0,
+        200
+    );
+    let (_, passing) = call(
+        at,
+        "GET",
+        "/v1/health/state/passing?consistent",
+        &Value::Null,
+    );
+    let own = passing
+        .as_array()
+        .into_iter()
+        .flatten()
+        .find(|c| c["CheckID"] == "own")
+        .expect("it passes");
+    assert_eq!(
+        (own["Output"].as_str(), own["Type"].as_str()),
+        (Some("well"), Some("ttl"))
+    );
     let gone = json!({"node": "n1", "serviceid": "h1"});
     assert_eq!(call(at, "PUT", "/v1/catalog/deregister", &gone).0, 200);
-    let (_, list) = call(at, "GET", "/v1/health/service/hosts?consistent", &Value::Null);
+    let (_, list) = call(
+        at,
+        "GET",
+        "/v1/health/service/hosts?consistent",
+        &Value::Null,
+    );
     assert_eq!(list, json!([]));
 }
 
@@ -131,12 +186,18 @@
         (json!({"Name": "web", "Port": "80"}), "Port"),
         (json!({"Name": "web", "Port": 1.5}), "Port"),
         (json!({"Name": 7}), "Name"),
-        (json!({"Name": "web", "EnableTagOverride": "yes"}), "EnableTagOverride"),
+        (
+            json!({"Name": "web", "EnableTagOverride": "yes"}),
+            "EnableTagOverride",
+        ),
         (json!({"Name": "web", "Check": {"TTL": "soon"}}), "TTL"),
     ] {
         let (status, why) = call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 400, "{body}");
-        assert!(why.as_str().is_some_and(|w| w.contains(key)), "{body}: {why}");
+        assert!(
+            why.as_str().is_some_and(|w| w.contains(key)),
+            "{body}: {why}"
+        );
     }
     let (_, list) = call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
     assert_eq!(list, json!([]), "nothing of it was taken");
@@ -147,29 +208,107 @@
     let servers = Servers::start(Settings::new(1)).expect("servers");
     let at = servers.addresses[0];
     let service = json!({"Name": "web", "Port": 80, "Check": {"TTL": "10s", "Status": "passing"}});
-    assert_eq!(call(at, "PUT", "/v1/agent/service/register", &service).0, 200);
+    assert_eq!(
+        call(at, "PUT", "/v1/agent/service/register", &service).0,
+        200
+    );
     let has = |value: &Value, wanted: &[&str]| {
         let found = keys(value);
-        let missing: Vec<&&str> = wanted.iter().filter(|w| !found.iter().any(|f| f == *w)).collect();
+        let missing: Vec<&&str> = wanted
+            .iter()
+            .filter(|w| !found.iter().any(|f| f == *w))
+            .collect();
         assert!(missing.is_empty(), "{missing:?} missing in {found:?}");
     };
     let (_, health) = call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
     has(&health[0], &["Node", "Service", "Checks"]);
-    has(&health[0]["Node"], &["ID", "Node", "Address", "Datacenter", "TaggedAddresses", "Meta"]);
-    let wanted = ["ID", "Service", "Tags", "Address", "TaggedAddresses", "Meta", "Port", "Weights", "Proxy"];
+    has(
+        &health[0]["Node"],
+        &[
+            "ID",
+            "Node",
+            "Address",
+            "Datacenter",
+            "TaggedAddresses",
+            "Meta",
+        ],
+    );
+    let wanted = [
+        "ID",
+        "Service",
+        "Tags",
+        "Address",
+        "TaggedAddresses",
+        "Meta",
+        "Port",
+        "Weights",
+        "Proxy",
+    ];
     has(&health[0]["Service"], &wanted);
-    has(&health[0]["Service"], &["EnableTagOverride", "Connect", "CreateIndex", "ModifyIndex"]);
-    let wanted =
-        ["Node", "CheckID", "Name", "Status", "Notes", "Output", "ServiceID", "ServiceName", "ServiceTags"];
+    has(
+        &health[0]["Service"],
+        &["EnableTagOverride", "Connect", "CreateIndex", "ModifyIndex"],
+    );
+    let wanted = [
+        "Node",
+        "CheckID",
+        "Name",
+        "Status",
+        "Notes",
+        "Output",
+        "ServiceID",
+        "ServiceName",
+        "ServiceTags",
+    ];
     has(&health[0]["Checks"][0], &wanted);
-    let (_, catalog) = call(at, "GET", "/v1/catalog/service/web?consistent", &Value::Null);
-    let wanted =
-        ["ID", "Node", "Address", "Datacenter", "TaggedAddresses", "NodeMeta", "ServiceID", "ServiceName"];
+    let (_, catalog) = call(
+        at,
+        "GET",
+        "/v1/catalog/service/web?consistent",
+        &Value::Null,
+    );
+    let wanted = [
+        "ID",
+        "Node",
+        "Address",
+        "Datacenter",
+        "TaggedAddresses",
+        "NodeMeta",
+        "ServiceID",
+        "ServiceName",
+    ];
     has(&catalog[0], &wanted);
-    let wanted = ["ServiceAddress", "ServicePort", "ServiceTags", "ServiceMeta", "ServiceEnableTagOverride"];
+    let wanted = [
+        "ServiceAddress",
+        "ServicePort",
+        "ServiceTags",
+        "ServiceMeta",
+        "ServiceEnableTagOverride",
+    ];
     has(&catalog[0], &wanted);
     let (_, nodes) = call(at, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
-    has(&nodes[0], &["ID", "Node", "Address", "Datacenter", "TaggedAddresses", "Meta"]);
+    has(
+        &nodes[0],
+        &[
+            "ID",
+            "Node",
+            "Address",
+            "Datacenter",
+            "TaggedAddresses",
+            "Meta",
+        ],
+    );
     let (_, members) = call(at, "GET", "/v1/agent/members", &Value::Null);
-    has(&members[0], &["Name", "Addr", "Port", "Tags", "Status", "ProtocolCur", "DelegateCur"]);
+    has(
+        &members[0],
+        &[
+            "Name",
+            "Addr",
+            "Port",
+            "Tags",
+            "Status",
+            "ProtocolCur",
+            "DelegateCur",
+        ],
+    );
 }
--- a/crates/consul/src/catalogue.rs
+++ b/crates/consul/src/catalogue.rs
@@ -199,14 +199,21 @@
 impl Listing {
     /// Begins to read an answer; rows that stand as they did in the last one are not parsed again.
     pub fn new(body: Vec<u8>, last: Answer, known: &Known) -> Listing {
-        Listing { rows: Reading::new(body, last, known.most), listed: Listed::default() }
+        Listing {
+            rows: Reading::new(body, last, known.most),
+            listed: Listed::default(),
+        }
     }
 
     /// Reads on for as much work as is left, and tells whether that was all. An error means that the body as a whole
     /// is no list.
     pub fn step(&mut self, work: &mut usize, known: &Known) -> Result<bool, String> {
         let listed = &mut self.listed;
-        self.rows.step(work, |raw| Arc::new(parsed(raw, known)), |number, row| listed.add(number, row))
+        self.rows.step(
+            work,
+            |raw| Arc::new(parsed(raw, known)),
+            |number, row| listed.add(number, row),
+        )
     }
 
     /// What the answer holds, and its rows for the next one to be compared with. Of an answer that was no list, the
@@ -250,23 +257,33 @@
             Err((name, why)) => (name, why.clone()),
         };
         if self.bad.len() < MOST_BAD {
-            self.bad.push(BadEntry { number, name: name.clone(), why });
+            self.bad.push(BadEntry {
+                number,
+                name: name.clone(),
+                why,
+            });
         }
     }
 }
 
 fn parsed(raw: &str, known: &Known) -> Parsed {
     let mut datacentre = String::new();
-    let entry = serde_json::from_str::<RawEntry>(raw).map_err(|e| e.to_string()).and_then(|entry| {
-        datacentre.clone_from(&entry.node.datacenter);
-        host(entry, known)
-    });
+    let entry = serde_json::from_str::<RawEntry>(raw)
+        .map_err(|e| e.to_string())
+        .and_then(|entry| {
+            datacentre.clone_from(&entry.node.datacenter);
+            host(entry, known)
+        });
     let short = |text: &str| text.chars().take(MOST_TEXT).collect();
     let entry = entry.map(Arc::new).map_err(|why| {
-        let name = serde_json::from_str::<NameOnly>(raw).map_or_else(|_| "?".to_owned(), |n| n.service.id);
+        let name =
+            serde_json::from_str::<NameOnly>(raw).map_or_else(|_| "?".to_owned(), |n| n.service.id);
         (short(&name), short(&why))
     });
-    Parsed { datacentre: short(&datacentre), entry }
+    Parsed {
+        datacentre: short(&datacentre),
+        entry,
+    }
 }
 
 /// How a list differs from one before, host by host.
@@ -293,8 +310,16 @@
                 (None, Some(_)) => Ordering::Greater,
                 (None, None) => return found,
             };
-            let old = if order == Ordering::Greater { None } else { before.next() };
-            let new = if order == Ordering::Less { None } else { after.next() };
+            let old = if order == Ordering::Greater {
+                None
+            } else {
+                before.next()
+            };
+            let new = if order == Ordering::Less {
+                None
+            } else {
+                after.next()
+            };
             match (old, new) {
                 (Some((_, a)), Some((_, b))) if same(a, b) => {}
                 (_, Some((name, new))) if new.host.state == HostState::Ready => {
@@ -318,18 +343,27 @@
 
 fn host(raw: RawEntry, known: &Known) -> Result<Entry, String> {
     let named = |what: &str, text: &str| {
-        let fine = !text.is_empty() && text.len() <= MOST_TEXT && !text.chars().any(char::is_control);
-        if fine { Ok(()) } else { Err(format!("{what}: 1 to {MOST_TEXT} bytes without control characters")) }
+        let fine =
+            !text.is_empty() && text.len() <= MOST_TEXT && !text.chars().any(char::is_control);
+        if fine {
+            Ok(())
+        } else {
+            Err(format!(
+                "{what}: 1 to {MOST_TEXT} bytes without control characters"
+            ))
+        }
     };
     named("Service.ID", &raw.service.id)?;
     named("Node.Node", &raw.node.node)?;
     // The service's own metadata first, then the node's.
     let meta = |key: &str| {
-        let of = |m: &Option<BTreeMap<String, String>>| m.as_ref().and_then(|m| m.get(key)).cloned();
+        let of =
+            |m: &Option<BTreeMap<String, String>>| m.as_ref().and_then(|m| m.get(key)).cloned();
         of(&raw.service.meta).or_else(|| of(&raw.node.meta))
     };
     let needed = |key: &str| {
-        let value = meta(key).ok_or_else(|| format!("no metadata `{key}`, of the service or its node"))?;
+        let value =
+            meta(key).ok_or_else(|| format!("no metadata `{key}`, of the service or its node"))?;
         named(key, &value)?;
         Ok::<String, String>(value)
     };
@@ -343,12 +377,21 @@
     let started_ms = match meta("started_ms") {
         None => None,
         Some(text) => {
-            let ms = text.parse::<u64>().ok().filter(|&ms| ms > 0 && ms < LATEST_START);
+            let ms = text
+                .parse::<u64>()
+                .ok()
+                .filter(|&ms| ms > 0 && ms < LATEST_START);
             Some(ms.ok_or_else(|| "started_ms: not a time in ms since 1970".to_owned())?)
         }
     };
-    let ip = if raw.service.address.is_empty() { &raw.node.address } else { &raw.service.address };
-    let ip: IpAddr = ip.parse().map_err(|_| "address: not an IP address".to_owned())?;
+    let ip = if raw.service.address.is_empty() {
+        &raw.node.address
+    } else {
+        &raw.service.address
+    };
+    let ip: IpAddr = ip
+        .parse()
+        .map_err(|_| "address: not an IP address".to_owned())?;
     let port = u16::try_from(raw.service.port).ok().filter(|&p| p > 0);
     let port = port.ok_or_else(|| format!("port {}: out of range", raw.service.port))?;
     let status = worst(&raw.checks);
@@ -363,7 +406,11 @@
         unasked_cores: None,
         unasked_memory_gib: None,
     };
-    Ok(Entry { host, node: raw.node.node, status })
+    Ok(Entry {
+        host,
+        node: raw.node.node,
+        status,
+    })
 }
 
 /// The worst of node-level and service-level checks, as Consul merges them. A status that is not known is taken for
@@ -372,7 +419,9 @@
     let of = |check: &RawCheck| match check.status.as_str() {
         "passing" => Status::Passing,
         "warning" => Status::Warning,
-        _ if check.check_id == "_node_maintenance" || check.check_id.starts_with("_service_maintenance:") => {
+        _ if check.check_id == "_node_maintenance"
+            || check.check_id.starts_with("_service_maintenance:") =>
+        {
             Status::Maintenance
         }
         _ => Status::Critical,
@@ -400,7 +449,10 @@
 impl Members {
     /// Begins to read an answer of at most so many members.
     pub fn new(body: Vec<u8>, last: MemberRows, most: usize) -> Members {
-        Members { rows: Reading::new(body, last, most), members: BTreeMap::new() }
+        Members {
+            rows: Reading::new(body, last, most),
+            members: BTreeMap::new(),
+        }
     }
 
     /// Reads on for as much work as is left, and tells whether that was all.
@@ -429,7 +481,11 @@
     use super::*;
 
     fn known() -> Known {
-        Known { zones: vec!["a".into()], kinds: vec!["std".into()], most: 100 }
+        Known {
+            zones: vec!["a".into()],
+            kinds: vec!["std".into()],
+            most: 100,
+        }
     }
 
     fn entry(id: &str, checks: &str) -> String {
@@ -448,25 +504,40 @@
     fn statuses_mean_what_the_table_says() {
         let cases = [
             (vec![], Status::Passing, HostState::Ready),
-            (vec![("serfHealth", "passing"), ("service:x", "warning")], Status::Warning, HostState::Ready),
+            (
+                vec![("serfHealth", "passing"), ("service:x", "warning")],
+                Status::Warning,
+                HostState::Ready,
+            ),
             (
                 vec![("serfHealth", "critical"), ("service:x", "passing")],
                 Status::Critical,
                 HostState::Draining,
             ),
-            (vec![("_node_maintenance", "critical")], Status::Maintenance, HostState::Draining),
+            (
+                vec![("_node_maintenance", "critical")],
+                Status::Maintenance,
+                HostState::Draining,
+            ),
             (
                 vec![("_service_maintenance:x", "critical"), ("a", "critical")],
                 Status::Maintenance,
                 HostState::Draining,
             ),
-            (vec![("a", "unheard-of")], Status::Critical, HostState::Draining),
+            (
+                vec![("a", "unheard-of")],
+                Status::Critical,
+                HostState::Draining,
+            ),
         ];
         for (checks, status, state) in cases {
             let checks: Vec<String> = checks.iter().map(|(id, s)| check(id, s)).collect();
             let body = format!("[{}]", entry("h", &checks.join(",")));
             let listed = read(body.as_bytes(), &known()).expect("a list");
-            assert_eq!((listed.entries["h"].status, listed.entries["h"].host.state), (status, state));
+            assert_eq!(
+                (listed.entries["h"].status, listed.entries["h"].host.state),
+                (status, state)
+            );
         }
         assert_eq!(Member::from_number(1).state(), HostState::Ready);
         for number in 2..=4 {
@@ -514,12 +585,22 @@
             "[{}]",
             entry("h", "").replace(r#""cell":"c""#, &format!(r#""cell":"c","note":"{long}""#))
         );
-        assert_eq!(read(body.as_bytes(), &known()).expect("a list").entries.len(), 1);
+        assert_eq!(
+            read(body.as_bytes(), &known())
+                .expect("a list")
+                .entries
+                .len(),
+            1
+        );
     }
 
     #[test]
     fn a_name_that_two_claim_gets_nothing_new() {
-        let body = format!("[{},{}]", entry("h", ""), entry("h", "").replace("node-h", "node-2"));
+        let body = format!(
+            "[{},{}]",
+            entry("h", ""),
+            entry("h", "").replace("node-h", "node-2")
+        );
         let listed = read(body.as_bytes(), &known()).expect("a list");
         assert_eq!(listed.entries["h"].host.state, HostState::Draining);
         assert_eq!(listed.bad[0].why, "its id stands on node-h already");
@@ -527,11 +608,21 @@
 
     #[test]
     fn lists_differ_where_entries_came_changed_or_went() {
-        let list =
-            |rows: &[String]| read(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list");
-        let old = list(&[entry("a", ""), entry("b", ""), entry("c", ""), entry("d", "")]);
-        let new =
-            list(&[entry("b", ""), entry("c", &check("x", "critical")), entry("d", ""), entry("e", "")]);
+        let list = |rows: &[String]| {
+            read(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list")
+        };
+        let old = list(&[
+            entry("a", ""),
+            entry("b", ""),
+            entry("c", ""),
+            entry("d", ""),
+        ]);
+        let new = list(&[
+            entry("b", ""),
+            entry("c", &check("x", "critical")),
+            entry("d", ""),
+            entry("e", ""),
+        ]);
         let differences = Differences::between(&old.entries, &new.entries);
         assert_eq!(
             (&differences.worse[..], &differences.other[..]),
@@ -552,7 +643,11 @@
             assert!(read(body.as_bytes(), &known()).is_err(), "{body}");
         }
         let many = format!("[{}1]", "1,".repeat(100));
-        assert!(read(many.as_bytes(), &known()).expect_err("too many").contains("more than 100 entries"));
+        assert!(
+            read(many.as_bytes(), &known())
+                .expect_err("too many")
+                .contains("more than 100 entries")
+        );
         let members =
             br#"[{"Name":"n1","Status":1},{"Name":"n2","Status":4},{"Name":3},{"Name":"n3","Status":3}]"#;
         let mut reading = Members::new(members.to_vec(), MemberRows::default(), 10);
--- a/crates/consul/src/lease.rs
+++ b/crates/consul/src/lease.rs
@@ -144,7 +144,10 @@
                         self.not_before = now + LOOK_AGAIN / 2 + self.rng.next_u64() % LOOK_AGAIN;
                         return None;
                     }
-                    Ask::Acquire(free[(self.rng.next_u64() % free.len() as u64) as usize], session.clone())
+                    Ask::Acquire(
+                        free[(self.rng.next_u64() % free.len() as u64) as usize],
+                        session.clone(),
+                    )
                 }
             },
         };
@@ -154,7 +157,9 @@
 
     /// How the last ask went.
     pub fn told(&mut self, now: Micros, told: Told) {
-        let Some((ask, sent)) = self.asking.take() else { return };
+        let Some((ask, sent)) = self.asking.take() else {
+            return;
+        };
         let lease = (self.ttl as f64 * (1.0 - MARGIN)) as Micros;
         match (ask, told) {
             (Ask::Create, Told::Created(session)) => {
@@ -240,7 +245,11 @@
     fn a_placer_that_was_stopped_knows_by_its_own_clock_that_the_slot_is_lost() {
         let (mut lease, slot) = leased();
         assert_eq!(lease.slot(8 * S), Some(slot));
-        assert_eq!(lease.slot(9 * S), None, "a tenth of the TTL before the servers can end the session");
+        assert_eq!(
+            lease.slot(9 * S),
+            None,
+            "a tenth of the TTL before the servers can end the session"
+        );
         // A renewal sent before the stop and answered after it counts from when it was sent.
         assert!(lease.next(4 * S).is_some());
         lease.told(60 * S, Told::Renewed);
@@ -269,7 +278,10 @@
             }
             now += S / 20;
         }
-        assert!(now >= 9 * S && (4..20).contains(&tries), "{tries} tries until {now}");
+        assert!(
+            now >= 9 * S && (4..20).contains(&tries),
+            "{tries} tries until {now}"
+        );
         assert_eq!(slot, 2);
         // It gives up the session and begins anew.
         let until = now + 10 * S;
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -27,7 +27,10 @@
 impl Target {
     /// A path without parameters.
     pub fn new(path: impl Into<String>) -> Target {
-        Target { text: path.into(), more: false }
+        Target {
+            text: path.into(),
+            more: false,
+        }
     }
 
     /// Adds a parameter; the value is escaped.
@@ -99,7 +102,10 @@
         let number = |name: &str| message.head.field(name).and_then(|v| v.trim().parse().ok());
         Meta {
             index: number("x-consul-index").unwrap_or(0),
-            known_leader: message.head.field("x-consul-knownleader").map(|v| v.trim() == "true"),
+            known_leader: message
+                .head
+                .field("x-consul-knownleader")
+                .map(|v| v.trim() == "true"),
             last_contact_ms: number("x-consul-lastcontact").unwrap_or(0),
         }
     }
@@ -150,19 +156,29 @@
             .with("filter", "Meta.zone == \"a b\"")
             .mode(Mode::Stale)
             .maybe("dc", None);
-        let text = String::from_utf8(target.request("GET", "me", Some("t\r\nX: y"), b"")).expect("text");
+        let text =
+            String::from_utf8(target.request("GET", "me", Some("t\r\nX: y"), b"")).expect("text");
         assert!(
-            text.starts_with("GET /v1/kv/a?filter=Meta.zone%20%3D%3D%20%22a%20b%22&stale HTTP/1.1\r\n"),
+            text.starts_with(
+                "GET /v1/kv/a?filter=Meta.zone%20%3D%3D%20%22a%20b%22&stale HTTP/1.1\r\n"
+            ),
             "{text}"
         );
-        assert!(text.contains("X-Consul-Token: tX: y\r\n"), "a token can't add a line: {text}");
+        assert!(
+            text.contains("X-Consul-Token: tX: y\r\n"),
+            "a token can't add a line: {text}"
+        );
     }
 
     #[test]
     fn indexes_never_go_back_to_zero_or_stand_there() {
         assert_eq!(next_index(5, 9), 9);
         assert_eq!(next_index(9, 5), 0, "it went back: from the beginning");
-        assert_eq!(next_index(0, 0), 1, "missing or zero: still one that blocks");
+        assert_eq!(
+            next_index(0, 0),
+            1,
+            "missing or zero: still one that blocks"
+        );
     }
 
     #[test]
@@ -171,7 +187,10 @@
         let mut off = BackOff::default();
         let waits: Vec<Micros> = (0..10).map(|_| off.failed(&mut rng)).collect();
         assert!((50_000..100_000).contains(&waits[0]));
-        assert!(waits.iter().all(|&w| w < 3_000_000) && waits[9] >= 1_500_000, "{waits:?}");
+        assert!(
+            waits.iter().all(|&w| w < 3_000_000) && waits[9] >= 1_500_000,
+            "{waits:?}"
+        );
         off.well();
         assert!(off.failed(&mut rng) < 100_000);
     }
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -30,7 +30,10 @@
 
 impl<T> Default for Rows<T> {
     fn default() -> Rows<T> {
-        Rows { body: Vec::new(), rows: Vec::new() }
+        Rows {
+            body: Vec::new(),
+            rows: Vec::new(),
+        }
     }
 }
 
@@ -64,7 +67,14 @@
     /// Begins a list that may have so many rows.
     pub fn new(body: Vec<u8>, last: Rows<T>, most: usize) -> Reading<T> {
         let rows = Vec::with_capacity(last.rows.len().min(most));
-        Reading { now: Rows { body, rows }, last, cursor: 0, at: 0, place: Place::Start, most }
+        Reading {
+            now: Rows { body, rows },
+            last,
+            cursor: 0,
+            at: 0,
+            place: Place::Start,
+            most,
+        }
     }
 
     /// Takes in rows for as much work as is left, which it lessens. `parse` makes a value of a row that is new or has changed;
@@ -78,7 +88,10 @@
     ) -> Result<bool, String> {
         while *work > 0 {
             let body = &self.now.body;
-            self.at += body[self.at..].iter().take_while(|b| b" \t\r\n".contains(b)).count();
+            self.at += body[self.at..]
+                .iter()
+                .take_while(|b| b" \t\r\n".contains(b))
+                .count();
             let octet = body.get(self.at);
             self.place = match (self.place, octet) {
                 (Place::End, None) => return Ok(true),
@@ -98,7 +111,11 @@
                     Place::After
                 }
                 (_, Some(&octet)) => {
-                    return Err(format!("octet {}: {:?} is out of place", self.at, char::from(octet)));
+                    return Err(format!(
+                        "octet {}: {:?} is out of place",
+                        self.at,
+                        char::from(octet)
+                    ));
                 }
                 (_, None) => return Err(format!("octet {}: it ends too early", self.at)),
             };
@@ -109,12 +126,23 @@
         Ok(false)
     }
 
-    fn row(&mut self, number: usize, parse: &mut impl FnMut(&str) -> T) -> Result<(Row<T>, usize), String> {
+    fn row(
+        &mut self,
+        number: usize,
+        parse: &mut impl FnMut(&str) -> T,
+    ) -> Result<(Row<T>, usize), String> {
         let (from, rest) = (self.at, &self.now.body[self.at..]);
-        let window = self.last.rows.iter().enumerate().skip(self.cursor).take(WINDOW);
+        let window = self
+            .last
+            .rows
+            .iter()
+            .enumerate()
+            .skip(self.cursor)
+            .take(WINDOW);
         // An object tells its own end, so what begins with the same object is that object.
-        let same =
-            |old: &Row<T>| rest.first() == Some(&b'{') && rest.starts_with(&self.last.body[old.from..old.to]);
+        let same = |old: &Row<T>| {
+            rest.first() == Some(&b'{') && rest.starts_with(&self.last.body[old.from..old.to])
+        };
         if let Some((at, old)) = window.clone().find(|(_, old)| same(old)) {
             self.cursor = at + 1;
             let (value, to) = (old.value.clone(), from + (old.to - old.from));
@@ -130,10 +158,21 @@
         let value = parse(raw.get());
         // A row that stands in the place of the next old one has most likely replaced it; if it was put in before it,
         // the old one is found further on in the new list and the cursor with it.
-        if window.clone().next().is_some_and(|(_, old)| self.replaces(old, rest)) {
+        if window
+            .clone()
+            .next()
+            .is_some_and(|(_, old)| self.replaces(old, rest))
+        {
             self.cursor += 1;
         }
-        Ok((Row { from, to: from + length, value }, PARSED + length / PARSED_BYTES))
+        Ok((
+            Row {
+                from,
+                to: from + length,
+                value,
+            },
+            PARSED + length / PARSED_BYTES,
+        ))
     }
 
     /// Whether a row begins as an old one did for as long as two rows of different things hardly do.
@@ -145,7 +184,11 @@
 
     /// The list with which the next one is compared: this one if it came to its end, else the last.
     pub fn into_rows(self) -> Rows<T> {
-        if self.place == Place::End { self.now } else { self.last }
+        if self.place == Place::End {
+            self.now
+        } else {
+            self.last
+        }
     }
 }
 
@@ -215,7 +258,10 @@
         let (_, _, _, last) = read("[1, 2]", Rows::default(), 9);
         assert_eq!(read("[12, 2]", last, 9).0.expect("a list"), ["12", "2"]);
         let many = format!("[{}1]", "1,".repeat(1000));
-        assert_eq!(read(&many, Rows::default(), 9).0.expect_err("too many"), "more than 1000 entries");
+        assert_eq!(
+            read(&many, Rows::default(), 9).0.expect_err("too many"),
+            "more than 1000 entries"
+        );
     }
 
     proptest! {
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -166,10 +166,13 @@
             kinds: placer.kind.iter().map(|k| k.name.clone()).collect(),
             most,
         };
-        let lease =
-            consul.membership.as_ref().map(|m| Lease::new(placer.placer.placers, m.ttl_ms * 1000, seed ^ 1));
+        let lease = consul
+            .membership
+            .as_ref()
+            .map(|m| Lease::new(placer.placer.placers, m.ttl_ms * 1000, seed ^ 1));
         let wait = consul.wait_ms * 1000;
-        let left = (placer.rules.ask_within_ms * 1000).saturating_sub(wait + wait / 16 + LATE_MARGIN);
+        let left =
+            (placer.rules.ask_within_ms * 1000).saturating_sub(wait + wait / 16 + LATE_MARGIN);
         let late = left.min(LATE);
         let mut source = Source {
             known,
@@ -209,10 +212,22 @@
         // Placers begin at different servers, so that none gets all of them.
         let first = source.rng.next_u64() as usize % source.config.servers.len();
         for purpose in [Purpose::Health, Purpose::Members] {
-            source.loops.insert(purpose, Loop { server: first, ..Loop::default() });
+            source.loops.insert(
+                purpose,
+                Loop {
+                    server: first,
+                    ..Loop::default()
+                },
+            );
         }
         if source.lease.is_some() {
-            source.loops.insert(Purpose::Lease, Loop { server: first, ..Loop::default() });
+            source.loops.insert(
+                Purpose::Lease,
+                Loop {
+                    server: first,
+                    ..Loop::default()
+                },
+            );
         }
         source
     }
@@ -222,7 +237,13 @@
         if self.lease.is_some() {
             self.own = Some((name.to_owned(), address));
             let server = self.loops.get(&Purpose::Health).map_or(0, |l| l.server);
-            self.loops.insert(Purpose::Register, Loop { server, ..Loop::default() });
+            self.loops.insert(
+                Purpose::Register,
+                Loop {
+                    server,
+                    ..Loop::default()
+                },
+            );
         }
     }
 
@@ -257,10 +278,17 @@
 
     /// When [`Source::tick`] is to be called at the latest.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
-        let loops =
-            self.loops.iter().filter(|(p, l)| l.call.is_none() && **p != Purpose::Lease).map(|(_, l)| l.due);
+        let loops = self
+            .loops
+            .iter()
+            .filter(|(p, l)| l.call.is_none() && **p != Purpose::Lease)
+            .map(|(_, l)| l.due);
         let lease = self.lease.as_ref().and_then(|l| l.due(now));
-        let own = self.lease.as_ref().and_then(Lease::until).filter(|&u| u > now && self.slot.is_some());
+        let own = self
+            .lease
+            .as_ref()
+            .and_then(Lease::until)
+            .filter(|&u| u > now && self.slot.is_some());
         let busy = self.busy().then_some(now);
         busy.into_iter()
             .chain(loops)
@@ -283,8 +311,17 @@
         self.digest(now);
         let released = self.damping.due(now);
         self.tell(now, released);
-        for purpose in [Purpose::Health, Purpose::Members, Purpose::Register, Purpose::Pass] {
-            if self.loops.get(&purpose).is_some_and(|l| l.call.is_none() && l.due <= now) {
+        for purpose in [
+            Purpose::Health,
+            Purpose::Members,
+            Purpose::Register,
+            Purpose::Pass,
+        ] {
+            if self
+                .loops
+                .get(&purpose)
+                .is_some_and(|l| l.call.is_none() && l.due <= now)
+            {
                 self.call(now, purpose);
             }
         }
@@ -300,11 +337,22 @@
         self.target(path).maybe("filter", filter).mode(mode)
     }
 
-    fn send(&mut self, purpose: Purpose, server: usize, request: Vec<u8>, within: Micros) -> CallId {
+    fn send(
+        &mut self,
+        purpose: Purpose,
+        server: usize,
+        request: Vec<u8>,
+        within: Micros,
+    ) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
         self.calls.insert(call, purpose);
-        self.out.push(Out::Call { call, server, request, within });
+        self.out.push(Out::Call {
+            call,
+            server,
+            request,
+            within,
+        });
         call
     }
 
@@ -317,25 +365,41 @@
         };
         let (target, method, body, within) = match purpose {
             Purpose::Health => {
-                let next = if self.index > 0 { self.watch.next(now) } else { Next::Whole };
+                let next = if self.index > 0 {
+                    self.watch.next(now)
+                } else {
+                    Next::Whole
+                };
                 self.watching = next == Next::Watch;
-                let empty = self.watching.then(|| nothing(self.config.filter.as_deref()));
-                let mut target = self.health(mode, empty.as_deref().or(self.config.filter.as_deref()));
+                let empty = self
+                    .watching
+                    .then(|| nothing(self.config.filter.as_deref()));
+                let mut target =
+                    self.health(mode, empty.as_deref().or(self.config.filter.as_deref()));
                 let mut within = self.late;
                 if next != Next::Whole {
-                    target = target.with("index", &self.index.to_string()).with("wait", &format!("{wait}ms"));
+                    target = target
+                        .with("index", &self.index.to_string())
+                        .with("wait", &format!("{wait}ms"));
                     // The server adds up to a sixteenth of the wait.
                     within += (wait + wait / 16) * 1000;
                 }
                 (target, "GET", Value::Null, within)
             }
-            Purpose::Confirm => {
-                (self.health(Mode::Consistent, self.config.filter.as_deref()), "GET", Value::Null, SHORT)
-            }
+            Purpose::Confirm => (
+                self.health(Mode::Consistent, self.config.filter.as_deref()),
+                "GET",
+                Value::Null,
+                SHORT,
+            ),
             Purpose::Members => (Target::new("/v1/agent/members"), "GET", Value::Null, SHORT),
             Purpose::Register => {
-                let Some((name, address)) = &self.own else { return };
-                let Some(m) = &self.config.membership else { return };
+                let Some((name, address)) = &self.own else {
+                    return;
+                };
+                let Some(m) = &self.config.membership else {
+                    return;
+                };
                 let body = json!({
                     "ID": name, "Name": m.service, "Address": address.ip().to_string(), "Port": address.port(),
                     "Check": {
@@ -343,7 +407,12 @@
                         "DeregisterCriticalServiceAfter": "10m",
                     },
                 });
-                (Target::new("/v1/agent/service/register"), "PUT", body, SHORT)
+                (
+                    Target::new("/v1/agent/service/register"),
+                    "PUT",
+                    body,
+                    SHORT,
+                )
             }
             Purpose::Pass => {
                 let Some((name, _)) = &self.own else { return };
@@ -352,7 +421,11 @@
             }
             Purpose::Lease => return,
         };
-        let body = if body.is_null() { Vec::new() } else { body.to_string().into_bytes() };
+        let body = if body.is_null() {
+            Vec::new()
+        } else {
+            body.to_string().into_bytes()
+        };
         let request = target.request(method, &self.who, self.token.as_deref(), &body);
         let server = self.loops.get(&purpose).map_or(0, |l| l.server);
         let call = self.send(purpose, server, request, within);
@@ -361,7 +434,9 @@
 
     /// A call's answer.
     pub fn answered(&mut self, now: Micros, call: CallId, message: Message) {
-        let Some(purpose) = self.calls.remove(&call) else { return };
+        let Some(purpose) = self.calls.remove(&call) else {
+            return;
+        };
         let status = message.head.status();
         if purpose == Purpose::Lease {
             let told = self.lease_told(call, status, &message.body);
@@ -371,14 +446,19 @@
             self.lease_done(now, told);
             return;
         }
-        if self.loops.get(&purpose).is_none_or(|l| l.call != Some(call)) {
+        if self
+            .loops
+            .get(&purpose)
+            .is_none_or(|l| l.call != Some(call))
+        {
             return;
         }
         if purpose == Purpose::Health && self.watching && status == 400 {
             self.watch.refused();
         }
         if status != 200 {
-            let why = String::from_utf8_lossy(&message.body[..message.body.len().min(120)]).into_owned();
+            let why =
+                String::from_utf8_lossy(&message.body[..message.body.len().min(120)]).into_owned();
             self.fail(now, purpose, &format!("status {status}: {why}"));
             return;
         }
@@ -393,12 +473,23 @@
             Purpose::Health | Purpose::Confirm | Purpose::Members => {
                 // The next one is asked for when this one is read.
                 self.again(purpose, Micros::MAX);
-                self.unread.push_back(Unread { purpose, meta, body: message.body });
+                self.unread.push_back(Unread {
+                    purpose,
+                    meta,
+                    body: message.body,
+                });
                 return;
             }
             Purpose::Register => {
                 let server = self.loops.remove(&purpose).map_or(0, |l| l.server);
-                self.loops.insert(Purpose::Pass, Loop { server, due: now, ..Loop::default() });
+                self.loops.insert(
+                    Purpose::Pass,
+                    Loop {
+                        server,
+                        due: now,
+                        ..Loop::default()
+                    },
+                );
             }
             Purpose::Pass => {
                 let ttl = self.config.membership.as_ref().map_or(10_000, |m| m.ttl_ms) * 1000;
@@ -417,11 +508,17 @@
 
     /// A call got no answer, or one that is no HTTP.
     pub fn failed(&mut self, now: Micros, call: CallId, why: &str) {
-        let Some(purpose) = self.calls.remove(&call) else { return };
+        let Some(purpose) = self.calls.remove(&call) else {
+            return;
+        };
         if purpose == Purpose::Lease {
             self.fail_over(Purpose::Lease);
             self.lease_done(now, Told::Failed);
-        } else if self.loops.get(&purpose).is_some_and(|l| l.call == Some(call)) {
+        } else if self
+            .loops
+            .get(&purpose)
+            .is_some_and(|l| l.call == Some(call))
+        {
             self.fail(now, purpose, why);
         }
     }
@@ -441,7 +538,9 @@
 
     fn fail(&mut self, now: Micros, purpose: Purpose, why: &str) {
         self.report.failed += 1;
-        let Some(l) = self.loops.get_mut(&purpose) else { return };
+        let Some(l) = self.loops.get_mut(&purpose) else {
+            return;
+        };
         l.call = None;
         let first = l.back_off.failures() == 0;
         l.due = now + l.back_off.failed(&mut self.rng);
@@ -450,10 +549,19 @@
             tracing::warn!(%server, why, age_ms = self.heard.map(|h| (now - h) / 1000), "{purpose:?} query failed");
         }
         // A check that a restarted agent does not know: register anew.
-        if purpose == Purpose::Pass && (why.starts_with("status 404") || why.contains("nknown check")) {
+        if purpose == Purpose::Pass
+            && (why.starts_with("status 404") || why.contains("nknown check"))
+        {
             let server = l.server;
             self.loops.remove(&Purpose::Pass);
-            self.loops.insert(Purpose::Register, Loop { server, due: now, ..Loop::default() });
+            self.loops.insert(
+                Purpose::Register,
+                Loop {
+                    server,
+                    due: now,
+                    ..Loop::default()
+                },
+            );
             return;
         }
         self.fail_over(purpose);
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -68,9 +68,20 @@
     }
 
     fn begin(&mut self) {
-        let Some(Unread { purpose, meta, body }) = self.unread.pop_front() else { return };
+        let Some(Unread {
+            purpose,
+            meta,
+            body,
+        }) = self.unread.pop_front()
+        else {
+            return;
+        };
         self.reading = Some(if purpose == Purpose::Members {
-            Reading::Members(Members::new(body, std::mem::take(&mut self.member_rows), self.known.most * 4))
+            Reading::Members(Members::new(
+                body,
+                std::mem::take(&mut self.member_rows),
+                self.known.most * 4,
+            ))
         } else {
             let last = std::mem::take(&mut self.answer);
             Reading::Hosts(purpose, meta, Listing::new(body, last, &self.known))
@@ -121,7 +132,12 @@
         if members != self.members {
             let nodes: BTreeSet<&String> = members.keys().chain(self.members.keys()).collect();
             let touched = |e: &&Arc<Entry>| nodes.contains(&e.node);
-            self.untold.extend(self.entries.values().filter(touched).map(|e| e.host.name.clone()));
+            self.untold.extend(
+                self.entries
+                    .values()
+                    .filter(touched)
+                    .map(|e| e.host.name.clone()),
+            );
             self.members = members;
         }
     }
@@ -146,7 +162,8 @@
             if std::mem::take(&mut self.watching) {
                 self.watch.refused();
             }
-            let unannounced = meta.index == self.index && listed.bad.is_empty() && !differences.none();
+            let unannounced =
+                meta.index == self.index && listed.bad.is_empty() && !differences.none();
             let drawn = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
             self.watch.whole(now, unannounced, drawn);
             self.index = next_index(self.index, meta.index);
@@ -163,7 +180,14 @@
                 tracing::warn!(count = listed.bad.len(), %first, "catalogue entries that can't be used");
             }
         }
-        match self.trust.judge(now, meta, consistent, &listed, self.entries.len(), differences.gone) {
+        match self.trust.judge(
+            now,
+            meta,
+            consistent,
+            &listed,
+            self.entries.len(),
+            differences.gone,
+        ) {
             Belief::Take => self.take(now, listed),
             Belief::Confirm => {
                 tracing::warn!(
@@ -186,7 +210,12 @@
             }
             Belief::Reject(why) => {
                 self.report.rejected += 1;
-                tracing::debug!(why, index = meta.index, highest = self.trust.highest(), "answer not taken");
+                tracing::debug!(
+                    why,
+                    index = meta.index,
+                    highest = self.trust.highest(),
+                    "answer not taken"
+                );
                 if purpose == Purpose::Health {
                     // Another server is asked, from the beginning; and a leader, in case all went back.
                     self.fail_over(purpose);
@@ -201,7 +230,10 @@
     fn confirm(&mut self, now: Micros) {
         let server = self.loops.get(&Purpose::Health).map_or(0, |l| l.server);
         let waits = self.unread.iter().any(|u| u.purpose == Purpose::Confirm);
-        let l = self.loops.entry(Purpose::Confirm).or_insert(Loop { server, ..Loop::default() });
+        let l = self.loops.entry(Purpose::Confirm).or_insert(Loop {
+            server,
+            ..Loop::default()
+        });
         if l.call.is_none() && !waits {
             (l.due, l.server) = (now, server);
             self.call(now, Purpose::Confirm);
@@ -245,15 +277,28 @@
             let Some(entry) = self.entries.get(&name) else {
                 self.damping.told(now, &name, false);
                 if let Some(gone) = self.told.remove(&name) {
-                    changed.push(HostEntry { state: HostState::Gone, ..gone });
+                    changed.push(HostEntry {
+                        state: HostState::Gone,
+                        ..gone
+                    });
                 }
                 continue;
             };
-            let member = self.members.get(&entry.node).map_or(HostState::Ready, |m| m.state());
+            let member = self
+                .members
+                .get(&entry.node)
+                .map_or(HostState::Ready, |m| m.state());
             let good = entry.host.state == HostState::Ready && member == HostState::Ready;
             let counts = self.damping.told(now, &name, good);
-            let state = if counts { HostState::Ready } else { HostState::Draining };
-            let told = HostEntry { state, ..entry.host.clone() };
+            let state = if counts {
+                HostState::Ready
+            } else {
+                HostState::Draining
+            };
+            let told = HostEntry {
+                state,
+                ..entry.host.clone()
+            };
             if self.told.get(&name).is_none_or(|t| *t != told) {
                 changed.push(told.clone());
                 self.told.insert(name, told);
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -23,7 +23,9 @@
     pub(super) fn lease_step(&mut self, now: Micros) {
         let Some(lease) = &mut self.lease else { return };
         let Some(ask) = lease.next(now) else { return };
-        let Some(m) = &self.config.membership else { return };
+        let Some(m) = &self.config.membership else {
+            return;
+        };
         let key = |slot: u32| format!("/v1/kv/{}/{slot}", escape(&m.prefix));
         let (target, method, body) = match &ask {
             Ask::Create => {
@@ -33,16 +35,30 @@
                     // A session of its own TTL only: the health of the node it is made on must not end it.
                     "NodeChecks": [], "ServiceChecks": [],
                 });
-                (self.target("/v1/session/create".to_owned()), "PUT", body.to_string())
-            }
-            Ask::Renew(id) => {
-                (self.target(format!("/v1/session/renew/{}", escape(id))), "PUT", String::new())
+                (
+                    self.target("/v1/session/create".to_owned()),
+                    "PUT",
+                    body.to_string(),
+                )
             }
+            Ask::Renew(id) => (
+                self.target(format!("/v1/session/renew/{}", escape(id))),
+                "PUT",
+                String::new(),
+            ),
             Ask::List => {
                 let path = format!("/v1/kv/{}/", escape(&m.prefix));
-                (self.target(path).with("recurse", "").mode(Mode::Consistent), "GET", String::new())
+                (
+                    self.target(path).with("recurse", "").mode(Mode::Consistent),
+                    "GET",
+                    String::new(),
+                )
             }
-            Ask::Acquire(slot, id) => (self.target(key(*slot)).with("acquire", id), "PUT", self.who.clone()),
+            Ask::Acquire(slot, id) => (
+                self.target(key(*slot)).with("acquire", id),
+                "PUT",
+                self.who.clone(),
+            ),
         };
         let request = target.request(method, &self.who, self.token.as_deref(), body.as_bytes());
         let server = self.loops.get(&Purpose::Lease).map_or(0, |l| l.server);
@@ -51,7 +67,9 @@
     }
 
     pub(super) fn lease_told(&self, call: CallId, status: u16, body: &[u8]) -> Told {
-        let Some((asked, ask)) = &self.lease_ask else { return Told::Failed };
+        let Some((asked, ask)) = &self.lease_ask else {
+            return Told::Failed;
+        };
         if *asked != call {
             return Told::Failed;
         }
@@ -66,13 +84,19 @@
             // No key was ever locked.
             (Ask::List, 404) => Told::Held(BTreeSet::new(), None),
             (Ask::List, 200) => {
-                let Some(all) = json.as_array() else { return Told::Failed };
+                let Some(all) = json.as_array() else {
+                    return Told::Failed;
+                };
                 let own = self.lease.as_ref().and_then(Lease::session);
                 let (mut held, mut mine) = (BTreeSet::new(), None);
                 for key in all {
-                    let slot = key["Key"].as_str().and_then(|k| k.rsplit('/').next()?.parse().ok());
+                    let slot = key["Key"]
+                        .as_str()
+                        .and_then(|k| k.rsplit('/').next()?.parse().ok());
                     match (slot, key["Session"].as_str()) {
-                        (Some(slot), session) if session.is_some() && session == own => mine = Some(slot),
+                        (Some(slot), session) if session.is_some() && session == own => {
+                            mine = Some(slot)
+                        }
                         (Some(slot), Some(session)) if !session.is_empty() => {
                             held.insert(slot);
                         }
--- a/crates/consul/src/trust.rs
+++ b/crates/consul/src/trust.rs
@@ -41,7 +41,11 @@
 impl Trust {
     /// Trusts answers of this datacentre, or of any that first answers.
     pub fn new(datacentre: Option<String>) -> Trust {
-        Trust { datacentre, highest: 0, doubt: None }
+        Trust {
+            datacentre,
+            highest: 0,
+            doubt: None,
+        }
     }
 
     /// The highest index taken.
@@ -86,7 +90,11 @@
         }
         self.doubt = None;
         // Read consistently the index may have gone back: a cluster restored from a snapshot.
-        self.highest = if consistent { meta.index } else { self.highest.max(meta.index) };
+        self.highest = if consistent {
+            meta.index
+        } else {
+            self.highest.max(meta.index)
+        };
         Belief::Take
     }
 }
@@ -103,9 +111,19 @@
                 "Service":{{"ID":"{n}","Port":1,"Meta":{{"zone":"a","cell":"c","kind":"k"}}}},"Checks":[]}}"#
             )
         };
-        let body = format!("[{}]", names.iter().map(entry).collect::<Vec<_>>().join(","));
-        read(body.as_bytes(), &Known { zones: vec!["a".into()], kinds: vec!["k".into()], most: 99 })
-            .expect("a list")
+        let body = format!(
+            "[{}]",
+            names.iter().map(entry).collect::<Vec<_>>().join(",")
+        );
+        read(
+            body.as_bytes(),
+            &Known {
+                zones: vec!["a".into()],
+                kinds: vec!["k".into()],
+                most: 99,
+            },
+        )
+        .expect("a list")
     }
 
     /// Judges a list of these hosts, by one that had others.
@@ -123,7 +141,11 @@
     }
 
     fn meta(index: u64) -> Meta {
-        Meta { index, known_leader: Some(true), last_contact_ms: 0 }
+        Meta {
+            index,
+            known_leader: Some(true),
+            last_contact_ms: 0,
+        }
     }
 
     const ALL: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
@@ -131,44 +153,99 @@
     #[test]
     fn lagging_servers_and_other_datacentres_do_not_count() {
         let mut trust = Trust::new(Some("dc1".into()));
-        assert_eq!(judge(&mut trust, 0, meta(50), false, (&ALL[..], "dc1"), &ALL), Belief::Take);
-        assert!(matches!(judge(&mut trust, 1, meta(49), false, (&ALL[..], "dc1"), &ALL), Belief::Reject(_)));
-        assert!(matches!(judge(&mut trust, 1, meta(60), false, (&ALL[..], "dc2"), &ALL), Belief::Reject(_)));
-        assert!(matches!(judge(&mut trust, 1, meta(60), true, (&ALL[..], "dc2"), &ALL), Belief::Reject(_)));
-        assert_eq!(judge(&mut trust, 2, meta(50), false, (&ALL[1..], "dc1"), &ALL), Belief::Take);
+        assert_eq!(
+            judge(&mut trust, 0, meta(50), false, (&ALL[..], "dc1"), &ALL),
+            Belief::Take
+        );
+        assert!(matches!(
+            judge(&mut trust, 1, meta(49), false, (&ALL[..], "dc1"), &ALL),
+            Belief::Reject(_)
+        ));
+        assert!(matches!(
+            judge(&mut trust, 1, meta(60), false, (&ALL[..], "dc2"), &ALL),
+            Belief::Reject(_)
+        ));
+        assert!(matches!(
+            judge(&mut trust, 1, meta(60), true, (&ALL[..], "dc2"), &ALL),
+            Belief::Reject(_)
+        ));
+        assert_eq!(
+            judge(&mut trust, 2, meta(50), false, (&ALL[1..], "dc1"), &ALL),
+            Belief::Take
+        );
         // A cluster restored from a snapshot: its leader says so, and from then on its indexes count.
-        assert_eq!(judge(&mut trust, 3, meta(7), true, (&ALL[..], "dc1"), &ALL), Belief::Take);
-        assert_eq!(judge(&mut trust, 4, meta(8), false, (&ALL[..], "dc1"), &ALL), Belief::Take);
+        assert_eq!(
+            judge(&mut trust, 3, meta(7), true, (&ALL[..], "dc1"), &ALL),
+            Belief::Take
+        );
+        assert_eq!(
+            judge(&mut trust, 4, meta(8), false, (&ALL[..], "dc1"), &ALL),
+            Belief::Take
+        );
         // Without a name in the settings the first answer gives it.
         let mut trust = Trust::new(None);
-        assert_eq!(judge(&mut trust, 0, meta(1), false, (&ALL[..], "dc9"), &ALL), Belief::Take);
-        assert!(matches!(judge(&mut trust, 0, meta(2), false, (&ALL[..], "dc1"), &ALL), Belief::Reject(_)));
+        assert_eq!(
+            judge(&mut trust, 0, meta(1), false, (&ALL[..], "dc9"), &ALL),
+            Belief::Take
+        );
+        assert!(matches!(
+            judge(&mut trust, 0, meta(2), false, (&ALL[..], "dc1"), &ALL),
+            Belief::Reject(_)
+        ));
     }
 
     #[test]
     fn a_great_loss_is_confirmed_or_counts_in_time() {
         for less in [&ALL[..0], &ALL[..2]] {
             let mut trust = Trust::new(None);
-            assert_eq!(judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL), Belief::Confirm);
+            assert_eq!(
+                judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
+                Belief::Confirm
+            );
             assert_eq!(trust.due(), Some(100 + CONFIRM_WITHIN));
             // The same again does not begin the wait anew, and when it is over the loss counts.
-            assert_eq!(judge(&mut trust, 200, meta(6), false, (less, "dc1"), &ALL), Belief::Confirm);
             assert_eq!(
-                judge(&mut trust, 100 + CONFIRM_WITHIN, meta(6), false, (less, "dc1"), &ALL),
+                judge(&mut trust, 200, meta(6), false, (less, "dc1"), &ALL),
+                Belief::Confirm
+            );
+            assert_eq!(
+                judge(
+                    &mut trust,
+                    100 + CONFIRM_WITHIN,
+                    meta(6),
+                    false,
+                    (less, "dc1"),
+                    &ALL
+                ),
                 Belief::Take
             );
             // Confirmed by a leader it counts at once.
             let mut trust = Trust::new(None);
-            assert_eq!(judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL), Belief::Confirm);
-            assert_eq!(judge(&mut trust, 101, meta(5), true, (less, "dc1"), &ALL), Belief::Take);
+            assert_eq!(
+                judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
+                Belief::Confirm
+            );
+            assert_eq!(
+                judge(&mut trust, 101, meta(5), true, (less, "dc1"), &ALL),
+                Belief::Take
+            );
             assert_eq!(trust.due(), None);
             // A consistent answer without a leader confirms nothing.
             let mut trust = Trust::new(None);
-            let none = Meta { known_leader: Some(false), ..meta(5) };
-            assert!(matches!(judge(&mut trust, 1, none, true, (less, "dc1"), &ALL), Belief::Reject(_)));
+            let none = Meta {
+                known_leader: Some(false),
+                ..meta(5)
+            };
+            assert!(matches!(
+                judge(&mut trust, 1, none, true, (less, "dc1"), &ALL),
+                Belief::Reject(_)
+            ));
         }
         // Few lost hosts are plain news.
         let mut trust = Trust::new(None);
-        assert_eq!(judge(&mut trust, 0, meta(5), false, (&ALL[..4], "dc1"), &ALL), Belief::Take);
+        assert_eq!(
+            judge(&mut trust, 0, meta(5), false, (&ALL[..4], "dc1"), &ALL),
+            Belief::Take
+        );
     }
 }
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -40,7 +40,11 @@
 impl Watch {
     /// A watch, or whole lists only.
     pub fn new(wanted: bool) -> Watch {
-        Watch { from: wanted.then_some(0), due: None, moved: false }
+        Watch {
+            from: wanted.then_some(0),
+            due: None,
+            moved: false,
+        }
     }
 
     /// What to read next, when blocking on an index is possible.
@@ -63,7 +67,9 @@
         let wait = (WHOLE_EVERY as f64 * (0.5 + 0.5 * drawn)) as Micros;
         (self.due, self.moved) = (Some(now + wait), false);
         if unannounced && self.from.is_some_and(|from| from <= now) {
-            tracing::warn!("the catalogue's list changed under an unchanged index; whole lists are read");
+            tracing::warn!(
+                "the catalogue's list changed under an unchanged index; whole lists are read"
+            );
             self.from = Some(now + DISTRUST);
         }
     }
@@ -120,7 +126,11 @@
         watch.whole(S, false, 0.0);
         watch.whole(2 * S, true, 0.0);
         assert_eq!(watch.next(3 * S), Next::WholeBlocking);
-        assert_eq!(watch.next(2 * S + DISTRUST), Next::Whole, "tried again much later, from a whole list");
+        assert_eq!(
+            watch.next(2 * S + DISTRUST),
+            Next::Whole,
+            "tried again much later, from a whole list"
+        );
         let mut watch = Watch::new(true);
         watch.whole(S, false, 0.0);
         watch.refused();
@@ -131,6 +141,9 @@
     fn the_filter_keeps_within_the_settings_own() {
         assert_eq!(nothing(None), "Service.ID == \"\"");
         assert_eq!(nothing(Some("a == b")), "a == b and Service.ID == \"\"");
-        assert_eq!(nothing(Some("a == b or c == d")), "(a == b or c == d) and Service.ID == \"\"");
+        assert_eq!(
+            nothing(Some("a == b or c == d")),
+            "(a == b or c == d) and Service.ID == \"\""
+        );
     }
 }
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -36,10 +36,19 @@
 }
 
 fn message(body: &str, index: u64) -> Message {
-    let head =
-        format!("HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n", body.len());
-    let limits = Limits { body: 64 << 20, ..Limits::default() };
-    match Reader::new(Role::Responses, limits).read((head + body).as_bytes()).expect("HTTP").0 {
+    let head = format!(
+        "HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
+    let limits = Limits {
+        body: 64 << 20,
+        ..Limits::default()
+    };
+    match Reader::new(Role::Responses, limits)
+        .read((head + body).as_bytes())
+        .expect("HTTP")
+        .0
+    {
         Found::Message(message) => message,
         found => panic!("{found:?}"),
     }
@@ -49,20 +58,37 @@
 fn answer(source: &mut Source, now: u64, body: &str, index: u64) -> Vec<Vec<(String, HostState)>> {
     source.tick(now);
     let lists = |source: &mut Source| {
-        let calls = source.outputs().into_iter().map(|Out::Call { call, request, .. }| (call, request));
-        calls.filter(|(_, request)| request.starts_with(b"GET /v1/health")).collect::<Vec<_>>()
+        let calls = source
+            .outputs()
+            .into_iter()
+            .map(|Out::Call { call, request, .. }| (call, request));
+        calls
+            .filter(|(_, request)| request.starts_with(b"GET /v1/health"))
+            .collect::<Vec<_>>()
+    };
+    let [(call, _)] = &lists(source)[..] else {
+        panic!("one query of the list")
     };
-    let [(call, _)] = &lists(source)[..] else { panic!("one query of the list") };
     source.answered(now, *call, message(body, index));
     let mut turns = Vec::new();
     while source.busy() {
-        assert_eq!(source.next_timeout(now), Some(now), "it wants to go on at once");
+        assert_eq!(
+            source.next_timeout(now),
+            Some(now),
+            "it wants to go on at once"
+        );
         source.tick(now);
-        assert!(lists(source).is_empty(), "asked again while the answer is still read");
-        let hosts = source.updates().into_iter().flat_map(|update| match update {
-            Update::Hosts(hosts) => hosts,
-            Update::Slot(slot) => panic!("{slot:?}"),
-        });
+        assert!(
+            lists(source).is_empty(),
+            "asked again while the answer is still read"
+        );
+        let hosts = source
+            .updates()
+            .into_iter()
+            .flat_map(|update| match update {
+                Update::Hosts(hosts) => hosts,
+                Update::Slot(slot) => panic!("{slot:?}"),
+            });
         turns.push(hosts.map(|h| (h.name, h.state)).collect());
     }
     turns
@@ -74,10 +100,17 @@
     let turns = answer(&mut source, 0, &list(0..HOSTS, |_| false), 5);
     assert!(turns.len() > 10, "{} turns", turns.len());
     let (first, last) = (&turns[..turns.len() - 1], &turns[turns.len() - 1]);
-    assert!(first.iter().all(Vec::is_empty) && last.len() == HOSTS, "the first list is told as a whole");
+    assert!(
+        first.iter().all(Vec::is_empty) && last.len() == HOSTS,
+        "the first list is told as a whole"
+    );
 
     let turns = answer(&mut source, 1_000_000, &list(0..HOSTS, |_| false), 6);
-    assert!(turns.len() <= 5 && turns.iter().all(Vec::is_empty), "unchanged: {} turns", turns.len());
+    assert!(
+        turns.len() <= 5 && turns.iter().all(Vec::is_empty),
+        "unchanged: {} turns",
+        turns.len()
+    );
 
     // A hundred are gone, every third one drains, and new ones come.
     let now = list(100..HOSTS + 500, |n| n % 3 == 0 && n < HOSTS);
@@ -85,11 +118,22 @@
     let most = turns.iter().map(Vec::len).max().expect("turns");
     assert!(most <= 400, "{most} told in one turn");
     let told: Vec<&(String, HostState)> = turns.iter().flatten().collect();
-    let ready = told.iter().position(|(_, state)| *state == HostState::Ready).expect("new ones");
-    assert!(told[ready..].iter().all(|(_, state)| *state == HostState::Ready), "bad news comes first");
+    let ready = told
+        .iter()
+        .position(|(_, state)| *state == HostState::Ready)
+        .expect("new ones");
+    assert!(
+        told[ready..]
+            .iter()
+            .all(|(_, state)| *state == HostState::Ready),
+        "bad news comes first"
+    );
     let count = |wanted| told.iter().filter(|(_, state)| *state == wanted).count();
     let draining = (100..HOSTS).filter(|n| n % 3 == 0).count();
-    assert_eq!((count(HostState::Gone), count(HostState::Draining)), (100, draining));
+    assert_eq!(
+        (count(HostState::Gone), count(HostState::Draining)),
+        (100, draining)
+    );
     assert_eq!(count(HostState::Ready), 500);
 }
 
@@ -98,12 +142,23 @@
     let mut source = source();
     answer(&mut source, 0, &list(0..HOSTS, |_| false), 5);
     source.tick(1_000_000);
-    let mut calls = source.outputs().into_iter().map(|Out::Call { call, request, .. }| (call, request));
-    let (call, _) = calls.find(|(_, request)| request.starts_with(b"GET /v1/health")).expect("a query");
+    let mut calls = source
+        .outputs()
+        .into_iter()
+        .map(|Out::Call { call, request, .. }| (call, request));
+    let (call, _) = calls
+        .find(|(_, request)| request.starts_with(b"GET /v1/health"))
+        .expect("a query");
     source.answered(1_000_000, call, message(&list(0..HOSTS, |n| n >= 1000), 6));
     source.catch_up(1_000_000);
     let updates = source.updates();
-    let hosts = updates.iter().map(|u| if let Update::Hosts(hosts) = u { hosts.len() } else { 0 });
+    let hosts = updates.iter().map(|u| {
+        if let Update::Hosts(hosts) = u {
+            hosts.len()
+        } else {
+            0
+        }
+    });
     assert_eq!(hosts.sum::<usize>(), HOSTS - 1000);
     assert!(!source.busy());
 }
@@ -117,10 +172,12 @@
     let turns = answer(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
     assert!(turns.iter().all(Vec::is_empty));
     assert_eq!(source.report(1_000_000).failed, 1);
-    let mut state: BTreeMap<String, HostState> =
-        (0..HOSTS).map(|n| (format!("host-{n:04}"), HostState::Ready)).collect();
+    let mut state: BTreeMap<String, HostState> = (0..HOSTS)
+        .map(|n| (format!("host-{n:04}"), HostState::Ready))
+        .collect();
     let shuffled = (0..HOSTS).map(|n| n * 7 % HOSTS).filter(|n| n % 5 != 1);
-    for (name, told) in answer(&mut source, 5_000_000, &list(shuffled, |n| n % 5 == 2), 7).concat() {
+    for (name, told) in answer(&mut source, 5_000_000, &list(shuffled, |n| n % 5 == 2), 7).concat()
+    {
         state.insert(name, told);
     }
     let are = |wanted| state.values().filter(|s| **s == wanted).count();
--- a/crates/damping/src/lib.rs
+++ b/crates/damping/src/lib.rs
@@ -72,7 +72,13 @@
 impl<K: Ord + Clone> Damping<K> {
     /// Remembers up to `most` hosts; those beyond are not damped.
     pub fn new(policy: Policy, most: usize, seed: u64) -> Damping<K> {
-        Damping { policy, rng: Pcg64Mcg::seed_from_u64(seed), hosts: BTreeMap::new(), most, swept: 0 }
+        Damping {
+            policy,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            hosts: BTreeMap::new(),
+            most,
+            swept: 0,
+        }
     }
 
     /// A host is told as good or bad. Returns whether it counts as good now.
@@ -81,18 +87,30 @@
         if !self.hosts.contains_key(host) {
             if self.hosts.len() < self.most {
                 // What is first heard of did not flap.
-                let flaps = Flaps { penalty: 0.0, at: now, good, until: None };
+                let flaps = Flaps {
+                    penalty: 0.0,
+                    at: now,
+                    good,
+                    until: None,
+                };
                 self.hosts.insert(host.clone(), flaps);
             }
             return good;
         }
         let draw = self.rng.next_u64() % SPREAD;
-        let Some(flaps) = self.hosts.get_mut(host) else { return good };
+        let Some(flaps) = self.hosts.get_mut(host) else {
+            return good;
+        };
         let penalty = flaps.now(now);
         if !good {
             // Only a loss of what was good is a flap; the same bad news again is not.
             let more = if flaps.good { 1.0 } else { 0.0 };
-            *flaps = Flaps { penalty: (penalty + more).min(CEILING), at: now, good: false, until: None };
+            *flaps = Flaps {
+                penalty: (penalty + more).min(CEILING),
+                at: now,
+                good: false,
+                until: None,
+            };
             return false;
         }
         if !flaps.good {
@@ -114,7 +132,12 @@
     /// Hosts whose good news has waited long enough, and count as good from now on.
     pub fn due(&mut self, now: Micros) -> Vec<K> {
         let ripe = |f: &Flaps| f.good && f.until.is_some_and(|until| until <= now);
-        let due: Vec<K> = self.hosts.iter().filter(|(_, f)| ripe(f)).map(|(k, _)| k.clone()).collect();
+        let due: Vec<K> = self
+            .hosts
+            .iter()
+            .filter(|(_, f)| ripe(f))
+            .map(|(k, _)| k.clone())
+            .collect();
         for host in &due {
             if let Some(flaps) = self.hosts.get_mut(host) {
                 flaps.until = None;
@@ -130,7 +153,9 @@
 
     /// Whether a host's good news waits.
     pub fn waits(&self, host: &K) -> bool {
-        self.hosts.get(host).is_some_and(|f| f.good && f.until.is_some())
+        self.hosts
+            .get(host)
+            .is_some_and(|f| f.good && f.until.is_some())
     }
 
     /// How many wait.
@@ -144,7 +169,8 @@
         }
         self.swept = now;
         // A host that was bad for so long and is told as good then is as one first heard of.
-        self.hosts.retain(|_, f| f.until.is_some() || f.at + FORGET > now || f.good);
+        self.hosts
+            .retain(|_, f| f.until.is_some() || f.at + FORGET > now || f.good);
     }
 }
 
@@ -203,7 +229,10 @@
         }
         assert!(d.waits(&1));
         d.told(now, &1, false);
-        assert!(!d.waits(&1) && d.due(now + 100 * S).is_empty(), "a bad host is never released");
+        assert!(
+            !d.waits(&1) && d.due(now + 100 * S).is_empty(),
+            "a bad host is never released"
+        );
         // Saying the same again and again adds nothing: after a while it returns as if it had been lost once.
         for n in 0..40 {
             d.told(now + n * S, &1, false);
--- a/crates/deployment/src/fault.rs
+++ b/crates/deployment/src/fault.rs
@@ -15,13 +15,21 @@
 impl WireError {
     /// In this message, this field is not what was expected.
     pub fn new(message: &str, field: &str, expected: String) -> Self {
-        WireError { message: message.to_owned(), field: field.to_owned(), expected }
+        WireError {
+            message: message.to_owned(),
+            field: field.to_owned(),
+            expected,
+        }
     }
 }
 
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "message {}, field {}: expected {}", self.message, self.field, self.expected)
+        write!(
+            f,
+            "message {}, field {}: expected {}",
+            self.message, self.field, self.expected
+        )
     }
 }
 
--- a/crates/deployment/src/hosts.rs
+++ b/crates/deployment/src/hosts.rs
@@ -55,8 +55,9 @@
 
 /// FNV-1a of a host's name: the same at every placer, whichever hosts it has heard of.
 pub fn label(name: &str) -> u64 {
-    name.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 #[cfg(test)]
--- a/crates/deployment/src/hosts/tests.rs
+++ b/crates/deployment/src/hosts/tests.rs
@@ -6,7 +6,10 @@
     let ids = [hosts.id("a:1"), hosts.id("b:1"), hosts.id("a:1")];
     assert_eq!(ids, [MachineId(0), MachineId(1), MachineId(0)]);
     hosts.forget(MachineId(0));
-    assert_eq!((hosts.name(MachineId(0)), hosts.known("a:1"), hosts.len()), (None, None, 1));
+    assert_eq!(
+        (hosts.name(MachineId(0)), hosts.known("a:1"), hosts.len()),
+        (None, None, 1)
+    );
     assert_eq!(hosts.id("a:1"), MachineId(2));
 }
 
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings object of a launch, in the library's terms. Keys that are not used are skipped.
 
 use maplethread::{
-    Class, Discovery, Effect, Group, Limits, LoadReport, Micros, Place, Prices, Room, Rules, SeatedWhen,
-    Settings,
+    Class, Discovery, Effect, Group, Limits, LoadReport, Micros, Place, Prices, Room, Rules,
+    SeatedWhen, Settings,
 };
 use serde_json::Value;
 
@@ -23,7 +23,9 @@
 
 impl<'a> At<'a> {
     fn find(self, path: &str) -> Option<&'a Value> {
-        path.split('.').try_fold(self.0, |value, key| value.get(key)).filter(|v| !v.is_null())
+        path.split('.')
+            .try_fold(self.0, |value, key| value.get(key))
+            .filter(|v| !v.is_null())
     }
 
     fn need<T>(
@@ -32,7 +34,9 @@
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
     ) -> Result<T, WireError> {
-        self.find(path).and_then(read).ok_or_else(|| WireError::new("LAUNCH", path, expected.into()))
+        self.find(path)
+            .and_then(read)
+            .ok_or_else(|| WireError::new("LAUNCH", path, expected.into()))
     }
 
     fn number(self, path: &str) -> Result<f64, WireError> {
@@ -48,7 +52,9 @@
     }
 
     fn whole(self, path: &str) -> Result<u32, WireError> {
-        self.need(path, "a small whole number", |v| v.as_u64().and_then(|n| u32::try_from(n).ok()))
+        self.need(path, "a small whole number", |v| {
+            v.as_u64().and_then(|n| u32::try_from(n).ok())
+        })
     }
 
     fn bool(self, path: &str) -> Result<bool, WireError> {
@@ -66,7 +72,8 @@
     /// The `index`th of a list that has one value for each class or kind.
     fn nth(self, path: &str, index: usize) -> Result<f64, WireError> {
         let value = self.array(path)?.get(index).and_then(Value::as_f64);
-        value.ok_or_else(|| WireError::new("LAUNCH", path, "a number for each class or kind".into()))
+        value
+            .ok_or_else(|| WireError::new("LAUNCH", path, "a number for each class or kind".into()))
     }
 }
 
@@ -78,20 +85,32 @@
         placers: at.whole("peersTotal")?,
         number: at.whole("ordinal")?,
         zone: at.whole("zone")?,
-        classes: (0..at.array("classes")?.len()).map(|i| class(at, i)).collect::<Result<_, _>>()?,
-        kinds: (0..at.array("domain.kindCores")?.len()).map(|i| kind(at, i)).collect::<Result<_, _>>()?,
+        classes: (0..at.array("classes")?.len())
+            .map(|i| class(at, i))
+            .collect::<Result<_, _>>()?,
+        kinds: (0..at.array("domain.kindCores")?.len())
+            .map(|i| kind(at, i))
+            .collect::<Result<_, _>>()?,
         discovery: match at.text("registryMode")? {
             "push" => Discovery::Push,
             "ask" => Discovery::Ask,
             _ => {
-                return Err(WireError::new("LAUNCH", "registryMode", "push or ask".into()));
+                return Err(WireError::new(
+                    "LAUNCH",
+                    "registryMode",
+                    "push or ask".into(),
+                ));
             }
         },
         seated: match at.text("domain.ack")? {
             "accepted" => SeatedWhen::Accepted,
             "running" => SeatedWhen::Running,
             _ => {
-                return Err(WireError::new("LAUNCH", "domain.ack", "accepted or running".into()));
+                return Err(WireError::new(
+                    "LAUNCH",
+                    "domain.ack",
+                    "accepted or running".into(),
+                ));
             }
         },
         admit_cores: at.number("domain.admitCores")?,
@@ -123,7 +142,10 @@
             moves: at.number_or("fees.moves", 0.0)?,
         },
     };
-    let reports = Reports { view: settings.view, room: report != LoadReport::Silent };
+    let reports = Reports {
+        view: settings.view,
+        room: report != LoadReport::Silent,
+    };
     Ok((settings, reports))
 }
 
@@ -150,16 +172,30 @@
 pub fn terms(info: &Value) -> Result<Terms, WireError> {
     let at = At(info);
     let texts = |path: &str, key: &str| -> Result<Vec<String>, WireError> {
-        let name =
-            |v: &Value| if key.is_empty() { v.as_str() } else { v.get(key)?.as_str() }.map(str::to_owned);
+        let name = |v: &Value| {
+            if key.is_empty() {
+                v.as_str()
+            } else {
+                v.get(key)?.as_str()
+            }
+            .map(str::to_owned)
+        };
         at.need(path, "names", |v| v.as_array()?.iter().map(name).collect())
     };
     let span = |path: &str| {
-        at.need(path, "milliseconds, above 0", |v| v.as_f64().filter(|&ms| ms > 0.0)).map(micros)
+        at.need(path, "milliseconds, above 0", |v| {
+            v.as_f64().filter(|&ms| ms > 0.0)
+        })
+        .map(micros)
     };
     let classes = at.array("classes")?;
-    let deadlines = classes.iter().map(|class| At(class).number_or("giveUpMs", f64::INFINITY));
-    let longest = deadlines.collect::<Result<Vec<f64>, _>>()?.into_iter().fold(0.0, f64::max);
+    let deadlines = classes
+        .iter()
+        .map(|class| At(class).number_or("giveUpMs", f64::INFINITY));
+    let longest = deadlines
+        .collect::<Result<Vec<f64>, _>>()?
+        .into_iter()
+        .fold(0.0, f64::max);
     Ok(Terms {
         longest_deadline: micros(longest),
         tests_cost: at.bool("allowed.probes")? && at.number_or("fees.probe", 0.0)? > 0.0,
@@ -173,14 +209,20 @@
 
 fn report(at: At) -> Result<LoadReport, WireError> {
     let fields = at.array("reporting.fields")?;
-    let both = ["x0", "x1"].iter().all(|name| fields.iter().any(|f| f.as_str() == Some(name)));
+    let both = ["x0", "x1"]
+        .iter()
+        .all(|name| fields.iter().any(|f| f.as_str() == Some(name)));
     if at.text("reporting.how")? == "silent" || !both {
         return Ok(LoadReport::Silent);
     }
     match at.text("domain.freeBy")? {
         "asked" => Ok(LoadReport::Unasked),
         "used" => Ok(LoadReport::Unused),
-        _ => Err(WireError::new("LAUNCH", "domain.freeBy", "asked or used".into())),
+        _ => Err(WireError::new(
+            "LAUNCH",
+            "domain.freeBy",
+            "asked or used".into(),
+        )),
     }
 }
 
@@ -195,23 +237,38 @@
                 "zone" => Group::Zone,
                 "cell" => Group::Cell,
                 _ => {
-                    return Err(WireError::new("LAUNCH", "classes.group", "all, zone or cell".into()));
+                    return Err(WireError::new(
+                        "LAUNCH",
+                        "classes.group",
+                        "all, zone or cell".into(),
+                    ));
                 }
             },
             window: own.time("windowMs")?,
         },
         _ => {
-            return Err(WireError::new("LAUNCH", "classes.effect", "pure, token or side_effect".into()));
+            return Err(WireError::new(
+                "LAUNCH",
+                "classes.effect",
+                "pure, token or side_effect".into(),
+            ));
         }
     };
-    let over = at.array("domain.spreadOver")?.get(index).and_then(Value::as_str);
+    let over = at
+        .array("domain.spreadOver")?
+        .get(index)
+        .and_then(Value::as_str);
     let place = match over {
         Some("silent") => None,
         Some("machine") => Some(Place::Machine),
         Some("cell") => Some(Place::Cell),
         Some("zone") => Some(Place::Zone),
         _ => {
-            return Err(WireError::new("LAUNCH", "domain.spreadOver", "a place for each class".into()));
+            return Err(WireError::new(
+                "LAUNCH",
+                "domain.spreadOver",
+                "a place for each class".into(),
+            ));
         }
     };
     let most = at.nth("domain.spreadMost", index)?;
@@ -228,5 +285,8 @@
 }
 
 fn kind(at: At, index: usize) -> Result<Room, WireError> {
-    Ok(Room { cores: at.nth("domain.kindCores", index)?, memory: at.nth("domain.memoryByKind", index)? })
+    Ok(Room {
+        cores: at.nth("domain.kindCores", index)?,
+        memory: at.nth("domain.memoryByKind", index)?,
+    })
 }
--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -20,9 +20,18 @@
         attempt: u32,
     },
     /// It is not, and asking again does no harm.
-    Refused { request: Arc<str>, reason: &'static str, come_back_ms: u64, attempts: u32 },
+    Refused {
+        request: Arc<str>,
+        reason: &'static str,
+        come_back_ms: u64,
+        attempts: u32,
+    },
     /// It is not, as far as is known; an attempt may have run.
-    Failed { request: Arc<str>, unknown: String, attempts: u32 },
+    Failed {
+        request: Arc<str>,
+        unknown: String,
+        attempts: u32,
+    },
 }
 
 impl Answer {
@@ -56,7 +65,12 @@
 
 impl Answers {
     pub fn new(most: usize, kept: u64) -> Answers {
-        Answers { by_key: BTreeMap::new(), order: VecDeque::new(), most, kept }
+        Answers {
+            by_key: BTreeMap::new(),
+            order: VecDeque::new(),
+            most,
+            kept,
+        }
     }
 
     pub fn get(&self, key: &str) -> Option<&Known> {
@@ -69,7 +83,8 @@
 
     pub fn answered(&mut self, key: &Arc<str>, now: u64, bytes: Arc<[u8]>) {
         let until = now + self.kept;
-        self.by_key.insert(key.clone(), (until, Known::Answered(bytes)));
+        self.by_key
+            .insert(key.clone(), (until, Known::Answered(bytes)));
         self.order.push_back((until, key.clone()));
         self.expire(now);
     }
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -25,14 +25,34 @@
 /// What a client wants.
 #[derive(Debug)]
 pub enum Call {
-    Place { body: Place, request: Option<String>, idempotency: Option<String> },
+    Place {
+        body: Place,
+        request: Option<String>,
+        idempotency: Option<String>,
+    },
     CancelAsk(String),
-    Stop { service: String, actor: String },
-    Look { service: String, actor: String },
-    List { after: Option<(String, String)>, limit: usize },
-    Events { after: Option<u64>, life: Option<u64> },
-    Status { full: bool },
-    Fleet { after: Option<u64> },
+    Stop {
+        service: String,
+        actor: String,
+    },
+    Look {
+        service: String,
+        actor: String,
+    },
+    List {
+        after: Option<(String, String)>,
+        limit: usize,
+    },
+    Events {
+        after: Option<u64>,
+        life: Option<u64>,
+    },
+    Status {
+        full: bool,
+    },
+    Fleet {
+        after: Option<u64>,
+    },
 }
 
 /// An error answer (RFC 9457).
@@ -49,13 +69,29 @@
 }
 
 impl Problem {
-    pub fn new(status: u16, kind: &'static str, title: &'static str, detail: impl Into<String>) -> Problem {
+    pub fn new(
+        status: u16,
+        kind: &'static str,
+        title: &'static str,
+        detail: impl Into<String>,
+    ) -> Problem {
         let detail = detail.into();
-        Problem { status, kind, title, detail, retry_after_s: None, allow: None, close: false }
+        Problem {
+            status,
+            kind,
+            title,
+            detail,
+            retry_after_s: None,
+            allow: None,
+            close: false,
+        }
     }
 
     pub fn busy(kind: &'static str, title: &'static str, detail: impl Into<String>) -> Problem {
-        Problem { retry_after_s: Some(1), ..Problem::new(503, kind, title, detail) }
+        Problem {
+            retry_after_s: Some(1),
+            ..Problem::new(503, kind, title, detail)
+        }
     }
 
     pub fn bytes(&self, request: Option<&str>) -> Vec<u8> {
@@ -75,7 +111,13 @@
         fields.extend(self.close.then_some(("Connection", "close")));
         let mut out = Vec::new();
         let body = body.to_string();
-        http::write_response(&mut out, self.status, "application/problem+json", &fields, body.as_bytes());
+        http::write_response(
+            &mut out,
+            self.status,
+            "application/problem+json",
+            &fields,
+            body.as_bytes(),
+        );
         out
     }
 }
@@ -103,7 +145,9 @@
             continue;
         }
         let digits = tail.get(..2).and_then(|d| std::str::from_utf8(d).ok());
-        let byte = digits.filter(|d| !d.starts_with('+')).and_then(|d| u8::from_str_radix(d, 16).ok());
+        let byte = digits
+            .filter(|d| !d.starts_with('+'))
+            .and_then(|d| u8::from_str_radix(d, 16).ok());
         bytes.push(byte.ok_or_else(|| bad("bad escape in the path"))?);
         rest = &tail[2..];
     }
@@ -114,7 +158,12 @@
 fn name(what: &str, text: &str) -> Result<(), Problem> {
     if text.is_empty() || text.len() > 200 || text.chars().any(char::is_control) {
         let detail = format!("{what}: 1 to 200 bytes without control characters");
-        return Err(Problem::new(422, "bad-value", "A value is out of its range", detail));
+        return Err(Problem::new(
+            422,
+            "bad-value",
+            "A value is out of its range",
+            detail,
+        ));
     }
     Ok(())
 }
@@ -143,10 +192,18 @@
         let (k, v) = pair.split_once('=').unwrap_or((pair, ""));
         params.push((k, unescape(v)?));
     }
-    let param = |name: &str| params.iter().find(|(k, _)| *k == name).map(|(_, v)| v.as_str());
+    let param = |name: &str| {
+        params
+            .iter()
+            .find(|(k, _)| *k == name)
+            .map(|(_, v)| v.as_str())
+    };
     let number = |name: &str| match param(name) {
         None => Ok(None),
-        Some(v) => v.parse::<u64>().map(Some).map_err(|_| bad(format!("{name}: not a number"))),
+        Some(v) => v
+            .parse::<u64>()
+            .map(Some)
+            .map_err(|_| bad(format!("{name}: not a number"))),
     };
     match (parts.as_slice(), method) {
         (["v1", "actors"], "POST") => place(message),
@@ -171,13 +228,25 @@
         (["v1", "actors", _, _], _) => Err(wrong("GET, DELETE")),
         (["v1", "asks", request], "DELETE") => Ok(Call::CancelAsk(unescape(request)?)),
         (["v1", "asks", _], _) => Err(wrong("DELETE")),
-        (["v1", "events"], "GET") => Ok(Call::Events { after: number("after")?, life: number("life")? }),
+        (["v1", "events"], "GET") => Ok(Call::Events {
+            after: number("after")?,
+            life: number("life")?,
+        }),
         (["v1", "events"], _) => Err(wrong("GET")),
-        (["v1", "status"], "GET") => Ok(Call::Status { full: param("full").is_some() }),
-        (["v1", "fleet"], "GET") => Ok(Call::Fleet { after: number("after")? }),
+        (["v1", "status"], "GET") => Ok(Call::Status {
+            full: param("full").is_some(),
+        }),
+        (["v1", "fleet"], "GET") => Ok(Call::Fleet {
+            after: number("after")?,
+        }),
         (["v1", "fleet"], _) => Err(wrong("GET")),
         (["v1", "status"], _) => Err(wrong("GET")),
-        _ => Err(Problem::new(404, "no-such-path", "Nothing is served under this path", path)),
+        _ => Err(Problem::new(
+            404,
+            "no-such-path",
+            "Nothing is served under this path",
+            path,
+        )),
     }
 }
 
@@ -185,7 +254,12 @@
     if let Some(kind) = message.head.field("content-type") {
         let kind = kind.split(';').next().unwrap_or("").trim();
         if !kind.eq_ignore_ascii_case("application/json") {
-            return Err(Problem::new(415, "not-json", "Bodies are application/json", kind));
+            return Err(Problem::new(
+                415,
+                "not-json",
+                "Bodies are application/json",
+                kind,
+            ));
         }
     }
     let body: Place = serde_json::from_slice(&message.body)
@@ -205,5 +279,9 @@
     }
     let request = header(message, "x-request-id")?;
     let idempotency = header(message, "idempotency-key")?;
-    Ok(Call::Place { body, request, idempotency })
+    Ok(Call::Place {
+        body,
+        request,
+        idempotency,
+    })
 }
--- a/crates/engine/src/asks.rs
+++ b/crates/engine/src/asks.rs
@@ -15,10 +15,17 @@
 
 impl<D: Decide> Engine<D> {
     pub(crate) fn hang_up(&mut self, task: TaskId) {
-        let Some(ask) = self.forget_ask(task) else { return };
+        let Some(ask) = self.forget_ask(task) else {
+            return;
+        };
         self.counters.hung_up += 1;
         let after = self.now.saturating_sub(ask.asked);
-        self.notes.add(|| Kept::Answered { task, ending: Ending::HungUp, attempts: ask.attempts, after });
+        self.notes.add(|| Kept::Answered {
+            task,
+            ending: Ending::HungUp,
+            attempts: ask.attempts,
+            after,
+        });
         ask.span.in_scope(|| tracing::debug!("hung up"));
         if let Some(key) = &ask.idempotency {
             self.answers.forget(key);
@@ -63,7 +70,12 @@
         idempotency: Option<String>,
     ) -> Result<(), Problem> {
         let Some(class) = self.config.class.iter().position(|c| c.name == body.class) else {
-            return Err(Problem::new(422, "no-such-class", "No class of this name", body.class));
+            return Err(Problem::new(
+                422,
+                "no-such-class",
+                "No class of this name",
+                body.class,
+            ));
         };
         let mut joins = None;
         if let Some(key) = &idempotency {
@@ -85,7 +97,11 @@
         if let Some(ask) = joins.and_then(|task| self.asks.get_mut(&task)) {
             if ask.waiters.len() >= 64 {
                 let detail = "64 requests wait for this ask already";
-                return Err(Problem::busy("too-many-waiters", "Too many requests for one ask", detail));
+                return Err(Problem::busy(
+                    "too-many-waiters",
+                    "Too many requests for one ask",
+                    detail,
+                ));
             }
             let id = request.map_or_else(|| ask.request.clone(), Arc::from);
             ask.waiters.push((client, slot, id.clone()));
@@ -110,17 +126,32 @@
             // It is placed already: one placing, one answer.
             let (host, number) = (attempt.host, attempt.id.number);
             let request = request.map_or_else(|| attempt.request.clone(), Arc::from);
-            let address = self.hosts.get(&host).map(|h| h.address.to_string()).unwrap_or_default();
+            let address = self
+                .hosts
+                .get(&host)
+                .map(|h| h.address.to_string())
+                .unwrap_or_default();
             let (host, (service, actor)) = (self.host_name(host), key);
-            let answer = Answer::Placed { request, service, actor, host, address, attempt: number };
+            let answer = Answer::Placed {
+                request,
+                service,
+                actor,
+                host,
+                address,
+                attempt: number,
+            };
             self.reply(client, slot, api::answer(200, &answer), false);
             return Ok(());
         }
         let until = self.unsettled.get(&key).map(|(until, _)| *until);
         if let Some(until) = until.filter(|&until| until > self.now) {
             let detail = "an earlier attempt may have run and is being called off";
-            let mut problem =
-                Problem::new(409, "unsettled", "The actor's last attempt is not settled", detail);
+            let mut problem = Problem::new(
+                409,
+                "unsettled",
+                "The actor's last attempt is not settled",
+                detail,
+            );
             problem.retry_after_s = Some((until - self.now).div_ceil(1_000_000));
             return Err(problem);
         }
@@ -130,7 +161,11 @@
             return Err(problem);
         }
         if self.asks.len() >= self.config.api.max_asks {
-            return Err(Problem::busy("too-many-asks", "Too many asks are open", "api.max_asks are open"));
+            return Err(Problem::busy(
+                "too-many-asks",
+                "Too many asks are open",
+                "api.max_asks are open",
+            ));
         }
         if self.actors.len() >= self.config.api.max_actors {
             return Err(Problem::busy(
@@ -142,13 +177,21 @@
         let budget = body.budget_ms.min(self.config.api.max_budget_ms) * 1000;
         if self.pace.turns_away(self.now, budget) {
             let detail = "the placer's turns run late; other placers may have time";
-            return Err(Problem::busy("overloaded", "This placer is overloaded", detail));
+            return Err(Problem::busy(
+                "overloaded",
+                "This placer is overloaded",
+                detail,
+            ));
         }
         let deadline = self.unread_since.unwrap_or(self.now).min(self.now) + budget;
         let give_up_at = deadline - self.margin_within(budget);
         if give_up_at <= self.now {
             let detail = "the placer stood still, and the ask's budget may be over";
-            return Err(Problem::busy("stood-still", "The ask lay unread for too long", detail));
+            return Err(Problem::busy(
+                "stood-still",
+                "The ask lay unread for too long",
+                detail,
+            ));
         }
         self.next_task += 1;
         let id = TaskId(self.next_task);
@@ -166,7 +209,10 @@
             again: body.again,
         };
         let name = body.key.as_deref().unwrap_or(&body.actor);
-        let copies = copies(self.settings.classes[class].effect, hash(&format!("{}/{name}", body.service)));
+        let copies = copies(
+            self.settings.classes[class].effect,
+            hash(&format!("{}/{name}", body.service)),
+        );
         let span = tracing::info_span!("ask", request = %request, service = %key.0, actor = %key.1);
         span.in_scope(|| tracing::debug!(class = body.class, budget_ms = budget / 1000, "asked"));
         let idempotency: Option<Arc<str>> = idempotency.map(Into::into);
@@ -213,14 +259,26 @@
 
     /// The decider left an ask open up to its deadline: it is answered in its stead, with no more than is known.
     pub(crate) fn last_word(&mut self, task: TaskId) {
-        let Some(ask) = self.asks.get(&task) else { return };
+        let Some(ask) = self.asks.get(&task) else {
+            return;
+        };
         let (request, attempts) = (ask.request.clone(), ask.attempts);
-        ask.span.in_scope(|| tracing::warn!(attempts, "left open up to its deadline"));
+        ask.span
+            .in_scope(|| tracing::warn!(attempts, "left open up to its deadline"));
         self.counters.overdue += 1;
         let answer = if attempts == 0 {
-            Answer::Refused { request, reason: ask.refusal(), come_back_ms: 0, attempts }
+            Answer::Refused {
+                request,
+                reason: ask.refusal(),
+                come_back_ms: 0,
+                attempts,
+            }
         } else {
-            Answer::Failed { request, unknown: "whether it runs".to_owned(), attempts }
+            Answer::Failed {
+                request,
+                unknown: "whether it runs".to_owned(),
+                attempts,
+            }
         };
         self.events.push(Event::HungUp(task));
         self.answer(task, answer);
@@ -228,7 +286,9 @@
 
     /// The one final answer to an ask. What is still out is called off, unless it is what was placed.
     pub(crate) fn answer(&mut self, task: TaskId, answer: Answer) {
-        let Some(ask) = self.forget_ask(task) else { return };
+        let Some(ask) = self.forget_ask(task) else {
+            return;
+        };
         let name = match &answer {
             Answer::Placed { .. } => {
                 self.counters.placed += 1;
@@ -243,14 +303,24 @@
                 "failed"
             }
         };
-        let out = ask.out.filter(|w| self.attempts.get(w).is_some_and(|a| a.stage != Stage::Seated));
+        let out = ask.out.filter(|w| {
+            self.attempts
+                .get(w)
+                .is_some_and(|a| a.stage != Stage::Seated)
+        });
         if let Some(wire) = out {
             self.call_off(wire);
         }
         let after = self.now.saturating_sub(ask.asked);
-        self.notes.add(|| Kept::Answered { task, ending: ending(&answer), attempts: ask.attempts, after });
+        self.notes.add(|| Kept::Answered {
+            task,
+            ending: ending(&answer),
+            attempts: ask.attempts,
+            after,
+        });
         let late = ask.deadline <= self.now;
-        ask.span.in_scope(|| tracing::debug!(attempts = ask.attempts, late, "{name}"));
+        ask.span
+            .in_scope(|| tracing::debug!(attempts = ask.attempts, late, "{name}"));
         let bytes = api::answer(200, &answer);
         if let Some(key) = &ask.idempotency {
             self.answers.answered(key, self.now, bytes.clone().into());
@@ -264,7 +334,11 @@
                 self.client_closed(self.now, client);
             } else {
                 // Each request that waited has the answer under its own id.
-                let own = if id == ask.request { bytes.clone() } else { api::answer(200, &answer.named(id)) };
+                let own = if id == ask.request {
+                    bytes.clone()
+                } else {
+                    api::answer(200, &answer.named(id))
+                };
                 self.reply(client, slot, own, false);
             }
         }
@@ -274,7 +348,11 @@
 fn ending(answer: &Answer) -> Ending {
     match answer {
         Answer::Placed { host, .. } => Ending::Placed(host.clone()),
-        Answer::Refused { reason, come_back_ms, .. } => Ending::Refused(reason, *come_back_ms),
+        Answer::Refused {
+            reason,
+            come_back_ms,
+            ..
+        } => Ending::Refused(reason, *come_back_ms),
         Answer::Failed { .. } => Ending::Failed,
     }
 }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -16,7 +16,10 @@
             tracing::warn!(task = task.0, "an offer for a task that is not asked for");
             return;
         };
-        let id = AttemptId { task, number: ask.attempts };
+        let id = AttemptId {
+            task,
+            number: ask.attempts,
+        };
         ask.attempts += 1;
         ask.lack = None;
         let wire = self.mark | (self.next_attempt & ((1 << 40) - 1));
@@ -29,21 +32,43 @@
             actor: ask.key.1.to_string(),
             class: class.name.clone(),
             request: ask.request.to_string(),
-            asks: Load { cores: ask.task.asks.cores, memory: ask.task.asks.memory },
+            asks: Load {
+                cores: ask.task.asks.cores,
+                memory: ask.task.asks.memory,
+            },
             priority: class.priority,
             copies: ask.copies,
             life_ms: ask.task.life.unwrap_or(0) / 1000,
             wait_ms: (wait / 1000).min(u64::from(u32::MAX)) as u32,
         };
-        let (key, request, class, span) =
-            (ask.key.clone(), ask.request.clone(), ask.task.class, ask.span.clone());
-        let name = self.hosts.get(&host).map(|h| h.name.clone()).unwrap_or_default();
+        let (key, request, class, span) = (
+            ask.key.clone(),
+            ask.request.clone(),
+            ask.task.class,
+            ask.span.clone(),
+        );
+        let name = self
+            .hosts
+            .get(&host)
+            .map(|h| h.name.clone())
+            .unwrap_or_default();
         let cold = self.is_cold(host);
         let meets_late_one = cold && self.cold_offers.meets_late_one(host, self.now);
-        let sent = if meets_late_one { None } else { self.send(host, &Frame::Offer(offer), true) };
+        let sent = if meets_late_one {
+            None
+        } else {
+            self.send(host, &Frame::Offer(offer), true)
+        };
         let Some(frame_end) = sent else {
-            span.in_scope(|| tracing::debug!(host = %name, attempt = id.number, meets_late_one, "not sent"));
-            let end = End { ending: Ending::Unreachable, why: None, closed: false, load: None };
+            span.in_scope(
+                || tracing::debug!(host = %name, attempt = id.number, meets_late_one, "not sent"),
+            );
+            let end = End {
+                ending: Ending::Unreachable,
+                why: None,
+                closed: false,
+                load: None,
+            };
             self.events.push(Event::Ended(id, end));
             return;
         };
@@ -97,7 +122,9 @@
     }
 
     pub(crate) fn attempt_due(&mut self, wire: u64) {
-        let Some(attempt) = self.attempts.get(&wire) else { return };
+        let Some(attempt) = self.attempts.get(&wire) else {
+            return;
+        };
         if attempt.stage == Stage::Seated || attempt.until > self.now {
             return;
         }
@@ -110,7 +137,9 @@
 
     /// Nobody waits for this attempt any more.
     pub(crate) fn call_off(&mut self, wire: u64) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else { return };
+        let Some(attempt) = self.attempts.get_mut(&wire) else {
+            return;
+        };
         if std::mem::replace(&mut attempt.cancelled, true) {
             return;
         }
@@ -141,7 +170,9 @@
 
     /// Tells a host to stop a placed task; if it has no connection, once it has.
     pub(crate) fn stop_attempt(&mut self, wire: u64, why: &'static str) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else { return };
+        let Some(attempt) = self.attempts.get_mut(&wire) else {
+            return;
+        };
         attempt.stop = Some(why);
         let host = attempt.host;
         self.send(host, &Frame::Stop(wire), false);
@@ -156,7 +187,9 @@
         load: Option<Load>,
         known_dead: bool,
     ) {
-        let Some(attempt) = self.attempts.remove(&wire) else { return };
+        let Some(attempt) = self.attempts.remove(&wire) else {
+            return;
+        };
         let why = refusal.and_then(why);
         let host_name = match self.hosts.get_mut(&attempt.host) {
             Some(host) => {
@@ -209,9 +242,23 @@
                 (_, Some(Why::SentAway)) => ("evicted", Some("sent_away")),
                 _ => ("lost", None),
             };
-            self.tell(event, &attempt.key, host_name, reason, attempt.request.clone());
+            self.tell(
+                event,
+                &attempt.key,
+                host_name,
+                reason,
+                attempt.request.clone(),
+            );
         }
         let load = load.map(|l| Room::new(l.cores, l.memory));
-        self.events.push(Event::Ended(attempt.id, End { ending, why, closed, load }));
+        self.events.push(Event::Ended(
+            attempt.id,
+            End {
+                ending,
+                why,
+                closed,
+                load,
+            },
+        ));
     }
 }
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -39,7 +39,9 @@
 fn task_of(event: &Event) -> Option<TaskId> {
     match event {
         Event::Asked(task) | Event::Running(task, _) => Some(task.id),
-        Event::Seated(attempt, _) | Event::Noted(attempt, _) | Event::Ended(attempt, _) => Some(attempt.task),
+        Event::Seated(attempt, _) | Event::Noted(attempt, _) | Event::Ended(attempt, _) => {
+            Some(attempt.task)
+        }
         Event::HungUp(task) => Some(*task),
         Event::Listed { .. }
         | Event::Numbered(_)
--- a/crates/engine/src/clients.rs
+++ b/crates/engine/src/clients.rs
@@ -47,7 +47,10 @@
 
 impl Client {
     pub fn new(now: u64, max_body: usize) -> Client {
-        let limits = Limits { body: max_body, ..Limits::default() };
+        let limits = Limits {
+            body: max_body,
+            ..Limits::default()
+        };
         let reader = Reader::new(Role::Requests, limits);
         let (slots, follows) = (VecDeque::new(), None);
         Client {
@@ -76,7 +79,11 @@
 
     fn slot(&mut self, last: bool) -> u64 {
         self.next += 1;
-        self.slots.push_back(Slot { number: self.next, answer: None, last });
+        self.slots.push_back(Slot {
+            number: self.next,
+            answer: None,
+            last,
+        });
         self.next
     }
 
--- a/crates/engine/src/cold.rs
+++ b/crates/engine/src/cold.rs
@@ -25,21 +25,29 @@
 
 impl ColdOffers {
     pub fn new(window: Micros) -> ColdOffers {
-        ColdOffers { window, sent: BTreeMap::new(), fresh: Vec::new() }
+        ColdOffers {
+            window,
+            sent: BTreeMap::new(),
+            fresh: Vec::new(),
+        }
     }
 
     /// Whether an offer at `now` would meet one that left so late that its window is not over, while the decider holds
     /// that it is: the caller was slow, or paused, between a decision and its writing.
     pub fn meets_late_one(&self, host: HostId, now: Micros) -> bool {
         let sent = self.sent.get(&host).map(Vec::as_slice).unwrap_or_default();
-        sent.iter().any(|sent| sent.decided + self.window < now && sent.left + self.window >= now)
+        sent.iter()
+            .any(|sent| sent.decided + self.window < now && sent.left + self.window >= now)
     }
 
     /// An offer is decided on.
     pub fn add(&mut self, host: HostId, now: Micros) {
         let sent = self.sent.entry(host).or_default();
         sent.retain(|sent| sent.left + self.window >= now);
-        sent.push(Sent { decided: now, left: now });
+        sent.push(Sent {
+            decided: now,
+            left: now,
+        });
         self.fresh.push(host);
     }
 
@@ -51,6 +59,7 @@
                 sent.left = sent.left.max(at);
             }
         }
-        self.sent.retain(|_, sent| sent.iter().any(|sent| sent.left + self.window >= at));
+        self.sent
+            .retain(|_, sent| sent.iter().any(|sent| sent.left + self.window >= at));
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,7 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use maplethread::{Action, AttemptId, Event, Lack, MachineId, Micros, Room, Settings, Task, TaskId};
+use maplethread::{
+    Action, AttemptId, Event, Lack, MachineId, Micros, Room, Settings, Task, TaskId,
+};
 use maplethread_config::{PlacedWhen, PlacerConfig};
 use maplethread_liveness::Liveness;
 use maplethread_wire::frame::{self, Copies, Frame, Load};
@@ -344,9 +346,17 @@
         if !self.events.is_empty() {
             return Some(self.now);
         }
-        let last_word = self.deadlines.first().map(|(deadline, _)| deadline.saturating_sub(LAST_WORD));
+        let last_word = self
+            .deadlines
+            .first()
+            .map(|(deadline, _)| deadline.saturating_sub(LAST_WORD));
         let last_word = last_word.filter(|_| self.decider.last_word());
-        self.timers.next().into_iter().chain(self.liveness.next()).chain(last_word).min()
+        self.timers
+            .next()
+            .into_iter()
+            .chain(self.liveness.next())
+            .chain(last_word)
+            .min()
     }
 
     /// What is to be done since the last call.
@@ -446,7 +456,10 @@
     fn last_words(&mut self) {
         let margin = self.pace.answer_margin();
         let by = self.now + LAST_WORD;
-        let near = self.deadlines.iter().take_while(|(deadline, _)| *deadline <= by + margin);
+        let near = self
+            .deadlines
+            .iter()
+            .take_while(|(deadline, _)| *deadline <= by + margin);
         let due: Vec<TaskId> = near
             .filter(|(deadline, task)| {
                 let asked = self.asks.get(task).map_or(*deadline, |ask| ask.asked);
@@ -472,7 +485,11 @@
             Due::Probe(nonce) => {
                 if let Some(host) = self.probes.remove(&nonce) {
                     let machine = MachineId(host.0);
-                    self.events.push(Event::Probed { machine, ok: false, load: None });
+                    self.events.push(Event::Probed {
+                        machine,
+                        ok: false,
+                        load: None,
+                    });
                 }
             }
             Due::Client(client) => self.client_due(client),
@@ -480,7 +497,8 @@
                 let now = self.now;
                 self.unsettled.retain(|_, (until, _)| *until > now);
                 let unsettled = &self.unsettled;
-                self.late.retain(|wire, key| unsettled.get(key).is_some_and(|(_, w)| w == wire));
+                self.late
+                    .retain(|wire, key| unsettled.get(key).is_some_and(|(_, w)| w == wire));
             }
             Due::FollowerHeartbeat => self.heartbeat_followers(),
         }
@@ -497,38 +515,66 @@
             Action::Offer(task, machine, wait) => self.offer(task, HostId(machine.0), wait),
             Action::Cancel(id) => {
                 let out = self.asks.get(&id.task).and_then(|a| a.out);
-                if let Some(wire) = out.filter(|w| self.attempts.get(w).is_some_and(|a| a.id == id)) {
+                if let Some(wire) = out.filter(|w| self.attempts.get(w).is_some_and(|a| a.id == id))
+                {
                     self.call_off(wire);
                 }
             }
             Action::Refuse(task, come_back) => {
-                let Some(ask) = self.asks.get(&task) else { return };
+                let Some(ask) = self.asks.get(&task) else {
+                    return;
+                };
                 let reason = ask.refusal();
                 let come_back_ms = come_back.unwrap_or(0) / 1000;
                 let (request, attempts) = (ask.request.clone(), ask.attempts);
-                self.answer(task, Answer::Refused { request, reason, come_back_ms, attempts });
+                self.answer(
+                    task,
+                    Answer::Refused {
+                        request,
+                        reason,
+                        come_back_ms,
+                        attempts,
+                    },
+                );
             }
             Action::Fail(task) => {
-                let Some(ask) = self.asks.get(&task) else { return };
+                let Some(ask) = self.asks.get(&task) else {
+                    return;
+                };
                 let host = ask.out.and_then(|w| self.attempts.get(&w)).map(|a| a.host);
-                let host = host.and_then(|h| self.hosts.get(&h)).map(|h| h.name.clone());
+                let host = host
+                    .and_then(|h| self.hosts.get(&h))
+                    .map(|h| h.name.clone());
                 let unknown = match host.as_ref().or(ask.may_run.as_ref()) {
                     Some(host) => format!("whether it runs on {host}"),
                     None => "whether it runs".to_owned(),
                 };
                 let (request, attempts) = (ask.request.clone(), ask.attempts);
-                self.answer(task, Answer::Failed { request, unknown, attempts });
+                self.answer(
+                    task,
+                    Answer::Failed {
+                        request,
+                        unknown,
+                        attempts,
+                    },
+                );
             }
             Action::Held(task, lack) => {
-                let Some(ask) = self.asks.get_mut(&task) else { return };
+                let Some(ask) = self.asks.get_mut(&task) else {
+                    return;
+                };
                 ask.lack = Some(lack);
                 if ask.lacked.insert(lack) {
                     *self.counters.held_for.entry(lack_name(lack)).or_default() += 1;
                 }
-                ask.span.in_scope(|| tracing::debug!(held_for = lack_name(lack), "held"));
+                ask.span
+                    .in_scope(|| tracing::debug!(held_for = lack_name(lack), "held"));
             }
             Action::Move(task) => {
-                let wire = self.attempts.iter().find(|(_, a)| a.id.task == task && a.stage == Stage::Seated);
+                let wire = self
+                    .attempts
+                    .iter()
+                    .find(|(_, a)| a.id.task == task && a.stage == Stage::Seated);
                 if let Some(wire) = wire.map(|(&wire, _)| wire) {
                     self.stop_attempt(wire, "moved");
                 }
@@ -543,7 +589,11 @@
                     let wait = self.config.hosts.connect_within_ms * 1000;
                     self.timers.set(self.now + wait, Due::Probe(nonce));
                 } else {
-                    self.events.push(Event::Probed { machine, ok: false, load: None });
+                    self.events.push(Event::Probed {
+                        machine,
+                        ok: false,
+                        load: None,
+                    });
                 }
             }
             Action::Log(line) => tracing::info!(target: "maplethread::decisions", "{line}"),
@@ -555,7 +605,11 @@
     pub(crate) fn probed(&mut self, nonce: u32, load: Load) {
         if let Some(host) = self.probes.remove(&nonce) {
             let load = Some(Room::new(load.cores, load.memory));
-            self.events.push(Event::Probed { machine: MachineId(host.0), ok: true, load });
+            self.events.push(Event::Probed {
+                machine: MachineId(host.0),
+                ok: true,
+                load,
+            });
         }
     }
 
@@ -595,7 +649,16 @@
         let (service, actor) = key.clone();
         let at_ms = self.now / 1000;
         tracing::debug!(request = %request, service = %service, actor = %actor, host = %host, reason, event);
-        self.ring.push(LifeEvent { seq: 0, at_ms, event, service, actor, host, reason, request });
+        self.ring.push(LifeEvent {
+            seq: 0,
+            at_ms,
+            event,
+            service,
+            actor,
+            host,
+            reason,
+            request,
+        });
     }
 
     /// Whether a placing is done once a host has accepted.
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -13,11 +13,24 @@
 const HEARTBEAT: u64 = 10_000_000;
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn follow(&mut self, id: ClientId, slot: u64, after: Option<u64>, life: Option<u64>) {
+    pub(crate) fn follow(
+        &mut self,
+        id: ClientId,
+        slot: u64,
+        after: Option<u64>,
+        life: Option<u64>,
+    ) {
         let gone = |kind, title, detail: String| Problem::new(410, kind, title, detail);
         if life.is_some_and(|life| life != self.started_ms) {
-            let detail = format!("this life is {}; list the actors and follow anew", self.started_ms);
-            self.problem(id, slot, gone("other-life", "The events are of another life", detail));
+            let detail = format!(
+                "this life is {}; list the actors and follow anew",
+                self.started_ms
+            );
+            self.problem(
+                id,
+                slot,
+                gone("other-life", "The events are of another life", detail),
+            );
             return;
         }
         let from = after.map_or(self.ring.next(), |after| after.saturating_add(1));
@@ -27,10 +40,16 @@
                 self.ring.oldest(),
                 self.ring.next()
             );
-            self.problem(id, slot, gone("fell-behind", "These events are not kept", detail));
+            self.problem(
+                id,
+                slot,
+                gone("fell-behind", "These events are not kept", detail),
+            );
             return;
         }
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.in_hand() > 1 {
             let detail = "follow events on a connection of its own";
             self.problem(
@@ -48,7 +67,8 @@
         client.unread += out.len();
         self.outputs.push(Output::ToClient(id, out));
         if self.followers.is_empty() {
-            self.timers.set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
+            self.timers
+                .set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
         }
         self.followers.insert(id);
     }
@@ -57,8 +77,12 @@
     pub(crate) fn pump(&mut self) {
         let mut ended = Vec::new();
         for &id in &self.followers {
-            let Some(client) = self.clients.get_mut(&id) else { continue };
-            let Some(mut next) = client.follows else { continue };
+            let Some(client) = self.clients.get_mut(&id) else {
+                continue;
+            };
+            let Some(mut next) = client.follows else {
+                continue;
+            };
             let mut lines = Vec::new();
             if next < self.ring.oldest() {
                 let behind = json!({"event": "behind", "oldest": self.ring.oldest()});
@@ -81,7 +105,8 @@
             }
         }
         for id in ended {
-            self.outputs.push(Output::ToClient(id, b"0\r\n\r\n".to_vec()));
+            self.outputs
+                .push(Output::ToClient(id, b"0\r\n\r\n".to_vec()));
             self.outputs.push(Output::CloseClient(id));
             self.client_closed(self.now, id);
         }
@@ -97,7 +122,8 @@
             }
         }
         if !self.followers.is_empty() {
-            self.timers.set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
+            self.timers
+                .set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
         }
     }
 }
--- a/crates/engine/src/life.rs
+++ b/crates/engine/src/life.rs
@@ -37,7 +37,11 @@
 impl Ring {
     /// An empty ring for so many events.
     pub fn new(most: usize) -> Ring {
-        Ring { events: VecDeque::new(), most, next: 1 }
+        Ring {
+            events: VecDeque::new(),
+            most,
+            next: 1,
+        }
     }
 
     /// The number that the next event will have.
@@ -62,6 +66,7 @@
 
     /// The event of this number, if it is kept.
     pub fn get(&self, seq: u64) -> Option<&LifeEvent> {
-        self.events.get(usize::try_from(seq.checked_sub(self.oldest())?).ok()?)
+        self.events
+            .get(usize::try_from(seq.checked_sub(self.oldest())?).ok()?)
     }
 }
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -37,7 +37,9 @@
 
     /// A turn begins at `now`, so long after the earliest thing that waits for it was due.
     pub fn turn(&mut self, now: Micros, late_by: Micros) {
-        let late_by = late_by.max(std::mem::take(&mut self.last_round)).min(MAX_LATENESS);
+        let late_by = late_by
+            .max(std::mem::take(&mut self.last_round))
+            .min(MAX_LATENESS);
         if late_by >= self.lateness || self.remembered_until <= now {
             (self.lateness, self.remembered_until) = (late_by, now + MEMORY);
         }
@@ -61,6 +63,7 @@
 
     /// Whether more is taken in than the turns can bear.
     fn is_overloaded(&self, now: Micros) -> bool {
-        self.behind.is_some_and(|(first, last)| first + LASTING <= last && last + MEMORY > now)
+        self.behind
+            .is_some_and(|(first, last)| first + LASTING <= last && last + MEMORY > now)
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -17,15 +17,24 @@
     pub fn client_opened(&mut self, now: u64, id: ClientId) {
         self.now = self.now.max(now);
         if self.clients.len() >= self.config.api.max_clients {
-            let mut problem =
-                Problem::busy("too-many-clients", "Too many connections", "api.max_clients are open");
+            let mut problem = Problem::busy(
+                "too-many-clients",
+                "Too many connections",
+                "api.max_clients are open",
+            );
             problem.close = true;
             self.outputs.push(Output::ToClient(id, problem.bytes(None)));
             self.outputs.push(Output::CloseClient(id));
             return;
         }
-        self.clients.insert(id, Client::new(self.now, self.config.api.max_body_bytes));
-        let first = self.config.api.request_within_ms.min(self.config.api.idle_close_ms) * 1000;
+        self.clients
+            .insert(id, Client::new(self.now, self.config.api.max_body_bytes));
+        let first = self
+            .config
+            .api
+            .request_within_ms
+            .min(self.config.api.idle_close_ms)
+            * 1000;
         self.timers.set(self.now + first, Due::Client(id));
     }
 
@@ -37,7 +46,9 @@
         let unread_most = self.config.api.max_unread_bytes / 4;
         let mut used = 0;
         loop {
-            let Some(client) = self.clients.get_mut(&id) else { return unread.len() };
+            let Some(client) = self.clients.get_mut(&id) else {
+                return unread.len();
+            };
             if client.ended || client.follows.is_some() {
                 // Nothing after the last request counts.
                 return unread.len();
@@ -55,12 +66,19 @@
             match came {
                 Came::Nothing => {
                     let begun = client.inside() || used < unread.len();
-                    client.begun = if begun { client.begun.or(Some(self.now)) } else { None };
+                    client.begun = if begun {
+                        client.begun.or(Some(self.now))
+                    } else {
+                        None
+                    };
                     return used;
                 }
                 Came::Continue => {
                     client.begun = client.begun.or(Some(self.now));
-                    self.outputs.push(Output::ToClient(id, b"HTTP/1.1 100 Continue\r\n\r\n".to_vec()));
+                    self.outputs.push(Output::ToClient(
+                        id,
+                        b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
+                    ));
                 }
                 Came::Request(slot, message) => {
                     (client.begun, client.used) = (None, self.now);
@@ -88,7 +106,9 @@
 
     /// So many bytes wait for a client to read them.
     pub fn client_unread(&mut self, id: ClientId, bytes: usize) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         client.unread = bytes;
         if bytes > self.config.api.max_unread_bytes {
             tracing::warn!(client = id.0, bytes, "does not read its answers; cut off");
@@ -100,15 +120,22 @@
     /// A client's connection has ended: it hung up on all it waited for.
     pub fn client_closed(&mut self, now: u64, id: ClientId) {
         self.now = self.now.max(now);
-        let Some(client) = self.clients.remove(&id) else { return };
+        let Some(client) = self.clients.remove(&id) else {
+            return;
+        };
         self.followers.remove(&id);
         for task in client.waits {
-            let Some(ask) = self.asks.get_mut(&task) else { continue };
+            let Some(ask) = self.asks.get_mut(&task) else {
+                continue;
+            };
             let left: Vec<_> = ask.waiters.extract_if(.., |w| w.0 == id).collect();
             let nobody = ask.waiters.is_empty();
             if !nobody {
                 // Ids under which nobody waits any more can't be cancelled.
-                for (_, _, request) in left.into_iter().filter(|l| ask.waiters.iter().all(|w| w.2 != l.2)) {
+                for (_, _, request) in left
+                    .into_iter()
+                    .filter(|l| ask.waiters.iter().all(|w| w.2 != l.2))
+                {
                     self.by_request.remove(&request);
                 }
             }
@@ -120,8 +147,13 @@
 
     /// Looks after a connection's times.
     pub(crate) fn client_due(&mut self, id: ClientId) {
-        let (whole, idle) = (self.config.api.request_within_ms * 1000, self.config.api.idle_close_ms * 1000);
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let (whole, idle) = (
+            self.config.api.request_within_ms * 1000,
+            self.config.api.idle_close_ms * 1000,
+        );
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         if client.ended || client.follows.is_some() {
             return;
         }
@@ -135,8 +167,12 @@
             return;
         }
         if client.begun.is_some() {
-            let mut problem =
-                Problem::new(408, "too-slow", "The request took too long", "api.request_within_ms is over");
+            let mut problem = Problem::new(
+                408,
+                "too-slow",
+                "The request took too long",
+                "api.request_within_ms is over",
+            );
             problem.close = true;
             self.outputs.push(Output::ToClient(id, problem.bytes(None)));
         }
@@ -145,7 +181,9 @@
     }
 
     pub(crate) fn reply(&mut self, id: ClientId, slot: u64, bytes: Vec<u8>, close: bool) {
-        let Some(client) = self.clients.get_mut(&id) else { return };
+        let Some(client) = self.clients.get_mut(&id) else {
+            return;
+        };
         let (out, end) = client.answer(slot, bytes, close);
         client.unread += out.len();
         if !out.is_empty() {
@@ -183,7 +221,11 @@
 
     fn serve(&mut self, id: ClientId, slot: u64, call: Call) {
         match call {
-            Call::Place { body, request, idempotency } => {
+            Call::Place {
+                body,
+                request,
+                idempotency,
+            } => {
                 if let Err(problem) = self.place(id, slot, body, request, idempotency) {
                     self.problem(id, slot, problem);
                 }
@@ -191,8 +233,11 @@
             Call::CancelAsk(request) => match self.by_request.get(request.as_str()).copied() {
                 Some(task) => {
                     // Others who ask for the same actor go on waiting.
-                    let Some(ask) = self.asks.get_mut(&task) else { return };
-                    let cancelled: Vec<_> = ask.waiters.extract_if(.., |w| *w.2 == *request).collect();
+                    let Some(ask) = self.asks.get_mut(&task) else {
+                        return;
+                    };
+                    let cancelled: Vec<_> =
+                        ask.waiters.extract_if(.., |w| *w.2 == *request).collect();
                     let nobody = ask.waiters.is_empty();
                     self.by_request.remove(request.as_str());
                     if nobody {
@@ -200,15 +245,25 @@
                     }
                     for (client, waiting, _) in cancelled {
                         self.waits(client, task, false);
-                        let problem =
-                            Problem::new(410, "cancelled", "The ask was cancelled", "by DELETE /v1/asks");
+                        let problem = Problem::new(
+                            410,
+                            "cancelled",
+                            "The ask was cancelled",
+                            "by DELETE /v1/asks",
+                        );
                         self.problem(client, waiting, problem);
                     }
-                    self.reply(id, slot, api::answer(202, &json!({"request": request})), false);
+                    self.reply(
+                        id,
+                        slot,
+                        api::answer(202, &json!({"request": request})),
+                        false,
+                    );
                 }
                 None => {
                     let detail = "it has its answer, or was never asked";
-                    let problem = Problem::new(404, "no-such-ask", "No ask of this id is open", detail);
+                    let problem =
+                        Problem::new(404, "no-such-ask", "No ask of this id is open", detail);
                     self.problem(id, slot, problem);
                 }
             },
@@ -244,7 +299,10 @@
                     Some(key) => std::ops::Bound::Excluded(key),
                     None => std::ops::Bound::Unbounded,
                 };
-                let page = self.actors.range((from, std::ops::Bound::Unbounded)).take(limit + 1);
+                let page = self
+                    .actors
+                    .range((from, std::ops::Bound::Unbounded))
+                    .take(limit + 1);
                 let mut keys: Vec<ActorKey> = page.map(|(key, _)| key.clone()).collect();
                 let more = keys.len() > limit;
                 keys.truncate(limit);
@@ -257,7 +315,11 @@
             Call::Fleet { after } => self.outputs.push(Output::AskFleet(id, slot, after)),
             Call::Events { after, life } => self.follow(id, slot, after, life),
             Call::Status { full } => {
-                let up = self.hosts.values().filter(|h| h.link == crate::hosts::Link::Up).count();
+                let up = self
+                    .hosts
+                    .values()
+                    .filter(|h| h.link == crate::hosts::Link::Up)
+                    .count();
                 let body = json!({
                     "placer": self.config.placer.name,
                     "life": self.started_ms,
--- a/crates/engine/src/sessions/adoption.rs
+++ b/crates/engine/src/sessions/adoption.rs
@@ -31,7 +31,10 @@
             }
             return;
         }
-        let key = (Arc::<str>::from(offer.service.as_str()), Arc::<str>::from(offer.actor.as_str()));
+        let key = (
+            Arc::<str>::from(offer.service.as_str()),
+            Arc::<str>::from(offer.actor.as_str()),
+        );
         let Some(class) = self.config.class.iter().position(|c| c.name == offer.class) else {
             tracing::warn!(host = %self.host_name(id), class = offer.class, "holds a task of no known class");
             return;
@@ -50,10 +53,14 @@
             give_up_at: self.now,
             again: false,
         };
-        self.notes.add(|| Kept::Service(task.service, key.0.clone()));
+        self.notes
+            .add(|| Kept::Service(task.service, key.0.clone()));
         let request: Arc<str> = offer.request.as_str().into();
         let attempt = Attempt {
-            id: AttemptId { task: task.id, number: 0 },
+            id: AttemptId {
+                task: task.id,
+                number: 0,
+            },
             host: id,
             key: key.clone(),
             request: request.clone(),
@@ -82,11 +89,29 @@
         self.tell("adopted", &key, name.clone(), None, request);
         // Somebody asks for it just now: here it is.
         if let Some(Actor::Asking(asked)) = before {
-            let address = self.hosts.get(&id).map(|h| h.address.to_string()).unwrap_or_default();
-            let request = self.asks.get(&asked).map(|a| a.request.clone()).unwrap_or_default();
+            let address = self
+                .hosts
+                .get(&id)
+                .map(|h| h.address.to_string())
+                .unwrap_or_default();
+            let request = self
+                .asks
+                .get(&asked)
+                .map(|a| a.request.clone())
+                .unwrap_or_default();
             let (service, actor) = key;
             self.events.push(Event::HungUp(asked));
-            self.answer(asked, Answer::Placed { request, service, actor, host: name, address, attempt: 0 });
+            self.answer(
+                asked,
+                Answer::Placed {
+                    request,
+                    service,
+                    actor,
+                    host: name,
+                    address,
+                    attempt: 0,
+                },
+            );
         }
     }
 }
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -10,7 +10,9 @@
 impl<D: Decide> Engine<D> {
     pub(crate) fn connect_due(&mut self, id: HostId, epoch: u64) {
         let within = self.config.hosts.connect_within_ms * 1000;
-        let Some(host) = self.hosts.get_mut(&id) else { return };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
         if host.epoch != epoch || host.link != Link::Down || !host.wanted() {
             return;
         }
@@ -23,7 +25,9 @@
     }
 
     pub(crate) fn greet_due(&mut self, id: HostId, epoch: u64) {
-        let Some(host) = self.hosts.get_mut(&id) else { return };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
         if host.epoch == epoch && matches!(host.link, Link::Greeting | Link::Naming) {
             tracing::warn!(host = %host.name, "no greeting in time");
             self.cut(id);
@@ -40,7 +44,11 @@
             started_ms: self.started_ms,
             most_offers: 0,
         };
-        if self.hosts.get(&id).is_some_and(|h| h.link == Link::Greeting) {
+        if self
+            .hosts
+            .get(&id)
+            .is_some_and(|h| h.link == Link::Greeting)
+        {
             self.send(id, &hello, false);
         }
     }
@@ -56,9 +64,14 @@
     /// of which it had not taken all never reached the host whole, so it never ran.
     pub fn host_closed(&mut self, now: u64, id: HostId, written: u64) {
         self.now = self.now.max(now);
-        let (first, most) = (self.config.hosts.reconnect_first_ms, self.config.hosts.reconnect_most_ms);
+        let (first, most) = (
+            self.config.hosts.reconnect_first_ms,
+            self.config.hosts.reconnect_most_ms,
+        );
         let lost = self.config.hosts.lost_after_ms * 1000;
-        let Some(host) = self.hosts.get_mut(&id) else { return };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
         if host.link == Link::Down {
             return;
         }
@@ -71,7 +84,9 @@
         let untold = !host.tried;
         let mut holds = false;
         for wire in attempts {
-            let Some(attempt) = self.attempts.get(&wire) else { continue };
+            let Some(attempt) = self.attempts.get(&wire) else {
+                continue;
+            };
             match attempt.stage {
                 Stage::Seated => holds = true,
                 Stage::Out if attempt.frame_end > written => {
@@ -99,7 +114,9 @@
 
     /// Drops the connection to a host. What the kernel has not taken of it by now is never sent.
     pub(crate) fn cut(&mut self, id: HostId) {
-        let Some(written) = self.hosts.get(&id).map(|h| h.written) else { return };
+        let Some(written) = self.hosts.get(&id).map(|h| h.written) else {
+            return;
+        };
         self.outputs.push(Output::CloseHost(id));
         self.host_closed(self.now, id, written);
     }
@@ -107,13 +124,20 @@
     pub(crate) fn lost_due(&mut self, id: HostId, epoch: u64) {
         // A connection made since has its own say on what the host still holds.
         let back = |h: &Host| matches!(h.link, Link::Naming | Link::Up);
-        if self.hosts.get(&id).is_some_and(|h| epoch >= h.greeted && epoch > h.born && !back(h)) {
+        if self
+            .hosts
+            .get(&id)
+            .is_some_and(|h| epoch >= h.greeted && epoch > h.born && !back(h))
+        {
             self.lose_all(id);
         }
     }
 
     pub(super) fn lose_all(&mut self, id: HostId) {
-        let held = self.hosts.get(&id).map(|h| h.attempts.iter().copied().collect::<Vec<_>>());
+        let held = self
+            .hosts
+            .get(&id)
+            .map(|h| h.attempts.iter().copied().collect::<Vec<_>>());
         for wire in held.unwrap_or_default() {
             self.end(wire, Ending::Reset, None, None, false);
         }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -34,7 +34,9 @@
     }
 
     pub(super) fn drop_host(&mut self, id: HostId, why: &str) {
-        let Some(host) = self.hosts.get(&id) else { return };
+        let Some(host) = self.hosts.get(&id) else {
+            return;
+        };
         tracing::warn!(host = %host.name, why, "breaks the protocol; connection dropped");
         self.send(id, &Frame::Bye(why.to_owned()), false);
         self.cut(id);
@@ -42,10 +44,17 @@
 
     pub(super) fn host_frame(&mut self, id: HostId, frame: Frame) -> Result<(), String> {
         self.sign_of_life(id, &frame);
-        let Some(host) = self.hosts.get_mut(&id) else { return Ok(()) };
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return Ok(());
+        };
         let link = host.link;
         match frame {
-            Frame::Hello { major, name, started_ms, .. } if link == Link::Greeting => {
+            Frame::Hello {
+                major,
+                name,
+                started_ms,
+                ..
+            } if link == Link::Greeting => {
                 if major != frame::MAJOR {
                     return Err(format!("speaks version {major}, not {}", frame::MAJOR));
                 }
@@ -57,7 +66,11 @@
                     (host.told_start, host.drains) = (Some(started_ms), false);
                 }
                 (host.link, host.greeted) = (Link::Naming, host.epoch);
-                let seated = |w: &u64| self.attempts.get(w).is_some_and(|a| a.stage == Stage::Seated);
+                let seated = |w: &u64| {
+                    self.attempts
+                        .get(w)
+                        .is_some_and(|a| a.stage == Stage::Seated)
+                };
                 host.unnamed = host.attempts.iter().copied().filter(seated).collect();
                 self.watch(id);
                 Ok(())
@@ -119,7 +132,10 @@
                 self.end(wire, Ending::Refused, Some(reason), load, true);
             }
             Frame::Ended(wire, reason, ran, load) if at_this_host(self, &wire) => {
-                let seated = self.attempts.get(&wire).is_some_and(|a| a.stage == Stage::Seated);
+                let seated = self
+                    .attempts
+                    .get(&wire)
+                    .is_some_and(|a| a.stage == Stage::Seated);
                 let ending = match reason {
                     Reason::Done => Ending::Done,
                     Reason::Error => Ending::Error,
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -48,13 +48,19 @@
 
     /// A host was heard to say something.
     pub(super) fn sign_of_life(&mut self, id: HostId, frame: &Frame) {
-        let sign = if matches!(frame, Frame::Pong(_)) { Sign::Answer } else { Sign::Traffic };
+        let sign = if matches!(frame, Frame::Pong(_)) {
+            Sign::Answer
+        } else {
+            Sign::Traffic
+        };
         self.liveness.heard(self.now, id, sign);
     }
 
     /// Attempts at a host have come or gone. One that is still naming what it holds counts as in use.
     pub(crate) fn use_changed(&mut self, id: HostId) {
-        let Some(host) = self.hosts.get(&id).filter(|h| h.link == Link::Up) else { return };
+        let Some(host) = self.hosts.get(&id).filter(|h| h.link == Link::Up) else {
+            return;
+        };
         if host.attempts.is_empty() {
             self.liveness.use_ends(id);
         } else {
