--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -17,15 +17,25 @@
         self.now = self.now.max(now);
         self.listed = true;
         let named: BTreeSet<&str> = inventory.host.iter().map(|e| e.name.as_str()).collect();
-        for host in self.hosts.values_mut().filter(|h| !named.contains(&*h.name)) {
+        for host in self
+            .hosts
+            .values_mut()
+            .filter(|h| !named.contains(&*h.name))
+        {
             host.listed = HostState::Gone;
         }
         for entry in &inventory.host {
             self.take_entry(entry);
         }
-        let listings = self.hosts.values_mut().filter(|h| h.tried || h.listed == HostState::Gone);
+        let listings = self
+            .hosts
+            .values_mut()
+            .filter(|h| h.tried || h.listed == HostState::Gone);
         let machines = listings.map(Host::refresh).collect();
-        self.events.push(Event::Listed { scope: Scope::Full, machines });
+        self.events.push(Event::Listed {
+            scope: Scope::Full,
+            machines,
+        });
         for id in self.hosts.keys().copied().collect::<Vec<_>>() {
             self.forget_gone(id);
         }
@@ -41,7 +51,9 @@
                 continue;
             }
             let id = self.take_entry(entry);
-            let Some(host) = self.hosts.get_mut(&id) else { continue };
+            let Some(host) = self.hosts.get_mut(&id) else {
+                continue;
+            };
             let forgotten = host.listed == HostState::Gone && host.link == Link::Down;
             if host.tried || forgotten {
                 machines.push(host.refresh());
@@ -49,7 +61,10 @@
             self.forget_gone(id);
         }
         if !machines.is_empty() {
-            self.events.push(Event::Listed { scope: Scope::Changes, machines });
+            self.events.push(Event::Listed {
+                scope: Scope::Changes,
+                machines,
+            });
         }
     }
 
@@ -72,7 +87,11 @@
                 let mut host = Host::new(id, entry, hash(&entry.name));
                 (host.epoch, host.born) = (epoch, epoch);
                 let place = [&entry.zone, &entry.cell, &entry.kind].map(|p| p.as_str().into());
-                self.notes.add(|| Kept::Host { machine: id.0, name: host.name.clone(), place });
+                self.notes.add(|| Kept::Host {
+                    machine: id.0,
+                    name: host.name.clone(),
+                    place,
+                });
                 self.by_name.insert(host.name.clone(), id);
                 self.hosts.insert(id, host);
                 id
@@ -81,8 +100,15 @@
         let cell = self.cells.of(&format!("{}/{}", entry.zone, entry.cell));
         let zones = &self.config.placer.zones;
         let zone = zones.iter().position(|z| *z == entry.zone).unwrap_or(0) as u32;
-        let kind = self.config.kind.iter().position(|k| k.name == entry.kind).unwrap_or(0);
-        let Some(host) = self.hosts.get_mut(&id) else { return id };
+        let kind = self
+            .config
+            .kind
+            .iter()
+            .position(|k| k.name == entry.kind)
+            .unwrap_or(0);
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return id;
+        };
         (host.listing.zone, host.listing.cell, host.listing.kind) = (zone, cell, kind);
         let free = entry.unasked_cores.zip(entry.unasked_memory_gib);
         host.listing.unasked = free.map(|(cores, memory)| Room::new(cores, memory));
@@ -103,7 +129,10 @@
         if let Some(host) = self.hosts.get_mut(&id) {
             host.tried = true;
             let machines = vec![host.refresh()];
-            self.events.push(Event::Listed { scope: Scope::Changes, machines });
+            self.events.push(Event::Listed {
+                scope: Scope::Changes,
+                machines,
+            });
         }
     }
 
@@ -117,8 +146,11 @@
                 self.by_name.remove(&host.name);
                 self.gone.insert(host.name, (id, host.epoch, self.now));
                 if self.gone.len() > self.config.hosts.max_hosts
-                    && let Some(oldest) =
-                        self.gone.iter().min_by_key(|(_, g)| g.2).map(|(name, _)| name.clone())
+                    && let Some(oldest) = self
+                        .gone
+                        .iter()
+                        .min_by_key(|(_, g)| g.2)
+                        .map(|(name, _)| name.clone())
                 {
                     self.gone.remove(&oldest);
                 }
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -11,7 +11,9 @@
 impl<D: Decide> Engine<D> {
     pub(super) fn accepted(&mut self, wire: u64, took_ms: u32) {
         let accepts = self.placed_when_accepted();
-        let Some(attempt) = self.attempts.get_mut(&wire) else { return };
+        let Some(attempt) = self.attempts.get_mut(&wire) else {
+            return;
+        };
         if attempt.cancelled || attempt.stage != Stage::Out {
             return;
         }
@@ -22,14 +24,25 @@
     }
 
     pub(super) fn started(&mut self, wire: u64, took_ms: u32) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else { return };
-        if attempt.cancelled || attempt.stage == Stage::Out || std::mem::replace(&mut attempt.runs, true) {
+        let Some(attempt) = self.attempts.get_mut(&wire) else {
+            return;
+        };
+        if attempt.cancelled
+            || attempt.stage == Stage::Out
+            || std::mem::replace(&mut attempt.runs, true)
+        {
             return;
         }
         if attempt.stage != Stage::Seated {
             self.seat(wire, took_ms);
         }
-        let Some(attempt) = self.attempts.get(&wire).filter(|a| a.stage == Stage::Seated) else { return };
+        let Some(attempt) = self
+            .attempts
+            .get(&wire)
+            .filter(|a| a.stage == Stage::Seated)
+        else {
+            return;
+        };
         let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request.clone());
         let host = self.host_name(attempt.host);
         if self.placed_when_accepted() {
@@ -40,9 +53,14 @@
 
     /// The attempt's answer is in: the ask is placed, if its time is not over.
     pub(super) fn seat(&mut self, wire: u64, took_ms: u32) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else { return };
+        let Some(attempt) = self.attempts.get_mut(&wire) else {
+            return;
+        };
         let task = attempt.id.task;
-        let in_time = self.asks.get(&task).is_some_and(|ask| ask.deadline > self.now);
+        let in_time = self
+            .asks
+            .get(&task)
+            .is_some_and(|ask| ask.deadline > self.now);
         if !in_time {
             self.call_off(wire);
             return;
@@ -51,17 +69,36 @@
         let (id, host, key) = (attempt.id, attempt.host, attempt.key.clone());
         let (request, number, sent) = (attempt.request.clone(), attempt.id.number, attempt.sent);
         // A caller that stood still can't tell when the answer came; what the host measured stands for it.
-        let elapsed = self.stalled.then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
+        let elapsed = self
+            .stalled
+            .then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
         self.events.push(Event::Seated(id, elapsed));
         self.actors.insert(key.clone(), Actor::Placed(wire));
         let name = self.host_name(host);
-        let address = self.hosts.get(&host).map(|h| h.address.to_string()).unwrap_or_default();
+        let address = self
+            .hosts
+            .get(&host)
+            .map(|h| h.address.to_string())
+            .unwrap_or_default();
         let (service, actor) = key.clone();
         self.tell("placed", &key, name.clone(), None, request.clone());
-        self.answer(task, Answer::Placed { request, service, actor, host: name, address, attempt: number });
+        self.answer(
+            task,
+            Answer::Placed {
+                request,
+                service,
+                actor,
+                host: name,
+                address,
+                attempt: number,
+            },
+        );
     }
 
     pub(crate) fn host_name(&self, id: HostId) -> Arc<str> {
-        self.hosts.get(&id).map(|h| h.name.clone()).unwrap_or_default()
+        self.hosts
+            .get(&id)
+            .map(|h| h.name.clone())
+            .unwrap_or_default()
     }
 }
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -25,14 +25,24 @@
 
 /// An engine that is connected to one host, which has just come up.
 fn engine(config: &PlacerConfig) -> Engine<Eager> {
-    let boot = Boot { started_ms: NOW / 1000, seed: 1 };
+    let boot = Boot {
+        started_ms: NOW / 1000,
+        seed: 1,
+    };
     let mut engine = Engine::new(config.clone(), Eager, boot, NOW);
     let kind = &config.kind[0].name;
     let zone = &config.placer.zones[0];
     let text = format!(
         "[[host]]\nname = \"h\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"c\"\nkind = \"{kind}\"\n"
     );
-    let inventory = Inventory::parse(Doc { file: "hosts", text: &text }, config).expect("sound");
+    let inventory = Inventory::parse(
+        Doc {
+            file: "hosts",
+            text: &text,
+        },
+        config,
+    )
+    .expect("sound");
     engine.inventory(NOW, &inventory);
     engine.host_connected(NOW, HOST);
     let hello = Frame::Hello {
@@ -56,7 +66,10 @@
     let body = format!(
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}}"#
     );
-    let head = format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     // The host is there all the time.
     let mut pong = Vec::new();
     frame::encode(&Frame::Pong(0), &mut pong);
@@ -66,7 +79,9 @@
     engine.turn(now, false);
     engine.round_took(now, written);
     let offer = |output: &Output| match output {
-        Output::ToHost(HOST, bytes) => matches!(frame::decode(bytes), Ok((Some(Frame::Offer(_)), _))),
+        Output::ToHost(HOST, bytes) => {
+            matches!(frame::decode(bytes), Ok((Some(Frame::Offer(_)), _)))
+        }
         _ => false,
     };
     engine.outputs().iter().any(offer)
@@ -74,7 +89,11 @@
 
 #[test]
 fn an_offer_that_left_late_counts_in_its_window_from_then() {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound");
     let window = config.rules.fall_window_ms * 1000;
     let mut engine = engine(&config);
     // Decided now, and written after a pause of a second.
@@ -82,10 +101,20 @@
     // By the decider's count the window is over; by the host's it is not.
     let after = NOW + window + 1;
     assert!(!is_offered(&mut engine, 2, after, after));
-    assert!(!is_offered(&mut engine, 3, NOW + window + S, NOW + window + S));
+    assert!(!is_offered(
+        &mut engine,
+        3,
+        NOW + window + S,
+        NOW + window + S
+    ));
     let over = NOW + window + S + 1;
     assert!(is_offered(&mut engine, 4, over, over));
     // Where nothing left late, the decider's count stands.
     assert!(is_offered(&mut engine, 5, over + 1, over + 1));
-    assert!(is_offered(&mut engine, 6, over + window + 2, over + window + 2));
+    assert!(is_offered(
+        &mut engine,
+        6,
+        over + window + 2,
+        over + window + 2
+    ));
 }
--- a/crates/engine/tests/crowded_turns.rs
+++ b/crates/engine/tests/crowded_turns.rs
@@ -19,21 +19,41 @@
         )
     };
     let text = host("draining") + &host("other");
-    Inventory::parse(Doc { file: "hosts", text: &text }, config).expect("sound")
+    Inventory::parse(
+        Doc {
+            file: "hosts",
+            text: &text,
+        },
+        config,
+    )
+    .expect("sound")
 }
 
 /// An engine that is connected to two warm hosts.
 fn engine() -> Engine<Placer> {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound");
     let placer = Placer::new(config.settings(), 1).expect("sound");
-    let boot = Boot { started_ms: NOW / 1000, seed: 1 };
+    let boot = Boot {
+        started_ms: NOW / 1000,
+        seed: 1,
+    };
     let mut engine = Engine::new(config.clone(), placer, boot, NOW);
     engine.inventory(NOW, &inventory(&config));
     for (number, name) in ["draining", "other"].into_iter().enumerate() {
         let host = HostId(number as u32);
         engine.host_connected(NOW, host);
         let (major, minor) = (frame::MAJOR, frame::MINOR);
-        let hello = Frame::Hello { major, minor, name: name.to_owned(), started_ms: 1, most_offers: 0 };
+        let hello = Frame::Hello {
+            major,
+            minor,
+            name: name.to_owned(),
+            started_ms: 1,
+            most_offers: 0,
+        };
         host_says(&mut engine, host, &[hello, Frame::HeldEnd]);
     }
     engine.turn(NOW, false);
@@ -43,7 +63,9 @@
 
 fn host_says(engine: &mut Engine<Placer>, host: HostId, frames: &[Frame]) {
     let mut bytes = Vec::new();
-    frames.iter().for_each(|frame| frame::encode(frame, &mut bytes));
+    frames
+        .iter()
+        .for_each(|frame| frame::encode(frame, &mut bytes));
     assert_eq!(engine.host_bytes(NOW, host, &bytes), bytes.len());
 }
 
@@ -51,7 +73,10 @@
     let body = format!(
         r#"{{"service":"s{number}","actor":"a","class":"web-api","cores":0.01,"memory_gib":0.01,"budget_ms":9000}}"#
     );
-    let head = format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     engine.client_opened(NOW, ClientId(number));
     engine.client_bytes(NOW, ClientId(number), (head + &body).as_bytes());
 }
@@ -62,7 +87,9 @@
     for turn in 1..=10 {
         engine.turn(NOW + turn, false);
         for output in engine.outputs() {
-            let Output::ToHost(HostId(host), bytes) = output else { continue };
+            let Output::ToHost(HostId(host), bytes) = output else {
+                continue;
+            };
             if matches!(frame::decode(&bytes), Ok((Some(Frame::Offer(_)), _))) {
                 offers[host as usize] += 1;
             }
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -22,8 +22,20 @@
 }
 
 fn engine(last_word: bool) -> Engine<Silent> {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
-    let mut engine = Engine::new(config, Silent { last_word }, Boot { started_ms: NOW / 1000, seed: 1 }, NOW);
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound");
+    let mut engine = Engine::new(
+        config,
+        Silent { last_word },
+        Boot {
+            started_ms: NOW / 1000,
+            seed: 1,
+        },
+        NOW,
+    );
     engine.client_opened(NOW, CLIENT);
     engine
 }
@@ -32,14 +44,18 @@
     let body = format!(
         r#"{{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":{budget_ms}}}"#
     );
-    format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-        .into_bytes()
+    format!(
+        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// The same, with a second to answer, under this id.
 fn ask_as(id: &str) -> Vec<u8> {
     let text = String::from_utf8(ask(1000)).expect("text");
-    text.replace("Host: p\r\n", &format!("Host: p\r\nX-Request-Id: {id}\r\n")).into_bytes()
+    text.replace("Host: p\r\n", &format!("Host: p\r\nX-Request-Id: {id}\r\n"))
+        .into_bytes()
 }
 
 fn said(engine: &mut Engine<Silent>) -> String {
@@ -68,9 +84,23 @@
     engine.client_bytes(NOW, CLIENT, &ask(1000));
     engine.turn(NOW, false);
     let (at, text) = run(&mut engine, NOW + 3_000_000).expect("an answer");
-    assert!(at < NOW + 1_000_000 && at > NOW + 900_000, "{} us after the ask", at - NOW);
-    assert!(text.contains("\"outcome\":\"refused\"") && text.contains("\"reason\":\"unknown\""), "{text}");
-    assert_eq!((engine.counters().overdue, engine.counters().refused, engine.open_asks()), (1, 1, 0));
+    assert!(
+        at < NOW + 1_000_000 && at > NOW + 900_000,
+        "{} us after the ask",
+        at - NOW
+    );
+    assert!(
+        text.contains("\"outcome\":\"refused\"") && text.contains("\"reason\":\"unknown\""),
+        "{text}"
+    );
+    assert_eq!(
+        (
+            engine.counters().overdue,
+            engine.counters().refused,
+            engine.open_asks()
+        ),
+        (1, 1, 0)
+    );
     // A decider that is to break the rule is let.
     let mut rogue = self::engine(false);
     rogue.client_bytes(NOW, CLIENT, &ask(1000));
@@ -86,7 +116,11 @@
     engine.client_bytes(NOW + 1_000_000, CLIENT, &ask(1500));
     engine.turn(NOW + 1_000_000, true);
     let (at, text) = run(&mut engine, NOW + 5_000_000).expect("an answer");
-    assert!(at < NOW + 1_500_000, "{} us after it may have been sent: {text}", at - NOW);
+    assert!(
+        at < NOW + 1_500_000,
+        "{} us after it may have been sent: {text}",
+        at - NOW
+    );
     // The next turn's asks are fresh again.
     engine.client_bytes(at, CLIENT, &ask(1500));
     engine.turn(at, false);
@@ -125,7 +159,8 @@
     engine.client_opened(NOW, third);
     engine.client_bytes(NOW, CLIENT, &ask_as("first"));
     engine.client_bytes(NOW, second, &ask_as("second"));
-    let cancel = |id: &str| format!("DELETE /v1/asks/{id} HTTP/1.1\r\nHost: p\r\n\r\n").into_bytes();
+    let cancel =
+        |id: &str| format!("DELETE /v1/asks/{id} HTTP/1.1\r\nHost: p\r\n\r\n").into_bytes();
     engine.client_bytes(NOW, third, &cancel("second"));
     engine.turn(NOW, false);
     let text = said(&mut engine);
@@ -146,7 +181,10 @@
     engine.client_bytes(NOW + 2_000_000, CLIENT, &ask(1500));
     engine.turn(NOW + 2_000_000, true);
     let text = said(&mut engine);
-    assert!(text.starts_with("HTTP/1.1 503") && text.contains("stood-still"), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 503") && text.contains("stood-still"),
+        "{text}"
+    );
     assert!(text.contains("Retry-After: 1"), "{text}");
     assert_eq!((engine.counters().asks, engine.open_asks()), (0, 0));
 }
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -61,8 +61,15 @@
 impl Fleet {
     /// So many hosts that greet in one instant.
     fn new(hosts: u32, offer_for: Micros) -> Fleet {
-        let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
-        let boot = Boot { started_ms: START / 1000, seed: 1 };
+        let config = PlacerConfig::parse(Doc {
+            file: "placer.toml",
+            text: CONFIG,
+        })
+        .expect("sound");
+        let boot = Boot {
+            started_ms: START / 1000,
+            seed: 1,
+        };
         let mut fleet = Fleet {
             engine: Engine::new(config, ToChosen(offer_for), boot, START),
             now: START,
@@ -98,7 +105,9 @@
             if outputs.is_empty() {
                 return;
             }
-            outputs.into_iter().for_each(|output| self.carry_out(output));
+            outputs
+                .into_iter()
+                .for_each(|output| self.carry_out(output));
             let connected: Vec<HostId> = self.to_greet.drain(..).collect();
             for id in connected {
                 self.engine.host_connected(self.now, id);
@@ -131,7 +140,16 @@
             Frame::Hello { .. } => {
                 let name = format!("h{}", id.0);
                 let (major, minor, started_ms) = (frame::MAJOR, frame::MINOR, START / 1000);
-                self.says(id, &Frame::Hello { major, minor, name, started_ms, most_offers: 0 });
+                self.says(
+                    id,
+                    &Frame::Hello {
+                        major,
+                        minor,
+                        name,
+                        started_ms,
+                        most_offers: 0,
+                    },
+                );
                 self.says(id, &Frame::HeldEnd);
             }
             Frame::Ping(nonce) => self.says(id, &Frame::Pong(nonce)),
@@ -156,9 +174,12 @@
             r#"{{"service":"s","actor":"a{}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}}"#,
             self.asks
         );
-        let ask =
-            format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        self.engine.client_bytes(self.now, ClientId(1), ask.as_bytes());
+        let ask = format!(
+            "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
+        self.engine
+            .client_bytes(self.now, ClientId(1), ask.as_bytes());
         self.turn(false);
         self.turn(false);
     }
@@ -172,12 +193,21 @@
     }
 
     fn pings_to(&self, id: HostId, since: u64) -> usize {
-        self.pings.iter().filter(|(at, to)| *to == id && *at >= since).count()
+        self.pings
+            .iter()
+            .filter(|(at, to)| *to == id && *at >= since)
+            .count()
     }
 
     fn most_pings_in_a_second(&self, since: u64) -> usize {
-        let times: Vec<u64> = self.pings.iter().map(|(at, _)| *at).filter(|&at| at >= since).collect();
-        let within = |first: usize| times[first..].partition_point(|&at| at < times[first] + SECOND);
+        let times: Vec<u64> = self
+            .pings
+            .iter()
+            .map(|(at, _)| *at)
+            .filter(|&at| at >= since)
+            .collect();
+        let within =
+            |first: usize| times[first..].partition_point(|&at| at < times[first] + SECOND);
         (0..times.len()).map(within).max().unwrap_or(0)
     }
 }
@@ -188,7 +218,10 @@
         let mut fleet = Fleet::new(hosts, SECOND);
         fleet.run_for(100 * SECOND);
         let most = fleet.most_pings_in_a_second(START);
-        assert!(most <= MOST_IDLE_IN_A_SECOND, "{hosts} hosts: {most} in a second");
+        assert!(
+            most <= MOST_IDLE_IN_A_SECOND,
+            "{hosts} hosts: {most} in a second"
+        );
         let pinged: BTreeSet<HostId> = fleet.pings.iter().map(|(_, id)| *id).collect();
         assert_eq!(pinged.len() as u32, fleet.hosts);
         assert_eq!(fleet.cut_off, []);
@@ -239,7 +272,11 @@
         fleet.run_for(SILENT_AFTER + PING_EVERY);
         assert_eq!(fleet.cut_off.len(), 1, "an offer for {offer_for} us");
         let (at, id) = fleet.cut_off[0];
-        assert!(id == CHOSEN && at <= offered + SILENT_AFTER + PING_EVERY, "{} us after", at - offered);
+        assert!(
+            id == CHOSEN && at <= offered + SILENT_AFTER + PING_EVERY,
+            "{} us after",
+            at - offered
+        );
         assert!(fleet.pings_to(CHOSEN, offered) >= 2);
     }
 }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -14,7 +14,11 @@
 const LONG_BUDGET_MS: u64 = 60_000;
 
 fn config() -> PlacerConfig {
-    PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound")
+    PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound")
 }
 
 fn ask(number: u64) -> Vec<u8> {
@@ -25,8 +29,11 @@
     let body = format!(
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":{budget_ms}}}"#
     );
-    format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}", body.len())
-        .into_bytes()
+    format!(
+        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// How an ask ended at its client.
@@ -50,8 +57,22 @@
     fn new() -> SlowPlacer {
         let config = config();
         let placer = Placer::new(config.settings(), 1).expect("sound");
-        let engine = Engine::new(config, placer, Boot { started_ms: NOW / 1000, seed: 1 }, NOW);
-        SlowPlacer { engine, now: NOW, read_at: NOW, asked_at: BTreeMap::new(), told: BTreeMap::new() }
+        let engine = Engine::new(
+            config,
+            placer,
+            Boot {
+                started_ms: NOW / 1000,
+                seed: 1,
+            },
+            NOW,
+        );
+        SlowPlacer {
+            engine,
+            now: NOW,
+            read_at: NOW,
+            asked_at: BTreeMap::new(),
+            told: BTreeMap::new(),
+        }
     }
 
     /// Runs up to `until`: a client asks every `ask_every`, and is read by the next turn.
@@ -90,7 +111,10 @@
                 }
                 Output::ToClient(client, bytes) => {
                     let text = String::from_utf8(bytes).expect("text");
-                    assert!(text.contains("urn:maplethread:problem:overloaded"), "{text}");
+                    assert!(
+                        text.contains("urn:maplethread:problem:overloaded"),
+                        "{text}"
+                    );
                     assert!(text.contains("Retry-After: 1"), "{text}");
                     (client, Told::TurnedAway)
                 }
@@ -148,7 +172,11 @@
     assert!(turned_away > 100, "{turned_away} of 300");
     assert_eq!(placer.engine.counters().turned_away, turned_away as u64);
     let asked = placer.asked_at.len() as u64;
-    assert_eq!(placer.engine.counters().asks + turned_away as u64, asked, "those were not taken");
+    assert_eq!(
+        placer.engine.counters().asks + turned_away as u64,
+        asked,
+        "those were not taken"
+    );
     // It has time again, and soon takes everything.
     placer.run(NOW + 5_000_000, 10_000, |_| 1_000);
     let turned_away = placer.count(Told::TurnedAway);
@@ -166,7 +194,9 @@
     let taken = placer.engine.counters().asks;
     let client = ClientId(1_000_000);
     placer.engine.client_opened(placer.now, client);
-    placer.engine.client_bytes(placer.now, client, &ask_within(client.0, LONG_BUDGET_MS));
+    placer
+        .engine
+        .client_bytes(placer.now, client, &ask_within(client.0, LONG_BUDGET_MS));
     assert_eq!(placer.engine.counters().asks, taken + 1);
     placer.engine.turn(placer.now, false);
     placer.write();
@@ -177,11 +207,13 @@
 fn one_pause_turns_nobody_away() {
     let mut placer = SlowPlacer::new();
     let pause = NOW + 1_000_000;
-    placer.run(
-        NOW + 4_000_000,
-        10_000,
-        |at| if (pause..pause + 5_000).contains(&at) { 700_000 } else { 1_000 },
-    );
+    placer.run(NOW + 4_000_000, 10_000, |at| {
+        if (pause..pause + 5_000).contains(&at) {
+            700_000
+        } else {
+            1_000
+        }
+    });
     assert_eq!(placer.count(Told::TurnedAway), 0);
     assert!(placer.count(Told::Answer) > 200);
 }
@@ -202,7 +234,10 @@
 #[test]
 fn a_turn_places_so_many_and_leaves_the_rest_to_the_next_in_order() {
     let turns = Rc::new(RefCell::new(Vec::new()));
-    let boot = Boot { started_ms: NOW / 1000, seed: 1 };
+    let boot = Boot {
+        started_ms: NOW / 1000,
+        seed: 1,
+    };
     let mut engine = Engine::new(config(), Noting(turns.clone()), boot, NOW);
     for client in 1..=500 {
         engine.client_opened(NOW, ClientId(client));
@@ -214,7 +249,14 @@
         engine.turn(now, false);
     }
     let turns = turns.borrow();
-    assert!(turns.iter().all(|asked| asked.len() <= 64), "at most 64 in a turn");
+    assert!(
+        turns.iter().all(|asked| asked.len() <= 64),
+        "at most 64 in a turn"
+    );
     let all: Vec<u64> = turns.iter().flatten().map(|task| task.0).collect();
-    assert_eq!(all, (1..=500).collect::<Vec<_>>(), "all, once, and in the order in which they came");
+    assert_eq!(
+        all,
+        (1..=500).collect::<Vec<_>>(),
+        "all, once, and in the order in which they came"
+    );
 }
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -27,7 +27,9 @@
         let mut seen = self.0.borrow_mut();
         for event in events {
             match event {
-                Event::Listed { machines, .. } => seen.machines.extend(machines.iter().map(|m| m.machine)),
+                Event::Listed { machines, .. } => {
+                    seen.machines.extend(machines.iter().map(|m| m.machine))
+                }
                 Event::Asked(task) => actions.push(Action::Offer(task.id, MachineId(0), 1_000_000)),
                 Event::Seated(..) | Event::Running(..) => seen.running += 1,
                 Event::Ended(_, end) => {
@@ -56,9 +58,16 @@
 
 #[test]
 fn a_host_keeps_its_number_over_its_absence_and_is_connected_to_anew() {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound");
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let boot = Boot { started_ms: NOW / 1000, seed: 1 };
+    let boot = Boot {
+        started_ms: NOW / 1000,
+        seed: 1,
+    };
     let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
     let mut now = NOW;
     for round in 0..5 {
@@ -69,17 +78,33 @@
             _ => None,
         });
         let connects: Vec<_> = connects.collect();
-        assert_eq!(connects.len(), 1, "round {round}: a connection is made at once");
+        assert_eq!(
+            connects.len(),
+            1,
+            "round {round}: a connection is made at once"
+        );
         engine.host_closed(now + 1000, connects[0], 0);
         engine.hosts_changed(now + 2000, &[entry(1, HostState::Gone)]);
         engine.turn(now + 2000, false);
         engine.outputs();
         now += 10_000;
     }
-    assert_eq!(seen.borrow().machines.len(), 1, "one host, one number: {:?}", seen.borrow().machines);
+    assert_eq!(
+        seen.borrow().machines.len(),
+        1,
+        "one host, one number: {:?}",
+        seen.borrow().machines
+    );
     // Another host has another number.
-    engine.hosts_changed(now, &[entry(1, HostState::Ready), entry(2, HostState::Ready)]);
-    let connects = engine.outputs().into_iter().filter(|o| matches!(o, Output::Connect(..))).count();
+    engine.hosts_changed(
+        now,
+        &[entry(1, HostState::Ready), entry(2, HostState::Ready)],
+    );
+    let connects = engine
+        .outputs()
+        .into_iter()
+        .filter(|o| matches!(o, Output::Connect(..)))
+        .count();
     assert_eq!(connects, 2);
 }
 
@@ -113,9 +138,16 @@
 
 /// An engine that has placed one task on the host, what its decider has seen, and the offer.
 fn placed() -> (Engine<Noting>, Rc<RefCell<Seen>>, Offer) {
-    let config = PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound");
+    let config = PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound");
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let boot = Boot { started_ms: NOW / 1000, seed: 1 };
+    let boot = Boot {
+        started_ms: NOW / 1000,
+        seed: 1,
+    };
     let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
     engine.hosts_changed(NOW, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW, HostId(0));
@@ -123,13 +155,28 @@
     engine.turn(NOW, false);
     engine.client_opened(NOW, ClientId(1));
     let body = r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}"#;
-    let ask = format!("POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let ask = format!(
+        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     engine.client_bytes(NOW, ClientId(1), ask.as_bytes());
     engine.turn(NOW, false);
-    let offer =
-        frames(&mut engine).into_iter().find_map(|f| if let Frame::Offer(o) = f { Some(o) } else { None });
+    let offer = frames(&mut engine).into_iter().find_map(|f| {
+        if let Frame::Offer(o) = f {
+            Some(o)
+        } else {
+            None
+        }
+    });
     let offer = offer.expect("an offer");
-    says(&mut engine, NOW + 1000, &[Frame::Accepted(offer.attempt, 1), Frame::Started(offer.attempt, 1)]);
+    says(
+        &mut engine,
+        NOW + 1000,
+        &[
+            Frame::Accepted(offer.attempt, 1),
+            Frame::Started(offer.attempt, 1),
+        ],
+    );
     engine.turn(NOW + 1000, false);
     assert_eq!(seen.borrow().running, 1);
     (engine, seen, offer)
@@ -146,12 +193,20 @@
     // It is back, with the same process, and the task still runs there.
     engine.hosts_changed(NOW + 4000, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW + 5000, HostId(0));
-    says(&mut engine, NOW + 5000, &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd]);
+    says(
+        &mut engine,
+        NOW + 5000,
+        &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd],
+    );
     engine.turn(NOW + 5000, false);
     let told = frames(&mut engine);
     assert!(told.contains(&Frame::Stop(offer.attempt)), "{told:?}");
     assert_eq!(seen.borrow().running, 1, "it counts while it runs");
-    says(&mut engine, NOW + 6000, &[Frame::Ended(offer.attempt, Reason::Stopped, true, None)]);
+    says(
+        &mut engine,
+        NOW + 6000,
+        &[Frame::Ended(offer.attempt, Reason::Stopped, true, None)],
+    );
     engine.turn(NOW + 6000, false);
     assert_eq!(seen.borrow().running, 0);
 }
@@ -164,10 +219,19 @@
     let mut connected = false;
     while let Some(at) = engine.next_timeout().filter(|&at| at <= NOW + 4_000_000) {
         engine.turn(at, false);
-        if !connected && engine.outputs().iter().any(|o| matches!(o, Output::Connect(..))) {
+        if !connected
+            && engine
+                .outputs()
+                .iter()
+                .any(|o| matches!(o, Output::Connect(..)))
+        {
             connected = true;
             engine.host_connected(at, HostId(0));
-            says(&mut engine, at, &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd]);
+            says(
+                &mut engine,
+                at,
+                &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd],
+            );
         }
         if connected {
             says(&mut engine, at, &[Frame::Pong(0)]);
@@ -196,11 +260,19 @@
         // The first wait before it connects again is over.
         let back = NOW + 1_000_000;
         engine.turn(back, false);
-        assert!(engine.outputs().iter().any(|o| matches!(o, Output::Connect(..))));
+        assert!(
+            engine
+                .outputs()
+                .iter()
+                .any(|o| matches!(o, Output::Connect(..)))
+        );
         engine.host_connected(back, HostId(0));
         let ended = Frame::Ended(offer.attempt, Reason::Done, true, None);
-        let greeting =
-            if told { vec![hello(), ended, Frame::HeldEnd] } else { vec![hello(), Frame::HeldEnd] };
+        let greeting = if told {
+            vec![hello(), ended, Frame::HeldEnd]
+        } else {
+            vec![hello(), Frame::HeldEnd]
+        };
         says(&mut engine, back, &greeting);
         engine.turn(back, false);
         let ending = if told { Ending::Done } else { Ending::Reset };
--- a/crates/engine/tests/simulated.rs
+++ b/crates/engine/tests/simulated.rs
@@ -107,9 +107,16 @@
 
 impl Sim {
     fn new(seed: u64) -> Sim {
-        let config = PlacerConfig::parse(Doc { file: "sim", text: CONFIG }).expect("sound");
+        let config = PlacerConfig::parse(Doc {
+            file: "sim",
+            text: CONFIG,
+        })
+        .expect("sound");
         let placer = maplethread::Placer::new(config.settings(), seed).expect("sound");
-        let boot = Boot { started_ms: START / 1000, seed };
+        let boot = Boot {
+            started_ms: START / 1000,
+            seed,
+        };
         let mut engine = Engine::new(config.clone(), placer, boot, START);
         let mut text = String::new();
         for n in 0..HOSTS {
@@ -119,9 +126,21 @@
                 1000 + n
             );
         }
-        let inventory = Inventory::parse(Doc { file: "hosts", text: &text }, &config).expect("sound");
+        let inventory = Inventory::parse(
+            Doc {
+                file: "hosts",
+                text: &text,
+            },
+            &config,
+        )
+        .expect("sound");
         engine.inventory(START, &inventory);
-        let hosts = (0..HOSTS).map(|_| Host { started: START / 1000, ..Host::default() }).collect();
+        let hosts = (0..HOSTS)
+            .map(|_| Host {
+                started: START / 1000,
+                ..Host::default()
+            })
+            .collect();
         Sim {
             engine,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -161,7 +180,10 @@
         self.turn();
         let mut steps = 0;
         while self.now < end + 20_000_000 {
-            let due = [self.events.next(), self.engine.next_timeout()].into_iter().flatten().min();
+            let due = [self.events.next(), self.engine.next_timeout()]
+                .into_iter()
+                .flatten()
+                .min();
             let Some(due) = due else { break };
             self.now = self.now.max(due);
             while let Some(ev) = self.events.due(self.now) {
@@ -169,14 +191,18 @@
             }
             self.turn();
             steps += 1;
-            assert!(steps < 1_000_000, "the engine asks to be called without end");
+            assert!(
+                steps < 1_000_000,
+                "the engine asks to be called without end"
+            );
         }
     }
 
     fn turn(&mut self) {
         self.engine.turn(self.now, false);
         for output in self.engine.outputs() {
-            self.trace.update(format!("{} {output:?}", self.now).as_bytes());
+            self.trace
+                .update(format!("{} {output:?}", self.now).as_bytes());
             match output {
                 Output::Connect(id, _) => {
                     self.links += 1;
@@ -247,21 +273,29 @@
             }
             Ev::Ask(n) => self.ask(n),
             Ev::ToPlacer(id, bytes) => {
-                if self.clients.get(&id).is_some_and(|c| !c.closed && !c.hung_up) {
+                if self
+                    .clients
+                    .get(&id)
+                    .is_some_and(|c| !c.closed && !c.hung_up)
+                {
                     let used = self.engine.client_bytes(self.now, id, &bytes);
                     assert_eq!(used, bytes.len());
                 }
             }
             Ev::ToClient(id, bytes) => {
                 let now = self.now;
-                let Some(client) = self.clients.get_mut(&id) else { return };
+                let Some(client) = self.clients.get_mut(&id) else {
+                    return;
+                };
                 client.inbox.extend(bytes);
                 while let (Found::Message(message), used) =
                     client.reader.read(&client.inbox).expect("sound HTTP")
                 {
                     client.inbox.drain(..used);
                     assert!(now <= client.deadline, "answered after the deadline");
-                    client.answers.push(String::from_utf8_lossy(&message.body).into_owned());
+                    client
+                        .answers
+                        .push(String::from_utf8_lossy(&message.body).into_owned());
                 }
             }
             Ev::HangUp(id) => {
@@ -274,8 +308,13 @@
                 }
             }
             Ev::Ends(host, attempt, started) => {
-                if self.hosts[host].started == started && self.hosts[host].holds.remove(&attempt).is_some() {
-                    self.say(HostId(host as u32), Frame::Ended(attempt, Reason::Done, true, None));
+                if self.hosts[host].started == started
+                    && self.hosts[host].holds.remove(&attempt).is_some()
+                {
+                    self.say(
+                        HostId(host as u32),
+                        Frame::Ended(attempt, Reason::Done, true, None),
+                    );
                 }
             }
             Ev::Trouble => self.trouble(),
@@ -283,7 +322,9 @@
     }
 
     fn say(&mut self, id: HostId, frame: Frame) {
-        let Some(link) = self.hosts[id.0 as usize].link else { return };
+        let Some(link) = self.hosts[id.0 as usize].link else {
+            return;
+        };
         let mut bytes = Vec::new();
         frame::encode(&frame, &mut bytes);
         self.later_in_order(Ev::FromHost(id, link, bytes));
@@ -297,7 +338,11 @@
                 assert!(out.is_empty(), "{} has two attempts out", offer.request);
                 out.insert(offer.attempt, id);
                 if offer.class == "unsafe" {
-                    assert!(!self.may_run.contains(&offer.request), "{} may run twice", offer.request);
+                    assert!(
+                        !self.may_run.contains(&offer.request),
+                        "{} may run twice",
+                        offer.request
+                    );
                 }
             }
             Frame::Cancel(attempt) | Frame::Stop(attempt) => self.over(*attempt),
@@ -313,8 +358,22 @@
             Frame::Hello { .. } => {
                 let (major, minor, name) = (frame::MAJOR, frame::MINOR, format!("h{number}"));
                 let started_ms = self.hosts[number].started;
-                self.say(id, Frame::Hello { major, minor, name, started_ms, most_offers: 0 });
-                for offer in self.hosts[number].holds.values().cloned().collect::<Vec<_>>() {
+                self.say(
+                    id,
+                    Frame::Hello {
+                        major,
+                        minor,
+                        name,
+                        started_ms,
+                        most_offers: 0,
+                    },
+                );
+                for offer in self.hosts[number]
+                    .holds
+                    .values()
+                    .cloned()
+                    .collect::<Vec<_>>()
+                {
                     self.say(id, Frame::Held(offer, true));
                 }
                 self.say(id, Frame::HeldEnd);
@@ -340,7 +399,8 @@
                         self.say(id, Frame::Accepted(attempt, 1));
                         self.say(id, Frame::Started(attempt, 2));
                         let (life, started) = (self.below(3_000_000), self.hosts[number].started);
-                        self.events.set(self.now + 1000 + life, Ev::Ends(number, attempt, started));
+                        self.events
+                            .set(self.now + 1000 + life, Ev::Ends(number, attempt, started));
                     }
                 }
             }
@@ -362,7 +422,9 @@
 
     fn unlink(&mut self, id: HostId) {
         self.hosts[id.0 as usize].link = None;
-        self.out.values_mut().for_each(|out| out.retain(|_, host| *host != id));
+        self.out
+            .values_mut()
+            .for_each(|out| out.retain(|_, host| *host != id));
     }
 
     fn ask(&mut self, n: u64) {
@@ -437,10 +499,15 @@
         for number in 0..HOSTS {
             for attempt in self.hosts[number].holds.keys().copied().collect::<Vec<_>>() {
                 let started = self.hosts[number].started;
-                self.events.set(self.now + 1000, Ev::Ends(number, attempt, started));
+                self.events
+                    .set(self.now + 1000, Ev::Ends(number, attempt, started));
             }
         }
-        while let Some(due) = [self.events.next(), self.engine.next_timeout()].into_iter().flatten().min() {
+        while let Some(due) = [self.events.next(), self.engine.next_timeout()]
+            .into_iter()
+            .flatten()
+            .min()
+        {
             if due > end {
                 break;
             }
@@ -455,7 +522,8 @@
     fn status(&mut self) -> String {
         let id = ClientId(u64::MAX);
         self.engine.client_opened(self.now, id);
-        self.engine.client_bytes(self.now, id, b"GET /v1/status HTTP/1.1\r\nHost: p\r\n\r\n");
+        self.engine
+            .client_bytes(self.now, id, b"GET /v1/status HTTP/1.1\r\nHost: p\r\n\r\n");
         let mut text = String::new();
         for output in self.engine.outputs() {
             if let Output::ToClient(_, bytes) = output {
@@ -479,7 +547,11 @@
                 got == wanted || (got <= 1 && (client.hung_up || client.closed)),
                 "seed {seed}, {id:?}: {got} answers"
             );
-            placed += client.answers.iter().filter(|a| a.contains("\"placed\"")).count();
+            placed += client
+                .answers
+                .iter()
+                .filter(|a| a.contains("\"placed\""))
+                .count();
         }
         sim.settle();
         let status = sim.status();
--- a/crates/fleet-drill/examples/drawn.rs
+++ b/crates/fleet-drill/examples/drawn.rs
@@ -3,17 +3,25 @@
 use maplethread_fleet_drill::drawn::play;
 
 fn main() {
-    let mut args = std::env::args().skip(1).filter_map(|a| a.parse::<u64>().ok());
+    let mut args = std::env::args()
+        .skip(1)
+        .filter_map(|a| a.parse::<u64>().ok());
     let (first, count) = (args.next().unwrap_or(0), args.next().unwrap_or(100));
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let workers: Vec<_> = (0..threads)
         .map(|t| {
             std::thread::spawn(move || {
-                (first + t..first + count).step_by(threads as usize).map(play).collect::<Vec<_>>()
+                (first + t..first + count)
+                    .step_by(threads as usize)
+                    .map(play)
+                    .collect::<Vec<_>>()
             })
         })
         .collect();
-    let mut played: Vec<_> = workers.into_iter().flat_map(|w| w.join().expect("a worker")).collect();
+    let mut played: Vec<_> = workers
+        .into_iter()
+        .flat_map(|w| w.join().expect("a worker"))
+        .collect();
     for wrong in played.iter().filter_map(|p| p.wrong.as_ref()) {
         println!("{wrong}");
     }
@@ -21,7 +29,10 @@
     played.retain(|p| p.settled.is_some());
     played.sort_by_key(|p| p.settled);
     let at = |part: f64| {
-        played.get(((played.len() - 1) as f64 * part) as usize).and_then(|p| p.settled).unwrap_or(0)
+        played
+            .get(((played.len() - 1) as f64 * part) as usize)
+            .and_then(|p| p.settled)
+            .unwrap_or(0)
     };
     let held = played.iter().map(|p| p.held).max().unwrap_or(0);
     println!(
--- a/crates/fleet-drill/examples/measure.rs
+++ b/crates/fleet-drill/examples/measure.rs
@@ -14,9 +14,17 @@
 }
 
 /// Lets time pass until all members at `places` see a member in such a state.
-fn until(model: &mut Model, places: &[usize], member: usize, seen: impl Fn(Option<State>) -> bool) -> u64 {
+fn until(
+    model: &mut Model,
+    places: &[usize],
+    member: usize,
+    seen: impl Fn(Option<State>) -> bool,
+) -> u64 {
     let mut waited = 0;
-    while !places.iter().all(|&p| seen(model.fleet(p).state_of(&name(member)))) {
+    while !places
+        .iter()
+        .all(|&p| seen(model.fleet(p).state_of(&name(member))))
+    {
         model.run(50 * MS);
         waited += 50 * MS;
         assert!(waited < 300 * S, "never seen by all");
@@ -44,11 +52,17 @@
         );
         held = model.fleet(0).held();
         model.start(size, size);
-        joins.push(until(&mut model, &places, size, |s| s == Some(State::Alive)));
+        joins.push(until(&mut model, &places, size, |s| {
+            s == Some(State::Alive)
+        }));
         model.kill(size);
-        crashes.push(until(&mut model, &places, size, |s| !s.is_some_and(State::live)));
+        crashes.push(until(&mut model, &places, size, |s| {
+            !s.is_some_and(State::live)
+        }));
         // Two halves for a minute.
-        model.network.partition(&[(0..size / 2).collect(), (size / 2..size).collect()]);
+        model
+            .network
+            .partition(&[(0..size / 2).collect(), (size / 2..size).collect()]);
         model.run(60 * S);
         model.network.heal();
         heals.push(model.settles(&places, 300 * S).expect("it heals"));
@@ -65,13 +79,19 @@
     show("a join seen by all after", median(joins));
     show("a crash seen by all after", median(crashes));
     show("two halves apart for 60 s, one view after", median(heals));
-    println!("  at rest {} B/s and {} datagrams/s a member; while half die {} B/s", rest.0, rest.1, dying);
+    println!(
+        "  at rest {} B/s and {} datagrams/s a member; while half die {} B/s",
+        rest.0, rest.1, dying
+    );
     println!(
         "  {:.3}% of a core a member, the model's own work included; entries held {}",
         cpu * 100.0,
         held
     );
-    println!("  every member testing every other each second: {} B/s", (size - 1) * 2 * 60);
+    println!(
+        "  every member testing every other each second: {} B/s",
+        (size - 1) * 2 * 60
+    );
 }
 
 fn alarms(loss: f64, hours: u64) {
--- a/crates/fleet-drill/src/drawn.rs
+++ b/crates/fleet-drill/src/drawn.rs
@@ -43,8 +43,14 @@
     model.watching = false;
     if kinds & 1 != 0 {
         let (loss, late) = (draw(25) as f64 / 100.0, draw(5) as f64 / 100.0);
-        model.network.default_link =
-            Link { loss, duplicate: 0.05, max_latency: 50 * MS, late, late_by: 30 * S, ..Link::default() };
+        model.network.default_link = Link {
+            loss,
+            duplicate: 0.05,
+            max_latency: 50 * MS,
+            late,
+            late_by: 30 * S,
+            ..Link::default()
+        };
     }
     let (mut gone, mut next) = (Vec::new(), 1000);
     let mut now = 10 * S;
@@ -62,7 +68,11 @@
             }
             3 => {
                 if let Some(member) = gone.pop() {
-                    let off = if kinds & 8 != 0 { draw(7_200_000) as i64 - 3_600_000 } else { 0 };
+                    let off = if kinds & 8 != 0 {
+                        draw(7_200_000) as i64 - 3_600_000
+                    } else {
+                        0
+                    };
                     let same = draw(2) == 0 && !places.contains(&member);
                     let place = if same { member } else { next };
                     next += 1;
@@ -102,12 +112,30 @@
         let ghost = |p: usize, g: usize| {
             !running.contains(&g) && model.fleet(p).state_of(&name(g)).is_some_and(State::live)
         };
-        places.iter().map(|&p| gone.iter().filter(|&&g| ghost(p, g)).count()).sum()
+        places
+            .iter()
+            .map(|&p| gone.iter().filter(|&&g| ghost(p, g)).count())
+            .sum()
     } else {
         0
     };
-    let held = places.iter().map(|&p| model.fleet(p).held()).max().unwrap_or(0);
-    let wrong = (settled.is_none() || ghosts > 0 || early_alarms > 0)
-        .then(|| format!("seed {seed}, kinds {kinds:08b}, {count} at first\n{}", model.differences(&places)));
-    Played { members: places.len(), settled, early_alarms, ghosts, held, wrong }
+    let held = places
+        .iter()
+        .map(|&p| model.fleet(p).held())
+        .max()
+        .unwrap_or(0);
+    let wrong = (settled.is_none() || ghosts > 0 || early_alarms > 0).then(|| {
+        format!(
+            "seed {seed}, kinds {kinds:08b}, {count} at first\n{}",
+            model.differences(&places)
+        )
+    });
+    Played {
+        members: places.len(),
+        settled,
+        early_alarms,
+        ghosts,
+        held,
+        wrong,
+    }
 }
--- a/crates/fleet-drill/src/drill.rs
+++ b/crates/fleet-drill/src/drill.rs
@@ -59,7 +59,8 @@
 
     /// As one object.
     pub fn json(&self) -> Value {
-        let per_member = self.traffic.bytes as f64 / self.lasted_s / self.fleet.members.max(1) as f64;
+        let per_member =
+            self.traffic.bytes as f64 / self.lasted_s / self.fleet.members.max(1) as f64;
         json!({
             "fleet": self.fleet.json(), "day": self.day.json(),
             "network": {
@@ -85,7 +86,9 @@
         name: "drill".to_owned(),
         listen: proxy.listen(place),
         advertise: Some(proxy.advertise(place)),
-        seeds: (0..schedule.placers.min(3)).map(|p| proxy.advertise(p)).collect(),
+        seeds: (0..schedule.placers.min(3))
+            .map(|p| proxy.advertise(p))
+            .collect(),
         key_file: key_file.clone(),
         probe_every_ms: 1000 / faster,
         probe_within_ms: 300 / faster,
@@ -98,8 +101,15 @@
         max_members: 4096,
     };
     let (news, heard) = channel();
-    let sections = (0..schedule.placers).filter(|_| !drill.without_view).map(section).collect();
-    let fleet = FleetPart { sections, acts: schedule.acts(), news };
+    let sections = (0..schedule.placers)
+        .filter(|_| !drill.without_view)
+        .map(section)
+        .collect();
+    let fleet = FleetPart {
+        sections,
+        acts: schedule.acts(),
+        news,
+    };
     let mut scenario = Scenario::standard().stretched(schedule.faults_s + schedule.settle_s);
     scenario.placers = schedule.placers as u32;
     scenario = scenario.sized(schedule.hosts);
@@ -129,21 +139,36 @@
         // The sender goes with the options, so the watcher ends with the day.
         let day = day::play(&options);
         drop(options);
-        let (news, watched, begun) = watching.join().map_err(|_| io::Error::other("the watcher panicked"))?;
+        let (news, watched, begun) = watching
+            .join()
+            .map_err(|_| io::Error::other("the watcher panicked"))?;
         let day = day?;
         let quiet = begun + (schedule.faults_s * 1e6) as u64;
         let faults: Vec<(u64, u64)> = schedule
             .fault
             .iter()
             .filter(|f| {
-                !matches!(f.kind, crate::schedule::Kind::Kill { .. } | crate::schedule::Kind::Lose { .. })
+                !matches!(
+                    f.kind,
+                    crate::schedule::Kind::Kill { .. } | crate::schedule::Kind::Lose { .. }
+                )
+            })
+            .map(|f| {
+                (
+                    begun + (f.at_s * 1e6) as u64,
+                    begun + ((f.at_s + f.for_s) * 1e6) as u64,
+                )
             })
-            .map(|f| (begun + (f.at_s * 1e6) as u64, begun + ((f.at_s + f.for_s) * 1e6) as u64))
             .collect();
         let end = begun + (ends * 1e6) as u64;
         let fleet = judge(&Truth::of(&news), &watched, &faults, quiet, end);
         let lasted_s = (clock.now() - started) as f64 / 1e6;
-        Ok(Outcome { fleet, day, traffic: proxy.traffic(), lasted_s })
+        Ok(Outcome {
+            fleet,
+            day,
+            traffic: proxy.traffic(),
+            lasted_s,
+        })
     })
 }
 
@@ -164,7 +189,9 @@
         match heard.recv_timeout(Duration::from_millis(5)) {
             Ok(news) => {
                 match (news, &mut watchers) {
-                    (DayNews::Serves(_, number, api), Some(watchers)) => watchers.follow(number, api),
+                    (DayNews::Serves(_, number, api), Some(watchers)) => {
+                        watchers.follow(number, api)
+                    }
                     (DayNews::Begins(at), _) => begun = Some(at),
                     _ => {}
                 }
--- a/crates/fleet-drill/src/judge.rs
+++ b/crates/fleet-drill/src/judge.rs
@@ -31,9 +31,10 @@
         for news in news {
             let (at, placer, is) = match *news {
                 DayNews::Serves(at, placer, _) => (at, placer, Is::Up),
-                DayNews::Befell(at, PlacerAct::Kill(p) | PlacerAct::End(p) | PlacerAct::Reap(p)) => {
-                    (at, p, Is::Gone)
-                }
+                DayNews::Befell(
+                    at,
+                    PlacerAct::Kill(p) | PlacerAct::End(p) | PlacerAct::Reap(p),
+                ) => (at, p, Is::Gone),
                 DayNews::Befell(at, PlacerAct::Pause(p)) => (at, p, Is::Paused),
                 DayNews::Befell(at, PlacerAct::GoOn(p)) => (at, p, Is::Up),
                 DayNews::Befell(..) | DayNews::Begins(_) => continue,
@@ -44,13 +45,23 @@
     }
 
     fn at(&self, placer: usize, at: u64) -> Is {
-        let before = self.by_placer.get(&placer).into_iter().flatten().rev().find(|s| s.0 <= at);
+        let before = self
+            .by_placer
+            .get(&placer)
+            .into_iter()
+            .flatten()
+            .rev()
+            .find(|s| s.0 <= at);
         before.map_or(Is::Gone, |s| s.1)
     }
 
     /// Placers that run, and don't stand still, at a time.
     fn running(&self, at: u64) -> Vec<usize> {
-        self.by_placer.keys().copied().filter(|&p| self.at(p, at) == Is::Up).collect()
+        self.by_placer
+            .keys()
+            .copied()
+            .filter(|&p| self.at(p, at) == Is::Up)
+            .collect()
     }
 
     /// Whether a placer was up, unpaused, for all of a span.
@@ -85,7 +96,13 @@
 }
 
 /// Judges a drill whose faults of the network stood in `faults`, and were all over by `quiet`; it ended at `end`.
-pub fn judge(truth: &Truth, watched: &Watched, faults: &[(u64, u64)], quiet: u64, end: u64) -> Verdict {
+pub fn judge(
+    truth: &Truth,
+    watched: &Watched,
+    faults: &[(u64, u64)],
+    quiet: u64,
+    end: u64,
+) -> Verdict {
     let mut broken = Vec::new();
     let running = truth.running(end);
     let names: BTreeSet<String> = running.iter().map(|&p| name(p)).collect();
@@ -109,14 +126,23 @@
             broken.push(format!("{} lacks {missing:?}", name(placer)));
         }
         if Some(&sample.digest) != digest.as_ref() {
-            broken.push(format!("{} holds another view than {}", name(placer), name(running[0])));
+            broken.push(format!(
+                "{} holds another view than {}",
+                name(placer),
+                name(running[0])
+            ));
         }
         let all = &watched.samples[&placer];
-        let unsettled = all.iter().rev().find(|s| Some(&s.digest) != digest.as_ref());
+        let unsettled = all
+            .iter()
+            .rev()
+            .find(|s| Some(&s.digest) != digest.as_ref());
         let since = all.iter().find(|s| unsettled.is_none_or(|u| s.at > u.at));
         settled_at = settled_at.max(since.map_or(end, |s| s.at));
     }
-    let settled_s = broken.is_empty().then(|| settled_at.saturating_sub(quiet) as f64 / 1e6);
+    let settled_s = broken
+        .is_empty()
+        .then(|| settled_at.saturating_sub(quiet) as f64 / 1e6);
     let (false_alarms, alarms_under_faults) = alarms(truth, watched, faults);
     Verdict {
         broken,
@@ -136,14 +162,21 @@
     let (mut without, mut with) = (0, 0);
     for (&by, told) in &watched.told {
         for change in told {
-            let own = change.what["to"] == "down" && change.what["by"] == maplethread_fleet::OWN_TEST;
-            let of = change.what["name"].as_str().and_then(|n| n.strip_prefix("placer-")?.parse().ok());
-            let Some(of) = of.filter(|_| own) else { continue };
+            let own =
+                change.what["to"] == "down" && change.what["by"] == maplethread_fleet::OWN_TEST;
+            let of = change.what["name"]
+                .as_str()
+                .and_then(|n| n.strip_prefix("placer-")?.parse().ok());
+            let Some(of) = of.filter(|_| own) else {
+                continue;
+            };
             let from = change.at.saturating_sub(BEFORE);
             if !truth.up_for(of, from, change.at) || !truth.up_for(by, from, change.at) {
                 continue;
             }
-            let faulty = faults.iter().any(|&(begin, until)| begin <= change.at && from <= until);
+            let faulty = faults
+                .iter()
+                .any(|&(begin, until)| begin <= change.at && from <= until);
             if faulty { with += 1 } else { without += 1 }
         }
     }
@@ -158,11 +191,21 @@
             if is != Is::Gone || n > 0 && states[n - 1].1 == Is::Gone {
                 continue;
             }
-            let back = states[n + 1..].iter().find(|s| s.1 != Is::Gone).map_or(end, |s| s.0);
+            let back = states[n + 1..]
+                .iter()
+                .find(|s| s.1 != Is::Gone)
+                .map_or(end, |s| s.0);
             let holds = |s: &&Sample| s.at > at && s.at < back && s.live.contains(&name(placer));
             let others = watched.samples.iter().filter(|(p, _)| **p != placer);
-            let last = others.filter_map(|(_, s)| s.iter().rev().find(holds)).map(|s| s.at).max();
-            let shown = watched.samples.values().flatten().any(|s| s.at > last.unwrap_or(at) && s.at < back);
+            let last = others
+                .filter_map(|(_, s)| s.iter().rev().find(holds))
+                .map(|s| s.at)
+                .max();
+            let shown = watched
+                .samples
+                .values()
+                .flatten()
+                .any(|s| s.at > last.unwrap_or(at) && s.at < back);
             if shown {
                 spans.push(last.map_or(0, |l| l - at) as f64 / 1e6);
             }
--- a/crates/fleet-drill/src/judge/tests.rs
+++ b/crates/fleet-drill/src/judge/tests.rs
@@ -13,7 +13,11 @@
 }
 
 fn sample(at: u64, digest: &str, live: &[usize]) -> Sample {
-    Sample { at, digest: digest.to_owned(), live: live.iter().map(|&p| name(p)).collect() }
+    Sample {
+        at,
+        digest: digest.to_owned(),
+        live: live.iter().map(|&p| name(p)).collect(),
+    }
 }
 
 /// Two that stay, which settle at 13 s and 14 s after the third was killed at 10 s.
@@ -21,7 +25,11 @@
     let mut watched = Watched::default();
     for (placer, settles) in [(0, 13), (1, 14)] {
         let samples = (1..20).map(|s| {
-            if s < settles { sample(s * S, "three", &[0, 1, 2]) } else { sample(s * S, "two", &[0, 1]) }
+            if s < settles {
+                sample(s * S, "three", &[0, 1, 2])
+            } else {
+                sample(s * S, "two", &[0, 1])
+            }
         });
         watched.samples.insert(placer, samples.collect());
     }
@@ -31,7 +39,10 @@
 #[test]
 fn a_drill_that_settles_is_told_with_its_times() {
     let verdict = judge(&truth(), &sound(), &[], 11 * S, 20 * S);
-    assert_eq!((verdict.broken.len(), verdict.settled_s, verdict.members), (0, Some(3.0), 2));
+    assert_eq!(
+        (verdict.broken.len(), verdict.settled_s, verdict.members),
+        (0, Some(3.0), 2)
+    );
     assert_eq!((verdict.seen_gone_s, verdict.false_alarms), (vec![3.0], 0));
 }
 
--- a/crates/fleet-drill/src/model.rs
+++ b/crates/fleet-drill/src/model.rs
@@ -135,7 +135,10 @@
             number: self.started,
             next: Micros::MAX,
         };
-        assert!(self.processes.insert(at, process).is_none(), "the place is taken");
+        assert!(
+            self.processes.insert(at, process).is_none(),
+            "the place is taken"
+        );
         self.carry_out(at);
     }
 
@@ -224,7 +227,9 @@
         let end = self.now + span;
         while let Some(at) = self.queue.next().filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            let Some(event) = self.queue.due(at) else { break };
+            let Some(event) = self.queue.due(at) else {
+                break;
+            };
             self.happens(event);
         }
         self.now = end;
@@ -233,7 +238,9 @@
     fn happens(&mut self, event: Ev) {
         match event {
             Ev::Arrives(at, bytes) => {
-                let Some(process) = self.processes.get_mut(&at) else { return };
+                let Some(process) = self.processes.get_mut(&at) else {
+                    return;
+                };
                 if process.paused {
                     // A socket's buffer has room for so many.
                     if process.inbox.len() < 200 {
@@ -250,7 +257,8 @@
             }
             Ev::Tick(at, number) => {
                 let local = self.processes.get(&at).map(|_| self.local(at));
-                let Some(process) = self.processes.get_mut(&at).filter(|p| p.number == number) else {
+                let Some(process) = self.processes.get_mut(&at).filter(|p| p.number == number)
+                else {
                     return;
                 };
                 if process.paused || process.next > self.now {
@@ -268,7 +276,9 @@
                 let process = self.at(at);
                 (process.paused, process.next) = (false, Micros::MAX);
                 let inbox = std::mem::take(&mut process.inbox);
-                inbox.iter().for_each(|bytes| process.fleet.datagram(local, bytes));
+                inbox
+                    .iter()
+                    .for_each(|bytes| process.fleet.datagram(local, bytes));
                 process.fleet.tick(local);
                 self.carry_out(at);
             }
@@ -285,13 +295,16 @@
                     self.seen.bytes += bytes.len() as u64;
                     let Some(to) = place(to) else { continue };
                     for takes in self.network.send(at, to) {
-                        self.queue.set(self.now + takes, Ev::Arrives(to, bytes.clone()));
+                        self.queue
+                            .set(self.now + takes, Ev::Arrives(to, bytes.clone()));
                     }
                 }
                 Output::Changed(change) => {
                     self.seen.false_alarms += u64::from(self.is_false_alarm(&change));
                     let text = format!("{by} {change:?} {}", self.now);
-                    let step = text.bytes().fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
+                    let step = text
+                        .bytes()
+                        .fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
                     self.seen.trace = self.seen.trace.rotate_left(5) ^ step;
                 }
                 Output::Own(notice) => self.seen.notices.push((name(by), notice)),
@@ -320,12 +333,16 @@
 
     /// Whether some process of this name runs and is not paused.
     fn runs(&self, member: &str) -> bool {
-        self.processes.values().any(|process| !process.paused && name(process.name) == member)
+        self.processes
+            .values()
+            .any(|process| !process.paused && name(process.name) == member)
     }
 
     /// A datagram that nobody of this fleet made.
     pub fn garbage(&mut self, length: usize) -> Vec<u8> {
-        let mut bytes: Vec<u8> = (0..length).map(|n| ((n as u64 * 2_654_435_761) >> 7) as u8).collect();
+        let mut bytes: Vec<u8> = (0..length)
+            .map(|n| ((n as u64 * 2_654_435_761) >> 7) as u8)
+            .collect();
         if let Some(first) = bytes.first_mut() {
             *first = 1;
         }
--- a/crates/fleet-drill/src/model/fixtures.rs
+++ b/crates/fleet-drill/src/model/fixtures.rs
@@ -35,5 +35,12 @@
 /// Facts of a usual member.
 pub fn facts(started_ms: u64) -> Facts {
     let text = |t: &str| t.to_owned().try_into().expect("sound");
-    Facts { version: text("0.2.0"), zone: text("a"), started_ms, draining: false, number: None, load: 0 }
+    Facts {
+        version: text("0.2.0"),
+        zone: text("a"),
+        started_ms,
+        draining: false,
+        number: None,
+        load: 0,
+    }
 }
--- a/crates/fleet-drill/src/model/settling.rs
+++ b/crates/fleet-drill/src/model/settling.rs
@@ -8,14 +8,17 @@
     /// Whether the members at these places see each other, all alike, and nobody else as live.
     pub fn settled(&self, places: &[usize]) -> bool {
         let first = self.fleet(places[0]).digest();
-        let names: Vec<String> = places.iter().map(|p| name(self.processes[p].name)).collect();
+        let names: Vec<String> = places
+            .iter()
+            .map(|p| name(self.processes[p].name))
+            .collect();
         places.iter().all(|p| {
             let fleet = self.fleet(*p);
             fleet.digest() == first
                 && fleet.live() == places.len()
-                && names
-                    .iter()
-                    .all(|n| *n == name(self.processes[p].name) || fleet.state_of(n) == Some(State::Alive))
+                && names.iter().all(|n| {
+                    *n == name(self.processes[p].name) || fleet.state_of(n) == Some(State::Alive)
+                })
         })
     }
 
@@ -42,7 +45,10 @@
                 .filter(|m| m.state.live())
                 .map(|m| {
                     let started = m.facts.as_ref().map(|f| f.started_ms);
-                    format!("{} {:?} at {} life {} started {started:?}", m.name, m.state, m.address, m.life)
+                    format!(
+                        "{} {:?} at {} life {} started {started:?}",
+                        m.name, m.state, m.address, m.life
+                    )
                 })
                 .collect();
             text += &format!(
--- a/crates/fleet-drill/src/proxy.rs
+++ b/crates/fleet-drill/src/proxy.rs
@@ -51,7 +51,10 @@
     /// A network of so many places, at most 250, on addresses that nobody uses.
     pub fn start(places: usize, seed: u64) -> io::Result<NetworkProxy> {
         if places > 250 {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "at most 250 places"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "at most 250 places",
+            ));
         }
         let (base, sockets) = Self::bind(places)?;
         let poller = Poller::new()?;
@@ -70,16 +73,25 @@
             traffic: traffic.clone(),
             stop: stop.clone(),
         };
-        let thread = std::thread::Builder::new().name("network".to_owned()).spawn(move || carrier.run())?;
-        Ok(NetworkProxy { base, network, traffic, stop, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("network".to_owned())
+            .spawn(move || carrier.run())?;
+        Ok(NetworkProxy {
+            base,
+            network,
+            traffic,
+            stop,
+            thread: Some(thread),
+        })
     }
 
     /// Looks for a part of the loopback network in which all addresses are free.
     fn bind(places: usize) -> io::Result<([u8; 2], Vec<UdpSocket>)> {
         let mut last = io::Error::other("no places");
         for _ in 0..200 {
-            let drawn =
-                std::process::id().wrapping_mul(31).wrapping_add(NETWORKS.fetch_add(1, Ordering::Relaxed));
+            let drawn = std::process::id()
+                .wrapping_mul(31)
+                .wrapping_add(NETWORKS.fetch_add(1, Ordering::Relaxed));
             // 127.16.x to 127.254.x: away from 127.0.0.1 and what commonly lies beside it.
             let base = [16 + (drawn % 238) as u8, (drawn / 238 % 254) as u8 + 1];
             let all: io::Result<Vec<UdpSocket>> = (0..places)
@@ -132,7 +144,10 @@
 }
 
 fn advertise(base: [u8; 2], place: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, base[0], base[1], place as u8 + 1), PORT + 1))
+    SocketAddr::from((
+        Ipv4Addr::new(127, base[0], base[1], place as u8 + 1),
+        PORT + 1,
+    ))
 }
 
 struct Carrier {
@@ -152,15 +167,23 @@
         let mut bytes = [0; MAX_DATAGRAM];
         while !self.stop.load(Ordering::Relaxed) {
             let now = clock.now();
-            let next = in_flight.next().map_or(20_000, |at| at.saturating_sub(now).min(20_000));
+            let next = in_flight
+                .next()
+                .map_or(20_000, |at| at.saturating_sub(now).min(20_000));
             ready.clear();
-            if self.poller.wait(Some(Duration::from_micros(next)), &mut ready).is_err() {
+            if self
+                .poller
+                .wait(Some(Duration::from_micros(next)), &mut ready)
+                .is_err()
+            {
                 return;
             }
             for r in &ready {
                 let to = r.token as usize;
                 for _ in 0..256 {
-                    let Ok((n, from)) = self.sockets[to].recv_from(&mut bytes) else { break };
+                    let Ok((n, from)) = self.sockets[to].recv_from(&mut bytes) else {
+                        break;
+                    };
                     self.receive(clock.now(), &mut in_flight, from, to, &bytes[..n]);
                 }
             }
--- a/crates/fleet-drill/src/schedule.rs
+++ b/crates/fleet-drill/src/schedule.rs
@@ -145,27 +145,65 @@
                 wrong.push(doc.error(&key, message));
             }
         };
-        check((1..=64).contains(&schedule.placers), "placers".into(), "1 to 64");
-        check((1..=400).contains(&schedule.hosts), "hosts".into(), "1 to 400");
-        check((1..=20).contains(&schedule.faster), "faster".into(), "1 to 20");
-        check(schedule.forget_after_s >= 15, "forget_after_s".into(), "at least 15");
+        check(
+            (1..=64).contains(&schedule.placers),
+            "placers".into(),
+            "1 to 64",
+        );
+        check(
+            (1..=400).contains(&schedule.hosts),
+            "hosts".into(),
+            "1 to 400",
+        );
+        check(
+            (1..=20).contains(&schedule.faster),
+            "faster".into(),
+            "1 to 20",
+        );
+        check(
+            schedule.forget_after_s >= 15,
+            "forget_after_s".into(),
+            "at least 15",
+        );
         let time = |s: f64| s.is_finite() && (0.0..=3600.0).contains(&s);
         check(time(schedule.faults_s), "faults_s".into(), "0 to 3600");
-        check(time(schedule.settle_s) && schedule.settle_s >= 1.0, "settle_s".into(), "1 to 3600");
+        check(
+            time(schedule.settle_s) && schedule.settle_s >= 1.0,
+            "settle_s".into(),
+            "1 to 3600",
+        );
         for (n, fault) in schedule.fault.iter().enumerate() {
             let sound = time(fault.at_s) && time(fault.for_s);
             check(sound, format!("fault[{n}].at_s"), "times are 0 to 3600 s");
             let ends = fault.at_s + fault.for_s <= schedule.faults_s;
-            check(ends, format!("fault[{n}].for_s"), "it has to be over before faults_s");
+            check(
+                ends,
+                format!("fault[{n}].for_s"),
+                "it has to be over before faults_s",
+            );
             let share = match fault.kind {
-                Kind::Loss { share, .. } | Kind::Late { share, .. } | Kind::Link { share, .. } => share,
+                Kind::Loss { share, .. } | Kind::Late { share, .. } | Kind::Link { share, .. } => {
+                    share
+                }
                 _ => 0.0,
             };
-            check((0.0..=1.0).contains(&share), format!("fault[{n}].share"), "0 to 1");
+            check(
+                (0.0..=1.0).contains(&share),
+                format!("fault[{n}].share"),
+                "0 to 1",
+            );
             let known = fault.placers().iter().all(|&p| p < schedule.placers);
-            check(known, format!("fault[{n}]"), "placers are counted from 0 to below `placers`");
+            check(
+                known,
+                format!("fault[{n}]"),
+                "placers are counted from 0 to below `placers`",
+            );
+        }
+        if wrong.is_empty() {
+            Ok(schedule)
+        } else {
+            Err(ConfigErrors(wrong))
         }
-        if wrong.is_empty() { Ok(schedule) } else { Err(ConfigErrors(wrong)) }
     }
 }
 
--- a/crates/fleet-drill/src/schedule/drawn.rs
+++ b/crates/fleet-drill/src/schedule/drawn.rs
@@ -26,10 +26,14 @@
                     share: draw(100) as f64 / 100.0,
                     max_latency_ms: 5.0 + draw(500) as f64,
                 },
-                0 if kinds & 1 != 0 => {
-                    Kind::Loss { share: draw(25) as f64 / 100.0, max_latency_ms: 5.0 + draw(60) as f64 }
-                }
-                1 if kinds & 2 != 0 => Kind::Late { share: draw(10) as f64 / 100.0, by_s: draw(15) as f64 },
+                0 if kinds & 1 != 0 => Kind::Loss {
+                    share: draw(25) as f64 / 100.0,
+                    max_latency_ms: 5.0 + draw(60) as f64,
+                },
+                1 if kinds & 2 != 0 => Kind::Late {
+                    share: draw(10) as f64 / 100.0,
+                    by_s: draw(15) as f64,
+                },
                 2 if kinds & 4 != 0 => {
                     let mut parts = vec![Vec::new(); 2 + draw(2)];
                     let ways = parts.len() as u64;
@@ -37,17 +41,19 @@
                     Kind::Partition { parts }
                 }
                 3 if kinds & 8 != 0 && from != to => Kind::OneWay { from, to },
-                4 if kinds & 16 != 0 => Kind::Unheard { placers: vec![from] },
+                4 if kinds & 16 != 0 => Kind::Unheard {
+                    placers: vec![from],
+                },
                 5 if kinds & 32 != 0 && from != to => Kind::Flap { from, to },
-                6 if kinds & 64 != 0 && !rolls && free.len() > 1 => {
-                    Kind::Kill { placers: some(&mut draw, &mut free, placers / 2) }
-                }
-                7 if kinds & 128 != 0 && !rolls && free.len() > 2 => {
-                    Kind::Lose { placers: some(&mut draw, &mut free, 2) }
-                }
-                8 if kinds & 256 != 0 && !rolls && free.len() > 1 => {
-                    Kind::Pause { placers: some(&mut draw, &mut free, placers / 3) }
-                }
+                6 if kinds & 64 != 0 && !rolls && free.len() > 1 => Kind::Kill {
+                    placers: some(&mut draw, &mut free, placers / 2),
+                },
+                7 if kinds & 128 != 0 && !rolls && free.len() > 2 => Kind::Lose {
+                    placers: some(&mut draw, &mut free, 2),
+                },
+                8 if kinds & 256 != 0 && !rolls && free.len() > 1 => Kind::Pause {
+                    placers: some(&mut draw, &mut free, placers / 3),
+                },
                 _ if kinds & 448 == 0 && !rolls && free.len() == placers && for_s > 3.0 => {
                     rolls = true;
                     Kind::RollingRestart
@@ -71,5 +77,7 @@
 /// Takes some of the free ones, at most so many.
 fn some(draw: &mut impl FnMut(u64) -> usize, free: &mut Vec<usize>, max: usize) -> Vec<usize> {
     let n = (1 + draw(max.max(1) as u64)).min(free.len());
-    (0..n).map(|_| free.swap_remove(draw(free.len() as u64))).collect()
+    (0..n)
+        .map(|_| free.swap_remove(draw(free.len() as u64)))
+        .collect()
 }
--- a/crates/fleet-drill/src/schedule/steps.rs
+++ b/crates/fleet-drill/src/schedule/steps.rs
@@ -44,20 +44,41 @@
         for fault in &self.fault {
             let (at, until) = (us(fault.at_s), us(fault.at_s + fault.for_s));
             match &fault.kind {
-                Kind::Loss { share, max_latency_ms } => {
+                Kind::Loss {
+                    share,
+                    max_latency_ms,
+                } => {
                     let max_latency = us(max_latency_ms / 1000.0);
-                    let link = Link { loss: *share, duplicate: 0.05, max_latency, ..Link::default() };
+                    let link = Link {
+                        loss: *share,
+                        duplicate: 0.05,
+                        max_latency,
+                        ..Link::default()
+                    };
                     steps.push((at, Step::SetDefaultLink(link)));
                     steps.push((until, Step::SetDefaultLink(Link::default())));
                 }
                 Kind::Late { share, by_s } => {
-                    let link = Link { late: *share, late_by: us(*by_s), ..Link::default() };
+                    let link = Link {
+                        late: *share,
+                        late_by: us(*by_s),
+                        ..Link::default()
+                    };
                     steps.push((at, Step::SetDefaultLink(link)));
                     steps.push((until, Step::SetDefaultLink(Link::default())));
                 }
-                Kind::Link { from, to, share, max_latency_ms } => {
+                Kind::Link {
+                    from,
+                    to,
+                    share,
+                    max_latency_ms,
+                } => {
                     let max_latency = us(max_latency_ms / 1000.0);
-                    let link = Link { loss: *share, max_latency, ..Link::default() };
+                    let link = Link {
+                        loss: *share,
+                        max_latency,
+                        ..Link::default()
+                    };
                     steps.push((at, Step::SetLink(*from, *to, link)));
                     steps.push((until, Step::SetLink(*from, *to, Link::default())));
                 }
@@ -80,15 +101,21 @@
                 Kind::Flap { from, to } => {
                     for second in 0..fault.for_s as u64 {
                         let at = at + second * 1_000_000;
-                        let step: fn(usize, usize) -> Step =
-                            if second % 2 == 0 { Step::Cut } else { Step::Restore };
+                        let step: fn(usize, usize) -> Step = if second % 2 == 0 {
+                            Step::Cut
+                        } else {
+                            Step::Restore
+                        };
                         steps.push((at, step(*from, *to)));
                         steps.push((at, step(*to, *from)));
                     }
                     steps.push((until, Step::Restore(*from, *to)));
                     steps.push((until, Step::Restore(*to, *from)));
                 }
-                Kind::Kill { .. } | Kind::Lose { .. } | Kind::Pause { .. } | Kind::RollingRestart => {}
+                Kind::Kill { .. }
+                | Kind::Lose { .. }
+                | Kind::Pause { .. }
+                | Kind::RollingRestart => {}
             }
         }
         steps.sort_by_key(|s| s.0);
--- a/crates/fleet-drill/src/schedule/tests.rs
+++ b/crates/fleet-drill/src/schedule/tests.rs
@@ -13,18 +13,33 @@
     for seed in 0..300 {
         let drawn = Schedule::drawn(seed, 8, 20.0);
         let text = toml::to_string(&drawn).expect("TOML");
-        assert_eq!(Schedule::parse(Doc { file: "f", text: &text }).expect("sound"), drawn, "{text}");
+        assert_eq!(
+            Schedule::parse(Doc {
+                file: "f",
+                text: &text
+            })
+            .expect("sound"),
+            drawn,
+            "{text}"
+        );
     }
 }
 
 #[test]
 fn what_is_wrong_is_named() {
-    let with = |fault: &str| faults(&format!("placers = 4\nfaults_s = 9.0\n[[fault]]\n{fault}\n"));
+    let with = |fault: &str| {
+        faults(&format!(
+            "placers = 4\nfaults_s = 9.0\n[[fault]]\n{fault}\n"
+        ))
+    };
     let kill = "kind = \"kill\"\nplacers = [0, 3]";
     assert_eq!(with(&format!("at_s = 1.0\nfor_s = 2.0\n{kill}")), "");
     assert!(with(&format!("at_s = 8.0\nfor_s = 2.0\n{kill}")).contains("before faults_s"));
     assert!(with("at_s = 1.0\nfor_s = 2.0\nkind = \"kill\"\nplacers = [4]").contains("fault[0]"));
-    assert!(with("at_s = 1.0\nfor_s = 2.0\nkind = \"loss\"\nshare = 2.0\nmost_ms = 1.0").contains("share"));
+    assert!(
+        with("at_s = 1.0\nfor_s = 2.0\nkind = \"loss\"\nshare = 2.0\nmost_ms = 1.0")
+            .contains("share")
+    );
     assert!(!with(&format!("at_s = 1.0\nfor_s = 2.0\nspeed = 3\n{kill}")).is_empty());
     assert!(!with("at_s = 1.0\nfor_s = 2.0\nkind = \"earthquake\"").is_empty());
     assert!(faults("placers = 0\nfaults_s = -1.0").lines().count() == 2);
@@ -38,7 +53,10 @@
     for file in files {
         let path = file.expect("it can be listed").path();
         let text = std::fs::read_to_string(&path).expect("it can be read");
-        let sound = Schedule::parse(Doc { file: &path.display().to_string(), text: &text });
+        let sound = Schedule::parse(Doc {
+            file: &path.display().to_string(),
+            text: &text,
+        });
         assert!(sound.is_ok(), "{}", sound.expect_err("it is not sound"));
         count += 1;
     }
--- a/crates/fleet-drill/src/watch.rs
+++ b/crates/fleet-drill/src/watch.rs
@@ -52,24 +52,39 @@
 impl Watchers {
     /// None yet.
     pub fn new() -> Watchers {
-        Watchers { seen: Arc::default(), stop: Arc::default(), threads: Vec::new() }
+        Watchers {
+            seen: Arc::default(),
+            stop: Arc::default(),
+            threads: Vec::new(),
+        }
     }
 
     /// Reads this process's view from now on, in place of an earlier one of the same number.
     pub fn follow(&mut self, number: usize, api: SocketAddr) {
-        self.threads.iter().filter(|t| t.0 == number).for_each(|t| t.1.store(true, Ordering::Relaxed));
-        let (seen, stop, over) = (self.seen.clone(), self.stop.clone(), Arc::new(AtomicBool::new(false)));
+        self.threads
+            .iter()
+            .filter(|t| t.0 == number)
+            .for_each(|t| t.1.store(true, Ordering::Relaxed));
+        let (seen, stop, over) = (
+            self.seen.clone(),
+            self.stop.clone(),
+            Arc::new(AtomicBool::new(false)),
+        );
         let mine = over.clone();
         let thread = std::thread::spawn(move || {
             let clock = Clock::start();
             let mut after = 0;
             while !stop.load(Ordering::Relaxed) && !mine.load(Ordering::Relaxed) {
-                if let (Ok((200, view)), Ok((200, news))) =
-                    (get_json(api, "/v1/fleet"), get_json(api, &format!("/v1/fleet?after={after}")))
-                {
+                if let (Ok((200, view)), Ok((200, news))) = (
+                    get_json(api, "/v1/fleet"),
+                    get_json(api, &format!("/v1/fleet?after={after}")),
+                ) {
                     let at = clock.now();
                     let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-                    seen.samples.entry(number).or_default().push(sample(at, &view));
+                    seen.samples
+                        .entry(number)
+                        .or_default()
+                        .push(sample(at, &view));
                     for change in news["changes"].as_array().into_iter().flatten() {
                         after = change["number"].as_u64().unwrap_or(after);
                         let at = change["at_ms"].as_u64().unwrap_or(0) * 1000;
@@ -102,9 +117,17 @@
 fn sample(at: u64, view: &Value) -> Sample {
     let text = |v: &Value| v.as_str().unwrap_or("?").to_owned();
     let live = |m: &&Value| matches!(m["state"].as_str(), Some("alive" | "suspect"));
-    let members = view["members"].as_array().into_iter().flatten().filter(live);
+    let members = view["members"]
+        .as_array()
+        .into_iter()
+        .flatten()
+        .filter(live);
     let mut names: Vec<String> = members.map(|m| text(&m["name"])).collect();
     names.push(text(&view["name"]));
     names.sort();
-    Sample { at, digest: text(&view["digest"]), live: names }
+    Sample {
+        at,
+        digest: text(&view["digest"]),
+        live: names,
+    }
 }
--- a/crates/fleet-drill/tests/drawn.rs
+++ b/crates/fleet-drill/tests/drawn.rs
@@ -6,7 +6,11 @@
 fn all(seeds: impl Iterator<Item = u64>) {
     for seed in seeds {
         let played = play(seed);
-        assert!(played.wrong.is_none(), "{}", played.wrong.unwrap_or_default());
+        assert!(
+            played.wrong.is_none(),
+            "{}",
+            played.wrong.unwrap_or_default()
+        );
         // Four tables of all members there ever were, and the addresses of the gone.
         assert!(played.held < 200, "seed {seed} holds {}", played.held);
     }
--- a/crates/fleet-drill/tests/model/bounds.rs
+++ b/crates/fleet-drill/tests/model/bounds.rs
@@ -8,7 +8,9 @@
 fn keys_are_changed_under_way_and_strangers_change_nothing() {
     let other = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
     let both = |first: &str, second: &str| {
-        maplethread_fleet_drill::model::keys(&format!("{first}\n# the one before or after\n{second}\n"))
+        maplethread_fleet_drill::model::keys(&format!(
+            "{first}\n# the one before or after\n{second}\n"
+        ))
     };
     let old = maplethread_fleet_drill::model::KEY;
     let mut model = Model::new(15);
@@ -17,7 +19,11 @@
     settled(&mut model, 10 * S);
     model.record = false;
     let recorded = model.recorded.clone();
-    for step in [both(old, other), both(other, old), maplethread_fleet_drill::model::keys(other)] {
+    for step in [
+        both(old, other),
+        both(other, old),
+        maplethread_fleet_drill::model::keys(other),
+    ] {
         for place in model.places() {
             model.rekey(place, step.clone());
             model.run(2 * S);
@@ -36,7 +42,10 @@
     }
     model.run(S);
     let counters = model.fleet(0).view(0).counters;
-    assert!(counters.unauthenticated >= 5 && counters.foreign >= 3 && counters.oversize == 2, "{counters:?}");
+    assert!(
+        counters.unauthenticated >= 5 && counters.foreign >= 3 && counters.oversize == 2,
+        "{counters:?}"
+    );
     assert_eq!(model.fleet(0).view(0).version, version);
 }
 
@@ -48,7 +57,11 @@
     settled(&mut model, 10 * S);
     model.run(5 * S);
     model.record = false;
-    let last = model.recorded.iter().rev().find(|(to, bytes)| *to == 1 && bytes.len() > 60);
+    let last = model
+        .recorded
+        .iter()
+        .rev()
+        .find(|(to, bytes)| *to == 1 && bytes.len() > 60);
     let sound = last.expect("something came").1.clone();
     let taken = |model: &Model| model.fleet(1).view(0).counters.unauthenticated;
     let before = taken(&model);
@@ -61,8 +74,16 @@
     model.run(MS);
     let lengths = sound.len() as u64;
     // Those cut to less than a tag are no datagrams at all.
-    assert!(taken(&model) - before >= 2 * (lengths - 1) - 17, "{} of {lengths}", taken(&model) - before);
-    assert!(model.settled(&model.places()), "{}", model.differences(&model.places()));
+    assert!(
+        taken(&model) - before >= 2 * (lengths - 1) - 17,
+        "{} of {lengths}",
+        taken(&model) - before
+    );
+    assert!(
+        model.settled(&model.places()),
+        "{}",
+        model.differences(&model.places())
+    );
 }
 
 #[test]
@@ -92,7 +113,11 @@
     settled(&mut model, 20 * S);
     for place in model.places().into_iter().filter(|&p| p != 4) {
         let view = model.fleet(place).view(0);
-        let seen = view.members.iter().find(|m| m.name == "p-4").and_then(|m| m.facts.clone());
+        let seen = view
+            .members
+            .iter()
+            .find(|m| m.name == "p-4")
+            .and_then(|m| m.facts.clone());
         assert_eq!(seen.as_ref(), Some(&facts));
     }
 }
--- a/crates/fleet-drill/tests/model/faults.rs
+++ b/crates/fleet-drill/tests/model/faults.rs
@@ -40,10 +40,18 @@
         settled(&mut model, 30 * S);
         model.kill(5);
         let mut waited = 0;
-        while model.places().iter().any(|&p| model.fleet(p).state_of("p-5").is_some_and(State::live)) {
+        while model
+            .places()
+            .iter()
+            .any(|&p| model.fleet(p).state_of("p-5").is_some_and(State::live))
+        {
             model.run(50 * MS);
             waited += 50 * MS;
-            assert!(waited < 25 * S, "loss {loss}: {}", model.differences(&model.places()));
+            assert!(
+                waited < 25 * S,
+                "loss {loss}: {}",
+                model.differences(&model.places())
+            );
         }
     }
 }
@@ -86,7 +94,11 @@
     model.network.default_link.loss = 0.2;
     model.start_all(16);
     model.run(600 * S);
-    assert!(model.seen().false_alarms <= 16, "{:?}", model.seen().false_alarms);
+    assert!(
+        model.seen().false_alarms <= 16,
+        "{:?}",
+        model.seen().false_alarms
+    );
 }
 
 #[test]
@@ -103,8 +115,17 @@
     model.run(2 * S);
     let took = settled(&mut model, 30 * S);
     assert!(took < 15 * S, "{took}");
-    assert_eq!(model.seen().false_alarms, before, "they woke and called running members down");
-    let stood = model.seen().notices.iter().filter(|(_, n)| matches!(n, Notice::StoodStill { .. })).count();
+    assert_eq!(
+        model.seen().false_alarms,
+        before,
+        "they woke and called running members down"
+    );
+    let stood = model
+        .seen()
+        .notices
+        .iter()
+        .filter(|(_, n)| matches!(n, Notice::StoodStill { .. }))
+        .count();
     assert!(stood >= 4, "{:?}", model.seen().notices);
 }
 
@@ -147,7 +168,11 @@
         model.network.cut(0, n);
     }
     model.run(60 * S);
-    assert!(model.seen().false_alarms <= 12, "{}", model.seen().false_alarms);
+    assert!(
+        model.seen().false_alarms <= 12,
+        "{}",
+        model.seen().false_alarms
+    );
     model.network.heal();
     settled(&mut model, 30 * S);
 }
@@ -193,7 +218,10 @@
     settled(&mut model, 30 * S);
     // All seeds are gone for long, and the seed's name comes back at another address.
     model.start(0, 90);
-    assert!(model.settles(&model.places(), 5 * S).is_none(), "nobody is a seed there");
+    assert!(
+        model.settles(&model.places(), 5 * S).is_none(),
+        "nobody is a seed there"
+    );
     model.kill(90);
     model.seeds = vec![7];
     model.start(0, 91);
--- a/crates/fleet-drill/tests/model/lives.rs
+++ b/crates/fleet-drill/tests/model/lives.rs
@@ -49,22 +49,50 @@
     model.start(3, 40);
     model.run(10 * S);
     let told = |model: &Model, what: fn(&Notice) -> bool| {
-        model.seen().notices.iter().filter(|(n, notice)| n == "p-3" && what(notice)).count()
+        model
+            .seen()
+            .notices
+            .iter()
+            .filter(|(n, notice)| n == "p-3" && what(notice))
+            .count()
     };
-    assert_eq!(told(&model, |n| matches!(n, Notice::Displaced { .. })), 1, "{:?}", model.seen().notices);
-    assert_eq!(told(&model, |n| matches!(n, Notice::Claimed { .. })), 1, "{:?}", model.seen().notices);
+    assert_eq!(
+        told(&model, |n| matches!(n, Notice::Displaced { .. })),
+        1,
+        "{:?}",
+        model.seen().notices
+    );
+    assert_eq!(
+        told(&model, |n| matches!(n, Notice::Claimed { .. })),
+        1,
+        "{:?}",
+        model.seen().notices
+    );
     let views = |model: &Model| -> Vec<u64> {
-        model.places().iter().filter(|&&p| p != 3).map(|&p| model.fleet(p).view(0).version).collect()
+        model
+            .places()
+            .iter()
+            .filter(|&&p| p != 3)
+            .map(|&p| model.fleet(p).view(0).version)
+            .collect()
     };
     let before = views(&model);
     model.run(60 * S);
     assert_eq!(views(&model), before, "views go on changing");
     let others: Vec<usize> = model.places().into_iter().filter(|&p| p != 3).collect();
-    assert!(model.settled(&others), "{}", model.differences(&model.places()));
+    assert!(
+        model.settled(&others),
+        "{}",
+        model.differences(&model.places())
+    );
     assert!(model.view(40).claimed_by.is_some() && model.view(3).displaced_by.is_some());
     model.kill(3);
     model.run(15 * S);
-    assert_eq!(model.view(40).claimed_by, None, "the one that claimed it is gone");
+    assert_eq!(
+        model.view(40).claimed_by,
+        None,
+        "the one that claimed it is gone"
+    );
     model.start_with(3, 3, -600_000, 1.0);
     model.run(5 * S);
     assert!(model.view(40).claimed_by.is_some() && model.view(3).displaced_by.is_some());
@@ -83,10 +111,18 @@
     settled(&mut model, 10 * S);
     model.leave(4);
     assert!(settled(&mut model, 10 * S) <= 5 * S);
-    assert!(model.places().iter().all(|&p| model.fleet(p).state_of("p-4") == Some(State::Left)));
+    assert!(
+        model
+            .places()
+            .iter()
+            .all(|&p| model.fleet(p).state_of("p-4") == Some(State::Left))
+    );
     for _ in 0..90 {
         model.run(S);
-        let back = model.places().iter().any(|&p| model.fleet(p).state_of("p-4").is_some_and(State::live));
+        let back = model
+            .places()
+            .iter()
+            .any(|&p| model.fleet(p).state_of("p-4").is_some_and(State::live));
         assert!(!back, "datagrams a minute late brought it back");
     }
 }
@@ -97,21 +133,35 @@
     model.start_all(8);
     settled(&mut model, 10 * S);
     model.watching = false;
-    model.network.partition(&[(0..4).collect(), (4..8).collect()]);
+    model
+        .network
+        .partition(&[(0..4).collect(), (4..8).collect()]);
     model.run(20 * S);
     // Both halves renew as they meet; a tenth of what they say then comes much later.
     model.network.heal();
-    (model.network.default_link.late, model.network.default_link.late_by) = (0.1, 15 * S);
+    (
+        model.network.default_link.late,
+        model.network.default_link.late_by,
+    ) = (0.1, 15 * S);
     model.run(6 * S);
     model.network.default_link.late = 0.0;
     settled(&mut model, 10 * S);
     let renewed = |model: &Model| {
-        model.seen().notices.iter().filter(|(_, n)| matches!(n, Notice::Renewed { .. })).count()
+        model
+            .seen()
+            .notices
+            .iter()
+            .filter(|(_, n)| matches!(n, Notice::Renewed { .. }))
+            .count()
     };
     let before = renewed(&model);
     assert!((4..=24).contains(&before), "{before}");
     model.run(30 * S);
-    assert_eq!(renewed(&model), before, "late datagrams had members renewed");
+    assert_eq!(
+        renewed(&model),
+        before,
+        "late datagrams had members renewed"
+    );
 }
 
 #[test]
@@ -127,14 +177,27 @@
     model.kill(5);
     settled(&mut model, 30 * S);
     model.run(30 * S);
-    assert!(model.places().iter().all(|&p| model.fleet(p).state_of("p-5").is_none()), "forgotten");
+    assert!(
+        model
+            .places()
+            .iter()
+            .all(|&p| model.fleet(p).state_of("p-5").is_none()),
+        "forgotten"
+    );
     for (to, bytes) in recorded.iter().filter(|(to, _)| *to != 5) {
         model.inject(*to, bytes.clone());
     }
     for _ in 0..20 {
         model.run(500 * MS);
-        let back = model.places().iter().any(|&p| model.fleet(p).state_of("p-5").is_some());
-        assert!(!back, "a recorded datagram brought it back: {}", model.differences(&model.places()));
+        let back = model
+            .places()
+            .iter()
+            .any(|&p| model.fleet(p).state_of("p-5").is_some());
+        assert!(
+            !back,
+            "a recorded datagram brought it back: {}",
+            model.differences(&model.places())
+        );
     }
     assert_eq!(model.seen().false_alarms, 0);
 }
--- a/crates/fleet-drill/tests/model/main.rs
+++ b/crates/fleet-drill/tests/model/main.rs
@@ -10,5 +10,10 @@
 fn settled(model: &mut Model, within: u64) -> u64 {
     let places = model.places();
     let took = model.settles(&places, within);
-    took.unwrap_or_else(|| panic!("not settled within {within} us:\n{}", model.differences(&places)))
+    took.unwrap_or_else(|| {
+        panic!(
+            "not settled within {within} us:\n{}",
+            model.differences(&places)
+        )
+    })
 }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -102,7 +102,11 @@
     /// A member that knows nobody and looks for others at once. Equal seeds and inputs give equal outputs.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Fleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = Id { name: settings.name.clone(), address: settings.advertise, life: settings.life };
+        let me = Id {
+            name: settings.name.clone(),
+            address: settings.advertise,
+            life: settings.life,
+        };
         let shared = Shared {
             me: me.clone(),
             rival: None,
@@ -246,7 +250,11 @@
     /// All that is held for members, live or gone.
     pub fn held(&self) -> usize {
         let shared = self.shared.borrow();
-        self.table.len() + shared.records.len() + self.heard.len() + self.told.len() + self.addresses.len()
+        self.table.len()
+            + shared.records.len()
+            + self.heard.len()
+            + self.told.len()
+            + self.addresses.len()
     }
 
     pub(crate) fn me(&self) -> Id {
@@ -265,7 +273,8 @@
         }
         self.awake.slept(late);
         self.health = (self.health + 2).min(WORST_HEALTH);
-        self.outputs.push(Output::Own(Notice::StoodStill { ms: late / 1000 }));
+        self.outputs
+            .push(Output::Own(Notice::StoodStill { ms: late / 1000 }));
         if late >= micros(self.settings.pace.forget_after) {
             self.begin_anew(now);
         }
@@ -292,7 +301,8 @@
         let mut me = self.me();
         me.life = me.life.max(above) + 1;
         self.shared.borrow_mut().me = me.clone();
-        self.outputs.push(Output::Own(Notice::Renewed { life: me.life }));
+        self.outputs
+            .push(Output::Own(Notice::Renewed { life: me.life }));
         self.with_swim(now, "itself", |swim, mut wants| {
             swim.change_identity(me, &mut wants)?;
             // The library starts its periods once it is told that others are there.
@@ -333,7 +343,8 @@
                 }
                 _ => after,
             };
-            self.awake.set(now, micros(after), Due::Swim(self.swim_starts, timer));
+            self.awake
+                .set(now, micros(after), Due::Swim(self.swim_starts, timer));
         }
         let mut defunct = false;
         for news in news {
@@ -349,7 +360,10 @@
             if self.is_news(&member) {
                 self.look_at(now, member.id(), by);
             } else if member.state() != foca::State::Down
-                && self.table.get(member.id().name.hash()).is_some_and(|k| k.state == State::Down)
+                && self
+                    .table
+                    .get(member.id().name.hash())
+                    .is_some_and(|k| k.state == State::Down)
             {
                 alive.push(member.id().clone());
             }
@@ -388,7 +402,10 @@
         if id.name == self.settings.name {
             return;
         }
-        let found = self.swim.iter_membership_state().find(|m| m.id().name == id.name);
+        let found = self
+            .swim
+            .iter_membership_state()
+            .find(|m| m.id().name == id.name);
         match found.map(|m| (m.id().clone(), m.incarnation(), m.state())) {
             Some((id, incarnation, state)) => self.set(now, &id, incarnation, state, by),
             None => {
@@ -401,9 +418,20 @@
     /// Whom its own test has just made suspect.
     fn look(&mut self, now: Micros) {
         let suspect = |m: &&foca::Member<Id>| m.state() == foca::State::Suspect && self.is_news(m);
-        let found: Vec<_> = self.swim.iter_membership_state().filter(suspect).cloned().collect();
+        let found: Vec<_> = self
+            .swim
+            .iter_membership_state()
+            .filter(suspect)
+            .cloned()
+            .collect();
         for member in found {
-            self.set(now, member.id(), member.incarnation(), member.state(), OWN_TEST);
+            self.set(
+                now,
+                member.id(),
+                member.incarnation(),
+                member.state(),
+                OWN_TEST,
+            );
         }
         self.told.retain(|_, at| *at + 60_000_000 > now);
         self.weigh(now);
@@ -430,7 +458,9 @@
 
     /// A member's facts are new.
     fn retell(&mut self, now: Micros, name: u64) {
-        let Some(known) = self.table.get(name) else { return };
+        let Some(known) = self.table.get(name) else {
+            return;
+        };
         let (id, incarnation, mut state) = (known.id.clone(), known.incarnation, known.state);
         let shared = self.shared.borrow();
         let record = shared.records.get(&name);
@@ -445,7 +475,9 @@
     }
 
     fn forget(&mut self, name: u64, by: &str) {
-        let Some(known) = self.table.forget(name) else { return };
+        let Some(known) = self.table.forget(name) else {
+            return;
+        };
         let mut shared = self.shared.borrow_mut();
         shared.known.remove(&name);
         shared.records.remove(&name);
@@ -475,7 +507,9 @@
             .table
             .sums(&shared.me, record)
             .iter()
-            .fold(0_u64, |all, sum| all.rotate_left(7) ^ sum.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            .fold(0_u64, |all, sum| {
+                all.rotate_left(7) ^ sum.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            });
         if digest != self.digest {
             (self.digest, self.settled) = (digest, now);
             self.version += 1;
@@ -488,9 +522,17 @@
         self.seq += 1;
         let me = self.me();
         let (seq, leaves, facts) = (self.seq, self.leaving, self.facts.clone());
-        let record = Record { name: me.name, life: me.life, seq, leaves, facts };
+        let record = Record {
+            name: me.name,
+            life: me.life,
+            seq,
+            leaves,
+            facts,
+        };
         if let Ok(bytes) = postcard::to_allocvec(&record) {
-            self.with_swim(now, "itself", |swim, _| swim.add_broadcast(&bytes).map(drop));
+            self.with_swim(now, "itself", |swim, _| {
+                swim.add_broadcast(&bytes).map(drop)
+            });
         }
     }
 
@@ -542,7 +584,11 @@
 
     /// Seals and sends.
     pub(crate) fn send(&mut self, now: Micros, to: SocketAddr, body: Body) {
-        let packet = Packet { from: self.me(), sent: self.awake.at(now), body };
+        let packet = Packet {
+            from: self.me(),
+            sent: self.awake.at(now),
+            body,
+        };
         if let Some(bytes) = self.settings.keys.seal(&packet) {
             self.counters.sent += 1;
             self.counters.sent_bytes += bytes.len() as u64;
@@ -565,12 +611,18 @@
 ) -> Foca<Id, Codec, Pcg64Mcg, Book> {
     let pace = &settings.pace;
     let count = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
-    let periodic = |every: Duration, members| Some(PeriodicParams { frequency: every, num_members: members });
+    let periodic = |every: Duration, members| {
+        Some(PeriodicParams {
+            frequency: every,
+            num_members: members,
+        })
+    };
     let config = Config {
         probe_period: pace.probe_every,
         probe_rtt: pace.probe_within,
         num_indirect_probes: count(pace.helpers),
-        max_transmissions: NonZeroU8::new(pace.transmissions(pace.most.min(400))).unwrap_or(NonZeroU8::MIN),
+        max_transmissions: NonZeroU8::new(pace.transmissions(pace.most.min(400)))
+            .unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: pace.suspect_for(1),
         remove_down_after: Some(pace.forget_after),
         max_packet_size: count(LONGEST - FRAME),
@@ -580,5 +632,11 @@
         periodic_gossip: periodic(pace.gossip_every, count(pace.helpers)),
     };
     let (codec, book) = (Codec(shared.clone()), Book(shared.clone()));
-    Foca::with_custom_broadcast(me, config, Pcg64Mcg::seed_from_u64(rng.next_u64()), codec, book)
+    Foca::with_custom_broadcast(
+        me,
+        config,
+        Pcg64Mcg::seed_from_u64(rng.next_u64()),
+        codec,
+        book,
+    )
 }
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -57,7 +57,8 @@
         let (life, sent) = self.heard.get(&name).copied().unwrap_or((0, 0));
         let late = life == packet.from.life && packet.sent + LATE < sent;
         self.counters.late += u64::from(late);
-        if !late && self.table.get(name).is_some() && (life, sent) < (packet.from.life, packet.sent) {
+        if !late && self.table.get(name).is_some() && (life, sent) < (packet.from.life, packet.sent)
+        {
             self.heard.insert(name, (packet.from.life, packet.sent));
         }
         !late
@@ -65,19 +66,39 @@
 
     fn hear(&mut self, now: Micros, packet: Packet) {
         let Packet { from, body, .. } = packet;
-        if let Body::Superseded { life, address, down } = body {
+        if let Body::Superseded {
+            life,
+            address,
+            down,
+        } = body
+        {
             // Also from one that this member holds for down: so two parts of a fleet that went apart hear of each other.
-            let id = Id { life, address, ..self.me() };
+            let id = Id {
+                life,
+                address,
+                ..self.me()
+            };
             return self.superseded(now, &id, down);
         }
-        let known = self.table.get(from.name.hash()).map(|k| (k.id.clone(), k.state));
+        let known = self
+            .table
+            .get(from.name.hash())
+            .map(|k| (k.id.clone(), k.state));
         match known {
             None => return self.stranger(now, &from, body),
             Some((id, state)) if id.rank() > from.rank() || (id == from && !state.live()) => {
                 self.counters.superseded += 1;
                 let (life, address, down) = (id.life, id.address, !state.live());
                 if self.may_tell(now, from.name.hash()) {
-                    self.send(now, from.address, Body::Superseded { life, address, down });
+                    self.send(
+                        now,
+                        from.address,
+                        Body::Superseded {
+                            life,
+                            address,
+                            down,
+                        },
+                    );
                 }
                 return;
             }
@@ -91,7 +112,14 @@
             Body::Pull { buckets, answer } => {
                 let ours = self.answer_pull(now, &from, &buckets);
                 if !answer && ours != buckets {
-                    self.send(now, from.address, Body::Pull { buckets: ours, answer: true });
+                    self.send(
+                        now,
+                        from.address,
+                        Body::Pull {
+                            buckets: ours,
+                            answer: true,
+                        },
+                    );
                 }
             }
             Body::Members(entries) => self.members(now, &by, entries),
@@ -109,18 +137,28 @@
         let nonce = self.nonce(now, from);
         match body {
             // The answer may come just after the number has changed.
-            Body::Proof { nonce: given, buckets }
-                if given == nonce || given == self.nonce(now.saturating_sub(EPOCH), from) =>
-            {
+            Body::Proof {
+                nonce: given,
+                buckets,
+            } if given == nonce || given == self.nonce(now.saturating_sub(EPOCH), from) => {
                 if self.table.len() >= self.settings.pace.most {
                     self.shared.borrow_mut().full += 1;
                     return;
                 }
                 let by = from.name.to_string();
                 let member = foca::Member::alive(from.clone());
-                self.with_swim(now, &by, |swim, wants| swim.apply_many(std::iter::once(member), true, wants));
+                self.with_swim(now, &by, |swim, wants| {
+                    swim.apply_many(std::iter::once(member), true, wants)
+                });
                 let buckets = self.answer_pull(now, from, &buckets);
-                self.send(now, from.address, Body::Pull { buckets, answer: true });
+                self.send(
+                    now,
+                    from.address,
+                    Body::Pull {
+                        buckets,
+                        answer: true,
+                    },
+                );
             }
             Body::Challenge(nonce) => {
                 let buckets = self.buckets();
@@ -137,7 +175,14 @@
     /// A number that only a process that hears this member now can know: it changes every few seconds and with each life.
     fn nonce(&self, now: Micros, from: &Id) -> u64 {
         let me = self.me();
-        let text = format!("{} {} {} {} {}", me.name, me.life, from.name, from.rank().0, now / EPOCH);
+        let text = format!(
+            "{} {} {} {} {}",
+            me.name,
+            me.life,
+            from.name,
+            from.rank().0,
+            now / EPOCH
+        );
         self.settings.keys.nonce(text.as_bytes())
     }
 
@@ -149,18 +194,39 @@
             return;
         }
         match &packet.body {
-            Body::Superseded { life, address, down } if *life >= me.life => {
-                self.superseded(now, &Id { life: *life, address: *address, ..me }, *down);
+            Body::Superseded {
+                life,
+                address,
+                down,
+            } if *life >= me.life => {
+                self.superseded(
+                    now,
+                    &Id {
+                        life: *life,
+                        address: *address,
+                        ..me
+                    },
+                    *down,
+                );
             }
             _ if from.rank() > me.rank() => self.superseded(now, &from.clone(), false),
             Body::Claim => {
                 let first = self.claimed_by(now) != Some(from.address);
                 self.claimed = Some((from.address, now));
                 if first {
-                    self.outputs.push(Output::Own(Notice::Claimed { by: from.address }));
+                    self.outputs
+                        .push(Output::Own(Notice::Claimed { by: from.address }));
                 }
                 let (life, address) = me.rank();
-                self.send(now, from.address, Body::Superseded { life, address, down: false });
+                self.send(
+                    now,
+                    from.address,
+                    Body::Superseded {
+                        life,
+                        address,
+                        down: false,
+                    },
+                );
             }
             _ => {}
         }
@@ -168,7 +234,9 @@
 
     /// Who claims this member's name: it does so each second for as long as it is there.
     pub(crate) fn claimed_by(&self, now: Micros) -> Option<SocketAddr> {
-        self.claimed.filter(|(_, at)| now < at + CLAIMED_FOR).map(|(by, _)| by)
+        self.claimed
+            .filter(|(_, at)| now < at + CLAIMED_FOR)
+            .map(|(by, _)| by)
     }
 
     /// Somebody holds another life for the one that has this member's name, or this one for down.
@@ -188,12 +256,19 @@
         }
         if let Some(rival) = &mut self.rival {
             if rival.id.rank() <= by.rank() {
-                *rival = Rival { id: by.clone(), heard: now };
+                *rival = Rival {
+                    id: by.clone(),
+                    heard: now,
+                };
             }
             return;
         }
-        self.rival = Some(Rival { id: by.clone(), heard: now });
-        self.outputs.push(Output::Own(Notice::Displaced { by: by.address }));
+        self.rival = Some(Rival {
+            id: by.clone(),
+            heard: now,
+        });
+        self.outputs
+            .push(Output::Own(Notice::Displaced { by: by.address }));
         self.reset_swim();
         self.send(now, by.address, Body::Claim);
         self.awake.set(now, RIVAL_EVERY, Due::Rival);
@@ -212,9 +287,15 @@
         self.outputs.push(Output::Own(Notice::Reinstated));
         self.renew(now, id.life);
         // What it knew of others goes back to the library, which tests them anew.
-        let members: Vec<_> =
-            self.table.iter().filter(|k| k.state.live()).map(|k| foca::Member::alive(k.id.clone())).collect();
-        self.with_swim(now, "itself", |swim, wants| swim.apply_many(members.into_iter(), true, wants));
+        let members: Vec<_> = self
+            .table
+            .iter()
+            .filter(|k| k.state.live())
+            .map(|k| foca::Member::alive(k.id.clone()))
+            .collect();
+        self.with_swim(now, "itself", |swim, wants| {
+            swim.apply_many(members.into_iter(), true, wants)
+        });
         self.ask_strangers(now, true);
     }
 
@@ -229,7 +310,8 @@
 
     pub(crate) fn buckets(&self) -> Vec<u32> {
         let shared = self.shared.borrow();
-        self.table.buckets(&shared.me, shared.records.get(&shared.me.name.hash()))
+        self.table
+            .buckets(&shared.me, shared.records.get(&shared.me.name.hash()))
     }
 
     /// Sends what this member knows where another one's view differs; what its own view comes to.
@@ -263,12 +345,24 @@
         };
         let me = foca::Member::alive(self.me());
         // Also what is known of the other itself: so it hears of a suspicion that was lost on the way.
-        let members = || self.swim.iter_membership_state().chain([&me]).filter(|member| differs(member.id()));
+        let members = || {
+            self.swim
+                .iter_membership_state()
+                .chain([&me])
+                .filter(|member| differs(member.id()))
+        };
         let count = members().count();
         // Where not all can be told at once, different ones are each time.
-        let first = if count > ENTRIES { draw(&mut self.rng, count) } else { 0 };
+        let first = if count > ENTRIES {
+            draw(&mut self.rng, count)
+        } else {
+            0
+        };
         let shared = self.shared.borrow();
-        let chosen = members().skip(first).chain(members().take(first)).take(ENTRIES);
+        let chosen = members()
+            .skip(first)
+            .chain(members().take(first))
+            .take(ENTRIES);
         chosen.map(|member| entry(member, &shared)).collect()
     }
 
@@ -281,7 +375,13 @@
     fn members(&mut self, now: Micros, by: &str, entries: Vec<Entry>) {
         let mut members = Vec::with_capacity(entries.len());
         let mut records: Vec<Record> = Vec::new();
-        for Entry { id, incarnation, state, record } in entries {
+        for Entry {
+            id,
+            incarnation,
+            state,
+            record,
+        } in entries
+        {
             let state = match state {
                 Liveness::Alive => foca::State::Alive,
                 Liveness::Suspect => foca::State::Suspect,
@@ -316,7 +416,11 @@
                 self.send(
                     now,
                     id.address,
-                    Body::Superseded { life: id.life, address: id.address, down: true },
+                    Body::Superseded {
+                        life: id.life,
+                        address: id.address,
+                        down: true,
+                    },
                 );
             }
         }
@@ -331,17 +435,34 @@
         let n = self.draw(live);
         if let Some(to) = self.table.nth_live(n).map(|id| id.address) {
             let buckets = self.buckets();
-            self.send(now, to, Body::Pull { buckets, answer: false });
+            self.send(
+                now,
+                to,
+                Body::Pull {
+                    buckets,
+                    answer: false,
+                },
+            );
         }
     }
 
     /// Asks at addresses where no live member is known: the seeds', and where members were that are gone.
     pub(crate) fn ask_strangers(&mut self, now: Micros, all_seeds: bool) {
         let own = self.settings.advertise;
-        let live: Vec<SocketAddr> =
-            self.table.iter().filter(|k| k.state.live()).map(|k| k.id.address).collect();
+        let live: Vec<SocketAddr> = self
+            .table
+            .iter()
+            .filter(|k| k.state.live())
+            .map(|k| k.id.address)
+            .collect();
         let stranger = |a: &&SocketAddr| **a != own && !live.contains(a);
-        let seeds: Vec<SocketAddr> = self.settings.seeds.iter().filter(stranger).copied().collect();
+        let seeds: Vec<SocketAddr> = self
+            .settings
+            .seeds
+            .iter()
+            .filter(stranger)
+            .copied()
+            .collect();
         let others: Vec<SocketAddr> = self.addresses.iter().filter(stranger).copied().collect();
         let mut asked = Vec::new();
         if all_seeds {
@@ -355,14 +476,27 @@
         asked.dedup();
         for to in asked {
             let buckets = self.buckets();
-            self.send(now, to, Body::Pull { buckets, answer: false });
+            self.send(
+                now,
+                to,
+                Body::Pull {
+                    buckets,
+                    answer: false,
+                },
+            );
         }
     }
 
     /// Keeps the address of a member that is about to be forgotten; beyond the most, one at random makes room.
     pub(crate) fn remember_address(&mut self, name: u64) {
-        let left = self.table.get(name).filter(|k| k.state != State::Left).map(|k| k.id.address);
-        let Some(address) = left.filter(|a| !self.addresses.contains(a)) else { return };
+        let left = self
+            .table
+            .get(name)
+            .filter(|k| k.state != State::Left)
+            .map(|k| k.id.address);
+        let Some(address) = left.filter(|a| !self.addresses.contains(a)) else {
+            return;
+        };
         if self.addresses.len() >= MOST_ADDRESSES {
             let n = self.draw(MOST_ADDRESSES);
             self.addresses.swap_remove(n);
@@ -374,7 +508,12 @@
     pub(crate) fn last_words(&mut self, now: Micros) {
         let me = self.me();
         let record = self.shared.borrow().records.get(&me.name.hash()).cloned();
-        let entry = Entry { id: me, incarnation: u16::MAX, state: Liveness::Down, record };
+        let entry = Entry {
+            id: me,
+            incarnation: u16::MAX,
+            state: Liveness::Down,
+            record,
+        };
         for _ in 0..self.settings.pace.helpers {
             let live = self.table.live();
             let n = self.draw(live);
@@ -393,7 +532,12 @@
         foca::State::Down => Liveness::Down,
     };
     let record = shared.records.get(&member.id().name.hash()).cloned();
-    Entry { id: member.id().clone(), incarnation: member.incarnation(), state, record }
+    Entry {
+        id: member.id().clone(),
+        incarnation: member.incarnation(),
+        state,
+        record,
+    }
 }
 
 /// Numbers by which strangers are asked change this often, and count for so long again: less than the shortest memory of
--- a/crates/fleet/src/id.rs
+++ b/crates/fleet/src/id.rs
@@ -28,7 +28,10 @@
 
     fn try_from(text: String) -> Result<Self, BadText> {
         if text.is_empty() || text.len() > MOST || text.chars().any(char::is_control) {
-            let end = (0..=text.len().min(2 * MOST)).rev().find(|&n| text.is_char_boundary(n)).unwrap_or(0);
+            let end = (0..=text.len().min(2 * MOST))
+                .rev()
+                .find(|&n| text.is_char_boundary(n))
+                .unwrap_or(0);
             return Err(BadText(text[..end].escape_default().to_string(), MOST));
         }
         Ok(Text(text.into()))
@@ -78,7 +81,10 @@
 
     fn try_from(text: String) -> Result<Self, BadText> {
         let text = Text::try_from(text)?;
-        Ok(Name { hash: hash(text.as_str().as_bytes()), text })
+        Ok(Name {
+            hash: hash(text.as_str().as_bytes()),
+            text,
+        })
     }
 }
 
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -60,9 +60,16 @@
             }
             let key = blake3::Hash::from_hex(line).map_err(|_| BadKeys::Digits(n + 1))?;
             let material = [key.as_bytes().as_slice(), fleet.as_bytes()].concat();
-            keys.push(blake3::derive_key("maplethread 2026-12-02 fleet datagrams v1", &material));
+            keys.push(blake3::derive_key(
+                "maplethread 2026-12-02 fleet datagrams v1",
+                &material,
+            ));
+        }
+        if keys.is_empty() || keys.len() > 2 {
+            Err(BadKeys::Count(keys.len()))
+        } else {
+            Ok(Keys(keys))
         }
-        if keys.is_empty() || keys.len() > 2 { Err(BadKeys::Count(keys.len())) } else { Ok(Keys(keys)) }
     }
 
     fn tag(key: &[u8; 32], body: &[u8]) -> [u8; TAG] {
@@ -142,7 +149,11 @@
     /// The answer to it, and what the sender's view comes to.
     Proof { nonce: u64, buckets: Vec<u32> },
     /// Another life holds the receiver's name, or it was taken for down in this one.
-    Superseded { life: u64, address: SocketAddr, down: bool },
+    Superseded {
+        life: u64,
+        address: SocketAddr,
+        down: bool,
+    },
     /// The sender's name is the receiver's too.
     Claim,
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -79,7 +79,8 @@
 
     /// How long a suspect has to refute in a fleet of so many.
     pub fn suspect_for(&self, members: usize) -> Duration {
-        self.probe_every.mul_f64(f64::from(self.suspicion) * ((members + 1) as f64).log10().max(1.0))
+        self.probe_every
+            .mul_f64(f64::from(self.suspicion) * ((members + 1) as f64).log10().max(1.0))
     }
 
     /// How often each piece of news is passed on in a fleet of so many.
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -90,9 +90,15 @@
 
     fn decode_header(&mut self, buf: impl Buf) -> Result<Header<Id>, CodecError> {
         let header: Header<Id> = take(buf)?;
-        let Header { src, src_incarnation, .. } = &header;
+        let Header {
+            src,
+            src_incarnation,
+            ..
+        } = &header;
         let mut shared = self.0.borrow_mut();
-        shared.said.push(Member::new(src.clone(), *src_incarnation, State::Alive));
+        shared
+            .said
+            .push(Member::new(src.clone(), *src_incarnation, State::Alive));
         drop(shared);
         Ok(header)
     }
@@ -116,9 +122,18 @@
         if id.name == self.me.name {
             if *id == self.me {
                 self.suspected |= member.state() == State::Suspect;
-                return if member.state() == State::Down { self.called_down() } else { member };
+                return if member.state() == State::Down {
+                    self.called_down()
+                } else {
+                    member
+                };
             }
-            if id.rank() > self.me.rank() && self.rival.as_ref().is_none_or(|(r, _)| r.rank() <= id.rank()) {
+            if id.rank() > self.me.rank()
+                && self
+                    .rival
+                    .as_ref()
+                    .is_none_or(|(r, _)| r.rank() <= id.rank())
+            {
                 self.rival = Some((id.clone(), member.state() == State::Down));
             }
             return nothing();
@@ -153,7 +168,11 @@
     type Key = RecordKey;
     type Error = postcard::Error;
 
-    fn receive_item(&mut self, data: &[u8], _: Option<&Id>) -> Result<Option<RecordKey>, postcard::Error> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _: Option<&Id>,
+    ) -> Result<Option<RecordKey>, postcard::Error> {
         let record: Record = postcard::from_bytes(data)?;
         let new = self.0.borrow_mut().learn(&record);
         Ok(new.then(|| RecordKey(record.name.hash(), record.age())))
@@ -179,9 +198,9 @@
 impl Runtime<Id> for &mut Wants {
     fn notify(&mut self, notification: Notification<'_, Id>) {
         self.news.push(match notification {
-            Notification::MemberUp(id) | Notification::MemberDown(id) | Notification::Rename(_, id) => {
-                News::Of(id.clone())
-            }
+            Notification::MemberUp(id)
+            | Notification::MemberDown(id)
+            | Notification::Rename(_, id) => News::Of(id.clone()),
             Notification::Defunct => News::Defunct,
             _ => return,
         });
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -91,10 +91,18 @@
     if !state.live() {
         return 0;
     }
-    let (life, seq) = record.filter(|r| r.life == id.life).map_or((0, 0), Record::age);
+    let (life, seq) = record
+        .filter(|r| r.life == id.life)
+        .map_or((0, 0), Record::age);
     let address = id.address.to_string();
     let mut bytes = Vec::with_capacity(64);
-    for number in [id.name.hash(), id.life, u64::from(state == State::Suspect), life, u64::from(seq)] {
+    for number in [
+        id.name.hash(),
+        id.life,
+        u64::from(state == State::Suspect),
+        life,
+        u64::from(seq),
+    ] {
         bytes.extend_from_slice(&number.to_le_bytes());
     }
     bytes.extend_from_slice(address.as_bytes());
@@ -125,7 +133,11 @@
 
     /// The live member at this place of their order.
     pub(crate) fn nth_live(&self, n: usize) -> Option<&Id> {
-        self.members.values().filter(|k| k.state.live()).nth(n).map(|k| &k.id)
+        self.members
+            .values()
+            .filter(|k| k.state.live())
+            .nth(n)
+            .map(|k| &k.id)
     }
 
     /// Takes in what is known of a member now; its state before, if anything of what is shown has changed.
@@ -150,7 +162,16 @@
         let since = same.map_or(now, |k| k.since);
         let changed = same.is_none();
         let from = before.map(|k| k.state);
-        self.members.insert(name, Known { id: id.clone(), incarnation, state, since, mark });
+        self.members.insert(
+            name,
+            Known {
+                id: id.clone(),
+                incarnation,
+                state,
+                since,
+                mark,
+            },
+        );
         changed.then_some(from)
     }
 
@@ -171,7 +192,10 @@
 
     /// What others compare.
     pub(crate) fn buckets(&self, me: &Id, record: Option<&Record>) -> Vec<u32> {
-        self.sums(me, record).iter().map(|sum| (sum ^ (sum >> 32)) as u32).collect()
+        self.sums(me, record)
+            .iter()
+            .map(|sum| (sum ^ (sum >> 32)) as u32)
+            .collect()
     }
 
     pub(crate) fn in_bucket(name: u64) -> usize {
@@ -187,7 +211,10 @@
 
 impl<T> Default for Awake<T> {
     fn default() -> Self {
-        Awake { timers: Timers::default(), asleep: 0 }
+        Awake {
+            timers: Timers::default(),
+            asleep: 0,
+        }
     }
 }
 
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -108,7 +108,10 @@
                 incarnation: known.incarnation,
                 state: known.state,
                 for_ms: now.saturating_sub(known.since) / 1000,
-                facts: shared.records.get(&known.id.name.hash()).map(|r| r.facts.clone()),
+                facts: shared
+                    .records
+                    .get(&known.id.name.hash())
+                    .map(|r| r.facts.clone()),
             })
             .collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
@@ -124,7 +127,10 @@
             displaced_by: self.rival.as_ref().map(|r| r.id.address),
             claimed_by: self.claimed_by(now),
             members,
-            counters: Counters { full: shared.full, ..self.counters },
+            counters: Counters {
+                full: shared.full,
+                ..self.counters
+            },
         }
     }
 }
--- a/crates/judge/src/judge.rs
+++ b/crates/judge/src/judge.rs
@@ -124,7 +124,11 @@
         links: BTreeMap::new(),
         held: BTreeMap::new(),
         services: BTreeMap::new(),
-        places: figures.hosts.iter().map(|w| (w.host.clone(), w.clone())).collect(),
+        places: figures
+            .hosts
+            .iter()
+            .map(|w| (w.host.clone(), w.clone()))
+            .collect(),
         barred: BTreeMap::new(),
         inventory: BTreeMap::new(),
         catalogue: BTreeMap::new(),
@@ -164,7 +168,12 @@
 
 impl Judge<'_> {
     pub(crate) fn broken(&mut self, rule: u8, what: String, shown_by: Vec<usize>) {
-        self.verdict.broken.push(Broken { rule, at: self.at, what, shown_by });
+        self.verdict.broken.push(Broken {
+            rule,
+            at: self.at,
+            what,
+            shown_by,
+        });
     }
 
     fn take(&mut self, seen: &Seen) {
@@ -179,17 +188,28 @@
                 self.barred.retain(|(_, h), _| h != host);
             }
             Seen::HostDown { host } => self.drop_host(host),
-            Seen::Link { host, link, placer, life } => {
-                self.links.insert((host.clone(), *link), (placer.clone(), *life));
-                let own_of = |wire: &u64| self.services.get(wire).is_some_and(|(p, ..)| p == placer);
+            Seen::Link {
+                host,
+                link,
+                placer,
+                life,
+            } => {
+                self.links
+                    .insert((host.clone(), *link), (placer.clone(), *life));
+                let own_of =
+                    |wire: &u64| self.services.get(wire).is_some_and(|(p, ..)| p == placer);
                 let own = self.attempts_at(host).into_iter().filter(own_of).collect();
                 self.unnamed.insert((host.clone(), *link), own);
-                self.told_start.entry((placer.clone(), host.clone())).or_insert(at);
+                self.told_start
+                    .entry((placer.clone(), host.clone()))
+                    .or_insert(at);
             }
             Seen::LinkLost { host, link } => {
                 let (mut unanswered, lost_at) = (Vec::new(), self.sent_to_host());
                 for wire in self.attempts_at(host) {
-                    let Some(attempt) = self.attempts.get_mut(&wire) else { continue };
+                    let Some(attempt) = self.attempts.get_mut(&wire) else {
+                        continue;
+                    };
                     if attempt.link == *link {
                         attempt.over = attempt.over.or(Some(lost_at));
                         self.told_over.remove(&wire);
@@ -199,17 +219,29 @@
                     }
                 }
                 // The placer hears no more of what was not answered; of the rest once it is connected again.
-                unanswered.into_iter().for_each(|wire| self.release_at(wire, lost_at));
+                unanswered
+                    .into_iter()
+                    .for_each(|wire| self.release_at(wire, lost_at));
                 self.unnamed.remove(&(host.clone(), *link));
                 if let Some((placer, _)) = self.links.remove(&(host.clone(), *link)) {
-                    let after = if self.gone.contains(host) { 0 } else { self.figures.lost_after };
-                    self.orphans.push_back((at + after, host.clone(), *link, placer));
+                    let after = if self.gone.contains(host) {
+                        0
+                    } else {
+                        self.figures.lost_after
+                    };
+                    self.orphans
+                        .push_back((at + after, host.clone(), *link, placer));
                     self.orphans.make_contiguous().sort_by_key(|o| o.0);
                 }
             }
             Seen::FromPlacer { host, link, frame } => self.placer_frame(host, *link, frame),
             Seen::FromHost { host, link, frame } => self.host_frame(host, *link, frame),
-            Seen::Asked { request, placer, budget_us, .. } => {
+            Seen::Asked {
+                request,
+                placer,
+                budget_us,
+                ..
+            } => {
                 let deadline = at + budget_us;
                 let state = AskState {
                     at,
@@ -246,7 +278,9 @@
                     if listed.contains(host) {
                         self.inventory.remove(host);
                     } else {
-                        self.inventory.entry(host.clone()).or_insert((at, self.number));
+                        self.inventory
+                            .entry(host.clone())
+                            .or_insert((at, self.number));
                     }
                 }
                 for (host, start) in ready {
@@ -255,7 +289,12 @@
                     }
                 }
             }
-            Seen::Catalogue { placer, index, consistent, body } => {
+            Seen::Catalogue {
+                placer,
+                index,
+                consistent,
+                body,
+            } => {
                 self.catalogue_told(placer, *index, *consistent, body);
             }
             Seen::PlacerUp { placer } => {
@@ -278,7 +317,9 @@
     fn drop_host(&mut self, host: &Name) {
         let gone = self.attempts_at(host);
         for wire in &gone {
-            let Some(attempt) = self.attempts.get_mut(wire) else { continue };
+            let Some(attempt) = self.attempts.get_mut(wire) else {
+                continue;
+            };
             attempt.over = attempt.over.or(Some(self.at));
             attempt.gone = true;
             self.told_over.remove(wire);
@@ -289,14 +330,22 @@
     /// The attempts whose last offer went to a host.
     pub(crate) fn attempts_at(&self, host: &Name) -> Vec<u64> {
         let is_there = |wire: &u64| self.attempts.get(wire).is_some_and(|a| a.host == *host);
-        self.attempts_at.get(host).into_iter().flatten().copied().filter(is_there).collect()
+        self.attempts_at
+            .get(host)
+            .into_iter()
+            .flatten()
+            .copied()
+            .filter(is_there)
+            .collect()
     }
 
     fn placer_frame(&mut self, host: &Name, link: u64, frame: &Frame) {
         let at = self.at;
         match frame {
             Frame::Offer(offer) => {
-                let Some((placer, life)) = self.links.get(&(host.clone(), link)).cloned() else { return };
+                let Some((placer, life)) = self.links.get(&(host.clone(), link)).cloned() else {
+                    return;
+                };
                 self.verdict.offers += 1;
                 let request: Name = offer.request.as_str().into();
                 self.rule_2(&request, &placer, life, host, offer);
@@ -314,7 +363,10 @@
                     accepted: false,
                 };
                 self.attempts.insert(offer.attempt, attempt);
-                self.attempts_at.entry(host.clone()).or_default().insert(offer.attempt);
+                self.attempts_at
+                    .entry(host.clone())
+                    .or_default()
+                    .insert(offer.attempt);
                 self.hold(offer.attempt, &placer, life, &offer.service);
                 self.rule_5(&placer, life, host, &offer.service, &offer.class);
             }
@@ -357,7 +409,11 @@
                 }
             }
             Frame::HeldEnd => {
-                for wire in self.unnamed.remove(&(host.clone(), link)).unwrap_or_default() {
+                for wire in self
+                    .unnamed
+                    .remove(&(host.clone(), link))
+                    .unwrap_or_default()
+                {
                     self.release(wire);
                 }
             }
@@ -367,8 +423,10 @@
                 }
                 if let Some((placer, life)) = self.links.get(&(host.clone(), link)).cloned() {
                     // Its own are known already; those of an earlier life are this one's from now on.
-                    let own =
-                        self.services.get(&offer.attempt).is_some_and(|(p, l, _)| (p, *l) == (&placer, life));
+                    let own = self
+                        .services
+                        .get(&offer.attempt)
+                        .is_some_and(|(p, l, _)| (p, *l) == (&placer, life));
                     let ended = self.attempts.get(&offer.attempt).is_some_and(|a| {
                         a.over.is_some()
                             && self.links.values().any(|l| *l == (placer.clone(), life))
@@ -385,7 +443,9 @@
             Frame::Drain => {
                 if let Some((placer, _)) = self.links.get(&(host.clone(), link)).cloned() {
                     let told = self.reached(&placer, at);
-                    self.barred.entry((placer, host.clone())).or_insert((told, self.number));
+                    self.barred
+                        .entry((placer, host.clone()))
+                        .or_insert((told, self.number));
                 }
             }
             _ => {}
--- a/crates/judge/src/numbers.rs
+++ b/crates/judge/src/numbers.rs
@@ -38,12 +38,18 @@
 
 impl Numbers {
     fn holds(&self, placer: &Name) -> bool {
-        self.locks.get(placer).is_some_and(|(_, lock)| matches!(lock, Lock::Held))
+        self.locks
+            .get(placer)
+            .is_some_and(|(_, lock)| matches!(lock, Lock::Held))
     }
 
     /// Lets time go by: a free number waits while there is a leader, and a placer without one for each that is free.
     fn advance(&mut self, now: u64) {
-        let wanting = self.placers.iter().filter(|p| !self.away.contains(*p) && !self.holds(p)).count();
+        let wanting = self
+            .placers
+            .iter()
+            .filter(|p| !self.away.contains(*p) && !self.holds(p))
+            .count();
         let open = self.free.values().filter(|f| f.from <= now).count();
         if wanting >= open {
             for free in self.free.values_mut() {
@@ -71,7 +77,9 @@
                     n == number && *p != placer && out
                 });
                 let other = other.map(|(p, _)| p.clone());
-                numbers.locks.insert(placer.clone(), (number.clone(), Lock::Held));
+                numbers
+                    .locks
+                    .insert(placer.clone(), (number.clone(), Lock::Held));
                 if let Some(free) = numbers.free.remove(number) {
                     self.verdict.number_waits.push(free.waited);
                 }
@@ -87,7 +95,13 @@
                         *lock = Lock::Ended(until);
                     }
                 }
-                numbers.free.insert(number.clone(), Free { from: until, waited: 0 });
+                numbers.free.insert(
+                    number.clone(),
+                    Free {
+                        from: until,
+                        waited: 0,
+                    },
+                );
             }
             Seen::NoLeader { for_us } => numbers.no_leader_until = at + for_us,
             Seen::PlacerUp { placer } => {
@@ -116,13 +130,22 @@
             Some((number, Lock::Ended(_))) => format!("whose number {number} was let go of"),
             None => "which holds no number".to_owned(),
         };
-        self.broken(4, format!("cold {host} was offered a task by {placer}, {why}"), vec![self.number]);
+        self.broken(
+            4,
+            format!("cold {host} was offered a task by {placer}, {why}"),
+            vec![self.number],
+        );
     }
 
     /// The day is over: what is still free has waited at least so long.
     pub(crate) fn close_numbers(&mut self, end: u64) {
         self.numbers.advance(end);
-        let waited = self.numbers.free.values().map(|f| f.waited).filter(|&w| w > 0);
+        let waited = self
+            .numbers
+            .free
+            .values()
+            .map(|f| f.waited)
+            .filter(|&w| w > 0);
         self.verdict.number_waits.extend(waited);
         self.verdict.number_waits.sort_unstable();
     }
--- a/crates/judge/src/read_late.rs
+++ b/crates/judge/src/read_late.rs
@@ -34,7 +34,9 @@
 
     /// When what is read now at a host was sent: just now, or where the reader is late, as early as it can have been.
     pub(crate) fn sent_to_host(&self) -> u64 {
-        self.read_late.hosts.map_or(self.at, |since| since.min(self.at))
+        self.read_late
+            .hosts
+            .map_or(self.at, |since| since.min(self.at))
     }
 
     /// What is read now came no earlier than this: the slack before, or where the reader itself had not looked for longer,
--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -30,22 +30,43 @@
 
 /// One thing that was seen.
 #[derive(Clone, Debug)]
-#[allow(missing_docs, reason = "the fields are what their names say: hosts, placers and requests by name")]
+#[allow(
+    missing_docs,
+    reason = "the fields are what their names say: hosts, placers and requests by name"
+)]
 pub enum Seen {
     /// A host's process is up, since this Unix time in ms.
     HostUp { host: Arc<str>, started_ms: u64 },
     /// A host's process is gone.
     HostDown { host: Arc<str> },
     /// A placer has greeted a host over this connection.
-    Link { host: Arc<str>, link: u64, placer: Arc<str>, life: u64 },
+    Link {
+        host: Arc<str>,
+        link: u64,
+        placer: Arc<str>,
+        life: u64,
+    },
     /// The connection is over.
     LinkLost { host: Arc<str>, link: u64 },
     /// A frame from the placer on this connection.
-    FromPlacer { host: Arc<str>, link: u64, frame: Frame },
+    FromPlacer {
+        host: Arc<str>,
+        link: u64,
+        frame: Frame,
+    },
     /// A frame from the host on this connection.
-    FromHost { host: Arc<str>, link: u64, frame: Frame },
+    FromHost {
+        host: Arc<str>,
+        link: u64,
+        frame: Frame,
+    },
     /// A client asked a placer.
-    Asked { request: Arc<str>, placer: Arc<str>, class: Arc<str>, budget_us: u64 },
+    Asked {
+        request: Arc<str>,
+        placer: Arc<str>,
+        class: Arc<str>,
+        budget_us: u64,
+    },
     /// A client has the answer.
     Answered { request: Arc<str>, outcome: Outcome },
     /// The connection ended without an answer.
@@ -53,11 +74,19 @@
     /// A client gave up.
     HungUp { request: Arc<str> },
     /// A sound inventory was put in place: hosts that take tasks, with their start, and those that are gone.
-    Inventory { ready: Vec<(Arc<str>, Option<u64>)>, gone: Vec<Arc<str>> },
+    Inventory {
+        ready: Vec<(Arc<str>, Option<u64>)>,
+        gone: Vec<Arc<str>>,
+    },
     /// The inventory can't be read from now on, until a sound one is put in place.
     InventoryUnreadable,
     /// A catalogue's answer went out to a placer: its index, whether it was read consistently, and its bytes.
-    Catalogue { placer: Arc<str>, index: u64, consistent: bool, body: Arc<[u8]> },
+    Catalogue {
+        placer: Arc<str>,
+        index: u64,
+        consistent: bool,
+        body: Arc<[u8]>,
+    },
     /// A placer's session has locked a number, as the catalogue's leader took it in.
     NumberLocked { number: Arc<str>, placer: Arc<str> },
     /// A number is free; nobody may lock it before so long.
--- a/crates/judge/src/rule_1.rs
+++ b/crates/judge/src/rule_1.rs
@@ -29,13 +29,23 @@
     };
     for record in records {
         match &record.seen {
-            Seen::PlacerDown { placer } => open(&mut all.entry(placer.clone()).or_default().down, record.at),
-            Seen::PlacerUp { placer } => shut(&mut all.entry(placer.clone()).or_default().down, record.at),
+            Seen::PlacerDown { placer } => {
+                open(&mut all.entry(placer.clone()).or_default().down, record.at)
+            }
+            Seen::PlacerUp { placer } => {
+                shut(&mut all.entry(placer.clone()).or_default().down, record.at)
+            }
             Seen::PlacerPaused { placer } => {
-                open(&mut all.entry(placer.clone()).or_default().paused, record.at);
+                open(
+                    &mut all.entry(placer.clone()).or_default().paused,
+                    record.at,
+                );
             }
             Seen::PlacerGoesOn { placer } => {
-                shut(&mut all.entry(placer.clone()).or_default().paused, record.at);
+                shut(
+                    &mut all.entry(placer.clone()).or_default().paused,
+                    record.at,
+                );
             }
             _ => {}
         }
@@ -65,8 +75,15 @@
         loop {
             let here = self.reached(placer, told);
             // One that is there reads it within the slack.
-            let late = if here == told { here + self.figures.slack } else { here };
-            let span = self.unreadable.iter().find(|&&(a, b)| a <= late && here < b);
+            let late = if here == told {
+                here + self.figures.slack
+            } else {
+                here
+            };
+            let span = self
+                .unreadable
+                .iter()
+                .find(|&&(a, b)| a <= late && here < b);
             let next = span.map_or(here, |s| s.1);
             if next == told || next == u64::MAX {
                 return next;
@@ -79,24 +96,36 @@
     /// it stood still at the deadline, or went on too short a time before it.
     fn could_not(&self, placer: &Name, asked: u64, deadline: u64) -> bool {
         let (slack, reprieve) = (self.figures.slack, self.figures.reprieve);
-        let Some(away) = self.absences.get(placer) else { return false };
-        let died = away.down.iter().any(|&(a, b)| a <= deadline && b.saturating_add(slack) >= asked);
-        let still =
-            |&(a, b): &(u64, u64)| a <= deadline && b.saturating_add(reprieve) > deadline && b >= asked;
+        let Some(away) = self.absences.get(placer) else {
+            return false;
+        };
+        let died = away
+            .down
+            .iter()
+            .any(|&(a, b)| a <= deadline && b.saturating_add(slack) >= asked);
+        let still = |&(a, b): &(u64, u64)| {
+            a <= deadline && b.saturating_add(reprieve) > deadline && b >= asked
+        };
         died || away.paused.iter().any(still)
     }
 
     /// When news of time `at` can have reached a placer that was away.
     pub(crate) fn reached(&self, placer: &Name, at: u64) -> u64 {
-        let Some(away) = self.absences.get(placer) else { return at };
+        let Some(away) = self.absences.get(placer) else {
+            return at;
+        };
         let mut spans = away.down.iter().chain(&away.paused);
-        spans.find(|&&(a, b)| a <= at && at < b).map_or(at, |&(_, b)| b)
+        spans
+            .find(|&&(a, b)| a <= at && at < b)
+            .map_or(at, |&(_, b)| b)
     }
 
     pub(crate) fn answered(&mut self, request: &Name, outcome: &Outcome) {
         let (at, number) = (self.at, self.number);
         let arrived = self.earliest_arrival(Reader::Clients);
-        let Some(ask) = self.asks.get_mut(request) else { return };
+        let Some(ask) = self.asks.get_mut(request) else {
+            return;
+        };
         match outcome {
             Outcome::Placed(_) => self.verdict.placed += 1,
             Outcome::Refused(reason) => {
@@ -106,7 +135,8 @@
             Outcome::Failed => self.verdict.failed += 1,
             Outcome::Turned(_) => self.verdict.turned_away += 1,
         }
-        let (shown, deadline, asked, placer) = (ask.shown, ask.deadline, ask.at, ask.placer.clone());
+        let (shown, deadline, asked, placer) =
+            (ask.shown, ask.deadline, ask.at, ask.placer.clone());
         match &ask.answer {
             None => ask.answer = Some((at, outcome.clone(), number)),
             Some((_, _, first)) => {
@@ -116,7 +146,8 @@
             }
         }
         // Turned away after a time in which it could not be answered: it was never taken, and its client is told so.
-        let never_taken = matches!(outcome, Outcome::Turned(_)) && self.could_not(&placer, asked, deadline);
+        let never_taken =
+            matches!(outcome, Outcome::Turned(_)) && self.could_not(&placer, asked, deadline);
         if arrived > deadline && !never_taken {
             let late = (at - deadline) / 1000;
             self.broken(
--- a/crates/judge/src/rule_2.rs
+++ b/crates/judge/src/rule_2.rs
@@ -15,7 +15,10 @@
             rule.is_some_and(|c| matches!(c.keyed, Some((Group::All, _))))
         };
         let first = (request.clone(), Name::from(""), 0);
-        let own = self.placings.range(first..).take_while(|((asked, ..), _)| asked == request);
+        let own = self
+            .placings
+            .range(first..)
+            .take_while(|((asked, ..), _)| asked == request);
         for (_, placing) in own {
             if placing.copies == Copies::Safe || wide(&placing.class) {
                 continue;
@@ -28,12 +31,23 @@
         }
         if !shown.is_empty() {
             shown.push(self.number);
-            self.broken(2, format!("ask {request} was refused though an attempt may have run"), shown);
+            self.broken(
+                2,
+                format!("ask {request} was refused though an attempt may have run"),
+                shown,
+            );
         }
     }
 
     /// One attempt out at a time; and what may have run is sent again only as its class allows.
-    pub(crate) fn rule_2(&mut self, request: &Name, placer: &Name, life: u64, host: &Name, offer: &Offer) {
+    pub(crate) fn rule_2(
+        &mut self,
+        request: &Name,
+        placer: &Name,
+        life: u64,
+        host: &Name,
+        offer: &Offer,
+    ) {
         let (at, slack, number) = (self.at, self.figures.slack, self.number);
         let arrived = self.earliest_arrival(Reader::Hosts);
         let key = (request.clone(), placer.clone(), life);
@@ -50,7 +64,9 @@
         let mut faults = Vec::new();
         let mut first: Option<&Attempt> = None;
         for wire in &before {
-            let Some(attempt) = self.attempts.get(wire) else { continue };
+            let Some(attempt) = self.attempts.get(wire) else {
+                continue;
+            };
             // Offers to two hosts may be read in another order than they were sent: the first must be over.
             let (earlier, over) = match attempt.number <= offer.number {
                 true => (*wire, attempt.over.is_some()),
@@ -58,7 +74,8 @@
             };
             if !over {
                 let shown = asked.into_iter().chain([attempt.shown, number]).collect();
-                self.doubles.push_back((at + slack, earlier, request.clone(), shown));
+                self.doubles
+                    .push_back((at + slack, earlier, request.clone(), shown));
             }
             if !attempt.never_ran && first.is_none() {
                 first = Some(attempt);
@@ -74,15 +91,21 @@
                     let same = match group {
                         Group::All => true,
                         Group::Zone => a.zip(b).is_some_and(|(a, b)| a.zone == b.zone),
-                        Group::Cell => {
-                            a.zip(b).is_some_and(|(a, b)| (&a.zone, &a.cell) == (&b.zone, &b.cell))
-                        }
+                        Group::Cell => a
+                            .zip(b)
+                            .is_some_and(|(a, b)| (&a.zone, &a.cell) == (&b.zone, &b.cell)),
                     };
                     if !same {
-                        faults.push(("was sent out of its group though it may have run", first.shown));
+                        faults.push((
+                            "was sent out of its group though it may have run",
+                            first.shown,
+                        ));
                     }
                     if arrived > first.sent + window {
-                        faults.push(("was sent after its window though it may have run", first.shown));
+                        faults.push((
+                            "was sent after its window though it may have run",
+                            first.shown,
+                        ));
                     }
                 }
                 _ => faults.push(("was sent again though it may have run", first.shown)),
@@ -98,7 +121,11 @@
     /// looked at a while later, once all that was sent by then has been read.
     pub(crate) fn settle_doubles(&mut self, now: u64) {
         while let Some((by, wire, request, shown)) = self.doubles.pop_front_if(|d| d.0 < now) {
-            if self.attempts.get(&wire).is_some_and(|a| a.over.is_none_or(|over| over > by)) {
+            if self
+                .attempts
+                .get(&wire)
+                .is_some_and(|a| a.over.is_none_or(|over| over > by))
+            {
                 self.broken(2, format!("ask {request} has two attempts out"), shown);
             }
         }
--- a/crates/judge/src/rule_3.rs
+++ b/crates/judge/src/rule_3.rs
@@ -10,8 +10,10 @@
         let (at, grace) = (self.at, self.figures.drain_grace);
         let arrived = self.earliest_arrival(Reader::Hosts);
         let drained = self.barred.get(&(placer.clone(), host.clone())).copied();
-        let listed =
-            self.inventory.get(host).map(|&(told, shown)| (self.inventory_reached(placer, told), shown));
+        let listed = self
+            .inventory
+            .get(host)
+            .map(|&(told, shown)| (self.inventory_reached(placer, told), shown));
         let catalogue = self.catalogue.get(&(placer.clone(), host.clone())).copied();
         for (told, shown) in drained.into_iter().chain(listed).chain(catalogue) {
             if arrived > told.saturating_add(grace) {
@@ -27,25 +29,44 @@
 
     /// What a catalogue's answer tells: a host with a critical check, or without an entry, takes nothing new. An
     /// answer older than another that was told is no news, unless a leader gave it that verified itself.
-    pub(crate) fn catalogue_told(&mut self, placer: &Name, index: u64, consistent: bool, body: &[u8]) {
+    pub(crate) fn catalogue_told(
+        &mut self,
+        placer: &Name,
+        index: u64,
+        consistent: bool,
+        body: &[u8],
+    ) {
         let highest = self.told_index.entry(placer.clone()).or_default();
         if index < *highest && !consistent {
             return;
         }
-        let Ok(serde_json::Value::Array(entries)) = serde_json::from_slice(body) else { return };
+        let Ok(serde_json::Value::Array(entries)) = serde_json::from_slice(body) else {
+            return;
+        };
         if entries.iter().any(|e| e["Node"]["Datacenter"] != "dc1") {
             return;
         }
-        *highest = if consistent { index } else { index.max(*highest) };
+        *highest = if consistent {
+            index
+        } else {
+            index.max(*highest)
+        };
         let critical = |e: &serde_json::Value| {
-            let checks = e["Checks"].as_array().map(Vec::as_slice).unwrap_or_default();
+            let checks = e["Checks"]
+                .as_array()
+                .map(Vec::as_slice)
+                .unwrap_or_default();
             checks.iter().any(|c| c["Status"] == "critical")
         };
         let mut ready = BTreeSet::new();
         for entry in entries.iter().filter(|e| !critical(e)) {
-            let Some(name) = entry["Service"]["ID"].as_str() else { continue };
+            let Some(name) = entry["Service"]["ID"].as_str() else {
+                continue;
+            };
             ready.insert(name.to_owned());
-            let start = entry["Service"]["Meta"]["started_ms"].as_str().and_then(|s| s.parse().ok());
+            let start = entry["Service"]["Meta"]["started_ms"]
+                .as_str()
+                .and_then(|s| s.parse().ok());
             if let (Some((host, _)), Some(start)) = (self.places.get_key_value(name), start) {
                 self.listed_start.insert(host.clone(), start);
             }
--- a/crates/judge/src/rule_5.rs
+++ b/crates/judge/src/rule_5.rs
@@ -5,10 +5,21 @@
 use crate::judge::{Judge, Name};
 
 impl Judge<'_> {
-    pub(crate) fn rule_5(&mut self, placer: &Name, life: u64, host: &Name, service: &str, class: &str) {
+    pub(crate) fn rule_5(
+        &mut self,
+        placer: &Name,
+        life: u64,
+        host: &Name,
+        service: &str,
+        class: &str,
+    ) {
         let rule = self.figures.classes.iter().find(|c| c.name == class);
-        let Some((place, most)) = rule.and_then(|r| r.spread) else { return };
-        let Some(here) = self.places.get(host) else { return };
+        let Some((place, most)) = rule.and_then(|r| r.spread) else {
+            return;
+        };
+        let Some(here) = self.places.get(host) else {
+            return;
+        };
         let there = |h: &Name| {
             self.places.get(h).is_some_and(|w| match place {
                 Place::Host => w.host == here.host,
@@ -19,14 +30,25 @@
         let held = self.held.get(&(placer.clone(), life));
         let all = held.and_then(|h| h.by_service.get(service));
         let there = |wire: &&u64| self.attempts.get(wire).is_some_and(|a| there(&a.host));
-        let known = |wire: &&u64| self.taken_over.get(wire).is_none_or(|&read| read <= self.at);
-        let wires: Vec<u64> = all.into_iter().flatten().filter(there).filter(known).copied().collect();
+        let known = |wire: &&u64| {
+            self.taken_over
+                .get(wire)
+                .is_none_or(|&read| read <= self.at)
+        };
+        let wires: Vec<u64> = all
+            .into_iter()
+            .flatten()
+            .filter(there)
+            .filter(known)
+            .copied()
+            .collect();
         if wires.len() as u32 > most {
             let count = wires.len();
             let what = format!(
                 "{placer} has {count} tasks of {service} in one place with {host}, {most} are allowed"
             );
-            self.spreads.push_back((self.at + self.figures.slack, what, most, wires));
+            self.spreads
+                .push_back((self.at + self.figures.slack, what, most, wires));
         }
     }
 
@@ -57,8 +79,12 @@
 
     pub(crate) fn hold(&mut self, wire: u64, placer: &Name, life: u64, service: &str) {
         let held = self.held.entry((placer.clone(), life)).or_default();
-        held.by_service.entry(service.to_owned()).or_default().insert(wire);
-        self.services.insert(wire, (placer.clone(), life, service.to_owned()));
+        held.by_service
+            .entry(service.to_owned())
+            .or_default()
+            .insert(wire);
+        self.services
+            .insert(wire, (placer.clone(), life, service.to_owned()));
         // Who is told of a task anew, by a host that names what it holds, holds it again.
         self.released.remove(&wire);
         self.told_over.remove(&wire);
@@ -67,7 +93,10 @@
     /// Tasks whose host was without a connection for long enough count as lost.
     pub(crate) fn lose_orphans(&mut self, now: u64) {
         while let Some((_, host, link, placer)) = self.orphans.pop_front_if(|o| o.0 < now) {
-            let back = self.links.iter().any(|((h, _), (p, _))| *h == host && *p == placer);
+            let back = self
+                .links
+                .iter()
+                .any(|((h, _), (p, _))| *h == host && *p == placer);
             if !back {
                 for wire in self.attempts_at(&host) {
                     let is_lost = self.attempts.get(&wire).is_some_and(|a| a.link <= link);
@@ -87,7 +116,11 @@
                 self.told_over.contains(wire) || self.released.get(wire).is_none_or(|&at| at > by)
             };
             if wires.iter().filter(counts).count() as u32 > most {
-                let shown = wires.iter().filter_map(|w| self.attempts.get(w)).map(|a| a.shown).collect();
+                let shown = wires
+                    .iter()
+                    .filter_map(|w| self.attempts.get(w))
+                    .map(|a| a.shown)
+                    .collect();
                 self.broken(5, what, shown);
             }
         }
--- a/crates/judge/tests/excuses.rs
+++ b/crates/judge/tests/excuses.rs
@@ -9,10 +9,26 @@
 
 /// An ask at 10 s with 3 s to answer, and what happened to its placer; unanswered and excused.
 fn verdict(happened: &[(u64, Seen)]) -> (u64, u64) {
-    let asked = Seen::Asked { request: name("r"), placer: name("p"), class: name("c"), budget_us: 3 * S };
-    let mut records = vec![Record { at: 10 * S, seen: asked }];
-    records.extend(happened.iter().map(|(at, seen)| Record { at: *at, seen: seen.clone() }));
-    records.push(Record { at: 30 * S, seen: Seen::PlacerUp { placer: name("other") } });
+    let asked = Seen::Asked {
+        request: name("r"),
+        placer: name("p"),
+        class: name("c"),
+        budget_us: 3 * S,
+    };
+    let mut records = vec![Record {
+        at: 10 * S,
+        seen: asked,
+    }];
+    records.extend(happened.iter().map(|(at, seen)| Record {
+        at: *at,
+        seen: seen.clone(),
+    }));
+    records.push(Record {
+        at: 30 * S,
+        seen: Seen::PlacerUp {
+            placer: name("other"),
+        },
+    });
     records.sort_by_key(|r| r.at);
     let verdict = judge(&records, &figures());
     assert_eq!(verdict.broken.len() as u64, verdict.unanswered);
@@ -27,29 +43,57 @@
     let up = || Seen::PlacerUp { placer: name("p") };
     assert_eq!(verdict(&[]), (1, 0), "it ran all the time");
     // Half a second of three: the answer is owed.
-    assert_eq!(verdict(&[(10 * S + S / 10, paused()), (10 * S + 6 * S / 10, goes_on())]), (1, 0));
+    assert_eq!(
+        verdict(&[
+            (10 * S + S / 10, paused()),
+            (10 * S + 6 * S / 10, goes_on())
+        ]),
+        (1, 0)
+    );
     assert_eq!(verdict(&[(9 * S, paused()), (11 * S, goes_on())]), (1, 0));
     // Up to the deadline, or to less than the reprieve before it: excused.
     assert_eq!(verdict(&[(12 * S, paused()), (14 * S, goes_on())]), (0, 1));
-    assert_eq!(verdict(&[(11 * S, paused()), (12 * S + 6 * S / 10, goes_on())]), (0, 1));
-    assert_eq!(verdict(&[(11 * S, paused()), (12 * S + 4 * S / 10, goes_on())]), (1, 0));
+    assert_eq!(
+        verdict(&[(11 * S, paused()), (12 * S + 6 * S / 10, goes_on())]),
+        (0, 1)
+    );
+    assert_eq!(
+        verdict(&[(11 * S, paused()), (12 * S + 4 * S / 10, goes_on())]),
+        (1, 0)
+    );
     // The life that took it died: excused, even if the next one was up in time. One that died before owes nothing
     // of this, one that died after owed it.
     assert_eq!(verdict(&[(11 * S, down()), (11 * S + S / 2, up())]), (0, 1));
     assert_eq!(verdict(&[(5 * S, down()), (6 * S, up())]), (1, 0));
     assert_eq!(verdict(&[(14 * S, down()), (15 * S, up())]), (1, 0));
     // A process that was stopped and continued while it was still starting had not come back by that.
-    let starting = [(9 * S, down()), (11 * S, paused()), (11 * S + S / 10, goes_on()), (14 * S, up())];
+    let starting = [
+        (9 * S, down()),
+        (11 * S, paused()),
+        (11 * S + S / 10, goes_on()),
+        (14 * S, up()),
+    ];
     assert_eq!(verdict(&starting), (0, 1));
 }
 
 #[test]
 fn an_answer_is_given_once_and_in_time() {
-    let placed = || Seen::Answered { request: name("r"), outcome: Outcome::Placed("h".to_owned()) };
+    let placed = || Seen::Answered {
+        request: name("r"),
+        outcome: Outcome::Placed("h".to_owned()),
+    };
     assert_eq!(verdict(&[(12 * S, placed())]), (0, 0));
-    let ask = Seen::Asked { request: name("r"), placer: name("p"), class: name("c"), budget_us: 3 * S };
+    let ask = Seen::Asked {
+        request: name("r"),
+        placer: name("p"),
+        class: name("c"),
+        budget_us: 3 * S,
+    };
     for times in [vec![12 * S, 12 * S + 1], vec![13 * S + 200_000]] {
-        let mut records = vec![Record { at: 10 * S, seen: ask.clone() }];
+        let mut records = vec![Record {
+            at: 10 * S,
+            seen: ask.clone(),
+        }];
         records.extend(times.iter().map(|&at| Record { at, seen: placed() }));
         let verdict = judge(&records, &figures());
         assert_eq!(verdict.counts().get(&1), Some(&1), "{times:?}");
@@ -58,19 +102,45 @@
 
 #[test]
 fn an_ask_that_lay_unread_beyond_its_deadline_is_turned_away() {
-    let ask = Seen::Asked { request: name("r"), placer: name("p"), class: name("c"), budget_us: 3 * S };
+    let ask = Seen::Asked {
+        request: name("r"),
+        placer: name("p"),
+        class: name("c"),
+        budget_us: 3 * S,
+    };
     let late = |stood_still: bool, outcome: Outcome| {
-        let mut records = vec![Record { at: 10 * S, seen: ask.clone() }];
+        let mut records = vec![Record {
+            at: 10 * S,
+            seen: ask.clone(),
+        }];
         if stood_still {
-            records.insert(0, Record { at: 9 * S, seen: Seen::PlacerPaused { placer: name("p") } });
-            records.push(Record { at: 13 * S, seen: Seen::PlacerGoesOn { placer: name("p") } });
+            records.insert(
+                0,
+                Record {
+                    at: 9 * S,
+                    seen: Seen::PlacerPaused { placer: name("p") },
+                },
+            );
+            records.push(Record {
+                at: 13 * S,
+                seen: Seen::PlacerGoesOn { placer: name("p") },
+            });
         }
-        records.push(Record { at: 13 * S + 152_000, seen: Seen::Answered { request: name("r"), outcome } });
+        records.push(Record {
+            at: 13 * S + 152_000,
+            seen: Seen::Answered {
+                request: name("r"),
+                outcome,
+            },
+        });
         judge(&records, &figures()).counts().contains_key(&1)
     };
     assert!(!late(true, Outcome::Turned(503)), "it never took it");
     assert!(late(true, Outcome::Failed), "an answer after the deadline");
-    assert!(late(false, Outcome::Turned(503)), "it was there all the time");
+    assert!(
+        late(false, Outcome::Turned(503)),
+        "it was there all the time"
+    );
 }
 
 #[test]
@@ -78,30 +148,108 @@
     let (host, placer) = (name("h"), name("p"));
     // Removed at 10 s, offered to at 14 s, with a grace of 2 s.
     let broken = |happened: &[(u64, Seen)]| {
-        let link = Seen::Link { host: host.clone(), link: 1, placer: placer.clone(), life: 1 };
+        let link = Seen::Link {
+            host: host.clone(),
+            link: 1,
+            placer: placer.clone(),
+            life: 1,
+        };
         let frame = Frame::Offer(offer(1));
         let mut records = vec![
             Record { at: S, seen: link },
-            Record { at: 2 * S, seen: Seen::Inventory { ready: vec![(host.clone(), None)], gone: vec![] } },
-            Record { at: 10 * S, seen: Seen::Inventory { ready: vec![], gone: vec![host.clone()] } },
-            Record { at: 14 * S, seen: Seen::FromPlacer { host: host.clone(), link: 1, frame } },
+            Record {
+                at: 2 * S,
+                seen: Seen::Inventory {
+                    ready: vec![(host.clone(), None)],
+                    gone: vec![],
+                },
+            },
+            Record {
+                at: 10 * S,
+                seen: Seen::Inventory {
+                    ready: vec![],
+                    gone: vec![host.clone()],
+                },
+            },
+            Record {
+                at: 14 * S,
+                seen: Seen::FromPlacer {
+                    host: host.clone(),
+                    link: 1,
+                    frame,
+                },
+            },
         ];
-        records.extend(happened.iter().map(|(at, seen)| Record { at: *at, seen: seen.clone() }));
+        records.extend(happened.iter().map(|(at, seen)| Record {
+            at: *at,
+            seen: seen.clone(),
+        }));
         records.sort_by_key(|r| r.at);
-        let there = Where { host: host.clone(), zone: name("z"), cell: name("c") };
-        let verdict = judge(&records, &Figures { hosts: vec![there], ..figures() });
+        let there = Where {
+            host: host.clone(),
+            zone: name("z"),
+            cell: name("c"),
+        };
+        let verdict = judge(
+            &records,
+            &Figures {
+                hosts: vec![there],
+                ..figures()
+            },
+        );
         verdict.counts().contains_key(&3)
     };
-    let paused = |at| (at, Seen::PlacerPaused { placer: placer.clone() });
-    let goes_on = |at| (at, Seen::PlacerGoesOn { placer: placer.clone() });
+    let paused = |at| {
+        (
+            at,
+            Seen::PlacerPaused {
+                placer: placer.clone(),
+            },
+        )
+    };
+    let goes_on = |at| {
+        (
+            at,
+            Seen::PlacerGoesOn {
+                placer: placer.clone(),
+            },
+        )
+    };
     let garbled = |at| (at, Seen::InventoryUnreadable);
-    let sound = |at| (at, Seen::Inventory { ready: vec![], gone: vec![host.clone()] });
+    let sound = |at| {
+        (
+            at,
+            Seen::Inventory {
+                ready: vec![],
+                gone: vec![host.clone()],
+            },
+        )
+    };
     assert!(broken(&[]));
-    assert!(!broken(&[paused(9 * S), goes_on(13 * S)]), "it stood still until then");
-    assert!(broken(&[paused(9 * S), goes_on(11 * S)]), "the grace is over since it went on");
-    assert!(!broken(&[paused(9 * S), garbled(10 * S + S / 2), goes_on(11 * S)]), "it could not read it then");
-    assert!(!broken(&[paused(9 * S), garbled(10 * S + S / 2), goes_on(11 * S), sound(13 * S)]));
-    assert!(broken(&[paused(9 * S), garbled(10 * S + S / 5), goes_on(10 * S + S / 2), sound(11 * S)]));
+    assert!(
+        !broken(&[paused(9 * S), goes_on(13 * S)]),
+        "it stood still until then"
+    );
+    assert!(
+        broken(&[paused(9 * S), goes_on(11 * S)]),
+        "the grace is over since it went on"
+    );
+    assert!(
+        !broken(&[paused(9 * S), garbled(10 * S + S / 2), goes_on(11 * S)]),
+        "it could not read it then"
+    );
+    assert!(!broken(&[
+        paused(9 * S),
+        garbled(10 * S + S / 2),
+        goes_on(11 * S),
+        sound(13 * S)
+    ]));
+    assert!(broken(&[
+        paused(9 * S),
+        garbled(10 * S + S / 5),
+        goes_on(10 * S + S / 2),
+        sound(11 * S)
+    ]));
     assert!(broken(&[garbled(11 * S)]), "it had read it by then");
     assert!(!broken(&[garbled(10 * S + 1000)]), "nobody reads that fast");
 }
--- a/crates/judge/tests/numbers.rs
+++ b/crates/judge/tests/numbers.rs
@@ -8,36 +8,77 @@
 use support::{S, figures, name, offer};
 
 fn locked(number: &str, placer: &str) -> Seen {
-    Seen::NumberLocked { number: name(number), placer: name(placer) }
+    Seen::NumberLocked {
+        number: name(number),
+        placer: name(placer),
+    }
 }
 
 fn free(number: &str) -> Seen {
-    Seen::NumberFree { number: name(number), after_us: S }
+    Seen::NumberFree {
+        number: name(number),
+        after_us: S,
+    }
 }
 
 /// Two placers and a host that is cold for all of the day.
 fn verdict(happened: Vec<(u64, Seen)>) -> Verdict {
-    let hosts = vec![Where { host: name("h"), zone: name("z"), cell: name("c") }];
-    let figures = Figures { hosts, cold_for: 1000 * S, ..figures() };
-    let mut records = vec![Record { at: 0, seen: Seen::HostUp { host: name("h"), started_ms: 0 } }];
+    let hosts = vec![Where {
+        host: name("h"),
+        zone: name("z"),
+        cell: name("c"),
+    }];
+    let figures = Figures {
+        hosts,
+        cold_for: 1000 * S,
+        ..figures()
+    };
+    let mut records = vec![Record {
+        at: 0,
+        seen: Seen::HostUp {
+            host: name("h"),
+            started_ms: 0,
+        },
+    }];
     for (link, placer) in ["p", "q"].into_iter().enumerate() {
         let placer = name(placer);
-        records.push(Record { at: 1, seen: Seen::PlacerUp { placer: placer.clone() } });
-        let link = Seen::Link { host: name("h"), link: link as u64, placer, life: 1 };
+        records.push(Record {
+            at: 1,
+            seen: Seen::PlacerUp {
+                placer: placer.clone(),
+            },
+        });
+        let link = Seen::Link {
+            host: name("h"),
+            link: link as u64,
+            placer,
+            life: 1,
+        };
         records.push(Record { at: 2, seen: link });
     }
     records.extend(happened.into_iter().map(|(at, seen)| Record { at, seen }));
-    records.push(Record { at: 60 * S, seen: Seen::HostDown { host: name("h") } });
+    records.push(Record {
+        at: 60 * S,
+        seen: Seen::HostDown { host: name("h") },
+    });
     judge(&records, &figures)
 }
 
 /// An offer by the first or the second placer.
 fn offered(placer: u64, attempt: u64) -> Seen {
-    Seen::FromPlacer { host: name("h"), link: placer, frame: Frame::Offer(offer(attempt)) }
+    Seen::FromPlacer {
+        host: name("h"),
+        link: placer,
+        frame: Frame::Offer(offer(attempt)),
+    }
 }
 
 fn broken(happened: Vec<(u64, Seen)>) -> Vec<String> {
-    verdict(happened).broken.into_iter().map(|b| b.what).collect()
+    verdict(happened)
+        .broken
+        .into_iter()
+        .map(|b| b.what)
+        .collect()
 }
 
 #[test]
@@ -46,7 +87,13 @@
     let why = broken(vec![(S, locked("0", "p")), (2 * S, offered(1, 1))]);
     assert!(why[0].contains("holds no number"), "{why:?}");
     // Let go of: until somebody else could have it, what is still on its way does no harm.
-    let ended = |at| broken(vec![(S, locked("0", "p")), (5 * S, free("0")), (at, offered(0, 1))]);
+    let ended = |at| {
+        broken(vec![
+            (S, locked("0", "p")),
+            (5 * S, free("0")),
+            (at, offered(0, 1)),
+        ])
+    };
     assert!(ended(5 * S + S / 2).is_empty());
     assert!(ended(7 * S)[0].contains("was let go of"));
     // A new life holds nothing that it did not lock itself.
@@ -55,7 +102,15 @@
             (S, locked("0", "p")),
             (5 * S, Seen::PlacerDown { placer: name("p") }),
             (6 * S, Seen::PlacerUp { placer: name("p") }),
-            (7 * S, Seen::Link { host: name("h"), link: 0, placer: name("p"), life: 2 }),
+            (
+                7 * S,
+                Seen::Link {
+                    host: name("h"),
+                    link: 0,
+                    placer: name("p"),
+                    life: 2,
+                },
+            ),
         ];
         all.extend(more);
         broken(all)
@@ -67,8 +122,16 @@
 #[test]
 fn no_two_hold_one_number() {
     assert!(broken(vec![(S, locked("0", "p")), (2 * S, locked("1", "q"))]).is_empty());
-    assert!(broken(vec![(S, locked("0", "p")), (2 * S, locked("0", "q"))])[0].contains("p still held"));
-    let after = |at| broken(vec![(S, locked("0", "p")), (5 * S, free("0")), (at, locked("0", "q"))]);
+    assert!(
+        broken(vec![(S, locked("0", "p")), (2 * S, locked("0", "q"))])[0].contains("p still held")
+    );
+    let after = |at| {
+        broken(vec![
+            (S, locked("0", "p")),
+            (5 * S, free("0")),
+            (at, locked("0", "q")),
+        ])
+    };
     assert_eq!(after(5 * S + S / 2).len(), 1, "within the lock delay");
     assert!(after(6 * S).is_empty());
 }
@@ -85,8 +148,12 @@
     // Nobody could take it while there was no leader, or nobody was there.
     let no_leader = (7 * S, Seen::NoLeader { for_us: 2 * S });
     assert_eq!(waits(vec![no_leader, (10 * S, locked("0", "q"))]), [2 * S]);
-    let down = |placer| Seen::PlacerDown { placer: name(placer) };
-    let paused = |placer| Seen::PlacerPaused { placer: name(placer) };
+    let down = |placer| Seen::PlacerDown {
+        placer: name(placer),
+    };
+    let paused = |placer| Seen::PlacerPaused {
+        placer: name(placer),
+    };
     let away = vec![
         (7 * S, down("p")),
         (7 * S, paused("q")),
--- a/crates/judge/tests/read_late.rs
+++ b/crates/judge/tests/read_late.rs
@@ -15,7 +15,11 @@
 fn figures() -> Figures {
     Figures {
         classes: Vec::new(),
-        hosts: vec![Where { host: name("h"), zone: name("z"), cell: name("c") }],
+        hosts: vec![Where {
+            host: name("h"),
+            zone: name("z"),
+            cell: name("c"),
+        }],
         placers: 1,
         drain_grace: 2 * S,
         cold_for: 1000 * S,
@@ -30,35 +34,65 @@
 /// How often a rule is broken by these records.
 fn broken(rule: u8, mut records: Vec<Record>) -> u64 {
     records.sort_by_key(|r| r.at);
-    judge(&records, &figures()).counts().get(&rule).copied().unwrap_or(0)
+    judge(&records, &figures())
+        .counts()
+        .get(&rule)
+        .copied()
+        .unwrap_or(0)
 }
 
 fn late(reader: Reader, at: u64, since: Option<u64>) -> Record {
-    Record { at, seen: Seen::ReadLate { reader, since } }
+    Record {
+        at,
+        seen: Seen::ReadLate { reader, since },
+    }
 }
 
 #[test]
 fn an_answer_is_late_only_if_its_reader_looked_after_the_deadline() {
     let deadline = 13 * S;
     let answered_after = |span: u64, notes: Vec<Record>| {
-        let asked = Seen::Asked { request: name("r"), placer: name("p"), class: name("c"), budget_us: 3 * S };
-        let answered = Seen::Answered { request: name("r"), outcome: Outcome::Failed };
-        let mut records =
-            vec![Record { at: 10 * S, seen: asked }, Record { at: deadline + span, seen: answered }];
+        let asked = Seen::Asked {
+            request: name("r"),
+            placer: name("p"),
+            class: name("c"),
+            budget_us: 3 * S,
+        };
+        let answered = Seen::Answered {
+            request: name("r"),
+            outcome: Outcome::Failed,
+        };
+        let mut records = vec![
+            Record {
+                at: 10 * S,
+                seen: asked,
+            },
+            Record {
+                at: deadline + span,
+                seen: answered,
+            },
+        ];
         records.extend(notes);
         broken(1, records)
     };
     let clients = |since| late(Reader::Clients, deadline + 200 * MS, Some(since));
     assert_eq!(answered_after(150 * MS, vec![]), 0, "within the slack");
     assert_eq!(answered_after(151 * MS, vec![]), 1);
-    assert_eq!(answered_after(300 * MS, vec![clients(deadline - MS)]), 0, "it may have come before");
+    assert_eq!(
+        answered_after(300 * MS, vec![clients(deadline - MS)]),
+        0,
+        "it may have come before"
+    );
     assert_eq!(
         answered_after(300 * MS, vec![clients(deadline + MS)]),
         1,
         "there was nothing after the deadline"
     );
     let in_time_again = late(Reader::Clients, deadline + 250 * MS, None);
-    assert_eq!(answered_after(300 * MS, vec![clients(deadline - MS), in_time_again]), 1);
+    assert_eq!(
+        answered_after(300 * MS, vec![clients(deadline - MS), in_time_again]),
+        1
+    );
     let hosts = late(Reader::Hosts, deadline + 200 * MS, Some(deadline - MS));
     assert_eq!(answered_after(300 * MS, vec![hosts]), 1, "another reader");
 }
@@ -71,22 +105,43 @@
         actor: "a".into(),
         class: "c".into(),
         request: attempt.to_string(),
-        asks: Load { cores: 1.0, memory: 1.0 },
+        asks: Load {
+            cores: 1.0,
+            memory: 1.0,
+        },
         priority: 0,
         copies: Copies::Safe,
         life_ms: 0,
         wait_ms: 100,
     };
-    Record { at, seen: Seen::FromPlacer { host: name("h"), link: 1, frame: Frame::Offer(offer) } }
+    Record {
+        at,
+        seen: Seen::FromPlacer {
+            host: name("h"),
+            link: 1,
+            frame: Frame::Offer(offer),
+        },
+    }
 }
 
 #[test]
 fn offers_that_were_read_late_count_from_the_earliest_time_at_which_they_came() {
     // As many as a cold host bears, read at 10 s, and one more after `gap`.
     let offered = |gap: u64, notes: Vec<Record>| {
-        let link = Seen::Link { host: name("h"), link: 1, placer: name("p"), life: 1 };
+        let link = Seen::Link {
+            host: name("h"),
+            link: 1,
+            placer: name("p"),
+            life: 1,
+        };
         let mut records = vec![
-            Record { at: 0, seen: Seen::HostUp { host: name("h"), started_ms: 0 } },
+            Record {
+                at: 0,
+                seen: Seen::HostUp {
+                    host: name("h"),
+                    started_ms: 0,
+                },
+            },
             Record { at: 1, seen: link },
         ];
         records.extend((0..16).map(|n| offer(10 * S, n)));
@@ -103,37 +158,77 @@
         0,
         "the first came up to 600 ms before"
     );
-    assert_eq!(offered(1_500 * MS, vec![hosts(9_600 * MS), again()]), 1, "400 ms explain nothing");
+    assert_eq!(
+        offered(1_500 * MS, vec![hosts(9_600 * MS), again()]),
+        1,
+        "400 ms explain nothing"
+    );
     let second = late(Reader::Hosts, 11 * S, Some(10 * S + MS));
-    assert_eq!(offered(1_500 * MS, vec![second]), 1, "a late second offer was sent even sooner");
+    assert_eq!(
+        offered(1_500 * MS, vec![second]),
+        1,
+        "a late second offer was sent even sooner"
+    );
 }
 
 #[test]
 fn news_that_a_host_drains_binds_whenever_offers_are_read() {
     let offered = |at: u64, notes: Vec<Record>| {
-        let link = Seen::Link { host: name("h"), link: 1, placer: name("p"), life: 1 };
-        let drain = Seen::FromHost { host: name("h"), link: 1, frame: Frame::Drain };
-        let mut records =
-            vec![Record { at: S, seen: link }, Record { at: 10 * S, seen: drain }, offer(at, 1)];
+        let link = Seen::Link {
+            host: name("h"),
+            link: 1,
+            placer: name("p"),
+            life: 1,
+        };
+        let drain = Seen::FromHost {
+            host: name("h"),
+            link: 1,
+            frame: Frame::Drain,
+        };
+        let mut records = vec![
+            Record { at: S, seen: link },
+            Record {
+                at: 10 * S,
+                seen: drain,
+            },
+            offer(at, 1),
+        ];
         records.extend(notes);
         broken(3, records)
     };
     let hosts = |since| late(Reader::Hosts, 12 * S, Some(since));
     assert_eq!(offered(12_100 * MS, vec![]), 0, "within the slack");
     assert_eq!(offered(12_500 * MS, vec![]), 1);
-    assert_eq!(offered(12_500 * MS, vec![hosts(11_900 * MS)]), 0, "it may have come within the grace");
+    assert_eq!(
+        offered(12_500 * MS, vec![hosts(11_900 * MS)]),
+        0,
+        "it may have come within the grace"
+    );
     assert_eq!(offered(12_500 * MS, vec![hosts(12_001 * MS)]), 1);
 }
 
 /// A connection of the placer to the host.
 fn link(link: u64) -> Record {
-    Record { at: link, seen: Seen::Link { host: name("h"), link, placer: name("p"), life: 1 } }
+    Record {
+        at: link,
+        seen: Seen::Link {
+            host: name("h"),
+            link,
+            placer: name("p"),
+            life: 1,
+        },
+    }
 }
 
 /// The second attempt of the ask whose first is attempt 1, on a connection of its own.
 fn second_attempt() -> Record {
     let mut second = offer(10 * S, 2);
-    if let Seen::FromPlacer { link, frame: Frame::Offer(offer), .. } = &mut second.seen {
+    if let Seen::FromPlacer {
+        link,
+        frame: Frame::Offer(offer),
+        ..
+    } = &mut second.seen
+    {
         (*link, offer.request, offer.number) = (2, "1".to_owned(), 1);
     }
     second
@@ -144,21 +239,43 @@
     // Two offers for one ask to two hosts, and the first called off: read after `gap`.
     let doubled = |gap: u64, notes: Vec<Record>| {
         let second = second_attempt();
-        let cancel = Seen::FromPlacer { host: name("h"), link: 1, frame: Frame::Cancel(1) };
+        let cancel = Seen::FromPlacer {
+            host: name("h"),
+            link: 1,
+            frame: Frame::Cancel(1),
+        };
         let mut records = vec![link(1), link(2), offer(9 * S, 1), second];
-        records.push(Record { at: 10 * S + gap, seen: cancel });
+        records.push(Record {
+            at: 10 * S + gap,
+            seen: cancel,
+        });
         // Time goes on at others while the reader is away.
-        records.push(Record { at: 10 * S + 200 * MS, seen: Seen::PlacerUp { placer: name("q") } });
+        records.push(Record {
+            at: 10 * S + 200 * MS,
+            seen: Seen::PlacerUp { placer: name("q") },
+        });
         records.push(offer(20 * S, 3));
         records.extend(notes);
         broken(2, records)
     };
-    let late_since =
-        |since| vec![late(Reader::Hosts, 10 * S + 300 * MS, Some(since)), late(Reader::Hosts, 11 * S, None)];
+    let late_since = |since| {
+        vec![
+            late(Reader::Hosts, 10 * S + 300 * MS, Some(since)),
+            late(Reader::Hosts, 11 * S, None),
+        ]
+    };
     assert_eq!(doubled(140 * MS, vec![]), 0, "within the slack");
     assert_eq!(doubled(400 * MS, vec![]), 1);
-    assert_eq!(doubled(400 * MS, late_since(10 * S + 100 * MS)), 0, "it may have been sent within the slack");
-    assert_eq!(doubled(400 * MS, late_since(10 * S + 200 * MS)), 1, "there was nothing of it by then");
+    assert_eq!(
+        doubled(400 * MS, late_since(10 * S + 100 * MS)),
+        0,
+        "it may have been sent within the slack"
+    );
+    assert_eq!(
+        doubled(400 * MS, late_since(10 * S + 200 * MS)),
+        1,
+        "there was nothing of it by then"
+    );
 }
 
 #[test]
@@ -166,13 +283,30 @@
     // The second attempt is read first; the first, with its call-off, only then.
     let read_first = |cancelled: bool| {
         let second = second_attempt();
-        let mut records = vec![link(1), link(2), second, offer(10 * S + 2 * MS, 1), offer(20 * S, 3)];
+        let mut records = vec![
+            link(1),
+            link(2),
+            second,
+            offer(10 * S + 2 * MS, 1),
+            offer(20 * S, 3),
+        ];
         if cancelled {
-            let cancel = Seen::FromPlacer { host: name("h"), link: 1, frame: Frame::Cancel(1) };
-            records.push(Record { at: 10 * S + 3 * MS, seen: cancel });
+            let cancel = Seen::FromPlacer {
+                host: name("h"),
+                link: 1,
+                frame: Frame::Cancel(1),
+            };
+            records.push(Record {
+                at: 10 * S + 3 * MS,
+                seen: cancel,
+            });
         }
         broken(2, records)
     };
-    assert_eq!(read_first(true), 0, "the first was over when the second was sent");
+    assert_eq!(
+        read_first(true),
+        0,
+        "the first was over when the second was sent"
+    );
     assert_eq!(read_first(false), 1);
 }
--- a/crates/judge/tests/spreads.rs
+++ b/crates/judge/tests/spreads.rs
@@ -14,28 +14,59 @@
 /// One host, and a class whose services may have `MOST` tasks on it.
 fn spread() -> Figures {
     Figures {
-        classes: vec![ClassRule { name: "c".into(), keyed: None, spread: Some((Place::Host, MOST)) }],
-        hosts: vec![Where { host: name("h"), zone: name("z"), cell: name("k") }],
+        classes: vec![ClassRule {
+            name: "c".into(),
+            keyed: None,
+            spread: Some((Place::Host, MOST)),
+        }],
+        hosts: vec![Where {
+            host: name("h"),
+            zone: name("z"),
+            cell: name("k"),
+        }],
         ..figures()
     }
 }
 
 fn link(link: u64, life: u64) -> Seen {
-    Seen::Link { host: name("h"), link, placer: name("p"), life }
+    Seen::Link {
+        host: name("h"),
+        link,
+        placer: name("p"),
+        life,
+    }
 }
 
 fn sends(link: u64, attempt: u64) -> Seen {
-    Seen::FromPlacer { host: name("h"), link, frame: Frame::Offer(offer(attempt)) }
+    Seen::FromPlacer {
+        host: name("h"),
+        link,
+        frame: Frame::Offer(offer(attempt)),
+    }
 }
 
 fn host_says(link: u64, frame: Frame) -> Seen {
-    Seen::FromHost { host: name("h"), link, frame }
+    Seen::FromHost {
+        host: name("h"),
+        link,
+        frame,
+    }
 }
 
 /// How often rule 5 was broken.
 fn broken(seen: &[(u64, Seen)]) -> u64 {
-    let records: Vec<Record> = seen.iter().map(|(at, seen)| Record { at: *at, seen: seen.clone() }).collect();
-    judge(&records, &spread()).counts().get(&5).copied().unwrap_or(0)
+    let records: Vec<Record> = seen
+        .iter()
+        .map(|(at, seen)| Record {
+            at: *at,
+            seen: seen.clone(),
+        })
+        .collect();
+    judge(&records, &spread())
+        .counts()
+        .get(&5)
+        .copied()
+        .unwrap_or(0)
 }
 
 /// A placer places two tasks on a host and is killed; its next life is told of both, and offers a third so long after.
@@ -47,34 +78,64 @@
         (S + 2, started(1)),
         (S + 3, sends(1, 2)),
         (S + 4, started(2)),
-        (2 * S, Seen::LinkLost { host: name("h"), link: 1 }),
+        (
+            2 * S,
+            Seen::LinkLost {
+                host: name("h"),
+                link: 1,
+            },
+        ),
         (3 * S, link(2, 2)),
         (3 * S + 1, host_says(2, Frame::Held(offer(1), true))),
         (3 * S + 2, host_says(2, Frame::Held(offer(2), true))),
         (3 * S + 3, host_says(2, Frame::HeldEnd)),
         (3 * S + 4 + after, sends(2, 3)),
-        (9 * S, Seen::PlacerUp { placer: name("other") }),
+        (
+            9 * S,
+            Seen::PlacerUp {
+                placer: name("other"),
+            },
+        ),
     ])
 }
 
 #[test]
 fn tasks_of_an_earlier_life_count_once_the_next_one_must_have_read_of_them() {
     assert_eq!(third_after_a_restart(S), 1);
-    assert_eq!(third_after_a_restart(0), 0, "it may have been sent before that was read");
+    assert_eq!(
+        third_after_a_restart(0),
+        0,
+        "it may have been sent before that was read"
+    );
 }
 
 /// Two tasks are out on a host, a third is offered at 2 s, and this happens besides.
 fn third_beside(happened: &[(u64, Seen)]) -> u64 {
-    let mut seen = vec![(S, link(1, 1)), (S + 1, sends(1, 1)), (S + 2, sends(1, 2)), (2 * S, sends(1, 3))];
+    let mut seen = vec![
+        (S, link(1, 1)),
+        (S + 1, sends(1, 1)),
+        (S + 2, sends(1, 2)),
+        (2 * S, sends(1, 3)),
+    ];
     seen.extend(happened.iter().cloned());
-    seen.push((9 * S, Seen::PlacerUp { placer: name("other") }));
+    seen.push((
+        9 * S,
+        Seen::PlacerUp {
+            placer: name("other"),
+        },
+    ));
     seen.sort_by_key(|(at, _)| *at);
     broken(&seen)
 }
 
 #[test]
 fn a_third_task_counts_unless_one_of_the_others_was_over_before() {
-    let ended = |at| (at, host_says(1, Frame::Ended(1, Reason::Unknown, true, None)));
+    let ended = |at| {
+        (
+            at,
+            host_says(1, Frame::Ended(1, Reason::Unknown, true, None)),
+        )
+    };
     let refused = |at, wire| (at, host_says(1, Frame::Refused(wire, Reason::Cores, None)));
     assert_eq!(third_beside(&[]), 1);
     assert_eq!(third_beside(&[ended(S + 10)]), 0);
@@ -86,13 +147,45 @@
 
 #[test]
 fn what_a_placer_gave_up_before_may_be_read_after_the_offer() {
-    let cancels = |at| (at, Seen::FromPlacer { host: name("h"), link: 1, frame: Frame::Cancel(1) });
-    let ended = |at| (at, host_says(1, Frame::Ended(1, Reason::Unknown, true, None)));
-    let lost = |at| (at, Seen::LinkLost { host: name("h"), link: 1 });
+    let cancels = |at| {
+        (
+            at,
+            Seen::FromPlacer {
+                host: name("h"),
+                link: 1,
+                frame: Frame::Cancel(1),
+            },
+        )
+    };
+    let ended = |at| {
+        (
+            at,
+            host_says(1, Frame::Ended(1, Reason::Unknown, true, None)),
+        )
+    };
+    let lost = |at| {
+        (
+            at,
+            Seen::LinkLost {
+                host: name("h"),
+                link: 1,
+            },
+        )
+    };
     assert_eq!(third_beside(&[cancels(2 * S + 100_000)]), 0);
     assert_eq!(third_beside(&[lost(2 * S + 100_000)]), 0);
-    assert_eq!(third_beside(&[cancels(2 * S + 200_000)]), 1, "it is read sooner than that");
+    assert_eq!(
+        third_beside(&[cancels(2 * S + 200_000)]),
+        1,
+        "it is read sooner than that"
+    );
     // The attempt ends at its host while the word that gives it up is on its way.
-    assert_eq!(third_beside(&[ended(2 * S + 50_000), cancels(2 * S + 100_000)]), 0);
-    assert_eq!(third_beside(&[ended(2 * S + 50_000), lost(2 * S + 100_000)]), 0);
+    assert_eq!(
+        third_beside(&[ended(2 * S + 50_000), cancels(2 * S + 100_000)]),
+        0
+    );
+    assert_eq!(
+        third_beside(&[ended(2 * S + 50_000), lost(2 * S + 100_000)]),
+        0
+    );
 }
--- a/crates/judge/tests/support/mod.rs
+++ b/crates/judge/tests/support/mod.rs
@@ -37,7 +37,10 @@
         actor: "a".into(),
         class: "c".into(),
         request: format!("r{attempt}"),
-        asks: Load { cores: 1.0, memory: 1.0 },
+        asks: Load {
+            cores: 1.0,
+            memory: 1.0,
+        },
         priority: 0,
         copies: Copies::Safe,
         life_ms: 0,
