--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -15,8 +15,14 @@
         world.fault(9 * S, Fault::Heal(1));
         world.run(16 * S);
         let seen = world.verdict();
-        assert!(seen.asked > 1_000 && seen.placed * 10 > seen.asked * 9, "seed {seed}: {seen:?}");
-        assert_eq!(seen.released_running, 0, "seed {seed}: tasks on the far side of a cut run on: {seen:?}");
+        assert!(
+            seen.asked > 1_000 && seen.placed * 10 > seen.asked * 9,
+            "seed {seed}: {seen:?}"
+        );
+        assert_eq!(
+            seen.released_running, 0,
+            "seed {seed}: tasks on the far side of a cut run on: {seen:?}"
+        );
     }
 }
 
@@ -30,7 +36,10 @@
         world.list_late(2 * S);
         world.run(14 * S);
         let seen = world.verdict();
-        assert!(seen.lost > 50 && seen.latest_release < 2 * S, "seed {seed}: {seen:?}");
+        assert!(
+            seen.lost > 50 && seen.latest_release < 2 * S,
+            "seed {seed}: {seen:?}"
+        );
     }
 }
 
@@ -45,7 +54,10 @@
         world.run(20 * S);
         let seen = world.verdict();
         let most: Micros = 8 * S + 50 * MS;
-        assert!(seen.lost > 50 && seen.latest_release <= most, "seed {seed}: {seen:?}");
+        assert!(
+            seen.lost > 50 && seen.latest_release <= most,
+            "seed {seed}: {seen:?}"
+        );
     }
 }
 
@@ -76,7 +88,10 @@
         let seen = world.verdict();
         // What came in the first second of the cut spent its attempts before it was known that nobody answers.
         assert!(seen.placed * 5 > seen.asked * 4, "seed {seed}: {seen:?}");
-        assert_eq!(seen.released_running, 0, "seed {seed}: what stands behind the cut runs on: {seen:?}");
+        assert_eq!(
+            seen.released_running, 0,
+            "seed {seed}: what stands behind the cut runs on: {seen:?}"
+        );
     }
 }
 
@@ -91,7 +106,11 @@
         world.run(14 * S);
         let seen = world.verdict();
         assert!(seen.placed * 20 > seen.asked * 19, "seed {seed}: {seen:?}");
-        assert_eq!((seen.released_running, seen.lost), (0, 0), "seed {seed}: {seen:?}");
+        assert_eq!(
+            (seen.released_running, seen.lost),
+            (0, 0),
+            "seed {seed}: {seen:?}"
+        );
     }
 }
 
@@ -106,7 +125,10 @@
         world.run(20 * S);
         let seen = world.verdict();
         let most: Micros = 8 * S + 50 * MS;
-        assert!(seen.lost > 50 && seen.latest_release <= most, "seed {seed}: {seen:?}");
+        assert!(
+            seen.lost > 50 && seen.latest_release <= most,
+            "seed {seed}: {seen:?}"
+        );
         assert!(seen.placed * 10 > seen.asked * 8, "seed {seed}: {seen:?}");
     }
 }
@@ -122,7 +144,14 @@
         world.run(12 * S);
         let seen = world.verdict();
         assert!(seen.refused > 300, "seed {seed}: {seen:?}");
-        assert!(world.held().iter().all(|h| h.tasks < 10_000 && h.links <= 12), "{:?}", world.held());
+        assert!(
+            world
+                .held()
+                .iter()
+                .all(|h| h.tasks < 10_000 && h.links <= 12),
+            "{:?}",
+            world.held()
+        );
     }
 }
 
@@ -134,7 +163,11 @@
     world.load(S, 2_690 * S, 4);
     for n in 0..260u64 {
         let host = Part::One(n as usize % 8);
-        let fault = if n.is_multiple_of(3) { Fault::Vanish(host) } else { Fault::Die(host) };
+        let fault = if n.is_multiple_of(3) {
+            Fault::Vanish(host)
+        } else {
+            Fault::Die(host)
+        };
         world.fault((10 + n * 10) * S, fault);
         world.fault((14 + n * 10) * S, Fault::Return(host));
     }
@@ -144,15 +177,25 @@
     let (late, seen) = (world.held(), world.verdict());
     assert!(seen.asked > 10_000 && seen.lost > 1_000, "{seen:?}");
     for (early, late) in early.iter().zip(&late) {
-        assert!(late.tasks <= early.tasks + 5 && late.links <= 16 && late.hosts == 8, "{early:?} {late:?}");
-        assert!(late.timers <= early.timers * 2 + 100 && late.undelivered == 0, "{early:?} {late:?}");
+        assert!(
+            late.tasks <= early.tasks + 5 && late.links <= 16 && late.hosts == 8,
+            "{early:?} {late:?}"
+        );
+        assert!(
+            late.timers <= early.timers * 2 + 100 && late.undelivered == 0,
+            "{early:?} {late:?}"
+        );
     }
 }
 
 #[test]
 fn cold_hosts_bear_what_thirty_placers_send_also_where_connections_come_up_late() {
     // PROTOCOL's figures, and one customer's whose connections may take a second.
-    for (within, take) in [(250 * MS, 200), (250 * MS, 240 * MS), (1_000 * MS, 990 * MS)] {
+    for (within, take) in [
+        (250 * MS, 200),
+        (250 * MS, 240 * MS),
+        (1_000 * MS, 990 * MS),
+    ] {
         for seed in 0..2 {
             let mut world = World::with(seed, 30, 12, Connects { within, take });
             world.list_late(0);
@@ -166,14 +209,24 @@
             world.run(22 * S);
             // What is wanted leaves room for chance, N + 2 x root of N + 2; the placers' parts add up to less than N.
             let seen = world.most_in_a_window();
-            assert!(seen > 40 && seen as u64 <= FRESH, "{take} us of {within}, seed {seed}: {seen}");
+            assert!(
+                seen > 40 && seen as u64 <= FRESH,
+                "{take} us of {within}, seed {seed}: {seen}"
+            );
         }
     }
 }
 
 #[test]
 fn the_decisions_are_not_promised_what_this_protocol_does_not_tell() {
-    let mut settings = support::settings(0, 3, Connects { within: 250 * MS, take: 0 });
+    let mut settings = support::settings(
+        0,
+        3,
+        Connects {
+            within: 250 * MS,
+            take: 0,
+        },
+    );
     settings["domain"]["listsFree"] = true.into();
     settings["domain"]["freeBy"] = "asked".into();
     settings["reporting"] = serde_json::json!({"how": "piggyback", "fields": ["x0", "x1"]});
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -195,7 +195,15 @@
 
 impl World {
     pub fn new(seed: u64, placers: usize, hosts: usize) -> World {
-        World::with(seed, placers, hosts, Connects { within: 250 * MS, take: WAY })
+        World::with(
+            seed,
+            placers,
+            hosts,
+            Connects {
+                within: 250 * MS,
+                take: WAY,
+            },
+        )
     }
 
     pub fn with(seed: u64, placers: usize, hosts: usize, connects: Connects) -> World {
@@ -208,8 +216,14 @@
             running: BTreeMap::new(),
             waiting: HashSet::new(),
         };
-        let process =
-            || Process { life: 0, engine: None, inbox: Vec::new(), busy: 0, turn_set: false, tick: 0 };
+        let process = || Process {
+            life: 0,
+            engine: None,
+            inbox: Vec::new(),
+            busy: 0,
+            turn_set: false,
+            tick: 0,
+        };
         let mut world = World {
             now: START,
             set: 0,
@@ -261,20 +275,33 @@
     /// The most set-ups that reached a cold host in one window, from all placers.
     pub fn most_in_a_window(&self) -> usize {
         let within = |times: &[Micros], from: usize| {
-            times[from..].iter().take_while(|&&t| t <= times[from] + WINDOW).count()
+            times[from..]
+                .iter()
+                .take_while(|&&t| t <= times[from] + WINDOW)
+                .count()
+        };
+        let most = |times: &Vec<Micros>| {
+            (0..times.len())
+                .map(|n| within(times, n))
+                .max()
+                .unwrap_or(0)
         };
-        let most = |times: &Vec<Micros>| (0..times.len()).map(|n| within(times, n)).max().unwrap_or(0);
         self.reached.values().map(most).max().unwrap_or(0)
     }
 
     /// What each placer holds in its tables.
     pub fn held(&self) -> Vec<Held> {
-        self.placers.iter().filter_map(|p| Some(p.engine.as_ref()?.held())).collect()
+        self.placers
+            .iter()
+            .filter_map(|p| Some(p.engine.as_ref()?.held()))
+            .collect()
     }
 
     pub fn run(&mut self, span: Micros) {
         let end = START + span;
-        while let Some(&Reverse((at, set))) = self.queue.peek().filter(|Reverse((at, _))| *at <= end) {
+        while let Some(&Reverse((at, set))) =
+            self.queue.peek().filter(|Reverse((at, _))| *at <= end)
+        {
             self.queue.pop();
             self.now = at;
             if let Some(event) = self.events.remove(&set) {
@@ -288,10 +315,16 @@
     pub fn verdict(&self) -> Seen {
         for (sid, ask) in &self.asks {
             let lives = self.placers[ask.placer].life == ask.life;
-            assert!(!lives || ask.answered || ask.deadline > self.now, "{sid:x} got no answer in its time");
+            assert!(
+                !lives || ask.answered || ask.deadline > self.now,
+                "{sid:x} got no answer in its time"
+            );
             if let Some(lost) = ask.lost.filter(|_| lives) {
                 let due = lost + 8 * S + 50 * MS;
-                assert!(ask.released || due > self.now, "{sid:x} was lost, and its owner not told");
+                assert!(
+                    ask.released || due > self.now,
+                    "{sid:x} was lost, and its owner not told"
+                );
             }
         }
         self.seen.clone()
@@ -319,7 +352,9 @@
         let seed = self.rng.next_u64();
         let decider = Placer::new(decisions.clone(), seed).expect("sound settings");
         let mut engine = Engine::new(terms, &decisions, decider);
-        let all: Vec<Value> = (0..self.hosts.len()).map(|h| self.entry(h, "active")).collect();
+        let all: Vec<Value> = (0..self.hosts.len())
+            .map(|h| self.entry(h, "active"))
+            .collect();
         engine.told(self.now, &batch(&changes(self.cursor, true, &all)));
         engine.owner_opened(self.now, OWNER);
         engine.owner_says(self.now, OWNER, Ok(FromOwner::Probe(Sid(1))));
@@ -340,8 +375,16 @@
             let ask = self.asks.get_mut(&sid).expect("it was asked for");
             (ask.life, ask.answered, ask.out) = (life, true, None);
             let at = Some(format!("s-{host}"));
-            let set_up = SetUp { at, left_ms: None, ..set_up(sid, ask.key, 0) };
-            self.reaches(placer, life, Input::Owner(Box::new(FromOwner::SetUp(Box::new(set_up)))));
+            let set_up = SetUp {
+                at,
+                left_ms: None,
+                ..set_up(sid, ask.key, 0)
+            };
+            self.reaches(
+                placer,
+                life,
+                Input::Owner(Box::new(FromOwner::SetUp(Box::new(set_up)))),
+            );
         }
         self.wake(placer);
     }
@@ -392,7 +435,9 @@
     }
 
     fn ask(&mut self, again: bool, key: u64) {
-        let up: Vec<usize> = (0..self.placers.len()).filter(|&p| self.placers[p].engine.is_some()).collect();
+        let up: Vec<usize> = (0..self.placers.len())
+            .filter(|&p| self.placers[p].engine.is_some())
+            .collect();
         let placer = up[self.draw(up.len() as u64) as usize];
         self.last_sid += 1;
         let (sid, life) = (self.last_sid << 8, self.placers[placer].life);
@@ -420,7 +465,9 @@
         let process = &mut self.placers[placer];
         process.turn_set = false;
         let (life, inbox) = (process.life, std::mem::take(&mut process.inbox));
-        let Some(engine) = &mut process.engine else { return };
+        let Some(engine) = &mut process.engine else {
+            return;
+        };
         for input in inbox {
             match input {
                 Input::Up(link) => engine.link_up(now, link),
@@ -442,7 +489,10 @@
                     let more = self.connects.take.saturating_sub(WAY);
                     let takes = WAY + if more > 0 { self.draw(more) } else { 0 };
                     let key = (placer, life, link);
-                    self.at(at + takes, Ev::Connect(key, usize::from(address.port()) - 1000));
+                    self.at(
+                        at + takes,
+                        Ev::Connect(key, usize::from(address.port()) - 1000),
+                    );
                 }
                 Output::ToHost(link, bytes) => {
                     if let Some(conn) = self.conns.get_mut(&(placer, life, link)) {
@@ -464,12 +514,17 @@
         while !dirty.is_empty() {
             let n = self.draw(dirty.len() as u64) as usize;
             let link = dirty.swap_remove(n);
-            if self.conns.get(&(placer, life, link)).is_some_and(|c| !c.out.is_empty()) {
+            if self
+                .conns
+                .get(&(placer, life, link))
+                .is_some_and(|c| !c.out.is_empty())
+            {
                 self.write((placer, life, link), at);
                 at += WRITE;
             }
         }
-        told.into_iter().for_each(|message| self.owner_hears(at, placer, life, message));
+        told.into_iter()
+            .for_each(|message| self.owner_hears(at, placer, life, message));
         let process = &mut self.placers[placer];
         process.busy = at;
         if let Some(next) = next.map(|next| next.max(at))
@@ -484,10 +539,16 @@
     fn write(&mut self, key: Key, at: Micros) {
         let conn = self.conns.get_mut(&key).expect("it is open");
         let out = std::mem::take(&mut conn.out);
-        let ends: Vec<Sid> = out.iter().filter(|bytes| bytes[2] == 12).map(|bytes| sid_of(bytes)).collect();
+        let ends: Vec<Sid> = out
+            .iter()
+            .filter(|bytes| bytes[2] == 12)
+            .map(|bytes| sid_of(bytes))
+            .collect();
         conn.given_up.extend(ends.iter().map(|sid| sid.0));
-        ends.into_iter().for_each(|sid| self.at(at, Ev::GivenUp(key, sid)));
-        out.into_iter().for_each(|bytes| self.at(at + WAY, Ev::AtHost(key, bytes)));
+        ends.into_iter()
+            .for_each(|sid| self.at(at, Ev::GivenUp(key, sid)));
+        out.into_iter()
+            .for_each(|bytes| self.at(at + WAY, Ev::AtHost(key, bytes)));
     }
 
     fn out_no_more(&mut self, key: Key, sid: Sid) {
@@ -498,7 +559,9 @@
 
     /// A placer closes a connection, which gives up what is open on it.
     fn close(&mut self, key: Key) {
-        let Some(conn) = self.conns.remove(&key) else { return };
+        let Some(conn) = self.conns.remove(&key) else {
+            return;
+        };
         for (sid, ask) in &mut self.asks {
             if ask.out == Some(key) {
                 ask.out = None;
@@ -545,16 +608,27 @@
         if h.silent || self.cut.contains(&h.zone) || self.placers[key.0].life != key.1 {
             return;
         }
-        let input = if h.alive { Input::Up(key.2) } else { Input::Lost(key.2, Loss::Refused) };
+        let input = if h.alive {
+            Input::Up(key.2)
+        } else {
+            Input::Lost(key.2, Loss::Refused)
+        };
         if h.alive {
-            let conn = Conn { host, host_life: h.life, out: Vec::new(), given_up: HashSet::new() };
+            let conn = Conn {
+                host,
+                host_life: h.life,
+                out: Vec::new(),
+                given_up: HashSet::new(),
+            };
             self.conns.insert(key, conn);
         }
         self.at(self.now + WAY, Ev::ToPlacer(key.0, key.1, input));
     }
 
     fn at_host(&mut self, key: Key, bytes: &[u8]) {
-        let Some(conn) = self.conns.get(&key) else { return };
+        let Some(conn) = self.conns.get(&key) else {
+            return;
+        };
         let (host, old) = (conn.host, conn.host_life);
         let zone = self.hosts[host].zone;
         if self.cut.contains(&zone) {
@@ -573,14 +647,21 @@
             1 if !conn.given_up.contains(&sid.0) => {
                 let ask = self.asks.get_mut(&sid.0).expect("an owner sent it");
                 assert!(ask.out.is_none(), "{sid} has two attempts out");
-                assert!(!(ask.answered && ask.life == key.1), "{sid} is sent on after its answer");
+                assert!(
+                    !(ask.answered && ask.life == key.1),
+                    "{sid} is sent on after its answer"
+                );
                 ask.out = Some(key);
                 if self.hosts[host].started + COLD > self.now {
                     self.reached.entry((host, old)).or_default().push(self.now);
                 }
                 self.hosts[host].waiting.insert(sid.0);
                 let slow = self.draw(100) < 4;
-                let after = if slow { 300 * MS + self.draw(900 * MS) } else { 2 * MS + self.draw(20 * MS) };
+                let after = if slow {
+                    300 * MS + self.draw(900 * MS)
+                } else {
+                    2 * MS + self.draw(20 * MS)
+                };
                 self.at(self.now + after, Ev::Answer(key, old, sid));
             }
             12 => {
@@ -593,7 +674,9 @@
     }
 
     fn answers(&mut self, key: Key, life: u32, sid: Sid) {
-        let Some(host) = self.conns.get(&key).map(|c| c.host) else { return };
+        let Some(host) = self.conns.get(&key).map(|c| c.host) else {
+            return;
+        };
         let h = &mut self.hosts[host];
         if h.life != life || !h.alive || !h.waiting.remove(&sid.0) {
             return;
@@ -624,9 +707,14 @@
 
     /// What a host has to say of a task, on any connection of the placer that it belongs to.
     fn host_tells(&mut self, host: usize, sid: Sid, says: FromHost) {
-        let Some(ask) = self.asks.get(&sid.0) else { return };
+        let Some(ask) = self.asks.get(&sid.0) else {
+            return;
+        };
         let (placer, life) = (ask.placer, ask.life);
-        let open = self.conns.iter().find(|(k, c)| k.0 == placer && k.1 == life && c.host == host);
+        let open = self
+            .conns
+            .iter()
+            .find(|(k, c)| k.0 == placer && k.1 == life && c.host == host);
         if let Some((&key, _)) = open {
             self.says(key, says);
         } else if let Some(ask) = self.asks.get_mut(&sid.0) {
@@ -637,7 +725,10 @@
 
     fn break_off(&mut self, key: Key) {
         self.close(key);
-        self.at(self.now + WAY, Ev::ToPlacer(key.0, key.1, Input::Lost(key.2, Loss::Broken)));
+        self.at(
+            self.now + WAY,
+            Ev::ToPlacer(key.0, key.1, Input::Lost(key.2, Loss::Broken)),
+        );
     }
 
     fn befall(&mut self, fault: Fault) {
@@ -649,7 +740,8 @@
                 let (now, later) = held.into_iter().partition(|(z, _)| *z == zone);
                 self.held = later;
                 let now: Vec<(usize, Ev)> = now;
-                now.into_iter().for_each(|(_, event)| self.at(self.now + WAY, event));
+                now.into_iter()
+                    .for_each(|(_, event)| self.at(self.now + WAY, event));
             }
             Fault::Reset(part) => self.reset(part),
             Fault::Die(part) => {
@@ -673,8 +765,12 @@
                 (process.engine, process.turn_set, process.tick) = (None, false, 0);
                 process.inbox.clear();
                 let life = process.life;
-                let old: Vec<Key> =
-                    self.conns.keys().filter(|k| k.0 == placer && k.1 < life).copied().collect();
+                let old: Vec<Key> = self
+                    .conns
+                    .keys()
+                    .filter(|k| k.0 == placer && k.1 < life)
+                    .copied()
+                    .collect();
                 old.into_iter().for_each(|key| self.close(key));
                 self.at(self.now + S / 2, Ev::Start(placer));
             }
@@ -694,7 +790,12 @@
     fn reset(&mut self, part: Part) {
         let hosts = self.part(part);
         let of = |c: &Conn| hosts.contains(&c.host);
-        let cut: Vec<Key> = self.conns.iter().filter(|(_, c)| of(c)).map(|(k, _)| *k).collect();
+        let cut: Vec<Key> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| of(c))
+            .map(|(k, _)| *k)
+            .collect();
         cut.into_iter().for_each(|key| self.break_off(key));
     }
 
@@ -715,7 +816,11 @@
 
     /// The list has it, and tells of it late.
     fn list(&mut self, part: Part, status: &str) {
-        let entries: Vec<Value> = self.part(part).into_iter().map(|h| self.entry(h, status)).collect();
+        let entries: Vec<Value> = self
+            .part(part)
+            .into_iter()
+            .map(|h| self.entry(h, status))
+            .collect();
         self.cursor += 1;
         let list = changes(self.cursor, false, &entries);
         self.at(self.now + self.list_late, Ev::Told(list));
--- a/crates/reactor/src/accept.rs
+++ b/crates/reactor/src/accept.rs
@@ -20,5 +20,8 @@
 /// same call fails again until something is closed.
 pub fn exhausted(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
-    matches!(errno, Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM))
+    matches!(
+        errno,
+        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM)
+    )
 }
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -12,8 +12,14 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO).as_micros() as u64;
-        Clock { start: Instant::now(), unix }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or(Duration::ZERO)
+            .as_micros() as u64;
+        Clock {
+            start: Instant::now(),
+            unix,
+        }
     }
 
     /// The time, µs.
--- a/crates/reactor/src/conn.rs
+++ b/crates/reactor/src/conn.rs
@@ -46,7 +46,11 @@
 
     /// Starts to connect; the first write readiness tells how it went, by [`Conn::connected`].
     pub fn connect(to: SocketAddr, token: u64, poller: &Poller) -> io::Result<Conn> {
-        let family = if to.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+        let family = if to.is_ipv4() {
+            AddressFamily::INET
+        } else {
+            AddressFamily::INET6
+        };
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         let socket = rustix::net::socket_with(family, SocketType::STREAM, flags, None)?;
         match rustix::net::connect(&socket, &to) {
@@ -215,6 +219,7 @@
 
     /// Closes with a reset, dropping what is unwritten.
     pub fn reset(self) {
-        let _ = rustix::net::sockopt::set_socket_linger(&self.stream, Some(std::time::Duration::ZERO));
+        let _ =
+            rustix::net::sockopt::set_socket_linger(&self.stream, Some(std::time::Duration::ZERO));
     }
 }
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poll.rs
@@ -37,12 +37,21 @@
 
     fn flags(write: bool) -> epoll::EventFlags {
         let read = epoll::EventFlags::IN | epoll::EventFlags::RDHUP;
-        if write { read | epoll::EventFlags::OUT } else { read }
+        if write {
+            read | epoll::EventFlags::OUT
+        } else {
+            read
+        }
     }
 
     /// Watches a descriptor for reading, and for writing if asked.
     pub fn add(&self, fd: impl AsFd, token: u64, write: bool) -> io::Result<()> {
-        Ok(epoll::add(&self.epoll, fd, epoll::EventData::new_u64(token), Self::flags(write))?)
+        Ok(epoll::add(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(token),
+            Self::flags(write),
+        )?)
     }
 
     /// Changes what a descriptor is watched for; with `read` off it is watched for writing and its end only.
@@ -51,7 +60,12 @@
         if !read {
             flags.remove(epoll::EventFlags::IN);
         }
-        Ok(epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(token), flags)?)
+        Ok(epoll::modify(
+            &self.epoll,
+            fd,
+            epoll::EventData::new_u64(token),
+            flags,
+        )?)
     }
 
     /// Ends the watch.
@@ -65,13 +79,17 @@
             tv_sec: t.as_secs().min(1 << 30) as i64,
             tv_nsec: i64::from(t.subsec_nanos()) as _,
         });
-        let mut room =
-            [epoll::Event { flags: epoll::EventFlags::empty(), data: epoll::EventData::new_u64(0) };
-                MAX_READY];
+        let mut room = [epoll::Event {
+            flags: epoll::EventFlags::empty(),
+            data: epoll::EventData::new_u64(0),
+        }; MAX_READY];
         let mut waited = epoll::wait(&self.epoll, &mut room, timeout.as_ref());
         if waited == Err(rustix::io::Errno::INTR) {
             // A process that was stopped and goes on comes here, and much may be ready by now.
-            let now = Timespec { tv_sec: 0, tv_nsec: 0 };
+            let now = Timespec {
+                tv_sec: 0,
+                tv_nsec: 0,
+            };
             waited = epoll::wait(&self.epoll, &mut room, Some(&now));
         }
         let events = match waited {
@@ -118,7 +136,9 @@
 
     /// Registers all of them under one token.
     pub fn register(&self, poller: &Poller, token: u64) -> io::Result<()> {
-        self.pipes.iter().try_for_each(|(_, read)| poller.add(read, token, false))
+        self.pipes
+            .iter()
+            .try_for_each(|(_, read)| poller.add(read, token, false))
     }
 
     /// How often each signal came since the last call.
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -21,11 +21,15 @@
     pub fn new(path: &Path) -> io::Result<FileWatch> {
         let path = std::path::absolute(path)?;
         let (Some(folder), Some(name)) = (path.parent(), path.file_name()) else {
-            return Err(io::Error::new(io::ErrorKind::InvalidInput, "not a file's path"));
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidInput,
+                "not a file's path",
+            ));
         };
         let fd = inotify::init(inotify::CreateFlags::NONBLOCK | inotify::CreateFlags::CLOEXEC)?;
-        let flags =
-            inotify::WatchFlags::CLOSE_WRITE | inotify::WatchFlags::MOVED_TO | inotify::WatchFlags::CREATE;
+        let flags = inotify::WatchFlags::CLOSE_WRITE
+            | inotify::WatchFlags::MOVED_TO
+            | inotify::WatchFlags::CREATE;
         inotify::add_watch(&fd, folder, flags)?;
         let name = name.to_owned();
         Ok(FileWatch { fd, path, name })
@@ -43,7 +47,9 @@
         let mut changed = false;
         while let Ok(event) = reader.next() {
             let overflow = event.events().contains(inotify::ReadFlags::QUEUE_OVERFLOW);
-            let named = event.file_name().is_some_and(|n| n.to_bytes() == self.name.as_bytes());
+            let named = event
+                .file_name()
+                .is_some_and(|n| n.to_bytes() == self.name.as_bytes());
             changed |= overflow || named;
         }
         changed
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -44,7 +44,11 @@
         let asks_again = fault != Fault::PlacerRestarts;
         let (owners, stop) = (&owners, &stop);
         let replacing = asks_again.then(|| scope.spawn(move || owners.replace_lost(tasks, stop)));
-        let mut watch = Watch { sampler, tasks, moments: vec![sampler.moment(fleet)] };
+        let mut watch = Watch {
+            sampler,
+            tasks,
+            moments: vec![sampler.moment(fleet)],
+        };
         let watched = watch.through(fleet, fault, phases);
         stop.store(true, Ordering::Relaxed);
         let replaced = replacing.map(|thread| thread.join());
@@ -87,7 +91,11 @@
 }
 
 /// One placer after the other; the next one once the last one is connected to all workers again.
-fn restart_placers(fleet: &mut Fleet, phases: &Phases, watch: &mut Watch) -> Result<(), ScaleError> {
+fn restart_placers(
+    fleet: &mut Fleet,
+    phases: &Phases,
+    watch: &mut Watch,
+) -> Result<(), ScaleError> {
     let start = Instant::now();
     for number in 0..fleet.size().placers {
         let at = start + Duration::from_secs_f64(number as f64 * phases.placer_restart_every_s);
@@ -111,7 +119,12 @@
 
 impl Watch {
     /// Strikes, and goes on until the fault is over.
-    fn through(&mut self, fleet: &mut Fleet, fault: Fault, phases: &Phases) -> Result<(), ScaleError> {
+    fn through(
+        &mut self,
+        fleet: &mut Fleet,
+        fault: Fault,
+        phases: &Phases,
+    ) -> Result<(), ScaleError> {
         let workers = fleet.size().workers;
         match fault {
             Fault::WorkerDies => fleet.kill_workers([0]),
@@ -167,7 +180,10 @@
     ) -> Result<(), ScaleError> {
         let start = Instant::now();
         while start.elapsed().as_secs_f64() < at_most {
-            let next = self.moments.last().map_or_else(Instant::now, Moment::next_second);
+            let next = self
+                .moments
+                .last()
+                .map_or_else(Instant::now, Moment::next_second);
             fleet.interrupted().sleep_until(next)?;
             self.moments.push(self.sampler.moment(fleet));
             if done(fleet, start.elapsed().as_secs_f64())? {
@@ -191,17 +207,31 @@
         let connected = fleet.statuses()?.connected;
         let mut placers = Vec::new();
         for (number, host_connections) in connected.into_iter().enumerate() {
-            let cores = self.pairs().map(|(before, after)| after.cores_since(before)[number]);
-            placers.push(process_sample(fleet, number, cores.fold(0.0, f64::max), host_connections)?);
+            let cores = self
+                .pairs()
+                .map(|(before, after)| after.cores_since(before)[number]);
+            placers.push(process_sample(
+                fleet,
+                number,
+                cores.fold(0.0, f64::max),
+                host_connections,
+            )?);
         }
         let bytes = |messages: &[MessageCount]| messages.iter().map(|m| m.wire_bytes).sum::<u64>();
-        let seconds = self.pairs().map(|(before, after)| after.messages_since(before));
+        let seconds = self
+            .pairs()
+            .map(|(before, after)| after.messages_since(before));
         Ok(PhaseSample {
             phase: Phase::WorstSecond(fault),
             seconds: 1.0,
             placers,
-            messages: seconds.max_by_key(|messages| bytes(messages)).unwrap_or_default(),
-            loopback_packets: self.pairs().filter_map(|(before, after)| after.packets_since(before)).max(),
+            messages: seconds
+                .max_by_key(|messages| bytes(messages))
+                .unwrap_or_default(),
+            loopback_packets: self
+                .pairs()
+                .filter_map(|(before, after)| after.packets_since(before))
+                .max(),
             answer_us: None,
         })
     }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -66,7 +66,11 @@
 
 impl Fleet {
     /// Starts a fleet with the placers of this program, and waits until every placer is connected to every worker.
-    pub fn start(size: FleetSize, program: &Path, interrupted: &Interrupted) -> Result<Fleet, ScaleError> {
+    pub fn start(
+        size: FleetSize,
+        program: &Path,
+        interrupted: &Interrupted,
+    ) -> Result<Fleet, ScaleError> {
         let scenario = Arc::new(scenario(size.workers, size.placers as u32));
         let world = World::quiet(scenario.class.len());
         let counter = TrafficCounter::default();
@@ -121,7 +125,11 @@
 
     /// Process ids of the real placers that run.
     pub(crate) fn pids(&self) -> Vec<Option<u32>> {
-        self.placers.all.iter().map(|p| p.child.as_ref().map(std::process::Child::id)).collect()
+        self.placers
+            .all
+            .iter()
+            .map(|p| p.child.as_ref().map(std::process::Child::id))
+            .collect()
     }
 
     /// The host list with all workers ready.
@@ -140,14 +148,21 @@
     }
 
     fn start_placers(&mut self) -> Result<(), ScaleError> {
-        let members = if self.size.with_view { self.size.placers } else { 0 };
+        let members = if self.size.with_view {
+            self.size.placers
+        } else {
+            0
+        };
         let mut sections = view::sections(members, self.folder.path())?.into_iter();
         for number in 0..self.size.placers {
             let mut config = settings::placer(&self.scenario, number, self.size.seed, None);
             config.fleet = sections.next();
             let path = self.folder.path().join(format!("placer-{number}.toml"));
             let log = self.folder.path().join(format!("placer-{number}.log"));
-            let text = config.to_toml().map_err(std::io::Error::other).map_err(ScaleError::io("settings"))?;
+            let text = config
+                .to_toml()
+                .map_err(std::io::Error::other)
+                .map_err(ScaleError::io("settings"))?;
             std::fs::write(&path, text).map_err(ScaleError::io(path.display().to_string()))?;
             self.placers.add(path, log);
             self.spawn(number)?;
@@ -158,7 +173,9 @@
     /// Starts a placer that does not run.
     pub(crate) fn spawn(&mut self, number: usize) -> Result<(), ScaleError> {
         let arguments = ["--log", "warn"].map(str::to_owned);
-        self.placers.spawn(number, &self.program, &arguments).map_err(ScaleError::io("a placer process"))
+        self.placers
+            .spawn(number, &self.program, &arguments)
+            .map_err(ScaleError::io("a placer process"))
     }
 
     /// Waits until so many more placers serve.
@@ -182,8 +199,11 @@
 
     fn start_hollow_placers(&mut self) -> Result<(), ScaleError> {
         if self.size.hollow_placers > 0 {
-            let started =
-                HollowPlacers::start(self.size.hollow_placers, &self.rack.addresses, HOLLOW_PING_EVERY);
+            let started = HollowPlacers::start(
+                self.size.hollow_placers,
+                &self.rack.addresses,
+                HOLLOW_PING_EVERY,
+            );
             self.hollow_placers = Some(started.map_err(ScaleError::io("hollow placers"))?);
         }
         Ok(())
@@ -202,7 +222,10 @@
     /// The same, by what the placers told.
     pub(crate) fn connected_by(&self, statuses: &Statuses) -> bool {
         let there = self.workers_there();
-        let hollow = self.hollow_placers.as_ref().map_or(0, HollowPlacers::connected);
+        let hollow = self
+            .hollow_placers
+            .as_ref()
+            .map_or(0, HollowPlacers::connected);
         let real = statuses.connected.iter().all(|&n| n as usize == there);
         real && hollow >= there * self.size.hollow_placers
     }
@@ -241,7 +264,11 @@
 
     /// Placers that keep a view of each other.
     fn viewers(&self) -> &[SocketAddr] {
-        if self.size.with_view { &self.owners.placers } else { &[] }
+        if self.size.with_view {
+            &self.owners.placers
+        } else {
+            &[]
+        }
     }
 
     /// Datagrams that each placer with a view has sent; none for one that is just being restarted.
@@ -261,7 +288,9 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                return Err(ScaleError::NotSettled(format!("{actors} actors are held, {most} were awaited")));
+                return Err(ScaleError::NotSettled(format!(
+                    "{actors} actors are held, {most} were awaited"
+                )));
             }
             self.interrupted.sleep(LOOK_EVERY_S)?;
         }
@@ -282,7 +311,9 @@
 
     /// Dead workers come back, cold.
     pub(crate) fn start_dead_workers(&mut self) {
-        self.dead.drain(..).for_each(|worker| self.rack.command(Command::Start(worker)));
+        self.dead
+            .drain(..)
+            .for_each(|worker| self.rack.command(Command::Start(worker)));
     }
 
     /// A worker's process is replaced by a new one, cold.
@@ -301,18 +332,27 @@
 
     /// All workers can be reached again.
     pub(crate) fn heal(&mut self) {
-        self.unreachable.drain(..).for_each(|worker| self.rack.command(Command::Reachable(worker, true)));
+        self.unreachable
+            .drain(..)
+            .for_each(|worker| self.rack.command(Command::Reachable(worker, true)));
     }
 
     /// Tells a placer to end in order.
     pub(crate) fn end_placer(&self, number: usize) -> Result<(), ScaleError> {
-        self.placers.signal(number, Signal::TERM).map_err(ScaleError::io("ending a placer"))
+        self.placers
+            .signal(number, Signal::TERM)
+            .map_err(ScaleError::io("ending a placer"))
     }
 
     /// Whether a placer that was told to end has ended.
     pub(crate) fn placer_ended(&mut self, number: usize) -> Result<bool, ScaleError> {
-        let Some(child) = &mut self.placers.all[number].child else { return Ok(true) };
-        let ended = child.try_wait().map_err(ScaleError::io("ending a placer"))?.is_some();
+        let Some(child) = &mut self.placers.all[number].child else {
+            return Ok(true);
+        };
+        let ended = child
+            .try_wait()
+            .map_err(ScaleError::io("ending a placer"))?
+            .is_some();
         if ended {
             self.placers.all[number].child = None;
         }
@@ -321,7 +361,10 @@
 
     /// Whether a placer that was started has begun to serve since the last call.
     pub(crate) fn placer_serves(&mut self) -> Result<bool, ScaleError> {
-        let serves = self.placers.serves(Duration::ZERO).map_err(ScaleError::io("a placer process"))?;
+        let serves = self
+            .placers
+            .serves(Duration::ZERO)
+            .map_err(ScaleError::io("a placer process"))?;
         if let Some((number, address)) = serves {
             self.owners.placers[number] = address;
         }
@@ -332,5 +375,6 @@
 /// Replaces a host list as a whole.
 pub(crate) fn write_inventory(path: &Path, inventory: &Inventory) -> Result<(), ScaleError> {
     let text = toml::to_string(inventory).map_err(std::io::Error::other);
-    text.and_then(|text| replace(path, &text)).map_err(ScaleError::io(path.display().to_string()))
+    text.and_then(|text| replace(path, &text))
+        .map_err(ScaleError::io(path.display().to_string()))
 }
--- a/crates/scale/src/host_list.rs
+++ b/crates/scale/src/host_list.rs
@@ -29,13 +29,21 @@
         let start = Instant::now();
         let changes = (self.rate * self.seconds) as usize;
         for n in 0..changes {
-            self.interrupted.sleep_until(start + Duration::from_secs_f64(n as f64 / self.rate))?;
+            self.interrupted
+                .sleep_until(start + Duration::from_secs_f64(n as f64 / self.rate))?;
             let worker = n / 2 * STRIDE % self.inventory.host.len();
-            let state = if n % 2 == 0 { HostState::Draining } else { HostState::Ready };
+            let state = if n % 2 == 0 {
+                HostState::Draining
+            } else {
+                HostState::Ready
+            };
             self.inventory.host[worker].state = state;
             write_inventory(&self.path, &self.inventory)?;
         }
-        self.inventory.host.iter_mut().for_each(|host| host.state = HostState::Ready);
+        self.inventory
+            .host
+            .iter_mut()
+            .for_each(|host| host.state = HostState::Ready);
         write_inventory(&self.path, &self.inventory)
     }
 }
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -7,7 +7,10 @@
 /// The machine, as `/proc` tells it.
 pub(crate) fn machine() -> Machine {
     let cpus = read("/proc/cpuinfo");
-    let processor = cpus.lines().find_map(|l| l.strip_prefix("model name")).unwrap_or(": unknown");
+    let processor = cpus
+        .lines()
+        .find_map(|l| l.strip_prefix("model name"))
+        .unwrap_or(": unknown");
     Machine {
         processor: processor.trim_start_matches([' ', '\t', ':']).to_owned(),
         cores: std::thread::available_parallelism().map_or(1, |n| n.get() as u32),
@@ -20,14 +23,20 @@
 pub(crate) fn memory_kib(key: &str) -> u64 {
     let text = read("/proc/meminfo");
     let line = text.lines().find_map(|l| l.strip_prefix(key));
-    line.and_then(|l| l.split_whitespace().next()).and_then(|k| k.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next())
+        .and_then(|k| k.parse().ok())
+        .unwrap_or(0)
 }
 
 /// The commit of the working tree, as git names it.
 pub(crate) fn commit() -> String {
-    let output = Command::new("git").args(["describe", "--always", "--dirty"]).output();
+    let output = Command::new("git")
+        .args(["describe", "--always", "--dirty"])
+        .output();
     match output {
-        Ok(output) if output.status.success() => String::from_utf8_lossy(&output.stdout).trim().to_owned(),
+        Ok(output) if output.status.success() => {
+            String::from_utf8_lossy(&output.stdout).trim().to_owned()
+        }
         _ => "unknown".to_owned(),
     }
 }
@@ -35,7 +44,9 @@
 /// Packets that the loopback interface has received so far; each is sent and received once.
 pub(crate) fn loopback_packets() -> Option<u64> {
     let text = read("/proc/net/dev");
-    let line = text.lines().find_map(|l| l.trim_start().strip_prefix("lo:"))?;
+    let line = text
+        .lines()
+        .find_map(|l| l.trim_start().strip_prefix("lo:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -57,7 +57,11 @@
     /// Owners of a fleet of so many placers, none of which serves yet.
     pub(crate) fn new(placers: usize, interrupted: &Interrupted) -> Owners {
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        Owners { placers: vec![nowhere; placers], interrupted: interrupted.clone(), loads: Arc::default() }
+        Owners {
+            placers: vec![nowhere; placers],
+            interrupted: interrupted.clone(),
+            loads: Arc::default(),
+        }
     }
 
     /// What the placers tell of themselves.
@@ -66,7 +70,9 @@
         for &address in &self.placers {
             let (_, status) = maplethread_placer::get_json(address, "/v1/status")
                 .map_err(ScaleError::io(format!("status of the placer at {address}")))?;
-            statuses.connected.push(status["hosts_connected"].as_u64().unwrap_or(0) as u32);
+            statuses
+                .connected
+                .push(status["hosts_connected"].as_u64().unwrap_or(0) as u32);
             statuses.actors += status["actors"].as_u64().unwrap_or(0);
         }
         Ok(statuses)
@@ -94,7 +100,9 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                let why = format!("{missing} of {tasks} tasks do not run, though asked for again and again");
+                let why = format!(
+                    "{missing} of {tasks} tasks do not run, though asked for again and again"
+                );
                 return Err(ScaleError::NotSettled(why));
             }
             self.ask(missing, PRELOAD_RATE)?;
@@ -120,8 +128,15 @@
     }
 
     fn ask(&self, tasks: u64, rate: f64) -> Result<(), ScaleError> {
-        let plan = ClientPlan { rate, seconds: tasks as f64 / rate, split_s: 0.0, life_ms: None };
-        self.clients(plan)?.run().map_err(ScaleError::io("clients"))?;
+        let plan = ClientPlan {
+            rate,
+            seconds: tasks as f64 / rate,
+            split_s: 0.0,
+            life_ms: None,
+        };
+        self.clients(plan)?
+            .run()
+            .map_err(ScaleError::io("clients"))?;
         self.interrupted.check()
     }
 }
--- a/crates/scale/src/pause.rs
+++ b/crates/scale/src/pause.rs
@@ -16,7 +16,11 @@
 impl Interrupted {
     /// An error once the flag is set.
     pub(crate) fn check(&self) -> Result<(), ScaleError> {
-        if self.0.load(Ordering::Relaxed) { Err(ScaleError::Interrupted) } else { Ok(()) }
+        if self.0.load(Ordering::Relaxed) {
+            Err(ScaleError::Interrupted)
+        } else {
+            Ok(())
+        }
     }
 
     /// Waits until a time.
--- a/crates/scale/src/phases.rs
+++ b/crates/scale/src/phases.rs
@@ -19,7 +19,11 @@
 const TAIL: f64 = 0.5;
 
 /// Measures the fleet at rest.
-pub(crate) fn rest(fleet: &Fleet, phases: &Phases, sampler: Sampler) -> Result<PhaseSample, ScaleError> {
+pub(crate) fn rest(
+    fleet: &Fleet,
+    phases: &Phases,
+    sampler: Sampler,
+) -> Result<PhaseSample, ScaleError> {
     settle(fleet, phases)?;
     let before = sampler.moment(fleet);
     fleet.interrupted().sleep(phases.rest_s)?;
@@ -57,12 +61,15 @@
         let after = sampler.moment(fleet);
         let mut sample = sampler.phase(fleet, Phase::Peak, (&before, &after))?;
         if let Some(asking) = asking {
-            let answers =
-                asking.join().map_err(|_| ScaleError::NotSettled("the clients failed".to_owned()))?;
+            let answers = asking
+                .join()
+                .map_err(|_| ScaleError::NotSettled("the clients failed".to_owned()))?;
             sample.answer_us = Some(answered(&answers.map_err(ScaleError::io("clients"))?)?);
         }
         if let Some(changing) = changing {
-            changing.join().map_err(|_| ScaleError::NotSettled("the list changes failed".to_owned()))??;
+            changing
+                .join()
+                .map_err(|_| ScaleError::NotSettled("the list changes failed".to_owned()))??;
         }
         Ok(Some(sample))
     })
@@ -101,8 +108,14 @@
 fn answered(answers: &Answers) -> Result<[u64; 3], ScaleError> {
     if answers.placed < answers.asked {
         let (placed, asked) = (answers.placed, answers.asked);
-        return Err(ScaleError::NotSettled(format!("{placed} of {asked} asks at the peak were placed")));
+        return Err(ScaleError::NotSettled(format!(
+            "{placed} of {asked} asks at the peak were placed"
+        )));
     }
     let times: &Histogram<u64> = &answers.times[1];
-    Ok([times.value_at_quantile(0.5), times.value_at_quantile(0.99), times.max()])
+    Ok([
+        times.value_at_quantile(0.5),
+        times.value_at_quantile(0.99),
+        times.max(),
+    ])
 }
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -42,7 +42,13 @@
         let processors = pids.into_iter().map(|pid| processor_time(pid?)).collect();
         let packets = if self.alone { loopback_packets() } else { None };
         let datagrams = fleet.datagrams();
-        Moment { at: Instant::now(), processors, traffic: fleet.counter().snapshot(), datagrams, packets }
+        Moment {
+            at: Instant::now(),
+            processors,
+            traffic: fleet.counter().snapshot(),
+            datagrams,
+            packets,
+        }
     }
 
     /// A phase between two moments; memory, descriptors and connections are those of now.
@@ -102,13 +108,18 @@
 
     /// Packets of the loopback interface since an earlier moment.
     pub(crate) fn packets_since(&self, earlier: &Moment) -> Option<u64> {
-        self.packets.zip(earlier.packets).map(|(now, before)| now - before)
+        self.packets
+            .zip(earlier.packets)
+            .map(|(now, before)| now - before)
     }
 }
 
 fn processor_time(pid: u32) -> Option<ProcessorTime> {
     // A process that is just ending can't be read any more.
-    usage(pid).ok().map(|usage| ProcessorTime { pid, cpu_s: usage.cpu_s })
+    usage(pid).ok().map(|usage| ProcessorTime {
+        pid,
+        cpu_s: usage.cpu_s,
+    })
 }
 
 /// What the placer of this number holds now.
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -25,7 +25,12 @@
             settle_ms: 1000,
             front_notice_ms: 1000,
         },
-        kind: vec![KindShare { name: "std".to_owned(), cores: 64.0, memory_gib: 512.0, share: 1.0 }],
+        kind: vec![KindShare {
+            name: "std".to_owned(),
+            cores: 64.0,
+            memory_gib: 512.0,
+            share: 1.0,
+        }],
         class: vec![class()],
         trouble: Vec::new(),
     }
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -37,7 +37,11 @@
 /// Runs a sweep, after a look whether each of its points fits on the machine.
 pub fn run(options: &Options) -> Result<SweepResult, ScaleError> {
     let sweep = &options.sweep;
-    let sizes: Vec<PointSettings> = sweep.values.iter().map(|&value| sweep.point(value)).collect();
+    let sizes: Vec<PointSettings> = sweep
+        .values
+        .iter()
+        .map(|&value| sweep.point(value))
+        .collect();
     sizes.iter().try_for_each(needs::check)?;
     let mut points = Vec::new();
     for settings in sizes {
@@ -58,7 +62,12 @@
 
 fn measure(options: &Options, settings: PointSettings, seed: u64) -> Result<Point, ScaleError> {
     let started = Instant::now();
-    let (phases, sampler) = (&options.sweep.phases, Sampler { alone: options.alone });
+    let (phases, sampler) = (
+        &options.sweep.phases,
+        Sampler {
+            alone: options.alone,
+        },
+    );
     let size = FleetSize {
         workers: settings.workers as usize,
         placers: settings.placers as usize,
@@ -76,7 +85,14 @@
     if options.progress {
         let seconds = started.elapsed().as_secs_f64();
         let dimension = options.sweep.dimension;
-        eprintln!("{dimension:?} {}, seed {seed}: {seconds:.1} s", settings.value(dimension));
+        eprintln!(
+            "{dimension:?} {}, seed {seed}: {seconds:.1} s",
+            settings.value(dimension)
+        );
     }
-    Ok(Point { seed, settings, phases: samples })
+    Ok(Point {
+        seed,
+        settings,
+        phases: samples,
+    })
 }
--- a/crates/scale/src/sweep_file.rs
+++ b/crates/scale/src/sweep_file.rs
@@ -167,8 +167,16 @@
 
     fn check(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
         self.check_dimension(doc)?;
-        doc.check((1..=MAX_VALUES).contains(&self.values.len()), "values", "1 to 64 of them")?;
-        doc.check((1..=MAX_VALUES).contains(&self.seeds.len()), "seeds", "1 to 64 of them")?;
+        doc.check(
+            (1..=MAX_VALUES).contains(&self.values.len()),
+            "values",
+            "1 to 64 of them",
+        )?;
+        doc.check(
+            (1..=MAX_VALUES).contains(&self.seeds.len()),
+            "seeds",
+            "1 to 64 of them",
+        )?;
         let real = (1..=MAX_PLACERS).contains(&self.max_real_placers);
         doc.check(real, "max_real_placers", format!("1 to {MAX_PLACERS}"))?;
         for (index, &value) in self.values.iter().enumerate() {
@@ -182,7 +190,8 @@
 
     fn check_dimension(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
         let has_reload = self.dimension != Dimension::ConfigChangesPerHour;
-        let why_not = "a placer reads its settings once, when it starts: it has no reload to be measured";
+        let why_not =
+            "a placer reads its settings once, when it starts: it has no reload to be measured";
         doc.check(has_reload, "dimension", why_not)
     }
 
@@ -196,8 +205,20 @@
             Dimension::Members => (1.0, f64::from(MAX_PLACERS), true),
             Dimension::ConfigChangesPerHour => return Ok(()),
         };
-        check_bounds(doc, Bounded { key, value, least, most })?;
-        doc.check(!whole || value.fract() == 0.0, key, format!("{value} is given; a whole number is needed"))
+        check_bounds(
+            doc,
+            Bounded {
+                key,
+                value,
+                least,
+                most,
+            },
+        )?;
+        doc.check(
+            !whole || value.fract() == 0.0,
+            key,
+            format!("{value} is given; a whole number is needed"),
+        )
     }
 
     /// Faults that end another one come right after it.
@@ -210,7 +231,11 @@
             };
             let before = index.checked_sub(1).map(|before| self.faults[before]);
             let key = format!("faults[{index}]");
-            doc.check(before == Some(needed), &key, format!("{fault:?} comes right after {needed:?}"))?;
+            doc.check(
+                before == Some(needed),
+                &key,
+                format!("{fault:?} comes right after {needed:?}"),
+            )?;
         }
         Ok(())
     }
@@ -218,16 +243,56 @@
     fn check_base(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
         let base = self.base;
         let bounds = [
-            ("base.workers", f64::from(base.workers), 1.0, f64::from(MAX_WORKERS)),
-            ("base.placers", f64::from(base.placers), 1.0, f64::from(MAX_PLACERS)),
-            ("base.hollow_placers", f64::from(base.hollow_placers), 0.0, f64::from(MAX_HOLLOW_PLACERS)),
-            ("base.tasks", f64::from(base.tasks), 0.0, f64::from(MAX_TASKS)),
-            ("base.starts_per_second", base.starts_per_second, 0.0, MAX_STARTS),
-            ("base.list_changes_per_second", base.list_changes_per_second, 0.0, MAX_LIST_CHANGES),
+            (
+                "base.workers",
+                f64::from(base.workers),
+                1.0,
+                f64::from(MAX_WORKERS),
+            ),
+            (
+                "base.placers",
+                f64::from(base.placers),
+                1.0,
+                f64::from(MAX_PLACERS),
+            ),
+            (
+                "base.hollow_placers",
+                f64::from(base.hollow_placers),
+                0.0,
+                f64::from(MAX_HOLLOW_PLACERS),
+            ),
+            (
+                "base.tasks",
+                f64::from(base.tasks),
+                0.0,
+                f64::from(MAX_TASKS),
+            ),
+            (
+                "base.starts_per_second",
+                base.starts_per_second,
+                0.0,
+                MAX_STARTS,
+            ),
+            (
+                "base.list_changes_per_second",
+                base.list_changes_per_second,
+                0.0,
+                MAX_LIST_CHANGES,
+            ),
         ];
         bounds
             .into_iter()
-            .try_for_each(|(key, value, least, most)| check_bounds(doc, Bounded { key, value, least, most }))
+            .try_for_each(|(key, value, least, most)| {
+                check_bounds(
+                    doc,
+                    Bounded {
+                        key,
+                        value,
+                        least,
+                        most,
+                    },
+                )
+            })
     }
 
     fn check_phases(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
@@ -237,21 +302,56 @@
             ("phases.rest_s", phases.rest_s, 1.0, MAX_SECONDS),
             ("phases.peak_s", phases.peak_s, 1.0, MAX_SECONDS),
             ("phases.task_life_s", phases.task_life_s, 0.001, MAX_SECONDS),
-            ("phases.fault_at_least_s", phases.fault_at_least_s, 1.0, phases.fault_s),
+            (
+                "phases.fault_at_least_s",
+                phases.fault_at_least_s,
+                1.0,
+                phases.fault_s,
+            ),
             ("phases.fault_s", phases.fault_s, 1.0, MAX_SECONDS),
             ("phases.region_cut_s", phases.region_cut_s, 1.0, MAX_SECONDS),
-            ("phases.worker_restarts", f64::from(phases.worker_restarts), 1.0, f64::from(MAX_WORKERS)),
-            ("phases.worker_restart_every_s", phases.worker_restart_every_s, 0.001, MAX_SECONDS),
-            ("phases.placer_restart_every_s", phases.placer_restart_every_s, 0.0, MAX_SECONDS),
+            (
+                "phases.worker_restarts",
+                f64::from(phases.worker_restarts),
+                1.0,
+                f64::from(MAX_WORKERS),
+            ),
+            (
+                "phases.worker_restart_every_s",
+                phases.worker_restart_every_s,
+                0.001,
+                MAX_SECONDS,
+            ),
+            (
+                "phases.placer_restart_every_s",
+                phases.placer_restart_every_s,
+                0.0,
+                MAX_SECONDS,
+            ),
         ];
         bounds
             .into_iter()
-            .try_for_each(|(key, value, least, most)| check_bounds(doc, Bounded { key, value, least, most }))
+            .try_for_each(|(key, value, least, most)| {
+                check_bounds(
+                    doc,
+                    Bounded {
+                        key,
+                        value,
+                        least,
+                        most,
+                    },
+                )
+            })
     }
 }
 
 fn check_bounds(doc: Doc<'_>, bounded: Bounded<'_>) -> Result<(), ConfigError> {
-    let Bounded { key, value, least, most } = bounded;
+    let Bounded {
+        key,
+        value,
+        least,
+        most,
+    } = bounded;
     let fine = value.is_finite() && (least..=most).contains(&value);
     doc.check(fine, key, format!("{value} is given; {least} to {most}"))
 }
--- a/crates/scale/src/view.rs
+++ b/crates/scale/src/view.rs
@@ -39,17 +39,27 @@
     let failed = || ScaleError::io("ports of the fleet's view");
     std::fs::write(folder.join(KEY_FILE), KEY).map_err(failed())?;
     // All are held until all are known, so that no port is given twice.
-    let sockets: Result<Vec<UdpSocket>, io::Error> =
-        (0..members).map(|_| UdpSocket::bind("127.0.0.1:0")).collect();
-    let addresses: Result<Vec<SocketAddr>, io::Error> =
-        sockets.map_err(failed())?.iter().map(UdpSocket::local_addr).collect();
+    let sockets: Result<Vec<UdpSocket>, io::Error> = (0..members)
+        .map(|_| UdpSocket::bind("127.0.0.1:0"))
+        .collect();
+    let addresses: Result<Vec<SocketAddr>, io::Error> = sockets
+        .map_err(failed())?
+        .iter()
+        .map(UdpSocket::local_addr)
+        .collect();
     let addresses = addresses.map_err(failed())?;
-    let seeds: Vec<String> =
-        addresses.iter().take(MOST_SEEDS).map(|address| format!("\"{address}\"")).collect();
+    let seeds: Vec<String> = addresses
+        .iter()
+        .take(MOST_SEEDS)
+        .map(|address| format!("\"{address}\""))
+        .collect();
     let seeds = seeds.join(", ");
     let section = |address: &SocketAddr| {
-        let text = format!("listen = \"{address}\"\nseeds = [{seeds}]\nkey_file = \"{KEY_FILE}\"\n");
-        toml::from_str(&text).map_err(io::Error::other).map_err(failed())
+        let text =
+            format!("listen = \"{address}\"\nseeds = [{seeds}]\nkey_file = \"{KEY_FILE}\"\n");
+        toml::from_str(&text)
+            .map_err(io::Error::other)
+            .map_err(failed())
     };
     addresses.iter().map(section).collect()
 }
@@ -59,22 +69,42 @@
     let (_, view) = maplethread_placer::get_json(address, "/v1/fleet")
         .map_err(ScaleError::io(format!("view of the placer at {address}")))?;
     let members = view["members"].as_array().map_or(&[][..], Vec::as_slice);
-    let live = 1 + members.iter().filter(|member| member["state"] == "alive").count();
+    let live = 1 + members
+        .iter()
+        .filter(|member| member["state"] == "alive")
+        .count();
     let number = |value: &serde_json::Value| value.as_u64().unwrap_or(0);
     let counters = &view["counters"];
     let (count, bytes) = (number(&counters["sent"]), number(&counters["sent_bytes"]));
-    Ok(Seen { live, sent: Datagrams { life: number(&view["life"]), count, bytes } })
+    Ok(Seen {
+        live,
+        sent: Datagrams {
+            life: number(&view["life"]),
+            count,
+            bytes,
+        },
+    })
 }
 
 /// Datagrams of all placers between two moments; those of a process that ended in between are not known.
 pub(crate) fn sent_since(now: &[Datagrams], before: &[Datagrams]) -> Option<MessageCount> {
     let (mut count, mut bytes) = (0, 0);
     for (now, before) in now.iter().zip(before) {
-        let before = if now.life == before.life { *before } else { Datagrams::default() };
+        let before = if now.life == before.life {
+            *before
+        } else {
+            Datagrams::default()
+        };
         count += now.count - before.count;
         bytes += now.bytes - before.bytes;
     }
     let wire_bytes = bytes + count * HEADER;
     let (kind, direction) = (MessageKind::FleetDatagram, Direction::FromPlacer);
-    (count > 0).then_some(MessageCount { kind, direction, count, payload_bytes: bytes, wire_bytes })
+    (count > 0).then_some(MessageCount {
+        kind,
+        direction,
+        count,
+        payload_bytes: bytes,
+        wire_bytes,
+    })
 }
--- a/crates/simnet/src/network.rs
+++ b/crates/simnet/src/network.rs
@@ -52,8 +52,9 @@
     /// Partitions the places, in place of an earlier partition: nothing is delivered between different ones.
     pub fn partition(&mut self, partitions: &[Vec<usize>]) {
         let numbered = partitions.iter().enumerate();
-        self.partitions =
-            numbered.flat_map(|(number, places)| places.iter().map(move |&place| (place, number))).collect();
+        self.partitions = numbered
+            .flat_map(|(number, places)| places.iter().map(move |&place| (place, number)))
+            .collect();
     }
 
     /// Ends all cuts and partitions, and drops all links but the default one.
@@ -75,7 +76,10 @@
     }
 
     fn link(&self, from: usize, to: usize) -> Link {
-        self.links.get(&(from, to)).copied().unwrap_or(self.default_link)
+        self.links
+            .get(&(from, to))
+            .copied()
+            .unwrap_or(self.default_link)
     }
 
     /// Whether neither a cut nor a partition lies between two places.
@@ -89,7 +93,11 @@
 
     /// How long one copy takes.
     fn delay(&mut self, link: Link) -> Micros {
-        let late = if self.happens(link.late) { link.late_by } else { 0 };
+        let late = if self.happens(link.late) {
+            link.late_by
+        } else {
+            0
+        };
         let spread = link.max_latency.saturating_sub(link.min_latency).max(1);
         link.min_latency + self.rng.next_u64() % spread + late
     }
--- a/crates/simnet/tests/network.rs
+++ b/crates/simnet/tests/network.rs
@@ -26,7 +26,10 @@
     let link = Link::default();
     for delays in deliveries(&mut Network::new(1)) {
         assert_eq!(delays.len(), 1);
-        assert!((link.min_latency..link.max_latency).contains(&delays[0]), "{delays:?}");
+        assert!(
+            (link.min_latency..link.max_latency).contains(&delays[0]),
+            "{delays:?}"
+        );
     }
 }
 
@@ -43,16 +46,28 @@
 
 #[test]
 fn the_loss_rate_is_kept_and_counted() {
-    let mut network = with_link(Link { loss: 0.2, ..Link::default() });
-    let lost = deliveries(&mut network).iter().filter(|delays| delays.is_empty()).count();
+    let mut network = with_link(Link {
+        loss: 0.2,
+        ..Link::default()
+    });
+    let lost = deliveries(&mut network)
+        .iter()
+        .filter(|delays| delays.is_empty())
+        .count();
     assert!(near(lost, 0.2), "{lost}");
     assert_eq!(network.lost, lost as u64);
 }
 
 #[test]
 fn duplicates_are_delivered_twice_each_copy_with_a_latency_of_its_own() {
-    let mut network = with_link(Link { duplicate: 0.1, ..Link::default() });
-    let twice: Vec<Vec<Micros>> = deliveries(&mut network).into_iter().filter(|d| d.len() == 2).collect();
+    let mut network = with_link(Link {
+        duplicate: 0.1,
+        ..Link::default()
+    });
+    let twice: Vec<Vec<Micros>> = deliveries(&mut network)
+        .into_iter()
+        .filter(|d| d.len() == 2)
+        .collect();
     assert!(near(twice.len(), 0.1), "{}", twice.len());
     assert!(twice.iter().any(|delays| delays[0] != delays[1]));
 }
@@ -60,15 +75,31 @@
 #[test]
 fn late_datagrams_take_that_much_longer() {
     let late_by = 1_000_000;
-    let mut network = with_link(Link { late: 0.1, late_by, ..Link::default() });
-    let late = deliveries(&mut network).iter().flatten().filter(|&&delay| delay >= late_by).count();
+    let mut network = with_link(Link {
+        late: 0.1,
+        late_by,
+        ..Link::default()
+    });
+    let late = deliveries(&mut network)
+        .iter()
+        .flatten()
+        .filter(|&&delay| delay >= late_by)
+        .count();
     assert!(near(late, 0.1), "{late}");
 }
 
 #[test]
 fn equal_least_and_longest_latency_is_a_fixed_one() {
-    let mut network = with_link(Link { min_latency: 500, max_latency: 500, ..Link::default() });
-    assert!(deliveries(&mut network).iter().all(|delays| *delays == [500]));
+    let mut network = with_link(Link {
+        min_latency: 500,
+        max_latency: 500,
+        ..Link::default()
+    });
+    assert!(
+        deliveries(&mut network)
+            .iter()
+            .all(|delays| *delays == [500])
+    );
 }
 
 #[test]
@@ -99,7 +130,14 @@
     let mut network = Network::new(1);
     network.cut(0, 1);
     network.partition(&[vec![0], vec![2]]);
-    network.set_link(0, 3, Link { loss: 1.0, ..Link::default() });
+    network.set_link(
+        0,
+        3,
+        Link {
+            loss: 1.0,
+            ..Link::default()
+        },
+    );
     assert!([1, 2, 3].iter().all(|&to| network.send(0, to).is_empty()));
     network.heal();
     assert!([1, 2, 3].iter().all(|&to| network.send(0, to).len() == 1));
--- a/crates/standin/src/baseline.rs
+++ b/crates/standin/src/baseline.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use maplethread::{
-    Action, AttemptId, Effect, Ending, Event, Group, Listing, MachineId, MachineState, Micros, Place, Scope,
-    ServiceId, Settings, Task, TaskId,
+    Action, AttemptId, Effect, Ending, Event, Group, Listing, MachineId, MachineState, Micros,
+    Place, Scope, ServiceId, Settings, Task, TaskId,
 };
 use maplethread_engine::Decide;
 
@@ -82,7 +82,8 @@
                 if *scope != Scope::Changes {
                     self.machines.clear();
                 }
-                self.machines.extend(machines.iter().map(|m| (m.machine, *m)));
+                self.machines
+                    .extend(machines.iter().map(|m| (m.machine, *m)));
             }
             Event::Linked(machine, up) => {
                 if *up {
@@ -98,24 +99,46 @@
                     self.log_move();
                     return;
                 }
-                let open =
-                    Open { task: *task, attempts: 0, out: false, may_run: None, refused_by: Vec::new() };
+                let open = Open {
+                    task: *task,
+                    attempts: 0,
+                    out: false,
+                    may_run: None,
+                    refused_by: Vec::new(),
+                };
                 self.open.insert(task.id, open);
                 let last = task.give_up_at.saturating_sub(MARGIN);
                 actions.push(Action::Wake(last.saturating_sub(self.now), task.id.0 + 1));
                 self.todo.push_back(task.id);
             }
             Event::Running(task, machine) => {
-                self.bind(AttemptId { task: task.id, number: 0 }, *task, *machine);
+                self.bind(
+                    AttemptId {
+                        task: task.id,
+                        number: 0,
+                    },
+                    *task,
+                    *machine,
+                );
             }
             Event::Seated(id, _) => drop(self.open.remove(&id.task)),
             Event::Ended(id, end) => {
-                let Some((task, machine, sent)) = self.attempts.remove(id) else { return };
-                let there = self.held.get_mut(&task.service).and_then(|there| there.get_mut(&machine));
+                let Some((task, machine, sent)) = self.attempts.remove(id) else {
+                    return;
+                };
+                let there = self
+                    .held
+                    .get_mut(&task.service)
+                    .and_then(|there| there.get_mut(&machine));
                 there.into_iter().for_each(|count| *count -= 1);
-                let Some(open) = self.open.get_mut(&id.task) else { return };
+                let Some(open) = self.open.get_mut(&id.task) else {
+                    return;
+                };
                 open.out = false;
-                if !matches!(end.ending, Ending::Refused | Ending::Unreachable | Ending::NotSent) {
+                if !matches!(
+                    end.ending,
+                    Ending::Refused | Ending::Unreachable | Ending::NotSent
+                ) {
                     open.may_run = open.may_run.or(Some((sent, machine)));
                 }
                 // What refused a moment ago is likely to do so again.
@@ -130,7 +153,11 @@
             Event::Woken(TICK) => self.ticking = false,
             Event::Woken(label) => {
                 let id = TaskId(label - 1);
-                if self.open.get(&id).is_some_and(|o| o.task.give_up_at <= self.now + MARGIN) {
+                if self
+                    .open
+                    .get(&id)
+                    .is_some_and(|o| o.task.give_up_at <= self.now + MARGIN)
+                {
                     self.answer(id, actions);
                 }
             }
@@ -139,33 +166,59 @@
     }
 
     fn bind(&mut self, id: AttemptId, task: Task, machine: MachineId) {
-        if self.attempts.insert(id, (task, machine, self.now)).is_none() {
-            *self.held.entry(task.service).or_default().entry(machine).or_default() += 1;
+        if self
+            .attempts
+            .insert(id, (task, machine, self.now))
+            .is_none()
+        {
+            *self
+                .held
+                .entry(task.service)
+                .or_default()
+                .entry(machine)
+                .or_default() += 1;
         }
     }
 
     fn answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else { return };
+        let Some(open) = self.open.remove(&id) else {
+            return;
+        };
         let harmless = match self.settings.classes[open.task.class].effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             _ => !open.out && open.may_run.is_none(),
         };
-        actions.push(if harmless { Action::Refuse(id, None) } else { Action::Fail(id) });
+        actions.push(if harmless {
+            Action::Refuse(id, None)
+        } else {
+            Action::Fail(id)
+        });
     }
 
     fn place(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else { return };
+        let Some(open) = self.open.get(&id) else {
+            return;
+        };
         let task = open.task;
         let class = &self.settings.classes[task.class];
         if open.out || task.give_up_at <= self.now + MARGIN {
             return;
         }
-        if !self.may_send_again(open, self.rogue) || open.attempts >= self.settings.limits.max_attempts {
+        if !self.may_send_again(open, self.rogue)
+            || open.attempts >= self.settings.limits.max_attempts
+        {
             self.answer(id, actions);
             return;
         }
-        let allowed: Vec<MachineId> =
-            self.machines.values().filter(|m| self.allowed(m, open, self.rogue)).map(|m| m.machine).collect();
+        let allowed: Vec<MachineId> = self
+            .machines
+            .values()
+            .filter(|m| self.allowed(m, open, self.rogue))
+            .map(|m| m.machine)
+            .collect();
         if allowed.is_empty() {
             self.on_hold.push_back(id);
             return;
@@ -173,14 +226,22 @@
         let machine = match self.rogue {
             // Cold hosts first.
             4 if allowed.iter().any(|id| self.cold(id)) => {
-                let cold: Vec<MachineId> = allowed.iter().copied().filter(|id| self.cold(id)).collect();
+                let cold: Vec<MachineId> =
+                    allowed.iter().copied().filter(|id| self.cold(id)).collect();
                 cold[self.dice.below(cold.len())]
             }
             // Where most of the service is, of those that may take it: one place is full as soon as can be.
             5 => {
-                let willing: Vec<MachineId> =
-                    allowed.iter().copied().filter(|id| !open.refused_by.contains(id)).collect();
-                let from = if willing.is_empty() { &allowed } else { &willing };
+                let willing: Vec<MachineId> = allowed
+                    .iter()
+                    .copied()
+                    .filter(|id| !open.refused_by.contains(id))
+                    .collect();
+                let from = if willing.is_empty() {
+                    &allowed
+                } else {
+                    &willing
+                };
                 let crowded = self.most_crowded(from, class.spread, task.service);
                 crowded[self.dice.below(crowded.len())]
             }
@@ -212,7 +273,10 @@
 
     /// Whether all guards allow an offer of this task to this machine.
     fn keeps_rules(&self, machine: MachineId, open: &Open) -> bool {
-        let allowed = self.machines.get(&machine).is_some_and(|m| self.allowed(m, open, KEEPS_ALL));
+        let allowed = self
+            .machines
+            .get(&machine)
+            .is_some_and(|m| self.allowed(m, open, KEEPS_ALL));
         allowed && self.may_send_again(open, KEEPS_ALL)
     }
 
@@ -225,11 +289,18 @@
     ) -> Vec<MachineId> {
         let count = |machine: &MachineId| {
             let listing = self.machines.get(machine);
-            spread.zip(listing).map_or(0, |((place, _), at)| self.count(place, at, service))
+            spread
+                .zip(listing)
+                .map_or(0, |((place, _), at)| self.count(place, at, service))
         };
         let counts: Vec<u32> = machines.iter().map(count).collect();
         let most = counts.iter().copied().max().unwrap_or(0);
-        machines.iter().zip(&counts).filter(|(_, count)| **count == most).map(|(id, _)| *id).collect()
+        machines
+            .iter()
+            .zip(&counts)
+            .filter(|(_, count)| **count == most)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// Whether what may have run may be sent once more, for one that breaks the rule `rogue`.
@@ -265,15 +336,19 @@
             }
         }
         let spread = class.spread.filter(|_| rogue != 5);
-        if spread.is_some_and(|(place, most)| self.count(place, machine, open.task.service) >= most) {
+        if spread.is_some_and(|(place, most)| self.count(place, machine, open.task.service) >= most)
+        {
             return false;
         }
         let rules = &self.settings.rules;
         if self.cold(&machine.machine) && rogue != 4 {
             let part = (rules.fresh_offers * 0.9 / f64::from(self.settings.placers)) as usize;
             let sends = self.sends.get(&machine.machine);
-            let lately =
-                sends.map_or(0, |s| s.iter().filter(|&&at| at + rules.fall_window >= self.now).count());
+            let lately = sends.map_or(0, |s| {
+                s.iter()
+                    .filter(|&&at| at + rules.fall_window >= self.now)
+                    .count()
+            });
             return lately < part && self.numbered;
         }
         true
@@ -293,7 +368,8 @@
             })
         };
         let held = self.held.get(&service).into_iter().flatten();
-        held.map(|(id, count)| if there(id) { *count } else { 0 }).sum()
+        held.map(|(id, count)| if there(id) { *count } else { 0 })
+            .sum()
     }
 }
 
--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -15,7 +15,11 @@
         let body = json!({"Node": node, "ServiceID": host.name});
         return put_json(at, "/v1/catalog/deregister", &body);
     }
-    let status = if host.state == HostState::Ready { "passing" } else { "critical" };
+    let status = if host.state == HostState::Ready {
+        "passing"
+    } else {
+        "critical"
+    };
     let body = json!({
         "Node": node, "Address": host.address.ip().to_string(),
         "Service": {
@@ -37,7 +41,13 @@
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(2))?;
     stream.set_read_timeout(Some(Duration::from_secs(2)))?;
     let mut out = Vec::new();
-    http::write_request(&mut out, "PUT", target, &[("Host", "consul")], body.to_string().as_bytes());
+    http::write_request(
+        &mut out,
+        "PUT",
+        target,
+        &[("Host", "consul")],
+        body.to_string().as_bytes(),
+    );
     stream.write_all(&out)?;
     let mut reader = Reader::new(Role::Responses, Limits::default());
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
@@ -46,7 +56,11 @@
         bytes.drain(..used);
         if let Found::Message(message) = found {
             // Without a leader nothing is registered; the day goes on, and what is next tells all that differs.
-            return if message.head.status() == 200 { Ok(()) } else { Err(io::ErrorKind::WouldBlock.into()) };
+            return if message.head.status() == 200 {
+                Ok(())
+            } else {
+                Err(io::ErrorKind::WouldBlock.into())
+            };
         }
         let n = stream.read(&mut part)?;
         if n == 0 {
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -69,11 +69,26 @@
             let stream = std::net::TcpStream::connect(placers[token % placers.len()])?;
             let conn = Conn::accepted(stream, token as u64, &poller)?;
             let reader = Reader::new(Role::Responses, Limits::default());
-            connections.push(Connection { conn, reader, waiting: VecDeque::new() });
+            connections.push(Connection {
+                conn,
+                reader,
+                waiting: VecDeque::new(),
+            });
         }
         let times = Histogram::new_with_bounds(1, 120_000_000, 3).map_err(io::Error::other)?;
-        let answers = Answers { asked: 0, placed: 0, times: [times.clone(), times], took_s: 0.0 };
-        Ok(Clients { load, poller, clock: Clock::start(), connections, answers })
+        let answers = Answers {
+            asked: 0,
+            placed: 0,
+            times: [times.clone(), times],
+            took_s: 0.0,
+        };
+        Ok(Clients {
+            load,
+            poller,
+            clock: Clock::start(),
+            connections,
+            answers,
+        })
     }
 
     /// Asks until all is asked and answered.
@@ -94,7 +109,8 @@
                 false => 50_000,
             };
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(wait)), &mut ready)?;
+            self.poller
+                .wait(Some(Duration::from_micros(wait)), &mut ready)?;
             for readiness in &ready {
                 answered += self.read(readiness.token as usize, start)?;
             }
@@ -130,7 +146,10 @@
     }
 
     fn body(&self, n: u64) -> String {
-        let life = self.load.life_ms.map_or(String::new(), |ms| format!(",\"life_ms\":{ms}"));
+        let life = self
+            .load
+            .life_ms
+            .map_or(String::new(), |ms| format!(",\"life_ms\":{ms}"));
         format!(
             "{{\"service\":\"service-{}\",\"actor\":\"{}-{n}\",\"class\":\"web-api\",\"cores\":0.5,\"memory_gib\":1,\"budget_ms\":10000{life}}}",
             n % 500,
@@ -146,9 +165,14 @@
         connection.conn.fill(256 << 10, 512 << 10);
         let mut answered = 0;
         loop {
-            let (found, used) = connection.reader.read(connection.conn.unread()).map_err(io::Error::other)?;
+            let (found, used) = connection
+                .reader
+                .read(connection.conn.unread())
+                .map_err(io::Error::other)?;
             connection.conn.take(used);
-            let Found::Message(message) = found else { return Ok(answered) };
+            let Found::Message(message) = found else {
+                return Ok(answered);
+            };
             if let Some(due) = connection.waiting.pop_front() {
                 let took = self.clock.now().saturating_sub(due).max(1);
                 self.answers.times[usize::from(due >= split)].saturating_record(took);
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use maplethread_config::{HostState, Inventory};
-use maplethread_consul_standin::{Faults as CatalogueFaults, LockNews, Servers, Settings as ServerSettings};
+use maplethread_consul_standin::{
+    Faults as CatalogueFaults, LockNews, Servers, Settings as ServerSettings,
+};
 use maplethread_judge::{Seen, Verdict, judge};
 use rustix::process::Signal;
 
@@ -59,7 +61,10 @@
 pub fn play(options: &Options) -> io::Result<Report> {
     let scenario = Arc::new(options.scenario.clone());
     let temporary = tempfile::tempdir()?;
-    let folder = options.keep.clone().unwrap_or_else(|| temporary.path().to_owned());
+    let folder = options
+        .keep
+        .clone()
+        .unwrap_or_else(|| temporary.path().to_owned());
     std::fs::create_dir_all(&folder)?;
     let world = World::new(scenario.class.len());
     let rack = Rack::start(&scenario, &world, options.seed, None)?;
@@ -68,19 +73,30 @@
         None => None,
         Some(_) => {
             // Placers name themselves `maplethread (placer-3)`.
-            let placer = |who: &str| -> Arc<str> { who.split(['(', ')']).nth(1).unwrap_or("").into() };
+            let placer =
+                |who: &str| -> Arc<str> { who.split(['(', ')']).nth(1).unwrap_or("").into() };
             let seen = world.clone();
             let watch = move |who: &str, index: u64, consistent: bool, body: &[u8]| {
-                seen.see(Seen::Catalogue { placer: placer(who), index, consistent, body: body.into() });
+                seen.see(Seen::Catalogue {
+                    placer: placer(who),
+                    index,
+                    consistent,
+                    body: body.into(),
+                });
             };
             let seen = world.clone();
             let locks = move |news: LockNews<'_>| {
-                let number = |key: &str| -> Arc<str> { key.rsplit('/').next().unwrap_or("").into() };
+                let number =
+                    |key: &str| -> Arc<str> { key.rsplit('/').next().unwrap_or("").into() };
                 seen.see(match news {
-                    LockNews::Locked(key, who) => {
-                        Seen::NumberLocked { number: number(key), placer: placer(who) }
-                    }
-                    LockNews::Free(key, after_us) => Seen::NumberFree { number: number(key), after_us },
+                    LockNews::Locked(key, who) => Seen::NumberLocked {
+                        number: number(key),
+                        placer: placer(who),
+                    },
+                    LockNews::Free(key, after_us) => Seen::NumberFree {
+                        number: number(key),
+                        after_us,
+                    },
                 });
             };
             let settings = ServerSettings {
@@ -128,23 +144,39 @@
             let name = format!("placer-{number}");
             let log = self.folder.join(format!("{name}.log"));
             self.placers.add(config, log);
-            self.placers.spawn(number, &self.options.program, &self.options.placer_arguments())?;
+            self.placers.spawn(
+                number,
+                &self.options.program,
+                &self.options.placer_arguments(),
+            )?;
             let zone = self.scenario.fleet.zones[number % self.scenario.fleet.zones.len()].clone();
-            fronts.push(Front { name, zone, address: None, life: 1, down: false });
+            fronts.push(Front {
+                name,
+                zone,
+                address: None,
+                life: 1,
+                down: false,
+            });
         }
         for _ in 0..fronts.len() {
             let (number, address) = self.first_serves()?;
             fronts[number].address = Some(address);
             self.tell_serves(number, address);
-            self.world.see(Seen::PlacerUp { placer: format!("placer-{number}").into() });
+            self.world.see(Seen::PlacerUp {
+                placer: format!("placer-{number}").into(),
+            });
         }
         self.acts = plan(&self.scenario, &mut self.dice);
         if let Some(fleet) = &self.options.fleet {
-            self.acts.extend(fleet.acts.iter().map(|&(at, act)| (at, Act::Placer(act))));
+            self.acts
+                .extend(fleet.acts.iter().map(|&(at, act)| (at, Act::Placer(act))));
             let _ = fleet.news.send(DayNews::Begins(self.world.clock.now()));
         }
-        let arrivals =
-            self.options.arrivals.clone().unwrap_or_else(|| arrivals(&self.scenario, self.options.seed));
+        let arrivals = self
+            .options
+            .arrivals
+            .clone()
+            .unwrap_or_else(|| arrivals(&self.scenario, self.options.seed));
         let owners = Owners::start(self.scenario.clone(), self.world.clone(), arrivals, fronts)?;
         let start = self.world.clock.now();
         let end = start + (self.scenario.seconds * 1e6) as u64;
@@ -159,7 +191,9 @@
                 self.act(act, &owners)?;
             }
             while let Some((number, address)) = self.placers.serves(Duration::ZERO)? {
-                self.world.see(Seen::PlacerUp { placer: format!("placer-{number}").into() });
+                self.world.see(Seen::PlacerUp {
+                    placer: format!("placer-{number}").into(),
+                });
                 self.tell_serves(number, address);
                 let mut mood = owners.mood();
                 let front = &mut mood.placers[number];
@@ -194,7 +228,12 @@
             let ledger = self.world.ledger();
             let names = self.scenario.class.iter().map(|c| c.rules.name.clone());
             let by_class = names.zip(ledger.by_class(end)).collect();
-            (ledger.service(end), ledger.lost(end), ledger.double_s, by_class)
+            (
+                ledger.service(end),
+                ledger.lost(end),
+                ledger.double_s,
+                by_class,
+            )
         };
         let (decide_us, held) = statuses(&owners);
         let mut place_us = owners.end()?;
@@ -236,7 +275,10 @@
     /// An error once the day is interrupted; its processes end with it.
     fn go_on(&self) -> io::Result<()> {
         if self.options.interrupted.load(Ordering::Relaxed) {
-            return Err(io::Error::new(io::ErrorKind::Interrupted, "interrupted; all processes are ended"));
+            return Err(io::Error::new(
+                io::ErrorKind::Interrupted,
+                "interrupted; all processes are ended",
+            ));
         }
         Ok(())
     }
@@ -254,19 +296,28 @@
 
     fn tell_serves(&self, number: usize, address: SocketAddr) {
         if let Some(fleet) = &self.options.fleet {
-            let _ = fleet.news.send(DayNews::Serves(self.world.clock.now(), number, address));
+            let _ = fleet
+                .news
+                .send(DayNews::Serves(self.world.clock.now(), number, address));
         }
     }
 
     fn started(&self, host: usize) -> u64 {
-        self.rack.started.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[host]
+        self.rack
+            .started
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)[host]
     }
 
     fn write_config(&self, number: usize) -> io::Result<PathBuf> {
         let servers = self.servers.as_ref().map(|s| s.addresses.as_slice());
         let servers = servers.zip(self.options.consul);
         let mut config = settings::placer(&self.scenario, number, self.options.seed, servers);
-        config.fleet = self.options.fleet.as_ref().and_then(|f| f.sections.get(number).cloned());
+        config.fleet = self
+            .options
+            .fleet
+            .as_ref()
+            .and_then(|f| f.sections.get(number).cloned());
         config.trace = self.options.trace.clone().map(settings::trace);
         let path = self.folder.join(format!("placer-{number}.toml"));
         let text = config.to_toml().map_err(io::Error::other)?;
@@ -296,20 +347,34 @@
             return Ok(());
         }
         let inventory = inventory(&self.scenario, &self.rack.addresses, &self.listed);
-        let ready = inventory.host.iter().filter(|h| h.state == HostState::Ready);
-        let ready: Vec<_> = ready.map(|h| (Arc::from(h.name.as_str()), h.started_ms)).collect();
+        let ready = inventory
+            .host
+            .iter()
+            .filter(|h| h.state == HostState::Ready);
+        let ready: Vec<_> = ready
+            .map(|h| (Arc::from(h.name.as_str()), h.started_ms))
+            .collect();
         let text = toml::to_string(&inventory).map_err(io::Error::other)?;
         // A placer may act on good news before the record has it, so that stands there first; bad news counts from
         // when the file was surely in place.
         let mut either = ready.clone();
         either.extend(
-            self.told_ready.iter().filter(|(host, _)| !ready.iter().any(|(h, _)| h == host)).cloned(),
+            self.told_ready
+                .iter()
+                .filter(|(host, _)| !ready.iter().any(|(h, _)| h == host))
+                .cloned(),
         );
         let gone = inventory.host.iter().filter(|h| h.state == HostState::Gone);
         let gone: Vec<Arc<str>> = gone.map(|h| h.name.as_str().into()).collect();
-        self.world.see(Seen::Inventory { ready: either, gone: gone.clone() });
+        self.world.see(Seen::Inventory {
+            ready: either,
+            gone: gone.clone(),
+        });
         self.replace_inventory(&text)?;
-        self.world.see(Seen::Inventory { ready: ready.clone(), gone });
+        self.world.see(Seen::Inventory {
+            ready: ready.clone(),
+            gone,
+        });
         self.told_ready = ready;
         Ok(())
     }
@@ -319,12 +384,16 @@
         if self.garbled || !(self.unregistered || self.news.iter().any(|n| n.0 <= now)) {
             return Ok(());
         }
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.news).into_iter().partition(|n| n.0 <= now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.news)
+            .into_iter()
+            .partition(|n| n.0 <= now);
         self.news = later;
         for (_, host, state) in due {
             let started = self.started(host);
-            self.listed[host] = (state, (started > 0).then_some(started).or(self.listed[host].1));
+            self.listed[host] = (
+                state,
+                (started > 0).then_some(started).or(self.listed[host].1),
+            );
         }
         self.write_inventory()
     }
@@ -341,14 +410,17 @@
                 self.rack.command(command);
             }
             Act::HostListed(host, state) => {
-                self.news.push((self.world.clock.now() + self.notice, host, state));
+                self.news
+                    .push((self.world.clock.now() + self.notice, host, state));
             }
             Act::Fault(host, fault, on) => {
                 let faults = &mut self.faults[host];
                 match fault {
                     Fault::Silent => faults.silent = on,
                     Fault::Errors(share) => faults.errors = if on { share } else { 0.0 },
-                    Fault::Class(class, share, errors) => faults.class = on.then_some((class, share, errors)),
+                    Fault::Class(class, share, errors) => {
+                        faults.class = on.then_some((class, share, errors))
+                    }
                     Fault::AnswersLost(share) => faults.answers_lost = if on { share } else { 0.0 },
                     Fault::Neighbour(share) => faults.neighbour = if on { share } else { 0.0 },
                     Fault::Slow(times) => faults.slow = if on { times } else { 0.0 },
@@ -361,7 +433,9 @@
             Act::Placer(act) => {
                 self.befall(act, owners)?;
                 if let Some(fleet) = &self.options.fleet {
-                    let _ = fleet.news.send(DayNews::Befell(self.world.clock.now(), act));
+                    let _ = fleet
+                        .news
+                        .send(DayNews::Befell(self.world.clock.now(), act));
                 }
             }
             Act::Flap(host, good) => {
@@ -375,7 +449,8 @@
                 if up && self.listed[host].0 == from && !self.news.iter().any(|n| n.1 == host) {
                     self.listed[host].0 = to;
                     if good {
-                        self.returned.push((self.world.clock.now(), format!("host-{host:02}").into()));
+                        self.returned
+                            .push((self.world.clock.now(), format!("host-{host:02}").into()));
                     }
                     if !self.garbled {
                         self.write_inventory()?;
@@ -398,9 +473,15 @@
             Act::Garbage(text) if self.servers.is_some() => {
                 // An empty or a garbled file is an empty or a cut answer here.
                 let faults = match text {
-                    "" => CatalogueFaults { empty: true, ..CatalogueFaults::default() },
+                    "" => CatalogueFaults {
+                        empty: true,
+                        ..CatalogueFaults::default()
+                    },
                     "sound" => CatalogueFaults::default(),
-                    _ => CatalogueFaults { cut: 1.0, ..CatalogueFaults::default() },
+                    _ => CatalogueFaults {
+                        cut: 1.0,
+                        ..CatalogueFaults::default()
+                    },
                 };
                 if let Some(servers) = &self.servers {
                     servers.faults(None, faults);
@@ -443,12 +524,18 @@
             }
             PlacerAct::Respawn(number) => {
                 if self.placers.all[number].child.is_none() {
-                    self.placers.spawn(number, &self.options.program, &self.options.placer_arguments())?;
+                    self.placers.spawn(
+                        number,
+                        &self.options.program,
+                        &self.options.placer_arguments(),
+                    )?;
                 }
             }
             PlacerAct::Pause(number) => {
                 if self.placers.all[number].child.is_some() {
-                    self.world.see(Seen::PlacerPaused { placer: format!("placer-{number}").into() });
+                    self.world.see(Seen::PlacerPaused {
+                        placer: format!("placer-{number}").into(),
+                    });
                     self.placers.signal(number, Signal::STOP)?;
                     self.placers.all[number].paused = true;
                 }
@@ -456,13 +543,17 @@
             PlacerAct::GoOn(number) => {
                 if std::mem::take(&mut self.placers.all[number].paused) {
                     self.placers.signal(number, Signal::CONT)?;
-                    self.world.see(Seen::PlacerGoesOn { placer: format!("placer-{number}").into() });
+                    self.world.see(Seen::PlacerGoesOn {
+                        placer: format!("placer-{number}").into(),
+                    });
                 }
             }
             PlacerAct::End(number) => {
                 if self.placers.all[number].child.is_some() && !self.placers.all[number].paused {
                     // What it does not answer while it ends is its end's matter; the front layer is told at once.
-                    self.world.see(Seen::PlacerDown { placer: format!("placer-{number}").into() });
+                    self.world.see(Seen::PlacerDown {
+                        placer: format!("placer-{number}").into(),
+                    });
                     owners.mood().placers[number].down = true;
                     self.placers.signal(number, Signal::TERM)?;
                 }
@@ -481,16 +572,30 @@
 /// What all placers that are up tell of themselves: times of decisions with their counts, and asks held, by what for.
 fn statuses(owners: &Owners) -> (BTreeMap<u64, u64>, BTreeMap<String, u64>) {
     let (mut times, mut held) = (BTreeMap::new(), BTreeMap::new());
-    let addresses: Vec<_> = owners.mood().placers.iter().filter_map(|p| p.address).collect();
+    let addresses: Vec<_> = owners
+        .mood()
+        .placers
+        .iter()
+        .filter_map(|p| p.address)
+        .collect();
     for address in addresses {
-        let Ok((_, status)) = maplethread_placer::get_json(address, "/v1/status?full") else { continue };
-        let counts = status["gauges"]["decide_us"]["counts"].as_array().cloned().unwrap_or_default();
+        let Ok((_, status)) = maplethread_placer::get_json(address, "/v1/status?full") else {
+            continue;
+        };
+        let counts = status["gauges"]["decide_us"]["counts"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
         for pair in counts {
             if let (Some(value), Some(count)) = (pair[0].as_u64(), pair[1].as_u64()) {
                 *times.entry(value).or_default() += count;
             }
         }
-        for (lack, count) in status["counters"]["held_for"].as_object().into_iter().flatten() {
+        for (lack, count) in status["counters"]["held_for"]
+            .as_object()
+            .into_iter()
+            .flatten()
+        {
             *held.entry(lack.clone()).or_default() += count.as_u64().unwrap_or(0);
         }
     }
@@ -514,10 +619,22 @@
 ) -> io::Result<()> {
     let world = World::quiet(scenario.class.len());
     let rack = Rack::start(scenario, &world, seed, Some(addresses))?;
-    let started = rack.started.lock().unwrap_or_else(std::sync::PoisonError::into_inner).clone();
-    let listed: Vec<_> = started.iter().map(|&ms| (HostState::Ready, Some(ms))).collect();
-    let text = toml::to_string(&inventory(scenario, &rack.addresses, &listed)).map_err(io::Error::other)?;
+    let started = rack
+        .started
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
+        .clone();
+    let listed: Vec<_> = started
+        .iter()
+        .map(|&ms| (HostState::Ready, Some(ms)))
+        .collect();
+    let text = toml::to_string(&inventory(scenario, &rack.addresses, &listed))
+        .map_err(io::Error::other)?;
     replace(inventory_file, &text)?;
-    println!("{} stand-in hosts listening; inventory in {}", listed.len(), inventory_file.display());
+    println!(
+        "{} stand-in hosts listening; inventory in {}",
+        listed.len(),
+        inventory_file.display()
+    );
     rack.join()
 }
--- a/crates/standin/src/demand.rs
+++ b/crates/standin/src/demand.rs
@@ -84,8 +84,13 @@
 
 /// How many times as much is wanted at a time, by the troubles.
 fn overload(scenario: &Scenario, s: f64) -> f64 {
-    let on = scenario.trouble.iter().filter(|t| t.kind == TroubleKind::Overload);
-    on.filter(|t| (t.at_s..t.at_s + t.for_s).contains(&s)).map(|t| t.size).fold(1.0, f64::max)
+    let on = scenario
+        .trouble
+        .iter()
+        .filter(|t| t.kind == TroubleKind::Overload);
+    on.filter(|t| (t.at_s..t.at_s + t.for_s).contains(&s))
+        .map(|t| t.size)
+        .fold(1.0, f64::max)
 }
 
 #[cfg(test)]
--- a/crates/standin/src/drawn.rs
+++ b/crates/standin/src/drawn.rs
@@ -21,29 +21,144 @@
     reach: [f64; 2],
     size: [f64; 2],
 ) -> Kind {
-    Kind { kind, most, least, span, reach, size }
+    Kind {
+        kind,
+        most,
+        least,
+        span,
+        reach,
+        size,
+    }
 }
 
 /// A restart, a lost zone and a deploy are on each day, since their overlaps have broken rules; the rest may be.
 const KINDS: [Kind; 18] = [
-    kind(TroubleKind::PlacerKill, [2, 4], [0.01, 0.09], [0.1, 0.6], [0.0, 0.0]),
-    kind(TroubleKind::PlacerPause, [1, 3], [0.005, 0.1], [0.1, 0.5], [0.0, 0.0]),
-    kind(TroubleKind::ZoneLoss, [1, 2], [0.06, 0.15], [0.3, 1.0], [0.0, 0.0]),
-    kind(TroubleKind::RollingDeploy, [1, 2], [0.2, 0.5], [0.3, 0.9], [0.05, 0.25]),
-    kind(TroubleKind::AnswersLost, [0, 2], [0.05, 0.15], [0.1, 0.5], [0.2, 0.9]),
-    kind(TroubleKind::InventoryGarbage, [0, 1], [0.03, 0.1], [0.0, 0.0], [0.0, 0.0]),
-    kind(TroubleKind::InventoryEmpty, [0, 1], [0.03, 0.1], [0.0, 0.0], [0.0, 0.0]),
-    kind(TroubleKind::InventoryLate, [0, 1], [0.1, 0.3], [0.0, 0.0], [2.0, 6.0]),
-    kind(TroubleKind::HostCrash, [0, 2], [0.03, 0.15], [0.05, 0.3], [0.0, 0.0]),
-    kind(TroubleKind::Silence, [0, 1], [0.05, 0.15], [0.05, 0.2], [0.0, 0.0]),
-    kind(TroubleKind::ResetMidFrame, [0, 2], [0.0, 0.0], [0.2, 0.9], [0.0, 0.0]),
-    kind(TroubleKind::FastErrors, [0, 1], [0.1, 0.2], [0.1, 0.3], [0.4, 0.9]),
-    kind(TroubleKind::ClassErrors, [0, 1], [0.1, 0.2], [0.2, 0.5], [0.4, 0.9]),
-    kind(TroubleKind::ClassSilence, [0, 1], [0.1, 0.2], [0.2, 0.5], [0.4, 0.9]),
-    kind(TroubleKind::Neighbour, [0, 1], [0.1, 0.3], [0.1, 0.4], [0.3, 0.7]),
-    kind(TroubleKind::SlowAnswers, [0, 1], [0.05, 0.15], [0.1, 0.4], [3.0, 12.0]),
-    kind(TroubleKind::Overload, [0, 1], [0.05, 0.2], [0.0, 0.0], [1.3, 2.2]),
-    kind(TroubleKind::HangUps, [0, 1], [0.05, 0.15], [0.0, 0.0], [0.2, 0.7]),
+    kind(
+        TroubleKind::PlacerKill,
+        [2, 4],
+        [0.01, 0.09],
+        [0.1, 0.6],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::PlacerPause,
+        [1, 3],
+        [0.005, 0.1],
+        [0.1, 0.5],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::ZoneLoss,
+        [1, 2],
+        [0.06, 0.15],
+        [0.3, 1.0],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::RollingDeploy,
+        [1, 2],
+        [0.2, 0.5],
+        [0.3, 0.9],
+        [0.05, 0.25],
+    ),
+    kind(
+        TroubleKind::AnswersLost,
+        [0, 2],
+        [0.05, 0.15],
+        [0.1, 0.5],
+        [0.2, 0.9],
+    ),
+    kind(
+        TroubleKind::InventoryGarbage,
+        [0, 1],
+        [0.03, 0.1],
+        [0.0, 0.0],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::InventoryEmpty,
+        [0, 1],
+        [0.03, 0.1],
+        [0.0, 0.0],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::InventoryLate,
+        [0, 1],
+        [0.1, 0.3],
+        [0.0, 0.0],
+        [2.0, 6.0],
+    ),
+    kind(
+        TroubleKind::HostCrash,
+        [0, 2],
+        [0.03, 0.15],
+        [0.05, 0.3],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::Silence,
+        [0, 1],
+        [0.05, 0.15],
+        [0.05, 0.2],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::ResetMidFrame,
+        [0, 2],
+        [0.0, 0.0],
+        [0.2, 0.9],
+        [0.0, 0.0],
+    ),
+    kind(
+        TroubleKind::FastErrors,
+        [0, 1],
+        [0.1, 0.2],
+        [0.1, 0.3],
+        [0.4, 0.9],
+    ),
+    kind(
+        TroubleKind::ClassErrors,
+        [0, 1],
+        [0.1, 0.2],
+        [0.2, 0.5],
+        [0.4, 0.9],
+    ),
+    kind(
+        TroubleKind::ClassSilence,
+        [0, 1],
+        [0.1, 0.2],
+        [0.2, 0.5],
+        [0.4, 0.9],
+    ),
+    kind(
+        TroubleKind::Neighbour,
+        [0, 1],
+        [0.1, 0.3],
+        [0.1, 0.4],
+        [0.3, 0.7],
+    ),
+    kind(
+        TroubleKind::SlowAnswers,
+        [0, 1],
+        [0.05, 0.15],
+        [0.1, 0.4],
+        [3.0, 12.0],
+    ),
+    kind(
+        TroubleKind::Overload,
+        [0, 1],
+        [0.05, 0.2],
+        [0.0, 0.0],
+        [1.3, 2.2],
+    ),
+    kind(
+        TroubleKind::HangUps,
+        [0, 1],
+        [0.05, 0.15],
+        [0.0, 0.0],
+        [0.2, 0.7],
+    ),
 ];
 
 impl Scenario {
@@ -65,8 +180,14 @@
             for _ in 0..count {
                 let span = dice.between(kind.span) * length;
                 let at_s = round(dice.between([0.03 * length, 0.93 * length - span]));
-                let (reach, size) = (round(dice.between(kind.reach)), round(dice.between(kind.size)));
-                let struck_class = matches!(kind.kind, TroubleKind::ClassErrors | TroubleKind::ClassSilence);
+                let (reach, size) = (
+                    round(dice.between(kind.reach)),
+                    round(dice.between(kind.size)),
+                );
+                let struck_class = matches!(
+                    kind.kind,
+                    TroubleKind::ClassErrors | TroubleKind::ClassSilence
+                );
                 let class = dice.below(scenario.class.len());
                 let zone = dice.below(scenario.fleet.zones.len());
                 let trouble = Trouble {
@@ -76,7 +197,8 @@
                     reach,
                     size,
                     class: struck_class.then(|| scenario.class[class].rules.name.clone()),
-                    zone: (kind.kind == TroubleKind::ZoneLoss).then(|| scenario.fleet.zones[zone].clone()),
+                    zone: (kind.kind == TroubleKind::ZoneLoss)
+                        .then(|| scenario.fleet.zones[zone].clone()),
                 };
                 scenario.trouble.push(trouble);
             }
@@ -97,13 +219,30 @@
         for seed in 0..200 {
             let drawn = Scenario::drawn(seed);
             let text = toml::to_string(&drawn).expect("a scenario is TOML");
-            let again = Scenario::parse(Doc { file: "drawn", text: &text }).expect("sound");
+            let again = Scenario::parse(Doc {
+                file: "drawn",
+                text: &text,
+            })
+            .expect("sound");
             assert_eq!(again, drawn);
             assert_eq!(Scenario::drawn(seed), drawn, "the same seed, the same day");
-            let kills = drawn.trouble.iter().filter(|t| t.kind == TroubleKind::PlacerKill).count();
-            assert!(kills >= 2 && drawn.trouble.iter().any(|t| t.kind == TroubleKind::ZoneLoss));
+            let kills = drawn
+                .trouble
+                .iter()
+                .filter(|t| t.kind == TroubleKind::PlacerKill)
+                .count();
+            assert!(
+                kills >= 2
+                    && drawn
+                        .trouble
+                        .iter()
+                        .any(|t| t.kind == TroubleKind::ZoneLoss)
+            );
             let end = |t: &Trouble| t.at_s + t.for_s;
-            assert!(drawn.trouble.iter().all(|t| end(t) <= drawn.seconds), "over with the day");
+            assert!(
+                drawn.trouble.iter().all(|t| end(t) <= drawn.seconds),
+                "over with the day"
+            );
             seen.insert(text);
         }
         assert_eq!(seen.len(), 200);
@@ -114,16 +253,23 @@
         let small = Scenario::standard();
         let per_service = |s: &Scenario| s.cores() / s.class[0].services as f64;
         let cells = |s: &Scenario| {
-            let all: std::collections::BTreeSet<_> = (0..s.fleet.hosts).map(|h| s.place_of(h)).collect();
+            let all: std::collections::BTreeSet<_> =
+                (0..s.fleet.hosts).map(|h| s.place_of(h)).collect();
             all.len() as f64
         };
         for hosts in [15, 60, 130, 400] {
             let sized = Scenario::standard().sized(hosts);
             assert_eq!(sized.fleet.hosts, hosts);
             let ratio = per_service(&sized) / per_service(&small);
-            assert!((0.85..1.15).contains(&ratio), "{hosts} hosts: {ratio} times the demand of a service");
+            assert!(
+                (0.85..1.15).contains(&ratio),
+                "{hosts} hosts: {ratio} times the demand of a service"
+            );
             let ratio = cells(&sized) / cells(&small);
-            assert!((0.6..1.7).contains(&ratio), "{hosts} hosts: {ratio} times the cells");
+            assert!(
+                (0.6..1.7).contains(&ratio),
+                "{hosts} hosts: {ratio} times the cells"
+            );
         }
     }
 }
--- a/crates/standin/src/hollow_placers.rs
+++ b/crates/standin/src/hollow_placers.rs
@@ -37,8 +37,15 @@
 
 impl HollowPlacers {
     /// Starts so many, each connected to all of these hosts and pinging each of them this often, µs.
-    pub fn start(placers: usize, hosts: &[SocketAddr], ping_every: u64) -> io::Result<HollowPlacers> {
-        let (end, connected) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    pub fn start(
+        placers: usize,
+        hosts: &[SocketAddr],
+        ping_every: u64,
+    ) -> io::Result<HollowPlacers> {
+        let (end, connected) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicUsize::new(0)),
+        );
         let mut run = Run {
             poller: Poller::new()?,
             clock: Clock::start(),
@@ -50,9 +57,14 @@
         };
         run.plan_connections(placers);
         let ended = end.clone();
-        let thread =
-            std::thread::Builder::new().name("hollow-placers".into()).spawn(move || run.run(&ended))?;
-        Ok(HollowPlacers { end, connected, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("hollow-placers".into())
+            .spawn(move || run.run(&ended))?;
+        Ok(HollowPlacers {
+            end,
+            connected,
+            thread: Some(thread),
+        })
     }
 
     /// Connections on which the host has said all that it holds.
@@ -123,9 +135,13 @@
         let mut ready: Vec<Readiness> = Vec::new();
         while !ended.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            let wait = self.timers.next().map_or(LOOK_EVERY, |at| at.saturating_sub(now).min(LOOK_EVERY));
+            let wait = self
+                .timers
+                .next()
+                .map_or(LOOK_EVERY, |at| at.saturating_sub(now).min(LOOK_EVERY));
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(wait)), &mut ready)?;
+            self.poller
+                .wait(Some(Duration::from_micros(wait)), &mut ready)?;
             ready.iter().for_each(|readiness| self.ready(readiness));
             let now = self.clock.now();
             while let Some(due) = self.timers.due(now) {
@@ -142,9 +158,18 @@
         let token = self.token(link);
         match Conn::connect(self.hosts[link.host], token, &self.poller) {
             Ok(conn) => {
-                self.conns.insert(token, HollowConn { conn, link, named_all: false });
+                self.conns.insert(
+                    token,
+                    HollowConn {
+                        conn,
+                        link,
+                        named_all: false,
+                    },
+                );
             }
-            Err(_) => self.timers.set(self.clock.now() + RECONNECT_EVERY, Due::Connect(link)),
+            Err(_) => self
+                .timers
+                .set(self.clock.now() + RECONNECT_EVERY, Due::Connect(link)),
         }
     }
 
@@ -152,12 +177,15 @@
         let token = self.token(link);
         if self.conns.get(&token).is_some_and(|c| c.named_all) {
             self.send(token, &Frame::Ping(token as u32));
-            self.timers.set(self.clock.now() + self.ping_every, Due::Ping(link));
+            self.timers
+                .set(self.clock.now() + self.ping_every, Due::Ping(link));
         }
     }
 
     fn send(&mut self, token: u64, frame: &Frame) {
-        let Some(hollow) = self.conns.get_mut(&token) else { return };
+        let Some(hollow) = self.conns.get_mut(&token) else {
+            return;
+        };
         frame::encode(frame, hollow.conn.out());
         if hollow.conn.flush(&self.poller).is_err() {
             self.lose(token);
@@ -165,16 +193,23 @@
     }
 
     fn lose(&mut self, token: u64) {
-        let Some(hollow) = self.conns.remove(&token) else { return };
+        let Some(hollow) = self.conns.remove(&token) else {
+            return;
+        };
         if hollow.named_all {
             self.connected.fetch_sub(1, Ordering::Relaxed);
         }
-        self.timers.set(self.clock.now() + RECONNECT_EVERY, Due::Connect(hollow.link));
+        self.timers.set(
+            self.clock.now() + RECONNECT_EVERY,
+            Due::Connect(hollow.link),
+        );
     }
 
     fn ready(&mut self, readiness: &Readiness) {
         let token = readiness.token;
-        let Some(hollow) = self.conns.get_mut(&token) else { return };
+        let Some(hollow) = self.conns.get_mut(&token) else {
+            return;
+        };
         if hollow.conn.connecting() {
             if hollow.conn.connected().is_err() {
                 self.lose(token);
@@ -183,7 +218,9 @@
             let hello = hello(hollow.link);
             self.send(token, &hello);
         }
-        let Some(hollow) = self.conns.get_mut(&token) else { return };
+        let Some(hollow) = self.conns.get_mut(&token) else {
+            return;
+        };
         if readiness.write && hollow.conn.flush(&self.poller).is_err() {
             self.lose(token);
             return;
@@ -194,7 +231,9 @@
     }
 
     fn read(&mut self, token: u64) {
-        let Some(hollow) = self.conns.get_mut(&token) else { return };
+        let Some(hollow) = self.conns.get_mut(&token) else {
+            return;
+        };
         let outcome = hollow.conn.fill(64 << 10, 128 << 10);
         let mut broken = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken);
         loop {
@@ -209,7 +248,9 @@
                             let first = self.clock.now() + self.ping_every;
                             self.timers.set(first, Due::Ping(hollow.link));
                         }
-                        Some(Frame::Ping(nonce)) => frame::encode(&Frame::Pong(nonce), hollow.conn.out()),
+                        Some(Frame::Ping(nonce)) => {
+                            frame::encode(&Frame::Pong(nonce), hollow.conn.out())
+                        }
                         Some(_) => {}
                     }
                 }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use maplethread_admission::{Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict};
+use maplethread_admission::{
+    Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict,
+};
 use maplethread_wire::frame::{Copies, Frame, Load, NoteKind, Offer, Reason};
 
 use crate::scenario::Scenario;
@@ -67,9 +69,17 @@
 
 /// What a task uses while so large a share of the services is hot: all hosts see the same ones so.
 fn cores_of(task: &Task, hot: f64) -> f64 {
-    let place = task.offer.service.bytes().fold(11, |h: u32, b| h.wrapping_mul(16_777_619) ^ u32::from(b));
+    let place = task
+        .offer
+        .service
+        .bytes()
+        .fold(11, |h: u32, b| h.wrapping_mul(16_777_619) ^ u32::from(b));
     let is_hot = f64::from(place % 1000) < hot * 1000.0;
-    if is_hot { task.cores.max(2.0 * task.offer.asks.cores) } else { task.cores }
+    if is_hot {
+        task.cores.max(2.0 * task.offer.asks.cores)
+    } else {
+        task.cores
+    }
 }
 
 /// The kind of a host and where it stands.
@@ -109,7 +119,13 @@
 const TIGHT: f64 = 0.92;
 
 impl Host {
-    pub fn new(spec: Spec, scenario: Arc<Scenario>, world: World, mut dice: Dice, cold: bool) -> Host {
+    pub fn new(
+        spec: Spec,
+        scenario: Arc<Scenario>,
+        world: World,
+        mut dice: Dice,
+        cold: bool,
+    ) -> Host {
         let fleet = &scenario.fleet;
         let policy = Policy {
             cores: spec.cores,
@@ -125,7 +141,11 @@
         let now = world.clock.now();
         let started = if cold { now } else { now - 3_600_000_000 } / 1000 * 1000;
         // Hosts don't measure in step with each other.
-        let ago = if fleet.measures_together { dice.between([0.0, MEASURE_EVERY as f64]) as u64 } else { 0 };
+        let ago = if fleet.measures_together {
+            dice.between([0.0, MEASURE_EVERY as f64]) as u64
+        } else {
+            0
+        };
         Host {
             spec,
             started,
@@ -147,8 +167,13 @@
     pub fn restart(&mut self) {
         self.die();
         let cold = self.dice.seed();
-        *self =
-            Host::new(self.spec.clone(), self.scenario.clone(), self.world.clone(), Dice::new(cold, 5), true);
+        *self = Host::new(
+            self.spec.clone(),
+            self.scenario.clone(),
+            self.world.clone(),
+            Dice::new(cold, 5),
+            true,
+        );
     }
 
     /// All that ran is lost.
@@ -191,7 +216,8 @@
     /// What it holds of a placer.
     pub fn held(&self, placer: &str) -> Vec<Frame> {
         let own = self.tasks.values().filter(|t| *t.placer == *placer);
-        own.map(|t| Frame::Held(t.offer.clone(), t.runs_since.is_some())).collect()
+        own.map(|t| Frame::Held(t.offer.clone(), t.runs_since.is_some()))
+            .collect()
     }
 
     /// Its pace, less while it is cold.
@@ -205,7 +231,10 @@
 
     fn load(&self) -> Option<Load> {
         let (cores, memory) = self.admission.asked();
-        Some(Load { cores: self.spec.cores - cores, memory: self.spec.memory - memory })
+        Some(Load {
+            cores: self.spec.cores - cores,
+            memory: self.spec.memory - memory,
+        })
     }
 
     /// Answers of attempts may be lost on the way; other frames are not.
@@ -228,7 +257,9 @@
             Frame::Offer(offer) => self.offer(now, placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt) => {
                 let mine = |t: &Task| *t.placer == **placer;
-                if self.tasks.get(&attempt).is_some_and(mine) || self.asked.get(&attempt).is_some_and(mine) {
+                if self.tasks.get(&attempt).is_some_and(mine)
+                    || self.asked.get(&attempt).is_some_and(mine)
+                {
                     let ran = self.finish(attempt, keys);
                     let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.load());
                     self.answer(placer, ended, out);
@@ -265,20 +296,26 @@
             && self.dice.chance(share)
         {
             if errors {
-                self.answer(placer, Frame::Ended(attempt, Reason::Error, false, None), out);
+                self.answer(
+                    placer,
+                    Frame::Ended(attempt, Reason::Error, false, None),
+                    out,
+                );
             }
             return;
         }
         let copies = match offer.copies {
-            Copies::Keyed(key) => AskCopies::One { group: self.group(&offer.class), key },
+            Copies::Keyed(key) => AskCopies::One {
+                group: self.group(&offer.class),
+                key,
+            },
             Copies::Safe | Copies::Unsafe => AskCopies::Any,
         };
         let ask = Ask {
             attempt,
-            program: offer
-                .service
-                .bytes()
-                .fold(7, |h: u64, b| h.wrapping_mul(131).wrapping_add(u64::from(b))),
+            program: offer.service.bytes().fold(7, |h: u64, b| {
+                h.wrapping_mul(131).wrapping_add(u64::from(b))
+            }),
             cores: offer.asks.cores,
             memory: offer.asks.memory,
             priority: offer.priority,
@@ -298,7 +335,9 @@
                     .map_or([1.0; 2], |c| c.uses);
                 let swing = self.dice.between([0.6, 1.4]);
                 let heavy = match self.faults.heavy.clone() {
-                    Some((class, share)) if class == offer.class && self.dice.chance(share) => [3.0, 2.0],
+                    Some((class, share)) if class == offer.class && self.dice.chance(share) => {
+                        [3.0, 2.0]
+                    }
                     _ => [1.0, 1.0],
                 };
                 let memory = offer.asks.memory * uses[1] * self.dice.between([0.8, 1.2]);
@@ -326,7 +365,9 @@
             Some(Group::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
         };
-        place.bytes().fold(11, |h: u64, b| h.wrapping_mul(131).wrapping_add(u64::from(b)))
+        place.bytes().fold(11, |h: u64, b| {
+            h.wrapping_mul(131).wrapping_add(u64::from(b))
+        })
     }
 
     /// A cold host that is sent too much falls over.
@@ -365,7 +406,9 @@
             }
             Later::Started(attempt) => {
                 self.admission.started(attempt);
-                let Some(task) = self.tasks.get_mut(&attempt) else { return };
+                let Some(task) = self.tasks.get_mut(&attempt) else {
+                    return;
+                };
                 task.runs_since = Some(now);
                 let took = ((now - task.read) / 1000) as u32;
                 let (placer, life) = (task.placer.clone(), task.offer.life_ms * 1000);
@@ -381,7 +424,9 @@
     }
 
     fn verdict(&mut self, now: u64, ask: Ask, verdict: Verdict, out: &mut Vec<Do>) {
-        let Some(task) = self.asked.remove(&ask.attempt) else { return };
+        let Some(task) = self.asked.remove(&ask.attempt) else {
+            return;
+        };
         let placer = task.placer.clone();
         match verdict {
             Verdict::Refused(refusal) => {
@@ -408,11 +453,21 @@
         }
         // Losing a task is not an answer that gets lost on its way: the next greeting tells it at the latest.
         if !self.faults.silent {
-            out.push(Do::Send(task.placer.clone(), Frame::Ended(attempt, why, ran, self.load())));
+            out.push(Do::Send(
+                task.placer.clone(),
+                Frame::Ended(attempt, why, ran, self.load()),
+            ));
         }
     }
 
-    fn over(&mut self, now: u64, attempt: u64, why: Reason, keys: &mut KeyTable, out: &mut Vec<Do>) {
+    fn over(
+        &mut self,
+        now: u64,
+        attempt: u64,
+        why: Reason,
+        keys: &mut KeyTable,
+        out: &mut Vec<Do>,
+    ) {
         self.admission.end(attempt, keys);
         if let Some(task) = self.tasks.remove(&attempt) {
             self.gone(&task, attempt, why, out);
@@ -434,10 +489,18 @@
 
     fn start_more(&mut self, now: u64, out: &mut Vec<Do>) {
         while let Some((attempt, there)) = self.admission.next_start() {
-            let class = self.tasks.get(&attempt).map(|t| t.offer.class.clone()).unwrap_or_default();
+            let class = self
+                .tasks
+                .get(&attempt)
+                .map(|t| t.offer.class.clone())
+                .unwrap_or_default();
             let class = self.scenario.class.iter().find(|c| c.rules.name == class);
-            let work =
-                class.map_or(50.0, |c| c.work_ms) * if there { 1.0 } else { self.scenario.fleet.setup };
+            let work = class.map_or(50.0, |c| c.work_ms)
+                * if there {
+                    1.0
+                } else {
+                    self.scenario.fleet.setup
+                };
             let took = work * self.dice.between([0.7, 1.3]) / self.pace(now).max(0.02);
             out.push(Do::After((took * 1000.0) as u64, Later::Started(attempt)));
         }
@@ -452,7 +515,9 @@
     pub fn serve(&mut self, from: u64, now: u64, keys: &mut KeyTable, out: &mut Vec<Do>) {
         let grows = 4_000_000.0;
         let memory_of = |t: &Task| {
-            let part = t.runs_since.map_or(0.3, |s| ((now - s.min(now)) as f64 / grows).clamp(0.3, 1.0));
+            let part = t
+                .runs_since
+                .map_or(0.3, |s| ((now - s.min(now)) as f64 / grows).clamp(0.3, 1.0));
             t.memory * part
         };
         let memory: f64 = self.tasks.values().map(memory_of).sum();
@@ -464,14 +529,23 @@
         }
         let cores = self.spec.cores * (1.0 - self.faults.neighbour) * self.spec.speed;
         let share = memory / self.spec.memory;
-        let slow = if share > TIGHT { 1.0 - 0.7 * ((share - TIGHT) / (1.0 - TIGHT)).min(1.0) } else { 1.0 };
+        let slow = if share > TIGHT {
+            1.0 - 0.7 * ((share - TIGHT) / (1.0 - TIGHT)).min(1.0)
+        } else {
+            1.0
+        };
         let running: Vec<(u32, f64)> = self
             .tasks
             .values()
             .filter(|t| t.runs_since.is_some())
             .map(|t| (t.offer.priority, cores_of(t, self.faults.hot)))
             .collect();
-        let starting: f64 = self.admission.taken().filter(|t| t.1 == Stage::Starting).map(|_| 0.5).sum();
+        let starting: f64 = self
+            .admission
+            .taken()
+            .filter(|t| t.1 == Stage::Starting)
+            .map(|_| 0.5)
+            .sum();
         let together = self.scenario.fleet.measures_together;
         let periods = now.saturating_sub(self.measured) / MEASURE_EVERY;
         let (measures, measured) = (together && periods > 0, self.measured);
@@ -481,30 +555,49 @@
         let mut worst: BTreeMap<Arc<str>, (u64, f64)> = BTreeMap::new();
         let mut notes = Vec::new();
         for (&attempt, task) in &mut self.tasks {
-            let Some(since) = task.runs_since else { continue };
-            let class = self.scenario.class.iter().find(|c| c.rules.name == task.offer.class);
+            let Some(since) = task.runs_since else {
+                continue;
+            };
+            let class = self
+                .scenario
+                .class
+                .iter()
+                .find(|c| c.rules.name == task.offer.class);
             let (calm, fade) = class.map_or((1.0, 1.0), |c| (c.calm, c.fade));
             let own = task.offer.priority;
-            let busy: f64 =
-                running.iter().map(|&(p, c)| if p >= own { c } else { 0.4 * c }).sum::<f64>() + starting;
+            let busy: f64 = running
+                .iter()
+                .map(|&(p, c)| if p >= own { c } else { 0.4 * c })
+                .sum::<f64>()
+                + starting;
             let busy = busy / cores.max(0.1);
             let served = (1.0 - (busy - calm) / fade.max(1e-6)).clamp(0.0, 1.0) * slow;
-            self.world.ledger().serve(&task.offer.actor, from.max(since), now, served);
+            self.world
+                .ledger()
+                .serve(&task.offer.actor, from.max(since), now, served);
             if served < 0.95 {
-                let entry = worst.entry(task.placer.clone()).or_insert((attempt, served));
+                let entry = worst
+                    .entry(task.placer.clone())
+                    .or_insert((attempt, served));
                 if served < entry.1 {
                     *entry = (attempt, served);
                 }
             }
-            let due =
-                if together { measures && since <= measured } else { task.noted + MEASURE_EVERY <= now };
+            let due = if together {
+                measures && since <= measured
+            } else {
+                task.noted + MEASURE_EVERY <= now
+            };
             if due {
                 task.noted = now;
                 notes.push((
                     task.placer.clone(),
                     Frame::Note(attempt, NoteKind::Cores, cores_of(task, self.faults.hot)),
                 ));
-                notes.push((task.placer.clone(), Frame::Note(attempt, NoteKind::Memory, memory_of(task))));
+                notes.push((
+                    task.placer.clone(),
+                    Frame::Note(attempt, NoteKind::Memory, memory_of(task)),
+                ));
             }
         }
         let mut tight = Vec::new();
@@ -522,14 +615,22 @@
             }
             *told = now;
             if served < 0.95 {
-                notes.push((placer.clone(), Frame::Note(attempt, NoteKind::Served, served)));
+                notes.push((
+                    placer.clone(),
+                    Frame::Note(attempt, NoteKind::Served, served),
+                ));
             }
             if share > 0.85 {
                 tight.push((placer, Frame::Note(attempt, NoteKind::HostMemory, share)));
             }
         }
         if !self.faults.silent {
-            out.extend(notes.into_iter().chain(tight).map(|(placer, frame)| Do::Send(placer, frame)));
+            out.extend(
+                notes
+                    .into_iter()
+                    .chain(tight)
+                    .map(|(placer, frame)| Do::Send(placer, frame)),
+            );
         }
     }
 }
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load.rs
@@ -12,7 +12,8 @@
 
 use hdrhistogram::Histogram;
 use maplethread_config::{
-    Damping, HostEntry, HostState, Hosts, Identity, Inventory, Kind, PlacerConfig, Placing, Prices, Rules,
+    Damping, HostEntry, HostState, Hosts, Identity, Inventory, Kind, PlacerConfig, Placing, Prices,
+    Rules,
 };
 use maplethread_consul_standin::{Servers, Settings as ServerSettings};
 use maplethread_engine::Timers;
@@ -163,8 +164,14 @@
         let end = Arc::new(AtomicBool::new(false));
         let ended = end.clone();
         let run = move || null_hosts(&poller, &listeners, life_us, &ended);
-        let thread = std::thread::Builder::new().name("null-hosts".into()).spawn(run)?;
-        Ok(NullHosts { addresses, end, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("null-hosts".into())
+            .spawn(run)?;
+        Ok(NullHosts {
+            addresses,
+            end,
+            thread: Some(thread),
+        })
     }
 }
 
@@ -190,17 +197,24 @@
     let mut over: Timers<(u64, u64)> = Timers::default();
     while !ended.load(Ordering::Relaxed) {
         ready.clear();
-        let wait = over.next().map_or(50_000, |at| at.saturating_sub(clock.now()).min(50_000));
+        let wait = over
+            .next()
+            .map_or(50_000, |at| at.saturating_sub(clock.now()).min(50_000));
         poller.wait(Some(Duration::from_micros(wait)), &mut ready)?;
         for r in &ready {
             if let Some(listener) = listeners.get(r.token as usize) {
                 while let Ok((stream, _)) = listener.accept() {
                     next += 1;
-                    conns.insert(next, (Conn::accepted(stream, next, poller)?, r.token as usize));
+                    conns.insert(
+                        next,
+                        (Conn::accepted(stream, next, poller)?, r.token as usize),
+                    );
                 }
                 continue;
             }
-            let Some((conn, host)) = conns.get_mut(&r.token) else { continue };
+            let Some((conn, host)) = conns.get_mut(&r.token) else {
+                continue;
+            };
             let outcome = conn.fill(256 << 10, 512 << 10);
             while let Ok((Some(frame), used)) = frame::decode(conn.unread()) {
                 conn.take(used);
@@ -209,7 +223,13 @@
                     Frame::Hello { .. } => {
                         let name = format!("host-{host}");
                         let (major, minor) = (frame::MAJOR, frame::MINOR);
-                        answers.push(Frame::Hello { major, minor, name, started_ms: 1, most_offers: 0 });
+                        answers.push(Frame::Hello {
+                            major,
+                            minor,
+                            name,
+                            started_ms: 1,
+                            most_offers: 0,
+                        });
                         answers.push(Frame::HeldEnd);
                     }
                     Frame::Offer(offer) => {
@@ -225,7 +245,9 @@
                     Frame::Ping(nonce) => answers.push(Frame::Pong(nonce)),
                     _ => {}
                 }
-                answers.iter().for_each(|frame| frame::encode(frame, conn.out()));
+                answers
+                    .iter()
+                    .for_each(|frame| frame::encode(frame, conn.out()));
             }
             let broken = conn.flush(poller).is_err();
             if broken || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
@@ -234,7 +256,10 @@
         }
         while let Some((token, attempt)) = over.due(clock.now()) {
             if let Some((conn, _)) = conns.get_mut(&token) {
-                frame::encode(&Frame::Ended(attempt, frame::Reason::Done, true, None), conn.out());
+                frame::encode(
+                    &Frame::Ended(attempt, frame::Reason::Done, true, None),
+                    conn.out(),
+                );
                 let _ = conn.flush(poller);
             }
         }
@@ -266,8 +291,13 @@
         unasked_cores: None,
         unasked_memory_gib: None,
     };
-    let inventory = Inventory { host: hosts_up.addresses.iter().enumerate().map(entry).collect() };
-    std::fs::write(folder.path().join("hosts.toml"), toml::to_string(&inventory).map_err(io::Error::other)?)?;
+    let inventory = Inventory {
+        host: hosts_up.addresses.iter().enumerate().map(entry).collect(),
+    };
+    std::fs::write(
+        folder.path().join("hosts.toml"),
+        toml::to_string(&inventory).map_err(io::Error::other)?,
+    )?;
     let servers = match options.storm {
         None => None,
         Some(_) => {
@@ -289,9 +319,18 @@
             seed: Some(options.seed),
         },
         api: api(),
-        hosts: Hosts { inventory: servers.is_none().then(|| "hosts.toml".into()), ..hosts("hosts.toml") },
-        consul: servers.as_ref().map(|s| consul(s.addresses.clone(), Damping::Off, None)),
-        placing: Placing { admit_cores: 1.0, admit_memory: 1.0, ..Placing::default() },
+        hosts: Hosts {
+            inventory: servers.is_none().then(|| "hosts.toml".into()),
+            ..hosts("hosts.toml")
+        },
+        consul: servers
+            .as_ref()
+            .map(|s| consul(s.addresses.clone(), Damping::Off, None)),
+        placing: Placing {
+            admit_cores: 1.0,
+            admit_memory: 1.0,
+            ..Placing::default()
+        },
         rules: Rules {
             ask_within_ms: 10_000,
             cold_from: 0.2,
@@ -302,14 +341,25 @@
         },
         prices: Prices::default(),
         trace: options.trace.clone().map(crate::settings::trace),
-        kind: vec![Kind { name: "std".to_owned(), cores: 1e6, memory_gib: 1e6 }],
+        kind: vec![Kind {
+            name: "std".to_owned(),
+            cores: 1e6,
+            memory_gib: 1e6,
+        }],
         class: vec![plain_class()],
     };
     let path = folder.path().join("placer.toml");
     std::fs::write(&path, config.to_toml().map_err(io::Error::other)?)?;
     let mut process = Process::new(&options.program);
-    process.args(["placer", "--log", "warn", "--config"]).arg(&path);
-    let mut child = KillOnDrop(process.stdin(Stdio::null()).stdout(Stdio::piped()).spawn()?);
+    process
+        .args(["placer", "--log", "warn", "--config"])
+        .arg(&path);
+    let mut child = KillOnDrop(
+        process
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .spawn()?,
+    );
     let pid = child.0.id();
     let mut line = String::new();
     if let Some(out) = child.0.stdout.take() {
@@ -341,7 +391,11 @@
             std::thread::sleep(Duration::from_secs_f64(half));
             for n in 0..(half * rate) as usize {
                 let mut host = hosts[n * 7 % (hosts.len() / 3).max(1)].clone();
-                host.state = if n % 2 == 0 { HostState::Draining } else { HostState::Ready };
+                host.state = if n % 2 == 0 {
+                    HostState::Draining
+                } else {
+                    HostState::Ready
+                };
                 let _ = register(at, &host);
                 std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
             }
@@ -357,7 +411,12 @@
     let (_, status) = maplethread_placer::get_json(address, "/v1/status?full")?;
     let decide = |q: &str| status["gauges"]["decide_us"][q].as_u64().unwrap_or(0);
     let quantiles = |h: &Histogram<u64>| {
-        [h.value_at_quantile(0.5), h.value_at_quantile(0.99), h.value_at_quantile(0.999), h.max()]
+        [
+            h.value_at_quantile(0.5),
+            h.value_at_quantile(0.99),
+            h.value_at_quantile(0.999),
+            h.max(),
+        ]
     };
     let halves = &answers.times;
     let mut all = halves[0].clone();
@@ -373,6 +432,9 @@
         rss_kib: [idle_to.resident_kib, usage(pid)?.resident_kib],
         actors: status["actors"].as_u64().unwrap_or(0),
         spent: status["gauges"]["spent_us"].clone(),
-        cpu: [idle_to.cpu_s - idle_from.cpu_s, (loaded.cpu_s - idle_to.cpu_s) / took],
+        cpu: [
+            idle_to.cpu_s - idle_from.cpu_s,
+            (loaded.cpu_s - idle_to.cpu_s) / took,
+        ],
     })
 }
--- a/crates/standin/src/looks.rs
+++ b/crates/standin/src/looks.rs
@@ -21,7 +21,12 @@
 impl Looks {
     /// A reader that begins now.
     pub fn new(reader: Reader, now: u64) -> Looks {
-        Looks { reader, since: now, last: now, told: None }
+        Looks {
+            reader,
+            since: now,
+            last: now,
+            told: None,
+        }
     }
 
     /// The connections were looked at, from `began` on; `all` tells that none was left out that had something to read.
@@ -41,6 +46,9 @@
             return None;
         }
         self.told = since;
-        Some(Seen::ReadLate { reader: self.reader, since })
+        Some(Seen::ReadLate {
+            reader: self.reader,
+            since,
+        })
     }
 }
--- a/crates/standin/src/looks/tests.rs
+++ b/crates/standin/src/looks/tests.rs
@@ -7,7 +7,10 @@
 /// What is told of a read: nothing, or the time since which it may have lain unread.
 fn told(looks: &mut Looks, now: u64) -> Option<Option<u64>> {
     looks.reads(now).map(|seen| match seen {
-        Seen::ReadLate { reader: Reader::Hosts, since } => since,
+        Seen::ReadLate {
+            reader: Reader::Hosts,
+            since,
+        } => since,
         other => panic!("{other:?}"),
     })
 }
--- a/crates/standin/src/owners.rs
+++ b/crates/standin/src/owners.rs
@@ -72,7 +72,10 @@
         arrivals: Vec<Arrival>,
         placers: Vec<Front>,
     ) -> io::Result<Owners> {
-        let mood = Arc::new(Mutex::new(Mood { placers, ..Mood::default() }));
+        let mood = Arc::new(Mutex::new(Mood {
+            placers,
+            ..Mood::default()
+        }));
         let start = world.clock.now();
         let arrivals = arrivals.into_iter();
         let mut run = Run {
@@ -98,13 +101,20 @@
             run.timers.set(start + first.at, Due::Arrive);
         }
         run.timers.set(start, Due::Follow);
-        let thread = std::thread::Builder::new().name("owners".into()).spawn(move || run.run())?;
-        Ok(Owners { mood, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("owners".into())
+            .spawn(move || run.run())?;
+        Ok(Owners {
+            mood,
+            thread: Some(thread),
+        })
     }
 
     /// What the day does to them.
     pub fn mood(&self) -> MutexGuard<'_, Mood> {
-        self.mood.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.mood
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Ends the thread; returns the times from asks to `placed`, µs.
@@ -120,9 +130,13 @@
 /// So many connections leave the hosts of this process the descriptors that they need, and an eighth of all for the rest.
 fn max_connections(scenario: &Scenario) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    let limit = limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX));
+    let limit = limit.map_or(usize::MAX, |limit| {
+        usize::try_from(limit).unwrap_or(usize::MAX)
+    });
     let hosts = scenario.fleet.hosts * (1 + scenario.placers as usize);
-    (limit - limit / 8).saturating_sub(hosts).max(MIN_CONNECTIONS)
+    (limit - limit / 8)
+        .saturating_sub(hosts)
+        .max(MIN_CONNECTIONS)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -167,7 +181,11 @@
 
 enum Use {
     /// Answers to asks.
-    Asks { reader: Reader, owner: Option<usize>, hung_up: bool },
+    Asks {
+        reader: Reader,
+        owner: Option<usize>,
+        hung_up: bool,
+    },
     /// Life-cycle events.
     Follows { decoder: Decoder, line: Vec<u8> },
 }
@@ -204,7 +222,9 @@
 
 impl Run {
     fn mood(&self) -> MutexGuard<'_, Mood> {
-        self.mood.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.mood
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn run(&mut self) -> io::Result<Vec<u64>> {
@@ -213,7 +233,10 @@
             let now = self.world.clock.now();
             let next = self.timers.next().unwrap_or(now + 50_000).min(now + 50_000);
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(next.saturating_sub(now))), &mut ready)?;
+            self.poller.wait(
+                Some(Duration::from_micros(next.saturating_sub(now))),
+                &mut ready,
+            )?;
             self.looks.looked(now, ready.len() < MAX_READY);
             for r in &ready {
                 self.link_ready(r);
@@ -252,7 +275,9 @@
     }
 
     fn arrive(&mut self, now: u64) {
-        let Some(arrival) = self.arrivals.next() else { return };
+        let Some(arrival) = self.arrivals.next() else {
+            return;
+        };
         if let Some(next) = self.arrivals.as_slice().first() {
             self.timers.set(self.start + next.at, Due::Arrive);
         }
@@ -283,11 +308,17 @@
     /// The placer that the front sends an ask to.
     fn choose(&mut self, owner: usize) -> Option<(usize, SocketAddr, u64)> {
         let mood = self.mood.clone();
-        let mood = mood.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mood = mood
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         let o = &mut self.owners[owner];
         let up = |f: &&(usize, &Front)| !f.1.down && f.1.address.is_some();
         let all: Vec<(usize, &Front)> = mood.placers.iter().enumerate().collect();
-        let mut some: Vec<&(usize, &Front)> = all.iter().filter(up).filter(|f| f.1.zone == o.zone).collect();
+        let mut some: Vec<&(usize, &Front)> = all
+            .iter()
+            .filter(up)
+            .filter(|f| f.1.zone == o.zone)
+            .collect();
         if some.is_empty() {
             some = all.iter().filter(up).collect();
         }
@@ -337,10 +368,18 @@
             "life_ms": (o.until - now) / 1000, "again": o.asks > 1,
         });
         let (request, asks) = (o.request.clone(), o.asks);
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         link.conn.try_connected();
         let fields = [("Host", "placer"), ("X-Request-Id", &*request)];
-        http::write_request(link.conn.out(), "POST", "/v1/actors", &fields, body.to_string().as_bytes());
+        http::write_request(
+            link.conn.out(),
+            "POST",
+            "/v1/actors",
+            &fields,
+            body.to_string().as_bytes(),
+        );
         link.made = Use::Asks {
             reader: Reader::new(Role::Responses, Limits::default()),
             owner: Some(owner),
@@ -355,16 +394,22 @@
         });
         self.open += 1;
         self.mood().asked += 1;
-        self.timers.set(now + deadline_ms * 1000 + SLACK, Due::Deadline(owner, asks));
+        self.timers
+            .set(now + deadline_ms * 1000 + SLACK, Due::Deadline(owner, asks));
         let early = self.mood().hang_ups;
         let dice = &mut self.owners[owner].dice;
         if dice.chance(early) {
             let share = dice.between([0.02, 0.9]);
-            self.timers
-                .set(now + (deadline_ms as f64 * 1000.0 * share) as u64, Due::EarlyHangUp(owner, asks));
+            self.timers.set(
+                now + (deadline_ms as f64 * 1000.0 * share) as u64,
+                Due::EarlyHangUp(owner, asks),
+            );
         }
         let poller = &self.poller;
-        let broken = self.conns.get_mut(&token).is_some_and(|l| l.conn.flush(poller).is_err());
+        let broken = self
+            .conns
+            .get_mut(&token)
+            .is_some_and(|l| l.conn.flush(poller).is_err());
         if broken {
             self.broken(token);
         }
@@ -376,9 +421,15 @@
             return Ok(token);
         }
         if self.conns.len() >= self.max_connections {
-            return Err(io::Error::other("as many connections as this process has descriptors for"));
+            return Err(io::Error::other(
+                "as many connections as this process has descriptors for",
+            ));
         }
-        self.connect(placer, address, life, |reader| Use::Asks { reader, owner: None, hung_up: false })
+        self.connect(placer, address, life, |reader| Use::Asks {
+            reader,
+            owner: None,
+            hung_up: false,
+        })
     }
 
     fn connect(
@@ -392,7 +443,15 @@
         let token = self.next;
         let conn = Conn::connect(address, token, &self.poller)?;
         let made = made(Reader::new(Role::Responses, Limits::default()));
-        self.conns.insert(token, Link { conn, placer, life, made });
+        self.conns.insert(
+            token,
+            Link {
+                conn,
+                placer,
+                life,
+                made,
+            },
+        );
         Ok(token)
     }
 
@@ -406,18 +465,33 @@
 
     /// Reads what has come for an owner: an answer that lies unread, since this thread is late, has been given.
     fn read_first(&mut self, owner: usize) {
-        let State::Asking(token) = self.owners[owner].state else { return };
-        self.link_ready(&Readiness { token, read: true, write: false, closed: false });
+        let State::Asking(token) = self.owners[owner].state else {
+            return;
+        };
+        self.link_ready(&Readiness {
+            token,
+            read: true,
+            write: false,
+            closed: false,
+        });
     }
 
     /// Gives up on an ask: by closing the connection at once, by an explicit word, or a while later, to see that
     /// nothing is said after the deadline.
     fn hang_up(&mut self, now: u64, owner: usize, early: bool) {
-        let State::Asking(token) = self.owners[owner].state else { return };
+        let State::Asking(token) = self.owners[owner].state else {
+            return;
+        };
         let request = self.owners[owner].request.clone();
-        self.world.see(Seen::HungUp { request: request.clone() });
+        self.world.see(Seen::HungUp {
+            request: request.clone(),
+        });
         self.open -= 1;
-        if let Some(Link { made: Use::Asks { owner, hung_up, .. }, .. }) = self.conns.get_mut(&token) {
+        if let Some(Link {
+            made: Use::Asks { owner, hung_up, .. },
+            ..
+        }) = self.conns.get_mut(&token)
+        {
             (*owner, *hung_up) = (None, true);
         }
         let odd = self.owners[owner].dice.chance(0.5);
@@ -426,8 +500,15 @@
             self.timers.set(now + 300_000, Due::Close(token));
         } else if !early && odd {
             // Left open, to see whether something still comes.
-            if let Some(Link { made: Use::Asks { owner: waiting, hung_up, .. }, .. }) =
-                self.conns.get_mut(&token)
+            if let Some(Link {
+                made:
+                    Use::Asks {
+                        owner: waiting,
+                        hung_up,
+                        ..
+                    },
+                ..
+            }) = self.conns.get_mut(&token)
             {
                 (*waiting, *hung_up) = (Some(owner), true);
             }
@@ -439,13 +520,23 @@
     }
 
     fn cancel(&mut self, token: u64, request: &str) {
-        let Some((placer, life)) = self.conns.get(&token).map(|l| (l.placer, l.life)) else { return };
-        let Some(address) = self.mood().placers[placer].address else { return };
+        let Some((placer, life)) = self.conns.get(&token).map(|l| (l.placer, l.life)) else {
+            return;
+        };
+        let Some(address) = self.mood().placers[placer].address else {
+            return;
+        };
         if let Ok(other) = self.connection(placer, address, life)
             && let Some(link) = self.conns.get_mut(&other)
         {
             let target = format!("/v1/asks/{request}");
-            http::write_request(link.conn.out(), "DELETE", &target, &[("Host", "placer")], b"");
+            http::write_request(
+                link.conn.out(),
+                "DELETE",
+                &target,
+                &[("Host", "placer")],
+                b"",
+            );
             let _ = link.conn.flush(&self.poller);
         }
     }
@@ -457,11 +548,17 @@
         let careful = self.scenario.careful(o.class);
         let settle = self.scenario.demand.settle_ms as f64;
         let again = self.scenario.demand.again_ms;
-        if careful { self.again(now, owner, [settle, settle * 1.2]) } else { self.again(now, owner, again) }
+        if careful {
+            self.again(now, owner, [settle, settle * 1.2])
+        } else {
+            self.again(now, owner, again)
+        }
     }
 
     fn check(&mut self, now: u64, owner: usize) {
-        let State::Held(placer, life) = self.owners[owner].state else { return };
+        let State::Held(placer, life) = self.owners[owner].state else {
+            return;
+        };
         if now >= self.owners[owner].until {
             self.owners[owner].state = State::Over;
             return;
@@ -481,9 +578,15 @@
 
     fn broken(&mut self, token: u64) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.remove(&token) else { return };
+        let Some(link) = self.conns.remove(&token) else {
+            return;
+        };
         match link.made {
-            Use::Asks { owner: Some(owner), hung_up: false, .. } => {
+            Use::Asks {
+                owner: Some(owner),
+                hung_up: false,
+                ..
+            } => {
                 let request = self.owners[owner].request.clone();
                 self.world.see(Seen::Cut { request });
                 self.open -= 1;
@@ -503,7 +606,9 @@
     fn link_ready(&mut self, r: &Readiness) {
         let token = r.token;
         let poller = &self.poller;
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         if link.conn.connecting() {
             if !r.write && !r.closed {
                 return;
@@ -533,8 +638,17 @@
     /// Reads answers; whether the connection is of no more use.
     fn answers(&mut self, token: u64) -> bool {
         loop {
-            let Some(link) = self.conns.get_mut(&token) else { return false };
-            let Use::Asks { reader, owner, hung_up } = &mut link.made else { return true };
+            let Some(link) = self.conns.get_mut(&token) else {
+                return false;
+            };
+            let Use::Asks {
+                reader,
+                owner,
+                hung_up,
+            } = &mut link.made
+            else {
+                return true;
+            };
             let message = match reader.read(link.conn.unread()) {
                 Ok((Found::Message(message), used)) => {
                     link.conn.take(used);
@@ -550,7 +664,14 @@
             let keep = message.head.keep_alive() && !hung_up;
             let (placer, life) = (link.placer, link.life);
             if let Some(owner) = owner {
-                self.answer(owner, placer, life, hung_up, message.head.status(), &message.body);
+                self.answer(
+                    owner,
+                    placer,
+                    life,
+                    hung_up,
+                    message.head.status(),
+                    &message.body,
+                );
             }
             if !keep {
                 self.drop_link(token);
@@ -560,10 +681,23 @@
         }
     }
 
-    fn answer(&mut self, owner: usize, placer: usize, life: u64, hung_up: bool, status: u16, body: &[u8]) {
+    fn answer(
+        &mut self,
+        owner: usize,
+        placer: usize,
+        life: u64,
+        hung_up: bool,
+        status: u16,
+        body: &[u8],
+    ) {
         let now = self.world.clock.now();
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        let text = |key: &str| body.get(key).and_then(Value::as_str).unwrap_or("").to_owned();
+        let text = |key: &str| {
+            body.get(key)
+                .and_then(Value::as_str)
+                .unwrap_or("")
+                .to_owned()
+        };
         let outcome = match (status, text("outcome").as_str()) {
             (200, "placed") => Outcome::Placed(text("host")),
             (200, "refused") => Outcome::Refused(text("reason")),
@@ -579,7 +713,10 @@
         if let Some(late) = self.looks.reads(now) {
             self.world.see(late);
         }
-        self.world.see(Seen::Answered { request, outcome: outcome.clone() });
+        self.world.see(Seen::Answered {
+            request,
+            outcome: outcome.clone(),
+        });
         if hung_up {
             return;
         }
@@ -595,8 +732,18 @@
             }
             Outcome::Refused(_) => {
                 self.owners[owner].failures += 1;
-                let advice = body.get("come_back_ms").and_then(Value::as_f64).unwrap_or(0.0);
-                self.again(now, owner, [demand.again_ms[0].max(advice), demand.again_ms[1].max(advice)]);
+                let advice = body
+                    .get("come_back_ms")
+                    .and_then(Value::as_f64)
+                    .unwrap_or(0.0);
+                self.again(
+                    now,
+                    owner,
+                    [
+                        demand.again_ms[0].max(advice),
+                        demand.again_ms[1].max(advice),
+                    ],
+                );
             }
             Outcome::Failed => self.unknown(now, owner),
             Outcome::Turned(_) => {
@@ -611,18 +758,32 @@
         self.timers.set(now + 200_000, Due::Follow);
         let placers = self.mood().placers.clone();
         for (number, front) in placers.iter().enumerate() {
-            let Some(address) = front.address.filter(|_| !front.down) else { continue };
+            let Some(address) = front.address.filter(|_| !front.down) else {
+                continue;
+            };
             if self.followers.contains_key(&number) {
                 continue;
             }
             let made = |_| Use::Follows {
-                decoder: Decoder::new(Role::Responses, Limits { body: usize::MAX, ..Limits::default() }),
+                decoder: Decoder::new(
+                    Role::Responses,
+                    Limits {
+                        body: usize::MAX,
+                        ..Limits::default()
+                    },
+                ),
                 line: Vec::new(),
             };
             if let Ok(token) = self.connect(number, address, front.life, made)
                 && let Some(link) = self.conns.get_mut(&token)
             {
-                http::write_request(link.conn.out(), "GET", "/v1/events", &[("Host", "placer")], b"");
+                http::write_request(
+                    link.conn.out(),
+                    "GET",
+                    "/v1/events",
+                    &[("Host", "placer")],
+                    b"",
+                );
                 self.followers.insert(number, token);
             }
         }
@@ -630,8 +791,12 @@
 
     fn events(&mut self, token: u64) -> bool {
         let mut lines: Vec<Value> = Vec::new();
-        let Some(link) = self.conns.get_mut(&token) else { return false };
-        let Use::Follows { decoder, line } = &mut link.made else { return true };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return false;
+        };
+        let Use::Follows { decoder, line } = &mut link.made else {
+            return true;
+        };
         loop {
             match decoder.step(link.conn.unread()) {
                 Ok((Step::More, used)) => {
@@ -664,7 +829,9 @@
 
     fn event(&mut self, now: u64, event: &Value) {
         let text = |key: &str| event.get(key).and_then(Value::as_str).unwrap_or("");
-        let Some(&owner) = self.by_actor.get(text("actor")) else { return };
+        let Some(&owner) = self.by_actor.get(text("actor")) else {
+            return;
+        };
         if !matches!(self.owners[owner].state, State::Held(..)) {
             return;
         }
--- a/crates/standin/src/plan.rs
+++ b/crates/standin/src/plan.rs
@@ -138,7 +138,10 @@
                         acts.push((at, Act::HostListed(host, HostState::Draining)));
                         acts.push((at + step / 2, Act::Host(Command::Crash(host))));
                         acts.push((at + step / 2 + 300_000, Act::Host(Command::Start(host))));
-                        acts.push((at + step / 2 + 300_001, Act::HostListed(host, HostState::Ready)));
+                        acts.push((
+                            at + step / 2 + 300_001,
+                            Act::HostListed(host, HostState::Ready),
+                        ));
                     }
                 }
                 TroubleKind::Shrink => {
@@ -156,7 +159,10 @@
                 }
                 TroubleKind::ClassErrors | TroubleKind::ClassSilence => {
                     let errors = trouble.kind == TroubleKind::ClassErrors;
-                    let class = trouble.class.clone().unwrap_or_else(|| scenario.class[0].rules.name.clone());
+                    let class = trouble
+                        .class
+                        .clone()
+                        .unwrap_or_else(|| scenario.class[0].rules.name.clone());
                     for host in self.struck(trouble) {
                         both(&mut acts, host, Fault::Class(class.clone(), size, errors));
                     }
@@ -180,7 +186,10 @@
                     let notice = scenario.demand.front_notice_ms * 1000;
                     for placer in self.struck_placers(trouble) {
                         acts.push((at, Act::Placer(PlacerAct::Kill(placer))));
-                        acts.push(((at + notice).min(until), Act::Placer(PlacerAct::Noticed(placer))));
+                        acts.push((
+                            (at + notice).min(until),
+                            Act::Placer(PlacerAct::Noticed(placer)),
+                        ));
                         acts.push((until + 1, Act::Placer(PlacerAct::Respawn(placer))));
                     }
                 }
@@ -209,13 +218,19 @@
                         let mut from = at + self.dice.below(still as usize) as u64;
                         while from < until {
                             acts.push((from, Act::Placer(PlacerAct::Pause(placer))));
-                            acts.push(((from + still).min(until), Act::Placer(PlacerAct::GoOn(placer))));
+                            acts.push((
+                                (from + still).min(until),
+                                Act::Placer(PlacerAct::GoOn(placer)),
+                            ));
                             from += 2 * still + 1_000_000;
                         }
                     }
                 }
                 TroubleKind::HeavyTail => {
-                    let class = trouble.class.clone().unwrap_or_else(|| scenario.class[0].rules.name.clone());
+                    let class = trouble
+                        .class
+                        .clone()
+                        .unwrap_or_else(|| scenario.class[0].rules.name.clone());
                     for host in 0..scenario.fleet.hosts {
                         both(&mut acts, host, Fault::HeavyTail(class.clone(), size));
                     }
@@ -244,7 +259,10 @@
                     acts.push((until, Act::Garbage("sound")));
                 }
                 TroubleKind::InventoryGarbage => {
-                    acts.push((at, Act::Garbage("[[host]]\nname = \"host-00\"\nadress = \"?\u{0}\" [[")));
+                    acts.push((
+                        at,
+                        Act::Garbage("[[host]]\nname = \"host-00\"\nadress = \"?\u{0}\" [["),
+                    ));
                     acts.push((until, Act::Garbage("sound")));
                 }
                 TroubleKind::HealthFlaps => {
@@ -277,13 +295,23 @@
                 | TroubleKind::CatalogueStale => {
                     let none = CatalogueFaults::default;
                     let faults = match trouble.kind {
-                        TroubleKind::CatalogueLate => CatalogueFaults { late: (size * 1e6) as u64, ..none() },
-                        TroubleKind::CatalogueStorm => {
-                            CatalogueFaults { storm: Some((size as u16, 1.0)), ..none() }
-                        }
+                        TroubleKind::CatalogueLate => CatalogueFaults {
+                            late: (size * 1e6) as u64,
+                            ..none()
+                        },
+                        TroubleKind::CatalogueStorm => CatalogueFaults {
+                            storm: Some((size as u16, 1.0)),
+                            ..none()
+                        },
                         TroubleKind::CatalogueCut => CatalogueFaults { cut: 0.7, ..none() },
-                        TroubleKind::CataloguePartial => CatalogueFaults { partial: size, ..none() },
-                        _ => CatalogueFaults { index_back: size as u64, ..none() },
+                        TroubleKind::CataloguePartial => CatalogueFaults {
+                            partial: size,
+                            ..none()
+                        },
+                        _ => CatalogueFaults {
+                            index_back: size as u64,
+                            ..none()
+                        },
                     };
                     acts.push((at, Act::Catalogue(faults)));
                     acts.push((until, Act::Catalogue(none())));
--- a/crates/standin/src/processes.rs
+++ b/crates/standin/src/processes.rs
@@ -38,34 +38,63 @@
     #[allow(clippy::new_without_default)]
     pub fn new() -> Placers {
         let (told, starting) = mpsc::channel();
-        Placers { all: Vec::new(), told, starting }
+        Placers {
+            all: Vec::new(),
+            told,
+            starting,
+        }
     }
 
     /// Adds a placer that does not run yet.
     pub fn add(&mut self, config: PathBuf, log: PathBuf) {
         let log_from = std::fs::metadata(&log).map_or(0, |file| file.len());
-        self.all.push(PlacerProcess { config, log, log_from, child: None, paused: false, starts: 0 });
+        self.all.push(PlacerProcess {
+            config,
+            log,
+            log_from,
+            child: None,
+            paused: false,
+            starts: 0,
+        });
     }
 
     /// Starts a placer: the `placer` command of this program, with these arguments besides its settings.
     pub fn spawn(&mut self, number: usize, program: &Path, arguments: &[String]) -> io::Result<()> {
         let placer = &mut self.all[number];
-        let log = std::fs::OpenOptions::new().create(true).append(true).open(&placer.log)?;
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&placer.log)?;
         let mut process = Process::new(program);
-        process.arg("placer").arg("--config").arg(&placer.config).arg("--log-format").arg("text");
+        process
+            .arg("placer")
+            .arg("--config")
+            .arg(&placer.config)
+            .arg("--log-format")
+            .arg("text");
         process.args(arguments);
-        let mut child = process.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).spawn()?;
+        let mut child = process
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(log)
+            .spawn()?;
         let out = child.stdout.take();
         placer.child = Some(child);
         placer.starts += 1;
         let (start, told) = (placer.starts, self.told.clone());
         // It serves only once it has read a sound inventory, which may be long in coming.
-        std::thread::Builder::new().name(format!("starts placer-{number}")).spawn(move || {
-            let mut line = String::new();
-            let read = out.map(|out| BufReader::new(out).read_line(&mut line));
-            let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
-            let _ = told.send((number, start, address.filter(|_| matches!(read, Some(Ok(_))))));
-        })?;
+        std::thread::Builder::new()
+            .name(format!("starts placer-{number}"))
+            .spawn(move || {
+                let mut line = String::new();
+                let read = out.map(|out| BufReader::new(out).read_line(&mut line));
+                let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
+                let _ = told.send((
+                    number,
+                    start,
+                    address.filter(|_| matches!(read, Some(Ok(_)))),
+                ));
+            })?;
         Ok(())
     }
 
@@ -79,7 +108,9 @@
                 Some(address) => return Ok(Some((number, address))),
                 None => {
                     let log = std::fs::read_to_string(&placer.log).unwrap_or_default();
-                    return Err(io::Error::other(format!("placer {number} did not start: {log}")));
+                    return Err(io::Error::other(format!(
+                        "placer {number} did not start: {log}"
+                    )));
                 }
             }
         }
@@ -98,7 +129,9 @@
 
     /// Each placer's log of this day: the file, and where in it the day begins.
     pub(crate) fn logs(&self) -> impl Iterator<Item = (&Path, u64)> {
-        self.all.iter().map(|placer| (placer.log.as_path(), placer.log_from))
+        self.all
+            .iter()
+            .map(|placer| (placer.log.as_path(), placer.log_from))
     }
 
     /// Tells all to stop, and ends those that do not.
@@ -107,7 +140,9 @@
             let _ = self.signal(number, Signal::TERM);
         }
         for placer in &mut self.all {
-            let Some(mut child) = placer.child.take() else { continue };
+            let Some(mut child) = placer.child.take() else {
+                continue;
+            };
             for _ in 0..200 {
                 if matches!(child.try_wait(), Ok(Some(_))) {
                     break;
--- a/crates/standin/src/rack.rs
+++ b/crates/standin/src/rack.rs
@@ -98,8 +98,16 @@
                 speed: dice.between([0.85, 1.15]),
             };
             // An address of its own, so that its port stays free while it is down.
-            let ip = [127, net as u8, (number / 250) as u8, (number % 250 + 1) as u8];
-            let at = at.and_then(|at| at.get(number)).copied().unwrap_or(SocketAddr::from((ip, 0)));
+            let ip = [
+                127,
+                net as u8,
+                (number / 250) as u8,
+                (number % 250 + 1) as u8,
+            ];
+            let at = at
+                .and_then(|at| at.get(number))
+                .copied()
+                .unwrap_or(SocketAddr::from((ip, 0)));
             let listener = TcpListener::bind(at)?;
             let address = listener.local_addr()?;
             addresses.push(address);
@@ -137,13 +145,24 @@
         for slot in 0..run.slots.len() {
             run.up(slot)?;
         }
-        let thread = std::thread::Builder::new().name("hosts".into()).spawn(move || run.run())?;
-        Ok(Rack { commands, waker, thread: Some(thread), addresses, started })
+        let thread = std::thread::Builder::new()
+            .name("hosts".into())
+            .spawn(move || run.run())?;
+        Ok(Rack {
+            commands,
+            waker,
+            thread: Some(thread),
+            addresses,
+            started,
+        })
     }
 
     /// Has something done to a host.
     pub fn command(&self, command: Command) {
-        let mut commands = self.commands.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut commands = self
+            .commands
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         commands.push_back(command);
         let _ = rustix::io::write(&self.waker, &1u64.to_ne_bytes());
     }
@@ -189,7 +208,9 @@
 impl Link {
     /// Whether its traffic counts: that of hollow placers does not.
     fn counts(&self) -> bool {
-        self.placer.as_deref().is_none_or(|name| !hollow_placers::is_hollow(name))
+        self.placer
+            .as_deref()
+            .is_none_or(|name| !hollow_placers::is_hollow(name))
     }
 }
 
@@ -222,7 +243,10 @@
             let now = self.world.clock.now();
             let next = self.timers.next().unwrap_or(u64::MAX).min(ticked + TICK);
             ready.clear();
-            self.poller.wait(Some(Duration::from_micros(next.saturating_sub(now))), &mut ready)?;
+            self.poller.wait(
+                Some(Duration::from_micros(next.saturating_sub(now))),
+                &mut ready,
+            )?;
             self.looks.looked(now, ready.len() < MAX_READY);
             for r in &ready {
                 match r.token {
@@ -236,7 +260,9 @@
             while let Some((slot, epoch, later)) = self.timers.due(now) {
                 if self.slots[slot].epoch == epoch && !self.slots[slot].down {
                     let mut out = Vec::new();
-                    self.slots[slot].host.due(now, later, &mut self.keys, &mut out);
+                    self.slots[slot]
+                        .host
+                        .due(now, later, &mut self.keys, &mut out);
                     self.carry_out(slot, out);
                     self.flush_dirty();
                 }
@@ -245,7 +271,9 @@
                 for slot in 0..self.slots.len() {
                     if !self.slots[slot].down && self.slots[slot].host.busy() {
                         let mut out = Vec::new();
-                        self.slots[slot].host.serve(ticked, now, &mut self.keys, &mut out);
+                        self.slots[slot]
+                            .host
+                            .serve(ticked, now, &mut self.keys, &mut out);
                         self.carry_out(slot, out);
                     }
                 }
@@ -260,7 +288,10 @@
         let _ = rustix::io::read(&self.waker, &mut [0u8; 8]);
         loop {
             let command = {
-                let mut commands = self.commands.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+                let mut commands = self
+                    .commands
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
                 commands.pop_front()
             };
             match command {
@@ -274,15 +305,25 @@
                 Some(Command::Start(_)) => {}
                 Some(Command::Drain(slot)) => {
                     self.slots[slot].host.drain();
-                    let links: Vec<u64> =
-                        self.by_placer.iter().filter(|((s, _), _)| *s == slot).map(|(_, &t)| t).collect();
-                    links.into_iter().for_each(|token| self.send(token, Frame::Drain));
+                    let links: Vec<u64> = self
+                        .by_placer
+                        .iter()
+                        .filter(|((s, _), _)| *s == slot)
+                        .map(|(_, &t)| t)
+                        .collect();
+                    links
+                        .into_iter()
+                        .for_each(|token| self.send(token, Frame::Drain));
                 }
                 Some(Command::Faults(slot, faults)) => self.slots[slot].host.ail(faults),
                 Some(Command::Reachable(slot, reachable)) => self.set_reachable(slot, reachable),
                 Some(Command::ResetMidFrame(slot)) => {
-                    let links: Vec<u64> =
-                        self.conns.iter().filter(|(_, l)| l.slot == slot).map(|(&t, _)| t).collect();
+                    let links: Vec<u64> = self
+                        .conns
+                        .iter()
+                        .filter(|(_, l)| l.slot == slot)
+                        .map(|(&t, _)| t)
+                        .collect();
                     for token in links {
                         self.flush(token);
                         if let Some(link) = self.conns.get_mut(&token) {
@@ -303,13 +344,19 @@
             None => TcpListener::bind(slot.address)?,
         };
         listener.set_nonblocking(true)?;
-        self.poller.add(&listener, LISTENERS + number as u64, false)?;
+        self.poller
+            .add(&listener, LISTENERS + number as u64, false)?;
         slot.listener = Some(listener);
         slot.down = false;
         slot.epoch += 1;
         let started_ms = slot.host.started / 1000;
-        self.started.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[number] = started_ms;
-        self.world.see(Seen::HostUp { host: slot.host.spec.name.clone(), started_ms });
+        self.started
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = started_ms;
+        self.world.see(Seen::HostUp {
+            host: slot.host.spec.name.clone(),
+            started_ms,
+        });
         Ok(())
     }
 
@@ -322,9 +369,18 @@
         slot.listener = None;
         slot.host.forget_keys(&mut self.keys);
         slot.host.die();
-        self.started.lock().unwrap_or_else(std::sync::PoisonError::into_inner)[number] = 0;
-        self.world.see(Seen::HostDown { host: slot.host.spec.name.clone() });
-        let links: Vec<u64> = self.conns.iter().filter(|(_, l)| l.slot == number).map(|(&t, _)| t).collect();
+        self.started
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = 0;
+        self.world.see(Seen::HostDown {
+            host: slot.host.spec.name.clone(),
+        });
+        let links: Vec<u64> = self
+            .conns
+            .iter()
+            .filter(|(_, l)| l.slot == number)
+            .map(|(&t, _)| t)
+            .collect();
         links.into_iter().for_each(|token| self.lose(token, true));
     }
 
@@ -334,17 +390,30 @@
         {
             self.next += 1;
             let token = self.next;
-            let Ok(mut conn) = Conn::accepted(stream, token, &self.poller) else { continue };
+            let Ok(mut conn) = Conn::accepted(stream, token, &self.poller) else {
+                continue;
+            };
             if !self.slots[number].reachable && conn.set_reading(false, &self.poller).is_err() {
                 continue;
             }
             let (unwritten, traffic) = (Vec::new(), LinkTraffic::default());
-            self.conns.insert(token, Link { conn, slot: number, placer: None, unwritten, traffic });
+            self.conns.insert(
+                token,
+                Link {
+                    conn,
+                    slot: number,
+                    placer: None,
+                    unwritten,
+                    traffic,
+                },
+            );
         }
     }
 
     fn lose(&mut self, token: u64, reset: bool) {
-        let Some(mut link) = self.conns.remove(&token) else { return };
+        let Some(mut link) = self.conns.remove(&token) else {
+            return;
+        };
         self.dirty.remove(&token);
         if let Some(counter) = self.counter.as_ref().filter(|_| link.counts()) {
             counter.closed(&mut link.traffic, reset);
@@ -366,7 +435,9 @@
     }
 
     fn link_ready(&mut self, token: u64, r: &Readiness) {
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         if !self.slots[link.slot].reachable {
             if r.closed {
                 self.lose(token, false);
@@ -387,7 +458,10 @@
                 Ok((frame, used)) => {
                     link.conn.take(used);
                     let Some(frame) = frame else { break };
-                    segment.push(Counted { kind: kind_of(&frame), bytes: used as u64 });
+                    segment.push(Counted {
+                        kind: kind_of(&frame),
+                        bytes: used as u64,
+                    });
                     self.frame(token, frame);
                 }
                 Err(_) => {
@@ -404,10 +478,15 @@
 
     fn frame(&mut self, token: u64, frame: Frame) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         let number = link.slot;
         let host = self.slots[number].host.spec.name.clone();
-        if let Frame::Hello { name, started_ms, .. } = &frame {
+        if let Frame::Hello {
+            name, started_ms, ..
+        } = &frame
+        {
             let placer: Arc<str> = name.as_str().into();
             link.placer = Some(placer.clone());
             self.world.see(Seen::Link {
@@ -437,13 +516,21 @@
             frames.into_iter().for_each(|frame| self.send(token, frame));
             return;
         }
-        let Some(placer) = link.placer.clone() else { return };
+        let Some(placer) = link.placer.clone() else {
+            return;
+        };
         if let Some(late) = self.looks.reads(now) {
             self.world.see(late);
         }
-        self.world.see(Seen::FromPlacer { host, link: token, frame: frame.clone() });
+        self.world.see(Seen::FromPlacer {
+            host,
+            link: token,
+            frame: frame.clone(),
+        });
         let mut out = Vec::new();
-        self.slots[number].host.frame(now, &placer, frame, &mut self.keys, &mut out);
+        self.slots[number]
+            .host
+            .frame(now, &placer, frame, &mut self.keys, &mut out);
         self.carry_out(number, out);
     }
 
@@ -457,7 +544,8 @@
                 }
                 Do::After(after, later) => {
                     let epoch = self.slots[number].epoch;
-                    self.timers.set(self.world.clock.now() + after, (number, epoch, later));
+                    self.timers
+                        .set(self.world.clock.now() + after, (number, epoch, later));
                 }
                 Do::FallOver => self.crash(number),
             }
--- a/crates/standin/src/rack/sending.rs
+++ b/crates/standin/src/rack/sending.rs
@@ -14,9 +14,16 @@
     /// The connections of an unreachable host stay as they are, unread and unwritten, until their placers give them up.
     pub(super) fn set_reachable(&mut self, number: usize, reachable: bool) {
         self.slots[number].reachable = reachable;
-        let links: Vec<u64> = self.conns.iter().filter(|(_, l)| l.slot == number).map(|(&t, _)| t).collect();
+        let links: Vec<u64> = self
+            .conns
+            .iter()
+            .filter(|(_, l)| l.slot == number)
+            .map(|(&t, _)| t)
+            .collect();
         for token in links {
-            let Some(link) = self.conns.get_mut(&token) else { continue };
+            let Some(link) = self.conns.get_mut(&token) else {
+                continue;
+            };
             if link.conn.set_reading(reachable, &self.poller).is_err() {
                 self.lose(token, true);
             }
@@ -26,7 +33,9 @@
 
     pub(super) fn count_read(&mut self, token: u64, segment: &[Counted]) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.get_mut(&token).filter(|l| l.counts()) else { return };
+        let Some(link) = self.conns.get_mut(&token).filter(|l| l.counts()) else {
+            return;
+        };
         if let Some(counter) = &self.counter {
             counter.segment(&mut link.traffic, now, Direction::FromPlacer, segment);
         }
@@ -34,13 +43,22 @@
 
     /// Adds a frame to what its connection is to write once all that is at hand is done.
     pub(super) fn send(&mut self, token: u64, frame: Frame) {
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         let host = self.slots[link.slot].host.spec.name.clone();
         let before = link.conn.out().len();
         frame::encode(&frame, link.conn.out());
         let bytes = (link.conn.out().len() - before) as u64;
-        link.unwritten.push(Counted { kind: kind_of(&frame), bytes });
-        self.world.see(Seen::FromHost { host, link: token, frame });
+        link.unwritten.push(Counted {
+            kind: kind_of(&frame),
+            bytes,
+        });
+        self.world.see(Seen::FromHost {
+            host,
+            link: token,
+            frame,
+        });
         self.dirty.insert(token);
     }
 
@@ -52,7 +70,9 @@
 
     pub(super) fn flush(&mut self, token: u64) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.get_mut(&token) else { return };
+        let Some(link) = self.conns.get_mut(&token) else {
+            return;
+        };
         let mut broken = false;
         if self.slots[link.slot].reachable {
             // Counted first: whoever has read it finds it counted.
--- a/crates/standin/src/recorded.rs
+++ b/crates/standin/src/recorded.rs
@@ -75,41 +75,74 @@
         told.read(trace, summary)?;
     }
     let summary = summary.ok_or("no trace is given")?.json();
-    told.day(base, speed, seed).map(|(scenario, arrivals)| Recorded { scenario, arrivals, summary })
+    told.day(base, speed, seed)
+        .map(|(scenario, arrivals)| Recorded {
+            scenario,
+            arrivals,
+            summary,
+        })
 }
 
 impl Told {
-    fn read<R: Read + Seek>(&mut self, trace: &mut Reader<R>, summary: &mut Summary) -> Result<(), String> {
+    fn read<R: Read + Seek>(
+        &mut self,
+        trace: &mut Reader<R>,
+        summary: &mut Summary,
+    ) -> Result<(), String> {
         let header = trace.header.clone();
         let mut run = (header.placer.clone(), header.started_ms * 1000);
         let mut services: BTreeMap<u64, String> = BTreeMap::new();
         let mut names: BTreeMap<u32, String> = BTreeMap::new();
         let mut open: HashMap<u64, (u64, String, u64, u32)> = HashMap::new();
         while let Some(part) = trace.next_part().map_err(|e| e.to_string())? {
-            let Part::Block { records, .. } = part else { continue };
+            let Part::Block { records, .. } = part else {
+                continue;
+            };
             for r in &records {
                 summary.feed(r);
-                let ends = self.runs.entry(run.0.clone()).or_default().entry(run.1).or_insert(run.1);
+                let ends = self
+                    .runs
+                    .entry(run.0.clone())
+                    .or_default()
+                    .entry(run.1)
+                    .or_insert(run.1);
                 *ends = r.at.max(*ends);
                 match &r.record {
                     Record::Source(n) => {
-                        let source =
-                            header.sources.get(*n as usize).ok_or("a source that no header names")?;
+                        let source = header
+                            .sources
+                            .get(*n as usize)
+                            .ok_or("a source that no header names")?;
                         run = (source.placer.clone(), source.started_ms * 1000);
                     }
-                    Record::Service { service, name } => drop(services.insert(*service, name.clone())),
-                    Record::Host { machine, name, zone, .. } => {
+                    Record::Service { service, name } => {
+                        drop(services.insert(*service, name.clone()))
+                    }
+                    Record::Host {
+                        machine,
+                        name,
+                        zone,
+                        ..
+                    } => {
                         names.insert(*machine, name.clone());
                         self.hosts.insert(name.clone(), zone.clone());
                     }
-                    Record::Asked { task, service, actor, class, read, .. } => {
+                    Record::Asked {
+                        task,
+                        service,
+                        actor,
+                        class,
+                        read,
+                        ..
+                    } => {
                         open.insert(*task, (*service, actor.clone(), *read, *class));
                     }
                     Record::Turn(turn) => {
                         for event in &turn.events {
                             match event {
                                 Event::Asked(task) => {
-                                    let Some((service, actor, at, class)) = open.remove(&task.id.0) else {
+                                    let Some((service, actor, at, class)) = open.remove(&task.id.0)
+                                    else {
                                         continue;
                                     };
                                     if task.again || self.asks.len() >= MOST_ASKS {
@@ -119,7 +152,10 @@
                                     self.asks.push(Ask {
                                         at,
                                         class: class.ok_or("a class that no header names")?,
-                                        service: services.get(&service).cloned().unwrap_or_default(),
+                                        service: services
+                                            .get(&service)
+                                            .cloned()
+                                            .unwrap_or_default(),
                                         actor,
                                         shape: [task.asks.cores, task.asks.memory],
                                         life: task.life,
@@ -146,8 +182,14 @@
         Ok(())
     }
 
-    fn day(mut self, base: &Scenario, speed: f64, seed: u64) -> Result<(Scenario, Vec<Arrival>), String> {
-        self.asks.sort_by(|a, b| (a.at, &a.service, &a.actor).cmp(&(b.at, &b.service, &b.actor)));
+    fn day(
+        mut self,
+        base: &Scenario,
+        speed: f64,
+        seed: u64,
+    ) -> Result<(Scenario, Vec<Arrival>), String> {
+        self.asks
+            .sort_by(|a, b| (a.at, &a.service, &a.actor).cmp(&(b.at, &b.service, &b.actor)));
         let begin = self.asks.first().ok_or("no first ask is recorded")?.at;
         let end = self.asks.last().map_or(begin, |a| a.at);
         let after = |at: u64| at.saturating_sub(begin) as f64 / speed;
@@ -166,10 +208,19 @@
             if !seen.insert((&ask.service, &ask.actor)) {
                 continue;
             }
-            let class = scenario.class.iter().position(|c| c.rules.name == ask.class).ok_or_else(|| {
-                format!("class {:?} was recorded and is not in the scenario {:?}", ask.class, base.name)
-            })?;
-            let life = ask.life.unwrap_or((scenario.class[class].life_s * 1e6) as u64);
+            let class = scenario
+                .class
+                .iter()
+                .position(|c| c.rules.name == ask.class)
+                .ok_or_else(|| {
+                    format!(
+                        "class {:?} was recorded and is not in the scenario {:?}",
+                        ask.class, base.name
+                    )
+                })?;
+            let life = ask
+                .life
+                .unwrap_or((scenario.class[class].life_s * 1e6) as u64);
             arrivals.push(Arrival {
                 at: after(ask.at) as u64,
                 class,
@@ -185,7 +236,14 @@
         Ok((scenario, arrivals))
     }
 
-    fn troubles(&self, begin: u64, end: u64, speed: f64, placers: u32, base: &Scenario) -> Vec<Trouble> {
+    fn troubles(
+        &self,
+        begin: u64,
+        end: u64,
+        speed: f64,
+        placers: u32,
+        base: &Scenario,
+    ) -> Vec<Trouble> {
         let at_s = |at: u64| at.saturating_sub(begin) as f64 / 1e6 / speed;
         let trouble = |kind, at_s: f64, for_s, reach| Trouble {
             kind,
@@ -198,10 +256,16 @@
         };
         let mut all = Vec::new();
         // Starts from a little after the first ask on; those before it are what the day began with.
-        let mut starts: Vec<&(u64, String)> =
-            self.starts.iter().filter(|(at, _)| (begin + TOGETHER..end).contains(at)).collect();
+        let mut starts: Vec<&(u64, String)> = self
+            .starts
+            .iter()
+            .filter(|(at, _)| (begin + TOGETHER..end).contains(at))
+            .collect();
         while let Some(&&(first, _)) = starts.first() {
-            let count = starts.iter().take_while(|(at, _)| *at < first + TOGETHER).count();
+            let count = starts
+                .iter()
+                .take_while(|(at, _)| *at < first + TOGETHER)
+                .count();
             let mut together: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
             for (_, name) in starts.drain(..count) {
                 let zone = self.hosts.get(name).map_or("", String::as_str);
@@ -210,17 +274,26 @@
             let mut alone = 0;
             for (zone, hosts) in together {
                 let whole = self.hosts.values().filter(|z| *z == zone).count();
-                let lost = hosts.len() >= ZONE_LEAST && hosts.len() as f64 >= ZONE_SHARE * whole as f64;
+                let lost =
+                    hosts.len() >= ZONE_LEAST && hosts.len() as f64 >= ZONE_SHARE * whole as f64;
                 if lost && base.fleet.zones.iter().any(|z| z == zone) {
                     let loss = trouble(TroubleKind::ZoneLoss, at_s(first) - AWAY_S, AWAY_S, 1.0);
-                    all.push(Trouble { zone: Some(zone.to_owned()), ..loss });
+                    all.push(Trouble {
+                        zone: Some(zone.to_owned()),
+                        ..loss
+                    });
                 } else {
                     alone += hosts.len();
                 }
             }
             if alone > 0 {
                 let reach = alone as f64 / self.hosts.len().max(1) as f64;
-                all.push(trouble(TroubleKind::HostCrash, at_s(first) - AWAY_S, AWAY_S, reach));
+                all.push(trouble(
+                    TroubleKind::HostCrash,
+                    at_s(first) - AWAY_S,
+                    AWAY_S,
+                    reach,
+                ));
             }
         }
         for runs in self.runs.values() {
@@ -269,11 +342,27 @@
         let mut writer = Writer::new(&mut bytes, &header).expect("a header");
         for n in 0..12u32 {
             let zone = ["hall-a", "hall-b", "hall-c"][n as usize % 3].to_owned();
-            let record =
-                Record::Host { machine: n, name: format!("h{n}"), zone, cell: "c".into(), kind: "k".into() };
-            writer.push(&Stamped { at: START + began * S, record }).expect("a record");
+            let record = Record::Host {
+                machine: n,
+                name: format!("h{n}"),
+                zone,
+                cell: "c".into(),
+                kind: "k".into(),
+            };
+            writer
+                .push(&Stamped {
+                    at: START + began * S,
+                    record,
+                })
+                .expect("a record");
         }
-        writer.know(&Stamped { at: 0, record: Record::Service { service: 3, name: "web-api-03".into() } });
+        writer.know(&Stamped {
+            at: 0,
+            record: Record::Service {
+                service: 3,
+                name: "web-api-03".into(),
+            },
+        });
         for (n, &(at, actor, again)) in asks.iter().enumerate() {
             let (at, task) = (START + at * S, n as u64);
             let asked = Record::Asked {
@@ -294,9 +383,20 @@
                 give_up_at: at + S,
                 again,
             };
-            let turn = Turn { now: at, events: vec![Event::Asked(task)], actions: Vec::new() };
-            writer.push(&Stamped { at, record: asked }).expect("a record");
-            writer.push(&Stamped { at, record: Record::Turn(turn) }).expect("a record");
+            let turn = Turn {
+                now: at,
+                events: vec![Event::Asked(task)],
+                actions: Vec::new(),
+            };
+            writer
+                .push(&Stamped { at, record: asked })
+                .expect("a record");
+            writer
+                .push(&Stamped {
+                    at,
+                    record: Record::Turn(turn),
+                })
+                .expect("a record");
         }
         for &(at, host) in starts {
             let at = START + at * S;
@@ -310,17 +410,31 @@
                 started: Some(at),
                 unasked: None,
             };
-            let listed = Event::Listed { scope: Scope::Changes, machines: vec![listing] };
-            let turn = Turn { now: at, events: vec![listed], actions: Vec::new() };
-            writer.push(&Stamped { at, record: Record::Turn(turn) }).expect("a record");
+            let listed = Event::Listed {
+                scope: Scope::Changes,
+                machines: vec![listing],
+            };
+            let turn = Turn {
+                now: at,
+                events: vec![listed],
+                actions: Vec::new(),
+            };
+            writer
+                .push(&Stamped {
+                    at,
+                    record: Record::Turn(turn),
+                })
+                .expect("a record");
         }
         writer.finish().expect("an index");
         bytes
     }
 
     fn read_all(files: &[&[u8]], speed: f64) -> Result<Recorded, String> {
-        let mut traces: Vec<_> =
-            files.iter().map(|f| Reader::open(Cursor::new(*f)).expect("a file")).collect();
+        let mut traces: Vec<_> = files
+            .iter()
+            .map(|f| Reader::open(Cursor::new(*f)).expect("a file"))
+            .collect();
         read(&mut traces, &Scenario::standard(), speed, 5)
     }
 
@@ -328,18 +442,31 @@
     fn a_recorded_day_has_the_asks_and_the_troubles_that_were_seen() {
         // A zone of four comes back together, and a host alone; placer p0 has two runs.
         let zone: Vec<(u64, u32)> = (0..4).map(|n| (10, n * 3 + 1)).chain([(20, 0)]).collect();
-        let first = run("p0", 0, &[(1, "a", false), (2, "b", false), (3, "a", true)], &zone);
+        let first = run(
+            "p0",
+            0,
+            &[(1, "a", false), (2, "b", false), (3, "a", true)],
+            &zone,
+        );
         let second = run("p0", 22, &[(30, "c", false)], &[]);
         let other = run("p1", 0, &[(4, "b", false), (8, "d", false)], &zone);
         let day = read_all(&[&first, &second, &other], 1.0).expect("a day");
         let asks: Vec<(&str, u64)> = day.arrivals.iter().map(|a| (&*a.actor, a.at / S)).collect();
-        assert_eq!(asks, [("a", 0), ("b", 1), ("d", 7), ("c", 29)], "first asks only, each owner once");
+        assert_eq!(
+            asks,
+            [("a", 0), ("b", 1), ("d", 7), ("c", 29)],
+            "first asks only, each owner once"
+        );
         let one = &day.arrivals[0];
-        assert_eq!((&*one.service, one.shape, one.life), ("web-api-03", [0.5, 2.0], 7 * S));
+        assert_eq!(
+            (&*one.service, one.shape, one.life),
+            ("web-api-03", [0.5, 2.0], 7 * S)
+        );
         assert_eq!(day.scenario.class[one.class].rules.name, "web-api");
         let s = &day.scenario;
         assert_eq!((s.fleet.hosts, s.placers, s.seconds), (12, 2, 29.0));
-        let troubles: Vec<(TroubleKind, f64)> = s.trouble.iter().map(|t| (t.kind, t.at_s)).collect();
+        let troubles: Vec<(TroubleKind, f64)> =
+            s.trouble.iter().map(|t| (t.kind, t.at_s)).collect();
         let expected = [
             (TroubleKind::ZoneLoss, 9.0 - AWAY_S),
             (TroubleKind::HostCrash, 19.0 - AWAY_S),
@@ -350,7 +477,10 @@
         assert_eq!(day.summary["classes"]["web-api"]["asked"], 6);
         // Twice as fast: the same asks in half the time.
         let fast = read_all(&[&first, &second, &other], 2.0).expect("a day");
-        assert_eq!(fast.arrivals.iter().map(|a| a.at).collect::<Vec<_>>(), [0, S / 2, 7 * S / 2, 29 * S / 2]);
+        assert_eq!(
+            fast.arrivals.iter().map(|a| a.at).collect::<Vec<_>>(),
+            [0, S / 2, 7 * S / 2, 29 * S / 2]
+        );
     }
 
     #[test]
@@ -363,7 +493,9 @@
         let mut base = Scenario::standard();
         base.class.retain(|c| c.rules.name != "web-api");
         let mut traces = [Reader::open(Cursor::new(&file)).expect("a file")];
-        let error = read(&mut traces, &base, 1.0, 5).err().expect("no such class");
+        let error = read(&mut traces, &base, 1.0, 5)
+            .err()
+            .expect("no such class");
         assert!(error.contains("class \"web-api\" was recorded"), "{error}");
     }
 }
