--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -71,7 +71,11 @@
     /// The report as one object.
     pub fn json(&self) -> Value {
         let v = &self.verdict;
-        let broken: BTreeMap<String, u64> = v.counts().into_iter().map(|(r, n)| (r.to_string(), n)).collect();
+        let broken: BTreeMap<String, u64> = v
+            .counts()
+            .into_iter()
+            .map(|(r, n)| (r.to_string(), n))
+            .collect();
         json!({
             "asks": v.asks, "placed": v.placed, "refused": v.refused, "failed": v.failed,
             "turned_away": v.turned_away, "unanswered": v.unanswered, "excused": v.excused,
@@ -104,7 +108,13 @@
 
     /// The first few of each rule.
     fn first_broken(&self) -> impl Iterator<Item = &Broken> {
-        let of = |rule: u8| self.verdict.broken.iter().filter(move |b| b.rule == rule).take(SHOWN_OF_A_RULE);
+        let of = |rule: u8| {
+            self.verdict
+                .broken
+                .iter()
+                .filter(move |b| b.rule == rule)
+                .take(SHOWN_OF_A_RULE)
+        };
         (1..=5).flat_map(of)
     }
 
@@ -136,7 +146,11 @@
         let list = |counts: &BTreeMap<String, u64>, of: u64| {
             let one = |(what, &n): (&String, &u64)| format!("{what} {:.1}%", share(n, of));
             let all: Vec<String> = counts.iter().map(one).collect();
-            if all.is_empty() { "none".to_owned() } else { all.join(", ") }
+            if all.is_empty() {
+                "none".to_owned()
+            } else {
+                all.join(", ")
+            }
         };
         let _ = writeln!(
             out,
@@ -193,7 +207,10 @@
             let _ = writeln!(out, "and {} more", v.broken.len() - 10);
         }
         let _ = if self.good() {
-            writeln!(out, "all five rules held, and every ask had exactly one answer")
+            writeln!(
+                out,
+                "all five rules held, and every ask had exactly one answer"
+            )
         } else {
             writeln!(out, "RULES BROKEN: {:?} (rule: times)", v.counts())
         };
@@ -207,7 +224,11 @@
 /// A quantile of sorted times in µs, in ms; 0 of none.
 fn quantile_ms(sorted: &[u64], q: f64) -> f64 {
     let at = ((sorted.len() as f64 * q).ceil() as usize).max(1) - 1;
-    sorted.get(at.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0) as f64 / 1000.0
+    sorted
+        .get(at.min(sorted.len().saturating_sub(1)))
+        .copied()
+        .unwrap_or(0) as f64
+        / 1000.0
 }
 
 /// Asks of owners that had never asked before.
@@ -226,7 +247,10 @@
         for r in record {
             match &r.seen {
                 Seen::Asked { request, .. } if request.ends_with(".1") => first.asks += 1,
-                Seen::Answered { request, outcome: Outcome::Placed(_) } if request.ends_with(".1") => {
+                Seen::Answered {
+                    request,
+                    outcome: Outcome::Placed(_),
+                } if request.ends_with(".1") => {
                     first.placed += 1;
                 }
                 _ => {}
@@ -240,7 +264,12 @@
 pub(crate) fn returns(record: &[Record], returned: &[(u64, Arc<str>)]) -> (usize, f64, usize) {
     let mut offers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for r in record {
-        if let Seen::FromPlacer { host, frame: Frame::Offer(_), .. } = &r.seen {
+        if let Seen::FromPlacer {
+            host,
+            frame: Frame::Offer(_),
+            ..
+        } = &r.seen
+        {
             offers.entry(host).or_default().push(r.at);
         }
     }
@@ -248,9 +277,15 @@
         .iter()
         .map(|(at, host)| {
             let all = offers.get(&**host).map(Vec::as_slice).unwrap_or_default();
-            all.iter().filter(|&&o| o >= *at && o < at + 1_000_000).count()
+            all.iter()
+                .filter(|&&o| o >= *at && o < at + 1_000_000)
+                .count()
         })
         .collect();
     let mean = counts.iter().sum::<usize>() as f64 / counts.len().max(1) as f64;
-    (counts.len(), mean, counts.iter().copied().max().unwrap_or(0))
+    (
+        counts.len(),
+        mean,
+        counts.iter().copied().max().unwrap_or(0),
+    )
 }
--- a/crates/standin/src/rogue.rs
+++ b/crates/standin/src/rogue.rs
@@ -38,7 +38,11 @@
 impl Rogue {
     pub(crate) fn new(number: u8, moves: u64, verdict: &Verdict) -> Rogue {
         let caught = verdict.counts().get(&rule_of(number)).copied().unwrap_or(0);
-        Rogue { number, moves, caught }
+        Rogue {
+            number,
+            moves,
+            caught,
+        }
     }
 
     /// Whether the judge caught it.
@@ -52,7 +56,11 @@
 
     /// The outcome in a line.
     pub fn text(&self) -> String {
-        let Rogue { number, moves, caught } = self;
+        let Rogue {
+            number,
+            moves,
+            caught,
+        } = self;
         let rule = rule_of(*number);
         match self.outcome() {
             RogueOutcome::Caught => {
@@ -76,7 +84,11 @@
 
 /// The rule that a rogue breaks.
 fn rule_of(rogue: u8) -> u8 {
-    if rogue == QUIET_AROUND_PAUSES { 1 } else { rogue }
+    if rogue == QUIET_AROUND_PAUSES {
+        1
+    } else {
+        rogue
+    }
 }
 
 /// The moves against its rule that a placer told its log from this offset on.
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -116,7 +116,11 @@
 impl KindShare {
     /// As placers know it.
     pub fn kind(&self) -> Kind {
-        Kind { name: self.name.clone(), cores: self.cores, memory_gib: self.memory_gib }
+        Kind {
+            name: self.name.clone(),
+            cores: self.cores,
+            memory_gib: self.memory_gib,
+        }
     }
 }
 
@@ -254,7 +258,10 @@
 
     /// The standard bad day: every kind of trouble, spread over its length.
     pub fn standard() -> Scenario {
-        let doc = Doc { file: "scenarios/standard.toml", text: include_str!("../scenarios/standard.toml") };
+        let doc = Doc {
+            file: "scenarios/standard.toml",
+            text: include_str!("../scenarios/standard.toml"),
+        };
         Scenario::parse(doc).expect("the built-in scenario is sound, which a test holds")
     }
 
@@ -264,7 +271,10 @@
         struct More {
             trouble: Vec<Trouble>,
         }
-        let doc = Doc { file: "scenarios/catalogue.toml", text: include_str!("../scenarios/catalogue.toml") };
+        let doc = Doc {
+            file: "scenarios/catalogue.toml",
+            text: include_str!("../scenarios/catalogue.toml"),
+        };
         let more: More = parse(doc).expect("the built-in troubles are sound, which a test holds");
         let mut scenario = Scenario::standard();
         scenario.name = "standard with catalogue".to_owned();
@@ -282,7 +292,11 @@
         doc.check(!self.fleet.zones.is_empty(), "fleet.zones", "at least one")?;
         doc.check(!self.kind.is_empty(), "kind", "at least one")?;
         doc.check(!self.class.is_empty(), "class", "at least one")?;
-        doc.check(!self.demand.load.is_empty(), "demand.load", "at least one point")?;
+        doc.check(
+            !self.demand.load.is_empty(),
+            "demand.load",
+            "at least one point",
+        )?;
         let range = |key: &str, r: [f64; 2]| {
             doc.check(
                 r[0].is_finite() && r[0] >= 0.0 && r[1] >= r[0],
@@ -303,9 +317,17 @@
         for (i, trouble) in self.trouble.iter().enumerate() {
             let key = |field: &str| format!("trouble[{i}].{field}");
             doc.check(trouble.at_s >= 0.0, &key("at_s"), "0 or above")?;
-            doc.check((0.0..=1.0).contains(&trouble.reach), &key("reach"), "a share, 0 to 1")?;
+            doc.check(
+                (0.0..=1.0).contains(&trouble.reach),
+                &key("reach"),
+                "a share, 0 to 1",
+            )?;
             if let Some(zone) = &trouble.zone {
-                doc.check(self.fleet.zones.contains(zone), &key("zone"), format!("unknown zone `{zone}`"))?;
+                doc.check(
+                    self.fleet.zones.contains(zone),
+                    &key("zone"),
+                    format!("unknown zone `{zone}`"),
+                )?;
             }
             if let Some(class) = &trouble.class {
                 let known = self.class.iter().any(|c| &c.rules.name == class);
@@ -384,7 +406,10 @@
     pub fn place_of(&self, host: usize) -> (String, String) {
         let zones = &self.fleet.zones;
         let zone = host % zones.len();
-        (zones[zone].clone(), format!("rack-{}", host / zones.len() / self.fleet.cell_size))
+        (
+            zones[zone].clone(),
+            format!("rack-{}", host / zones.len() / self.fleet.cell_size),
+        )
     }
 
     /// Cores of all hosts.
@@ -424,16 +449,28 @@
                 continue;
             }
             let file = path.display().to_string();
-            let day = Scenario::parse(Doc { file: &file, text: &text }).expect("a sound scenario");
+            let day = Scenario::parse(Doc {
+                file: &file,
+                text: &text,
+            })
+            .expect("a sound scenario");
             let over = |t: &Trouble| t.at_s + t.for_s <= day.seconds;
-            assert!(day.trouble.iter().all(over), "{file}: a trouble outlasts the day");
+            assert!(
+                day.trouble.iter().all(over),
+                "{file}: a trouble outlasts the day"
+            );
             kinds.extend(day.trouble.iter().map(|t| format!("{:?}", t.kind)));
             files += 1;
         }
         assert!(files >= 8);
-        for kind in
-            ["HeavyTail", "HotServices", "ProgramsLost", "PlacerStalls", "AnswersLost", "ClassSilence"]
-        {
+        for kind in [
+            "HeavyTail",
+            "HotServices",
+            "ProgramsLost",
+            "PlacerStalls",
+            "AnswersLost",
+            "ClassSilence",
+        ] {
             assert!(kinds.contains(kind), "no scenario has {kind}");
         }
     }
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -4,8 +4,8 @@
 use std::path::Path;
 
 use maplethread_config::{
-    Api, Consul, Damping, HostEntry, HostState, Hosts, Identity, Inventory, Membership, PlacerConfig,
-    Placing, Prices, Reads, Rules as PlacerRules, Trace,
+    Api, Consul, Damping, HostEntry, HostState, Hosts, Identity, Inventory, Membership,
+    PlacerConfig, Placing, Prices, Reads, Rules as PlacerRules, Trace,
 };
 use maplethread_judge::{ClassRule, Figures, Group, Place, Where};
 
@@ -14,7 +14,13 @@
 
 /// Trace files of a day: all of it is kept.
 pub(crate) fn trace(folder: std::path::PathBuf) -> Trace {
-    Trace { folder, rotate_mib: 256, rotate_s: 86_400, keep_mib: 16 << 10, queue_records: 1 << 18 }
+    Trace {
+        folder,
+        rotate_mib: 256,
+        rotate_s: 86_400,
+        keep_mib: 16 << 10,
+        queue_records: 1 << 18,
+    }
 }
 
 /// Settings of the placer of this number on a day. `servers` are those of its catalogue, if it reads one.
@@ -36,7 +42,10 @@
             seed: Some(seed.wrapping_mul(1000) + number as u64),
         },
         api: api(),
-        hosts: Hosts { inventory: servers.is_none().then(|| "hosts.toml".into()), ..hosts("hosts.toml") },
+        hosts: Hosts {
+            inventory: servers.is_none().then(|| "hosts.toml".into()),
+            ..hosts("hosts.toml")
+        },
         consul: servers.map(|(servers, damping)| {
             let membership = Membership {
                 service: "maplethread-placer".to_owned(),
@@ -82,19 +91,27 @@
                 };
                 (group, ms * 1000)
             }),
-            spread: c.rules.spread_over.zip(c.rules.spread_most).map(|(place, most)| {
-                let place = match place {
-                    mc::Place::Host => Place::Host,
-                    mc::Place::Cell => Place::Cell,
-                    mc::Place::Zone => Place::Zone,
-                };
-                (place, most)
-            }),
+            spread: c
+                .rules
+                .spread_over
+                .zip(c.rules.spread_most)
+                .map(|(place, most)| {
+                    let place = match place {
+                        mc::Place::Host => Place::Host,
+                        mc::Place::Cell => Place::Cell,
+                        mc::Place::Zone => Place::Zone,
+                    };
+                    (place, most)
+                }),
         }
     };
     let host = |number: usize| {
         let (zone, cell) = s.place_of(number);
-        Where { host: format!("host-{number:02}").into(), zone: zone.into(), cell: cell.into() }
+        Where {
+            host: format!("host-{number:02}").into(),
+            zone: zone.into(),
+            cell: cell.into(),
+        }
     };
     Figures {
         classes: s.class.iter().map(class).collect(),
@@ -131,7 +148,9 @@
             unasked_memory_gib: None,
         }
     };
-    Inventory { host: (0..scenario.fleet.hosts).map(entry).collect() }
+    Inventory {
+        host: (0..scenario.fleet.hosts).map(entry).collect(),
+    }
 }
 
 /// A class of tasks that may be started twice, is wanted alike everywhere and has no limits.
@@ -188,7 +207,11 @@
 }
 
 /// Settings of a placer that reads its hosts from these servers.
-pub(crate) fn consul(servers: Vec<SocketAddr>, damping: Damping, membership: Option<Membership>) -> Consul {
+pub(crate) fn consul(
+    servers: Vec<SocketAddr>,
+    damping: Damping,
+    membership: Option<Membership>,
+) -> Consul {
     Consul {
         servers,
         service: "maplethread-host".to_owned(),
--- a/crates/standin/src/traffic.rs
+++ b/crates/standin/src/traffic.rs
@@ -103,7 +103,13 @@
             return;
         }
         let mut counts = self.counts();
-        counts.add(MessageKind::Connection, Direction::FromPlacer, 1, 0, SYN + HEADER);
+        counts.add(
+            MessageKind::Connection,
+            Direction::FromPlacer,
+            1,
+            0,
+            SYN + HEADER,
+        );
         counts.add(MessageKind::Connection, Direction::ToPlacer, 1, 0, SYN);
     }
 
@@ -115,12 +121,24 @@
             counts.lone_acknowledgement(segment);
         }
         let from_placer = if reset { 0 } else { 2 * HEADER };
-        counts.add(MessageKind::Connection, Direction::FromPlacer, 0, 0, from_placer);
+        counts.add(
+            MessageKind::Connection,
+            Direction::FromPlacer,
+            0,
+            0,
+            from_placer,
+        );
         counts.add(MessageKind::Connection, Direction::ToPlacer, 0, 0, HEADER);
     }
 
     /// A segment with these frames was read or written at a time, µs.
-    pub fn segment(&self, link: &mut LinkTraffic, now: u64, direction: Direction, frames: &[Counted]) {
+    pub fn segment(
+        &self,
+        link: &mut LinkTraffic,
+        now: u64,
+        direction: Direction,
+        frames: &[Counted],
+    ) {
         let Some(last) = frames.last() else { return };
         self.opened(link);
         let mut counts = self.counts();
@@ -135,7 +153,11 @@
             counts.add(frame.kind, direction, 1, frame.bytes, frame.bytes + share);
         }
         counts.add(last.kind, direction, 0, 0, rest);
-        link.unacknowledged = Some(Unacknowledged { at: now, last: last.kind, direction });
+        link.unacknowledged = Some(Unacknowledged {
+            at: now,
+            last: last.kind,
+            direction,
+        });
     }
 
     fn counts(&self) -> MutexGuard<'_, Traffic> {
@@ -144,7 +166,14 @@
 }
 
 impl Traffic {
-    fn add(&mut self, kind: MessageKind, direction: Direction, count: u64, payload: u64, wire: u64) {
+    fn add(
+        &mut self,
+        kind: MessageKind,
+        direction: Direction,
+        count: u64,
+        payload: u64,
+        wire: u64,
+    ) {
         let sums = self.by_kind.entry((kind, direction)).or_default();
         sums.count += count;
         sums.payload_bytes += payload;
@@ -159,7 +188,11 @@
     /// What came since an earlier snapshot, without what did not come at all.
     pub fn since(&self, earlier: &Traffic) -> Vec<MessageCount> {
         let counts = self.by_kind.iter().map(|(&(kind, direction), sums)| {
-            let before = earlier.by_kind.get(&(kind, direction)).copied().unwrap_or_default();
+            let before = earlier
+                .by_kind
+                .get(&(kind, direction))
+                .copied()
+                .unwrap_or_default();
             MessageCount {
                 kind,
                 direction,
@@ -173,6 +206,10 @@
 
     /// Messages of a kind so far, both directions.
     pub fn count(&self, kind: MessageKind) -> u64 {
-        self.by_kind.iter().filter(|((k, _), _)| *k == kind).map(|(_, sums)| sums.count).sum()
+        self.by_kind
+            .iter()
+            .filter(|((k, _), _)| *k == kind)
+            .map(|(_, sums)| sums.count)
+            .sum()
     }
 }
--- a/crates/standin/src/usage.rs
+++ b/crates/standin/src/usage.rs
@@ -26,20 +26,38 @@
 /// Processor time of a process so far and its memory.
 pub fn usage(pid: u32) -> io::Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |i: usize| {
+        fields
+            .get(i)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    Ok(Usage { cpu_s: (ticks(11) + ticks(12)) / TICKS_A_SECOND, resident_kib: kib(&status, "VmRSS:") })
+    Ok(Usage {
+        cpu_s: (ticks(11) + ticks(12)) / TICKS_A_SECOND,
+        resident_kib: kib(&status, "VmRSS:"),
+    })
 }
 
 /// Proportional memory and open descriptors of a process.
 pub fn holdings(pid: u32) -> io::Result<Holdings> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
-    Ok(Holdings { proportional_kib: kib(&rollup, "Pss:"), descriptors })
+    Ok(Holdings {
+        proportional_kib: kib(&rollup, "Pss:"),
+        descriptors,
+    })
 }
 
 fn kib(text: &str, key: &str) -> u64 {
     let line = text.lines().find_map(|l| l.strip_prefix(key));
-    line.and_then(|l| l.split_whitespace().next()).and_then(|k| k.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next())
+        .and_then(|k| k.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -13,7 +13,9 @@
 
 /// Locks, whatever another thread's panic left behind: the record stays readable.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+    mutex
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
 }
 
 /// Shared by all threads of a run.
@@ -31,24 +33,37 @@
     pub fn new(classes: usize) -> World {
         let clock = Clock::start();
         let ledger = Ledger::new(clock.now(), classes);
-        World { clock, record: Some(Arc::default()), ledger: Arc::new(Mutex::new(ledger)) }
+        World {
+            clock,
+            record: Some(Arc::default()),
+            ledger: Arc::new(Mutex::new(ledger)),
+        }
     }
 
     /// A world that records nothing, for hosts that run for long.
     pub fn quiet(classes: usize) -> World {
-        World { record: None, ..World::new(classes) }
+        World {
+            record: None,
+            ..World::new(classes)
+        }
     }
 
     /// Records what was seen; the order of the record is that of its times.
     pub fn see(&self, seen: Seen) {
         let Some(record) = &self.record else { return };
         let mut record = lock(record);
-        record.push(Record { at: self.clock.now(), seen });
+        record.push(Record {
+            at: self.clock.now(),
+            seen,
+        });
     }
 
     /// The record.
     pub fn take_record(&self) -> Vec<Record> {
-        self.record.as_ref().map(|record| std::mem::take(&mut *lock(record))).unwrap_or_default()
+        self.record
+            .as_ref()
+            .map(|record| std::mem::take(&mut *lock(record)))
+            .unwrap_or_default()
     }
 
     /// The ledger.
@@ -156,15 +171,23 @@
         let mut at = wanted.from;
         while at < wanted.until {
             let next = (at + 1_000_000).min(wanted.until);
-            self.add(wanted.class, at, wanted.rate * (next - at) as f64 / 1e6, 0.0);
+            self.add(
+                wanted.class,
+                at,
+                wanted.rate * (next - at) as f64 / 1e6,
+                0.0,
+            );
             at = next;
         }
-        self.wanted.insert(actor.clone(), (wanted, Served::default()));
+        self.wanted
+            .insert(actor.clone(), (wanted, Served::default()));
     }
 
     /// A copy of a task runs.
     pub fn starts(&mut self, actor: &str, now: u64) {
-        let Some((wanted, served)) = self.wanted.get_mut(actor) else { return };
+        let Some((wanted, served)) = self.wanted.get_mut(actor) else {
+            return;
+        };
         served.running += 1;
         if std::mem::replace(&mut served.started, true) {
             return;
@@ -192,7 +215,9 @@
 
     /// A copy was served with this share of full service.
     pub fn serve(&mut self, actor: &str, from: u64, to: u64, share: f64) {
-        let Some((wanted, served)) = self.wanted.get_mut(actor) else { return };
+        let Some((wanted, served)) = self.wanted.get_mut(actor) else {
+            return;
+        };
         let whole = to.saturating_sub(from);
         let from = from.max(served.until).max(wanted.from);
         let to_wanted = to.min(wanted.until);
@@ -203,7 +228,12 @@
             self.double_s += whole as f64 / 1e6;
         }
         self.crowded += wanted.rate * (1.0 - share) * span;
-        self.add(wanted.class, to_wanted.max(wanted.from), 0.0, wanted.rate * share * span);
+        self.add(
+            wanted.class,
+            to_wanted.max(wanted.from),
+            0.0,
+            wanted.rate * share * span,
+        );
     }
 
     /// The share of the worth asked for up to a time that each class was served, in the order of the classes; 1 where none
@@ -211,8 +241,9 @@
     pub fn by_class(&self, until: u64) -> Vec<f64> {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let share = |all: &Vec<(f64, f64)>| {
-            let (wanted, served) =
-                all.iter().take(seconds).fold((0.0, 0.0), |sum, second| (sum.0 + second.0, sum.1 + second.1));
+            let (wanted, served) = all.iter().take(seconds).fold((0.0, 0.0), |sum, second| {
+                (sum.0 + second.0, sum.1 + second.1)
+            });
             if wanted > 0.0 { served / wanted } else { 1.0 }
         };
         self.by_class.iter().map(share).collect()
@@ -220,17 +251,25 @@
 
     /// Whether some copy runs.
     pub fn runs(&self, actor: &str) -> bool {
-        self.wanted.get(actor).is_some_and(|(_, served)| served.running > 0)
+        self.wanted
+            .get(actor)
+            .is_some_and(|(_, served)| served.running > 0)
     }
 
     /// What the worth that was not served up to a time was lost to.
     pub fn lost(&self, until: u64) -> Lost {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let all = &self.by_second[..seconds.min(self.by_second.len())];
-        let all = all.iter().fold((0.0, 0.0), |sum, b| (sum.0 + b.0, sum.1 + b.1));
+        let all = all
+            .iter()
+            .fold((0.0, 0.0), |sum, b| (sum.0 + b.0, sum.1 + b.1));
         let part = |worth: f64| worth / all.0.max(f64::MIN_POSITIVE);
         let not_running = (all.0 - all.1 - self.late - self.crowded).max(0.0);
-        Lost { late_start: part(self.late), not_running: part(not_running), crowded: part(self.crowded) }
+        Lost {
+            late_start: part(self.late),
+            not_running: part(not_running),
+            crowded: part(self.crowded),
+        }
     }
 
     /// The service up to a time.
@@ -242,9 +281,15 @@
             if sum.0 > 0.0 { sum.1 / sum.0 } else { 1.0 }
         };
         let last = seconds.saturating_sub(10);
-        let worst_10_s = (0..=last).map(|from| part(from, from + 10)).fold(1.0, f64::min);
+        let worst_10_s = (0..=last)
+            .map(|from| part(from, from + 10))
+            .fold(1.0, f64::min);
         let worst_class = self.by_class(until).into_iter().fold(1.0, f64::min);
-        Service { whole: part(0, seconds), worst_10_s, worst_class }
+        Service {
+            whole: part(0, seconds),
+            worst_10_s,
+            worst_class,
+        }
     }
 }
 
@@ -254,7 +299,9 @@
 impl Dice {
     /// Dice of this seed, one of several sets.
     pub fn new(seed: u64, set: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(seed ^ set.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+        Dice(Pcg64Mcg::seed_from_u64(
+            seed ^ set.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+        ))
     }
 
     /// A number in 0..1.
--- a/crates/standin/src/world/tests.rs
+++ b/crates/standin/src/world/tests.rs
@@ -29,7 +29,10 @@
         }
     }
     let shares = ledger.by_class(20 * S);
-    assert!(shares[0] > 0.97 && (0.47..=0.5).contains(&shares[1]), "{shares:?}");
+    assert!(
+        shares[0] > 0.97 && (0.47..=0.5).contains(&shares[1]),
+        "{shares:?}"
+    );
     let service = ledger.service(20 * S);
     assert_eq!(service.worst_class, shares[1]);
     assert!((0.72..=0.75).contains(&service.whole), "{service:?}");
--- a/crates/standin/tests/rogue.rs
+++ b/crates/standin/tests/rogue.rs
@@ -19,7 +19,12 @@
 const MACHINES: u32 = 15;
 
 fn settings() -> Settings {
-    PlacerConfig::parse(Doc { file: "placer.toml", text: CONFIG }).expect("sound").settings()
+    PlacerConfig::parse(Doc {
+        file: "placer.toml",
+        text: CONFIG,
+    })
+    .expect("sound")
+    .settings()
 }
 
 fn zone_of(machine: MachineId) -> u32 {
@@ -58,7 +63,14 @@
     let mut placer = RandomChoice::new(settings(), seed, rogue);
     let mut actions = Vec::new();
     let machines = (0..MACHINES).map(listing).collect();
-    placer.turn(0, &[Event::Listed { scope: Scope::Full, machines }], &mut actions);
+    placer.turn(
+        0,
+        &[Event::Listed {
+            scope: Scope::Full,
+            machines,
+        }],
+        &mut actions,
+    );
     for id in 0..=u64::from(MOST) {
         let lost = Event::Linked(MachineId(id as u32), false);
         placer.turn(id + 1, &[lost, ask(id)], &mut actions);
@@ -91,11 +103,25 @@
     let mut placer = RandomChoice::new(settings(), 1, 6);
     let mut actions = Vec::new();
     let machines = (0..MACHINES).map(listing).collect();
-    placer.turn(0, &[Event::Listed { scope: Scope::Full, machines }], &mut actions);
+    placer.turn(
+        0,
+        &[Event::Listed {
+            scope: Scope::Full,
+            machines,
+        }],
+        &mut actions,
+    );
     // It is woken all the time, so that only a pause lies between two of its turns that are far apart.
-    assert!(actions.iter().any(|a| matches!(a, Action::Wake(after, _) if *after < 300_000)), "{actions:?}");
+    assert!(
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Wake(after, _) if *after < 300_000)),
+        "{actions:?}"
+    );
     let offers = |actions: &[Action], task: u64| {
-        actions.iter().any(|a| matches!(a, Action::Offer(id, ..) if *id == TaskId(task)))
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Offer(id, ..) if *id == TaskId(task)))
     };
     placer.turn(100_000, &[ask(1)], &mut actions);
     assert!(offers(&actions, 1));
@@ -107,7 +133,14 @@
 
 #[test]
 fn what_the_judge_did_not_catch_is_told_from_what_there_was_not_to_catch() {
-    let outcome = |moves, caught| Rogue { number: 5, moves, caught }.outcome();
+    let outcome = |moves, caught| {
+        Rogue {
+            number: 5,
+            moves,
+            caught,
+        }
+        .outcome()
+    };
     assert_eq!(outcome(0, 0), RogueOutcome::NoOccasion);
     assert_eq!(outcome(7, 0), RogueOutcome::Missed);
     assert_eq!(outcome(7, 2), RogueOutcome::Caught);
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -31,7 +31,10 @@
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Timers { heap: BinaryHeap::new(), set: 0 }
+        Timers {
+            heap: BinaryHeap::new(),
+            set: 0,
+        }
     }
 }
 
--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -14,7 +14,10 @@
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut args = std::env::args().skip(1);
     let file = args.next().ok_or("a file to write is needed")?;
-    let records: u64 = args.next().ok_or("a number of records is needed")?.parse()?;
+    let records: u64 = args
+        .next()
+        .ok_or("a number of records is needed")?
+        .parse()?;
     let header = Header {
         writer: "example".into(),
         module: String::new(),
@@ -31,11 +34,20 @@
     let mut at = header.started_ms * 1000;
     for n in 0..200 {
         let (zone, cell, kind) = ("a".to_owned(), (n / 8).to_string(), "std".to_owned());
-        let record = Record::Host { machine: n, name: format!("host-{n}"), zone, cell, kind };
+        let record = Record::Host {
+            machine: n,
+            name: format!("host-{n}"),
+            zone,
+            cell,
+            kind,
+        };
         writer.know(&Stamped { at, record });
     }
     for n in 0..SERVICES {
-        let record = Record::Service { service: n, name: format!("service-{n}") };
+        let record = Record::Service {
+            service: n,
+            name: format!("service-{n}"),
+        };
         writer.know(&Stamped { at, record });
     }
     for ask in 0..records / 4 {
@@ -60,9 +72,20 @@
             again: false,
         };
         let offer = Action::Offer(TaskId(ask), MachineId(machine), 600_000);
-        let first = Turn { now: at, events: vec![Event::Asked(task)], actions: vec![offer] };
-        let id = AttemptId { task: TaskId(ask), number: 0 };
-        let second = Turn { now: at + 900, events: vec![Event::Seated(id, Some(900))], actions: Vec::new() };
+        let first = Turn {
+            now: at,
+            events: vec![Event::Asked(task)],
+            actions: vec![offer],
+        };
+        let id = AttemptId {
+            task: TaskId(ask),
+            number: 0,
+        };
+        let second = Turn {
+            now: at + 900,
+            events: vec![Event::Seated(id, Some(900))],
+            actions: Vec::new(),
+        };
         let answered = Record::Answered {
             task: ask,
             outcome: Outcome::Placed { host: machine },
@@ -70,9 +93,18 @@
             after: 950,
         };
         writer.push(&Stamped { at, record: asked })?;
-        writer.push(&Stamped { at, record: Record::Turn(first) })?;
-        writer.push(&Stamped { at: at + 900, record: Record::Turn(second) })?;
-        writer.push(&Stamped { at: at + 950, record: answered })?;
+        writer.push(&Stamped {
+            at,
+            record: Record::Turn(first),
+        })?;
+        writer.push(&Stamped {
+            at: at + 900,
+            record: Record::Turn(second),
+        })?;
+        writer.push(&Stamped {
+            at: at + 950,
+            record: answered,
+        })?;
     }
     let totals = writer.finish()?;
     println!("{totals:?}");
--- a/crates/trace/examples/measure.rs
+++ b/crates/trace/examples/measure.rs
@@ -27,13 +27,18 @@
     let octets = std::fs::metadata(&file)?.len();
     let (mut decisions, mut turns, mut asks) = (0u64, 0u64, 0u64);
     let rate = |what: &str, (records, took): (u64, f64)| {
-        println!("{what}: {records} records in {took:.3} s, {:.0} a second", records as f64 / took);
+        println!(
+            "{what}: {records} records in {took:.3} s, {:.0} a second",
+            records as f64 / took
+        );
     };
     rate(
         "read",
         each(&file, |r| {
             match &r.record {
-                Record::Turn(turn) => (turns, decisions) = (turns + 1, decisions + turn.actions.len() as u64),
+                Record::Turn(turn) => {
+                    (turns, decisions) = (turns + 1, decisions + turn.actions.len() as u64)
+                }
                 Record::Asked { .. } => asks += 1,
                 _ => {}
             }
@@ -80,6 +85,9 @@
             Ok(())
         })?,
     );
-    println!("replay: {} turns, {} differ", replay.found.turns, replay.found.differing);
+    println!(
+        "replay: {} turns, {} differ",
+        replay.found.turns, replay.found.differing
+    );
     Ok(())
 }
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -36,8 +36,11 @@
     "moved",
 ];
 /// Reasons of gaps.
-const GAPS: [&str; 3] =
-    ["the writer could not keep up", "the file could not be written", "the file was removed"];
+const GAPS: [&str; 3] = [
+    "the writer could not keep up",
+    "the file could not be written",
+    "the file was removed",
+];
 
 /// Hides names with one key.
 pub struct Anonymiser {
@@ -51,7 +54,15 @@
 impl Anonymiser {
     /// With a key that must not be used for another file; times shifted by so much, asks rounded up to this grain.
     pub fn new(key: [u8; 32], shift: u64, grain: f64) -> Anonymiser {
-        Anonymiser { key, shift, grain: if grain.is_finite() && grain > 0.0 { grain } else { 0.0 } }
+        Anonymiser {
+            key,
+            shift,
+            grain: if grain.is_finite() && grain > 0.0 {
+                grain
+            } else {
+                0.0
+            },
+        }
     }
 
     fn number(&self, kind: &str, bytes: &[u8]) -> u64 {
@@ -71,7 +82,13 @@
     }
 
     fn asks(&self, asks: Room) -> Room {
-        let up = |x: f64| if self.grain > 0.0 { (x / self.grain).ceil() * self.grain } else { x };
+        let up = |x: f64| {
+            if self.grain > 0.0 {
+                (x / self.grain).ceil() * self.grain
+            } else {
+                x
+            }
+        };
         Room::new(up(asks.cores), up(asks.memory))
     }
 
@@ -90,7 +107,9 @@
             sources,
         } = header;
         let plain = |c: char| c.is_ascii_digit() || c == '.';
-        let known = writer.strip_prefix("maplethread ").is_some_and(|v| v.len() < 20 && v.chars().all(plain));
+        let known = writer
+            .strip_prefix("maplethread ")
+            .is_some_and(|v| v.len() < 20 && v.chars().all(plain));
         let hex = module.len() == 64 && module.bytes().all(|b| b.is_ascii_hexdigit());
         Header {
             writer: if known { writer.clone() } else { String::new() },
@@ -107,7 +126,14 @@
     }
 
     fn source(&self, source: &Source) -> Source {
-        let Source { placer, started_ms, module: _, parts, offset_us, error_us } = source;
+        let Source {
+            placer,
+            started_ms,
+            module: _,
+            parts,
+            offset_us,
+            error_us,
+        } = source;
         Source {
             placer: self.name("placer", placer),
             started_ms: self.time(started_ms.wrapping_mul(1000)) / 1000,
@@ -122,22 +148,41 @@
     pub fn record(&self, stamped: &Stamped) -> Stamped {
         let Stamped { at, record } = stamped;
         let record = match record {
-            Record::Turn(Turn { now, events, actions }) => Record::Turn(Turn {
+            Record::Turn(Turn {
+                now,
+                events,
+                actions,
+            }) => Record::Turn(Turn {
                 now: self.time(*now),
                 events: events.iter().map(|e| self.event(e)).collect(),
                 actions: actions.iter().map(|a| self.action(a)).collect(),
             }),
-            Record::Host { machine, name, zone, cell, kind } => Record::Host {
+            Record::Host {
+                machine,
+                name,
+                zone,
+                cell,
+                kind,
+            } => Record::Host {
                 machine: *machine,
                 name: self.name("host", name),
                 zone: self.name("zone", zone),
                 cell: self.name("cell", cell),
                 kind: self.name("kind", kind),
             },
-            Record::Service { service, name } => {
-                Record::Service { service: self.service(*service), name: self.name("service", name) }
-            }
-            Record::Asked { task, service, actor, class, request, key, read } => Record::Asked {
+            Record::Service { service, name } => Record::Service {
+                service: self.service(*service),
+                name: self.name("service", name),
+            },
+            Record::Asked {
+                task,
+                service,
+                actor,
+                class,
+                request,
+                key,
+                read,
+            } => Record::Asked {
                 task: *task,
                 service: self.service(*service),
                 actor: self.name("actor", actor),
@@ -146,14 +191,29 @@
                 key: key.as_ref().map(|k| self.name("key", k)),
                 read: self.time(*read),
             },
-            Record::Answered { task, outcome, attempts, after } => Record::Answered {
+            Record::Answered {
+                task,
+                outcome,
+                attempts,
+                after,
+            } => Record::Answered {
                 task: *task,
                 outcome: match outcome {
                     Outcome::Placed { host } => Outcome::Placed { host: *host },
-                    Outcome::Refused { reason, come_back_ms } => {
+                    Outcome::Refused {
+                        reason,
+                        come_back_ms,
+                    } => {
                         let known = REASONS.contains(&reason.as_str());
-                        let reason = if known { reason.clone() } else { "other".to_owned() };
-                        Outcome::Refused { reason, come_back_ms: *come_back_ms }
+                        let reason = if known {
+                            reason.clone()
+                        } else {
+                            "other".to_owned()
+                        };
+                        Outcome::Refused {
+                            reason,
+                            come_back_ms: *come_back_ms,
+                        }
                     }
                     Outcome::Failed => Outcome::Failed,
                     Outcome::HungUp => Outcome::HungUp,
@@ -161,15 +221,30 @@
                 attempts: *attempts,
                 after: *after,
             },
-            Record::Gap { turns, records, why } => {
+            Record::Gap {
+                turns,
+                records,
+                why,
+            } => {
                 let known = GAPS.contains(&why.as_str());
-                let why = if known { why.clone() } else { "other".to_owned() };
-                Record::Gap { turns: *turns, records: *records, why }
+                let why = if known {
+                    why.clone()
+                } else {
+                    "other".to_owned()
+                };
+                Record::Gap {
+                    turns: *turns,
+                    records: *records,
+                    why,
+                }
             }
             Record::Stopped => Record::Stopped,
             Record::Source(source) => Record::Source(*source),
         };
-        Stamped { at: self.time(*at), record }
+        Stamped {
+            at: self.time(*at),
+            record,
+        }
     }
 
     /// A service's number is a hash of its name that anybody can make.
@@ -178,7 +253,15 @@
     }
 
     fn task(&self, task: &Task) -> Task {
-        let Task { id, service, class, asks, life, give_up_at, again } = *task;
+        let Task {
+            id,
+            service,
+            class,
+            asks,
+            life,
+            give_up_at,
+            again,
+        } = *task;
         Task {
             id,
             service: ServiceId(self.service(service.0)),
@@ -191,7 +274,16 @@
     }
 
     fn listing(&self, listing: &Listing) -> Listing {
-        let Listing { machine, label, zone, cell, kind, state, started, unasked } = *listing;
+        let Listing {
+            machine,
+            label,
+            zone,
+            cell,
+            kind,
+            state,
+            started,
+            unasked,
+        } = *listing;
         Listing {
             machine,
             label: self.number("label", &label.to_le_bytes()),
@@ -206,17 +298,22 @@
 
     fn event(&self, event: &Event) -> Event {
         match event {
-            Event::Listed { scope, machines } => {
-                Event::Listed { scope: *scope, machines: machines.iter().map(|m| self.listing(m)).collect() }
-            }
+            Event::Listed { scope, machines } => Event::Listed {
+                scope: *scope,
+                machines: machines.iter().map(|m| self.listing(m)).collect(),
+            },
             Event::Numbered(number) => Event::Numbered(*number),
             Event::Linked(MachineId(n), on) => Event::Linked(MachineId(*n), *on),
             Event::ListUnavailable => Event::ListUnavailable,
             Event::Asked(task) => Event::Asked(self.task(task)),
             Event::Running(task, MachineId(n)) => Event::Running(self.task(task), MachineId(*n)),
-            Event::Seated(AttemptId { task, number }, took) => {
-                Event::Seated(AttemptId { task: *task, number: *number }, *took)
-            }
+            Event::Seated(AttemptId { task, number }, took) => Event::Seated(
+                AttemptId {
+                    task: *task,
+                    number: *number,
+                },
+                *took,
+            ),
             Event::Noted(AttemptId { task, number }, note) => {
                 let note = match note {
                     Note::Started => Note::Started,
@@ -225,16 +322,48 @@
                     Note::Served(x) => Note::Served(*x),
                     Note::MachineMemory(x) => Note::MachineMemory(*x),
                 };
-                Event::Noted(AttemptId { task: *task, number: *number }, note)
+                Event::Noted(
+                    AttemptId {
+                        task: *task,
+                        number: *number,
+                    },
+                    note,
+                )
             }
-            Event::Ended(AttemptId { task, number }, End { ending, why, closed, load }) => {
-                let end = End { ending: *ending, why: *why, closed: *closed, load: *load };
-                Event::Ended(AttemptId { task: *task, number: *number }, end)
+            Event::Ended(
+                AttemptId { task, number },
+                End {
+                    ending,
+                    why,
+                    closed,
+                    load,
+                },
+            ) => {
+                let end = End {
+                    ending: *ending,
+                    why: *why,
+                    closed: *closed,
+                    load: *load,
+                };
+                Event::Ended(
+                    AttemptId {
+                        task: *task,
+                        number: *number,
+                    },
+                    end,
+                )
             }
             Event::HungUp(TaskId(task)) => Event::HungUp(TaskId(*task)),
             Event::Woken(label) => Event::Woken(*label),
-            Event::Probed { machine, ok, load } => Event::Probed { machine: *machine, ok: *ok, load: *load },
-            Event::Told { from, bytes: _ } => Event::Told { from: *from, bytes: Vec::new() },
+            Event::Probed { machine, ok, load } => Event::Probed {
+                machine: *machine,
+                ok: *ok,
+                load: *load,
+            },
+            Event::Told { from, bytes: _ } => Event::Told {
+                from: *from,
+                bytes: Vec::new(),
+            },
         }
     }
 
@@ -243,9 +372,10 @@
             Action::Offer(TaskId(task), MachineId(machine), wait) => {
                 Action::Offer(TaskId(*task), MachineId(*machine), *wait)
             }
-            Action::Cancel(AttemptId { task, number }) => {
-                Action::Cancel(AttemptId { task: *task, number: *number })
-            }
+            Action::Cancel(AttemptId { task, number }) => Action::Cancel(AttemptId {
+                task: *task,
+                number: *number,
+            }),
             Action::Refuse(TaskId(task), advice) => Action::Refuse(TaskId(*task), *advice),
             Action::Fail(TaskId(task)) => Action::Fail(TaskId(*task)),
             Action::Held(TaskId(task), lack) => Action::Held(TaskId(*task), *lack),
@@ -253,7 +383,10 @@
             Action::Wake(after, label) => Action::Wake(*after, *label),
             Action::Probe(MachineId(n)) => Action::Probe(MachineId(*n)),
             Action::CloseIdle(MachineId(n)) => Action::CloseIdle(MachineId(*n)),
-            Action::Tell { to, bytes: _ } => Action::Tell { to: *to, bytes: Vec::new() },
+            Action::Tell { to, bytes: _ } => Action::Tell {
+                to: *to,
+                bytes: Vec::new(),
+            },
             Action::Listen(on) => Action::Listen(*on),
             Action::Lookup => Action::Lookup,
             Action::Log(_) => Action::Log(String::new()),
@@ -327,7 +460,9 @@
         self.texts.iter().map(String::as_str).filter(|text| {
             let hex = text.bytes().all(|b| b.is_ascii_hexdigit());
             // The hashes' own prefixes stand in each of them.
-            let prefix = ["placer~", "service~", "request~"].iter().any(|p| p.contains(text));
+            let prefix = ["placer~", "service~", "request~"]
+                .iter()
+                .any(|p| p.contains(text));
             text.len() >= if hex { 12 } else { 6 } && !prefix
         })
     }
@@ -342,16 +477,28 @@
                 }
             }
         }
-        Record::Host { name, zone, cell, kind, .. } => {
-            [name, zone, cell, kind].into_iter().for_each(|t| see(t))
-        }
+        Record::Host {
+            name,
+            zone,
+            cell,
+            kind,
+            ..
+        } => [name, zone, cell, kind].into_iter().for_each(|t| see(t)),
         Record::Service { name, .. } => see(name),
-        Record::Asked { actor, request, key, .. } => {
+        Record::Asked {
+            actor,
+            request,
+            key,
+            ..
+        } => {
             see(actor);
             see(request);
             key.iter().for_each(|k| see(k));
         }
-        Record::Answered { outcome: Outcome::Refused { reason, .. }, .. } => see(reason),
+        Record::Answered {
+            outcome: Outcome::Refused { reason, .. },
+            ..
+        } => see(reason),
         Record::Gap { why, .. } => see(why),
         Record::Answered { .. } | Record::Stopped | Record::Source(_) => {}
     }
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -49,11 +49,18 @@
         if &head[..4] != MAGIC {
             return Err("no block begins here");
         }
-        let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let four =
+            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let eight = |at: usize| u64::from(four(at)) | u64::from(four(at + 4)) << 32;
-        let info =
-            Info { packed: four(4), raw: four(8), records: four(12), first: eight(16), last: eight(24) };
-        if info.raw as usize > MOST_RAW || info.packed as usize > MOST_RAW + (MOST_RAW >> 7) + 1024 {
+        let info = Info {
+            packed: four(4),
+            raw: four(8),
+            records: four(12),
+            first: eight(16),
+            last: eight(24),
+        };
+        if info.raw as usize > MOST_RAW || info.packed as usize > MOST_RAW + (MOST_RAW >> 7) + 1024
+        {
             return Err("a block's length is out of range");
         }
         let mut check = [0; 16];
@@ -139,21 +146,33 @@
 
 /// The octets of a payload, unpacked.
 pub fn octets(info: &Info, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
-    let raw = zstd::bulk::decompress(payload, info.raw as usize).map_err(|_| "a block can't be unpacked")?;
-    if raw.len() == info.raw as usize { Ok(raw) } else { Err("a block is shorter than its head tells") }
+    let raw = zstd::bulk::decompress(payload, info.raw as usize)
+        .map_err(|_| "a block can't be unpacked")?;
+    if raw.len() == info.raw as usize {
+        Ok(raw)
+    } else {
+        Err("a block is shorter than its head tells")
+    }
 }
 
 /// Records out of a payload; kinds that are not known are counted, not given.
 pub fn unpack(info: &Info, payload: &[u8]) -> Result<(Vec<Stamped>, u32), &'static str> {
     let raw = octets(info, payload)?;
     let mut at = 0;
-    let mut time = info.first.wrapping_add(get(&raw, &mut at).ok_or("a block is cut off")?);
-    let (mut records, mut unknown) = (Vec::with_capacity((info.records as usize).min(raw.len())), 0);
+    let mut time = info
+        .first
+        .wrapping_add(get(&raw, &mut at).ok_or("a block is cut off")?);
+    let (mut records, mut unknown) = (
+        Vec::with_capacity((info.records as usize).min(raw.len())),
+        0,
+    );
     for _ in 0..info.records {
         let length = get(&raw, &mut at).ok_or("a block is cut off")?;
         let since = get(&raw, &mut at).ok_or("a block is cut off")?;
         time = time.wrapping_add(unzigzag(since) as u64);
-        let end = at.checked_add(length as usize).filter(|&end| end <= raw.len());
+        let end = at
+            .checked_add(length as usize)
+            .filter(|&end| end <= raw.len());
         let end = end.ok_or("a record is longer than its block")?;
         match postcard::take_from_bytes::<Record>(&raw[at..end]) {
             Ok((record, [])) => records.push(Stamped { at: time, record }),
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -27,7 +27,10 @@
 impl Wanted {
     /// Whether single asks are chosen, so that turns keep only what concerns them.
     pub fn chooses(&self) -> bool {
-        self.service.is_some() || self.machine.is_some() || self.request.is_some() || self.outcome.is_some()
+        self.service.is_some()
+            || self.machine.is_some()
+            || self.request.is_some()
+            || self.outcome.is_some()
     }
 
     /// Whether a block may hold something of it.
@@ -35,8 +38,12 @@
         // An ask and its answer may lie in different blocks, so an outcome rules out none.
         self.from.is_none_or(|from| entry.last >= from)
             && self.until.is_none_or(|until| entry.first < until)
-            && self.service.is_none_or(|s| entry.any_service || entry.services.binary_search(&s).is_ok())
-            && self.machine.is_none_or(|m| entry.machines.binary_search(&m).is_ok())
+            && self
+                .service
+                .is_none_or(|s| entry.any_service || entry.services.binary_search(&s).is_ok())
+            && self
+                .machine
+                .is_none_or(|m| entry.machines.binary_search(&m).is_ok())
     }
 
     fn in_time(&self, at: u64) -> bool {
@@ -60,7 +67,12 @@
             return;
         }
         match &stamped.record {
-            Record::Asked { task, service, request, .. } => {
+            Record::Asked {
+                task,
+                service,
+                request,
+                ..
+            } => {
                 if wanted.service == Some(*service) {
                     self.of_service.insert(*task);
                 }
@@ -68,7 +80,9 @@
                     self.of_request.insert(*task);
                 }
             }
-            Record::Answered { task, outcome, .. } if wanted.outcome.as_deref() == Some(outcome.name()) => {
+            Record::Answered { task, outcome, .. }
+                if wanted.outcome.as_deref() == Some(outcome.name()) =>
+            {
                 self.of_outcome.insert(*task);
             }
             Record::Turn(turn) => {
@@ -111,13 +125,25 @@
         }
         let record = match &stamped.record {
             Record::Turn(turn) => {
-                let events: Vec<Event> = turn.events.iter().filter_map(|e| self.event(wanted, e)).collect();
-                let actions: Vec<Action> =
-                    turn.actions.iter().filter(|a| self.action(wanted, a)).cloned().collect();
+                let events: Vec<Event> = turn
+                    .events
+                    .iter()
+                    .filter_map(|e| self.event(wanted, e))
+                    .collect();
+                let actions: Vec<Action> = turn
+                    .actions
+                    .iter()
+                    .filter(|a| self.action(wanted, a))
+                    .cloned()
+                    .collect();
                 if events.is_empty() && actions.is_empty() {
                     return None;
                 }
-                Record::Turn(Turn { now: turn.now, events, actions })
+                Record::Turn(Turn {
+                    now: turn.now,
+                    events,
+                    actions,
+                })
             }
             Record::Asked { task, .. } | Record::Answered { task, .. } => {
                 return self.has(wanted, *task).then(|| stamped.clone());
@@ -129,15 +155,24 @@
             | Record::Stopped
             | Record::Source(_) => stamped.record.clone(),
         };
-        Some(Stamped { at: stamped.at, record })
+        Some(Stamped {
+            at: stamped.at,
+            record,
+        })
     }
 
     fn event(&self, wanted: &Wanted, event: &Event) -> Option<Event> {
         let task = match event {
             Event::Listed { scope, machines } => {
-                let machines: Vec<_> =
-                    machines.iter().filter(|m| wanted.machine == Some(m.machine.0)).copied().collect();
-                return (!machines.is_empty()).then_some(Event::Listed { scope: *scope, machines });
+                let machines: Vec<_> = machines
+                    .iter()
+                    .filter(|m| wanted.machine == Some(m.machine.0))
+                    .copied()
+                    .collect();
+                return (!machines.is_empty()).then_some(Event::Listed {
+                    scope: *scope,
+                    machines,
+                });
             }
             Event::Linked(machine, _) | Event::Probed { machine, .. } => {
                 return (wanted.machine == Some(machine.0)).then(|| event.clone());
@@ -159,10 +194,14 @@
             | Action::Held(task, _)
             | Action::Move(task) => self.has(wanted, task.0),
             Action::Cancel(id) => self.has(wanted, id.task.0),
-            Action::Probe(machine) | Action::CloseIdle(machine) => wanted.machine == Some(machine.0),
-            Action::Wake(..) | Action::Tell { .. } | Action::Listen(_) | Action::Lookup | Action::Log(_) => {
-                false
+            Action::Probe(machine) | Action::CloseIdle(machine) => {
+                wanted.machine == Some(machine.0)
             }
+            Action::Wake(..)
+            | Action::Tell { .. }
+            | Action::Listen(_)
+            | Action::Lookup
+            | Action::Log(_) => false,
         }
     }
 }
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -62,7 +62,9 @@
 
 /// The hash of the text of the module that this program decides with.
 pub fn module_hash() -> String {
-    blake3::hash(include_bytes!("../../../src/control.rs")).to_hex().to_string()
+    blake3::hash(include_bytes!("../../../src/control.rs"))
+        .to_hex()
+        .to_string()
 }
 
 impl Header {
@@ -84,7 +86,8 @@
     /// Reads it; returns how many octets it took, and the minor version.
     pub fn read(from: &mut impl Read) -> Result<(Header, u64, u16), TraceError> {
         let mut start = [0; 16];
-        from.read_exact(&mut start).map_err(|_| TraceError::NoTrace("it is too short"))?;
+        from.read_exact(&mut start)
+            .map_err(|_| TraceError::NoTrace("it is too short"))?;
         if &start[..8] != MAGIC {
             return Err(TraceError::NoTrace("it does not begin with MAPLETRC"));
         }
@@ -98,7 +101,8 @@
             return Err(TraceError::NoTrace("its header is too long"));
         }
         let mut rest = Vec::new();
-        from.take(u64::from(length) + CHECK as u64).read_to_end(&mut rest)?;
+        from.take(u64::from(length) + CHECK as u64)
+            .read_to_end(&mut rest)?;
         if rest.len() != length as usize + CHECK {
             return Err(TraceError::NoTrace("its header is cut off"));
         }
@@ -108,8 +112,8 @@
         if &hash.finalize().as_bytes()[..CHECK] != check {
             return Err(TraceError::NoTrace("its header is damaged"));
         }
-        let header =
-            serde_json::from_slice(json).map_err(|_| TraceError::NoTrace("its header is not understood"))?;
+        let header = serde_json::from_slice(json)
+            .map_err(|_| TraceError::NoTrace("its header is not understood"))?;
         Ok((header, 16 + rest.len() as u64, minor))
     }
 }
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -104,7 +104,13 @@
         self.now = self.now.max(stamped.at);
         match &stamped.record {
             Record::Host { machine, name, .. } => drop(self.hosts.insert(*machine, name.clone())),
-            Record::Asked { task, actor, class, read, .. } => {
+            Record::Asked {
+                task,
+                actor,
+                class,
+                read,
+                ..
+            } => {
                 self.asked(stamped.at, *task, actor, *class as usize, *read);
             }
             Record::Answered { task, outcome, .. } => self.answered(stamped.at, *task, outcome),
@@ -134,7 +140,14 @@
                 host: None,
                 spent: Vec::new(),
             };
-            let actor = Actor { class, asked: read, until: None, started: false, copies: 0, gap: Some(gap) };
+            let actor = Actor {
+                class,
+                asked: read,
+                until: None,
+                started: false,
+                copies: 0,
+                gap: Some(gap),
+            };
             self.actors.insert(name.to_owned(), actor);
             self.classes[class].actors += 1;
         }
@@ -158,7 +171,8 @@
         let actors = &self.actors;
         self.tasks.retain(|_, (name, _)| actors.contains_key(name));
         let tasks = &self.tasks;
-        self.attempts.retain(|(task, _), _| tasks.contains_key(task));
+        self.attempts
+            .retain(|(task, _), _| tasks.contains_key(task));
     }
 
     /// An actor's last gap ends with its time, or with the trace.
@@ -180,7 +194,12 @@
         for (phase, host, spent) in gap.spent {
             *phases.entry(phase.clone()).or_default() += spent;
             if let Some(host) = host {
-                *self.at_hosts.entry(host).or_default().entry(phase).or_default() += spent;
+                *self
+                    .at_hosts
+                    .entry(host)
+                    .or_default()
+                    .entry(phase)
+                    .or_default() += spent;
             }
         }
     }
@@ -208,7 +227,9 @@
                 Event::Asked(task) => {
                     if let Some(actor) = self.actor(task.id.0) {
                         // Without a life it is wanted until it is done.
-                        let until = task.life.map_or(Micros::MAX, |life| actor.asked.saturating_add(life));
+                        let until = task
+                            .life
+                            .map_or(Micros::MAX, |life| actor.asked.saturating_add(life));
                         actor.until.get_or_insert(until);
                     }
                 }
@@ -226,7 +247,9 @@
         for action in &turn.actions {
             match action {
                 Action::Offer(task, machine, _) => {
-                    let Some((_, made)) = self.tasks.get_mut(&task.0) else { continue };
+                    let Some((_, made)) = self.tasks.get_mut(&task.0) else {
+                        continue;
+                    };
                     let number = *made;
                     *made += 1;
                     self.attempts.insert((task.0, number), (machine.0, false));
@@ -249,14 +272,18 @@
             Some((_, runs)) if !*runs => *runs = true,
             _ => return,
         }
-        let Some(actor) = self.actor(id.task.0) else { return };
+        let Some(actor) = self.actor(id.task.0) else {
+            return;
+        };
         actor.copies += 1;
         actor.phase(now, "", None);
         let (class, first, after) = (actor.class, !actor.started, now.saturating_sub(actor.asked));
         actor.started = true;
         let gap = actor.gap.take();
         if first {
-            self.classes[class].first_start.saturating_record(after.max(1));
+            self.classes[class]
+                .first_start
+                .saturating_record(after.max(1));
         }
         if let Some(gap) = gap {
             self.count(class, gap);
@@ -264,19 +291,29 @@
     }
 
     fn ended(&mut self, now: Micros, id: &AttemptId, end: End) {
-        let Some((host, ran)) = self.attempts.remove(&key(id)) else { return };
+        let Some((host, ran)) = self.attempts.remove(&key(id)) else {
+            return;
+        };
         let why = match end.why {
             Some(why) => format!("{:?} ({why:?})", end.ending),
             None => format!("{:?}", end.ending),
         };
-        let Some(actor) = self.actor(id.task.0) else { return };
+        let Some(actor) = self.actor(id.task.0) else {
+            return;
+        };
         if ran {
             actor.copies = actor.copies.saturating_sub(1);
             if end.ending == Ending::Done {
                 actor.until = Some(actor.until.unwrap_or(now).min(now));
             } else if actor.copies == 0 && actor.gap.is_none() {
                 let phase = "with its owner, told of the loss".to_owned();
-                actor.gap = Some(Gap { began: why, phase, since: now, host: None, spent: Vec::new() });
+                actor.gap = Some(Gap {
+                    began: why,
+                    phase,
+                    since: now,
+                    host: None,
+                    spent: Vec::new(),
+                });
             }
         } else if let Some(gap) = &mut actor.gap {
             // What was waited for in vain is told apart from what came.
@@ -315,22 +352,40 @@
 
 impl Counted {
     fn hosts(&self) -> Vec<(String, &BTreeMap<String, Micros>)> {
-        let all = longest(self.0.at_hosts.iter().map(|(&n, phases)| (n, phases.values().sum())));
-        let name = |n: &u32| self.0.hosts.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
-        all.into_iter().map(|(n, _)| (name(&n), &self.0.at_hosts[&n])).collect()
+        let all = longest(
+            self.0
+                .at_hosts
+                .iter()
+                .map(|(&n, phases)| (n, phases.values().sum())),
+        );
+        let name = |n: &u32| {
+            self.0
+                .hosts
+                .get(n)
+                .cloned()
+                .unwrap_or_else(|| format!("#{n}"))
+        };
+        all.into_iter()
+            .map(|(n, _)| (name(&n), &self.0.at_hosts[&n]))
+            .collect()
     }
 
     /// All as one object; times in seconds.
     pub fn json(&self) -> Value {
         let in_seconds = |phases: &BTreeMap<String, Micros>| -> BTreeMap<String, f64> {
-            phases.iter().map(|(phase, &time)| (phase.clone(), seconds(time))).collect()
+            phases
+                .iter()
+                .map(|(phase, &time)| (phase.clone(), seconds(time)))
+                .collect()
         };
         let class = |c: &Class| {
             let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
             let gaps: BTreeMap<&String, Value> = c
                 .gaps
                 .iter()
-                .map(|(began, (n, phases))| (began, json!({"count": n, "seconds": in_seconds(phases)})))
+                .map(|(began, (n, phases))| {
+                    (began, json!({"count": n, "seconds": in_seconds(phases)}))
+                })
                 .collect();
             let value = json!({
                 "actors": c.actors, "never_started": c.never, "wanted_s": seconds(c.wanted), "gaps": gaps,
@@ -338,8 +393,11 @@
             });
             (c.name.clone(), value)
         };
-        let hosts: BTreeMap<String, Value> =
-            self.hosts().into_iter().map(|(name, phases)| (name, json!(in_seconds(phases)))).collect();
+        let hosts: BTreeMap<String, Value> = self
+            .hosts()
+            .into_iter()
+            .map(|(name, phases)| (name, json!(in_seconds(phases))))
+            .collect();
         json!({
             "classes": self.0.classes.iter().map(class).collect::<BTreeMap<String, Value>>(),
             "hosts": hosts, "not_followed": self.0.not_followed,
@@ -351,7 +409,11 @@
         use std::fmt::Write;
         let mut out = String::new();
         for c in self.0.classes.iter().filter(|c| c.actors > 0) {
-            let lost: Micros = c.gaps.values().flat_map(|(_, phases)| phases.values()).sum();
+            let lost: Micros = c
+                .gaps
+                .values()
+                .flat_map(|(_, phases)| phases.values())
+                .sum();
             let share = |time: Micros| 100.0 * time as f64 / c.wanted.max(1) as f64;
             let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
             let _ = writeln!(
@@ -373,7 +435,10 @@
             for (began, time) in longest(c.gaps.iter().map(whole)) {
                 let (n, phases) = &c.gaps[&began];
                 let _ = writeln!(out, "  {:.2}% in {n} gaps after {began}:", share(time));
-                for (phase, time) in longest(phases.iter().map(|(p, &t)| (p, t))).into_iter().take(5) {
+                for (phase, time) in longest(phases.iter().map(|(p, &t)| (p, t)))
+                    .into_iter()
+                    .take(5)
+                {
                     let _ = writeln!(out, "    {:.2}% {phase}", share(time));
                 }
             }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -93,17 +93,29 @@
             let of: BTreeMap<u32, usize> = pieces
                 .iter()
                 .enumerate()
-                .flat_map(|(s, all)| all.iter().filter(|p| p.input == n).map(move |p| (p.index, s)))
+                .flat_map(|(s, all)| {
+                    all.iter()
+                        .filter(|p| p.input == n)
+                        .map(move |p| (p.index, s))
+                })
                 .collect();
             let offsets: Vec<i64> = sources(&input.header).iter().map(|s| s.offset_us).collect();
             let mut now = 0;
             input.rewind();
             while let Some(part) = input.next_part()? {
-                let Part::Block { records, .. } = part else { continue };
+                let Part::Block { records, .. } = part else {
+                    continue;
+                };
                 for Stamped { at, record } in records {
                     match record {
                         Record::Source(source) => now = source,
-                        Record::Host { machine, name, zone, cell, kind } => {
+                        Record::Host {
+                            machine,
+                            name,
+                            zone,
+                            cell,
+                            kind,
+                        } => {
                             named[n].hosts.insert(machine, [name, zone, cell, kind]);
                         }
                         Record::Service { service, name } => drop(services.insert(service, name)),
@@ -129,16 +141,29 @@
         for [name, zone, cell, kind] in named.iter().flat_map(|n| n.hosts.values()) {
             all_hosts.insert(name, [zone, cell, kind]);
         }
-        let numbers: BTreeMap<&String, u32> =
-            all_hosts.keys().enumerate().map(|(n, name)| (*name, n as u32)).collect();
+        let numbers: BTreeMap<&String, u32> = all_hosts
+            .keys()
+            .enumerate()
+            .map(|(n, name)| (*name, n as u32))
+            .collect();
         let hosts = named
             .iter()
-            .map(|n| n.hosts.iter().map(|(&own, host)| (own, numbers[&host[0]])).collect())
+            .map(|n| {
+                n.hosts
+                    .iter()
+                    .map(|(&own, host)| (own, numbers[&host[0]]))
+                    .collect()
+            })
+            .collect();
+        let all_classes: BTreeSet<String> = inputs
+            .iter()
+            .flat_map(|i| i.header.classes.iter().cloned())
             .collect();
-        let all_classes: BTreeSet<String> =
-            inputs.iter().flat_map(|i| i.header.classes.iter().cloned()).collect();
         let place = |name: &String| all_classes.iter().position(|c| c == name).unwrap_or(0) as u32;
-        let classes = inputs.iter().map(|i| i.header.classes.iter().map(place).collect()).collect();
+        let classes = inputs
+            .iter()
+            .map(|i| i.header.classes.iter().map(place).collect())
+            .collect();
         let mut names: Vec<Record> = all_hosts
             .iter()
             .map(|(name, [zone, cell, kind])| Record::Host {
@@ -149,17 +174,36 @@
                 kind: (*kind).clone(),
             })
             .collect();
-        names.extend(services.into_iter().map(|(service, name)| Record::Service { service, name }));
-        let of_all = pieces.iter().zip(&offsets).map(|(all, &(offset_us, error_us))| {
-            let mut parts: Vec<u32> = all.iter().flat_map(|p| p.source.parts.iter().copied()).collect();
-            parts.sort_unstable();
-            Source { parts, offset_us, error_us, ..all[0].source.clone() }
-        });
+        names.extend(
+            services
+                .into_iter()
+                .map(|(service, name)| Record::Service { service, name }),
+        );
+        let of_all = pieces
+            .iter()
+            .zip(&offsets)
+            .map(|(all, &(offset_us, error_us))| {
+                let mut parts: Vec<u32> = all
+                    .iter()
+                    .flat_map(|p| p.source.parts.iter().copied())
+                    .collect();
+                parts.sort_unstable();
+                Source {
+                    parts,
+                    offset_us,
+                    error_us,
+                    ..all[0].source.clone()
+                }
+            });
         let header = Header {
             writer: concat!("maplethread ", env!("CARGO_PKG_VERSION")).to_owned(),
             module: String::new(),
             placer: "merged".to_owned(),
-            started_ms: pieces.iter().map(|p| p[0].source.started_ms).min().unwrap_or(0),
+            started_ms: pieces
+                .iter()
+                .map(|p| p[0].source.started_ms)
+                .min()
+                .unwrap_or(0),
             seed: 0,
             settings: None,
             classes: all_classes.iter().cloned().collect(),
@@ -167,8 +211,18 @@
             changed: vec!["merge".to_owned()],
             sources: of_all.collect(),
         };
-        let merged = inputs.iter().map(|i| !i.header.sources.is_empty()).collect();
-        Ok(Merge { pieces, header, classes, hosts, names, merged })
+        let merged = inputs
+            .iter()
+            .map(|i| !i.header.sources.is_empty())
+            .collect();
+        Ok(Merge {
+            pieces,
+            header,
+            classes,
+            hosts,
+            names,
+            merged,
+        })
     }
 
     /// The merged trace's header, with each source's offset and what is left of the differences.
@@ -183,7 +237,10 @@
         writer: &mut Writer<W>,
     ) -> Result<(), MergeError> {
         for record in &self.names {
-            writer.know(&Stamped { at: 0, record: record.clone() });
+            writer.know(&Stamped {
+                at: 0,
+                record: record.clone(),
+            });
         }
         let mut streams = Vec::new();
         for (n, pieces) in self.pieces.iter().enumerate() {
@@ -193,20 +250,34 @@
             }
             inputs.reverse();
             let offset = self.header.sources[n].offset_us;
-            let mut stream =
-                Stream { inputs, block: Vec::new().into_iter(), now: 0, offset, key: 0, next: None };
+            let mut stream = Stream {
+                inputs,
+                block: Vec::new().into_iter(),
+                now: 0,
+                offset,
+                key: 0,
+                next: None,
+            };
             stream.advance(self, n)?;
             streams.push(stream);
         }
         let mut source = None;
         loop {
             // Few sources: the least is found by looking at each.
-            let least =
-                streams.iter().enumerate().filter(|(_, s)| s.next.is_some()).min_by_key(|(_, s)| s.key);
+            let least = streams
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.next.is_some())
+                .min_by_key(|(_, s)| s.key);
             let Some((n, _)) = least else { return Ok(()) };
-            let Some(stamped) = streams[n].next.take() else { return Ok(()) };
+            let Some(stamped) = streams[n].next.take() else {
+                return Ok(());
+            };
             if source != Some(n) {
-                writer.push(&Stamped { at: stamped.at, record: Record::Source(n as u32) })?;
+                writer.push(&Stamped {
+                    at: stamped.at,
+                    record: Record::Source(n as u32),
+                })?;
                 source = Some(n);
             }
             writer.push(&stamped)?;
@@ -217,27 +288,52 @@
     /// A record by the merged trace's numbers.
     fn renumber(&self, input: usize, source: usize, record: Record) -> Result<Record, MergeError> {
         let task = |id: u64| -> Result<u64, MergeError> {
-            let own = if self.merged[input] { id & ((1 << TASK_BITS) - 1) } else { id };
+            let own = if self.merged[input] {
+                id & ((1 << TASK_BITS) - 1)
+            } else {
+                id
+            };
             if own >> TASK_BITS != 0 || source >= 1 << (63 - TASK_BITS) {
                 return Err(MergeError::Numbers);
             }
             Ok((source as u64) << TASK_BITS | own)
         };
         let host = |n: u32| self.hosts[input].get(&n).copied().unwrap_or(u32::MAX);
-        let class = |n: usize| self.classes[input].get(n).map_or(usize::MAX, |&c| c as usize);
+        let class = |n: usize| {
+            self.classes[input]
+                .get(n)
+                .map_or(usize::MAX, |&c| c as usize)
+        };
         let whole = |t: Task| -> Result<Task, MergeError> {
-            Ok(Task { id: TaskId(task(t.id.0)?), class: class(t.class), ..t })
+            Ok(Task {
+                id: TaskId(task(t.id.0)?),
+                class: class(t.class),
+                ..t
+            })
         };
         let attempt = |id: AttemptId| -> Result<AttemptId, MergeError> {
-            Ok(AttemptId { task: TaskId(task(id.task.0)?), ..id })
+            Ok(AttemptId {
+                task: TaskId(task(id.task.0)?),
+                ..id
+            })
         };
         Ok(match record {
-            Record::Turn(Turn { now, events, actions }) => {
+            Record::Turn(Turn {
+                now,
+                events,
+                actions,
+            }) => {
                 let event = |event: Event| -> Result<Event, MergeError> {
                     Ok(match event {
                         Event::Listed { scope, machines } => {
-                            let one = |m: Listing| Listing { machine: MachineId(host(m.machine.0)), ..m };
-                            Event::Listed { scope, machines: machines.into_iter().map(one).collect() }
+                            let one = |m: Listing| Listing {
+                                machine: MachineId(host(m.machine.0)),
+                                ..m
+                            };
+                            Event::Listed {
+                                scope,
+                                machines: machines.into_iter().map(one).collect(),
+                            }
                         }
                         Event::Linked(m, on) => Event::Linked(MachineId(host(m.0)), on),
                         Event::Asked(t) => Event::Asked(whole(t)?),
@@ -246,9 +342,11 @@
                         Event::Noted(id, note) => Event::Noted(attempt(id)?, note),
                         Event::Ended(id, end) => Event::Ended(attempt(id)?, end),
                         Event::HungUp(id) => Event::HungUp(TaskId(task(id.0)?)),
-                        Event::Probed { machine, ok, load } => {
-                            Event::Probed { machine: MachineId(host(machine.0)), ok, load }
-                        }
+                        Event::Probed { machine, ok, load } => Event::Probed {
+                            machine: MachineId(host(machine.0)),
+                            ok,
+                            load,
+                        },
                         Event::Numbered(_)
                         | Event::ListUnavailable
                         | Event::Woken(_)
@@ -280,16 +378,42 @@
                     actions: actions.into_iter().map(action).collect::<Result<_, _>>()?,
                 })
             }
-            Record::Asked { task: id, service, actor, class: c, request, key, read } => {
+            Record::Asked {
+                task: id,
+                service,
+                actor,
+                class: c,
+                request,
+                key,
+                read,
+            } => {
                 let c = class(c as usize) as u32;
-                Record::Asked { task: task(id)?, service, actor, class: c, request, key, read }
+                Record::Asked {
+                    task: task(id)?,
+                    service,
+                    actor,
+                    class: c,
+                    request,
+                    key,
+                    read,
+                }
             }
-            Record::Answered { task: id, outcome, attempts, after } => {
+            Record::Answered {
+                task: id,
+                outcome,
+                attempts,
+                after,
+            } => {
                 let outcome = match outcome {
                     Outcome::Placed { host: n } => Outcome::Placed { host: host(n) },
                     other => other,
                 };
-                Record::Answered { task: task(id)?, outcome, attempts, after }
+                Record::Answered {
+                    task: task(id)?,
+                    outcome,
+                    attempts,
+                    after,
+                }
             }
             other => other,
         })
@@ -312,14 +436,24 @@
 impl<R: Read + Seek> Stream<R> {
     fn advance(&mut self, merge: &Merge, source: usize) -> Result<(), MergeError> {
         loop {
-            let Some((reader, piece)) = self.inputs.last_mut() else { return Ok(()) };
+            let Some((reader, piece)) = self.inputs.last_mut() else {
+                return Ok(());
+            };
             let Some(Stamped { at, record }) = self.block.next() else {
                 match reader.next_part()? {
                     Some(Part::Block { records, .. }) => self.block = records.into_iter(),
                     Some(Part::Damaged { octets, .. }) => {
                         let why = format!("{octets} damaged octets");
-                        let record = Record::Gap { turns: 1, records: 1, why };
-                        self.block = vec![Stamped { at: self.key, record }].into_iter();
+                        let record = Record::Gap {
+                            turns: 1,
+                            records: 1,
+                            why,
+                        };
+                        self.block = vec![Stamped {
+                            at: self.key,
+                            record,
+                        }]
+                        .into_iter();
                     }
                     None => {
                         self.inputs.pop();
@@ -333,7 +467,9 @@
                 Record::Host { .. } | Record::Service { .. } => {}
                 record if self.now == piece.index => {
                     // The times of a merged input are corrected already.
-                    let at = at.wrapping_sub(piece.source.offset_us as u64).wrapping_add(self.offset as u64);
+                    let at = at
+                        .wrapping_sub(piece.source.offset_us as u64)
+                        .wrapping_add(self.offset as u64);
                     self.key = self.key.max(at);
                     let record = merge.renumber(piece.input, source, record)?;
                     self.next = Some(Stamped { at, record });
@@ -354,20 +490,38 @@
         }
         for (index, source) in sources(&reader.header).into_iter().enumerate() {
             let run = (source.placer.clone(), source.started_ms);
-            all.entry(run).or_default().push(Piece { input, index: index as u32, source });
+            all.entry(run).or_default().push(Piece {
+                input,
+                index: index as u32,
+                source,
+            });
         }
     }
     let mut chosen = Vec::new();
     for ((placer, started_ms), mut pieces) in all {
-        pieces.sort_by(|a, b| b.source.parts.len().cmp(&a.source.parts.len()).then(a.input.cmp(&b.input)));
+        pieces.sort_by(|a, b| {
+            b.source
+                .parts
+                .len()
+                .cmp(&a.source.parts.len())
+                .then(a.input.cmp(&b.input))
+        });
         let mut kept: Vec<Piece> = Vec::new();
         for piece in pieces {
             let has = |p: &Piece, part: &u32| p.source.parts.contains(part);
-            if kept.iter().any(|k| piece.source.parts.iter().all(|part| has(k, part))) {
+            if kept
+                .iter()
+                .any(|k| piece.source.parts.iter().all(|part| has(k, part)))
+            {
                 continue;
             }
-            if kept.iter().any(|k| piece.source.parts.iter().any(|part| has(k, part))) {
-                return Err(MergeError::Overlap(format!("{placer}, started at {started_ms}")));
+            if kept
+                .iter()
+                .any(|k| piece.source.parts.iter().any(|part| has(k, part)))
+            {
+                return Err(MergeError::Overlap(format!(
+                    "{placer}, started at {started_ms}"
+                )));
             }
             kept.push(piece);
         }
@@ -385,9 +539,13 @@
     seen: &mut BTreeMap<(String, u64), BTreeMap<usize, u64>>,
 ) {
     for event in &turn.events {
-        let Event::Listed { machines, .. } = event else { continue };
+        let Event::Listed { machines, .. } = event else {
+            continue;
+        };
         for listing in machines {
-            let (Some(started), Some(host)) = (listing.started, named.hosts.get(&listing.machine.0)) else {
+            let (Some(started), Some(host)) =
+                (listing.started, named.hosts.get(&listing.machine.0))
+            else {
                 continue;
             };
             if seen.len() < MOST_WITNESSED {
@@ -401,7 +559,10 @@
 
 /// For each source: what to add to its times, and how far what it witnessed then still lies from what others did at
 /// the median of nine in ten; none if nobody shared a sight with it.
-fn offsets(seen: &BTreeMap<(String, u64), BTreeMap<usize, u64>>, sources: usize) -> Vec<(i64, Option<u64>)> {
+fn offsets(
+    seen: &BTreeMap<(String, u64), BTreeMap<usize, u64>>,
+    sources: usize,
+) -> Vec<(i64, Option<u64>)> {
     let median = |mut all: Vec<i64>| -> Option<i64> {
         all.sort_unstable();
         all.get(all.len() / 2).copied()
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -53,7 +53,15 @@
         from.seek(SeekFrom::Start(0))?;
         let (header, start, minor) = Header::read(&mut from)?;
         let length = from.seek(SeekFrom::End(0))?;
-        Ok(Reader { from, header, minor, start, at: start, length, read: start })
+        Ok(Reader {
+            from,
+            header,
+            minor,
+            start,
+            at: start,
+            length,
+            read: start,
+        })
     }
 
     /// Whether a newer program wrote it, whose kinds of records may be passed over.
@@ -68,9 +76,12 @@
 
     /// The index, if the file was finished and it is sound.
     pub fn index(&mut self) -> Result<Option<Vec<Entry>>, TraceError> {
-        let Some(at) = self.index_at()? else { return Ok(None) };
+        let Some(at) = self.index_at()? else {
+            return Ok(None);
+        };
         let head = self.take(at, 28)?;
-        let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+        let four =
+            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (packed, raw) = (u64::from(four(4)), four(8) as usize);
         if at + 28 + packed + 16 != self.length || raw > 4 * MOST_RAW {
             return Ok(None);
@@ -92,7 +103,9 @@
         if end[8..] != *END {
             return Ok(None);
         }
-        let at = u64::from_le_bytes([end[0], end[1], end[2], end[3], end[4], end[5], end[6], end[7]]);
+        let at = u64::from_le_bytes([
+            end[0], end[1], end[2], end[3], end[4], end[5], end[6], end[7],
+        ]);
         if at < self.start || at + 44 > self.length || self.take(at, 4)? != INDEX {
             return Ok(None);
         }
@@ -102,10 +115,15 @@
     fn take(&mut self, at: u64, octets: usize) -> Result<Vec<u8>, TraceError> {
         self.from.seek(SeekFrom::Start(at))?;
         let mut bytes = Vec::new();
-        (&mut self.from).take(octets as u64).read_to_end(&mut bytes)?;
+        (&mut self.from)
+            .take(octets as u64)
+            .read_to_end(&mut bytes)?;
         self.read += bytes.len() as u64;
         if bytes.len() != octets {
-            return Err(TraceError::Damaged { at, why: "the file ends here" });
+            return Err(TraceError::Damaged {
+                at,
+                why: "the file ends here",
+            });
         }
         Ok(bytes)
     }
@@ -113,8 +131,14 @@
     /// The block that begins at this octet.
     pub fn block(&mut self, at: u64) -> Result<Part, TraceError> {
         let (info, payload) = self.payload(at)?;
-        let (records, unknown) = unpack(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
-        Ok(Part::Block { at, info, records, unknown })
+        let (records, unknown) =
+            unpack(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
+        Ok(Part::Block {
+            at,
+            info,
+            records,
+            unknown,
+        })
     }
 
     /// The octets of the block that begins at this octet, unpacked.
@@ -154,7 +178,11 @@
             match self.block(self.at) {
                 Ok(part) => {
                     if let Some(why) = why {
-                        return Ok(Some(Part::Damaged { at: from, octets: self.at - from, why }));
+                        return Ok(Some(Part::Damaged {
+                            at: from,
+                            octets: self.at - from,
+                            why,
+                        }));
                     }
                     if let Part::Block { info, .. } = &part {
                         self.at += HEAD as u64 + u64::from(info.packed);
@@ -168,7 +196,11 @@
                 Err(e) => return Err(e),
             }
         }
-        Ok(why.map(|why| Part::Damaged { at: from, octets: end - from, why }))
+        Ok(why.map(|why| Part::Damaged {
+            at: from,
+            octets: end - from,
+            why,
+        }))
     }
 
     /// Where a block may begin, from this octet on; else the end.
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -167,7 +167,9 @@
 impl Names {
     fn of_event(&mut self, event: &Event) {
         match event {
-            Event::Listed { machines, .. } => self.machines.extend(machines.iter().map(|m| m.machine.0)),
+            Event::Listed { machines, .. } => {
+                self.machines.extend(machines.iter().map(|m| m.machine.0))
+            }
             Event::Linked(machine, _) | Event::Probed { machine, .. } => {
                 self.machines.insert(machine.0);
             }
@@ -195,11 +197,20 @@
                 self.machines.insert(machine.0);
             }
             Action::Cancel(id) => drop(self.tasks.insert(id.task.0)),
-            Action::Refuse(task, _) | Action::Fail(task) | Action::Held(task, _) | Action::Move(task) => {
+            Action::Refuse(task, _)
+            | Action::Fail(task)
+            | Action::Held(task, _)
+            | Action::Move(task) => {
                 self.tasks.insert(task.0);
             }
-            Action::Probe(machine) | Action::CloseIdle(machine) => drop(self.machines.insert(machine.0)),
-            Action::Wake(..) | Action::Tell { .. } | Action::Listen(_) | Action::Lookup | Action::Log(_) => {}
+            Action::Probe(machine) | Action::CloseIdle(machine) => {
+                drop(self.machines.insert(machine.0))
+            }
+            Action::Wake(..)
+            | Action::Tell { .. }
+            | Action::Listen(_)
+            | Action::Lookup
+            | Action::Log(_) => {}
         }
     }
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -58,12 +58,23 @@
     /// The same with other settings, for a what-if.
     pub fn with(header: &Header, settings: Option<Settings>) -> Result<Replay, String> {
         if header.part != 0 {
-            return Err(format!("this is part {} of its run; a replay begins with part 0", header.part));
+            return Err(format!(
+                "this is part {} of its run; a replay begins with part 0",
+                header.part
+            ));
         }
-        let recorded = header.settings.clone().ok_or("something else than the module decided here")?;
+        let recorded = header
+            .settings
+            .clone()
+            .ok_or("something else than the module decided here")?;
         let settings = settings.unwrap_or(recorded);
         let module = Placer::new(settings, header.seed).map_err(|e| e.to_string())?;
-        Ok(Replay { module, actions: Vec::new(), gap: false, found: Replayed::default() })
+        Ok(Replay {
+            module,
+            actions: Vec::new(),
+            gap: false,
+            found: Replayed::default(),
+        })
     }
 
     /// Takes in a record.
@@ -92,7 +103,12 @@
                 }
             }
         }
-        let same = turn.actions.iter().zip(&self.actions).take_while(|(a, b)| a == b).count();
+        let same = turn
+            .actions
+            .iter()
+            .zip(&self.actions)
+            .take_while(|(a, b)| a == b)
+            .count();
         let number = self.found.turns;
         self.found.turns += 1;
         self.found.actions += turn.actions.len() as u64;
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -103,7 +103,11 @@
 impl Summary {
     /// A summary of a file with this header.
     pub fn new(header: &Header) -> Summary {
-        let names = header.classes.iter().map(|name| (name.clone(), Class::default())).collect();
+        let names = header
+            .classes
+            .iter()
+            .map(|name| (name.clone(), Class::default()))
+            .collect();
         Summary {
             classes: names,
             hosts: BTreeMap::new(),
@@ -165,7 +169,12 @@
                 }
                 self.second(stamped.at).asked += 1;
             }
-            Record::Answered { task, outcome, attempts, after } => {
+            Record::Answered {
+                task,
+                outcome,
+                attempts,
+                after,
+            } => {
                 self.answered(stamped.at, *task, outcome, *attempts, *after);
             }
             Record::Turn(turn) => self.turn(stamped.at, turn),
@@ -206,7 +215,10 @@
                 Event::Listed { machines, .. } => {
                     for listing in machines {
                         let host = self.hosts.entry(listing.machine.0).or_default();
-                        let told = self.told.entry((self.source, listing.machine.0)).or_default();
+                        let told = self
+                            .told
+                            .entry((self.source, listing.machine.0))
+                            .or_default();
                         let ready = listing.state == MachineState::Ready;
                         drained += u32::from(!ready && told.ready);
                         if ready {
@@ -229,7 +241,13 @@
                             Some(why) => format!("{:?} ({why:?})", end.ending),
                             None => format!("{:?}", end.ending),
                         };
-                        *self.hosts.entry(host).or_default().ended.entry(why).or_default() += 1;
+                        *self
+                            .hosts
+                            .entry(host)
+                            .or_default()
+                            .ended
+                            .entry(why)
+                            .or_default() += 1;
                         self.refused(at, host, *end);
                     }
                     if end.closed {
@@ -272,9 +290,17 @@
         if end.ending != Ending::Refused {
             return;
         }
-        let reason = end.why.map_or_else(|| "not told".to_owned(), |why| format!("{why:?}"));
+        let reason = end
+            .why
+            .map_or_else(|| "not told".to_owned(), |why| format!("{why:?}"));
         let step = at.saturating_sub(self.begin.unwrap_or(at)) / 1_000_000 / STEP_S * STEP_S;
-        let steps = self.hosts.entry(host).or_default().refused.entry(reason).or_default();
+        let steps = self
+            .hosts
+            .entry(host)
+            .or_default()
+            .refused
+            .entry(reason)
+            .or_default();
         let step = match steps.last_key_value() {
             Some((&last, _)) if self.steps >= MOST_STEPS => last,
             _ => step,
@@ -303,7 +329,10 @@
     /// The ten seconds in which the smallest share of answers was `placed`, among those with at least one for each
     /// second: where they begin (s), and the share.
     fn worst(&self) -> Option<(usize, f64)> {
-        let windows = self.seconds.windows(10.min(self.seconds.len().max(1))).enumerate();
+        let windows = self
+            .seconds
+            .windows(10.min(self.seconds.len().max(1)))
+            .enumerate();
         let share = |(at, window): (usize, &[Second])| {
             let placed: u32 = window.iter().map(|s| s.placed).sum();
             let all: u32 = window.iter().map(|s| s.placed + s.refused + s.failed).sum();
@@ -391,27 +420,58 @@
         );
         for (name, class) in &self.classes {
             let list = |counts: Vec<(String, u64)>| {
-                counts.iter().map(|(k, n)| format!("{k} {n}")).collect::<Vec<_>>().join(", ")
+                counts
+                    .iter()
+                    .map(|(k, n)| format!("{k} {n}"))
+                    .collect::<Vec<_>>()
+                    .join(", ")
             };
-            let outcomes = list(class.outcomes.iter().map(|(k, n)| ((*k).to_owned(), *n)).collect());
+            let outcomes = list(
+                class
+                    .outcomes
+                    .iter()
+                    .map(|(k, n)| ((*k).to_owned(), *n))
+                    .collect(),
+            );
             let reasons = list(class.reasons.iter().map(|(k, n)| (k.clone(), *n)).collect());
             let _ = write!(out, "{name}: asked {}; {outcomes}", class.asked);
-            let _ = if reasons.is_empty() { writeln!(out) } else { writeln!(out, "; refused for {reasons}") };
+            let _ = if reasons.is_empty() {
+                writeln!(out)
+            } else {
+                writeln!(out, "; refused for {reasons}")
+            };
         }
         let ms = &json["ask_to_placed_ms"];
-        let _ =
-            writeln!(out, "ask to placed: p50 {} ms, p99 {} ms, max {} ms", ms["p50"], ms["p99"], ms["max"]);
+        let _ = writeln!(
+            out,
+            "ask to placed: p50 {} ms, p99 {} ms, max {} ms",
+            ms["p50"], ms["p99"], ms["max"]
+        );
         if let Some((at, share)) = self.worst() {
-            let _ =
-                writeln!(out, "worst ten seconds: from {at} s, {:.1}% of answers were placed", share * 100.0);
+            let _ = writeln!(
+                out,
+                "worst ten seconds: from {at} s, {:.1}% of answers were placed",
+                share * 100.0
+            );
         }
-        let mut worst: Vec<(&u32, u64)> =
-            self.hosts.iter().map(|(n, h)| (n, h.offers.saturating_sub(h.seated))).collect();
+        let mut worst: Vec<(&u32, u64)> = self
+            .hosts
+            .iter()
+            .map(|(n, h)| (n, h.offers.saturating_sub(h.seated)))
+            .collect();
         worst.sort_by_key(|&(n, lost)| (std::cmp::Reverse(lost), *n));
         for (n, lost) in worst.into_iter().take(5).filter(|&(_, lost)| lost > 0) {
             let host = &self.hosts[n];
-            let name = self.names.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
-            let ended: Vec<String> = host.ended.iter().map(|(why, n)| format!("{why} {n}")).collect();
+            let name = self
+                .names
+                .get(n)
+                .cloned()
+                .unwrap_or_else(|| format!("#{n}"));
+            let ended: Vec<String> = host
+                .ended
+                .iter()
+                .map(|(why, n)| format!("{why} {n}"))
+                .collect();
             let _ = writeln!(
                 out,
                 "{name}: {} offers, {lost} not seated; ended: {}",
@@ -431,9 +491,17 @@
         }
         let drains: u64 = self.hosts.values().map(|h| h.drains).sum();
         let after: u64 = self.hosts.values().map(|h| h.after_drain).sum();
-        let latest = self.hosts.values().map(|h| h.latest_after_drain).max().unwrap_or(0);
-        let _ =
-            writeln!(out, "drains {drains}; offers after one {after}, the latest {} ms after", latest / 1000);
+        let latest = self
+            .hosts
+            .values()
+            .map(|h| h.latest_after_drain)
+            .max()
+            .unwrap_or(0);
+        let _ = writeln!(
+            out,
+            "drains {drains}; offers after one {after}, the latest {} ms after",
+            latest / 1000
+        );
         out
     }
 }
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -95,7 +95,10 @@
             any_service: false,
             outcomes: [0; 4],
             source: None,
-            totals: Totals { octets: at, ..Totals::default() },
+            totals: Totals {
+                octets: at,
+                ..Totals::default()
+            },
             flushed: Totals::default(),
         })
     }
@@ -103,7 +106,9 @@
     /// Takes in a name without writing it: it is said once something names its number.
     pub fn know(&mut self, name: &Stamped) {
         match &name.record {
-            Record::Host { machine, .. } => drop(self.machines.insert(*machine, name.record.clone())),
+            Record::Host { machine, .. } => {
+                drop(self.machines.insert(*machine, name.record.clone()))
+            }
             Record::Service { service, .. } => {
                 // Names of services are as many as services: those of blocks long past are forgotten.
                 if self.services.len() >= MOST_TASKS {
@@ -117,7 +122,10 @@
 
     /// Turns and records of the present block, which are not yet written.
     pub fn waiting(&self) -> (u64, u64) {
-        (self.totals.turns - self.flushed.turns, self.totals.records - self.flushed.records)
+        (
+            self.totals.turns - self.flushed.turns,
+            self.totals.records - self.flushed.records,
+        )
     }
 
     /// What was written so far; what waits in the present block is not in the octets on disk.
@@ -142,7 +150,10 @@
         if let Some(source) = self.source.filter(|_| self.packer.is_empty())
             && !matches!(stamped.record, Record::Source(_))
         {
-            self.add(&Stamped { at: stamped.at, record: Record::Source(source) })?;
+            self.add(&Stamped {
+                at: stamped.at,
+                record: Record::Source(source),
+            })?;
         }
         let names = stamped.record.names();
         for &machine in &names.machines {
@@ -151,7 +162,10 @@
                 && let Some(record) = self.machines.get(&machine)
             {
                 let record = record.clone();
-                self.add(&Stamped { at: stamped.at, record })?;
+                self.add(&Stamped {
+                    at: stamped.at,
+                    record,
+                })?;
             }
         }
         for &service in &names.services {
@@ -178,7 +192,11 @@
             }
         }
         self.add(stamped)?;
-        if self.packer.len() >= FULL { self.flush() } else { Ok(()) }
+        if self.packer.len() >= FULL {
+            self.flush()
+        } else {
+            Ok(())
+        }
     }
 
     fn say_service(&mut self, service: u64, stamped: &Stamped) -> Result<(), TraceError> {
@@ -188,7 +206,10 @@
             && let Some(record) = self.services.get(&service)
         {
             let record = record.clone();
-            self.add(&Stamped { at: stamped.at, record })?;
+            self.add(&Stamped {
+                at: stamped.at,
+                record,
+            })?;
         }
         Ok(())
     }
@@ -210,8 +231,12 @@
             records: info.records,
             first: info.first,
             last: info.last,
-            machines: std::mem::take(&mut self.said.machines).into_iter().collect(),
-            services: std::mem::take(&mut self.services_named).into_iter().collect(),
+            machines: std::mem::take(&mut self.said.machines)
+                .into_iter()
+                .collect(),
+            services: std::mem::take(&mut self.services_named)
+                .into_iter()
+                .collect(),
             any_service: std::mem::take(&mut self.any_service),
             outcomes: std::mem::take(&mut self.outcomes),
         };
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -34,7 +34,13 @@
         admit_memory: 1.0,
         view: false,
         report: LoadReport::Unasked,
-        limits: Limits { max_attempts: 3, cancel: true, probes: true, peers: false, come_back: Some(60 * S) },
+        limits: Limits {
+            max_attempts: 3,
+            cancel: true,
+            probes: true,
+            peers: false,
+            come_back: Some(60 * S),
+        },
         rules: Rules {
             ask_within: 10 * S,
             cold_from: 0.2,
@@ -79,14 +85,28 @@
     };
     for n in 0..4 {
         let (zone, cell) = ("a".to_owned(), format!("c{}", n / 2));
-        let record = Record::Host { machine: n, name: format!("host-{n}"), zone, cell, kind: "std".into() };
+        let record = Record::Host {
+            machine: n,
+            name: format!("host-{n}"),
+            zone,
+            cell,
+            kind: "std".into(),
+        };
         records.push(Stamped { at: now, record });
     }
     for n in 0..services {
-        records
-            .push(Stamped { at: now, record: Record::Service { service: n, name: format!("service-{n}") } });
+        records.push(Stamped {
+            at: now,
+            record: Record::Service {
+                service: n,
+                name: format!("service-{n}"),
+            },
+        });
     }
-    let mut events = vec![Event::Listed { scope: Scope::Full, machines: (0..4).map(listing).collect() }];
+    let mut events = vec![Event::Listed {
+        scope: Scope::Full,
+        machines: (0..4).map(listing).collect(),
+    }];
     let mut next = 0;
     for turn in 0..asks * 3 {
         if next < asks {
@@ -108,29 +128,56 @@
                 key: None,
                 read: now,
             };
-            records.push(Stamped { at: now, record: asked });
+            records.push(Stamped {
+                at: now,
+                record: asked,
+            });
             events.push(Event::Asked(task));
             next += 1;
         }
         let mut actions = Vec::new();
         module.turn(now, &events, &mut actions);
-        let turn_is = Turn { now, events: std::mem::take(&mut events), actions: actions.clone() };
-        records.push(Stamped { at: now, record: Record::Turn(turn_is) });
+        let turn_is = Turn {
+            now,
+            events: std::mem::take(&mut events),
+            actions: actions.clone(),
+        };
+        records.push(Stamped {
+            at: now,
+            record: Record::Turn(turn_is),
+        });
         for action in actions {
             if let Action::Offer(task, machine, _) = action {
                 let id = AttemptId { task, number: 0 };
                 if task.0 % 100 == 3 {
-                    let end =
-                        End { ending: Ending::Refused, why: Some(Why::Cores), closed: false, load: None };
+                    let end = End {
+                        ending: Ending::Refused,
+                        why: Some(Why::Cores),
+                        closed: false,
+                        load: None,
+                    };
                     events.push(Event::Ended(id, end));
                     events.push(Event::HungUp(task));
-                    let outcome = Outcome::Refused { reason: "cores".into(), come_back_ms: 500 };
-                    let record = Record::Answered { task: task.0, outcome, attempts: 1, after: 900 };
+                    let outcome = Outcome::Refused {
+                        reason: "cores".into(),
+                        come_back_ms: 500,
+                    };
+                    let record = Record::Answered {
+                        task: task.0,
+                        outcome,
+                        attempts: 1,
+                        after: 900,
+                    };
                     records.push(Stamped { at: now, record });
                 } else {
                     events.push(Event::Seated(id, Some(1000)));
                     let outcome = Outcome::Placed { host: machine.0 };
-                    let record = Record::Answered { task: task.0, outcome, attempts: 1, after: 1000 };
+                    let record = Record::Answered {
+                        task: task.0,
+                        outcome,
+                        attempts: 1,
+                        after: 1000,
+                    };
                     records.push(Stamped { at: now, record });
                 }
             }
@@ -168,7 +215,10 @@
 
 /// Without the names that are said again.
 fn plain(records: &[Stamped]) -> Vec<&Stamped> {
-    records.iter().filter(|r| !matches!(r.record, Record::Host { .. } | Record::Service { .. })).collect()
+    records
+        .iter()
+        .filter(|r| !matches!(r.record, Record::Host { .. } | Record::Service { .. }))
+        .collect()
 }
 
 #[test]
@@ -180,24 +230,60 @@
     let mut replay = Replay::new(&header()).expect("a module");
     got.iter().for_each(|r| replay.feed(r));
     let found = &replay.found;
-    assert!(found.turns == 900 && found.actions > 300 && found.differing == 0, "{found:?}");
+    assert!(
+        found.turns == 900 && found.actions > 300 && found.differing == 0,
+        "{found:?}"
+    );
     assert!(found.elsewhere().abs() < 1e-9, "{found:?}");
     // With another seed, or one event less, it is not the same run.
-    let mut replay = Replay::new(&Header { seed: 8, ..header() }).expect("a module");
+    let mut replay = Replay::new(&Header {
+        seed: 8,
+        ..header()
+    })
+    .expect("a module");
     got.iter().for_each(|r| replay.feed(r));
     assert!(replay.found.differing > 0);
     let first = replay.found.first.expect("a difference");
     assert!(first.recorded != first.replayed && first.at >= records[0].at);
     // What if: machines too small for any of it.
-    let small = Settings { kinds: vec![Room::new(0.001, 0.001)], ..settings() };
+    let small = Settings {
+        kinds: vec![Room::new(0.001, 0.001)],
+        ..settings()
+    };
     let mut replay = Replay::with(&header(), Some(small)).expect("a module");
     got.iter().for_each(|r| replay.feed(r));
-    let refused = replay.found.kinds.get("refuse").copied().unwrap_or_default();
-    assert!(replay.found.differing > 0 && refused == [0, 300], "{:?}", replay.found.kinds);
-    assert!(replay.found.hosts.values().all(|[recorded, replayed]| *recorded > 0 && *replayed == 0));
-    assert_eq!(replay.found.elsewhere(), 1.0, "all of them would go nowhere");
+    let refused = replay
+        .found
+        .kinds
+        .get("refuse")
+        .copied()
+        .unwrap_or_default();
+    assert!(
+        replay.found.differing > 0 && refused == [0, 300],
+        "{:?}",
+        replay.found.kinds
+    );
+    assert!(
+        replay
+            .found
+            .hosts
+            .values()
+            .all(|[recorded, replayed]| *recorded > 0 && *replayed == 0)
+    );
+    assert_eq!(
+        replay.found.elsewhere(),
+        1.0,
+        "all of them would go nowhere"
+    );
     // A gap ends what can be compared.
-    let gap = Stamped { at: 1, record: Record::Gap { turns: 1, records: 1, why: "slow disk".into() } };
+    let gap = Stamped {
+        at: 1,
+        record: Record::Gap {
+            turns: 1,
+            records: 1,
+            why: "slow disk".into(),
+        },
+    };
     let mut replay = Replay::new(&header()).expect("a module");
     replay.feed(&gap);
     got.iter().for_each(|r| replay.feed(r));
@@ -241,8 +327,16 @@
                 assert!(at >= header, "a damaged header at {at} was taken");
                 // Never a wrong record, and never more lost than a block of two hundred and its names.
                 let mut rest = whole.iter();
-                assert!(got.iter().all(|r| rest.any(|w| w == r)), "a wrong record at {at}");
-                assert!(got.len() + 220 >= whole.len(), "{} of {} left at {at}", got.len(), whole.len());
+                assert!(
+                    got.iter().all(|r| rest.any(|w| w == r)),
+                    "a wrong record at {at}"
+                );
+                assert!(
+                    got.len() + 220 >= whole.len(),
+                    "{} of {} left at {at}",
+                    got.len(),
+                    whole.len()
+                );
             }
             Err(TraceError::NoTrace(_) | TraceError::TooNew(..)) => assert!(at < header, "{at}"),
             Err(e) => panic!("flipped at {at}: {e}"),
@@ -255,7 +349,10 @@
     let mut bytes = write(&run(1, 1));
     bytes[8] = 2;
     let error = Reader::open(Cursor::new(&bytes)).err().expect("too new");
-    assert_eq!(error.to_string(), "format version 2.1, this program reads 1.x");
+    assert_eq!(
+        error.to_string(),
+        "format version 2.1, this program reads 1.x"
+    );
     assert!(Reader::open(Cursor::new(b"GIF89a".as_slice())).is_err());
     // A newer minor version, with a kind of record that nobody here knows: it is passed over and counted.
     let mut bytes = Vec::new();
@@ -272,14 +369,18 @@
     }
     let payload = zstd::bulk::compress(&raw, 3).expect("zstd");
     let mut head = b"MTB1".to_vec();
-    [payload.len() as u32, raw.len() as u32, 3].iter().for_each(|n| head.extend(n.to_le_bytes()));
+    [payload.len() as u32, raw.len() as u32, 3]
+        .iter()
+        .for_each(|n| head.extend(n.to_le_bytes()));
     [5u64, 5].iter().for_each(|n| head.extend(n.to_le_bytes()));
     let check = blake3::hash(&[&head[..], &payload].concat());
     bytes.extend([&head[..], &check.as_bytes()[..16], &payload].concat());
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file of a newer minor version");
     assert!(reader.newer());
     match reader.next_part().expect("no fault") {
-        Some(Part::Block { records, unknown, .. }) => assert_eq!((records.len(), unknown), (2, 1)),
+        Some(Part::Block {
+            records, unknown, ..
+        }) => assert_eq!((records.len(), unknown), (2, 1)),
         part => panic!("{part:?}"),
     }
 }
@@ -291,8 +392,16 @@
         let path = entry.expect("an entry").path();
         let bytes = std::fs::read(&path).expect("a file");
         let (got, lost) = read(&bytes).expect("a trace");
-        assert_eq!((plain(&got).len(), lost), (plain(&run(20, 2)).len(), 0), "{}", path.display());
-        let index = Reader::open(Cursor::new(&bytes)).expect("a trace").index().expect("no fault");
+        assert_eq!(
+            (plain(&got).len(), lost),
+            (plain(&run(20, 2)).len(), 0),
+            "{}",
+            path.display()
+        );
+        let index = Reader::open(Cursor::new(&bytes))
+            .expect("a trace")
+            .index()
+            .expect("no fault");
         assert!(index.is_some(), "{}", path.display());
         versions += 1;
     }
@@ -305,9 +414,21 @@
     let bytes = write(&records);
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file");
     let index = reader.index().expect("no fault").expect("an index");
-    let wanted = Wanted { service: Some(17), ..Wanted::default() };
-    let at: Vec<u64> = index.iter().filter(|e| wanted.may_be_in(e)).map(|e| e.at).collect();
-    assert!(at.len() * 4 < index.len(), "{} of {} blocks", at.len(), index.len());
+    let wanted = Wanted {
+        service: Some(17),
+        ..Wanted::default()
+    };
+    let at: Vec<u64> = index
+        .iter()
+        .filter(|e| wanted.may_be_in(e))
+        .map(|e| e.at)
+        .collect();
+    assert!(
+        at.len() * 4 < index.len(),
+        "{} of {} blocks",
+        at.len(),
+        index.len()
+    );
     let mut found = Vec::new();
     for &at in &at {
         if let Part::Block { records, .. } = reader.block(at).expect("a block") {
@@ -316,14 +437,25 @@
     }
     let mut chosen = Chosen::default();
     found.iter().for_each(|r| chosen.look(&wanted, r));
-    let kept: Vec<Stamped> = found.iter().filter_map(|r| chosen.keep(&wanted, r)).collect();
-    let asked = kept.iter().filter(|r| matches!(r.record, Record::Asked { service: 17, .. })).count();
-    let others = kept.iter().filter(|r| matches!(r.record, Record::Asked { service, .. } if service != 17));
+    let kept: Vec<Stamped> = found
+        .iter()
+        .filter_map(|r| chosen.keep(&wanted, r))
+        .collect();
+    let asked = kept
+        .iter()
+        .filter(|r| matches!(r.record, Record::Asked { service: 17, .. }))
+        .count();
+    let others = kept
+        .iter()
+        .filter(|r| matches!(r.record, Record::Asked { service, .. } if service != 17));
     assert_eq!((asked, others.count()), (5, 0));
     // The same from the whole file, without the index.
     let mut all = Chosen::default();
     records.iter().for_each(|r| all.look(&wanted, r));
-    let slow: Vec<Stamped> = records.iter().filter_map(|r| all.keep(&wanted, r)).collect();
+    let slow: Vec<Stamped> = records
+        .iter()
+        .filter_map(|r| all.keep(&wanted, r))
+        .collect();
     assert_eq!(plain(&kept), plain(&slow));
 }
 
@@ -340,9 +472,15 @@
     );
     assert_eq!(web["refused_for"]["cores"], 3);
     assert_eq!(json["turns"], 900);
-    let offers: u64 = (0..4).filter_map(|n| json["hosts"][format!("host-{n}")]["offers"].as_u64()).sum();
+    let offers: u64 = (0..4)
+        .filter_map(|n| json["hosts"][format!("host-{n}")]["offers"].as_u64())
+        .sum();
     assert_eq!(offers, 300);
-    assert!(summary.text().contains("refused for cores 3"), "{}", summary.text());
+    assert!(
+        summary.text().contains("refused for cores 3"),
+        "{}",
+        summary.text()
+    );
 }
 
 #[test]
@@ -350,8 +488,15 @@
     let begin = 1_700_000_000 * S;
     let mut summary = Summary::new(&header());
     let mut turn = |at: u64, events: Vec<Event>, actions: Vec<Action>| {
-        let turn = Record::Turn(Turn { now: begin + at, events, actions });
-        summary.feed(&Stamped { at: begin + at, record: turn });
+        let turn = Record::Turn(Turn {
+            now: begin + at,
+            events,
+            actions,
+        });
+        summary.feed(&Stamped {
+            at: begin + at,
+            record: turn,
+        });
     };
     let listing = Listing {
         machine: MachineId(1),
@@ -363,37 +508,94 @@
         started: Some(begin),
         unasked: None,
     };
-    turn(0, vec![Event::Listed { scope: Scope::Full, machines: vec![listing] }], vec![]);
+    turn(
+        0,
+        vec![Event::Listed {
+            scope: Scope::Full,
+            machines: vec![listing],
+        }],
+        vec![],
+    );
     // Cold for 5 s; windows of 2 s: two offers in one, then one more, then one when it is warm.
     for (task, at) in [(1, S), (2, 2 * S), (3, 4 * S), (4, 12 * S), (5, 25 * S)] {
-        turn(at, vec![], vec![Action::Offer(TaskId(task), MachineId(1), S)]);
+        turn(
+            at,
+            vec![],
+            vec![Action::Offer(TaskId(task), MachineId(1), S)],
+        );
         let why = if task == 5 { Why::Line } else { Why::Cores };
-        let end = End { ending: Ending::Refused, why: Some(why), closed: false, load: None };
-        turn(at + 1000, vec![Event::Ended(AttemptId { task: TaskId(task), number: 0 }, end)], vec![]);
+        let end = End {
+            ending: Ending::Refused,
+            why: Some(why),
+            closed: false,
+            load: None,
+        };
+        turn(
+            at + 1000,
+            vec![Event::Ended(
+                AttemptId {
+                    task: TaskId(task),
+                    number: 0,
+                },
+                end,
+            )],
+            vec![],
+        );
     }
     for (task, after) in [(6, 900), (7, 3000)] {
-        let answered = Record::Answered { task, outcome: Outcome::Placed { host: 1 }, attempts: 1, after };
-        summary.feed(&Stamped { at: begin + 26 * S, record: answered });
+        let answered = Record::Answered {
+            task,
+            outcome: Outcome::Placed { host: 1 },
+            attempts: 1,
+            after,
+        };
+        summary.feed(&Stamped {
+            at: begin + 26 * S,
+            record: answered,
+        });
     }
     let json = summary.json();
     let host = &json["hosts"]["#1"];
-    assert_eq!(host["refused_from_s"]["Cores"], serde_json::json!({"0": 3, "10": 1}));
+    assert_eq!(
+        host["refused_from_s"]["Cores"],
+        serde_json::json!({"0": 3, "10": 1})
+    );
     assert_eq!(host["refused_from_s"]["Line"], serde_json::json!({"20": 1}));
-    assert_eq!((&host["cold_offers"], &host["cold_most_in_window"]), (&3.into(), &2.into()));
+    assert_eq!(
+        (&host["cold_offers"], &host["cold_most_in_window"]),
+        (&3.into(), &2.into())
+    );
     assert_eq!(json["cold_budget"]["window_ms"], 2000);
-    let rows = json["ask_to_placed_histogram"]["rows"].as_array().expect("rows");
+    let rows = json["ask_to_placed_histogram"]["rows"]
+        .as_array()
+        .expect("rows");
     let asks: Vec<u64> = rows.iter().filter_map(|row| row[1].as_u64()).collect();
     assert_eq!(asks, [1, 0, 1], "up to 1, 2 and 4 ms: {rows:?}");
-    assert!(summary.text().contains("cold hosts: 3 offers, at most 2 to one in 2.0 s"), "{}", summary.text());
+    assert!(
+        summary
+            .text()
+            .contains("cold hosts: 3 offers, at most 2 to one in 2.0 s"),
+        "{}",
+        summary.text()
+    );
 }
 
 fn any_record() -> impl Strategy<Value = Record> {
     let event = prop_oneof![
         any::<Option<u32>>().prop_map(Event::Numbered),
         (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::Linked(MachineId(m), on)),
-        (any::<u64>(), any::<u32>(), any::<f64>().prop_filter("equal to itself", |x| !x.is_nan())).prop_map(
-            |(task, number, x)| Event::Noted(AttemptId { task: TaskId(task), number }, Note::Served(x))
-        ),
+        (
+            any::<u64>(),
+            any::<u32>(),
+            any::<f64>().prop_filter("equal to itself", |x| !x.is_nan())
+        )
+            .prop_map(|(task, number, x)| Event::Noted(
+                AttemptId {
+                    task: TaskId(task),
+                    number
+                },
+                Note::Served(x)
+            )),
         (any::<u32>(), prop::collection::vec(any::<u8>(), 0..9))
             .prop_map(|(from, bytes)| Event::Told { from, bytes }),
     ];
@@ -407,8 +609,16 @@
         any::<String>().prop_map(Action::Log),
     ];
     prop_oneof![
-        (any::<u64>(), prop::collection::vec(event, 0..4), prop::collection::vec(action, 0..4))
-            .prop_map(|(now, events, actions)| Record::Turn(Turn { now, events, actions })),
+        (
+            any::<u64>(),
+            prop::collection::vec(event, 0..4),
+            prop::collection::vec(action, 0..4)
+        )
+            .prop_map(|(now, events, actions)| Record::Turn(Turn {
+                now,
+                events,
+                actions
+            })),
         (any::<u32>(), any::<String>()).prop_map(|(machine, name)| Record::Host {
             machine,
             zone: name.clone(),
@@ -416,8 +626,13 @@
             kind: String::new(),
             name
         }),
-        (any::<u64>(), any::<u64>(), any::<String>(), any::<Option<String>>()).prop_map(
-            |(task, service, actor, key)| Record::Asked {
+        (
+            any::<u64>(),
+            any::<u64>(),
+            any::<String>(),
+            any::<Option<String>>()
+        )
+            .prop_map(|(task, service, actor, key)| Record::Asked {
                 task,
                 service,
                 request: actor.clone(),
@@ -425,12 +640,13 @@
                 class: 0,
                 key,
                 read: task
+            }),
+        (any::<u64>(), any::<u64>(), any::<String>()).prop_map(|(turns, records, why)| {
+            Record::Gap {
+                turns,
+                records,
+                why,
             }
-        ),
-        (any::<u64>(), any::<u64>(), any::<String>()).prop_map(|(turns, records, why)| Record::Gap {
-            turns,
-            records,
-            why
         }),
     ]
 }
@@ -468,13 +684,29 @@
 fn hostile_names_are_hidden_alike_within_a_file_and_apart_across_files() {
     use maplethread_trace::anonymise::{Anonymiser, Identifiers};
     let long = "n".repeat(5000);
-    let names =
-        ["", "a", "ledger", "ledger-1", "edge", &long, "../../etc", "\u{0}\u{7f}", "Überweisung", "host~"];
+    let names = [
+        "",
+        "a",
+        "ledger",
+        "ledger-1",
+        "edge",
+        &long,
+        "../../etc",
+        "\u{0}\u{7f}",
+        "Überweisung",
+        "host~",
+    ];
     let mut records = run(20, 3);
     let at = records[0].at;
     for (n, name) in names.iter().enumerate() {
         let n = n as u64;
-        records.push(Stamped { at, record: Record::Service { service: 1000 + n, name: (*name).to_owned() } });
+        records.push(Stamped {
+            at,
+            record: Record::Service {
+                service: 1000 + n,
+                name: (*name).to_owned(),
+            },
+        });
         let asked = Record::Asked {
             task: 1000 + n,
             service: 1000 + n,
@@ -486,11 +718,28 @@
         };
         records.push(Stamped { at, record: asked });
         let why = (*name).to_owned();
-        records.push(Stamped { at, record: Record::Gap { turns: 0, records: 1, why } });
-        let told = Event::Told { from: 1, bytes: name.as_bytes().to_vec() };
+        records.push(Stamped {
+            at,
+            record: Record::Gap {
+                turns: 0,
+                records: 1,
+                why,
+            },
+        });
+        let told = Event::Told {
+            from: 1,
+            bytes: name.as_bytes().to_vec(),
+        };
         let log = Action::Log((*name).to_owned());
-        let turn = Turn { now: at, events: vec![told], actions: vec![log] };
-        records.push(Stamped { at, record: Record::Turn(turn) });
+        let turn = Turn {
+            now: at,
+            events: vec![told],
+            actions: vec![log],
+        };
+        records.push(Stamped {
+            at,
+            record: Record::Turn(turn),
+        });
     }
     let mut identifiers = Identifiers::default();
     identifiers.of_header(&header());
@@ -510,7 +759,10 @@
             let bytes = write(copy);
             let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
             let index = reader.index().expect("no fault").expect("an index");
-            index.iter().flat_map(|e| reader.octets(e.at).expect("a block")).collect::<Vec<u8>>()
+            index
+                .iter()
+                .flat_map(|e| reader.octets(e.at).expect("a block"))
+                .collect::<Vec<u8>>()
         };
         for text in identifiers.long() {
             let found = octets.windows(text.len()).any(|w| w == text.as_bytes());
@@ -519,16 +771,28 @@
         // The same name is the same hash wherever it stands, and other names are others.
         let services: std::collections::BTreeSet<u64> = copy
             .iter()
-            .filter_map(|r| if let Record::Service { service, .. } = r.record { Some(service) } else { None })
+            .filter_map(|r| {
+                if let Record::Service { service, .. } = r.record {
+                    Some(service)
+                } else {
+                    None
+                }
+            })
             .collect();
         assert_eq!(services.len(), 3 + names.len());
         let mut sums = [Summary::new(&header()), Summary::new(&header())];
         records.iter().for_each(|r| sums[0].feed(r));
         copy.iter().for_each(|r| sums[1].feed(r));
         let [old, new] = sums.map(|s| s.json());
-        assert_eq!((&old["classes"], &old["held_for"]), (&new["classes"], &new["held_for"]));
+        assert_eq!(
+            (&old["classes"], &old["held_for"]),
+            (&new["classes"], &new["held_for"])
+        );
     }
-    assert!(copies[0].iter().zip(&copies[1]).any(|(a, b)| a != b), "each file has a key of its own");
+    assert!(
+        copies[0].iter().zip(&copies[1]).any(|(a, b)| a != b),
+        "each file has a key of its own"
+    );
     // The search finds what was not hidden.
     assert!(records.iter().any(|r| identifiers.found_in(r).is_some()));
 }
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -13,12 +13,25 @@
 /// The n-th record: all of them differ, and pack badly, so that writes are long.
 fn record(n: u64) -> Stamped {
     let noise = |k: u64| {
-        (n * 7 + k).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(17).wrapping_mul(0xd6e8_feb8_6659_fd93)
+        (n * 7 + k)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .rotate_left(17)
+            .wrapping_mul(0xd6e8_feb8_6659_fd93)
     };
     let actor: String = (0..4).map(|k| format!("{:016x}", noise(k))).collect();
-    let record =
-        Record::Asked { task: n, service: 3, actor, class: 0, request: format!("{n}"), key: None, read: n };
-    Stamped { at: 1_700_000_000_000_000 + n, record }
+    let record = Record::Asked {
+        task: n,
+        service: 3,
+        actor,
+        class: 0,
+        request: format!("{n}"),
+        key: None,
+        read: n,
+    };
+    Stamped {
+        at: 1_700_000_000_000_000 + n,
+        record,
+    }
 }
 
 /// Not a test of its own: what the killed process runs. Without the variable it does nothing.
@@ -38,8 +51,14 @@
         sources: Vec::new(),
     };
     let mut writer = Writer::new(File::create(out).expect("a file"), &header).expect("a header");
-    let service = Record::Service { service: 3, name: "web-1".into() };
-    writer.know(&Stamped { at: 0, record: service });
+    let service = Record::Service {
+        service: 3,
+        name: "web-1".into(),
+    };
+    writer.know(&Stamped {
+        at: 0,
+        record: service,
+    });
     for n in 0..20_000_000 {
         writer.push(&record(n)).expect("a write");
     }
@@ -56,12 +75,17 @@
 
 /// Records of asks in a file, in order, and the octets that are no whole block.
 fn read(file: &Path) -> (Vec<Stamped>, u64) {
-    let mut reader = Reader::open(BufReader::new(File::open(file).expect("a file"))).expect("a trace");
+    let mut reader =
+        Reader::open(BufReader::new(File::open(file).expect("a file"))).expect("a trace");
     let (mut asks, mut lost) = (Vec::new(), 0);
     while let Some(part) = reader.next_part().expect("readable") {
         match part {
             Part::Block { records, .. } => {
-                asks.extend(records.into_iter().filter(|r| matches!(r.record, Record::Asked { .. })));
+                asks.extend(
+                    records
+                        .into_iter()
+                        .filter(|r| matches!(r.record, Record::Asked { .. })),
+                );
             }
             Part::Damaged { octets, .. } => lost += octets,
         }
@@ -87,7 +111,10 @@
         // Killed once the file is so long, which it passes within a write as well as between two.
         let enough = 4_000 + round * 61_803;
         while std::fs::metadata(&file).map_or(0, |m| m.len()) < enough {
-            assert!(killed.0.try_wait().expect("a child").is_none(), "it writes on until it is killed");
+            assert!(
+                killed.0.try_wait().expect("a child").is_none(),
+                "it writes on until it is killed"
+            );
             std::thread::yield_now();
         }
         drop(killed);
@@ -96,7 +123,10 @@
             assert_eq!(*ask, record(n as u64), "round {round}");
         }
         cut_within_a_block += u32::from(lost > 0);
-        assert!(!asks.is_empty() || enough < 300_000, "round {round}: nothing of {enough} octets");
+        assert!(
+            !asks.is_empty() || enough < 300_000,
+            "round {round}: nothing of {enough} octets"
+        );
     }
     println!("{cut_within_a_block} of 12 files ended within a block");
 }
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -13,17 +13,35 @@
 
 impl Tale {
     fn record(&mut self, at: u64, record: Record) {
-        self.0.push(Stamped { at: at * MS, record });
+        self.0.push(Stamped {
+            at: at * MS,
+            record,
+        });
     }
 
     fn turn(&mut self, at: u64, events: Vec<Event>, actions: Vec<Action>) {
-        self.record(at, Record::Turn(Turn { now: at * MS, events, actions }));
+        self.record(
+            at,
+            Record::Turn(Turn {
+                now: at * MS,
+                events,
+                actions,
+            }),
+        );
     }
 
     /// An ask whose module answers with these actions at once.
     fn asks(&mut self, at: u64, task: u64, actor: &str, life: u64, actions: Vec<Action>) {
         let (actor, request) = (actor.to_owned(), format!("{actor}.{task}"));
-        let asked = Record::Asked { task, service: 1, actor, class: 0, request, key: None, read: at * MS };
+        let asked = Record::Asked {
+            task,
+            service: 1,
+            actor,
+            class: 0,
+            request,
+            key: None,
+            read: at * MS,
+        };
         self.record(at, asked);
         let asked = Task {
             id: TaskId(task),
@@ -51,7 +69,10 @@
 }
 
 fn attempt(task: u64, number: u32) -> AttemptId {
-    AttemptId { task: TaskId(task), number }
+    AttemptId {
+        task: TaskId(task),
+        number,
+    }
 }
 
 fn started(task: u64, number: u32) -> Event {
@@ -59,7 +80,15 @@
 }
 
 fn ended(task: u64, number: u32, ending: Ending, why: Option<Why>) -> Event {
-    Event::Ended(attempt(task, number), End { ending, why, closed: false, load: None })
+    Event::Ended(
+        attempt(task, number),
+        End {
+            ending,
+            why,
+            closed: false,
+            load: None,
+        },
+    )
 }
 
 fn seconds(counted: &Value, began: &str) -> Value {
@@ -80,18 +109,38 @@
     // Held for 200 ms, refused by one host after 50, accepted by another after 10, started after 300 more.
     tale.asks(0, 1, "a", 10_000, vec![Action::Held(TaskId(1), Lack::Room)]);
     tale.turn(200, vec![], vec![offer(1, 2)]);
-    tale.turn(250, vec![ended(1, 0, Ending::Refused, Some(Why::Cores))], vec![offer(1, 3)]);
+    tale.turn(
+        250,
+        vec![ended(1, 0, Ending::Refused, Some(Why::Cores))],
+        vec![offer(1, 3)],
+    );
     tale.turn(260, vec![Event::Seated(attempt(1, 1), None)], vec![]);
     tale.record(
         260,
-        Record::Answered { task: 1, outcome: Outcome::Placed { host: 3 }, attempts: 2, after: 260 * MS },
+        Record::Answered {
+            task: 1,
+            outcome: Outcome::Placed { host: 3 },
+            attempts: 2,
+            after: 260 * MS,
+        },
     );
     tale.turn(560, vec![started(1, 1)], vec![]);
     // Lost at 2 s; its owner comes after 700 ms, is refused, and comes again 300 ms before the end of its time.
     tale.turn(2000, vec![ended(1, 1, Ending::Reset, None)], vec![]);
     tale.asks(2700, 2, "a", 7_300, vec![]);
-    let refused = Outcome::Refused { reason: "cores".into(), come_back_ms: 1000 };
-    tale.record(2800, Record::Answered { task: 2, outcome: refused, attempts: 0, after: 100 * MS });
+    let refused = Outcome::Refused {
+        reason: "cores".into(),
+        come_back_ms: 1000,
+    };
+    tale.record(
+        2800,
+        Record::Answered {
+            task: 2,
+            outcome: refused,
+            attempts: 0,
+            after: 100 * MS,
+        },
+    );
     tale.asks(9700, 3, "a", 300, vec![offer(3, 3)]);
     tale.turn(20_000, vec![], vec![]);
     let counted = tale.counted();
@@ -115,7 +164,10 @@
     assert_eq!(counted["classes"]["web"]["wanted_s"], 10.0);
     assert_eq!(counted["classes"]["web"]["never_started"], 0);
     assert_eq!(counted["hosts"]["host-3"]["accepted, starting"], 0.3);
-    assert_eq!(counted["hosts"]["#2"]["offered, in vain: Refused (Cores)"], 0.05);
+    assert_eq!(
+        counted["hosts"]["#2"]["offered, in vain: Refused (Cores)"],
+        0.05
+    );
 }
 
 #[test]
@@ -125,13 +177,23 @@
     tale.asks(100, 2, "a", 4900, vec![offer(2, 2)]);
     tale.turn(200, vec![started(1, 0), started(2, 0)], vec![]);
     tale.turn(1000, vec![ended(1, 0, Ending::TimedOut, None)], vec![]);
-    tale.turn(2000, vec![ended(2, 0, Ending::Reset, Some(Why::PushedOut))], vec![]);
+    tale.turn(
+        2000,
+        vec![ended(2, 0, Ending::Reset, Some(Why::PushedOut))],
+        vec![],
+    );
     tale.turn(4000, vec![], vec![]);
     let counted = tale.counted();
     assert_eq!(seconds(&counted, "TimedOut"), Value::Null);
     let lost = seconds(&counted, "Reset (PushedOut)");
-    assert_eq!(lost["seconds"], json!({"with its owner, told of the loss": 2.0}));
-    assert_eq!(counted["classes"]["web"]["wanted_s"], 4.0, "the trace ends before its time does");
+    assert_eq!(
+        lost["seconds"],
+        json!({"with its owner, told of the loss": 2.0})
+    );
+    assert_eq!(
+        counted["classes"]["web"]["wanted_s"], 4.0,
+        "the trace ends before its time does"
+    );
 }
 
 #[test]
@@ -140,12 +202,21 @@
     tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
     tale.turn(100, vec![started(1, 0)], vec![]);
     tale.turn(1000, vec![ended(1, 0, Ending::Done, None)], vec![]);
-    tale.asks(1000, 2, "b", 1000, vec![Action::Held(TaskId(2), Lack::Cold)]);
+    tale.asks(
+        1000,
+        2,
+        "b",
+        1000,
+        vec![Action::Held(TaskId(2), Lack::Cold)],
+    );
     tale.turn(9000, vec![], vec![]);
     let counted = tale.counted();
     assert_eq!(counted["classes"]["web"]["never_started"], 1);
     assert_eq!(counted["classes"]["web"]["wanted_s"], 2.0);
     let gaps = seconds(&counted, "first start");
     assert_eq!(gaps["count"], 2);
-    assert_eq!(gaps["seconds"], json!({"offered": 0.1, "held for Cold": 1.0}));
+    assert_eq!(
+        gaps["seconds"],
+        json!({"offered": 0.1, "held for Cold": 1.0})
+    );
 }
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -47,7 +47,13 @@
         };
         writer.know(&Stamped { at: 0, record });
     }
-    writer.know(&Stamped { at: 0, record: Record::Service { service: 5, name: "ledger".into() } });
+    writer.know(&Stamped {
+        at: 0,
+        record: Record::Service {
+            service: 5,
+            name: "ledger".into(),
+        },
+    });
     let begin = START + u64::from(part) * 100 * S;
     for n in 0..50u64 {
         let at = (begin + n * S + lag).wrapping_add(skew as u64);
@@ -82,15 +88,30 @@
         let turn = Turn {
             now: at,
             events: vec![
-                Event::Listed { scope: Scope::Changes, machines: vec![listing] },
+                Event::Listed {
+                    scope: Scope::Changes,
+                    machines: vec![listing],
+                },
                 Event::Asked(task),
             ],
             actions: vec![Action::Offer(task.id, MachineId(number(n % 10)), S)],
         };
-        let outcome = Outcome::Placed { host: number(n % 10) };
-        let answered = Record::Answered { task: task.id.0, outcome, attempts: 1, after: 500 };
+        let outcome = Outcome::Placed {
+            host: number(n % 10),
+        };
+        let answered = Record::Answered {
+            task: task.id.0,
+            outcome,
+            attempts: 1,
+            after: 500,
+        };
         for (later, record) in [(0, asked), (1, Record::Turn(turn)), (500, answered)] {
-            writer.push(&Stamped { at: at + later, record }).expect("a record");
+            writer
+                .push(&Stamped {
+                    at: at + later,
+                    record,
+                })
+                .expect("a record");
         }
         if n % 20 == 19 {
             writer.flush().expect("a block");
@@ -101,8 +122,10 @@
 }
 
 fn merge(inputs: &[&[u8]]) -> Result<Vec<u8>, MergeError> {
-    let mut readers: Vec<_> =
-        inputs.iter().map(|bytes| Reader::open(Cursor::new(*bytes)).expect("a file")).collect();
+    let mut readers: Vec<_> = inputs
+        .iter()
+        .map(|bytes| Reader::open(Cursor::new(*bytes)).expect("a file"))
+        .collect();
     let plan = Merge::plan(&mut readers)?;
     let mut out = Vec::new();
     let mut writer = Writer::new(&mut out, plan.header())?;
@@ -115,7 +138,9 @@
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
     let mut all = Vec::new();
     while let Some(part) = reader.next_part().expect("no fault") {
-        let Part::Block { records, .. } = part else { panic!("{part:?}") };
+        let Part::Block { records, .. } = part else {
+            panic!("{part:?}")
+        };
         all.extend(records);
     }
     all
@@ -133,16 +158,29 @@
 
 #[test]
 fn clocks_that_differ_are_brought_together_and_the_rest_is_told() {
-    let (a, b, c) =
-        (file("p1", 0, 0, 3000), file("p2", 0, 7 * S as i64, 9000), file("p3", 0, -3 * S as i64, 5000));
+    let (a, b, c) = (
+        file("p1", 0, 0, 3000),
+        file("p2", 0, 7 * S as i64, 9000),
+        file("p3", 0, -3 * S as i64, 5000),
+    );
     let merged = merge(&[&a, &b, &c]).expect("a merge");
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
-    let sources: Vec<(&str, i64)> = header.sources.iter().map(|s| (&*s.placer, s.offset_us)).collect();
+    let sources: Vec<(&str, i64)> = header
+        .sources
+        .iter()
+        .map(|s| (&*s.placer, s.offset_us))
+        .collect();
     // The middle of the three lags is 5 ms; what a lag does is told from a clock by nothing.
-    let [("p1", one), ("p2", two), ("p3", three)] = sources[..] else { panic!("{sources:?}") };
+    let [("p1", one), ("p2", two), ("p3", three)] = sources[..] else {
+        panic!("{sources:?}")
+    };
     assert_eq!(two - one, -7 * S as i64 - 6000);
     assert_eq!(three - one, 3 * S as i64 - 2000);
-    assert!(header.sources.iter().all(|s| s.error_us == Some(0)), "{:?}", header.sources);
+    assert!(
+        header.sources.iter().all(|s| s.error_us == Some(0)),
+        "{:?}",
+        header.sources
+    );
     // Sorted by corrected time, each source in its own order, every record there.
     let all = records(&merged);
     let mut source = 0;
@@ -168,12 +206,20 @@
     }
     let sum = summary(&[&merged]);
     assert_eq!(
-        (&sum["classes"]["web"]["asked"], &sum["classes"]["batch"]["asked"]),
+        (
+            &sum["classes"]["web"]["asked"],
+            &sum["classes"]["batch"]["asked"]
+        ),
         (&150.into(), &0.into())
     );
     // Fifteen offers went to each host, whatever number it has where.
     for host in 0..10 {
-        assert_eq!(sum["hosts"][format!("host-{host}")]["offers"], 15, "{}", sum["hosts"]);
+        assert_eq!(
+            sum["hosts"][format!("host-{host}")]["offers"],
+            15,
+            "{}",
+            sum["hosts"]
+        );
     }
 }
 
@@ -187,10 +233,16 @@
     ];
     let [a, b, c, d] = files.each_ref().map(Vec::as_slice);
     let whole = merge(&[a, b, c, d]).expect("a merge");
-    assert!(merge(&[d, b, c, a]).expect("a merge") == whole, "the order makes a difference");
+    assert!(
+        merge(&[d, b, c, a]).expect("a merge") == whole,
+        "the order makes a difference"
+    );
     let left = merge(&[a, c]).expect("a merge");
     let right = merge(&[d, b]).expect("a merge");
-    assert!(merge(&[&left, &right]).expect("a merge") == whole, "the grouping makes a difference");
+    assert!(
+        merge(&[&left, &right]).expect("a merge") == whole,
+        "the grouping makes a difference"
+    );
     assert!(merge(&[&merge(&[&left, b]).expect("a merge"), d]).expect("a merge") == whole);
     // The same input twice, or as a part of another, counts once.
     assert!(merge(&[a, a, b, &left, c, d]).expect("a merge") == whole);
@@ -198,13 +250,26 @@
     // Parts of one run in a row come to the same counts as the parts.
     let run = merge(&[b, a]).expect("a merge");
     let (of_parts, of_run) = (summary(&[a, b]), summary(&[&run]));
-    for key in ["classes", "hosts", "turns", "ask_to_placed_ms", "by_second", "unanswered"] {
+    for key in [
+        "classes",
+        "hosts",
+        "turns",
+        "ask_to_placed_ms",
+        "by_second",
+        "unanswered",
+    ] {
         assert_eq!(of_parts[key], of_run[key], "{key}");
     }
     // What overlaps without one holding the other can't be told apart.
     let third = file("p1", 2, 0, 3000);
-    let (one, other) = (merge(&[a, b]).expect("a merge"), merge(&[b, &third]).expect("a merge"));
-    assert!(matches!(merge(&[&one, &other]), Err(MergeError::Overlap(_))));
+    let (one, other) = (
+        merge(&[a, b]).expect("a merge"),
+        merge(&[b, &third]).expect("a merge"),
+    );
+    assert!(matches!(
+        merge(&[&one, &other]),
+        Err(MergeError::Overlap(_))
+    ));
 }
 
 #[test]
@@ -212,17 +277,35 @@
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header("p9", 0)).expect("a header");
     for (n, at) in [10, 20, 5, 6, 30].into_iter().enumerate() {
-        let record = Record::Gap { turns: 0, records: n as u64, why: String::new() };
-        writer.push(&Stamped { at: START + at * S, record }).expect("a record");
+        let record = Record::Gap {
+            turns: 0,
+            records: n as u64,
+            why: String::new(),
+        };
+        writer
+            .push(&Stamped {
+                at: START + at * S,
+                record,
+            })
+            .expect("a record");
     }
     writer.finish().expect("an index");
     let other = file("p1", 0, 0, 0);
     let merged = merge(&[&bytes, &other]).expect("a merge");
     let gaps: Vec<u64> = records(&merged)
         .iter()
-        .filter_map(|r| if let Record::Gap { records, .. } = r.record { Some(records) } else { None })
+        .filter_map(|r| {
+            if let Record::Gap { records, .. } = r.record {
+                Some(records)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(gaps, [0, 1, 2, 3, 4]);
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
-    assert_eq!(header.sources[1].error_us, None, "nobody shared a sight with it");
+    assert_eq!(
+        header.sources[1].error_us, None,
+        "nobody shared a sight with it"
+    );
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -91,7 +91,10 @@
     /// By number; a newer peer's is not known.
     pub fn from_byte(byte: u8) -> Reason {
         use Reason::*;
-        let all = [Unknown, Cores, Memory, Line, NotHere, Evicted, PushedOut, SentAway, Done, Stopped, Error];
+        let all = [
+            Unknown, Cores, Memory, Line, NotHere, Evicted, PushedOut, SentAway, Done, Stopped,
+            Error,
+        ];
         all.get(usize::from(byte)).copied().unwrap_or(Unknown)
     }
 
@@ -207,7 +210,10 @@
 
 impl<'a> Fields<'a> {
     fn bytes(&mut self, n: usize) -> Result<&'a [u8], FrameError> {
-        let (part, rest) = self.rest.split_at_checked(n).ok_or(FrameError::Short(self.kind))?;
+        let (part, rest) = self
+            .rest
+            .split_at_checked(n)
+            .ok_or(FrameError::Short(self.kind))?;
         self.rest = rest;
         Ok(part)
     }
@@ -236,7 +242,11 @@
 
     fn number(&mut self) -> Result<f64, FrameError> {
         let x = f64::from_le_bytes(self.array()?);
-        if x.is_finite() { Ok(x) } else { Err(FrameError::Value(self.kind)) }
+        if x.is_finite() {
+            Ok(x)
+        } else {
+            Err(FrameError::Value(self.kind))
+        }
     }
 
     fn text(&mut self) -> Result<String, FrameError> {
@@ -246,11 +256,18 @@
     }
 
     fn load(&mut self) -> Result<Load, FrameError> {
-        Ok(Load { cores: self.number()?, memory: self.number()? })
+        Ok(Load {
+            cores: self.number()?,
+            memory: self.number()?,
+        })
     }
 
     fn maybe_load(&mut self) -> Result<Option<Load>, FrameError> {
-        if self.u8()? == 0 { Ok(None) } else { self.load().map(Some) }
+        if self.u8()? == 0 {
+            Ok(None)
+        } else {
+            self.load().map(Some)
+        }
     }
 
     fn offer(&mut self) -> Result<Offer, FrameError> {
@@ -302,7 +319,10 @@
 }
 
 fn body_of(body: &[u8]) -> Result<Option<Frame>, FrameError> {
-    let mut f = Fields { kind: body[0], rest: &body[1..] };
+    let mut f = Fields {
+        kind: body[0],
+        rest: &body[1..],
+    };
     Ok(Some(match f.kind {
         1 => {
             if f.u32()? != MAGIC {
@@ -325,7 +345,12 @@
         8 => Frame::Accepted(f.u64()?, f.u32()?),
         9 => Frame::Refused(f.u64()?, Reason::from_byte(f.u8()?), f.maybe_load()?),
         10 => Frame::Started(f.u64()?, f.u32()?),
-        11 => Frame::Ended(f.u64()?, Reason::from_byte(f.u8()?), f.u8()? != 0, f.maybe_load()?),
+        11 => Frame::Ended(
+            f.u64()?,
+            Reason::from_byte(f.u8()?),
+            f.u8()? != 0,
+            f.maybe_load()?,
+        ),
         12 => {
             let (attempt, kind, x) = (f.u64()?, f.u8()?, f.number()?);
             let kind = match kind {
@@ -401,7 +426,13 @@
         out.extend_from_slice(&nonce.to_le_bytes());
     };
     match frame {
-        Frame::Hello { major, minor, name, started_ms, most_offers } => {
+        Frame::Hello {
+            major,
+            minor,
+            name,
+            started_ms,
+            most_offers,
+        } => {
             out.push(1);
             out.extend_from_slice(&MAGIC.to_le_bytes());
             out.extend_from_slice(&major.to_le_bytes());
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -21,7 +21,12 @@
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { line: 8 << 10, head: 16 << 10, fields: 64, body: 256 << 10 }
+        Limits {
+            line: 8 << 10,
+            head: 16 << 10,
+            fields: 64,
+            body: 256 << 10,
+        }
     }
 }
 
@@ -132,7 +137,9 @@
 
     /// All fields in order: names as sent, values as bytes without blanks around them.
     pub fn fields(&self) -> impl Iterator<Item = (&str, &[u8])> {
-        self.fields.iter().map(|(name, value)| (self.text(name), &self.bytes[value.clone()]))
+        self.fields
+            .iter()
+            .map(|(name, value)| (self.text(name), &self.bytes[value.clone()]))
     }
 
     /// The first field of this name, if its value is UTF-8.
@@ -142,26 +149,34 @@
     }
 
     fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
-        self.fields().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v)
+        self.fields()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v)
     }
 
     /// Whether `option` stands in the Connection field.
     fn connection(&self, option: &str) -> bool {
         let listed = |v: &[u8]| {
             let text = std::str::from_utf8(v).unwrap_or("");
-            text.split(',').any(|t| t.trim().eq_ignore_ascii_case(option))
+            text.split(',')
+                .any(|t| t.trim().eq_ignore_ascii_case(option))
         };
         self.all("connection").any(listed)
     }
 
     /// Whether the connection may carry another message after this one.
     pub fn keep_alive(&self) -> bool {
-        if self.minor == 0 { self.connection("keep-alive") } else { !self.connection("close") }
+        if self.minor == 0 {
+            self.connection("keep-alive")
+        } else {
+            !self.connection("close")
+        }
     }
 
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        self.field("expect").is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
+        self.field("expect")
+            .is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
     }
 }
 
@@ -208,7 +223,15 @@
 impl Decoder {
     /// A decoder at the start of a connection.
     pub fn new(role: Role, limits: Limits) -> Decoder {
-        Decoder { role, limits, state: State::Head, scanned: 0, taken: 0, trailer: 0, bodiless: false }
+        Decoder {
+            role,
+            limits,
+            state: State::Head,
+            scanned: 0,
+            taken: 0,
+            trailer: 0,
+            bodiless: false,
+        }
     }
 
     /// Tells that the next response answers a HEAD request.
@@ -246,7 +269,11 @@
                 if n == 0 {
                     return Ok((Step::More, 0));
                 }
-                self.state = if n == left { State::Done } else { State::Length(left - n) };
+                self.state = if n == left {
+                    State::Done
+                } else {
+                    State::Length(left - n)
+                };
                 Ok((Step::Data(unread[..n].to_vec()), n))
             }
             State::UntilClose if unread.is_empty() => Ok((Step::More, 0)),
@@ -273,7 +300,11 @@
                 if n == 0 {
                     return Ok((Step::More, 0));
                 }
-                self.state = if n == left { State::ChunkEnd } else { State::ChunkData(left - n) };
+                self.state = if n == left {
+                    State::ChunkEnd
+                } else {
+                    State::ChunkData(left - n)
+                };
                 Ok((Step::Data(unread[..n].to_vec()), n))
             }
             State::ChunkEnd => match unread {
@@ -287,7 +318,9 @@
             },
             State::Trailers => {
                 let mut used = 0;
-                while let Some(line) = self.line(&unread[used..], self.limits.head, HttpError::Field)? {
+                while let Some(line) =
+                    self.line(&unread[used..], self.limits.head, HttpError::Field)?
+                {
                     let text = &unread[used..used + line];
                     used += line + 2;
                     self.trailer += line + 2;
@@ -307,11 +340,20 @@
 
     fn count(&mut self, bytes: usize) -> Result<(), HttpError> {
         self.taken = self.taken.saturating_add(bytes);
-        if self.taken > self.limits.body { Err(HttpError::BodyTooLarge) } else { Ok(()) }
+        if self.taken > self.limits.body {
+            Err(HttpError::BodyTooLarge)
+        } else {
+            Ok(())
+        }
     }
 
     /// The length of the first line, without its CRLF, once it is there.
-    fn line(&mut self, unread: &[u8], most: usize, long: HttpError) -> Result<Option<usize>, HttpError> {
+    fn line(
+        &mut self,
+        unread: &[u8],
+        most: usize,
+        long: HttpError,
+    ) -> Result<Option<usize>, HttpError> {
         match unread[self.scanned..].iter().position(|&b| b == b'\n') {
             Some(at) => {
                 let end = self.scanned + at;
@@ -357,7 +399,11 @@
             return Err(HttpError::StartLine);
         }
         let from = self.scanned.saturating_sub(3);
-        let Some(end) = unread[from..].windows(4).position(|w| w == b"\r\n\r\n").map(|at| from + at) else {
+        let Some(end) = unread[from..]
+            .windows(4)
+            .position(|w| w == b"\r\n\r\n")
+            .map(|at| from + at)
+        else {
             self.check_partial(unread)?;
             self.scanned = unread.len();
             return Ok((Step::More, 0));
@@ -397,7 +443,10 @@
         let mut lines = Vec::new();
         let mut start = 0;
         while start < bytes.len() {
-            let Some(at) = bytes[start..].iter().position(|&b| b == b'\r' || b == b'\n') else {
+            let Some(at) = bytes[start..]
+                .iter()
+                .position(|&b| b == b'\r' || b == b'\n')
+            else {
                 return Err(HttpError::BareLineEnd);
             };
             if bytes[start + at..].get(..2) != Some(b"\r\n") {
@@ -422,7 +471,13 @@
             }
             fields.push(field(&bytes[line.clone()], line.start)?);
         }
-        Ok(Head { bytes, first, second, fields, minor })
+        Ok(Head {
+            bytes,
+            first,
+            second,
+            fields,
+            minor,
+        })
     }
 
     /// How the body that follows a head is framed (RFC 9112, 6.3).
@@ -534,24 +589,36 @@
     if matches!(line.first(), Some(b' ' | b'\t')) {
         return Err(HttpError::Folded);
     }
-    let colon = line.iter().position(|&b| b == b':').ok_or(HttpError::Field)?;
+    let colon = line
+        .iter()
+        .position(|&b| b == b':')
+        .ok_or(HttpError::Field)?;
     if colon == 0 || !line[..colon].iter().all(|&b| is_token(b)) {
         return Err(HttpError::Field);
     }
     let blank = |&b: &u8| b == b' ' || b == b'\t';
     let value = &line[colon + 1..];
-    if !value.iter().all(|&b| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80) {
+    if !value
+        .iter()
+        .all(|&b| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80)
+    {
         return Err(HttpError::Field);
     }
     let from = value.iter().position(|b| !blank(b)).unwrap_or(value.len());
-    let to = value.iter().rposition(|b| !blank(b)).map_or(from, |at| at + 1);
+    let to = value
+        .iter()
+        .rposition(|b| !blank(b))
+        .map_or(from, |at| at + 1);
     let start = base + colon + 1;
     Ok((base..base + colon, start + from..start + to))
 }
 
 /// The size in a chunk's first line; extensions are passed over.
 fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
-    let digits = line.iter().position(|b| !b.is_ascii_hexdigit()).unwrap_or(line.len());
+    let digits = line
+        .iter()
+        .position(|b| !b.is_ascii_hexdigit())
+        .unwrap_or(line.len());
     let rest = line[digits..].iter().find(|b| !matches!(b, b' ' | b'\t'));
     let plain = |&b: &u8| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80;
     if digits == 0 || digits > 8 || !matches!(rest, None | Some(b';')) || !line.iter().all(plain) {
@@ -591,7 +658,10 @@
 impl Reader {
     /// A reader at the start of a connection.
     pub fn new(role: Role, limits: Limits) -> Reader {
-        Reader { decoder: Decoder::new(role, limits), part: None }
+        Reader {
+            decoder: Decoder::new(role, limits),
+            part: None,
+        }
     }
 
     /// Takes bytes from the front of `unread`; returns what was found and how many were used.
@@ -604,7 +674,10 @@
                 Step::More => return Ok((Found::More, used)),
                 Step::Head(head) => {
                     let asks = head.expects_continue() && self.decoder.state != State::Done;
-                    self.part = Some(Message { head, body: Vec::new() });
+                    self.part = Some(Message {
+                        head,
+                        body: Vec::new(),
+                    });
                     if asks && used == unread.len() {
                         return Ok((Found::Continue, used));
                     }
@@ -657,7 +730,13 @@
 }
 
 /// Writes a response with a body of known length.
-pub fn write_response(out: &mut Vec<u8>, status: u16, kind: &str, more: &[(&str, &str)], body: &[u8]) {
+pub fn write_response(
+    out: &mut Vec<u8>,
+    status: u16,
+    kind: &str,
+    more: &[(&str, &str)],
+    body: &[u8],
+) {
     out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
     if status != 204 {
         out.extend_from_slice(
@@ -686,10 +765,19 @@
 }
 
 /// Writes a request with a body of known length.
-pub fn write_request(out: &mut Vec<u8>, method: &str, target: &str, more: &[(&str, &str)], body: &[u8]) {
+pub fn write_request(
+    out: &mut Vec<u8>,
+    method: &str,
+    target: &str,
+    more: &[(&str, &str)],
+    body: &[u8],
+) {
     out.extend_from_slice(format!("{method} {target} HTTP/1.1\r\n").as_bytes());
     if !body.is_empty() {
-        let fields = format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len());
+        let fields = format!(
+            "Content-Type: application/json\r\nContent-Length: {}\r\n",
+            body.len()
+        );
         out.extend_from_slice(fields.as_bytes());
     }
     write_fields(out, more);
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -10,22 +10,34 @@
 }
 
 fn offer() -> impl Strategy<Value = Offer> {
-    let copies = prop_oneof![Just(Copies::Safe), any::<u64>().prop_map(Copies::Keyed), Just(Copies::Unsafe)];
+    let copies = prop_oneof![
+        Just(Copies::Safe),
+        any::<u64>().prop_map(Copies::Keyed),
+        Just(Copies::Unsafe)
+    ];
     let texts = (".{0,20}", ".{0,20}", "[a-z-]{0,20}", "[!-~]{0,40}");
-    let numbers = (any::<u64>(), any::<u32>(), any::<u32>(), any::<u64>(), any::<u32>());
-    (texts, numbers, load(), copies).prop_map(|((service, actor, class, request), n, asks, copies)| Offer {
-        attempt: n.0,
-        number: n.1,
-        service,
-        actor,
-        class,
-        request,
-        asks,
-        priority: n.2,
-        copies,
-        life_ms: n.3,
-        wait_ms: n.4,
-    })
+    let numbers = (
+        any::<u64>(),
+        any::<u32>(),
+        any::<u32>(),
+        any::<u64>(),
+        any::<u32>(),
+    );
+    (texts, numbers, load(), copies).prop_map(
+        |((service, actor, class, request), n, asks, copies)| Offer {
+            attempt: n.0,
+            number: n.1,
+            service,
+            actor,
+            class,
+            request,
+            asks,
+            priority: n.2,
+            copies,
+            life_ms: n.3,
+            wait_ms: n.4,
+        },
+    )
 }
 
 fn reason() -> impl Strategy<Value = Reason> {
@@ -41,15 +53,22 @@
         Just(NoteKind::HostMemory)
     ];
     prop_oneof![
-        (any::<u16>(), any::<u16>(), ".{0,30}", any::<u64>(), any::<u32>()).prop_map(
-            |(major, minor, name, started_ms, most_offers)| Frame::Hello {
-                major,
-                minor,
-                name,
-                started_ms,
-                most_offers
-            }
-        ),
+        (
+            any::<u16>(),
+            any::<u16>(),
+            ".{0,30}",
+            any::<u64>(),
+            any::<u32>()
+        )
+            .prop_map(
+                |(major, minor, name, started_ms, most_offers)| Frame::Hello {
+                    major,
+                    minor,
+                    name,
+                    started_ms,
+                    most_offers
+                }
+            ),
         offer().prop_map(Frame::Offer),
         any::<u64>().prop_map(Frame::Cancel),
         any::<u64>().prop_map(Frame::Stop),
@@ -135,9 +154,18 @@
     let long = (MAX_FRAME as u32 + 1).to_le_bytes();
     assert_eq!(decode(&long), Err(FrameError::TooLong(MAX_FRAME + 1)));
     // HTTP on this port is found out by its first four bytes.
-    assert!(matches!(decode(b"GET / HTTP/1.1\r\n"), Err(FrameError::TooLong(_))));
+    assert!(matches!(
+        decode(b"GET / HTTP/1.1\r\n"),
+        Err(FrameError::TooLong(_))
+    ));
     let mut hello = Vec::new();
-    let frame = Frame::Hello { major: 1, minor: 0, name: "h".into(), started_ms: 1, most_offers: 0 };
+    let frame = Frame::Hello {
+        major: 1,
+        minor: 0,
+        name: "h".into(),
+        started_ms: 1,
+        most_offers: 0,
+    };
     encode(&frame, &mut hello);
     hello[5] ^= 1;
     assert_eq!(decode(&hello), Err(FrameError::Magic));
@@ -148,5 +176,9 @@
     assert_eq!(decode(&note), Err(FrameError::Value(12)));
     note[13] = 99;
     note[at..].copy_from_slice(&1f64.to_le_bytes());
-    assert_eq!(decode(&note), Ok((None, note.len())), "a note of an unknown kind is passed over");
+    assert_eq!(
+        decode(&note),
+        Ok((None, note.len())),
+        "a note of an unknown kind is passed over"
+    );
 }
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -5,7 +5,12 @@
 use proptest::prelude::*;
 
 /// Reads all messages of a stream that comes in pieces of these sizes.
-fn read(role: Role, limits: Limits, bytes: &[u8], pieces: &[usize]) -> Result<Vec<Message>, HttpError> {
+fn read(
+    role: Role,
+    limits: Limits,
+    bytes: &[u8],
+    pieces: &[usize],
+) -> Result<Vec<Message>, HttpError> {
     let mut reader = Reader::new(role, limits);
     let (mut messages, mut buffer, mut at, mut piece) = (Vec::new(), Vec::new(), 0, 0);
     while at < bytes.len() {
@@ -39,19 +44,32 @@
 
 #[test]
 fn takes_requests_with_all_framings() {
-    let get = request(b"GET /v1/status?full HTTP/1.1\r\nHost: a\r\nX-Empty:\r\nX-Pad: \t b c \t\r\n\r\n")
-        .expect("sound");
+    let get =
+        request(b"GET /v1/status?full HTTP/1.1\r\nHost: a\r\nX-Empty:\r\nX-Pad: \t b c \t\r\n\r\n")
+            .expect("sound");
     let head = &get[0].head;
-    assert_eq!((head.method(), head.target(), head.minor()), ("GET", "/v1/status?full", 1));
-    assert_eq!((head.field("x-empty"), head.field("x-pad")), (Some(""), Some("b c")));
+    assert_eq!(
+        (head.method(), head.target(), head.minor()),
+        ("GET", "/v1/status?full", 1)
+    );
+    assert_eq!(
+        (head.field("x-empty"), head.field("x-pad")),
+        (Some(""), Some("b c"))
+    );
     let bytes = b"\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcPUT / HTTP/1.1\r\nhost: a\r\n\
         Transfer-Encoding: Chunked\r\n\r\n3;x=\"y\"\r\nabc\r\n0a \r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nGET / HTTP/1.0\r\n\r\n";
     let all = request(bytes).expect("sound");
     let bodies: Vec<&[u8]> = all.iter().map(|m| m.body.as_slice()).collect();
     assert_eq!(bodies, [&b"abc"[..], b"abc0123456789", b""]);
     // Found by fuzzing: empty lines before a request are passed over however many come together.
-    assert_eq!(request(b"\r\n\r\n\r\nGET / HTTP/1.0\r\n\r\n").map(|all| all.len()), Ok(1));
-    assert_eq!(all.iter().map(|m| m.head.keep_alive()).collect::<Vec<_>>(), [true, true, false]);
+    assert_eq!(
+        request(b"\r\n\r\n\r\nGET / HTTP/1.0\r\n\r\n").map(|all| all.len()),
+        Ok(1)
+    );
+    assert_eq!(
+        all.iter().map(|m| m.head.keep_alive()).collect::<Vec<_>>(),
+        [true, true, false]
+    );
 }
 
 #[test]
@@ -90,22 +108,41 @@
     ];
     for (bytes, error, status) in cases {
         let got = request(bytes).expect_err("refused");
-        assert_eq!((got, got.status()), (*error, *status), "{}", String::from_utf8_lossy(bytes));
+        assert_eq!(
+            (got, got.status()),
+            (*error, *status),
+            "{}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
 #[test]
 fn bounds_lines_heads_fields_and_bodies_before_they_are_whole() {
-    let limits = Limits { line: 64, head: 256, fields: 4, body: 16 };
+    let limits = Limits {
+        line: 64,
+        head: 256,
+        fields: 4,
+        body: 16,
+    };
     let read = |bytes: &[u8]| read(Role::Requests, limits, bytes, &[7]).expect_err("refused");
-    assert_eq!(read(format!("GET /{}", "x".repeat(100)).as_bytes()), HttpError::LineTooLong);
-    assert_eq!(read(format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(300)).as_bytes()), HttpError::HeadTooLarge);
+    assert_eq!(
+        read(format!("GET /{}", "x".repeat(100)).as_bytes()),
+        HttpError::LineTooLong
+    );
+    assert_eq!(
+        read(format!("GET / HTTP/1.1\r\nX: {}", "x".repeat(300)).as_bytes()),
+        HttpError::HeadTooLarge
+    );
     let many = "GET / HTTP/1.1\r\nHost: a\r\nA: 1\r\nB: 2\r\nC: 3\r\nD: 4\r\n\r\n";
     assert_eq!(read(many.as_bytes()), HttpError::HeadTooLarge);
-    let chunks = "GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n123456789\r\n9\r\n";
+    let chunks =
+        "GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n123456789\r\n9\r\n";
     assert_eq!(read(chunks.as_bytes()), HttpError::BodyTooLarge);
-    let long_size =
-        format!("GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{}", "x".repeat(300));
+    let long_size = format!(
+        "GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{}",
+        "x".repeat(300)
+    );
     assert_eq!(read(long_size.as_bytes()), HttpError::Chunk);
 }
 
@@ -114,17 +151,34 @@
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 \r\n\r\n\
         HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n";
     let all = read(Role::Responses, Limits::default(), bytes, &[3]).expect("sound");
-    let got: Vec<(u16, &[u8])> = all.iter().map(|m| (m.head.status(), m.body.as_slice())).collect();
-    assert_eq!(got, [(100, &b""[..]), (200, b"ok"), (204, b""), (304, b""), (200, b"a")]);
+    let got: Vec<(u16, &[u8])> = all
+        .iter()
+        .map(|m| (m.head.status(), m.body.as_slice()))
+        .collect();
+    assert_eq!(
+        got,
+        [
+            (100, &b""[..]),
+            (200, b"ok"),
+            (204, b""),
+            (304, b""),
+            (200, b"a")
+        ]
+    );
     // Without a length the body runs until the connection ends.
     let mut decoder = Decoder::new(Role::Responses, Limits::default());
     let bytes = b"HTTP/1.0 200 OK\r\n\r\nall of it";
     let (step, used) = decoder.step(bytes).expect("sound");
     assert!(matches!(step, Step::Head(_)));
-    assert_eq!(decoder.step(&bytes[used..]), Ok((Step::Data(b"all of it".to_vec()), 9)));
+    assert_eq!(
+        decoder.step(&bytes[used..]),
+        Ok((Step::Data(b"all of it".to_vec()), 9))
+    );
     assert_eq!(decoder.end(b""), Ok(true));
     let mut decoder = Decoder::new(Role::Responses, Limits::default());
-    decoder.step(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n").expect("sound");
+    decoder
+        .step(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
+        .expect("sound");
     assert_eq!(decoder.end(b""), Err(HttpError::Truncated));
 }
 
@@ -136,7 +190,11 @@
     let mut request = httparse::Request::new(&mut fields);
     match request.parse(bytes) {
         Ok(httparse::Status::Complete(_)) => {
-            let fields = request.headers.iter().map(|h| (h.name.to_owned(), h.value.to_vec())).collect();
+            let fields = request
+                .headers
+                .iter()
+                .map(|h| (h.name.to_owned(), h.value.to_vec()))
+                .collect();
             Some((request.method?.to_owned(), request.path?.to_owned(), fields))
         }
         _ => None,
@@ -155,17 +213,19 @@
     let name = prop_oneof![8 => "[A-Za-z-]{1,12}", 1 => "[ -~]{0,6}"];
     let value = prop_oneof![8 => "[ -~]{0,20}", 1 => "[\\x00-\\x1f]{0,3}"];
     let fields = proptest::collection::vec((name, value, line_end()), 0..6);
-    (method, target, version, line_end(), fields, any::<bool>()).prop_map(|(m, t, v, end, fields, host)| {
-        let mut text = format!("{m} {t} {v}{end}");
-        if host {
-            text += "Host: a\r\n";
-        }
-        for (name, value, end) in fields {
-            text += &format!("{name}: {value}{end}");
-        }
-        text += "\r\n";
-        text.into_bytes()
-    })
+    (method, target, version, line_end(), fields, any::<bool>()).prop_map(
+        |(m, t, v, end, fields, host)| {
+            let mut text = format!("{m} {t} {v}{end}");
+            if host {
+                text += "Host: a\r\n";
+            }
+            for (name, value, end) in fields {
+                text += &format!("{name}: {value}{end}");
+            }
+            text += "\r\n";
+            text.into_bytes()
+        },
+    )
 }
 
 proptest! {
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -40,23 +40,37 @@
 impl Adapter {
     /// Takes in one line; returns the reply when the line ends a batch.
     fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
-        let value: Value =
-            serde_json::from_str(text).map_err(|e| WireError::new("-", "-", format!("JSON ({e})")))?;
+        let value: Value = serde_json::from_str(text)
+            .map_err(|e| WireError::new("-", "-", format!("JSON ({e})")))?;
         match (wire::decode(&value, self)?, self.batch) {
             (Incoming::Turn { now, batch }, None) => self.batch = Some((now, batch)),
             (Incoming::Turn { .. }, Some(_)) => {
-                return Err(WireError::new("TURN", "-", "EOB before the next batch".into()));
+                return Err(WireError::new(
+                    "TURN",
+                    "-",
+                    "EOB before the next batch".into(),
+                ));
             }
             (_, None) => {
-                return Err(WireError::new("-", "-", "TURN ahead of any other line".into()));
+                return Err(WireError::new(
+                    "-",
+                    "-",
+                    "TURN ahead of any other line".into(),
+                ));
             }
             (Incoming::EndOfBatch, Some((now, batch))) => {
                 self.batch = None;
                 return Ok(Some(self.reply(now, batch)));
             }
-            (Incoming::Launch { who, seed, settings, reports }, Some(_)) => {
-                self.launch(who, seed, *settings, reports)
-            }
+            (
+                Incoming::Launch {
+                    who,
+                    seed,
+                    settings,
+                    reports,
+                },
+                Some(_),
+            ) => self.launch(who, seed, *settings, reports),
             (Incoming::Killed { who }, Some(_)) => {
                 self.instances.remove(&who);
             }
@@ -73,7 +87,13 @@
             Ok(placer) => (Some(placer), None),
             Err(error) => (None, Some(format!("settings: {error}"))),
         };
-        let instance = Instance { placer, hosts: Hosts::default(), reports, events: Vec::new(), fault };
+        let instance = Instance {
+            placer,
+            hosts: Hosts::default(),
+            reports,
+            events: Vec::new(),
+            fault,
+        };
         self.instances.insert(who, instance);
     }
 
@@ -87,7 +107,10 @@
     }
 
     fn reports(&self, who: u32) -> Result<Reports, WireError> {
-        self.instances.get(&who).map(|i| i.reports).ok_or_else(|| not_up(who))
+        self.instances
+            .get(&who)
+            .map(|i| i.reports)
+            .ok_or_else(|| not_up(who))
     }
 
     fn reply(&mut self, now: Micros, batch: u64) -> String {
@@ -105,7 +128,9 @@
             let turn = AssertUnwindSafe(|| placer.turn(now, &events, &mut actions));
             if let Err(panic) = catch_unwind(turn) {
                 let text = panic.downcast_ref::<String>().map(String::as_str);
-                let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
+                let text = text
+                    .or(panic.downcast_ref::<&str>().copied())
+                    .unwrap_or("panic");
                 instance.placer = None;
                 wire::encode_fault(&mut out, who, text);
                 continue;
@@ -128,14 +153,21 @@
         match adapter.line(&line) {
             Ok(None) => {}
             Ok(Some(reply)) => {
-                output.write_all(reply.as_bytes()).map_err(|e| format!("standard output: {e}"))?;
-                output.flush().map_err(|e| format!("standard output: {e}"))?;
+                output
+                    .write_all(reply.as_bytes())
+                    .map_err(|e| format!("standard output: {e}"))?;
+                output
+                    .flush()
+                    .map_err(|e| format!("standard output: {e}"))?;
             }
             Err(error) => return Err(format!("line {number}: {error}")),
         }
     }
     match adapter.batch {
-        Some(_) => Err(format!("line {}: input ended within a batch, expected EOB", number + 1)),
+        Some(_) => Err(format!(
+            "line {}: input ended within a batch, expected EOB",
+            number + 1
+        )),
         None => Ok(()),
     }
 }
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,8 +1,8 @@
 //! The lines of the wire, both ways.
 
 use maplethread::{
-    Action, AttemptId, End, Ending, Event, Listing, MachineState, Micros, Note, Room, Scope, ServiceId,
-    Settings, Task, TaskId, Why,
+    Action, AttemptId, End, Ending, Event, Listing, MachineState, Micros, Note, Room, Scope,
+    ServiceId, Settings, Task, TaskId, Why,
 };
 use maplethread_deployment::hosts::label;
 use maplethread_deployment::{Hosts, Reports, WireError, micros};
@@ -12,12 +12,28 @@
 
 /// A line, decoded.
 pub(crate) enum Incoming {
-    Turn { now: Micros, batch: u64 },
+    Turn {
+        now: Micros,
+        batch: u64,
+    },
     EndOfBatch,
-    Launch { who: u32, seed: u64, settings: Box<Settings>, reports: Reports },
-    Killed { who: u32 },
-    Roster { id: u64, rows: Vec<Row> },
-    Event { who: u32, event: Event },
+    Launch {
+        who: u32,
+        seed: u64,
+        settings: Box<Settings>,
+        reports: Reports,
+    },
+    Killed {
+        who: u32,
+    },
+    Roster {
+        id: u64,
+        rows: Vec<Row>,
+    },
+    Event {
+        who: u32,
+        event: Event,
+    },
 }
 
 /// An entry of a roster, before any instance has numbered its host.
@@ -47,7 +63,9 @@
     }
 
     fn whole(&self, at: usize, field: &str) -> Result<u64, WireError> {
-        self.get(at).and_then(Value::as_u64).ok_or_else(|| self.error(field, "a whole number"))
+        self.get(at)
+            .and_then(Value::as_u64)
+            .ok_or_else(|| self.error(field, "a whole number"))
     }
 
     fn small(&self, at: usize, field: &str) -> Result<u32, WireError> {
@@ -60,7 +78,9 @@
     }
 
     fn number(&self, at: usize, field: &str) -> Result<f64, WireError> {
-        self.get(at).and_then(Value::as_f64).ok_or_else(|| self.error(field, "a number"))
+        self.get(at)
+            .and_then(Value::as_f64)
+            .ok_or_else(|| self.error(field, "a number"))
     }
 
     fn time(&self, at: usize, field: &str) -> Result<Micros, WireError> {
@@ -76,20 +96,29 @@
     }
 
     fn text(&self, at: usize, field: &str) -> Result<&'a str, WireError> {
-        self.get(at).and_then(Value::as_str).ok_or_else(|| self.error(field, "text"))
+        self.get(at)
+            .and_then(Value::as_str)
+            .ok_or_else(|| self.error(field, "text"))
     }
 
     fn array(&self, at: usize, field: &str) -> Result<&'a [Value], WireError> {
         let array = self.get(at).and_then(Value::as_array);
-        array.map(Vec::as_slice).ok_or_else(|| self.error(field, "an array"))
+        array
+            .map(Vec::as_slice)
+            .ok_or_else(|| self.error(field, "an array"))
     }
 
     fn bool(&self, at: usize, field: &str) -> Result<bool, WireError> {
-        self.get(at).and_then(Value::as_bool).ok_or_else(|| self.error(field, "true or false"))
+        self.get(at)
+            .and_then(Value::as_bool)
+            .ok_or_else(|| self.error(field, "true or false"))
     }
 
     fn attempt(&self, at: usize) -> Result<AttemptId, WireError> {
-        Ok(AttemptId { task: self.task_id(1)?, number: self.small(at, "leg")? })
+        Ok(AttemptId {
+            task: self.task_id(1)?,
+            number: self.small(at, "leg")?,
+        })
     }
 
     fn task_id(&self, at: usize) -> Result<TaskId, WireError> {
@@ -102,14 +131,22 @@
 }
 
 pub(crate) fn decode(value: &Value, adapter: &mut Adapter) -> Result<Incoming, WireError> {
-    let line = value.as_array().ok_or_else(|| WireError::new("-", "-", "an array".into()))?;
+    let line = value
+        .as_array()
+        .ok_or_else(|| WireError::new("-", "-", "an array".into()))?;
     let Some(name) = line.first().and_then(Value::as_str) else {
         return Err(WireError::new("-", "name", "a message name".into()));
     };
-    let v = Values { message: name, values: &line[1..] };
+    let v = Values {
+        message: name,
+        values: &line[1..],
+    };
     let who = |v: &Values| v.small(0, "who");
     Ok(match name {
-        "TURN" => Incoming::Turn { now: v.time(0, "clock")?, batch: v.whole(1, "batch")? },
+        "TURN" => Incoming::Turn {
+            now: v.time(0, "clock")?,
+            batch: v.whole(1, "batch")?,
+        },
         "EOB" => Incoming::EndOfBatch,
         "LAUNCH" => {
             let info = v.get(2).ok_or_else(|| v.error("bootInfo", "an object"))?;
@@ -123,13 +160,23 @@
         }
         "KILLED" => Incoming::Killed { who: who(&v)? },
         "ROSTER" => {
-            let rows = v.array(1, "rows")?.iter().map(row).collect::<Result<_, _>>()?;
-            Incoming::Roster { id: v.whole(0, "rosterId")?, rows }
+            let rows = v
+                .array(1, "rows")?
+                .iter()
+                .map(row)
+                .collect::<Result<_, _>>()?;
+            Incoming::Roster {
+                id: v.whole(0, "rosterId")?,
+                rows,
+            }
         }
-        "ROSTER_CHANGE" | "REQUEST" | "RUNNING" | "SEATED" | "INTERIM" | "FINISHED" | "HANGUP" | "TIMER"
-        | "CHECK_RESULT" | "NOTE_FROM" => {
+        "ROSTER_CHANGE" | "REQUEST" | "RUNNING" | "SEATED" | "INTERIM" | "FINISHED" | "HANGUP"
+        | "TIMER" | "CHECK_RESULT" | "NOTE_FROM" => {
             let who = who(&v)?;
-            Incoming::Event { who, event: event(name, who, &v, adapter)? }
+            Incoming::Event {
+                who,
+                event: event(name, who, &v, adapter)?,
+            }
         }
         _ => return Err(WireError::new(name, "name", "a known message".into())),
     })
@@ -148,8 +195,13 @@
             let number = v.whole(3, "rosterId")?;
             let view = adapter.reports(who)?.view;
             let (rosters, instance) = adapter.rosters_and_instance(who)?;
-            let rows = rosters.get(&number).ok_or_else(|| v.error("rosterId", "a roster sent before"))?;
-            let machines = rows.iter().map(|row| listing(row, view, &mut instance.hosts)).collect();
+            let rows = rosters
+                .get(&number)
+                .ok_or_else(|| v.error("rosterId", "a roster sent before"))?;
+            let machines = rows
+                .iter()
+                .map(|row| listing(row, view, &mut instance.hosts))
+                .collect();
             Event::Listed { scope, machines }
         }
         "REQUEST" => Event::Asked(task(v, [1, 2, 4, 5, 6, 8, 9, 10])?),
@@ -172,7 +224,8 @@
         }
         "FINISHED" => {
             let end = End {
-                ending: ending(v.whole(5, "ending")?).ok_or_else(|| v.error("ending", "an outcome code"))?,
+                ending: ending(v.whole(5, "ending")?)
+                    .ok_or_else(|| v.error("ending", "an outcome code"))?,
                 why: match v.whole_or_zero(7, "note")? {
                     1 => Some(Why::Cores),
                     2 => Some(Why::Memory),
@@ -198,7 +251,10 @@
         _ => {
             let hex = v.text(2, "octets")?;
             let bytes = unhex(hex).ok_or_else(|| v.error("octets", "pairs of hex digits"))?;
-            Event::Told { from: v.small(1, "sender")?, bytes }
+            Event::Told {
+                from: v.small(1, "sender")?,
+                bytes,
+            }
         }
     })
 }
@@ -225,7 +281,10 @@
         id: v.task_id(at[0])?,
         service: ServiceId(v.whole_or_zero(at[5], "app")?),
         class: v.whole(at[7], "lane")? as usize,
-        asks: Room { cores: v.number(at[2], "cpuAsk")?, memory: v.number(at[6], "memNeeded")? },
+        asks: Room {
+            cores: v.number(at[2], "cpuAsk")?,
+            memory: v.number(at[6], "memNeeded")?,
+        },
         life: life.filter(|_| marks & 1 != 0),
         give_up_at: v.time(at[4], "giveUpAtMs")?,
         again: marks & 16 != 0,
@@ -235,7 +294,10 @@
 fn row(value: &Value) -> Result<Row, WireError> {
     let values = value.as_array().map(Vec::as_slice);
     let values = values.ok_or_else(|| WireError::new("ROSTER", "rows", "arrays".into()))?;
-    let v = Values { message: "ROSTER", values };
+    let v = Values {
+        message: "ROSTER",
+        values,
+    };
     Ok(Row {
         host: v.text(0, "host")?.to_owned(),
         zone: v.small(1, "zone")?,
@@ -273,15 +335,27 @@
     let Some(load) = load.filter(|_| reports.room) else {
         return Ok(None);
     };
-    let load = load.as_object().ok_or_else(|| v.error("load", "an object"))?;
+    let load = load
+        .as_object()
+        .ok_or_else(|| v.error("load", "an object"))?;
     let value = |name: &str| load.get(name).and_then(Value::as_f64);
-    Ok(value("x0").zip(value("x1")).map(|(cores, memory)| Room { cores, memory }))
+    Ok(value("x0")
+        .zip(value("x1"))
+        .map(|(cores, memory)| Room { cores, memory }))
 }
 
 fn unhex(text: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = text.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = text
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     let digits = digits.filter(|d| d.len() % 2 == 0)?;
-    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    Some(
+        digits
+            .chunks(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -303,7 +377,10 @@
         Action::Wake(after, label) => json!(["REMIND", who, ms(*after), label]),
         Action::Probe(machine) => json!(["TEST", who, name(*machine)]),
         Action::CloseIdle(machine) => json!(["CLOSE_IDLE", who, name(*machine)]),
-        Action::Tell { to: Some(to), bytes } => json!(["PUBLISH", who, to, hex(bytes)]),
+        Action::Tell {
+            to: Some(to),
+            bytes,
+        } => json!(["PUBLISH", who, to, hex(bytes)]),
         Action::Tell { to: None, bytes } => json!(["PUBLISH", who, "*", hex(bytes)]),
         Action::Listen(active) => json!(["LISTEN", who, active]),
         Action::Lookup => json!(["LOOKUP", who]),
@@ -335,22 +412,46 @@
     fn every_action_has_its_line() {
         let mut hosts = Hosts::default();
         let machine = hosts.id("a:1");
-        let id = AttemptId { task: TaskId(9), number: 2 };
+        let id = AttemptId {
+            task: TaskId(9),
+            number: 2,
+        };
         let cases = [
-            (Action::Offer(TaskId(9), machine, 80_500), r#"["CLAIM_ROOM",3,9,"a:1",80.5]"#),
+            (
+                Action::Offer(TaskId(9), machine, 80_500),
+                r#"["CLAIM_ROOM",3,9,"a:1",80.5]"#,
+            ),
             (Action::Cancel(id), r#"["CANCEL",3,9,2]"#),
             (Action::Refuse(TaskId(9), None), r#"["NOT_NOW",3,9,0.0]"#),
-            (Action::Refuse(TaskId(9), Some(1_500)), r#"["NOT_NOW",3,9,1.5]"#),
+            (
+                Action::Refuse(TaskId(9), Some(1_500)),
+                r#"["NOT_NOW",3,9,1.5]"#,
+            ),
             (Action::Fail(TaskId(9)), r#"["DROP_REQUEST",3,9]"#),
             (Action::Move(TaskId(9)), r#"["RELOCATE",3,9]"#),
             (Action::Wake(500_000, 77), r#"["REMIND",3,500.0,77]"#),
             (Action::Probe(machine), r#"["TEST",3,"a:1"]"#),
             (Action::CloseIdle(machine), r#"["CLOSE_IDLE",3,"a:1"]"#),
-            (Action::Tell { to: Some(1), bytes: vec![0x68, 0x0a] }, r#"["PUBLISH",3,1,"680a"]"#),
-            (Action::Tell { to: None, bytes: vec![] }, r#"["PUBLISH",3,"*",""]"#),
+            (
+                Action::Tell {
+                    to: Some(1),
+                    bytes: vec![0x68, 0x0a],
+                },
+                r#"["PUBLISH",3,1,"680a"]"#,
+            ),
+            (
+                Action::Tell {
+                    to: None,
+                    bytes: vec![],
+                },
+                r#"["PUBLISH",3,"*",""]"#,
+            ),
             (Action::Listen(false), r#"["LISTEN",3,false]"#),
             (Action::Lookup, r#"["LOOKUP",3]"#),
-            (Action::Log("two \"known\"".into()), r#"["PRINT",3,"two \"known\""]"#),
+            (
+                Action::Log("two \"known\"".into()),
+                r#"["PRINT",3,"two \"known\""]"#,
+            ),
             (Action::Held(TaskId(9), maplethread::Lack::Room), ""),
         ];
         for (action, line) in cases {
--- a/drill/tests/wire.rs
+++ b/drill/tests/wire.rs
@@ -29,7 +29,11 @@
     let output = child.wait_with_output().expect("it ends");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     let out = text(output.stdout).lines().map(str::to_owned).collect();
-    (output.status.code().expect("a code"), out, text(output.stderr))
+    (
+        output.status.code().expect("a code"),
+        out,
+        text(output.stderr),
+    )
 }
 
 #[test]
@@ -57,10 +61,13 @@
     assert_eq!((code, err.as_str()), (0, ""));
     assert_eq!(out[0], r#"["LISTEN",3,true]"#);
     assert!(
-        out.iter().any(|line| line.starts_with(r#"["CLAIM_ROOM",3,4294967295,"10.0.0.1:5003","#)),
+        out.iter()
+            .any(|line| line.starts_with(r#"["CLAIM_ROOM",3,4294967295,"10.0.0.1:5003","#)),
         "{out:?}"
     );
-    let remind = out.iter().find(|line| line.starts_with(r#"["REMIND",3,7640.25,"#));
+    let remind = out
+        .iter()
+        .find(|line| line.starts_with(r#"["REMIND",3,7640.25,"#));
     assert!(remind.is_some(), "before the deadline: {out:?}");
     assert_eq!(out.last().map(String::as_str), Some(r#"["DONE",2]"#));
 }
@@ -80,8 +87,16 @@
         r#"["EOB"]"#,
     ]);
     assert_eq!(code, 0);
-    assert!(out.iter().any(|line| line.starts_with(r#"["CLAIM_ROOM",1,10,"a:1","#)), "{out:?}");
-    assert!(out.iter().any(|line| line.starts_with(r#"["CLAIM_ROOM",2,11,"b:1","#)), "{out:?}");
+    assert!(
+        out.iter()
+            .any(|line| line.starts_with(r#"["CLAIM_ROOM",1,10,"a:1","#)),
+        "{out:?}"
+    );
+    assert!(
+        out.iter()
+            .any(|line| line.starts_with(r#"["CLAIM_ROOM",2,11,"b:1","#)),
+        "{out:?}"
+    );
 }
 
 #[test]
@@ -101,18 +116,33 @@
         r#"["EOB"]"#,
     ]);
     assert_eq!(code, 0);
-    assert_eq!(out, [r#"["LISTEN",1,true]"#, r#"["DONE",1]"#, r#"["DONE",2]"#]);
+    assert_eq!(
+        out,
+        [r#"["LISTEN",1,true]"#, r#"["DONE",1]"#, r#"["DONE",2]"#]
+    );
 }
 
 #[test]
 fn bad_input_ends_with_one_plain_line_and_no_reply() {
     let cases: [(&[&str], &str); 6] = [
         (&[r#"["TURN",1,1]"#, "not json"], "line 2: "),
-        (&[r#"["TURN",1,1]"#, r#"["WHAT",1]"#], "line 2: message WHAT, field name"),
-        (&[r#"["TURN",1,1]"#, r#"["TIMER",5,1]"#, r#"["EOB"]"#], "instance that is up, not 5"),
-        (&[r#"["TURN","late",1]"#], "line 1: message TURN, field clock: expected a number"),
+        (
+            &[r#"["TURN",1,1]"#, r#"["WHAT",1]"#],
+            "line 2: message WHAT, field name",
+        ),
+        (
+            &[r#"["TURN",1,1]"#, r#"["TIMER",5,1]"#, r#"["EOB"]"#],
+            "instance that is up, not 5",
+        ),
+        (
+            &[r#"["TURN","late",1]"#],
+            "line 1: message TURN, field clock: expected a number",
+        ),
         (&[r#"["TURN",1,1]"#], "ended within a batch"),
-        (&[r#"["TURN",1,1]"#, r#"["LAUNCH",1,1,{"zone":"a"}]"#], "message LAUNCH, field"),
+        (
+            &[r#"["TURN",1,1]"#, r#"["LAUNCH",1,1,{"zone":"a"}]"#],
+            "message LAUNCH, field",
+        ),
     ];
     for (lines, expected) in cases {
         let (code, out, err) = drill(lines);
@@ -127,6 +157,9 @@
     let launch = launch(1).replace(r#""peersTotal":3"#, r#""peersTotal":0"#);
     let (code, out, _) = drill(&[r#"["TURN",1,1]"#, &launch, r#"["EOB"]"#]);
     assert_eq!(code, 0);
-    assert!(out[0].starts_with(r#"["BROKEN",1,"settings: placers"#), "{out:?}");
+    assert!(
+        out[0].starts_with(r#"["BROKEN",1,"settings: placers"#),
+        "{out:?}"
+    );
     assert_eq!(out[1], r#"["DONE",1]"#);
 }
--- a/fuzz/fuzz_targets/http.rs
+++ b/fuzz/fuzz_targets/http.rs
@@ -6,7 +6,15 @@
 use maplethread_wire::http::{Decoder, Found, Limits, Message, Reader, Role, Step};
 
 fn read(role: Role, bytes: &[u8], piece: usize) -> Option<Vec<Message>> {
-    let mut reader = Reader::new(role, Limits { line: 128, head: 512, fields: 8, body: 256 });
+    let mut reader = Reader::new(
+        role,
+        Limits {
+            line: 128,
+            head: 512,
+            fields: 8,
+            body: 256,
+        },
+    );
     let (mut messages, mut buffer) = (Vec::new(), Vec::new());
     for part in bytes.chunks(piece) {
         buffer.extend_from_slice(part);
@@ -24,7 +32,9 @@
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((&cut, bytes)) = data.split_first() else { return };
+    let Some((&cut, bytes)) = data.split_first() else {
+        return;
+    };
     for role in [Role::Requests, Role::Responses] {
         let whole = read(role, bytes, bytes.len().max(1));
         let cut = read(role, bytes, usize::from(cut) + 1);
@@ -36,7 +46,10 @@
         let mut fields = [httparse::EMPTY_HEADER; 100];
         let mut request = httparse::Request::new(&mut fields);
         let parsed = request.parse(bytes);
-        assert!(matches!(parsed, Ok(httparse::Status::Complete(_))), "{parsed:?}");
+        assert!(
+            matches!(parsed, Ok(httparse::Status::Complete(_))),
+            "{parsed:?}"
+        );
         assert_eq!(request.method, Some(head.method()));
         assert_eq!(request.path, Some(head.target()));
         let own: Vec<_> = head.fields().collect();
--- a/fuzz/fuzz_targets/trace.rs
+++ b/fuzz/fuzz_targets/trace.rs
@@ -27,7 +27,12 @@
     let damage = data.first().is_some_and(|b| b % 2 == 1);
     if damage {
         for at in 0..9 {
-            writer.push(&Stamped { at, record: Record::Stopped }).expect("a record");
+            writer
+                .push(&Stamped {
+                    at,
+                    record: Record::Stopped,
+                })
+                .expect("a record");
         }
         writer.finish().expect("an index");
     }
@@ -40,7 +45,9 @@
     } else {
         bytes.extend_from_slice(data);
     }
-    let Ok(mut reader) = Reader::open(Cursor::new(&bytes)) else { return };
+    let Ok(mut reader) = Reader::open(Cursor::new(&bytes)) else {
+        return;
+    };
     let _ = reader.index();
     let mut summary = Summary::new(&reader.header);
     while let Some(part) = reader.next_part().expect("only damage") {
