--- a/src/control.rs
+++ b/src/control.rs
@@ -211,7 +211,11 @@
 
     fn acquit(&mut self) {
         self.strikes = (self.strikes - 1.0).max(0.0);
-        self.avoid_until = if self.strikes < 1.0 { 0 } else { self.avoid_until };
+        self.avoid_until = if self.strikes < 1.0 {
+            0
+        } else {
+            self.avoid_until
+        };
     }
 
     fn answered(&mut self) {
@@ -243,12 +247,21 @@
 }
 
 impl Machine {
-    #[rustfmt::skip]
     fn new(listing: Listing, size: Room, classes: usize, touched: Micros) -> Machine {
         Machine {
-            listing, size, touched, unlinked: false, asked: None, own: Room::default(),
-            changes: VecDeque::new(), sends: VecDeque::new(), health: vec![Health::default(); classes],
-            lives: 0, full: None, refusals: 0, crowded_until: 0,
+            listing,
+            size,
+            touched,
+            unlinked: false,
+            asked: None,
+            own: Room::default(),
+            changes: VecDeque::new(),
+            sends: VecDeque::new(),
+            health: vec![Health::default(); classes],
+            lives: 0,
+            full: None,
+            refusals: 0,
+            crowded_until: 0,
         }
     }
 
@@ -396,14 +409,31 @@
                 let (attempts, out, may_run, erred, lack) = (0, false, None, None, None);
                 let half = task.give_up_at.saturating_sub(self.now) / 2;
                 let yields_until = task.again.then_some(self.now + YIELD.min(half));
-                let open = Open { task: *task, attempts, out, may_run, erred, lack, yields_until };
+                let open = Open {
+                    task: *task,
+                    attempts,
+                    out,
+                    may_run,
+                    erred,
+                    lack,
+                    yields_until,
+                };
                 self.open.entry(task.id).or_insert(open);
                 let last = task.give_up_at.saturating_sub(ANSWER_MARGIN);
                 actions.push(Action::Wake(last.saturating_sub(self.now), task.id.0 + 1));
                 self.waiting.push_back(task.id);
             }
             Event::Running(task, machine) if task.class < self.settings.classes.len() => {
-                self.bind(AttemptId { task: task.id, number: 0 }, *task, *machine, Level::Local, true);
+                self.bind(
+                    AttemptId {
+                        task: task.id,
+                        number: 0,
+                    },
+                    *task,
+                    *machine,
+                    Level::Local,
+                    true,
+                );
             }
             Event::Seated(id, elapsed) => self.seated(id, *elapsed),
             Event::Noted(id, Note::Started) => self.started(id),
@@ -436,7 +466,9 @@
     /// Rule 3: news of drains and removals acts at once; a machine absent from a full list is gone.
     fn listed(&mut self, scope: Scope, listings: &[Listing]) {
         if scope != Scope::Changes {
-            self.machines.values_mut().for_each(|m| m.listing.state = MachineState::Gone);
+            self.machines
+                .values_mut()
+                .for_each(|m| m.listing.state = MachineState::Gone);
         }
         let mut new = scope != Scope::Changes;
         for listing in listings {
@@ -445,8 +477,9 @@
             };
             new |= !self.machines.contains_key(&listing.machine);
             let machine = self.machines.entry(listing.machine);
-            let machine = machine
-                .or_insert_with(|| Machine::new(*listing, size, self.settings.classes.len(), self.now));
+            let machine = machine.or_insert_with(|| {
+                Machine::new(*listing, size, self.settings.classes.len(), self.now)
+            });
             if machine.listing.started != listing.started {
                 // A new process: what was learned of the old one's health says nothing of it.
                 machine.health.fill(Health::default());
@@ -458,16 +491,21 @@
             }
         }
         let fresh = |at: Micros| at + FORGET > self.now;
-        self.machines.retain(|_, m| m.listing.state != MachineState::Gone || fresh(m.touched));
-        self.held.retain(|_, there| there.values().any(|&(count, at)| count > 0 || fresh(at)));
+        self.machines
+            .retain(|_, m| m.listing.state != MachineState::Gone || fresh(m.touched));
+        self.held
+            .retain(|_, there| there.values().any(|&(count, at)| count > 0 || fresh(at)));
         let held = &self.held;
-        self.rates.retain(|(service, ..), _| held.contains_key(service));
+        self.rates
+            .retain(|(service, ..), _| held.contains_key(service));
         // Tasks may run where no list had named the machine yet. All attempts are gone through only for
         // a machine that is new: a storm of changes would else cost milliseconds each.
         if !new {
             return;
         }
-        self.machines.values_mut().for_each(|m| m.own = Room::default());
+        self.machines
+            .values_mut()
+            .for_each(|m| m.own = Room::default());
         for attempt in self.attempts.values() {
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
                 machine.own = machine.own.plus(attempt.task.asks, 1.0);
@@ -486,7 +524,16 @@
     /// Counts an attempt in: an offer, or a task that runs already.
     fn bind(&mut self, id: AttemptId, task: Task, machine: MachineId, level: Level, runs: bool) {
         let (sent, seated, started) = (self.now, runs, runs);
-        let attempt = Attempt { task, machine, level, sent, seated, started, in_line: false, starved: None };
+        let attempt = Attempt {
+            task,
+            machine,
+            level,
+            sent,
+            seated,
+            started,
+            in_line: false,
+            starved: None,
+        };
         if self.attempts.insert(id, attempt).is_none() {
             self.count(machine, &task, 1.0, self.now);
         }
@@ -502,15 +549,28 @@
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.change(self.now, task.asks, sign);
         }
-        let (count, last) = self.held.entry(task.service).or_default().entry(id).or_default();
-        *count = if sign > 0.0 { *count + 1 } else { count.saturating_sub(1) };
+        let (count, last) = self
+            .held
+            .entry(task.service)
+            .or_default()
+            .entry(id)
+            .or_default();
+        *count = if sign > 0.0 {
+            *count + 1
+        } else {
+            count.saturating_sub(1)
+        };
         *last = at.max(*last);
     }
 
     /// Guards against programs looked for in a process that was started anew since.
     fn is_local(&self, id: MachineId, service: ServiceId) -> bool {
         let there = self.held.get(&service).and_then(|there| there.get(&id));
-        let since = self.machines.get(&id).and_then(|m| m.listing.started).unwrap_or(0);
+        let since = self
+            .machines
+            .get(&id)
+            .and_then(|m| m.listing.started)
+            .unwrap_or(0);
         there.is_some_and(|&(count, last)| count > 0 || last + KEPT_FOR > self.now && last >= since)
     }
 
@@ -555,7 +615,9 @@
     /// Whether some machine looks comfortable for the task.
     fn has_comfort(&self, task: &Task) -> bool {
         let mean = self.mean_asked();
-        self.machines.values().any(|m| m.ready() && self.comfortable(m, task, mean))
+        self.machines
+            .values()
+            .any(|m| m.ready() && self.comfortable(m, task, mean))
     }
 
     fn comfortable(&self, machine: &Machine, task: &Task, mean: Room) -> bool {
@@ -576,7 +638,9 @@
             let late = late.filter(|&late| late > STALLED).unwrap_or(0);
             attempt.sent += late;
             let (attempt, took) = (*attempt, (since - late) as f64);
-            let wait = self.waits.entry(self.wait_key(attempt.task.class, attempt.level));
+            let wait = self
+                .waits
+                .entry(self.wait_key(attempt.task.class, attempt.level));
             let (mean, deviation) = wait.or_insert((took, took));
             *deviation += ANSWER_WEIGHT * ((took - *mean).abs() - *deviation);
             *mean += ANSWER_WEIGHT * (took - *mean);
@@ -620,7 +684,12 @@
         };
         // What was cut may have been so long ago, with its process.
         let cut = attempt.seated && end.ending == Ending::Reset && end.why.is_none();
-        self.count(attempt.machine, &attempt.task, -1.0, if cut { attempt.sent } else { self.now });
+        self.count(
+            attempt.machine,
+            &attempt.task,
+            -1.0,
+            if cut { attempt.sent } else { self.now },
+        );
         self.report(attempt.machine, end.load);
         let odd_task = end.ending == Ending::Error && self.errs_everywhere(&attempt);
         self.judge(&attempt, end, odd_task);
@@ -631,7 +700,10 @@
             return;
         };
         open.out = false;
-        if !matches!(end.ending, Ending::Refused | Ending::Unreachable | Ending::NotSent) {
+        if !matches!(
+            end.ending,
+            Ending::Refused | Ending::Unreachable | Ending::NotSent
+        ) {
             open.may_run = open.may_run.or(Some((attempt.sent, attempt.machine)));
         }
         if end.ending == Ending::NotSent || self.too_late(&attempt.task) {
@@ -680,7 +752,11 @@
                 let room = matches!(why, Some(Why::Cores | Why::Memory));
                 let base = if room { FULL_FOR } else { LINE_FOR };
                 let sized = room && machine.refusals < 2;
-                let asks = if sized { attempt.task.asks } else { Room::default() };
+                let asks = if sized {
+                    attempt.task.asks
+                } else {
+                    Room::default()
+                };
                 machine.full = Some((asks, now + (base << machine.refusals)));
                 machine.refusals = (machine.refusals + 1).min(MOST_REFUSALS);
             }
@@ -708,7 +784,9 @@
         let until = match (open.may_run, self.settings.classes[open.task.class].effect) {
             (None, _) | (_, Effect::Safe) => open.task.give_up_at,
             (Some(_), Effect::Unsafe) => 0,
-            (Some((sent, _)), Effect::Keyed { window, .. }) => (sent + window).min(open.task.give_up_at),
+            (Some((sent, _)), Effect::Keyed { window, .. }) => {
+                (sent + window).min(open.task.give_up_at)
+            }
         };
         if until <= self.now + ANSWER_MARGIN || open.attempts >= self.settings.limits.max_attempts {
             self.answer(id, actions);
@@ -729,20 +807,35 @@
         };
         let time_out = self.patience(&open, level, until - self.now);
         actions.push(Action::Offer(id, machine, time_out));
-        self.bind(AttemptId { task: id, number: open.attempts }, open.task, machine, level, false);
+        self.bind(
+            AttemptId {
+                task: id,
+                number: open.attempts,
+            },
+            open.task,
+            machine,
+            level,
+            false,
+        );
         if let Some(open) = self.open.get_mut(&id) {
             (open.attempts, open.out, open.lack) = (open.attempts + 1, true, None);
         }
         if let Some(machine) = self.machines.get_mut(&machine) {
             machine.health[open.task.class].unanswered += 1;
-            machine.sends.retain(|at| at + self.settings.rules.fall_window >= self.now);
+            machine
+                .sends
+                .retain(|at| at + self.settings.rules.fall_window >= self.now);
             machine.sends.push_back(self.now);
         }
     }
 
     /// This placer's part of the starts under way beyond which tasks that come again yield.
     fn starts_at_once(&self) -> u32 {
-        let ready = self.machines.values().filter(|m| m.ready() && !m.unlinked).count();
+        let ready = self
+            .machines
+            .values()
+            .filter(|m| m.ready() && !m.unlinked)
+            .count();
         ((STARTS_AT_ONCE * ready as f64 / f64::from(self.settings.placers)) as u32).max(1)
     }
 
@@ -753,7 +846,10 @@
         }
         let most = self.starts_at_once();
         for _ in 0..HELD_AT_ONCE {
-            let next = self.yielding.first().filter(|(until, _)| self.starts < most || *until <= self.now);
+            let next = self
+                .yielding
+                .first()
+                .filter(|(until, _)| self.starts < most || *until <= self.now);
             let Some(&(until, id)) = next else {
                 break;
             };
@@ -788,7 +884,10 @@
             SeatedWhen::Accepted => (classes.iter().map(|c| c.aim).min().unwrap_or(1), 1.0),
         };
         let aim = aim as f64;
-        let wait = self.waits.get(&self.wait_key(open.task.class, level)).copied();
+        let wait = self
+            .waits
+            .get(&self.wait_key(open.task.class, level))
+            .copied();
         let (mean, deviation) = wait.unwrap_or((0.0, aim / DEVIATIONS));
         let usual = (mean + DEVIATIONS * deviation).max(aim * LEAST_WAIT);
         ((usual * queued * STRETCH.powf(f64::from(open.attempts))) as Micros).clamp(1, left)
@@ -813,7 +912,11 @@
             }
         }
         if allowed.is_empty() {
-            return Err(if self.fits_a_kind(task) { nearest } else { Lack::Size });
+            return Err(if self.fits_a_kind(task) {
+                nearest
+            } else {
+                Lack::Size
+            });
         }
         prefer(&mut allowed, |m| self.healthy(m, task.class));
         let mean = self.mean_asked();
@@ -826,11 +929,21 @@
         // All placers see the same few comfortable machines and would swarm to them, so a service looks for
         // comfort only among those that it ranks first, and where it is held. What pushes others out is rare
         // and large, and one on a crowded machine costs many tasks: it looks everywhere.
-        let there = self.held.get(&task.service).into_iter().flatten().map(|(id, _)| *id);
-        let locals: Vec<MachineId> = there.filter(|&id| self.is_local(id, task.service)).collect();
+        let there = self
+            .held
+            .get(&task.service)
+            .into_iter()
+            .flatten()
+            .map(|(id, _)| *id);
+        let locals: Vec<MachineId> = there
+            .filter(|&id| self.is_local(id, task.service))
+            .collect();
         let local = |m: &Machine| locals.binary_search(&m.listing.machine).is_ok();
         let by_rank = |a: &(f64, &Machine), b: &(f64, &Machine)| a.0.total_cmp(&b.0);
-        let mut ranked: Vec<_> = allowed.into_iter().map(|m| (rank(task.service, m), m)).collect();
+        let mut ranked: Vec<_> = allowed
+            .into_iter()
+            .map(|m| (rank(task.service, m), m))
+            .collect();
         if self.settings.classes[task.class].priority == 0 && ranked.len() > CANDIDATES {
             ranked.select_nth_unstable_by(CANDIDATES - 1, by_rank);
             let rest = ranked.split_off(CANDIDATES);
@@ -846,19 +959,33 @@
             _ => Level::Remote,
         };
         let places = allowed.iter().enumerate();
-        let weighed: Vec<_> =
-            places.map(|(n, &m)| (m, level(n, m), self.likely_used(m, task, mean))).collect();
+        let weighed: Vec<_> = places
+            .map(|(n, &m)| (m, level(n, m), self.likely_used(m, task, mean)))
+            .collect();
         let local = weighed.iter().filter(|l| l.1 == Level::Local && l.2 < EASY);
         let easy = local.map(|l| l.2).fold(0.0, f64::max) * NEAR_TIE * NEAR_TIE;
         let score = |&(machine, level, load): &(&Machine, Level, f64)| {
-            let (id, away) = (machine.listing.machine, machine.listing.zone != self.settings.zone);
-            let crossing = if away { 1.0 + CROSSING * self.settings.prices.cross_zone } else { 1.0 };
+            let (id, away) = (
+                machine.listing.machine,
+                machine.listing.zone != self.settings.zone,
+            );
+            let crossing = if away {
+                1.0 + CROSSING * self.settings.prices.cross_zone
+            } else {
+                1.0
+            };
             let least = if level == Level::Local { 0.0 } else { easy };
-            (crossing * load.max(least) / self.rate(id, task, level), id, level)
+            (
+                crossing * load.max(least) / self.rate(id, task, level),
+                id,
+                level,
+            )
         };
         let mut scores: Vec<(f64, MachineId, Level)> = weighed.iter().map(score).collect();
         self.decisions += 1;
-        if self.chance() >= (self.decisions as f64 * f64::from(self.settings.placers)).powf(-EXPLORE_C) {
+        if self.chance()
+            >= (self.decisions as f64 * f64::from(self.settings.placers)).powf(-EXPLORE_C)
+        {
             let least = scores.iter().map(|s| s.0).fold(f64::INFINITY, f64::min);
             scores.retain(|s| s.0 <= least * NEAR_TIE);
         }
@@ -905,25 +1032,42 @@
             }
         }
         // Rule 5: attempts and running tasks of the service in one place.
-        if class.spread.is_some_and(|(place, most)| most == 0 || full.contains(&at.place(place))) {
+        if class
+            .spread
+            .is_some_and(|(place, most)| most == 0 || full.contains(&at.place(place)))
+        {
             return Some(Lack::Spread);
         }
         let room = (!self.has_room(machine, &open.task)).then_some(Lack::Room);
         // Rule 4: own part of what a cold machine always bears, in every window, refused offers too. Where
         // placers outnumber those offers, each start opens the machine to only so many placers, which all
         // of them draw alike from its label and start: whenever each was told, no window holds more.
-        let Some(start) = at.started.filter(|&start| start + rules.cold_for > self.now) else {
+        let Some(start) = at
+            .started
+            .filter(|&start| start + rules.cold_for > self.now)
+        else {
             return room;
         };
         // Guards against two placers spending one part: whose number is lost sends nothing to cold machines.
         let Some(number) = self.number.filter(|_| self.quiet_until < self.now) else {
             return Some(Lack::Cold);
         };
-        let (offers, placers) = ((rules.fresh_offers * COLD_SHARE) as u64, u64::from(self.settings.placers));
+        let (offers, placers) = (
+            (rules.fresh_offers * COLD_SHARE) as u64,
+            u64::from(self.settings.placers),
+        );
         let turn = (u64::from(number) + mix(at.label ^ start) % placers) % placers;
         let own = offers / placers + u64::from(turn < offers % placers);
-        let sent = machine.sends.iter().filter(|&&at| at + rules.fall_window >= self.now).count();
-        if (sent as u64) < own { room } else { Some(Lack::Cold) }
+        let sent = machine
+            .sends
+            .iter()
+            .filter(|&&at| at + rules.fall_window >= self.now)
+            .count();
+        if (sent as u64) < own {
+            room
+        } else {
+            Some(Lack::Cold)
+        }
     }
 
     /// Whether some kind of machine, empty, could take the task.
@@ -939,14 +1083,19 @@
 
     /// Places that hold as many attempts and running tasks of the service as its class may have in one.
     fn full_places(&self, task: &Task) -> Vec<u32> {
-        let Some((place, most)) = self.settings.classes[task.class].spread else { return Vec::new() };
+        let Some((place, most)) = self.settings.classes[task.class].spread else {
+            return Vec::new();
+        };
         let mut held = BTreeMap::new();
         for (id, (count, _)) in self.held.get(&task.service).into_iter().flatten() {
             if let Some(machine) = self.machines.get(id) {
                 *held.entry(machine.listing.place(place)).or_insert(0) += count;
             }
         }
-        held.into_iter().filter(|&(_, count)| count >= most).map(|(place, _)| place).collect()
+        held.into_iter()
+            .filter(|&(_, count)| count >= most)
+            .map(|(place, _)| place)
+            .collect()
     }
 
     /// A class's own failures count until its own starts make them good, others' only while the machine
@@ -955,7 +1104,8 @@
         let own = &machine.health[class];
         let silent_since = |at: Micros| at > machine.lives && at + AVOID_FIRST > self.now;
         let dead = |h: &Health| {
-            h.avoid_until > self.now && h.struck > machine.lives || h.cut_off.is_some_and(silent_since)
+            h.avoid_until > self.now && h.struck > machine.lives
+                || h.cut_off.is_some_and(silent_since)
         };
         own.avoid_until <= self.now
             && (own.strikes < 1.0 || own.unanswered == 0)
@@ -964,20 +1114,28 @@
 
     fn has_room(&self, machine: &Machine, task: &Task) -> bool {
         let as_large = |r: Room| task.asks.cores >= r.cores || task.asks.memory >= r.memory;
-        let full = machine.full.is_some_and(|(r, until)| until > self.now && as_large(r));
+        let full = machine
+            .full
+            .is_some_and(|(r, until)| until > self.now && as_large(r));
         let with = machine.known().plus(task.asks, 1.0).of(machine.size);
-        !full && with.cores <= self.settings.admit_cores && with.memory <= self.settings.admit_memory
+        !full
+            && with.cores <= self.settings.admit_cores
+            && with.memory <= self.settings.admit_memory
     }
 
     /// Mean shares of the ready machines that are reported, or of own binds where none is.
     fn mean_asked(&self) -> Room {
         let ready = || self.machines.values().filter(|m| m.ready());
-        let mut shares: Vec<Room> = ready().filter_map(|m| Some(m.asked_now()?.of(m.size))).collect();
+        let mut shares: Vec<Room> = ready()
+            .filter_map(|m| Some(m.asked_now()?.of(m.size)))
+            .collect();
         if shares.is_empty() {
             shares = ready().map(|m| m.own.of(m.size)).collect();
         }
         let part = 1.0 / shares.len().max(1) as f64;
-        shares.iter().fold(Room::default(), |sum, &share| sum.plus(share, part))
+        shares
+            .iter()
+            .fold(Room::default(), |sum, &share| sum.plus(share, part))
     }
 
     /// The share of the machine that is likely in use with the task: the workload that a score weighs.
@@ -994,7 +1152,11 @@
             (None, true) => f64::from(self.settings.placers - 1),
             (None, false) => 1.0,
         };
-        machine.known().plus(task.asks, 1.0).of(machine.size).plus(mean, times)
+        machine
+            .known()
+            .plus(task.asks, 1.0)
+            .of(machine.size)
+            .plus(mean, times)
     }
 
     /// The pair's rate at its present level, drawn towards its class's at that level, and that to what is
@@ -1006,9 +1168,17 @@
             Level::Next => NEXT_TAKES,
             Level::Remote => REMOTE_TAKES,
         };
-        let pool = self.pools.get(&(task.class, level)).copied().unwrap_or_default();
+        let pool = self
+            .pools
+            .get(&(task.class, level))
+            .copied()
+            .unwrap_or_default();
         let pool = pool.towards(1e6 / (aim * takes).max(1.0), PRESUMED);
-        let pair = self.rates.get(&(task.service, id, level)).copied().unwrap_or_default();
+        let pair = self
+            .rates
+            .get(&(task.service, id, level))
+            .copied()
+            .unwrap_or_default();
         pair.towards(pool, PRIOR)
     }
 
@@ -1019,13 +1189,23 @@
         };
         let effect = self.settings.classes[open.task.class].effect;
         let harmless = match effect {
-            Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
+            Effect::Safe
+            | Effect::Keyed {
+                group: Group::All, ..
+            } => true,
             Effect::Keyed { .. } | Effect::Unsafe => !open.out && open.may_run.is_none(),
         };
         if open.out && effect == Effect::Safe && self.settings.limits.cancel {
-            actions.push(Action::Cancel(AttemptId { task: id, number: open.attempts - 1 }));
+            actions.push(Action::Cancel(AttemptId {
+                task: id,
+                number: open.attempts - 1,
+            }));
         }
-        actions.push(if harmless { Action::Refuse(id, self.come_back(&open)) } else { Action::Fail(id) });
+        actions.push(if harmless {
+            Action::Refuse(id, self.come_back(&open))
+        } else {
+            Action::Fail(id)
+        });
     }
 
     /// When to ask again after being held in vain: what it waited for takes about so long to change. Drawn
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -207,7 +207,11 @@
         let (rules, prices) = (&self.rules, &self.prices);
         let mut figures = vec![
             ("placers", f64::from(self.placers), 1.0),
-            ("number of this placer", f64::from(self.placers) - f64::from(self.number), 1.0),
+            (
+                "number of this placer",
+                f64::from(self.placers) - f64::from(self.number),
+                1.0,
+            ),
             ("attempts", f64::from(self.limits.max_attempts), 1.0),
             ("admitted cores", self.admit_cores, f64::MIN_POSITIVE),
             ("admitted memory", self.admit_memory, f64::MIN_POSITIVE),
@@ -230,7 +234,10 @@
                 return Err(SettingsError::UnknownKind(kind));
             }
         }
-        match figures.iter().find(|&&(_, x, least)| !x.is_finite() || x < least) {
+        match figures
+            .iter()
+            .find(|&&(_, x, least)| !x.is_finite() || x < least)
+        {
             Some(&(name, ..)) => Err(SettingsError::OutOfRange(name)),
             None => Ok(()),
         }
@@ -255,7 +262,10 @@
 
     /// Both, `times` times `other` added.
     pub fn plus(self, other: Room, times: f64) -> Room {
-        Room::new(self.cores + times * other.cores, self.memory + times * other.memory)
+        Room::new(
+            self.cores + times * other.cores,
+            self.memory + times * other.memory,
+        )
     }
 
     /// Both, multiplied one by one.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,7 +6,15 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: 600_000, worth: 1.0, start_bonus_s: 10.0, priority: 0, kind: None, spread: None }
+    Class {
+        effect,
+        aim: 600_000,
+        worth: 1.0,
+        start_bonus_s: 10.0,
+        priority: 0,
+        kind: None,
+        spread: None,
+    }
 }
 
 pub fn settings(effect: Effect) -> Settings {
@@ -22,7 +30,13 @@
         admit_memory: 1.5,
         view: false,
         report: LoadReport::Silent,
-        limits: Limits { max_attempts: 3, cancel: true, probes: false, peers: false, come_back: None },
+        limits: Limits {
+            max_attempts: 3,
+            cancel: true,
+            probes: false,
+            peers: false,
+            come_back: None,
+        },
         rules: Rules {
             ask_within: 10 * S,
             cold_from: 0.2,
@@ -61,11 +75,19 @@
 }
 
 pub fn id(task: u64, number: u32) -> AttemptId {
-    AttemptId { task: TaskId(task), number }
+    AttemptId {
+        task: TaskId(task),
+        number,
+    }
 }
 
 pub fn end(task: u64, number: u32, ending: Ending, why: Option<Why>) -> Event {
-    let end = End { ending, why, closed: false, load: None };
+    let end = End {
+        ending,
+        why,
+        closed: false,
+        load: None,
+    };
     Event::Ended(id(task, number), end)
 }
 
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -20,12 +20,21 @@
 
 fn well(i: u64) -> Vec<Event> {
     let start = Event::Noted(id(i, 0), Note::Started);
-    vec![Event::Seated(id(i, 0), None), start, end(i, 0, Ending::Done, None)]
+    vec![
+        Event::Seated(id(i, 0), None),
+        start,
+        end(i, 0, Ending::Done, None),
+    ]
 }
 
 #[test]
 fn a_machine_that_fails_fast_does_not_draw_ever_more() {
-    for ending in [Ending::Error, Ending::Reset, Ending::Unreachable, Ending::TimedOut] {
+    for ending in [
+        Ending::Error,
+        Ending::Reset,
+        Ending::Unreachable,
+        Ending::TimedOut,
+    ] {
         let mut desk = Desk::new(settings(Effect::Safe), 3);
         let to_zero = drawn(&mut desk, 300, 40_000, |i, machine| match machine {
             0 => vec![end(i, 0, ending, None)],
@@ -54,7 +63,10 @@
         let odd = 1_000 + i;
         let first = desk.ask(task(odd, odd, desk.now + S)).expect("an offer");
         let second = offer(&desk.turn(&[end(odd, 0, Ending::Error, None)])).expect("another offer");
-        assert_ne!(first, second, "the first error counts until another machine errs too");
+        assert_ne!(
+            first, second,
+            "the first error counts until another machine errs too"
+        );
         desk.turn(&[end(odd, 1, Ending::Error, None)]);
         desk.turn(&[end(odd, 2, Ending::Error, None)]);
         let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
@@ -82,15 +94,27 @@
             to_zero += u64::from(machine == 0);
             desk.now += 1_000;
             let spoilt = machine == 0 && offers % every == 0;
-            let mut events = if spoilt { vec![end(i, 0, ending, None)] } else { well(i) };
+            let mut events = if spoilt {
+                vec![end(i, 0, ending, None)]
+            } else {
+                well(i)
+            };
             events.push(Event::HungUp(TaskId(i)));
             desk.turn(&events);
         }
         to_zero
     };
     for ending in [Ending::Reset, Ending::TimedOut] {
-        assert!(to_zero(ending, 5) > 50, "{ending:?}, one in five: {}", to_zero(ending, 5));
-        assert!(to_zero(ending, 1) < 15, "{ending:?}, each one: {}", to_zero(ending, 1));
+        assert!(
+            to_zero(ending, 5) > 50,
+            "{ending:?}, one in five: {}",
+            to_zero(ending, 5)
+        );
+        assert!(
+            to_zero(ending, 1) < 15,
+            "{ending:?}, each one: {}",
+            to_zero(ending, 1)
+        );
     }
 }
 
@@ -104,11 +128,16 @@
         let mut number = 0;
         while machine == 0 {
             to_zero += 1;
-            machine = offer(&desk.turn(&[end(i, number, Ending::Error, None)])).expect("another offer");
+            machine =
+                offer(&desk.turn(&[end(i, number, Ending::Error, None)])).expect("another offer");
             number += 1;
         }
         let start = Event::Noted(id(i, number), Note::Started);
-        desk.turn(&[Event::Seated(id(i, number), None), start, end(i, number, Ending::Done, None)]);
+        desk.turn(&[
+            Event::Seated(id(i, number), None),
+            start,
+            end(i, number, Ending::Done, None),
+        ]);
     }
     assert!(to_zero <= 6, "{to_zero}");
 }
@@ -117,12 +146,24 @@
 fn a_task_that_would_push_others_out_looks_for_comfort_on_all_machines() {
     let to_empty = |priority: u32| {
         let mut settings = settings(Effect::Safe);
-        settings.classes.push(Class { priority, ..class(Effect::Safe) });
+        settings.classes.push(Class {
+            priority,
+            ..class(Effect::Safe)
+        });
         let mut desk = Desk::new(settings, 12);
-        let running = |n: u64| Task { asks: Room::new(12.0, 24.0), ..task(n, n, 0) };
-        let full: Vec<Event> = (1..12).map(|n| Event::Running(running(n), MachineId(n as u32))).collect();
+        let running = |n: u64| Task {
+            asks: Room::new(12.0, 24.0),
+            ..task(n, n, 0)
+        };
+        let full: Vec<Event> = (1..12)
+            .map(|n| Event::Running(running(n), MachineId(n as u32)))
+            .collect();
         desk.turn(&full);
-        let large = |n: u64| Task { class: 1, asks: Room::new(22.0, 40.0), ..task(n, n, 10 * S) };
+        let large = |n: u64| Task {
+            class: 1,
+            asks: Room::new(22.0, 40.0),
+            ..task(n, n, 10 * S)
+        };
         let ask = |n: u64| {
             let machine = desk.ask(large(n));
             desk.turn(&[end(n, 0, Ending::Done, None), Event::HungUp(TaskId(n))]);
@@ -131,7 +172,11 @@
         (100..160).map(ask).filter(|m| *m == Some(0)).count()
     };
     assert!(to_empty(1) > 50, "{} of 60", to_empty(1));
-    assert!(to_empty(0) < 40, "what pushes nobody out stays near home: {} of 60", to_empty(0));
+    assert!(
+        to_empty(0) < 40,
+        "what pushes nobody out stays near home: {} of 60",
+        to_empty(0)
+    );
 }
 
 #[test]
@@ -139,15 +184,27 @@
     // Notes once a second on a task on machine 0; whether it is moved. Machine 1 holds a task that tells of it.
     let moved = |priority: u32, served: &[f64], other: f64| {
         let mut settings = settings(Effect::Safe);
-        settings.classes.push(Class { priority, ..class(Effect::Safe) });
+        settings.classes.push(Class {
+            priority,
+            ..class(Effect::Safe)
+        });
         let mut desk = Desk::new(settings, 2);
-        let large = Task { class: 1, asks: Room::new(8.0, 16.0), ..task(7, 7, 0) };
-        desk.turn(&[Event::Running(large, MachineId(0)), Event::Running(task(8, 8, 0), MachineId(1))]);
+        let large = Task {
+            class: 1,
+            asks: Room::new(8.0, 16.0),
+            ..task(7, 7, 0)
+        };
+        desk.turn(&[
+            Event::Running(large, MachineId(0)),
+            Event::Running(task(8, 8, 0), MachineId(1)),
+        ]);
         let mut all = Vec::new();
         for &x in served {
             desk.now += S;
-            let notes =
-                [Event::Noted(id(8, 0), Note::Served(other)), Event::Noted(id(7, 0), Note::Served(x))];
+            let notes = [
+                Event::Noted(id(8, 0), Note::Served(other)),
+                Event::Noted(id(7, 0), Note::Served(x)),
+            ];
             all.extend(desk.turn(&notes));
         }
         all.contains(&Action::Move(TaskId(7)))
@@ -155,7 +212,10 @@
     assert!(moved(1, &[0.1, 0.0, 0.2], 1.0));
     assert!(!moved(1, &[0.1, 0.0], 1.0), "not at the first sign");
     assert!(!moved(1, &[0.1, 0.9, 0.1, 0.1], 1.0), "it had recovered");
-    assert!(!moved(0, &[0.1, 0.0, 0.2, 0.1], 1.0), "small ones by the hundred stay where they are");
+    assert!(
+        !moved(0, &[0.1, 0.0, 0.2, 0.1], 1.0),
+        "small ones by the hundred stay where they are"
+    );
     assert!(!moved(1, &[0.1, 0.0, 0.2, 0.1], 0.5), "nowhere better");
 }
 
@@ -180,7 +240,10 @@
         desk.ask(task(i, i, desk.now + S));
         desk.turn(&[Event::HungUp(TaskId(i)), end(i, 0, Ending::TimedOut, None)]);
     }
-    assert!(desk.ask(task(100, 100, desk.now + S)).is_some(), "held for nothing");
+    assert!(
+        desk.ask(task(100, 100, desk.now + S)).is_some(),
+        "held for nothing"
+    );
 }
 
 #[test]
@@ -199,11 +262,18 @@
 #[test]
 fn a_full_machine_is_passed_over_for_tasks_as_large_but_not_for_smaller_ones() {
     let mut desk = Desk::new(settings(Effect::Unsafe), 1);
-    let large = Task { asks: Room::new(8.0, 8.0), ..task(1, 1, 9 * S) };
+    let large = Task {
+        asks: Room::new(8.0, 8.0),
+        ..task(1, 1, 9 * S)
+    };
     assert_eq!(desk.ask(large), Some(0));
     let again = desk.turn(&[end(1, 0, Ending::Refused, Some(Why::Cores))]);
     assert_eq!(offer(&again), None, "not at once");
-    assert_eq!(desk.ask(task(2, 2, 9 * S)), Some(0), "a smaller one may fit");
+    assert_eq!(
+        desk.ask(task(2, 2, 9 * S)),
+        Some(0),
+        "a smaller one may fit"
+    );
     let later = desk.wait(desk.now + 2 * S, &[0]);
     assert_eq!(offer(&later), Some(0), "it is tried again");
 }
@@ -224,7 +294,11 @@
     desk.now += 2 * S;
     assert_eq!(desk.ask(task(5_000, 1, desk.now + S)), Some(0));
     desk.turn(&well(5_000));
-    assert_eq!(desk.ask(task(5_001, 1, desk.now + S)), Some(0), "taken: all is well");
+    assert_eq!(
+        desk.ask(task(5_001, 1, desk.now + S)),
+        Some(0),
+        "taken: all is well"
+    );
 }
 
 #[test]
@@ -237,9 +311,15 @@
         assert_eq!(drawn(&mut desk, 50, 100_000, react), 0, "{note:?}");
         // Once no more is heard of it, and the other holds more, it is used again.
         desk.now += 3 * S;
-        let large = Task { asks: Room::new(16.0, 16.0), ..task(901, 901, 0) };
+        let large = Task {
+            asks: Room::new(16.0, 16.0),
+            ..task(901, 901, 0)
+        };
         desk.turn(&[Event::Running(large, MachineId(1))]);
-        assert!(drawn(&mut desk, 50, 100_000, |i, _| well(i)) > 40, "{note:?}");
+        assert!(
+            drawn(&mut desk, 50, 100_000, |i, _| well(i)) > 40,
+            "{note:?}"
+        );
     }
 }
 
@@ -249,21 +329,37 @@
     let back_there = |lost: bool| {
         let mut desk = Desk::new(settings(Effect::Safe), 4);
         desk.now += 20 * S;
-        let small = |n| Task { asks: Room::new(0.1, 0.1), ..task(n, n, 0) };
-        let tasks: Vec<Event> = (0..10).map(|n| Event::Running(small(n), MachineId(0))).collect();
+        let small = |n| Task {
+            asks: Room::new(0.1, 0.1),
+            ..task(n, n, 0)
+        };
+        let tasks: Vec<Event> = (0..10)
+            .map(|n| Event::Running(small(n), MachineId(0)))
+            .collect();
         desk.turn(&tasks);
         desk.now += S;
         if lost {
-            let listing = Listing { started: Some(desk.now), ..machine(0) };
+            let listing = Listing {
+                started: Some(desk.now),
+                ..machine(0)
+            };
             desk.now += 100_000;
             desk.list(Scope::Changes, vec![listing]);
         }
         let ending = if lost { Ending::Reset } else { Ending::Done };
         desk.turn(&(0..10).map(|n| end(n, 0, ending, None)).collect::<Vec<_>>());
         // Another task there tells that the machine lives.
-        desk.turn(&[Event::Running(small(50), MachineId(0)), Event::Noted(id(50, 0), Note::Served(1.0))]);
-        let again =
-            (0..10).map(|n| desk.ask(Task { id: TaskId(100 + n), give_up_at: desk.now + S, ..small(n) }));
+        desk.turn(&[
+            Event::Running(small(50), MachineId(0)),
+            Event::Noted(id(50, 0), Note::Served(1.0)),
+        ]);
+        let again = (0..10).map(|n| {
+            desk.ask(Task {
+                id: TaskId(100 + n),
+                give_up_at: desk.now + S,
+                ..small(n)
+            })
+        });
         again.filter(|machine| *machine == Some(0)).count()
     };
     assert!(back_there(false) >= 9, "{}", back_there(false));
@@ -275,12 +371,17 @@
     let mut desk = Desk::new(settings(Effect::Safe), 4);
     // A small task of each service runs on one machine; starts elsewhere take ten times as long.
     for service in 0..20u64 {
-        let small = Task { asks: Room::new(0.1, 0.1), ..task(5_000 + service, service, 0) };
+        let small = Task {
+            asks: Room::new(0.1, 0.1),
+            ..task(5_000 + service, service, 0)
+        };
         desk.turn(&[Event::Running(small, MachineId((service % 4) as u32))]);
     }
     let mut local = 0;
     for n in 0..600u64 {
-        let machine = desk.ask(task(n, n % 20, desk.now + 9 * S)).expect("an offer");
+        let machine = desk
+            .ask(task(n, n % 20, desk.now + 9 * S))
+            .expect("an offer");
         let held = u64::from(machine) == n % 4;
         local += u64::from(held && n >= 400);
         desk.now += if held { 100_000 } else { S };
@@ -296,8 +397,22 @@
         let mut priced = settings(Effect::Safe);
         (priced.view, priced.prices.fleet) = (true, fleet);
         let mut desk = Desk::new(priced, 0);
-        let free = |n: u32| Some(if n < 2 { Room::new(24.0, 72.0) } else { Room::new(32.0, 96.0) });
-        desk.list(Scope::Full, (0..8).map(|n| Listing { unasked: free(n), ..machine(n) }).collect());
+        let free = |n: u32| {
+            Some(if n < 2 {
+                Room::new(24.0, 72.0)
+            } else {
+                Room::new(32.0, 96.0)
+            })
+        };
+        desk.list(
+            Scope::Full,
+            (0..8)
+                .map(|n| Listing {
+                    unasked: free(n),
+                    ..machine(n)
+                })
+                .collect(),
+        );
         let mut used = [0; 8];
         for n in 0..300 {
             let machine = desk.ask(task(n, n, desk.now + S)).expect("an offer");
@@ -323,7 +438,10 @@
         }
         let actions = desk.turn(&[Event::Asked(task(99, 1, desk.now + 9 * S))]);
         let wait = time_out(&actions);
-        assert!(wait.is_some_and(|wait| wait > 60_000 && wait < S), "{effect:?}: {wait:?}");
+        assert!(
+            wait.is_some_and(|wait| wait > 60_000 && wait < S),
+            "{effect:?}: {wait:?}"
+        );
     }
 }
 
@@ -336,13 +454,29 @@
         let placer = Placer::new(seen, u64::from(number)).expect("sound settings");
         let mut desk = Desk { placer, now: S };
         // Three of twenty have room to spare, the others are fuller than is comfortable.
-        let unasked = |n: u32| if n < 3 { Room::new(8.0, 24.0) } else { Room::new(3.0, 9.0) };
-        let listing = |n: u32| Listing { unasked: Some(unasked(n)), ..machine(n) };
+        let unasked = |n: u32| {
+            if n < 3 {
+                Room::new(8.0, 24.0)
+            } else {
+                Room::new(3.0, 9.0)
+            }
+        };
+        let listing = |n: u32| Listing {
+            unasked: Some(unasked(n)),
+            ..machine(n)
+        };
         desk.list(Scope::Full, (0..20).map(listing).collect());
-        swarmed += u32::from(desk.ask(task(1, u64::from(number), 9 * S)).expect("an offer") < 3);
+        swarmed += u32::from(
+            desk.ask(task(1, u64::from(number), 9 * S))
+                .expect("an offer")
+                < 3,
+        );
     }
     assert!(swarmed < placers * 3 / 4, "{swarmed} of {placers}");
-    assert!(swarmed > placers / 5, "comfort still counts: {swarmed} of {placers}");
+    assert!(
+        swarmed > placers / 5,
+        "comfort still counts: {swarmed} of {placers}"
+    );
 }
 
 #[test]
@@ -350,8 +484,14 @@
     let mut two = settings(Effect::Safe);
     two.classes.push(class(Effect::Safe));
     let mut desk = Desk::new(two, 2);
-    let of = |n: u64, class: usize| Task { class, ..task(n, n, 900 * S) };
-    desk.turn(&[Event::Running(of(9_999, 1), MachineId(0)), Event::Running(of(9_998, 1), MachineId(1))]);
+    let of = |n: u64, class: usize| Task {
+        class,
+        ..task(n, n, 900 * S)
+    };
+    desk.turn(&[
+        Event::Running(of(9_999, 1), MachineId(0)),
+        Event::Running(of(9_998, 1), MachineId(1)),
+    ]);
     // Class 0 fails on machine 0 until both homes are known; class 1 goes on being served there.
     let mut n = 0;
     let mut share = |desk: &mut Desk, class: usize, fails: bool| {
@@ -369,7 +509,10 @@
                     end(n, 1, Ending::Reset, None),
                 ]);
             } else {
-                desk.turn(&[Event::Seated(id(n, 0), None), Event::Noted(id(n, 0), Note::Started)]);
+                desk.turn(&[
+                    Event::Seated(id(n, 0), None),
+                    Event::Noted(id(n, 0), Note::Started),
+                ]);
                 desk.turn(&[end(n, 0, Ending::Done, None)]);
             }
             desk.now += 20_000;
@@ -379,7 +522,10 @@
     assert!(share(&mut desk, 1, false) > 5);
     assert!(share(&mut desk, 0, true) < 5, "the failing class leaves");
     assert!(share(&mut desk, 1, false) > 5, "the other stays");
-    assert!(share(&mut desk, 0, true) < 5, "whose success clears nothing");
+    assert!(
+        share(&mut desk, 0, true) < 5,
+        "whose success clears nothing"
+    );
     desk.now += 60 * S;
     assert!(share(&mut desk, 0, false) > 5, "and finds it again");
 }
@@ -392,7 +538,10 @@
         for n in 0..30 {
             desk.ask(task(n, 1, desk.now + 9 * S)).expect("an offer");
             desk.now += 1_500_000;
-            desk.turn(&[Event::Seated(id(n, 0), elapsed), end(n, 0, Ending::Done, None)]);
+            desk.turn(&[
+                Event::Seated(id(n, 0), elapsed),
+                end(n, 0, Ending::Done, None),
+            ]);
         }
         let actions = desk.turn(&[Event::Asked(task(99, 1, desk.now + 9 * S))]);
         time_out(&actions)
@@ -404,14 +553,28 @@
 #[test]
 fn what_came_while_it_stood_still_is_taken_in_before_any_offer() {
     let mut desk = Desk::new(settings(Effect::Safe), 2);
-    let drained = Listing { state: MachineState::Draining, ..machine(0) };
+    let drained = Listing {
+        state: MachineState::Draining,
+        ..machine(0)
+    };
     desk.now += 2 * S;
     // The drain is last in the backlog, behind twenty asks.
-    let mut backlog: Vec<Event> = (0..20).map(|n| Event::Asked(task(n, n, desk.now + 5 * S))).collect();
-    backlog.push(Event::Listed { scope: Scope::Changes, machines: vec![drained] });
+    let mut backlog: Vec<Event> = (0..20)
+        .map(|n| Event::Asked(task(n, n, desk.now + 5 * S)))
+        .collect();
+    backlog.push(Event::Listed {
+        scope: Scope::Changes,
+        machines: vec![drained],
+    });
     let actions = desk.turn(&backlog);
-    let offers = actions.iter().filter(|a| matches!(a, Action::Offer(..))).count();
-    let to_other = actions.iter().filter(|a| matches!(a, Action::Offer(_, MachineId(1), _))).count();
+    let offers = actions
+        .iter()
+        .filter(|a| matches!(a, Action::Offer(..)))
+        .count();
+    let to_other = actions
+        .iter()
+        .filter(|a| matches!(a, Action::Offer(_, MachineId(1), _)))
+        .count();
     assert_eq!((offers, to_other), (20, 20));
 }
 
@@ -422,7 +585,15 @@
         let mut priced = settings(Effect::Safe);
         priced.prices.cross_zone = price;
         let mut desk = Desk::new(priced, 0);
-        desk.list(Scope::Full, (0..2).map(|n| Listing { zone: n, ..machine(n) }).collect());
+        desk.list(
+            Scope::Full,
+            (0..2)
+                .map(|n| Listing {
+                    zone: n,
+                    ..machine(n)
+                })
+                .collect(),
+        );
         desk.turn(&[
             Event::Running(task(998, 1, 0), MachineId(0)),
             Event::Running(task(999, 1, 0), MachineId(1)),
@@ -446,7 +617,10 @@
     let mut desk = Desk { placer, now: S };
     desk.list(Scope::Restored, vec![machine(0), machine(1)]);
     assert!(desk.ask(task(1, 1, desk.now + S)).is_some());
-    let drained = Listing { state: MachineState::Draining, ..machine(0) };
+    let drained = Listing {
+        state: MachineState::Draining,
+        ..machine(0)
+    };
     desk.list(Scope::Changes, vec![drained]);
     for n in 2..30 {
         assert_eq!(desk.ask(task(n, n, desk.now + S)), Some(1));
@@ -456,7 +630,10 @@
 #[test]
 fn a_machine_without_connection_gets_no_offers_and_costs_no_attempts() {
     let mut desk = Desk::new(settings(Effect::Safe), 2);
-    desk.turn(&[Event::Linked(MachineId(0), false), Event::Linked(MachineId(1), false)]);
+    desk.turn(&[
+        Event::Linked(MachineId(0), false),
+        Event::Linked(MachineId(1), false),
+    ]);
     // Out of reach altogether: held, neither offered nor refused.
     let actions = desk.turn(&[Event::Asked(task(1, 5, desk.now + 10 * S))]);
     assert_eq!(offer(&actions), None);
@@ -495,23 +672,44 @@
 }
 
 fn again(n: u64, give_up_at: Micros) -> Task {
-    Task { again: true, ..task(n, n, give_up_at) }
+    Task {
+        again: true,
+        ..task(n, n, give_up_at)
+    }
 }
 
 #[test]
 fn tasks_that_come_again_yield_to_first_starts() {
     let (mut desk, next) = busy();
-    assert_eq!(desk.ask(again(next, 100 * S)), None, "its part of the starts is under way");
-    assert!(desk.ask(task(next + 1, 9, 100 * S)).is_some(), "a first start is not kept waiting");
-    assert_eq!(offer(&desk.turn(&[Event::Seated(id(next + 1, 0), None)])), None);
+    assert_eq!(
+        desk.ask(again(next, 100 * S)),
+        None,
+        "its part of the starts is under way"
+    );
+    assert!(
+        desk.ask(task(next + 1, 9, 100 * S)).is_some(),
+        "a first start is not kept waiting"
+    );
+    assert_eq!(
+        offer(&desk.turn(&[Event::Seated(id(next + 1, 0), None)])),
+        None
+    );
     // Two of the four starts under way are done: the part is three, so one place is free.
     desk.now += 50_000;
     let started = |n| Event::Noted(id(n, 0), Note::Started);
     assert_eq!(offer(&desk.turn(&[started(0)])), None);
     let offered = desk.turn(&[started(1)]);
-    assert!(offered.iter().any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)), "{offered:?}");
+    assert!(
+        offered
+            .iter()
+            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+        "{offered:?}"
+    );
     desk.turn(&[Event::Seated(id(next, 0), None)]);
-    assert!(desk.ask(again(next + 2, 100 * S)).is_none(), "that start counts too");
+    assert!(
+        desk.ask(again(next + 2, 100 * S)).is_none(),
+        "that start counts too"
+    );
 }
 
 #[test]
@@ -523,9 +721,18 @@
     // Half of its time is the most that a task waits so; a second for one with long to go.
     assert!(offer(&desk.wait(from + 400_000, &[0])).is_none());
     let early = desk.wait(from + 710_000, &[0]);
-    assert!(early.iter().any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)), "{early:?}");
+    assert!(
+        early
+            .iter()
+            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)),
+        "{early:?}"
+    );
     let late = desk.wait(from + 1_210_000, &[0]);
-    assert!(late.iter().any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)), "{late:?}");
+    assert!(
+        late.iter()
+            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+        "{late:?}"
+    );
 }
 
 #[test]
@@ -533,16 +740,31 @@
     let (mut desk, next) = busy();
     assert_eq!(desk.ask(again(next, 100 * S)), None);
     let used = desk.turn(&[Event::Noted(id(1, 0), Note::CoresUsed(0.5))]);
-    assert!(used.iter().any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)), "{used:?}");
+    assert!(
+        used.iter()
+            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+        "{used:?}"
+    );
     desk.turn(&[Event::Seated(id(next, 0), None)]);
     assert_eq!(desk.ask(again(next + 1, 100 * S)), None);
     let ended = desk.turn(&[end(0, 0, Ending::Reset, None)]);
-    assert!(ended.iter().any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)), "{ended:?}");
+    assert!(
+        ended
+            .iter()
+            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)),
+        "{ended:?}"
+    );
     // Said twice, or late, it counts once or not at all.
     let twice = [Event::Seated(id(2, 0), None), Event::Seated(id(2, 0), None)];
     desk.turn(&twice);
-    desk.turn(&[Event::Noted(id(2, 0), Note::Started), Event::Seated(id(2, 0), None)]);
-    assert!(desk.ask(again(next + 2, 100 * S)).is_some(), "one start is under way, of a part of three");
+    desk.turn(&[
+        Event::Noted(id(2, 0), Note::Started),
+        Event::Seated(id(2, 0), None),
+    ]);
+    assert!(
+        desk.ask(again(next + 2, 100 * S)).is_some(),
+        "one start is under way, of a part of three"
+    );
 }
 
 #[test]
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -17,7 +17,9 @@
 fn shares(desk: &mut Desk, n: u64, service: impl Fn(u64) -> u64) -> [u64; 3] {
     let mut got = [0; 3];
     for i in 0..n {
-        let machine = desk.ask(task(i, service(i), desk.now + S)).expect("an offer");
+        let machine = desk
+            .ask(task(i, service(i), desk.now + S))
+            .expect("an offer");
         got[machine as usize] += 1;
         desk.turn(&[Event::HungUp(TaskId(i)), end(i, 0, Ending::Cancelled, None)]);
         desk.now += 20 * S;
@@ -44,13 +46,21 @@
     let at_the_program = |cores: f64| {
         let mut desk = Desk::new(settings(Effect::Safe), 3);
         settle(&mut desk);
-        let large = Task { asks: Room::new(cores, 1.0), ..task(1, 500, 0) };
+        let large = Task {
+            asks: Room::new(cores, 1.0),
+            ..task(1, 500, 0)
+        };
         desk.turn(&[Event::Running(large, MachineId(0))]);
         let mut got = 0;
         for service in 0..100 {
-            let small = Task { asks: Room::new(0.1, 0.1), ..task(2_000 + service, 1_000 + service, 0) };
+            let small = Task {
+                asks: Room::new(0.1, 0.1),
+                ..task(2_000 + service, 1_000 + service, 0)
+            };
             desk.turn(&[Event::Running(small, MachineId(0))]);
-            let machine = desk.ask(task(3_000 + service, 1_000 + service, desk.now + S)).expect("an offer");
+            let machine = desk
+                .ask(task(3_000 + service, 1_000 + service, desk.now + S))
+                .expect("an offer");
             got += u64::from(machine == 0);
             for n in [2_000 + service, 3_000 + service] {
                 desk.turn(&[Event::HungUp(TaskId(n)), end(n, 0, Ending::Cancelled, None)]);
@@ -83,7 +93,10 @@
 /// Puts a small task of the service on each machine, so that its level is the same on all.
 fn held_everywhere(desk: &mut Desk, service: u64, machines: u32) {
     for n in 0..machines {
-        let small = Task { asks: Room::new(0.01, 0.01), ..task(90_000 + u64::from(n), service, 0) };
+        let small = Task {
+            asks: Room::new(0.01, 0.01),
+            ..task(90_000 + u64::from(n), service, 0)
+        };
         desk.turn(&[Event::Running(small, MachineId(n))]);
     }
 }
@@ -112,7 +125,13 @@
             large.asks = Room::new(16.0, 32.0);
             desk.turn(&[
                 Event::Running(large, MachineId(0)),
-                Event::Running(Task { id: TaskId(2), ..large }, MachineId(1)),
+                Event::Running(
+                    Task {
+                        id: TaskId(2),
+                        ..large
+                    },
+                    MachineId(1),
+                ),
             ]);
             away += u32::from(desk.ask(task(3, 3, desk.now + S)) != Some(2));
         }
@@ -128,9 +147,21 @@
         let placer = Placer::new(settings(Effect::Safe), seed).expect("sound settings");
         let mut desk = Desk { placer, now: S };
         let state = |n: u32| {
-            if n == 3 { MachineState::Ready } else { MachineState::Draining }
+            if n == 3 {
+                MachineState::Ready
+            } else {
+                MachineState::Draining
+            }
         };
-        desk.list(Scope::Full, (0..6).map(|n| Listing { state: state(n), ..machine(n) }).collect());
+        desk.list(
+            Scope::Full,
+            (0..6)
+                .map(|n| Listing {
+                    state: state(n),
+                    ..machine(n)
+                })
+                .collect(),
+        );
         assert_eq!(desk.ask(task(1, 1, 9 * S)), Some(3));
     }
 }
@@ -145,7 +176,15 @@
         1 => Some(Room::new(4.0, 12.0)),
         _ => None,
     };
-    desk.list(Scope::Full, (0..3).map(|n| Listing { unasked: unasked(n), ..machine(n) }).collect());
+    desk.list(
+        Scope::Full,
+        (0..3)
+            .map(|n| Listing {
+                unasked: unasked(n),
+                ..machine(n)
+            })
+            .collect(),
+    );
     settle(&mut desk);
     held_everywhere(&mut desk, 7, 3);
     let got = shares(&mut desk, 200, |_| 7);
@@ -158,14 +197,25 @@
     view.view = true;
     let mut desk = Desk::new(view, 0);
     let free = Some(Room::new(32.0, 96.0));
-    desk.list(Scope::Full, (0..2).map(|n| Listing { unasked: free, ..machine(n) }).collect());
+    desk.list(
+        Scope::Full,
+        (0..2)
+            .map(|n| Listing {
+                unasked: free,
+                ..machine(n)
+            })
+            .collect(),
+    );
     settle(&mut desk);
     held_everywhere(&mut desk, 7, 2);
     let mut got = [0; 2];
     for n in 1..=20 {
         got[desk.ask(task(n, 7, desk.now + S)).expect("an offer") as usize] += 1;
     }
-    assert!(got.iter().all(|&g| (8..=12).contains(&g)), "a stale view must not draw a herd: {got:?}");
+    assert!(
+        got.iter().all(|&g| (8..=12).contains(&g)),
+        "a stale view must not draw a herd: {got:?}"
+    );
 }
 
 #[test]
@@ -176,7 +226,10 @@
         for n in 0..300u64 {
             desk.now += 7_000;
             all.extend(desk.turn(&[Event::Asked(task(n, n % 9, desk.now + S))]));
-            all.extend(desk.turn(&[Event::Seated(id(n, 0), None), Event::Noted(id(n, 0), Note::Started)]));
+            all.extend(desk.turn(&[
+                Event::Seated(id(n, 0), None),
+                Event::Noted(id(n, 0), Note::Started),
+            ]));
             if n % 3 == 0 {
                 all.extend(desk.turn(&[end(n, 0, Ending::Done, None)]));
             }
@@ -196,18 +249,38 @@
         end(5, 0, Ending::Done, None),
         Event::HungUp(TaskId(5)),
         Event::Woken(77),
-        Event::Probed { machine: MachineId(99), ok: true, load: None },
-        Event::Told { from: 3, bytes: vec![1] },
+        Event::Probed {
+            machine: MachineId(99),
+            ok: true,
+            load: None,
+        },
+        Event::Told {
+            from: 3,
+            bytes: vec![1],
+        },
         Event::ListUnavailable,
-        Event::Running(Task { class: 9, ..task(6, 6, 0) }, MachineId(0)),
+        Event::Running(
+            Task {
+                class: 9,
+                ..task(6, 6, 0)
+            },
+            MachineId(0),
+        ),
     ];
     assert!(desk.turn(&unknown).is_empty());
-    let refused = desk.turn(&[Event::Asked(Task { class: 9, ..task(7, 7, 9 * S) })]);
+    let refused = desk.turn(&[Event::Asked(Task {
+        class: 9,
+        ..task(7, 7, 9 * S)
+    })]);
     assert_eq!(answers(&refused), [Action::Refuse(TaskId(7), None)]);
     // Time that seems to run back is taken for standing still.
     desk.now = 0;
     desk.ask(task(8, 8, 9 * S));
-    assert!(desk.turn(&[end(8, 0, Ending::Done, None), end(8, 0, Ending::Done, None)]).len() < 3);
+    assert!(
+        desk.turn(&[end(8, 0, Ending::Done, None), end(8, 0, Ending::Done, None)])
+            .len()
+            < 3
+    );
 }
 
 #[test]
@@ -218,9 +291,18 @@
         Placer::new(settings, 1).err()
     };
     assert_eq!(error(|_| {}), None);
-    assert_eq!(error(|s| s.classes.clear()), Some(SettingsError::Empty("classes")));
-    assert_eq!(error(|s| s.kinds.clear()), Some(SettingsError::Empty("kinds")));
-    assert_eq!(error(|s| s.classes[0].kind = Some(4)), Some(SettingsError::UnknownKind(4)));
+    assert_eq!(
+        error(|s| s.classes.clear()),
+        Some(SettingsError::Empty("classes"))
+    );
+    assert_eq!(
+        error(|s| s.kinds.clear()),
+        Some(SettingsError::Empty("kinds"))
+    );
+    assert_eq!(
+        error(|s| s.classes[0].kind = Some(4)),
+        Some(SettingsError::UnknownKind(4))
+    );
     let bad: [fn(&mut Settings); 5] = [
         |s| s.admit_cores = f64::NAN,
         |s| s.rules.fall_multiple = f64::INFINITY,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,10 @@
 use common::*;
 use maplethread::*;
 
-const KEYED: Effect = Effect::Keyed { group: Group::Cell, window: 4 * S };
+const KEYED: Effect = Effect::Keyed {
+    group: Group::Cell,
+    window: 4 * S,
+};
 
 #[test]
 fn every_ask_gets_one_answer_before_its_deadline() {
@@ -60,7 +63,12 @@
         let actions = desk.turn(&[end(1, 0, ending, None)]);
         assert!(offer(&actions).is_some(), "{ending:?}");
     }
-    for ending in [Ending::Error, Ending::TimedOut, Ending::Reset, Ending::Cancelled] {
+    for ending in [
+        Ending::Error,
+        Ending::TimedOut,
+        Ending::Reset,
+        Ending::Cancelled,
+    ] {
         let mut desk = Desk::new(settings(Effect::Unsafe), 3);
         desk.ask(task(1, 1, 9 * S));
         let actions = desk.turn(&[end(1, 0, ending, None)]);
@@ -74,7 +82,10 @@
     let mut many = settings(KEYED);
     many.limits.max_attempts = 4;
     let mut desk = Desk::new(many, 0);
-    let cells = |n: u32| Listing { cell: n / 2, ..machine(n) };
+    let cells = |n: u32| Listing {
+        cell: n / 2,
+        ..machine(n)
+    };
     desk.list(Scope::Full, (0..8).map(cells).collect());
     let first = desk.ask(task(1, 1, 20 * S)).expect("an offer");
     let actions = desk.turn(&[end(1, 0, Ending::Reset, None)]);
@@ -84,7 +95,10 @@
     // Near its end an offer is waited for no longer than the window lasts: it may wait for its connection as long.
     desk.now += 3_900_000;
     let actions = desk.turn(&[end(1, 1, Ending::Reset, None)]);
-    assert!(time_out(&actions).is_some_and(|out| out <= 100_000), "{actions:?}");
+    assert!(
+        time_out(&actions).is_some_and(|out| out <= 100_000),
+        "{actions:?}"
+    );
     // Past the window nothing is sent, and a refusal would promise too much.
     desk.now += 100_000;
     let actions = desk.turn(&[end(1, 2, Ending::Reset, None)]);
@@ -109,7 +123,10 @@
 fn drained_and_gone_machines_get_nothing_new() {
     for state in [MachineState::Draining, MachineState::Gone] {
         let mut desk = Desk::new(settings(Effect::Safe), 2);
-        let listing = Listing { state, ..machine(0) };
+        let listing = Listing {
+            state,
+            ..machine(0)
+        };
         desk.list(Scope::Changes, vec![listing]);
         for n in 0..40 {
             assert_eq!(desk.ask(task(n, n, 9 * S)), Some(1));
@@ -118,7 +135,11 @@
     let mut desk = Desk::new(settings(Effect::Safe), 2);
     desk.list(Scope::Full, vec![machine(1)]);
     for n in 0..40 {
-        assert_eq!(desk.ask(task(n, n, 9 * S)), Some(1), "absent from a full list");
+        assert_eq!(
+            desk.ask(task(n, n, 9 * S)),
+            Some(1),
+            "absent from a full list"
+        );
     }
 }
 
@@ -126,16 +147,26 @@
 fn where_discovery_must_be_asked_it_is_at_once_and_after_each_failure() {
     let mut asks = settings(Effect::Safe);
     asks.discovery = Discovery::Ask;
-    let mut desk = Desk { placer: Placer::new(asks, 1).expect("sound settings"), now: 0 };
+    let mut desk = Desk {
+        placer: Placer::new(asks, 1).expect("sound settings"),
+        now: 0,
+    };
     let listen = |actions: &[Action]| {
         let calls = actions.iter().filter(|a| **a == Action::Listen(true));
         calls.count()
     };
-    let restored = Event::Listed { scope: Scope::Restored, machines: vec![machine(0)] };
+    let restored = Event::Listed {
+        scope: Scope::Restored,
+        machines: vec![machine(0)],
+    };
     assert_eq!(listen(&desk.turn(&[restored])), 1);
     for _ in 0..5 {
         let failed = desk.turn(&[Event::ListUnavailable]);
-        assert_eq!(listen(&failed) + listen(&desk.wait(desk.now + S, &[0])), 1, "once each");
+        assert_eq!(
+            listen(&failed) + listen(&desk.wait(desk.now + S, &[0])),
+            1,
+            "once each"
+        );
     }
 }
 
@@ -144,7 +175,10 @@
     let mut shared = settings(Effect::Safe);
     shared.placers = 4;
     let mut desk = Desk::new(shared, 0);
-    let cold = Listing { started: Some(desk.now), ..machine(0) };
+    let cold = Listing {
+        started: Some(desk.now),
+        ..machine(0)
+    };
     desk.list(Scope::Full, vec![cold]);
     let mut sends = Vec::new();
     for n in 0..400u64 {
@@ -174,14 +208,26 @@
         let mut shared = settings(Effect::Safe);
         (shared.placers, shared.number) = (400, number);
         let placer = Placer::new(shared, u64::from(number)).expect("sound settings");
-        let mut desk = Desk { placer, now: started + u64::from(number % 40) * 100_000 };
-        desk.list(Scope::Full, vec![Listing { started: Some(started), ..machine(0) }]);
+        let mut desk = Desk {
+            placer,
+            now: started + u64::from(number % 40) * 100_000,
+        };
+        desk.list(
+            Scope::Full,
+            vec![Listing {
+                started: Some(started),
+                ..machine(0)
+            }],
+        );
         let before = sends.len();
         for n in 0..100u64 {
             desk.now += 90_000;
             if desk.ask(task(n, n, desk.now + 100_000)).is_some() {
                 sends.push(desk.now);
-                desk.turn(&[end(n, 0, Ending::Refused, Some(Why::Line)), Event::HungUp(TaskId(n))]);
+                desk.turn(&[
+                    end(n, 0, Ending::Refused, Some(Why::Line)),
+                    Event::HungUp(TaskId(n)),
+                ]);
             }
         }
         busy += u32::from(sends.len() > before);
@@ -190,10 +236,18 @@
         assert_eq!(desk.ask(task(1000, 1000, desk.now + 6 * S)), Some(0));
     }
     sends.sort_unstable();
-    let most = sends.iter().map(|&from| sends.iter().filter(|&&at| at >= from && at <= from + 3 * S).count());
+    let most = sends.iter().map(|&from| {
+        sends
+            .iter()
+            .filter(|&&at| at >= from && at <= from + 3 * S)
+            .count()
+    });
     let most = most.max().unwrap_or(0);
     assert!(most <= 20, "{most} offers in one window");
-    assert!(busy >= 10 && most >= 10, "{busy} placers may offer, {most} in a window");
+    assert!(
+        busy >= 10 && most >= 10,
+        "{busy} placers may offer, {most} in a window"
+    );
 }
 
 #[test]
@@ -218,7 +272,10 @@
     let mut s = settings(Effect::Safe);
     s.placers = 4;
     let mut desk = Desk::new(s, 1);
-    let cold = Listing { started: Some(desk.now), ..machine(0) };
+    let cold = Listing {
+        started: Some(desk.now),
+        ..machine(0)
+    };
     desk.list(Scope::Full, vec![cold]);
     // Its number is lost, as when a lease ran out while it stood still: no budget is its own.
     desk.turn(&[Event::Numbered(None)]);
@@ -251,21 +308,40 @@
         for life in 0..8u64 {
             let placer = Placer::new(shared.clone(), life).expect("sound settings");
             let mut desk = Desk { placer, now };
-            desk.list(Scope::Full, vec![Listing { started: Some(5 * S), ..machine(0) }]);
+            desk.list(
+                Scope::Full,
+                vec![Listing {
+                    started: Some(5 * S),
+                    ..machine(0)
+                }],
+            );
             for n in 0..life_span / 20_000 {
                 desk.now += 20_000;
                 if desk.ask(task(n, n, desk.now + 100_000)).is_some() {
                     sends.push(desk.now);
-                    desk.turn(&[end(n, 0, Ending::Refused, Some(Why::Line)), Event::HungUp(TaskId(n))]);
+                    desk.turn(&[
+                        end(n, 0, Ending::Refused, Some(Why::Line)),
+                        Event::HungUp(TaskId(n)),
+                    ]);
                 }
             }
             now = desk.now;
         }
         for &from in &sends {
-            let window = sends.iter().filter(|&&at| at >= from && at < from + 3 * S).count();
-            assert!(window <= 5, "{window} of 20 offers for one of 4 placers, lives of {life_span}");
+            let window = sends
+                .iter()
+                .filter(|&&at| at >= from && at < from + 3 * S)
+                .count();
+            assert!(
+                window <= 5,
+                "{window} of 20 offers for one of 4 placers, lives of {life_span}"
+            );
         }
-        assert_eq!(sends.is_empty(), life_span < 3 * S, "it does get some once a window has gone by");
+        assert_eq!(
+            sends.is_empty(),
+            life_span < 3 * S,
+            "it does get some once a window has gone by"
+        );
     }
 }
 
@@ -274,7 +350,13 @@
     let held = |actions: &[Action]| {
         actions
             .iter()
-            .filter_map(|a| if let Action::Held(_, lack) = a { Some(*lack) } else { None })
+            .filter_map(|a| {
+                if let Action::Held(_, lack) = a {
+                    Some(*lack)
+                } else {
+                    None
+                }
+            })
             .collect()
     };
     let ask = |desk: &mut Desk, n: u64| -> Vec<Lack> {
@@ -287,19 +369,35 @@
     let mut desk = Desk::new(s, 0);
     assert_eq!(ask(&mut desk, 1), [Lack::Ready]);
     // Each machine comes nearer than the one before; a change is told, what stays is not told again.
-    let drains = Listing { state: MachineState::Draining, ..machine(0) };
+    let drains = Listing {
+        state: MachineState::Draining,
+        ..machine(0)
+    };
     assert_eq!(held(&desk.list(Scope::Full, vec![drains])), []);
     let mut told = Vec::new();
     let mut steps = vec![vec![Event::Linked(MachineId(1), false)]];
-    steps.push(vec![Event::Running(Task { service: ServiceId(7), ..task(50, 7, 0) }, MachineId(2))]);
+    steps.push(vec![Event::Running(
+        Task {
+            service: ServiceId(7),
+            ..task(50, 7, 0)
+        },
+        MachineId(2),
+    )]);
     for (n, events) in steps.into_iter().enumerate() {
-        let place = Listing { zone: n as u32 + 1, ..machine(n as u32 + 1) };
+        let place = Listing {
+            zone: n as u32 + 1,
+            ..machine(n as u32 + 1)
+        };
         desk.list(Scope::Changes, vec![place]);
         desk.turn(&events);
         told.extend(held(&desk.wait(desk.now + S / 10, &[0])));
     }
     assert_eq!(told, [Lack::Link, Lack::Spread]);
-    let cold = Listing { zone: 4, started: Some(desk.now), ..machine(4) };
+    let cold = Listing {
+        zone: 4,
+        started: Some(desk.now),
+        ..machine(4)
+    };
     desk.list(Scope::Changes, vec![cold]);
     // Within one window of the number the cold machine gets nothing.
     desk.turn(&[Event::Numbered(None)]);
@@ -309,10 +407,19 @@
     let at_last = desk.wait(desk.now + 10 * S, &[2, 3]);
     let advice: Vec<Micros> = at_last
         .iter()
-        .filter_map(|a| if let Action::Refuse(_, Some(after)) = a { Some(*after) } else { None })
+        .filter_map(|a| {
+            if let Action::Refuse(_, Some(after)) = a {
+                Some(*after)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(advice.len(), 2, "{at_last:?}");
-    assert!(advice[0] != advice[1] && advice.iter().all(|a| (S..5 * S).contains(a)), "{advice:?}");
+    assert!(
+        advice[0] != advice[1] && advice.iter().all(|a| (S..5 * S).contains(a)),
+        "{advice:?}"
+    );
 }
 
 #[test]
@@ -320,12 +427,21 @@
     let mut s = settings(Effect::Unsafe);
     s.limits.come_back = Some(60 * S);
     let mut desk = Desk::new(s, 3);
-    let large = Task { asks: Room::new(1000.0, 1.0), ..task(1, 1, 9 * S) };
+    let large = Task {
+        asks: Room::new(1000.0, 1.0),
+        ..task(1, 1, 9 * S)
+    };
     let actions = desk.turn(&[Event::Asked(large)]);
-    assert!(actions.contains(&Action::Held(TaskId(1), Lack::Size)), "{actions:?}");
+    assert!(
+        actions.contains(&Action::Held(TaskId(1), Lack::Size)),
+        "{actions:?}"
+    );
     assert_eq!(answers(&actions), [Action::Refuse(TaskId(1), Some(60 * S))]);
     // What one could take if it were empty is held.
-    let full = Task { asks: Room::new(40.0, 1.0), ..task(2, 1, 9 * S) };
+    let full = Task {
+        asks: Room::new(40.0, 1.0),
+        ..task(2, 1, 9 * S)
+    };
     assert!(offer(&desk.turn(&[Event::Asked(full)])).is_some());
 }
 
@@ -340,14 +456,19 @@
         desk.ask(task(id, 1, desk.now + 9 * S));
         for number in 0..attempts {
             let actions = desk.turn(&[end(id, number, Ending::Refused, Some(Why::Cores))]);
-            advice.extend(
-                answers(&actions)
-                    .into_iter()
-                    .filter_map(|a| if let Action::Refuse(_, after) = a { after } else { None }),
-            );
+            advice.extend(answers(&actions).into_iter().filter_map(|a| {
+                if let Action::Refuse(_, after) = a {
+                    after
+                } else {
+                    None
+                }
+            }));
         }
     }
     // Without this they came back at once, all together.
     assert_eq!(advice.len(), 3, "each is refused, and told when");
-    assert!(advice.windows(2).all(|w| w[0] != w[1]) && advice.iter().all(|a| (S / 2..2 * S).contains(a)));
+    assert!(
+        advice.windows(2).all(|w| w[0] != w[1])
+            && advice.iter().all(|a| (S / 2..2 * S).contains(a))
+    );
 }
