--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod reader;
 pub mod record;
 pub mod replay;
+mod report_names;
 pub mod summary;
 pub mod writer;
 
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -12,6 +12,7 @@
 use serde_json::{Value, json};
 
 use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::report_names;
 
 /// Actors that are followed at a time; when as many are wanted, new ones are counted as not followed.
 const MOST_ACTORS: usize = 1 << 18;
@@ -259,7 +260,7 @@
                 }
                 Action::Held(task, lack) => {
                     if let Some(actor) = self.actor(task.0) {
-                        actor.phase(now, format!("held for {lack:?}"), None);
+                        actor.phase(now, format!("held for {}", report_names::lack(*lack)), None);
                     }
                 }
                 _ => {}
@@ -294,10 +295,7 @@
         let Some((host, ran)) = self.attempts.remove(&key(id)) else {
             return;
         };
-        let why = match end.why {
-            Some(why) => format!("{:?} ({why:?})", end.ending),
-            None => format!("{:?}", end.ending),
-        };
+        let why = report_names::end(&end);
         let Some(actor) = self.actor(id.task.0) else {
             return;
         };
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -9,6 +9,7 @@
 
 use crate::header::Header;
 use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::report_names;
 
 /// Asks that are open at a time; beyond it the oldest count as without an answer.
 const MOST_OPEN: usize = 1 << 18;
@@ -237,10 +238,7 @@
                 }
                 Event::Ended(id, end) => {
                     if let Some(host) = self.offered.remove(&(id.task.0, id.number)) {
-                        let why = match end.why {
-                            Some(why) => format!("{:?} ({why:?})", end.ending),
-                            None => format!("{:?}", end.ending),
-                        };
+                        let why = report_names::end(end);
                         *self
                             .hosts
                             .entry(host)
@@ -280,7 +278,10 @@
                     self.cold(at, machine.0);
                     self.second(at).offers += 1;
                 }
-                Action::Held(_, lack) => *self.held.entry(format!("{lack:?}")).or_default() += 1,
+                Action::Held(_, lack) => {
+                    let name = report_names::lack(*lack).to_owned();
+                    *self.held.entry(name).or_default() += 1;
+                }
                 _ => {}
             }
         }
@@ -290,9 +291,7 @@
         if end.ending != Ending::Refused {
             return;
         }
-        let reason = end
-            .why
-            .map_or_else(|| "not told".to_owned(), |why| format!("{why:?}"));
+        let reason = end.why.map_or("not told", report_names::why).to_owned();
         let step = at.saturating_sub(self.begin.unwrap_or(at)) / 1_000_000 / STEP_S * STEP_S;
         let steps = self
             .hosts
