--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -15,39 +15,39 @@
 
 fn settings() -> Settings {
     let class = |effect, spread, priority| Class {
-        aim: 900_000,
-        spread,
+        latency_objective: 900_000,
+        spread_limit: spread,
         priority,
         ..common::class(effect)
     };
     Settings {
-        placers: 16,
-        number: 3,
+        replica_count: 16,
+        replica_index: 3,
         classes: vec![
-            class(Effect::Safe, Some((Place::Zone, 4)), 0),
+            class(RetrySafety::Idempotent, Some((TopologyLevel::Zone, 4)), 0),
             class(
-                Effect::Keyed {
-                    group: Group::Zone,
+                RetrySafety::IdempotencyKey {
+                    group: DeduplicationScope::Zone,
                     window: 6_000_000,
                 },
                 None,
                 1,
             ),
         ],
-        kinds: vec![Room::new(32.0, 64.0)],
-        seated: SeatedWhen::Running,
-        prices: Prices {
+        kinds: vec![Resources::new(32.0, 64.0)],
+        acceptance_point: AcceptancePoint::Running,
+        costs: Costs {
             cross_zone: 0.05,
-            ..Prices::default()
+            ..Costs::default()
         },
-        ..common::settings(Effect::Safe)
+        ..common::settings(RetrySafety::Idempotent)
     }
 }
 
 fn run(machines: u32) -> (f64, u64) {
     let mut placer = Placer::new(settings(), 7).expect("sound settings");
-    let list = (0..machines).map(|n| Listing {
-        label: u64::from(n) * 7919,
+    let list = (0..machines).map(|n| MachineEntry {
+        stable_hash: u64::from(n) * 7919,
         zone: n % 3,
         cell: n % 16,
         ..common::machine(n)
@@ -55,8 +55,8 @@
     let (mut now, mut actions, mut sum, mut offers) = (1_000_000, Vec::new(), 0u64, 0u64);
     placer.turn(
         now,
-        &[Event::Listed {
-            scope: Scope::Full,
+        &[Event::EndpointsUpdated {
+            scope: UpdateScope::Full,
             machines: list.collect(),
         }],
         &mut actions,
@@ -68,19 +68,19 @@
         let mut events = Vec::new();
         for n in first..first + TOGETHER {
             let task = common::task(n, n * n % SERVICES, now + 3_000_000);
-            events.push(Event::Asked(Task {
+            events.push(Event::PlacementRequested(Task {
                 class: usize::from(n % 10 == 0),
                 ..task
             }));
         }
         while running.len() > 600 {
-            let end = End {
-                ending: Ending::Done,
-                why: None,
+            let end = AttemptResult {
+                outcome: AttemptOutcome::Completed,
+                reason: None,
                 closed: true,
                 load: None,
             };
-            events.extend(running.pop_front().map(|id| Event::Ended(id, end)));
+            events.extend(running.pop_front().map(|id| Event::AttemptFinished(id, end)));
         }
         actions.clear();
         placer.turn(now, &events, &mut actions);
@@ -90,7 +90,7 @@
                 offers += 1;
                 sum = sum.wrapping_mul(31).wrapping_add(u64::from(machine.0) + 1);
                 let id = AttemptId { task, number: 0 };
-                seated.push(Event::Seated(id, None));
+                seated.push(Event::AttemptAccepted(id, None));
                 running.push_back(id);
             }
         }
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -446,56 +446,56 @@
                 .unwrap_or(0) as u32
         };
         let class = |c: &Class| mt::Class {
-            effect: match c.effect {
-                Effect::Safe => mt::Effect::Safe,
-                Effect::Unsafe => mt::Effect::Unsafe,
-                Effect::Keyed => mt::Effect::Keyed {
+            retry_safety: match c.effect {
+                Effect::Safe => mt::RetrySafety::Idempotent,
+                Effect::Unsafe => mt::RetrySafety::NonIdempotent,
+                Effect::Keyed => mt::RetrySafety::IdempotencyKey {
                     group: match c.group {
-                        Some(Group::Zone) => mt::Group::Zone,
-                        Some(Group::Cell) => mt::Group::Cell,
-                        _ => mt::Group::All,
+                        Some(Group::Zone) => mt::DeduplicationScope::Zone,
+                        Some(Group::Cell) => mt::DeduplicationScope::Cell,
+                        _ => mt::DeduplicationScope::All,
                     },
                     window: c.window_ms.unwrap_or(0) * MS,
                 },
             },
-            aim: c.aim_ms * MS,
-            worth: c.worth,
+            latency_objective: c.aim_ms * MS,
+            priority_weight: c.worth,
             start_bonus_s: c.start_bonus_s,
             priority: c.priority,
             kind: c
                 .kind
                 .as_ref()
                 .and_then(|kind| self.kind.iter().position(|k| &k.name == kind)),
-            spread: c
+            spread_limit: c
                 .spread_over
                 .zip(c.spread_most)
                 .map(|(place, most)| match place {
-                    Place::Host => (mt::Place::Machine, most),
-                    Place::Cell => (mt::Place::Cell, most),
-                    Place::Zone => (mt::Place::Zone, most),
+                    Place::Host => (mt::TopologyLevel::Machine, most),
+                    Place::Cell => (mt::TopologyLevel::Cell, most),
+                    Place::Zone => (mt::TopologyLevel::Zone, most),
                 }),
         };
         mt::Settings {
-            placers: self.placer.placers,
-            number: self.placer.number,
+            replica_count: self.placer.placers,
+            replica_index: self.placer.number,
             zone: index(&self.placer.zone),
             classes: self.class.iter().map(class).collect(),
             kinds: self
                 .kind
                 .iter()
-                .map(|k| mt::Room::new(k.cores, k.memory_gib))
+                .map(|k| mt::Resources::new(k.cores, k.memory_gib))
                 .collect(),
-            discovery: mt::Discovery::Push,
-            seated: match self.placing.placed_when {
-                PlacedWhen::Accepted => mt::SeatedWhen::Accepted,
-                PlacedWhen::Running => mt::SeatedWhen::Running,
+            discovery: mt::DiscoveryMode::Watch,
+            acceptance_point: match self.placing.placed_when {
+                PlacedWhen::Accepted => mt::AcceptancePoint::Accepted,
+                PlacedWhen::Running => mt::AcceptancePoint::Running,
             },
             admit_cores: self.placing.admit_cores,
             admit_memory: self.placing.admit_memory,
             view: self.placing.inventory_tells_room,
             report: match self.placing.load_report {
                 LoadReport::Silent => mt::LoadReport::Silent,
-                LoadReport::Unasked => mt::LoadReport::Unasked,
+                LoadReport::Unasked => mt::LoadReport::Unallocated,
                 LoadReport::Unused => mt::LoadReport::Unused,
             },
             limits: mt::Limits {
@@ -503,21 +503,21 @@
                 cancel: true,
                 probes: true,
                 peers: false,
-                come_back: Some(60_000 * MS),
+                max_retry_after: Some(60_000 * MS),
             },
             rules: mt::Rules {
-                ask_within: self.rules.ask_within_ms * MS,
-                cold_from: self.rules.cold_from,
-                cold_for: self.rules.cold_for_ms * MS,
-                fall_multiple: self.rules.fall_multiple,
-                fall_window: self.rules.fall_window_ms * MS,
-                fresh_offers: self.rules.fresh_offers,
+                max_poll_interval: self.rules.ask_within_ms * MS,
+                initial_capacity_share: self.rules.cold_from,
+                warm_up_duration: self.rules.cold_for_ms * MS,
+                overload_multiple: self.rules.fall_multiple,
+                overload_window: self.rules.fall_window_ms * MS,
+                warm_up_offers: self.rules.fresh_offers,
             },
-            prices: mt::Prices {
-                refused: self.prices.refused,
+            costs: mt::Costs {
+                rejection: self.prices.refused,
                 cross_zone: self.prices.cross_zone,
                 fleet: self.prices.fleet,
-                moves: self.prices.moves,
+                migration: self.prices.moves,
             },
         }
     }
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings object of a launch, in the library's terms. Keys that are not used are skipped.
 
 use maplethread::{
-    Class, Discovery, Effect, Group, Limits, LoadReport, Micros, Place, Prices, Room, Rules,
-    SeatedWhen, Settings,
+    Class, DiscoveryMode, RetrySafety, DeduplicationScope, Limits, LoadReport, Micros, TopologyLevel, Costs, Resources, Rules,
+    AcceptancePoint, Settings,
 };
 use serde_json::Value;
 
@@ -82,8 +82,8 @@
     let at = At(info);
     let report = report(at)?;
     let settings = Settings {
-        placers: at.whole("peersTotal")?,
-        number: at.whole("ordinal")?,
+        replica_count: at.whole("peersTotal")?,
+        replica_index: at.whole("ordinal")?,
         zone: at.whole("zone")?,
         classes: (0..at.array("classes")?.len())
             .map(|i| class(at, i))
@@ -92,8 +92,8 @@
             .map(|i| kind(at, i))
             .collect::<Result<_, _>>()?,
         discovery: match at.text("registryMode")? {
-            "push" => Discovery::Push,
-            "ask" => Discovery::Ask,
+            "push" => DiscoveryMode::Watch,
+            "ask" => DiscoveryMode::Poll,
             _ => {
                 return Err(WireError::new(
                     "LAUNCH",
@@ -102,9 +102,9 @@
                 ));
             }
         },
-        seated: match at.text("domain.ack")? {
-            "accepted" => SeatedWhen::Accepted,
-            "running" => SeatedWhen::Running,
+        acceptance_point: match at.text("domain.ack")? {
+            "accepted" => AcceptancePoint::Accepted,
+            "running" => AcceptancePoint::Running,
             _ => {
                 return Err(WireError::new(
                     "LAUNCH",
@@ -122,24 +122,24 @@
             cancel: at.bool("allowed.mayCancel")?,
             probes: at.bool("allowed.probes")?,
             peers: at.bool("allowed.peers")?,
-            come_back: match at.bool("allowed.retryAfter")? {
+            max_retry_after: match at.bool("allowed.retryAfter")? {
                 true => Some(at.time("allowed.maxRetryAfterMs")?),
                 false => None,
             },
         },
         rules: Rules {
-            ask_within: at.time("invariants.askWithinMs")?,
-            cold_from: at.number("invariants.coldFrom")?,
-            cold_for: at.time("invariants.coldMs")?,
-            fall_multiple: at.number("invariants.fallMultiple")?,
-            fall_window: at.time("invariants.tipAfterMs")?,
-            fresh_offers: at.number_or("domain.freshOffers", 0.0)?,
+            max_poll_interval: at.time("invariants.askWithinMs")?,
+            initial_capacity_share: at.number("invariants.coldFrom")?,
+            warm_up_duration: at.time("invariants.coldMs")?,
+            overload_multiple: at.number("invariants.fallMultiple")?,
+            overload_window: at.time("invariants.tipAfterMs")?,
+            warm_up_offers: at.number_or("domain.freshOffers", 0.0)?,
         },
-        prices: Prices {
-            refused: at.number_or("domain.noPrice", 0.0)?,
+        costs: Costs {
+            rejection: at.number_or("domain.noPrice", 0.0)?,
             cross_zone: at.number_or("fees.crossZone", 0.0)?,
             fleet: at.number_or("fees.fleet", 0.0)?,
-            moves: at.number_or("fees.moves", 0.0)?,
+            migration: at.number_or("fees.moves", 0.0)?,
         },
     };
     let reports = Reports {
@@ -216,7 +216,7 @@
         return Ok(LoadReport::Silent);
     }
     match at.text("domain.freeBy")? {
-        "asked" => Ok(LoadReport::Unasked),
+        "asked" => Ok(LoadReport::Unallocated),
         "used" => Ok(LoadReport::Unused),
         _ => Err(WireError::new(
             "LAUNCH",
@@ -229,13 +229,13 @@
 fn class(at: At, index: usize) -> Result<Class, WireError> {
     let own = At(&at.array("classes")?[index]);
     let effect = match own.text("effect")? {
-        "pure" => Effect::Safe,
-        "side_effect" => Effect::Unsafe,
-        "token" => Effect::Keyed {
+        "pure" => RetrySafety::Idempotent,
+        "side_effect" => RetrySafety::NonIdempotent,
+        "token" => RetrySafety::IdempotencyKey {
             group: match own.text("group")? {
-                "all" => Group::All,
-                "zone" => Group::Zone,
-                "cell" => Group::Cell,
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                "cell" => DeduplicationScope::Cell,
                 _ => {
                     return Err(WireError::new(
                         "LAUNCH",
@@ -260,9 +260,9 @@
         .and_then(Value::as_str);
     let place = match over {
         Some("silent") => None,
-        Some("machine") => Some(Place::Machine),
-        Some("cell") => Some(Place::Cell),
-        Some("zone") => Some(Place::Zone),
+        Some("machine") => Some(TopologyLevel::Machine),
+        Some("cell") => Some(TopologyLevel::Cell),
+        Some("zone") => Some(TopologyLevel::Zone),
         _ => {
             return Err(WireError::new(
                 "LAUNCH",
@@ -274,18 +274,18 @@
     let most = at.nth("domain.spreadMost", index)?;
     let kind = at.nth("domain.kindByClass", index)?;
     Ok(Class {
-        effect,
-        aim: own.time("aimMs")?,
-        worth: own.number("worth")?,
+        retry_safety: effect,
+        latency_objective: own.time("aimMs")?,
+        priority_weight: own.number("worth")?,
         start_bonus_s: at.nth("domain.startBonusS", index)?,
         priority: at.nth("domain.classPriority", index)? as u32,
         kind: (kind >= 0.0).then_some(kind as usize),
-        spread: place.map(|place| (place, most as u32)),
+        spread_limit: place.map(|place| (place, most as u32)),
     })
 }
 
-fn kind(at: At, index: usize) -> Result<Room, WireError> {
-    Ok(Room {
+fn kind(at: At, index: usize) -> Result<Resources, WireError> {
+    Ok(Resources {
         cores: at.nth("domain.kindCores", index)?,
         memory: at.nth("domain.memoryByKind", index)?,
     })
--- a/crates/engine/src/asks.rs
+++ b/crates/engine/src/asks.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use maplethread::{Event, Room, ServiceId, Task, TaskId};
+use maplethread::{Event, Resources, ServiceId, Task, TaskId};
 
 use crate::answers::{Answer, Known};
 use crate::api::{self, Place, Problem};
@@ -30,7 +30,7 @@
         if let Some(key) = &ask.idempotency {
             self.answers.forget(key);
         }
-        self.events.push(Event::HungUp(task));
+        self.events.push(Event::ClientDisconnected(task));
         if let Some(wire) = ask.out {
             self.call_off(wire);
         }
@@ -203,14 +203,14 @@
             id,
             service: ServiceId(hash(&body.service)),
             class,
-            asks: Room::new(body.cores, body.memory_gib),
-            life: body.life_ms.map(|ms| ms.saturating_mul(1000)),
-            give_up_at,
-            again: body.again,
+            requested: Resources::new(body.cores, body.memory_gib),
+            expected_duration: body.life_ms.map(|ms| ms.saturating_mul(1000)),
+            deadline: give_up_at,
+            is_resubmission: body.again,
         };
         let name = body.key.as_deref().unwrap_or(&body.actor);
         let copies = copies(
-            self.settings.classes[class].effect,
+            self.settings.classes[class].retry_safety,
             hash(&format!("{}/{name}", body.service)),
         );
         let span = tracing::info_span!("ask", request = %request, service = %key.0, actor = %key.1);
@@ -253,7 +253,7 @@
         self.waits(client, id, true);
         self.deadlines.insert((deadline, id));
         self.counters.asks += 1;
-        self.events.push(Event::Asked(task));
+        self.events.push(Event::PlacementRequested(task));
         Ok(())
     }
 
@@ -280,7 +280,7 @@
                 attempts,
             }
         };
-        self.events.push(Event::HungUp(task));
+        self.events.push(Event::ClientDisconnected(task));
         self.answer(task, answer);
     }
 
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use maplethread::{AttemptId, End, Ending, Event, Micros, Room, TaskId, Why};
+use maplethread::{AttemptId, AttemptResult, AttemptOutcome, Event, Micros, Resources, TaskId, FailureReason};
 use maplethread_config::Effect;
 use maplethread_wire::frame::{Frame, Load, Offer, Reason};
 
@@ -33,12 +33,12 @@
             class: class.name.clone(),
             request: ask.request.to_string(),
             asks: Load {
-                cores: ask.task.asks.cores,
-                memory: ask.task.asks.memory,
+                cores: ask.task.requested.cores,
+                memory: ask.task.requested.memory,
             },
             priority: class.priority,
             copies: ask.copies,
-            life_ms: ask.task.life.unwrap_or(0) / 1000,
+            life_ms: ask.task.expected_duration.unwrap_or(0) / 1000,
             wait_ms: (wait / 1000).min(u64::from(u32::MAX)) as u32,
         };
         let (key, request, class, span) = (
@@ -63,13 +63,13 @@
             span.in_scope(
                 || tracing::debug!(host = %name, attempt = id.number, meets_late_one, "not sent"),
             );
-            let end = End {
-                ending: Ending::Unreachable,
-                why: None,
+            let end = AttemptResult {
+                outcome: AttemptOutcome::ConnectFailed,
+                reason: None,
                 closed: false,
                 load: None,
             };
-            self.events.push(Event::Ended(id, end));
+            self.events.push(Event::AttemptFinished(id, end));
             return;
         };
         span.in_scope(|| {
@@ -118,7 +118,7 @@
     /// Whether a host has come up so lately that the decider counts what it is sent.
     fn is_cold(&self, host: HostId) -> bool {
         let started = self.hosts.get(&host).and_then(|h| h.listing.started);
-        started.is_some_and(|started| started + self.settings.rules.cold_for > self.now)
+        started.is_some_and(|started| started + self.settings.rules.warm_up_duration > self.now)
     }
 
     pub(crate) fn attempt_due(&mut self, wire: u64) {
@@ -132,7 +132,7 @@
             let host = attempt.host;
             self.send(host, &Frame::Cancel(wire), false);
         }
-        self.end(wire, Ending::TimedOut, None, None, false);
+        self.end(wire, AttemptOutcome::TimedOut, None, None, false);
     }
 
     /// Nobody waits for this attempt any more.
@@ -182,7 +182,7 @@
     pub(crate) fn end(
         &mut self,
         wire: u64,
-        ending: Ending,
+        ending: AttemptOutcome,
         refusal: Option<Reason>,
         load: Option<Load>,
         known_dead: bool,
@@ -201,7 +201,7 @@
         };
         self.use_changed(attempt.host);
         let seated = attempt.stage == Stage::Seated;
-        let never_ran = matches!(ending, Ending::Refused | Ending::Unreachable);
+        let never_ran = matches!(ending, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed);
         if known_dead || never_ran {
             self.settle(wire);
         } else if !seated {
@@ -213,11 +213,11 @@
                 ask.out = ask.out.filter(|&w| w != wire);
                 if !seated {
                     ask.reason = Some(match ending {
-                        Ending::Refused => refusal.map_or("unknown", Reason::name),
-                        Ending::Unreachable | Ending::NotSent => "no_connection",
-                        Ending::Reset => "connection_lost",
-                        Ending::Error => "error",
-                        Ending::TimedOut | Ending::Cancelled | Ending::Done => "no_answer",
+                        AttemptOutcome::Rejected => refusal.map_or("unknown", Reason::name),
+                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => "no_connection",
+                        AttemptOutcome::Disconnected => "connection_lost",
+                        AttemptOutcome::Error => "error",
+                        AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Completed => "no_answer",
                     });
                 }
                 if !never_ran {
@@ -234,12 +234,12 @@
                 self.actors.remove(&attempt.key);
             }
             let (event, reason) = match (ending, why) {
-                (Ending::Done, _) => ("ended", None),
-                (Ending::Cancelled, _) => (attempt.stop.unwrap_or("stopped"), None),
-                (Ending::Error, _) => ("ended", Some("error")),
-                (_, Some(Why::Evicted)) => ("evicted", Some("memory")),
-                (_, Some(Why::PushedOut)) => ("evicted", Some("pushed_out")),
-                (_, Some(Why::SentAway)) => ("evicted", Some("sent_away")),
+                (AttemptOutcome::Completed, _) => ("ended", None),
+                (AttemptOutcome::Cancelled, _) => (attempt.stop.unwrap_or("stopped"), None),
+                (AttemptOutcome::Error, _) => ("ended", Some("error")),
+                (_, Some(FailureReason::Evicted)) => ("evicted", Some("memory")),
+                (_, Some(FailureReason::Preempted)) => ("evicted", Some("pushed_out")),
+                (_, Some(FailureReason::Drained)) => ("evicted", Some("sent_away")),
                 _ => ("lost", None),
             };
             self.tell(
@@ -250,12 +250,12 @@
                 attempt.request.clone(),
             );
         }
-        let load = load.map(|l| Room::new(l.cores, l.memory));
-        self.events.push(Event::Ended(
+        let load = load.map(|l| Resources::new(l.cores, l.memory));
+        self.events.push(Event::AttemptFinished(
             attempt.id,
-            End {
-                ending,
-                why,
+            AttemptResult {
+                outcome: ending,
+                reason: why,
                 closed,
                 load,
             },
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -29,8 +29,8 @@
 /// Whether the decider places a task because of an event.
 fn is_placing(event: &Event) -> bool {
     match event {
-        Event::Asked(_) => true,
-        Event::Ended(_, end) => !end.closed,
+        Event::PlacementRequested(_) => true,
+        Event::AttemptFinished(_, end) => !end.closed,
         _ => false,
     }
 }
@@ -38,17 +38,17 @@
 /// The task that an event concerns.
 fn task_of(event: &Event) -> Option<TaskId> {
     match event {
-        Event::Asked(task) | Event::Running(task, _) => Some(task.id),
-        Event::Seated(attempt, _) | Event::Noted(attempt, _) | Event::Ended(attempt, _) => {
+        Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => Some(task.id),
+        Event::AttemptAccepted(attempt, _) | Event::TaskReported(attempt, _) | Event::AttemptFinished(attempt, _) => {
             Some(attempt.task)
         }
-        Event::HungUp(task) => Some(*task),
-        Event::Listed { .. }
-        | Event::Numbered(_)
-        | Event::Linked(..)
-        | Event::ListUnavailable
-        | Event::Woken(_)
+        Event::ClientDisconnected(task) => Some(*task),
+        Event::EndpointsUpdated { .. }
+        | Event::ReplicaIndexChanged(_)
+        | Event::ConnectionChanged(..)
+        | Event::DiscoveryUnavailable
+        | Event::TimerFired(_)
         | Event::Probed { .. }
-        | Event::Told { .. } => None,
+        | Event::PeerMessage { .. } => None,
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use maplethread::{
-    Action, AttemptId, Event, Lack, MachineId, Micros, Room, Settings, Task, TaskId,
+    Action, AttemptId, Event, BlockReason, MachineId, Micros, Resources, Settings, Task, TaskId,
 };
 use maplethread_config::{PlacedWhen, PlacerConfig};
 use maplethread_liveness::Liveness;
@@ -132,8 +132,8 @@
     /// How its last attempt ended, if that was not well.
     pub reason: Option<&'static str>,
     /// What it is held for just now, and all that it was ever held for.
-    pub lack: Option<Lack>,
-    pub lacked: BTreeSet<Lack>,
+    pub lack: Option<BlockReason>,
+    pub lacked: BTreeSet<BlockReason>,
     pub may_run: Option<Arc<str>>,
     pub span: tracing::Span,
 }
@@ -143,7 +143,7 @@
     pub fn refusal(&self) -> &'static str {
         match (self.lack, self.reason) {
             // A host that has said so knows better which.
-            (Some(Lack::Room), Some(reason @ ("cores" | "memory" | "line"))) => reason,
+            (Some(BlockReason::NoCapacity), Some(reason @ ("cores" | "memory" | "line"))) => reason,
             (Some(lack), _) => lack_name(lack),
             (None, _) if self.out.is_some() => "no_answer",
             (None, Some(reason)) => reason,
@@ -153,15 +153,15 @@
 }
 
 /// The API's word for what an ask is held for.
-pub(crate) fn lack_name(lack: Lack) -> &'static str {
+pub(crate) fn lack_name(lack: BlockReason) -> &'static str {
     match lack {
-        Lack::Size => "too_large",
-        Lack::Ready => "no_host",
-        Lack::Link => "no_connection",
-        Lack::Group => "key_group",
-        Lack::Spread => "spread",
-        Lack::Cold => "cold",
-        Lack::Room => "no_room",
+        BlockReason::NoKindFits => "too_large",
+        BlockReason::NoReadyMachine => "no_host",
+        BlockReason::NotConnected => "no_connection",
+        BlockReason::OutsideDeduplicationScope => "key_group",
+        BlockReason::SpreadLimit => "spread",
+        BlockReason::WarmUpBudget => "cold",
+        BlockReason::NoCapacity => "no_room",
     }
 }
 
@@ -289,7 +289,7 @@
             unread_since: None,
             deadlines: BTreeSet::new(),
             pace: Pace::default(),
-            cold_offers: ColdOffers::new(config.settings().rules.fall_window),
+            cold_offers: ColdOffers::new(config.settings().rules.overload_window),
             events: Vec::new(),
             outputs: Vec::new(),
             timers: Timers::default(),
@@ -420,7 +420,7 @@
     /// How long the earliest thing that waits for this turn has waited for it.
     fn late_by(&self) -> Micros {
         let oldest_ask = self.events.iter().find_map(|event| match event {
-            Event::Asked(task) => self.asks.get(&task.id).map(|ask| ask.asked),
+            Event::PlacementRequested(task) => self.asks.get(&task.id).map(|ask| ask.asked),
             _ => None,
         });
         let due = self.timers.next().into_iter().chain(oldest_ask).min();
@@ -441,7 +441,7 @@
                 self.act(action);
             }
             given.extend(events.iter().filter_map(|event| match event {
-                Event::Asked(task) => Some(task.id),
+                Event::PlacementRequested(task) => Some(task.id),
                 _ => None,
             }));
         }
@@ -477,7 +477,7 @@
 
     fn fall_due(&mut self, due: Due) {
         match due {
-            Due::Wake(label) => self.events.push(Event::Woken(label)),
+            Due::Wake(label) => self.events.push(Event::TimerFired(label)),
             Due::Attempt(wire) => self.attempt_due(wire),
             Due::Connect(host, epoch) => self.connect_due(host, epoch),
             Due::Greet(host, epoch) => self.greet_due(host, epoch),
@@ -520,7 +520,7 @@
                     self.call_off(wire);
                 }
             }
-            Action::Refuse(task, come_back) => {
+            Action::Reject(task, come_back) => {
                 let Some(ask) = self.asks.get(&task) else {
                     return;
                 };
@@ -559,7 +559,7 @@
                     },
                 );
             }
-            Action::Held(task, lack) => {
+            Action::Blocked(task, lack) => {
                 let Some(ask) = self.asks.get_mut(&task) else {
                     return;
                 };
@@ -570,7 +570,7 @@
                 ask.span
                     .in_scope(|| tracing::debug!(held_for = lack_name(lack), "held"));
             }
-            Action::Move(task) => {
+            Action::Migrate(task) => {
                 let wire = self
                     .attempts
                     .iter()
@@ -579,7 +579,7 @@
                     self.stop_attempt(wire, "moved");
                 }
             }
-            Action::Wake(after, label) => self.timers.set(self.now + after, Due::Wake(label)),
+            Action::SetTimer(after, label) => self.timers.set(self.now + after, Due::Wake(label)),
             Action::Probe(machine) => {
                 let host = HostId(machine.0);
                 self.next_probe = self.next_probe.wrapping_add(1);
@@ -598,13 +598,13 @@
             }
             Action::Log(line) => tracing::info!(target: "maplethread::decisions", "{line}"),
             // The list comes unasked, one connection a host is kept, and placers do not talk.
-            Action::Listen(_) | Action::Lookup | Action::CloseIdle(_) | Action::Tell { .. } => {}
+            Action::WatchEndpoints(_) | Action::FetchEndpoints | Action::CloseIdle(_) | Action::SendToPeer { .. } => {}
         }
     }
 
     pub(crate) fn probed(&mut self, nonce: u32, load: Load) {
         if let Some(host) = self.probes.remove(&nonce) {
-            let load = Some(Room::new(load.cores, load.memory));
+            let load = Some(Resources::new(load.cores, load.memory));
             self.events.push(Event::Probed {
                 machine: MachineId(host.0),
                 ok: true,
--- a/crates/engine/src/hosts.rs
+++ b/crates/engine/src/hosts.rs
@@ -26,7 +26,7 @@
 pub struct Host {
     pub name: Arc<str>,
     pub address: SocketAddr,
-    pub listing: mt::Listing,
+    pub listing: mt::MachineEntry,
     /// The state in the inventory.
     pub listed: HostState,
     /// The start that the inventory told, and the one that the host told; Unix time in ms.
@@ -57,15 +57,15 @@
 impl Host {
     /// A host of the inventory.
     pub fn new(id: HostId, entry: &HostEntry, label: u64) -> Host {
-        let listing = mt::Listing {
+        let listing = mt::MachineEntry {
             machine: mt::MachineId(id.0),
-            label,
+            stable_hash: label,
             zone: 0,
             cell: 0,
             kind: 0,
             state: mt::MachineState::Ready,
             started: None,
-            unasked: None,
+            unallocated: None,
         };
         Host {
             name: entry.name.as_str().into(),
@@ -89,7 +89,7 @@
     }
 
     /// The listing as it now stands. The newest start counts, whoever told it.
-    pub fn refresh(&mut self) -> mt::Listing {
+    pub fn refresh(&mut self) -> mt::MachineEntry {
         self.listing.state = match self.listed {
             HostState::Gone => mt::MachineState::Gone,
             HostState::Draining => mt::MachineState::Draining,
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -7,27 +7,27 @@
 mod inventory;
 mod starts;
 
-use maplethread::Why;
+use maplethread::FailureReason;
 use maplethread_wire::frame::{Copies, Reason};
 
-pub(crate) fn why(reason: Reason) -> Option<Why> {
+pub(crate) fn why(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
-        Reason::Cores => Why::Cores,
-        Reason::Memory => Why::Memory,
-        Reason::Line => Why::Line,
-        Reason::NotHere => Why::NotHere,
-        Reason::Evicted => Why::Evicted,
-        Reason::PushedOut => Why::PushedOut,
-        Reason::SentAway => Why::SentAway,
+        Reason::Cores => FailureReason::Cores,
+        Reason::Memory => FailureReason::Memory,
+        Reason::Line => FailureReason::QueueFull,
+        Reason::NotHere => FailureReason::Ineligible,
+        Reason::Evicted => FailureReason::Evicted,
+        Reason::PushedOut => FailureReason::Preempted,
+        Reason::SentAway => FailureReason::Drained,
         Reason::Unknown | Reason::Done | Reason::Stopped | Reason::Error => return None,
     })
 }
 
 /// What stands on the wire for a class's effect.
-pub(crate) fn copies(effect: maplethread::Effect, key: u64) -> Copies {
+pub(crate) fn copies(effect: maplethread::RetrySafety, key: u64) -> Copies {
     match effect {
-        maplethread::Effect::Safe => Copies::Safe,
-        maplethread::Effect::Keyed { .. } => Copies::Keyed(key),
-        maplethread::Effect::Unsafe => Copies::Unsafe,
+        maplethread::RetrySafety::Idempotent => Copies::Safe,
+        maplethread::RetrySafety::IdempotencyKey { .. } => Copies::Keyed(key),
+        maplethread::RetrySafety::NonIdempotent => Copies::Unsafe,
     }
 }
--- a/crates/engine/src/sessions/adoption.rs
+++ b/crates/engine/src/sessions/adoption.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use maplethread::{AttemptId, Event, MachineId, Room, Task, TaskId};
+use maplethread::{AttemptId, Event, MachineId, Resources, Task, TaskId};
 use maplethread_wire::frame::{Frame, Offer};
 
 use crate::answers::Answer;
@@ -48,10 +48,10 @@
             id: TaskId(self.next_task),
             service: maplethread::ServiceId(hash(&offer.service)),
             class,
-            asks: Room::new(offer.asks.cores, offer.asks.memory),
-            life: (offer.life_ms > 0).then_some(offer.life_ms * 1000),
-            give_up_at: self.now,
-            again: false,
+            requested: Resources::new(offer.asks.cores, offer.asks.memory),
+            expected_duration: (offer.life_ms > 0).then_some(offer.life_ms * 1000),
+            deadline: self.now,
+            is_resubmission: false,
         };
         self.notes
             .add(|| Kept::Service(task.service, key.0.clone()));
@@ -78,7 +78,7 @@
         if let Some(host) = self.hosts.get_mut(&id) {
             host.attempts.insert(wire);
         }
-        self.events.push(Event::Running(task, MachineId(id.0)));
+        self.events.push(Event::TaskAdopted(task, MachineId(id.0)));
         if unwanted {
             self.send(id, &Frame::Stop(wire), false);
             return;
@@ -100,7 +100,7 @@
                 .map(|a| a.request.clone())
                 .unwrap_or_default();
             let (service, actor) = key;
-            self.events.push(Event::HungUp(asked));
+            self.events.push(Event::ClientDisconnected(asked));
             self.answer(
                 asked,
                 Answer::Placed {
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -1,6 +1,6 @@
 //! Connections to hosts: made, greeted in time, lost and made again.
 
-use maplethread::{Ending, Event, MachineId};
+use maplethread::{AttemptOutcome, Event, MachineId};
 use maplethread_wire::frame::{self, Frame};
 
 use crate::engine::{Due, Engine, Output, Stage};
@@ -90,9 +90,9 @@
             match attempt.stage {
                 Stage::Seated => holds = true,
                 Stage::Out if attempt.frame_end > written => {
-                    self.end(wire, Ending::Unreachable, None, None, true);
+                    self.end(wire, AttemptOutcome::ConnectFailed, None, None, true);
                 }
-                Stage::Out | Stage::Accepted => self.end(wire, Ending::Reset, None, None, false),
+                Stage::Out | Stage::Accepted => self.end(wire, AttemptOutcome::Disconnected, None, None, false),
             }
         }
         if holds && wanted {
@@ -108,7 +108,7 @@
         if untold {
             self.relist(id);
         }
-        self.events.push(Event::Linked(MachineId(id.0), false));
+        self.events.push(Event::ConnectionChanged(MachineId(id.0), false));
         self.forget_gone(id);
     }
 
@@ -139,7 +139,7 @@
             .get(&id)
             .map(|h| h.attempts.iter().copied().collect::<Vec<_>>());
         for wire in held.unwrap_or_default() {
-            self.end(wire, Ending::Reset, None, None, false);
+            self.end(wire, AttemptOutcome::Disconnected, None, None, false);
         }
     }
 }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -1,6 +1,6 @@
 //! Frames that hosts send: the greeting, and news of attempts.
 
-use maplethread::{Ending, Event, MachineId, Note};
+use maplethread::{AttemptOutcome, Event, MachineId, TaskReport};
 use maplethread_wire::frame::{self, Frame, NoteKind, Reason};
 
 use crate::engine::{Engine, Stage};
@@ -89,11 +89,11 @@
                 tracing::info!(host = %host.name, "connected");
                 let missing: Vec<u64> = host.unnamed.iter().copied().collect();
                 for wire in missing {
-                    self.end(wire, Ending::Reset, None, None, true);
+                    self.end(wire, AttemptOutcome::Disconnected, None, None, true);
                 }
                 self.use_changed(id);
                 self.relist(id);
-                self.events.push(Event::Linked(MachineId(id.0), true));
+                self.events.push(Event::ConnectionChanged(MachineId(id.0), true));
                 Ok(())
             }
             Frame::Drain if matches!(link, Link::Naming | Link::Up) => {
@@ -129,7 +129,7 @@
             }
             Frame::Started(wire, took) if at_this_host(self, &wire) => self.started(wire, took),
             Frame::Refused(wire, reason, load) if at_this_host(self, &wire) => {
-                self.end(wire, Ending::Refused, Some(reason), load, true);
+                self.end(wire, AttemptOutcome::Rejected, Some(reason), load, true);
             }
             Frame::Ended(wire, reason, ran, load) if at_this_host(self, &wire) => {
                 let seated = self
@@ -137,12 +137,12 @@
                     .get(&wire)
                     .is_some_and(|a| a.stage == Stage::Seated);
                 let ending = match reason {
-                    Reason::Done => Ending::Done,
-                    Reason::Error => Ending::Error,
-                    Reason::Stopped => Ending::Cancelled,
+                    Reason::Done => AttemptOutcome::Completed,
+                    Reason::Error => AttemptOutcome::Error,
+                    Reason::Stopped => AttemptOutcome::Cancelled,
                     // Handed back before it ran and before it was placed.
-                    _ if !ran && !seated => Ending::Refused,
-                    _ => Ending::Reset,
+                    _ if !ran && !seated => AttemptOutcome::Rejected,
+                    _ => AttemptOutcome::Disconnected,
                 };
                 self.end(wire, ending, Some(reason), load, reason != Reason::Error);
             }
@@ -150,13 +150,13 @@
             Frame::Ended(wire, reason, ..) if reason != Reason::Error => self.settle(wire),
             Frame::Note(wire, kind, x) if at_this_host(self, &wire) => {
                 let note = match kind {
-                    NoteKind::Cores => Note::CoresUsed(x),
-                    NoteKind::Memory => Note::MemoryUsed(x),
-                    NoteKind::Served => Note::Served(x),
-                    NoteKind::HostMemory => Note::MachineMemory(x),
+                    NoteKind::Cores => TaskReport::CoresUsed(x),
+                    NoteKind::Memory => TaskReport::MemoryUsed(x),
+                    NoteKind::Served => TaskReport::Served(x),
+                    NoteKind::HostMemory => TaskReport::MachineMemory(x),
                 };
                 if let Some(attempt) = self.attempts.get(&wire) {
-                    self.events.push(Event::Noted(attempt.id, note));
+                    self.events.push(Event::TaskReported(attempt.id, note));
                 }
             }
             Frame::Report(nonce, load) => self.probed(nonce, load),
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use maplethread::{Event, Room, Scope};
+use maplethread::{Event, Resources, UpdateScope};
 use maplethread_config::{HostEntry, HostState, Inventory};
 
 use crate::engine::Engine;
@@ -32,8 +32,8 @@
             .values_mut()
             .filter(|h| h.tried || h.listed == HostState::Gone);
         let machines = listings.map(Host::refresh).collect();
-        self.events.push(Event::Listed {
-            scope: Scope::Full,
+        self.events.push(Event::EndpointsUpdated {
+            scope: UpdateScope::Full,
             machines,
         });
         for id in self.hosts.keys().copied().collect::<Vec<_>>() {
@@ -61,8 +61,8 @@
             self.forget_gone(id);
         }
         if !machines.is_empty() {
-            self.events.push(Event::Listed {
-                scope: Scope::Changes,
+            self.events.push(Event::EndpointsUpdated {
+                scope: UpdateScope::Delta,
                 machines,
             });
         }
@@ -70,7 +70,7 @@
 
     /// This placer's number from now on, where it is leased.
     pub fn numbered(&mut self, number: Option<u32>) {
-        self.events.push(Event::Numbered(number));
+        self.events.push(Event::ReplicaIndexChanged(number));
     }
 
     pub(super) fn take_entry(&mut self, entry: &HostEntry) -> HostId {
@@ -111,7 +111,7 @@
         };
         (host.listing.zone, host.listing.cell, host.listing.kind) = (zone, cell, kind);
         let free = entry.unasked_cores.zip(entry.unasked_memory_gib);
-        host.listing.unasked = free.map(|(cores, memory)| Room::new(cores, memory));
+        host.listing.unallocated = free.map(|(cores, memory)| Resources::new(cores, memory));
         (host.listed, host.listed_start) = (entry.state, entry.started_ms);
         let moved = host.address != entry.address;
         host.address = entry.address;
@@ -129,8 +129,8 @@
         if let Some(host) = self.hosts.get_mut(&id) {
             host.tried = true;
             let machines = vec![host.refresh()];
-            self.events.push(Event::Listed {
-                scope: Scope::Changes,
+            self.events.push(Event::EndpointsUpdated {
+                scope: UpdateScope::Delta,
                 machines,
             });
         }
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use maplethread::{Event, Note};
+use maplethread::{Event, TaskReport};
 
 use crate::answers::Answer;
 use crate::engine::{Actor, Engine, Stage};
@@ -46,7 +46,7 @@
         let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request.clone());
         let host = self.host_name(attempt.host);
         if self.placed_when_accepted() {
-            self.events.push(Event::Noted(id, Note::Started));
+            self.events.push(Event::TaskReported(id, TaskReport::Started));
         }
         self.tell("started", &key, host, None, request);
     }
@@ -72,7 +72,7 @@
         let elapsed = self
             .stalled
             .then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
-        self.events.push(Event::Seated(id, elapsed));
+        self.events.push(Event::AttemptAccepted(id, elapsed));
         self.actors.insert(key.clone(), Actor::Placed(wire));
         let name = self.host_name(host);
         let address = self
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -16,7 +16,7 @@
 impl Decide for Eager {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
-            if let Event::Asked(task) = event {
+            if let Event::PlacementRequested(task) = event {
                 actions.push(Action::Offer(task.id, MachineId(HOST.0), S));
             }
         }
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -23,7 +23,7 @@
 impl Decide for ToChosen {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
-            if let Event::Asked(task) = event {
+            if let Event::PlacementRequested(task) = event {
                 actions.push(Action::Offer(task.id, MachineId(CHOSEN.0), self.0));
             }
         }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -224,7 +224,7 @@
 impl Decide for Noting {
     fn turn(&mut self, _: Micros, events: &[Event], _: &mut Vec<Action>) {
         let asked = events.iter().filter_map(|event| match event {
-            Event::Asked(task) => Some(task.id),
+            Event::PlacementRequested(task) => Some(task.id),
             _ => None,
         });
         self.0.borrow_mut().push(asked.collect());
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use maplethread::{Action, Ending, Event, MachineId, Micros};
+use maplethread::{Action, AttemptOutcome, Event, MachineId, Micros};
 use maplethread_config::{Doc, HostEntry, HostState, PlacerConfig};
 use maplethread_engine::{Boot, ClientId, Decide, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
@@ -17,7 +17,7 @@
 struct Seen {
     machines: BTreeSet<MachineId>,
     running: i32,
-    endings: Vec<Ending>,
+    endings: Vec<AttemptOutcome>,
 }
 
 struct Noting(Rc<RefCell<Seen>>);
@@ -27,14 +27,14 @@
         let mut seen = self.0.borrow_mut();
         for event in events {
             match event {
-                Event::Listed { machines, .. } => {
+                Event::EndpointsUpdated { machines, .. } => {
                     seen.machines.extend(machines.iter().map(|m| m.machine))
                 }
-                Event::Asked(task) => actions.push(Action::Offer(task.id, MachineId(0), 1_000_000)),
-                Event::Seated(..) | Event::Running(..) => seen.running += 1,
-                Event::Ended(_, end) => {
+                Event::PlacementRequested(task) => actions.push(Action::Offer(task.id, MachineId(0), 1_000_000)),
+                Event::AttemptAccepted(..) | Event::TaskAdopted(..) => seen.running += 1,
+                Event::AttemptFinished(_, end) => {
                     seen.running -= 1;
-                    seen.endings.push(end.ending);
+                    seen.endings.push(end.outcome);
                 }
                 _ => {}
             }
@@ -275,7 +275,7 @@
         };
         says(&mut engine, back, &greeting);
         engine.turn(back, false);
-        let ending = if told { Ending::Done } else { Ending::Reset };
+        let ending = if told { AttemptOutcome::Completed } else { AttemptOutcome::Disconnected };
         assert_eq!(seen.borrow().endings, [ending], "told: {told}");
         assert_eq!(seen.borrow().running, 0);
     }
--- a/crates/placer/src/recorder.rs
+++ b/crates/placer/src/recorder.rs
@@ -493,7 +493,7 @@
             n,
             Item::Turn(Turn {
                 now: n,
-                events: vec![Event::Woken(n)],
+                events: vec![Event::TimerFired(n)],
                 actions: Vec::new(),
             }),
         )
--- a/crates/placer/src/recording.rs
+++ b/crates/placer/src/recording.rs
@@ -122,7 +122,7 @@
         let turn = || {
             Item::Turn(Turn {
                 now: 1,
-                events: vec![Event::Woken(1); 3],
+                events: vec![Event::TimerFired(1); 3],
                 actions: Vec::new(),
             })
         };
--- a/crates/platform/src/engine/fleet.rs
+++ b/crates/platform/src/engine/fleet.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use maplethread::{Event, Listing, MachineId, MachineState, Micros, Scope, TaskId};
+use maplethread::{Event, MachineEntry, MachineId, MachineState, Micros, UpdateScope, TaskId};
 use maplethread_deployment::hosts::label;
 use maplethread_deployment::{Hosts, micros};
 use maplethread_platform_wire::channel::{Endpoint, Nodes, Status};
@@ -121,11 +121,11 @@
         self.gone.extend(gone.map(|&id| (now, id)));
         self.forget(now);
         let scope = if nodes.snapshot {
-            Scope::Full
+            UpdateScope::Full
         } else {
-            Scope::Changes
+            UpdateScope::Delta
         };
-        (Event::Listed { scope, machines }, changed)
+        (Event::EndpointsUpdated { scope, machines }, changed)
     }
 
     fn entry(
@@ -133,7 +133,7 @@
         endpoint: &Endpoint,
         now: Micros,
         changed: &mut Vec<MachineId>,
-    ) -> Option<Listing> {
+    ) -> Option<MachineEntry> {
         let unknown = |what: &str, value: &str| {
             tracing::warn!(host = %endpoint.name, what, value, "an entry of the command channel can't be used");
         };
@@ -164,15 +164,15 @@
         (host.address, host.state, host.started) = (Some(address), state, started);
         let label = label(&endpoint.name);
         let (zone, cell) = (zone as u32, endpoint.group);
-        Some(Listing {
+        Some(MachineEntry {
             machine,
-            label,
+            stable_hash: label,
             zone,
             cell,
             kind,
             state,
             started,
-            unasked: None,
+            unallocated: None,
         })
     }
 
--- a/crates/platform/src/engine/links.rs
+++ b/crates/platform/src/engine/links.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use maplethread::{AttemptId, Ending, Event, MachineId, MachineState, Micros, Note, TaskId, Why};
+use maplethread::{AttemptId, AttemptOutcome, Event, MachineId, MachineState, Micros, TaskReport, TaskId, FailureReason};
 use maplethread_engine::Decide;
 use maplethread_platform_wire::host::{FromHost, ToHost, Told};
 use maplethread_platform_wire::owner::ToOwner;
@@ -166,9 +166,9 @@
             };
             let closed = self.tasks.get(task).is_none_or(|e| !e.open);
             let ending = if out.sent {
-                Ending::Reset
+                AttemptOutcome::Disconnected
             } else {
-                Ending::Unreachable
+                AttemptOutcome::ConnectFailed
             };
             self.ended(task, out.number, ending, None, closed);
             self.tasks.drop_if_over(task);
@@ -259,7 +259,7 @@
             number: out.number,
         };
         self.events
-            .push(Event::Seated(id, Some(now.saturating_sub(out.offered))));
+            .push(Event::AttemptAccepted(id, Some(now.saturating_sub(out.offered))));
         self.stands(now, task, out.machine);
     }
 
@@ -301,26 +301,26 @@
             let closed = !entry.open;
             self.take_attempt(task);
             let ending = match cause {
-                cause::FULL => Ending::Refused,
-                cause::ERROR => Ending::Error,
-                cause::MOOT => Ending::NotSent,
-                _ => Ending::Reset,
+                cause::FULL => AttemptOutcome::Rejected,
+                cause::ERROR => AttemptOutcome::Error,
+                cause::MOOT => AttemptOutcome::NeverSent,
+                _ => AttemptOutcome::Disconnected,
             };
             self.ended(task, out.number, ending, why(told), closed);
             self.tasks.drop_if_over(task);
         } else if let Some(stand) = entry.stand.filter(|s| s.machine == machine) {
             self.knows_task(now, machine, stand.since);
             let ending = match cause {
-                cause::NORMAL => Ending::Done,
-                cause::CANCELLED => Ending::Cancelled,
-                _ => Ending::Reset,
+                cause::NORMAL => AttemptOutcome::Completed,
+                cause::CANCELLED => AttemptOutcome::Cancelled,
+                _ => AttemptOutcome::Disconnected,
             };
             self.over(now, task, ending, why(told), cause);
         }
     }
 
     /// A standing task is over, whoever says so.
-    fn over(&mut self, now: Micros, task: TaskId, ending: Ending, why: Option<Why>, cause: u8) {
+    fn over(&mut self, now: Micros, task: TaskId, ending: AttemptOutcome, why: Option<FailureReason>, cause: u8) {
         let Some(entry) = self.tasks.get_mut(task) else {
             return;
         };
@@ -332,7 +332,7 @@
             host.standing.remove(&task);
         }
         self.ended(task, stand.number, ending, why, true);
-        if stand.cut.is_none() && ending != Ending::Cancelled {
+        if stand.cut.is_none() && ending != AttemptOutcome::Cancelled {
             self.release(now, owner, sid, cause);
         }
         self.tasks.drop_if_over(task);
@@ -350,14 +350,14 @@
         }
         self.knows_task(now, machine, stand.since);
         let note = match told {
-            Told::Live => Note::Started,
-            Told::Cores => Note::CoresUsed(figure),
-            Told::Memory => Note::MemoryUsed(figure),
-            Told::Served => Note::Served(figure),
-            Told::Pressure => Note::MachineMemory(figure),
+            Told::Live => TaskReport::Started,
+            Told::Cores => TaskReport::CoresUsed(figure),
+            Told::Memory => TaskReport::MemoryUsed(figure),
+            Told::Served => TaskReport::Served(figure),
+            Told::Pressure => TaskReport::MachineMemory(figure),
             _ => return,
         };
-        self.events.push(Event::Noted(
+        self.events.push(Event::TaskReported(
             AttemptId {
                 task,
                 number: stand.number,
@@ -381,7 +381,7 @@
                 .flat_map(|l| l.attempts.iter().copied())
                 .collect();
             for task in waiting {
-                self.give_up(task, Ending::Unreachable, false);
+                self.give_up(task, AttemptOutcome::ConnectFailed, false);
             }
         }
         if let Some(started) = started {
@@ -422,7 +422,7 @@
             );
         }
         for task in lost {
-            self.over(now, task, Ending::Reset, None, cause::RESET);
+            self.over(now, task, AttemptOutcome::Disconnected, None, cause::RESET);
         }
     }
 
@@ -498,15 +498,15 @@
     }
 }
 
-fn why(told: Option<Told>) -> Option<Why> {
+fn why(told: Option<Told>) -> Option<FailureReason> {
     Some(match told? {
-        Told::NoCores => Why::Cores,
-        Told::NoMemory => Why::Memory,
-        Told::NoLine => Why::Line,
-        Told::NotHere => Why::NotHere,
-        Told::Evicted => Why::Evicted,
-        Told::PushedOut => Why::PushedOut,
-        Told::SentAway => Why::SentAway,
+        Told::NoCores => FailureReason::Cores,
+        Told::NoMemory => FailureReason::Memory,
+        Told::NoLine => FailureReason::QueueFull,
+        Told::NotHere => FailureReason::Ineligible,
+        Told::Evicted => FailureReason::Evicted,
+        Told::PushedOut => FailureReason::Preempted,
+        Told::SentAway => FailureReason::Drained,
         Told::Live | Told::Cores | Told::Memory | Told::Served | Told::Pressure => return None,
     })
 }
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -15,8 +15,8 @@
 use std::net::SocketAddr;
 
 use maplethread::{
-    Action, AttemptId, Effect, End, Ending, Event, MachineId, MachineState, Micros, Settings,
-    TaskId, Why,
+    Action, AttemptId, RetrySafety, AttemptResult, AttemptOutcome, Event, MachineId, MachineState, Micros, Settings,
+    TaskId, FailureReason,
 };
 use maplethread_deployment::Terms;
 use maplethread_engine::{Decide, Timers};
@@ -146,7 +146,7 @@
             keyed: settings
                 .classes
                 .iter()
-                .map(|c| matches!(c.effect, Effect::Keyed { .. }))
+                .map(|c| matches!(c.retry_safety, RetrySafety::IdempotencyKey { .. }))
                 .collect(),
             terms,
             links: HashMap::new(),
@@ -244,7 +244,7 @@
     pub fn turn(&mut self, now: Micros) {
         while let Some(due) = self.timers.due(now) {
             match due {
-                Due::Wake(label) => self.events.push(Event::Woken(label)),
+                Due::Wake(label) => self.events.push(Event::TimerFired(label)),
                 Due::Attempt(task, number) => self.attempt_over(now, task, number),
                 Due::Link(link) => self.link_due(now, link),
                 Due::Connect(link) => self.connect_due(now, link),
@@ -278,7 +278,7 @@
     fn last_words(&mut self) {
         for id in self.tasks.all_open() {
             self.answer(id, cause::ERROR);
-            self.events.push(Event::HungUp(id));
+            self.events.push(Event::ClientDisconnected(id));
         }
     }
 
@@ -292,21 +292,21 @@
                     .and_then(|e| e.out)
                     .is_some_and(|out| out.number == id.number)
                 {
-                    self.give_up(id.task, Ending::Cancelled, false);
+                    self.give_up(id.task, AttemptOutcome::Cancelled, false);
                 }
             }
-            Action::Refuse(task, _) => self.answer(task, cause::FULL),
+            Action::Reject(task, _) => self.answer(task, cause::FULL),
             Action::Fail(task) => self.answer(task, cause::ERROR),
-            Action::Move(task) => self.move_away(task),
-            Action::Wake(after, label) => self.timers.set(now + after, Due::Wake(label)),
+            Action::Migrate(task) => self.move_away(task),
+            Action::SetTimer(after, label) => self.timers.set(now + after, Due::Wake(label)),
             Action::Log(text) => tracing::info!("{text}"),
-            Action::Held(task, lack) => tracing::debug!(task = task.0, ?lack, "held"),
+            Action::Blocked(task, lack) => tracing::debug!(task = task.0, ?lack, "held"),
             // The channel is always asked, and none of the others is allowed here.
-            Action::Listen(_)
-            | Action::Lookup
+            Action::WatchEndpoints(_)
+            | Action::FetchEndpoints
             | Action::Probe(_)
             | Action::CloseIdle(_)
-            | Action::Tell { .. } => {}
+            | Action::SendToPeer { .. } => {}
         }
     }
 
@@ -330,7 +330,7 @@
             None
         };
         let Some(link) = link else {
-            self.ended(task, number, Ending::Unreachable, None, false);
+            self.ended(task, number, AttemptOutcome::ConnectFailed, None, false);
             return;
         };
         let up = self.links.get(&link).is_some_and(|l| l.up);
@@ -388,14 +388,14 @@
         };
         if out.sent {
             self.doubt(now, out.link);
-            self.give_up(task, Ending::TimedOut, false);
+            self.give_up(task, AttemptOutcome::TimedOut, false);
         } else {
-            self.give_up(task, Ending::Unreachable, false);
+            self.give_up(task, AttemptOutcome::ConnectFailed, false);
         }
     }
 
     /// Takes an attempt back, from the host too if it was sent, and tells the decisions how it ended.
-    fn give_up(&mut self, task: TaskId, ending: Ending, closed: bool) {
+    fn give_up(&mut self, task: TaskId, ending: AttemptOutcome, closed: bool) {
         let Some(sid) = self.tasks.get(task).map(|e| e.set_up.sid) else {
             return;
         };
@@ -408,7 +408,7 @@
         let ending = if out.sent {
             ending
         } else {
-            Ending::Unreachable
+            AttemptOutcome::ConnectFailed
         };
         self.ended(task, out.number, ending, None, closed);
         self.tasks.drop_if_over(task);
@@ -435,15 +435,15 @@
         self.tasks.close(task)
     }
 
-    fn ended(&mut self, task: TaskId, number: u32, ending: Ending, why: Option<Why>, closed: bool) {
-        let end = End {
-            ending,
-            why,
+    fn ended(&mut self, task: TaskId, number: u32, ending: AttemptOutcome, why: Option<FailureReason>, closed: bool) {
+        let end = AttemptResult {
+            outcome: ending,
+            reason: why,
             closed,
             load: None,
         };
         self.events
-            .push(Event::Ended(AttemptId { task, number }, end));
+            .push(Event::AttemptFinished(AttemptId { task, number }, end));
     }
 
     /// The one final answer that is not 'placed'.
@@ -458,7 +458,7 @@
         self.outputs
             .push(Output::ToOwner(owner, ToOwner::Close(sid, cause)));
         // An attempt still out has lost its owner: it ends as one whose time is up.
-        self.give_up(task, Ending::TimedOut, true);
+        self.give_up(task, AttemptOutcome::TimedOut, true);
         self.tasks.drop_if_over(task);
     }
 
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use maplethread::{Ending, Event, MachineId, Micros, Room, ServiceId, Task, TaskId};
+use maplethread::{AttemptOutcome, Event, MachineId, Micros, Resources, ServiceId, Task, TaskId};
 use maplethread_engine::Decide;
 use maplethread_platform_wire::host::ToHost;
 use maplethread_platform_wire::owner::{Fault, FromOwner, SetUp, ToOwner};
@@ -174,7 +174,7 @@
         // Owners don't say that a task comes again; its name does.
         let again = self.tasks.came_again(now, &set_up.key) || set_up.again;
         let task = Task {
-            again,
+            is_resubmission: again,
             ..self.task(class, &set_up, now + micros(left))
         };
         let entry = Entry {
@@ -196,7 +196,7 @@
         }
         self.arrivals.push(from, Task { id, ..task });
         self.timers.set(
-            task.give_up_at.saturating_sub(ANSWER_MARGIN),
+            task.deadline.saturating_sub(ANSWER_MARGIN),
             Due::Overdue(id),
         );
     }
@@ -211,7 +211,7 @@
             else {
                 return;
             };
-            self.events.push(Event::Asked(task));
+            self.events.push(Event::PlacementRequested(task));
         }
     }
 
@@ -228,13 +228,13 @@
             id: TaskId(0),
             service: ServiceId(set_up.service),
             class,
-            asks: Room {
+            requested: Resources {
                 cores: set_up.cores,
                 memory: set_up.memory,
             },
-            life: set_up.life_ms.map(micros),
-            give_up_at,
-            again: set_up.again,
+            expected_duration: set_up.life_ms.map(micros),
+            deadline: give_up_at,
+            is_resubmission: set_up.again,
         }
     }
 
@@ -280,7 +280,7 @@
         let id = self.tasks.add(entry);
         self.tasks.drop_text(id);
         self.events
-            .push(Event::Running(Task { id, ..task }, machine));
+            .push(Event::TaskAdopted(Task { id, ..task }, machine));
         self.stands(now, id, machine);
         self.placed(owner);
         if let Some(End::Wanted(cause)) = ended {
@@ -321,8 +321,8 @@
     /// Nobody waits for the answer any more.
     fn cancel(&mut self, task: TaskId) {
         if self.close(task) {
-            self.events.push(Event::HungUp(task));
-            self.give_up(task, Ending::Cancelled, true);
+            self.events.push(Event::ClientDisconnected(task));
+            self.give_up(task, AttemptOutcome::Cancelled, true);
             self.tasks.drop_if_over(task);
         }
     }
--- a/crates/platform/src/engine/silence.rs
+++ b/crates/platform/src/engine/silence.rs
@@ -3,7 +3,7 @@
 //! So a connection that fails its test is kept while tasks stand on its host, and the decisions are told that the host
 //! has no connection, so that nothing is offered there until it has.
 
-use maplethread::{Ending, Event, MachineId, MachineState, Micros, TaskId};
+use maplethread::{AttemptOutcome, Event, MachineId, MachineState, Micros, TaskId};
 use maplethread_engine::Decide;
 use maplethread_platform_wire::host::ToHost;
 
@@ -57,7 +57,7 @@
             let attempts: Vec<TaskId> = link.attempts.iter().copied().collect();
             self.look_at(id, now + QUIET);
             for task in attempts {
-                self.give_up(task, Ending::Reset, false);
+                self.give_up(task, AttemptOutcome::Disconnected, false);
             }
             if was_silent {
                 // The first test may be lost with a process that is gone: its successor breaks the connection at this one.
@@ -79,7 +79,7 @@
         if let Some(host) = self.fleet.hosts.get_mut(&machine)
             && !std::mem::replace(&mut host.cut, true)
         {
-            self.events.push(Event::Linked(machine, false));
+            self.events.push(Event::ConnectionChanged(machine, false));
         }
     }
 
@@ -87,7 +87,7 @@
         if let Some(host) = self.fleet.hosts.get_mut(&machine)
             && std::mem::take(&mut host.cut)
         {
-            self.events.push(Event::Linked(machine, true));
+            self.events.push(Event::ConnectionChanged(machine, true));
         }
     }
 
--- a/crates/platform/src/engine/tests.rs
+++ b/crates/platform/src/engine/tests.rs
@@ -121,7 +121,7 @@
     fn act(&mut self, action: Action) -> Vec<Output> {
         self.script.next.borrow_mut().push(action);
         // Decisions have a turn when something happens; a reminder does.
-        self.engine.events.push(Event::Woken(0));
+        self.engine.events.push(Event::TimerFired(0));
         self.turn()
     }
 
@@ -134,7 +134,7 @@
     fn ask(&mut self, owner: OwnerId, sid: u64) -> TaskId {
         self.says(owner, FromOwner::SetUp(Box::new(set_up(sid))));
         let asked = self.told().into_iter().find_map(|e| match e {
-            Event::Asked(task) => Some(task.id),
+            Event::PlacementRequested(task) => Some(task.id),
             _ => None,
         });
         asked.expect("it became an ask")
@@ -193,10 +193,10 @@
     }
 
     /// How the attempts told of ended.
-    fn endings(&mut self) -> Vec<(u32, Ending, bool)> {
+    fn endings(&mut self) -> Vec<(u32, AttemptOutcome, bool)> {
         let told = self.told().into_iter();
         told.filter_map(|e| match e {
-            Event::Ended(id, end) => Some((id.number, end.ending, end.closed)),
+            Event::AttemptFinished(id, end) => Some((id.number, end.outcome, end.closed)),
             _ => None,
         })
         .collect()
--- a/crates/platform/src/engine/tests/asks.rs
+++ b/crates/platform/src/engine/tests/asks.rs
@@ -14,15 +14,15 @@
         [(A, ToOwner::Ready(Sid(7), "there".into()))]
     );
     let id = AttemptId { task, number: 0 };
-    assert_eq!(rig.told().last(), Some(&Event::Seated(id, Some(5 * MS))));
+    assert_eq!(rig.told().last(), Some(&Event::AttemptAccepted(id, Some(5 * MS))));
     rig.host(link, FromHost::Event(Sid(7), Told::Live, 0.0));
-    assert_eq!(rig.told(), [Event::Noted(id, Note::Started)]);
+    assert_eq!(rig.told(), [Event::TaskReported(id, TaskReport::Started)]);
     let outputs = rig.host(link, FromHost::Close(Sid(7), cause::NORMAL, None));
     assert_eq!(
         to_owners(&outputs),
         [(A, ToOwner::Close(Sid(7), cause::NORMAL))]
     );
-    assert_eq!(rig.endings(), [(0, Ending::Done, true)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Completed, true)]);
     // The same release comes once more on the next connection, and a note after the end.
     let outputs = rig.host(link, FromHost::Close(Sid(7), cause::NORMAL, None));
     rig.host(link, FromHost::Event(Sid(7), Told::Served, 0.5));
@@ -42,8 +42,8 @@
         FromHost::Close(Sid(7), cause::FULL, Some(Told::NoCores)),
     );
     assert_eq!(to_owners(&outputs), []);
-    assert_eq!(rig.endings(), [(0, Ending::Refused, false)]);
-    let outputs = rig.act(Action::Refuse(task, None));
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Rejected, false)]);
+    let outputs = rig.act(Action::Reject(task, None));
     assert_eq!(
         to_owners(&outputs),
         [(A, ToOwner::Close(Sid(7), cause::FULL))]
@@ -58,7 +58,7 @@
     let link = rig.offered(task, 0);
     let outputs = rig.pass(300 * MS);
     assert!(sends(&outputs, link, 12) && sends(&outputs, link, 52));
-    assert_eq!(rig.endings(), [(0, Ending::TimedOut, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::TimedOut, false)]);
     let outputs = rig.host(link, FromHost::Ready(Sid(7), "late".into()));
     assert_eq!((to_owners(&outputs), rig.told()), (vec![], vec![]));
     // The answer showed that the connection works: it is used again, but not for the same task.
@@ -133,7 +133,7 @@
         .next
         .borrow_mut()
         .push(Action::Offer(task, MachineId(0), 100 * MS));
-    rig.engine.events.push(Event::Woken(0));
+    rig.engine.events.push(Event::TimerFired(0));
     let link = connect(&rig.turn());
     // A placer that stood still hears of the connection before it looks at the time.
     rig.now += 120 * MS;
@@ -143,5 +143,5 @@
         !sends(&outputs, link, 1) && !sends(&outputs, link, 12),
         "{outputs:?}"
     );
-    assert_eq!(rig.endings(), [(0, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
 }
--- a/crates/platform/src/engine/tests/crossings.rs
+++ b/crates/platform/src/engine/tests/crossings.rs
@@ -21,7 +21,7 @@
 fn asked(rig: &Rig) -> Vec<TaskId> {
     let told = rig.told().into_iter();
     told.filter_map(|e| {
-        if let Event::Asked(task) = e {
+        if let Event::PlacementRequested(task) = e {
             Some(task.id)
         } else {
             None
@@ -182,7 +182,7 @@
         rig.engine.link_up(rig.now, link);
         let outputs = rig.turn();
         assert!(!sends(&outputs, link, 1), "{outputs:?}");
-        assert_eq!(rig.endings(), [(0, Ending::Unreachable, true)]);
+        assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, true)]);
     }
 }
 
--- a/crates/platform/src/engine/tests/hosts.rs
+++ b/crates/platform/src/engine/tests/hosts.rs
@@ -38,7 +38,7 @@
         .next
         .borrow_mut()
         .push(Action::Offer(task, MachineId(0), 1_200 * MS));
-    rig.engine.events.push(Event::Woken(0));
+    rig.engine.events.push(Event::TimerFired(0));
     assert!(sends(&rig.turn(), link, 1));
     // The connection is of no further use, and the end of the other task is told on it in vain.
     let outputs = rig.pass(250 * MS);
@@ -67,7 +67,7 @@
         let told = rig.told();
         told.iter()
             .filter_map(|e| {
-                if let Event::Linked(_, up) = e {
+                if let Event::ConnectionChanged(_, up) = e {
                     Some(*up)
                 } else {
                     None
@@ -90,18 +90,18 @@
     let link = connect(&rig.offer(task, 0));
     rig.engine.link_lost(rig.now, link, Loss::Refused);
     rig.turn();
-    assert_eq!(rig.endings(), [(0, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
     // Never up: given up after the settings' 250 ms.
     let link = connect(&rig.offer(task, 0));
     let outputs = rig.pass(250 * MS);
     assert!(outputs.contains(&Output::CloseLink(link)));
-    assert_eq!(rig.endings(), [(1, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(1, AttemptOutcome::ConnectFailed, false)]);
     let link = connect(&rig.pass(1_000 * MS));
     rig.engine.link_up(rig.now, link);
     assert!(sends(&rig.offer(task, 0), link, 1));
     rig.engine.link_lost(rig.now, link, Loss::Broken);
     rig.turn();
-    assert_eq!(rig.endings(), [(2, Ending::Reset, false)]);
+    assert_eq!(rig.endings(), [(2, AttemptOutcome::Disconnected, false)]);
 }
 
 #[test]
@@ -111,7 +111,7 @@
     let link = connect(&rig.offer(task, 0));
     rig.list("a", "127.0.0.1:1", "leaving", 0.0);
     rig.turn();
-    assert_eq!(rig.endings(), [(0, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
     rig.engine.link_up(rig.now, link);
     assert!(!sends(&rig.turn(), link, 1));
     // And one that the decisions call off, before it was sent.
@@ -135,7 +135,7 @@
             .iter()
             .any(|o| matches!(o, Output::Connect(..) | Output::ToHost(..)))
     );
-    assert_eq!(rig.endings(), [(0, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
 }
 
 #[test]
@@ -150,7 +150,7 @@
     let link = connect(&rig.pass(25 * MS));
     rig.engine.link_lost(rig.now, link, Loss::Refused);
     let outputs = rig.turn();
-    assert_eq!(rig.endings(), [(0, Ending::Reset, true)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Disconnected, true)]);
     assert_eq!(
         to_owners(&outputs),
         [(A, ToOwner::Close(Sid(7), cause::RESET))]
@@ -196,7 +196,7 @@
         "one new connection may fail, and two"
     );
     let outputs = rig.pass(400 * MS);
-    assert_eq!(rig.endings(), [(0, Ending::Reset, true)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Disconnected, true)]);
     assert_eq!(
         to_owners(&outputs),
         [(A, ToOwner::Close(Sid(7), cause::RESET))]
@@ -234,7 +234,7 @@
     rig.passes_tests(up, 10);
     assert_eq!(rig.endings(), [], "until 7 s after it was heard last");
     let outputs = rig.pass(600 * MS);
-    assert_eq!(rig.endings(), [(0, Ending::Reset, true)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Disconnected, true)]);
     assert_eq!(
         to_owners(&outputs),
         [(A, ToOwner::Close(Sid(7), cause::RESET))]
@@ -305,7 +305,7 @@
         .count();
     assert_eq!(
         (rig.endings(), tries),
-        (vec![(0, Ending::Unreachable, false)], 4)
+        (vec![(0, AttemptOutcome::ConnectFailed, false)], 4)
     );
     let running = SetUp {
         at: Some("a".into()),
@@ -378,5 +378,5 @@
     rig.engine.link_lost(rig.now, link, Loss::Broken);
     let outputs = rig.turn();
     assert!(!outputs.iter().any(|o| matches!(o, Output::Connect(..))));
-    assert_eq!(rig.endings(), [(0, Ending::Reset, true)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::Disconnected, true)]);
 }
--- a/crates/platform/src/engine/tests/lists.rs
+++ b/crates/platform/src/engine/tests/lists.rs
@@ -21,13 +21,13 @@
     rig.turn();
     let listed = rig.told();
     assert!(
-        matches!(&listed[..], [Event::Listed { scope: Scope::Changes, machines }] if machines.len() == 1)
+        matches!(&listed[..], [Event::EndpointsUpdated { scope: UpdateScope::Delta, machines }] if machines.len() == 1)
     );
     // A whole list: who is not in it is gone.
     rig.engine.told(rig.now, &event(3, true, &["b"]));
     let task = rig.ask(A, 7);
     assert_eq!(rig.offer(task, 0), []);
-    assert_eq!(rig.endings(), [(0, Ending::Unreachable, false)]);
+    assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
 }
 
 #[test]
--- a/crates/platform/src/engine/tests/owners.rs
+++ b/crates/platform/src/engine/tests/owners.rs
@@ -29,7 +29,7 @@
         rig.now += MS;
         rig.engine.owner_opened(rig.now, OwnerId(100 + n));
         let task = rig.ask(OwnerId(100 + n), 100 + n);
-        rig.act(Action::Refuse(task, None));
+        rig.act(Action::Reject(task, None));
     }
     rig.engine.owner_closed(B);
     assert_eq!(rig.engine.spare_owner(), Some(OwnerId(100)));
@@ -62,7 +62,7 @@
     rig.ask(A, 7);
     let outputs = rig.says(A, FromOwner::SetUp(Box::new(set_up(7))));
     assert_eq!(outputs, [Output::CloseOwner(A)]);
-    assert!(matches!(rig.told()[..], [Event::HungUp(_)]));
+    assert!(matches!(rig.told()[..], [Event::ClientDisconnected(_)]));
     assert_eq!(rig.engine.held().tasks, 0);
 }
 
@@ -126,9 +126,9 @@
     let told = rig.told();
     let gone: Vec<&Event> = told
         .iter()
-        .filter(|e| matches!(e, Event::HungUp(_)))
+        .filter(|e| matches!(e, Event::ClientDisconnected(_)))
         .collect();
-    assert_eq!(gone, [&Event::HungUp(first), &Event::HungUp(second)]);
+    assert_eq!(gone, [&Event::ClientDisconnected(first), &Event::ClientDisconnected(second)]);
     assert_eq!((rig.engine.held().tasks, rig.engine.open_asks()), (0, 0));
 }
 
@@ -141,7 +141,7 @@
     let outputs = rig.host(link, FromHost::Close(Sid(7), cause::CANCELLED, None));
     assert_eq!(
         (to_owners(&outputs), rig.endings()),
-        (vec![], vec![(0, Ending::Cancelled, true)])
+        (vec![], vec![(0, AttemptOutcome::Cancelled, true)])
     );
 }
 
@@ -151,18 +151,18 @@
     let (task, link) = rig.stand(7);
     // A release to the host as well would cut the task, for which the owner is owed a release.
     assert_eq!(
-        rig.act(Action::Move(task)),
+        rig.act(Action::Migrate(task)),
         [Output::ToOwner(A, ToOwner::Relocate(Sid(7)))]
     );
-    assert_eq!(rig.act(Action::Move(task)), []);
+    assert_eq!(rig.act(Action::Migrate(task)), []);
     let outputs = rig.host(link, FromHost::Close(Sid(7), cause::CANCELLED, None));
     assert_eq!(
         (to_owners(&outputs), rig.endings()),
-        (vec![], vec![(0, Ending::Cancelled, true)])
+        (vec![], vec![(0, AttemptOutcome::Cancelled, true)])
     );
     // One that ends otherwise before it was moved is owed its release; without an owner's connection nothing is moved.
     let (task, link) = rig.stand(8);
-    rig.act(Action::Move(task));
+    rig.act(Action::Migrate(task));
     let outputs = rig.host(link, FromHost::Close(Sid(8), cause::NORMAL, None));
     assert_eq!(
         to_owners(&outputs),
@@ -170,7 +170,7 @@
     );
     let (task, _) = rig.stand(9);
     rig.engine.owner_closed(A);
-    assert_eq!(rig.act(Action::Move(task)), []);
+    assert_eq!(rig.act(Action::Migrate(task)), []);
 }
 
 #[test]
@@ -189,7 +189,7 @@
     let told = rig.told();
     assert!(matches!(
         told[..],
-        [Event::Running(
+        [Event::TaskAdopted(
             Task {
                 service: ServiceId(9),
                 ..
@@ -223,8 +223,8 @@
         );
         let told = rig.told().into_iter();
         told.filter_map(|e| {
-            if let Event::Asked(task) = e {
-                Some(task.again)
+            if let Event::PlacementRequested(task) = e {
+                Some(task.is_resubmission)
             } else {
                 None
             }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -41,7 +41,7 @@
     let terms = maplethread_deployment::terms(settings)?;
     // Offers wait for connections that are being made, and leave together: what is decided within a window and that time
     // may reach a host that came up cold within one window.
-    decisions.rules.fall_window += terms.connect_within + ON_ITS_WAY;
+    decisions.rules.overload_window += terms.connect_within + ON_ITS_WAY;
     // The protocol's page knows neither load reports in hosts' messages nor room in lists, whatever the settings say, and
     // neither is read here: the decisions reckon without them.
     (decisions.report, decisions.view) = (LoadReport::Silent, false);
--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -233,5 +233,5 @@
     let (decisions, terms) = maplethread_platform::decode(&settings).expect("sound settings");
     assert!(!decisions.view && decisions.report == maplethread::LoadReport::Silent);
     // What is counted for a cold host holds for the time that a connection may take to come up too.
-    assert!(decisions.rules.fall_window > support::WINDOW + terms.connect_within);
+    assert!(decisions.rules.overload_window > support::WINDOW + terms.connect_within);
 }
--- a/crates/standin/src/baseline.rs
+++ b/crates/standin/src/baseline.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use maplethread::{
-    Action, AttemptId, Effect, Ending, Event, Group, Listing, MachineId, MachineState, Micros,
-    Place, Scope, ServiceId, Settings, Task, TaskId,
+    Action, AttemptId, RetrySafety, AttemptOutcome, Event, DeduplicationScope, MachineEntry, MachineId, MachineState, Micros,
+    TopologyLevel, UpdateScope, ServiceId, Settings, Task, TaskId,
 };
 use maplethread_engine::Decide;
 
@@ -39,7 +39,7 @@
     settings: Settings,
     dice: Dice,
     now: Micros,
-    machines: BTreeMap<MachineId, Listing>,
+    machines: BTreeMap<MachineId, MachineEntry>,
     unlinked: BTreeSet<MachineId>,
     numbered: bool,
     sends: BTreeMap<MachineId, VecDeque<Micros>>,
@@ -78,22 +78,22 @@
 
     fn take(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Listed { scope, machines } => {
-                if *scope != Scope::Changes {
+            Event::EndpointsUpdated { scope, machines } => {
+                if *scope != UpdateScope::Delta {
                     self.machines.clear();
                 }
                 self.machines
                     .extend(machines.iter().map(|m| (m.machine, *m)));
             }
-            Event::Linked(machine, up) => {
+            Event::ConnectionChanged(machine, up) => {
                 if *up {
                     self.unlinked.remove(machine);
                 } else {
                     self.unlinked.insert(*machine);
                 }
             }
-            Event::Numbered(number) => self.numbered = number.is_some(),
-            Event::Asked(task) => {
+            Event::ReplicaIndexChanged(number) => self.numbered = number.is_some(),
+            Event::PlacementRequested(task) => {
                 self.dropped += 1;
                 if self.rogue == 1 && self.dropped.is_multiple_of(7) {
                     self.log_move();
@@ -107,11 +107,11 @@
                     refused_by: Vec::new(),
                 };
                 self.open.insert(task.id, open);
-                let last = task.give_up_at.saturating_sub(MARGIN);
-                actions.push(Action::Wake(last.saturating_sub(self.now), task.id.0 + 1));
+                let last = task.deadline.saturating_sub(MARGIN);
+                actions.push(Action::SetTimer(last.saturating_sub(self.now), task.id.0 + 1));
                 self.todo.push_back(task.id);
             }
-            Event::Running(task, machine) => {
+            Event::TaskAdopted(task, machine) => {
                 self.bind(
                     AttemptId {
                         task: task.id,
@@ -121,8 +121,8 @@
                     *machine,
                 );
             }
-            Event::Seated(id, _) => drop(self.open.remove(&id.task)),
-            Event::Ended(id, end) => {
+            Event::AttemptAccepted(id, _) => drop(self.open.remove(&id.task)),
+            Event::AttemptFinished(id, end) => {
                 let Some((task, machine, sent)) = self.attempts.remove(id) else {
                     return;
                 };
@@ -136,27 +136,27 @@
                 };
                 open.out = false;
                 if !matches!(
-                    end.ending,
-                    Ending::Refused | Ending::Unreachable | Ending::NotSent
+                    end.outcome,
+                    AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
                 ) {
                     open.may_run = open.may_run.or(Some((sent, machine)));
                 }
                 // What refused a moment ago is likely to do so again.
-                if end.ending == Ending::Refused {
+                if end.outcome == AttemptOutcome::Rejected {
                     open.refused_by.push(machine);
                     self.on_hold.push_back(id.task)
                 } else {
                     self.todo.push_back(id.task)
                 }
             }
-            Event::HungUp(task) => drop(self.open.remove(task)),
-            Event::Woken(TICK) => self.ticking = false,
-            Event::Woken(label) => {
+            Event::ClientDisconnected(task) => drop(self.open.remove(task)),
+            Event::TimerFired(TICK) => self.ticking = false,
+            Event::TimerFired(label) => {
                 let id = TaskId(label - 1);
                 if self
                     .open
                     .get(&id)
-                    .is_some_and(|o| o.task.give_up_at <= self.now + MARGIN)
+                    .is_some_and(|o| o.task.deadline <= self.now + MARGIN)
                 {
                     self.answer(id, actions);
                 }
@@ -184,15 +184,15 @@
         let Some(open) = self.open.remove(&id) else {
             return;
         };
-        let harmless = match self.settings.classes[open.task.class].effect {
-            Effect::Safe
-            | Effect::Keyed {
-                group: Group::All, ..
+        let harmless = match self.settings.classes[open.task.class].retry_safety {
+            RetrySafety::Idempotent
+            | RetrySafety::IdempotencyKey {
+                group: DeduplicationScope::All, ..
             } => true,
             _ => !open.out && open.may_run.is_none(),
         };
         actions.push(if harmless {
-            Action::Refuse(id, None)
+            Action::Reject(id, None)
         } else {
             Action::Fail(id)
         });
@@ -204,7 +204,7 @@
         };
         let task = open.task;
         let class = &self.settings.classes[task.class];
-        if open.out || task.give_up_at <= self.now + MARGIN {
+        if open.out || task.deadline <= self.now + MARGIN {
             return;
         }
         if !self.may_send_again(open, self.rogue)
@@ -242,7 +242,7 @@
                 } else {
                     &willing
                 };
-                let crowded = self.most_crowded(from, class.spread, task.service);
+                let crowded = self.most_crowded(from, class.spread_limit, task.service);
                 crowded[self.dice.below(crowded.len())]
             }
             _ => allowed[self.dice.below(allowed.len())],
@@ -252,8 +252,8 @@
         }
         let number = open.attempts;
         // Giving up before a host can have answered makes for attempts that may have run.
-        let patience = if self.rogue == 2 { 3_000 } else { class.aim };
-        let wait = patience.min(task.give_up_at - self.now);
+        let patience = if self.rogue == 2 { 3_000 } else { class.latency_objective };
+        let wait = patience.min(task.deadline - self.now);
         actions.push(Action::Offer(id, machine, wait));
         self.bind(AttemptId { task: id, number }, task, machine);
         if let Some(open) = self.open.get_mut(&id) {
@@ -261,7 +261,7 @@
         }
         let sends = self.sends.entry(machine).or_default();
         sends.push_back(self.now);
-        let window = self.settings.rules.fall_window;
+        let window = self.settings.rules.overload_window;
         while sends.front().is_some_and(|&at| at + window < self.now) {
             sends.pop_front();
         }
@@ -284,7 +284,7 @@
     fn most_crowded(
         &self,
         machines: &[MachineId],
-        spread: Option<(Place, u32)>,
+        spread: Option<(TopologyLevel, u32)>,
         service: ServiceId,
     ) -> Vec<MachineId> {
         let count = |machine: &MachineId| {
@@ -305,48 +305,48 @@
 
     /// Whether what may have run may be sent once more, for one that breaks the rule `rogue`.
     fn may_send_again(&self, open: &Open, rogue: u8) -> bool {
-        match (open.may_run, self.settings.classes[open.task.class].effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (Some((sent, _)), Effect::Keyed { window, .. }) => {
+        match (open.may_run, self.settings.classes[open.task.class].retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some((sent, _)), RetrySafety::IdempotencyKey { window, .. }) => {
                 self.now + MARGIN < sent + window || rogue == 2
             }
-            (Some(_), Effect::Unsafe) => rogue == 2,
+            (Some(_), RetrySafety::NonIdempotent) => rogue == 2,
         }
     }
 
     /// Whether the guards of the host allow an offer, for one that breaks the rule `rogue`.
-    fn allowed(&self, machine: &Listing, open: &Open, rogue: u8) -> bool {
+    fn allowed(&self, machine: &MachineEntry, open: &Open, rogue: u8) -> bool {
         let class = &self.settings.classes[open.task.class];
         let state = machine.state == MachineState::Ready || rogue == 3;
         let state = state && !self.unlinked.contains(&machine.machine);
         if !state || class.kind.is_some_and(|kind| kind != machine.kind) {
             return false;
         }
-        if let (Some((_, first)), Effect::Keyed { group, .. }, true) =
-            (open.may_run, class.effect, rogue != 2)
+        if let (Some((_, first)), RetrySafety::IdempotencyKey { group, .. }, true) =
+            (open.may_run, class.retry_safety, rogue != 2)
         {
             let first = self.machines.get(&first);
             let same = match group {
-                Group::All => true,
-                Group::Zone => first.is_some_and(|f| f.zone == machine.zone),
-                Group::Cell => first.is_some_and(|f| f.cell == machine.cell),
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => first.is_some_and(|f| f.zone == machine.zone),
+                DeduplicationScope::Cell => first.is_some_and(|f| f.cell == machine.cell),
             };
             if !same {
                 return false;
             }
         }
-        let spread = class.spread.filter(|_| rogue != 5);
+        let spread = class.spread_limit.filter(|_| rogue != 5);
         if spread.is_some_and(|(place, most)| self.count(place, machine, open.task.service) >= most)
         {
             return false;
         }
         let rules = &self.settings.rules;
         if self.cold(&machine.machine) && rogue != 4 {
-            let part = (rules.fresh_offers * 0.9 / f64::from(self.settings.placers)) as usize;
+            let part = (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
             let sends = self.sends.get(&machine.machine);
             let lately = sends.map_or(0, |s| {
                 s.iter()
-                    .filter(|&&at| at + rules.fall_window >= self.now)
+                    .filter(|&&at| at + rules.overload_window >= self.now)
                     .count()
             });
             return lately < part && self.numbered;
@@ -356,15 +356,15 @@
 
     fn cold(&self, id: &MachineId) -> bool {
         let started = self.machines.get(id).and_then(|m| m.started);
-        started.is_some_and(|start| start + self.settings.rules.cold_for > self.now)
+        started.is_some_and(|start| start + self.settings.rules.warm_up_duration > self.now)
     }
 
-    fn count(&self, place: Place, at: &Listing, service: ServiceId) -> u32 {
+    fn count(&self, place: TopologyLevel, at: &MachineEntry, service: ServiceId) -> u32 {
         let there = |id: &MachineId| {
             self.machines.get(id).is_some_and(|m| match place {
-                Place::Machine => m.machine == at.machine,
-                Place::Cell => m.cell == at.cell,
-                Place::Zone => m.zone == at.zone,
+                TopologyLevel::Machine => m.machine == at.machine,
+                TopologyLevel::Cell => m.cell == at.cell,
+                TopologyLevel::Zone => m.zone == at.zone,
             })
         };
         let held = self.held.get(&service).into_iter().flatten();
@@ -398,7 +398,7 @@
         // One that takes long times without a turn for pauses needs turns all the time.
         if (self.rogue == 6 || !self.on_hold.is_empty()) && !self.ticking {
             self.ticking = true;
-            actions.push(Action::Wake(HOLD, TICK));
+            actions.push(Action::SetTimer(HOLD, TICK));
         }
     }
 }
--- a/crates/standin/src/recorded.rs
+++ b/crates/standin/src/recorded.rs
@@ -140,12 +140,12 @@
                     Record::Turn(turn) => {
                         for event in &turn.events {
                             match event {
-                                Event::Asked(task) => {
+                                Event::PlacementRequested(task) => {
                                     let Some((service, actor, at, class)) = open.remove(&task.id.0)
                                     else {
                                         continue;
                                     };
-                                    if task.again || self.asks.len() >= MOST_ASKS {
+                                    if task.is_resubmission || self.asks.len() >= MOST_ASKS {
                                         continue;
                                     }
                                     let class = header.classes.get(class as usize).cloned();
@@ -157,12 +157,12 @@
                                             .cloned()
                                             .unwrap_or_default(),
                                         actor,
-                                        shape: [task.asks.cores, task.asks.memory],
-                                        life: task.life,
+                                        shape: [task.requested.cores, task.requested.memory],
+                                        life: task.expected_duration,
                                         placer: run.0.clone(),
                                     });
                                 }
-                                Event::Listed { machines, .. } => {
+                                Event::EndpointsUpdated { machines, .. } => {
                                     for listing in machines {
                                         if let Some(at) = listing.started
                                             && let Some(name) = names.get(&listing.machine.0)
@@ -316,7 +316,7 @@
 mod tests {
     use std::io::Cursor;
 
-    use maplethread::{Listing, MachineId, MachineState, Room, Scope, ServiceId, Task, TaskId};
+    use maplethread::{MachineEntry, MachineId, MachineState, Resources, UpdateScope, ServiceId, Task, TaskId};
     use maplethread_trace::{Header, Stamped, Turn, Writer};
 
     use super::*;
@@ -378,14 +378,14 @@
                 id: TaskId(task),
                 service: ServiceId(3),
                 class: 1,
-                asks: Room::new(0.5, 2.0),
-                life: Some(7 * S),
-                give_up_at: at + S,
-                again,
+                requested: Resources::new(0.5, 2.0),
+                expected_duration: Some(7 * S),
+                deadline: at + S,
+                is_resubmission: again,
             };
             let turn = Turn {
                 now: at,
-                events: vec![Event::Asked(task)],
+                events: vec![Event::PlacementRequested(task)],
                 actions: Vec::new(),
             };
             writer
@@ -400,18 +400,18 @@
         }
         for &(at, host) in starts {
             let at = START + at * S;
-            let listing = Listing {
+            let listing = MachineEntry {
                 machine: MachineId(host),
-                label: 0,
+                stable_hash: 0,
                 zone: 0,
                 cell: 0,
                 kind: 0,
                 state: MachineState::Ready,
                 started: Some(at),
-                unasked: None,
+                unallocated: None,
             };
-            let listed = Event::Listed {
-                scope: Scope::Changes,
+            let listed = Event::EndpointsUpdated {
+                scope: UpdateScope::Delta,
                 machines: vec![listing],
             };
             let turn = Turn {
--- a/crates/standin/tests/rogue.rs
+++ b/crates/standin/tests/rogue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use maplethread::{
-    Action, Event, Listing, MachineId, MachineState, Room, Scope, ServiceId, Settings, Task, TaskId,
+    Action, Event, MachineEntry, MachineId, MachineState, Resources, UpdateScope, ServiceId, Settings, Task, TaskId,
 };
 use maplethread_config::{Doc, PlacerConfig};
 use maplethread_engine::Decide;
@@ -31,29 +31,29 @@
     machine.0 % ZONES
 }
 
-fn listing(number: u32) -> Listing {
+fn listing(number: u32) -> MachineEntry {
     let machine = MachineId(number);
-    Listing {
+    MachineEntry {
         machine,
-        label: u64::from(number),
+        stable_hash: u64::from(number),
         zone: zone_of(machine),
         cell: number,
         kind: 0,
         state: MachineState::Ready,
         started: None,
-        unasked: None,
+        unallocated: None,
     }
 }
 
 fn ask(id: u64) -> Event {
-    Event::Asked(Task {
+    Event::PlacementRequested(Task {
         id: TaskId(id),
         service: ServiceId(9),
         class: WEB_API,
-        asks: Room::new(0.5, 1.0),
-        life: None,
-        give_up_at: 60_000_000,
-        again: false,
+        requested: Resources::new(0.5, 1.0),
+        expected_duration: None,
+        deadline: 60_000_000,
+        is_resubmission: false,
     })
 }
 
@@ -65,14 +65,14 @@
     let machines = (0..MACHINES).map(listing).collect();
     placer.turn(
         0,
-        &[Event::Listed {
-            scope: Scope::Full,
+        &[Event::EndpointsUpdated {
+            scope: UpdateScope::Full,
             machines,
         }],
         &mut actions,
     );
     for id in 0..=u64::from(MOST) {
-        let lost = Event::Linked(MachineId(id as u32), false);
+        let lost = Event::ConnectionChanged(MachineId(id as u32), false);
         placer.turn(id + 1, &[lost, ask(id)], &mut actions);
     }
     let mut zones: BTreeMap<u32, u32> = BTreeMap::new();
@@ -105,8 +105,8 @@
     let machines = (0..MACHINES).map(listing).collect();
     placer.turn(
         0,
-        &[Event::Listed {
-            scope: Scope::Full,
+        &[Event::EndpointsUpdated {
+            scope: UpdateScope::Full,
             machines,
         }],
         &mut actions,
@@ -115,7 +115,7 @@
     assert!(
         actions
             .iter()
-            .any(|a| matches!(a, Action::Wake(after, _) if *after < 300_000)),
+            .any(|a| matches!(a, Action::SetTimer(after, _) if *after < 300_000)),
         "{actions:?}"
     );
     let offers = |actions: &[Action], task: u64| {
--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -4,7 +4,7 @@
 use std::fs::File;
 use std::io::BufWriter;
 
-use maplethread::{Action, AttemptId, Event, MachineId, Room, ServiceId, Task, TaskId};
+use maplethread::{Action, AttemptId, Event, MachineId, Resources, ServiceId, Task, TaskId};
 use maplethread_trace::{Header, Outcome, Record, Stamped, Turn, Writer};
 
 const SERVICES: u64 = 20_000;
@@ -66,15 +66,15 @@
             id: TaskId(ask),
             service: ServiceId(service),
             class: 0,
-            asks: Room::new(0.5, 1.0),
-            life: None,
-            give_up_at: at + 3_000_000,
-            again: false,
+            requested: Resources::new(0.5, 1.0),
+            expected_duration: None,
+            deadline: at + 3_000_000,
+            is_resubmission: false,
         };
         let offer = Action::Offer(TaskId(ask), MachineId(machine), 600_000);
         let first = Turn {
             now: at,
-            events: vec![Event::Asked(task)],
+            events: vec![Event::PlacementRequested(task)],
             actions: vec![offer],
         };
         let id = AttemptId {
@@ -83,7 +83,7 @@
         };
         let second = Turn {
             now: at + 900,
-            events: vec![Event::Seated(id, Some(900))],
+            events: vec![Event::AttemptAccepted(id, Some(900))],
             actions: Vec::new(),
         };
         let answered = Record::Answered {
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 use maplethread::{
-    Action, AttemptId, End, Event, Listing, MachineId, Micros, Note, Room, ServiceId, Task, TaskId,
+    Action, AttemptId, AttemptResult, Event, MachineEntry, MachineId, Micros, TaskReport, Resources, ServiceId, Task, TaskId,
 };
 
 use crate::header::{Header, Source};
@@ -81,7 +81,7 @@
         at.wrapping_add(self.shift)
     }
 
-    fn asks(&self, asks: Room) -> Room {
+    fn asks(&self, asks: Resources) -> Resources {
         let up = |x: f64| {
             if self.grain > 0.0 {
                 (x / self.grain).ceil() * self.grain
@@ -89,7 +89,7 @@
                 x
             }
         };
-        Room::new(up(asks.cores), up(asks.memory))
+        Resources::new(up(asks.cores), up(asks.memory))
     }
 
     /// The header; a trace whose names are hidden can't be replayed, since hosts are ranked by their names' hashes.
@@ -257,72 +257,72 @@
             id,
             service,
             class,
-            asks,
-            life,
-            give_up_at,
-            again,
+            requested: asks,
+            expected_duration: life,
+            deadline: give_up_at,
+            is_resubmission: again,
         } = *task;
         Task {
             id,
             service: ServiceId(self.service(service.0)),
             class,
-            asks: self.asks(asks),
-            life,
-            give_up_at: self.time(give_up_at),
-            again,
+            requested: self.asks(asks),
+            expected_duration: life,
+            deadline: self.time(give_up_at),
+            is_resubmission: again,
         }
     }
 
-    fn listing(&self, listing: &Listing) -> Listing {
-        let Listing {
+    fn listing(&self, listing: &MachineEntry) -> MachineEntry {
+        let MachineEntry {
             machine,
-            label,
+            stable_hash: label,
             zone,
             cell,
             kind,
             state,
             started,
-            unasked,
+            unallocated: unasked,
         } = *listing;
-        Listing {
+        MachineEntry {
             machine,
-            label: self.number("label", &label.to_le_bytes()),
+            stable_hash: self.number("label", &label.to_le_bytes()),
             zone,
             cell,
             kind,
             state,
             started: started.map(|at| self.time(at)),
-            unasked,
+            unallocated: unasked,
         }
     }
 
     fn event(&self, event: &Event) -> Event {
         match event {
-            Event::Listed { scope, machines } => Event::Listed {
+            Event::EndpointsUpdated { scope, machines } => Event::EndpointsUpdated {
                 scope: *scope,
                 machines: machines.iter().map(|m| self.listing(m)).collect(),
             },
-            Event::Numbered(number) => Event::Numbered(*number),
-            Event::Linked(MachineId(n), on) => Event::Linked(MachineId(*n), *on),
-            Event::ListUnavailable => Event::ListUnavailable,
-            Event::Asked(task) => Event::Asked(self.task(task)),
-            Event::Running(task, MachineId(n)) => Event::Running(self.task(task), MachineId(*n)),
-            Event::Seated(AttemptId { task, number }, took) => Event::Seated(
+            Event::ReplicaIndexChanged(number) => Event::ReplicaIndexChanged(*number),
+            Event::ConnectionChanged(MachineId(n), on) => Event::ConnectionChanged(MachineId(*n), *on),
+            Event::DiscoveryUnavailable => Event::DiscoveryUnavailable,
+            Event::PlacementRequested(task) => Event::PlacementRequested(self.task(task)),
+            Event::TaskAdopted(task, MachineId(n)) => Event::TaskAdopted(self.task(task), MachineId(*n)),
+            Event::AttemptAccepted(AttemptId { task, number }, took) => Event::AttemptAccepted(
                 AttemptId {
                     task: *task,
                     number: *number,
                 },
                 *took,
             ),
-            Event::Noted(AttemptId { task, number }, note) => {
+            Event::TaskReported(AttemptId { task, number }, note) => {
                 let note = match note {
-                    Note::Started => Note::Started,
-                    Note::CoresUsed(x) => Note::CoresUsed(*x),
-                    Note::MemoryUsed(x) => Note::MemoryUsed(*x),
-                    Note::Served(x) => Note::Served(*x),
-                    Note::MachineMemory(x) => Note::MachineMemory(*x),
+                    TaskReport::Started => TaskReport::Started,
+                    TaskReport::CoresUsed(x) => TaskReport::CoresUsed(*x),
+                    TaskReport::MemoryUsed(x) => TaskReport::MemoryUsed(*x),
+                    TaskReport::Served(x) => TaskReport::Served(*x),
+                    TaskReport::MachineMemory(x) => TaskReport::MachineMemory(*x),
                 };
-                Event::Noted(
+                Event::TaskReported(
                     AttemptId {
                         task: *task,
                         number: *number,
@@ -330,22 +330,22 @@
                     note,
                 )
             }
-            Event::Ended(
+            Event::AttemptFinished(
                 AttemptId { task, number },
-                End {
-                    ending,
-                    why,
+                AttemptResult {
+                    outcome: ending,
+                    reason: why,
                     closed,
                     load,
                 },
             ) => {
-                let end = End {
-                    ending: *ending,
-                    why: *why,
+                let end = AttemptResult {
+                    outcome: *ending,
+                    reason: *why,
                     closed: *closed,
                     load: *load,
                 };
-                Event::Ended(
+                Event::AttemptFinished(
                     AttemptId {
                         task: *task,
                         number: *number,
@@ -353,14 +353,14 @@
                     end,
                 )
             }
-            Event::HungUp(TaskId(task)) => Event::HungUp(TaskId(*task)),
-            Event::Woken(label) => Event::Woken(*label),
+            Event::ClientDisconnected(TaskId(task)) => Event::ClientDisconnected(TaskId(*task)),
+            Event::TimerFired(label) => Event::TimerFired(*label),
             Event::Probed { machine, ok, load } => Event::Probed {
                 machine: *machine,
                 ok: *ok,
                 load: *load,
             },
-            Event::Told { from, bytes: _ } => Event::Told {
+            Event::PeerMessage { from, bytes: _ } => Event::PeerMessage {
                 from: *from,
                 bytes: Vec::new(),
             },
@@ -376,19 +376,19 @@
                 task: *task,
                 number: *number,
             }),
-            Action::Refuse(TaskId(task), advice) => Action::Refuse(TaskId(*task), *advice),
+            Action::Reject(TaskId(task), advice) => Action::Reject(TaskId(*task), *advice),
             Action::Fail(TaskId(task)) => Action::Fail(TaskId(*task)),
-            Action::Held(TaskId(task), lack) => Action::Held(TaskId(*task), *lack),
-            Action::Move(TaskId(task)) => Action::Move(TaskId(*task)),
-            Action::Wake(after, label) => Action::Wake(*after, *label),
+            Action::Blocked(TaskId(task), lack) => Action::Blocked(TaskId(*task), *lack),
+            Action::Migrate(TaskId(task)) => Action::Migrate(TaskId(*task)),
+            Action::SetTimer(after, label) => Action::SetTimer(*after, *label),
             Action::Probe(MachineId(n)) => Action::Probe(MachineId(*n)),
             Action::CloseIdle(MachineId(n)) => Action::CloseIdle(MachineId(*n)),
-            Action::Tell { to, bytes: _ } => Action::Tell {
+            Action::SendToPeer { to, bytes: _ } => Action::SendToPeer {
                 to: *to,
                 bytes: Vec::new(),
             },
-            Action::Listen(on) => Action::Listen(*on),
-            Action::Lookup => Action::Lookup,
+            Action::WatchEndpoints(on) => Action::WatchEndpoints(*on),
+            Action::FetchEndpoints => Action::FetchEndpoints,
             Action::Log(_) => Action::Log(String::new()),
         }
     }
@@ -509,8 +509,8 @@
         Record::Turn(turn) => {
             for event in &turn.events {
                 match event {
-                    Event::Listed { machines, .. } => machines.iter().for_each(|m| see(m.label)),
-                    Event::Asked(task) | Event::Running(task, _) => see(task.service.0),
+                    Event::EndpointsUpdated { machines, .. } => machines.iter().for_each(|m| see(m.stable_hash)),
+                    Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => see(task.service.0),
                     _ => {}
                 }
             }
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -87,7 +87,7 @@
             }
             Record::Turn(turn) => {
                 for event in &turn.events {
-                    if let Event::Running(task, machine) = event {
+                    if let Event::TaskAdopted(task, machine) = event {
                         if wanted.machine == Some(machine.0) {
                             self.of_machine.insert(task.id.0);
                         }
@@ -163,25 +163,25 @@
 
     fn event(&self, wanted: &Wanted, event: &Event) -> Option<Event> {
         let task = match event {
-            Event::Listed { scope, machines } => {
+            Event::EndpointsUpdated { scope, machines } => {
                 let machines: Vec<_> = machines
                     .iter()
                     .filter(|m| wanted.machine == Some(m.machine.0))
                     .copied()
                     .collect();
-                return (!machines.is_empty()).then_some(Event::Listed {
+                return (!machines.is_empty()).then_some(Event::EndpointsUpdated {
                     scope: *scope,
                     machines,
                 });
             }
-            Event::Linked(machine, _) | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged(machine, _) | Event::Probed { machine, .. } => {
                 return (wanted.machine == Some(machine.0)).then(|| event.clone());
             }
-            Event::Asked(task) | Event::Running(task, _) => task.id.0,
-            Event::Seated(id, _) | Event::Noted(id, _) | Event::Ended(id, _) => id.task.0,
-            Event::HungUp(task) => task.0,
-            Event::Numbered(_) | Event::ListUnavailable => return Some(event.clone()),
-            Event::Woken(_) | Event::Told { .. } => return None,
+            Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => task.id.0,
+            Event::AttemptAccepted(id, _) | Event::TaskReported(id, _) | Event::AttemptFinished(id, _) => id.task.0,
+            Event::ClientDisconnected(task) => task.0,
+            Event::ReplicaIndexChanged(_) | Event::DiscoveryUnavailable => return Some(event.clone()),
+            Event::TimerFired(_) | Event::PeerMessage { .. } => return None,
         };
         self.has(wanted, task).then(|| event.clone())
     }
@@ -189,18 +189,18 @@
     fn action(&self, wanted: &Wanted, action: &Action) -> bool {
         match action {
             Action::Offer(task, ..)
-            | Action::Refuse(task, _)
+            | Action::Reject(task, _)
             | Action::Fail(task)
-            | Action::Held(task, _)
-            | Action::Move(task) => self.has(wanted, task.0),
+            | Action::Blocked(task, _)
+            | Action::Migrate(task) => self.has(wanted, task.0),
             Action::Cancel(id) => self.has(wanted, id.task.0),
             Action::Probe(machine) | Action::CloseIdle(machine) => {
                 wanted.machine == Some(machine.0)
             }
-            Action::Wake(..)
-            | Action::Tell { .. }
-            | Action::Listen(_)
-            | Action::Lookup
+            Action::SetTimer(..)
+            | Action::SendToPeer { .. }
+            | Action::WatchEndpoints(_)
+            | Action::FetchEndpoints
             | Action::Log(_) => false,
         }
     }
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hdrhistogram::Histogram;
-use maplethread::{Action, AttemptId, End, Ending, Event, Micros, Note};
+use maplethread::{Action, AttemptId, AttemptResult, AttemptOutcome, Event, Micros, TaskReport};
 use serde_json::{Value, json};
 
 use crate::record::{Outcome, Record, Stamped, Turn};
@@ -225,23 +225,23 @@
     fn turn(&mut self, now: Micros, turn: &Turn) {
         for event in &turn.events {
             match event {
-                Event::Asked(task) => {
+                Event::PlacementRequested(task) => {
                     if let Some(actor) = self.actor(task.id.0) {
                         // Without a life it is wanted until it is done.
                         let until = task
-                            .life
+                            .expected_duration
                             .map_or(Micros::MAX, |life| actor.asked.saturating_add(life));
                         actor.until.get_or_insert(until);
                     }
                 }
-                Event::Seated(id, _) => {
+                Event::AttemptAccepted(id, _) => {
                     let host = self.attempts.get(&key(id)).map(|a| a.0);
                     if let Some(actor) = self.actor(id.task.0) {
                         actor.phase(now, "accepted, starting", host);
                     }
                 }
-                Event::Noted(id, Note::Started) => self.started(now, id),
-                Event::Ended(id, end) => self.ended(now, id, *end),
+                Event::TaskReported(id, TaskReport::Started) => self.started(now, id),
+                Event::AttemptFinished(id, end) => self.ended(now, id, *end),
                 _ => {}
             }
         }
@@ -258,7 +258,7 @@
                         actor.phase(now, "offered", Some(machine.0));
                     }
                 }
-                Action::Held(task, lack) => {
+                Action::Blocked(task, lack) => {
                     if let Some(actor) = self.actor(task.0) {
                         actor.phase(now, format!("held for {}", report_names::lack(*lack)), None);
                     }
@@ -291,7 +291,7 @@
         }
     }
 
-    fn ended(&mut self, now: Micros, id: &AttemptId, end: End) {
+    fn ended(&mut self, now: Micros, id: &AttemptId, end: AttemptResult) {
         let Some((host, ran)) = self.attempts.remove(&key(id)) else {
             return;
         };
@@ -301,7 +301,7 @@
         };
         if ran {
             actor.copies = actor.copies.saturating_sub(1);
-            if end.ending == Ending::Done {
+            if end.outcome == AttemptOutcome::Completed {
                 actor.until = Some(actor.until.unwrap_or(now).min(now));
             } else if actor.copies == 0 && actor.gap.is_none() {
                 let phase = "with its owner, told of the loss".to_owned();
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Seek};
 
-use maplethread::{Action, AttemptId, Event, Listing, MachineId, Task, TaskId};
+use maplethread::{Action, AttemptId, Event, MachineEntry, MachineId, Task, TaskId};
 
 use crate::header::{Header, Source};
 use crate::reader::{Part, Reader};
@@ -325,32 +325,32 @@
             }) => {
                 let event = |event: Event| -> Result<Event, MergeError> {
                     Ok(match event {
-                        Event::Listed { scope, machines } => {
-                            let one = |m: Listing| Listing {
+                        Event::EndpointsUpdated { scope, machines } => {
+                            let one = |m: MachineEntry| MachineEntry {
                                 machine: MachineId(host(m.machine.0)),
                                 ..m
                             };
-                            Event::Listed {
+                            Event::EndpointsUpdated {
                                 scope,
                                 machines: machines.into_iter().map(one).collect(),
                             }
                         }
-                        Event::Linked(m, on) => Event::Linked(MachineId(host(m.0)), on),
-                        Event::Asked(t) => Event::Asked(whole(t)?),
-                        Event::Running(t, m) => Event::Running(whole(t)?, MachineId(host(m.0))),
-                        Event::Seated(id, took) => Event::Seated(attempt(id)?, took),
-                        Event::Noted(id, note) => Event::Noted(attempt(id)?, note),
-                        Event::Ended(id, end) => Event::Ended(attempt(id)?, end),
-                        Event::HungUp(id) => Event::HungUp(TaskId(task(id.0)?)),
+                        Event::ConnectionChanged(m, on) => Event::ConnectionChanged(MachineId(host(m.0)), on),
+                        Event::PlacementRequested(t) => Event::PlacementRequested(whole(t)?),
+                        Event::TaskAdopted(t, m) => Event::TaskAdopted(whole(t)?, MachineId(host(m.0))),
+                        Event::AttemptAccepted(id, took) => Event::AttemptAccepted(attempt(id)?, took),
+                        Event::TaskReported(id, note) => Event::TaskReported(attempt(id)?, note),
+                        Event::AttemptFinished(id, end) => Event::AttemptFinished(attempt(id)?, end),
+                        Event::ClientDisconnected(id) => Event::ClientDisconnected(TaskId(task(id.0)?)),
                         Event::Probed { machine, ok, load } => Event::Probed {
                             machine: MachineId(host(machine.0)),
                             ok,
                             load,
                         },
-                        Event::Numbered(_)
-                        | Event::ListUnavailable
-                        | Event::Woken(_)
-                        | Event::Told { .. } => event,
+                        Event::ReplicaIndexChanged(_)
+                        | Event::DiscoveryUnavailable
+                        | Event::TimerFired(_)
+                        | Event::PeerMessage { .. } => event,
                     })
                 };
                 let action = |action: Action| -> Result<Action, MergeError> {
@@ -359,16 +359,16 @@
                             Action::Offer(TaskId(task(id.0)?), MachineId(host(m.0)), wait)
                         }
                         Action::Cancel(id) => Action::Cancel(attempt(id)?),
-                        Action::Refuse(id, advice) => Action::Refuse(TaskId(task(id.0)?), advice),
+                        Action::Reject(id, advice) => Action::Reject(TaskId(task(id.0)?), advice),
                         Action::Fail(id) => Action::Fail(TaskId(task(id.0)?)),
-                        Action::Held(id, lack) => Action::Held(TaskId(task(id.0)?), lack),
-                        Action::Move(id) => Action::Move(TaskId(task(id.0)?)),
+                        Action::Blocked(id, lack) => Action::Blocked(TaskId(task(id.0)?), lack),
+                        Action::Migrate(id) => Action::Migrate(TaskId(task(id.0)?)),
                         Action::Probe(m) => Action::Probe(MachineId(host(m.0))),
                         Action::CloseIdle(m) => Action::CloseIdle(MachineId(host(m.0))),
-                        Action::Wake(..)
-                        | Action::Tell { .. }
-                        | Action::Listen(_)
-                        | Action::Lookup
+                        Action::SetTimer(..)
+                        | Action::SendToPeer { .. }
+                        | Action::WatchEndpoints(_)
+                        | Action::FetchEndpoints
                         | Action::Log(_) => action,
                     })
                 };
@@ -539,7 +539,7 @@
     seen: &mut BTreeMap<(String, u64), BTreeMap<usize, u64>>,
 ) {
     for event in &turn.events {
-        let Event::Listed { machines, .. } = event else {
+        let Event::EndpointsUpdated { machines, .. } = event else {
             continue;
         };
         for listing in machines {
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -167,26 +167,26 @@
 impl Names {
     fn of_event(&mut self, event: &Event) {
         match event {
-            Event::Listed { machines, .. } => {
+            Event::EndpointsUpdated { machines, .. } => {
                 self.machines.extend(machines.iter().map(|m| m.machine.0))
             }
-            Event::Linked(machine, _) | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged(machine, _) | Event::Probed { machine, .. } => {
                 self.machines.insert(machine.0);
             }
-            Event::Asked(task) => {
+            Event::PlacementRequested(task) => {
                 self.tasks.insert(task.id.0);
                 self.services.insert(task.service.0);
             }
-            Event::Running(task, machine) => {
+            Event::TaskAdopted(task, machine) => {
                 self.tasks.insert(task.id.0);
                 self.services.insert(task.service.0);
                 self.machines.insert(machine.0);
             }
-            Event::Seated(id, _) | Event::Noted(id, _) | Event::Ended(id, _) => {
+            Event::AttemptAccepted(id, _) | Event::TaskReported(id, _) | Event::AttemptFinished(id, _) => {
                 self.tasks.insert(id.task.0);
             }
-            Event::HungUp(task) => drop(self.tasks.insert(task.0)),
-            Event::Numbered(_) | Event::ListUnavailable | Event::Woken(_) | Event::Told { .. } => {}
+            Event::ClientDisconnected(task) => drop(self.tasks.insert(task.0)),
+            Event::ReplicaIndexChanged(_) | Event::DiscoveryUnavailable | Event::TimerFired(_) | Event::PeerMessage { .. } => {}
         }
     }
 
@@ -197,19 +197,19 @@
                 self.machines.insert(machine.0);
             }
             Action::Cancel(id) => drop(self.tasks.insert(id.task.0)),
-            Action::Refuse(task, _)
+            Action::Reject(task, _)
             | Action::Fail(task)
-            | Action::Held(task, _)
-            | Action::Move(task) => {
+            | Action::Blocked(task, _)
+            | Action::Migrate(task) => {
                 self.tasks.insert(task.0);
             }
             Action::Probe(machine) | Action::CloseIdle(machine) => {
                 drop(self.machines.insert(machine.0))
             }
-            Action::Wake(..)
-            | Action::Tell { .. }
-            | Action::Listen(_)
-            | Action::Lookup
+            Action::SetTimer(..)
+            | Action::SendToPeer { .. }
+            | Action::WatchEndpoints(_)
+            | Action::FetchEndpoints
             | Action::Log(_) => {}
         }
     }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -138,16 +138,16 @@
     match action {
         Action::Offer(..) => "offer",
         Action::Cancel(_) => "cancel",
-        Action::Refuse(..) => "refuse",
+        Action::Reject(..) => "refuse",
         Action::Fail(_) => "fail",
-        Action::Held(..) => "held",
-        Action::Move(_) => "move",
-        Action::Wake(..) => "wake",
+        Action::Blocked(..) => "held",
+        Action::Migrate(_) => "move",
+        Action::SetTimer(..) => "wake",
         Action::Probe(_) => "probe",
         Action::CloseIdle(_) => "close_idle",
-        Action::Tell { .. } => "tell",
-        Action::Listen(_) => "listen",
-        Action::Lookup => "lookup",
+        Action::SendToPeer { .. } => "tell",
+        Action::WatchEndpoints(_) => "listen",
+        Action::FetchEndpoints => "lookup",
         Action::Log(_) => "log",
     }
 }
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -1,52 +1,52 @@
 //! The names by which reports call what the module decides with. They are part of the printed and JSON reports that
 //! scripts and operators read, so they are stated here and do not follow the names of the variants in the code.
 
-use maplethread::{End, Ending, Lack, Why};
+use maplethread::{AttemptResult, AttemptOutcome, BlockReason, FailureReason};
 
 /// The name in reports of how an attempt ended.
-pub(crate) fn ending(ending: Ending) -> &'static str {
+pub(crate) fn ending(ending: AttemptOutcome) -> &'static str {
     match ending {
-        Ending::Done => "Done",
-        Ending::Error => "Error",
-        Ending::Refused => "Refused",
-        Ending::TimedOut => "TimedOut",
-        Ending::Unreachable => "Unreachable",
-        Ending::Reset => "Reset",
-        Ending::Cancelled => "Cancelled",
-        Ending::NotSent => "NotSent",
+        AttemptOutcome::Completed => "Done",
+        AttemptOutcome::Error => "Error",
+        AttemptOutcome::Rejected => "Refused",
+        AttemptOutcome::TimedOut => "TimedOut",
+        AttemptOutcome::ConnectFailed => "Unreachable",
+        AttemptOutcome::Disconnected => "Reset",
+        AttemptOutcome::Cancelled => "Cancelled",
+        AttemptOutcome::NeverSent => "NotSent",
     }
 }
 
 /// The name in reports of why an attempt ended.
-pub(crate) fn why(why: Why) -> &'static str {
+pub(crate) fn why(why: FailureReason) -> &'static str {
     match why {
-        Why::Cores => "Cores",
-        Why::Memory => "Memory",
-        Why::Line => "Line",
-        Why::NotHere => "NotHere",
-        Why::Evicted => "Evicted",
-        Why::PushedOut => "PushedOut",
-        Why::SentAway => "SentAway",
+        FailureReason::Cores => "Cores",
+        FailureReason::Memory => "Memory",
+        FailureReason::QueueFull => "Line",
+        FailureReason::Ineligible => "NotHere",
+        FailureReason::Evicted => "Evicted",
+        FailureReason::Preempted => "PushedOut",
+        FailureReason::Drained => "SentAway",
     }
 }
 
 /// The name in reports of what a held task waits for.
-pub(crate) fn lack(lack: Lack) -> &'static str {
+pub(crate) fn lack(lack: BlockReason) -> &'static str {
     match lack {
-        Lack::Size => "Size",
-        Lack::Ready => "Ready",
-        Lack::Link => "Link",
-        Lack::Group => "Group",
-        Lack::Spread => "Spread",
-        Lack::Cold => "Cold",
-        Lack::Room => "Room",
+        BlockReason::NoKindFits => "Size",
+        BlockReason::NoReadyMachine => "Ready",
+        BlockReason::NotConnected => "Link",
+        BlockReason::OutsideDeduplicationScope => "Group",
+        BlockReason::SpreadLimit => "Spread",
+        BlockReason::WarmUpBudget => "Cold",
+        BlockReason::NoCapacity => "Room",
     }
 }
 
 /// How an attempt ended, with the reason in brackets if one is known: `Refused (Cores)`.
-pub(crate) fn end(end: &End) -> String {
-    match end.why {
-        Some(reason) => format!("{} ({})", ending(end.ending), why(reason)),
-        None => ending(end.ending).to_owned(),
+pub(crate) fn end(end: &AttemptResult) -> String {
+    match end.reason {
+        Some(reason) => format!("{} ({})", ending(end.outcome), why(reason)),
+        None => ending(end.outcome).to_owned(),
     }
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 use hdrhistogram::iterators::IterationValue;
-use maplethread::{Action, End, Ending, Event, MachineState, Rules};
+use maplethread::{Action, AttemptResult, AttemptOutcome, Event, MachineState, Rules};
 use serde_json::{Value, json};
 
 use crate::header::Header;
@@ -114,7 +114,7 @@
             hosts: BTreeMap::new(),
             told: BTreeMap::new(),
             cold: BTreeMap::new(),
-            rules: header.settings.as_ref().map(|s| (s.rules, s.placers)),
+            rules: header.settings.as_ref().map(|s| (s.rules, s.replica_count)),
             steps: 0,
             source: 0,
             names: BTreeMap::new(),
@@ -213,7 +213,7 @@
         let mut drained = 0;
         for event in &turn.events {
             match event {
-                Event::Listed { machines, .. } => {
+                Event::EndpointsUpdated { machines, .. } => {
                     for listing in machines {
                         let host = self.hosts.entry(listing.machine.0).or_default();
                         let told = self
@@ -231,12 +231,12 @@
                         told.started = listing.started;
                     }
                 }
-                Event::Seated(id, _) => {
+                Event::AttemptAccepted(id, _) => {
                     if let Some(host) = self.offered.get(&(id.task.0, id.number)) {
                         self.hosts.entry(*host).or_default().seated += 1;
                     }
                 }
-                Event::Ended(id, end) => {
+                Event::AttemptFinished(id, end) => {
                     if let Some(host) = self.offered.remove(&(id.task.0, id.number)) {
                         let why = report_names::end(end);
                         *self
@@ -278,7 +278,7 @@
                     self.cold(at, machine.0);
                     self.second(at).offers += 1;
                 }
-                Action::Held(_, lack) => {
+                Action::Blocked(_, lack) => {
                     let name = report_names::lack(*lack).to_owned();
                     *self.held.entry(name).or_default() += 1;
                 }
@@ -287,11 +287,11 @@
         }
     }
 
-    fn refused(&mut self, at: u64, host: u32, end: End) {
-        if end.ending != Ending::Refused {
+    fn refused(&mut self, at: u64, host: u32, end: AttemptResult) {
+        if end.outcome != AttemptOutcome::Rejected {
             return;
         }
-        let reason = end.why.map_or("not told", report_names::why).to_owned();
+        let reason = end.reason.map_or("not told", report_names::why).to_owned();
         let step = at.saturating_sub(self.begin.unwrap_or(at)) / 1_000_000 / STEP_S * STEP_S;
         let steps = self
             .hosts
@@ -313,12 +313,12 @@
         let Some((rules, _)) = self.rules else { return };
         let key = (self.source, host);
         let started = self.told.get(&key).and_then(|told| told.started);
-        if started.is_none_or(|started| started + rules.cold_for <= at) {
+        if started.is_none_or(|started| started + rules.warm_up_duration <= at) {
             self.cold.remove(&key);
             return;
         }
         let window = self.cold.entry(key).or_default();
-        window.retain(|&sent| sent + rules.fall_window >= at);
+        window.retain(|&sent| sent + rules.overload_window >= at);
         window.push_back(at);
         let most = window.len() as u64;
         let host = self.hosts.entry(host).or_default();
@@ -386,8 +386,8 @@
             .collect();
         let cold_budget = self.rules.map(|(rules, placers)| {
             json!({
-                "offers_of_all_placers": rules.fresh_offers, "window_ms": rules.fall_window / 1000,
-                "cold_for_ms": rules.cold_for / 1000, "placers": placers,
+                "offers_of_all_placers": rules.warm_up_offers, "window_ms": rules.overload_window / 1000,
+                "cold_for_ms": rules.warm_up_duration / 1000, "placers": placers,
             })
         });
         json!({
@@ -484,8 +484,8 @@
             let _ = writeln!(
                 out,
                 "cold hosts: {cold} offers, at most {most} to one in {:.1} s, of {} for all {placers} placers",
-                rules.fall_window as f64 / 1e6,
-                rules.fresh_offers
+                rules.overload_window as f64 / 1e6,
+                rules.warm_up_offers
             );
         }
         let drains: u64 = self.hosts.values().map(|h| h.drains).sum();
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -181,10 +181,10 @@
             self.totals.turns += 1;
             for event in &turn.events {
                 match event {
-                    Event::Asked(task) | Event::Running(task, _) => {
+                    Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => {
                         self.tasks.insert(task.id.0, task.service.0);
                     }
-                    Event::Ended(id, end) if end.closed => {
+                    Event::AttemptFinished(id, end) if end.closed => {
                         self.tasks.remove(&id.task.0);
                     }
                     _ => {}
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -15,41 +15,41 @@
 
 fn settings() -> Settings {
     Settings {
-        placers: 1,
-        number: 0,
+        replica_count: 1,
+        replica_index: 0,
         zone: 0,
         classes: vec![Class {
-            effect: Effect::Safe,
-            aim: S,
-            worth: 1.0,
+            retry_safety: RetrySafety::Idempotent,
+            latency_objective: S,
+            priority_weight: 1.0,
             start_bonus_s: 10.0,
             priority: 0,
             kind: None,
-            spread: None,
+            spread_limit: None,
         }],
-        kinds: vec![Room::new(16.0, 64.0)],
-        discovery: Discovery::Push,
-        seated: SeatedWhen::Accepted,
+        kinds: vec![Resources::new(16.0, 64.0)],
+        discovery: DiscoveryMode::Watch,
+        acceptance_point: AcceptancePoint::Accepted,
         admit_cores: 1.0,
         admit_memory: 1.0,
         view: false,
-        report: LoadReport::Unasked,
+        report: LoadReport::Unallocated,
         limits: Limits {
             max_attempts: 3,
             cancel: true,
             probes: true,
             peers: false,
-            come_back: Some(60 * S),
+            max_retry_after: Some(60 * S),
         },
         rules: Rules {
-            ask_within: 10 * S,
-            cold_from: 0.2,
-            cold_for: 5 * S,
-            fall_multiple: 3.0,
-            fall_window: 2 * S,
-            fresh_offers: 20.0,
+            max_poll_interval: 10 * S,
+            initial_capacity_share: 0.2,
+            warm_up_duration: 5 * S,
+            overload_multiple: 3.0,
+            overload_window: 2 * S,
+            warm_up_offers: 20.0,
         },
-        prices: Prices::default(),
+        costs: Costs::default(),
     }
 }
 
@@ -73,15 +73,15 @@
     let mut module = Placer::new(settings(), 7).expect("settings");
     let mut now = 1_700_000_000 * S;
     let mut records = Vec::new();
-    let listing = |n: u32| Listing {
+    let listing = |n: u32| MachineEntry {
         machine: MachineId(n),
-        label: u64::from(n) * 77,
+        stable_hash: u64::from(n) * 77,
         zone: 0,
         cell: n / 2,
         kind: 0,
         state: MachineState::Ready,
         started: None,
-        unasked: None,
+        unallocated: None,
     };
     for n in 0..4 {
         let (zone, cell) = ("a".to_owned(), format!("c{}", n / 2));
@@ -103,8 +103,8 @@
             },
         });
     }
-    let mut events = vec![Event::Listed {
-        scope: Scope::Full,
+    let mut events = vec![Event::EndpointsUpdated {
+        scope: UpdateScope::Full,
         machines: (0..4).map(listing).collect(),
     }];
     let mut next = 0;
@@ -114,10 +114,10 @@
                 id: TaskId(next),
                 service: ServiceId(next % services),
                 class: 0,
-                asks: Room::new(0.01, 0.02),
-                life: None,
-                give_up_at: now + 3 * S,
-                again: false,
+                requested: Resources::new(0.01, 0.02),
+                expected_duration: None,
+                deadline: now + 3 * S,
+                is_resubmission: false,
             };
             let asked = Record::Asked {
                 task: next,
@@ -132,7 +132,7 @@
                 at: now,
                 record: asked,
             });
-            events.push(Event::Asked(task));
+            events.push(Event::PlacementRequested(task));
             next += 1;
         }
         let mut actions = Vec::new();
@@ -150,14 +150,14 @@
             if let Action::Offer(task, machine, _) = action {
                 let id = AttemptId { task, number: 0 };
                 if task.0 % 100 == 3 {
-                    let end = End {
-                        ending: Ending::Refused,
-                        why: Some(Why::Cores),
+                    let end = AttemptResult {
+                        outcome: AttemptOutcome::Rejected,
+                        reason: Some(FailureReason::Cores),
                         closed: false,
                         load: None,
                     };
-                    events.push(Event::Ended(id, end));
-                    events.push(Event::HungUp(task));
+                    events.push(Event::AttemptFinished(id, end));
+                    events.push(Event::ClientDisconnected(task));
                     let outcome = Outcome::Refused {
                         reason: "cores".into(),
                         come_back_ms: 500,
@@ -170,7 +170,7 @@
                     };
                     records.push(Stamped { at: now, record });
                 } else {
-                    events.push(Event::Seated(id, Some(1000)));
+                    events.push(Event::AttemptAccepted(id, Some(1000)));
                     let outcome = Outcome::Placed { host: machine.0 };
                     let record = Record::Answered {
                         task: task.0,
@@ -247,7 +247,7 @@
     assert!(first.recorded != first.replayed && first.at >= records[0].at);
     // What if: machines too small for any of it.
     let small = Settings {
-        kinds: vec![Room::new(0.001, 0.001)],
+        kinds: vec![Resources::new(0.001, 0.001)],
         ..settings()
     };
     let mut replay = Replay::with(&header(), Some(small)).expect("a module");
@@ -498,20 +498,20 @@
             record: turn,
         });
     };
-    let listing = Listing {
+    let listing = MachineEntry {
         machine: MachineId(1),
-        label: 1,
+        stable_hash: 1,
         zone: 0,
         cell: 0,
         kind: 0,
         state: MachineState::Ready,
         started: Some(begin),
-        unasked: None,
+        unallocated: None,
     };
     turn(
         0,
-        vec![Event::Listed {
-            scope: Scope::Full,
+        vec![Event::EndpointsUpdated {
+            scope: UpdateScope::Full,
             machines: vec![listing],
         }],
         vec![],
@@ -523,16 +523,16 @@
             vec![],
             vec![Action::Offer(TaskId(task), MachineId(1), S)],
         );
-        let why = if task == 5 { Why::Line } else { Why::Cores };
-        let end = End {
-            ending: Ending::Refused,
-            why: Some(why),
+        let why = if task == 5 { FailureReason::QueueFull } else { FailureReason::Cores };
+        let end = AttemptResult {
+            outcome: AttemptOutcome::Rejected,
+            reason: Some(why),
             closed: false,
             load: None,
         };
         turn(
             at + 1000,
-            vec![Event::Ended(
+            vec![Event::AttemptFinished(
                 AttemptId {
                     task: TaskId(task),
                     number: 0,
@@ -582,22 +582,22 @@
 
 fn any_record() -> impl Strategy<Value = Record> {
     let event = prop_oneof![
-        any::<Option<u32>>().prop_map(Event::Numbered),
-        (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::Linked(MachineId(m), on)),
+        any::<Option<u32>>().prop_map(Event::ReplicaIndexChanged),
+        (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::ConnectionChanged(MachineId(m), on)),
         (
             any::<u64>(),
             any::<u32>(),
             any::<f64>().prop_filter("equal to itself", |x| !x.is_nan())
         )
-            .prop_map(|(task, number, x)| Event::Noted(
+            .prop_map(|(task, number, x)| Event::TaskReported(
                 AttemptId {
                     task: TaskId(task),
                     number
                 },
-                Note::Served(x)
+                TaskReport::Served(x)
             )),
         (any::<u32>(), prop::collection::vec(any::<u8>(), 0..9))
-            .prop_map(|(from, bytes)| Event::Told { from, bytes }),
+            .prop_map(|(from, bytes)| Event::PeerMessage { from, bytes }),
     ];
     let action = prop_oneof![
         (any::<u64>(), any::<u32>(), any::<u64>()).prop_map(|(t, m, w)| Action::Offer(
@@ -605,7 +605,7 @@
             MachineId(m),
             w
         )),
-        (any::<u64>(), any::<Option<u64>>()).prop_map(|(t, w)| Action::Refuse(TaskId(t), w)),
+        (any::<u64>(), any::<Option<u64>>()).prop_map(|(t, w)| Action::Reject(TaskId(t), w)),
         any::<String>().prop_map(Action::Log),
     ];
     prop_oneof![
@@ -726,7 +726,7 @@
                 why,
             },
         });
-        let told = Event::Told {
+        let told = Event::PeerMessage {
             from: 1,
             bytes: name.as_bytes().to_vec(),
         };
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -47,12 +47,12 @@
             id: TaskId(task),
             service: ServiceId(1),
             class: 0,
-            asks: Room::new(1.0, 1.0),
-            life: Some(life * MS),
-            give_up_at: (at + 3000) * MS,
-            again: false,
+            requested: Resources::new(1.0, 1.0),
+            expected_duration: Some(life * MS),
+            deadline: (at + 3000) * MS,
+            is_resubmission: false,
         };
-        self.turn(at, vec![Event::Asked(asked)], actions);
+        self.turn(at, vec![Event::PlacementRequested(asked)], actions);
     }
 
     fn counted(&self) -> Value {
@@ -76,15 +76,15 @@
 }
 
 fn started(task: u64, number: u32) -> Event {
-    Event::Noted(attempt(task, number), Note::Started)
+    Event::TaskReported(attempt(task, number), TaskReport::Started)
 }
 
-fn ended(task: u64, number: u32, ending: Ending, why: Option<Why>) -> Event {
-    Event::Ended(
+fn ended(task: u64, number: u32, ending: AttemptOutcome, why: Option<FailureReason>) -> Event {
+    Event::AttemptFinished(
         attempt(task, number),
-        End {
-            ending,
-            why,
+        AttemptResult {
+            outcome: ending,
+            reason: why,
             closed: false,
             load: None,
         },
@@ -107,14 +107,14 @@
     };
     tale.record(0, host(3));
     // Held for 200 ms, refused by one host after 50, accepted by another after 10, started after 300 more.
-    tale.asks(0, 1, "a", 10_000, vec![Action::Held(TaskId(1), Lack::Room)]);
+    tale.asks(0, 1, "a", 10_000, vec![Action::Blocked(TaskId(1), BlockReason::NoCapacity)]);
     tale.turn(200, vec![], vec![offer(1, 2)]);
     tale.turn(
         250,
-        vec![ended(1, 0, Ending::Refused, Some(Why::Cores))],
+        vec![ended(1, 0, AttemptOutcome::Rejected, Some(FailureReason::Cores))],
         vec![offer(1, 3)],
     );
-    tale.turn(260, vec![Event::Seated(attempt(1, 1), None)], vec![]);
+    tale.turn(260, vec![Event::AttemptAccepted(attempt(1, 1), None)], vec![]);
     tale.record(
         260,
         Record::Answered {
@@ -126,7 +126,7 @@
     );
     tale.turn(560, vec![started(1, 1)], vec![]);
     // Lost at 2 s; its owner comes after 700 ms, is refused, and comes again 300 ms before the end of its time.
-    tale.turn(2000, vec![ended(1, 1, Ending::Reset, None)], vec![]);
+    tale.turn(2000, vec![ended(1, 1, AttemptOutcome::Disconnected, None)], vec![]);
     tale.asks(2700, 2, "a", 7_300, vec![]);
     let refused = Outcome::Refused {
         reason: "cores".into(),
@@ -176,10 +176,10 @@
     tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
     tale.asks(100, 2, "a", 4900, vec![offer(2, 2)]);
     tale.turn(200, vec![started(1, 0), started(2, 0)], vec![]);
-    tale.turn(1000, vec![ended(1, 0, Ending::TimedOut, None)], vec![]);
+    tale.turn(1000, vec![ended(1, 0, AttemptOutcome::TimedOut, None)], vec![]);
     tale.turn(
         2000,
-        vec![ended(2, 0, Ending::Reset, Some(Why::PushedOut))],
+        vec![ended(2, 0, AttemptOutcome::Disconnected, Some(FailureReason::Preempted))],
         vec![],
     );
     tale.turn(4000, vec![], vec![]);
@@ -201,13 +201,13 @@
     let mut tale = Tale::default();
     tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
     tale.turn(100, vec![started(1, 0)], vec![]);
-    tale.turn(1000, vec![ended(1, 0, Ending::Done, None)], vec![]);
+    tale.turn(1000, vec![ended(1, 0, AttemptOutcome::Completed, None)], vec![]);
     tale.asks(
         1000,
         2,
         "b",
         1000,
-        vec![Action::Held(TaskId(2), Lack::Cold)],
+        vec![Action::Blocked(TaskId(2), BlockReason::WarmUpBudget)],
     );
     tale.turn(9000, vec![], vec![]);
     let counted = tale.counted();
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -57,24 +57,24 @@
     let begin = START + u64::from(part) * 100 * S;
     for n in 0..50u64 {
         let at = (begin + n * S + lag).wrapping_add(skew as u64);
-        let listing = Listing {
+        let listing = MachineEntry {
             machine: MachineId(number(n % 10)),
-            label: n % 10,
+            stable_hash: n % 10,
             zone: 0,
             cell: 0,
             kind: 0,
             state: MachineState::Ready,
             started: Some(begin + n * S),
-            unasked: None,
+            unallocated: None,
         };
         let task = Task {
             id: TaskId(u64::from(part) * 50 + n),
             service: ServiceId(5),
             class: if placer == "p1" { 0 } else { 1 },
-            asks: Room::new(1.0, 1.0),
-            life: None,
-            give_up_at: at + S,
-            again: false,
+            requested: Resources::new(1.0, 1.0),
+            expected_duration: None,
+            deadline: at + S,
+            is_resubmission: false,
         };
         let asked = Record::Asked {
             task: task.id.0,
@@ -88,11 +88,11 @@
         let turn = Turn {
             now: at,
             events: vec![
-                Event::Listed {
-                    scope: Scope::Changes,
+                Event::EndpointsUpdated {
+                    scope: UpdateScope::Delta,
                     machines: vec![listing],
                 },
-                Event::Asked(task),
+                Event::PlacementRequested(task),
             ],
             actions: vec![Action::Offer(task.id, MachineId(number(n % 10)), S)],
         };
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,8 +1,8 @@
 //! The lines of the wire, both ways.
 
 use maplethread::{
-    Action, AttemptId, End, Ending, Event, Listing, MachineState, Micros, Note, Room, Scope,
-    ServiceId, Settings, Task, TaskId, Why,
+    Action, AttemptId, AttemptResult, AttemptOutcome, Event, MachineEntry, MachineState, Micros, TaskReport, Resources, UpdateScope,
+    ServiceId, Settings, Task, TaskId, FailureReason,
 };
 use maplethread_deployment::hosts::label;
 use maplethread_deployment::{Hosts, Reports, WireError, micros};
@@ -44,7 +44,7 @@
     kind: usize,
     state: MachineState,
     started: Option<Micros>,
-    unasked: Room,
+    unasked: Resources,
 }
 
 /// The values of one array, by position, with names for the error text.
@@ -186,10 +186,10 @@
     Ok(match name {
         "ROSTER_CHANGE" => {
             let scope = match v.text(1, "scope")? {
-                "update" => Scope::Changes,
-                "replace" => Scope::Full,
-                "restored" => Scope::Restored,
-                "unavailable" => return Ok(Event::ListUnavailable),
+                "update" => UpdateScope::Delta,
+                "replace" => UpdateScope::Full,
+                "restored" => UpdateScope::Restored,
+                "unavailable" => return Ok(Event::DiscoveryUnavailable),
                 _ => return Err(v.error("scope", "update, replace, restored or unavailable")),
             };
             let number = v.whole(3, "rosterId")?;
@@ -202,56 +202,56 @@
                 .iter()
                 .map(|row| listing(row, view, &mut instance.hosts))
                 .collect();
-            Event::Listed { scope, machines }
+            Event::EndpointsUpdated { scope, machines }
         }
-        "REQUEST" => Event::Asked(task(v, [1, 2, 4, 5, 6, 8, 9, 10])?),
+        "REQUEST" => Event::PlacementRequested(task(v, [1, 2, 4, 5, 6, 8, 9, 10])?),
         "RUNNING" => {
             let task = task(v, [1, 10, 9, 11, 7, 4, 5, 3])?;
-            Event::Running(task, adapter.instance(who)?.hosts.id(v.text(2, "host")?))
+            Event::TaskAdopted(task, adapter.instance(who)?.hosts.id(v.text(2, "host")?))
         }
-        "SEATED" => Event::Seated(v.attempt(4)?, v.time_or_none(3, "elapsedMs")?),
+        "SEATED" => Event::AttemptAccepted(v.attempt(4)?, v.time_or_none(3, "elapsedMs")?),
         "INTERIM" => {
             let x = v.number_or_zero(5, "x")?;
             let note = match v.whole(4, "kind")? {
-                1 => Note::Started,
-                2 => Note::CoresUsed(x),
-                3 => Note::MemoryUsed(x),
-                4 => Note::Served(x),
-                5 => Note::MachineMemory(x),
+                1 => TaskReport::Started,
+                2 => TaskReport::CoresUsed(x),
+                3 => TaskReport::MemoryUsed(x),
+                4 => TaskReport::Served(x),
+                5 => TaskReport::MachineMemory(x),
                 _ => return Err(v.error("kind", "1 to 5")),
             };
-            Event::Noted(v.attempt(2)?, note)
+            Event::TaskReported(v.attempt(2)?, note)
         }
         "FINISHED" => {
-            let end = End {
-                ending: ending(v.whole(5, "ending")?)
+            let end = AttemptResult {
+                outcome: ending(v.whole(5, "ending")?)
                     .ok_or_else(|| v.error("ending", "an outcome code"))?,
-                why: match v.whole_or_zero(7, "note")? {
-                    1 => Some(Why::Cores),
-                    2 => Some(Why::Memory),
-                    3 => Some(Why::Line),
-                    4 => Some(Why::NotHere),
-                    5 => Some(Why::Evicted),
-                    6 => Some(Why::PushedOut),
-                    7 => Some(Why::SentAway),
+                reason: match v.whole_or_zero(7, "note")? {
+                    1 => Some(FailureReason::Cores),
+                    2 => Some(FailureReason::Memory),
+                    3 => Some(FailureReason::QueueFull),
+                    4 => Some(FailureReason::Ineligible),
+                    5 => Some(FailureReason::Evicted),
+                    6 => Some(FailureReason::Preempted),
+                    7 => Some(FailureReason::Drained),
                     _ => None,
                 },
                 closed: v.bool(4, "noMore")?,
                 load: room(adapter.reports(who)?, v, v.get(8))?,
             };
-            Event::Ended(v.attempt(6)?, end)
+            Event::AttemptFinished(v.attempt(6)?, end)
         }
-        "HANGUP" => Event::HungUp(v.task_id(1)?),
-        "TIMER" => Event::Woken(v.whole(1, "label")?),
+        "HANGUP" => Event::ClientDisconnected(v.task_id(1)?),
+        "TIMER" => Event::TimerFired(v.whole(1, "label")?),
         "CHECK_RESULT" => Event::Probed {
             machine: adapter.instance(who)?.hosts.id(v.text(3, "host")?),
-            ok: ending(v.whole(1, "ending")?) == Some(Ending::Done),
+            ok: ending(v.whole(1, "ending")?) == Some(AttemptOutcome::Completed),
             load: room(adapter.reports(who)?, v, v.get(4))?,
         },
         _ => {
             let hex = v.text(2, "octets")?;
             let bytes = unhex(hex).ok_or_else(|| v.error("octets", "pairs of hex digits"))?;
-            Event::Told {
+            Event::PeerMessage {
                 from: v.small(1, "sender")?,
                 bytes,
             }
@@ -259,16 +259,16 @@
     })
 }
 
-fn ending(code: u64) -> Option<Ending> {
+fn ending(code: u64) -> Option<AttemptOutcome> {
     Some(match code {
-        0 => Ending::Done,
-        13 => Ending::Error,
-        8 => Ending::Refused,
-        4 => Ending::TimedOut,
-        14 => Ending::Unreachable,
-        10 => Ending::Reset,
-        1 => Ending::Cancelled,
-        9 => Ending::NotSent,
+        0 => AttemptOutcome::Completed,
+        13 => AttemptOutcome::Error,
+        8 => AttemptOutcome::Rejected,
+        4 => AttemptOutcome::TimedOut,
+        14 => AttemptOutcome::ConnectFailed,
+        10 => AttemptOutcome::Disconnected,
+        1 => AttemptOutcome::Cancelled,
+        9 => AttemptOutcome::NeverSent,
         _ => return None,
     })
 }
@@ -281,13 +281,13 @@
         id: v.task_id(at[0])?,
         service: ServiceId(v.whole_or_zero(at[5], "app")?),
         class: v.whole(at[7], "lane")? as usize,
-        asks: Room {
+        requested: Resources {
             cores: v.number(at[2], "cpuAsk")?,
             memory: v.number(at[6], "memNeeded")?,
         },
-        life: life.filter(|_| marks & 1 != 0),
-        give_up_at: v.time(at[4], "giveUpAtMs")?,
-        again: marks & 16 != 0,
+        expected_duration: life.filter(|_| marks & 1 != 0),
+        deadline: v.time(at[4], "giveUpAtMs")?,
+        is_resubmission: marks & 16 != 0,
     })
 }
 
@@ -310,28 +310,28 @@
             _ => return Err(v.error("state", "Running, Stopping or Deleted")),
         },
         started: v.time_or_none(7, "startTimeMs")?.filter(|&at| at > 0),
-        unasked: Room {
+        unasked: Resources {
             cores: v.number_or_zero(8, "unaskedCores")?,
             memory: v.number_or_zero(5, "openMemory")?,
         },
     })
 }
 
-fn listing(row: &Row, view: bool, hosts: &mut Hosts) -> Listing {
-    Listing {
+fn listing(row: &Row, view: bool, hosts: &mut Hosts) -> MachineEntry {
+    MachineEntry {
         machine: hosts.id(&row.host),
-        label: label(&row.host),
+        stable_hash: label(&row.host),
         zone: row.zone,
         cell: row.cell,
         kind: row.kind,
         state: row.state,
         started: row.started,
-        unasked: view.then_some(row.unasked),
+        unallocated: view.then_some(row.unasked),
     }
 }
 
 /// Both room values of a load report, if it holds both.
-fn room(reports: Reports, v: &Values, load: Option<&Value>) -> Result<Option<Room>, WireError> {
+fn room(reports: Reports, v: &Values, load: Option<&Value>) -> Result<Option<Resources>, WireError> {
     let Some(load) = load.filter(|_| reports.room) else {
         return Ok(None);
     };
@@ -341,7 +341,7 @@
     let value = |name: &str| load.get(name).and_then(Value::as_f64);
     Ok(value("x0")
         .zip(value("x1"))
-        .map(|(cores, memory)| Room { cores, memory }))
+        .map(|(cores, memory)| Resources { cores, memory }))
 }
 
 fn unhex(text: &str) -> Option<Vec<u8>> {
@@ -369,24 +369,24 @@
             json!(["CLAIM_ROOM", who, task.0, name(*machine), ms(*time_out)])
         }
         Action::Cancel(id) => json!(["CANCEL", who, id.task.0, id.number]),
-        Action::Refuse(task, come_back) => {
+        Action::Reject(task, come_back) => {
             json!(["NOT_NOW", who, task.0, come_back.map_or(0.0, ms)])
         }
         Action::Fail(task) => json!(["DROP_REQUEST", who, task.0]),
-        Action::Move(task) => json!(["RELOCATE", who, task.0]),
-        Action::Wake(after, label) => json!(["REMIND", who, ms(*after), label]),
+        Action::Migrate(task) => json!(["RELOCATE", who, task.0]),
+        Action::SetTimer(after, label) => json!(["REMIND", who, ms(*after), label]),
         Action::Probe(machine) => json!(["TEST", who, name(*machine)]),
         Action::CloseIdle(machine) => json!(["CLOSE_IDLE", who, name(*machine)]),
-        Action::Tell {
+        Action::SendToPeer {
             to: Some(to),
             bytes,
         } => json!(["PUBLISH", who, to, hex(bytes)]),
-        Action::Tell { to: None, bytes } => json!(["PUBLISH", who, "*", hex(bytes)]),
-        Action::Listen(active) => json!(["LISTEN", who, active]),
-        Action::Lookup => json!(["LOOKUP", who]),
+        Action::SendToPeer { to: None, bytes } => json!(["PUBLISH", who, "*", hex(bytes)]),
+        Action::WatchEndpoints(active) => json!(["LISTEN", who, active]),
+        Action::FetchEndpoints => json!(["LOOKUP", who]),
         Action::Log(text) => json!(["PRINT", who, text]),
         // The bench asks for no reasons.
-        Action::Held(..) => return,
+        Action::Blocked(..) => return,
     };
     push_line(out, &line);
 }
@@ -422,37 +422,37 @@
                 r#"["CLAIM_ROOM",3,9,"a:1",80.5]"#,
             ),
             (Action::Cancel(id), r#"["CANCEL",3,9,2]"#),
-            (Action::Refuse(TaskId(9), None), r#"["NOT_NOW",3,9,0.0]"#),
+            (Action::Reject(TaskId(9), None), r#"["NOT_NOW",3,9,0.0]"#),
             (
-                Action::Refuse(TaskId(9), Some(1_500)),
+                Action::Reject(TaskId(9), Some(1_500)),
                 r#"["NOT_NOW",3,9,1.5]"#,
             ),
             (Action::Fail(TaskId(9)), r#"["DROP_REQUEST",3,9]"#),
-            (Action::Move(TaskId(9)), r#"["RELOCATE",3,9]"#),
-            (Action::Wake(500_000, 77), r#"["REMIND",3,500.0,77]"#),
+            (Action::Migrate(TaskId(9)), r#"["RELOCATE",3,9]"#),
+            (Action::SetTimer(500_000, 77), r#"["REMIND",3,500.0,77]"#),
             (Action::Probe(machine), r#"["TEST",3,"a:1"]"#),
             (Action::CloseIdle(machine), r#"["CLOSE_IDLE",3,"a:1"]"#),
             (
-                Action::Tell {
+                Action::SendToPeer {
                     to: Some(1),
                     bytes: vec![0x68, 0x0a],
                 },
                 r#"["PUBLISH",3,1,"680a"]"#,
             ),
             (
-                Action::Tell {
+                Action::SendToPeer {
                     to: None,
                     bytes: vec![],
                 },
                 r#"["PUBLISH",3,"*",""]"#,
             ),
-            (Action::Listen(false), r#"["LISTEN",3,false]"#),
-            (Action::Lookup, r#"["LOOKUP",3]"#),
+            (Action::WatchEndpoints(false), r#"["LISTEN",3,false]"#),
+            (Action::FetchEndpoints, r#"["LOOKUP",3]"#),
             (
                 Action::Log("two \"known\"".into()),
                 r#"["PRINT",3,"two \"known\""]"#,
             ),
-            (Action::Held(TaskId(9), maplethread::Lack::Room), ""),
+            (Action::Blocked(TaskId(9), maplethread::BlockReason::NoCapacity), ""),
         ];
         for (action, line) in cases {
             let mut out = String::new();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -5,27 +5,27 @@
 
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Effect) -> Class {
+pub fn class(effect: RetrySafety) -> Class {
     Class {
-        effect,
-        aim: 600_000,
-        worth: 1.0,
+        retry_safety: effect,
+        latency_objective: 600_000,
+        priority_weight: 1.0,
         start_bonus_s: 10.0,
         priority: 0,
         kind: None,
-        spread: None,
+        spread_limit: None,
     }
 }
 
-pub fn settings(effect: Effect) -> Settings {
+pub fn settings(effect: RetrySafety) -> Settings {
     Settings {
-        placers: 1,
-        number: 0,
+        replica_count: 1,
+        replica_index: 0,
         zone: 0,
         classes: vec![class(effect)],
-        kinds: vec![Room::new(32.0, 96.0)],
-        discovery: Discovery::Push,
-        seated: SeatedWhen::Accepted,
+        kinds: vec![Resources::new(32.0, 96.0)],
+        discovery: DiscoveryMode::Watch,
+        acceptance_point: AcceptancePoint::Accepted,
         admit_cores: 1.5,
         admit_memory: 1.5,
         view: false,
@@ -35,30 +35,30 @@
             cancel: true,
             probes: false,
             peers: false,
-            come_back: None,
+            max_retry_after: None,
         },
         rules: Rules {
-            ask_within: 10 * S,
-            cold_from: 0.2,
-            cold_for: 15 * S,
-            fall_multiple: 4.0,
-            fall_window: 3 * S,
-            fresh_offers: 20.0,
+            max_poll_interval: 10 * S,
+            initial_capacity_share: 0.2,
+            warm_up_duration: 15 * S,
+            overload_multiple: 4.0,
+            overload_window: 3 * S,
+            warm_up_offers: 20.0,
         },
-        prices: Prices::default(),
+        costs: Costs::default(),
     }
 }
 
-pub fn machine(n: u32) -> Listing {
-    Listing {
+pub fn machine(n: u32) -> MachineEntry {
+    MachineEntry {
         machine: MachineId(n),
-        label: u64::from(n).wrapping_mul(0x1234_5678_9abc_def1) ^ 0x55,
+        stable_hash: u64::from(n).wrapping_mul(0x1234_5678_9abc_def1) ^ 0x55,
         zone: 0,
         cell: 0,
         kind: 0,
         state: MachineState::Ready,
         started: None,
-        unasked: None,
+        unallocated: None,
     }
 }
 
@@ -67,10 +67,10 @@
         id: TaskId(n),
         service: ServiceId(service),
         class: 0,
-        asks: Room::new(1.0, 2.0),
-        life: None,
-        give_up_at,
-        again: false,
+        requested: Resources::new(1.0, 2.0),
+        expected_duration: None,
+        deadline: give_up_at,
+        is_resubmission: false,
     }
 }
 
@@ -81,14 +81,14 @@
     }
 }
 
-pub fn end(task: u64, number: u32, ending: Ending, why: Option<Why>) -> Event {
-    let end = End {
-        ending,
-        why,
+pub fn end(task: u64, number: u32, ending: AttemptOutcome, why: Option<FailureReason>) -> Event {
+    let end = AttemptResult {
+        outcome: ending,
+        reason: why,
         closed: false,
         load: None,
     };
-    Event::Ended(id(task, number), end)
+    Event::AttemptFinished(id(task, number), end)
 }
 
 pub struct Desk {
@@ -101,12 +101,12 @@
     pub fn new(settings: Settings, machines: u32) -> Desk {
         let placer = Placer::new(settings, 11).expect("sound settings");
         let mut desk = Desk { placer, now: S };
-        desk.list(Scope::Full, (0..machines).map(machine).collect());
+        desk.list(UpdateScope::Full, (0..machines).map(machine).collect());
         desk
     }
 
-    pub fn list(&mut self, scope: Scope, machines: Vec<Listing>) -> Vec<Action> {
-        self.turn(&[Event::Listed { scope, machines }])
+    pub fn list(&mut self, scope: UpdateScope, machines: Vec<MachineEntry>) -> Vec<Action> {
+        self.turn(&[Event::EndpointsUpdated { scope, machines }])
     }
 
     pub fn turn(&mut self, events: &[Event]) -> Vec<Action> {
@@ -118,7 +118,7 @@
     /// Turns without news until `at`, every 10 ms, waking the placer as it asked for.
     pub fn wait(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
         let mut all = Vec::new();
-        let wake: Vec<Event> = labels.iter().map(|&label| Event::Woken(label)).collect();
+        let wake: Vec<Event> = labels.iter().map(|&label| Event::TimerFired(label)).collect();
         while self.now < at {
             self.now += 10_000;
             all.extend(self.turn(&wake));
@@ -128,16 +128,16 @@
 
     /// Asks, and returns where the task was offered.
     pub fn ask(&mut self, task: Task) -> Option<u32> {
-        offer(&self.turn(&[Event::Asked(task)]))
+        offer(&self.turn(&[Event::PlacementRequested(task)]))
     }
 
     /// Asks, has the offer accepted and started after `took`; returns the machine.
     pub fn start(&mut self, task: Task, took: Micros) -> u32 {
         let machine = self.ask(task).expect("an offer");
         let id = id(task.id.0, 0);
-        self.turn(&[Event::Seated(id, None)]);
+        self.turn(&[Event::AttemptAccepted(id, None)]);
         self.now += took;
-        self.turn(&[Event::Noted(id, Note::Started)]);
+        self.turn(&[Event::TaskReported(id, TaskReport::Started)]);
         machine
     }
 }
@@ -158,6 +158,6 @@
 }
 
 pub fn answers(actions: &[Action]) -> Vec<Action> {
-    let answer = |a: &&Action| matches!(a, Action::Refuse(..) | Action::Fail(_));
+    let answer = |a: &&Action| matches!(a, Action::Reject(..) | Action::Fail(_));
     actions.iter().filter(answer).cloned().collect()
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -12,30 +12,30 @@
         let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
         to_zero += u64::from(machine == 0);
         let mut events = react(i, machine);
-        events.push(Event::HungUp(TaskId(i)));
+        events.push(Event::ClientDisconnected(TaskId(i)));
         desk.turn(&events);
     }
     to_zero
 }
 
 fn well(i: u64) -> Vec<Event> {
-    let start = Event::Noted(id(i, 0), Note::Started);
+    let start = Event::TaskReported(id(i, 0), TaskReport::Started);
     vec![
-        Event::Seated(id(i, 0), None),
+        Event::AttemptAccepted(id(i, 0), None),
         start,
-        end(i, 0, Ending::Done, None),
+        end(i, 0, AttemptOutcome::Completed, None),
     ]
 }
 
 #[test]
 fn a_machine_that_fails_fast_does_not_draw_ever_more() {
     for ending in [
-        Ending::Error,
-        Ending::Reset,
-        Ending::Unreachable,
-        Ending::TimedOut,
+        AttemptOutcome::Error,
+        AttemptOutcome::Disconnected,
+        AttemptOutcome::ConnectFailed,
+        AttemptOutcome::TimedOut,
     ] {
-        let mut desk = Desk::new(settings(Effect::Safe), 3);
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
         let to_zero = drawn(&mut desk, 300, 40_000, |i, machine| match machine {
             0 => vec![end(i, 0, ending, None)],
             _ => well(i),
@@ -56,19 +56,19 @@
 #[test]
 fn tasks_that_every_machine_answers_with_an_error_make_none_look_sick() {
     // Some clients ask for what no machine can use: each such task goes round, and others must not suffer for it.
-    let mut desk = Desk::new(settings(Effect::Safe), 3);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
     let mut to = [0; 3];
     for i in 0..200u64 {
         desk.now += 20_000;
         let odd = 1_000 + i;
         let first = desk.ask(task(odd, odd, desk.now + S)).expect("an offer");
-        let second = offer(&desk.turn(&[end(odd, 0, Ending::Error, None)])).expect("another offer");
+        let second = offer(&desk.turn(&[end(odd, 0, AttemptOutcome::Error, None)])).expect("another offer");
         assert_ne!(
             first, second,
             "the first error counts until another machine errs too"
         );
-        desk.turn(&[end(odd, 1, Ending::Error, None)]);
-        desk.turn(&[end(odd, 2, Ending::Error, None)]);
+        desk.turn(&[end(odd, 1, AttemptOutcome::Error, None)]);
+        desk.turn(&[end(odd, 2, AttemptOutcome::Error, None)]);
         let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
         to[machine as usize] += 1;
         desk.turn(&well(i));
@@ -79,8 +79,8 @@
 #[test]
 fn an_answer_cut_off_or_lost_now_and_then_does_not_bar_a_machine_that_lives() {
     // Connections break and answers are spoilt or lost on any machine; what stands there goes on telling of itself.
-    let to_zero = |ending: Ending, every: u64| {
-        let mut desk = Desk::new(settings(Effect::Safe), 3);
+    let to_zero = |ending: AttemptOutcome, every: u64| {
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
         let mut standing = 1_000;
         while desk.start(task(standing, standing, desk.now + S), 100_000) != 0 {
             standing += 1;
@@ -88,7 +88,7 @@
         let (mut offers, mut to_zero) = (0, 0);
         for i in 0..300u64 {
             desk.now += 40_000;
-            desk.turn(&[Event::Noted(id(standing, 0), Note::Served(1.0))]);
+            desk.turn(&[Event::TaskReported(id(standing, 0), TaskReport::Served(1.0))]);
             let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
             offers += u64::from(machine == 0);
             to_zero += u64::from(machine == 0);
@@ -99,12 +99,12 @@
             } else {
                 well(i)
             };
-            events.push(Event::HungUp(TaskId(i)));
+            events.push(Event::ClientDisconnected(TaskId(i)));
             desk.turn(&events);
         }
         to_zero
     };
-    for ending in [Ending::Reset, Ending::TimedOut] {
+    for ending in [AttemptOutcome::Disconnected, AttemptOutcome::TimedOut] {
         assert!(
             to_zero(ending, 5) > 50,
             "{ending:?}, one in five: {}",
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_machine_that_errs_is_not_acquitted_by_tasks_that_run_elsewhere() {
-    let mut desk = Desk::new(settings(Effect::Safe), 3);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
     let mut to_zero = 0;
     for i in 0..200u64 {
         desk.now += 20_000;
@@ -129,14 +129,14 @@
         while machine == 0 {
             to_zero += 1;
             machine =
-                offer(&desk.turn(&[end(i, number, Ending::Error, None)])).expect("another offer");
+                offer(&desk.turn(&[end(i, number, AttemptOutcome::Error, None)])).expect("another offer");
             number += 1;
         }
-        let start = Event::Noted(id(i, number), Note::Started);
+        let start = Event::TaskReported(id(i, number), TaskReport::Started);
         desk.turn(&[
-            Event::Seated(id(i, number), None),
+            Event::AttemptAccepted(id(i, number), None),
             start,
-            end(i, number, Ending::Done, None),
+            end(i, number, AttemptOutcome::Completed, None),
         ]);
     }
     assert!(to_zero <= 6, "{to_zero}");
@@ -145,28 +145,28 @@
 #[test]
 fn a_task_that_would_push_others_out_looks_for_comfort_on_all_machines() {
     let to_empty = |priority: u32| {
-        let mut settings = settings(Effect::Safe);
+        let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
             priority,
-            ..class(Effect::Safe)
+            ..class(RetrySafety::Idempotent)
         });
         let mut desk = Desk::new(settings, 12);
         let running = |n: u64| Task {
-            asks: Room::new(12.0, 24.0),
+            requested: Resources::new(12.0, 24.0),
             ..task(n, n, 0)
         };
         let full: Vec<Event> = (1..12)
-            .map(|n| Event::Running(running(n), MachineId(n as u32)))
+            .map(|n| Event::TaskAdopted(running(n), MachineId(n as u32)))
             .collect();
         desk.turn(&full);
         let large = |n: u64| Task {
             class: 1,
-            asks: Room::new(22.0, 40.0),
+            requested: Resources::new(22.0, 40.0),
             ..task(n, n, 10 * S)
         };
         let ask = |n: u64| {
             let machine = desk.ask(large(n));
-            desk.turn(&[end(n, 0, Ending::Done, None), Event::HungUp(TaskId(n))]);
+            desk.turn(&[end(n, 0, AttemptOutcome::Completed, None), Event::ClientDisconnected(TaskId(n))]);
             machine
         };
         (100..160).map(ask).filter(|m| *m == Some(0)).count()
@@ -183,31 +183,31 @@
 fn a_task_that_starves_where_others_cannot_be_pushed_out_is_moved_once_there_is_a_better_place() {
     // Notes once a second on a task on machine 0; whether it is moved. Machine 1 holds a task that tells of it.
     let moved = |priority: u32, served: &[f64], other: f64| {
-        let mut settings = settings(Effect::Safe);
+        let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
             priority,
-            ..class(Effect::Safe)
+            ..class(RetrySafety::Idempotent)
         });
         let mut desk = Desk::new(settings, 2);
         let large = Task {
             class: 1,
-            asks: Room::new(8.0, 16.0),
+            requested: Resources::new(8.0, 16.0),
             ..task(7, 7, 0)
         };
         desk.turn(&[
-            Event::Running(large, MachineId(0)),
-            Event::Running(task(8, 8, 0), MachineId(1)),
+            Event::TaskAdopted(large, MachineId(0)),
+            Event::TaskAdopted(task(8, 8, 0), MachineId(1)),
         ]);
         let mut all = Vec::new();
         for &x in served {
             desk.now += S;
             let notes = [
-                Event::Noted(id(8, 0), Note::Served(other)),
-                Event::Noted(id(7, 0), Note::Served(x)),
+                Event::TaskReported(id(8, 0), TaskReport::Served(other)),
+                Event::TaskReported(id(7, 0), TaskReport::Served(x)),
             ];
             all.extend(desk.turn(&notes));
         }
-        all.contains(&Action::Move(TaskId(7)))
+        all.contains(&Action::Migrate(TaskId(7)))
     };
     assert!(moved(1, &[0.1, 0.0, 0.2], 1.0));
     assert!(!moved(1, &[0.1, 0.0], 1.0), "not at the first sign");
@@ -221,24 +221,24 @@
 
 #[test]
 fn a_new_process_starts_with_a_clean_record() {
-    let mut desk = Desk::new(settings(Effect::Safe), 1);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
     for i in 0..6 {
         desk.ask(task(i, i, desk.now + S));
-        desk.turn(&[end(i, 0, Ending::Error, None), Event::HungUp(TaskId(i))]);
+        desk.turn(&[end(i, 0, AttemptOutcome::Error, None), Event::ClientDisconnected(TaskId(i))]);
     }
     let mut two = vec![machine(0), machine(1)];
     two[0].started = Some(desk.now);
-    desk.list(Scope::Full, two);
+    desk.list(UpdateScope::Full, two);
     let to_zero = drawn(&mut desk, 60, 200_000, |i, _| well(i));
     assert!(to_zero > 10, "{to_zero} of 60");
 }
 
 #[test]
 fn when_no_machine_looks_healthy_the_fault_is_taken_to_be_elsewhere() {
-    let mut desk = Desk::new(settings(Effect::Safe), 2);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
     for i in 0..8 {
         desk.ask(task(i, i, desk.now + S));
-        desk.turn(&[Event::HungUp(TaskId(i)), end(i, 0, Ending::TimedOut, None)]);
+        desk.turn(&[Event::ClientDisconnected(TaskId(i)), end(i, 0, AttemptOutcome::TimedOut, None)]);
     }
     assert!(
         desk.ask(task(100, 100, desk.now + S)).is_some(),
@@ -249,25 +249,25 @@
 #[test]
 fn patience_grows_with_each_attempt_of_a_task_and_of_no_other() {
     // Slow answers everywhere must not make copy after copy; one silent class must not slow the others.
-    let mut desk = Desk::new(settings(Effect::Safe), 4);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
     let give_up_at = desk.now + 60 * S;
     let mut wait = |event| time_out(&desk.turn(&[event])).expect("an offer");
-    let first = wait(Event::Asked(task(1, 1, give_up_at)));
+    let first = wait(Event::PlacementRequested(task(1, 1, give_up_at)));
     assert!(first < 4 * S, "{first}");
-    let second = wait(end(1, 0, Ending::TimedOut, None));
+    let second = wait(end(1, 0, AttemptOutcome::TimedOut, None));
     assert!(second > first + first / 2, "{first} then {second}");
-    assert_eq!(wait(Event::Asked(task(2, 2, give_up_at))), first);
+    assert_eq!(wait(Event::PlacementRequested(task(2, 2, give_up_at))), first);
 }
 
 #[test]
 fn a_full_machine_is_passed_over_for_tasks_as_large_but_not_for_smaller_ones() {
-    let mut desk = Desk::new(settings(Effect::Unsafe), 1);
+    let mut desk = Desk::new(settings(RetrySafety::NonIdempotent), 1);
     let large = Task {
-        asks: Room::new(8.0, 8.0),
+        requested: Resources::new(8.0, 8.0),
         ..task(1, 1, 9 * S)
     };
     assert_eq!(desk.ask(large), Some(0));
-    let again = desk.turn(&[end(1, 0, Ending::Refused, Some(Why::Cores))]);
+    let again = desk.turn(&[end(1, 0, AttemptOutcome::Rejected, Some(FailureReason::Cores))]);
     assert_eq!(offer(&again), None, "not at once");
     assert_eq!(
         desk.ask(task(2, 2, 9 * S)),
@@ -280,14 +280,14 @@
 
 #[test]
 fn refusals_on_end_keep_offers_away_ever_longer_until_one_is_taken() {
-    let mut desk = Desk::new(settings(Effect::Safe), 1);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
     let mut offered = 0;
     for n in 0..1_000u64 {
         desk.now += 20_000;
         if desk.ask(task(n, n, desk.now + S)).is_some() {
             offered += 1;
-            let refused = end(n, 0, Ending::Refused, Some(Why::Line));
-            desk.turn(&[Event::HungUp(TaskId(n)), refused]);
+            let refused = end(n, 0, AttemptOutcome::Rejected, Some(FailureReason::QueueFull));
+            desk.turn(&[Event::ClientDisconnected(TaskId(n)), refused]);
         }
     }
     assert!((10..30).contains(&offered), "{offered} offers in 20 s");
@@ -303,19 +303,19 @@
 
 #[test]
 fn machines_whose_tasks_are_served_poorly_are_passed_over_for_a_while() {
-    for note in [Note::Served(0.5), Note::MachineMemory(0.97)] {
-        let mut desk = Desk::new(settings(Effect::Safe), 2);
-        desk.turn(&[Event::Running(task(900, 900, 0), MachineId(0))]);
-        let react = |i: u64, _| [well(i), vec![Event::Noted(id(900, 0), note)]].concat();
-        desk.turn(&[Event::Noted(id(900, 0), note)]);
+    for note in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
+        desk.turn(&[Event::TaskAdopted(task(900, 900, 0), MachineId(0))]);
+        let react = |i: u64, _| [well(i), vec![Event::TaskReported(id(900, 0), note)]].concat();
+        desk.turn(&[Event::TaskReported(id(900, 0), note)]);
         assert_eq!(drawn(&mut desk, 50, 100_000, react), 0, "{note:?}");
         // Once no more is heard of it, and the other holds more, it is used again.
         desk.now += 3 * S;
         let large = Task {
-            asks: Room::new(16.0, 16.0),
+            requested: Resources::new(16.0, 16.0),
             ..task(901, 901, 0)
         };
-        desk.turn(&[Event::Running(large, MachineId(1))]);
+        desk.turn(&[Event::TaskAdopted(large, MachineId(1))]);
         assert!(
             drawn(&mut desk, 50, 100_000, |i, _| well(i)) > 40,
             "{note:?}"
@@ -327,36 +327,36 @@
 fn a_process_started_anew_holds_no_program() {
     // Ten services have tasks on machine 0, which is lost with them and comes back, or is not lost.
     let back_there = |lost: bool| {
-        let mut desk = Desk::new(settings(Effect::Safe), 4);
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
         desk.now += 20 * S;
         let small = |n| Task {
-            asks: Room::new(0.1, 0.1),
+            requested: Resources::new(0.1, 0.1),
             ..task(n, n, 0)
         };
         let tasks: Vec<Event> = (0..10)
-            .map(|n| Event::Running(small(n), MachineId(0)))
+            .map(|n| Event::TaskAdopted(small(n), MachineId(0)))
             .collect();
         desk.turn(&tasks);
         desk.now += S;
         if lost {
-            let listing = Listing {
+            let listing = MachineEntry {
                 started: Some(desk.now),
                 ..machine(0)
             };
             desk.now += 100_000;
-            desk.list(Scope::Changes, vec![listing]);
+            desk.list(UpdateScope::Delta, vec![listing]);
         }
-        let ending = if lost { Ending::Reset } else { Ending::Done };
+        let ending = if lost { AttemptOutcome::Disconnected } else { AttemptOutcome::Completed };
         desk.turn(&(0..10).map(|n| end(n, 0, ending, None)).collect::<Vec<_>>());
         // Another task there tells that the machine lives.
         desk.turn(&[
-            Event::Running(small(50), MachineId(0)),
-            Event::Noted(id(50, 0), Note::Served(1.0)),
+            Event::TaskAdopted(small(50), MachineId(0)),
+            Event::TaskReported(id(50, 0), TaskReport::Served(1.0)),
         ]);
         let again = (0..10).map(|n| {
             desk.ask(Task {
                 id: TaskId(100 + n),
-                give_up_at: desk.now + S,
+                deadline: desk.now + S,
                 ..small(n)
             })
         });
@@ -368,14 +368,14 @@
 
 #[test]
 fn a_service_stays_where_its_program_is_held() {
-    let mut desk = Desk::new(settings(Effect::Safe), 4);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
     // A small task of each service runs on one machine; starts elsewhere take ten times as long.
     for service in 0..20u64 {
         let small = Task {
-            asks: Room::new(0.1, 0.1),
+            requested: Resources::new(0.1, 0.1),
             ..task(5_000 + service, service, 0)
         };
-        desk.turn(&[Event::Running(small, MachineId((service % 4) as u32))]);
+        desk.turn(&[Event::TaskAdopted(small, MachineId((service % 4) as u32))]);
     }
     let mut local = 0;
     for n in 0..600u64 {
@@ -394,21 +394,21 @@
 #[test]
 fn where_machines_in_use_are_priced_no_more_are_used_than_needed() {
     let used = |fleet: f64| {
-        let mut priced = settings(Effect::Safe);
-        (priced.view, priced.prices.fleet) = (true, fleet);
+        let mut priced = settings(RetrySafety::Idempotent);
+        (priced.view, priced.costs.fleet) = (true, fleet);
         let mut desk = Desk::new(priced, 0);
         let free = |n: u32| {
             Some(if n < 2 {
-                Room::new(24.0, 72.0)
+                Resources::new(24.0, 72.0)
             } else {
-                Room::new(32.0, 96.0)
+                Resources::new(32.0, 96.0)
             })
         };
         desk.list(
-            Scope::Full,
+            UpdateScope::Full,
             (0..8)
-                .map(|n| Listing {
-                    unasked: free(n),
+                .map(|n| MachineEntry {
+                    unallocated: free(n),
                     ..machine(n)
                 })
                 .collect(),
@@ -429,14 +429,14 @@
 fn once_answers_are_known_to_be_quick_silence_is_noticed_soon_whatever_the_effect() {
     // A machine that leaves one class unanswered would hold an unsafe task until its deadline; given back
     // early, its owner learns that it does not run and asks again.
-    for effect in [Effect::Safe, Effect::Unsafe] {
+    for effect in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
         let mut desk = Desk::new(settings(effect), 3);
         for n in 0..30 {
             desk.ask(task(n, 1, desk.now + 9 * S)).expect("an offer");
             desk.now += 20_000;
-            desk.turn(&[Event::Seated(id(n, 0), None), end(n, 0, Ending::Done, None)]);
+            desk.turn(&[Event::AttemptAccepted(id(n, 0), None), end(n, 0, AttemptOutcome::Completed, None)]);
         }
-        let actions = desk.turn(&[Event::Asked(task(99, 1, desk.now + 9 * S))]);
+        let actions = desk.turn(&[Event::PlacementRequested(task(99, 1, desk.now + 9 * S))]);
         let wait = time_out(&actions);
         assert!(
             wait.is_some_and(|wait| wait > 60_000 && wait < S),
@@ -449,23 +449,23 @@
 fn placers_that_see_the_same_few_comfortable_machines_do_not_all_swarm_to_them() {
     let (mut swarmed, placers) = (0, 200);
     for number in 0..placers {
-        let mut seen = settings(Effect::Safe);
-        (seen.view, seen.placers, seen.number) = (true, placers, number);
+        let mut seen = settings(RetrySafety::Idempotent);
+        (seen.view, seen.replica_count, seen.replica_index) = (true, placers, number);
         let placer = Placer::new(seen, u64::from(number)).expect("sound settings");
         let mut desk = Desk { placer, now: S };
         // Three of twenty have room to spare, the others are fuller than is comfortable.
         let unasked = |n: u32| {
             if n < 3 {
-                Room::new(8.0, 24.0)
+                Resources::new(8.0, 24.0)
             } else {
-                Room::new(3.0, 9.0)
+                Resources::new(3.0, 9.0)
             }
         };
-        let listing = |n: u32| Listing {
-            unasked: Some(unasked(n)),
+        let listing = |n: u32| MachineEntry {
+            unallocated: Some(unasked(n)),
             ..machine(n)
         };
-        desk.list(Scope::Full, (0..20).map(listing).collect());
+        desk.list(UpdateScope::Full, (0..20).map(listing).collect());
         swarmed += u32::from(
             desk.ask(task(1, u64::from(number), 9 * S))
                 .expect("an offer")
@@ -481,16 +481,16 @@
 
 #[test]
 fn a_class_that_fails_on_a_machine_leaves_it_and_finds_it_again_while_the_others_stay() {
-    let mut two = settings(Effect::Safe);
-    two.classes.push(class(Effect::Safe));
+    let mut two = settings(RetrySafety::Idempotent);
+    two.classes.push(class(RetrySafety::Idempotent));
     let mut desk = Desk::new(two, 2);
     let of = |n: u64, class: usize| Task {
         class,
         ..task(n, n, 900 * S)
     };
     desk.turn(&[
-        Event::Running(of(9_999, 1), MachineId(0)),
-        Event::Running(of(9_998, 1), MachineId(1)),
+        Event::TaskAdopted(of(9_999, 1), MachineId(0)),
+        Event::TaskAdopted(of(9_998, 1), MachineId(1)),
     ]);
     // Class 0 fails on machine 0 until both homes are known; class 1 goes on being served there.
     let mut n = 0;
@@ -499,21 +499,21 @@
         for _ in 0..40 {
             n += 1;
             // A task that runs there goes on telling what it uses.
-            desk.turn(&[Event::Noted(id(9_999, 0), Note::CoresUsed(0.5))]);
+            desk.turn(&[Event::TaskReported(id(9_999, 0), TaskReport::CoresUsed(0.5))]);
             let at = desk.ask(of(n, class)).expect("an offer");
             there += u32::from(at == 0);
             if at == 0 && fails {
                 desk.turn(&[
-                    end(n, 0, Ending::TimedOut, None),
-                    Event::HungUp(TaskId(n)),
-                    end(n, 1, Ending::Reset, None),
+                    end(n, 0, AttemptOutcome::TimedOut, None),
+                    Event::ClientDisconnected(TaskId(n)),
+                    end(n, 1, AttemptOutcome::Disconnected, None),
                 ]);
             } else {
                 desk.turn(&[
-                    Event::Seated(id(n, 0), None),
-                    Event::Noted(id(n, 0), Note::Started),
+                    Event::AttemptAccepted(id(n, 0), None),
+                    Event::TaskReported(id(n, 0), TaskReport::Started),
                 ]);
-                desk.turn(&[end(n, 0, Ending::Done, None)]);
+                desk.turn(&[end(n, 0, AttemptOutcome::Completed, None)]);
             }
             desk.now += 20_000;
         }
@@ -534,16 +534,16 @@
 fn a_placer_that_stood_still_does_not_take_its_own_silence_for_the_machines() {
     // Answers that came while it stood still are taken in late; waits must follow what they took.
     let wait_after_stalls = |elapsed: Option<Micros>| {
-        let mut desk = Desk::new(settings(Effect::Safe), 3);
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
         for n in 0..30 {
             desk.ask(task(n, 1, desk.now + 9 * S)).expect("an offer");
             desk.now += 1_500_000;
             desk.turn(&[
-                Event::Seated(id(n, 0), elapsed),
-                end(n, 0, Ending::Done, None),
+                Event::AttemptAccepted(id(n, 0), elapsed),
+                end(n, 0, AttemptOutcome::Completed, None),
             ]);
         }
-        let actions = desk.turn(&[Event::Asked(task(99, 1, desk.now + 9 * S))]);
+        let actions = desk.turn(&[Event::PlacementRequested(task(99, 1, desk.now + 9 * S))]);
         time_out(&actions)
     };
     assert!(wait_after_stalls(None) > Some(S));
@@ -552,18 +552,18 @@
 
 #[test]
 fn what_came_while_it_stood_still_is_taken_in_before_any_offer() {
-    let mut desk = Desk::new(settings(Effect::Safe), 2);
-    let drained = Listing {
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
+    let drained = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
     };
     desk.now += 2 * S;
     // The drain is last in the backlog, behind twenty asks.
     let mut backlog: Vec<Event> = (0..20)
-        .map(|n| Event::Asked(task(n, n, desk.now + 5 * S)))
+        .map(|n| Event::PlacementRequested(task(n, n, desk.now + 5 * S)))
         .collect();
-    backlog.push(Event::Listed {
-        scope: Scope::Changes,
+    backlog.push(Event::EndpointsUpdated {
+        scope: UpdateScope::Delta,
         machines: vec![drained],
     });
     let actions = desk.turn(&backlog);
@@ -582,21 +582,21 @@
 fn crossing_zones_is_weighed_by_its_price() {
     // The service runs on a machine of either zone, so nothing else tells them apart.
     let away = |price: f64| {
-        let mut priced = settings(Effect::Safe);
-        priced.prices.cross_zone = price;
+        let mut priced = settings(RetrySafety::Idempotent);
+        priced.costs.cross_zone = price;
         let mut desk = Desk::new(priced, 0);
         desk.list(
-            Scope::Full,
+            UpdateScope::Full,
             (0..2)
-                .map(|n| Listing {
+                .map(|n| MachineEntry {
                     zone: n,
                     ..machine(n)
                 })
                 .collect(),
         );
         desk.turn(&[
-            Event::Running(task(998, 1, 0), MachineId(0)),
-            Event::Running(task(999, 1, 0), MachineId(1)),
+            Event::TaskAdopted(task(998, 1, 0), MachineId(0)),
+            Event::TaskAdopted(task(999, 1, 0), MachineId(1)),
         ]);
         let mut away = 0;
         for n in 0..200 {
@@ -611,17 +611,17 @@
 
 #[test]
 fn a_restarted_placer_uses_its_old_list_and_believes_a_newer_one() {
-    let mut asks = settings(Effect::Safe);
-    asks.discovery = Discovery::Ask;
+    let mut asks = settings(RetrySafety::Idempotent);
+    asks.discovery = DiscoveryMode::Poll;
     let placer = Placer::new(asks, 3).expect("sound settings");
     let mut desk = Desk { placer, now: S };
-    desk.list(Scope::Restored, vec![machine(0), machine(1)]);
+    desk.list(UpdateScope::Restored, vec![machine(0), machine(1)]);
     assert!(desk.ask(task(1, 1, desk.now + S)).is_some());
-    let drained = Listing {
+    let drained = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
     };
-    desk.list(Scope::Changes, vec![drained]);
+    desk.list(UpdateScope::Delta, vec![drained]);
     for n in 2..30 {
         assert_eq!(desk.ask(task(n, n, desk.now + S)), Some(1));
     }
@@ -629,51 +629,51 @@
 
 #[test]
 fn a_machine_without_connection_gets_no_offers_and_costs_no_attempts() {
-    let mut desk = Desk::new(settings(Effect::Safe), 2);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
     desk.turn(&[
-        Event::Linked(MachineId(0), false),
-        Event::Linked(MachineId(1), false),
+        Event::ConnectionChanged(MachineId(0), false),
+        Event::ConnectionChanged(MachineId(1), false),
     ]);
     // Out of reach altogether: held, neither offered nor refused.
-    let actions = desk.turn(&[Event::Asked(task(1, 5, desk.now + 10 * S))]);
+    let actions = desk.turn(&[Event::PlacementRequested(task(1, 5, desk.now + 10 * S))]);
     assert_eq!(offer(&actions), None);
     assert!(answers(&desk.wait(desk.now + S, &[0])).is_empty());
     // Back in reach: the one that is gets it, as its first attempt.
-    desk.turn(&[Event::Linked(MachineId(1), true)]);
+    desk.turn(&[Event::ConnectionChanged(MachineId(1), true)]);
     let actions = desk.wait(desk.now + S, &[0]);
     assert_eq!(offer(&actions), Some(1));
     // A loss of the connection takes effect in the turn in which it is told.
     let lost = [
-        end(1, 0, Ending::Reset, None),
-        Event::Linked(MachineId(1), false),
-        Event::Linked(MachineId(0), true),
+        end(1, 0, AttemptOutcome::Disconnected, None),
+        Event::ConnectionChanged(MachineId(1), false),
+        Event::ConnectionChanged(MachineId(0), true),
     ];
     assert_eq!(offer(&desk.turn(&lost)), Some(0));
     // Out of reach until the deadline: refused in time.
-    let mut desk = Desk::new(settings(Effect::Unsafe), 1);
-    desk.turn(&[Event::Linked(MachineId(0), false)]);
+    let mut desk = Desk::new(settings(RetrySafety::NonIdempotent), 1);
+    desk.turn(&[Event::ConnectionChanged(MachineId(0), false)]);
     let give_up_at = desk.now + 2 * S;
-    desk.turn(&[Event::Asked(task(1, 5, give_up_at))]);
+    desk.turn(&[Event::PlacementRequested(task(1, 5, give_up_at))]);
     let actions = desk.wait(give_up_at, &[0, 2]);
-    assert_eq!(answers(&actions), [Action::Refuse(TaskId(1), None)]);
+    assert_eq!(answers(&actions), [Action::Reject(TaskId(1), None)]);
     assert_eq!(offer(&actions), None);
 }
 
 /// One of four placers before four machines, with its part of twelve accepted starts under way.
 fn busy() -> (Desk, u64) {
-    let mut own = settings(Effect::Safe);
-    own.placers = 4;
+    let mut own = settings(RetrySafety::Idempotent);
+    own.replica_count = 4;
     let mut desk = Desk::new(own, 4);
     for n in 0..3 {
         desk.ask(task(n, n, 100 * S)).expect("an offer");
-        desk.turn(&[Event::Seated(id(n, 0), None)]);
+        desk.turn(&[Event::AttemptAccepted(id(n, 0), None)]);
     }
     (desk, 3)
 }
 
 fn again(n: u64, give_up_at: Micros) -> Task {
     Task {
-        again: true,
+        is_resubmission: true,
         ..task(n, n, give_up_at)
     }
 }
@@ -691,12 +691,12 @@
         "a first start is not kept waiting"
     );
     assert_eq!(
-        offer(&desk.turn(&[Event::Seated(id(next + 1, 0), None)])),
+        offer(&desk.turn(&[Event::AttemptAccepted(id(next + 1, 0), None)])),
         None
     );
     // Two of the four starts under way are done: the part is three, so one place is free.
     desk.now += 50_000;
-    let started = |n| Event::Noted(id(n, 0), Note::Started);
+    let started = |n| Event::TaskReported(id(n, 0), TaskReport::Started);
     assert_eq!(offer(&desk.turn(&[started(0)])), None);
     let offered = desk.turn(&[started(1)]);
     assert!(
@@ -705,7 +705,7 @@
             .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
         "{offered:?}"
     );
-    desk.turn(&[Event::Seated(id(next, 0), None)]);
+    desk.turn(&[Event::AttemptAccepted(id(next, 0), None)]);
     assert!(
         desk.ask(again(next + 2, 100 * S)).is_none(),
         "that start counts too"
@@ -739,15 +739,15 @@
 fn attempts_that_end_or_use_something_are_no_starts_under_way() {
     let (mut desk, next) = busy();
     assert_eq!(desk.ask(again(next, 100 * S)), None);
-    let used = desk.turn(&[Event::Noted(id(1, 0), Note::CoresUsed(0.5))]);
+    let used = desk.turn(&[Event::TaskReported(id(1, 0), TaskReport::CoresUsed(0.5))]);
     assert!(
         used.iter()
             .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
         "{used:?}"
     );
-    desk.turn(&[Event::Seated(id(next, 0), None)]);
+    desk.turn(&[Event::AttemptAccepted(id(next, 0), None)]);
     assert_eq!(desk.ask(again(next + 1, 100 * S)), None);
-    let ended = desk.turn(&[end(0, 0, Ending::Reset, None)]);
+    let ended = desk.turn(&[end(0, 0, AttemptOutcome::Disconnected, None)]);
     assert!(
         ended
             .iter()
@@ -755,11 +755,11 @@
         "{ended:?}"
     );
     // Said twice, or late, it counts once or not at all.
-    let twice = [Event::Seated(id(2, 0), None), Event::Seated(id(2, 0), None)];
+    let twice = [Event::AttemptAccepted(id(2, 0), None), Event::AttemptAccepted(id(2, 0), None)];
     desk.turn(&twice);
     desk.turn(&[
-        Event::Noted(id(2, 0), Note::Started),
-        Event::Seated(id(2, 0), None),
+        Event::TaskReported(id(2, 0), TaskReport::Started),
+        Event::AttemptAccepted(id(2, 0), None),
     ]);
     assert!(
         desk.ask(again(next + 2, 100 * S)).is_some(),
@@ -771,9 +771,9 @@
 fn a_yielding_task_that_is_not_wanted_any_more_is_forgotten() {
     let (mut desk, next) = busy();
     assert_eq!(desk.ask(again(next, 100 * S)), None);
-    let its = |a: &Action| matches!(a, Action::Offer(t, ..) | Action::Refuse(t, _) if t.0 == next);
-    desk.turn(&[Event::HungUp(TaskId(next))]);
-    let actions = desk.turn(&[Event::Noted(id(0, 0), Note::Started)]);
+    let its = |a: &Action| matches!(a, Action::Offer(t, ..) | Action::Reject(t, _) if t.0 == next);
+    desk.turn(&[Event::ClientDisconnected(TaskId(next))]);
+    let actions = desk.turn(&[Event::TaskReported(id(0, 0), TaskReport::Started)]);
     assert!(!actions.iter().any(its), "{actions:?}");
     let actions = desk.wait(110 * S, &[0, next + 1]);
     assert!(!actions.iter().any(its), "{actions:?}");
