--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -8,7 +8,7 @@
 fn settle(desk: &mut Desk) {
     for n in 10_000..10_600 {
         desk.ask(task(n, n, desk.now + S));
-        desk.turn(&[Event::HungUp(TaskId(n)), end(n, 0, Ending::Cancelled, None)]);
+        desk.turn(&[Event::ClientDisconnected(TaskId(n)), end(n, 0, AttemptOutcome::Cancelled, None)]);
     }
     desk.now += 10 * S;
 }
@@ -21,7 +21,7 @@
             .ask(task(i, service(i), desk.now + S))
             .expect("an offer");
         got[machine as usize] += 1;
-        desk.turn(&[Event::HungUp(TaskId(i)), end(i, 0, Ending::Cancelled, None)]);
+        desk.turn(&[Event::ClientDisconnected(TaskId(i)), end(i, 0, AttemptOutcome::Cancelled, None)]);
         desk.now += 20 * S;
     }
     got
@@ -29,12 +29,12 @@
 
 #[test]
 fn the_least_share_is_chosen() {
-    let mut desk = Desk::new(settings(Effect::Safe), 3);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
     settle(&mut desk);
     for (n, machine) in [(1, 0), (2, 0), (3, 1)] {
         let mut large = task(n, 500 + n, 0);
-        large.asks = Room::new(8.0, 16.0);
-        desk.turn(&[Event::Running(large, MachineId(machine))]);
+        large.requested = Resources::new(8.0, 16.0);
+        desk.turn(&[Event::TaskAdopted(large, MachineId(machine))]);
     }
     let got = shares(&mut desk, 200, |i| 1_000 + i);
     assert!(got[2] >= 195, "{got:?}");
@@ -44,26 +44,26 @@
 fn an_emptier_machine_draws_no_start_from_one_with_the_program_while_that_is_easy() {
     // Machine 0 holds the program and so many cores of 32; the others are empty, one of them the service's home.
     let at_the_program = |cores: f64| {
-        let mut desk = Desk::new(settings(Effect::Safe), 3);
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
         settle(&mut desk);
         let large = Task {
-            asks: Room::new(cores, 1.0),
+            requested: Resources::new(cores, 1.0),
             ..task(1, 500, 0)
         };
-        desk.turn(&[Event::Running(large, MachineId(0))]);
+        desk.turn(&[Event::TaskAdopted(large, MachineId(0))]);
         let mut got = 0;
         for service in 0..100 {
             let small = Task {
-                asks: Room::new(0.1, 0.1),
+                requested: Resources::new(0.1, 0.1),
                 ..task(2_000 + service, 1_000 + service, 0)
             };
-            desk.turn(&[Event::Running(small, MachineId(0))]);
+            desk.turn(&[Event::TaskAdopted(small, MachineId(0))]);
             let machine = desk
                 .ask(task(3_000 + service, 1_000 + service, desk.now + S))
                 .expect("an offer");
             got += u64::from(machine == 0);
             for n in [2_000 + service, 3_000 + service] {
-                desk.turn(&[Event::HungUp(TaskId(n)), end(n, 0, Ending::Cancelled, None)]);
+                desk.turn(&[Event::ClientDisconnected(TaskId(n)), end(n, 0, AttemptOutcome::Cancelled, None)]);
             }
         }
         got
@@ -74,15 +74,15 @@
 
 #[test]
 fn a_quick_machine_outweighs_a_larger_share() {
-    let mut desk = Desk::new(settings(Effect::Safe), 2);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
     settle(&mut desk);
     // Machine 0 starts the service in 0.2 s, machine 1 in 2 s; both hold the program.
     let (mut n, mut seen) = (1, [0, 0]);
     while seen.iter().any(|&s| s < 8) {
         let machine = desk.ask(task(n, 7, desk.now + 9 * S)).expect("an offer") as usize;
-        desk.turn(&[Event::Seated(id(n, 0), None)]);
+        desk.turn(&[Event::AttemptAccepted(id(n, 0), None)]);
         desk.now += if machine == 0 { 200_000 } else { 2 * S };
-        desk.turn(&[Event::Noted(id(n, 0), Note::Started)]);
+        desk.turn(&[Event::TaskReported(id(n, 0), TaskReport::Started)]);
         seen[machine] += 1;
         n += 1;
         assert!(n < 2_000, "{seen:?}");
@@ -94,16 +94,16 @@
 fn held_everywhere(desk: &mut Desk, service: u64, machines: u32) {
     for n in 0..machines {
         let small = Task {
-            asks: Room::new(0.01, 0.01),
+            requested: Resources::new(0.01, 0.01),
             ..task(90_000 + u64::from(n), service, 0)
         };
-        desk.turn(&[Event::Running(small, MachineId(n))]);
+        desk.turn(&[Event::TaskAdopted(small, MachineId(n))]);
     }
 }
 
 #[test]
 fn near_ties_are_drawn_at_random() {
-    let mut desk = Desk::new(settings(Effect::Safe), 3);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
     settle(&mut desk);
     // No start was ever sampled, so all rates are one and all shares alike.
     let got = shares(&mut desk, 300, |i| 1_000 + i);
@@ -115,17 +115,17 @@
     let explored = |skip: bool| {
         let mut away = 0;
         for seed in 0..60 {
-            let placer = Placer::new(settings(Effect::Safe), seed).expect("sound settings");
+            let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
             let mut desk = Desk { placer, now: S };
-            desk.list(Scope::Full, (0..3).map(machine).collect());
+            desk.list(UpdateScope::Full, (0..3).map(machine).collect());
             if skip {
                 settle(&mut desk);
             }
             let mut large = task(1, 1, 0);
-            large.asks = Room::new(16.0, 32.0);
+            large.requested = Resources::new(16.0, 32.0);
             desk.turn(&[
-                Event::Running(large, MachineId(0)),
-                Event::Running(
+                Event::TaskAdopted(large, MachineId(0)),
+                Event::TaskAdopted(
                     Task {
                         id: TaskId(2),
                         ..large
@@ -144,7 +144,7 @@
 #[test]
 fn exploration_and_ties_obey_the_filters() {
     for seed in 0..50 {
-        let placer = Placer::new(settings(Effect::Safe), seed).expect("sound settings");
+        let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
         let mut desk = Desk { placer, now: S };
         let state = |n: u32| {
             if n == 3 {
@@ -154,9 +154,9 @@
             }
         };
         desk.list(
-            Scope::Full,
+            UpdateScope::Full,
             (0..6)
-                .map(|n| Listing {
+                .map(|n| MachineEntry {
                     state: state(n),
                     ..machine(n)
                 })
@@ -168,19 +168,19 @@
 
 #[test]
 fn an_unreported_machine_takes_the_mean_of_the_others() {
-    let mut view = settings(Effect::Safe);
+    let mut view = settings(RetrySafety::Idempotent);
     view.view = true;
     let mut desk = Desk::new(view, 0);
     let unasked = |n| match n {
-        0 => Some(Room::new(28.0, 84.0)),
-        1 => Some(Room::new(4.0, 12.0)),
+        0 => Some(Resources::new(28.0, 84.0)),
+        1 => Some(Resources::new(4.0, 12.0)),
         _ => None,
     };
     desk.list(
-        Scope::Full,
+        UpdateScope::Full,
         (0..3)
-            .map(|n| Listing {
-                unasked: unasked(n),
+            .map(|n| MachineEntry {
+                unallocated: unasked(n),
                 ..machine(n)
             })
             .collect(),
@@ -193,15 +193,15 @@
 
 #[test]
 fn own_binds_count_until_the_view_shows_them() {
-    let mut view = settings(Effect::Safe);
+    let mut view = settings(RetrySafety::Idempotent);
     view.view = true;
     let mut desk = Desk::new(view, 0);
-    let free = Some(Room::new(32.0, 96.0));
+    let free = Some(Resources::new(32.0, 96.0));
     desk.list(
-        Scope::Full,
+        UpdateScope::Full,
         (0..2)
-            .map(|n| Listing {
-                unasked: free,
+            .map(|n| MachineEntry {
+                unallocated: free,
                 ..machine(n)
             })
             .collect(),
@@ -221,17 +221,17 @@
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut desk = Desk::new(settings(Effect::Safe), 5);
+        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 5);
         let mut all = Vec::new();
         for n in 0..300u64 {
             desk.now += 7_000;
-            all.extend(desk.turn(&[Event::Asked(task(n, n % 9, desk.now + S))]));
+            all.extend(desk.turn(&[Event::PlacementRequested(task(n, n % 9, desk.now + S))]));
             all.extend(desk.turn(&[
-                Event::Seated(id(n, 0), None),
-                Event::Noted(id(n, 0), Note::Started),
+                Event::AttemptAccepted(id(n, 0), None),
+                Event::TaskReported(id(n, 0), TaskReport::Started),
             ]));
             if n % 3 == 0 {
-                all.extend(desk.turn(&[end(n, 0, Ending::Done, None)]));
+                all.extend(desk.turn(&[end(n, 0, AttemptOutcome::Completed, None)]));
             }
         }
         all
@@ -241,25 +241,25 @@
 
 #[test]
 fn late_repeated_and_unknown_events_are_ignored() {
-    let mut desk = Desk::new(settings(Effect::Safe), 1);
+    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
     let unknown = [
-        Event::Seated(id(5, 0), None),
-        Event::Noted(id(5, 0), Note::Started),
-        Event::Noted(id(5, 3), Note::Served(0.1)),
-        end(5, 0, Ending::Done, None),
-        Event::HungUp(TaskId(5)),
-        Event::Woken(77),
+        Event::AttemptAccepted(id(5, 0), None),
+        Event::TaskReported(id(5, 0), TaskReport::Started),
+        Event::TaskReported(id(5, 3), TaskReport::Served(0.1)),
+        end(5, 0, AttemptOutcome::Completed, None),
+        Event::ClientDisconnected(TaskId(5)),
+        Event::TimerFired(77),
         Event::Probed {
             machine: MachineId(99),
             ok: true,
             load: None,
         },
-        Event::Told {
+        Event::PeerMessage {
             from: 3,
             bytes: vec![1],
         },
-        Event::ListUnavailable,
-        Event::Running(
+        Event::DiscoveryUnavailable,
+        Event::TaskAdopted(
             Task {
                 class: 9,
                 ..task(6, 6, 0)
@@ -268,16 +268,16 @@
         ),
     ];
     assert!(desk.turn(&unknown).is_empty());
-    let refused = desk.turn(&[Event::Asked(Task {
+    let refused = desk.turn(&[Event::PlacementRequested(Task {
         class: 9,
         ..task(7, 7, 9 * S)
     })]);
-    assert_eq!(answers(&refused), [Action::Refuse(TaskId(7), None)]);
+    assert_eq!(answers(&refused), [Action::Reject(TaskId(7), None)]);
     // Time that seems to run back is taken for standing still.
     desk.now = 0;
     desk.ask(task(8, 8, 9 * S));
     assert!(
-        desk.turn(&[end(8, 0, Ending::Done, None), end(8, 0, Ending::Done, None)])
+        desk.turn(&[end(8, 0, AttemptOutcome::Completed, None), end(8, 0, AttemptOutcome::Completed, None)])
             .len()
             < 3
     );
@@ -286,7 +286,7 @@
 #[test]
 fn settings_that_make_no_sense_are_refused() {
     let error = |change: fn(&mut Settings)| {
-        let mut settings = settings(Effect::Safe);
+        let mut settings = settings(RetrySafety::Idempotent);
         change(&mut settings);
         Placer::new(settings, 1).err()
     };
@@ -305,9 +305,9 @@
     );
     let bad: [fn(&mut Settings); 5] = [
         |s| s.admit_cores = f64::NAN,
-        |s| s.rules.fall_multiple = f64::INFINITY,
-        |s| s.placers = 0,
-        |s| s.number = s.placers,
+        |s| s.rules.overload_multiple = f64::INFINITY,
+        |s| s.replica_count = 0,
+        |s| s.replica_index = s.replica_count,
         |s| s.kinds[0].memory = 0.0,
     ];
     for change in bad {
