--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -9,9 +9,9 @@
 use maplethread::*;
 
 const SERVICES: u64 = 300;
-const ASKS: u64 = 20_000;
+const REQUESTS: u64 = 20_000;
 /// Asks in one turn, as where a zone is lost.
-const TOGETHER: u64 = 50;
+const REQUESTS_PER_TURN: u64 = 50;
 
 fn settings() -> Settings {
     let class = |effect, spread, priority| Class {
@@ -63,10 +63,10 @@
     );
     let began = Instant::now();
     let mut running: std::collections::VecDeque<AttemptId> = Default::default();
-    for first in (0..ASKS).step_by(TOGETHER as usize) {
+    for first in (0..REQUESTS).step_by(REQUESTS_PER_TURN as usize) {
         now += 20_000;
         let mut events = Vec::new();
-        for n in first..first + TOGETHER {
+        for n in first..first + REQUESTS_PER_TURN {
             let task = common::task(n, n * n % SERVICES, now + 3_000_000);
             events.push(Event::PlacementRequested(Task {
                 class: usize::from(n % 10 == 0),
@@ -77,20 +77,26 @@
             let end = AttemptResult {
                 outcome: AttemptOutcome::Completed,
                 reason: None,
-                closed: true,
+                closes_task: true,
                 load: None,
             };
-            events.extend(running.pop_front().map(|id| Event::AttemptFinished(id, end)));
+            events.extend(running.pop_front().map(|id| Event::AttemptFinished {
+                attempt: id,
+                result: end,
+            }));
         }
         actions.clear();
         placer.turn(now, &events, &mut actions);
         let mut seated = Vec::new();
         for action in &actions {
-            if let Action::Offer(task, machine, _) = *action {
+            if let Action::Offer { task, machine, .. } = *action {
                 offers += 1;
                 sum = sum.wrapping_mul(31).wrapping_add(u64::from(machine.0) + 1);
                 let id = AttemptId { task, number: 0 };
-                seated.push(Event::AttemptAccepted(id, None));
+                seated.push(Event::AttemptAccepted {
+                    attempt: id,
+                    elapsed: None,
+                });
                 running.push_back(id);
             }
         }
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -16,9 +16,10 @@
 use std::sync::Arc;
 
 use maplethread_admission::{
-    Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, Deduplication as AskCopies, DeduplicationTable,
+    RejectionReason, TaskRequest, TaskStage,
 };
-use maplethread_wire::frame::{Copies, Frame, Load, NoteKind, Offer, Reason};
+use maplethread_wire::frame::{DuplicatePolicy, Frame, NoteKind, Offer, Reason, ResourceAmounts};
 
 /// Ends that no placer has heard of yet; beyond it the oldest attempt is forgotten, and its placer finds it missing.
 const MOST_UNTOLD: usize = 1 << 16;
@@ -37,7 +38,7 @@
 
 /// How far a task has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum TaskState {
     /// Taken, not started.
     Accepted,
     /// About to be started: from here on it may have run.
@@ -45,18 +46,18 @@
     /// It runs as this process.
     Running(Identity),
     /// It has ended; with whether it ever ran, or may have.
-    Ended(Reason, bool),
+    Finished(Reason, bool),
 }
 
 /// What is kept of a task.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Kept {
+pub struct StoredTask {
     /// Whose it is.
     pub placer: Arc<str>,
     /// What was offered.
     pub offer: Offer,
     /// How far it has come.
-    pub fate: Fate,
+    pub state: TaskState,
 }
 
 /// What is to be done later.
@@ -70,9 +71,9 @@
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Do {
+pub enum Action {
     /// Keep this of an attempt.
-    Keep(u64, Kept),
+    StoreTask(u64, StoredTask),
     /// Keep nothing of it any more.
     Forget(u64),
     /// Keep that the host drains.
@@ -87,17 +88,17 @@
     After(u64, Later),
 }
 
-struct Task {
-    kept: Kept,
+struct HeldTask {
+    record: StoredTask,
     /// When its offer was read, µs; 0 for one of an earlier life.
-    read: u64,
+    received_at_us: u64,
     /// It was asked to end, and this is what its end will be told as.
-    stopping: Option<Reason>,
+    stop_reason: Option<Reason>,
 }
 
 /// What a recovered task's process was found to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum RecoveryOutcome {
     /// It runs.
     Alive(Identity),
     /// There is none.
@@ -110,34 +111,34 @@
     started_ms: u64,
     stop_grace: u64,
     admission: Admission,
-    keys: KeyTable,
-    tasks: BTreeMap<u64, Task>,
+    deduplication_table: DeduplicationTable,
+    held: BTreeMap<u64, HeldTask>,
     /// Ends that their placers have not heard of.
-    untold: BTreeMap<u64, Kept>,
+    untold: BTreeMap<u64, StoredTask>,
     /// Ends that were told just now.
-    told: Vec<u64>,
+    reported: Vec<u64>,
     /// The store takes nothing.
-    closed: bool,
+    is_store_unavailable: bool,
     /// Attempts that may still be in the store and have no place there.
     doubtful: Vec<u64>,
-    now: u64,
+    now_us: u64,
 }
 
 impl Agent {
     /// An agent that holds nothing; `stop_grace` µs after it was asked to, a task is made to end.
-    pub fn new(name: &str, started_ms: u64, policy: Policy, stop_grace: u64) -> Agent {
+    pub fn new(name: &str, started_ms: u64, policy: AdmissionPolicy, stop_grace: u64) -> Agent {
         Agent {
             name: name.into(),
             started_ms,
             stop_grace,
             admission: Admission::new(policy),
-            keys: KeyTable::default(),
-            tasks: BTreeMap::new(),
+            deduplication_table: DeduplicationTable::default(),
+            held: BTreeMap::new(),
             untold: BTreeMap::new(),
-            told: Vec::new(),
-            closed: false,
+            reported: Vec::new(),
+            is_store_unavailable: false,
             doubtful: Vec::new(),
-            now: 0,
+            now_us: 0,
         }
     }
 
@@ -146,45 +147,45 @@
         &mut self,
         now: u64,
         drains: bool,
-        kept: Vec<(u64, Kept)>,
-        found: impl Fn(u64, &Kept) -> Found,
-        out: &mut Vec<Do>,
+        kept: Vec<(u64, StoredTask)>,
+        found: impl Fn(u64, &StoredTask) -> RecoveryOutcome,
+        out: &mut Vec<Action>,
     ) {
-        self.now = now;
+        self.now_us = now;
         for (attempt, mut kept) in kept {
-            let stage = match kept.fate {
-                Fate::Ended(..) => {
+            let stage = match kept.state {
+                TaskState::Finished(..) => {
                     self.untold.insert(attempt, kept);
                     continue;
                 }
-                Fate::Accepted => Stage::Waiting,
-                Fate::Starting | Fate::Running(_) => match found(attempt, &kept) {
-                    Found::Alive(identity) => {
-                        kept.fate = Fate::Running(identity);
-                        out.push(Do::Keep(attempt, kept.clone()));
-                        Stage::Running
+                TaskState::Accepted => TaskStage::Waiting,
+                TaskState::Starting | TaskState::Running(_) => match found(attempt, &kept) {
+                    RecoveryOutcome::Alive(identity) => {
+                        kept.state = TaskState::Running(identity);
+                        out.push(Action::StoreTask(attempt, kept.clone()));
+                        TaskStage::Running
                     }
-                    Found::Gone => {
+                    RecoveryOutcome::Gone => {
                         // How it ended, nobody saw; a start that was cut off may have run.
-                        let reason = match kept.fate {
-                            Fate::Starting => Reason::Error,
+                        let reason = match kept.state {
+                            TaskState::Starting => Reason::Error,
                             _ => Reason::Unknown,
                         };
-                        kept.fate = Fate::Ended(reason, true);
-                        out.push(Do::Keep(attempt, kept.clone()));
+                        kept.state = TaskState::Finished(reason, true);
+                        out.push(Action::StoreTask(attempt, kept.clone()));
                         self.untold.insert(attempt, kept);
                         continue;
                     }
                 },
             };
             self.admission
-                .restore(ask(&kept.offer), stage, &mut self.keys);
-            self.tasks.insert(
+                .restore(ask(&kept.offer), stage, &mut self.deduplication_table);
+            self.held.insert(
                 attempt,
-                Task {
-                    kept,
-                    read: 0,
-                    stopping: None,
+                HeldTask {
+                    record: kept,
+                    received_at_us: 0,
+                    stop_reason: None,
                 },
             );
         }
@@ -196,148 +197,158 @@
 
     /// What was offered as an attempt.
     pub fn offer(&self, attempt: u64) -> Option<&Offer> {
-        self.tasks.get(&attempt).map(|t| &t.kept.offer)
+        self.held.get(&attempt).map(|t| &t.record.offer)
     }
 
     /// All that is held, with its process if it has one.
-    pub fn running(&self) -> impl Iterator<Item = (u64, Identity)> {
-        self.tasks
+    pub fn running_processes(&self) -> impl Iterator<Item = (u64, Identity)> {
+        self.held
             .iter()
-            .filter_map(|(&attempt, t)| match t.kept.fate {
-                Fate::Running(identity) => Some((attempt, identity)),
+            .filter_map(|(&attempt, t)| match t.record.state {
+                TaskState::Running(identity) => Some((attempt, identity)),
                 _ => None,
             })
     }
 
-    fn load(&self) -> Load {
-        let (cores, memory) = self.admission.asked();
+    fn load(&self) -> ResourceAmounts {
+        let (cores, memory) = self.admission.requested();
         let policy = self.admission.policy();
-        Load {
+        ResourceAmounts {
             cores: policy.cores - cores,
-            memory: policy.memory - memory,
+            memory_gib: policy.memory_gib - memory,
         }
     }
 
     /// A placer has greeted: who this is, the ends that it has not heard of, and all that is held of it. A placer of
     /// minor version 0 takes ends after that only, with [`Agent::tell`], and has taken those tasks for lost by then.
-    pub fn greeted(&mut self, placer: &Arc<str>, minor: u16, out: &mut Vec<Do>) {
-        let send = |frame| Do::Send(placer.clone(), frame);
+    pub fn handle_greeting(&mut self, placer: &Arc<str>, minor: u16, out: &mut Vec<Action>) {
+        let send = |frame| Action::Send(placer.clone(), frame);
         out.push(send(Frame::Hello {
             major: maplethread_wire::frame::MAJOR,
             minor: maplethread_wire::frame::MINOR,
             name: self.name.to_string(),
             started_ms: self.started_ms,
-            most_offers: self.admission.policy().line as u32,
+            max_offers: self.admission.policy().max_queue_length as u32,
         }));
         if minor >= 1 {
-            self.tell(|connected| *connected == **placer, out);
+            self.report_finished(|connected| *connected == **placer, out);
         }
-        for task in self.tasks.values().filter(|t| t.kept.placer == *placer) {
-            let runs = matches!(task.kept.fate, Fate::Running(_));
-            out.push(send(Frame::Held(task.kept.offer.clone(), runs)));
+        for task in self.held.values().filter(|t| t.record.placer == *placer) {
+            let runs = matches!(task.record.state, TaskState::Running(_));
+            out.push(send(Frame::Held(task.record.offer.clone(), runs)));
         }
         out.push(send(Frame::HeldEnd));
-        if self.admission.draining() {
+        if self.admission.is_draining() {
             out.push(send(Frame::Drain));
         }
     }
 
     /// A frame of a placer that has greeted.
-    pub fn frame(&mut self, now: u64, placer: &Arc<str>, frame: Frame, out: &mut Vec<Do>) {
-        self.now = self.now.max(now);
+    pub fn handle_frame(
+        &mut self,
+        now: u64,
+        placer: &Arc<str>,
+        frame: Frame,
+        out: &mut Vec<Action>,
+    ) {
+        self.now_us = self.now_us.max(now);
         match frame {
             Frame::Offer(offer) => self.offered(placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt)
                 if self
-                    .tasks
+                    .held
                     .get(&attempt)
-                    .is_some_and(|t| t.kept.placer == *placer) =>
+                    .is_some_and(|t| t.record.placer == *placer) =>
             {
                 self.stop(attempt, Reason::Stopped, out);
             }
-            Frame::Probe(nonce) => {
-                out.push(Do::Send(placer.clone(), Frame::Report(nonce, self.load())))
-            }
-            Frame::Ping(nonce) => out.push(Do::Send(placer.clone(), Frame::Pong(nonce))),
+            Frame::Probe(nonce) => out.push(Action::Send(
+                placer.clone(),
+                Frame::Report(nonce, self.load()),
+            )),
+            Frame::Ping(nonce) => out.push(Action::Send(placer.clone(), Frame::Pong(nonce))),
             _ => {}
         }
     }
 
-    fn offered(&mut self, placer: &Arc<str>, offer: Offer, out: &mut Vec<Do>) {
-        let attempt = offer.attempt;
-        if self.tasks.contains_key(&attempt) || self.untold.contains_key(&attempt) {
+    fn offered(&mut self, placer: &Arc<str>, offer: Offer, out: &mut Vec<Action>) {
+        let attempt = offer.attempt_id;
+        if self.held.contains_key(&attempt) || self.untold.contains_key(&attempt) {
             // Attempt numbers are used once; a second one is a placer's error and starts nothing.
             tracing::warn!(%placer, attempt, "an attempt was offered twice");
             return;
         }
-        let refuse =
-            |reason, load| Do::Send(placer.clone(), Frame::Refused(attempt, reason, Some(load)));
-        if self.closed {
-            out.push(refuse(Reason::NotHere, self.load()));
+        let refuse = |reason, load| {
+            Action::Send(placer.clone(), Frame::Refused(attempt, reason, Some(load)))
+        };
+        if self.is_store_unavailable {
+            out.push(refuse(Reason::Ineligible, self.load()));
             return;
         }
-        if let Err(refusal) = self.admission.queue(ask(&offer)) {
+        if let Err(refusal) = self.admission.enqueue(ask(&offer)) {
             out.push(refuse(reason(refusal), self.load()));
             return;
         }
-        let task = Task {
-            kept: Kept {
+        let task = HeldTask {
+            record: StoredTask {
                 placer: placer.clone(),
                 offer,
-                fate: Fate::Accepted,
+                state: TaskState::Accepted,
             },
-            read: self.now,
-            stopping: None,
+            received_at_us: self.now_us,
+            stop_reason: None,
         };
-        self.tasks.insert(attempt, task);
-        while let Some((ask, verdict)) = self.admission.look(&mut self.keys) {
-            self.verdict(ask.attempt, verdict, out);
+        self.held.insert(attempt, task);
+        while let Some((ask, verdict)) = self.admission.decide_next(&mut self.deduplication_table) {
+            self.verdict(ask.attempt_id, verdict, out);
         }
         self.start_more(out);
     }
 
-    fn verdict(&mut self, attempt: u64, verdict: Verdict, out: &mut Vec<Do>) {
+    fn verdict(&mut self, attempt: u64, verdict: AdmissionDecision, out: &mut Vec<Action>) {
         match verdict {
-            Verdict::Refused(refusal) => {
-                if let Some(task) = self.tasks.remove(&attempt) {
+            AdmissionDecision::Rejected(refusal) => {
+                if let Some(task) = self.held.remove(&attempt) {
                     let refused = Frame::Refused(attempt, reason(refusal), Some(self.load()));
-                    out.push(Do::Send(task.kept.placer, refused));
+                    out.push(Action::Send(task.record.placer, refused));
                 }
             }
-            Verdict::Taken { push_out } => {
+            AdmissionDecision::Admitted {
+                preempted: push_out,
+            } => {
                 // Their room is another's already.
                 push_out
                     .into_iter()
-                    .for_each(|gone| self.stop(gone, Reason::PushedOut, out));
-                let Some(task) = self.tasks.get(&attempt) else {
+                    .for_each(|gone| self.stop(gone, Reason::Preempted, out));
+                let Some(task) = self.held.get(&attempt) else {
                     return;
                 };
-                out.push(Do::Keep(attempt, task.kept.clone()));
+                out.push(Action::StoreTask(attempt, task.record.clone()));
                 let took = self.took(task);
-                out.push(Do::Send(
-                    task.kept.placer.clone(),
+                out.push(Action::Send(
+                    task.record.placer.clone(),
                     Frame::Accepted(attempt, took),
                 ));
             }
         }
     }
 
-    fn took(&self, task: &Task) -> u32 {
-        if task.read == 0 {
+    fn took(&self, task: &HeldTask) -> u32 {
+        if task.received_at_us == 0 {
             0
         } else {
-            (self.now.saturating_sub(task.read) / 1000) as u32
+            (self.now_us.saturating_sub(task.received_at_us) / 1000) as u32
         }
     }
 
-    fn start_more(&mut self, out: &mut Vec<Do>) {
+    fn start_more(&mut self, out: &mut Vec<Action>) {
         while let Some((attempt, _)) = self.admission.next_start() {
-            let Some(task) = self.tasks.get_mut(&attempt) else {
+            let Some(task) = self.held.get_mut(&attempt) else {
                 continue;
             };
-            task.kept.fate = Fate::Starting;
-            out.push(Do::Keep(attempt, task.kept.clone()));
-            out.push(Do::Spawn(attempt));
+            task.record.state = TaskState::Starting;
+            out.push(Action::StoreTask(attempt, task.record.clone()));
+            out.push(Action::Spawn(attempt));
         }
     }
 
@@ -347,23 +358,23 @@
         now: u64,
         attempt: u64,
         process: Result<Identity, Reason>,
-        out: &mut Vec<Do>,
+        out: &mut Vec<Action>,
     ) {
-        self.now = self.now.max(now);
+        self.now_us = self.now_us.max(now);
         match process {
             Ok(identity) => {
-                self.admission.started(attempt);
-                let Some(task) = self.tasks.get_mut(&attempt) else {
+                self.admission.mark_running(attempt);
+                let Some(task) = self.held.get_mut(&attempt) else {
                     return;
                 };
-                task.kept.fate = Fate::Running(identity);
-                out.push(Do::Keep(attempt, task.kept.clone()));
-                let task = &self.tasks[&attempt];
-                out.push(Do::Send(
-                    task.kept.placer.clone(),
+                task.record.state = TaskState::Running(identity);
+                out.push(Action::StoreTask(attempt, task.record.clone()));
+                let task = &self.held[&attempt];
+                out.push(Action::Send(
+                    task.record.placer.clone(),
                     Frame::Started(attempt, self.took(task)),
                 ));
-                if let Some(reason) = task.stopping {
+                if let Some(reason) = task.stop_reason {
                     self.stop(attempt, reason, out);
                 }
             }
@@ -373,11 +384,11 @@
     }
 
     /// A process has ended; `well` tells whether it said that all went well, if that is known.
-    pub fn exited(&mut self, now: u64, attempt: u64, well: Option<bool>, out: &mut Vec<Do>) {
-        self.now = self.now.max(now);
-        let stopping = self.tasks.get(&attempt).and_then(|t| t.stopping);
+    pub fn exited(&mut self, now: u64, attempt: u64, well: Option<bool>, out: &mut Vec<Action>) {
+        self.now_us = self.now_us.max(now);
+        let stopping = self.held.get(&attempt).and_then(|t| t.stop_reason);
         let reason = stopping.unwrap_or(match well {
-            Some(true) => Reason::Done,
+            Some(true) => Reason::Completed,
             Some(false) => Reason::Error,
             None => Reason::Unknown,
         });
@@ -385,25 +396,26 @@
         self.start_more(out);
     }
 
-    fn ended(&mut self, attempt: u64, reason: Reason, ran: bool, out: &mut Vec<Do>) {
-        self.admission.end(attempt, &mut self.keys);
-        let Some(mut task) = self.tasks.remove(&attempt) else {
+    fn ended(&mut self, attempt: u64, reason: Reason, ran: bool, out: &mut Vec<Action>) {
+        self.admission
+            .remove(attempt, &mut self.deduplication_table);
+        let Some(mut task) = self.held.remove(&attempt) else {
             return;
         };
-        task.kept.fate = Fate::Ended(reason, ran);
-        out.push(Do::Keep(attempt, task.kept.clone()));
-        self.untold.insert(attempt, task.kept);
+        task.record.state = TaskState::Finished(reason, ran);
+        out.push(Action::StoreTask(attempt, task.record.clone()));
+        self.untold.insert(attempt, task.record);
         while self.untold.len() > MOST_UNTOLD
             && let Some((oldest, _)) = self.untold.pop_first()
         {
-            out.push(Do::Forget(oldest));
+            out.push(Action::Forget(oldest));
         }
     }
 
     /// Tells ends to the placers that are connected, and forgets in the next turn those told in this one: an end is in
     /// the store until it has left.
-    pub fn tell(&mut self, connected: impl Fn(&str) -> bool, out: &mut Vec<Do>) {
-        out.extend(self.told.drain(..).map(Do::Forget));
+    pub fn report_finished(&mut self, connected: impl Fn(&str) -> bool, out: &mut Vec<Action>) {
+        out.extend(self.reported.drain(..).map(Action::Forget));
         let heard: Vec<u64> = self
             .untold
             .iter()
@@ -414,28 +426,28 @@
             let Some(kept) = self.untold.remove(&attempt) else {
                 continue;
             };
-            if let Fate::Ended(reason, ran) = kept.fate {
+            if let TaskState::Finished(reason, ran) = kept.state {
                 let ended = Frame::Ended(attempt, reason, ran, Some(self.load()));
-                out.push(Do::Send(kept.placer, ended));
+                out.push(Action::Send(kept.placer, ended));
             }
-            self.told.push(attempt);
+            self.reported.push(attempt);
         }
     }
 
     /// A task is to end, and to be told so.
-    fn stop(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Do>) {
-        let Some(task) = self.tasks.get_mut(&attempt) else {
+    fn stop(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Action>) {
+        let Some(task) = self.held.get_mut(&attempt) else {
             return;
         };
-        match task.kept.fate {
+        match task.record.state {
             // Its process is being made: it is asked to end as soon as there is one.
-            Fate::Starting => task.stopping = Some(reason),
-            Fate::Running(identity) => {
-                task.stopping = Some(reason);
-                out.push(Do::Kill(identity, false));
-                out.push(Do::After(self.stop_grace, Later::Force(attempt)));
+            TaskState::Starting => task.stop_reason = Some(reason),
+            TaskState::Running(identity) => {
+                task.stop_reason = Some(reason);
+                out.push(Action::Kill(identity, false));
+                out.push(Action::After(self.stop_grace, Later::Force(attempt)));
             }
-            Fate::Accepted | Fate::Ended(..) => {
+            TaskState::Accepted | TaskState::Finished(..) => {
                 self.ended(attempt, reason, false, out);
                 self.start_more(out);
             }
@@ -443,37 +455,37 @@
     }
 
     /// Something falls due.
-    pub fn due(&mut self, now: u64, later: Later, out: &mut Vec<Do>) {
-        self.now = self.now.max(now);
+    pub fn handle_timer(&mut self, now: u64, later: Later, out: &mut Vec<Action>) {
+        self.now_us = self.now_us.max(now);
         match later {
             Later::Force(attempt) => {
-                if let Some(Task {
-                    kept:
-                        Kept {
-                            fate: Fate::Running(identity),
+                if let Some(HeldTask {
+                    record:
+                        StoredTask {
+                            state: TaskState::Running(identity),
                             ..
                         },
-                    stopping: Some(_),
+                    stop_reason: Some(_),
                     ..
-                }) = self.tasks.get(&attempt)
+                }) = self.held.get(&attempt)
                 {
-                    out.push(Do::Kill(*identity, true));
+                    out.push(Action::Kill(*identity, true));
                 }
             }
             Later::TryStore => {
-                self.closed = false;
-                out.extend(self.doubtful.drain(..).map(Do::Forget));
+                self.is_store_unavailable = false;
+                out.extend(self.doubtful.drain(..).map(Action::Forget));
                 self.start_more(out);
             }
         }
     }
 
     /// Takes nothing new from now on.
-    pub fn drain(&mut self, placers: impl Iterator<Item = Arc<str>>, out: &mut Vec<Do>) {
-        if !self.admission.draining() {
+    pub fn drain(&mut self, placers: impl Iterator<Item = Arc<str>>, out: &mut Vec<Action>) {
+        if !self.admission.is_draining() {
             self.admission.drain();
-            out.push(Do::KeepDrain);
-            out.extend(placers.map(|placer| Do::Send(placer, Frame::Drain)));
+            out.push(Action::KeepDrain);
+            out.extend(placers.map(|placer| Action::Send(placer, Frame::Drain)));
         }
     }
 
@@ -481,65 +493,67 @@
     /// the store all the same is not known, and a later life might start it: so it is answered that it may have run, and
     /// forgotten once the store takes it. Starts wait. All else is told as it is: a later life that reads the older
     /// fate finds the process, or finds it gone. Nothing new is taken until the store is tried again.
-    pub fn unkept(&mut self, turn: &[Do], out: &mut Vec<Do>) {
+    pub fn unkept(&mut self, turn: &[Action], out: &mut Vec<Action>) {
         for what in turn {
             match what {
-                Do::Keep(..) | Do::KeepDrain => {}
-                Do::Forget(attempt) => self.doubtful.push(*attempt),
-                Do::Send(placer, Frame::Accepted(attempt, _)) => {
-                    self.admission.end(*attempt, &mut self.keys);
-                    self.tasks.remove(attempt);
+                Action::StoreTask(..) | Action::KeepDrain => {}
+                Action::Forget(attempt) => self.doubtful.push(*attempt),
+                Action::Send(placer, Frame::Accepted(attempt, _)) => {
+                    self.admission
+                        .remove(*attempt, &mut self.deduplication_table);
+                    self.held.remove(attempt);
                     self.doubtful.push(*attempt);
                     let ended = Frame::Ended(*attempt, Reason::Error, true, Some(self.load()));
-                    out.push(Do::Send(placer.clone(), ended));
+                    out.push(Action::Send(placer.clone(), ended));
                 }
-                Do::Spawn(attempt) => {
-                    if let Some(task) = self.tasks.get_mut(attempt) {
-                        task.kept.fate = Fate::Accepted;
+                Action::Spawn(attempt) => {
+                    if let Some(task) = self.held.get_mut(attempt) {
+                        task.record.state = TaskState::Accepted;
                         self.admission.put_back(*attempt);
                     }
                 }
                 other => out.push(other.clone()),
             }
         }
-        if !std::mem::replace(&mut self.closed, true) {
-            out.push(Do::After(TRY_STORE, Later::TryStore));
+        if !std::mem::replace(&mut self.is_store_unavailable, true) {
+            out.push(Action::After(TRY_STORE, Later::TryStore));
         }
     }
 
     /// Notes of what a task's processes use.
-    pub fn used(&self, attempt: u64, cores: f64, memory_gib: f64, out: &mut Vec<Do>) {
-        let Some(task) = self.tasks.get(&attempt) else {
+    pub fn report_usage(&self, attempt: u64, cores: f64, memory_gib: f64, out: &mut Vec<Action>) {
+        let Some(task) = self.held.get(&attempt) else {
             return;
         };
-        let note = |kind, x| Do::Send(task.kept.placer.clone(), Frame::Note(attempt, kind, x));
+        let note =
+            |kind, x| Action::Send(task.record.placer.clone(), Frame::Note(attempt, kind, x));
         out.push(note(NoteKind::Cores, cores));
         out.push(note(NoteKind::Memory, memory_gib));
     }
 }
 
-fn ask(offer: &Offer) -> Ask {
-    let copies = match offer.copies {
-        Copies::Keyed(key) => AskCopies::One { group: 0, key },
-        Copies::Safe | Copies::Unsafe => AskCopies::Any,
+fn ask(offer: &Offer) -> TaskRequest {
+    let copies = match offer.duplicate_policy {
+        DuplicatePolicy::IdempotencyKey(key) => AskCopies::OnePerKey { group: 0, key },
+        DuplicatePolicy::Idempotent | DuplicatePolicy::NonIdempotent => AskCopies::Disabled,
     };
-    Ask {
-        attempt: offer.attempt,
-        program: offer.service.bytes().fold(7, |h: u64, b| {
+    TaskRequest {
+        attempt_id: offer.attempt_id,
+        program_id: offer.service.bytes().fold(7, |h: u64, b| {
             h.wrapping_mul(131).wrapping_add(u64::from(b))
         }),
-        cores: offer.asks.cores,
-        memory: offer.asks.memory,
+        cores: offer.requested.cores,
+        memory_gib: offer.requested.memory_gib,
         priority: offer.priority,
-        copies,
+        deduplication: copies,
     }
 }
 
-fn reason(refusal: Refusal) -> Reason {
+fn reason(refusal: RejectionReason) -> Reason {
     match refusal {
-        Refusal::Cores => Reason::Cores,
-        Refusal::Memory => Reason::Memory,
-        Refusal::Line => Reason::Line,
-        Refusal::Draining | Refusal::CopyStands => Reason::NotHere,
+        RejectionReason::InsufficientCores => Reason::Cores,
+        RejectionReason::InsufficientMemory => Reason::Memory,
+        RejectionReason::QueueFull => Reason::QueueFull,
+        RejectionReason::Draining | RejectionReason::DuplicateKey => Reason::Ineligible,
     }
 }
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -4,12 +4,12 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use maplethread_admission::Policy;
-use maplethread_config::{Doc, parse};
+use maplethread_admission::AdmissionPolicy;
+use maplethread_config::{Document, parse_toml};
 use maplethread_wire::frame::Offer;
 use serde::Deserialize;
 
-use crate::template::{Argument, BadName};
+use crate::template::{ArgumentTemplate, InvalidName};
 
 /// An agent's settings file.
 #[derive(Clone, Debug, Deserialize)]
@@ -33,7 +33,8 @@
     /// What it takes.
     pub limits: Limits,
     /// What it runs: the first that fits a task.
-    pub program: Vec<Program>,
+    #[serde(rename = "program")]
+    pub programs: Vec<Program>,
 }
 
 /// What an agent takes.
@@ -110,16 +111,16 @@
 
 /// A program with its arguments read.
 #[derive(Clone, Debug)]
-pub struct Runnable {
+pub struct PreparedProgram {
     /// As it stands in the settings.
     pub program: Program,
-    args: Vec<Argument>,
+    templates: Vec<ArgumentTemplate>,
 }
 
-impl Runnable {
+impl PreparedProgram {
     /// Its arguments for a task.
-    pub fn args(&self, offer: &Offer) -> Result<Vec<String>, BadName> {
-        self.args.iter().map(|a| a.fill(offer)).collect()
+    pub fn render_args(&self, offer: &Offer) -> Result<Vec<String>, InvalidName> {
+        self.templates.iter().map(|a| a.render(offer)).collect()
     }
 
     fn fits(&self, offer: &Offer) -> bool {
@@ -136,16 +137,19 @@
 }
 
 /// The first program that fits a task.
-pub fn program<'a>(programs: &'a [Runnable], offer: &Offer) -> Option<&'a Runnable> {
+pub fn find_program<'a>(
+    programs: &'a [PreparedProgram],
+    offer: &Offer,
+) -> Option<&'a PreparedProgram> {
     programs.iter().find(|p| p.fits(offer))
 }
 
 impl AgentConfig {
     /// Reads a settings file; paths are taken from its folder.
-    pub fn load(path: &Path) -> Result<(AgentConfig, Vec<Runnable>), String> {
+    pub fn load(path: &Path) -> Result<(AgentConfig, Vec<PreparedProgram>), String> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-        let mut config: AgentConfig = parse(Doc {
+        let mut config: AgentConfig = parse_toml(Document {
             file: &file,
             text: &text,
         })
@@ -164,7 +168,7 @@
     }
 
     /// All that is wrong with it, or its programs.
-    pub fn check(&self) -> Result<Vec<Runnable>, Vec<String>> {
+    pub fn check(&self) -> Result<Vec<PreparedProgram>, Vec<String>> {
         let mut faults = Vec::new();
         let mut must = |holds: bool, key: &str, what: &str| {
             if !holds {
@@ -228,17 +232,20 @@
             "measure_ms",
             "100 to 600000",
         );
-        must(!self.program.is_empty(), "program", "at least one");
+        must(!self.programs.is_empty(), "program", "at least one");
         let mut programs = Vec::new();
-        for (n, program) in self.program.iter().enumerate() {
+        for (n, program) in self.programs.iter().enumerate() {
             let key = |field: &str| format!("program {}: {field}", n + 1);
             must(program.path.is_absolute(), &key("path"), "an absolute path");
-            let args: Result<Vec<Argument>, String> =
-                program.args.iter().map(|a| Argument::parse(a)).collect();
+            let args: Result<Vec<ArgumentTemplate>, String> = program
+                .args
+                .iter()
+                .map(|a| ArgumentTemplate::parse(a))
+                .collect();
             match args {
-                Ok(args) => programs.push(Runnable {
+                Ok(args) => programs.push(PreparedProgram {
                     program: program.clone(),
-                    args,
+                    templates: args,
                 }),
                 Err(why) => must(false, &key("args"), &why),
             }
@@ -257,16 +264,16 @@
     }
 
     /// What admission goes by.
-    pub fn policy(&self) -> Policy {
-        Policy {
+    pub fn policy(&self) -> AdmissionPolicy {
+        AdmissionPolicy {
             cores: self.limits.cores,
-            memory: self.limits.memory_gib,
-            over_cores: self.limits.over_cores,
-            over_memory: self.limits.over_memory,
-            line: self.limits.line,
-            starts: self.limits.starts,
-            kept: 0,
-            push_out: self.limits.push_out,
+            memory_gib: self.limits.memory_gib,
+            cpu_overcommit: self.limits.over_cores,
+            memory_overcommit: self.limits.over_memory,
+            max_queue_length: self.limits.line,
+            max_concurrent_starts: self.limits.starts,
+            max_warm_programs: 0,
+            allows_preemption: self.limits.push_out,
         }
     }
 }
@@ -290,19 +297,19 @@
 
     #[test]
     fn all_faults_are_told_at_once() {
-        let doc = Doc {
+        let doc = Document {
             file: "a.toml",
             text: SOUND,
         };
-        let mut config: AgentConfig = parse(doc).expect("sound");
+        let mut config: AgentConfig = parse_toml(doc).expect("sound");
         assert_eq!(config.check().expect("sound").len(), 1);
         config.limits.cores = f64::NAN;
-        config.program[0].path = "true".into();
-        config.program[0].args = vec!["{who}".into()];
+        config.programs[0].path = "true".into();
+        config.programs[0].args = vec!["{who}".into()];
         let faults = config.check().expect_err("faults");
         assert_eq!(faults.len(), 3, "{faults:?}");
         let unknown = SOUND.replace("cores = 4.0", "cores = 4.0\nmany = 1");
-        let told = parse::<AgentConfig>(Doc {
+        let told = parse_toml::<AgentConfig>(Document {
             file: "a.toml",
             text: &unknown,
         })
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -12,13 +12,13 @@
 use rustix::process::{Pid, Signal};
 
 use crate::agent::Identity;
-use crate::config::Runnable;
+use crate::config::PreparedProgram;
 
 /// The variable that tells whose a process is.
 pub const MARKER: &str = "MAPLETHREAD_TASK";
 
 /// What marks a task's processes.
-pub fn marker(agent: &str, attempt: u64) -> String {
+pub fn marker_value(agent: &str, attempt: u64) -> String {
     format!("{agent}:{attempt:016x}")
 }
 
@@ -31,44 +31,45 @@
 
 /// What `/proc/PID/stat` tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Stat {
+pub struct ProcessStat {
     /// `R`, `S`, `Z` and so on.
     pub state: char,
     /// Its process group.
-    pub group: u32,
+    pub group_id: u32,
     /// When it started, ticks since boot.
     pub born: u64,
     /// Processor time that it used, ticks.
-    pub ticks: u64,
+    pub cpu_ticks: u64,
     /// Resident pages.
     pub pages: u64,
 }
 
 /// Reads a line of `/proc/PID/stat`; a program's name may hold anything, closing brackets too.
-fn parse_stat(line: &str) -> Option<Stat> {
+fn parse_stat(line: &str) -> Option<ProcessStat> {
     let (_, rest) = line.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_ascii_whitespace().collect();
     // Fields are numbered from 1 in proc(5), and the state is the third.
     let number = |n: usize| fields.get(n - 3)?.parse::<u64>().ok();
-    Some(Stat {
+    Some(ProcessStat {
         state: fields.first()?.chars().next()?,
-        group: u32::try_from(number(5)?).ok()?,
+        group_id: u32::try_from(number(5)?).ok()?,
         born: number(22)?,
-        ticks: number(14)? + number(15)?,
+        cpu_ticks: number(14)? + number(15)?,
         pages: number(24)?,
     })
 }
 
 /// What runs under a pid.
-pub fn stat(pid: u32) -> Option<Stat> {
+pub fn read_stat(pid: u32) -> Option<ProcessStat> {
     parse_stat(&String::from_utf8_lossy(
         &std::fs::read(format!("/proc/{pid}/stat")).ok()?,
     ))
 }
 
 /// Whether this very process still runs.
-pub fn alive(identity: Identity) -> bool {
-    stat(identity.pid).is_some_and(|s| s.born == identity.born && s.state != 'Z' && s.state != 'X')
+pub fn is_alive(identity: Identity) -> bool {
+    read_stat(identity.pid)
+        .is_some_and(|s| s.born == identity.born && s.state != 'Z' && s.state != 'X')
 }
 
 fn pids() -> impl Iterator<Item = u32> {
@@ -90,7 +91,7 @@
         let Some(attempt) = vars.find_map(|var| var.strip_prefix(&prefix)) else {
             continue;
         };
-        let (Ok(attempt), Some(stat)) = (u64::from_str_radix(attempt, 16), stat(pid)) else {
+        let (Ok(attempt), Some(stat)) = (u64::from_str_radix(attempt, 16), read_stat(pid)) else {
             continue;
         };
         if stat.state == 'Z' {
@@ -101,7 +102,7 @@
             pid,
             born: stat.born,
         };
-        if stat.group == pid {
+        if stat.group_id == pid {
             all.insert(0, identity)
         } else {
             all.push(identity)
@@ -112,7 +113,7 @@
 
 /// Starts a task's program; its output goes to a file of its own.
 pub fn spawn(
-    runnable: &Runnable,
+    runnable: &PreparedProgram,
     offer: &Offer,
     agent: &str,
     folder: &Path,
@@ -122,10 +123,10 @@
     let output = OpenOptions::new()
         .create(true)
         .append(true)
-        .open(output(folder, offer.attempt))?;
+        .open(output_path(folder, offer.attempt_id))?;
     let mut command = Command::new(&program.path);
     command
-        .args(runnable.args(offer).map_err(bad)?)
+        .args(runnable.render_args(offer).map_err(bad)?)
         .env_clear()
         .envs(
             program
@@ -134,7 +135,7 @@
                 .filter_map(|name| Some((name, std::env::var_os(name)?))),
         )
         .envs(&program.set)
-        .env(MARKER, marker(agent, offer.attempt))
+        .env(MARKER, marker_value(agent, offer.attempt_id))
         .current_dir(program.folder.as_deref().unwrap_or(folder))
         .stdin(Stdio::null())
         .stdout(output.try_clone()?)
@@ -143,25 +144,25 @@
     let child = command.spawn()?;
     let pid = child.id();
     // It is not reaped before it is waited for, so its pid is its own until then.
-    let born = stat(pid).map_or(0, |s| s.born);
+    let born = read_stat(pid).map_or(0, |s| s.born);
     Ok((child, Identity { pid, born }))
 }
 
 /// Where a task's output goes.
-pub fn output(folder: &Path, attempt: u64) -> std::path::PathBuf {
+pub fn output_path(folder: &Path, attempt: u64) -> std::path::PathBuf {
     folder.join(format!("{attempt:016x}.log"))
 }
 
 /// Asks a task's processes to end, or makes them. Nothing is sent to a pid that is another's by now, unless it
 /// becomes so in the instant after the look.
-pub fn kill(identity: Identity, force: bool) {
+pub fn signal_group(identity: Identity, force: bool) {
     let (signal, pid) = (
         if force { Signal::KILL } else { Signal::TERM },
         Pid::from_raw(identity.pid as i32),
     );
     // A leader that has ended and is not reaped still holds its pid, and others of its group may live.
     if let Some(pid) = pid
-        && stat(identity.pid).is_some_and(|s| s.born == identity.born)
+        && read_stat(identity.pid).is_some_and(|s| s.born == identity.born)
     {
         let _ = rustix::process::kill_process_group(pid, signal);
     }
@@ -169,21 +170,21 @@
 
 /// What the processes of a group use: ticks of processor time so far, and resident octets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Use {
+pub struct ResourceUsage {
     /// Processor time, ticks.
-    pub ticks: u64,
+    pub cpu_ticks: u64,
     /// Resident memory, octets.
-    pub memory: u64,
+    pub resident_bytes: u64,
 }
 
 /// The use of all process groups, in one pass over `/proc`.
-pub fn measure() -> BTreeMap<u32, Use> {
+pub fn measure_groups() -> BTreeMap<u32, ResourceUsage> {
     let page = rustix::param::page_size() as u64;
-    let mut groups: BTreeMap<u32, Use> = BTreeMap::new();
-    for stat in pids().filter_map(stat) {
-        let group = groups.entry(stat.group).or_default();
-        group.ticks += stat.ticks;
-        group.memory += stat.pages * page;
+    let mut groups: BTreeMap<u32, ResourceUsage> = BTreeMap::new();
+    for stat in pids().filter_map(read_stat) {
+        let group = groups.entry(stat.group_id).or_default();
+        group.cpu_ticks += stat.cpu_ticks;
+        group.resident_bytes += stat.pages * page;
     }
     groups
 }
@@ -203,11 +204,11 @@
         let stat = parse_stat(line).expect("a line");
         assert_eq!(
             stat,
-            Stat {
+            ProcessStat {
                 state: 'S',
-                group: 77,
+                group_id: 77,
                 born: 4242,
-                ticks: 42,
+                cpu_ticks: 42,
                 pages: 55
             }
         );
@@ -218,9 +219,9 @@
     #[test]
     fn this_process_is_alive_and_a_later_one_of_its_pid_is_not_it() {
         let pid = std::process::id();
-        let born = stat(pid).expect("this process").born;
-        assert!(alive(Identity { pid, born }));
-        assert!(!alive(Identity {
+        let born = read_stat(pid).expect("this process").born;
+        assert!(is_alive(Identity { pid, born }));
+        assert!(!is_alive(Identity {
             pid,
             born: born + 1
         }));
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -10,14 +10,14 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use maplethread_reactor::{Conn, Poller, ReadOutcome, Readiness, Signals};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, Signals, TcpConnection};
 use maplethread_wire::frame::{self, Frame, Reason};
 use rustix::process::{Pid, PidfdFlags, pidfd_open};
 
-use crate::agent::{Agent, Do, Fate, Found, Identity, Later};
-use crate::config::{AgentConfig, Runnable, program};
-use crate::process::{self, Use};
-use crate::store::{Facts, Store};
+use crate::agent::{Action, Agent, Identity, Later, RecoveryOutcome, TaskState};
+use crate::config::{AgentConfig, PreparedProgram, find_program};
+use crate::process::{self, ResourceUsage};
+use crate::store::{HostFacts, Store};
 
 const SIGNALS: u64 = 0;
 const LISTENER: u64 = 1;
@@ -28,7 +28,7 @@
 const MOST_UNWRITTEN: usize = 4 << 20;
 
 struct Link {
-    conn: Conn,
+    conn: TcpConnection,
     placer: Option<Arc<str>>,
 }
 
@@ -44,20 +44,20 @@
 
 struct Shell {
     config: AgentConfig,
-    programs: Vec<Runnable>,
+    programs: Vec<PreparedProgram>,
     outputs: PathBuf,
     agent: Agent,
     store: Store,
-    facts: Facts,
+    facts: HostFacts,
     poller: Poller,
     listener: TcpListener,
     conns: HashMap<u64, Link>,
     by_placer: BTreeMap<Arc<str>, u64>,
     watched: HashMap<u64, Watched>,
-    next: u64,
+    next_token: u64,
     timers: Vec<(u64, Later)>,
-    used: BTreeMap<u64, u64>,
-    start: Instant,
+    previous_cpu_ticks: BTreeMap<u64, u64>,
+    started_at: Instant,
 }
 
 /// Runs an agent until it is told to end (SIGTERM, SIGINT); its tasks run on. SIGUSR1 drains it.
@@ -68,10 +68,10 @@
     let path = config.folder.join("agent.redb");
     let told = |e: crate::store::StoreError| format!("{}: {e}", path.display());
     let store = Store::open(&path).map_err(told)?;
-    let (mut facts, kept) = store.read().map_err(told)?;
+    let (mut facts, kept) = store.load().map_err(told)?;
     let boot = process::boot_id().map_err(|e| format!("boot id: {e}"))?;
-    let same_boot = facts.boot == boot;
-    facts.boot = boot;
+    let same_boot = facts.boot_id == boot;
+    facts.boot_id = boot;
     store.commit(&[], Some(&facts)).map_err(told)?;
 
     let (mut shell, mut signals) = Shell::new(config, programs, outputs, store, facts)
@@ -86,10 +86,10 @@
 impl Shell {
     fn new(
         config: AgentConfig,
-        programs: Vec<Runnable>,
+        programs: Vec<PreparedProgram>,
         outputs: PathBuf,
         store: Store,
-        facts: Facts,
+        facts: HostFacts,
     ) -> io::Result<(Shell, Signals)> {
         let poller = Poller::new()?;
         let signals = Signals::catch(&[
@@ -100,7 +100,7 @@
         signals.register(&poller, SIGNALS)?;
         let listener = TcpListener::bind(config.listen)?;
         listener.set_nonblocking(true)?;
-        poller.add(&listener, LISTENER, false)?;
+        poller.register(&listener, LISTENER, false)?;
         let started_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
@@ -122,41 +122,45 @@
             conns: HashMap::new(),
             by_placer: BTreeMap::new(),
             watched: HashMap::new(),
-            next: FIRST,
+            next_token: FIRST,
             timers: Vec::new(),
-            used: BTreeMap::new(),
-            start: Instant::now(),
+            previous_cpu_ticks: BTreeMap::new(),
+            started_at: Instant::now(),
         };
         Ok((shell, signals))
     }
 
     /// µs since the agent began; 0 is never given.
     fn now(&self) -> u64 {
-        self.start.elapsed().as_micros() as u64 + 1
+        self.started_at.elapsed().as_micros() as u64 + 1
     }
 
-    fn recover(&mut self, kept: Vec<(u64, crate::agent::Kept)>, same_boot: bool) {
+    fn recover(&mut self, kept: Vec<(u64, crate::agent::StoredTask)>, same_boot: bool) {
         let marked = process::marked(&self.config.name);
-        let found = |attempt: u64, kept: &crate::agent::Kept| {
+        let found = |attempt: u64, kept: &crate::agent::StoredTask| {
             if !same_boot {
-                return Found::Gone;
+                return RecoveryOutcome::Gone;
             }
             let of_marker = || marked.get(&attempt).and_then(|all| all.first()).copied();
-            match kept.fate {
-                Fate::Running(identity) if process::alive(identity) => Found::Alive(identity),
-                Fate::Starting => of_marker().map_or(Found::Gone, Found::Alive),
-                _ => Found::Gone,
+            match kept.state {
+                TaskState::Running(identity) if process::is_alive(identity) => {
+                    RecoveryOutcome::Alive(identity)
+                }
+                TaskState::Starting => {
+                    of_marker().map_or(RecoveryOutcome::Gone, RecoveryOutcome::Alive)
+                }
+                _ => RecoveryOutcome::Gone,
             }
         };
-        let (now, drains) = (self.now(), self.facts.drains);
+        let (now, drains) = (self.now(), self.facts.is_draining);
         let mut out = Vec::new();
         self.agent.recover(now, drains, kept, found, &mut out);
-        let adopted: Vec<(u64, Identity)> = self.agent.running().collect();
+        let adopted: Vec<(u64, Identity)> = self.agent.running_processes().collect();
         // What carries the marker and belongs to no task that runs is what an end left behind.
         for (attempt, all) in &marked {
             if !adopted.iter().any(|(a, _)| a == attempt) {
                 all.iter()
-                    .for_each(|&identity| process::kill(identity, true));
+                    .for_each(|&identity| process::signal_group(identity, true));
             }
         }
         tracing::info!(adopted = adopted.len(), "recovered");
@@ -175,12 +179,12 @@
         let pid = Pid::from_raw(identity.pid as i32).ok_or(io::ErrorKind::NotFound)?;
         let pidfd = pidfd_open(pid, PidfdFlags::empty())?;
         // Only what still is that process now is what the descriptor stands for.
-        if child.is_none() && !process::alive(identity) {
+        if child.is_none() && !process::is_alive(identity) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        let token = self.next;
-        self.next += 1;
-        self.poller.add(&pidfd, token, false)?;
+        let token = self.next_token;
+        self.next_token += 1;
+        self.poller.register(&pidfd, token, false)?;
         self.watched.insert(
             token,
             Watched {
@@ -215,7 +219,7 @@
             for r in &ready {
                 match r.token {
                     SIGNALS => {
-                        for signal in signals.take() {
+                        for signal in signals.take_received() {
                             if signal != signal_hook::consts::SIGUSR1 {
                                 tracing::info!("told to end; tasks run on");
                                 return Ok(());
@@ -240,7 +244,7 @@
                 .collect();
             self.timers.retain(|t| t.0 > now);
             due.into_iter()
-                .for_each(|later| self.agent.due(now, later, &mut out));
+                .for_each(|later| self.agent.handle_timer(now, later, &mut out));
             if measured + measure <= now {
                 self.measure(now - measured, &mut out);
                 measured = now;
@@ -250,17 +254,17 @@
     }
 
     /// Makes durable what a turn wants kept, then does the rest, and what comes of it.
-    fn carry_out(&mut self, mut turn: Vec<Do>) {
+    fn carry_out(&mut self, mut turn: Vec<Action>) {
         loop {
             self.agent
-                .tell(|placer| self.by_placer.contains_key(placer), &mut turn);
+                .report_finished(|placer| self.by_placer.contains_key(placer), &mut turn);
             if turn.is_empty() {
                 return;
             }
-            if turn.contains(&Do::KeepDrain) {
-                self.facts.drains = true;
+            if turn.contains(&Action::KeepDrain) {
+                self.facts.is_draining = true;
             }
-            let facts = turn.contains(&Do::KeepDrain).then_some(&self.facts);
+            let facts = turn.contains(&Action::KeepDrain).then_some(&self.facts);
             if let Err(e) = self.store.commit(&turn, facts) {
                 tracing::error!(error = %e, "the store takes nothing; no new tasks until it does");
                 let mut instead = Vec::new();
@@ -270,11 +274,11 @@
             let mut next = Vec::new();
             for what in turn {
                 match what {
-                    Do::Keep(..) | Do::Forget(_) | Do::KeepDrain => {}
-                    Do::Send(placer, frame) => self.send(&placer, &frame),
-                    Do::Spawn(attempt) => self.spawn(attempt, &mut next),
-                    Do::Kill(identity, force) => process::kill(identity, force),
-                    Do::After(after, later) => {
+                    Action::StoreTask(..) | Action::Forget(_) | Action::KeepDrain => {}
+                    Action::Send(placer, frame) => self.send(&placer, &frame),
+                    Action::Spawn(attempt) => self.spawn(attempt, &mut next),
+                    Action::Kill(identity, force) => process::signal_group(identity, force),
+                    Action::After(after, later) => {
                         let at = self.now() + after;
                         self.timers.push((at, later));
                     }
@@ -284,11 +288,11 @@
         }
     }
 
-    fn spawn(&mut self, attempt: u64, next: &mut Vec<Do>) {
+    fn spawn(&mut self, attempt: u64, next: &mut Vec<Action>) {
         let Some(offer) = self.agent.offer(attempt) else {
             return;
         };
-        let started = program(&self.programs, offer)
+        let started = find_program(&self.programs, offer)
             .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no program for it"))
             .and_then(|runnable| process::spawn(runnable, offer, &self.config.name, &self.outputs));
         let now = self.now();
@@ -297,7 +301,7 @@
                 Ok(()) => Ok(identity),
                 Err(e) => {
                     tracing::error!(attempt, error = %e, "its end could not be watched; it is ended");
-                    process::kill(identity, true);
+                    process::signal_group(identity, true);
                     Err(Reason::Error)
                 }
             },
@@ -309,40 +313,40 @@
         self.agent.spawned(now, attempt, result, next);
     }
 
-    fn process_ended(&mut self, token: u64, out: &mut Vec<Do>) {
+    fn process_ended(&mut self, token: u64, out: &mut Vec<Action>) {
         let Some(mut watched) = self.watched.remove(&token) else {
             return;
         };
-        let _ = self.poller.remove(&watched.pidfd);
+        let _ = self.poller.deregister(&watched.pidfd);
         // The rest of its group goes with it; until it is reaped the group's number is its own.
-        process::kill(watched.identity, true);
+        process::signal_group(watched.identity, true);
         let well = watched
             .child
             .as_mut()
             .and_then(|c| c.wait().ok())
             .map(|status| status.success());
-        self.used.remove(&watched.attempt);
+        self.previous_cpu_ticks.remove(&watched.attempt);
         let now = self.now();
         self.agent.exited(now, watched.attempt, well, out);
     }
 
-    fn measure(&mut self, span: u64, out: &mut Vec<Do>) {
-        let groups: BTreeMap<u32, Use> = process::measure();
+    fn measure(&mut self, span: u64, out: &mut Vec<Action>) {
+        let groups: BTreeMap<u32, ResourceUsage> = process::measure_groups();
         let tick = 1.0 / process::ticks_a_second().max(1) as f64;
-        let running: Vec<(u64, Identity)> = self.agent.running().collect();
+        let running: Vec<(u64, Identity)> = self.agent.running_processes().collect();
         for (attempt, identity) in running {
             self.rotate(attempt);
             let Some(used) = groups.get(&identity.pid) else {
                 continue;
             };
-            let before = self.used.insert(attempt, used.ticks);
+            let before = self.previous_cpu_ticks.insert(attempt, used.cpu_ticks);
             if let Some(before) = before {
-                let cores =
-                    used.ticks.saturating_sub(before) as f64 * tick / (span as f64 / 1e6).max(1e-3);
-                self.agent.used(
+                let cores = used.cpu_ticks.saturating_sub(before) as f64 * tick
+                    / (span as f64 / 1e6).max(1e-3);
+                self.agent.report_usage(
                     attempt,
                     cores,
-                    used.memory as f64 / (1u64 << 30) as f64,
+                    used.resident_bytes as f64 / (1u64 << 30) as f64,
                     out,
                 );
             }
@@ -351,7 +355,7 @@
 
     /// Puts a task's output aside once it is too long. Tasks append, so what they write next begins the file anew.
     fn rotate(&self, attempt: u64) {
-        let file = process::output(&self.outputs, attempt);
+        let file = process::output_path(&self.outputs, attempt);
         if std::fs::metadata(&file).is_ok_and(|m| m.len() > self.config.output_kib << 10) {
             let kept = std::fs::copy(&file, file.with_extension("log.1")).and_then(|_| {
                 std::fs::OpenOptions::new()
@@ -371,9 +375,9 @@
                 tracing::warn!("too many connections; one more was closed");
                 continue;
             }
-            let token = self.next;
-            self.next += 1;
-            if let Ok(conn) = Conn::accepted(stream, token, &self.poller) {
+            let token = self.next_token;
+            self.next_token += 1;
+            if let Ok(conn) = TcpConnection::from_accepted(stream, token, &self.poller) {
                 self.conns.insert(token, Link { conn, placer: None });
             }
         }
@@ -390,21 +394,21 @@
         }
     }
 
-    fn link_ready(&mut self, token: u64, r: &Readiness, out: &mut Vec<Do>) {
+    fn link_ready(&mut self, token: u64, r: &Readiness, out: &mut Vec<Action>) {
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        if r.write && link.conn.flush(&self.poller).is_err() {
+        if r.is_writable && link.conn.flush(&self.poller).is_err() {
             return self.lose(token);
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let outcome = link.conn.fill(256 << 10, 512 << 10);
+        let outcome = link.conn.read_available(256 << 10, 512 << 10);
         while let Some(link) = self.conns.get_mut(&token) {
             match frame::decode(link.conn.unread()) {
                 Ok((frame, used)) => {
-                    link.conn.take(used);
+                    link.conn.consume(used);
                     let Some(frame) = frame else { break };
                     self.frame(token, frame, out);
                 }
@@ -414,12 +418,12 @@
                 }
             }
         }
-        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.lose(token);
         }
     }
 
-    fn frame(&mut self, token: u64, frame: Frame, out: &mut Vec<Do>) {
+    fn frame(&mut self, token: u64, frame: Frame, out: &mut Vec<Action>) {
         let now = self.now();
         let Some(link) = self.conns.get_mut(&token) else {
             return;
@@ -437,23 +441,25 @@
                 if let Some(before) = self.by_placer.insert(placer.clone(), token) {
                     self.conns.remove(&before);
                 }
-                self.agent.greeted(&placer, minor, out);
+                self.agent.handle_greeting(&placer, minor, out);
             }
             (None, _) => {
                 frame::encode(
                     &Frame::Bye(format!("speaks version {}", frame::MAJOR)),
-                    link.conn.out(),
+                    link.conn.write_buffer(),
                 );
                 let _ = link.conn.flush(&self.poller);
                 self.lose(token);
             }
-            (Some(placer), Frame::Offer(offer)) if program(&self.programs, &offer).is_none() => {
-                let refused = Frame::Refused(offer.attempt, Reason::NotHere, None);
-                out.push(Do::Send(placer.clone(), refused));
+            (Some(placer), Frame::Offer(offer))
+                if find_program(&self.programs, &offer).is_none() =>
+            {
+                let refused = Frame::Refused(offer.attempt_id, Reason::Ineligible, None);
+                out.push(Action::Send(placer.clone(), refused));
             }
             (Some(placer), frame) => {
                 let placer = placer.clone();
-                self.agent.frame(now, &placer, frame, out);
+                self.agent.handle_frame(now, &placer, frame, out);
             }
         }
     }
@@ -465,8 +471,8 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        frame::encode(frame, link.conn.out());
-        if link.conn.flush(&self.poller).is_err() || link.conn.unwritten() > MOST_UNWRITTEN {
+        frame::encode(frame, link.conn.write_buffer());
+        if link.conn.flush(&self.poller).is_err() || link.conn.unwritten_bytes() > MOST_UNWRITTEN {
             self.lose(token);
         }
     }
--- a/crates/agent/src/store.rs
+++ b/crates/agent/src/store.rs
@@ -10,7 +10,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::agent::{Do, Fate, Identity, Kept};
+use crate::agent::{Action, Identity, StoredTask, TaskState};
 
 const TASKS: TableDefinition<u64, &[u8]> = TableDefinition::new("tasks");
 const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
@@ -51,74 +51,76 @@
 
 /// Who writes: what tells one start of the machine from the next, and whether the host drains.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Facts {
+pub struct HostFacts {
     /// The kernel's id of this boot.
-    pub boot: String,
+    pub boot_id: String,
     /// The host drains.
-    pub drains: bool,
+    pub is_draining: bool,
 }
 
 #[derive(Serialize, Deserialize)]
-enum KeptFate {
+enum StoredState {
     Accepted,
     Starting,
     Running { pid: u32, born: u64 },
-    Ended { reason: u8, ran: bool },
+    Finished { reason: u8, ran: bool },
 }
 
 #[derive(Serialize, Deserialize)]
-struct Row<'a> {
+struct TaskRow<'a> {
     placer: &'a str,
-    fate: KeptFate,
+    state: StoredState,
     /// The offer, as a frame of the host protocol.
     offer: Vec<u8>,
 }
 
-fn pack(kept: &Kept) -> Result<Vec<u8>, StoreError> {
+fn pack(kept: &StoredTask) -> Result<Vec<u8>, StoreError> {
     let mut offer = Vec::new();
     frame::encode(&Frame::Held(kept.offer.clone(), false), &mut offer);
-    let fate = match kept.fate {
-        Fate::Accepted => KeptFate::Accepted,
-        Fate::Starting => KeptFate::Starting,
-        Fate::Running(Identity { pid, born }) => KeptFate::Running { pid, born },
-        Fate::Ended(reason, ran) => KeptFate::Ended {
+    let fate = match kept.state {
+        TaskState::Accepted => StoredState::Accepted,
+        TaskState::Starting => StoredState::Starting,
+        TaskState::Running(Identity { pid, born }) => StoredState::Running { pid, born },
+        TaskState::Finished(reason, ran) => StoredState::Finished {
             reason: reason as u8,
             ran,
         },
     };
-    postcard::to_stdvec(&Row {
+    postcard::to_stdvec(&TaskRow {
         placer: &kept.placer,
-        fate,
+        state: fate,
         offer,
     })
     .map_err(|e| StoreError::Io(e.to_string()))
 }
 
-fn unpack(attempt: u64, bytes: &[u8]) -> Result<Kept, StoreError> {
+fn unpack(attempt: u64, bytes: &[u8]) -> Result<StoredTask, StoreError> {
     let damaged = |why: &str| StoreError::Damaged(format!("task {attempt:016x}: {why}"));
-    let row: Row<'_> = postcard::from_bytes(bytes).map_err(|e| damaged(&e.to_string()))?;
+    let row: TaskRow<'_> = postcard::from_bytes(bytes).map_err(|e| damaged(&e.to_string()))?;
     let Ok((Some(Frame::Held(offer, _)), _)) = frame::decode(&row.offer) else {
         return Err(damaged("its offer is not one"));
     };
-    if offer.attempt != attempt {
+    if offer.attempt_id != attempt {
         return Err(damaged("its offer is another attempt's"));
     }
-    let fate = match row.fate {
-        KeptFate::Accepted => Fate::Accepted,
-        KeptFate::Starting => Fate::Starting,
-        KeptFate::Running { pid, born } => Fate::Running(Identity { pid, born }),
-        KeptFate::Ended { reason, ran } => Fate::Ended(Reason::from_byte(reason), ran),
+    let fate = match row.state {
+        StoredState::Accepted => TaskState::Accepted,
+        StoredState::Starting => TaskState::Starting,
+        StoredState::Running { pid, born } => TaskState::Running(Identity { pid, born }),
+        StoredState::Finished { reason, ran } => {
+            TaskState::Finished(Reason::from_byte(reason), ran)
+        }
     };
-    Ok(Kept {
+    Ok(StoredTask {
         placer: row.placer.into(),
         offer,
-        fate,
+        state: fate,
     })
 }
 
 /// The store.
 pub struct Store {
-    base: Database,
+    database: Database,
 }
 
 impl Store {
@@ -132,13 +134,13 @@
             }
             e => io(e),
         })?;
-        let store = Store { base };
+        let store = Store { database: base };
         store.check_version()?;
         Ok(store)
     }
 
     fn check_version(&self) -> Result<(), StoreError> {
-        let mut write = self.base.begin_write().map_err(io)?;
+        let mut write = self.database.begin_write().map_err(io)?;
         write.set_durability(Durability::Immediate).map_err(io)?;
         {
             let mut facts = write.open_table(FACTS).map_err(io)?;
@@ -168,11 +170,11 @@
     }
 
     /// All that is kept.
-    pub fn read(&self) -> Result<(Facts, Vec<(u64, Kept)>), StoreError> {
-        let read = self.base.begin_read().map_err(io)?;
+    pub fn load(&self) -> Result<(HostFacts, Vec<(u64, StoredTask)>), StoreError> {
+        let read = self.database.begin_read().map_err(io)?;
         let facts = read.open_table(FACTS).map_err(io)?;
         let facts = match facts.get("host").map_err(io)? {
-            None => Facts::default(),
+            None => HostFacts::default(),
             Some(bytes) => postcard::from_bytes(bytes.value())
                 .map_err(|e| StoreError::Damaged(format!("facts of the host: {e}")))?,
         };
@@ -185,23 +187,26 @@
     }
 
     /// Makes what a turn wants kept durable, all of it or nothing; whether there was anything.
-    pub fn commit(&self, turn: &[Do], facts: Option<&Facts>) -> Result<bool, StoreError> {
-        let any = turn
-            .iter()
-            .any(|d| matches!(d, Do::Keep(..) | Do::Forget(_) | Do::KeepDrain));
+    pub fn commit(&self, turn: &[Action], facts: Option<&HostFacts>) -> Result<bool, StoreError> {
+        let any = turn.iter().any(|d| {
+            matches!(
+                d,
+                Action::StoreTask(..) | Action::Forget(_) | Action::KeepDrain
+            )
+        });
         if !any && facts.is_none() {
             return Ok(false);
         }
-        let mut write = self.base.begin_write().map_err(io)?;
+        let mut write = self.database.begin_write().map_err(io)?;
         write.set_durability(Durability::Immediate).map_err(io)?;
         {
             let mut tasks = write.open_table(TASKS).map_err(io)?;
             for what in turn {
                 match what {
-                    Do::Keep(attempt, kept) => {
+                    Action::StoreTask(attempt, kept) => {
                         tasks.insert(attempt, &pack(kept)?[..]).map_err(io)?;
                     }
-                    Do::Forget(attempt) => {
+                    Action::Forget(attempt) => {
                         tasks.remove(attempt).map_err(io)?;
                     }
                     _ => {}
@@ -221,31 +226,31 @@
 
 #[cfg(test)]
 mod tests {
-    use maplethread_wire::frame::{Copies, Load, Offer};
+    use maplethread_wire::frame::{DuplicatePolicy, Offer, ResourceAmounts};
 
     use super::*;
 
-    fn kept(attempt: u64, fate: Fate) -> Kept {
+    fn kept(attempt: u64, fate: TaskState) -> StoredTask {
         let offer = Offer {
-            attempt,
-            number: 1,
+            attempt_id: attempt,
+            prior_attempts: 1,
             service: "s".into(),
             actor: "ä".into(),
             class: "c".into(),
-            request: "r".into(),
-            asks: Load {
+            request_id: "r".into(),
+            requested: ResourceAmounts {
                 cores: 0.5,
-                memory: 1.5,
+                memory_gib: 1.5,
             },
             priority: 2,
-            copies: Copies::Keyed(9),
-            life_ms: 700,
-            wait_ms: 250,
+            duplicate_policy: DuplicatePolicy::IdempotencyKey(9),
+            expected_duration_ms: 700,
+            answer_timeout_ms: 250,
         };
-        Kept {
+        StoredTask {
             placer: "p".into(),
             offer,
-            fate,
+            state: fate,
         }
     }
 
@@ -254,39 +259,43 @@
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("agent.redb");
         let fates = [
-            Fate::Accepted,
-            Fate::Starting,
-            Fate::Running(Identity {
+            TaskState::Accepted,
+            TaskState::Starting,
+            TaskState::Running(Identity {
                 pid: 7,
                 born: 1 << 40,
             }),
-            Fate::Ended(Reason::PushedOut, true),
+            TaskState::Finished(Reason::Preempted, true),
         ];
-        let all: Vec<(u64, Kept)> = (1..)
+        let all: Vec<(u64, StoredTask)> = (1..)
             .zip(fates)
             .map(|(n, fate)| (n, kept(n, fate)))
             .collect();
-        let facts = Facts {
-            boot: "b".into(),
-            drains: true,
+        let facts = HostFacts {
+            boot_id: "b".into(),
+            is_draining: true,
         };
         {
             let store = Store::open(&path).expect("a store");
-            let mut turn: Vec<Do> = all
+            let mut turn: Vec<Action> = all
                 .iter()
-                .map(|(n, kept)| Do::Keep(*n, kept.clone()))
+                .map(|(n, kept)| Action::StoreTask(*n, kept.clone()))
                 .collect();
-            turn.push(Do::Keep(99, kept(99, Fate::Accepted)));
+            turn.push(Action::StoreTask(99, kept(99, TaskState::Accepted)));
             assert!(store.commit(&turn, Some(&facts)).expect("a commit"));
-            assert!(store.commit(&[Do::Forget(99)], None).expect("a commit"));
-            assert!(!store.commit(&[Do::Spawn(1)], None).expect("nothing to do"));
+            assert!(store.commit(&[Action::Forget(99)], None).expect("a commit"));
+            assert!(
+                !store
+                    .commit(&[Action::Spawn(1)], None)
+                    .expect("nothing to do")
+            );
             assert!(
                 matches!(Store::open(&path), Err(StoreError::Locked)),
                 "one agent at a time"
             );
         }
         let store = Store::open(&path).expect("a store");
-        assert_eq!(store.read().expect("readable"), (facts, all));
+        assert_eq!(store.load().expect("readable"), (facts, all));
     }
 
     #[test]
@@ -301,7 +310,7 @@
         let path = folder.path().join("newer.redb");
         {
             let store = Store::open(&path).expect("a store");
-            let write = store.base.begin_write().expect("a write");
+            let write = store.database.begin_write().expect("a write");
             write
                 .open_table(FACTS)
                 .expect("a table")
@@ -312,14 +321,14 @@
         assert!(matches!(Store::open(&path), Err(StoreError::Newer(9))));
         let path = folder.path().join("row.redb");
         let store = Store::open(&path).expect("a store");
-        let write = store.base.begin_write().expect("a write");
+        let write = store.database.begin_write().expect("a write");
         write
             .open_table(TASKS)
             .expect("a table")
             .insert(5, &[1u8, 2, 3][..])
             .expect("a row");
         write.commit().expect("a commit");
-        let told = store.read().expect_err("a damaged row").to_string();
+        let told = store.load().expect_err("a damaged row").to_string();
         assert!(told.contains("0000000000000005"), "{told}");
     }
 }
--- a/crates/agent/src/template.rs
+++ b/crates/agent/src/template.rs
@@ -35,22 +35,22 @@
 
 /// One argument.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Argument(Vec<Part>);
+pub struct ArgumentTemplate(Vec<Part>);
 
 /// A name from the wire that may not be an argument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadName {
+pub enum InvalidName {
     /// It has an octet of zero.
     #[error("a name holds a zero octet")]
     Zero,
     /// An argument that is a name alone would be read as an option.
     #[error("a name that is an argument of its own begins with `-`")]
-    Option,
+    LooksLikeOption,
 }
 
-impl Argument {
+impl ArgumentTemplate {
     /// Reads a template: `{name}` for a placeholder, `{{` and `}}` for braces.
-    pub fn parse(text: &str) -> Result<Argument, String> {
+    pub fn parse(text: &str) -> Result<ArgumentTemplate, String> {
         let (mut parts, mut plain, mut rest) = (Vec::new(), String::new(), text);
         while let Some(c) = rest.chars().next() {
             if rest.starts_with("{{") || rest.starts_with("}}") {
@@ -77,11 +77,11 @@
         if !plain.is_empty() {
             parts.push(Part::Text(plain));
         }
-        Ok(Argument(parts))
+        Ok(ArgumentTemplate(parts))
     }
 
     /// The argument for a task.
-    pub fn fill(&self, offer: &Offer) -> Result<String, BadName> {
+    pub fn render(&self, offer: &Offer) -> Result<String, InvalidName> {
         let mut out = String::new();
         for part in &self.0 {
             match part {
@@ -89,20 +89,22 @@
                 Part::Field(Field::Service) => out.push_str(&offer.service),
                 Part::Field(Field::Actor) => out.push_str(&offer.actor),
                 Part::Field(Field::Class) => out.push_str(&offer.class),
-                Part::Field(Field::Request) => out.push_str(&offer.request),
-                Part::Field(Field::Attempt) => out.push_str(&format!("{:016x}", offer.attempt)),
-                Part::Field(Field::Cores) => out.push_str(&offer.asks.cores.to_string()),
+                Part::Field(Field::Request) => out.push_str(&offer.request_id),
+                Part::Field(Field::Attempt) => out.push_str(&format!("{:016x}", offer.attempt_id)),
+                Part::Field(Field::Cores) => out.push_str(&offer.requested.cores.to_string()),
                 Part::Field(Field::MemoryMib) => {
-                    out.push_str(&((offer.asks.memory * 1024.0).max(0.0) as u64).to_string());
+                    out.push_str(
+                        &((offer.requested.memory_gib * 1024.0).max(0.0) as u64).to_string(),
+                    );
                 }
-                Part::Field(Field::LifeMs) => out.push_str(&offer.life_ms.to_string()),
+                Part::Field(Field::LifeMs) => out.push_str(&offer.expected_duration_ms.to_string()),
             }
         }
         if out.contains('\0') {
-            return Err(BadName::Zero);
+            return Err(InvalidName::Zero);
         }
         if matches!(self.0.first(), Some(Part::Field(_))) && out.starts_with('-') {
-            return Err(BadName::Option);
+            return Err(InvalidName::LooksLikeOption);
         }
         Ok(out)
     }
@@ -110,38 +112,40 @@
 
 #[cfg(test)]
 mod tests {
-    use maplethread_wire::frame::{Copies, Load};
+    use maplethread_wire::frame::{DuplicatePolicy, ResourceAmounts};
 
     use super::*;
 
     fn offer(actor: &str) -> Offer {
         Offer {
-            attempt: 0xab,
-            number: 0,
+            attempt_id: 0xab,
+            prior_attempts: 0,
             service: "web".into(),
             actor: actor.into(),
             class: "c".into(),
-            request: "r".into(),
-            asks: Load {
+            request_id: "r".into(),
+            requested: ResourceAmounts {
                 cores: 0.5,
-                memory: 1.5,
+                memory_gib: 1.5,
             },
             priority: 0,
-            copies: Copies::Safe,
-            life_ms: 700,
-            wait_ms: 0,
+            duplicate_policy: DuplicatePolicy::Idempotent,
+            expected_duration_ms: 700,
+            answer_timeout_ms: 0,
         }
     }
 
     #[test]
     fn placeholders_are_filled_in() {
-        let argument = Argument::parse("--name={service}/{actor}:{attempt}").expect("a template");
+        let argument =
+            ArgumentTemplate::parse("--name={service}/{actor}:{attempt}").expect("a template");
         assert_eq!(
-            argument.fill(&offer("a b;$(x)")).expect("text"),
+            argument.render(&offer("a b;$(x)")).expect("text"),
             "--name=web/a b;$(x):00000000000000ab"
         );
-        let sizes = Argument::parse("{cores} {memory_mib} {life_ms} {{}}").expect("a template");
-        assert_eq!(sizes.fill(&offer("a")).expect("text"), "0.5 1536 700 {}");
+        let sizes =
+            ArgumentTemplate::parse("{cores} {memory_mib} {life_ms} {{}}").expect("a template");
+        assert_eq!(sizes.render(&offer("a")).expect("text"), "0.5 1536 700 {}");
     }
 
     #[test]
@@ -151,19 +155,22 @@
             ("{actor", "not closed"),
             ("a}", "stands alone"),
         ] {
-            let error = Argument::parse(text).expect_err(text);
+            let error = ArgumentTemplate::parse(text).expect_err(text);
             assert!(error.contains(why), "{text}: {error}");
         }
     }
 
     #[test]
     fn a_name_from_the_wire_is_never_an_option() {
-        let alone = Argument::parse("{actor}").expect("a template");
-        assert_eq!(alone.fill(&offer("--force")), Err(BadName::Option));
-        assert_eq!(alone.fill(&offer("a\0b")), Err(BadName::Zero));
-        let after = Argument::parse("--actor={actor}").expect("a template");
+        let alone = ArgumentTemplate::parse("{actor}").expect("a template");
         assert_eq!(
-            after.fill(&offer("--force")).expect("text"),
+            alone.render(&offer("--force")),
+            Err(InvalidName::LooksLikeOption)
+        );
+        assert_eq!(alone.render(&offer("a\0b")), Err(InvalidName::Zero));
+        let after = ArgumentTemplate::parse("--actor={actor}").expect("a template");
+        assert_eq!(
+            after.render(&offer("--force")).expect("text"),
             "--actor=--force"
         );
     }
--- a/crates/agent/tests/recorded_stores.rs
+++ b/crates/agent/tests/recorded_stores.rs
@@ -6,14 +6,14 @@
 
 use std::path::Path;
 
-use maplethread_admission::Policy;
-use maplethread_agent::agent::Found;
-use maplethread_agent::store::{Facts, Store};
-use maplethread_agent::{Agent, Do, Fate, Identity, Kept};
-use maplethread_wire::frame::{Copies, Load, Reason};
+use maplethread_admission::AdmissionPolicy;
+use maplethread_agent::agent::RecoveryOutcome;
+use maplethread_agent::store::{HostFacts, Store};
+use maplethread_agent::{Action, Agent, Identity, StoredTask, TaskState};
+use maplethread_wire::frame::{DuplicatePolicy, Reason, ResourceAmounts};
 
 /// All that stands in a recorded store; it is opened in a copy, since opening it may write.
-fn read(name: &str) -> (Facts, Vec<(u64, Kept)>) {
+fn read(name: &str) -> (HostFacts, Vec<(u64, StoredTask)>) {
     let packed = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(format!("{name}.redb.zst"));
@@ -22,19 +22,19 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("agent.redb");
     std::fs::write(&path, bytes).expect("a copy");
-    Store::open(&path).expect("a store").read().expect("tasks")
+    Store::open(&path).expect("a store").load().expect("tasks")
 }
 
 fn agent() -> Agent {
-    let policy = Policy {
+    let policy = AdmissionPolicy {
         cores: 8.0,
-        memory: 16.0,
-        over_cores: 1.0,
-        over_memory: 1.0,
-        line: 8,
-        starts: 8,
-        kept: 0,
-        push_out: false,
+        memory_gib: 16.0,
+        cpu_overcommit: 1.0,
+        memory_overcommit: 1.0,
+        max_queue_length: 8,
+        max_concurrent_starts: 8,
+        max_warm_programs: 0,
+        allows_preemption: false,
     };
     Agent::new("node-1", 1, policy, 1000)
 }
@@ -42,42 +42,52 @@
 #[test]
 fn recovers_every_task_of_a_killed_agent() {
     let (facts, tasks) = read("running-tasks");
-    assert!(!facts.drains && !facts.boot.is_empty());
+    assert!(!facts.is_draining && !facts.boot_id.is_empty());
     let actors: Vec<&str> = tasks.iter().map(|(_, t)| &t.offer.actor[..]).collect();
     assert_eq!(actors, ["a1", "a2", "a3", "b4", "b5"]);
     for (attempt, task) in &tasks {
-        assert_eq!(task.offer.attempt, *attempt);
+        assert_eq!(task.offer.attempt_id, *attempt);
         assert_eq!(&*task.placer, "placer-0");
-        let quarter = Load {
+        let quarter = ResourceAmounts {
             cores: 0.25,
-            memory: 0.25,
+            memory_gib: 0.25,
         };
-        assert_eq!(task.offer.asks, quarter);
+        assert_eq!(task.offer.requested, quarter);
         match &task.offer.class[..] {
             "job" => {
-                assert_eq!(task.offer.copies, Copies::Unsafe);
-                assert!(matches!(task.fate, Fate::Running(_)), "{:?}", task.fate);
+                assert_eq!(task.offer.duplicate_policy, DuplicatePolicy::NonIdempotent);
+                assert!(
+                    matches!(task.state, TaskState::Running(_)),
+                    "{:?}",
+                    task.state
+                );
             }
             "brief" => {
-                assert_eq!(task.offer.copies, Copies::Safe);
-                assert!(matches!(task.fate, Fate::Ended(Reason::Done, true)));
+                assert_eq!(task.offer.duplicate_policy, DuplicatePolicy::Idempotent);
+                assert!(matches!(
+                    task.state,
+                    TaskState::Finished(Reason::Completed, true)
+                ));
             }
             other => panic!("class {other}"),
         }
     }
 
     // Those that ran run on, and nothing is started again.
-    let alive = |_: u64, task: &Kept| match task.fate {
-        Fate::Running(identity) => Found::Alive(identity),
+    let alive = |_: u64, task: &StoredTask| match task.state {
+        TaskState::Running(identity) => RecoveryOutcome::Alive(identity),
         _ => panic!("asked for the process of a task that has ended"),
     };
     let (mut agent, mut actions) = (agent(), Vec::new());
-    agent.recover(1, facts.drains, tasks.clone(), alive, &mut actions);
-    let running: Vec<u64> = agent.running().map(|(attempt, _)| attempt).collect();
+    agent.recover(1, facts.is_draining, tasks.clone(), alive, &mut actions);
+    let running: Vec<u64> = agent
+        .running_processes()
+        .map(|(attempt, _)| attempt)
+        .collect();
     let expected: Vec<u64> = tasks[..3].iter().map(|(attempt, _)| *attempt).collect();
     assert_eq!(running, expected);
     assert!(
-        actions.iter().all(|a| matches!(a, Do::Keep(..))),
+        actions.iter().all(|a| matches!(a, Action::StoreTask(..))),
         "{actions:?}"
     );
 }
@@ -85,9 +95,9 @@
 #[test]
 fn reads_every_state_that_a_task_can_be_stored_in() {
     let (facts, tasks) = read("all-states");
-    let written = Facts {
-        boot: "boot-1".into(),
-        drains: true,
+    let written = HostFacts {
+        boot_id: "boot-1".into(),
+        is_draining: true,
     };
     assert_eq!(facts, written);
     let identity = Identity {
@@ -95,30 +105,40 @@
         born: 987_654,
     };
     let states = [
-        Fate::Accepted,
-        Fate::Starting,
-        Fate::Running(identity),
-        Fate::Ended(Reason::Done, true),
-        Fate::Ended(Reason::Error, false),
-        Fate::Ended(Reason::Evicted, true),
+        TaskState::Accepted,
+        TaskState::Starting,
+        TaskState::Running(identity),
+        TaskState::Finished(Reason::Completed, true),
+        TaskState::Finished(Reason::Error, false),
+        TaskState::Finished(Reason::Evicted, true),
+    ];
+    let copies = [
+        DuplicatePolicy::Idempotent,
+        DuplicatePolicy::IdempotencyKey(9),
+        DuplicatePolicy::NonIdempotent,
     ];
-    let copies = [Copies::Safe, Copies::Keyed(9), Copies::Unsafe];
     assert_eq!(tasks.len(), states.len());
     for (n, (attempt, task)) in tasks.iter().enumerate() {
         assert_eq!(*attempt, 0x100 + n as u64);
-        assert_eq!(task.fate, states[n]);
+        assert_eq!(task.state, states[n]);
         assert_eq!(&*task.placer, "placer-1");
         let offer = &task.offer;
-        assert_eq!((offer.attempt, offer.number), (*attempt, n as u32));
+        assert_eq!(
+            (offer.attempt_id, offer.prior_attempts),
+            (*attempt, n as u32)
+        );
         assert_eq!(offer.service, format!("service-{n}"));
-        assert_eq!(offer.request, format!("request-{n}"));
+        assert_eq!(offer.request_id, format!("request-{n}"));
         assert_eq!((&offer.actor[..], &offer.class[..]), ("ä", "job"));
-        let asks = Load {
+        let asks = ResourceAmounts {
             cores: 0.5,
-            memory: 1.5,
+            memory_gib: 1.5,
         };
-        assert_eq!((offer.asks, offer.priority), (asks, n as u32));
-        assert_eq!(offer.copies, copies[n % 3]);
-        assert_eq!((offer.life_ms, offer.wait_ms), (700 + n as u64, 250));
+        assert_eq!((offer.requested, offer.priority), (asks, n as u32));
+        assert_eq!(offer.duplicate_policy, copies[n % 3]);
+        assert_eq!(
+            (offer.expected_duration_ms, offer.answer_timeout_ms),
+            (700 + n as u64, 250)
+        );
     }
 }
--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/turns.rs
@@ -3,21 +3,21 @@
 
 use std::sync::Arc;
 
-use maplethread_admission::Policy;
+use maplethread_admission::AdmissionPolicy;
 use maplethread_agent::agent::Later;
-use maplethread_agent::{Agent, Do, Fate, Identity, Kept, agent::Found};
-use maplethread_wire::frame::{Copies, Frame, Load, Offer, Reason};
+use maplethread_agent::{Action, Agent, Identity, StoredTask, TaskState, agent::RecoveryOutcome};
+use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, Reason, ResourceAmounts};
 
-fn policy() -> Policy {
-    Policy {
+fn policy() -> AdmissionPolicy {
+    AdmissionPolicy {
         cores: 4.0,
-        memory: 8.0,
-        over_cores: 1.0,
-        over_memory: 1.0,
-        line: 8,
-        starts: 1,
-        kept: 0,
-        push_out: true,
+        memory_gib: 8.0,
+        cpu_overcommit: 1.0,
+        memory_overcommit: 1.0,
+        max_queue_length: 8,
+        max_concurrent_starts: 1,
+        max_warm_programs: 0,
+        allows_preemption: true,
     }
 }
 
@@ -31,27 +31,30 @@
 
 fn offer(attempt: u64, cores: f64, priority: u32) -> Offer {
     Offer {
-        attempt,
-        number: 0,
+        attempt_id: attempt,
+        prior_attempts: 0,
         service: "s".into(),
         actor: "a".into(),
         class: "c".into(),
-        request: "r".into(),
-        asks: Load { cores, memory: 0.5 },
+        request_id: "r".into(),
+        requested: ResourceAmounts {
+            cores,
+            memory_gib: 0.5,
+        },
         priority,
-        copies: Copies::Unsafe,
-        life_ms: 0,
-        wait_ms: 100,
+        duplicate_policy: DuplicatePolicy::NonIdempotent,
+        expected_duration_ms: 0,
+        answer_timeout_ms: 100,
     }
 }
 
-fn ask(agent: &mut Agent, offer: Offer) -> Vec<Do> {
+fn ask(agent: &mut Agent, offer: Offer) -> Vec<Action> {
     let mut out = Vec::new();
-    agent.frame(1, &placer(), Frame::Offer(offer), &mut out);
+    agent.handle_frame(1, &placer(), Frame::Offer(offer), &mut out);
     out
 }
 
-fn spawned(agent: &mut Agent, attempt: u64) -> Vec<Do> {
+fn spawned(agent: &mut Agent, attempt: u64) -> Vec<Action> {
     let mut out = Vec::new();
     agent.spawned(
         2,
@@ -65,19 +68,19 @@
     out
 }
 
-fn frames(out: &[Do]) -> Vec<&Frame> {
+fn frames(out: &[Action]) -> Vec<&Frame> {
     out.iter()
         .filter_map(|d| match d {
-            Do::Send(_, frame) => Some(frame),
+            Action::Send(_, frame) => Some(frame),
             _ => None,
         })
         .collect()
 }
 
-fn fates(out: &[Do]) -> Vec<Fate> {
+fn fates(out: &[Action]) -> Vec<TaskState> {
     out.iter()
         .filter_map(|d| match d {
-            Do::Keep(_, kept) => Some(kept.fate),
+            Action::StoreTask(_, kept) => Some(kept.state),
             _ => None,
         })
         .collect()
@@ -87,12 +90,16 @@
 fn the_intent_to_start_is_kept_before_the_start_and_few_start_at_once() {
     let mut agent = agent();
     let first = ask(&mut agent, offer(1, 1.0, 0));
-    assert_eq!(fates(&first), [Fate::Accepted, Fate::Starting]);
-    assert!(first.contains(&Do::Spawn(1)));
+    assert_eq!(fates(&first), [TaskState::Accepted, TaskState::Starting]);
+    assert!(first.contains(&Action::Spawn(1)));
     let second = ask(&mut agent, offer(2, 1.0, 0));
-    assert_eq!(fates(&second), [Fate::Accepted], "one starts at a time");
+    assert_eq!(
+        fates(&second),
+        [TaskState::Accepted],
+        "one starts at a time"
+    );
     let out = spawned(&mut agent, 1);
-    assert!(out.contains(&Do::Spawn(2)), "{out:?}");
+    assert!(out.contains(&Action::Spawn(2)), "{out:?}");
     assert!(matches!(frames(&out)[..], [Frame::Started(1, _)]));
     // The same attempt again starts nothing.
     assert!(ask(&mut agent, offer(1, 1.0, 0)).is_empty());
@@ -112,17 +119,17 @@
         ),
         "{instead:?}"
     );
-    assert!(!instead.contains(&Do::Spawn(1)) && agent.offer(1).is_none());
+    assert!(!instead.contains(&Action::Spawn(1)) && agent.offer(1).is_none());
     let refused = ask(&mut agent, offer(2, 1.0, 0));
     assert!(matches!(
         frames(&refused)[..],
-        [Frame::Refused(2, Reason::NotHere, _)]
+        [Frame::Refused(2, Reason::Ineligible, _)]
     ));
     let mut out = Vec::new();
-    agent.due(3, Later::TryStore, &mut out);
-    assert_eq!(out, [Do::Forget(1)]);
+    agent.handle_timer(3, Later::TryStore, &mut out);
+    assert_eq!(out, [Action::Forget(1)]);
     assert!(
-        ask(&mut agent, offer(3, 1.0, 0)).contains(&Do::Spawn(3)),
+        ask(&mut agent, offer(3, 1.0, 0)).contains(&Action::Spawn(3)),
         "the room of the first is free"
     );
 }
@@ -139,11 +146,11 @@
         matches!(frames(&instead)[..], [Frame::Started(1, _)]),
         "what runs is told: {instead:?}"
     );
-    assert!(!instead.contains(&Do::Spawn(2)));
+    assert!(!instead.contains(&Action::Spawn(2)));
     let mut out = Vec::new();
-    agent.due(3, Later::TryStore, &mut out);
+    agent.handle_timer(3, Later::TryStore, &mut out);
     assert!(
-        out.contains(&Do::Spawn(2)) && fates(&out) == [Fate::Starting],
+        out.contains(&Action::Spawn(2)) && fates(&out) == [TaskState::Starting],
         "{out:?}"
     );
 }
@@ -153,16 +160,16 @@
     let mut agent = agent();
     ask(&mut agent, offer(1, 1.0, 0));
     let mut out = Vec::new();
-    agent.frame(1, &placer(), Frame::Cancel(1), &mut out);
+    agent.handle_frame(1, &placer(), Frame::Cancel(1), &mut out);
     assert!(out.is_empty(), "there is nothing to stop yet: {out:?}");
     let identity = Identity { pid: 1, born: 5 };
-    assert!(spawned(&mut agent, 1).contains(&Do::Kill(identity, false)));
+    assert!(spawned(&mut agent, 1).contains(&Action::Kill(identity, false)));
     let mut out = Vec::new();
-    agent.due(4, Later::Force(1), &mut out);
-    assert_eq!(out, [Do::Kill(identity, true)]);
+    agent.handle_timer(4, Later::Force(1), &mut out);
+    assert_eq!(out, [Action::Kill(identity, true)]);
     let mut out = Vec::new();
     agent.exited(5, 1, Some(false), &mut out);
-    agent.tell(|_| true, &mut out);
+    agent.report_finished(|_| true, &mut out);
     assert!(
         matches!(
             frames(&out)[..],
@@ -179,60 +186,63 @@
     spawned(&mut agent, 1);
     let mut out = Vec::new();
     agent.exited(5, 1, Some(true), &mut out);
-    agent.tell(|_| false, &mut out);
-    assert_eq!(fates(&out), [Fate::Ended(Reason::Done, true)]);
+    agent.report_finished(|_| false, &mut out);
+    assert_eq!(fates(&out), [TaskState::Finished(Reason::Completed, true)]);
     assert!(frames(&out).is_empty(), "nobody is there to hear it");
     let mut out = Vec::new();
-    agent.tell(|_| true, &mut out);
+    agent.report_finished(|_| true, &mut out);
     assert!(matches!(
         frames(&out)[..],
-        [Frame::Ended(1, Reason::Done, true, _)]
+        [Frame::Ended(1, Reason::Completed, true, _)]
     ));
     let mut out = Vec::new();
-    agent.tell(|_| true, &mut out);
-    assert_eq!(out, [Do::Forget(1)]);
+    agent.report_finished(|_| true, &mut out);
+    assert_eq!(out, [Action::Forget(1)]);
 }
 
 #[test]
 fn a_later_life_finishes_what_an_earlier_one_began() {
-    let kept = |fate| Kept {
+    let kept = |fate| StoredTask {
         placer: placer(),
         offer: offer(0, 0.5, 0),
-        fate,
+        state: fate,
     };
     let all = [
-        (1, Fate::Accepted),
-        (2, Fate::Starting),
-        (3, Fate::Starting),
-        (4, Fate::Running(Identity { pid: 4, born: 4 })),
-        (5, Fate::Running(Identity { pid: 5, born: 5 })),
-        (6, Fate::Ended(Reason::Done, true)),
+        (1, TaskState::Accepted),
+        (2, TaskState::Starting),
+        (3, TaskState::Starting),
+        (4, TaskState::Running(Identity { pid: 4, born: 4 })),
+        (5, TaskState::Running(Identity { pid: 5, born: 5 })),
+        (6, TaskState::Finished(Reason::Completed, true)),
     ];
-    let all: Vec<(u64, Kept)> = all
+    let all: Vec<(u64, StoredTask)> = all
         .into_iter()
         .map(|(attempt, fate)| {
             let mut kept = kept(fate);
-            kept.offer.attempt = attempt;
+            kept.offer.attempt_id = attempt;
             (attempt, kept)
         })
         .collect();
-    let found = |attempt: u64, _: &Kept| match attempt {
-        2 | 4 => Found::Alive(Identity {
+    let found = |attempt: u64, _: &StoredTask| match attempt {
+        2 | 4 => RecoveryOutcome::Alive(Identity {
             pid: attempt as u32,
             born: 9,
         }),
-        _ => Found::Gone,
+        _ => RecoveryOutcome::Gone,
     };
     let (mut agent, mut out) = (agent(), Vec::new());
     agent.recover(1, true, all, found, &mut out);
-    let spawns: Vec<&Do> = out.iter().filter(|d| matches!(d, Do::Spawn(_))).collect();
+    let spawns: Vec<&Action> = out
+        .iter()
+        .filter(|d| matches!(d, Action::Spawn(_)))
+        .collect();
     assert_eq!(
         spawns,
-        [&Do::Spawn(1)],
+        [&Action::Spawn(1)],
         "only what provably never started is started"
     );
     let mut greeting = Vec::new();
-    agent.greeted(&placer(), 1, &mut greeting);
+    agent.handle_greeting(&placer(), 1, &mut greeting);
     assert_eq!(frames(&greeting).last(), Some(&&Frame::Drain));
     let held_end = frames(&greeting)
         .iter()
@@ -247,7 +257,7 @@
     let held: Vec<(u64, bool)> = told
         .iter()
         .filter_map(|f| match f {
-            Frame::Held(offer, runs) => Some((offer.attempt, *runs)),
+            Frame::Held(offer, runs) => Some((offer.attempt_id, *runs)),
             _ => None,
         })
         .collect();
@@ -266,7 +276,7 @@
         [
             (3, Reason::Error, true),
             (5, Reason::Unknown, true),
-            (6, Reason::Done, true)
+            (6, Reason::Completed, true)
         ]
     );
 }
@@ -278,17 +288,17 @@
     spawned(&mut agent, 1);
     let out = ask(&mut agent, offer(2, 2.0, 1));
     assert!(
-        out.contains(&Do::Kill(Identity { pid: 1, born: 5 }, false)),
+        out.contains(&Action::Kill(Identity { pid: 1, born: 5 }, false)),
         "{out:?}"
     );
-    assert!(out.contains(&Do::Spawn(2)));
+    assert!(out.contains(&Action::Spawn(2)));
     let mut out = Vec::new();
     agent.exited(5, 1, None, &mut out);
-    agent.tell(|_| true, &mut out);
+    agent.report_finished(|_| true, &mut out);
     assert!(
         matches!(
             frames(&out)[..],
-            [Frame::Ended(1, Reason::PushedOut, true, _)]
+            [Frame::Ended(1, Reason::Preempted, true, _)]
         ),
         "{out:?}"
     );
--- a/crates/capacity/src/budget_block.rs
+++ b/crates/capacity/src/budget_block.rs
@@ -1,7 +1,7 @@
 //! The generated blocks of the size and of the budgets there.
 
 use crate::markdown::Table;
-use crate::number::{figure, times};
+use crate::number::{figure, format_multiple};
 use crate::other_points::other_points;
 use crate::quantity::{Across, Quantity};
 use crate::result::{Phase, SweepResult};
@@ -104,8 +104,8 @@
     match budget.headroom(measured) {
         None => figure(measured),
         Some(headroom) if headroom < 1.0 => {
-            format!("**{} ({})**", figure(measured), times(headroom))
+            format!("**{} ({})**", figure(measured), format_multiple(headroom))
         }
-        Some(headroom) => format!("{} ({})", figure(measured), times(headroom)),
+        Some(headroom) => format!("{} ({})", figure(measured), format_multiple(headroom)),
     }
 }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -55,14 +55,14 @@
 pub use page::{Contents, PageError, PartName, Regenerated, regenerate};
 pub use parse::{PointProblem, ResultError, parse_result};
 pub use plot::{PlotError, sweep_plot};
-pub use quantity::{Across, AnswerTime, Quantity, Traffic};
+pub use quantity::{Across, AnswerTime, Quantity, TrafficClass};
 pub use report::{BUDGET_BLOCK, Plot, Report, SIZE_BLOCK};
 pub use result::{
-    Dimension, Direction, Fault, Machine, MessageCount, MessageKind, Phase, PhaseSample, Point,
-    PointSettings, ProcessSample, RESULT_FORMAT, Share, SweepResult,
+    Dimension, Direction, Fault, Machine, MessageCount, MessageKind, MessagePurpose, Phase,
+    PhaseSample, Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
 };
 pub use size::{
     Budget, DESIGN_SIZE, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT, MAX_MEMORY_BYTES, Size,
 };
-pub use study::{HeldOut, MAX_RELATIVE_ERROR, Study, Trial, Verdict};
+pub use study::{FitVerdict, HeldOut, MAX_RELATIVE_ERROR, Study, Trial};
 pub use sweep_block::NOT_MEASURED;
--- a/crates/capacity/src/number.rs
+++ b/crates/capacity/src/number.rs
@@ -32,7 +32,7 @@
 }
 
 /// A part of a whole as percent with one digit behind the point and its sign.
-pub fn percent(part: f64) -> String {
+pub fn format_percent(part: f64) -> String {
     if !part.is_finite() {
         return "∞".to_owned();
     }
@@ -48,7 +48,7 @@
 }
 
 /// How often something goes into something else.
-pub fn times(factor: f64) -> String {
+pub fn format_multiple(factor: f64) -> String {
     if factor >= 100.0 {
         format!("{}×", grouped(&format!("{factor:.0}")))
     } else {
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -6,7 +6,7 @@
 
 use crate::fit::Observation;
 use crate::number::figure;
-use crate::quantity::{Quantity, Traffic};
+use crate::quantity::{Quantity, TrafficClass};
 use crate::result::{Phase, SweepResult};
 use crate::study::Study;
 
@@ -31,8 +31,8 @@
 const PANELS: [Quantity; 4] = [
     Quantity::Cpu,
     Quantity::ProportionalMemory,
-    Quantity::WireBytes(Traffic::Control),
-    Quantity::WireBytes(Traffic::All),
+    Quantity::WireBytes(TrafficClass::Control),
+    Quantity::WireBytes(TrafficClass::All),
 ];
 
 /// Colours that stay apart for people who see few of them (Okabe and Ito).
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -1,6 +1,6 @@
 //! What is fitted and budgeted: quantities of one placer process in one phase.
 
-use crate::result::{MessageCount, PhaseSample, ProcessSample, Share};
+use crate::result::{MessageCount, MessagePurpose, PhaseSample, ProcessSample};
 
 /// A quantity of one real placer process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -18,11 +18,11 @@
     /// Time from an ask to its answer, ms, of all placers together.
     Answer(AnswerTime),
     /// Messages a second, both directions.
-    Messages(Traffic),
+    Messages(TrafficClass),
     /// Bytes of messages a second, both directions.
-    PayloadBytes(Traffic),
+    PayloadBytes(TrafficClass),
     /// Bytes a second on a wire, both directions.
-    WireBytes(Traffic),
+    WireBytes(TrafficClass),
 }
 
 /// Which time from an ask to its answer.
@@ -61,7 +61,7 @@
 
 /// Which messages count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Traffic {
+pub enum TrafficClass {
     /// Those that are surely control.
     Control,
     /// Those that are surely placing.
@@ -74,7 +74,7 @@
     All,
 }
 
-impl Traffic {
+impl TrafficClass {
     /// Every choice, in the order of the page.
     pub const ALL: [Self; 5] = [
         Self::Control,
@@ -85,12 +85,12 @@
     ];
 
     /// Whether messages of this share count.
-    pub fn counts(self, share: Share) -> bool {
+    pub fn includes(self, share: MessagePurpose) -> bool {
         match self {
-            Self::Control => share == Share::Control,
-            Self::Placing => share == Share::Placing,
-            Self::Either => share == Share::Either,
-            Self::WideControl => share != Share::Placing,
+            Self::Control => share == MessagePurpose::Control,
+            Self::Placing => share == MessagePurpose::Placing,
+            Self::Either => share == MessagePurpose::Either,
+            Self::WideControl => share != MessagePurpose::Placing,
             Self::All => true,
         }
     }
@@ -136,10 +136,11 @@
         ];
         let counts = [Self::Messages, Self::PayloadBytes, Self::WireBytes];
         let answers = AnswerTime::ALL.map(Self::Answer);
-        process
-            .into_iter()
-            .chain(answers)
-            .chain(counts.into_iter().flat_map(|count| Traffic::ALL.map(count)))
+        process.into_iter().chain(answers).chain(
+            counts
+                .into_iter()
+                .flat_map(|count| TrafficClass::ALL.map(count)),
+        )
     }
 
     /// The name in keys of figures, such as `cpu` or `control_wire_bytes`.
@@ -213,14 +214,14 @@
 
 fn of_messages(
     sample: &PhaseSample,
-    traffic: Traffic,
+    traffic: TrafficClass,
     of: fn(&MessageCount) -> u64,
 ) -> Option<f64> {
     let placer_seconds = sample.placers.len() as f64 * sample.seconds;
     let counted = sample
         .messages
         .iter()
-        .filter(|m| traffic.counts(m.kind.share()));
+        .filter(|m| traffic.includes(m.kind.purpose()));
     let total: f64 = counted.map(|m| of(m) as f64).sum();
     (placer_seconds > 0.0).then(|| total / placer_seconds)
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::budget_block::{budget_block, measured_at_size, size_block};
 use crate::figure::{FigureKey, KeyError, SweepAspect};
-use crate::number::{figure, percent, times};
+use crate::number::{figure, format_multiple, format_percent};
 use crate::page::Contents;
 use crate::plot::{PlotError, sweep_plot};
 use crate::quantity::Quantity;
@@ -86,7 +86,7 @@
             } => {
                 let measured = measured_at_size(&self.results, *phase, budget.quantity())?.value;
                 if *headroom {
-                    budget.headroom(measured).map(times)
+                    budget.headroom(measured).map(format_multiple)
                 } else {
                     Some(figure(measured))
                 }
@@ -136,7 +136,7 @@
     match aspect {
         SweepAspect::Measured(_) => None,
         SweepAspect::Foretold(size) => held_out(*size).map(|h| figure(h.foretold.value)),
-        SweepAspect::Error(size) => held_out(*size).map(|h| percent(h.relative_error())),
+        SweepAspect::Error(size) => held_out(*size).map(|h| format_percent(h.relative_error())),
         SweepAspect::Coefficient(name) => {
             let position = trial
                 .fit
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -235,7 +235,7 @@
 /// What a message is sent for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Share {
+pub enum MessagePurpose {
     /// Knowing who is there and in what state.
     Control,
     /// Placing, running and ending tasks.
@@ -246,17 +246,17 @@
 
 impl MessageKind {
     /// What messages of this kind are sent for.
-    pub fn share(self) -> Share {
+    pub fn purpose(self) -> MessagePurpose {
         match self {
             Self::Hello | Self::HeldEnd | Self::Ping | Self::Pong | Self::Drain | Self::Bye => {
-                Share::Control
+                MessagePurpose::Control
             }
-            Self::Connection | Self::FleetDatagram => Share::Control,
+            Self::Connection | Self::FleetDatagram => MessagePurpose::Control,
             Self::Offer | Self::Accepted | Self::Refused | Self::Started | Self::Ended => {
-                Share::Placing
+                MessagePurpose::Placing
             }
-            Self::Cancel | Self::Stop => Share::Placing,
-            Self::Held | Self::Probe | Self::Report | Self::Note => Share::Either,
+            Self::Cancel | Self::Stop => MessagePurpose::Placing,
+            Self::Held | Self::Probe | Self::Report | Self::Note => MessagePurpose::Either,
         }
     }
 }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,6 +1,6 @@
 //! The size that the design is made for, and what a placer may cost there.
 
-use crate::quantity::{Quantity, Traffic};
+use crate::quantity::{Quantity, TrafficClass};
 use crate::result::{Phase, PointSettings};
 
 /// A size of the whole installation.
@@ -85,10 +85,10 @@
             Self::Cpu => Quantity::Cpu,
             Self::ResidentMemory => Quantity::ResidentMemory,
             Self::ProportionalMemory => Quantity::ProportionalMemory,
-            Self::ControlPayload => Quantity::PayloadBytes(Traffic::Control),
-            Self::WideControlPayload => Quantity::PayloadBytes(Traffic::WideControl),
-            Self::ControlWire => Quantity::WireBytes(Traffic::Control),
-            Self::WideControlWire => Quantity::WireBytes(Traffic::WideControl),
+            Self::ControlPayload => Quantity::PayloadBytes(TrafficClass::Control),
+            Self::WideControlPayload => Quantity::PayloadBytes(TrafficClass::WideControl),
+            Self::ControlWire => Quantity::WireBytes(TrafficClass::Control),
+            Self::WideControlWire => Quantity::WireBytes(TrafficClass::WideControl),
         }
     }
 
--- a/crates/capacity/src/study.rs
+++ b/crates/capacity/src/study.rs
@@ -40,7 +40,7 @@
 
 /// Whether a law is believed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum FitVerdict {
     /// It foretold every size held out, within [`MAX_RELATIVE_ERROR`].
     Foretold,
     /// It missed one.
@@ -80,11 +80,11 @@
     }
 
     /// Whether the law is believed.
-    pub fn verdict(&self) -> Verdict {
+    pub fn verdict(&self) -> FitVerdict {
         match self.worst_error() {
-            None => Verdict::NotTested,
-            Some(error) if error <= MAX_RELATIVE_ERROR => Verdict::Foretold,
-            Some(_) => Verdict::Missed,
+            None => FitVerdict::NotTested,
+            Some(error) if error <= MAX_RELATIVE_ERROR => FitVerdict::Foretold,
+            Some(_) => FitVerdict::Missed,
         }
     }
 }
@@ -146,7 +146,7 @@
 
 /// The position of the line unless it missed, otherwise of the law with the smallest error at the sizes held out.
 fn choose(trials: &[Trial]) -> Option<usize> {
-    if trials.first()?.verdict() != Verdict::Missed {
+    if trials.first()?.verdict() != FitVerdict::Missed {
         return Some(0);
     }
     let error = |trial: &Trial| trial.worst_error().unwrap_or(f64::INFINITY);
--- a/crates/capacity/src/sweep_block.rs
+++ b/crates/capacity/src/sweep_block.rs
@@ -2,10 +2,10 @@
 
 use crate::fit::Interval;
 use crate::markdown::{Table, folded};
-use crate::number::{figure, percent};
-use crate::quantity::{Across, AnswerTime, Quantity, Traffic};
+use crate::number::{figure, format_percent};
+use crate::quantity::{Across, AnswerTime, Quantity, TrafficClass};
 use crate::result::{Phase, PhaseSample, SweepResult};
-use crate::study::{HeldOut, MAX_RELATIVE_ERROR, Study, Trial, Verdict};
+use crate::study::{FitVerdict, HeldOut, MAX_RELATIVE_ERROR, Study, Trial};
 use crate::sweep::phase_of;
 
 /// What stands where nothing was measured.
@@ -15,11 +15,11 @@
 const ABSENT: &str = "–";
 
 /// Traffic columns of the tables of points.
-const SHOWN_TRAFFIC: [Traffic; 4] = [
-    Traffic::Control,
-    Traffic::Placing,
-    Traffic::Either,
-    Traffic::All,
+const SHOWN_TRAFFIC: [TrafficClass; 4] = [
+    TrafficClass::Control,
+    TrafficClass::Placing,
+    TrafficClass::Either,
+    TrafficClass::All,
 ];
 
 /// The block of a sweep. `plot` is where the page finds its plot.
@@ -245,7 +245,7 @@
     if let Some(error) = missed_line_error(study) {
         text += &format!(
             "; a line misses by {}",
-            percent(error).trim_start_matches('+')
+            format_percent(error).trim_start_matches('+')
         );
     }
     text
@@ -272,7 +272,7 @@
             interval_text(held_out.foretold.interval)
         ),
         figure(held_out.measured.value),
-        percent(held_out.relative_error()),
+        format_percent(held_out.relative_error()),
         inside.to_owned(),
     ]
 }
@@ -285,8 +285,8 @@
 
 fn verdict_cell(trial: &Trial) -> String {
     match trial.verdict() {
-        Verdict::Foretold => "foretold".to_owned(),
-        Verdict::Missed => format!("missed by more than {:.0}%", MAX_RELATIVE_ERROR * 100.0),
-        Verdict::NotTested => "not tested".to_owned(),
+        FitVerdict::Foretold => "foretold".to_owned(),
+        FitVerdict::Missed => format!("missed by more than {:.0}%", MAX_RELATIVE_ERROR * 100.0),
+        FitVerdict::NotTested => "not tested".to_owned(),
     }
 }
--- a/crates/capacity/tests/laws.rs
+++ b/crates/capacity/tests/laws.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use maplethread_capacity::{Fit, FitError, Interval, Law, Observation, Study, Verdict};
+use maplethread_capacity::{Fit, FitError, FitVerdict, Interval, Law, Observation, Study};
 use support::{SIZES, observations};
 
 const LIMIT: f64 = 800.0;
@@ -16,7 +16,7 @@
     let study = Study::new(LIMIT, &observations(&SIZES, |n| 7.0 + 0.25 * n)).expect("enough sizes");
     let trial = study.chosen();
     assert_eq!(trial.fit.law(), Law::Linear);
-    assert_eq!(trial.verdict(), Verdict::Foretold);
+    assert_eq!(trial.verdict(), FitVerdict::Foretold);
     let coefficients = trial.fit.coefficients();
     assert!(
         close(coefficients[0].value, 7.0) && close(coefficients[1].value, 0.25),
@@ -35,10 +35,10 @@
 fn a_cost_of_n_log_n_is_found_where_the_line_misses() {
     let cost = |n: f64| 5.0 - 2.0 * n + 0.9 * n * n.ln();
     let study = Study::new(LIMIT, &observations(&SIZES, cost)).expect("enough sizes");
-    assert_eq!(study.line().expect("a line").verdict(), Verdict::Missed);
+    assert_eq!(study.line().expect("a line").verdict(), FitVerdict::Missed);
     let trial = study.chosen();
     assert_eq!(trial.fit.law(), Law::LinearLogarithmic);
-    assert_eq!(trial.verdict(), Verdict::Foretold);
+    assert_eq!(trial.verdict(), FitVerdict::Foretold);
     let found: Vec<f64> = trial.fit.coefficients().iter().map(|c| c.value).collect();
     assert!(
         close(found[0], 5.0) && close(found[1], -2.0) && close(found[2], 0.9),
@@ -64,11 +64,11 @@
     };
     let measured: Vec<Observation> = SIZES.iter().zip(costs).map(measure).collect();
     let study = Study::new(LIMIT, &measured).expect("enough sizes");
-    assert_eq!(study.line().expect("a line").verdict(), Verdict::Missed);
+    assert_eq!(study.line().expect("a line").verdict(), FitVerdict::Missed);
     let trial = study.chosen();
     assert_eq!(
         (trial.fit.law(), trial.verdict()),
-        (Law::Constant, Verdict::Foretold)
+        (Law::Constant, FitVerdict::Foretold)
     );
     assert!(close(trial.fit.value(5_000.0), 102.2));
 }
@@ -81,7 +81,7 @@
         study
             .trials()
             .iter()
-            .all(|trial| trial.verdict() == Verdict::Missed)
+            .all(|trial| trial.verdict() == FitVerdict::Missed)
     );
     let trial = study.chosen();
     assert!(
@@ -105,7 +105,7 @@
     measured[5].value *= 0.5;
     let study = Study::new(LIMIT, &measured).expect("enough sizes");
     let line = study.line().expect("a line");
-    assert_eq!(line.verdict(), Verdict::Missed);
+    assert_eq!(line.verdict(), FitVerdict::Missed);
     assert!(
         close(line.held_out[0].relative_error(), 1.0),
         "twice the measured cost was foretold"
@@ -205,7 +205,7 @@
     let trial = study.chosen();
     assert_eq!(
         (trial.fit.law(), trial.verdict()),
-        (Law::Linear, Verdict::Foretold)
+        (Law::Linear, FitVerdict::Foretold)
     );
     assert!(trial.held_out.iter().all(|h| h.in_interval() == Some(true)));
 }
--- a/crates/capacity/tests/quantities.rs
+++ b/crates/capacity/tests/quantities.rs
@@ -4,7 +4,7 @@
 
 use maplethread_capacity::{
     Across, AnswerTime, Budget, DESIGN_SIZE, Dimension, Fault, FigureKey, KeyError, Phase,
-    Quantity, Traffic, measured_at_size,
+    Quantity, TrafficClass, measured_at_size,
 };
 use support::{PLACERS, point, sample, sweep};
 
@@ -16,13 +16,16 @@
 
 #[test]
 fn messages_are_those_of_one_placer_in_a_second() {
-    assert_eq!(mean(Quantity::Messages(Traffic::Control)), 200.0);
-    assert_eq!(mean(Quantity::Messages(Traffic::Placing)), 1.0);
-    assert_eq!(mean(Quantity::Messages(Traffic::Either)), 3.0);
-    assert_eq!(mean(Quantity::Messages(Traffic::WideControl)), 203.0);
-    assert_eq!(mean(Quantity::Messages(Traffic::All)), 204.0);
-    assert_eq!(mean(Quantity::PayloadBytes(Traffic::All)), 204.0 * 20.0);
-    assert_eq!(mean(Quantity::WireBytes(Traffic::All)), 204.0 * 100.0);
+    assert_eq!(mean(Quantity::Messages(TrafficClass::Control)), 200.0);
+    assert_eq!(mean(Quantity::Messages(TrafficClass::Placing)), 1.0);
+    assert_eq!(mean(Quantity::Messages(TrafficClass::Either)), 3.0);
+    assert_eq!(mean(Quantity::Messages(TrafficClass::WideControl)), 203.0);
+    assert_eq!(mean(Quantity::Messages(TrafficClass::All)), 204.0);
+    assert_eq!(
+        mean(Quantity::PayloadBytes(TrafficClass::All)),
+        204.0 * 20.0
+    );
+    assert_eq!(mean(Quantity::WireBytes(TrafficClass::All)), 204.0 * 100.0);
 }
 
 #[test]
--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use maplethread_agent::store::Store;
-use maplethread_agent::{AgentConfig, Fate, process, run};
+use maplethread_agent::{AgentConfig, TaskState, process, run};
 use serde_json::json;
 
 #[derive(Args)]
@@ -57,19 +57,21 @@
         return Err(format!("{}: there is no store", path.display()));
     }
     let told = |e: maplethread_agent::store::StoreError| format!("{}: {e}", path.display());
-    let (facts, tasks) = Store::open(&path).map_err(told)?.read().map_err(told)?;
+    let (facts, tasks) = Store::open(&path).map_err(told)?.load().map_err(told)?;
     println!(
         "{}",
-        json!({"agent": config.name, "boot": facts.boot, "drains": facts.drains, "tasks": tasks.len()})
+        json!({"agent": config.name, "boot": facts.boot_id, "drains": facts.is_draining, "tasks": tasks.len()})
     );
     for (attempt, kept) in tasks {
-        let fate = match kept.fate {
-            Fate::Accepted => json!("accepted"),
-            Fate::Starting => json!("starting"),
-            Fate::Running(identity) => {
-                json!({"running": {"pid": identity.pid, "alive": process::alive(identity)}})
+        let fate = match kept.state {
+            TaskState::Accepted => json!("accepted"),
+            TaskState::Starting => json!("starting"),
+            TaskState::Running(identity) => {
+                json!({"running": {"pid": identity.pid, "alive": process::is_alive(identity)}})
+            }
+            TaskState::Finished(reason, ran) => {
+                json!({"ended": {"reason": reason.as_str(), "ran": ran}})
             }
-            Fate::Ended(reason, ran) => json!({"ended": {"reason": reason.name(), "ran": ran}}),
         };
         let offer = &kept.offer;
         println!(
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use maplethread_config::Doc;
-use maplethread_fleet_drill::drill::{Drill, play};
+use maplethread_config::Document;
+use maplethread_fleet_drill::run::{self, FaultInjectionRun};
 use maplethread_fleet_drill::schedule::Schedule;
 
 #[derive(Args)]
@@ -57,11 +57,11 @@
     let interrupted = crate::interrupted()?;
     for seed in args.seed..args.seed.saturating_add(args.drills.max(1)) {
         let schedule = match &args.schedule {
-            None => Schedule::drawn(seed, args.placers, args.seconds),
+            None => Schedule::random(seed, args.placers, args.seconds),
             Some(file) => {
                 let name = file.display().to_string();
                 let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-                Schedule::parse(Doc {
+                Schedule::parse(Document {
                     file: &name,
                     text: &text,
                 })
@@ -72,22 +72,22 @@
             let text = toml::to_string(&schedule).map_err(|e| e.to_string())?;
             std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
         }
-        let drill = Drill {
+        let drill = FaultInjectionRun {
             schedule,
             seed,
             program: std::env::current_exe().map_err(|e| format!("own program: {e}"))?,
-            keep: args.keep.clone(),
-            progress: !args.json,
+            keep_files_in: args.keep.clone(),
+            shows_progress: !args.json,
             without_view: args.without_view,
             interrupted: interrupted.clone(),
         };
-        let outcome = play(&drill).map_err(|e| format!("drill {seed}: {e}"))?;
+        let outcome = run::run(&drill).map_err(|e| format!("drill {seed}: {e}"))?;
         good &= if args.without_view {
-            outcome.day.good()
+            outcome.service.is_good()
         } else {
-            outcome.good()
+            outcome.passed()
         };
-        let mut json = outcome.json();
+        let mut json = outcome.to_json();
         json["seed"] = seed.into();
         if args.json {
             println!("{json}");
@@ -105,24 +105,24 @@
             kinds.len(),
             kinds.join("\n  ")
         );
-        let fleet = &outcome.fleet;
+        let fleet = &outcome.membership;
         match fleet.settled_s {
             Some(s) => println!(
                 "one view {s:.1} s after the last fault, of {} members",
                 fleet.members
             ),
-            None => println!("NO ONE VIEW:\n  {}", fleet.broken.join("\n  ")),
+            None => println!("NO ONE VIEW:\n  {}", fleet.violations.join("\n  ")),
         }
-        let worst = fleet.seen_gone_s.iter().copied().fold(0.0, f64::max);
+        let worst = fleet.removal_times_s.iter().copied().fold(0.0, f64::max);
         println!(
             "{} placers gone, the slowest seen by all after {worst:.1} s",
-            fleet.seen_gone_s.len()
+            fleet.removal_times_s.len()
         );
         println!(
             "called down while it ran: {} times without a fault of the network, {} times under one",
-            fleet.false_alarms, fleet.alarms_under_faults
+            fleet.false_alarms, fleet.false_alarms_under_faults
         );
-        print!("{}", outcome.day.text());
+        print!("{}", outcome.service.text());
     }
     Ok(if good {
         ExitCode::SUCCESS
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use maplethread_config::{Doc, parse};
+use maplethread_config::{Document, parse_toml};
 use serde::Deserialize;
 
 /// A file that says which stand-in hosts to run.
@@ -26,7 +26,7 @@
 pub fn load(path: &Path) -> Result<HostsConfig, String> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
-    let mut config: HostsConfig = parse(Doc {
+    let mut config: HostsConfig = parse_toml(Document {
         file: &file,
         text: &text,
     })
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -13,14 +13,14 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use maplethread_config::{Damping, Doc, PlacerConfig};
+use maplethread_config::{DampingMode, Document, PlacerConfig};
 use maplethread_engine::Decide;
-use maplethread_standin::baseline::RandomChoice;
-use maplethread_standin::day;
-use maplethread_standin::recorded::{self, Recorded};
+use maplethread_standin::mutant::MutantOutcome;
+use maplethread_standin::random_choice::RandomChoice;
+use maplethread_standin::recorded_scenario::{self, RecordedScenario};
 use maplethread_standin::report::Report;
-use maplethread_standin::rogue::RogueOutcome;
 use maplethread_standin::scenario::Scenario;
+use maplethread_standin::scenario_run;
 
 #[derive(Parser)]
 #[command(name = "maplethread", version, about, max_term_width = 100)]
@@ -260,29 +260,30 @@
 
 fn placer(args: &PlacerArgs) -> Result<ExitCode, String> {
     let options = maplethread_placer::Options {
-        config: args.config.clone(),
+        config_path: args.config.clone(),
     };
     let (which, rogue) = (args.decider, args.rogue);
-    let decider =
-        |config: &PlacerConfig, seed: u64| -> Result<Box<dyn Decide>, maplethread::SettingsError> {
-            Ok(match which {
-                Decider::Module => Box::new(maplethread::Placer::new(config.settings(), seed)?),
-                Decider::Random => Box::new(RandomChoice::new(config.settings(), seed, rogue)),
-            })
-        };
+    let decider = |config: &PlacerConfig,
+                   seed: u64|
+     -> Result<Box<dyn Decide>, maplethread::SettingsError> {
+        Ok(match which {
+            Decider::Module => Box::new(maplethread::Placer::new(config.policy_settings(), seed)?),
+            Decider::Random => Box::new(RandomChoice::new(config.policy_settings(), seed, rogue)),
+        })
+    };
     maplethread_placer::run(&options, decider).map_err(|e| e.to_string())?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn check_config(file: &Path) -> Result<ExitCode, String> {
-    let config = maplethread_placer::load(file).map_err(|e| e.to_string())?;
+    let config = maplethread_placer::load_config(file).map_err(|e| e.to_string())?;
     println!(
         "{}: sound; placer {} of {}, {} classes, {} kinds of hosts",
         file.display(),
-        config.placer.name,
-        config.placer.placers,
-        config.class.len(),
-        config.kind.len()
+        config.identity.name,
+        config.identity.replica_count,
+        config.classes.len(),
+        config.kinds.len()
     );
     Ok(ExitCode::SUCCESS)
 }
@@ -299,7 +300,7 @@
 fn read_scenario(file: &Path) -> Result<Scenario, String> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    Scenario::parse(Doc {
+    Scenario::parse(Document {
         file: &name,
         text: &text,
     })
@@ -310,14 +311,14 @@
     let config = hosts::load(file)?;
     let scenario = std::sync::Arc::new(read_scenario(&config.scenario)?);
     let addresses = hosts::addresses(&config, scenario.fleet.hosts);
-    day::run_hosts(&scenario, &addresses, config.seed, &config.inventory)
+    scenario_run::run_hosts(&scenario, &addresses, config.seed, &config.inventory)
         .map_err(|e| format!("hosts: {e}"))?;
     Ok(ExitCode::SUCCESS)
 }
 
 fn bad_day(args: &BadDayArgs) -> Result<ExitCode, String> {
     let mut scenario = match &args.scenario {
-        None if args.drawn => Scenario::drawn(args.seed),
+        None if args.drawn => Scenario::random(args.seed),
         None if args.consul => Scenario::standard_with_catalogue(),
         None => Scenario::standard(),
         Some(file) => read_scenario(file)?,
@@ -326,11 +327,11 @@
         if !(seconds.is_finite() && seconds >= 1.0) {
             return Err("--seconds: at least 1".to_owned());
         }
-        scenario = scenario.stretched(seconds);
+        scenario = scenario.with_duration(seconds);
     }
     scenario.placers = args.placers.unwrap_or(scenario.placers).max(1);
     if let Some(hosts) = args.hosts {
-        scenario = scenario.sized(hosts.max(1));
+        scenario = scenario.with_host_count(hosts.max(1));
     }
     let recorded = match args.from_trace.as_slice() {
         [] => None,
@@ -341,7 +342,7 @@
     }
     for kind in &args.without {
         let known = serde_json::from_value(kind.as_str().into());
-        scenario = scenario.without(known.map_err(|e| format!("--without {kind}: {e}"))?);
+        scenario = scenario.without_fault(known.map_err(|e| format!("--without {kind}: {e}"))?);
     }
     if let Some(file) = &args.write_scenario {
         let text = toml::to_string(&scenario).map_err(|e| e.to_string())?;
@@ -352,25 +353,25 @@
             "fewer slots than placers: numbers have to be leased, with --consul".to_owned(),
         );
     }
-    let options = day::Options {
+    let options = scenario_run::RunOptions {
         scenario,
         seed: args.seed,
         program: std::env::current_exe().map_err(|e| format!("own program: {e}"))?,
-        random: args.random,
-        rogue: args.rogue,
+        use_random_choice: args.random,
+        mutant: args.rogue,
         consul: args.consul.then_some(match args.damping {
-            DampingArg::Penalty => Damping::Penalty,
-            DampingArg::Off => Damping::Off,
-            DampingArg::Hold => Damping::Hold,
+            DampingArg::Penalty => DampingMode::Penalty,
+            DampingArg::Off => DampingMode::Off,
+            DampingArg::Hold => DampingMode::Hold,
         }),
-        progress: !args.json,
-        keep: args.keep.clone(),
-        trace: absolute(&args.trace)?,
+        show_progress: !args.json,
+        kept_folder: args.keep.clone(),
+        trace_folder: absolute(&args.trace)?,
         arrivals: recorded.as_ref().map(|r| r.arrivals.clone()),
-        fleet: None,
+        membership: None,
         interrupted: interrupted()?,
     };
-    let report = day::play(&options).map_err(|e| format!("bad day: {e}"))?;
+    let report = scenario_run::run_scenario(&options).map_err(|e| format!("bad day: {e}"))?;
     if args.json {
         let mut json = report.json();
         if let Some(recorded) = &recorded {
@@ -393,17 +394,17 @@
 
 /// A day with a rogue never succeeds: the judge caught it, or the day does not show that it can.
 fn day_status(report: &Report) -> ExitCode {
-    let Some(rogue) = report.rogue else {
-        return if report.good() {
+    let Some(rogue) = report.mutant else {
+        return if report.is_good() {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
         };
     };
     match rogue.outcome() {
-        RogueOutcome::Caught => ExitCode::FAILURE,
-        RogueOutcome::NoOccasion => not_caught(&rogue.text(), NO_OCCASION),
-        RogueOutcome::Missed => not_caught(&rogue.text(), MISSED),
+        MutantOutcome::Detected => ExitCode::FAILURE,
+        MutantOutcome::NoOpportunity => not_caught(&rogue.text(), NO_OCCASION),
+        MutantOutcome::Missed => not_caught(&rogue.text(), MISSED),
     }
 }
 
@@ -424,7 +425,11 @@
     Ok(flag)
 }
 
-fn read_traces(files: &[PathBuf], base: &Scenario, args: &BadDayArgs) -> Result<Recorded, String> {
+fn read_traces(
+    files: &[PathBuf],
+    base: &Scenario,
+    args: &BadDayArgs,
+) -> Result<RecordedScenario, String> {
     if !(args.speed.is_finite() && (0.01..=1000.0).contains(&args.speed)) {
         return Err("--speed: 0.01 to 1000".to_owned());
     }
@@ -432,7 +437,7 @@
         .iter()
         .map(|f| trace::open(f))
         .collect::<Result<Vec<_>, _>>()?;
-    recorded::read(&mut traces, base, args.speed, args.seed)
+    recorded_scenario::read(&mut traces, base, args.speed, args.seed)
         .map_err(|e| format!("--from-trace: {e}"))
 }
 
@@ -470,19 +475,19 @@
     let program = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
     let trace = absolute(&args.trace)?;
     let measure = |rate: f64| {
-        let options = maplethread_standin::load::Options {
+        let options = maplethread_standin::load_test::LoadOptions {
             program: program.clone(),
-            rate,
+            requests_per_s: rate,
             seconds: args.seconds,
-            hosts: args.hosts,
-            connections: args.connections,
-            life_ms: args.life_ms,
+            host_count: args.hosts,
+            connection_count: args.connections,
+            task_duration_ms: args.life_ms,
             seed: 1,
-            storm: args.storm,
-            trace: trace.clone(),
+            health_changes_per_s: args.storm,
+            trace_folder: trace.clone(),
         };
         let measured =
-            maplethread_standin::load::run(&options).map_err(|e| format!("load: {e}"))?;
+            maplethread_standin::load_test::run(&options).map_err(|e| format!("load: {e}"))?;
         if args.json {
             println!("{}", measured.json());
         } else {
@@ -492,8 +497,9 @@
     };
     let first = measure(args.rate)?;
     if args.max {
-        let sustained =
-            |m: &maplethread_standin::load::Measured| m.place_us[1] < 50_000 && m.placed == m.asks;
+        let sustained = |m: &maplethread_standin::load_test::LoadResult| {
+            m.answer_us[1] < 50_000 && m.placed == m.requests
+        };
         let (mut low, mut high) = (0.0, args.rate);
         let mut last = first;
         while sustained(&last) {
@@ -518,10 +524,10 @@
         let port = if port == 0 { 0 } else { port.saturating_add(n) };
         std::net::SocketAddr::from(([127, 0, 0, 1], port))
     };
-    let settings = maplethread_consul_standin::Settings {
+    let settings = maplethread_consul_standin::EmulatorSettings {
         listen: (0..servers.max(1)).map(at).collect(),
-        lag: lag_ms * 1000,
-        ..maplethread_consul_standin::Settings::new(1)
+        lag_us: lag_ms * 1000,
+        ..maplethread_consul_standin::EmulatorSettings::new(1)
     };
     let servers = maplethread_consul_standin::Servers::start(settings)
         .map_err(|e| format!("servers: {e}"))?;
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -4,8 +4,8 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use maplethread_config::Doc;
-use maplethread_scale::{Interrupted, Options, SweepFile, run};
+use maplethread_config::Document;
+use maplethread_scale::{InterruptFlag, SweepFile, SweepOptions, run};
 
 use crate::scale_report::{self, ReportArgs};
 
@@ -46,7 +46,7 @@
 fn measure(args: &RunArgs) -> Result<ExitCode, String> {
     let file = args.file.display().to_string();
     let text = std::fs::read_to_string(&args.file).map_err(|e| format!("{file}: {e}"))?;
-    let sweep = SweepFile::parse(Doc {
+    let sweep = SweepFile::parse(Document {
         file: &file,
         text: &text,
     })
@@ -58,14 +58,14 @@
         Some(placer) => (placer.clone(), format!(" --placer {}", stem(placer)?)),
         None => (own_program()?, String::new()),
     };
-    let options = Options {
+    let options = SweepOptions {
         sweep,
         command: format!("maplethread scale run {file}{alone}{placer}"),
         name: name.clone(),
         program,
-        alone: args.alone,
-        progress: true,
-        interrupted: Interrupted(crate::interrupted()?),
+        owns_loopback: args.alone,
+        shows_progress: true,
+        interrupted: InterruptFlag(crate::interrupted()?),
     };
     let result = run(&options).map_err(|e| e.to_string())?;
     let mut json = serde_json::to_string_pretty(&result).map_err(|e| e.to_string())?;
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -10,11 +10,11 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use maplethread_trace::cut::{Chosen, Wanted};
-use maplethread_trace::losses::Losses;
-use maplethread_trace::merge::Merge;
+use maplethread_trace::cut::{Chosen, Filter};
+use maplethread_trace::losses::LossCollector;
+use maplethread_trace::merge::MergePlan;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Part, Reader, Record, Stamped, TraceError, Writer, module_hash};
+use maplethread_trace::{Part, Reader, Record, TimedRecord, TraceError, Writer, module_hash};
 use serde_json::json;
 
 pub type Trace = Reader<BufReader<File>>;
@@ -189,20 +189,20 @@
 
 fn info(file: &Path) -> Result<ExitCode, String> {
     let mut trace = open(file)?;
-    let index = trace.index().map_err(named(file))?;
+    let index = trace.read_index().map_err(named(file))?;
     let header = trace.header.clone();
     let (length, _) = trace.progress();
     let (mut blocks, mut records, mut first, mut last) = (0, 0u64, u64::MAX, 0);
     if let Some(index) = &index {
         for entry in index {
-            (blocks, records) = (blocks + 1, records + u64::from(entry.records));
-            (first, last) = (first.min(entry.first), last.max(entry.last));
+            (blocks, records) = (blocks + 1, records + u64::from(entry.record_count));
+            (first, last) = (first.min(entry.first_us), last.max(entry.last_us));
         }
     } else {
         each(file, &mut trace, |part| {
             if let Part::Block { info, .. } = part {
-                (blocks, records) = (blocks + 1, records + u64::from(info.records));
-                (first, last) = (first.min(info.first), last.max(info.last));
+                (blocks, records) = (blocks + 1, records + u64::from(info.record_count));
+                (first, last) = (first.min(info.first_us), last.max(info.last_us));
             }
             Ok(())
         })?;
@@ -228,7 +228,11 @@
                     serde_json::to_writer(&mut out, r)?;
                     out.write_all(b"\n")
                 }),
-                Part::Damaged { at, octets, why } => {
+                Part::Damaged {
+                    offset: at,
+                    byte_count: octets,
+                    reason: why,
+                } => {
                     writeln!(
                         out,
                         "{}",
@@ -261,7 +265,7 @@
         let Part::Block { info, records, .. } = part else {
             continue;
         };
-        first.get_or_insert(info.first);
+        first.get_or_insert(info.first_us);
         for r in &records {
             match &r.record {
                 Record::Service { service: n, name } if args.service.as_ref() == Some(name) => {
@@ -295,7 +299,7 @@
     let mut trace = open(file)?;
     let (service, machine, first) = numbers(file, &mut trace, args)?;
     let time = |s: Option<f64>| s.map(|s| first + (s.max(0.0) * 1e6) as u64);
-    let wanted = Wanted {
+    let wanted = Filter {
         from: time(args.from_s),
         until: time(args.until_s),
         service,
@@ -304,18 +308,20 @@
         outcome: args.outcome.clone(),
     };
     // With an index only blocks that may hold something of it are read; a service's number says which.
-    let index = trace.index().map_err(named(file))?;
+    let index = trace.read_index().map_err(named(file))?;
     let blocks: Option<Vec<u64>> = index.map(|all| {
         all.iter()
             .filter(|e| wanted.may_be_in(e))
-            .map(|e| e.at)
+            .map(|e| e.offset)
             .collect()
     });
-    let mut go = |visit: &mut dyn FnMut(&Stamped) -> Result<(), String>| -> Result<(), String> {
+    let mut go = |visit: &mut dyn FnMut(&TimedRecord) -> Result<(), String>| -> Result<(), String> {
         match &blocks {
             Some(blocks) => {
                 for &at in blocks {
-                    if let Part::Block { records, .. } = trace.block(at).map_err(named(file))? {
+                    if let Part::Block { records, .. } =
+                        trace.read_block(at).map_err(named(file))?
+                    {
                         records.iter().try_for_each(&mut *visit)?;
                     }
                 }
@@ -333,7 +339,7 @@
     let mut chosen = Chosen::default();
     if wanted.chooses() {
         go(&mut |r| {
-            chosen.look(&wanted, r);
+            chosen.scan(&wanted, r);
             Ok(())
         })?;
     }
@@ -343,9 +349,9 @@
     header.settings = None;
     let out = BufWriter::new(create(&args.out)?);
     let mut writer = Writer::new(out, &header).map_err(named(&args.out))?;
-    go(&mut |r| match chosen.keep(&wanted, r) {
+    go(&mut |r| match chosen.filter_record(&wanted, r) {
         Some(kept) if matches!(kept.record, Record::Host { .. } | Record::Service { .. }) => {
-            writer.know(&kept);
+            writer.register_name(&kept);
             Ok(())
         }
         Some(kept) => writer.push(&kept).map_err(named(&args.out)),
@@ -365,7 +371,7 @@
         .iter()
         .map(|f| open(f))
         .collect::<Result<Vec<_>, _>>()?;
-    let plan = Merge::plan(&mut inputs).map_err(|e| e.to_string())?;
+    let plan = MergePlan::new(&mut inputs).map_err(|e| e.to_string())?;
     drop(inputs);
     let mut writer =
         Writer::new(BufWriter::new(create(out)?), plan.header()).map_err(named(out))?;
@@ -398,12 +404,16 @@
         each(file, &mut trace, |part| {
             match part {
                 Part::Block {
-                    records, unknown, ..
+                    records,
+                    unknown_records: unknown,
+                    ..
                 } => {
                     records.iter().for_each(|r| summary.feed(r));
-                    summary.unknown(unknown);
+                    summary.add_unknown_records(unknown);
                 }
-                Part::Damaged { octets, .. } => summary.damaged(octets),
+                Part::Damaged {
+                    byte_count: octets, ..
+                } => summary.damaged(octets),
             }
             Ok(())
         })?;
@@ -415,20 +425,20 @@
         timeline::draw(svg, summary.seconds())?;
     }
     if as_json {
-        println!("{}", summary.json())
+        println!("{}", summary.to_json())
     } else {
-        print!("{}", summary.text())
+        print!("{}", summary.to_text())
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn losses(files: &[PathBuf], as_json: bool) -> Result<ExitCode, String> {
-    let mut losses: Option<(Losses, (String, u64))> = None;
+    let mut losses: Option<(LossCollector, (String, u64))> = None;
     for file in files {
         let mut trace = open(file)?;
         let run = (trace.header.placer.clone(), trace.header.started_ms);
         let (losses, first) =
-            losses.get_or_insert_with(|| (Losses::new(&trace.header.classes), run.clone()));
+            losses.get_or_insert_with(|| (LossCollector::new(&trace.header.classes), run.clone()));
         if *first != run {
             return Err(format!(
                 "{}: another run than the first file's; merge them first",
@@ -447,22 +457,22 @@
     };
     let counted = losses.finish();
     if as_json {
-        println!("{:#}", counted.json());
+        println!("{:#}", counted.to_json());
     } else {
-        print!("{}", counted.text());
+        print!("{}", counted.to_text());
     }
     Ok(ExitCode::SUCCESS)
 }
 
 fn verify(file: &Path) -> Result<ExitCode, String> {
     let mut trace = open(file)?;
-    let finished = trace.index().map_err(named(file))?.is_some();
+    let finished = trace.read_index().map_err(named(file))?.is_some();
     let (mut blocks, mut records, mut damaged, mut unknown, mut gaps) = (0, 0, 0, 0, 0);
     each(file, &mut trace, |part| {
         match part {
             Part::Block {
                 records: all,
-                unknown: passed,
+                unknown_records: passed,
                 ..
             } => {
                 (blocks, records, unknown) = (blocks + 1, records + all.len(), unknown + passed);
@@ -471,7 +481,11 @@
                     .filter(|r| matches!(r.record, Record::Gap { .. }))
                     .count();
             }
-            Part::Damaged { at, octets, why } => {
+            Part::Damaged {
+                offset: at,
+                byte_count: octets,
+                reason: why,
+            } => {
                 damaged += 1;
                 println!("octet {at}: {octets} octets are no sound block: {why}");
             }
@@ -505,16 +519,20 @@
                     writer.push(&record).map_err(named(out))?;
                 }
             }
-            Part::Damaged { octets, why, .. } => {
+            Part::Damaged {
+                byte_count: octets,
+                reason: why,
+                ..
+            } => {
                 lost += octets;
                 // How many turns were in it is not known; one at least, or a replay would go on over it.
                 let record = Record::Gap {
                     turns: 1,
                     records: 1,
-                    why: format!("{octets} octets: {why}"),
+                    reason: format!("{octets} octets: {why}"),
                 };
                 writer
-                    .push(&Stamped { at: last, record })
+                    .push(&TimedRecord { at: last, record })
                     .map_err(named(out))?;
             }
         }
@@ -532,15 +550,15 @@
 struct Records {
     file: PathBuf,
     trace: Trace,
-    block: std::vec::IntoIter<Stamped>,
+    block: std::vec::IntoIter<TimedRecord>,
 }
 
 impl Records {
-    fn next(&mut self) -> Result<Option<Stamped>, String> {
+    fn next(&mut self) -> Result<Option<TimedRecord>, String> {
         loop {
             // Names are said wherever a block begins, which is no difference.
             let named =
-                |r: &Stamped| matches!(r.record, Record::Host { .. } | Record::Service { .. });
+                |r: &TimedRecord| matches!(r.record, Record::Host { .. } | Record::Service { .. });
             if let Some(record) = self.block.find(|r| !named(r)) {
                 return Ok(Some(record));
             }
@@ -571,7 +589,7 @@
             }
             (x, y) if x == y => same += 1,
             (x, y) => {
-                let shown = |r: Option<Stamped>| {
+                let shown = |r: Option<TimedRecord>| {
                     r.map_or_else(|| "the end".to_owned(), |r| json!(r).to_string())
                 };
                 println!("record {same} differs\n  {}\n  {}", shown(x), shown(y));
--- a/crates/cli/src/trace/hide.rs
+++ b/crates/cli/src/trace/hide.rs
@@ -7,7 +7,7 @@
 use aho_corasick::AhoCorasick;
 use clap::Args;
 use maplethread_trace::anonymise::{Anonymiser, Identifiers};
-use maplethread_trace::{Part, Record, Stamped, Writer};
+use maplethread_trace::{Part, Record, TimedRecord, Writer};
 
 use super::{create, each, named, open};
 
@@ -48,20 +48,25 @@
     let hide = Anonymiser::new(key, shift, args.round);
     let mut trace = open(&args.file)?;
     let out = BufWriter::new(create(&args.out)?);
-    let mut writer = Writer::new(out, &hide.header(&trace.header)).map_err(named(&args.out))?;
+    let mut writer =
+        Writer::new(out, &hide.anonymise_header(&trace.header)).map_err(named(&args.out))?;
     each(&args.file, &mut trace, |part| match part {
-        Part::Block { records, .. } => records
-            .iter()
-            .try_for_each(|r| writer.push(&hide.record(r)).map_err(named(&args.out))),
-        Part::Damaged { octets, .. } => {
+        Part::Block { records, .. } => records.iter().try_for_each(|r| {
+            writer
+                .push(&hide.anonymise_record(r))
+                .map_err(named(&args.out))
+        }),
+        Part::Damaged {
+            byte_count: octets, ..
+        } => {
             let record = Record::Gap {
                 turns: 1,
                 records: 1,
-                why: "other".to_owned(),
+                reason: "other".to_owned(),
             };
             eprintln!("{octets} damaged octets left out");
             writer
-                .push(&Stamped { at: 0, record })
+                .push(&TimedRecord { at: 0, record })
                 .map_err(named(&args.out))
         }
     })?;
@@ -107,7 +112,7 @@
 }
 
 fn pass(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, String> {
-    let long: Vec<&str> = identifiers.long().collect();
+    let long: Vec<&str> = identifiers.searchable_texts().collect();
     let any = AhoCorasick::new(&long).map_err(|e| e.to_string())?;
     let mut trace = open(copy)?;
     // Its values; its keys are the format's own.
@@ -120,14 +125,19 @@
         .collect();
     let mut blocks = Vec::new();
     each(copy, &mut trace, |part| {
-        if let Part::Block { at, records, .. } = part {
+        if let Part::Block {
+            offset: at,
+            records,
+            ..
+        } = part
+        {
             found.extend(records.iter().filter_map(|r| identifiers.found_in(r)));
             blocks.push(at);
         }
         Ok(())
     })?;
     for at in blocks {
-        let octets = trace.octets(at).map_err(named(copy))?;
+        let octets = trace.read_block_bytes(at).map_err(named(copy))?;
         found.extend(
             any.find_iter(&octets)
                 .map(|m| long[m.pattern().as_usize()].to_owned()),
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -29,9 +29,9 @@
     let what_if = match settings {
         None => None,
         Some(file) => Some(
-            maplethread_placer::load(file)
+            maplethread_placer::load_config(file)
                 .map_err(|e| e.to_string())?
-                .settings(),
+                .policy_settings(),
         ),
     };
     if let Some(file) = settings {
@@ -40,7 +40,7 @@
             file.display()
         );
     }
-    let mut replay = Replay::with(&header, what_if).map_err(named_first)?;
+    let mut replay = Replay::with_settings(&header, what_if).map_err(named_first)?;
     let mut names: BTreeMap<u32, String> = BTreeMap::new();
     let begun = std::time::Instant::now();
     let (mut from, mut until) = (u64::MAX, 0);
@@ -61,7 +61,7 @@
         each(file, &mut trace, |part| {
             match part {
                 Part::Block { info, records, .. } => {
-                    (from, until) = (from.min(info.first), until.max(info.last));
+                    (from, until) = (from.min(info.first_us), until.max(info.last_us));
                     for record in &records {
                         if let Record::Host { machine, name, .. } = &record.record {
                             names.insert(*machine, name.clone());
@@ -74,18 +74,18 @@
             Ok(())
         })?;
     }
-    let found = &replay.found;
+    let found = &replay.result;
     let (span, took) = (
         until.saturating_sub(from) as f64 / 1e6,
         begun.elapsed().as_secs_f64(),
     );
     println!(
         "{} turns, {} actions compared, {} turns differ, {} turns after a gap not compared; {span:.1} s in {took:.2} s",
-        found.turns, found.actions, found.differing, found.after_gap
+        found.turns, found.compared_actions, found.differing, found.after_gap
     );
     if build_differs || settings.is_some() {
         println!("on the recorded events: recorded, replayed");
-        for (kind, [recorded, replayed]) in &found.kinds {
+        for (kind, [recorded, replayed]) in &found.actions_by_kind {
             println!("  {kind}: {recorded}, {replayed}");
         }
         println!(
@@ -93,7 +93,7 @@
             100.0 * found.elsewhere()
         );
         let mut hosts: Vec<(u32, [u64; 2])> = found
-            .hosts
+            .offers_by_host
             .iter()
             .map(|(&n, &counts)| (n, counts))
             .collect();
@@ -103,8 +103,11 @@
             println!("  offers to {name}: {recorded}, {replayed}");
         }
     }
-    if let Some(first) = &found.first {
-        println!("first difference: turn {} at {} us", first.turn, first.at);
+    if let Some(first) = &found.first_difference {
+        println!(
+            "first difference: turn {} at {} us",
+            first.turn_index, first.time_us
+        );
         println!("  recorded: {:?}", first.recorded);
         println!("  replayed: {:?}", first.replayed);
     }
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -3,7 +3,7 @@
 use std::error::Error;
 use std::path::Path;
 
-use maplethread_trace::summary::Second;
+use maplethread_trace::summary::SecondCounts;
 use plotters::prelude::*;
 
 const SIZE: (u32, u32) = (1200, 640);
@@ -18,20 +18,20 @@
 const OFFERS: RGBColor = RGBColor(0, 114, 178);
 const DRAINS: RGBColor = RGBColor(204, 121, 167);
 
-type Line = (&'static str, RGBColor, fn(&Second) -> u32);
+type Line = (&'static str, RGBColor, fn(&SecondCounts) -> u32);
 
-pub fn draw(file: &Path, seconds: &[Second]) -> Result<(), String> {
+pub fn draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), String> {
     try_draw(file, seconds).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-fn try_draw(file: &Path, seconds: &[Second]) -> Result<(), Box<dyn Error>> {
+fn try_draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let (above, below) = area.split_vertically(SIZE.1 as i32 * 3 / 5);
     let answers: [Line; 4] = [
-        ("asked", ASKED, |s| s.asked),
+        ("asked", ASKED, |s| s.requests),
         ("placed", PLACED, |s| s.placed),
-        ("refused", REFUSED, |s| s.refused),
+        ("refused", REFUSED, |s| s.rejected),
         ("failed", FAILED, |s| s.failed),
     ];
     panel(&above, "asks and answers a second", seconds, &answers)?;
@@ -51,12 +51,12 @@
 fn panel(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
-    seconds: &[Second],
+    seconds: &[SecondCounts],
     lines: &[Line],
 ) -> Result<(), Box<dyn Error>> {
     let step = seconds.len().div_ceil(MOST_POINTS).max(1);
-    let points = |of: fn(&Second) -> u32| -> Vec<(f64, f64)> {
-        let mean = |(n, chunk): (usize, &[Second])| {
+    let points = |of: fn(&SecondCounts) -> u32| -> Vec<(f64, f64)> {
+        let mean = |(n, chunk): (usize, &[SecondCounts])| {
             let sum: u32 = chunk.iter().map(of).sum();
             ((n * step) as f64, f64::from(sum) / chunk.len() as f64)
         };
@@ -102,11 +102,11 @@
             std::env::temp_dir().join(format!("maplethread-timeline-{}", std::process::id()));
         let file = folder.with_extension("svg");
         for seconds in [0, 1, 86_400] {
-            let one = Second {
-                asked: 10,
+            let one = SecondCounts {
+                requests: 10,
                 placed: 9,
-                refused: 1,
-                ..Second::default()
+                rejected: 1,
+                ..SecondCounts::default()
             };
             draw(&file, &vec![one; seconds]).expect("a drawing");
             let text = std::fs::read_to_string(&file).expect("a file");
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -8,7 +8,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use maplethread_wire::frame::{self, Copies, Frame, Load, Offer, Reason};
+use maplethread_wire::frame::{self, DuplicatePolicy, Frame, Offer, Reason, ResourceAmounts};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_maplethread");
 
@@ -76,7 +76,7 @@
             minor: frame::MINOR,
             name: "p".into(),
             started_ms: 1,
-            most_offers: 0,
+            max_offers: 0,
         });
         link
     }
@@ -118,22 +118,22 @@
     }
 }
 
-fn offer(attempt: u64, class: &str, copies: Copies) -> Frame {
+fn offer(attempt: u64, class: &str, copies: DuplicatePolicy) -> Frame {
     Frame::Offer(Offer {
-        attempt,
-        number: 0,
+        attempt_id: attempt,
+        prior_attempts: 0,
         service: "s".into(),
         actor: format!("a{attempt}"),
         class: class.into(),
-        request: format!("r{attempt}"),
-        asks: Load {
+        request_id: format!("r{attempt}"),
+        requested: ResourceAmounts {
             cores: 0.25,
-            memory: 0.125,
+            memory_gib: 0.125,
         },
         priority: 0,
-        copies,
-        life_ms: 0,
-        wait_ms: 1000,
+        duplicate_policy: copies,
+        expected_duration_ms: 0,
+        answer_timeout_ms: 1000,
     })
 }
 
@@ -213,7 +213,7 @@
             .values()
             .flatten()
         {
-            maplethread_agent::process::kill(*identity, true);
+            maplethread_agent::process::signal_group(*identity, true);
         }
     }
 }
@@ -221,7 +221,7 @@
 /// The attempts that are named as held.
 fn held(frames: &[Frame]) -> impl Iterator<Item = u64> {
     frames.iter().filter_map(|f| match f {
-        Frame::Held(offer, _) => Some(offer.attempt),
+        Frame::Held(offer, _) => Some(offer.attempt_id),
         _ => None,
     })
 }
@@ -244,7 +244,7 @@
     let agent = Agent::start(&home.config);
     let mut link = Link::greet(&agent);
     link.until(|f| matches!(f, Frame::HeldEnd));
-    link.send(&offer(1, "work", Copies::Safe));
+    link.send(&offer(1, "work", DuplicatePolicy::Idempotent));
     let came = link.until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
     let at = |wanted: fn(&Frame) -> bool| came.iter().position(wanted).expect("it came");
     assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
@@ -259,41 +259,41 @@
     );
 
     // One that takes no notice of being asked is made to end; one that ends by itself is done.
-    link.send(&offer(2, "stubborn", Copies::Safe));
+    link.send(&offer(2, "stubborn", DuplicatePolicy::Idempotent));
     link.until(|f| matches!(f, Frame::Started(2, _)));
     link.send(&Frame::Stop(2));
     assert!(matches!(
         link.until(is_ended(2)).last(),
         Some(Frame::Ended(2, Reason::Stopped, true, _))
     ));
-    link.send(&offer(3, "brief", Copies::Safe));
+    link.send(&offer(3, "brief", DuplicatePolicy::Idempotent));
     assert!(matches!(
         link.until(is_ended(3)).last(),
-        Some(Frame::Ended(3, Reason::Done, true, _))
+        Some(Frame::Ended(3, Reason::Completed, true, _))
     ));
 
     // What can't be started says so and never ran; what there is no program for is turned down.
-    link.send(&offer(4, "missing", Copies::Safe));
+    link.send(&offer(4, "missing", DuplicatePolicy::Idempotent));
     assert!(matches!(
         link.until(is_ended(4)).last(),
         Some(Frame::Ended(4, Reason::Error, false, _))
     ));
-    link.send(&offer(5, "unknown", Copies::Safe));
+    link.send(&offer(5, "unknown", DuplicatePolicy::Idempotent));
     let refused = link.until(|f| matches!(f, Frame::Refused(5, ..)));
     assert!(matches!(
         refused.last(),
-        Some(Frame::Refused(5, Reason::NotHere, _))
+        Some(Frame::Refused(5, Reason::Ineligible, _))
     ));
     // A copy of a key that stands is turned down, and there is room for so much only.
-    link.send(&offer(6, "work", Copies::Keyed(9)));
+    link.send(&offer(6, "work", DuplicatePolicy::IdempotencyKey(9)));
     link.until(|f| matches!(f, Frame::Started(6, _)));
-    link.send(&offer(7, "work", Copies::Keyed(9)));
+    link.send(&offer(7, "work", DuplicatePolicy::IdempotencyKey(9)));
     assert!(matches!(
         link.until(|f| matches!(f, Frame::Refused(7, ..))).last(),
-        Some(Frame::Refused(7, Reason::NotHere, _))
+        Some(Frame::Refused(7, Reason::Ineligible, _))
     ));
     for attempt in 10..26 {
-        link.send(&offer(attempt, "work", Copies::Safe));
+        link.send(&offer(attempt, "work", DuplicatePolicy::Idempotent));
     }
     let refused = link.until(|f| matches!(f, Frame::Refused(25, ..)));
     assert!(
@@ -332,7 +332,11 @@
         }
         for n in 0..6 {
             let class = if n % 3 == 2 { "brief" } else { "work" };
-            link.send(&offer(100 * (round + 1) + n, class, Copies::Unsafe));
+            link.send(&offer(
+                100 * (round + 1) + n,
+                class,
+                DuplicatePolicy::NonIdempotent,
+            ));
         }
         let frames = [1, 2, 4, 7, 9, 12, 3, 5][round as usize];
         let mut seen = 0;
--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -110,8 +110,8 @@
     let client = std::thread::scope(|scope| {
         let answer = scope.spawn(|| place(&ask("web-api", "s", "a1", 4000)));
         let offer = link.offer();
-        link.send(&Frame::Accepted(offer.attempt, 1));
-        link.send(&Frame::Started(offer.attempt, 1));
+        link.send(&Frame::Accepted(offer.attempt_id, 1));
+        link.send(&Frame::Started(offer.attempt_id, 1));
         answer.join().expect("answered")
     });
     assert_eq!(
@@ -121,7 +121,7 @@
     let refused = std::thread::scope(|scope| {
         let answer = scope.spawn(|| place(&ask("web-api", "s", "a2", 1000)));
         let offer = link.offer();
-        link.send(&Frame::Refused(offer.attempt, Reason::Memory, None));
+        link.send(&Frame::Refused(offer.attempt_id, Reason::Memory, None));
         answer.join().expect("answered")
     });
     assert_eq!(
@@ -131,7 +131,7 @@
     let failed = std::thread::scope(|scope| {
         let answer = scope.spawn(|| place(&ask("statements", "s", "a3", 4000)));
         let offer = link.offer();
-        link.send(&Frame::Ended(offer.attempt, Reason::Error, true, None));
+        link.send(&Frame::Ended(offer.attempt_id, Reason::Error, true, None));
         answer.join().expect("answered")
     });
     assert_eq!(failed.1["outcome"], "failed");
@@ -240,7 +240,7 @@
         assert_eq!(answer.head.status(), 405, "{path}");
         let allowed: BTreeSet<String> = answer
             .head
-            .field("allow")
+            .parse_field("allow")
             .expect("Allow")
             .split(", ")
             .map(str::to_lowercase)
@@ -350,7 +350,7 @@
     let mut other = placer.client();
     other.write("POST", "/v1/actors", &[], &body);
     placer.wait_for("both wait", |s| s["clients"].as_u64() >= Some(3));
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     let first = client.json();
     assert_eq!(first.1["outcome"], "placed");
     assert_eq!(
@@ -359,7 +359,12 @@
         "asked for twice at once: one placing, one answer"
     );
     // Even after the actor has ended the key stands for its answer, and nothing is offered.
-    link.send(&Frame::Ended(offer.attempt, Reason::Done, true, None));
+    link.send(&Frame::Ended(
+        offer.attempt_id,
+        Reason::Completed,
+        true,
+        None,
+    ));
     placer.wait_for("ended", |s| s["actors"] == 0);
     let mut again = placer.client();
     again.write("POST", "/v1/actors", &key, &body);
@@ -378,7 +383,7 @@
         202
     );
     assert_eq!(client.json().0, 410);
-    assert!(matches!(link.next(), Frame::Cancel(w) if w == offer.attempt));
+    assert!(matches!(link.next(), Frame::Cancel(w) if w == offer.attempt_id));
     assert_eq!(placer.status()["counters"]["hung_up"], 1);
 }
 
@@ -404,10 +409,10 @@
         let mut client = placer.client();
         client.ask(&ask("web-api", "s", actor, 4000), actor);
         let offer = link.offer();
-        link.send(&Frame::Accepted(offer.attempt, 1));
+        link.send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.json().1["outcome"], "placed");
-        link.send(&Frame::Started(offer.attempt, 1));
-        link.send(&Frame::Ended(offer.attempt, Reason::Evicted, true, None));
+        link.send(&Frame::Started(offer.attempt_id, 1));
+        link.send(&Frame::Ended(offer.attempt_id, Reason::Evicted, true, None));
     };
     place("a1");
     let told: Vec<Value> = (0..3).map(|_| follower.next().expect("an event")).collect();
@@ -452,7 +457,7 @@
         let decoder = Decoder::new(
             Role::Responses,
             Limits {
-                body: usize::MAX,
+                max_body_bytes: usize::MAX,
                 ..Limits::default()
             },
         );
@@ -477,8 +482,8 @@
             match step {
                 Step::Head(head) => assert_eq!(head.status(), 200),
                 Step::Data(data) => self.lines.extend(data),
-                Step::End => return None,
-                Step::More => {
+                Step::MessageEnd => return None,
+                Step::NeedMore => {
                     let mut bytes = [0; 4096];
                     let n = self.client.stream.read(&mut bytes).expect("events");
                     self.buffer.extend_from_slice(&bytes[..n]);
@@ -510,7 +515,7 @@
         (503, Some("urn:maplethread:problem:stopping"))
     );
     // What is out is answered.
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["outcome"], "placed");
     assert!(placer.left().success());
     // A second signal does not wait.
@@ -573,12 +578,12 @@
     third.write("POST", "/v1/actors", &[], &ask("web-api", "s", "x", 1000));
     let answer = third.answer().expect("an answer");
     assert_eq!(
-        (answer.head.status(), answer.head.field("retry-after")),
+        (answer.head.status(), answer.head.parse_field("retry-after")),
         (503, Some("1"))
     );
     for _ in 0..2 {
         let offer = link.offer();
-        link.send(&Frame::Accepted(offer.attempt, 1));
+        link.send(&Frame::Accepted(offer.attempt_id, 1));
     }
     clients
         .iter_mut()
--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use maplethread_consul_standin::{Faults, Servers, Settings};
+use maplethread_consul_standin::{EmulatorSettings, Faults, Servers};
 use maplethread_wire::frame::Frame;
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -137,7 +137,7 @@
 
 #[test]
 fn hosts_come_and_go_by_the_catalogue() {
-    let servers = Servers::start(Settings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let (h1, h2) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -159,7 +159,7 @@
             &format!("{n}"),
         );
         let offer = l2.offer();
-        l2.send(&Frame::Accepted(offer.attempt, 1));
+        l2.send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.json().1["host"], "h2");
     }
     assert!(l1.all_within(Duration::from_millis(100)).is_empty());
@@ -170,7 +170,7 @@
     placer.wait_for("h2 is forgotten", |s| s["hosts"] == 1);
     client.ask(&ask("web-api", "s", "b", 4000), "b");
     let offer = l1.offer();
-    l1.send(&Frame::Accepted(offer.attempt, 1));
+    l1.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["host"], "h1");
 }
 
@@ -185,9 +185,9 @@
             .expect("no panic")
             .push((Instant::now(), drains));
     };
-    let settings = Settings {
-        watch: Some(Arc::new(watch)),
-        ..Settings::new(1)
+    let settings = EmulatorSettings {
+        answer_observer: Some(Arc::new(watch)),
+        ..EmulatorSettings::new(1)
     };
     let servers = Servers::start(settings).expect("servers");
     let (h1, h2) = (
@@ -202,10 +202,10 @@
     ready(&mut placer);
     // The watch of the list and the list itself are both as late.
     let late = Duration::from_secs(5);
-    servers.faults(
+    servers.set_faults(
         None,
         Faults {
-            late: late.as_micros() as u64,
+            delay_us: late.as_micros() as u64,
             ..Faults::default()
         },
     );
@@ -219,7 +219,7 @@
         link.send(&Frame::Accepted(attempt, 1));
         link.send(&Frame::Ended(
             attempt,
-            maplethread_wire::frame::Reason::Done,
+            maplethread_wire::frame::Reason::Completed,
             true,
             None,
         ));
@@ -233,11 +233,11 @@
         loop {
             if let Some(Frame::Offer(offer)) = l1.next_within(Duration::from_millis(2)) {
                 last_there = Some(Instant::now());
-                over(&mut l1, offer.attempt);
+                over(&mut l1, offer.attempt_id);
                 break;
             }
             if let Some(Frame::Offer(offer)) = l2.next_within(Duration::from_millis(2)) {
-                over(&mut l2, offer.attempt);
+                over(&mut l2, offer.attempt_id);
                 break;
             }
         }
@@ -265,7 +265,7 @@
 
 #[test]
 fn lagging_empty_partial_and_foreign_lists_do_not_lose_hosts() {
-    let servers = Servers::start(Settings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let hosts: Vec<ScriptedHost> = (0..6)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
         .collect();
@@ -276,11 +276,11 @@
     ready(&mut placer);
     for faults in [
         Faults {
-            empty: true,
+            empty_lists: true,
             ..Faults::default()
         },
         Faults {
-            partial: 0.2,
+            partial_share: 0.2,
             ..Faults::default()
         },
         Faults {
@@ -288,23 +288,23 @@
             ..Faults::default()
         },
         Faults {
-            index_back: 1000,
+            index_offset: 1000,
             ..Faults::default()
         },
         Faults {
-            storm: Some((500, 1.0)),
+            error_status: Some((500, 1.0)),
             ..Faults::default()
         },
         Faults {
-            storm: Some((429, 1.0)),
+            error_status: Some((429, 1.0)),
             ..Faults::default()
         },
         Faults {
-            storm: Some((403, 1.0)),
+            error_status: Some((403, 1.0)),
             ..Faults::default()
         },
         Faults {
-            cut: 1.0,
+            truncated_share: 1.0,
             ..Faults::default()
         },
     ] {
@@ -315,7 +315,7 @@
                 .filter_map(|k| g[*k].as_u64())
                 .sum::<u64>()
         };
-        servers.faults(None, faults.clone());
+        servers.set_faults(None, faults.clone());
         // Something changes, so that the faulty answers come.
         register(&servers, &hosts[0], "warning");
         wait_gauge(&placer, "some answers", |g| count(g) >= count(&before) + 3);
@@ -326,10 +326,10 @@
         'placed: while Instant::now() < until {
             for link in &mut links {
                 if let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(2)) {
-                    link.send(&Frame::Accepted(offer.attempt, 1));
+                    link.send(&Frame::Accepted(offer.attempt_id, 1));
                     link.send(&Frame::Ended(
-                        offer.attempt,
-                        maplethread_wire::frame::Reason::Done,
+                        offer.attempt_id,
+                        maplethread_wire::frame::Reason::Completed,
                         true,
                         None,
                     ));
@@ -338,7 +338,7 @@
             }
         }
         assert_eq!(client.json().1["outcome"], "placed", "{faults:?}");
-        servers.faults(None, Faults::default());
+        servers.set_faults(None, Faults::default());
         register(&servers, &hosts[0], "passing");
         wait_gauge(&placer, "sound answers", |g| {
             g["age_ms"].as_u64() < Some(300)
@@ -350,10 +350,10 @@
     deregister(&servers, &hosts[5]);
     placer.wait_for("h5 drains", |_| gauges(&placer)["hosts"] == 5);
     assert!(gauges(&placer)["index"].as_u64() > index);
-    servers.faults(
+    servers.set_faults(
         None,
         Faults {
-            index_back: 50,
+            index_offset: 50,
             ..Faults::default()
         },
     );
@@ -361,7 +361,7 @@
     wait_gauge(&placer, "rejections", |g| g["rejected"].as_u64() > Some(2));
     assert_eq!(gauges(&placer)["hosts"], 5);
     // A loss that nobody denies counts, though nobody confirms it either: the rules win.
-    servers.faults(None, Faults::default());
+    servers.set_faults(None, Faults::default());
     for host in &hosts[1..] {
         deregister(&servers, host);
     }
@@ -370,7 +370,7 @@
 
 #[test]
 fn no_two_live_placers_hold_a_number_and_a_stopped_one_fences_itself() {
-    let servers = Servers::start(Settings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let host = ScriptedHost::new("h1", "a", "1");
     register(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
@@ -444,7 +444,7 @@
 
 #[test]
 fn all_hosts_critical_and_back_get_held_tasks_within_the_cold_budgets() {
-    let servers = Servers::start(Settings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let now = || {
         std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
@@ -492,7 +492,7 @@
         for (n, link) in links.iter_mut().enumerate() {
             while let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(1)) {
                 offers[n].push(now());
-                link.send(&Frame::Accepted(offer.attempt, 1));
+                link.send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
     }
@@ -517,7 +517,7 @@
 
 #[test]
 fn a_hostile_catalogue_of_five_thousand_entries_loses_nothing_sound() {
-    let servers = Servers::start(Settings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let host = ScriptedHost::new("h1", "a", "1");
     register(&servers, &host, "passing");
     let mut stream = TcpStream::connect(servers.addresses[0]).expect("the server listens");
@@ -576,7 +576,7 @@
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "a", 4000), "x");
     let offer = link.offer();
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["host"], "h1");
     let log = std::fs::read_to_string(placer.log()).expect("a log");
     assert!(
--- a/crates/cli/tests/hard_cases.rs
+++ b/crates/cli/tests/hard_cases.rs
@@ -41,11 +41,11 @@
             &format!("r{round}"),
         );
         let (first, offer) = offered(&mut links);
-        assert_eq!(offer.number, 0);
+        assert_eq!(offer.prior_attempts, 0);
         let silent = round % 2 == 0;
         if !silent {
             // A refusal proves that it never ran: any host may be next.
-            links[first].send(&Frame::Refused(offer.attempt, Reason::Cores, None));
+            links[first].send(&Frame::Refused(offer.attempt_id, Reason::Cores, None));
         }
         // Otherwise the first host stays silent: its copy may run. Everybody else lets a copy stand.
         loop {
@@ -64,9 +64,9 @@
                     hosts[next].zone, hosts[first].zone,
                     "left the group though it may have run"
                 );
-                links[next].send(&Frame::Refused(offer.attempt, Reason::NotHere, None));
+                links[next].send(&Frame::Refused(offer.attempt_id, Reason::Ineligible, None));
             } else {
-                links[next].send(&Frame::Accepted(offer.attempt, 1));
+                links[next].send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
         let (status, body) = client.json();
@@ -103,17 +103,17 @@
     client.ask(&ask("statements", "nightly", "s1", 10_000), "third");
     for number in 0..2 {
         let offer = link.offer();
-        assert_eq!(offer.number, number);
-        link.send(&Frame::Refused(offer.attempt, Reason::Line, None));
+        assert_eq!(offer.prior_attempts, number);
+        link.send(&Frame::Refused(offer.attempt_id, Reason::QueueFull, None));
     }
     let third = link.offer();
-    assert_eq!(third.number, 2);
+    assert_eq!(third.prior_attempts, 2);
     drop(client);
     // The hang-up reaches the host as a call-off, though it has accepted meanwhile.
-    link.send(&Frame::Accepted(third.attempt, 1));
+    link.send(&Frame::Accepted(third.attempt_id, 1));
     let next = link.next();
     assert!(
-        matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt),
+        matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt_id),
         "{next:?}"
     );
     // Until the host has said that it is gone, the actor is not taken anew: it must not run twice.
@@ -126,7 +126,7 @@
         (status, problem["type"].as_str()),
         (409, Some("urn:maplethread:problem:unsettled"))
     );
-    link.send(&Frame::Ended(third.attempt, Reason::Stopped, true, None));
+    link.send(&Frame::Ended(third.attempt_id, Reason::Stopped, true, None));
     placer.wait_for("nothing is left", |s| {
         s["attempts"] == 0 && s["actors"] == 0 && s["open_asks"] == 0
     });
@@ -139,7 +139,7 @@
     let mut client = placer.client();
     client.ask(&ask("statements", "nightly", "s1", 4000), "again");
     let offer = link.offer();
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["outcome"], "placed");
 }
 
@@ -155,15 +155,20 @@
         let offer = link.offer();
         if round % 2 == 0 {
             drop(client);
-            link.send(&Frame::Accepted(offer.attempt, 1));
+            link.send(&Frame::Accepted(offer.attempt_id, 1));
         } else {
-            link.send(&Frame::Accepted(offer.attempt, 1));
+            link.send(&Frame::Accepted(offer.attempt_id, 1));
             drop(client);
         }
         // Either it was placed and stays so, its answer lost on the way, or it was called off.
-        let called_off = matches!(link.next_within(MOMENT), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt);
+        let called_off = matches!(link.next_within(MOMENT), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
         if called_off {
-            link.send(&Frame::Ended(offer.attempt, Reason::Stopped, false, None));
+            link.send(&Frame::Ended(
+                offer.attempt_id,
+                Reason::Stopped,
+                false,
+                None,
+            ));
             placer.wait_for("called off", |s| s["attempts"] == 0);
             assert_eq!(
                 placer
@@ -191,7 +196,12 @@
                 (body["outcome"].as_str(), body["host"].as_str()),
                 (Some("placed"), Some("h1"))
             );
-            link.send(&Frame::Ended(offer.attempt, Reason::Done, true, None));
+            link.send(&Frame::Ended(
+                offer.attempt_id,
+                Reason::Completed,
+                true,
+                None,
+            ));
             placer.wait_for("ended", |s| s["attempts"] == 0);
         }
     }
@@ -210,7 +220,7 @@
     break_inside_frame(link);
     let mut link = host.greet(&[]);
     let offer = link.offer();
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["outcome"], "placed");
     // One that must not run twice may have run, as far as the placer can know: it fails, and is not sent again.
     let mut client = placer.client();
@@ -250,18 +260,18 @@
     client.ask(&ask("web-api", "s", "late", 5000), "late");
     let (first, offer) = offered(&mut links);
     // No answer: after a while it is called off and offered anew.
-    let (second, again) = offered_or_cancel(&mut links, offer.attempt);
-    assert_eq!(again.number, 1);
+    let (second, again) = offered_or_cancel(&mut links, offer.attempt_id);
+    assert_eq!(again.prior_attempts, 1);
     // Now both accept; only the second counts.
-    links[first].send(&Frame::Accepted(offer.attempt, 1));
-    links[second].send(&Frame::Accepted(again.attempt, 1));
+    links[first].send(&Frame::Accepted(offer.attempt_id, 1));
+    links[second].send(&Frame::Accepted(again.attempt_id, 1));
     let (_, body) = client.json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempt"].as_u64()),
         (Some("placed"), Some(1))
     );
     let mut told = links[first].all_within(MOMENT);
-    told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt));
+    told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt_id));
     assert_eq!(told.len(), 1, "the late acceptance is called off");
     assert_eq!(placer.status()["actors"], 1);
 }
@@ -311,7 +321,7 @@
     let mut placed = 0;
     while placed < 100 {
         let offer = links[1].offer();
-        links[1].send(&Frame::Accepted(offer.attempt, 1));
+        links[1].send(&Frame::Accepted(offer.attempt_id, 1));
         placed += 1;
     }
     for client in &mut clients {
@@ -362,8 +372,8 @@
         let mut client = placer.client();
         client.ask(&ask(class, service, actor, 4000), actor);
         let offer = links[0].offer();
-        links[0].send(&Frame::Accepted(offer.attempt, 1));
-        links[0].send(&Frame::Started(offer.attempt, 2));
+        links[0].send(&Frame::Accepted(offer.attempt_id, 1));
+        links[0].send(&Frame::Started(offer.attempt_id, 2));
         assert_eq!(client.json().1["outcome"], "placed");
         held.push(Frame::Held(offer, true));
     }
@@ -399,11 +409,16 @@
     let Frame::Held(first, _) = &held[0] else {
         unreachable!("made above")
     };
-    link.send(&Frame::Ended(first.attempt, Reason::Done, true, None));
+    link.send(&Frame::Ended(
+        first.attempt_id,
+        Reason::Completed,
+        true,
+        None,
+    ));
     let mut client = placer.client();
     client.ask(&ask("spread", "web", "w3", 4000), "w3");
     let offer = link.offer();
-    link.send(&Frame::Accepted(offer.attempt, 1));
+    link.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.json().1["outcome"], "placed");
 }
 
@@ -430,7 +445,7 @@
         }
     }
     for (host, offer) in &offers {
-        links[*host].send(&Frame::Accepted(offer.attempt, 1));
+        links[*host].send(&Frame::Accepted(offer.attempt_id, 1));
     }
     std::thread::sleep(Duration::from_secs(2));
     placer.signal(Signal::CONT);
@@ -455,7 +470,7 @@
         );
         let (host, offer) = offered(&mut links);
         seen[host] += 1;
-        links[host].send(&Frame::Accepted(offer.attempt, 1));
+        links[host].send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.json().1["outcome"], "placed");
     }
     assert!(seen.iter().all(|&n| n > 0), "{seen:?}");
@@ -477,7 +492,7 @@
         let mut answered = 0;
         while answered < 200 {
             let offer = link.offer();
-            link.send(&Frame::Accepted(offer.attempt, 1));
+            link.send(&Frame::Accepted(offer.attempt_id, 1));
             answered += 1;
         }
         link
--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -45,7 +45,7 @@
     spawn(move || {
         while let Some(frame) = link.next_within(PATIENCE) {
             if let Frame::Offer(offer) = frame {
-                link.send(&Frame::Accepted(offer.attempt, 1));
+                link.send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
     })
@@ -119,7 +119,7 @@
         "{unanswered:?}"
     );
     assert!(
-        unanswered.contains(&Frame::Cancel(offer.attempt)),
+        unanswered.contains(&Frame::Cancel(offer.attempt_id)),
         "{unanswered:?}"
     );
     let log = std::fs::read_to_string(placer.log()).expect("a log");
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -7,8 +7,8 @@
 use maplethread_capacity::{
     Dimension, Direction, Fault, MessageCount, MessageKind, Phase, RESULT_FORMAT, SweepResult,
 };
-use maplethread_config::Doc;
-use maplethread_scale::{ClientPlan, Fleet, FleetSize, Interrupted, SweepFile};
+use maplethread_config::Document;
+use maplethread_scale::{ClientPlan, Fleet, FleetSize, InterruptFlag, SweepFile};
 use maplethread_standin::traffic::Traffic;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_maplethread");
@@ -23,7 +23,7 @@
         with_view: false,
         seed: 7,
     };
-    Fleet::start(size, Path::new(PROGRAM), &Interrupted::default()).expect("a fleet")
+    Fleet::start(size, Path::new(PROGRAM), &InterruptFlag::default()).expect("a fleet")
 }
 
 /// Asks for so many tasks, waits until each is placed and has ended, and returns the traffic in between.
@@ -32,10 +32,10 @@
     let rate = 200.0;
     let seconds = f64::from(tasks) / rate;
     let plan = ClientPlan {
-        rate,
+        requests_per_second: rate,
         seconds,
         split_s: 0.0,
-        life_ms: Some(SHORT_LIFE_MS),
+        task_duration_ms: Some(SHORT_LIFE_MS),
     };
     let answers = fleet
         .clients(plan)
@@ -43,7 +43,7 @@
         .run()
         .expect("answers");
     assert_eq!(
-        (answers.asked, answers.placed),
+        (answers.requests, answers.placed),
         (u64::from(tasks), u64::from(tasks))
     );
     fleet.wait_actors_at_most(0).expect("all end");
@@ -341,7 +341,7 @@
         let path = entry.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("a file");
         let file = path.display().to_string();
-        SweepFile::parse(Doc {
+        SweepFile::parse(Document {
             file: &file,
             text: &text,
         })
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use maplethread_wire::frame::{self, Frame, Offer};
-use maplethread_wire::http::{self, Found, Limits, Message, Reader, Role};
+use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
@@ -146,7 +146,7 @@
             minor: frame::MINOR,
             name: self.name.clone(),
             started_ms: self.started_ms,
-            most_offers: 8,
+            max_offers: 8,
         });
         held.iter().for_each(|frame| link.send(frame));
         link.send(&Frame::HeldEnd);
@@ -342,7 +342,7 @@
         stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
         Client {
             stream,
-            reader: Reader::new(Role::Responses, Limits::default()),
+            reader: MessageReader::new(Role::Responses, Limits::default()),
             buffer: Vec::new(),
         }
     }
@@ -380,7 +380,7 @@
 /// A client's connection.
 pub struct Client {
     pub stream: TcpStream,
-    reader: Reader,
+    reader: MessageReader,
     buffer: Vec<u8>,
 }
 
@@ -397,7 +397,7 @@
     pub fn answer(&mut self) -> Option<Message> {
         loop {
             match self.reader.read(&self.buffer).expect("sound HTTP") {
-                (Found::Message(message), used) => {
+                (ReadResult::Message(message), used) => {
                     self.buffer.drain(..used);
                     return Some(message);
                 }
--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -3,22 +3,22 @@
 use std::fmt::Display;
 use std::net::SocketAddr;
 
-use crate::error::{ConfigErrors, Doc};
-use crate::fleet::Fleet;
-use crate::placer::{Class, Consul, Effect, PlacerConfig};
-use crate::trace::Trace;
+use crate::error::{ConfigErrors, Document};
+use crate::fleet::FleetSettings;
+use crate::placer::{ConsulSettings, PlacerConfig, RetrySafety, TaskClass};
+use crate::trace::TraceSettings;
 
 /// Collects faults.
-struct Faults<'a> {
-    doc: Doc<'a>,
-    found: ConfigErrors,
+struct FaultCollector<'a> {
+    doc: Document<'a>,
+    errors: ConfigErrors,
 }
 
-impl Faults<'_> {
+impl FaultCollector<'_> {
     /// A fault unless `fine`.
     fn check(&mut self, fine: bool, key: &str, message: impl Into<String>) {
         if !fine {
-            self.found.0.push(self.doc.error(key, message));
+            self.errors.0.push(self.doc.error(key, message));
         }
     }
 
@@ -41,10 +41,10 @@
 }
 
 impl PlacerConfig {
-    pub(crate) fn check(&self, doc: Doc<'_>) -> Result<(), ConfigErrors> {
-        let mut faults = Faults {
+    pub(crate) fn check(&self, doc: Document<'_>) -> Result<(), ConfigErrors> {
+        let mut faults = FaultCollector {
             doc,
-            found: ConfigErrors(Vec::new()),
+            errors: ConfigErrors(Vec::new()),
         };
         self.identity(&mut faults);
         self.limits(&mut faults);
@@ -55,14 +55,14 @@
             consul.faults(self.rules.ask_within_ms, &mut faults);
         }
         if let Some(fleet) = &self.fleet {
-            let name = &self.placer.name;
+            let name = &self.identity.name;
             faults.given(
                 name.len() <= 64,
                 "placer.name",
                 format_args!("`{name}`"),
                 "with [fleet] a name has at most 64 bytes",
             );
-            let zone = &self.placer.zone;
+            let zone = &self.identity.zone;
             let allowed = "with [fleet] a zone has 1 to 32 bytes";
             faults.given(
                 (1..=32).contains(&zone.len()),
@@ -74,28 +74,28 @@
         }
         self.figures(&mut faults);
         self.kinds(&mut faults);
-        faults.check(!self.class.is_empty(), "class", "at least one is needed");
-        for (i, class) in self.class.iter().enumerate() {
+        faults.check(!self.classes.is_empty(), "class", "at least one is needed");
+        for (i, class) in self.classes.iter().enumerate() {
             self.class(i, class, &mut faults);
         }
-        if faults.found.0.is_empty() {
+        if faults.errors.0.is_empty() {
             // What the module would refuse has been found above; this is its own word on it.
-            let sound = self.settings().check();
+            let sound = self.policy_settings().validate();
             faults.check(
                 sound.is_ok(),
                 "",
                 sound.err().map(|e| e.to_string()).unwrap_or_default(),
             );
         }
-        if faults.found.0.is_empty() {
+        if faults.errors.0.is_empty() {
             Ok(())
         } else {
-            Err(faults.found)
+            Err(faults.errors)
         }
     }
 
-    fn identity(&self, faults: &mut Faults<'_>) {
-        let who = &self.placer;
+    fn identity(&self, faults: &mut FaultCollector<'_>) {
+        let who = &self.identity;
         let named = !who.name.is_empty() && who.name.len() <= 200;
         faults.given(
             named,
@@ -103,9 +103,14 @@
             format_args!("`{}`", who.name),
             "a name has 1 to 200 bytes",
         );
-        faults.least("placer.placers", who.placers.into(), 1);
-        let below = who.number < who.placers;
-        faults.given(below, "placer.number", who.number, "below placer.placers");
+        faults.least("placer.placers", who.replica_count.into(), 1);
+        let below = who.replica_index < who.replica_count;
+        faults.given(
+            below,
+            "placer.number",
+            who.replica_index,
+            "below placer.placers",
+        );
         faults.check(
             !who.zones.is_empty(),
             "placer.zones",
@@ -120,7 +125,7 @@
         );
     }
 
-    fn limits(&self, faults: &mut Faults<'_>) {
+    fn limits(&self, faults: &mut FaultCollector<'_>) {
         let (api, hosts) = (&self.api, &self.hosts);
         let loopback = api.listen.ip().is_loopback();
         faults.given(
@@ -190,23 +195,23 @@
         );
     }
 
-    fn figures(&self, faults: &mut Faults<'_>) {
+    fn figures(&self, faults: &mut FaultCollector<'_>) {
         let (rules, prices, placing) = (&self.rules, &self.prices, &self.placing);
         faults.positive("placing.admit_cores", placing.admit_cores);
         faults.positive("placing.admit_memory", placing.admit_memory);
-        faults.not_negative("rules.cold_from", rules.cold_from);
-        faults.positive("rules.fall_multiple", rules.fall_multiple);
-        faults.not_negative("rules.fresh_offers", rules.fresh_offers);
+        faults.not_negative("rules.cold_from", rules.initial_capacity_share);
+        faults.positive("rules.fall_multiple", rules.overload_multiple);
+        faults.not_negative("rules.fresh_offers", rules.warm_up_offers);
         faults.not_negative("prices.refused", prices.refused);
         faults.not_negative("prices.cross_zone", prices.cross_zone);
         faults.not_negative("prices.fleet", prices.fleet);
         faults.not_negative("prices.moves", prices.moves);
     }
 
-    fn kinds(&self, faults: &mut Faults<'_>) {
-        faults.check(!self.kind.is_empty(), "kind", "at least one is needed");
-        for (i, kind) in self.kind.iter().enumerate() {
-            let twice = self.kind[..i].iter().any(|k| k.name == kind.name);
+    fn kinds(&self, faults: &mut FaultCollector<'_>) {
+        faults.check(!self.kinds.is_empty(), "kind", "at least one is needed");
+        for (i, kind) in self.kinds.iter().enumerate() {
+            let twice = self.kinds[..i].iter().any(|k| k.name == kind.name);
             faults.check(
                 !twice,
                 &format!("kind[{i}].name"),
@@ -217,15 +222,15 @@
         }
     }
 
-    fn class(&self, i: usize, class: &Class, faults: &mut Faults<'_>) {
+    fn class(&self, i: usize, class: &TaskClass, faults: &mut FaultCollector<'_>) {
         let key = |field: &str| format!("class[{i}].{field}");
-        let twice = self.class[..i].iter().any(|c| c.name == class.name);
+        let twice = self.classes[..i].iter().any(|c| c.name == class.name);
         faults.check(
             !twice,
             &key("name"),
             format!("`{}` stands twice", class.name),
         );
-        let keyed = class.effect == Effect::Keyed;
+        let keyed = class.retry_safety == RetrySafety::Keyed;
         let belongs = "belongs to keyed classes, and to all of them";
         faults.check(class.group.is_some() == keyed, &key("group"), belongs);
         faults.check(
@@ -233,7 +238,7 @@
             &key("window_ms"),
             belongs,
         );
-        faults.least(&key("aim_ms"), class.aim_ms, 1);
+        faults.least(&key("aim_ms"), class.latency_objective_ms, 1);
         faults.not_negative(&key("worth"), class.worth);
         faults.not_negative(&key("start_bonus_s"), class.start_bonus_s);
         let both = class.spread_over.is_some() == class.spread_most.is_some();
@@ -248,14 +253,14 @@
             1,
         );
         if let Some(kind) = &class.kind {
-            let known = self.kind.iter().any(|k| &k.name == kind);
+            let known = self.kinds.iter().any(|k| &k.name == kind);
             faults.check(known, &key("kind"), format!("unknown kind `{kind}`"));
         }
     }
 }
 
-impl Fleet {
-    fn faults(&self, faults: &mut Faults<'_>) {
+impl FleetSettings {
+    fn faults(&self, faults: &mut FaultCollector<'_>) {
         let named = !self.name.is_empty() && self.name.len() <= 64;
         faults.given(
             named,
@@ -338,8 +343,8 @@
     }
 }
 
-impl Trace {
-    fn faults(&self, faults: &mut Faults<'_>) {
+impl TraceSettings {
+    fn faults(&self, faults: &mut FaultCollector<'_>) {
         faults.check(
             !self.folder.as_os_str().is_empty(),
             "trace.folder",
@@ -358,8 +363,8 @@
     }
 }
 
-impl Consul {
-    fn faults(&self, ask_within_ms: u64, faults: &mut Faults<'_>) {
+impl ConsulSettings {
+    fn faults(&self, ask_within_ms: u64, faults: &mut FaultCollector<'_>) {
         faults.check(
             !self.servers.is_empty(),
             "consul.servers",
@@ -405,7 +410,7 @@
 
     #[test]
     fn all_faults_are_told_at_once_with_line_key_what_was_given_and_what_is_allowed() {
-        let sound = PlacerConfig::parse(Doc {
+        let sound = PlacerConfig::parse(Document {
             file: "placer.toml",
             text: FAULTY,
         });
@@ -433,7 +438,7 @@
         };
         let one = |key: &str, value: &str| {
             let (line, text) = with(key, value);
-            let faults = PlacerConfig::parse(Doc {
+            let faults = PlacerConfig::parse(Document {
                 file: "f",
                 text: &text,
             })
@@ -497,7 +502,7 @@
         let text = text
             .replace("max_clients = ", "max_clients = 0 # ")
             .replace("fresh_offers = ", "fresh_offers = -");
-        let faults = PlacerConfig::parse(Doc {
+        let faults = PlacerConfig::parse(Document {
             file: "f",
             text: &text,
         })
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -59,14 +59,14 @@
 
 /// A file's name and text, for complaints about what it holds.
 #[derive(Clone, Copy)]
-pub struct Doc<'a> {
+pub struct Document<'a> {
     /// Its name.
     pub file: &'a str,
     /// Its text.
     pub text: &'a str,
 }
 
-impl Doc<'_> {
+impl Document<'_> {
     /// A complaint about the value of `key`, such as `class[1].aim_ms`.
     pub fn error(&self, key: &str, message: impl Into<String>) -> ConfigError {
         let line = self.line_of(key);
@@ -79,7 +79,7 @@
     }
 
     /// Complains unless `fine`.
-    pub fn check(
+    pub fn ensure(
         &self,
         fine: bool,
         key: &str,
@@ -132,7 +132,7 @@
 }
 
 /// Parses a TOML text; unknown keys come with a suggestion.
-pub fn parse<T: DeserializeOwned>(doc: Doc<'_>) -> Result<T, ConfigError> {
+pub fn parse_toml<T: DeserializeOwned>(doc: Document<'_>) -> Result<T, ConfigError> {
     toml::from_str(doc.text).map_err(|e| {
         let line = e.span().map(|span| doc.at(span.start));
         let message = e.message().trim().to_owned();
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -10,7 +10,7 @@
 /// The placers' own view of their fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Fleet {
+pub struct FleetSettings {
     /// The fleet's name, the same at all its members; another fleet's datagrams are not taken, with one key too.
     #[serde(default = "d::fleet_name")]
     pub name: String,
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::error::{ConfigError, Doc, parse};
+use crate::error::{ConfigError, Document, parse_toml};
 use crate::placer::PlacerConfig;
 
 /// A host's state as operators set it.
@@ -61,15 +61,15 @@
 impl Inventory {
     /// Parses an inventory and checks it against a placer's zones and kinds. A file without hosts is refused: it
     /// is far more often a file cut short than a fleet that is gone, and whoever means it can list them as gone.
-    pub fn parse(doc: Doc<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
-        let inventory: Inventory = parse(doc)?;
-        doc.check(
+    pub fn parse(doc: Document<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
+        let inventory: Inventory = parse_toml(doc)?;
+        doc.ensure(
             !inventory.host.is_empty(),
             "host",
             "no hosts; list removed ones with state = \"gone\"",
         )?;
         let most = config.hosts.max_hosts;
-        doc.check(
+        doc.ensure(
             inventory.host.len() <= most,
             "host",
             format!("more than hosts.max_hosts = {most}"),
@@ -79,7 +79,7 @@
             let key = |field: &str| format!("host[{i}].{field}");
             let plain = !host.name.chars().any(char::is_control);
             let named = !host.name.is_empty() && host.name.len() <= 200 && plain;
-            doc.check(
+            doc.ensure(
                 named,
                 &key("name"),
                 "a name has 1 to 200 bytes without control characters",
@@ -90,17 +90,17 @@
                     format!("`{}` is host[{other}] already", host.name),
                 ));
             }
-            let known = config.placer.zones.contains(&host.zone);
-            doc.check(known, &key("zone"), format!("unknown zone `{}`", host.zone))?;
-            let known = config.kind.iter().any(|k| k.name == host.kind);
-            doc.check(known, &key("kind"), format!("unknown kind `{}`", host.kind))?;
+            let known = config.identity.zones.contains(&host.zone);
+            doc.ensure(known, &key("zone"), format!("unknown zone `{}`", host.zone))?;
+            let known = config.kinds.iter().any(|k| k.name == host.kind);
+            doc.ensure(known, &key("kind"), format!("unknown kind `{}`", host.kind))?;
             let finite = |x: Option<f64>| x.is_none_or(f64::is_finite);
-            doc.check(
+            doc.ensure(
                 finite(host.unasked_cores),
                 &key("unasked_cores"),
                 "not a finite number",
             )?;
-            doc.check(
+            doc.ensure(
                 finite(host.unasked_memory_gib),
                 &key("unasked_memory_gib"),
                 "not a finite number",
