--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -10,8 +10,8 @@
 mod placer;
 mod trace;
 
-pub use error::{ConfigError, ConfigErrors, Doc, parse};
-pub use fleet::Fleet;
+pub use error::{ConfigError, ConfigErrors, Document, parse_toml};
+pub use fleet::FleetSettings;
 pub use inventory::{HostEntry, HostState, Inventory};
 pub use placer::*;
-pub use trace::Trace;
+pub use trace::TraceSettings;
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -7,41 +7,44 @@
 use serde::{Deserialize, Serialize};
 
 use crate::defaults as d;
-use crate::error::{ConfigErrors, Doc, parse};
-use crate::fleet::Fleet;
-use crate::trace::Trace;
+use crate::error::{ConfigErrors, Document, parse_toml};
+use crate::fleet::FleetSettings;
+use crate::trace::TraceSettings;
 
 /// A placer's settings file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacerConfig {
     /// Who it is.
-    pub placer: Identity,
+    #[serde(rename = "placer")]
+    pub identity: Identity,
     /// The interface for runtimes.
-    pub api: Api,
+    pub api: ApiSettings,
     /// The hosts and the connections to them.
-    pub hosts: Hosts,
+    pub hosts: HostSettings,
     /// Consul as the source of hosts, in place of an inventory file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub consul: Option<Consul>,
+    pub consul: Option<ConsulSettings>,
     /// The placers' own view of their fleet; none without it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub fleet: Option<Fleet>,
+    pub fleet: Option<FleetSettings>,
     /// Trace files of all that it sees and decides; none without it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub trace: Option<Trace>,
+    pub trace: Option<TraceSettings>,
     /// What hosts admit and tell.
     #[serde(default)]
-    pub placing: Placing,
+    pub placing: PlacementSettings,
     /// Figures of the rules.
-    pub rules: Rules,
+    pub rules: RuleSettings,
     /// What things cost.
     #[serde(default)]
-    pub prices: Prices,
+    pub prices: CostSettings,
     /// The kinds of hosts.
-    pub kind: Vec<Kind>,
+    #[serde(rename = "kind")]
+    pub kinds: Vec<HostKind>,
     /// The classes of tasks.
-    pub class: Vec<Class>,
+    #[serde(rename = "class")]
+    pub classes: Vec<TaskClass>,
 }
 
 /// Who a placer is.
@@ -51,9 +54,11 @@
     /// Its name, which outlives restarts: hosts know its tasks by it.
     pub name: String,
     /// Which of the placers it is, counted from 0.
-    pub number: u32,
+    #[serde(rename = "number")]
+    pub replica_index: u32,
     /// How many placers share the hosts.
-    pub placers: u32,
+    #[serde(rename = "placers")]
+    pub replica_count: u32,
     /// Its zone.
     pub zone: String,
     /// All zones.
@@ -66,7 +71,7 @@
 /// The interface for runtimes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Api {
+pub struct ApiSettings {
     /// Where it listens; port 0 takes a free one.
     pub listen: SocketAddr,
     /// Client connections at a time; one more gets 503.
@@ -116,7 +121,7 @@
 /// The hosts and the connections to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Hosts {
+pub struct HostSettings {
     /// The inventory file; relative to the settings file. Not with `[consul]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub inventory: Option<PathBuf>,
@@ -155,7 +160,7 @@
 /// Consul as the source of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Consul {
+pub struct ConsulSettings {
     /// Servers or agents that speak the HTTP API; one after the other is tried.
     pub servers: Vec<SocketAddr>,
     /// The service under which hosts are registered.
@@ -169,7 +174,7 @@
     pub token_file: Option<PathBuf>,
     /// How consistent reads are.
     #[serde(default)]
-    pub reads: Reads,
+    pub reads: ReadConsistency,
     /// A filter expression for the hosts' entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub filter: Option<String>,
@@ -187,16 +192,16 @@
     pub max_answer_bytes: usize,
     /// How good news after repeated changes is held back.
     #[serde(default)]
-    pub damping: Damping,
+    pub damping: DampingMode,
     /// The placers' own membership.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub membership: Option<Membership>,
+    pub membership: Option<SlotLeaseSettings>,
 }
 
 /// How consistent reads are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reads {
+pub enum ReadConsistency {
     /// By the leader.
     #[default]
     Default,
@@ -209,7 +214,7 @@
 /// How good news after repeated changes is held back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Damping {
+pub enum DampingMode {
     /// By a penalty that decays.
     Penalty,
     /// Not at all.
@@ -222,7 +227,7 @@
 /// The placers' own membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Membership {
+pub struct SlotLeaseSettings {
     /// The service under which placers register.
     #[serde(default = "d::placer_service")]
     pub service: String,
@@ -240,10 +245,10 @@
 /// What hosts admit and tell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Placing {
+pub struct PlacementSettings {
     /// When an actor counts as placed.
     #[serde(default)]
-    pub placed_when: PlacedWhen,
+    pub placed_when: AcceptancePoint,
     /// Attempts for one ask.
     #[serde(default = "d::max_attempts")]
     pub max_attempts: u32,
@@ -261,11 +266,11 @@
     pub inventory_tells_room: bool,
 }
 
-impl Default for Placing {
-    fn default() -> Placing {
-        let (placed_when, load_report) = (PlacedWhen::default(), LoadReport::default());
+impl Default for PlacementSettings {
+    fn default() -> PlacementSettings {
+        let (placed_when, load_report) = (AcceptancePoint::default(), LoadReport::default());
         let inventory_tells_room = false;
-        Placing {
+        PlacementSettings {
             placed_when,
             max_attempts: 3,
             admit_cores: 1.0,
@@ -279,7 +284,7 @@
 /// When an actor counts as placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum PlacedWhen {
+pub enum AcceptancePoint {
     /// Once a host has accepted it.
     #[default]
     Accepted,
@@ -303,26 +308,31 @@
 /// Figures of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Rules {
+pub struct RuleSettings {
     /// Silence towards discovery for this long counts as being told.
     #[serde(default = "d::ask_within")]
     pub ask_within_ms: u64,
     /// The least share of its pace that a host has right after its start.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity_share: f64,
     /// A host is warm after this.
-    pub cold_for_ms: u64,
+    #[serde(rename = "cold_for_ms")]
+    pub warm_up_duration_ms: u64,
     /// A cold host falls over when sent this many times what it can do...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ...for this long.
-    pub fall_window_ms: u64,
+    #[serde(rename = "fall_window_ms")]
+    pub overload_window_ms: u64,
     /// Offers in that time, from all placers, that a cold host always bears.
-    pub fresh_offers: f64,
+    #[serde(rename = "fresh_offers")]
+    pub warm_up_offers: f64,
 }
 
 /// What things cost, in shares of the whole worth.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Prices {
+pub struct CostSettings {
     /// One refused offer for every task.
     #[serde(default)]
     pub refused: f64,
@@ -340,7 +350,7 @@
 /// A kind of host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kind {
+pub struct HostKind {
     /// Its name.
     pub name: String,
     /// Cores.
@@ -352,7 +362,7 @@
 /// What a second start does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Effect {
+pub enum RetrySafety {
     /// No harm.
     Safe,
     /// The hosts of a group let one copy stand.
@@ -364,7 +374,7 @@
 /// A set of hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Group {
+pub enum DeduplicationScope {
     /// All of them.
     All,
     /// Those of one zone.
@@ -376,7 +386,7 @@
 /// A place over which a service is spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Place {
+pub enum TopologyLevel {
     /// One host.
     Host,
     /// One cell.
@@ -388,19 +398,21 @@
 /// A class of tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Class {
+pub struct TaskClass {
     /// Its name.
     pub name: String,
     /// What a second start does.
-    pub effect: Effect,
+    #[serde(rename = "effect")]
+    pub retry_safety: RetrySafety,
     /// For keyed ones: where copies are recognised...
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub group: Option<Group>,
+    pub group: Option<DeduplicationScope>,
     /// ...and how long, from the first send on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub window_ms: Option<u64>,
     /// A start within this earns all it can.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: u64,
     /// Worth of a second at mean size.
     #[serde(default = "d::one")]
     pub worth: f64,
@@ -415,7 +427,7 @@
     pub kind: Option<String>,
     /// Where tasks of one service are limited...
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spread_over: Option<Place>,
+    pub spread_over: Option<TopologyLevel>,
     /// ...to so many of one placer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub spread_most: Option<u32>,
@@ -425,8 +437,8 @@
 
 impl PlacerConfig {
     /// Parses and checks a settings file; all that is wrong is told at once.
-    pub fn parse(doc: Doc<'_>) -> Result<PlacerConfig, ConfigErrors> {
-        let config: PlacerConfig = parse(doc)?;
+    pub fn parse(doc: Document<'_>) -> Result<PlacerConfig, ConfigErrors> {
+        let config: PlacerConfig = parse_toml(doc)?;
         config.check(doc)?;
         Ok(config)
     }
@@ -437,81 +449,81 @@
     }
 
     /// The module's settings.
-    pub fn settings(&self) -> mt::Settings {
+    pub fn policy_settings(&self) -> mt::Settings {
         let index = |zone: &String| {
-            self.placer
+            self.identity
                 .zones
                 .iter()
                 .position(|z| z == zone)
                 .unwrap_or(0) as u32
         };
-        let class = |c: &Class| mt::Class {
-            retry_safety: match c.effect {
-                Effect::Safe => mt::RetrySafety::Idempotent,
-                Effect::Unsafe => mt::RetrySafety::NonIdempotent,
-                Effect::Keyed => mt::RetrySafety::IdempotencyKey {
+        let class = |c: &TaskClass| mt::Class {
+            retry_safety: match c.retry_safety {
+                RetrySafety::Safe => mt::RetrySafety::Idempotent,
+                RetrySafety::Unsafe => mt::RetrySafety::NonIdempotent,
+                RetrySafety::Keyed => mt::RetrySafety::IdempotencyKey {
                     group: match c.group {
-                        Some(Group::Zone) => mt::DeduplicationScope::Zone,
-                        Some(Group::Cell) => mt::DeduplicationScope::Cell,
+                        Some(DeduplicationScope::Zone) => mt::DeduplicationScope::Zone,
+                        Some(DeduplicationScope::Cell) => mt::DeduplicationScope::Cell,
                         _ => mt::DeduplicationScope::All,
                     },
                     window: c.window_ms.unwrap_or(0) * MS,
                 },
             },
-            latency_objective: c.aim_ms * MS,
+            latency_objective: c.latency_objective_ms * MS,
             priority_weight: c.worth,
             start_bonus_s: c.start_bonus_s,
             priority: c.priority,
-            kind: c
+            machine_kind: c
                 .kind
                 .as_ref()
-                .and_then(|kind| self.kind.iter().position(|k| &k.name == kind)),
+                .and_then(|kind| self.kinds.iter().position(|k| &k.name == kind)),
             spread_limit: c
                 .spread_over
                 .zip(c.spread_most)
                 .map(|(place, most)| match place {
-                    Place::Host => (mt::TopologyLevel::Machine, most),
-                    Place::Cell => (mt::TopologyLevel::Cell, most),
-                    Place::Zone => (mt::TopologyLevel::Zone, most),
+                    TopologyLevel::Host => (mt::TopologyLevel::Machine, most),
+                    TopologyLevel::Cell => (mt::TopologyLevel::Cell, most),
+                    TopologyLevel::Zone => (mt::TopologyLevel::Zone, most),
                 }),
         };
         mt::Settings {
-            replica_count: self.placer.placers,
-            replica_index: self.placer.number,
-            zone: index(&self.placer.zone),
-            classes: self.class.iter().map(class).collect(),
+            replica_count: self.identity.replica_count,
+            replica_index: self.identity.replica_index,
+            zone: index(&self.identity.zone),
+            classes: self.classes.iter().map(class).collect(),
             kinds: self
-                .kind
+                .kinds
                 .iter()
                 .map(|k| mt::Resources::new(k.cores, k.memory_gib))
                 .collect(),
             discovery: mt::DiscoveryMode::Watch,
             acceptance_point: match self.placing.placed_when {
-                PlacedWhen::Accepted => mt::AcceptancePoint::Accepted,
-                PlacedWhen::Running => mt::AcceptancePoint::Running,
+                AcceptancePoint::Accepted => mt::AcceptancePoint::Accepted,
+                AcceptancePoint::Running => mt::AcceptancePoint::Running,
             },
             admit_cores: self.placing.admit_cores,
             admit_memory: self.placing.admit_memory,
-            view: self.placing.inventory_tells_room,
-            report: match self.placing.load_report {
+            endpoints_report_capacity: self.placing.inventory_tells_room,
+            load_report: match self.placing.load_report {
                 LoadReport::Silent => mt::LoadReport::Silent,
                 LoadReport::Unasked => mt::LoadReport::Unallocated,
                 LoadReport::Unused => mt::LoadReport::Unused,
             },
             limits: mt::Limits {
                 max_attempts: self.placing.max_attempts,
-                cancel: true,
-                probes: true,
-                peers: false,
+                can_cancel: true,
+                can_probe: true,
+                can_message_peers: false,
                 max_retry_after: Some(60_000 * MS),
             },
             rules: mt::Rules {
                 max_poll_interval: self.rules.ask_within_ms * MS,
-                initial_capacity_share: self.rules.cold_from,
-                warm_up_duration: self.rules.cold_for_ms * MS,
-                overload_multiple: self.rules.fall_multiple,
-                overload_window: self.rules.fall_window_ms * MS,
-                warm_up_offers: self.rules.fresh_offers,
+                initial_capacity_share: self.rules.initial_capacity_share,
+                warm_up_duration: self.rules.warm_up_duration_ms * MS,
+                overload_multiple: self.rules.overload_multiple,
+                overload_window: self.rules.overload_window_ms * MS,
+                warm_up_offers: self.rules.warm_up_offers,
             },
             costs: mt::Costs {
                 rejection: self.prices.refused,
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -9,7 +9,7 @@
 /// Trace files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trace {
+pub struct TraceSettings {
     /// Where they are put; made if it is not there.
     pub folder: PathBuf,
     /// A file is closed, and the next begun, once it has so many MiB...
--- a/crates/config/tests/heartbeat_settings.rs
+++ b/crates/config/tests/heartbeat_settings.rs
@@ -1,12 +1,12 @@
 //! Settings of heartbeats: what is wrong is told with its line, and what is left out has a default.
 
-use maplethread_config::{Doc, PlacerConfig};
+use maplethread_config::{Document, PlacerConfig};
 
 const SOUND: &str = include_str!("../../../config/placer.toml");
 
 /// The settings to try, written out whole.
 fn written_out() -> String {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: SOUND,
     })
@@ -16,7 +16,7 @@
 
 #[test]
 fn idle_hosts_have_a_rate_and_a_longest_interval_where_nothing_is_set() {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: SOUND,
     })
@@ -60,7 +60,7 @@
                 }
             })
             .collect();
-        let faults = PlacerConfig::parse(Doc {
+        let faults = PlacerConfig::parse(Document {
             file: "f",
             text: &swapped.join("\n"),
         })
--- a/crates/consul-standin/examples/measure.rs
+++ b/crates/consul-standin/examples/measure.rs
@@ -5,20 +5,20 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-use maplethread_config::{Doc, PlacerConfig};
-use maplethread_consul::catalogue::{Known, read};
-use maplethread_consul::{Out, Source, Update};
-use maplethread_consul_standin::{Servers, Settings};
-use maplethread_placer::{Catalogue, Clock};
+use maplethread_config::{Document, PlacerConfig};
+use maplethread_consul::catalogue::{KnownNames, read_host_list};
+use maplethread_consul::{ConsulSource, Output, Update};
+use maplethread_consul_standin::{EmulatorSettings, Servers};
+use maplethread_placer::{Clock, ConsulClient};
 use maplethread_reactor::{Poller, Readiness};
-use maplethread_wire::http::{self, Found, Limits, Message, Reader, Role};
+use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
 use serde_json::json;
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
 struct Http {
     stream: TcpStream,
-    reader: Reader,
+    reader: MessageReader,
     buffer: Vec<u8>,
 }
 
@@ -27,12 +27,12 @@
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
         let limits = Limits {
-            body: 64 << 20,
+            max_body_bytes: 64 << 20,
             ..Limits::default()
         };
         Ok(Http {
             stream,
-            reader: Reader::new(Role::Responses, limits),
+            reader: MessageReader::new(Role::Responses, limits),
             buffer: Vec::new(),
         })
     }
@@ -44,7 +44,7 @@
         loop {
             let (found, used) = self.reader.read(&self.buffer)?;
             self.buffer.drain(..used);
-            if let Found::Message(message) = found {
+            if let ReadResult::Message(message) = found {
                 return Ok(message.body);
             }
             let mut part = [0; 65536];
@@ -79,7 +79,7 @@
          cores = 1.0\nmemory_gib = 1.0\n[[class]]\nname = \"c\"\neffect = \"safe\"\naim_ms = 1\n",
         list.join(", ")
     );
-    Ok(PlacerConfig::parse(Doc {
+    Ok(PlacerConfig::parse(Document {
         file: "measure",
         text: &text,
     })?)
@@ -88,7 +88,7 @@
 struct Readers {
     poller: Poller,
     clock: Clock,
-    all: Vec<Catalogue>,
+    all: Vec<ConsulClient>,
     token: u64,
 }
 
@@ -96,7 +96,7 @@
     fn new(config: &PlacerConfig, count: usize) -> Result<Readers> {
         let mut all = Vec::new();
         for seed in 0..count {
-            all.extend(Catalogue::new(config, seed as u64)?);
+            all.extend(ConsulClient::new(config, seed as u64)?);
         }
         Ok(Readers {
             poller: Poller::new()?,
@@ -128,8 +128,8 @@
                 .wait(Some(Duration::from_millis(1)), &mut ready)?;
             let now = self.clock.now();
             for r in &ready {
-                if let Some(reader) = self.all.iter_mut().find(|c| c.has(r.token)) {
-                    reader.ready(now, r.token, r, &self.poller);
+                if let Some(reader) = self.all.iter_mut().find(|c| c.owns_token(r.token)) {
+                    reader.on_ready(now, r.token, r, &self.poller);
                 }
             }
         }
@@ -144,12 +144,12 @@
         body.len()
     );
     let limits = Limits {
-        body: 64 << 20,
+        max_body_bytes: 64 << 20,
         ..Limits::default()
     };
     let bytes = [head.as_bytes(), body].concat();
-    match Reader::new(Role::Responses, limits).read(&bytes)?.0 {
-        Found::Message(message) => Ok(message),
+    match MessageReader::new(Role::Responses, limits).read(&bytes)?.0 {
+        ReadResult::Message(message) => Ok(message),
         found => Err(format!("{found:?}").into()),
     }
 }
@@ -159,7 +159,7 @@
     let Some(consul) = &config.consul else {
         return Ok(());
     };
-    let mut source = Source::new(config, consul, None, 1);
+    let mut source = ConsulSource::new(config, consul, None, 1);
     let text = String::from_utf8_lossy(body).into_owned();
     let all_critical = text.replace("\"passing\"", "\"critical\"");
     let one_critical = text.replacen("\"passing\"", "\"critical\"", 1);
@@ -174,18 +174,18 @@
     for (index, (what, list)) in lists.iter().enumerate() {
         now += 300_000_000;
         source.tick(now);
-        for Out::Call { call, request, .. } in source.outputs() {
+        for Output::Call { call, request, .. } in source.outputs() {
             if request.starts_with(b"GET /v1/health") {
-                source.answered(now, call, answer(list.as_bytes(), index as u64 + 5)?);
+                source.handle_response(now, call, answer(list.as_bytes(), index as u64 + 5)?);
             } else {
-                source.failed(now, call, "not asked here");
+                source.handle_failure(now, call, "not asked here");
             }
         }
         let (mut whole, mut longest, mut turns, mut told) = (Duration::ZERO, Duration::ZERO, 0, 0);
-        while source.busy() {
+        while source.has_pending_work() {
             let from = Instant::now();
             source.tick(now);
-            let updates = source.updates();
+            let updates = source.take_updates();
             let took = from.elapsed();
             (whole, longest, turns) = (whole + took, longest.max(took), turns + 1);
             told += updates
@@ -220,22 +220,22 @@
     // With `rest` only the cost of readers at rest is measured.
     let all = std::env::args().nth(1).is_none_or(|what| what != "rest");
     for hosts in [130, 5000].into_iter().filter(|_| all) {
-        let servers = Servers::start(Settings::new(3))?;
+        let servers = Servers::start(EmulatorSettings::new(3))?;
         let mut http = Http::new(servers.addresses[0])?;
         for n in 0..hosts {
             register(&mut http, n, "passing")?;
         }
         std::thread::sleep(Duration::from_millis(200));
         let body = http.call("GET", "/v1/health/service/maplethread-host", "")?;
-        let known = Known {
+        let known = KnownNames {
             zones: vec!["a".into()],
             kinds: vec!["std".into()],
-            most: 10_000,
+            max_entries: 10_000,
         };
         let from = Instant::now();
         let rounds = 20;
         for _ in 0..rounds {
-            assert_eq!(read(&body, &known)?.entries.len(), hosts);
+            assert_eq!(read_host_list(&body, &known)?.entries.len(), hosts);
         }
         let parse = from.elapsed() / rounds;
         println!(
@@ -272,7 +272,7 @@
         }
     }
     for watch in [false, true] {
-        let servers = Servers::start(Settings::new(3))?;
+        let servers = Servers::start(EmulatorSettings::new(3))?;
         let mut http = Http::new(servers.addresses[0])?;
         for n in 0..130 {
             register(&mut http, n, "passing")?;
--- a/crates/consul-standin/src/api.rs
+++ b/crates/consul-standin/src/api.rs
@@ -5,27 +5,27 @@
 use maplethread_wire::http::Message;
 use serde_json::{Value, json};
 
-use crate::state::{Check, Command, Lock, Service, Session, State, uuid};
+use crate::state::{Check, Command, LockChange, Service, Session, State, uuid};
 
 /// What a request asks for.
 #[derive(Debug)]
-pub enum Asked {
+pub enum Request {
     /// A read, which may block.
-    Read(Read),
+    Read(ReadRequest),
     /// A write.
-    Write(Write),
+    Write(WriteRequest),
     /// An answer that needs no state.
     Answer(u16, Value),
 }
 
 /// A read.
 #[derive(Clone, Debug)]
-pub struct Read {
-    pub what: What,
+pub struct ReadRequest {
+    pub resource: Resource,
     /// Blocks until the index is above this...
     pub index: u64,
     /// ...or this is over, µs.
-    pub wait: u64,
+    pub wait_us: u64,
     pub consistent: bool,
     pub stale: bool,
     pub filter: Vec<(String, String)>,
@@ -33,7 +33,7 @@
 
 /// What is read.
 #[derive(Clone, Debug)]
-pub enum What {
+pub enum Resource {
     HealthService(String, bool),
     HealthNode(String),
     HealthState(String),
@@ -51,7 +51,7 @@
 
 /// A write.
 #[derive(Debug)]
-pub enum Write {
+pub enum WriteRequest {
     /// Commands; the answer is the JSON.
     Commands(Vec<Command>, Value),
     /// A put of a key that depends on its lock or index.
@@ -59,14 +59,14 @@
         key: String,
         value: String,
         flags: u64,
-        lock: Lock,
+        lock: LockChange,
         cas: Option<u64>,
     },
     Renew(String),
     /// A TTL check's word: node, check, status, output.
-    Check(String, String, String),
+    UpdateCheck(String, String, String),
     /// Deregisters a service of the agent, or puts it aside.
-    Service {
+    UpdateService {
         id: String,
         maintenance: Option<(bool, String)>,
     },
@@ -96,7 +96,7 @@
 }
 
 /// A span such as `10s`, `1m30s`, `1.5h` or `500ms`, in µs; a bare number is seconds.
-pub fn span(text: &str) -> Option<u64> {
+pub fn parse_duration_us(text: &str) -> Option<u64> {
     if text.is_empty() {
         return None;
     }
@@ -152,7 +152,9 @@
     match field(object, key) {
         Value::Null => Ok(None),
         Value::String(s) if s.is_empty() => Ok(None),
-        Value::String(s) => span(s).map(Some).ok_or_else(|| Undecoded(key.to_owned())),
+        Value::String(s) => parse_duration_us(s)
+            .map(Some)
+            .ok_or_else(|| Undecoded(key.to_owned())),
         Value::Number(n) => n
             .as_u64()
             .map(|ns| Some(ns / 1000))
@@ -172,14 +174,14 @@
 /// A field that can't be decoded.
 struct Undecoded(String);
 
-impl From<Undecoded> for Asked {
-    fn from(Undecoded(key): Undecoded) -> Asked {
-        Asked::Answer(400, json!(format!("Request decode failed: {key}")))
+impl From<Undecoded> for Request {
+    fn from(Undecoded(key): Undecoded) -> Request {
+        Request::Answer(400, json!(format!("Request decode failed: {key}")))
     }
 }
 
 /// Reads a request. `node` is the name of the agent that was asked.
-pub fn asked(message: &Message, node: &str, id: u64) -> Asked {
+pub fn parse_request(message: &Message, node: &str, id: u64) -> Request {
     let target = message.head.target();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let params: Vec<(String, String)> = query
@@ -194,13 +196,13 @@
             .find(|(k, _)| k == name)
             .map(|(_, v)| v.as_str())
     };
-    let bad = |why: &str| Asked::Answer(400, json!(why));
+    let bad = |why: &str| Request::Answer(400, json!(why));
     let path: String = path.trim_start_matches("/v1/").to_owned();
     let parts: Vec<String> = path.split('/').map(unescape).collect();
     let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
     let body = || serde_json::from_slice::<Value>(&message.body).unwrap_or(Value::Null);
     let get = message.head.method() == "GET";
-    let read = |what: What| {
+    let read = |what: Resource| {
         let mut filter = Vec::new();
         if let Some(text) = param("filter") {
             for part in text.split(" and ") {
@@ -216,33 +218,33 @@
         let Ok(index) = param("index").unwrap_or("0").parse() else {
             return bad("Invalid index");
         };
-        let Some(wait) = span(param("wait").unwrap_or("5m")) else {
+        let Some(wait) = parse_duration_us(param("wait").unwrap_or("5m")) else {
             return bad("Invalid wait time");
         };
         let (consistent, stale) = (param("consistent").is_some(), param("stale").is_some());
         if consistent && stale {
             return bad("Cannot specify ?stale with ?consistent, conflicting semantics.");
         }
-        Asked::Read(Read {
-            what,
+        Request::Read(ReadRequest {
+            resource: what,
             index,
-            wait: wait.min(600_000_000),
+            wait_us: wait.min(600_000_000),
             consistent,
             stale,
             filter,
         })
     };
     match (parts.as_slice(), get) {
-        (["health", "service", name], true) => read(What::HealthService(
+        (["health", "service", name], true) => read(Resource::HealthService(
             (*name).to_owned(),
             param("passing").is_some(),
         )),
-        (["health", "node", name], true) => read(What::HealthNode((*name).to_owned())),
-        (["health", "state", state], true) => read(What::HealthState((*state).to_owned())),
-        (["catalog", "nodes"], true) => read(What::CatalogNodes),
-        (["catalog", "service", name], true) => read(What::CatalogService((*name).to_owned())),
-        (["agent", "members"], true) => read(What::Members),
-        (["session", "info", id], true) => read(What::SessionInfo((*id).to_owned())),
+        (["health", "node", name], true) => read(Resource::HealthNode((*name).to_owned())),
+        (["health", "state", state], true) => read(Resource::HealthState((*state).to_owned())),
+        (["catalog", "nodes"], true) => read(Resource::CatalogNodes),
+        (["catalog", "service", name], true) => read(Resource::CatalogService((*name).to_owned())),
+        (["agent", "members"], true) => read(Resource::Members),
+        (["session", "info", id], true) => read(Resource::SessionInfo((*id).to_owned())),
         (["kv", ..], true) => {
             let key = parts[1..].join("/");
             let (recurse, raw, keys) = (
@@ -250,7 +252,7 @@
                 param("raw").is_some(),
                 param("keys").is_some(),
             );
-            read(What::Key {
+            read(Resource::Key {
                 key,
                 recurse: recurse || keys,
                 raw,
@@ -262,13 +264,13 @@
                 key: parts[1..].join("/"),
                 recurse: param("recurse").is_some(),
             };
-            Asked::Write(Write::Commands(vec![command], json!(true)))
+            Request::Write(WriteRequest::Commands(vec![command], json!(true)))
         }
         (["kv", ..], false) => {
             let lock = match (param("acquire"), param("release")) {
-                (Some(session), _) => Lock::Acquire(session.to_owned()),
-                (None, Some(session)) => Lock::Release(session.to_owned()),
-                (None, None) => Lock::Leave,
+                (Some(session), _) => LockChange::Acquire(session.to_owned()),
+                (None, Some(session)) => LockChange::Release(session.to_owned()),
+                (None, None) => LockChange::Unchanged,
             };
             let (flags, cas) = (
                 param("flags").and_then(|f| f.parse().ok()).unwrap_or(0),
@@ -279,7 +281,7 @@
                 Some(Ok(cas)) => Some(cas),
                 None => None,
             };
-            Asked::Write(Write::Put {
+            Request::Write(WriteRequest::Put {
                 key: parts[1..].join("/"),
                 value: STANDARD.encode(&message.body),
                 flags,
@@ -287,7 +289,7 @@
                 cas,
             })
         }
-        (["catalog", "register"], false) => catalog_register(&body()).unwrap_or_else(Asked::from),
+        (["catalog", "register"], false) => catalog_register(&body()).unwrap_or_else(Request::from),
         (["catalog", "deregister"], false) => {
             let body = body();
             let Some(node) = field(&body, "Node").as_str() else {
@@ -301,21 +303,23 @@
                 node: node.to_owned(),
                 service,
             };
-            Asked::Write(Write::Commands(vec![command], json!(true)))
+            Request::Write(WriteRequest::Commands(vec![command], json!(true)))
         }
         (["agent", "service", "register"], false) => {
-            agent_register(&body(), node).unwrap_or_else(Asked::from)
+            agent_register(&body(), node).unwrap_or_else(Request::from)
+        }
+        (["agent", "service", "deregister", id], false) => {
+            Request::Write(WriteRequest::UpdateService {
+                id: (*id).to_owned(),
+                maintenance: None,
+            })
         }
-        (["agent", "service", "deregister", id], false) => Asked::Write(Write::Service {
-            id: (*id).to_owned(),
-            maintenance: None,
-        }),
         (["agent", "service", "maintenance", id], false) => match param("enable") {
             Some(on @ ("true" | "false")) => {
                 let why = param("reason")
                     .unwrap_or("Maintenance mode is enabled for this service")
                     .to_owned();
-                Asked::Write(Write::Service {
+                Request::Write(WriteRequest::UpdateService {
                     id: (*id).to_owned(),
                     maintenance: Some((on == "true", why)),
                 })
@@ -327,19 +331,19 @@
                 let why = param("reason")
                     .unwrap_or("Maintenance mode is enabled for this node")
                     .to_owned();
-                Asked::Write(Write::NodeMaintenance(on == "true", why))
+                Request::Write(WriteRequest::NodeMaintenance(on == "true", why))
             }
             _ => bad("Missing value for enable"),
         },
         (["agent", "check", "register"], false) => {
-            check_register(&body(), node).unwrap_or_else(Asked::from)
+            check_register(&body(), node).unwrap_or_else(Request::from)
         }
         (["agent", "check", "deregister", id], false) => {
             let command = Command::DropCheck {
                 node: node.to_owned(),
                 check: (*id).to_owned(),
             };
-            Asked::Write(Write::Commands(vec![command], Value::Null))
+            Request::Write(WriteRequest::Commands(vec![command], Value::Null))
         }
         (["agent", "check", word @ ("pass" | "warn" | "fail"), id], false) => {
             let status = match *word {
@@ -347,7 +351,7 @@
                 "warn" => "warning",
                 _ => "critical",
             };
-            Asked::Write(Write::Check(
+            Request::Write(WriteRequest::UpdateCheck(
                 (*id).to_owned(),
                 status.to_owned(),
                 param("note").unwrap_or("").to_owned(),
@@ -360,17 +364,21 @@
                 return bad("Invalid check status");
             }
             let output = field(&body, "Output").as_str().unwrap_or("").to_owned();
-            Asked::Write(Write::Check((*id).to_owned(), status.to_owned(), output))
+            Request::Write(WriteRequest::UpdateCheck(
+                (*id).to_owned(),
+                status.to_owned(),
+                output,
+            ))
         }
         (["session", "create"], false) => {
-            create_session(&body(), node, id).unwrap_or_else(Asked::from)
+            create_session(&body(), node, id).unwrap_or_else(Request::from)
         }
-        (["session", "renew", id], false) => Asked::Write(Write::Renew((*id).to_owned())),
+        (["session", "renew", id], false) => Request::Write(WriteRequest::Renew((*id).to_owned())),
         (["session", "destroy", id], false) => {
-            Asked::Write(Write::DestroySession((*id).to_owned()))
+            Request::Write(WriteRequest::DestroySession((*id).to_owned()))
         }
-        (["status", "leader"], true) => Asked::Answer(200, json!("127.0.0.1:8300")),
-        _ => Asked::Answer(404, json!("no such path")),
+        (["status", "leader"], true) => Request::Answer(200, json!("127.0.0.1:8300")),
+        _ => Request::Answer(404, json!("no such path")),
     }
 }
 
@@ -381,9 +389,9 @@
     service: Option<Service>,
     checks: Vec<Check>,
     answer: Value,
-) -> Asked {
+) -> Request {
     let (node, address) = (node.to_owned(), address.to_owned());
-    Asked::Write(Write::Commands(
+    Request::Write(WriteRequest::Commands(
         vec![Command::Register {
             node,
             address,
@@ -395,18 +403,18 @@
     ))
 }
 
-fn create_session(body: &Value, node: &str, id: u64) -> Result<Asked, Undecoded> {
+fn create_session(body: &Value, node: &str, id: u64) -> Result<Request, Undecoded> {
     let ttl = span_field(body, "TTL")?.unwrap_or(0);
     // Of the documented range of TTLs, 10 s to 24 h, only the upper bound is kept: tests are short.
     if ttl > 86_400_000_000 {
-        return Ok(Asked::Answer(400, json!("Invalid Session TTL")));
+        return Ok(Request::Answer(400, json!("Invalid Session TTL")));
     }
     let behavior = if text(body, "Behavior")? == "delete" {
         "delete"
     } else {
         "release"
     };
-    Ok(Asked::Write(Write::CreateSession(Session {
+    Ok(Request::Write(WriteRequest::CreateSession(Session {
         id: uuid(&format!("session {id}")),
         name: text(body, "Name")?,
         node: node.to_owned(),
@@ -484,9 +492,9 @@
     })
 }
 
-fn agent_register(body: &Value, node: &str) -> Result<Asked, Undecoded> {
+fn agent_register(body: &Value, node: &str) -> Result<Request, Undecoded> {
     let Some(service) = service(body, "Name")? else {
-        return Ok(Asked::Answer(400, json!("Missing service name")));
+        return Ok(Request::Answer(400, json!("Missing service name")));
     };
     let mut checks = Vec::new();
     for (n, check) in checks_of(body).enumerate() {
@@ -514,7 +522,7 @@
     ))
 }
 
-fn check_register(body: &Value, node: &str) -> Result<Asked, Undecoded> {
+fn check_register(body: &Value, node: &str) -> Result<Request, Undecoded> {
     let (name, id) = (text(body, "Name")?, text(body, "ID")?);
     let id = if id.is_empty() {
         text(body, "CheckID")?
@@ -522,7 +530,7 @@
         id
     };
     if name.is_empty() {
-        return Ok(Asked::Answer(400, json!("Missing check name")));
+        return Ok(Request::Answer(400, json!("Missing check name")));
     }
     let service = text(body, "ServiceID")?;
     let check = agent_check(
@@ -532,7 +540,7 @@
         (&service, &service),
     )?;
     if check.ttl.is_none() {
-        return Ok(Asked::Answer(
+        return Ok(Request::Answer(
             400,
             json!("a TTL is needed; other checks are not run here"),
         ));
@@ -547,10 +555,10 @@
     ))
 }
 
-fn catalog_register(body: &Value) -> Result<Asked, Undecoded> {
+fn catalog_register(body: &Value) -> Result<Request, Undecoded> {
     let (node, address) = (text(body, "Node")?, text(body, "Address")?);
     if node.is_empty() || address.is_empty() {
-        return Ok(Asked::Answer(400, json!("Must provide node and address")));
+        return Ok(Request::Answer(400, json!("Must provide node and address")));
     }
     let service = service(field(body, "Service"), "Service")?;
     let mut checks = Vec::new();
@@ -589,29 +597,31 @@
     ))
 }
 
-impl Read {
+impl ReadRequest {
     /// The index that this read blocks on.
     pub fn index_in(&self, state: &State) -> u64 {
-        match &self.what {
-            What::HealthService(name, _) | What::CatalogService(name) => state.service_index(name),
-            What::HealthNode(_) | What::HealthState(_) => state.checks_index(),
-            What::CatalogNodes => state.nodes_index(),
-            What::Key { .. } => state.keys_index(),
-            What::Members | What::SessionInfo(_) => state.index.max(1),
+        match &self.resource {
+            Resource::HealthService(name, _) | Resource::CatalogService(name) => {
+                state.service_index(name)
+            }
+            Resource::HealthNode(_) | Resource::HealthState(_) => state.checks_index(),
+            Resource::CatalogNodes => state.nodes_index(),
+            Resource::Key { .. } => state.keys_index(),
+            Resource::Members | Resource::SessionInfo(_) => state.index.max(1),
         }
     }
 
     /// Status and body, as the state has it.
     pub fn answer(&self, state: &State, dc: &str) -> (u16, Vec<u8>) {
-        let entries = match &self.what {
-            What::HealthService(name, passing) => state.health_service(name, dc, *passing),
-            What::HealthNode(name) => state.checks(Some(name), None),
-            What::HealthState(s) => state.checks(None, Some(s)),
-            What::CatalogNodes => state.catalog_nodes(dc),
-            What::CatalogService(name) => state.catalog_service(name, dc),
-            What::Members => state.members(),
-            What::SessionInfo(id) => state.session(id).into_iter().collect(),
-            What::Key {
+        let entries = match &self.resource {
+            Resource::HealthService(name, passing) => state.health_service(name, dc, *passing),
+            Resource::HealthNode(name) => state.checks(Some(name), None),
+            Resource::HealthState(s) => state.checks(None, Some(s)),
+            Resource::CatalogNodes => state.catalog_nodes(dc),
+            Resource::CatalogService(name) => state.catalog_service(name, dc),
+            Resource::Members => state.members(),
+            Resource::SessionInfo(id) => state.session(id).into_iter().collect(),
+            Resource::Key {
                 key,
                 recurse,
                 raw,
--- a/crates/consul-standin/src/lib.rs
+++ b/crates/consul-standin/src/lib.rs
@@ -15,4 +15,4 @@
 )]
 mod state;
 
-pub use server::{Faults, LockNews, Locks, Servers, Settings, Watch};
+pub use server::{AnswerObserver, EmulatorSettings, Faults, LockEvent, LockObserver, Servers};
--- a/crates/consul-standin/src/server.rs
+++ b/crates/consul-standin/src/server.rs
@@ -11,14 +11,14 @@
 
 use maplethread_engine::Timers;
 use maplethread_placer::Clock;
-use maplethread_reactor::{Conn, Poller, ReadOutcome, Readiness};
-use maplethread_wire::http::{self, Found, Limits, Message, Reader, Role};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
+use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde_json::{Value, json};
 
-use crate::api::{Asked, Read, What, Write, asked};
-use crate::state::{Check, Command, Lock, State};
+use crate::api::{ReadRequest, Request, Resource, WriteRequest, parse_request};
+use crate::state::{Check, Command, LockChange, State};
 
 const WAKER: u64 = 0;
 const LISTENERS: u64 = 1 << 32;
@@ -28,88 +28,88 @@
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     /// Writes suffer them too; without it only reads do.
-    pub writes: bool,
+    pub affects_writes: bool,
     /// Answers come so much later, µs.
-    pub late: u64,
+    pub delay_us: u64,
     /// This share of requests gets this status.
-    pub storm: Option<(u16, f64)>,
+    pub error_status: Option<(u16, f64)>,
     /// This share of answers is cut in the middle of the body.
-    pub cut: f64,
+    pub truncated_share: f64,
     /// Lists are empty.
-    pub empty: bool,
+    pub empty_lists: bool,
     /// Only this share of each list is told, if above 0.
-    pub partial: f64,
+    pub partial_share: f64,
     /// Lists are of another datacentre.
     pub other_datacentre: bool,
     /// Indexes are told so much lower.
-    pub index_back: u64,
+    pub index_offset: u64,
     /// No further command is taken in.
     pub frozen: bool,
 }
 
 /// Told of an answer: who asked, its index, whether it was read consistently, its body.
-pub type Watch = Arc<dyn Fn(&str, u64, bool, &[u8]) + Send + Sync>;
+pub type AnswerObserver = Arc<dyn Fn(&str, u64, bool, &[u8]) + Send + Sync>;
 
 /// What becomes of a key's lock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LockNews<'a> {
+pub enum LockEvent<'a> {
     /// A session of this name has locked the key.
     Locked(&'a str, &'a str),
     /// The key is free, and can be locked again after so long, µs.
-    Free(&'a str, u64),
+    Released(&'a str, u64),
 }
 
 /// Told of locks as the leader takes them in.
-pub type Locks = Arc<dyn Fn(LockNews<'_>) + Send + Sync>;
+pub type LockObserver = Arc<dyn Fn(LockEvent<'_>) + Send + Sync>;
 
 /// How to run the servers.
 #[derive(Clone)]
-pub struct Settings {
+pub struct EmulatorSettings {
     /// Where they listen; port 0 for free ones.
     pub listen: Vec<SocketAddr>,
     /// The datacentre.
     pub datacentre: String,
     /// How far followers lag, µs.
-    pub lag: u64,
+    pub lag_us: u64,
     /// Tokens that may read, and whether they may write; without any, everybody may.
     pub tokens: Vec<(String, bool)>,
     /// Seed of all that is drawn.
     pub seed: u64,
     /// Told of each whole answer to a read of a service's health as it is written: User-Agent, index, whether it was read consistently, body.
-    pub watch: Option<Watch>,
+    pub answer_observer: Option<AnswerObserver>,
     /// Told of what becomes of keys' locks.
-    pub locks: Option<Locks>,
+    pub lock_observer: Option<LockObserver>,
 }
 
-impl Settings {
+impl EmulatorSettings {
     /// So many servers on free ports.
-    pub fn new(servers: usize) -> Settings {
+    pub fn new(servers: usize) -> EmulatorSettings {
         let listen = vec![SocketAddr::from(([127, 0, 0, 1], 0)); servers.max(1)];
-        Settings {
+        EmulatorSettings {
             listen,
             datacentre: "dc1".to_owned(),
-            lag: 20_000,
+            lag_us: 20_000,
             tokens: Vec::new(),
             seed: 1,
-            watch: None,
-            locks: None,
+            answer_observer: None,
+            lock_observer: None,
         }
     }
 }
 
-enum Control {
-    Faults(Option<usize>, Faults),
+enum ControlMessage {
+    SetFaults(Option<usize>, Faults),
     /// No leader for so long, µs; then the next server leads.
     LoseLeader(u64),
     Command(Command),
-    End,
+    Shutdown,
 }
 
 /// The running servers.
 pub struct Servers {
     /// Where they listen.
     pub addresses: Vec<SocketAddr>,
-    controls: Arc<Mutex<VecDeque<Control>>>,
+    controls: Arc<Mutex<VecDeque<ControlMessage>>>,
     waker: OwnedFd,
     thread: Option<JoinHandle<io::Result<()>>>,
     counts: Arc<[AtomicU64; 2]>,
@@ -121,15 +121,15 @@
 
 impl Servers {
     /// Starts them.
-    pub fn start(settings: Settings) -> io::Result<Servers> {
+    pub fn start(settings: EmulatorSettings) -> io::Result<Servers> {
         let poller = Poller::new()?;
         let waker = Poller::waker()?;
-        poller.add(&waker, WAKER, false)?;
+        poller.register(&waker, WAKER, false)?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
         for (n, at) in settings.listen.iter().enumerate() {
             let listener = TcpListener::bind(at)?;
             listener.set_nonblocking(true)?;
-            poller.add(&listener, LISTENERS + n as u64, false)?;
+            poller.register(&listener, LISTENERS + n as u64, false)?;
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
@@ -172,7 +172,7 @@
                 service: None,
                 checks: Vec::new(),
             });
-            run.commit(Command::Member {
+            run.commit(Command::SetMember {
                 name,
                 address: ip,
                 status: 1,
@@ -190,29 +190,29 @@
         })
     }
 
-    fn control(&self, control: Control) {
+    fn control(&self, control: ControlMessage) {
         lock(&self.controls).push_back(control);
         let _ = rustix::io::write(&self.waker, &1u64.to_ne_bytes());
     }
 
     /// Sets the faults of one server, or of all.
-    pub fn faults(&self, server: Option<usize>, faults: Faults) {
-        self.control(Control::Faults(server, faults));
+    pub fn set_faults(&self, server: Option<usize>, faults: Faults) {
+        self.control(ControlMessage::SetFaults(server, faults));
     }
 
     /// No leader for so long, µs; then the next server leads.
     pub fn lose_leader(&self, span: u64) {
-        self.control(Control::LoseLeader(span));
+        self.control(ControlMessage::LoseLeader(span));
     }
 
     /// An agent's status in the gossip pool: 1 alive, 2 leaving, 3 left, 4 failed.
-    pub fn member(&self, name: &str, status: i64) {
-        let command = Command::Member {
+    pub fn set_member_status(&self, name: &str, status: i64) {
+        let command = Command::SetMember {
             name: name.to_owned(),
             address: "127.0.0.1".to_owned(),
             status,
         };
-        self.control(Control::Command(command));
+        self.control(ControlMessage::Command(command));
     }
 
     /// Requests served and bytes sent so far.
@@ -234,7 +234,7 @@
 
 impl Drop for Servers {
     fn drop(&mut self) {
-        self.control(Control::End);
+        self.control(ControlMessage::Shutdown);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -253,9 +253,9 @@
 }
 
 struct Link {
-    conn: Conn,
+    conn: TcpConnection,
     server: usize,
-    reader: Reader,
+    reader: MessageReader,
     closing: bool,
 }
 
@@ -272,7 +272,7 @@
 struct Parked {
     token: u64,
     server: usize,
-    read: Read,
+    read: ReadRequest,
     until: u64,
     who: String,
 }
@@ -281,7 +281,7 @@
     poller: Poller,
     listeners: Vec<TcpListener>,
     clock: Clock,
-    settings: Settings,
+    settings: EmulatorSettings,
     servers: Vec<Server>,
     rng: Pcg64Mcg,
     conns: HashMap<u64, Link>,
@@ -296,7 +296,7 @@
     /// When sessions and TTL checks were last renewed.
     renewed: HashMap<String, u64>,
     requests: u64,
-    controls: Arc<Mutex<VecDeque<Control>>>,
+    controls: Arc<Mutex<VecDeque<ControlMessage>>>,
     waker: OwnedFd,
     counts: Arc<[AtomicU64; 2]>,
     ended: bool,
@@ -307,7 +307,11 @@
         let mut ready: Vec<Readiness> = Vec::new();
         while !self.ended {
             let now = self.clock.now();
-            let next = self.delayed.next().unwrap_or(u64::MAX).min(now + 10_000);
+            let next = self
+                .delayed
+                .next_due_at()
+                .unwrap_or(u64::MAX)
+                .min(now + 10_000);
             ready.clear();
             self.poller.wait(
                 Some(Duration::from_micros(next.saturating_sub(now))),
@@ -330,21 +334,21 @@
         let controls = std::mem::take(&mut *lock(&self.controls));
         for control in controls {
             match control {
-                Control::Faults(server, faults) => {
+                ControlMessage::SetFaults(server, faults) => {
                     for (n, s) in self.servers.iter_mut().enumerate() {
                         if server.is_none_or(|one| one == n) {
                             s.faults = faults.clone();
                         }
                     }
                 }
-                Control::LoseLeader(span) => {
+                ControlMessage::LoseLeader(span) => {
                     self.leader_back = self.clock.now() + span;
                     let next = self.leader.map_or(0, |l| (l + 1) % self.servers.len());
                     self.leader = None;
                     self.next_leader = next;
                 }
-                Control::Command(command) => self.commit(command),
-                Control::End => self.ended = true,
+                ControlMessage::Command(command) => self.commit(command),
+                ControlMessage::Shutdown => self.ended = true,
             }
         }
     }
@@ -357,7 +361,7 @@
     fn commit(&mut self, command: Command) {
         let now = self.clock.now();
         let leader = self.leader.unwrap_or(0);
-        if let Some(locks) = &self.settings.locks {
+        if let Some(locks) = &self.settings.lock_observer {
             self.servers[leader].state.lock_news(&command, &**locks);
         }
         self.log.push_back((now, command));
@@ -385,7 +389,7 @@
         }
         for server in 0..self.servers.len() {
             if Some(server) != self.leader && !self.servers[server].faults.frozen {
-                self.catch_up(server, now.saturating_sub(self.settings.lag));
+                self.catch_up(server, now.saturating_sub(self.settings.lag_us));
             }
         }
         let all = self.servers.iter().map(|s| s.applied).min().unwrap_or(0);
@@ -394,7 +398,7 @@
             self.log_start += 1;
         }
         self.expire(now);
-        while let Some(answer) = self.delayed.due(now) {
+        while let Some(answer) = self.delayed.pop_due(now) {
             self.write(answer);
         }
         let mut still = Vec::new();
@@ -424,7 +428,7 @@
                 .unwrap_or(0);
             if at + ttl <= now && status != "critical" {
                 let (node, check, output) = (node.clone(), check.clone(), "TTL expired".to_owned());
-                commands.push(Command::Status {
+                commands.push(Command::SetCheckStatus {
                     node,
                     check,
                     status: "critical".to_owned(),
@@ -435,7 +439,7 @@
         for (session, _) in state.sessions.values() {
             let at = self.renewed.get(&session.id).copied().unwrap_or(now);
             if session.ttl > 0 && at + session.ttl <= now {
-                commands.push(Command::End {
+                commands.push(Command::EndSession {
                     session: session.id.clone(),
                     at: now,
                 });
@@ -451,11 +455,11 @@
             && let Ok((stream, _)) = listener.accept()
         {
             self.next += 1;
-            if let Ok(conn) = Conn::accepted(stream, self.next, &self.poller) {
-                let reader = Reader::new(
+            if let Ok(conn) = TcpConnection::from_accepted(stream, self.next, &self.poller) {
+                let reader = MessageReader::new(
                     Role::Requests,
                     Limits {
-                        body: 1 << 20,
+                        max_body_bytes: 1 << 20,
                         ..Limits::default()
                     },
                 );
@@ -481,30 +485,32 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        if link.conn.flush(&self.poller).is_err() || (link.closing && link.conn.unwritten() == 0) {
+        if link.conn.flush(&self.poller).is_err()
+            || (link.closing && link.conn.unwritten_bytes() == 0)
+        {
             self.drop_link(token);
             return;
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let outcome = link.conn.fill(256 << 10, 2 << 20);
+        let outcome = link.conn.read_available(256 << 10, 2 << 20);
         while let Some(link) = self.conns.get_mut(&token) {
             match link.reader.read(link.conn.unread()) {
-                Ok((Found::Message(message), used)) => {
-                    link.conn.take(used);
+                Ok((ReadResult::Message(message), used)) => {
+                    link.conn.consume(used);
                     let server = link.server;
                     self.request(token, server, &message);
                 }
-                Ok((Found::Continue, used)) => {
-                    link.conn.take(used);
+                Ok((ReadResult::ExpectsContinue, used)) => {
+                    link.conn.consume(used);
                     link.conn
-                        .out()
+                        .write_buffer()
                         .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
                     let _ = link.conn.flush(&self.poller);
                 }
-                Ok((Found::More, used)) => {
-                    link.conn.take(used);
+                Ok((ReadResult::NeedMore, used)) => {
+                    link.conn.consume(used);
                     break;
                 }
                 Err(_) => {
@@ -513,7 +519,7 @@
                 }
             }
         }
-        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.drop_link(token);
         }
     }
@@ -521,9 +527,10 @@
     fn request(&mut self, token: u64, server: usize, message: &Message) {
         self.requests += 1;
         self.counts[0].fetch_add(1, Ordering::Relaxed);
-        let what = asked(message, &node_name(server), self.requests);
-        let suffers = self.servers[server].faults.writes || matches!(what, Asked::Read(_));
-        if let Some((status, share)) = self.servers[server].faults.storm
+        let what = parse_request(message, &node_name(server), self.requests);
+        let suffers =
+            self.servers[server].faults.affects_writes || matches!(what, Request::Read(_));
+        if let Some((status, share)) = self.servers[server].faults.error_status
             && suffers
             && self.rand() < share
         {
@@ -536,7 +543,7 @@
             return;
         }
         if !self.settings.tokens.is_empty() {
-            let given = message.head.field("x-consul-token").unwrap_or("");
+            let given = message.head.parse_field("x-consul-token").unwrap_or("");
             let may = self
                 .settings
                 .tokens
@@ -544,7 +551,7 @@
                 .find(|(t, _)| t == given)
                 .map(|(_, write)| *write);
             let fine = match &what {
-                Asked::Write(_) => may == Some(true),
+                Request::Write(_) => may == Some(true),
                 _ => may.is_some(),
             };
             if !fine {
@@ -558,7 +565,7 @@
             }
         }
         match what {
-            Asked::Answer(status, body) => {
+            Request::Answer(status, body) => {
                 let text = body
                     .as_str()
                     .map_or_else(|| body.to_string(), str::to_owned);
@@ -569,15 +576,19 @@
                 };
                 self.answer(token, server, status, text.as_bytes(), None);
             }
-            Asked::Read(read) => {
-                let who = message.head.field("user-agent").unwrap_or("").to_owned();
+            Request::Read(read) => {
+                let who = message
+                    .head
+                    .parse_field("user-agent")
+                    .unwrap_or("")
+                    .to_owned();
                 let state = self.state_for(server, &read);
                 let blocks = read.index > 0
                     && state.is_some_and(|s| read.index_in(&self.servers[s].state) <= read.index);
                 if blocks {
                     // Up to a sixteenth of the wait is added, so that not all come back at once.
-                    let jitter = (self.rand() * (read.wait / 16) as f64) as u64;
-                    let until = self.clock.now() + read.wait + jitter;
+                    let jitter = (self.rand() * (read.wait_us / 16) as f64) as u64;
+                    let until = self.clock.now() + read.wait_us + jitter;
                     self.parked.push(Parked {
                         token,
                         server,
@@ -589,7 +600,7 @@
                     self.answer_read(token, server, &read, &who);
                 }
             }
-            Asked::Write(write) => {
+            Request::Write(write) => {
                 if self.leader.is_none() {
                     self.answer(token, server, 500, b"No cluster leader", None);
                     return;
@@ -601,15 +612,15 @@
     }
 
     /// The server whose state answers a read; none without a leader where one is needed.
-    fn state_for(&self, server: usize, read: &Read) -> Option<usize> {
-        if read.stale || matches!(read.what, What::Members) {
+    fn state_for(&self, server: usize, read: &ReadRequest) -> Option<usize> {
+        if read.stale || matches!(read.resource, Resource::Members) {
             Some(server)
         } else {
             self.leader
         }
     }
 
-    fn answer_read(&mut self, token: u64, server: usize, read: &Read, who: &str) {
+    fn answer_read(&mut self, token: u64, server: usize, read: &ReadRequest, who: &str) {
         let Some(from) = self.state_for(server, read) else {
             self.answer(token, server, 500, b"No cluster leader", None);
             return;
@@ -621,21 +632,21 @@
             &self.settings.datacentre
         };
         let state = &self.servers[from].state;
-        let index = read.index_in(state).saturating_sub(faults.index_back);
+        let index = read.index_in(state).saturating_sub(faults.index_offset);
         let (status, mut body) = read.answer(state, dc);
-        if faults.empty && !read.consistent {
+        if faults.empty_lists && !read.consistent {
             body = b"[]".to_vec();
         }
-        if faults.partial > 0.0
+        if faults.partial_share > 0.0
             && !read.consistent
             && let Ok(Value::Array(mut all)) = serde_json::from_slice(&body)
         {
-            all.truncate((all.len() as f64 * faults.partial) as usize);
+            all.truncate((all.len() as f64 * faults.partial_share) as usize);
             body = Value::Array(all).to_string().into_bytes();
         }
-        let watched = matches!(read.what, What::HealthService(..))
+        let watched = matches!(read.resource, Resource::HealthService(..))
             && read.filter.is_empty()
-            && self.settings.watch.is_some();
+            && self.settings.answer_observer.is_some();
         let watched = watched.then(|| (who.to_owned(), index, read.consistent, body.clone()));
         self.answer_with(token, server, status, &body, Some(index), watched);
     }
@@ -661,7 +672,7 @@
         let contact = if Some(server) == self.leader {
             0
         } else {
-            self.settings.lag / 1000
+            self.settings.lag_us / 1000
         };
         let (index, contact) = (index.map(|i| i.to_string()), contact.to_string());
         let mut fields = vec![
@@ -684,9 +695,9 @@
             http::write_response(&mut bytes, status, kind, &fields, body);
         }
         let faults = &self.servers[server].faults;
-        let suffers = faults.writes || index.is_some();
+        let suffers = faults.affects_writes || index.is_some();
         let (late, cut) = if suffers {
-            (faults.late, faults.cut)
+            (faults.delay_us, faults.truncated_share)
         } else {
             (0, 0.0)
         };
@@ -701,7 +712,7 @@
             watched,
         };
         if late > 0 {
-            self.delayed.set(self.clock.now() + late, answer);
+            self.delayed.schedule(self.clock.now() + late, answer);
         } else {
             self.write(answer);
         }
@@ -713,15 +724,15 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        link.conn.out().extend_from_slice(&answer.bytes);
+        link.conn.write_buffer().extend_from_slice(&answer.bytes);
         link.closing |= answer.cut;
         if let (Some((who, index, consistent, body)), Some(watch), false) =
-            (&answer.watched, &self.settings.watch, answer.cut)
+            (&answer.watched, &self.settings.answer_observer, answer.cut)
         {
             watch(who, *index, *consistent, body);
         }
         let broken = link.conn.flush(&self.poller).is_err();
-        if broken || (link.closing && link.conn.unwritten() == 0) {
+        if broken || (link.closing && link.conn.unwritten_bytes() == 0) {
             self.drop_link(token);
         }
     }
@@ -730,7 +741,7 @@
         &self.servers[self.leader.unwrap_or(0)].state
     }
 
-    fn write_asked(&mut self, write: Write, node: &str) -> (u16, Vec<u8>) {
+    fn write_asked(&mut self, write: WriteRequest, node: &str) -> (u16, Vec<u8>) {
         let now = self.clock.now();
         let json = |value: Value| {
             if value.is_null() {
@@ -740,7 +751,7 @@
             }
         };
         match write {
-            Write::Commands(commands, answer) => {
+            WriteRequest::Commands(commands, answer) => {
                 for command in commands {
                     if let Command::Register { node, checks, .. } = &command {
                         for check in checks {
@@ -751,7 +762,7 @@
                 }
                 json(answer)
             }
-            Write::Put {
+            WriteRequest::Put {
                 key,
                 value,
                 flags,
@@ -760,20 +771,22 @@
             } => {
                 let state = self.leader_state();
                 let session_gone = match &lock {
-                    Lock::Acquire(s) | Lock::Release(s) => !state.sessions.contains_key(s),
-                    Lock::Leave => false,
+                    LockChange::Acquire(s) | LockChange::Release(s) => {
+                        !state.sessions.contains_key(s)
+                    }
+                    LockChange::Unchanged => false,
                 };
                 if session_gone {
                     return (500, b"invalid session".to_vec());
                 }
                 let fine = cas.is_none_or(|cas| state.modified(&key) == cas)
                     && match &lock {
-                        Lock::Leave => true,
-                        Lock::Acquire(session) => state.may_lock(&key, session, now),
-                        Lock::Release(session) => state.holds(&key, session),
+                        LockChange::Unchanged => true,
+                        LockChange::Acquire(session) => state.may_lock(&key, session, now),
+                        LockChange::Release(session) => state.holds_lock(&key, session),
                     };
                 if fine {
-                    self.commit(Command::Put {
+                    self.commit(Command::PutKey {
                         key,
                         value,
                         flags,
@@ -782,32 +795,32 @@
                 }
                 json(json!(fine))
             }
-            Write::CreateSession(session) => {
+            WriteRequest::CreateSession(session) => {
                 let id = session.id.clone();
                 self.renewed.insert(id.clone(), now);
                 self.commit(Command::Begin(session));
                 json(json!({"ID": id}))
             }
-            Write::Renew(id) => match self.leader_state().session(&id) {
+            WriteRequest::Renew(id) => match self.leader_state().session(&id) {
                 Some(session) => {
                     self.renewed.insert(id, now);
                     json(json!([session]))
                 }
                 None => (404, format!("Session id '{id}' not found").into_bytes()),
             },
-            Write::DestroySession(id) => {
-                self.commit(Command::End {
+            WriteRequest::DestroySession(id) => {
+                self.commit(Command::EndSession {
                     session: id,
                     at: now,
                 });
                 json(json!(true))
             }
-            Write::Check(check, status, output) => {
+            WriteRequest::UpdateCheck(check, status, output) => {
                 if !self.leader_state().has_check(node, &check) {
                     return (404, format!("Unknown check ID \"{check}\"").into_bytes());
                 }
                 self.renewed.insert(format!("{node}/{check}"), now);
-                self.commit(Command::Status {
+                self.commit(Command::SetCheckStatus {
                     node: node.to_owned(),
                     check,
                     status,
@@ -815,7 +828,7 @@
                 });
                 (200, Vec::new())
             }
-            Write::Service { id, maintenance } => {
+            WriteRequest::UpdateService { id, maintenance } => {
                 let Some(name) = self
                     .leader_state()
                     .service_name(node, &id)
@@ -839,7 +852,7 @@
                 }
                 (200, Vec::new())
             }
-            Write::NodeMaintenance(on, why) => {
+            WriteRequest::NodeMaintenance(on, why) => {
                 let check = "_node_maintenance".to_owned();
                 if on {
                     self.set_aside(node, check, String::new(), String::new(), why);
--- a/crates/consul-standin/src/state.rs
+++ b/crates/consul-standin/src/state.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{Map, Value, json};
 
-use crate::server::LockNews;
+use crate::server::LockEvent;
 
 /// A change.
 #[derive(Clone, Debug)]
@@ -23,7 +23,7 @@
         service: Option<String>,
     },
     /// A check's status.
-    Status {
+    SetCheckStatus {
         node: String,
         check: String,
         status: String,
@@ -34,18 +34,18 @@
     /// A session begins.
     Begin(Session),
     /// A session ends, and lets go of its locks.
-    End { session: String, at: u64 },
+    EndSession { session: String, at: u64 },
     /// A key's value; with what becomes of its lock.
-    Put {
+    PutKey {
         key: String,
         value: String,
         flags: u64,
-        lock: Lock,
+        lock: LockChange,
     },
     /// A key is gone, or all under a prefix.
     Delete { key: String, recurse: bool },
     /// An agent's status in the gossip pool.
-    Member {
+    SetMember {
         name: String,
         address: String,
         status: i64,
@@ -54,9 +54,9 @@
 
 /// What a put does with a key's lock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Lock {
+pub enum LockChange {
     /// Nothing.
-    Leave,
+    Unchanged,
     /// The session takes it.
     Acquire(String),
     /// The session lets go of it.
@@ -138,7 +138,7 @@
     pub index: u64,
     nodes: BTreeMap<String, Node>,
     instances: BTreeMap<(String, String), Instance>,
-    probes: BTreeMap<(String, String), Probe>,
+    checks_by_id: BTreeMap<(String, String), Probe>,
     pub sessions: BTreeMap<String, (Session, u64)>,
     keys: BTreeMap<String, Key>,
     /// Until when nobody may lock a key, µs.
@@ -195,8 +195,8 @@
                 }
                 for check in checks {
                     let key = (node.clone(), check.id.clone());
-                    let created = self.probes.get(&key).map_or(index, |p| p.created);
-                    self.probes.insert(
+                    let created = self.checks_by_id.get(&key).map_or(index, |p| p.created);
+                    self.checks_by_id.insert(
                         key,
                         Probe {
                             check: check.clone(),
@@ -214,7 +214,7 @@
                 if let Some(gone) = self.instances.remove(&(node.clone(), id.clone())) {
                     self.touch(&gone.service.name);
                 }
-                self.probes
+                self.checks_by_id
                     .retain(|(n, _), p| n != node || p.check.service_id != *id);
                 self.checks_index = index;
             }
@@ -225,17 +225,17 @@
                 self.touch_node(node);
                 self.nodes.remove(node);
                 self.instances.retain(|(n, _), _| n != node);
-                self.probes.retain(|(n, _), _| n != node);
+                self.checks_by_id.retain(|(n, _), _| n != node);
                 (self.nodes_index, self.checks_index) = (index, index);
             }
-            Command::Status {
+            Command::SetCheckStatus {
                 node,
                 check,
                 status,
                 output,
             } => {
                 let mut service = None;
-                if let Some(probe) = self.probes.get_mut(&(node.clone(), check.clone()))
+                if let Some(probe) = self.checks_by_id.get_mut(&(node.clone(), check.clone()))
                     && (probe.check.status != *status || probe.check.output != *output)
                 {
                     (probe.check.status, probe.check.output) = (status.clone(), output.clone());
@@ -247,7 +247,7 @@
                 }
             }
             Command::DropCheck { node, check } => {
-                if let Some(gone) = self.probes.remove(&(node.clone(), check.clone())) {
+                if let Some(gone) = self.checks_by_id.remove(&(node.clone(), check.clone())) {
                     self.touch_check(node, &gone.check.service_name);
                 }
             }
@@ -256,7 +256,7 @@
                     .insert(session.id.clone(), (session.clone(), index));
                 self.sessions_index = index;
             }
-            Command::End { session, at } => {
+            Command::EndSession { session, at } => {
                 let Some((gone, _)) = self.sessions.remove(session) else {
                     return;
                 };
@@ -275,7 +275,7 @@
                 }
                 dropped.iter().for_each(|name| drop(self.keys.remove(name)));
             }
-            Command::Put {
+            Command::PutKey {
                 key,
                 value,
                 flags,
@@ -291,12 +291,12 @@
                 });
                 (entry.value, entry.flags, entry.modified) = (value.clone(), *flags, index);
                 match lock {
-                    Lock::Leave => {}
-                    Lock::Acquire(session) => {
+                    LockChange::Unchanged => {}
+                    LockChange::Acquire(session) => {
                         entry.locks += u64::from(entry.session.as_ref() != Some(session));
                         entry.session = Some(session.clone());
                     }
-                    Lock::Release(_) => entry.session = None,
+                    LockChange::Release(_) => entry.session = None,
                 }
                 self.keys_index = index;
             }
@@ -310,7 +310,7 @@
                 });
                 self.keys_index = index;
             }
-            Command::Member {
+            Command::SetMember {
                 name,
                 address,
                 status,
@@ -322,26 +322,26 @@
     }
 
     /// Tells what a command that is about to be applied does to locks.
-    pub fn lock_news(&self, command: &Command, tell: &dyn Fn(LockNews<'_>)) {
+    pub fn lock_news(&self, command: &Command, tell: &dyn Fn(LockEvent<'_>)) {
         match command {
-            Command::Put {
+            Command::PutKey {
                 key,
-                lock: Lock::Acquire(session),
+                lock: LockChange::Acquire(session),
                 ..
-            } if !self.holds(key, session) => {
+            } if !self.holds_lock(key, session) => {
                 if let Some((session, _)) = self.sessions.get(session) {
-                    tell(LockNews::Locked(key, &session.name));
+                    tell(LockEvent::Locked(key, &session.name));
                 }
             }
-            Command::Put {
+            Command::PutKey {
                 key,
-                lock: Lock::Release(_),
+                lock: LockChange::Release(_),
                 ..
-            } => tell(LockNews::Free(key, 0)),
-            Command::End { session, .. } => {
+            } => tell(LockEvent::Released(key, 0)),
+            Command::EndSession { session, .. } => {
                 let delay = self.sessions.get(session).map_or(0, |(s, _)| s.lock_delay);
-                for key in self.keys.keys().filter(|key| self.holds(key, session)) {
-                    tell(LockNews::Free(key, delay));
+                for key in self.keys.keys().filter(|key| self.holds_lock(key, session)) {
+                    tell(LockEvent::Released(key, delay));
                 }
             }
             _ => {}
@@ -381,7 +381,7 @@
     }
 
     /// Whether a session holds a key.
-    pub fn holds(&self, key: &str, session: &str) -> bool {
+    pub fn holds_lock(&self, key: &str, session: &str) -> bool {
         self.keys
             .get(key)
             .is_some_and(|k| k.session.as_deref() == Some(session))
@@ -394,14 +394,14 @@
 
     /// Checks with a TTL.
     pub fn ttl_checks(&self) -> impl Iterator<Item = (&(String, String), u64, &str)> {
-        self.probes
+        self.checks_by_id
             .iter()
             .filter_map(|(key, p)| Some((key, p.check.ttl?, p.check.status.as_str())))
     }
 
     /// Whether a check exists.
     pub fn has_check(&self, node: &str, check: &str) -> bool {
-        self.probes
+        self.checks_by_id
             .contains_key(&(node.to_owned(), check.to_owned()))
     }
 
@@ -460,7 +460,7 @@
     pub fn health_service(&self, service: &str, dc: &str, passing: bool) -> Vec<Value> {
         let of = |(node, id): &(String, String), instance: &Instance| {
             let s = &instance.service;
-            let checks = self.probes.range((node.clone(), String::new())..);
+            let checks = self.checks_by_id.range((node.clone(), String::new())..);
             let checks = checks.take_while(|((n, _), _)| n == node);
             let checks: Vec<Value> = checks
                 .filter(|(_, p)| p.check.service_id.is_empty() || p.check.service_id == *id)
@@ -520,7 +520,7 @@
             node.is_none_or(|node| node == n)
                 && state.is_none_or(|s| s == "any" || s == p.check.status)
         };
-        self.probes
+        self.checks_by_id
             .iter()
             .filter(|(k, p)| wanted(k, p))
             .map(|(k, p)| Self::check_json(&k.0, p))
--- a/crates/consul-standin/tests/bodies.rs
+++ b/crates/consul-standin/tests/bodies.rs
@@ -5,8 +5,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use maplethread_consul_standin::{Servers, Settings};
-use maplethread_wire::http::{Found, Limits, Reader, Role};
+use maplethread_consul_standin::{EmulatorSettings, Servers};
+use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role};
 use serde_json::{Value, json};
 
 fn call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
@@ -25,12 +25,12 @@
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("a timeout");
-    let mut reader = Reader::new(Role::Responses, Limits::default());
+    let mut reader = MessageReader::new(Role::Responses, Limits::default());
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     loop {
         let (found, used) = reader.read(&bytes).expect("HTTP");
         bytes.drain(..used);
-        if let Found::Message(message) = found {
+        if let ReadResult::Message(message) = found {
             let text = String::from_utf8_lossy(&message.body).into_owned();
             let body = serde_json::from_str(&text).unwrap_or(Value::String(text));
             return (message.head.status(), body);
@@ -75,7 +75,7 @@
     });
     let mut read = Vec::new();
     for body in [service.clone(), lower(&service)] {
-        let servers = Servers::start(Settings::new(1)).expect("servers");
+        let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
         let at = servers.addresses[0];
         let (status, answer) = call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 200, "{answer}");
@@ -105,7 +105,7 @@
 
 #[test]
 fn registrations_sessions_and_checks_take_lower_case_and_all_spans() {
-    let servers = Servers::start(Settings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let at = servers.addresses[0];
     let node = json!({
         "node": "n1", "address": "127.0.0.2", "nodemeta": {"Rack": "1"},
@@ -180,7 +180,7 @@
 
 #[test]
 fn what_can_not_be_decoded_is_named() {
-    let servers = Servers::start(Settings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let at = servers.addresses[0];
     for (body, key) in [
         (json!({"Name": "web", "Port": "80"}), "Port"),
@@ -205,7 +205,7 @@
 
 #[test]
 fn answers_have_the_documented_fields() {
-    let servers = Servers::start(Settings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let at = servers.addresses[0];
     let service = json!({"Name": "web", "Port": 80, "Check": {"TTL": "10s", "Status": "passing"}});
     assert_eq!(
--- a/crates/consul-standin/tests/client_library.rs
+++ b/crates/consul-standin/tests/client_library.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use maplethread_consul_standin::{Servers, Settings};
+use maplethread_consul_standin::{EmulatorSettings, Servers};
 use rs_consul::types::{
     GetServiceNodesRequest, LockRequest, QueryOptions, ReadKeyRequest, RegisterEntityPayload,
     RegisterEntityService,
@@ -113,13 +113,13 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let servers = Servers::start(Settings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     runtime.block_on(drive(format!("http://{}", servers.addresses[0]), None));
     // With tokens: only those that may.
     let tokens = vec![("writer".to_owned(), true), ("reader".to_owned(), false)];
-    let servers = Servers::start(Settings {
+    let servers = Servers::start(EmulatorSettings {
         tokens,
-        ..Settings::new(1)
+        ..EmulatorSettings::new(1)
     })
     .expect("servers");
     let address = format!("http://{}", servers.addresses[0]);
--- a/crates/consul/src/catalogue.rs
+++ b/crates/consul/src/catalogue.rs
@@ -8,11 +8,11 @@
 use maplethread_config::{HostEntry, HostState};
 use serde::Deserialize;
 
-use crate::rows::{Reading, Rows};
+use crate::rows::{RowReader, Rows};
 
 /// The status of a check, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Status {
+pub enum CheckStatus {
     /// All is well.
     Passing,
     /// It works, but something is to be looked at.
@@ -23,19 +23,19 @@
     Maintenance,
 }
 
-impl Status {
+impl CheckStatus {
     /// What it means for placing.
-    pub fn state(self) -> HostState {
+    pub fn host_state(self) -> HostState {
         match self {
-            Status::Passing | Status::Warning => HostState::Ready,
-            Status::Critical | Status::Maintenance => HostState::Draining,
+            CheckStatus::Passing | CheckStatus::Warning => HostState::Ready,
+            CheckStatus::Critical | CheckStatus::Maintenance => HostState::Draining,
         }
     }
 }
 
 /// The status of an agent in the gossip pool (`/v1/agent/members`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Member {
+pub enum MemberStatus {
     /// It is there, or nothing is known.
     Alive,
     /// It is about to leave.
@@ -46,23 +46,25 @@
     Failed,
 }
 
-impl Member {
+impl MemberStatus {
     /// By Serf's number.
-    pub fn from_number(number: i64) -> Member {
+    pub fn from_number(number: i64) -> MemberStatus {
         match number {
-            2 => Member::Leaving,
-            3 => Member::Left,
-            4 => Member::Failed,
-            _ => Member::Alive,
+            2 => MemberStatus::Leaving,
+            3 => MemberStatus::Left,
+            4 => MemberStatus::Failed,
+            _ => MemberStatus::Alive,
         }
     }
 
     /// What it means for placing. It is only ever bad news: an agent that is alive says nothing of the host's process.
     /// The host of a failed or departed agent may still run what it runs, so it drains until it is deregistered.
-    pub fn state(self) -> HostState {
+    pub fn host_state(self) -> HostState {
         match self {
-            Member::Alive => HostState::Ready,
-            Member::Leaving | Member::Left | Member::Failed => HostState::Draining,
+            MemberStatus::Alive => HostState::Ready,
+            MemberStatus::Leaving | MemberStatus::Left | MemberStatus::Failed => {
+                HostState::Draining
+            }
         }
     }
 }
@@ -75,19 +77,19 @@
     /// The node that it runs on.
     pub node: String,
     /// The worst of its checks.
-    pub status: Status,
+    pub status: CheckStatus,
 }
 
 /// An entry that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("entry {number} ({name:?}): {why}")]
-pub struct BadEntry {
+#[error("entry {position} ({name:?}): {reason}")]
+pub struct InvalidEntry {
     /// Its place in the answer, counted from 0.
-    pub number: usize,
+    pub position: usize,
     /// Its service id, as far as it can be read.
     pub name: String,
     /// What is wrong.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Hosts by name. An entry that stands as it did in the last answer is the same one.
@@ -95,24 +97,24 @@
 
 /// What an answer holds.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct HostList {
     /// Hosts by name.
     pub entries: Entries,
     /// What could not be used.
-    pub bad: Vec<BadEntry>,
+    pub invalid_entries: Vec<InvalidEntry>,
     /// The datacentres that entries name.
     pub datacentres: BTreeSet<String>,
 }
 
 /// What hosts may be: the names that the placer's settings know.
 #[derive(Clone, Debug, Default)]
-pub struct Known {
+pub struct KnownNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds.
     pub kinds: Vec<String>,
     /// The most entries taken of one answer.
-    pub most: usize,
+    pub max_entries: usize,
 }
 
 #[derive(Deserialize)]
@@ -192,22 +194,22 @@
 /// The body of `/v1/health/service/:name` on its way in.
 #[derive(Debug)]
 pub struct Listing {
-    rows: Reading<Arc<Parsed>>,
-    listed: Listed,
+    rows: RowReader<Arc<Parsed>>,
+    listed: HostList,
 }
 
 impl Listing {
     /// Begins to read an answer; rows that stand as they did in the last one are not parsed again.
-    pub fn new(body: Vec<u8>, last: Answer, known: &Known) -> Listing {
+    pub fn new(body: Vec<u8>, last: Answer, known: &KnownNames) -> Listing {
         Listing {
-            rows: Reading::new(body, last, known.most),
-            listed: Listed::default(),
+            rows: RowReader::new(body, last, known.max_entries),
+            listed: HostList::default(),
         }
     }
 
     /// Reads on for as much work as is left, and tells whether that was all. An error means that the body as a whole
     /// is no list.
-    pub fn step(&mut self, work: &mut usize, known: &Known) -> Result<bool, String> {
+    pub fn step(&mut self, work: &mut usize, known: &KnownNames) -> Result<bool, String> {
         let listed = &mut self.listed;
         self.rows.step(
             work,
@@ -218,20 +220,20 @@
 
     /// What the answer holds, and its rows for the next one to be compared with. Of an answer that was no list, the
     /// rows are those of the one before.
-    pub fn finish(self) -> (Listed, Answer) {
+    pub fn finish(self) -> (HostList, Answer) {
         (self.listed, self.rows.into_rows())
     }
 }
 
 /// Reads the body of `/v1/health/service/:name` at once.
-pub fn read(body: &[u8], known: &Known) -> Result<Listed, String> {
+pub fn read_host_list(body: &[u8], known: &KnownNames) -> Result<HostList, String> {
     let mut listing = Listing::new(body.to_vec(), Answer::default(), known);
     let mut work = usize::MAX;
     while !listing.step(&mut work, known)? {}
     Ok(listing.finish().0)
 }
 
-impl Listed {
+impl HostList {
     fn add(&mut self, number: usize, row: &Parsed) {
         if !row.datacentre.is_empty()
             && self.datacentres.len() < 16
@@ -245,7 +247,7 @@
                     // Two say that they are this host. Neither can be told to be right, so it gets nothing new.
                     let why = format!("its id stands on {} already", other.node);
                     let other = Arc::make_mut(other);
-                    other.status = Status::Critical;
+                    other.status = CheckStatus::Critical;
                     other.host.state = HostState::Draining;
                     (&entry.host.name, why)
                 }
@@ -256,17 +258,17 @@
             },
             Err((name, why)) => (name, why.clone()),
         };
-        if self.bad.len() < MOST_BAD {
-            self.bad.push(BadEntry {
-                number,
+        if self.invalid_entries.len() < MOST_BAD {
+            self.invalid_entries.push(InvalidEntry {
+                position: number,
                 name: name.clone(),
-                why,
+                reason: why,
             });
         }
     }
 }
 
-fn parsed(raw: &str, known: &Known) -> Parsed {
+fn parsed(raw: &str, known: &KnownNames) -> Parsed {
     let mut datacentre = String::new();
     let entry = serde_json::from_str::<RawEntry>(raw)
         .map_err(|e| e.to_string())
@@ -288,21 +290,21 @@
 
 /// How a list differs from one before, host by host.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Differences {
+pub struct ListDifferences {
     /// Hosts that are gone, or changed and now get nothing new.
     pub worse: Vec<String>,
     /// Others that are new or changed.
     pub other: Vec<String>,
     /// How many are gone.
-    pub gone: usize,
+    pub removed_count: usize,
 }
 
-impl Differences {
+impl ListDifferences {
     /// Walks through both lists.
-    pub fn between(before: &Entries, after: &Entries) -> Differences {
+    pub fn between(before: &Entries, after: &Entries) -> ListDifferences {
         let same = |a: &Arc<Entry>, b: &Arc<Entry>| Arc::ptr_eq(a, b) || a == b;
         let (mut before, mut after) = (before.iter().peekable(), after.iter().peekable());
-        let mut found = Differences::default();
+        let mut found = ListDifferences::default();
         loop {
             let order = match (before.peek(), after.peek()) {
                 (Some(a), Some(b)) => a.0.cmp(b.0),
@@ -328,7 +330,7 @@
                 (_, Some((name, _))) => found.worse.push(name.clone()),
                 (Some((name, _)), None) => {
                     found.worse.push(name.clone());
-                    found.gone += 1;
+                    found.removed_count += 1;
                 }
                 (None, None) => {}
             }
@@ -336,12 +338,12 @@
     }
 
     /// Whether the lists say the same.
-    pub fn none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.worse.is_empty() && self.other.is_empty()
     }
 }
 
-fn host(raw: RawEntry, known: &Known) -> Result<Entry, String> {
+fn host(raw: RawEntry, known: &KnownNames) -> Result<Entry, String> {
     let named = |what: &str, text: &str| {
         let fine =
             !text.is_empty() && text.len() <= MOST_TEXT && !text.chars().any(char::is_control);
@@ -401,7 +403,7 @@
         zone,
         cell,
         kind,
-        state: status.state(),
+        state: status.host_state(),
         started_ms,
         unasked_cores: None,
         unasked_memory_gib: None,
@@ -415,18 +417,18 @@
 
 /// The worst of node-level and service-level checks, as Consul merges them. A status that is not known is taken for
 /// critical.
-fn worst(checks: &[RawCheck]) -> Status {
+fn worst(checks: &[RawCheck]) -> CheckStatus {
     let of = |check: &RawCheck| match check.status.as_str() {
-        "passing" => Status::Passing,
-        "warning" => Status::Warning,
+        "passing" => CheckStatus::Passing,
+        "warning" => CheckStatus::Warning,
         _ if check.check_id == "_node_maintenance"
             || check.check_id.starts_with("_service_maintenance:") =>
         {
-            Status::Maintenance
+            CheckStatus::Maintenance
         }
-        _ => Status::Critical,
+        _ => CheckStatus::Critical,
     };
-    checks.iter().map(of).max().unwrap_or(Status::Passing)
+    checks.iter().map(of).max().unwrap_or(CheckStatus::Passing)
 }
 
 #[derive(Deserialize)]
@@ -437,20 +439,20 @@
 }
 
 /// The rows of the last list of members: those that are not alive.
-pub type MemberRows = Rows<Option<Arc<(String, Member)>>>;
+pub type MemberRows = Rows<Option<Arc<(String, MemberStatus)>>>;
 
 /// The body of `/v1/agent/members` on its way in.
 #[derive(Debug)]
 pub struct Members {
-    rows: Reading<Option<Arc<(String, Member)>>>,
-    members: BTreeMap<String, Member>,
+    rows: RowReader<Option<Arc<(String, MemberStatus)>>>,
+    members: BTreeMap<String, MemberStatus>,
 }
 
 impl Members {
     /// Begins to read an answer of at most so many members.
     pub fn new(body: Vec<u8>, last: MemberRows, most: usize) -> Members {
         Members {
-            rows: Reading::new(body, last, most),
+            rows: RowReader::new(body, last, most),
             members: BTreeMap::new(),
         }
     }
@@ -459,8 +461,8 @@
     pub fn step(&mut self, work: &mut usize) -> Result<bool, String> {
         let parse = |raw: &str| {
             let member = serde_json::from_str::<RawMember>(raw).ok()?;
-            let state = Member::from_number(member.status);
-            (state != Member::Alive).then(|| Arc::new((member.name, state)))
+            let state = MemberStatus::from_number(member.status);
+            (state != MemberStatus::Alive).then(|| Arc::new((member.name, state)))
         };
         let members = &mut self.members;
         self.rows.step(work, parse, |_, row| {
@@ -471,7 +473,7 @@
     }
 
     /// Nodes that are not alive, and the rows for the next answer to be compared with.
-    pub fn finish(self) -> (BTreeMap<String, Member>, MemberRows) {
+    pub fn finish(self) -> (BTreeMap<String, MemberStatus>, MemberRows) {
         (self.members, self.rows.into_rows())
     }
 }
@@ -480,11 +482,11 @@
 mod tests {
     use super::*;
 
-    fn known() -> Known {
-        Known {
+    fn known() -> KnownNames {
+        KnownNames {
             zones: vec!["a".into()],
             kinds: vec!["std".into()],
-            most: 100,
+            max_entries: 100,
         }
     }
 
@@ -503,45 +505,48 @@
     #[test]
     fn statuses_mean_what_the_table_says() {
         let cases = [
-            (vec![], Status::Passing, HostState::Ready),
+            (vec![], CheckStatus::Passing, HostState::Ready),
             (
                 vec![("serfHealth", "passing"), ("service:x", "warning")],
-                Status::Warning,
+                CheckStatus::Warning,
                 HostState::Ready,
             ),
             (
                 vec![("serfHealth", "critical"), ("service:x", "passing")],
-                Status::Critical,
+                CheckStatus::Critical,
                 HostState::Draining,
             ),
             (
                 vec![("_node_maintenance", "critical")],
-                Status::Maintenance,
+                CheckStatus::Maintenance,
                 HostState::Draining,
             ),
             (
                 vec![("_service_maintenance:x", "critical"), ("a", "critical")],
-                Status::Maintenance,
+                CheckStatus::Maintenance,
                 HostState::Draining,
             ),
             (
                 vec![("a", "unheard-of")],
-                Status::Critical,
+                CheckStatus::Critical,
                 HostState::Draining,
             ),
         ];
         for (checks, status, state) in cases {
             let checks: Vec<String> = checks.iter().map(|(id, s)| check(id, s)).collect();
             let body = format!("[{}]", entry("h", &checks.join(",")));
-            let listed = read(body.as_bytes(), &known()).expect("a list");
+            let listed = read_host_list(body.as_bytes(), &known()).expect("a list");
             assert_eq!(
                 (listed.entries["h"].status, listed.entries["h"].host.state),
                 (status, state)
             );
         }
-        assert_eq!(Member::from_number(1).state(), HostState::Ready);
+        assert_eq!(MemberStatus::from_number(1).host_state(), HostState::Ready);
         for number in 2..=4 {
-            assert_eq!(Member::from_number(number).state(), HostState::Draining);
+            assert_eq!(
+                MemberStatus::from_number(number).host_state(),
+                HostState::Draining
+            );
         }
     }
 
@@ -570,11 +575,11 @@
         ];
         for bad in &bad {
             let body = format!("[{bad},{good}]");
-            match read(body.as_bytes(), &known()) {
+            match read_host_list(body.as_bytes(), &known()) {
                 Ok(listed) => {
                     assert_eq!(listed.entries.len(), 1, "{}", &bad[..bad.len().min(300)]);
-                    assert_eq!(listed.bad.len(), 1);
-                    assert!(listed.bad[0].to_string().len() < 600);
+                    assert_eq!(listed.invalid_entries.len(), 1);
+                    assert!(listed.invalid_entries[0].to_string().len() < 600);
                 }
                 // Nesting beyond what the parser bears spoils the list, which is then not taken at all.
                 Err(e) => assert!(e.contains("recursion"), "{e}"),
@@ -586,7 +591,7 @@
             entry("h", "").replace(r#""cell":"c""#, &format!(r#""cell":"c","note":"{long}""#))
         );
         assert_eq!(
-            read(body.as_bytes(), &known())
+            read_host_list(body.as_bytes(), &known())
                 .expect("a list")
                 .entries
                 .len(),
@@ -601,15 +606,18 @@
             entry("h", ""),
             entry("h", "").replace("node-h", "node-2")
         );
-        let listed = read(body.as_bytes(), &known()).expect("a list");
+        let listed = read_host_list(body.as_bytes(), &known()).expect("a list");
         assert_eq!(listed.entries["h"].host.state, HostState::Draining);
-        assert_eq!(listed.bad[0].why, "its id stands on node-h already");
+        assert_eq!(
+            listed.invalid_entries[0].reason,
+            "its id stands on node-h already"
+        );
     }
 
     #[test]
     fn lists_differ_where_entries_came_changed_or_went() {
         let list = |rows: &[String]| {
-            read(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list")
+            read_host_list(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list")
         };
         let old = list(&[
             entry("a", ""),
@@ -623,28 +631,28 @@
             entry("d", ""),
             entry("e", ""),
         ]);
-        let differences = Differences::between(&old.entries, &new.entries);
+        let differences = ListDifferences::between(&old.entries, &new.entries);
         assert_eq!(
             (&differences.worse[..], &differences.other[..]),
             (&["a", "c"].map(String::from)[..], &["e".into()][..])
         );
-        assert_eq!(differences.gone, 1);
-        let back = Differences::between(&new.entries, &old.entries);
+        assert_eq!(differences.removed_count, 1);
+        let back = ListDifferences::between(&new.entries, &old.entries);
         assert_eq!(
             (&back.worse[..], &back.other[..]),
             (&["e".into()][..], &["a", "c"].map(String::from)[..])
         );
-        assert!(Differences::between(&old.entries, &old.entries).none());
+        assert!(ListDifferences::between(&old.entries, &old.entries).is_empty());
     }
 
     #[test]
     fn bodies_that_are_no_list_are_refused() {
         for body in ["", "{}", "[", "\u{0}", "[1,]", "null"] {
-            assert!(read(body.as_bytes(), &known()).is_err(), "{body}");
+            assert!(read_host_list(body.as_bytes(), &known()).is_err(), "{body}");
         }
         let many = format!("[{}1]", "1,".repeat(100));
         assert!(
-            read(many.as_bytes(), &known())
+            read_host_list(many.as_bytes(), &known())
                 .expect_err("too many")
                 .contains("more than 100 entries")
         );
@@ -655,7 +663,10 @@
         let (members, _) = reading.finish();
         assert_eq!(
             members.into_iter().collect::<Vec<_>>(),
-            [("n2".into(), Member::Failed), ("n3".into(), Member::Left)]
+            [
+                ("n2".into(), MemberStatus::Failed),
+                ("n3".into(), MemberStatus::Left)
+            ]
         );
     }
 }
--- a/crates/consul/src/lease.rs
+++ b/crates/consul/src/lease.rs
@@ -45,22 +45,22 @@
 
 /// The lease of a slot.
 #[derive(Debug)]
-pub struct Lease {
+pub struct SlotLease {
     slots: u32,
     ttl: Micros,
     rng: Pcg64Mcg,
     session: Option<String>,
     /// The session surely lives until then.
-    until: Micros,
+    valid_until: Micros,
     slot: Option<u32>,
     /// Slots that were found held since they were last listed.
-    held: Option<BTreeSet<u32>>,
+    occupied_slots: Option<BTreeSet<u32>>,
     asking: Option<(Ask, Micros)>,
     /// Nothing is asked before.
-    not_before: Micros,
+    next_request_at: Micros,
     back_off: BackOff,
     /// All slots are held by others.
-    full: bool,
+    all_slots_taken: bool,
 }
 
 /// A lease ends so much early, as a share of the TTL: clocks may run at slightly different rates.
@@ -68,32 +68,32 @@
 /// With all slots held, the next look is after this.
 const LOOK_AGAIN: Micros = 1_000_000;
 
-impl Lease {
+impl SlotLease {
     /// A placer that wants one of so many slots, by sessions of this TTL.
-    pub fn new(slots: u32, ttl: Micros, seed: u64) -> Lease {
-        Lease {
+    pub fn new(slots: u32, ttl: Micros, seed: u64) -> SlotLease {
+        SlotLease {
             slots,
             ttl,
             rng: Pcg64Mcg::seed_from_u64(seed),
             session: None,
-            until: 0,
+            valid_until: 0,
             slot: None,
-            held: None,
+            occupied_slots: None,
             asking: None,
-            not_before: 0,
+            next_request_at: 0,
             back_off: BackOff::default(),
-            full: false,
+            all_slots_taken: false,
         }
     }
 
     /// The slot that is surely this placer's now.
     pub fn slot(&self, now: Micros) -> Option<u32> {
-        self.slot.filter(|_| now < self.until)
+        self.slot.filter(|_| now < self.valid_until)
     }
 
     /// Whether all slots are held by others.
-    pub fn full(&self) -> bool {
-        self.full
+    pub fn are_all_slots_taken(&self) -> bool {
+        self.all_slots_taken
     }
 
     /// The session, if there is one.
@@ -102,46 +102,47 @@
     }
 
     /// Until when the slot is held without a renewal.
-    pub fn until(&self) -> Option<Micros> {
-        self.slot.map(|_| self.until)
+    pub fn valid_until(&self) -> Option<Micros> {
+        self.slot.map(|_| self.valid_until)
     }
 
     /// When [`Lease::next`] has something to say at the latest.
-    pub fn due(&self, now: Micros) -> Option<Micros> {
+    pub fn next_due(&self, now: Micros) -> Option<Micros> {
         if self.asking.is_some() {
-            return self.until().filter(|&until| until > now);
+            return self.valid_until().filter(|&until| until > now);
         }
         let renew = self.renew_at();
         let step = match (&self.session, self.slot) {
             (Some(_), Some(_)) => renew,
-            (Some(_), None) => self.not_before,
-            (None, _) => self.not_before,
+            (Some(_), None) => self.next_request_at,
+            (None, _) => self.next_request_at,
         };
-        Some(step.max(self.not_before))
+        Some(step.max(self.next_request_at))
     }
 
     /// Renewed when a third of it is used up, so that two may fail.
     fn renew_at(&self) -> Micros {
         let whole = (self.ttl as f64 * (1.0 - MARGIN)) as Micros;
-        self.until.saturating_sub(whole - whole / 3)
+        self.valid_until.saturating_sub(whole - whole / 3)
     }
 
     /// What to ask now, if anything.
-    pub fn next(&mut self, now: Micros) -> Option<Ask> {
-        if self.asking.is_some() || now < self.not_before {
+    pub fn next_request(&mut self, now: Micros) -> Option<Ask> {
+        if self.asking.is_some() || now < self.next_request_at {
             return None;
         }
         let ask = match &self.session {
             None => Ask::Create,
             Some(session) if now >= self.renew_at() => Ask::Renew(session.clone()),
             Some(_) if self.slot.is_some() => return None,
-            Some(session) => match &self.held {
+            Some(session) => match &self.occupied_slots {
                 None => Ask::List,
                 Some(held) => {
                     let free: Vec<u32> = (0..self.slots).filter(|n| !held.contains(n)).collect();
                     if free.is_empty() {
-                        (self.full, self.held) = (true, None);
-                        self.not_before = now + LOOK_AGAIN / 2 + self.rng.next_u64() % LOOK_AGAIN;
+                        (self.all_slots_taken, self.occupied_slots) = (true, None);
+                        self.next_request_at =
+                            now + LOOK_AGAIN / 2 + self.rng.next_u64() % LOOK_AGAIN;
                         return None;
                     }
                     Ask::Acquire(
@@ -156,56 +157,71 @@
     }
 
     /// How the last ask went.
-    pub fn told(&mut self, now: Micros, told: Told) {
+    pub fn handle_response(&mut self, now: Micros, told: Told) {
         let Some((ask, sent)) = self.asking.take() else {
             return;
         };
         let lease = (self.ttl as f64 * (1.0 - MARGIN)) as Micros;
         match (ask, told) {
             (Ask::Create, Told::Created(session)) => {
-                (self.session, self.slot, self.held) = (Some(session), None, None);
-                self.until = sent + lease;
-                self.back_off.well();
+                (self.session, self.slot, self.occupied_slots) = (Some(session), None, None);
+                self.valid_until = sent + lease;
+                self.back_off.reset();
             }
             (Ask::Renew(_), Told::Renewed) => {
-                self.until = sent + lease;
-                self.back_off.well();
+                self.valid_until = sent + lease;
+                self.back_off.reset();
             }
             (Ask::Renew(_), Told::Gone) => {
                 // The slot is lost with it, whatever the own clock says.
-                (self.session, self.slot, self.held, self.until) = (None, None, None, 0);
+                (
+                    self.session,
+                    self.slot,
+                    self.occupied_slots,
+                    self.valid_until,
+                ) = (None, None, None, 0);
             }
             // Locked by an ask whose answer was lost: without this, one placer would keep two slots from others.
             (Ask::List, Told::Held(_, Some(own))) if own < self.slots => {
-                (self.slot, self.held, self.full) = (Some(own), None, false);
-                self.back_off.well();
+                (self.slot, self.occupied_slots, self.all_slots_taken) = (Some(own), None, false);
+                self.back_off.reset();
             }
             (Ask::List, Told::Held(held, _)) => {
-                (self.held, self.full) = (Some(held), false);
-                self.back_off.well();
+                (self.occupied_slots, self.all_slots_taken) = (Some(held), false);
+                self.back_off.reset();
             }
             (Ask::Acquire(slot, _), Told::Acquired(true)) => {
-                (self.slot, self.held, self.full) = (Some(slot), None, false);
-                self.back_off.well();
+                (self.slot, self.occupied_slots, self.all_slots_taken) = (Some(slot), None, false);
+                self.back_off.reset();
             }
             (Ask::Acquire(slot, _), Told::Acquired(false)) => {
                 // Somebody was quicker, or the lock delay is not over.
-                self.held.get_or_insert_default().insert(slot);
+                self.occupied_slots.get_or_insert_default().insert(slot);
             }
             (ask, _) => {
-                self.not_before = now + self.back_off.failed(&mut self.rng);
+                self.next_request_at = now + self.back_off.next_wait(&mut self.rng);
                 if matches!(ask, Ask::List | Ask::Acquire(..)) {
-                    self.held = None;
+                    self.occupied_slots = None;
                 }
                 // A session that can't be renewed any more is given up for a new one.
-                if self.session.is_some() && now >= self.until {
-                    (self.session, self.slot, self.held, self.until) = (None, None, None, 0);
+                if self.session.is_some() && now >= self.valid_until {
+                    (
+                        self.session,
+                        self.slot,
+                        self.occupied_slots,
+                        self.valid_until,
+                    ) = (None, None, None, 0);
                 }
             }
         }
         // What was asked for before a long stop tells of a session that may be gone by now.
-        if self.slot.is_some() && now >= self.until {
-            (self.session, self.slot, self.held, self.until) = (None, None, None, 0);
+        if self.slot.is_some() && now >= self.valid_until {
+            (
+                self.session,
+                self.slot,
+                self.occupied_slots,
+                self.valid_until,
+            ) = (None, None, None, 0);
         }
     }
 }
@@ -216,14 +232,14 @@
 
     const S: Micros = 1_000_000;
 
-    fn leased() -> (Lease, u32) {
-        let mut lease = Lease::new(4, 10 * S, 7);
-        assert_eq!(lease.next(0), Some(Ask::Create));
-        lease.told(0, Told::Created("s".into()));
-        assert_eq!(lease.next(0), Some(Ask::List));
-        lease.told(0, Told::Held([0, 1, 3].into(), None));
-        assert_eq!(lease.next(0), Some(Ask::Acquire(2, "s".into())));
-        lease.told(0, Told::Acquired(true));
+    fn leased() -> (SlotLease, u32) {
+        let mut lease = SlotLease::new(4, 10 * S, 7);
+        assert_eq!(lease.next_request(0), Some(Ask::Create));
+        lease.handle_response(0, Told::Created("s".into()));
+        assert_eq!(lease.next_request(0), Some(Ask::List));
+        lease.handle_response(0, Told::Held([0, 1, 3].into(), None));
+        assert_eq!(lease.next_request(0), Some(Ask::Acquire(2, "s".into())));
+        lease.handle_response(0, Told::Acquired(true));
         (lease, 2)
     }
 
@@ -232,11 +248,11 @@
         let (mut lease, slot) = leased();
         let mut now = 0;
         for _ in 0..50 {
-            assert_eq!(lease.next(now), None);
-            now = lease.due(now).expect("a renewal");
+            assert_eq!(lease.next_request(now), None);
+            now = lease.next_due(now).expect("a renewal");
             assert_eq!(lease.slot(now), Some(slot), "renewed too late");
-            assert!(matches!(lease.next(now), Some(Ask::Renew(_))));
-            lease.told(now + S / 100, Told::Renewed);
+            assert!(matches!(lease.next_request(now), Some(Ask::Renew(_))));
+            lease.handle_response(now + S / 100, Told::Renewed);
         }
         assert!(now >= 140 * S, "renewed too often: {now}");
     }
@@ -251,29 +267,33 @@
             "a tenth of the TTL before the servers can end the session"
         );
         // A renewal sent before the stop and answered after it counts from when it was sent.
-        assert!(lease.next(4 * S).is_some());
-        lease.told(60 * S, Told::Renewed);
+        assert!(lease.next_request(4 * S).is_some());
+        lease.handle_response(60 * S, Told::Renewed);
         assert_eq!(lease.slot(60 * S), None);
-        assert_eq!(lease.next(60 * S), Some(Ask::Create), "it begins anew");
+        assert_eq!(
+            lease.next_request(60 * S),
+            Some(Ask::Create),
+            "it begins anew"
+        );
     }
 
     #[test]
     fn a_lost_session_loses_the_slot_at_once() {
         let (mut lease, _) = leased();
-        lease.next(4 * S);
-        lease.told(4 * S, Told::Gone);
+        lease.next_request(4 * S);
+        lease.handle_response(4 * S, Told::Gone);
         assert_eq!(lease.slot(4 * S), None);
-        assert_eq!(lease.next(4 * S), Some(Ask::Create));
+        assert_eq!(lease.next_request(4 * S), Some(Ask::Create));
     }
 
     #[test]
     fn failures_back_off_and_the_slot_is_kept_as_long_as_it_surely_is() {
         let (mut lease, slot) = leased();
-        let mut now = lease.due(0).expect("a renewal");
+        let mut now = lease.next_due(0).expect("a renewal");
         let mut tries = 0;
         while lease.slot(now).is_some() {
-            if lease.next(now).is_some() {
-                lease.told(now, Told::Failed);
+            if lease.next_request(now).is_some() {
+                lease.handle_response(now, Told::Failed);
                 tries += 1;
             }
             now += S / 20;
@@ -285,8 +305,8 @@
         assert_eq!(slot, 2);
         // It gives up the session and begins anew.
         let until = now + 10 * S;
-        while lease.next(now) != Some(Ask::Create) {
-            lease.told(now, Told::Failed);
+        while lease.next_request(now) != Some(Ask::Create) {
+            lease.handle_response(now, Told::Failed);
             now += S / 20;
             assert!(now < until);
         }
@@ -294,38 +314,38 @@
 
     #[test]
     fn a_slot_whose_answer_was_lost_is_found_again() {
-        let mut lease = Lease::new(4, 10 * S, 7);
-        lease.next(0);
-        lease.told(0, Told::Created("s".into()));
-        lease.next(0);
-        lease.told(0, Told::Held([0, 1, 3].into(), None));
-        assert_eq!(lease.next(0), Some(Ask::Acquire(2, "s".into())));
-        lease.told(0, Told::Failed);
+        let mut lease = SlotLease::new(4, 10 * S, 7);
+        lease.next_request(0);
+        lease.handle_response(0, Told::Created("s".into()));
+        lease.next_request(0);
+        lease.handle_response(0, Told::Held([0, 1, 3].into(), None));
+        assert_eq!(lease.next_request(0), Some(Ask::Acquire(2, "s".into())));
+        lease.handle_response(0, Told::Failed);
         assert_eq!(lease.slot(0), None, "not known to be its own");
-        let again = lease.due(0).expect("another look");
-        assert_eq!(lease.next(again), Some(Ask::List));
-        lease.told(again, Told::Held([0, 1, 3].into(), Some(2)));
+        let again = lease.next_due(0).expect("another look");
+        assert_eq!(lease.next_request(again), Some(Ask::List));
+        lease.handle_response(again, Told::Held([0, 1, 3].into(), Some(2)));
         assert_eq!(lease.slot(again), Some(2));
-        assert_eq!(lease.next(again), None, "one is enough");
+        assert_eq!(lease.next_request(again), None, "one is enough");
     }
 
     #[test]
     fn with_all_slots_held_it_waits_and_looks_again() {
-        let mut lease = Lease::new(2, 10 * S, 7);
-        lease.next(0);
-        lease.told(0, Told::Created("s".into()));
-        lease.next(0);
-        lease.told(0, Told::Held([0, 1].into(), None));
-        assert_eq!(lease.next(0), None);
-        assert!(lease.full() && lease.slot(0).is_none());
-        let again = lease.due(0).expect("another look");
+        let mut lease = SlotLease::new(2, 10 * S, 7);
+        lease.next_request(0);
+        lease.handle_response(0, Told::Created("s".into()));
+        lease.next_request(0);
+        lease.handle_response(0, Told::Held([0, 1].into(), None));
+        assert_eq!(lease.next_request(0), None);
+        assert!(lease.are_all_slots_taken() && lease.slot(0).is_none());
+        let again = lease.next_due(0).expect("another look");
         assert!((S / 2..=2 * S).contains(&again));
-        assert_eq!(lease.next(again), Some(Ask::List));
-        lease.told(again, Told::Held([0].into(), None));
-        assert_eq!(lease.next(again), Some(Ask::Acquire(1, "s".into())));
+        assert_eq!(lease.next_request(again), Some(Ask::List));
+        lease.handle_response(again, Told::Held([0].into(), None));
+        assert_eq!(lease.next_request(again), Some(Ask::Acquire(1, "s".into())));
         // Somebody was quicker: not tried again until listed anew.
-        lease.told(again, Told::Acquired(false));
-        assert_eq!(lease.next(again), None);
-        assert!(lease.full());
+        lease.handle_response(again, Told::Acquired(false));
+        assert_eq!(lease.next_request(again), None);
+        assert!(lease.are_all_slots_taken());
     }
 }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod trust;
 mod watch;
 
-pub use source::{CallId, Out, Report, Source, Update};
+pub use source::{CallId, CatalogueReport, ConsulSource, Output, Update};
 
 /// A point in time, or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -19,24 +19,24 @@
 }
 
 /// Builds a request's target.
-pub struct Target {
+pub struct RequestTarget {
     text: String,
-    more: bool,
+    has_query: bool,
 }
 
-impl Target {
+impl RequestTarget {
     /// A path without parameters.
-    pub fn new(path: impl Into<String>) -> Target {
-        Target {
+    pub fn new(path: impl Into<String>) -> RequestTarget {
+        RequestTarget {
             text: path.into(),
-            more: false,
+            has_query: false,
         }
     }
 
     /// Adds a parameter; the value is escaped.
-    pub fn with(mut self, name: &str, value: &str) -> Target {
-        self.text.push(if self.more { '&' } else { '?' });
-        self.more = true;
+    pub fn with_param(mut self, name: &str, value: &str) -> RequestTarget {
+        self.text.push(if self.has_query { '&' } else { '?' });
+        self.has_query = true;
         self.text += name;
         if !value.is_empty() {
             self.text.push('=');
@@ -46,24 +46,24 @@
     }
 
     /// Adds a parameter if there is a value.
-    pub fn maybe(self, name: &str, value: Option<&str>) -> Target {
+    pub fn maybe(self, name: &str, value: Option<&str>) -> RequestTarget {
         match value {
-            Some(value) => self.with(name, value),
+            Some(value) => self.with_param(name, value),
             None => self,
         }
     }
 
     /// Adds the consistency mode.
-    pub fn mode(self, mode: Mode) -> Target {
+    pub fn mode(self, mode: Mode) -> RequestTarget {
         match mode {
             Mode::Default => self,
-            Mode::Stale => self.with("stale", ""),
-            Mode::Consistent => self.with("consistent", ""),
+            Mode::Stale => self.with_param("stale", ""),
+            Mode::Consistent => self.with_param("consistent", ""),
         }
     }
 
     /// The request.
-    pub fn request(&self, method: &str, who: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
+    pub fn to_request(&self, method: &str, who: &str, token: Option<&str>, body: &[u8]) -> Vec<u8> {
         let mut fields = vec![("Host", "consul"), ("User-Agent", who)];
         fields.extend(token.map(|t| ("X-Consul-Token", t)));
         let mut out = Vec::new();
@@ -98,13 +98,18 @@
 
 impl Meta {
     /// Reads the headers.
-    pub fn of(message: &Message) -> Meta {
-        let number = |name: &str| message.head.field(name).and_then(|v| v.trim().parse().ok());
+    pub fn from_message(message: &Message) -> Meta {
+        let number = |name: &str| {
+            message
+                .head
+                .parse_field(name)
+                .and_then(|v| v.trim().parse().ok())
+        };
         Meta {
             index: number("x-consul-index").unwrap_or(0),
             known_leader: message
                 .head
-                .field("x-consul-knownleader")
+                .parse_field("x-consul-knownleader")
                 .map(|v| v.trim() == "true"),
             last_contact_ms: number("x-consul-lastcontact").unwrap_or(0),
         }
@@ -128,14 +133,14 @@
     const MOST: Micros = 3_000_000;
 
     /// The wait after another failure.
-    pub fn failed(&mut self, rng: &mut Pcg64Mcg) -> Micros {
+    pub fn next_wait(&mut self, rng: &mut Pcg64Mcg) -> Micros {
         let whole = (Self::FIRST << self.failures.min(10)).min(Self::MOST);
         self.failures = self.failures.saturating_add(1);
         whole / 2 + rng.next_u64() % (whole / 2)
     }
 
     /// A call went well.
-    pub fn well(&mut self) {
+    pub fn reset(&mut self) {
         self.failures = 0;
     }
 
@@ -152,12 +157,12 @@
 
     #[test]
     fn targets_are_escaped() {
-        let target = Target::new("/v1/kv/a")
-            .with("filter", "Meta.zone == \"a b\"")
+        let target = RequestTarget::new("/v1/kv/a")
+            .with_param("filter", "Meta.zone == \"a b\"")
             .mode(Mode::Stale)
             .maybe("dc", None);
-        let text =
-            String::from_utf8(target.request("GET", "me", Some("t\r\nX: y"), b"")).expect("text");
+        let text = String::from_utf8(target.to_request("GET", "me", Some("t\r\nX: y"), b""))
+            .expect("text");
         assert!(
             text.starts_with(
                 "GET /v1/kv/a?filter=Meta.zone%20%3D%3D%20%22a%20b%22&stale HTTP/1.1\r\n"
@@ -185,13 +190,13 @@
     fn back_off_doubles_to_a_bound_with_jitter() {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
         let mut off = BackOff::default();
-        let waits: Vec<Micros> = (0..10).map(|_| off.failed(&mut rng)).collect();
+        let waits: Vec<Micros> = (0..10).map(|_| off.next_wait(&mut rng)).collect();
         assert!((50_000..100_000).contains(&waits[0]));
         assert!(
             waits.iter().all(|&w| w < 3_000_000) && waits[9] >= 1_500_000,
             "{waits:?}"
         );
-        off.well();
-        assert!(off.failed(&mut rng) < 100_000);
+        off.reset();
+        assert!(off.next_wait(&mut rng) < 100_000);
     }
 }
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/rows.rs
@@ -16,8 +16,8 @@
 /// A row's place in the body, and what it came to.
 #[derive(Clone, Copy, Debug)]
 struct Row<T> {
-    from: usize,
-    to: usize,
+    start: usize,
+    end: usize,
     value: T,
 }
 
@@ -38,13 +38,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Position {
     /// Before the opening bracket.
     Start,
     /// After it: a row or the end.
     Opened,
     /// After a row: a comma or the end.
-    After,
+    AfterRow,
     /// After a comma: a row.
     Row,
     /// After the closing bracket.
@@ -53,27 +53,27 @@
 
 /// A list on its way in.
 #[derive(Debug)]
-pub struct Reading<T> {
-    now: Rows<T>,
-    last: Rows<T>,
+pub struct RowReader<T> {
+    current: Rows<T>,
+    previous: Rows<T>,
     /// The next row of the last list that has not come up.
     cursor: usize,
-    at: usize,
-    place: Place,
-    most: usize,
+    offset: usize,
+    position: Position,
+    max_rows: usize,
 }
 
-impl<T: Clone> Reading<T> {
+impl<T: Clone> RowReader<T> {
     /// Begins a list that may have so many rows.
-    pub fn new(body: Vec<u8>, last: Rows<T>, most: usize) -> Reading<T> {
-        let rows = Vec::with_capacity(last.rows.len().min(most));
-        Reading {
-            now: Rows { body, rows },
-            last,
+    pub fn new(body: Vec<u8>, previous: Rows<T>, max_rows: usize) -> RowReader<T> {
+        let rows = Vec::with_capacity(previous.rows.len().min(max_rows));
+        RowReader {
+            current: Rows { body, rows },
+            previous,
             cursor: 0,
-            at: 0,
-            place: Place::Start,
-            most,
+            offset: 0,
+            position: Position::Start,
+            max_rows,
         }
     }
 
@@ -87,40 +87,40 @@
         mut take: impl FnMut(usize, &T),
     ) -> Result<bool, String> {
         while *work > 0 {
-            let body = &self.now.body;
-            self.at += body[self.at..]
+            let body = &self.current.body;
+            self.offset += body[self.offset..]
                 .iter()
                 .take_while(|b| b" \t\r\n".contains(b))
                 .count();
-            let octet = body.get(self.at);
-            self.place = match (self.place, octet) {
-                (Place::End, None) => return Ok(true),
-                (Place::Start, Some(b'[')) => Place::Opened,
-                (Place::Opened | Place::After, Some(b']')) => Place::End,
-                (Place::After, Some(b',')) => Place::Row,
-                (Place::Opened | Place::Row, Some(_)) => {
-                    let number = self.now.rows.len();
-                    if number == self.most {
-                        return Err(format!("more than {} entries", self.most));
+            let octet = body.get(self.offset);
+            self.position = match (self.position, octet) {
+                (Position::End, None) => return Ok(true),
+                (Position::Start, Some(b'[')) => Position::Opened,
+                (Position::Opened | Position::AfterRow, Some(b']')) => Position::End,
+                (Position::AfterRow, Some(b',')) => Position::Row,
+                (Position::Opened | Position::Row, Some(_)) => {
+                    let number = self.current.rows.len();
+                    if number == self.max_rows {
+                        return Err(format!("more than {} entries", self.max_rows));
                     }
                     let (row, cost) = self.row(number, &mut parse)?;
                     take(number, &row.value);
-                    self.at = row.to;
-                    self.now.rows.push(row);
+                    self.offset = row.end;
+                    self.current.rows.push(row);
                     *work = work.saturating_sub(cost);
-                    Place::After
+                    Position::AfterRow
                 }
                 (_, Some(&octet)) => {
                     return Err(format!(
                         "octet {}: {:?} is out of place",
-                        self.at,
+                        self.offset,
                         char::from(octet)
                     ));
                 }
-                (_, None) => return Err(format!("octet {}: it ends too early", self.at)),
+                (_, None) => return Err(format!("octet {}: it ends too early", self.offset)),
             };
-            if self.place != Place::After {
-                self.at += 1;
+            if self.position != Position::AfterRow {
+                self.offset += 1;
             }
         }
         Ok(false)
@@ -131,9 +131,9 @@
         number: usize,
         parse: &mut impl FnMut(&str) -> T,
     ) -> Result<(Row<T>, usize), String> {
-        let (from, rest) = (self.at, &self.now.body[self.at..]);
+        let (from, rest) = (self.offset, &self.current.body[self.offset..]);
         let window = self
-            .last
+            .previous
             .rows
             .iter()
             .enumerate()
@@ -141,12 +141,19 @@
             .take(WINDOW);
         // An object tells its own end, so what begins with the same object is that object.
         let same = |old: &Row<T>| {
-            rest.first() == Some(&b'{') && rest.starts_with(&self.last.body[old.from..old.to])
+            rest.first() == Some(&b'{') && rest.starts_with(&self.previous.body[old.start..old.end])
         };
         if let Some((at, old)) = window.clone().find(|(_, old)| same(old)) {
             self.cursor = at + 1;
-            let (value, to) = (old.value.clone(), from + (old.to - old.from));
-            return Ok((Row { from, to, value }, 1));
+            let (value, to) = (old.value.clone(), from + (old.end - old.start));
+            return Ok((
+                Row {
+                    start: from,
+                    end: to,
+                    value,
+                },
+                1,
+            ));
         }
         let mut values = serde_json::Deserializer::from_slice(rest).into_iter::<&RawValue>();
         let raw = match values.next() {
@@ -167,8 +174,8 @@
         }
         Ok((
             Row {
-                from,
-                to: from + length,
+                start: from,
+                end: from + length,
                 value,
             },
             PARSED + length / PARSED_BYTES,
@@ -177,17 +184,17 @@
 
     /// Whether a row begins as an old one did for as long as two rows of different things hardly do.
     fn replaces(&self, old: &Row<T>, rest: &[u8]) -> bool {
-        let old = &self.last.body[old.from..old.to];
+        let old = &self.previous.body[old.start..old.end];
         let alike = old.iter().zip(rest).take_while(|(a, b)| a == b).count();
         alike * 4 >= old.len()
     }
 
     /// The list with which the next one is compared: this one if it came to its end, else the last.
     pub fn into_rows(self) -> Rows<T> {
-        if self.place == Place::End {
-            self.now
+        if self.position == Position::End {
+            self.current
         } else {
-            self.last
+            self.previous
         }
     }
 }
@@ -204,7 +211,7 @@
         last: Rows<String>,
         work: usize,
     ) -> (Result<Vec<String>, String>, usize, usize, Rows<String>) {
-        let mut reading = Reading::new(body.as_bytes().to_vec(), last, 1000);
+        let mut reading = RowReader::new(body.as_bytes().to_vec(), last, 1000);
         let (mut rows, mut parsed, mut steps) = (Vec::new(), 0, 0);
         let result = loop {
             steps += 1;
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -2,7 +2,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use maplethread_config::{Consul, Damping as DampingKind, HostEntry, PlacerConfig, Reads};
+use maplethread_config::{
+    ConsulSettings, DampingMode as DampingKind, HostEntry, PlacerConfig, ReadConsistency,
+};
 use maplethread_damping::{Damping, Policy};
 use maplethread_wire::http::Message;
 use rand_pcg::Pcg64Mcg;
@@ -10,14 +12,14 @@
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use self::lists::{Reading, Unread};
+use self::lists::{ActiveRead, Unread};
 use crate::Micros;
-use crate::catalogue::{Answer, Entries, Known, Listed, Member, MemberRows};
-use crate::lease::{Ask, Lease, Told};
+use crate::catalogue::{Answer, Entries, HostList, KnownNames, MemberRows, MemberStatus};
+use crate::lease::{Ask, SlotLease, Told};
 
-use crate::query::{BackOff, Meta, Mode, Target, escape};
+use crate::query::{BackOff, Meta, Mode, RequestTarget, escape};
 use crate::trust::Trust;
-use crate::watch::{Next, Watch, nothing};
+use crate::watch::{IndexWatch, NextRead, match_nothing_filter};
 
 mod lists;
 mod slots;
@@ -28,7 +30,7 @@
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum Output {
     /// Send a request to a server (by its place in the settings) and wait so long for the whole answer.
     Call {
         /// The call.
@@ -38,7 +40,7 @@
         /// The request.
         request: Vec<u8>,
         /// How long to wait.
-        within: Micros,
+        timeout: Micros,
     },
 }
 
@@ -53,25 +55,28 @@
 
 /// What is known and how old it is, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Report {
+pub struct CatalogueReport {
     /// Since the last answer that was taken, ms; none if there was none.
     pub age_ms: Option<u64>,
     /// The highest index taken.
     pub index: u64,
     /// Hosts listed.
-    pub hosts: usize,
+    #[serde(rename = "hosts")]
+    pub listed_hosts: usize,
     /// Those whose good news waits.
     pub damped: usize,
     /// Entries of the last answer that could not be used.
     pub bad_entries: usize,
     /// Answers taken, rejected, and calls that failed.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted_answers: u64,
     /// Answers that told that nothing had changed, without the list.
     pub unchanged: u64,
     /// See `taken`.
     pub rejected: u64,
     /// See `taken`.
-    pub failed: u64,
+    #[serde(rename = "failed")]
+    pub failed_calls: u64,
     /// The slot, if placers have them.
     pub slot: Option<u32>,
     /// All slots are held by others.
@@ -90,57 +95,57 @@
 
 /// A query that is repeated.
 #[derive(Debug, Default)]
-struct Loop {
-    call: Option<CallId>,
-    due: Micros,
+struct RepeatedQuery {
+    in_flight: Option<CallId>,
+    next_at: Micros,
     back_off: BackOff,
     server: usize,
 }
 
 /// The source.
-pub struct Source {
-    config: Consul,
-    known: Known,
-    who: String,
+pub struct ConsulSource {
+    config: ConsulSettings,
+    known_names: KnownNames,
+    user_agent: String,
     token: Option<String>,
     rng: Pcg64Mcg,
     next_call: u64,
-    calls: BTreeMap<CallId, Purpose>,
-    loops: BTreeMap<Purpose, Loop>,
+    pending_calls: BTreeMap<CallId, Purpose>,
+    loops: BTreeMap<Purpose, RepeatedQuery>,
     index: u64,
-    watch: Watch,
+    index_watch: IndexWatch,
     /// The query of the list that is out asks for nothing but the index.
-    watching: bool,
+    is_index_only: bool,
     /// How late an answer about the list may be.
-    late: Micros,
+    list_timeout: Micros,
     trust: Trust,
     /// Answers that wait to be read, one of each kind at most.
-    unread: VecDeque<Unread>,
-    reading: Option<Reading>,
+    unread_responses: VecDeque<Unread>,
+    active_read: Option<ActiveRead>,
     /// The last answers as they were read.
-    answer: Answer,
+    last_host_rows: Answer,
     member_rows: MemberRows,
     /// Hosts of which there is news that was not yet told.
     untold: VecDeque<String>,
     /// What was last taken, by name.
     entries: Entries,
     /// Hosts as they were last told.
-    told: BTreeMap<String, HostEntry>,
-    members: BTreeMap<String, Member>,
+    published: BTreeMap<String, HostEntry>,
+    members: BTreeMap<String, MemberStatus>,
     damping: Damping<String>,
-    lease: Option<Lease>,
+    lease: Option<SlotLease>,
     lease_ask: Option<(CallId, Ask)>,
     slot: Option<u32>,
     lock_delay_ms: u64,
     /// The answer that waits to be confirmed.
-    doubted: Option<Listed>,
+    doubted: Option<HostList>,
     began: bool,
     /// What placers register: name, address and port of the API.
-    own: Option<(String, std::net::SocketAddr)>,
-    out: Vec<Out>,
+    registration: Option<(String, std::net::SocketAddr)>,
+    take_outputs: Vec<Output>,
     updates: Vec<Update>,
-    heard: Option<Micros>,
-    report: Report,
+    last_answer_at: Option<Micros>,
+    report: CatalogueReport,
 }
 
 /// Every successful read is followed by the next no sooner than this, so that a storm of changes is read in steps.
@@ -152,48 +157,53 @@
 /// Left of `ask_within` when a late answer is given up.
 const LATE_MARGIN: Micros = 500_000;
 
-impl Source {
+impl ConsulSource {
     /// A source by a placer's settings.
-    pub fn new(placer: &PlacerConfig, consul: &Consul, token: Option<String>, seed: u64) -> Source {
+    pub fn new(
+        placer: &PlacerConfig,
+        consul: &ConsulSettings,
+        token: Option<String>,
+        seed: u64,
+    ) -> ConsulSource {
         let policy = match consul.damping {
             DampingKind::Penalty => Policy::Penalty,
             DampingKind::Off => Policy::Off,
             DampingKind::Hold => Policy::Hold(3_000_000),
         };
         let most = placer.hosts.max_hosts;
-        let known = Known {
-            zones: placer.placer.zones.clone(),
-            kinds: placer.kind.iter().map(|k| k.name.clone()).collect(),
-            most,
+        let known = KnownNames {
+            zones: placer.identity.zones.clone(),
+            kinds: placer.kinds.iter().map(|k| k.name.clone()).collect(),
+            max_entries: most,
         };
         let lease = consul
             .membership
             .as_ref()
-            .map(|m| Lease::new(placer.placer.placers, m.ttl_ms * 1000, seed ^ 1));
+            .map(|m| SlotLease::new(placer.identity.replica_count, m.ttl_ms * 1000, seed ^ 1));
         let wait = consul.wait_ms * 1000;
         let left =
             (placer.rules.ask_within_ms * 1000).saturating_sub(wait + wait / 16 + LATE_MARGIN);
         let late = left.min(LATE);
-        let mut source = Source {
-            known,
-            who: format!("maplethread ({})", placer.placer.name),
+        let mut source = ConsulSource {
+            known_names: known,
+            user_agent: format!("maplethread ({})", placer.identity.name),
             token,
             rng: Pcg64Mcg::seed_from_u64(seed),
             next_call: 0,
-            calls: BTreeMap::new(),
+            pending_calls: BTreeMap::new(),
             loops: BTreeMap::new(),
             index: 0,
-            watch: Watch::new(consul.watch),
-            watching: false,
-            late: late.max(SHORT),
+            index_watch: IndexWatch::new(consul.watch),
+            is_index_only: false,
+            list_timeout: late.max(SHORT),
             trust: Trust::new(consul.datacentre.clone()),
-            unread: VecDeque::new(),
-            reading: None,
-            answer: Answer::default(),
+            unread_responses: VecDeque::new(),
+            active_read: None,
+            last_host_rows: Answer::default(),
             member_rows: MemberRows::default(),
             untold: VecDeque::new(),
             entries: Entries::new(),
-            told: BTreeMap::new(),
+            published: BTreeMap::new(),
             members: BTreeMap::new(),
             damping: Damping::new(policy, most, seed ^ 2),
             lease,
@@ -202,11 +212,11 @@
             lock_delay_ms: consul.membership.as_ref().map_or(0, |m| m.lock_delay_ms),
             doubted: None,
             began: false,
-            own: None,
-            out: Vec::new(),
+            registration: None,
+            take_outputs: Vec::new(),
             updates: Vec::new(),
-            heard: None,
-            report: Report::default(),
+            last_answer_at: None,
+            report: CatalogueReport::default(),
             config: consul.clone(),
         };
         // Placers begin at different servers, so that none gets all of them.
@@ -214,18 +224,18 @@
         for purpose in [Purpose::Health, Purpose::Members] {
             source.loops.insert(
                 purpose,
-                Loop {
+                RepeatedQuery {
                     server: first,
-                    ..Loop::default()
+                    ..RepeatedQuery::default()
                 },
             );
         }
         if source.lease.is_some() {
             source.loops.insert(
                 Purpose::Lease,
-                Loop {
+                RepeatedQuery {
                     server: first,
-                    ..Loop::default()
+                    ..RepeatedQuery::default()
                 },
             );
         }
@@ -233,15 +243,15 @@
     }
 
     /// The placer serves under this name and address, and registers itself if it has slots.
-    pub fn serves(&mut self, name: &str, address: std::net::SocketAddr) {
+    pub fn set_registration(&mut self, name: &str, address: std::net::SocketAddr) {
         if self.lease.is_some() {
-            self.own = Some((name.to_owned(), address));
+            self.registration = Some((name.to_owned(), address));
             let server = self.loops.get(&Purpose::Health).map_or(0, |l| l.server);
             self.loops.insert(
                 Purpose::Register,
-                Loop {
+                RepeatedQuery {
                     server,
-                    ..Loop::default()
+                    ..RepeatedQuery::default()
                 },
             );
         }
@@ -253,12 +263,15 @@
     }
 
     /// What is known and how old it is.
-    pub fn report(&self, now: Micros) -> Report {
-        let slots_full = self.lease.as_ref().is_some_and(Lease::full);
-        Report {
-            age_ms: self.heard.map(|at| now.saturating_sub(at) / 1000),
+    pub fn report(&self, now: Micros) -> CatalogueReport {
+        let slots_full = self
+            .lease
+            .as_ref()
+            .is_some_and(SlotLease::are_all_slots_taken);
+        CatalogueReport {
+            age_ms: self.last_answer_at.map(|at| now.saturating_sub(at) / 1000),
             index: self.trust.highest(),
-            hosts: self.entries.len(),
+            listed_hosts: self.entries.len(),
             damped: self.damping.waiting(),
             slot: self.slot,
             slots_full,
@@ -267,12 +280,12 @@
     }
 
     /// What the caller is to do since the last call.
-    pub fn outputs(&mut self) -> Vec<Out> {
-        std::mem::take(&mut self.out)
+    pub fn outputs(&mut self) -> Vec<Output> {
+        std::mem::take(&mut self.take_outputs)
     }
 
     /// What is new since the last call.
-    pub fn updates(&mut self) -> Vec<Update> {
+    pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
 
@@ -281,28 +294,31 @@
         let loops = self
             .loops
             .iter()
-            .filter(|(p, l)| l.call.is_none() && **p != Purpose::Lease)
-            .map(|(_, l)| l.due);
-        let lease = self.lease.as_ref().and_then(|l| l.due(now));
+            .filter(|(p, l)| l.in_flight.is_none() && **p != Purpose::Lease)
+            .map(|(_, l)| l.next_at);
+        let lease = self.lease.as_ref().and_then(|l| l.next_due(now));
         let own = self
             .lease
             .as_ref()
-            .and_then(Lease::until)
+            .and_then(SlotLease::valid_until)
             .filter(|&u| u > now && self.slot.is_some());
-        let busy = self.busy().then_some(now);
+        let busy = self.has_pending_work().then_some(now);
         busy.into_iter()
             .chain(loops)
             .chain(lease)
             .chain(own)
             .chain(self.damping.next())
-            .chain(self.trust.due())
+            .chain(self.trust.confirmation_deadline())
             .min()
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros) {
         self.fence(now);
-        if self.trust.due().is_some_and(|due| due <= now)
+        if self
+            .trust
+            .confirmation_deadline()
+            .is_some_and(|due| due <= now)
             && let Some(listed) = self.doubted.take()
         {
             // No leader has contradicted it in time: the rules win.
@@ -320,19 +336,19 @@
             if self
                 .loops
                 .get(&purpose)
-                .is_some_and(|l| l.call.is_none() && l.due <= now)
+                .is_some_and(|l| l.in_flight.is_none() && l.next_at <= now)
             {
-                self.call(now, purpose);
+                self.start_query(now, purpose);
             }
         }
         self.lease_step(now);
     }
 
-    fn target(&self, path: String) -> Target {
-        Target::new(path).maybe("dc", self.config.datacentre.as_deref())
+    fn target(&self, path: String) -> RequestTarget {
+        RequestTarget::new(path).maybe("dc", self.config.datacentre.as_deref())
     }
 
-    fn health(&self, mode: Mode, filter: Option<&str>) -> Target {
+    fn health(&self, mode: Mode, filter: Option<&str>) -> RequestTarget {
         let path = format!("/v1/health/service/{}", escape(&self.config.service));
         self.target(path).maybe("filter", filter).mode(mode)
     }
@@ -346,41 +362,41 @@
     ) -> CallId {
         self.next_call += 1;
         let call = CallId(self.next_call);
-        self.calls.insert(call, purpose);
-        self.out.push(Out::Call {
+        self.pending_calls.insert(call, purpose);
+        self.take_outputs.push(Output::Call {
             call,
             server,
             request,
-            within,
+            timeout: within,
         });
         call
     }
 
-    fn call(&mut self, now: Micros, purpose: Purpose) {
+    fn start_query(&mut self, now: Micros, purpose: Purpose) {
         let wait = self.config.wait_ms;
         let mode = match self.config.reads {
-            Reads::Default => Mode::Default,
-            Reads::Stale => Mode::Stale,
-            Reads::Consistent => Mode::Consistent,
+            ReadConsistency::Default => Mode::Default,
+            ReadConsistency::Stale => Mode::Stale,
+            ReadConsistency::Consistent => Mode::Consistent,
         };
         let (target, method, body, within) = match purpose {
             Purpose::Health => {
                 let next = if self.index > 0 {
-                    self.watch.next(now)
+                    self.index_watch.next_read(now)
                 } else {
-                    Next::Whole
+                    NextRead::Whole
                 };
-                self.watching = next == Next::Watch;
+                self.is_index_only = next == NextRead::IndexOnly;
                 let empty = self
-                    .watching
-                    .then(|| nothing(self.config.filter.as_deref()));
+                    .is_index_only
+                    .then(|| match_nothing_filter(self.config.filter.as_deref()));
                 let mut target =
                     self.health(mode, empty.as_deref().or(self.config.filter.as_deref()));
-                let mut within = self.late;
-                if next != Next::Whole {
+                let mut within = self.list_timeout;
+                if next != NextRead::Whole {
                     target = target
-                        .with("index", &self.index.to_string())
-                        .with("wait", &format!("{wait}ms"));
+                        .with_param("index", &self.index.to_string())
+                        .with_param("wait", &format!("{wait}ms"));
                     // The server adds up to a sixteenth of the wait.
                     within += (wait + wait / 16) * 1000;
                 }
@@ -392,9 +408,14 @@
                 Value::Null,
                 SHORT,
             ),
-            Purpose::Members => (Target::new("/v1/agent/members"), "GET", Value::Null, SHORT),
+            Purpose::Members => (
+                RequestTarget::new("/v1/agent/members"),
+                "GET",
+                Value::Null,
+                SHORT,
+            ),
             Purpose::Register => {
-                let Some((name, address)) = &self.own else {
+                let Some((name, address)) = &self.registration else {
                     return;
                 };
                 let Some(m) = &self.config.membership else {
@@ -408,16 +429,18 @@
                     },
                 });
                 (
-                    Target::new("/v1/agent/service/register"),
+                    RequestTarget::new("/v1/agent/service/register"),
                     "PUT",
                     body,
                     SHORT,
                 )
             }
             Purpose::Pass => {
-                let Some((name, _)) = &self.own else { return };
+                let Some((name, _)) = &self.registration else {
+                    return;
+                };
                 let path = format!("/v1/agent/check/pass/service:{}", escape(name));
-                (Target::new(path), "PUT", Value::Null, SHORT)
+                (RequestTarget::new(path), "PUT", Value::Null, SHORT)
             }
             Purpose::Lease => return,
         };
@@ -426,15 +449,15 @@
         } else {
             body.to_string().into_bytes()
         };
-        let request = target.request(method, &self.who, self.token.as_deref(), &body);
+        let request = target.to_request(method, &self.user_agent, self.token.as_deref(), &body);
         let server = self.loops.get(&purpose).map_or(0, |l| l.server);
         let call = self.send(purpose, server, request, within);
-        self.loops.entry(purpose).or_default().call = Some(call);
+        self.loops.entry(purpose).or_default().in_flight = Some(call);
     }
 
     /// A call's answer.
-    pub fn answered(&mut self, now: Micros, call: CallId, message: Message) {
-        let Some(purpose) = self.calls.remove(&call) else {
+    pub fn handle_response(&mut self, now: Micros, call: CallId, message: Message) {
+        let Some(purpose) = self.pending_calls.remove(&call) else {
             return;
         };
         let status = message.head.status();
@@ -449,12 +472,12 @@
         if self
             .loops
             .get(&purpose)
-            .is_none_or(|l| l.call != Some(call))
+            .is_none_or(|l| l.in_flight != Some(call))
         {
             return;
         }
-        if purpose == Purpose::Health && self.watching && status == 400 {
-            self.watch.refused();
+        if purpose == Purpose::Health && self.is_index_only && status == 400 {
+            self.index_watch.refused();
         }
         if status != 200 {
             let why =
@@ -463,17 +486,17 @@
             return;
         }
         if let Some(l) = self.loops.get_mut(&purpose) {
-            l.call = None;
+            l.in_flight = None;
         }
-        let meta = Meta::of(&message);
+        let meta = Meta::from_message(&message);
         match purpose {
-            Purpose::Health if self.watching && message.body.trim_ascii() == b"[]" => {
+            Purpose::Health if self.is_index_only && message.body.trim_ascii() == b"[]" => {
                 self.at_rest(now, meta);
             }
             Purpose::Health | Purpose::Confirm | Purpose::Members => {
                 // The next one is asked for when this one is read.
                 self.again(purpose, Micros::MAX);
-                self.unread.push_back(Unread {
+                self.unread_responses.push_back(Unread {
                     purpose,
                     meta,
                     body: message.body,
@@ -484,10 +507,10 @@
                 let server = self.loops.remove(&purpose).map_or(0, |l| l.server);
                 self.loops.insert(
                     Purpose::Pass,
-                    Loop {
+                    RepeatedQuery {
                         server,
-                        due: now,
-                        ..Loop::default()
+                        next_at: now,
+                        ..RepeatedQuery::default()
                     },
                 );
             }
@@ -502,13 +525,13 @@
 
     fn well(&mut self, purpose: Purpose) {
         if let Some(l) = self.loops.get_mut(&purpose) {
-            l.back_off.well();
+            l.back_off.reset();
         }
     }
 
     /// A call got no answer, or one that is no HTTP.
-    pub fn failed(&mut self, now: Micros, call: CallId, why: &str) {
-        let Some(purpose) = self.calls.remove(&call) else {
+    pub fn handle_failure(&mut self, now: Micros, call: CallId, why: &str) {
+        let Some(purpose) = self.pending_calls.remove(&call) else {
             return;
         };
         if purpose == Purpose::Lease {
@@ -517,7 +540,7 @@
         } else if self
             .loops
             .get(&purpose)
-            .is_some_and(|l| l.call == Some(call))
+            .is_some_and(|l| l.in_flight == Some(call))
         {
             self.fail(now, purpose, why);
         }
@@ -525,7 +548,7 @@
 
     fn again(&mut self, purpose: Purpose, at: Micros) {
         if let Some(l) = self.loops.get_mut(&purpose) {
-            l.due = at;
+            l.next_at = at;
         }
     }
 
@@ -537,16 +560,16 @@
     }
 
     fn fail(&mut self, now: Micros, purpose: Purpose, why: &str) {
-        self.report.failed += 1;
+        self.report.failed_calls += 1;
         let Some(l) = self.loops.get_mut(&purpose) else {
             return;
         };
-        l.call = None;
+        l.in_flight = None;
         let first = l.back_off.failures() == 0;
-        l.due = now + l.back_off.failed(&mut self.rng);
+        l.next_at = now + l.back_off.next_wait(&mut self.rng);
         let server = self.config.servers[l.server];
         if first {
-            tracing::warn!(%server, why, age_ms = self.heard.map(|h| (now - h) / 1000), "{purpose:?} query failed");
+            tracing::warn!(%server, why, age_ms = self.last_answer_at.map(|h| (now - h) / 1000), "{purpose:?} query failed");
         }
         // A check that a restarted agent does not know: register anew.
         if purpose == Purpose::Pass
@@ -556,10 +579,10 @@
             self.loops.remove(&Purpose::Pass);
             self.loops.insert(
                 Purpose::Register,
-                Loop {
+                RepeatedQuery {
                     server,
-                    due: now,
-                    ..Loop::default()
+                    next_at: now,
+                    ..RepeatedQuery::default()
                 },
             );
             return;
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use maplethread_config::{HostEntry, HostState, Reads};
+use maplethread_config::{HostEntry, HostState, ReadConsistency};
 use rand_pcg::rand_core::Rng;
 
-use super::{LEAST_BETWEEN, Loop, Purpose, Source, Update};
+use super::{ConsulSource, LEAST_BETWEEN, Purpose, RepeatedQuery, Update};
 use crate::Micros;
-use crate::catalogue::{Differences, Entry, Listed, Listing, Member, Members};
+use crate::catalogue::{Entry, HostList, ListDifferences, Listing, MemberStatus, Members};
 use crate::query::{Meta, next_index};
 use crate::rows::STEP;
 use crate::trust::Belief;
@@ -27,23 +27,23 @@
 }
 
 /// The answer that is being read.
-pub(super) enum Reading {
+pub(super) enum ActiveRead {
     Hosts(Purpose, Meta, Listing),
     /// A list that is read and waits to be judged.
-    Read(Purpose, Meta, Listed),
+    HostsComplete(Purpose, Meta, HostList),
     Members(Members),
 }
 
-impl Source {
+impl ConsulSource {
     /// Whether there is news that was not yet read to its end, or told.
-    pub fn busy(&self) -> bool {
-        self.reading.is_some() || !self.unread.is_empty() || !self.untold.is_empty()
+    pub fn has_pending_work(&self) -> bool {
+        self.active_read.is_some() || !self.unread_responses.is_empty() || !self.untold.is_empty()
     }
 
     /// Reads and tells all that is there, however long it takes: for a caller that stood still and must not decide
     /// by what was true before.
     pub fn catch_up(&mut self, now: Micros) {
-        while self.busy() {
+        while self.has_pending_work() {
             self.digest(now);
         }
     }
@@ -51,7 +51,7 @@
     /// Does one turn's work on lists.
     pub(super) fn digest(&mut self, now: Micros) {
         let mut work = STEP;
-        while work > 0 && self.busy() {
+        while work > 0 && self.has_pending_work() {
             if !self.untold.is_empty() {
                 let count = self.untold.len().min(work.div_ceil(HOST));
                 let names = self.untold.drain(..count).collect();
@@ -59,7 +59,7 @@
                 work = work.saturating_sub(count * HOST);
                 continue;
             }
-            let Some(reading) = self.reading.take() else {
+            let Some(reading) = self.active_read.take() else {
                 self.begin();
                 continue;
             };
@@ -72,47 +72,54 @@
             purpose,
             meta,
             body,
-        }) = self.unread.pop_front()
+        }) = self.unread_responses.pop_front()
         else {
             return;
         };
-        self.reading = Some(if purpose == Purpose::Members {
-            Reading::Members(Members::new(
+        self.active_read = Some(if purpose == Purpose::Members {
+            ActiveRead::Members(Members::new(
                 body,
                 std::mem::take(&mut self.member_rows),
-                self.known.most * 4,
+                self.known_names.max_entries * 4,
             ))
         } else {
-            let last = std::mem::take(&mut self.answer);
-            Reading::Hosts(purpose, meta, Listing::new(body, last, &self.known))
+            let last = std::mem::take(&mut self.last_host_rows);
+            ActiveRead::Hosts(purpose, meta, Listing::new(body, last, &self.known_names))
         });
     }
 
-    fn read_on(&mut self, now: Micros, reading: Reading, work: &mut usize) {
+    fn read_on(&mut self, now: Micros, reading: ActiveRead, work: &mut usize) {
         match reading {
-            Reading::Hosts(purpose, meta, mut listing) => match listing.step(work, &self.known) {
-                Ok(false) => self.reading = Some(Reading::Hosts(purpose, meta, listing)),
-                result => {
-                    let (listed, rows) = listing.finish();
-                    self.answer = rows;
-                    match result {
-                        Err(why) => self.fail(now, purpose, &why),
-                        Ok(_) => self.reading = Some(Reading::Read(purpose, meta, listed)),
+            ActiveRead::Hosts(purpose, meta, mut listing) => {
+                match listing.step(work, &self.known_names) {
+                    Ok(false) => self.active_read = Some(ActiveRead::Hosts(purpose, meta, listing)),
+                    result => {
+                        let (listed, rows) = listing.finish();
+                        self.last_host_rows = rows;
+                        match result {
+                            Err(why) => self.fail(now, purpose, &why),
+                            Ok(_) => {
+                                self.active_read =
+                                    Some(ActiveRead::HostsComplete(purpose, meta, listed))
+                            }
+                        }
                     }
                 }
-            },
+            }
             // Comparing with what was known and dropping it costs about as much as reading the same rows again.
-            Reading::Read(purpose, meta, listed) if *work < listed.entries.len().min(STEP) => {
-                self.reading = Some(Reading::Read(purpose, meta, listed));
+            ActiveRead::HostsComplete(purpose, meta, listed)
+                if *work < listed.entries.len().min(STEP) =>
+            {
+                self.active_read = Some(ActiveRead::HostsComplete(purpose, meta, listed));
                 *work = 0;
             }
-            Reading::Read(purpose, meta, listed) => {
+            ActiveRead::HostsComplete(purpose, meta, listed) => {
                 *work = work.saturating_sub(listed.entries.len());
                 self.listing(now, purpose, meta, listed);
                 self.well(purpose);
             }
-            Reading::Members(mut members) => match members.step(work) {
-                Ok(false) => self.reading = Some(Reading::Members(members)),
+            ActiveRead::Members(mut members) => match members.step(work) {
+                Ok(false) => self.active_read = Some(ActiveRead::Members(members)),
                 result => {
                     let (members, rows) = members.finish();
                     self.member_rows = rows;
@@ -128,7 +135,7 @@
         }
     }
 
-    fn members_now(&mut self, members: BTreeMap<String, Member>) {
+    fn members_now(&mut self, members: BTreeMap<String, MemberStatus>) {
         if members != self.members {
             let nodes: BTreeSet<&String> = members.keys().chain(self.members.keys()).collect();
             let touched = |e: &&Arc<Entry>| nodes.contains(&e.node);
@@ -145,39 +152,41 @@
     /// The watch's answer: nothing but the index. Any other index is news, whichever way it went.
     pub(super) fn at_rest(&mut self, now: Micros, meta: Meta) {
         let moved = meta.index != self.index;
-        self.watch.told(moved);
+        self.index_watch.record_index(moved);
         if moved {
             self.again(Purpose::Health, now);
         } else {
-            self.heard = Some(now);
+            self.last_answer_at = Some(now);
             self.report.unchanged += 1;
             self.again(Purpose::Health, now + LEAST_BETWEEN);
         }
     }
 
-    fn listing(&mut self, now: Micros, purpose: Purpose, meta: Meta, listed: Listed) {
-        let differences = Differences::between(&self.entries, &listed.entries);
-        let consistent = purpose == Purpose::Confirm || self.config.reads == Reads::Consistent;
+    fn listing(&mut self, now: Micros, purpose: Purpose, meta: Meta, listed: HostList) {
+        let differences = ListDifferences::between(&self.entries, &listed.entries);
+        let consistent =
+            purpose == Purpose::Confirm || self.config.reads == ReadConsistency::Consistent;
         if purpose == Purpose::Health {
-            if std::mem::take(&mut self.watching) {
-                self.watch.refused();
+            if std::mem::take(&mut self.is_index_only) {
+                self.index_watch.refused();
             }
-            let unannounced =
-                meta.index == self.index && listed.bad.is_empty() && !differences.none();
+            let unannounced = meta.index == self.index
+                && listed.invalid_entries.is_empty()
+                && !differences.is_empty();
             let drawn = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
-            self.watch.whole(now, unannounced, drawn);
+            self.index_watch.record_full_read(now, unannounced, drawn);
             self.index = next_index(self.index, meta.index);
             self.again(purpose, now + LEAST_BETWEEN);
         } else {
             self.again(purpose, Micros::MAX);
         }
-        for bad in listed.bad.iter().take(5) {
+        for bad in listed.invalid_entries.iter().take(5) {
             tracing::debug!(%bad, "bad catalogue entry");
         }
-        if listed.bad.len() != self.report.bad_entries {
-            self.report.bad_entries = listed.bad.len();
-            if let Some(first) = listed.bad.first() {
-                tracing::warn!(count = listed.bad.len(), %first, "catalogue entries that can't be used");
+        if listed.invalid_entries.len() != self.report.bad_entries {
+            self.report.bad_entries = listed.invalid_entries.len();
+            if let Some(first) = listed.invalid_entries.first() {
+                tracing::warn!(count = listed.invalid_entries.len(), %first, "catalogue entries that can't be used");
             }
         }
         match self.trust.judge(
@@ -186,7 +195,7 @@
             consistent,
             &listed,
             self.entries.len(),
-            differences.gone,
+            differences.removed_count,
         ) {
             Belief::Take => self.take(now, listed),
             Belief::Confirm => {
@@ -229,25 +238,28 @@
 
     fn confirm(&mut self, now: Micros) {
         let server = self.loops.get(&Purpose::Health).map_or(0, |l| l.server);
-        let waits = self.unread.iter().any(|u| u.purpose == Purpose::Confirm);
-        let l = self.loops.entry(Purpose::Confirm).or_insert(Loop {
+        let waits = self
+            .unread_responses
+            .iter()
+            .any(|u| u.purpose == Purpose::Confirm);
+        let l = self.loops.entry(Purpose::Confirm).or_insert(RepeatedQuery {
             server,
-            ..Loop::default()
+            ..RepeatedQuery::default()
         });
-        if l.call.is_none() && !waits {
-            (l.due, l.server) = (now, server);
-            self.call(now, Purpose::Confirm);
+        if l.in_flight.is_none() && !waits {
+            (l.next_at, l.server) = (now, server);
+            self.start_query(now, Purpose::Confirm);
         }
     }
 
     /// A listing counts.
-    pub(super) fn take(&mut self, now: Micros, listed: Listed) {
+    pub(super) fn take(&mut self, now: Micros, listed: HostList) {
         self.doubted = None;
-        self.report.taken += 1;
-        self.heard = Some(now);
+        self.report.accepted_answers += 1;
+        self.last_answer_at = Some(now);
         // An entry that can't be used any more does not lose its host, but nothing new goes there.
         let mut entries = listed.entries;
-        for bad in &listed.bad {
+        for bad in &listed.invalid_entries {
             if let Some(have) = self.entries.get(&bad.name)
                 && !entries.contains_key(&bad.name)
             {
@@ -256,7 +268,7 @@
                 entries.insert(bad.name.clone(), kept);
             }
         }
-        let differences = Differences::between(&self.entries, &entries);
+        let differences = ListDifferences::between(&self.entries, &entries);
         self.entries = entries;
         self.untold.extend(differences.worse);
         self.untold.extend(differences.other);
@@ -276,7 +288,7 @@
         for name in names {
             let Some(entry) = self.entries.get(&name) else {
                 self.damping.told(now, &name, false);
-                if let Some(gone) = self.told.remove(&name) {
+                if let Some(gone) = self.published.remove(&name) {
                     changed.push(HostEntry {
                         state: HostState::Gone,
                         ..gone
@@ -287,7 +299,7 @@
             let member = self
                 .members
                 .get(&entry.node)
-                .map_or(HostState::Ready, |m| m.state());
+                .map_or(HostState::Ready, |m| m.host_state());
             let good = entry.host.state == HostState::Ready && member == HostState::Ready;
             let counts = self.damping.told(now, &name, good);
             let state = if counts {
@@ -299,9 +311,9 @@
                 state,
                 ..entry.host.clone()
             };
-            if self.told.get(&name).is_none_or(|t| *t != told) {
+            if self.published.get(&name).is_none_or(|t| *t != told) {
                 changed.push(told.clone());
-                self.told.insert(name, told);
+                self.published.insert(name, told);
             }
         }
         if !changed.is_empty() {
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -4,12 +4,12 @@
 
 use serde_json::{Value, json};
 
-use super::{CallId, Purpose, SHORT, Source, Update};
+use super::{CallId, ConsulSource, Purpose, SHORT, Update};
 use crate::Micros;
-use crate::lease::{Ask, Lease, Told};
+use crate::lease::{Ask, SlotLease, Told};
 use crate::query::{Mode, escape};
 
-impl Source {
+impl ConsulSource {
     /// The slot is lost by the own clock: told before anything else happens.
     pub(super) fn fence(&mut self, now: Micros) {
         let slot = self.lease.as_ref().and_then(|l| l.slot(now));
@@ -22,7 +22,9 @@
 
     pub(super) fn lease_step(&mut self, now: Micros) {
         let Some(lease) = &mut self.lease else { return };
-        let Some(ask) = lease.next(now) else { return };
+        let Some(ask) = lease.next_request(now) else {
+            return;
+        };
         let Some(m) = &self.config.membership else {
             return;
         };
@@ -30,7 +32,7 @@
         let (target, method, body) = match &ask {
             Ask::Create => {
                 let body = json!({
-                    "Name": self.who, "TTL": format!("{}ms", m.ttl_ms),
+                    "Name": self.user_agent, "TTL": format!("{}ms", m.ttl_ms),
                     "LockDelay": format!("{}ms", self.lock_delay_ms), "Behavior": "release",
                     // A session of its own TTL only: the health of the node it is made on must not end it.
                     "NodeChecks": [], "ServiceChecks": [],
@@ -49,18 +51,25 @@
             Ask::List => {
                 let path = format!("/v1/kv/{}/", escape(&m.prefix));
                 (
-                    self.target(path).with("recurse", "").mode(Mode::Consistent),
+                    self.target(path)
+                        .with_param("recurse", "")
+                        .mode(Mode::Consistent),
                     "GET",
                     String::new(),
                 )
             }
             Ask::Acquire(slot, id) => (
-                self.target(key(*slot)).with("acquire", id),
+                self.target(key(*slot)).with_param("acquire", id),
                 "PUT",
-                self.who.clone(),
+                self.user_agent.clone(),
             ),
         };
-        let request = target.request(method, &self.who, self.token.as_deref(), body.as_bytes());
+        let request = target.to_request(
+            method,
+            &self.user_agent,
+            self.token.as_deref(),
+            body.as_bytes(),
+        );
         let server = self.loops.get(&Purpose::Lease).map_or(0, |l| l.server);
         let call = self.send(Purpose::Lease, server, request, SHORT);
         self.lease_ask = Some((call, ask));
@@ -87,7 +96,7 @@
                 let Some(all) = json.as_array() else {
                     return Told::Failed;
                 };
-                let own = self.lease.as_ref().and_then(Lease::session);
+                let own = self.lease.as_ref().and_then(SlotLease::session);
                 let (mut held, mut mine) = (BTreeSet::new(), None);
                 for key in all {
                     let slot = key["Key"]
@@ -116,7 +125,7 @@
     pub(super) fn lease_done(&mut self, now: Micros, told: Told) {
         self.lease_ask = None;
         if let Some(lease) = &mut self.lease {
-            lease.told(now, told);
+            lease.handle_response(now, told);
         }
         self.fence(now);
         self.lease_step(now);
--- a/crates/consul/src/trust.rs
+++ b/crates/consul/src/trust.rs
@@ -7,7 +7,7 @@
 //! be true (rule 3 wins). What an unconfirmed answer says of hosts that it does list counts at once if it is bad.
 
 use crate::Micros;
-use crate::catalogue::Listed;
+use crate::catalogue::HostList;
 use crate::query::Meta;
 
 /// A loss waits so long to be confirmed, well within any grace of rule 3.
@@ -54,7 +54,7 @@
     }
 
     /// When a waiting loss counts at the latest.
-    pub fn due(&self) -> Option<Micros> {
+    pub fn confirmation_deadline(&self) -> Option<Micros> {
         self.doubt.map(|since| since + CONFIRM_WITHIN)
     }
 
@@ -64,7 +64,7 @@
         now: Micros,
         meta: Meta,
         consistent: bool,
-        listed: &Listed,
+        listed: &HostList,
         had: usize,
         gone: usize,
     ) -> Belief {
@@ -83,7 +83,7 @@
             self.datacentre = listed.datacentres.first().cloned();
         }
         let much = gone >= LOST_LEAST && ((had - gone) as f64) < LOST_SHARE * had as f64;
-        let overdue = self.due().is_some_and(|due| due <= now);
+        let overdue = self.confirmation_deadline().is_some_and(|due| due <= now);
         if much && !consistent && !overdue {
             self.doubt.get_or_insert(now);
             return Belief::Confirm;
@@ -102,9 +102,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::catalogue::{Differences, Known, read};
+    use crate::catalogue::{KnownNames, ListDifferences, read_host_list};
 
-    fn list(names: &[&str], dc: &str) -> Listed {
+    fn list(names: &[&str], dc: &str) -> HostList {
         let entry = |n: &&str| {
             format!(
                 r#"{{"Node":{{"Node":"{n}","Address":"127.0.0.1","Datacenter":"{dc}"}},
@@ -115,12 +115,12 @@
             "[{}]",
             names.iter().map(entry).collect::<Vec<_>>().join(",")
         );
-        read(
+        read_host_list(
             body.as_bytes(),
-            &Known {
+            &KnownNames {
                 zones: vec!["a".into()],
                 kinds: vec!["k".into()],
-                most: 99,
+                max_entries: 99,
             },
         )
         .expect("a list")
@@ -136,7 +136,7 @@
         had: &[&str],
     ) -> Belief {
         let listed = list(names, dc);
-        let gone = Differences::between(&list(had, dc).entries, &listed.entries).gone;
+        let gone = ListDifferences::between(&list(had, dc).entries, &listed.entries).removed_count;
         trust.judge(now, meta, consistent, &listed, had.len(), gone)
     }
 
@@ -202,7 +202,7 @@
                 judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
                 Belief::Confirm
             );
-            assert_eq!(trust.due(), Some(100 + CONFIRM_WITHIN));
+            assert_eq!(trust.confirmation_deadline(), Some(100 + CONFIRM_WITHIN));
             // The same again does not begin the wait anew, and when it is over the loss counts.
             assert_eq!(
                 judge(&mut trust, 200, meta(6), false, (less, "dc1"), &ALL),
@@ -229,7 +229,7 @@
                 judge(&mut trust, 101, meta(5), true, (less, "dc1"), &ALL),
                 Belief::Take
             );
-            assert_eq!(trust.due(), None);
+            assert_eq!(trust.confirmation_deadline(), None);
             // A consistent answer without a leader confirms nothing.
             let mut trust = Trust::new(None);
             let none = Meta {
--- a/crates/consul/src/watch.rs
+++ b/crates/consul/src/watch.rs
@@ -17,77 +17,77 @@
 
 /// What the next read of the list is to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum NextRead {
     /// The whole list, at once.
     Whole,
     /// The whole list, once its index moves or the wait is over.
     WholeBlocking,
     /// Nothing but the index, once it moves or the wait is over.
-    Watch,
+    IndexOnly,
 }
 
 /// Decides how the list is read next.
 #[derive(Debug)]
-pub struct Watch {
+pub struct IndexWatch {
     /// Not used before this.
-    from: Option<Micros>,
+    usable_from: Option<Micros>,
     /// When the whole list is read again.
-    due: Option<Micros>,
+    next_full_read: Option<Micros>,
     /// The index has moved since.
     moved: bool,
 }
 
-impl Watch {
+impl IndexWatch {
     /// A watch, or whole lists only.
-    pub fn new(wanted: bool) -> Watch {
-        Watch {
-            from: wanted.then_some(0),
-            due: None,
+    pub fn new(wanted: bool) -> IndexWatch {
+        IndexWatch {
+            usable_from: wanted.then_some(0),
+            next_full_read: None,
             moved: false,
         }
     }
 
     /// What to read next, when blocking on an index is possible.
-    pub fn next(&self, now: Micros) -> Next {
-        match (self.from, self.due) {
+    pub fn next_read(&self, now: Micros) -> NextRead {
+        match (self.usable_from, self.next_full_read) {
             (Some(from), Some(due)) if from <= now => {
                 if self.moved || due <= now {
-                    Next::Whole
+                    NextRead::Whole
                 } else {
-                    Next::Watch
+                    NextRead::IndexOnly
                 }
             }
-            _ => Next::WholeBlocking,
+            _ => NextRead::WholeBlocking,
         }
     }
 
     /// A whole list came. `unannounced` tells that it differs from the last one under the same index; `drawn`, in
     /// 0..1, when the next one is read whatever the watch says.
-    pub fn whole(&mut self, now: Micros, unannounced: bool, drawn: f64) {
+    pub fn record_full_read(&mut self, now: Micros, unannounced: bool, drawn: f64) {
         let wait = (WHOLE_EVERY as f64 * (0.5 + 0.5 * drawn)) as Micros;
-        (self.due, self.moved) = (Some(now + wait), false);
-        if unannounced && self.from.is_some_and(|from| from <= now) {
+        (self.next_full_read, self.moved) = (Some(now + wait), false);
+        if unannounced && self.usable_from.is_some_and(|from| from <= now) {
             tracing::warn!(
                 "the catalogue's list changed under an unchanged index; whole lists are read"
             );
-            self.from = Some(now + DISTRUST);
+            self.usable_from = Some(now + DISTRUST);
         }
     }
 
     /// The watch's answer came, with whether the index has moved.
-    pub fn told(&mut self, moved: bool) {
+    pub fn record_index(&mut self, moved: bool) {
         self.moved |= moved;
     }
 
     /// A server does not take the filter, or ignores it.
     pub fn refused(&mut self) {
         tracing::info!("the catalogue does not filter; whole lists are read");
-        self.from = None;
+        self.usable_from = None;
     }
 }
 
 /// A filter that leaves nothing, within what the settings' own filter leaves.
-pub fn nothing(filter: Option<&str>) -> String {
+pub fn match_nothing_filter(filter: Option<&str>) -> String {
     match filter {
         Some(own) if own.contains(" or ") => format!("({own}) and {NOTHING}"),
         Some(own) => format!("{own} and {NOTHING}"),
@@ -103,46 +103,59 @@
 
     #[test]
     fn whole_lists_come_first_on_news_and_now_and_then() {
-        let mut watch = Watch::new(true);
-        assert_eq!(watch.next(0), Next::WholeBlocking, "nothing is known yet");
-        watch.whole(S, false, 1.0);
-        assert_eq!(watch.next(2 * S), Next::Watch);
-        watch.told(false);
-        assert_eq!(watch.next(7 * S), Next::Watch);
-        watch.told(true);
-        assert_eq!(watch.next(8 * S), Next::Whole);
-        watch.whole(8 * S, false, 1.0);
-        assert_eq!(watch.next(8 * S + WHOLE_EVERY - 1), Next::Watch);
-        assert_eq!(watch.next(8 * S + WHOLE_EVERY), Next::Whole);
-        watch.whole(8 * S, false, 0.0);
-        assert_eq!(watch.next(8 * S + WHOLE_EVERY / 2 - 1), Next::Watch);
-        assert_eq!(watch.next(8 * S + WHOLE_EVERY / 2), Next::Whole);
-        assert_eq!(Watch::new(false).next(0), Next::WholeBlocking);
+        let mut watch = IndexWatch::new(true);
+        assert_eq!(
+            watch.next_read(0),
+            NextRead::WholeBlocking,
+            "nothing is known yet"
+        );
+        watch.record_full_read(S, false, 1.0);
+        assert_eq!(watch.next_read(2 * S), NextRead::IndexOnly);
+        watch.record_index(false);
+        assert_eq!(watch.next_read(7 * S), NextRead::IndexOnly);
+        watch.record_index(true);
+        assert_eq!(watch.next_read(8 * S), NextRead::Whole);
+        watch.record_full_read(8 * S, false, 1.0);
+        assert_eq!(
+            watch.next_read(8 * S + WHOLE_EVERY - 1),
+            NextRead::IndexOnly
+        );
+        assert_eq!(watch.next_read(8 * S + WHOLE_EVERY), NextRead::Whole);
+        watch.record_full_read(8 * S, false, 0.0);
+        assert_eq!(
+            watch.next_read(8 * S + WHOLE_EVERY / 2 - 1),
+            NextRead::IndexOnly
+        );
+        assert_eq!(watch.next_read(8 * S + WHOLE_EVERY / 2), NextRead::Whole);
+        assert_eq!(IndexWatch::new(false).next_read(0), NextRead::WholeBlocking);
     }
 
     #[test]
     fn a_watch_that_lies_or_is_not_taken_is_given_up() {
-        let mut watch = Watch::new(true);
-        watch.whole(S, false, 0.0);
-        watch.whole(2 * S, true, 0.0);
-        assert_eq!(watch.next(3 * S), Next::WholeBlocking);
+        let mut watch = IndexWatch::new(true);
+        watch.record_full_read(S, false, 0.0);
+        watch.record_full_read(2 * S, true, 0.0);
+        assert_eq!(watch.next_read(3 * S), NextRead::WholeBlocking);
         assert_eq!(
-            watch.next(2 * S + DISTRUST),
-            Next::Whole,
+            watch.next_read(2 * S + DISTRUST),
+            NextRead::Whole,
             "tried again much later, from a whole list"
         );
-        let mut watch = Watch::new(true);
-        watch.whole(S, false, 0.0);
+        let mut watch = IndexWatch::new(true);
+        watch.record_full_read(S, false, 0.0);
         watch.refused();
-        assert_eq!(watch.next(u64::MAX), Next::WholeBlocking);
+        assert_eq!(watch.next_read(u64::MAX), NextRead::WholeBlocking);
     }
 
     #[test]
     fn the_filter_keeps_within_the_settings_own() {
-        assert_eq!(nothing(None), "Service.ID == \"\"");
-        assert_eq!(nothing(Some("a == b")), "a == b and Service.ID == \"\"");
+        assert_eq!(match_nothing_filter(None), "Service.ID == \"\"");
+        assert_eq!(
+            match_nothing_filter(Some("a == b")),
+            "a == b and Service.ID == \"\""
+        );
         assert_eq!(
-            nothing(Some("a == b or c == d")),
+            match_nothing_filter(Some("a == b or c == d")),
             "(a == b or c == d) and Service.ID == \"\""
         );
     }
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -3,20 +3,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-use maplethread_config::{Doc, HostState, PlacerConfig};
-use maplethread_consul::{Out, Source, Update};
-use maplethread_wire::http::{Found, Limits, Message, Reader, Role};
+use maplethread_config::{Document, HostState, PlacerConfig};
+use maplethread_consul::{ConsulSource, Output, Update};
+use maplethread_wire::http::{Limits, Message, MessageReader, ReadResult, Role};
 
 const HOSTS: usize = 3000;
 
-fn source() -> Source {
+fn source() -> ConsulSource {
     let text = "[placer]\nname = \"p\"\nnumber = 0\nplacers = 1\nzone = \"a\"\nzones = [\"a\"]\n[api]\nlisten = \"127.0.0.1:0\"\n\
          [hosts]\n[consul]\nservers = [\"127.0.0.1:8500\"]\nwatch = false\n[rules]\ncold_from = 0.2\ncold_for_ms = 1\n\
          fall_multiple = 4.0\nfall_window_ms = 1\nfresh_offers = 1.0\n[[kind]]\nname = \"std\"\ncores = 1.0\n\
          memory_gib = 1.0\n[[class]]\nname = \"c\"\neffect = \"safe\"\naim_ms = 1\n";
-    let config = PlacerConfig::parse(Doc { file: "test", text }).expect("settings");
+    let config = PlacerConfig::parse(Document { file: "test", text }).expect("settings");
     let consul = config.consul.clone().expect("a catalogue");
-    Source::new(&config, &consul, None, 1)
+    ConsulSource::new(&config, &consul, None, 1)
 }
 
 /// A list of these hosts; those told as critical are.
@@ -41,27 +41,32 @@
         body.len()
     );
     let limits = Limits {
-        body: 64 << 20,
+        max_body_bytes: 64 << 20,
         ..Limits::default()
     };
-    match Reader::new(Role::Responses, limits)
+    match MessageReader::new(Role::Responses, limits)
         .read((head + body).as_bytes())
         .expect("HTTP")
         .0
     {
-        Found::Message(message) => message,
+        ReadResult::Message(message) => message,
         found => panic!("{found:?}"),
     }
 }
 
 /// Answers the query of the list that is out, and returns what each turn tells until all is told.
-fn answer(source: &mut Source, now: u64, body: &str, index: u64) -> Vec<Vec<(String, HostState)>> {
+fn answer(
+    source: &mut ConsulSource,
+    now: u64,
+    body: &str,
+    index: u64,
+) -> Vec<Vec<(String, HostState)>> {
     source.tick(now);
-    let lists = |source: &mut Source| {
+    let lists = |source: &mut ConsulSource| {
         let calls = source
             .outputs()
             .into_iter()
-            .map(|Out::Call { call, request, .. }| (call, request));
+            .map(|Output::Call { call, request, .. }| (call, request));
         calls
             .filter(|(_, request)| request.starts_with(b"GET /v1/health"))
             .collect::<Vec<_>>()
@@ -69,9 +74,9 @@
     let [(call, _)] = &lists(source)[..] else {
         panic!("one query of the list")
     };
-    source.answered(now, *call, message(body, index));
+    source.handle_response(now, *call, message(body, index));
     let mut turns = Vec::new();
-    while source.busy() {
+    while source.has_pending_work() {
         assert_eq!(
             source.next_timeout(now),
             Some(now),
@@ -83,7 +88,7 @@
             "asked again while the answer is still read"
         );
         let hosts = source
-            .updates()
+            .take_updates()
             .into_iter()
             .flat_map(|update| match update {
                 Update::Hosts(hosts) => hosts,
@@ -145,13 +150,13 @@
     let mut calls = source
         .outputs()
         .into_iter()
-        .map(|Out::Call { call, request, .. }| (call, request));
+        .map(|Output::Call { call, request, .. }| (call, request));
     let (call, _) = calls
         .find(|(_, request)| request.starts_with(b"GET /v1/health"))
         .expect("a query");
-    source.answered(1_000_000, call, message(&list(0..HOSTS, |n| n >= 1000), 6));
+    source.handle_response(1_000_000, call, message(&list(0..HOSTS, |n| n >= 1000), 6));
     source.catch_up(1_000_000);
-    let updates = source.updates();
+    let updates = source.take_updates();
     let hosts = updates.iter().map(|u| {
         if let Update::Hosts(hosts) = u {
             hosts.len()
@@ -160,7 +165,7 @@
         }
     });
     assert_eq!(hosts.sum::<usize>(), HOSTS - 1000);
-    assert!(!source.busy());
+    assert!(!source.has_pending_work());
 }
 
 #[test]
@@ -171,7 +176,7 @@
     // No list: nothing is told, and the next answer is compared with the last good one.
     let turns = answer(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
     assert!(turns.iter().all(Vec::is_empty));
-    assert_eq!(source.report(1_000_000).failed, 1);
+    assert_eq!(source.report(1_000_000).failed_calls, 1);
     let mut state: BTreeMap<String, HostState> = (0..HOSTS)
         .map(|n| (format!("host-{n:04}"), HostState::Ready))
         .collect();
--- a/crates/deployment/src/fault.rs
+++ b/crates/deployment/src/fault.rs
@@ -6,16 +6,16 @@
 
 /// What was wrong with a line.
 #[derive(Debug)]
-pub struct WireError {
+pub struct FieldError {
     message: String,
     field: String,
     expected: String,
 }
 
-impl WireError {
+impl FieldError {
     /// In this message, this field is not what was expected.
     pub fn new(message: &str, field: &str, expected: String) -> Self {
-        WireError {
+        FieldError {
             message: message.to_owned(),
             field: field.to_owned(),
             expected,
@@ -23,7 +23,7 @@
     }
 }
 
-impl fmt::Display for WireError {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
--- a/crates/deployment/src/hosts.rs
+++ b/crates/deployment/src/host_names.rs
@@ -6,27 +6,27 @@
 
 /// Host names, numbered by one placer in the order in which its own lists named them.
 #[derive(Debug, Default)]
-pub struct Hosts {
+pub struct HostNames {
     names: BTreeMap<MachineId, String>,
     ids: BTreeMap<String, MachineId>,
-    next: u32,
+    next_id: u32,
 }
 
-impl Hosts {
+impl HostNames {
     /// The number of a host, a new one for a name not heard before.
-    pub fn id(&mut self, name: &str) -> MachineId {
+    pub fn id_or_assign(&mut self, name: &str) -> MachineId {
         if let Some(&id) = self.ids.get(name) {
             return id;
         }
-        let id = MachineId(self.next);
-        self.next += 1;
+        let id = MachineId(self.next_id);
+        self.next_id += 1;
         self.names.insert(id, name.to_owned());
         self.ids.insert(name.to_owned(), id);
         id
     }
 
     /// The number of a host that has one.
-    pub fn known(&self, name: &str) -> Option<MachineId> {
+    pub fn id_of(&self, name: &str) -> Option<MachineId> {
         self.ids.get(name).copied()
     }
 
@@ -54,7 +54,7 @@
 }
 
 /// FNV-1a of a host's name: the same at every placer, whichever hosts it has heard of.
-pub fn label(name: &str) -> u64 {
+pub fn stable_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
     })
--- /dev/null
+++ b/crates/deployment/src/host_names/tests.rs
@@ -0,0 +1,24 @@
+use super::*;
+
+#[test]
+fn hosts_are_numbered_once_and_a_forgotten_number_is_not_given_again() {
+    let mut hosts = HostNames::default();
+    let ids = [
+        hosts.id_or_assign("a:1"),
+        hosts.id_or_assign("b:1"),
+        hosts.id_or_assign("a:1"),
+    ];
+    assert_eq!(ids, [MachineId(0), MachineId(1), MachineId(0)]);
+    hosts.forget(MachineId(0));
+    assert_eq!(
+        (hosts.name(MachineId(0)), hosts.id_of("a:1"), hosts.len()),
+        (None, None, 1)
+    );
+    assert_eq!(hosts.id_or_assign("a:1"), MachineId(2));
+}
+
+#[test]
+fn labels_are_fnv_1a() {
+    assert_eq!(stable_hash(""), 0xcbf2_9ce4_8422_2325);
+    assert_eq!(stable_hash("a"), 0xaf63_dc4c_8601_ec8c);
+}
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -3,9 +3,9 @@
 //! give the module the same picture. Sans-I/O, without clock, and it decides nothing.
 
 mod fault;
-pub mod hosts;
+pub mod host_names;
 pub mod settings;
 
-pub use fault::{WireError, micros};
-pub use hosts::Hosts;
-pub use settings::{Reports, Terms, decode, terms};
+pub use fault::{FieldError, micros};
+pub use host_names::HostNames;
+pub use settings::{CapacityReporting, PlatformSettings, decode_policy_settings, terms};
--- a/crates/deployment/src/settings.rs
+++ b/crates/deployment/src/settings.rs
@@ -1,20 +1,20 @@
 //! The settings object of a launch, in the library's terms. Keys that are not used are skipped.
 
 use maplethread::{
-    Class, DiscoveryMode, RetrySafety, DeduplicationScope, Limits, LoadReport, Micros, TopologyLevel, Costs, Resources, Rules,
-    AcceptancePoint, Settings,
+    AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport, Micros,
+    Resources, RetrySafety, Rules, Settings, TopologyLevel,
 };
 use serde_json::Value;
 
-use crate::fault::{WireError, micros};
+use crate::fault::{FieldError, micros};
 
 /// Which of an instance's numbers carry room.
 #[derive(Clone, Copy)]
-pub struct Reports {
+pub struct CapacityReporting {
     /// Lists do.
-    pub view: bool,
+    pub in_endpoint_lists: bool,
     /// Load reports do.
-    pub room: bool,
+    pub in_load_reports: bool,
 }
 
 /// A part of the settings, found by a path such as `domain.ack`.
@@ -33,52 +33,53 @@
         path: &str,
         expected: &str,
         read: impl Fn(&'a Value) -> Option<T>,
-    ) -> Result<T, WireError> {
+    ) -> Result<T, FieldError> {
         self.find(path)
             .and_then(read)
-            .ok_or_else(|| WireError::new("LAUNCH", path, expected.into()))
+            .ok_or_else(|| FieldError::new("LAUNCH", path, expected.into()))
     }
 
-    fn number(self, path: &str) -> Result<f64, WireError> {
+    fn number(self, path: &str) -> Result<f64, FieldError> {
         self.need(path, "a number", Value::as_f64)
     }
 
-    fn number_or(self, path: &str, absent: f64) -> Result<f64, WireError> {
+    fn number_or(self, path: &str, absent: f64) -> Result<f64, FieldError> {
         self.find(path).map_or(Ok(absent), |_| self.number(path))
     }
 
-    fn time(self, path: &str) -> Result<Micros, WireError> {
+    fn time(self, path: &str) -> Result<Micros, FieldError> {
         self.number(path).map(micros)
     }
 
-    fn whole(self, path: &str) -> Result<u32, WireError> {
+    fn whole(self, path: &str) -> Result<u32, FieldError> {
         self.need(path, "a small whole number", |v| {
             v.as_u64().and_then(|n| u32::try_from(n).ok())
         })
     }
 
-    fn bool(self, path: &str) -> Result<bool, WireError> {
+    fn bool(self, path: &str) -> Result<bool, FieldError> {
         self.need(path, "true or false", Value::as_bool)
     }
 
-    fn text(self, path: &str) -> Result<&'a str, WireError> {
+    fn text(self, path: &str) -> Result<&'a str, FieldError> {
         self.need(path, "text", Value::as_str)
     }
 
-    fn array(self, path: &str) -> Result<&'a [Value], WireError> {
+    fn array(self, path: &str) -> Result<&'a [Value], FieldError> {
         self.need(path, "an array", |v| v.as_array().map(Vec::as_slice))
     }
 
     /// The `index`th of a list that has one value for each class or kind.
-    fn nth(self, path: &str, index: usize) -> Result<f64, WireError> {
+    fn nth(self, path: &str, index: usize) -> Result<f64, FieldError> {
         let value = self.array(path)?.get(index).and_then(Value::as_f64);
-        value
-            .ok_or_else(|| WireError::new("LAUNCH", path, "a number for each class or kind".into()))
+        value.ok_or_else(|| {
+            FieldError::new("LAUNCH", path, "a number for each class or kind".into())
+        })
     }
 }
 
 /// Reads the settings object; the error names the first key that is missing or wrong.
-pub fn decode(info: &Value) -> Result<(Settings, Reports), WireError> {
+pub fn decode_policy_settings(info: &Value) -> Result<(Settings, CapacityReporting), FieldError> {
     let at = At(info);
     let report = report(at)?;
     let settings = Settings {
@@ -95,7 +96,7 @@
             "push" => DiscoveryMode::Watch,
             "ask" => DiscoveryMode::Poll,
             _ => {
-                return Err(WireError::new(
+                return Err(FieldError::new(
                     "LAUNCH",
                     "registryMode",
                     "push or ask".into(),
@@ -106,7 +107,7 @@
             "accepted" => AcceptancePoint::Accepted,
             "running" => AcceptancePoint::Running,
             _ => {
-                return Err(WireError::new(
+                return Err(FieldError::new(
                     "LAUNCH",
                     "domain.ack",
                     "accepted or running".into(),
@@ -115,13 +116,13 @@
         },
         admit_cores: at.number("domain.admitCores")?,
         admit_memory: at.number("domain.admitMemory")?,
-        view: at.bool("domain.listsFree")?,
-        report,
+        endpoints_report_capacity: at.bool("domain.listsFree")?,
+        load_report: report,
         limits: Limits {
             max_attempts: at.whole("allowed.maxAttempts")?,
-            cancel: at.bool("allowed.mayCancel")?,
-            probes: at.bool("allowed.probes")?,
-            peers: at.bool("allowed.peers")?,
+            can_cancel: at.bool("allowed.mayCancel")?,
+            can_probe: at.bool("allowed.probes")?,
+            can_message_peers: at.bool("allowed.peers")?,
             max_retry_after: match at.bool("allowed.retryAfter")? {
                 true => Some(at.time("allowed.maxRetryAfterMs")?),
                 false => None,
@@ -142,18 +143,18 @@
             migration: at.number_or("fees.moves", 0.0)?,
         },
     };
-    let reports = Reports {
-        view: settings.view,
-        room: report != LoadReport::Silent,
+    let reports = CapacityReporting {
+        in_endpoint_lists: settings.endpoints_report_capacity,
+        in_load_reports: report != LoadReport::Silent,
     };
     Ok((settings, reports))
 }
 
 /// What the settings object says of the platform, besides the decisions' part.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct PlatformSettings {
     /// The names of the classes.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// The names of the zones.
     pub zones: Vec<String>,
     /// The names of the kinds of machines.
@@ -169,9 +170,9 @@
 }
 
 /// Reads those; the error names the first key that is missing or wrong.
-pub fn terms(info: &Value) -> Result<Terms, WireError> {
+pub fn terms(info: &Value) -> Result<PlatformSettings, FieldError> {
     let at = At(info);
-    let texts = |path: &str, key: &str| -> Result<Vec<String>, WireError> {
+    let texts = |path: &str, key: &str| -> Result<Vec<String>, FieldError> {
         let name = |v: &Value| {
             if key.is_empty() {
                 v.as_str()
@@ -196,10 +197,10 @@
         .collect::<Result<Vec<f64>, _>>()?
         .into_iter()
         .fold(0.0, f64::max);
-    Ok(Terms {
+    Ok(PlatformSettings {
         longest_deadline: micros(longest),
         tests_cost: at.bool("allowed.probes")? && at.number_or("fees.probe", 0.0)? > 0.0,
-        classes: texts("classes", "name")?,
+        class_names: texts("classes", "name")?,
         zones: texts("zones", "")?,
         kinds: texts("shapes", "")?,
         connect_within: span("allowed.connectTimeoutMs")?,
@@ -207,7 +208,7 @@
     })
 }
 
-fn report(at: At) -> Result<LoadReport, WireError> {
+fn report(at: At) -> Result<LoadReport, FieldError> {
     let fields = at.array("reporting.fields")?;
     let both = ["x0", "x1"]
         .iter()
@@ -218,7 +219,7 @@
     match at.text("domain.freeBy")? {
         "asked" => Ok(LoadReport::Unallocated),
         "used" => Ok(LoadReport::Unused),
-        _ => Err(WireError::new(
+        _ => Err(FieldError::new(
             "LAUNCH",
             "domain.freeBy",
             "asked or used".into(),
@@ -226,7 +227,7 @@
     }
 }
 
-fn class(at: At, index: usize) -> Result<Class, WireError> {
+fn class(at: At, index: usize) -> Result<Class, FieldError> {
     let own = At(&at.array("classes")?[index]);
     let effect = match own.text("effect")? {
         "pure" => RetrySafety::Idempotent,
@@ -237,7 +238,7 @@
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
                 _ => {
-                    return Err(WireError::new(
+                    return Err(FieldError::new(
                         "LAUNCH",
                         "classes.group",
                         "all, zone or cell".into(),
@@ -247,7 +248,7 @@
             window: own.time("windowMs")?,
         },
         _ => {
-            return Err(WireError::new(
+            return Err(FieldError::new(
                 "LAUNCH",
                 "classes.effect",
                 "pure, token or side_effect".into(),
@@ -264,7 +265,7 @@
         Some("cell") => Some(TopologyLevel::Cell),
         Some("zone") => Some(TopologyLevel::Zone),
         _ => {
-            return Err(WireError::new(
+            return Err(FieldError::new(
                 "LAUNCH",
                 "domain.spreadOver",
                 "a place for each class".into(),
@@ -279,12 +280,12 @@
         priority_weight: own.number("worth")?,
         start_bonus_s: at.nth("domain.startBonusS", index)?,
         priority: at.nth("domain.classPriority", index)? as u32,
-        kind: (kind >= 0.0).then_some(kind as usize),
+        machine_kind: (kind >= 0.0).then_some(kind as usize),
         spread_limit: place.map(|place| (place, most as u32)),
     })
 }
 
-fn kind(at: At, index: usize) -> Result<Resources, WireError> {
+fn kind(at: At, index: usize) -> Result<Resources, FieldError> {
     Ok(Resources {
         cores: at.nth("domain.kindCores", index)?,
         memory: at.nth("domain.memoryByKind", index)?,
