--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -9,7 +9,7 @@
 /// The one final answer to an ask.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum Answer {
+pub enum FinalAnswer {
     /// The actor is placed.
     Placed {
         request: Arc<str>,
@@ -34,13 +34,13 @@
     },
 }
 
-impl Answer {
+impl FinalAnswer {
     /// The same answer to another request.
-    pub fn named(&self, id: Arc<str>) -> Answer {
+    pub fn for_request(&self, id: Arc<str>) -> FinalAnswer {
         let mut named = self.clone();
-        let (Answer::Placed { request, .. }
-        | Answer::Refused { request, .. }
-        | Answer::Failed { request, .. }) = &mut named;
+        let (FinalAnswer::Placed { request, .. }
+        | FinalAnswer::Refused { request, .. }
+        | FinalAnswer::Failed { request, .. }) = &mut named;
         *request = id;
         named
     }
@@ -48,44 +48,45 @@
 
 /// What an Idempotency-Key stands for.
 #[derive(Clone, Debug)]
-pub enum Known {
+pub enum IdempotencyRecord {
     /// An ask that has no answer yet.
-    Asking(TaskId),
+    Pending(TaskId),
     /// Its answer, as bytes.
     Answered(Arc<[u8]>),
 }
 
 /// Answers by Idempotency-Key, for a stated time and up to a stated number.
-pub struct Answers {
-    by_key: BTreeMap<Arc<str>, (u64, Known)>,
-    order: VecDeque<(u64, Arc<str>)>,
-    most: usize,
-    kept: u64,
+pub struct AnswerCache {
+    by_key: BTreeMap<Arc<str>, (u64, IdempotencyRecord)>,
+    expiry_order: VecDeque<(u64, Arc<str>)>,
+    max_answers: usize,
+    retention: u64,
 }
 
-impl Answers {
-    pub fn new(most: usize, kept: u64) -> Answers {
-        Answers {
+impl AnswerCache {
+    pub fn new(max_answers: usize, retention: u64) -> AnswerCache {
+        AnswerCache {
             by_key: BTreeMap::new(),
-            order: VecDeque::new(),
-            most,
-            kept,
+            expiry_order: VecDeque::new(),
+            max_answers,
+            retention,
         }
     }
 
-    pub fn get(&self, key: &str) -> Option<&Known> {
+    pub fn get(&self, key: &str) -> Option<&IdempotencyRecord> {
         self.by_key.get(key).map(|(_, known)| known)
     }
 
     pub fn asking(&mut self, key: &Arc<str>, task: TaskId) {
-        self.by_key.insert(key.clone(), (0, Known::Asking(task)));
+        self.by_key
+            .insert(key.clone(), (0, IdempotencyRecord::Pending(task)));
     }
 
-    pub fn answered(&mut self, key: &Arc<str>, now: u64, bytes: Arc<[u8]>) {
-        let until = now + self.kept;
+    pub fn insert_answer(&mut self, key: &Arc<str>, now: u64, bytes: Arc<[u8]>) {
+        let until = now + self.retention;
         self.by_key
-            .insert(key.clone(), (until, Known::Answered(bytes)));
-        self.order.push_back((until, key.clone()));
+            .insert(key.clone(), (until, IdempotencyRecord::Answered(bytes)));
+        self.expiry_order.push_back((until, key.clone()));
         self.expire(now);
     }
 
@@ -94,15 +95,15 @@
     }
 
     pub fn expire(&mut self, now: u64) {
-        while let Some((until, key)) = self.order.front() {
-            if *until > now && self.order.len() <= self.most {
+        while let Some((until, key)) = self.expiry_order.front() {
+            if *until > now && self.expiry_order.len() <= self.max_answers {
                 return;
             }
             // The key may have been asked anew since.
             if self.by_key.get(key).is_some_and(|(at, _)| at == until) {
                 self.by_key.remove(key);
             }
-            self.order.pop_front();
+            self.expiry_order.pop_front();
         }
     }
 }
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -24,18 +24,18 @@
 
 /// What a client wants.
 #[derive(Debug)]
-pub enum Call {
+pub enum ApiRequest {
     Place {
         body: Place,
         request: Option<String>,
         idempotency: Option<String>,
     },
     CancelAsk(String),
-    Stop {
+    StopActor {
         service: String,
         actor: String,
     },
-    Look {
+    GetActor {
         service: String,
         actor: String,
     },
@@ -50,7 +50,7 @@
     Status {
         full: bool,
     },
-    Fleet {
+    Membership {
         after: Option<u64>,
     },
 }
@@ -87,14 +87,18 @@
         }
     }
 
-    pub fn busy(kind: &'static str, title: &'static str, detail: impl Into<String>) -> Problem {
+    pub fn unavailable(
+        kind: &'static str,
+        title: &'static str,
+        detail: impl Into<String>,
+    ) -> Problem {
         Problem {
             retry_after_s: Some(1),
             ..Problem::new(503, kind, title, detail)
         }
     }
 
-    pub fn bytes(&self, request: Option<&str>) -> Vec<u8> {
+    pub fn to_bytes(&self, request: Option<&str>) -> Vec<u8> {
         let mut body = json!({
             "type": format!("urn:maplethread:problem:{}", self.kind),
             "title": self.title,
@@ -123,7 +127,7 @@
 }
 
 /// A plain answer.
-pub fn answer(status: u16, body: &impl Serialize) -> Vec<u8> {
+pub fn json_response(status: u16, body: &impl Serialize) -> Vec<u8> {
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut out = Vec::with_capacity(body.len() + 96);
     http::write_response(&mut out, status, "application/json", &[], &body);
@@ -169,7 +173,7 @@
 }
 
 fn header(message: &Message, field: &str) -> Result<Option<String>, Problem> {
-    let Some(value) = message.head.field(field) else {
+    let Some(value) = message.head.parse_field(field) else {
         return Ok(None);
     };
     name(field, value)?;
@@ -177,7 +181,7 @@
 }
 
 /// What a message asks for.
-pub fn call(message: &Message) -> Result<Call, Problem> {
+pub fn parse_request(message: &Message) -> Result<ApiRequest, Problem> {
     let target = message.head.target();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -214,29 +218,29 @@
                 _ => return Err(bad("after_service and after_actor belong together")),
             };
             let limit = number("limit")?.unwrap_or(100).clamp(1, 1000) as usize;
-            Ok(Call::List { after, limit })
+            Ok(ApiRequest::List { after, limit })
         }
         (["v1", "actors"], _) => Err(wrong("GET, POST")),
         (["v1", "actors", service, actor], "GET" | "DELETE") => {
             let (service, actor) = (unescape(service)?, unescape(actor)?);
             if method == "GET" {
-                Ok(Call::Look { service, actor })
+                Ok(ApiRequest::GetActor { service, actor })
             } else {
-                Ok(Call::Stop { service, actor })
+                Ok(ApiRequest::StopActor { service, actor })
             }
         }
         (["v1", "actors", _, _], _) => Err(wrong("GET, DELETE")),
-        (["v1", "asks", request], "DELETE") => Ok(Call::CancelAsk(unescape(request)?)),
+        (["v1", "asks", request], "DELETE") => Ok(ApiRequest::CancelAsk(unescape(request)?)),
         (["v1", "asks", _], _) => Err(wrong("DELETE")),
-        (["v1", "events"], "GET") => Ok(Call::Events {
+        (["v1", "events"], "GET") => Ok(ApiRequest::Events {
             after: number("after")?,
             life: number("life")?,
         }),
         (["v1", "events"], _) => Err(wrong("GET")),
-        (["v1", "status"], "GET") => Ok(Call::Status {
+        (["v1", "status"], "GET") => Ok(ApiRequest::Status {
             full: param("full").is_some(),
         }),
-        (["v1", "fleet"], "GET") => Ok(Call::Fleet {
+        (["v1", "fleet"], "GET") => Ok(ApiRequest::Membership {
             after: number("after")?,
         }),
         (["v1", "fleet"], _) => Err(wrong("GET")),
@@ -250,8 +254,8 @@
     }
 }
 
-fn place(message: &Message) -> Result<Call, Problem> {
-    if let Some(kind) = message.head.field("content-type") {
+fn place(message: &Message) -> Result<ApiRequest, Problem> {
+    if let Some(kind) = message.head.parse_field("content-type") {
         let kind = kind.split(';').next().unwrap_or("").trim();
         if !kind.eq_ignore_ascii_case("application/json") {
             return Err(Problem::new(
@@ -279,7 +283,7 @@
     }
     let request = header(message, "x-request-id")?;
     let idempotency = header(message, "idempotency-key")?;
-    Ok(Call::Place {
+    Ok(ApiRequest::Place {
         body,
         request,
         idempotency,
--- a/crates/engine/src/asks.rs
+++ b/crates/engine/src/asks.rs
@@ -5,11 +5,11 @@
 
 use maplethread::{Event, Resources, ServiceId, Task, TaskId};
 
-use crate::answers::{Answer, Known};
+use crate::answers::{FinalAnswer, IdempotencyRecord};
 use crate::api::{self, Place, Problem};
-use crate::engine::{Actor, ActorKey, Ask, Engine, Output, Stage};
-use crate::names::hash;
-use crate::notes::{Ending, Kept};
+use crate::engine::{ActorKey, ActorState, Engine, Output, PlacementRequest, Stage};
+use crate::names::stable_hash;
+use crate::notes::{AuditEntry, RequestOutcome};
 use crate::sessions::copies;
 use crate::{ClientId, Decide};
 
@@ -18,20 +18,20 @@
         let Some(ask) = self.forget_ask(task) else {
             return;
         };
-        self.counters.hung_up += 1;
-        let after = self.now.saturating_sub(ask.asked);
-        self.notes.add(|| Kept::Answered {
+        self.counters.disconnected += 1;
+        let after = self.now.saturating_sub(ask.received_at);
+        self.audit_log.add(|| AuditEntry::RequestFinished {
             task,
-            ending: Ending::HungUp,
+            outcome: RequestOutcome::ClientDisconnected,
             attempts: ask.attempts,
-            after,
+            elapsed: after,
         });
         ask.span.in_scope(|| tracing::debug!("hung up"));
-        if let Some(key) = &ask.idempotency {
+        if let Some(key) = &ask.idempotency_key {
             self.answers.forget(key);
         }
         self.events.push(Event::ClientDisconnected(task));
-        if let Some(wire) = ask.out {
+        if let Some(wire) = ask.in_flight {
             self.call_off(wire);
         }
     }
@@ -40,22 +40,22 @@
     pub(crate) fn waits(&mut self, client: ClientId, task: TaskId, begins: bool) {
         if let Some(client) = self.clients.get_mut(&client) {
             if begins {
-                client.waits.insert(task);
+                client.awaited_tasks.insert(task);
             } else {
-                client.waits.remove(&task);
+                client.awaited_tasks.remove(&task);
             }
         }
     }
 
-    pub(crate) fn forget_ask(&mut self, task: TaskId) -> Option<Ask> {
-        let ask = self.asks.remove(&task)?;
+    pub(crate) fn forget_ask(&mut self, task: TaskId) -> Option<PlacementRequest> {
+        let ask = self.requests.remove(&task)?;
         self.deadlines.remove(&(ask.deadline, task));
-        for id in ask.waiters.iter().map(|w| &w.2).chain([&ask.request]) {
+        for id in ask.waiters.iter().map(|w| &w.2).chain([&ask.request_id]) {
             if self.by_request.get(id) == Some(&task) {
                 self.by_request.remove(id);
             }
         }
-        if self.actors.get(&ask.key) == Some(&Actor::Asking(task)) {
+        if self.actors.get(&ask.key) == Some(&ActorState::Pending(task)) {
             self.actors.remove(&ask.key);
         }
         Some(ask)
@@ -69,7 +69,12 @@
         request: Option<String>,
         idempotency: Option<String>,
     ) -> Result<(), Problem> {
-        let Some(class) = self.config.class.iter().position(|c| c.name == body.class) else {
+        let Some(class) = self
+            .config
+            .classes
+            .iter()
+            .position(|c| c.name == body.class)
+        else {
             return Err(Problem::new(
                 422,
                 "no-such-class",
@@ -80,40 +85,40 @@
         let mut joins = None;
         if let Some(key) = &idempotency {
             match self.answers.get(key) {
-                Some(Known::Answered(bytes)) => {
+                Some(IdempotencyRecord::Answered(bytes)) => {
                     let bytes = bytes.to_vec();
                     self.reply(client, slot, bytes, false);
                     return Ok(());
                 }
-                Some(Known::Asking(task)) => joins = Some(*task),
+                Some(IdempotencyRecord::Pending(task)) => joins = Some(*task),
                 None => {}
             }
         }
         let key: ActorKey = (body.service.as_str().into(), body.actor.as_str().into());
         let actor = self.actors.get(&key).copied();
-        if let Some(Actor::Asking(task)) = actor {
+        if let Some(ActorState::Pending(task)) = actor {
             joins = joins.or(Some(task));
         }
-        if let Some(ask) = joins.and_then(|task| self.asks.get_mut(&task)) {
+        if let Some(ask) = joins.and_then(|task| self.requests.get_mut(&task)) {
             if ask.waiters.len() >= 64 {
                 let detail = "64 requests wait for this ask already";
-                return Err(Problem::busy(
+                return Err(Problem::unavailable(
                     "too-many-waiters",
                     "Too many requests for one ask",
                     detail,
                 ));
             }
-            let id = request.map_or_else(|| ask.request.clone(), Arc::from);
+            let id = request.map_or_else(|| ask.request_id.clone(), Arc::from);
             ask.waiters.push((client, slot, id.clone()));
             self.by_request.entry(id).or_insert(ask.task.id);
             let task = ask.task.id;
             self.waits(client, task, true);
             return Ok(());
         }
-        if let Some(Actor::Placed(wire)) = actor
+        if let Some(ActorState::Placed(wire)) = actor
             && let Some(attempt) = self.attempts.get(&wire)
         {
-            if attempt.stop.is_some() {
+            if attempt.stop_reason.is_some() {
                 let mut problem = Problem::new(
                     409,
                     "stopping",
@@ -125,14 +130,14 @@
             }
             // It is placed already: one placing, one answer.
             let (host, number) = (attempt.host, attempt.id.number);
-            let request = request.map_or_else(|| attempt.request.clone(), Arc::from);
+            let request = request.map_or_else(|| attempt.request_id.clone(), Arc::from);
             let address = self
                 .hosts
                 .get(&host)
                 .map(|h| h.address.to_string())
                 .unwrap_or_default();
             let (host, (service, actor)) = (self.host_name(host), key);
-            let answer = Answer::Placed {
+            let answer = FinalAnswer::Placed {
                 request,
                 service,
                 actor,
@@ -140,7 +145,7 @@
                 address,
                 attempt: number,
             };
-            self.reply(client, slot, api::answer(200, &answer), false);
+            self.reply(client, slot, api::json_response(200, &answer), false);
             return Ok(());
         }
         let until = self.unsettled.get(&key).map(|(until, _)| *until);
@@ -156,19 +161,20 @@
             return Err(problem);
         }
         if self.stopping {
-            let mut problem = Problem::busy("stopping", "This placer is stopping", "ask another");
+            let mut problem =
+                Problem::unavailable("stopping", "This placer is stopping", "ask another");
             problem.close = true;
             return Err(problem);
         }
-        if self.asks.len() >= self.config.api.max_asks {
-            return Err(Problem::busy(
+        if self.requests.len() >= self.config.api.max_asks {
+            return Err(Problem::unavailable(
                 "too-many-asks",
                 "Too many asks are open",
                 "api.max_asks are open",
             ));
         }
         if self.actors.len() >= self.config.api.max_actors {
-            return Err(Problem::busy(
+            return Err(Problem::unavailable(
                 "too-many-actors",
                 "Too many actors are held",
                 "api.max_actors are held",
@@ -177,7 +183,7 @@
         let budget = body.budget_ms.min(self.config.api.max_budget_ms) * 1000;
         if self.pace.turns_away(self.now, budget) {
             let detail = "the placer's turns run late; other placers may have time";
-            return Err(Problem::busy(
+            return Err(Problem::unavailable(
                 "overloaded",
                 "This placer is overloaded",
                 detail,
@@ -187,7 +193,7 @@
         let give_up_at = deadline - self.margin_within(budget);
         if give_up_at <= self.now {
             let detail = "the placer stood still, and the ask's budget may be over";
-            return Err(Problem::busy(
+            return Err(Problem::unavailable(
                 "stood-still",
                 "The ask lay unread for too long",
                 detail,
@@ -201,7 +207,7 @@
         };
         let task = Task {
             id,
-            service: ServiceId(hash(&body.service)),
+            service: ServiceId(stable_hash(&body.service)),
             class,
             requested: Resources::new(body.cores, body.memory_gib),
             expected_duration: body.life_ms.map(|ms| ms.saturating_mul(1000)),
@@ -211,7 +217,7 @@
         let name = body.key.as_deref().unwrap_or(&body.actor);
         let copies = copies(
             self.settings.classes[class].retry_safety,
-            hash(&format!("{}/{name}", body.service)),
+            stable_hash(&format!("{}/{name}", body.service)),
         );
         let span = tracing::info_span!("ask", request = %request, service = %key.0, actor = %key.1);
         span.in_scope(|| tracing::debug!(class = body.class, budget_ms = budget / 1000, "asked"));
@@ -220,61 +226,61 @@
             self.answers.asking(key, id);
         }
         self.by_request.insert(request.clone(), id);
-        self.actors.insert(key.clone(), Actor::Asking(id));
-        self.notes.add(|| Kept::Asked {
+        self.actors.insert(key.clone(), ActorState::Pending(id));
+        self.audit_log.add(|| AuditEntry::RequestAccepted {
             task: id,
             service: task.service,
             key: key.clone(),
             class,
-            request: request.clone(),
-            idempotency: idempotency.clone(),
+            request_id: request.clone(),
+            idempotency_key: idempotency.clone(),
         });
         let waiters = vec![(client, slot, request.clone())];
         let (asked, out, attempts, reason, lack, may_run) = (self.now, None, 0, None, None, None);
-        let ask = Ask {
+        let ask = PlacementRequest {
             task,
-            asked,
+            received_at: asked,
             deadline,
-            fresh: true,
+            awaits_first_turn: true,
             key,
-            request,
-            idempotency,
+            request_id: request,
+            idempotency_key: idempotency,
             waiters,
-            copies,
-            out,
+            duplicate_policy: copies,
+            in_flight: out,
             attempts,
-            reason,
-            lack,
+            last_failure: reason,
+            block_reason: lack,
             lacked: BTreeSet::new(),
-            may_run,
+            possibly_started_on: may_run,
             span,
         };
-        self.asks.insert(id, ask);
+        self.requests.insert(id, ask);
         self.waits(client, id, true);
         self.deadlines.insert((deadline, id));
-        self.counters.asks += 1;
+        self.counters.requests += 1;
         self.events.push(Event::PlacementRequested(task));
         Ok(())
     }
 
     /// The decider left an ask open up to its deadline: it is answered in its stead, with no more than is known.
     pub(crate) fn last_word(&mut self, task: TaskId) {
-        let Some(ask) = self.asks.get(&task) else {
+        let Some(ask) = self.requests.get(&task) else {
             return;
         };
-        let (request, attempts) = (ask.request.clone(), ask.attempts);
+        let (request, attempts) = (ask.request_id.clone(), ask.attempts);
         ask.span
             .in_scope(|| tracing::warn!(attempts, "left open up to its deadline"));
-        self.counters.overdue += 1;
+        self.counters.deadline_answers += 1;
         let answer = if attempts == 0 {
-            Answer::Refused {
+            FinalAnswer::Refused {
                 request,
-                reason: ask.refusal(),
+                reason: ask.rejection_reason(),
                 come_back_ms: 0,
                 attempts,
             }
         } else {
-            Answer::Failed {
+            FinalAnswer::Failed {
                 request,
                 unknown: "whether it runs".to_owned(),
                 attempts,
@@ -285,45 +291,46 @@
     }
 
     /// The one final answer to an ask. What is still out is called off, unless it is what was placed.
-    pub(crate) fn answer(&mut self, task: TaskId, answer: Answer) {
+    pub(crate) fn answer(&mut self, task: TaskId, answer: FinalAnswer) {
         let Some(ask) = self.forget_ask(task) else {
             return;
         };
         let name = match &answer {
-            Answer::Placed { .. } => {
+            FinalAnswer::Placed { .. } => {
                 self.counters.placed += 1;
                 "placed"
             }
-            Answer::Refused { .. } => {
-                self.counters.refused += 1;
+            FinalAnswer::Refused { .. } => {
+                self.counters.rejected += 1;
                 "refused"
             }
-            Answer::Failed { .. } => {
+            FinalAnswer::Failed { .. } => {
                 self.counters.failed += 1;
                 "failed"
             }
         };
-        let out = ask.out.filter(|w| {
+        let out = ask.in_flight.filter(|w| {
             self.attempts
                 .get(w)
-                .is_some_and(|a| a.stage != Stage::Seated)
+                .is_some_and(|a| a.stage != Stage::Placed)
         });
         if let Some(wire) = out {
             self.call_off(wire);
         }
-        let after = self.now.saturating_sub(ask.asked);
-        self.notes.add(|| Kept::Answered {
+        let after = self.now.saturating_sub(ask.received_at);
+        self.audit_log.add(|| AuditEntry::RequestFinished {
             task,
-            ending: ending(&answer),
+            outcome: ending(&answer),
             attempts: ask.attempts,
-            after,
+            elapsed: after,
         });
         let late = ask.deadline <= self.now;
         ask.span
             .in_scope(|| tracing::debug!(attempts = ask.attempts, late, "{name}"));
-        let bytes = api::answer(200, &answer);
-        if let Some(key) = &ask.idempotency {
-            self.answers.answered(key, self.now, bytes.clone().into());
+        let bytes = api::json_response(200, &answer);
+        if let Some(key) = &ask.idempotency_key {
+            self.answers
+                .insert_answer(key, self.now, bytes.clone().into());
         }
         for (client, slot, id) in ask.waiters {
             self.waits(client, task, false);
@@ -334,10 +341,10 @@
                 self.client_closed(self.now, client);
             } else {
                 // Each request that waited has the answer under its own id.
-                let own = if id == ask.request {
+                let own = if id == ask.request_id {
                     bytes.clone()
                 } else {
-                    api::answer(200, &answer.named(id))
+                    api::json_response(200, &answer.for_request(id))
                 };
                 self.reply(client, slot, own, false);
             }
@@ -345,14 +352,14 @@
     }
 }
 
-fn ending(answer: &Answer) -> Ending {
+fn ending(answer: &FinalAnswer) -> RequestOutcome {
     match answer {
-        Answer::Placed { host, .. } => Ending::Placed(host.clone()),
-        Answer::Refused {
+        FinalAnswer::Placed { host, .. } => RequestOutcome::Placed(host.clone()),
+        FinalAnswer::Refused {
             reason,
             come_back_ms,
             ..
-        } => Ending::Refused(reason, *come_back_ms),
-        Answer::Failed { .. } => Ending::Failed,
+        } => RequestOutcome::Rejected(reason, *come_back_ms),
+        FinalAnswer::Failed { .. } => RequestOutcome::Failed,
     }
 }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -2,17 +2,19 @@
 
 use std::sync::Arc;
 
-use maplethread::{AttemptId, AttemptResult, AttemptOutcome, Event, Micros, Resources, TaskId, FailureReason};
-use maplethread_config::Effect;
-use maplethread_wire::frame::{Frame, Load, Offer, Reason};
+use maplethread::{
+    AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, Micros, Resources, TaskId,
+};
+use maplethread_config::RetrySafety;
+use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
 
-use crate::engine::{Actor, ActorKey, Attempt, Due, Engine, Stage};
+use crate::engine::{ActorKey, ActorState, Attempt, Engine, Stage, Timer};
 use crate::sessions::why;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
     pub(crate) fn offer(&mut self, task: TaskId, host: HostId, wait: Micros) {
-        let Some(ask) = self.asks.get_mut(&task) else {
+        let Some(ask) = self.requests.get_mut(&task) else {
             tracing::warn!(task = task.0, "an offer for a task that is not asked for");
             return;
         };
@@ -21,29 +23,29 @@
             number: ask.attempts,
         };
         ask.attempts += 1;
-        ask.lack = None;
+        ask.block_reason = None;
         let wire = self.mark | (self.next_attempt & ((1 << 40) - 1));
         self.next_attempt += 1;
-        let class = &self.config.class[ask.task.class];
+        let class = &self.config.classes[ask.task.class];
         let offer = Offer {
-            attempt: wire,
-            number: id.number,
+            attempt_id: wire,
+            prior_attempts: id.number,
             service: ask.key.0.to_string(),
             actor: ask.key.1.to_string(),
             class: class.name.clone(),
-            request: ask.request.to_string(),
-            asks: Load {
+            request_id: ask.request_id.to_string(),
+            requested: ResourceAmounts {
                 cores: ask.task.requested.cores,
-                memory: ask.task.requested.memory,
+                memory_gib: ask.task.requested.memory,
             },
             priority: class.priority,
-            copies: ask.copies,
-            life_ms: ask.task.expected_duration.unwrap_or(0) / 1000,
-            wait_ms: (wait / 1000).min(u64::from(u32::MAX)) as u32,
+            duplicate_policy: ask.duplicate_policy,
+            expected_duration_ms: ask.task.expected_duration.unwrap_or(0) / 1000,
+            answer_timeout_ms: (wait / 1000).min(u64::from(u32::MAX)) as u32,
         };
         let (key, request, class, span) = (
             ask.key.clone(),
-            ask.request.clone(),
+            ask.request_id.clone(),
             ask.task.class,
             ask.span.clone(),
         );
@@ -66,10 +68,13 @@
             let end = AttemptResult {
                 outcome: AttemptOutcome::ConnectFailed,
                 reason: None,
-                closed: false,
+                closes_task: false,
                 load: None,
             };
-            self.events.push(Event::AttemptFinished(id, end));
+            self.events.push(Event::AttemptFinished {
+                attempt: id,
+                result: end,
+            });
             return;
         };
         span.in_scope(|| {
@@ -77,34 +82,34 @@
         });
         self.counters.offers += 1;
         if cold {
-            self.cold_offers.add(host, self.now);
+            self.cold_offers.record(host, self.now);
         }
         let (sent, until) = (self.now, self.now + wait);
-        let (stage, runs, cancelled, stop, unwanted) = (Stage::Out, false, false, None, false);
+        let (stage, runs, cancelled, stop, unwanted) = (Stage::Offered, false, false, None, false);
         let attempt = Attempt {
             id,
             host,
             key,
-            request,
+            request_id: request,
             class,
-            sent,
-            until,
+            sent_at: sent,
+            expires_at: until,
             frame_end,
             stage,
-            runs,
-            cancelled,
-            stop,
+            is_running: runs,
+            is_cancelled: cancelled,
+            stop_reason: stop,
             unwanted,
         };
         self.attempts.insert(wire, attempt);
-        if let Some(ask) = self.asks.get_mut(&task) {
-            ask.out = Some(wire);
+        if let Some(ask) = self.requests.get_mut(&task) {
+            ask.in_flight = Some(wire);
             if id.number == 0 {
                 // What is held for want of a host is waited for, not decided on slowly.
-                if ask.fresh {
-                    self.decided.push(ask.asked);
+                if ask.awaits_first_turn {
+                    self.decided_arrivals.push(ask.received_at);
                 } else {
-                    self.counters.held += 1;
+                    self.counters.blocked += 1;
                 }
             }
         }
@@ -112,12 +117,12 @@
             host.attempts.insert(wire);
         }
         self.use_changed(host);
-        self.timers.set(until, Due::Attempt(wire));
+        self.timers.schedule(until, Timer::AttemptTimeout(wire));
     }
 
     /// Whether a host has come up so lately that the decider counts what it is sent.
     fn is_cold(&self, host: HostId) -> bool {
-        let started = self.hosts.get(&host).and_then(|h| h.listing.started);
+        let started = self.hosts.get(&host).and_then(|h| h.entry.started_at);
         started.is_some_and(|started| started + self.settings.rules.warm_up_duration > self.now)
     }
 
@@ -125,10 +130,10 @@
         let Some(attempt) = self.attempts.get(&wire) else {
             return;
         };
-        if attempt.stage == Stage::Seated || attempt.until > self.now {
+        if attempt.stage == Stage::Placed || attempt.expires_at > self.now {
             return;
         }
-        if !attempt.cancelled {
+        if !attempt.is_cancelled {
             let host = attempt.host;
             self.send(host, &Frame::Cancel(wire), false);
         }
@@ -140,10 +145,10 @@
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
-        if std::mem::replace(&mut attempt.cancelled, true) {
+        if std::mem::replace(&mut attempt.is_cancelled, true) {
             return;
         }
-        self.counters.called_off += 1;
+        self.counters.cancelled += 1;
         let (host, key, class) = (attempt.host, attempt.key.clone(), attempt.class);
         self.unsettle(class, key, wire);
         self.send(host, &Frame::Cancel(wire), false);
@@ -151,9 +156,9 @@
 
     /// An attempt of an actor that must not run twice may still come to run.
     fn unsettle(&mut self, class: usize, key: ActorKey, wire: u64) {
-        if self.config.class[class].effect != Effect::Safe {
+        if self.config.classes[class].retry_safety != RetrySafety::Safe {
             let until = self.now + self.config.api.settle_ms * 1000;
-            self.timers.set(until, Due::Settled);
+            self.timers.schedule(until, Timer::Settled);
             self.unsettled.insert(key.clone(), (until, wire));
             self.late.insert(wire, key);
         }
@@ -173,7 +178,7 @@
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
-        attempt.stop = Some(why);
+        attempt.stop_reason = Some(why);
         let host = attempt.host;
         self.send(host, &Frame::Stop(wire), false);
     }
@@ -184,7 +189,7 @@
         wire: u64,
         ending: AttemptOutcome,
         refusal: Option<Reason>,
-        load: Option<Load>,
+        load: Option<ResourceAmounts>,
         known_dead: bool,
     ) {
         let Some(attempt) = self.attempts.remove(&wire) else {
@@ -200,28 +205,36 @@
             None => Arc::from(""),
         };
         self.use_changed(attempt.host);
-        let seated = attempt.stage == Stage::Seated;
-        let never_ran = matches!(ending, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed);
+        let seated = attempt.stage == Stage::Placed;
+        let never_ran = matches!(
+            ending,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed
+        );
         if known_dead || never_ran {
             self.settle(wire);
         } else if !seated {
             self.unsettle(attempt.class, attempt.key.clone(), wire);
         }
         let mut closed = seated;
-        match self.asks.get_mut(&attempt.id.task) {
+        match self.requests.get_mut(&attempt.id.task) {
             Some(ask) => {
-                ask.out = ask.out.filter(|&w| w != wire);
+                ask.in_flight = ask.in_flight.filter(|&w| w != wire);
                 if !seated {
-                    ask.reason = Some(match ending {
-                        AttemptOutcome::Rejected => refusal.map_or("unknown", Reason::name),
-                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => "no_connection",
+                    ask.last_failure = Some(match ending {
+                        AttemptOutcome::Rejected => refusal.map_or("unknown", Reason::as_str),
+                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => {
+                            "no_connection"
+                        }
                         AttemptOutcome::Disconnected => "connection_lost",
                         AttemptOutcome::Error => "error",
-                        AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Completed => "no_answer",
+                        AttemptOutcome::TimedOut
+                        | AttemptOutcome::Cancelled
+                        | AttemptOutcome::Completed => "no_answer",
                     });
                 }
                 if !never_ran {
-                    ask.may_run.get_or_insert_with(|| host_name.clone());
+                    ask.possibly_started_on
+                        .get_or_insert_with(|| host_name.clone());
                 }
                 ask.span.in_scope(|| {
                     tracing::debug!(host = %host_name, attempt = attempt.id.number, ?ending, ?why, "ended");
@@ -230,12 +243,12 @@
             None => closed = true,
         }
         if seated && !attempt.unwanted {
-            if self.actors.get(&attempt.key) == Some(&Actor::Placed(wire)) {
+            if self.actors.get(&attempt.key) == Some(&ActorState::Placed(wire)) {
                 self.actors.remove(&attempt.key);
             }
             let (event, reason) = match (ending, why) {
                 (AttemptOutcome::Completed, _) => ("ended", None),
-                (AttemptOutcome::Cancelled, _) => (attempt.stop.unwrap_or("stopped"), None),
+                (AttemptOutcome::Cancelled, _) => (attempt.stop_reason.unwrap_or("stopped"), None),
                 (AttemptOutcome::Error, _) => ("ended", Some("error")),
                 (_, Some(FailureReason::Evicted)) => ("evicted", Some("memory")),
                 (_, Some(FailureReason::Preempted)) => ("evicted", Some("pushed_out")),
@@ -247,18 +260,18 @@
                 &attempt.key,
                 host_name,
                 reason,
-                attempt.request.clone(),
+                attempt.request_id.clone(),
             );
         }
-        let load = load.map(|l| Resources::new(l.cores, l.memory));
-        self.events.push(Event::AttemptFinished(
-            attempt.id,
-            AttemptResult {
+        let load = load.map(|l| Resources::new(l.cores, l.memory_gib));
+        self.events.push(Event::AttemptFinished {
+            attempt: attempt.id,
+            result: AttemptResult {
                 outcome: ending,
                 reason: why,
-                closed,
+                closes_task: closed,
                 load,
             },
-        ));
+        });
     }
 }
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -30,7 +30,7 @@
 fn is_placing(event: &Event) -> bool {
     match event {
         Event::PlacementRequested(_) => true,
-        Event::AttemptFinished(_, end) => !end.closed,
+        Event::AttemptFinished { result: end, .. } => !end.closes_task,
         _ => false,
     }
 }
@@ -38,16 +38,16 @@
 /// The task that an event concerns.
 fn task_of(event: &Event) -> Option<TaskId> {
     match event {
-        Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => Some(task.id),
-        Event::AttemptAccepted(attempt, _) | Event::TaskReported(attempt, _) | Event::AttemptFinished(attempt, _) => {
-            Some(attempt.task)
-        }
+        Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => Some(task.id),
+        Event::AttemptAccepted { attempt, .. }
+        | Event::TaskReported { attempt, .. }
+        | Event::AttemptFinished { attempt, .. } => Some(attempt.task),
         Event::ClientDisconnected(task) => Some(*task),
         Event::EndpointsUpdated { .. }
         | Event::ReplicaIndexChanged(_)
-        | Event::ConnectionChanged(..)
+        | Event::ConnectionChanged { .. }
         | Event::DiscoveryUnavailable
-        | Event::TimerFired(_)
+        | Event::TimerFired { .. }
         | Event::Probed { .. }
         | Event::PeerMessage { .. } => None,
     }
--- a/crates/engine/src/clients.rs
+++ b/crates/engine/src/clients.rs
@@ -3,34 +3,34 @@
 use std::collections::{BTreeSet, VecDeque};
 
 use maplethread::TaskId;
-use maplethread_wire::http::{Found, HttpError, Limits, Message, Reader, Role};
+use maplethread_wire::http::{HttpError, Limits, Message, MessageReader, ReadResult, Role};
 
 /// One request in hand.
 struct Slot {
     number: u64,
     answer: Option<Vec<u8>>,
-    last: bool,
+    closes_connection: bool,
 }
 
 /// One connection of a client.
-pub struct Client {
-    reader: Reader,
+pub struct ClientConnection {
+    reader: MessageReader,
     slots: VecDeque<Slot>,
-    next: u64,
+    next_slot: u64,
     /// When the request began that is not whole yet.
-    pub begun: Option<u64>,
+    pub request_began_at: Option<u64>,
     /// When the connection was last of use.
-    pub used: u64,
+    pub last_used_at: u64,
     /// The next life-cycle event for it, once it follows them.
-    pub follows: Option<u64>,
+    pub next_event: Option<u64>,
     /// Bytes given to the shell that the client has not taken.
-    pub unread: usize,
+    pub unread_bytes: usize,
     /// Nothing more is read from it.
-    pub ended: bool,
+    pub has_ended: bool,
     /// Requests taken in this turn.
     pub taken: (u64, usize),
     /// The asks whose answers it waits for.
-    pub waits: BTreeSet<TaskId>,
+    pub awaited_tasks: BTreeSet<TaskId>,
 }
 
 /// What came out of a session's bytes.
@@ -45,25 +45,25 @@
     Bad(u64, HttpError),
 }
 
-impl Client {
-    pub fn new(now: u64, max_body: usize) -> Client {
+impl ClientConnection {
+    pub fn new(now: u64, max_body: usize) -> ClientConnection {
         let limits = Limits {
-            body: max_body,
+            max_body_bytes: max_body,
             ..Limits::default()
         };
-        let reader = Reader::new(Role::Requests, limits);
-        let (slots, follows) = (VecDeque::new(), None);
-        Client {
+        let reader = MessageReader::new(Role::Requests, limits);
+        let (slots, next_event) = (VecDeque::new(), None);
+        ClientConnection {
             reader,
             slots,
-            next: 0,
-            begun: None,
-            used: now,
-            follows,
-            unread: 0,
-            ended: false,
+            next_slot: 0,
+            request_began_at: None,
+            last_used_at: now,
+            next_event,
+            unread_bytes: 0,
+            has_ended: false,
             taken: (0, 0),
-            waits: BTreeSet::new(),
+            awaited_tasks: BTreeSet::new(),
         }
     }
 
@@ -74,31 +74,31 @@
 
     /// Whether a request has begun that is not whole.
     pub fn inside(&self) -> bool {
-        self.reader.inside()
+        self.reader.is_inside_message()
     }
 
     fn slot(&mut self, last: bool) -> u64 {
-        self.next += 1;
+        self.next_slot += 1;
         self.slots.push_back(Slot {
-            number: self.next,
+            number: self.next_slot,
             answer: None,
-            last,
+            closes_connection: last,
         });
-        self.next
+        self.next_slot
     }
 
     /// Takes the next request from the front of `unread`.
     pub fn read(&mut self, unread: &[u8]) -> (Came, usize) {
         match self.reader.read(unread) {
-            Ok((Found::More, n)) => (Came::Nothing, n),
-            Ok((Found::Continue, n)) => (Came::Continue, n),
-            Ok((Found::Message(message), n)) => {
-                let last = !message.head.keep_alive();
-                self.ended |= last;
+            Ok((ReadResult::NeedMore, n)) => (Came::Nothing, n),
+            Ok((ReadResult::ExpectsContinue, n)) => (Came::Continue, n),
+            Ok((ReadResult::Message(message), n)) => {
+                let last = !message.head.is_keep_alive();
+                self.has_ended |= last;
                 (Came::Request(self.slot(last), message), n)
             }
             Err(e) => {
-                self.ended = true;
+                self.has_ended = true;
                 (Came::Bad(self.slot(true), e), unread.len())
             }
         }
@@ -108,13 +108,13 @@
     pub fn answer(&mut self, number: u64, bytes: Vec<u8>, close: bool) -> (Vec<u8>, bool) {
         if let Some(slot) = self.slots.iter_mut().find(|s| s.number == number) {
             slot.answer = Some(bytes);
-            slot.last |= close;
+            slot.closes_connection |= close;
         }
         let mut out = Vec::new();
         while let Some(slot) = self.slots.pop_front_if(|s| s.answer.is_some()) {
             out.extend(slot.answer.unwrap_or_default());
-            if slot.last {
-                self.ended = true;
+            if slot.closes_connection {
+                self.has_ended = true;
                 self.slots.clear();
                 return (out, true);
             }
--- a/crates/engine/src/cold.rs
+++ b/crates/engine/src/cold.rs
@@ -8,27 +8,27 @@
 
 /// One offer.
 #[derive(Clone, Copy, Debug)]
-struct Sent {
-    decided: Micros,
+struct SentOffer {
+    decided_at: Micros,
     /// When it was surely written.
-    left: Micros,
+    written_at: Micros,
 }
 
 /// Offers to cold hosts that count in a window.
 #[derive(Debug)]
-pub(crate) struct ColdOffers {
+pub(crate) struct WarmUpOffers {
     window: Micros,
-    sent: BTreeMap<HostId, Vec<Sent>>,
+    sent: BTreeMap<HostId, Vec<SentOffer>>,
     /// Hosts with offers of the present turn.
-    fresh: Vec<HostId>,
+    unwritten: Vec<HostId>,
 }
 
-impl ColdOffers {
-    pub fn new(window: Micros) -> ColdOffers {
-        ColdOffers {
+impl WarmUpOffers {
+    pub fn new(window: Micros) -> WarmUpOffers {
+        WarmUpOffers {
             window,
             sent: BTreeMap::new(),
-            fresh: Vec::new(),
+            unwritten: Vec::new(),
         }
     }
 
@@ -37,29 +37,29 @@
     pub fn meets_late_one(&self, host: HostId, now: Micros) -> bool {
         let sent = self.sent.get(&host).map(Vec::as_slice).unwrap_or_default();
         sent.iter()
-            .any(|sent| sent.decided + self.window < now && sent.left + self.window >= now)
+            .any(|sent| sent.decided_at + self.window < now && sent.written_at + self.window >= now)
     }
 
     /// An offer is decided on.
-    pub fn add(&mut self, host: HostId, now: Micros) {
+    pub fn record(&mut self, host: HostId, now: Micros) {
         let sent = self.sent.entry(host).or_default();
-        sent.retain(|sent| sent.left + self.window >= now);
-        sent.push(Sent {
-            decided: now,
-            left: now,
+        sent.retain(|sent| sent.written_at + self.window >= now);
+        sent.push(SentOffer {
+            decided_at: now,
+            written_at: now,
         });
-        self.fresh.push(host);
+        self.unwritten.push(host);
     }
 
     /// All offers so far are written.
-    pub fn written(&mut self, at: Micros) {
-        for host in std::mem::take(&mut self.fresh) {
+    pub fn mark_written(&mut self, at: Micros) {
+        for host in std::mem::take(&mut self.unwritten) {
             let last = self.sent.get_mut(&host).into_iter().flatten().rev();
-            for sent in last.take_while(|sent| sent.left == sent.decided) {
-                sent.left = sent.left.max(at);
+            for sent in last.take_while(|sent| sent.written_at == sent.decided_at) {
+                sent.written_at = sent.written_at.max(at);
             }
         }
         self.sent
-            .retain(|_, sent| sent.iter().any(|sent| sent.left + self.window >= at));
+            .retain(|_, sent| sent.iter().any(|sent| sent.written_at + self.window >= at));
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -5,25 +5,25 @@
 use std::sync::Arc;
 
 use maplethread::{
-    Action, AttemptId, Event, BlockReason, MachineId, Micros, Resources, Settings, Task, TaskId,
+    Action, AttemptId, BlockReason, Event, MachineId, Micros, Resources, Settings, Task, TaskId,
 };
-use maplethread_config::{PlacedWhen, PlacerConfig};
+use maplethread_config::{AcceptancePoint, PlacerConfig};
 use maplethread_liveness::Liveness;
-use maplethread_wire::frame::{self, Copies, Frame, Load};
+use maplethread_wire::frame::{self, DuplicatePolicy, Frame, ResourceAmounts};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 
 use crate::Timers;
-use crate::answers::{Answer, Answers};
+use crate::answers::{AnswerCache, FinalAnswer};
 use crate::batch;
-use crate::clients::Client;
-use crate::cold::ColdOffers;
-use crate::hosts::{Host, Link};
-use crate::life::{LifeEvent, Ring};
-use crate::names::{Numbers, hash};
-use crate::notes::{Kept, Notes};
-use crate::pace::Pace;
+use crate::clients::ClientConnection;
+use crate::cold::WarmUpOffers;
+use crate::hosts::{ConnectionState, Host};
+use crate::life::{LifeEvent, RecentEvents};
+use crate::names::{IdTable, stable_hash};
+use crate::notes::{AuditEntry, AuditLog};
+use crate::pace::TurnLatency;
 use crate::sessions::heartbeats;
 use crate::{ClientId, Decide, HostId};
 
@@ -32,7 +32,7 @@
 
 /// What the engine is told of its own start.
 #[derive(Clone, Copy, Debug)]
-pub struct Boot {
+pub struct StartInfo {
     /// When the process started, Unix time in ms; tells lives of one placer apart.
     pub started_ms: u64,
     /// Seed of the engine's random numbers, which only spread retries to connect and heartbeats.
@@ -54,59 +54,67 @@
     CloseHost(HostId),
     /// A client asks for the view of the fleet, or with a number for what is new since; to be answered by
     /// [`Engine::tell_fleet`], with the number of the request on its connection.
-    AskFleet(ClientId, u64, Option<u64>),
+    FetchMembership(ClientId, u64, Option<u64>),
 }
 
 /// What an engine has done since its start, and how full it is.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counters {
     /// Asks taken.
-    pub asks: u64,
+    #[serde(rename = "asks")]
+    pub requests: u64,
     /// Answered `placed`.
     pub placed: u64,
     /// Answered `refused`.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Answered `failed`.
     pub failed: u64,
     /// Asks whose client hung up.
-    pub hung_up: u64,
+    #[serde(rename = "hung_up")]
+    pub disconnected: u64,
     /// Asks turned away for a limit.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub unavailable: u64,
     /// Offers sent.
     pub offers: u64,
     /// Heartbeats sent to hosts.
     pub heartbeats: u64,
     /// Asks whose first offer had to wait for a host to be allowed.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub blocked: u64,
     /// Attempts called off.
-    pub called_off: u64,
+    #[serde(rename = "called_off")]
+    pub cancelled: u64,
     /// Answers too late to be given.
     pub too_late: u64,
     /// Actors found at hosts that an earlier life had placed.
     pub adopted: u64,
     /// Asks that the decider left open up to their deadline; the engine answered them in its stead.
-    pub overdue: u64,
+    #[serde(rename = "overdue")]
+    pub deadline_answers: u64,
     /// Asks that were held for want of something, by what; one that was held for two counts for both.
-    pub held_for: BTreeMap<&'static str, u64>,
+    #[serde(rename = "held_for")]
+    pub blocked_by_reason: BTreeMap<&'static str, u64>,
 }
 
 /// When something of the protocols falls due.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Due {
+pub(crate) enum Timer {
     /// The decider asked to be woken.
-    Wake(u64),
+    Decider(u64),
     /// An attempt's time is over.
-    Attempt(u64),
+    AttemptTimeout(u64),
     /// Connect to a host again.
-    Connect(HostId, u64),
+    Reconnect(HostId, u64),
     /// A connection must be greeted by now.
     Greet(HostId, u64),
     /// Tasks of a host without connection are lost.
-    Lost(HostId, u64),
+    TasksLost(HostId, u64),
     /// A probe's time is over.
-    Probe(u32),
+    ProbeTimeout(u32),
     /// Look after a client's connection.
-    Client(ClientId),
+    ClientTimeout(ClientId),
     /// An actor counts as settled.
     Settled,
     /// Followers hear that the connection lives.
@@ -114,38 +122,38 @@
 }
 
 /// An ask without an answer.
-pub(crate) struct Ask {
+pub(crate) struct PlacementRequest {
     pub task: Task,
-    pub asked: Micros,
+    pub received_at: Micros,
     /// When its client gives up. The decider is told an earlier time, by as much as turns may run late.
     pub deadline: Micros,
     /// The decider has not had a whole turn with it.
-    pub fresh: bool,
+    pub awaits_first_turn: bool,
     pub key: ActorKey,
-    pub request: Arc<str>,
-    pub idempotency: Option<Arc<str>>,
+    pub request_id: Arc<str>,
+    pub idempotency_key: Option<Arc<str>>,
     /// Who waits for the answer: the connection, the request's place on it, and its id.
     pub waiters: Vec<(ClientId, u64, Arc<str>)>,
-    pub copies: Copies,
-    pub out: Option<u64>,
+    pub duplicate_policy: DuplicatePolicy,
+    pub in_flight: Option<u64>,
     pub attempts: u32,
     /// How its last attempt ended, if that was not well.
-    pub reason: Option<&'static str>,
+    pub last_failure: Option<&'static str>,
     /// What it is held for just now, and all that it was ever held for.
-    pub lack: Option<BlockReason>,
+    pub block_reason: Option<BlockReason>,
     pub lacked: BTreeSet<BlockReason>,
-    pub may_run: Option<Arc<str>>,
+    pub possibly_started_on: Option<Arc<str>>,
     pub span: tracing::Span,
 }
 
-impl Ask {
+impl PlacementRequest {
     /// Why it is refused: what it is held for, or else how its last attempt ended.
-    pub fn refusal(&self) -> &'static str {
-        match (self.lack, self.reason) {
+    pub fn rejection_reason(&self) -> &'static str {
+        match (self.block_reason, self.last_failure) {
             // A host that has said so knows better which.
             (Some(BlockReason::NoCapacity), Some(reason @ ("cores" | "memory" | "line"))) => reason,
             (Some(lack), _) => lack_name(lack),
-            (None, _) if self.out.is_some() => "no_answer",
+            (None, _) if self.in_flight.is_some() => "no_answer",
             (None, Some(reason)) => reason,
             (None, None) => "unknown",
         }
@@ -169,11 +177,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Offered.
-    Out,
+    Offered,
     /// Accepted, where that does not place it yet.
     Accepted,
     /// Placed.
-    Seated,
+    Placed,
 }
 
 /// An attempt without an outcome.
@@ -181,25 +189,25 @@
     pub id: AttemptId,
     pub host: HostId,
     pub key: ActorKey,
-    pub request: Arc<str>,
+    pub request_id: Arc<str>,
     pub class: usize,
-    pub sent: Micros,
-    pub until: Micros,
+    pub sent_at: Micros,
+    pub expires_at: Micros,
     /// Where its frame ends in the bytes queued on the host's connection.
     pub frame_end: u64,
     pub stage: Stage,
-    pub runs: bool,
-    pub cancelled: bool,
+    pub is_running: bool,
+    pub is_cancelled: bool,
     /// It is to stop, because a client or the decider said so.
-    pub stop: Option<&'static str>,
+    pub stop_reason: Option<&'static str>,
     /// Its actor is told as ended or lost, or placed elsewhere: nobody hears of its end.
     pub unwanted: bool,
 }
 
 /// Where an actor stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Actor {
-    Asking(TaskId),
+pub(crate) enum ActorState {
+    Pending(TaskId),
     Placed(u64),
 }
 
@@ -224,11 +232,11 @@
     pub(crate) unread_since: Option<Micros>,
     /// Open asks in the order of their deadlines.
     pub(crate) deadlines: BTreeSet<(Micros, TaskId)>,
-    pub(crate) pace: Pace,
-    pub(crate) cold_offers: ColdOffers,
+    pub(crate) pace: TurnLatency,
+    pub(crate) cold_offers: WarmUpOffers,
     pub(crate) events: Vec<Event>,
     pub(crate) outputs: Vec<Output>,
-    pub(crate) timers: Timers<Due>,
+    pub(crate) timers: Timers<Timer>,
     pub(crate) hosts: BTreeMap<HostId, Host>,
     /// Their signs of life.
     pub(crate) liveness: Liveness<HostId>,
@@ -236,28 +244,28 @@
     /// Hosts that are gone: their number, connections so far, and since when. One that comes back is the same host:
     /// what it was sent a moment ago still counts.
     pub(crate) gone: BTreeMap<Arc<str>, (HostId, u64, Micros)>,
-    pub(crate) cells: Numbers,
+    pub(crate) cells: IdTable,
     pub(crate) next_host: u32,
     pub(crate) listed: bool,
-    pub(crate) clients: HashMap<ClientId, Client>,
+    pub(crate) clients: HashMap<ClientId, ClientConnection>,
     pub(crate) followers: BTreeSet<ClientId>,
-    pub(crate) asks: HashMap<TaskId, Ask>,
+    pub(crate) requests: HashMap<TaskId, PlacementRequest>,
     pub(crate) by_request: HashMap<Arc<str>, TaskId>,
-    pub(crate) actors: BTreeMap<ActorKey, Actor>,
+    pub(crate) actors: BTreeMap<ActorKey, ActorState>,
     pub(crate) attempts: HashMap<u64, Attempt>,
     /// Actors of which an attempt may still come to run, until when that is waited for, and the attempt.
     pub(crate) unsettled: BTreeMap<ActorKey, (Micros, u64)>,
     pub(crate) late: HashMap<u64, ActorKey>,
     probes: BTreeMap<u32, HostId>,
     next_probe: u32,
-    pub(crate) answers: Answers,
-    pub(crate) ring: Ring,
+    pub(crate) answers: AnswerCache,
+    pub(crate) ring: RecentEvents,
     pub(crate) counters: Counters,
     pub(crate) stopping: bool,
     /// When the asks were read whose first offer this turn gave.
-    pub(crate) decided: Vec<Micros>,
+    pub(crate) decided_arrivals: Vec<Micros>,
     pub(crate) gauges: serde_json::Value,
-    pub(crate) notes: Notes,
+    pub(crate) audit_log: AuditLog,
 }
 
 /// Rounds of decisions in one turn: an offer that can't be sent is decided on anew at once, so often.
@@ -271,11 +279,12 @@
 
 impl<D: Decide> Engine<D> {
     /// An engine that knows no hosts yet.
-    pub fn new(config: PlacerConfig, decider: D, boot: Boot, now: Micros) -> Engine<D> {
-        let mark = hash(&format!("{}/{}", config.placer.name, boot.started_ms)) & !((1 << 40) - 1);
+    pub fn new(config: PlacerConfig, decider: D, boot: StartInfo, now: Micros) -> Engine<D> {
+        let mark = stable_hash(&format!("{}/{}", config.identity.name, boot.started_ms))
+            & !((1 << 40) - 1);
         let api = &config.api;
         Engine {
-            settings: config.settings(),
+            settings: config.policy_settings(),
             decider,
             rng: Pcg64Mcg::seed_from_u64(boot.seed),
             started_ms: boot.started_ms,
@@ -288,8 +297,8 @@
             stalled: false,
             unread_since: None,
             deadlines: BTreeSet::new(),
-            pace: Pace::default(),
-            cold_offers: ColdOffers::new(config.settings().rules.overload_window),
+            pace: TurnLatency::default(),
+            cold_offers: WarmUpOffers::new(config.policy_settings().rules.overload_window),
             events: Vec::new(),
             outputs: Vec::new(),
             timers: Timers::default(),
@@ -297,12 +306,12 @@
             liveness: heartbeats::liveness(&config.hosts),
             by_name: BTreeMap::new(),
             gone: BTreeMap::new(),
-            cells: Numbers::default(),
+            cells: IdTable::default(),
             next_host: 0,
             listed: false,
             clients: HashMap::new(),
             followers: BTreeSet::new(),
-            asks: HashMap::new(),
+            requests: HashMap::new(),
             by_request: HashMap::new(),
             actors: BTreeMap::new(),
             attempts: HashMap::new(),
@@ -310,13 +319,13 @@
             late: HashMap::new(),
             probes: BTreeMap::new(),
             next_probe: 0,
-            answers: Answers::new(api.answers_kept, api.answers_kept_ms * 1000),
-            ring: Ring::new(api.events_kept),
+            answers: AnswerCache::new(api.answers_kept, api.answers_kept_ms * 1000),
+            ring: RecentEvents::new(api.events_kept),
             counters: Counters::default(),
             stopping: false,
-            decided: Vec::new(),
+            decided_arrivals: Vec::new(),
             gauges: serde_json::Value::Null,
-            notes: Notes::default(),
+            audit_log: AuditLog::default(),
             config,
         }
     }
@@ -327,17 +336,17 @@
     }
 
     /// Asks without an answer.
-    pub fn open_asks(&self) -> usize {
-        self.asks.len()
+    pub fn pending_requests(&self) -> usize {
+        self.requests.len()
     }
 
     /// Whether clients can be served: the inventory is read, and each host in it answered or failed to once.
-    pub fn ready(&self) -> bool {
-        self.listed && self.hosts.values().all(|h| h.tried || !h.wanted())
+    pub fn is_ready(&self) -> bool {
+        self.listed && self.hosts.values().all(|h| h.was_tried || !h.is_wanted())
     }
 
     /// Takes no asks from now on; those in hand are still answered.
-    pub fn stop(&mut self) {
+    pub fn stop_accepting(&mut self) {
         self.stopping = true;
     }
 
@@ -352,7 +361,7 @@
             .map(|(deadline, _)| deadline.saturating_sub(LAST_WORD));
         let last_word = last_word.filter(|_| self.decider.last_word());
         self.timers
-            .next()
+            .next_due_at()
             .into_iter()
             .chain(self.liveness.next())
             .chain(last_word)
@@ -360,23 +369,23 @@
     }
 
     /// What is to be done since the last call.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
     /// When the asks were read whose first offers were given since the last call, in the turn that took them in.
-    pub fn decided(&mut self) -> Vec<Micros> {
-        std::mem::take(&mut self.decided)
+    pub fn take_decided_arrivals(&mut self) -> Vec<Micros> {
+        std::mem::take(&mut self.decided_arrivals)
     }
 
     /// Keeps notes of names and asks from now on, for a recorder; to be taken by [`Engine::notes`] around each turn.
-    pub fn keep_notes(&mut self) {
-        self.notes.want();
+    pub fn enable_audit_log(&mut self) {
+        self.audit_log.enable();
     }
 
     /// Notes since the last call.
-    pub fn notes(&mut self) -> Vec<Kept> {
-        self.notes.take()
+    pub fn take_audit_entries(&mut self) -> Vec<AuditEntry> {
+        self.audit_log.take()
     }
 
     /// What the caller has measured, to be shown with the status.
@@ -386,15 +395,15 @@
 
     /// What is read up to the next turn may have lain unread since then: the caller stood still, or was busy. Budgets
     /// of asks count from there, so that no answer comes after a deadline that passed meanwhile.
-    pub fn unread_since(&mut self, at: Micros) {
+    pub fn set_unread_since(&mut self, at: Micros) {
         self.unread_since = Some(at);
     }
 
     /// The caller was busy with the last turn from reading for it until all was written. What comes meanwhile waits as
     /// long, and so do deadlines that fall due.
-    pub fn round_took(&mut self, from: Micros, written: Micros) {
-        self.pace.round_took(written.saturating_sub(from));
-        self.cold_offers.written(written);
+    pub fn record_round(&mut self, from: Micros, written: Micros) {
+        self.pace.record_round(written.saturating_sub(from));
+        self.cold_offers.mark_written(written);
     }
 
     /// Decides on all that was taken in, and carries the decisions out. `stalled` tells that the caller stood
@@ -403,8 +412,8 @@
         (self.now, self.stalled) = (self.now.max(now), stalled);
         self.turns += 1;
         self.taken = 0;
-        self.pace.turn(self.now, self.late_by());
-        while let Some(due) = self.timers.due(self.now) {
+        self.pace.record_turn(self.now, self.late_by());
+        while let Some(due) = self.timers.pop_due(self.now) {
             self.fall_due(due);
         }
         self.heartbeats_due();
@@ -420,10 +429,17 @@
     /// How long the earliest thing that waits for this turn has waited for it.
     fn late_by(&self) -> Micros {
         let oldest_ask = self.events.iter().find_map(|event| match event {
-            Event::PlacementRequested(task) => self.asks.get(&task.id).map(|ask| ask.asked),
+            Event::PlacementRequested(task) => {
+                self.requests.get(&task.id).map(|ask| ask.received_at)
+            }
             _ => None,
         });
-        let due = self.timers.next().into_iter().chain(oldest_ask).min();
+        let due = self
+            .timers
+            .next_due_at()
+            .into_iter()
+            .chain(oldest_ask)
+            .min();
         self.now.saturating_sub(due.unwrap_or(self.now))
     }
 
@@ -446,8 +462,8 @@
             }));
         }
         for task in given {
-            if let Some(ask) = self.asks.get_mut(&task) {
-                ask.fresh = false;
+            if let Some(ask) = self.requests.get_mut(&task) {
+                ask.awaits_first_turn = false;
             }
         }
     }
@@ -462,7 +478,10 @@
             .take_while(|(deadline, _)| *deadline <= by + margin);
         let due: Vec<TaskId> = near
             .filter(|(deadline, task)| {
-                let asked = self.asks.get(task).map_or(*deadline, |ask| ask.asked);
+                let asked = self
+                    .requests
+                    .get(task)
+                    .map_or(*deadline, |ask| ask.received_at);
                 *deadline <= by + self.margin_within(deadline.saturating_sub(asked))
             })
             .map(|&(_, task)| task)
@@ -475,32 +494,32 @@
         self.pace.answer_margin().min(budget / 2)
     }
 
-    fn fall_due(&mut self, due: Due) {
+    fn fall_due(&mut self, due: Timer) {
         match due {
-            Due::Wake(label) => self.events.push(Event::TimerFired(label)),
-            Due::Attempt(wire) => self.attempt_due(wire),
-            Due::Connect(host, epoch) => self.connect_due(host, epoch),
-            Due::Greet(host, epoch) => self.greet_due(host, epoch),
-            Due::Lost(host, epoch) => self.lost_due(host, epoch),
-            Due::Probe(nonce) => {
+            Timer::Decider(label) => self.events.push(Event::TimerFired { label }),
+            Timer::AttemptTimeout(wire) => self.attempt_due(wire),
+            Timer::Reconnect(host, epoch) => self.connect_due(host, epoch),
+            Timer::Greet(host, epoch) => self.greet_due(host, epoch),
+            Timer::TasksLost(host, epoch) => self.lost_due(host, epoch),
+            Timer::ProbeTimeout(nonce) => {
                 if let Some(host) = self.probes.remove(&nonce) {
                     let machine = MachineId(host.0);
                     self.events.push(Event::Probed {
                         machine,
-                        ok: false,
+                        answered: false,
                         load: None,
                     });
                 }
             }
-            Due::Client(client) => self.client_due(client),
-            Due::Settled => {
+            Timer::ClientTimeout(client) => self.client_due(client),
+            Timer::Settled => {
                 let now = self.now;
                 self.unsettled.retain(|_, (until, _)| *until > now);
                 let unsettled = &self.unsettled;
                 self.late
                     .retain(|wire, key| unsettled.get(key).is_some_and(|(_, w)| w == wire));
             }
-            Due::FollowerHeartbeat => self.heartbeat_followers(),
+            Timer::FollowerHeartbeat => self.heartbeat_followers(),
         }
     }
 
@@ -512,24 +531,31 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Offer(task, machine, wait) => self.offer(task, HostId(machine.0), wait),
+            Action::Offer {
+                task,
+                machine,
+                timeout: wait,
+            } => self.offer(task, HostId(machine.0), wait),
             Action::Cancel(id) => {
-                let out = self.asks.get(&id.task).and_then(|a| a.out);
+                let out = self.requests.get(&id.task).and_then(|a| a.in_flight);
                 if let Some(wire) = out.filter(|w| self.attempts.get(w).is_some_and(|a| a.id == id))
                 {
                     self.call_off(wire);
                 }
             }
-            Action::Reject(task, come_back) => {
-                let Some(ask) = self.asks.get(&task) else {
+            Action::Reject {
+                task,
+                retry_after: come_back,
+            } => {
+                let Some(ask) = self.requests.get(&task) else {
                     return;
                 };
-                let reason = ask.refusal();
+                let reason = ask.rejection_reason();
                 let come_back_ms = come_back.unwrap_or(0) / 1000;
-                let (request, attempts) = (ask.request.clone(), ask.attempts);
+                let (request, attempts) = (ask.request_id.clone(), ask.attempts);
                 self.answer(
                     task,
-                    Answer::Refused {
+                    FinalAnswer::Refused {
                         request,
                         reason,
                         come_back_ms,
@@ -538,34 +564,41 @@
                 );
             }
             Action::Fail(task) => {
-                let Some(ask) = self.asks.get(&task) else {
+                let Some(ask) = self.requests.get(&task) else {
                     return;
                 };
-                let host = ask.out.and_then(|w| self.attempts.get(&w)).map(|a| a.host);
+                let host = ask
+                    .in_flight
+                    .and_then(|w| self.attempts.get(&w))
+                    .map(|a| a.host);
                 let host = host
                     .and_then(|h| self.hosts.get(&h))
                     .map(|h| h.name.clone());
-                let unknown = match host.as_ref().or(ask.may_run.as_ref()) {
+                let unknown = match host.as_ref().or(ask.possibly_started_on.as_ref()) {
                     Some(host) => format!("whether it runs on {host}"),
                     None => "whether it runs".to_owned(),
                 };
-                let (request, attempts) = (ask.request.clone(), ask.attempts);
+                let (request, attempts) = (ask.request_id.clone(), ask.attempts);
                 self.answer(
                     task,
-                    Answer::Failed {
+                    FinalAnswer::Failed {
                         request,
                         unknown,
                         attempts,
                     },
                 );
             }
-            Action::Blocked(task, lack) => {
-                let Some(ask) = self.asks.get_mut(&task) else {
+            Action::Blocked { task, reason: lack } => {
+                let Some(ask) = self.requests.get_mut(&task) else {
                     return;
                 };
-                ask.lack = Some(lack);
+                ask.block_reason = Some(lack);
                 if ask.lacked.insert(lack) {
-                    *self.counters.held_for.entry(lack_name(lack)).or_default() += 1;
+                    *self
+                        .counters
+                        .blocked_by_reason
+                        .entry(lack_name(lack))
+                        .or_default() += 1;
                 }
                 ask.span
                     .in_scope(|| tracing::debug!(held_for = lack_name(lack), "held"));
@@ -574,12 +607,14 @@
                 let wire = self
                     .attempts
                     .iter()
-                    .find(|(_, a)| a.id.task == task && a.stage == Stage::Seated);
+                    .find(|(_, a)| a.id.task == task && a.stage == Stage::Placed);
                 if let Some(wire) = wire.map(|(&wire, _)| wire) {
                     self.stop_attempt(wire, "moved");
                 }
             }
-            Action::SetTimer(after, label) => self.timers.set(self.now + after, Due::Wake(label)),
+            Action::SetTimer { after, label } => self
+                .timers
+                .schedule(self.now + after, Timer::Decider(label)),
             Action::Probe(machine) => {
                 let host = HostId(machine.0);
                 self.next_probe = self.next_probe.wrapping_add(1);
@@ -587,27 +622,31 @@
                 if self.send(host, &Frame::Probe(nonce), true).is_some() {
                     self.probes.insert(nonce, host);
                     let wait = self.config.hosts.connect_within_ms * 1000;
-                    self.timers.set(self.now + wait, Due::Probe(nonce));
+                    self.timers
+                        .schedule(self.now + wait, Timer::ProbeTimeout(nonce));
                 } else {
                     self.events.push(Event::Probed {
                         machine,
-                        ok: false,
+                        answered: false,
                         load: None,
                     });
                 }
             }
             Action::Log(line) => tracing::info!(target: "maplethread::decisions", "{line}"),
             // The list comes unasked, one connection a host is kept, and placers do not talk.
-            Action::WatchEndpoints(_) | Action::FetchEndpoints | Action::CloseIdle(_) | Action::SendToPeer { .. } => {}
+            Action::WatchEndpoints { .. }
+            | Action::FetchEndpoints
+            | Action::CloseIdle(_)
+            | Action::SendToPeer { .. } => {}
         }
     }
 
-    pub(crate) fn probed(&mut self, nonce: u32, load: Load) {
+    pub(crate) fn probed(&mut self, nonce: u32, load: ResourceAmounts) {
         if let Some(host) = self.probes.remove(&nonce) {
-            let load = Some(Resources::new(load.cores, load.memory));
+            let load = Some(Resources::new(load.cores, load.memory_gib));
             self.events.push(Event::Probed {
                 machine: MachineId(host.0),
-                ok: true,
+                answered: true,
                 load,
             });
         }
@@ -618,10 +657,12 @@
     /// the connection is dropped, which ends what hangs on it by the rules.
     pub(crate) fn send(&mut self, id: HostId, frame: &Frame, may_fail: bool) -> Option<u64> {
         let host = self.hosts.get_mut(&id)?;
-        if host.link == Link::Down || (may_fail && host.link != Link::Up) {
+        if host.connection == ConnectionState::Down
+            || (may_fail && host.connection != ConnectionState::Up)
+        {
             return None;
         }
-        let waiting = host.queued - host.written;
+        let waiting = host.queued - host.written_bytes;
         let most = self.config.hosts.max_unwritten_bytes as u64;
         if waiting > if may_fail { most } else { 2 * most } {
             if !may_fail {
@@ -663,6 +704,6 @@
 
     /// Whether a placing is done once a host has accepted.
     pub(crate) fn placed_when_accepted(&self) -> bool {
-        self.config.placing.placed_when == PlacedWhen::Accepted
+        self.config.placing.placed_when == AcceptancePoint::Accepted
     }
 }
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use crate::api::Problem;
-use crate::engine::{Due, Engine, Output};
+use crate::engine::{Engine, Output, Timer};
 use crate::{ClientId, Decide};
 
 /// Bytes of events that may wait for a follower to read; more wait in the ring.
@@ -33,12 +33,12 @@
             );
             return;
         }
-        let from = after.map_or(self.ring.next(), |after| after.saturating_add(1));
-        if from < self.ring.oldest() || from > self.ring.next() {
+        let from = after.map_or(self.ring.next_seq(), |after| after.saturating_add(1));
+        if from < self.ring.oldest_seq() || from > self.ring.next_seq() {
             let detail = format!(
                 "kept are {} to {}; list the actors and follow anew",
-                self.ring.oldest(),
-                self.ring.next()
+                self.ring.oldest_seq(),
+                self.ring.next_seq()
             );
             self.problem(
                 id,
@@ -59,16 +59,16 @@
             );
             return;
         }
-        client.follows = Some(from);
+        client.next_event = Some(from);
         let mut out = Vec::new();
         http::write_chunked_head(&mut out, 200, "application/x-ndjson", &[]);
         let hello = json!({"event": "hello", "life": self.started_ms, "next": from});
         http::write_chunk(&mut out, format!("{hello}\n").as_bytes());
-        client.unread += out.len();
+        client.unread_bytes += out.len();
         self.outputs.push(Output::ToClient(id, out));
         if self.followers.is_empty() {
             self.timers
-                .set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
+                .schedule(self.now + HEARTBEAT, Timer::FollowerHeartbeat);
         }
         self.followers.insert(id);
     }
@@ -80,27 +80,27 @@
             let Some(client) = self.clients.get_mut(&id) else {
                 continue;
             };
-            let Some(mut next) = client.follows else {
+            let Some(mut next) = client.next_event else {
                 continue;
             };
             let mut lines = Vec::new();
-            if next < self.ring.oldest() {
-                let behind = json!({"event": "behind", "oldest": self.ring.oldest()});
+            if next < self.ring.oldest_seq() {
+                let behind = json!({"event": "behind", "oldest": self.ring.oldest_seq()});
                 lines.extend(format!("{behind}\n").bytes());
                 ended.push(id);
             }
-            while client.unread + lines.len() < FOLLOWER_BYTES
+            while client.unread_bytes + lines.len() < FOLLOWER_BYTES
                 && let Some(event) = self.ring.get(next)
             {
                 lines.extend(serde_json::to_vec(event).unwrap_or_default());
                 lines.push(b'\n');
                 next += 1;
             }
-            client.follows = Some(next);
+            client.next_event = Some(next);
             if !lines.is_empty() {
                 let mut out = Vec::with_capacity(lines.len() + 16);
                 http::write_chunk(&mut out, &lines);
-                client.unread += out.len();
+                client.unread_bytes += out.len();
                 self.outputs.push(Output::ToClient(id, out));
             }
         }
@@ -114,16 +114,16 @@
 
     pub(crate) fn heartbeat_followers(&mut self) {
         for &id in &self.followers {
-            if let Some(client) = self.clients.get_mut(&id).filter(|c| c.unread == 0) {
+            if let Some(client) = self.clients.get_mut(&id).filter(|c| c.unread_bytes == 0) {
                 let mut out = Vec::new();
                 http::write_chunk(&mut out, b"\n");
-                client.unread += out.len();
+                client.unread_bytes += out.len();
                 self.outputs.push(Output::ToClient(id, out));
             }
         }
         if !self.followers.is_empty() {
             self.timers
-                .set(self.now + HEARTBEAT, Due::FollowerHeartbeat);
+                .schedule(self.now + HEARTBEAT, Timer::FollowerHeartbeat);
         }
     }
 }
--- a/crates/engine/src/hosts.rs
+++ b/crates/engine/src/hosts.rs
@@ -11,7 +11,7 @@
 
 /// How far a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Link {
+pub enum ConnectionState {
     /// No connection; the next try comes by a timer.
     Down,
     /// The connection is being made, or the greeting is awaited.
@@ -26,82 +26,82 @@
 pub struct Host {
     pub name: Arc<str>,
     pub address: SocketAddr,
-    pub listing: mt::MachineEntry,
+    pub entry: mt::MachineEntry,
     /// The state in the inventory.
-    pub listed: HostState,
+    pub inventory_state: HostState,
     /// The start that the inventory told, and the one that the host told; Unix time in ms.
     pub listed_start: Option<u64>,
     pub told_start: Option<u64>,
     /// It said that it drains.
-    pub drains: bool,
-    pub link: Link,
+    pub is_draining: bool,
+    pub connection: ConnectionState,
     /// Counts connections, so that timers of an old one are known as such.
-    pub epoch: u64,
+    pub connection_epoch: u64,
     /// Connections of before it was last gone; their timers mean nothing to it.
     pub born: u64,
     /// The last connection that was greeted: how long tasks are waited for counts from its loss, not an older one's.
-    pub greeted: u64,
+    pub greeted_epoch: u64,
     /// Tries to connect since the last success.
-    pub tries: u32,
+    pub failed_connects: u32,
     /// Bytes queued on this connection since it was made, and those that the kernel took.
     pub queued: u64,
-    pub written: u64,
+    pub written_bytes: u64,
     /// Attempts and tasks there, by their number on the wire.
     pub attempts: BTreeSet<u64>,
     /// Those of them that it has not yet named since it greeted.
     pub unnamed: BTreeSet<u64>,
     /// The first try to connect is over.
-    pub tried: bool,
+    pub was_tried: bool,
 }
 
 impl Host {
     /// A host of the inventory.
-    pub fn new(id: HostId, entry: &HostEntry, label: u64) -> Host {
-        let listing = mt::MachineEntry {
+    pub fn new(id: HostId, inventory: &HostEntry, stable_hash: u64) -> Host {
+        let entry = mt::MachineEntry {
             machine: mt::MachineId(id.0),
-            stable_hash: label,
+            stable_hash,
             zone: 0,
             cell: 0,
             kind: 0,
             state: mt::MachineState::Ready,
-            started: None,
+            started_at: None,
             unallocated: None,
         };
         Host {
-            name: entry.name.as_str().into(),
-            address: entry.address,
-            listing,
-            listed: entry.state,
+            name: inventory.name.as_str().into(),
+            address: inventory.address,
+            entry,
+            inventory_state: inventory.state,
             listed_start: None,
             told_start: None,
-            drains: false,
-            link: Link::Down,
-            epoch: 0,
+            is_draining: false,
+            connection: ConnectionState::Down,
+            connection_epoch: 0,
             born: 0,
-            greeted: 0,
-            tries: 0,
+            greeted_epoch: 0,
+            failed_connects: 0,
             queued: 0,
-            written: 0,
+            written_bytes: 0,
             attempts: BTreeSet::new(),
             unnamed: BTreeSet::new(),
-            tried: false,
+            was_tried: false,
         }
     }
 
     /// The listing as it now stands. The newest start counts, whoever told it.
     pub fn refresh(&mut self) -> mt::MachineEntry {
-        self.listing.state = match self.listed {
+        self.entry.state = match self.inventory_state {
             HostState::Gone => mt::MachineState::Gone,
             HostState::Draining => mt::MachineState::Draining,
-            HostState::Ready if self.drains => mt::MachineState::Draining,
+            HostState::Ready if self.is_draining => mt::MachineState::Draining,
             HostState::Ready => mt::MachineState::Ready,
         };
-        self.listing.started = self.listed_start.max(self.told_start).map(|ms| ms * 1000);
-        self.listing
+        self.entry.started_at = self.listed_start.max(self.told_start).map(|ms| ms * 1000);
+        self.entry
     }
 
     /// Whether connections to it are wanted.
-    pub fn wanted(&self) -> bool {
-        self.listed != HostState::Gone
+    pub fn is_wanted(&self) -> bool {
+        self.inventory_state != HostState::Gone
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -23,10 +23,10 @@
 mod serve;
 mod sessions;
 
-pub use engine::{Boot, Counters, Engine, Output};
+pub use engine::{Counters, Engine, Output, StartInfo};
 pub use maplethread_timers::Timers;
-pub use names::hash;
-pub use notes::{Ending, Kept};
+pub use names::stable_hash;
+pub use notes::{AuditEntry, RequestOutcome};
 
 use maplethread::{Action, Event, Micros, Placer};
 
--- a/crates/engine/src/life.rs
+++ b/crates/engine/src/life.rs
@@ -28,37 +28,37 @@
 }
 
 /// The latest events.
-pub struct Ring {
+pub struct RecentEvents {
     events: VecDeque<LifeEvent>,
-    most: usize,
-    next: u64,
+    max_events: usize,
+    next_seq: u64,
 }
 
-impl Ring {
+impl RecentEvents {
     /// An empty ring for so many events.
-    pub fn new(most: usize) -> Ring {
-        Ring {
+    pub fn new(max_events: usize) -> RecentEvents {
+        RecentEvents {
             events: VecDeque::new(),
-            most,
-            next: 1,
+            max_events,
+            next_seq: 1,
         }
     }
 
     /// The number that the next event will have.
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_seq(&self) -> u64 {
+        self.next_seq
     }
 
     /// The number of the oldest event kept, or of the next if none is.
-    pub fn oldest(&self) -> u64 {
-        self.next - self.events.len() as u64
+    pub fn oldest_seq(&self) -> u64 {
+        self.next_seq - self.events.len() as u64
     }
 
     /// Adds an event and gives it its number.
     pub fn push(&mut self, mut event: LifeEvent) {
-        event.seq = self.next;
-        self.next += 1;
-        if self.events.len() == self.most {
+        event.seq = self.next_seq;
+        self.next_seq += 1;
+        if self.events.len() == self.max_events {
             self.events.pop_front();
         }
         self.events.push_back(event);
@@ -67,6 +67,6 @@
     /// The event of this number, if it is kept.
     pub fn get(&self, seq: u64) -> Option<&LifeEvent> {
         self.events
-            .get(usize::try_from(seq.checked_sub(self.oldest())?).ok()?)
+            .get(usize::try_from(seq.checked_sub(self.oldest_seq())?).ok()?)
     }
 }
--- a/crates/engine/src/notes.rs
+++ b/crates/engine/src/notes.rs
@@ -6,20 +6,20 @@
 
 /// How an ask ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Placed on this host.
     Placed(Arc<str>),
     /// Refused, for this reason and with this advice, ms.
-    Refused(&'static str, u64),
+    Rejected(&'static str, u64),
     /// Failed.
     Failed,
     /// Its clients hung up.
-    HungUp,
+    ClientDisconnected,
 }
 
 /// Something that turns do not tell.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum AuditEntry {
     /// A host has this number from now on.
     Host {
         /// The number.
@@ -27,12 +27,12 @@
         /// The name.
         name: Arc<str>,
         /// Its zone, cell and kind.
-        place: [Arc<str>; 3],
+        topology: [Arc<str>; 3],
     },
     /// A service has this number.
     Service(ServiceId, Arc<str>),
     /// An ask was taken.
-    Asked {
+    RequestAccepted {
         /// Its number.
         task: TaskId,
         /// The service's number.
@@ -42,39 +42,39 @@
         /// The class's place in the settings.
         class: usize,
         /// The client's id of the request.
-        request: Arc<str>,
+        request_id: Arc<str>,
         /// The client's key.
-        idempotency: Option<Arc<str>>,
+        idempotency_key: Option<Arc<str>>,
     },
     /// An ask ended.
-    Answered {
+    RequestFinished {
         /// Its number.
         task: TaskId,
         /// How.
-        ending: Ending,
+        outcome: RequestOutcome,
         /// Attempts made.
         attempts: u32,
         /// Since it was read, µs.
-        after: Micros,
+        elapsed: Micros,
     },
 }
 
 /// Notes since they were last taken, if anybody wants them.
 #[derive(Debug, Default)]
-pub(crate) struct Notes(Option<Vec<Kept>>);
+pub(crate) struct AuditLog(Option<Vec<AuditEntry>>);
 
-impl Notes {
-    pub fn want(&mut self) {
+impl AuditLog {
+    pub fn enable(&mut self) {
         self.0.get_or_insert_default();
     }
 
-    pub fn add(&mut self, note: impl FnOnce() -> Kept) {
+    pub fn add(&mut self, note: impl FnOnce() -> AuditEntry) {
         if let Some(notes) = &mut self.0 {
             notes.push(note());
         }
     }
 
-    pub fn take(&mut self) -> Vec<Kept> {
+    pub fn take(&mut self) -> Vec<AuditEntry> {
         self.0.as_mut().map(std::mem::take).unwrap_or_default()
     }
 }
--- a/crates/engine/src/pace.rs
+++ b/crates/engine/src/pace.rs
@@ -19,34 +19,34 @@
 
 /// The pace of the turns.
 #[derive(Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct TurnLatency {
     /// The largest lateness of late, and until when it is remembered.
     lateness: Micros,
     remembered_until: Micros,
     /// How long the caller was busy with the last turn.
     last_round: Micros,
     /// The first and the last turn of an unbroken time in which turns did not keep up.
-    behind: Option<(Micros, Micros)>,
+    late_turns: Option<(Micros, Micros)>,
 }
 
-impl Pace {
+impl TurnLatency {
     /// The caller was busy for so long with the last turn: reading for it, deciding, and writing.
-    pub fn round_took(&mut self, span: Micros) {
+    pub fn record_round(&mut self, span: Micros) {
         self.last_round = span;
     }
 
     /// A turn begins at `now`, so long after the earliest thing that waits for it was due.
-    pub fn turn(&mut self, now: Micros, late_by: Micros) {
+    pub fn record_turn(&mut self, now: Micros, late_by: Micros) {
         let late_by = late_by
             .max(std::mem::take(&mut self.last_round))
             .min(MAX_LATENESS);
         if late_by >= self.lateness || self.remembered_until <= now {
             (self.lateness, self.remembered_until) = (late_by, now + MEMORY);
         }
-        self.behind = self.behind.filter(|(_, last)| last + MEMORY > now);
+        self.late_turns = self.late_turns.filter(|(_, last)| last + MEMORY > now);
         if late_by >= BEHIND {
-            let first = self.behind.map_or(now, |(first, _)| first);
-            self.behind = Some((first, now));
+            let first = self.late_turns.map_or(now, |(first, _)| first);
+            self.late_turns = Some((first, now));
         }
     }
 
@@ -63,7 +63,7 @@
 
     /// Whether more is taken in than the turns can bear.
     fn is_overloaded(&self, now: Micros) -> bool {
-        self.behind
+        self.late_turns
             .is_some_and(|(first, last)| first + LASTING <= last && last + MEMORY > now)
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -4,9 +4,9 @@
 
 use serde_json::json;
 
-use crate::api::{self, Call, Problem};
-use crate::clients::{Came, Client};
-use crate::engine::{Actor, ActorKey, Due, Engine, Output};
+use crate::api::{self, ApiRequest, Problem};
+use crate::clients::{Came, ClientConnection};
+use crate::engine::{ActorKey, ActorState, Engine, Output, Timer};
 use crate::{ClientId, Decide};
 
 /// So many requests are taken in one turn; then each client has one more, so that none waits for a crowd.
@@ -17,25 +17,29 @@
     pub fn client_opened(&mut self, now: u64, id: ClientId) {
         self.now = self.now.max(now);
         if self.clients.len() >= self.config.api.max_clients {
-            let mut problem = Problem::busy(
+            let mut problem = Problem::unavailable(
                 "too-many-clients",
                 "Too many connections",
                 "api.max_clients are open",
             );
             problem.close = true;
-            self.outputs.push(Output::ToClient(id, problem.bytes(None)));
+            self.outputs
+                .push(Output::ToClient(id, problem.to_bytes(None)));
             self.outputs.push(Output::CloseClient(id));
             return;
         }
-        self.clients
-            .insert(id, Client::new(self.now, self.config.api.max_body_bytes));
+        self.clients.insert(
+            id,
+            ClientConnection::new(self.now, self.config.api.max_body_bytes),
+        );
         let first = self
             .config
             .api
             .request_within_ms
             .min(self.config.api.idle_close_ms)
             * 1000;
-        self.timers.set(self.now + first, Due::Client(id));
+        self.timers
+            .schedule(self.now + first, Timer::ClientTimeout(id));
     }
 
     /// Bytes from a client; returns how many were used. The rest is to be given again, with more, or once the
@@ -49,7 +53,7 @@
             let Some(client) = self.clients.get_mut(&id) else {
                 return unread.len();
             };
-            if client.ended || client.follows.is_some() {
+            if client.has_ended || client.next_event.is_some() {
                 // Nothing after the last request counts.
                 return unread.len();
             }
@@ -58,7 +62,10 @@
                 client.taken = (turn, 0);
             }
             let share = if self.taken >= TURN_REQUESTS { 1 } else { most };
-            if client.in_hand() >= most || client.taken.1 >= share || client.unread > unread_most {
+            if client.in_hand() >= most
+                || client.taken.1 >= share
+                || client.unread_bytes > unread_most
+            {
                 return used;
             }
             let (came, n) = client.read(&unread[used..]);
@@ -66,25 +73,25 @@
             match came {
                 Came::Nothing => {
                     let begun = client.inside() || used < unread.len();
-                    client.begun = if begun {
-                        client.begun.or(Some(self.now))
+                    client.request_began_at = if begun {
+                        client.request_began_at.or(Some(self.now))
                     } else {
                         None
                     };
                     return used;
                 }
                 Came::Continue => {
-                    client.begun = client.begun.or(Some(self.now));
+                    client.request_began_at = client.request_began_at.or(Some(self.now));
                     self.outputs.push(Output::ToClient(
                         id,
                         b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
                     ));
                 }
                 Came::Request(slot, message) => {
-                    (client.begun, client.used) = (None, self.now);
+                    (client.request_began_at, client.last_used_at) = (None, self.now);
                     client.taken.1 += 1;
                     self.taken += 1;
-                    match api::call(&message) {
+                    match api::parse_request(&message) {
                         Ok(call) => self.serve(id, slot, call),
                         Err(problem) => self.problem(id, slot, problem),
                     }
@@ -109,7 +116,7 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        client.unread = bytes;
+        client.unread_bytes = bytes;
         if bytes > self.config.api.max_unread_bytes {
             tracing::warn!(client = id.0, bytes, "does not read its answers; cut off");
             self.outputs.push(Output::CloseClient(id));
@@ -124,8 +131,8 @@
             return;
         };
         self.followers.remove(&id);
-        for task in client.waits {
-            let Some(ask) = self.asks.get_mut(&task) else {
+        for task in client.awaited_tasks {
+            let Some(ask) = self.requests.get_mut(&task) else {
                 continue;
             };
             let left: Vec<_> = ask.waiters.extract_if(.., |w| w.0 == id).collect();
@@ -154,19 +161,20 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.ended || client.follows.is_some() {
+        if client.has_ended || client.next_event.is_some() {
             return;
         }
-        let due = match client.begun {
+        let due = match client.request_began_at {
             Some(begun) => begun + whole,
             None if client.in_hand() > 0 => self.now + idle,
-            None => client.used + idle,
+            None => client.last_used_at + idle,
         };
         if due > self.now {
-            self.timers.set(due.min(self.now + whole), Due::Client(id));
+            self.timers
+                .schedule(due.min(self.now + whole), Timer::ClientTimeout(id));
             return;
         }
-        if client.begun.is_some() {
+        if client.request_began_at.is_some() {
             let mut problem = Problem::new(
                 408,
                 "too-slow",
@@ -174,7 +182,8 @@
                 "api.request_within_ms is over",
             );
             problem.close = true;
-            self.outputs.push(Output::ToClient(id, problem.bytes(None)));
+            self.outputs
+                .push(Output::ToClient(id, problem.to_bytes(None)));
         }
         self.outputs.push(Output::CloseClient(id));
         self.client_closed(self.now, id);
@@ -185,7 +194,7 @@
             return;
         };
         let (out, end) = client.answer(slot, bytes, close);
-        client.unread += out.len();
+        client.unread_bytes += out.len();
         if !out.is_empty() {
             self.outputs.push(Output::ToClient(id, out));
         }
@@ -197,16 +206,16 @@
 
     pub(crate) fn problem(&mut self, id: ClientId, slot: u64, problem: Problem) {
         if problem.status == 503 {
-            self.counters.turned_away += 1;
+            self.counters.unavailable += 1;
         }
-        let bytes = problem.bytes(None);
+        let bytes = problem.to_bytes(None);
         self.reply(id, slot, bytes, problem.close);
     }
 
     /// The answer to [`Output::AskFleet`]; nothing where there is no view of the fleet.
-    pub fn tell_fleet(&mut self, id: ClientId, slot: u64, view: Option<&serde_json::Value>) {
+    pub fn answer_membership(&mut self, id: ClientId, slot: u64, view: Option<&serde_json::Value>) {
         match view {
-            Some(view) => self.reply(id, slot, api::answer(200, view), false),
+            Some(view) => self.reply(id, slot, api::json_response(200, view), false),
             None => {
                 let problem = Problem::new(
                     404,
@@ -219,9 +228,9 @@
         }
     }
 
-    fn serve(&mut self, id: ClientId, slot: u64, call: Call) {
+    fn serve(&mut self, id: ClientId, slot: u64, call: ApiRequest) {
         match call {
-            Call::Place {
+            ApiRequest::Place {
                 body,
                 request,
                 idempotency,
@@ -230,52 +239,54 @@
                     self.problem(id, slot, problem);
                 }
             }
-            Call::CancelAsk(request) => match self.by_request.get(request.as_str()).copied() {
-                Some(task) => {
-                    // Others who ask for the same actor go on waiting.
-                    let Some(ask) = self.asks.get_mut(&task) else {
-                        return;
-                    };
-                    let cancelled: Vec<_> =
-                        ask.waiters.extract_if(.., |w| *w.2 == *request).collect();
-                    let nobody = ask.waiters.is_empty();
-                    self.by_request.remove(request.as_str());
-                    if nobody {
-                        self.hang_up(task);
-                    }
-                    for (client, waiting, _) in cancelled {
-                        self.waits(client, task, false);
-                        let problem = Problem::new(
-                            410,
-                            "cancelled",
-                            "The ask was cancelled",
-                            "by DELETE /v1/asks",
+            ApiRequest::CancelAsk(request) => {
+                match self.by_request.get(request.as_str()).copied() {
+                    Some(task) => {
+                        // Others who ask for the same actor go on waiting.
+                        let Some(ask) = self.requests.get_mut(&task) else {
+                            return;
+                        };
+                        let cancelled: Vec<_> =
+                            ask.waiters.extract_if(.., |w| *w.2 == *request).collect();
+                        let nobody = ask.waiters.is_empty();
+                        self.by_request.remove(request.as_str());
+                        if nobody {
+                            self.hang_up(task);
+                        }
+                        for (client, waiting, _) in cancelled {
+                            self.waits(client, task, false);
+                            let problem = Problem::new(
+                                410,
+                                "cancelled",
+                                "The ask was cancelled",
+                                "by DELETE /v1/asks",
+                            );
+                            self.problem(client, waiting, problem);
+                        }
+                        self.reply(
+                            id,
+                            slot,
+                            api::json_response(202, &json!({"request": request})),
+                            false,
                         );
-                        self.problem(client, waiting, problem);
                     }
-                    self.reply(
-                        id,
-                        slot,
-                        api::answer(202, &json!({"request": request})),
-                        false,
-                    );
-                }
-                None => {
-                    let detail = "it has its answer, or was never asked";
-                    let problem =
-                        Problem::new(404, "no-such-ask", "No ask of this id is open", detail);
-                    self.problem(id, slot, problem);
+                    None => {
+                        let detail = "it has its answer, or was never asked";
+                        let problem =
+                            Problem::new(404, "no-such-ask", "No ask of this id is open", detail);
+                        self.problem(id, slot, problem);
+                    }
                 }
-            },
-            Call::Stop { service, actor } => {
+            }
+            ApiRequest::StopActor { service, actor } => {
                 let key = (service.as_str().into(), actor.as_str().into());
                 match self.actors.get(&key).copied() {
-                    Some(Actor::Placed(wire)) => {
+                    Some(ActorState::Placed(wire)) => {
                         self.stop_attempt(wire, "stopped");
                         let body = json!({"service": service, "actor": actor, "state": "stopping"});
-                        self.reply(id, slot, api::answer(202, &body), false);
+                        self.reply(id, slot, api::json_response(202, &body), false);
                     }
-                    Some(Actor::Asking(_)) => {
+                    Some(ActorState::Pending(_)) => {
                         let detail = "cancel its ask, or wait for the answer";
                         self.problem(
                             id,
@@ -286,14 +297,14 @@
                     None => self.problem(id, slot, unknown_actor()),
                 }
             }
-            Call::Look { service, actor } => {
+            ApiRequest::GetActor { service, actor } => {
                 let key: ActorKey = (service.as_str().into(), actor.as_str().into());
                 match self.look(&key) {
-                    Some(body) => self.reply(id, slot, api::answer(200, &body), false),
+                    Some(body) => self.reply(id, slot, api::json_response(200, &body), false),
                     None => self.problem(id, slot, unknown_actor()),
                 }
             }
-            Call::List { after, limit } => {
+            ApiRequest::List { after, limit } => {
                 let after = after.map(|(s, a)| (Arc::<str>::from(s), Arc::<str>::from(a)));
                 let from = match &after {
                     Some(key) => std::ops::Bound::Excluded(key),
@@ -310,22 +321,24 @@
                 let next = keys.last().filter(|_| more);
                 let next = next.map(|(s, a)| json!({"after_service": s, "after_actor": a}));
                 let body = json!({"actors": actors, "held": self.actors.len(), "next": next});
-                self.reply(id, slot, api::answer(200, &body), false);
+                self.reply(id, slot, api::json_response(200, &body), false);
+            }
+            ApiRequest::Membership { after } => {
+                self.outputs.push(Output::FetchMembership(id, slot, after))
             }
-            Call::Fleet { after } => self.outputs.push(Output::AskFleet(id, slot, after)),
-            Call::Events { after, life } => self.follow(id, slot, after, life),
-            Call::Status { full } => {
+            ApiRequest::Events { after, life } => self.follow(id, slot, after, life),
+            ApiRequest::Status { full } => {
                 let up = self
                     .hosts
                     .values()
-                    .filter(|h| h.link == crate::hosts::Link::Up)
+                    .filter(|h| h.connection == crate::hosts::ConnectionState::Up)
                     .count();
                 let body = json!({
-                    "placer": self.config.placer.name,
+                    "placer": self.config.identity.name,
                     "life": self.started_ms,
                     "state": if self.stopping { "stopping" } else { "serving" },
                     "counters": self.counters,
-                    "open_asks": self.asks.len(),
+                    "open_asks": self.requests.len(),
                     "actors": self.actors.len(),
                     "attempts": self.attempts.len(),
                     "clients": self.clients.len(),
@@ -333,9 +346,9 @@
                     "hosts": self.hosts.len(),
                     "hosts_connected": up,
                     "gauges": if full { &self.gauges } else { &serde_json::Value::Null },
-                    "events": {"oldest": self.ring.oldest(), "next": self.ring.next()},
+                    "events": {"oldest": self.ring.oldest_seq(), "next": self.ring.next_seq()},
                 });
-                self.reply(id, slot, api::answer(200, &body), false);
+                self.reply(id, slot, api::json_response(200, &body), false);
             }
         }
     }
@@ -343,24 +356,24 @@
     fn look(&self, key: &ActorKey) -> Option<serde_json::Value> {
         let (service, actor) = key;
         Some(match *self.actors.get(key)? {
-            Actor::Asking(task) => {
-                let ask = self.asks.get(&task)?;
+            ActorState::Pending(task) => {
+                let ask = self.requests.get(&task)?;
                 json!({
-                    "service": service, "actor": actor, "state": "asking", "request": ask.request,
-                    "class": self.config.class[ask.task.class].name, "attempts": ask.attempts,
+                    "service": service, "actor": actor, "state": "asking", "request": ask.request_id,
+                    "class": self.config.classes[ask.task.class].name, "attempts": ask.attempts,
                 })
             }
-            Actor::Placed(wire) => {
+            ActorState::Placed(wire) => {
                 let attempt = self.attempts.get(&wire)?;
                 let host = self.hosts.get(&attempt.host);
-                let state = match (attempt.stop, attempt.runs) {
+                let state = match (attempt.stop_reason, attempt.is_running) {
                     (Some(_), _) => "stopping",
                     (None, true) => "running",
                     (None, false) => "placed",
                 };
                 json!({
-                    "service": service, "actor": actor, "state": state, "request": attempt.request,
-                    "class": self.config.class[attempt.class].name,
+                    "service": service, "actor": actor, "state": state, "request": attempt.request_id,
+                    "class": self.config.classes[attempt.class].name,
                     "host": host.map(|h| h.name.clone()), "address": host.map(|h| h.address.to_string()),
                 })
             }
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -8,26 +8,26 @@
 mod starts;
 
 use maplethread::FailureReason;
-use maplethread_wire::frame::{Copies, Reason};
+use maplethread_wire::frame::{DuplicatePolicy, Reason};
 
 pub(crate) fn why(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
         Reason::Cores => FailureReason::Cores,
         Reason::Memory => FailureReason::Memory,
-        Reason::Line => FailureReason::QueueFull,
-        Reason::NotHere => FailureReason::Ineligible,
+        Reason::QueueFull => FailureReason::QueueFull,
+        Reason::Ineligible => FailureReason::Ineligible,
         Reason::Evicted => FailureReason::Evicted,
-        Reason::PushedOut => FailureReason::Preempted,
-        Reason::SentAway => FailureReason::Drained,
-        Reason::Unknown | Reason::Done | Reason::Stopped | Reason::Error => return None,
+        Reason::Preempted => FailureReason::Preempted,
+        Reason::Drained => FailureReason::Drained,
+        Reason::Unknown | Reason::Completed | Reason::Stopped | Reason::Error => return None,
     })
 }
 
 /// What stands on the wire for a class's effect.
-pub(crate) fn copies(effect: maplethread::RetrySafety, key: u64) -> Copies {
+pub(crate) fn copies(effect: maplethread::RetrySafety, key: u64) -> DuplicatePolicy {
     match effect {
-        maplethread::RetrySafety::Idempotent => Copies::Safe,
-        maplethread::RetrySafety::IdempotencyKey { .. } => Copies::Keyed(key),
-        maplethread::RetrySafety::NonIdempotent => Copies::Unsafe,
+        maplethread::RetrySafety::Idempotent => DuplicatePolicy::Idempotent,
+        maplethread::RetrySafety::IdempotencyKey { .. } => DuplicatePolicy::IdempotencyKey(key),
+        maplethread::RetrySafety::NonIdempotent => DuplicatePolicy::NonIdempotent,
     }
 }
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -3,8 +3,8 @@
 use maplethread::{AttemptOutcome, Event, MachineId};
 use maplethread_wire::frame::{self, Frame};
 
-use crate::engine::{Due, Engine, Output, Stage};
-use crate::hosts::{Host, Link};
+use crate::engine::{Engine, Output, Stage, Timer};
+use crate::hosts::{ConnectionState, Host};
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
@@ -13,22 +13,31 @@
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
-        if host.epoch != epoch || host.link != Link::Down || !host.wanted() {
+        if host.connection_epoch != epoch
+            || host.connection != ConnectionState::Down
+            || !host.is_wanted()
+        {
             return;
         }
-        host.epoch += 1;
-        host.link = Link::Greeting;
-        (host.queued, host.written) = (0, 0);
-        let (address, epoch) = (host.address, host.epoch);
+        host.connection_epoch += 1;
+        host.connection = ConnectionState::Greeting;
+        (host.queued, host.written_bytes) = (0, 0);
+        let (address, epoch) = (host.address, host.connection_epoch);
         self.outputs.push(Output::Connect(id, address));
-        self.timers.set(self.now + within, Due::Greet(id, epoch));
+        self.timers
+            .schedule(self.now + within, Timer::Greet(id, epoch));
     }
 
     pub(crate) fn greet_due(&mut self, id: HostId, epoch: u64) {
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
-        if host.epoch == epoch && matches!(host.link, Link::Greeting | Link::Naming) {
+        if host.connection_epoch == epoch
+            && matches!(
+                host.connection,
+                ConnectionState::Greeting | ConnectionState::Naming
+            )
+        {
             tracing::warn!(host = %host.name, "no greeting in time");
             self.cut(id);
         }
@@ -40,14 +49,14 @@
         let hello = Frame::Hello {
             major: frame::MAJOR,
             minor: frame::MINOR,
-            name: self.config.placer.name.clone(),
+            name: self.config.identity.name.clone(),
             started_ms: self.started_ms,
-            most_offers: 0,
+            max_offers: 0,
         };
         if self
             .hosts
             .get(&id)
-            .is_some_and(|h| h.link == Link::Greeting)
+            .is_some_and(|h| h.connection == ConnectionState::Greeting)
         {
             self.send(id, &hello, false);
         }
@@ -56,7 +65,7 @@
     /// The kernel has taken so many bytes of this connection, ever.
     pub fn host_written(&mut self, id: HostId, written: u64) {
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.written = written;
+            host.written_bytes = written;
         }
     }
 
@@ -72,49 +81,60 @@
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
-        if host.link == Link::Down {
+        if host.connection == ConnectionState::Down {
             return;
         }
-        let was = std::mem::replace(&mut host.link, Link::Down);
+        let was = std::mem::replace(&mut host.connection, ConnectionState::Down);
         self.liveness.removed(id);
         tracing::info!(host = %host.name, ?was, "connection lost");
         let attempts: Vec<u64> = host.attempts.iter().copied().collect();
-        let (epoch, tries, wanted) = (host.epoch, host.tries, host.wanted());
-        host.tries = tries.saturating_add(1);
-        let untold = !host.tried;
+        let (epoch, tries, wanted) = (
+            host.connection_epoch,
+            host.failed_connects,
+            host.is_wanted(),
+        );
+        host.failed_connects = tries.saturating_add(1);
+        let untold = !host.was_tried;
         let mut holds = false;
         for wire in attempts {
             let Some(attempt) = self.attempts.get(&wire) else {
                 continue;
             };
             match attempt.stage {
-                Stage::Seated => holds = true,
-                Stage::Out if attempt.frame_end > written => {
+                Stage::Placed => holds = true,
+                Stage::Offered if attempt.frame_end > written => {
                     self.end(wire, AttemptOutcome::ConnectFailed, None, None, true);
                 }
-                Stage::Out | Stage::Accepted => self.end(wire, AttemptOutcome::Disconnected, None, None, false),
+                Stage::Offered | Stage::Accepted => {
+                    self.end(wire, AttemptOutcome::Disconnected, None, None, false)
+                }
             }
         }
         if holds && wanted {
-            self.timers.set(self.now + lost, Due::Lost(id, epoch));
+            self.timers
+                .schedule(self.now + lost, Timer::TasksLost(id, epoch));
         } else if holds {
             self.lose_all(id);
         }
         if wanted {
             let whole = first.saturating_mul(1 << tries.min(16)).min(most) * 1000;
             let wait = self.jitter(whole);
-            self.timers.set(self.now + wait, Due::Connect(id, epoch));
+            self.timers
+                .schedule(self.now + wait, Timer::Reconnect(id, epoch));
         }
         if untold {
             self.relist(id);
         }
-        self.events.push(Event::ConnectionChanged(MachineId(id.0), false));
+        self.events.push(Event::ConnectionChanged {
+            machine: MachineId(id.0),
+            is_connected: false,
+        });
         self.forget_gone(id);
     }
 
     /// Drops the connection to a host. What the kernel has not taken of it by now is never sent.
     pub(crate) fn cut(&mut self, id: HostId) {
-        let Some(written) = self.hosts.get(&id).map(|h| h.written) else {
+        let Some(written) = self.hosts.get(&id).map(|h| h.written_bytes) else {
             return;
         };
         self.outputs.push(Output::CloseHost(id));
@@ -123,11 +143,11 @@
 
     pub(crate) fn lost_due(&mut self, id: HostId, epoch: u64) {
         // A connection made since has its own say on what the host still holds.
-        let back = |h: &Host| matches!(h.link, Link::Naming | Link::Up);
+        let back = |h: &Host| matches!(h.connection, ConnectionState::Naming | ConnectionState::Up);
         if self
             .hosts
             .get(&id)
-            .is_some_and(|h| epoch >= h.greeted && epoch > h.born && !back(h))
+            .is_some_and(|h| epoch >= h.greeted_epoch && epoch > h.born && !back(h))
         {
             self.lose_all(id);
         }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -4,7 +4,7 @@
 use maplethread_wire::frame::{self, Frame, NoteKind, Reason};
 
 use crate::engine::{Engine, Stage};
-use crate::hosts::Link;
+use crate::hosts::ConnectionState;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
@@ -13,7 +13,11 @@
         self.now = self.now.max(now);
         let mut used = 0;
         loop {
-            if self.hosts.get(&id).is_none_or(|h| h.link == Link::Down) {
+            if self
+                .hosts
+                .get(&id)
+                .is_none_or(|h| h.connection == ConnectionState::Down)
+            {
                 return unread.len();
             }
             match frame::decode(&unread[used..]) {
@@ -47,14 +51,14 @@
         let Some(host) = self.hosts.get_mut(&id) else {
             return Ok(());
         };
-        let link = host.link;
+        let link = host.connection;
         match frame {
             Frame::Hello {
                 major,
                 name,
                 started_ms,
                 ..
-            } if link == Link::Greeting => {
+            } if link == ConnectionState::Greeting => {
                 if major != frame::MAJOR {
                     return Err(format!("speaks version {major}, not {}", frame::MAJOR));
                 }
@@ -63,29 +67,30 @@
                 }
                 if host.told_start != Some(started_ms) {
                     // A new process: what the old one said of itself is over.
-                    (host.told_start, host.drains) = (Some(started_ms), false);
+                    (host.told_start, host.is_draining) = (Some(started_ms), false);
                 }
-                (host.link, host.greeted) = (Link::Naming, host.epoch);
+                (host.connection, host.greeted_epoch) =
+                    (ConnectionState::Naming, host.connection_epoch);
                 let seated = |w: &u64| {
                     self.attempts
                         .get(w)
-                        .is_some_and(|a| a.stage == Stage::Seated)
+                        .is_some_and(|a| a.stage == Stage::Placed)
                 };
                 host.unnamed = host.attempts.iter().copied().filter(seated).collect();
                 self.watch(id);
                 Ok(())
             }
-            Frame::Held(offer, runs) if link == Link::Naming => {
+            Frame::Held(offer, runs) if link == ConnectionState::Naming => {
                 self.held(id, offer, runs);
                 Ok(())
             }
             // Since 1.1: what has ended while there was no connection is no loss, and its end is known.
-            Frame::Ended(..) if link == Link::Naming => {
+            Frame::Ended(..) if link == ConnectionState::Naming => {
                 self.news(id, frame);
                 Ok(())
             }
-            Frame::HeldEnd if link == Link::Naming => {
-                (host.link, host.tries) = (Link::Up, 0);
+            Frame::HeldEnd if link == ConnectionState::Naming => {
+                (host.connection, host.failed_connects) = (ConnectionState::Up, 0);
                 tracing::info!(host = %host.name, "connected");
                 let missing: Vec<u64> = host.unnamed.iter().copied().collect();
                 for wire in missing {
@@ -93,12 +98,15 @@
                 }
                 self.use_changed(id);
                 self.relist(id);
-                self.events.push(Event::ConnectionChanged(MachineId(id.0), true));
+                self.events.push(Event::ConnectionChanged {
+                    machine: MachineId(id.0),
+                    is_connected: true,
+                });
                 Ok(())
             }
-            Frame::Drain if matches!(link, Link::Naming | Link::Up) => {
-                host.drains = true;
-                if link == Link::Up {
+            Frame::Drain if matches!(link, ConnectionState::Naming | ConnectionState::Up) => {
+                host.is_draining = true;
+                if link == ConnectionState::Up {
                     self.relist(id);
                 }
                 Ok(())
@@ -109,7 +117,7 @@
             }
             Frame::Pong(_) => Ok(()),
             Frame::Bye(why) => Err(format!("said goodbye: {why}")),
-            frame if link == Link::Up => {
+            frame if link == ConnectionState::Up => {
                 self.news(id, frame);
                 Ok(())
             }
@@ -135,9 +143,9 @@
                 let seated = self
                     .attempts
                     .get(&wire)
-                    .is_some_and(|a| a.stage == Stage::Seated);
+                    .is_some_and(|a| a.stage == Stage::Placed);
                 let ending = match reason {
-                    Reason::Done => AttemptOutcome::Completed,
+                    Reason::Completed => AttemptOutcome::Completed,
                     Reason::Error => AttemptOutcome::Error,
                     Reason::Stopped => AttemptOutcome::Cancelled,
                     // Handed back before it ran and before it was placed.
@@ -152,11 +160,14 @@
                 let note = match kind {
                     NoteKind::Cores => TaskReport::CoresUsed(x),
                     NoteKind::Memory => TaskReport::MemoryUsed(x),
-                    NoteKind::Served => TaskReport::Served(x),
-                    NoteKind::HostMemory => TaskReport::MachineMemory(x),
+                    NoteKind::ServedShare => TaskReport::Served(x),
+                    NoteKind::HostMemoryShare => TaskReport::MachineMemory(x),
                 };
                 if let Some(attempt) = self.attempts.get(&wire) {
-                    self.events.push(Event::TaskReported(attempt.id, note));
+                    self.events.push(Event::TaskReported {
+                        attempt: attempt.id,
+                        report: note,
+                    });
                 }
             }
             Frame::Report(nonce, load) => self.probed(nonce, load),
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -1,15 +1,15 @@
 //! Heartbeats to hosts, and hosts that are cut off for their silence, as [`maplethread_liveness`] says.
 
-use maplethread_config::Hosts;
+use maplethread_config::HostSettings;
 use maplethread_liveness::{Due, Liveness, Settings, Sign};
 use maplethread_wire::frame::Frame;
 
 use crate::engine::Engine;
-use crate::hosts::Link;
+use crate::hosts::ConnectionState;
 use crate::{Decide, HostId};
 
 /// No hosts yet; how often they are pinged is set.
-pub(crate) fn liveness(hosts: &Hosts) -> Liveness<HostId> {
+pub(crate) fn liveness(hosts: &HostSettings) -> Liveness<HostId> {
     Liveness::new(Settings {
         ping_every: hosts.ping_every_ms * 1000,
         silent_after: hosts.silent_after_ms * 1000,
@@ -33,7 +33,7 @@
     }
 
     fn heartbeat(&mut self, id: HostId) {
-        let epoch = self.hosts.get(&id).map_or(0, |h| h.epoch);
+        let epoch = self.hosts.get(&id).map_or(0, |h| h.connection_epoch);
         match self.send(id, &Frame::Ping(epoch as u32), true) {
             Some(_) => self.counters.heartbeats += 1,
             None => self.liveness.heartbeat_not_sent(id),
@@ -58,7 +58,11 @@
 
     /// Attempts at a host have come or gone. One that is still naming what it holds counts as in use.
     pub(crate) fn use_changed(&mut self, id: HostId) {
-        let Some(host) = self.hosts.get(&id).filter(|h| h.link == Link::Up) else {
+        let Some(host) = self
+            .hosts
+            .get(&id)
+            .filter(|h| h.connection == ConnectionState::Up)
+        else {
             return;
         };
         if host.attempts.is_empty() {
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -6,14 +6,14 @@
 use maplethread_config::{HostEntry, HostState, Inventory};
 
 use crate::engine::Engine;
-use crate::hosts::{Host, Link};
-use crate::names::hash;
-use crate::notes::Kept;
+use crate::hosts::{ConnectionState, Host};
+use crate::names::stable_hash;
+use crate::notes::AuditEntry;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
     /// News of the whole list of hosts. Hosts that are not in it are gone.
-    pub fn inventory(&mut self, now: u64, inventory: &Inventory) {
+    pub fn apply_inventory(&mut self, now: u64, inventory: &Inventory) {
         self.now = self.now.max(now);
         self.listed = true;
         let named: BTreeSet<&str> = inventory.host.iter().map(|e| e.name.as_str()).collect();
@@ -22,7 +22,7 @@
             .values_mut()
             .filter(|h| !named.contains(&*h.name))
         {
-            host.listed = HostState::Gone;
+            host.inventory_state = HostState::Gone;
         }
         for entry in &inventory.host {
             self.take_entry(entry);
@@ -30,7 +30,7 @@
         let listings = self
             .hosts
             .values_mut()
-            .filter(|h| h.tried || h.listed == HostState::Gone);
+            .filter(|h| h.was_tried || h.inventory_state == HostState::Gone);
         let machines = listings.map(Host::refresh).collect();
         self.events.push(Event::EndpointsUpdated {
             scope: UpdateScope::Full,
@@ -42,7 +42,7 @@
     }
 
     /// News of some hosts, each as it now is; those that are gone have that state.
-    pub fn hosts_changed(&mut self, now: u64, entries: &[HostEntry]) {
+    pub fn apply_host_changes(&mut self, now: u64, entries: &[HostEntry]) {
         self.now = self.now.max(now);
         self.listed = true;
         let mut machines = Vec::new();
@@ -54,8 +54,9 @@
             let Some(host) = self.hosts.get_mut(&id) else {
                 continue;
             };
-            let forgotten = host.listed == HostState::Gone && host.link == Link::Down;
-            if host.tried || forgotten {
+            let forgotten =
+                host.inventory_state == HostState::Gone && host.connection == ConnectionState::Down;
+            if host.was_tried || forgotten {
                 machines.push(host.refresh());
             }
             self.forget_gone(id);
@@ -69,7 +70,7 @@
     }
 
     /// This placer's number from now on, where it is leased.
-    pub fn numbered(&mut self, number: Option<u32>) {
+    pub fn set_replica_index(&mut self, number: Option<u32>) {
         self.events.push(Event::ReplicaIndexChanged(number));
     }
 
@@ -84,41 +85,41 @@
                         (HostId(self.next_host - 1), 0)
                     }
                 };
-                let mut host = Host::new(id, entry, hash(&entry.name));
-                (host.epoch, host.born) = (epoch, epoch);
+                let mut host = Host::new(id, entry, stable_hash(&entry.name));
+                (host.connection_epoch, host.born) = (epoch, epoch);
                 let place = [&entry.zone, &entry.cell, &entry.kind].map(|p| p.as_str().into());
-                self.notes.add(|| Kept::Host {
+                self.audit_log.add(|| AuditEntry::Host {
                     machine: id.0,
                     name: host.name.clone(),
-                    place,
+                    topology: place,
                 });
                 self.by_name.insert(host.name.clone(), id);
                 self.hosts.insert(id, host);
                 id
             }
         };
-        let cell = self.cells.of(&format!("{}/{}", entry.zone, entry.cell));
-        let zones = &self.config.placer.zones;
+        let cell = self.cells.id_of(&format!("{}/{}", entry.zone, entry.cell));
+        let zones = &self.config.identity.zones;
         let zone = zones.iter().position(|z| *z == entry.zone).unwrap_or(0) as u32;
         let kind = self
             .config
-            .kind
+            .kinds
             .iter()
             .position(|k| k.name == entry.kind)
             .unwrap_or(0);
         let Some(host) = self.hosts.get_mut(&id) else {
             return id;
         };
-        (host.listing.zone, host.listing.cell, host.listing.kind) = (zone, cell, kind);
+        (host.entry.zone, host.entry.cell, host.entry.kind) = (zone, cell, kind);
         let free = entry.unasked_cores.zip(entry.unasked_memory_gib);
-        host.listing.unallocated = free.map(|(cores, memory)| Resources::new(cores, memory));
-        (host.listed, host.listed_start) = (entry.state, entry.started_ms);
+        host.entry.unallocated = free.map(|(cores, memory)| Resources::new(cores, memory));
+        (host.inventory_state, host.listed_start) = (entry.state, entry.started_ms);
         let moved = host.address != entry.address;
         host.address = entry.address;
-        let (link, epoch, born) = (host.link, host.epoch, host.born);
-        if moved && link != Link::Down {
+        let (link, epoch, born) = (host.connection, host.connection_epoch, host.born);
+        if moved && link != ConnectionState::Down {
             self.cut(id);
-        } else if link == Link::Down && entry.state != HostState::Gone && epoch == born {
+        } else if link == ConnectionState::Down && entry.state != HostState::Gone && epoch == born {
             self.connect_due(id, epoch);
         }
         id
@@ -127,7 +128,7 @@
     /// Tells the decider what is new of one host.
     pub(super) fn relist(&mut self, id: HostId) {
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.tried = true;
+            host.was_tried = true;
             let machines = vec![host.refresh()];
             self.events.push(Event::EndpointsUpdated {
                 scope: UpdateScope::Delta,
@@ -139,12 +140,15 @@
     /// A host that is gone and has no connection holds nothing any more. Its number is kept for its return, for as many
     /// hosts as there may be; beyond that the one that is gone for longest is forgotten.
     pub(super) fn forget_gone(&mut self, id: HostId) {
-        let over = |h: &Host| h.listed == HostState::Gone && h.link == Link::Down;
+        let over = |h: &Host| {
+            h.inventory_state == HostState::Gone && h.connection == ConnectionState::Down
+        };
         if self.hosts.get(&id).is_some_and(over) {
             self.lose_all(id);
             if let Some(host) = self.hosts.remove(&id) {
                 self.by_name.remove(&host.name);
-                self.gone.insert(host.name, (id, host.epoch, self.now));
+                self.gone
+                    .insert(host.name, (id, host.connection_epoch, self.now));
                 if self.gone.len() > self.config.hosts.max_hosts
                     && let Some(oldest) = self
                         .gone
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -4,8 +4,8 @@
 
 use maplethread::{Event, TaskReport};
 
-use crate::answers::Answer;
-use crate::engine::{Actor, Engine, Stage};
+use crate::answers::FinalAnswer;
+use crate::engine::{ActorState, Engine, Stage};
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
@@ -14,7 +14,7 @@
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
-        if attempt.cancelled || attempt.stage != Stage::Out {
+        if attempt.is_cancelled || attempt.stage != Stage::Offered {
             return;
         }
         attempt.stage = Stage::Accepted;
@@ -27,26 +27,29 @@
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
-        if attempt.cancelled
-            || attempt.stage == Stage::Out
-            || std::mem::replace(&mut attempt.runs, true)
+        if attempt.is_cancelled
+            || attempt.stage == Stage::Offered
+            || std::mem::replace(&mut attempt.is_running, true)
         {
             return;
         }
-        if attempt.stage != Stage::Seated {
+        if attempt.stage != Stage::Placed {
             self.seat(wire, took_ms);
         }
         let Some(attempt) = self
             .attempts
             .get(&wire)
-            .filter(|a| a.stage == Stage::Seated)
+            .filter(|a| a.stage == Stage::Placed)
         else {
             return;
         };
-        let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request.clone());
+        let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request_id.clone());
         let host = self.host_name(attempt.host);
         if self.placed_when_accepted() {
-            self.events.push(Event::TaskReported(id, TaskReport::Started));
+            self.events.push(Event::TaskReported {
+                attempt: id,
+                report: TaskReport::Started,
+            });
         }
         self.tell("started", &key, host, None, request);
     }
@@ -58,22 +61,29 @@
         };
         let task = attempt.id.task;
         let in_time = self
-            .asks
+            .requests
             .get(&task)
             .is_some_and(|ask| ask.deadline > self.now);
         if !in_time {
             self.call_off(wire);
             return;
         }
-        attempt.stage = Stage::Seated;
+        attempt.stage = Stage::Placed;
         let (id, host, key) = (attempt.id, attempt.host, attempt.key.clone());
-        let (request, number, sent) = (attempt.request.clone(), attempt.id.number, attempt.sent);
+        let (request, number, sent) = (
+            attempt.request_id.clone(),
+            attempt.id.number,
+            attempt.sent_at,
+        );
         // A caller that stood still can't tell when the answer came; what the host measured stands for it.
         let elapsed = self
             .stalled
             .then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
-        self.events.push(Event::AttemptAccepted(id, elapsed));
-        self.actors.insert(key.clone(), Actor::Placed(wire));
+        self.events.push(Event::AttemptAccepted {
+            attempt: id,
+            elapsed,
+        });
+        self.actors.insert(key.clone(), ActorState::Placed(wire));
         let name = self.host_name(host);
         let address = self
             .hosts
@@ -84,7 +94,7 @@
         self.tell("placed", &key, name.clone(), None, request.clone());
         self.answer(
             task,
-            Answer::Placed {
+            FinalAnswer::Placed {
                 request,
                 service,
                 actor,
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -1,8 +1,8 @@
 //! Rule 4 where a caller pauses between a decision and its writing: what a cold host is sent counts from when it leaves.
 
 use maplethread::{Action, Event, MachineId, Micros};
-use maplethread_config::{Doc, Inventory, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Decide, Engine, HostId, Output};
+use maplethread_config::{Document, Inventory, PlacerConfig};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
 use maplethread_wire::frame::{self, Frame};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
@@ -17,7 +17,11 @@
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             if let Event::PlacementRequested(task) = event {
-                actions.push(Action::Offer(task.id, MachineId(HOST.0), S));
+                actions.push(Action::Offer {
+                    task: task.id,
+                    machine: MachineId(HOST.0),
+                    timeout: S,
+                });
             }
         }
     }
@@ -25,39 +29,39 @@
 
 /// An engine that is connected to one host, which has just come up.
 fn engine(config: &PlacerConfig) -> Engine<Eager> {
-    let boot = Boot {
+    let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
     let mut engine = Engine::new(config.clone(), Eager, boot, NOW);
-    let kind = &config.kind[0].name;
-    let zone = &config.placer.zones[0];
+    let kind = &config.kinds[0].name;
+    let zone = &config.identity.zones[0];
     let text = format!(
         "[[host]]\nname = \"h\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"c\"\nkind = \"{kind}\"\n"
     );
     let inventory = Inventory::parse(
-        Doc {
+        Document {
             file: "hosts",
             text: &text,
         },
         config,
     )
     .expect("sound");
-    engine.inventory(NOW, &inventory);
+    engine.apply_inventory(NOW, &inventory);
     engine.host_connected(NOW, HOST);
     let hello = Frame::Hello {
         major: frame::MAJOR,
         minor: frame::MINOR,
         name: "h".to_owned(),
         started_ms: NOW / 1000,
-        most_offers: 0,
+        max_offers: 0,
     };
     let mut bytes = Vec::new();
     frame::encode(&hello, &mut bytes);
     frame::encode(&Frame::HeldEnd, &mut bytes);
     engine.host_bytes(NOW, HOST, &bytes);
     engine.turn(NOW, false);
-    engine.outputs();
+    engine.take_outputs();
     engine
 }
 
@@ -77,24 +81,24 @@
     engine.client_opened(now, ClientId(number));
     engine.client_bytes(now, ClientId(number), (head + &body).as_bytes());
     engine.turn(now, false);
-    engine.round_took(now, written);
+    engine.record_round(now, written);
     let offer = |output: &Output| match output {
         Output::ToHost(HOST, bytes) => {
             matches!(frame::decode(bytes), Ok((Some(Frame::Offer(_)), _)))
         }
         _ => false,
     };
-    engine.outputs().iter().any(offer)
+    engine.take_outputs().iter().any(offer)
 }
 
 #[test]
 fn an_offer_that_left_late_counts_in_its_window_from_then() {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
-    let window = config.rules.fall_window_ms * 1000;
+    let window = config.rules.overload_window_ms * 1000;
     let mut engine = engine(&config);
     // Decided now, and written after a pause of a second.
     assert!(is_offered(&mut engine, 1, NOW, NOW + S));
--- a/crates/engine/tests/crowded_turns.rs
+++ b/crates/engine/tests/crowded_turns.rs
@@ -1,8 +1,8 @@
 //! More asks in one turn than it places: what else has happened is known before any of them is placed.
 
 use maplethread::Placer;
-use maplethread_config::{Doc, Inventory, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Engine, HostId, Output};
+use maplethread_config::{Document, Inventory, PlacerConfig};
+use maplethread_engine::{ClientId, Engine, HostId, Output, StartInfo};
 use maplethread_wire::frame::{self, Frame};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
@@ -12,7 +12,7 @@
 const ASKS: u64 = 200;
 
 fn inventory(config: &PlacerConfig) -> Inventory {
-    let (kind, zone) = (&config.kind[0].name, &config.placer.zones[0]);
+    let (kind, zone) = (&config.kinds[0].name, &config.identity.zones[0]);
     let host = |name: &str| {
         format!(
             "[[host]]\nname = \"{name}\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"{name}\"\nkind = \"{kind}\"\n"
@@ -20,7 +20,7 @@
     };
     let text = host("draining") + &host("other");
     Inventory::parse(
-        Doc {
+        Document {
             file: "hosts",
             text: &text,
         },
@@ -31,18 +31,18 @@
 
 /// An engine that is connected to two warm hosts.
 fn engine() -> Engine<Placer> {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
-    let placer = Placer::new(config.settings(), 1).expect("sound");
-    let boot = Boot {
+    let placer = Placer::new(config.policy_settings(), 1).expect("sound");
+    let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
     let mut engine = Engine::new(config.clone(), placer, boot, NOW);
-    engine.inventory(NOW, &inventory(&config));
+    engine.apply_inventory(NOW, &inventory(&config));
     for (number, name) in ["draining", "other"].into_iter().enumerate() {
         let host = HostId(number as u32);
         engine.host_connected(NOW, host);
@@ -52,12 +52,12 @@
             minor,
             name: name.to_owned(),
             started_ms: 1,
-            most_offers: 0,
+            max_offers: 0,
         };
         host_says(&mut engine, host, &[hello, Frame::HeldEnd]);
     }
     engine.turn(NOW, false);
-    engine.outputs();
+    engine.take_outputs();
     engine
 }
 
@@ -86,7 +86,7 @@
     let mut offers = [0; 2];
     for turn in 1..=10 {
         engine.turn(NOW + turn, false);
-        for output in engine.outputs() {
+        for output in engine.take_outputs() {
             let Output::ToHost(HostId(host), bytes) = output else {
                 continue;
             };
@@ -124,5 +124,5 @@
     let [to_first, to_other] = offers(&mut engine);
     // What is given in the first turn is given together with its client's end.
     assert_eq!(to_first + to_other, 0);
-    assert_eq!(engine.open_asks(), 0);
+    assert_eq!(engine.pending_requests(), 0);
 }
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -1,8 +1,8 @@
 //! Deadlines that hold whatever the decider does, and however long the caller stood still.
 
 use maplethread::{Action, Event, Micros};
-use maplethread_config::{Doc, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Decide, Engine, Output};
+use maplethread_config::{Document, PlacerConfig};
+use maplethread_engine::{ClientId, Decide, Engine, Output, StartInfo};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
 const NOW: u64 = 1_700_000_000_000_000;
@@ -22,7 +22,7 @@
 }
 
 fn engine(last_word: bool) -> Engine<Silent> {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
@@ -30,7 +30,7 @@
     let mut engine = Engine::new(
         config,
         Silent { last_word },
-        Boot {
+        StartInfo {
             started_ms: NOW / 1000,
             seed: 1,
         },
@@ -59,7 +59,7 @@
 }
 
 fn said(engine: &mut Engine<Silent>) -> String {
-    let said = engine.outputs().into_iter().filter_map(|o| match o {
+    let said = engine.take_outputs().into_iter().filter_map(|o| match o {
         Output::ToClient(_, bytes) => Some(String::from_utf8_lossy(&bytes).into_owned()),
         _ => None,
     });
@@ -95,9 +95,9 @@
     );
     assert_eq!(
         (
-            engine.counters().overdue,
-            engine.counters().refused,
-            engine.open_asks()
+            engine.counters().deadline_answers,
+            engine.counters().rejected,
+            engine.pending_requests()
         ),
         (1, 1, 0)
     );
@@ -112,7 +112,7 @@
 fn a_budget_counts_from_when_the_ask_may_have_come() {
     // Read after a second of standing still, it may have been sent at the beginning of that second.
     let mut engine = engine(true);
-    engine.unread_since(NOW);
+    engine.set_unread_since(NOW);
     engine.client_bytes(NOW + 1_000_000, CLIENT, &ask(1500));
     engine.turn(NOW + 1_000_000, true);
     let (at, text) = run(&mut engine, NOW + 5_000_000).expect("an answer");
@@ -140,7 +140,7 @@
     let mut told = std::collections::BTreeMap::new();
     while let Some(at) = engine.next_timeout().filter(|&at| at < NOW + 2_000_000) {
         engine.turn(at, false);
-        for output in engine.outputs() {
+        for output in engine.take_outputs() {
             if let Output::ToClient(client, bytes) = output {
                 told.insert(client, String::from_utf8_lossy(&bytes).into_owned());
             }
@@ -148,7 +148,7 @@
     }
     assert!(told[&CLIENT].contains("\"request\":\"first\""), "{told:?}");
     assert!(told[&second].contains("\"request\":\"second\""), "{told:?}");
-    assert_eq!(engine.counters().asks, 1);
+    assert_eq!(engine.counters().requests, 1);
 }
 
 #[test]
@@ -165,10 +165,13 @@
     engine.turn(NOW, false);
     let text = said(&mut engine);
     assert!(text.contains("410") && text.contains("202"), "{text}");
-    assert_eq!(engine.open_asks(), 1, "the first one still waits");
+    assert_eq!(engine.pending_requests(), 1, "the first one still waits");
     engine.client_bytes(NOW, third, &cancel("first"));
     engine.turn(NOW, false);
-    assert_eq!((engine.open_asks(), engine.counters().hung_up), (0, 1));
+    assert_eq!(
+        (engine.pending_requests(), engine.counters().disconnected),
+        (0, 1)
+    );
     engine.client_bytes(NOW, third, &cancel("first"));
     engine.turn(NOW, false);
     assert!(said(&mut engine).contains("404"));
@@ -177,7 +180,7 @@
 #[test]
 fn an_ask_whose_budget_is_over_is_not_taken() {
     let mut engine = engine(true);
-    engine.unread_since(NOW);
+    engine.set_unread_since(NOW);
     engine.client_bytes(NOW + 2_000_000, CLIENT, &ask(1500));
     engine.turn(NOW + 2_000_000, true);
     let text = said(&mut engine);
@@ -186,5 +189,8 @@
         "{text}"
     );
     assert!(text.contains("Retry-After: 1"), "{text}");
-    assert_eq!((engine.counters().asks, engine.open_asks()), (0, 0));
+    assert_eq!(
+        (engine.counters().requests, engine.pending_requests()),
+        (0, 0)
+    );
 }
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use maplethread::{Action, Event, MachineId, Micros};
-use maplethread_config::{Doc, HostEntry, HostState, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Decide, Engine, HostId, Output};
+use maplethread_config::{Document, HostEntry, HostState, PlacerConfig};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
@@ -24,7 +24,11 @@
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             if let Event::PlacementRequested(task) = event {
-                actions.push(Action::Offer(task.id, MachineId(CHOSEN.0), self.0));
+                actions.push(Action::Offer {
+                    task: task.id,
+                    machine: MachineId(CHOSEN.0),
+                    timeout: self.0,
+                });
             }
         }
     }
@@ -61,12 +65,12 @@
 impl Fleet {
     /// So many hosts that greet in one instant.
     fn new(hosts: u32, offer_for: Micros) -> Fleet {
-        let config = PlacerConfig::parse(Doc {
+        let config = PlacerConfig::parse(Document {
             file: "placer.toml",
             text: CONFIG,
         })
         .expect("sound");
-        let boot = Boot {
+        let boot = StartInfo {
             started_ms: START / 1000,
             seed: 1,
         };
@@ -83,7 +87,7 @@
             asks: 0,
         };
         let entries: Vec<HostEntry> = (0..hosts).map(entry).collect();
-        fleet.engine.hosts_changed(START, &entries);
+        fleet.engine.apply_host_changes(START, &entries);
         fleet.engine.client_opened(START, ClientId(1));
         fleet
     }
@@ -101,7 +105,7 @@
     fn turn(&mut self, stalled: bool) {
         self.engine.turn(self.now, stalled);
         loop {
-            let outputs = self.engine.outputs();
+            let outputs = self.engine.take_outputs();
             if outputs.is_empty() {
                 return;
             }
@@ -147,13 +151,16 @@
                         minor,
                         name,
                         started_ms,
-                        most_offers: 0,
+                        max_offers: 0,
                     },
                 );
                 self.says(id, &Frame::HeldEnd);
             }
             Frame::Ping(nonce) => self.says(id, &Frame::Pong(nonce)),
-            Frame::Offer(Offer { attempt, .. }) => {
+            Frame::Offer(Offer {
+                attempt_id: attempt,
+                ..
+            }) => {
                 self.running.entry(id).or_default().push(attempt);
                 self.says(id, &Frame::Accepted(attempt, 1));
                 self.says(id, &Frame::Started(attempt, 1));
@@ -187,7 +194,10 @@
     /// Everything that runs at the chosen host ends.
     fn all_ends(&mut self) {
         for attempt in self.running.remove(&CHOSEN).unwrap_or_default() {
-            self.says(CHOSEN, &Frame::Ended(attempt, Reason::Done, true, None));
+            self.says(
+                CHOSEN,
+                &Frame::Ended(attempt, Reason::Completed, true, None),
+            );
         }
         self.turn(false);
     }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use maplethread::{Action, Event, Micros, Placer, TaskId};
-use maplethread_config::{Doc, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Decide, Engine, Output};
+use maplethread_config::{Document, PlacerConfig};
+use maplethread_engine::{ClientId, Decide, Engine, Output, StartInfo};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
 const NOW: u64 = 1_700_000_000_000_000;
@@ -14,7 +14,7 @@
 const LONG_BUDGET_MS: u64 = 60_000;
 
 fn config() -> PlacerConfig {
-    PlacerConfig::parse(Doc {
+    PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
@@ -56,11 +56,11 @@
 impl SlowPlacer {
     fn new() -> SlowPlacer {
         let config = config();
-        let placer = Placer::new(config.settings(), 1).expect("sound");
+        let placer = Placer::new(config.policy_settings(), 1).expect("sound");
         let engine = Engine::new(
             config,
             placer,
-            Boot {
+            StartInfo {
                 started_ms: NOW / 1000,
                 seed: 1,
             },
@@ -79,7 +79,7 @@
     fn run(&mut self, until: u64, ask_every: u64, turn_takes: impl Fn(u64) -> u64) {
         let mut next_ask = self.now;
         while self.now < until {
-            self.engine.unread_since(self.read_at);
+            self.engine.set_unread_since(self.read_at);
             while next_ask <= self.now {
                 self.ask(next_ask);
                 next_ask += ask_every;
@@ -89,7 +89,7 @@
             let takes = turn_takes(self.now);
             self.now += takes;
             self.write();
-            self.engine.round_took(self.now - takes, self.now);
+            self.engine.record_round(self.now - takes, self.now);
             if let Some(due) = self.engine.next_timeout() {
                 self.now = self.now.max(due.min(next_ask));
             }
@@ -104,7 +104,7 @@
     }
 
     fn write(&mut self) {
-        for output in self.engine.outputs() {
+        for output in self.engine.take_outputs() {
             let (client, told) = match output {
                 Output::ToClient(client, bytes) if bytes.starts_with(b"HTTP/1.1 200") => {
                     (client, Told::Answer)
@@ -170,10 +170,10 @@
     });
     let turned_away = placer.count(Told::TurnedAway);
     assert!(turned_away > 100, "{turned_away} of 300");
-    assert_eq!(placer.engine.counters().turned_away, turned_away as u64);
+    assert_eq!(placer.engine.counters().unavailable, turned_away as u64);
     let asked = placer.asked_at.len() as u64;
     assert_eq!(
-        placer.engine.counters().asks + turned_away as u64,
+        placer.engine.counters().requests + turned_away as u64,
         asked,
         "those were not taken"
     );
@@ -191,13 +191,13 @@
     placer.run(NOW + 2_000_000, 10_000, |_| 220_000);
     let before = placer.count(Told::TurnedAway);
     assert!(before > 0, "turns run late");
-    let taken = placer.engine.counters().asks;
+    let taken = placer.engine.counters().requests;
     let client = ClientId(1_000_000);
     placer.engine.client_opened(placer.now, client);
     placer
         .engine
         .client_bytes(placer.now, client, &ask_within(client.0, LONG_BUDGET_MS));
-    assert_eq!(placer.engine.counters().asks, taken + 1);
+    assert_eq!(placer.engine.counters().requests, taken + 1);
     placer.engine.turn(placer.now, false);
     placer.write();
     assert_eq!(placer.count(Told::TurnedAway), before);
@@ -234,7 +234,7 @@
 #[test]
 fn a_turn_places_so_many_and_leaves_the_rest_to_the_next_in_order() {
     let turns = Rc::new(RefCell::new(Vec::new()));
-    let boot = Boot {
+    let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use maplethread::{Action, AttemptOutcome, Event, MachineId, Micros};
-use maplethread_config::{Doc, HostEntry, HostState, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Decide, Engine, HostId, Output};
+use maplethread_config::{Document, HostEntry, HostState, PlacerConfig};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
@@ -30,9 +30,13 @@
                 Event::EndpointsUpdated { machines, .. } => {
                     seen.machines.extend(machines.iter().map(|m| m.machine))
                 }
-                Event::PlacementRequested(task) => actions.push(Action::Offer(task.id, MachineId(0), 1_000_000)),
-                Event::AttemptAccepted(..) | Event::TaskAdopted(..) => seen.running += 1,
-                Event::AttemptFinished(_, end) => {
+                Event::PlacementRequested(task) => actions.push(Action::Offer {
+                    task: task.id,
+                    machine: MachineId(0),
+                    timeout: 1_000_000,
+                }),
+                Event::AttemptAccepted { .. } | Event::TaskAdopted { .. } => seen.running += 1,
+                Event::AttemptFinished { result: end, .. } => {
                     seen.running -= 1;
                     seen.endings.push(end.outcome);
                 }
@@ -58,22 +62,22 @@
 
 #[test]
 fn a_host_keeps_its_number_over_its_absence_and_is_connected_to_anew() {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let boot = Boot {
+    let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
     let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
     let mut now = NOW;
     for round in 0..5 {
-        engine.hosts_changed(now, &[entry(1, HostState::Ready)]);
+        engine.apply_host_changes(now, &[entry(1, HostState::Ready)]);
         engine.turn(now, false);
-        let connects = engine.outputs().into_iter().filter_map(|o| match o {
+        let connects = engine.take_outputs().into_iter().filter_map(|o| match o {
             Output::Connect(id, _) => Some(id),
             _ => None,
         });
@@ -84,9 +88,9 @@
             "round {round}: a connection is made at once"
         );
         engine.host_closed(now + 1000, connects[0], 0);
-        engine.hosts_changed(now + 2000, &[entry(1, HostState::Gone)]);
+        engine.apply_host_changes(now + 2000, &[entry(1, HostState::Gone)]);
         engine.turn(now + 2000, false);
-        engine.outputs();
+        engine.take_outputs();
         now += 10_000;
     }
     assert_eq!(
@@ -96,12 +100,12 @@
         seen.borrow().machines
     );
     // Another host has another number.
-    engine.hosts_changed(
+    engine.apply_host_changes(
         now,
         &[entry(1, HostState::Ready), entry(2, HostState::Ready)],
     );
     let connects = engine
-        .outputs()
+        .take_outputs()
         .into_iter()
         .filter(|o| matches!(o, Output::Connect(..)))
         .count();
@@ -111,7 +115,7 @@
 /// The frames that the engine sends to hosts.
 fn frames(engine: &mut Engine<Noting>) -> Vec<Frame> {
     let mut frames = Vec::new();
-    for output in engine.outputs() {
+    for output in engine.take_outputs() {
         if let Output::ToHost(_, bytes) = output {
             frames.extend(frame::decode(&bytes).expect("sound").0);
         }
@@ -132,24 +136,24 @@
         minor: frame::MINOR,
         name: "h1".into(),
         started_ms: NOW / 1000,
-        most_offers: 0,
+        max_offers: 0,
     }
 }
 
 /// An engine that has placed one task on the host, what its decider has seen, and the offer.
 fn placed() -> (Engine<Noting>, Rc<RefCell<Seen>>, Offer) {
-    let config = PlacerConfig::parse(Doc {
+    let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let boot = Boot {
+    let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
     let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
-    engine.hosts_changed(NOW, &[entry(1, HostState::Ready)]);
+    engine.apply_host_changes(NOW, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW, HostId(0));
     says(&mut engine, NOW, &[hello(), Frame::HeldEnd]);
     engine.turn(NOW, false);
@@ -173,8 +177,8 @@
         &mut engine,
         NOW + 1000,
         &[
-            Frame::Accepted(offer.attempt, 1),
-            Frame::Started(offer.attempt, 1),
+            Frame::Accepted(offer.attempt_id, 1),
+            Frame::Started(offer.attempt_id, 1),
         ],
     );
     engine.turn(NOW + 1000, false);
@@ -187,11 +191,11 @@
     let (mut engine, seen, offer) = placed();
     // Its connection is lost, and the inventory says that it is gone: the task is lost.
     engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
-    engine.hosts_changed(NOW + 3000, &[entry(1, HostState::Gone)]);
+    engine.apply_host_changes(NOW + 3000, &[entry(1, HostState::Gone)]);
     engine.turn(NOW + 3000, false);
     assert_eq!(seen.borrow().running, 0);
     // It is back, with the same process, and the task still runs there.
-    engine.hosts_changed(NOW + 4000, &[entry(1, HostState::Ready)]);
+    engine.apply_host_changes(NOW + 4000, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW + 5000, HostId(0));
     says(
         &mut engine,
@@ -200,12 +204,12 @@
     );
     engine.turn(NOW + 5000, false);
     let told = frames(&mut engine);
-    assert!(told.contains(&Frame::Stop(offer.attempt)), "{told:?}");
+    assert!(told.contains(&Frame::Stop(offer.attempt_id)), "{told:?}");
     assert_eq!(seen.borrow().running, 1, "it counts while it runs");
     says(
         &mut engine,
         NOW + 6000,
-        &[Frame::Ended(offer.attempt, Reason::Stopped, true, None)],
+        &[Frame::Ended(offer.attempt_id, Reason::Stopped, true, None)],
     );
     engine.turn(NOW + 6000, false);
     assert_eq!(seen.borrow().running, 0);
@@ -221,7 +225,7 @@
         engine.turn(at, false);
         if !connected
             && engine
-                .outputs()
+                .take_outputs()
                 .iter()
                 .any(|o| matches!(o, Output::Connect(..)))
         {
@@ -242,7 +246,7 @@
     let until_lost = |engine: &mut Engine<Noting>, until: u64| {
         while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
             engine.turn(at, false);
-            engine.outputs();
+            engine.take_outputs();
         }
     };
     // `hosts.lost_after_ms` is 5 s: not over for the second loss when it is for the first.
@@ -262,12 +266,12 @@
         engine.turn(back, false);
         assert!(
             engine
-                .outputs()
+                .take_outputs()
                 .iter()
                 .any(|o| matches!(o, Output::Connect(..)))
         );
         engine.host_connected(back, HostId(0));
-        let ended = Frame::Ended(offer.attempt, Reason::Done, true, None);
+        let ended = Frame::Ended(offer.attempt_id, Reason::Completed, true, None);
         let greeting = if told {
             vec![hello(), ended, Frame::HeldEnd]
         } else {
@@ -275,7 +279,11 @@
         };
         says(&mut engine, back, &greeting);
         engine.turn(back, false);
-        let ending = if told { AttemptOutcome::Completed } else { AttemptOutcome::Disconnected };
+        let ending = if told {
+            AttemptOutcome::Completed
+        } else {
+            AttemptOutcome::Disconnected
+        };
         assert_eq!(seen.borrow().endings, [ending], "told: {told}");
         assert_eq!(seen.borrow().running, 0);
     }
--- a/crates/engine/tests/simulated.rs
+++ b/crates/engine/tests/simulated.rs
@@ -4,10 +4,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use maplethread_config::{Doc, Inventory, PlacerConfig};
-use maplethread_engine::{Boot, ClientId, Engine, HostId, Output, Timers};
+use maplethread_config::{Document, Inventory, PlacerConfig};
+use maplethread_engine::{ClientId, Engine, HostId, Output, StartInfo, Timers};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
-use maplethread_wire::http::{self, Found, Limits, Reader, Role};
+use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
@@ -81,7 +81,7 @@
 }
 
 struct Client {
-    reader: Reader,
+    reader: MessageReader,
     inbox: Vec<u8>,
     answers: Vec<String>,
     hung_up: bool,
@@ -107,13 +107,13 @@
 
 impl Sim {
     fn new(seed: u64) -> Sim {
-        let config = PlacerConfig::parse(Doc {
+        let config = PlacerConfig::parse(Document {
             file: "sim",
             text: CONFIG,
         })
         .expect("sound");
-        let placer = maplethread::Placer::new(config.settings(), seed).expect("sound");
-        let boot = Boot {
+        let placer = maplethread::Placer::new(config.policy_settings(), seed).expect("sound");
+        let boot = StartInfo {
             started_ms: START / 1000,
             seed,
         };
@@ -127,14 +127,14 @@
             );
         }
         let inventory = Inventory::parse(
-            Doc {
+            Document {
                 file: "hosts",
                 text: &text,
             },
             &config,
         )
         .expect("sound");
-        engine.inventory(START, &inventory);
+        engine.apply_inventory(START, &inventory);
         let hosts = (0..HOSTS)
             .map(|_| Host {
                 started: START / 1000,
@@ -163,7 +163,7 @@
 
     fn later(&mut self, ev: Ev) {
         let after = 200 + self.below(1500);
-        self.events.set(self.now + after, ev);
+        self.events.schedule(self.now + after, ev);
     }
 
     /// Runs until nothing happens any more, with troubles and asks for `seconds`.
@@ -171,22 +171,22 @@
         let end = START + seconds * 1_000_000;
         for n in 0..seconds * 40 {
             let at = self.below(seconds * 1_000_000);
-            self.events.set(START + 100_000 + at, Ev::Ask(n));
+            self.events.schedule(START + 100_000 + at, Ev::Ask(n));
         }
         for _ in 0..seconds * 3 {
             let at = self.below(seconds * 1_000_000);
-            self.events.set(START + at, Ev::Trouble);
+            self.events.schedule(START + at, Ev::Trouble);
         }
         self.turn();
         let mut steps = 0;
         while self.now < end + 20_000_000 {
-            let due = [self.events.next(), self.engine.next_timeout()]
+            let due = [self.events.next_due_at(), self.engine.next_timeout()]
                 .into_iter()
                 .flatten()
                 .min();
             let Some(due) = due else { break };
             self.now = self.now.max(due);
-            while let Some(ev) = self.events.due(self.now) {
+            while let Some(ev) = self.events.pop_due(self.now) {
                 self.happen(ev);
             }
             self.turn();
@@ -200,7 +200,7 @@
 
     fn turn(&mut self) {
         self.engine.turn(self.now, false);
-        for output in self.engine.outputs() {
+        for output in self.engine.take_outputs() {
             self.trace
                 .update(format!("{} {output:?}", self.now).as_bytes());
             match output {
@@ -221,7 +221,9 @@
                         self.later_in_order(Ev::ToHost(id, link, bytes));
                     }
                 }
-                Output::AskFleet(id, slot, _) => self.engine.tell_fleet(id, slot, None),
+                Output::FetchMembership(id, slot, _) => {
+                    self.engine.answer_membership(id, slot, None)
+                }
                 Output::CloseHost(id) => self.unlink(id),
                 Output::ToClient(id, bytes) => self.later_in_order(Ev::ToClient(id, bytes)),
                 Output::CloseClient(id) => {
@@ -235,7 +237,7 @@
 
     /// A fixed delay keeps the order of one connection's bytes.
     fn later_in_order(&mut self, ev: Ev) {
-        self.events.set(self.now + 300, ev);
+        self.events.schedule(self.now + 300, ev);
     }
 
     fn happen(&mut self, ev: Ev) {
@@ -288,7 +290,7 @@
                     return;
                 };
                 client.inbox.extend(bytes);
-                while let (Found::Message(message), used) =
+                while let (ReadResult::Message(message), used) =
                     client.reader.read(&client.inbox).expect("sound HTTP")
                 {
                     client.inbox.drain(..used);
@@ -313,7 +315,7 @@
                 {
                     self.say(
                         HostId(host as u32),
-                        Frame::Ended(attempt, Reason::Done, true, None),
+                        Frame::Ended(attempt, Reason::Completed, true, None),
                     );
                 }
             }
@@ -334,14 +336,14 @@
         let number = id.0 as usize;
         match &frame {
             Frame::Offer(offer) => {
-                let out = self.out.entry(offer.request.clone()).or_default();
-                assert!(out.is_empty(), "{} has two attempts out", offer.request);
-                out.insert(offer.attempt, id);
+                let out = self.out.entry(offer.request_id.clone()).or_default();
+                assert!(out.is_empty(), "{} has two attempts out", offer.request_id);
+                out.insert(offer.attempt_id, id);
                 if offer.class == "unsafe" {
                     assert!(
-                        !self.may_run.contains(&offer.request),
+                        !self.may_run.contains(&offer.request_id),
                         "{} may run twice",
-                        offer.request
+                        offer.request_id
                     );
                 }
             }
@@ -350,7 +352,7 @@
         }
         if self.hosts[number].silent {
             if let Frame::Offer(offer) = &frame {
-                self.may_run.insert(offer.request.clone());
+                self.may_run.insert(offer.request_id.clone());
             }
             return;
         }
@@ -365,7 +367,7 @@
                         minor,
                         name,
                         started_ms,
-                        most_offers: 0,
+                        max_offers: 0,
                     },
                 );
                 for offer in self.hosts[number]
@@ -379,10 +381,10 @@
                 self.say(id, Frame::HeldEnd);
             }
             Frame::Offer(offer) => {
-                let attempt = offer.attempt;
+                let attempt = offer.attempt_id;
                 let draw = self.below(10);
                 if draw != 1 {
-                    self.may_run.insert(offer.request.clone());
+                    self.may_run.insert(offer.request_id.clone());
                 }
                 match draw {
                     0 => {}
@@ -400,7 +402,7 @@
                         self.say(id, Frame::Started(attempt, 2));
                         let (life, started) = (self.below(3_000_000), self.hosts[number].started);
                         self.events
-                            .set(self.now + 1000 + life, Ev::Ends(number, attempt, started));
+                            .schedule(self.now + 1000 + life, Ev::Ends(number, attempt, started));
                     }
                 }
             }
@@ -447,7 +449,7 @@
             body.as_bytes(),
         );
         let client = Client {
-            reader: Reader::new(Role::Responses, Limits::default()),
+            reader: MessageReader::new(Role::Responses, Limits::default()),
             inbox: Vec::new(),
             answers: Vec::new(),
             hung_up: false,
@@ -460,7 +462,7 @@
         self.later(Ev::ToPlacer(id, bytes));
         if self.below(6) == 0 {
             let after = self.below(budget * 1000);
-            self.events.set(self.now + after, Ev::HangUp(id));
+            self.events.schedule(self.now + after, Ev::HangUp(id));
         }
         self.asks += 1;
     }
@@ -500,10 +502,10 @@
             for attempt in self.hosts[number].holds.keys().copied().collect::<Vec<_>>() {
                 let started = self.hosts[number].started;
                 self.events
-                    .set(self.now + 1000, Ev::Ends(number, attempt, started));
+                    .schedule(self.now + 1000, Ev::Ends(number, attempt, started));
             }
         }
-        while let Some(due) = [self.events.next(), self.engine.next_timeout()]
+        while let Some(due) = [self.events.next_due_at(), self.engine.next_timeout()]
             .into_iter()
             .flatten()
             .min()
@@ -512,7 +514,7 @@
                 break;
             }
             self.now = self.now.max(due);
-            while let Some(ev) = self.events.due(self.now) {
+            while let Some(ev) = self.events.pop_due(self.now) {
                 self.happen(ev);
             }
             self.turn();
@@ -525,7 +527,7 @@
         self.engine
             .client_bytes(self.now, id, b"GET /v1/status HTTP/1.1\r\nHost: p\r\n\r\n");
         let mut text = String::new();
-        for output in self.engine.outputs() {
+        for output in self.engine.take_outputs() {
             if let Output::ToClient(_, bytes) = output {
                 text += &String::from_utf8_lossy(&bytes);
             }
@@ -560,8 +562,8 @@
         }
         let counters = sim.engine.counters();
         assert_eq!(
-            counters.asks,
-            counters.placed + counters.refused + counters.failed + counters.hung_up,
+            counters.requests,
+            counters.placed + counters.rejected + counters.failed + counters.disconnected,
             "seed {seed}"
         );
     }
--- a/crates/fleet-drill/examples/drawn.rs
+++ b/crates/fleet-drill/examples/drawn.rs
@@ -1,6 +1,6 @@
 //! Plays drawn schedules in the model: `cargo run --release -p maplethread-fleet-drill --example drawn -- FIRST COUNT`.
 
-use maplethread_fleet_drill::drawn::play;
+use maplethread_fleet_drill::random_schedule::run_random_schedule;
 
 fn main() {
     let mut args = std::env::args()
@@ -13,7 +13,7 @@
             std::thread::spawn(move || {
                 (first + t..first + count)
                     .step_by(threads as usize)
-                    .map(play)
+                    .map(run_random_schedule)
                     .collect::<Vec<_>>()
             })
         })
@@ -22,19 +22,19 @@
         .into_iter()
         .flat_map(|w| w.join().expect("a worker"))
         .collect();
-    for wrong in played.iter().filter_map(|p| p.wrong.as_ref()) {
+    for wrong in played.iter().filter_map(|p| p.failure.as_ref()) {
         println!("{wrong}");
     }
-    let bad = played.iter().filter(|p| p.wrong.is_some()).count();
-    played.retain(|p| p.settled.is_some());
-    played.sort_by_key(|p| p.settled);
+    let bad = played.iter().filter(|p| p.failure.is_some()).count();
+    played.retain(|p| p.settled_after.is_some());
+    played.sort_by_key(|p| p.settled_after);
     let at = |part: f64| {
         played
             .get(((played.len() - 1) as f64 * part) as usize)
-            .and_then(|p| p.settled)
+            .and_then(|p| p.settled_after)
             .unwrap_or(0)
     };
-    let held = played.iter().map(|p| p.held).max().unwrap_or(0);
+    let held = played.iter().map(|p| p.max_entries).max().unwrap_or(0);
     println!(
         "{count} schedules, {bad} with something wrong; settled after {:.2} s median, {:.2} s at the 99th percentile, {:.2} s worst; {held} held at most",
         at(0.5) as f64 / 1e6,
--- a/crates/fleet-drill/examples/measure.rs
+++ b/crates/fleet-drill/examples/measure.rs
@@ -4,8 +4,8 @@
 
 use std::time::Instant;
 
-use maplethread_fleet::State;
-use maplethread_fleet_drill::model::{MS, Model, S, name};
+use maplethread_fleet::MemberState;
+use maplethread_fleet_drill::model::{MS, Model, S, member_name};
 
 fn median(mut all: Vec<u64>) -> (f64, f64) {
     all.sort_unstable();
@@ -18,12 +18,12 @@
     model: &mut Model,
     places: &[usize],
     member: usize,
-    seen: impl Fn(Option<State>) -> bool,
+    seen: impl Fn(Option<MemberState>) -> bool,
 ) -> u64 {
     let mut waited = 0;
     while !places
         .iter()
-        .all(|&p| seen(model.fleet(p).state_of(&name(member))))
+        .all(|&p| seen(model.local_member(p).state_of(&member_name(member))))
     {
         model.run(50 * MS);
         waited += 50 * MS;
@@ -43,21 +43,21 @@
         first.push(model.settles(&places, 300 * S).expect("it settles"));
         // At rest.
         model.run(10 * S);
-        let (before, began) = (model.seen().clone(), Instant::now());
+        let (before, began) = (model.statistics().clone(), Instant::now());
         model.run(10 * S);
         cpu = began.elapsed().as_secs_f64() / 10.0 / size as f64;
         rest = (
-            (model.seen().bytes - before.bytes) / 10 / size as u64,
-            (model.seen().sent - before.sent) / 10 / size as u64,
+            (model.statistics().bytes_sent - before.bytes_sent) / 10 / size as u64,
+            (model.statistics().datagrams_sent - before.datagrams_sent) / 10 / size as u64,
         );
-        held = model.fleet(0).held();
+        held = model.local_member(0).entry_count();
         model.start(size, size);
         joins.push(until(&mut model, &places, size, |s| {
-            s == Some(State::Alive)
+            s == Some(MemberState::Alive)
         }));
         model.kill(size);
         crashes.push(until(&mut model, &places, size, |s| {
-            !s.is_some_and(State::live)
+            !s.is_some_and(MemberState::is_live)
         }));
         // Two halves for a minute.
         model
@@ -66,10 +66,10 @@
         model.run(60 * S);
         model.network.heal();
         heals.push(model.settles(&places, 300 * S).expect("it heals"));
-        let before = model.seen().bytes;
+        let before = model.statistics().bytes_sent;
         (size / 2..size).for_each(|p| model.kill(p));
         model.run(20 * S);
-        dying = (model.seen().bytes - before) / 20 / (size - size / 2) as u64;
+        dying = (model.statistics().bytes_sent - before) / 20 / (size - size / 2) as u64;
     }
     let show = |what: &str, (median, worst): (f64, f64)| {
         println!("  {what}: median {median:.2} s, worst {worst:.2} s")
@@ -99,9 +99,9 @@
     model.network.default_link.loss = loss;
     model.start_all(16);
     model.run(60 * S);
-    let before = model.seen().false_alarms;
+    let before = model.statistics().false_alarms;
     model.run(hours * 3600 * S);
-    let count = model.seen().false_alarms - before;
+    let count = model.statistics().false_alarms - before;
     println!(
         "16 members, {:.0}% lost, {hours} h: {count} called down while they ran, {:.2} an hour",
         loss * 100.0,
--- a/crates/fleet-drill/src/judge.rs
+++ b/crates/fleet-drill/src/checker.rs
@@ -2,10 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use maplethread_standin::options::{DayNews, PlacerAct};
+use maplethread_standin::run_options::{PlacerFault, RunEvent};
 use serde_json::{Value, json};
 
-use crate::watch::{Sample, Watched};
+use crate::observers::{Sample, Watched};
 
 #[cfg(test)]
 mod tests;
@@ -26,18 +26,20 @@
 
 impl Truth {
     /// From what the day told.
-    pub fn of(news: &[DayNews]) -> Truth {
+    pub fn from_events(news: &[RunEvent]) -> Truth {
         let mut truth = Truth::default();
         for news in news {
             let (at, placer, is) = match *news {
-                DayNews::Serves(at, placer, _) => (at, placer, Is::Up),
-                DayNews::Befell(
+                RunEvent::PlacerServing(at, placer, _) => (at, placer, Is::Up),
+                RunEvent::FaultInjected(
                     at,
-                    PlacerAct::Kill(p) | PlacerAct::End(p) | PlacerAct::Reap(p),
+                    PlacerFault::Kill(p)
+                    | PlacerFault::Terminate(p)
+                    | PlacerFault::KillIfRunning(p),
                 ) => (at, p, Is::Gone),
-                DayNews::Befell(at, PlacerAct::Pause(p)) => (at, p, Is::Paused),
-                DayNews::Befell(at, PlacerAct::GoOn(p)) => (at, p, Is::Up),
-                DayNews::Befell(..) | DayNews::Begins(_) => continue,
+                RunEvent::FaultInjected(at, PlacerFault::Pause(p)) => (at, p, Is::Paused),
+                RunEvent::FaultInjected(at, PlacerFault::Resume(p)) => (at, p, Is::Up),
+                RunEvent::FaultInjected(..) | RunEvent::Started(_) => continue,
             };
             truth.by_placer.entry(placer).or_default().push((at, is));
         }
@@ -75,15 +77,15 @@
 #[derive(Clone, Debug)]
 pub struct Verdict {
     /// What was broken, for a person; nothing where all held.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// From the end of the faults until all live members held one view, s.
     pub settled_s: Option<f64>,
     /// Members called down by another's own test that ran all the while, with no fault of the network then.
     pub false_alarms: usize,
     /// The same while some fault of the network stood.
-    pub alarms_under_faults: usize,
+    pub false_alarms_under_faults: usize,
     /// From a kill to the last live view that still had it, s, for each placer that stayed away for longer.
-    pub seen_gone_s: Vec<f64>,
+    pub removal_times_s: Vec<f64>,
     /// Members at the end.
     pub members: usize,
     /// Samples read.
@@ -91,12 +93,12 @@
 }
 
 /// The name of the placer of a number.
-pub fn name(number: usize) -> String {
+pub fn placer_name(number: usize) -> String {
     format!("placer-{number}")
 }
 
 /// Judges a drill whose faults of the network stood in `faults`, and were all over by `quiet`; it ended at `end`.
-pub fn judge(
+pub fn check(
     truth: &Truth,
     watched: &Watched,
     faults: &[(u64, u64)],
@@ -105,7 +107,7 @@
 ) -> Verdict {
     let mut broken = Vec::new();
     let running = truth.running(end);
-    let names: BTreeSet<String> = running.iter().map(|&p| name(p)).collect();
+    let names: BTreeSet<String> = running.iter().map(|&p| placer_name(p)).collect();
     // Settled: from when on all of a placer's samples show just the live ones, and all placers' are equal.
     let last = |p: &usize| watched.samples.get(p).and_then(|s| s.last());
     let finals: Vec<Option<&Sample>> = running.iter().map(last).collect();
@@ -113,23 +115,26 @@
     let mut settled_at = quiet;
     for (&placer, sample) in running.iter().zip(&finals) {
         let Some(sample) = sample else {
-            broken.push(format!("{} showed no view", name(placer)));
+            broken.push(format!("{} showed no view", placer_name(placer)));
             continue;
         };
         let live: BTreeSet<String> = sample.live.iter().cloned().collect();
         let ghosts: Vec<&String> = live.difference(&names).collect();
         let missing: Vec<&String> = names.difference(&live).collect();
         if !ghosts.is_empty() {
-            broken.push(format!("{} still holds {ghosts:?} for live", name(placer)));
+            broken.push(format!(
+                "{} still holds {ghosts:?} for live",
+                placer_name(placer)
+            ));
         }
         if !missing.is_empty() {
-            broken.push(format!("{} lacks {missing:?}", name(placer)));
+            broken.push(format!("{} lacks {missing:?}", placer_name(placer)));
         }
         if Some(&sample.digest) != digest.as_ref() {
             broken.push(format!(
                 "{} holds another view than {}",
-                name(placer),
-                name(running[0])
+                placer_name(placer),
+                placer_name(running[0])
             ));
         }
         let all = &watched.samples[&placer];
@@ -145,11 +150,11 @@
         .then(|| settled_at.saturating_sub(quiet) as f64 / 1e6);
     let (false_alarms, alarms_under_faults) = alarms(truth, watched, faults);
     Verdict {
-        broken,
+        violations: broken,
         settled_s,
         false_alarms,
-        alarms_under_faults,
-        seen_gone_s: seen_gone(truth, watched, end),
+        false_alarms_under_faults: alarms_under_faults,
+        removal_times_s: seen_gone(truth, watched, end),
         members: running.len(),
         samples: watched.samples.values().map(Vec::len).sum(),
     }
@@ -160,11 +165,11 @@
     /// What a judgement may rest on.
     const BEFORE: u64 = 5_000_000;
     let (mut without, mut with) = (0, 0);
-    for (&by, told) in &watched.told {
+    for (&by, told) in &watched.changes {
         for change in told {
             let own =
-                change.what["to"] == "down" && change.what["by"] == maplethread_fleet::OWN_TEST;
-            let of = change.what["name"]
+                change.event["to"] == "down" && change.event["by"] == maplethread_fleet::OWN_TEST;
+            let of = change.event["name"]
                 .as_str()
                 .and_then(|n| n.strip_prefix("placer-")?.parse().ok());
             let Some(of) = of.filter(|_| own) else {
@@ -195,7 +200,8 @@
                 .iter()
                 .find(|s| s.1 != Is::Gone)
                 .map_or(end, |s| s.0);
-            let holds = |s: &&Sample| s.at > at && s.at < back && s.live.contains(&name(placer));
+            let holds =
+                |s: &&Sample| s.at > at && s.at < back && s.live.contains(&placer_name(placer));
             let others = watched.samples.iter().filter(|(p, _)| **p != placer);
             let last = others
                 .filter_map(|(_, s)| s.iter().rev().find(holds))
@@ -216,11 +222,11 @@
 
 impl Verdict {
     /// As one object.
-    pub fn json(&self) -> Value {
-        let worst = self.seen_gone_s.iter().copied().fold(0.0, f64::max);
+    pub fn to_json(&self) -> Value {
+        let worst = self.removal_times_s.iter().copied().fold(0.0, f64::max);
         json!({
-            "broken": self.broken, "settled_s": self.settled_s, "false_alarms": self.false_alarms,
-            "alarms_under_faults": self.alarms_under_faults, "kills_seen": self.seen_gone_s.len(),
+            "broken": self.violations, "settled_s": self.settled_s, "false_alarms": self.false_alarms,
+            "alarms_under_faults": self.false_alarms_under_faults, "kills_seen": self.removal_times_s.len(),
             "kill_seen_by_all_worst_s": worst, "members": self.members, "samples": self.samples,
         })
     }
--- a/crates/fleet-drill/src/judge/tests.rs
+++ b/crates/fleet-drill/src/checker/tests.rs
@@ -1,22 +1,22 @@
 //! Drills with known ends and what the judge makes of them.
 
 use super::*;
-use crate::watch::Told;
+use crate::observers::Told;
 
 const S: u64 = 1_000_000;
 
 fn truth() -> Truth {
     let api = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let mut news: Vec<DayNews> = (0..3).map(|p| DayNews::Serves(S, p, api)).collect();
-    news.push(DayNews::Befell(10 * S, PlacerAct::Kill(2)));
-    Truth::of(&news)
+    let mut news: Vec<RunEvent> = (0..3).map(|p| RunEvent::PlacerServing(S, p, api)).collect();
+    news.push(RunEvent::FaultInjected(10 * S, PlacerFault::Kill(2)));
+    Truth::from_events(&news)
 }
 
 fn sample(at: u64, digest: &str, live: &[usize]) -> Sample {
     Sample {
         at,
         digest: digest.to_owned(),
-        live: live.iter().map(|&p| name(p)).collect(),
+        live: live.iter().map(|&p| placer_name(p)).collect(),
     }
 }
 
@@ -38,12 +38,15 @@
 
 #[test]
 fn a_drill_that_settles_is_told_with_its_times() {
-    let verdict = judge(&truth(), &sound(), &[], 11 * S, 20 * S);
+    let verdict = check(&truth(), &sound(), &[], 11 * S, 20 * S);
     assert_eq!(
-        (verdict.broken.len(), verdict.settled_s, verdict.members),
+        (verdict.violations.len(), verdict.settled_s, verdict.members),
         (0, Some(3.0), 2)
     );
-    assert_eq!((verdict.seen_gone_s, verdict.false_alarms), (vec![3.0], 0));
+    assert_eq!(
+        (verdict.removal_times_s, verdict.false_alarms),
+        (vec![3.0], 0)
+    );
 }
 
 #[test]
@@ -51,9 +54,9 @@
     let told = |change: &dyn Fn(&mut Watched)| {
         let mut watched = sound();
         change(&mut watched);
-        let verdict = judge(&truth(), &watched, &[], 11 * S, 20 * S);
+        let verdict = check(&truth(), &watched, &[], 11 * S, 20 * S);
         assert_eq!(verdict.settled_s, None);
-        verdict.broken.join("; ")
+        verdict.violations.join("; ")
     };
     let push = |placer: usize, last: Sample| {
         move |w: &mut Watched| w.samples.entry(placer).or_default().push(last.clone())
@@ -69,7 +72,7 @@
     let mut watched = sound();
     let down = |at: u64, name: &str, by: &str| Told {
         at,
-        what: json!({"name": name, "from": "suspect", "to": "down", "by": by}),
+        event: json!({"name": name, "from": "suspect", "to": "down", "by": by}),
     };
     let own = maplethread_fleet::OWN_TEST;
     // One that runs, by the teller's own test; the same by hearsay; and the one that was killed.
@@ -78,9 +81,15 @@
         down(19 * S, "placer-1", "placer-9"),
         down(13 * S, "placer-2", own),
     ];
-    watched.told.insert(0, told);
-    let verdict = judge(&truth(), &watched, &[], 11 * S, 20 * S);
-    assert_eq!((verdict.false_alarms, verdict.alarms_under_faults), (1, 0));
-    let verdict = judge(&truth(), &watched, &[(13 * S, 15 * S)], 11 * S, 20 * S);
-    assert_eq!((verdict.false_alarms, verdict.alarms_under_faults), (0, 1));
+    watched.changes.insert(0, told);
+    let verdict = check(&truth(), &watched, &[], 11 * S, 20 * S);
+    assert_eq!(
+        (verdict.false_alarms, verdict.false_alarms_under_faults),
+        (1, 0)
+    );
+    let verdict = check(&truth(), &watched, &[(13 * S, 15 * S)], 11 * S, 20 * S);
+    assert_eq!(
+        (verdict.false_alarms, verdict.false_alarms_under_faults),
+        (0, 1)
+    );
 }
--- a/crates/fleet-drill/src/model.rs
+++ b/crates/fleet-drill/src/model.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use maplethread_fleet::{
-    Change, Facts, Fleet, Keys, Micros, Name, Notice, OWN_TEST, Output, Pace, Settings, State,
+    Change, Facts, KeyRing, LocalMember, MemberName, MemberState, Micros, Notice, OWN_TEST, Output,
+    Settings, Timing,
 };
 use maplethread_simnet::Network;
 use maplethread_timers::Timers;
@@ -13,7 +14,7 @@
 mod settling;
 
 use fixtures::place;
-pub use fixtures::{KEY, address, facts, keys, name};
+pub use fixtures::{KEY, address, facts, keys, member_name};
 
 /// A millisecond.
 pub const MS: Micros = 1_000;
@@ -29,16 +30,16 @@
 
 /// A process at a place of the network.
 struct Process {
-    name: usize,
-    fleet: Fleet,
+    member: usize,
+    local_member: LocalMember,
     /// Its clock runs so fast.
-    rate: f64,
-    began: Micros,
+    clock_rate: f64,
+    clock_started_at: Micros,
     paused: bool,
     /// What waits to be read.
     inbox: Vec<Vec<u8>>,
-    number: u64,
-    next: Micros,
+    start_number: u64,
+    next_tick_at: Micros,
 }
 
 /// What was seen of the whole.
@@ -47,13 +48,13 @@
     /// Running members that could be reached and were called down.
     pub false_alarms: u64,
     /// Datagrams sent, and their bytes.
-    pub sent: u64,
+    pub datagrams_sent: u64,
     /// Bytes sent.
-    pub bytes: u64,
+    pub bytes_sent: u64,
     /// News of members about themselves.
     pub notices: Vec<(String, Notice)>,
     /// A running hash of all changes of all views, in order.
-    pub trace: u64,
+    pub change_hash: u64,
 }
 
 /// The fleet, its network and its time.
@@ -62,22 +63,22 @@
     /// The network between places.
     pub network: Network,
     /// The pace of members that start from now on.
-    pub pace: Pace,
+    pub pace: Timing,
     /// Keys of members that start from now on.
-    pub keys: Keys,
+    pub keys: KeyRing,
     /// Who seeds are, by place.
     pub seeds: Vec<usize>,
     seed: u64,
     started: u64,
     queue: Timers<Ev>,
     processes: BTreeMap<usize, Process>,
-    seen: Seen,
+    statistics: Seen,
     /// Calls of a running member down count as false alarms.
     pub watching: bool,
     /// The last datagrams that came to each place, for tests that send them again.
     pub recorded: Vec<(usize, Vec<u8>)>,
     /// Whether they are kept.
-    pub record: bool,
+    pub is_recording: bool,
 }
 
 impl Model {
@@ -86,17 +87,17 @@
         Model {
             now: START,
             network: Network::new(seed),
-            pace: Pace::default(),
+            pace: Timing::default(),
             keys: keys(KEY),
             seeds: vec![0],
             seed,
             started: 0,
             queue: Timers::default(),
             processes: BTreeMap::new(),
-            seen: Seen::default(),
+            statistics: Seen::default(),
             watching: true,
             recorded: Vec::new(),
-            record: false,
+            is_recording: false,
         }
     }
 
@@ -115,25 +116,25 @@
         self.started += 1;
         let life = (self.now / 1000).saturating_add_signed(off_ms);
         let settings = Settings {
-            name: Name::try_from(name(member)).expect("a sound name"),
-            advertise: address(at),
-            life,
+            name: MemberName::try_from(member_name(member)).expect("a sound name"),
+            advertised_address: address(at),
+            generation: life,
             facts: facts(life),
             seeds: self.seeds.iter().map(|&s| address(s)).collect(),
             keys: self.keys.clone(),
-            pace: self.pace,
+            timing: self.pace,
         };
         let seed = self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ self.started;
-        let fleet = Fleet::new(settings, seed, self.now);
+        let fleet = LocalMember::new(settings, seed, self.now);
         let process = Process {
-            name: member,
-            fleet,
-            rate,
-            began: self.now,
+            member,
+            local_member: fleet,
+            clock_rate: rate,
+            clock_started_at: self.now,
             paused: false,
             inbox: Vec::new(),
-            number: self.started,
-            next: Micros::MAX,
+            start_number: self.started,
+            next_tick_at: Micros::MAX,
         };
         assert!(
             self.processes.insert(at, process).is_none(),
@@ -150,7 +151,7 @@
     /// Ends the process at a place, which says that it leaves and goes on for a while.
     pub fn leave(&mut self, at: usize) {
         let local = self.local(at);
-        self.at(at).fleet.leave(local);
+        self.at(at).local_member.leave(local);
         self.carry_out(at);
         self.run(200 * MS);
         self.kill(at);
@@ -159,34 +160,34 @@
     /// Has a process stand still.
     pub fn pause(&mut self, at: usize, span: Micros) {
         self.at(at).paused = true;
-        self.queue.set(self.now + span, Ev::Resume(at));
+        self.queue.schedule(self.now + span, Ev::Resume(at));
     }
 
     /// Gives a process other keys.
-    pub fn rekey(&mut self, at: usize, keys: Keys) {
-        self.at(at).fleet.set_keys(keys);
+    pub fn rekey(&mut self, at: usize, keys: KeyRing) {
+        self.at(at).local_member.set_keys(keys);
     }
 
     /// Has a process say something else of itself.
-    pub fn tell(&mut self, at: usize, facts: Facts) {
+    pub fn set_facts(&mut self, at: usize, facts: Facts) {
         let local = self.local(at);
-        self.at(at).fleet.set_facts(local, facts);
+        self.at(at).local_member.set_facts(local, facts);
         self.carry_out(at);
     }
 
     /// Puts a datagram before a place, whoever sent it.
     pub fn inject(&mut self, to: usize, bytes: Vec<u8>) {
-        self.queue.set(self.now, Ev::Arrives(to, bytes));
+        self.queue.schedule(self.now, Ev::Arrives(to, bytes));
     }
 
     /// The member at a place.
-    pub fn fleet(&self, at: usize) -> &Fleet {
-        &self.processes[&at].fleet
+    pub fn local_member(&self, at: usize) -> &LocalMember {
+        &self.processes[&at].local_member
     }
 
     /// What the member at a place shows now.
     pub fn view(&self, at: usize) -> maplethread_fleet::View {
-        self.fleet(at).view(self.local(at))
+        self.local_member(at).view(self.local(at))
     }
 
     /// Places with a process.
@@ -196,7 +197,7 @@
 
     /// Which member runs at a place.
     pub fn member_at(&self, at: usize) -> usize {
-        self.processes[&at].name
+        self.processes[&at].member
     }
 
     /// If no seed's place has a process any more, one starts there anew, as an operator would have it.
@@ -209,8 +210,8 @@
     }
 
     /// What was seen so far.
-    pub fn seen(&self) -> &Seen {
-        &self.seen
+    pub fn statistics(&self) -> &Seen {
+        &self.statistics
     }
 
     fn at(&mut self, place: usize) -> &mut Process {
@@ -219,15 +220,16 @@
 
     fn local(&self, at: usize) -> Micros {
         let process = &self.processes[&at];
-        process.began + ((self.now - process.began) as f64 * process.rate) as Micros
+        process.clock_started_at
+            + ((self.now - process.clock_started_at) as f64 * process.clock_rate) as Micros
     }
 
     /// Lets time pass.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(at) = self.queue.next().filter(|&at| at <= end) {
+        while let Some(at) = self.queue.next_due_at().filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            let Some(event) = self.queue.due(at) else {
+            let Some(event) = self.queue.pop_due(at) else {
                 break;
             };
             self.happens(event);
@@ -249,23 +251,26 @@
                     return;
                 }
                 let local = self.local(at);
-                self.at(at).fleet.datagram(local, &bytes);
-                if self.record {
+                self.at(at).local_member.handle_datagram(local, &bytes);
+                if self.is_recording {
                     self.recorded.push((at, bytes));
                 }
                 self.carry_out(at);
             }
             Ev::Tick(at, number) => {
                 let local = self.processes.get(&at).map(|_| self.local(at));
-                let Some(process) = self.processes.get_mut(&at).filter(|p| p.number == number)
+                let Some(process) = self
+                    .processes
+                    .get_mut(&at)
+                    .filter(|p| p.start_number == number)
                 else {
                     return;
                 };
-                if process.paused || process.next > self.now {
+                if process.paused || process.next_tick_at > self.now {
                     return;
                 }
-                process.next = Micros::MAX;
-                process.fleet.tick(local.unwrap_or_default());
+                process.next_tick_at = Micros::MAX;
+                process.local_member.tick(local.unwrap_or_default());
                 self.carry_out(at);
             }
             Ev::Resume(at) => {
@@ -274,52 +279,52 @@
                 }
                 let local = self.local(at);
                 let process = self.at(at);
-                (process.paused, process.next) = (false, Micros::MAX);
+                (process.paused, process.next_tick_at) = (false, Micros::MAX);
                 let inbox = std::mem::take(&mut process.inbox);
                 inbox
                     .iter()
-                    .for_each(|bytes| process.fleet.datagram(local, bytes));
-                process.fleet.tick(local);
+                    .for_each(|bytes| process.local_member.handle_datagram(local, bytes));
+                process.local_member.tick(local);
                 self.carry_out(at);
             }
         }
     }
 
     fn carry_out(&mut self, at: usize) {
-        let outputs = self.at(at).fleet.outputs();
-        let by = self.processes[&at].name;
+        let outputs = self.at(at).local_member.outputs();
+        let by = self.processes[&at].member;
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => {
-                    self.seen.sent += 1;
-                    self.seen.bytes += bytes.len() as u64;
+                    self.statistics.datagrams_sent += 1;
+                    self.statistics.bytes_sent += bytes.len() as u64;
                     let Some(to) = place(to) else { continue };
                     for takes in self.network.send(at, to) {
                         self.queue
-                            .set(self.now + takes, Ev::Arrives(to, bytes.clone()));
+                            .schedule(self.now + takes, Ev::Arrives(to, bytes.clone()));
                     }
                 }
                 Output::Changed(change) => {
-                    self.seen.false_alarms += u64::from(self.is_false_alarm(&change));
+                    self.statistics.false_alarms += u64::from(self.is_false_alarm(&change));
                     let text = format!("{by} {change:?} {}", self.now);
                     let step = text
                         .bytes()
                         .fold(0_u64, |h, b| h.wrapping_mul(31).wrapping_add(u64::from(b)));
-                    self.seen.trace = self.seen.trace.rotate_left(5) ^ step;
+                    self.statistics.change_hash = self.statistics.change_hash.rotate_left(5) ^ step;
                 }
-                Output::Own(notice) => self.seen.notices.push((name(by), notice)),
+                Output::Notice(notice) => self.statistics.notices.push((member_name(by), notice)),
             }
         }
         let local = self.local(at);
         let now = self.now;
         let process = self.at(at);
-        let due = process.fleet.next_timeout().unwrap_or(Micros::MAX);
-        let wait = (due.saturating_sub(local) as f64 / process.rate) as Micros;
+        let due = process.local_member.next_timeout().unwrap_or(Micros::MAX);
+        let wait = (due.saturating_sub(local) as f64 / process.clock_rate) as Micros;
         let next = now.saturating_add(wait + 1);
-        if next < process.next {
-            process.next = next;
-            let number = process.number;
-            self.queue.set(next, Ev::Tick(at, number));
+        if next < process.next_tick_at {
+            process.next_tick_at = next;
+            let number = process.start_number;
+            self.queue.schedule(next, Ev::Tick(at, number));
         }
     }
 
@@ -327,15 +332,16 @@
     /// come first: with all members joining at once there are as many changes as pairs of members, and looking for each
     /// one's process would take cubic time.
     fn is_false_alarm(&self, change: &Change) -> bool {
-        let went_down = change.to == Some(State::Down) && change.from.is_some_and(State::live);
-        self.watching && went_down && change.by == OWN_TEST && self.runs(&change.name)
+        let went_down = change.new_state == Some(MemberState::Down)
+            && change.previous_state.is_some_and(MemberState::is_live);
+        self.watching && went_down && change.reported_by == OWN_TEST && self.runs(&change.name)
     }
 
     /// Whether some process of this name runs and is not paused.
     fn runs(&self, member: &str) -> bool {
         self.processes
             .values()
-            .any(|process| !process.paused && name(process.name) == member)
+            .any(|process| !process.paused && member_name(process.member) == member)
     }
 
     /// A datagram that nobody of this fleet made.
