--- a/crates/fleet-drill/src/model/fixtures.rs
+++ b/crates/fleet-drill/src/model/fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use maplethread_fleet::{Facts, Keys};
+use maplethread_fleet::{Facts, KeyRing};
 
 /// The fleet's key.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
@@ -23,13 +23,13 @@
 }
 
 /// A member's name.
-pub fn name(n: usize) -> String {
+pub fn member_name(n: usize) -> String {
     format!("p-{n}")
 }
 
 /// Keys from text that is known to be sound.
-pub fn keys(text: &str) -> Keys {
-    Keys::parse(text, "model").expect("sound keys")
+pub fn keys(text: &str) -> KeyRing {
+    KeyRing::parse(text, "model").expect("sound keys")
 }
 
 /// Facts of a usual member.
@@ -39,8 +39,8 @@
         version: text("0.2.0"),
         zone: text("a"),
         started_ms,
-        draining: false,
-        number: None,
-        load: 0,
+        is_draining: false,
+        replica_index: None,
+        load_percent: 0,
     }
 }
--- a/crates/fleet-drill/src/model/settling.rs
+++ b/crates/fleet-drill/src/model/settling.rs
@@ -1,23 +1,24 @@
 //! Whether members agree, how long that takes, and how they differ.
 
-use maplethread_fleet::{Micros, State};
+use maplethread_fleet::{MemberState, Micros};
 
-use super::{MS, Model, name};
+use super::{MS, Model, member_name};
 
 impl Model {
     /// Whether the members at these places see each other, all alike, and nobody else as live.
-    pub fn settled(&self, places: &[usize]) -> bool {
-        let first = self.fleet(places[0]).digest();
+    pub fn is_settled(&self, places: &[usize]) -> bool {
+        let first = self.local_member(places[0]).digest();
         let names: Vec<String> = places
             .iter()
-            .map(|p| name(self.processes[p].name))
+            .map(|p| member_name(self.processes[p].member))
             .collect();
         places.iter().all(|p| {
-            let fleet = self.fleet(*p);
+            let fleet = self.local_member(*p);
             fleet.digest() == first
-                && fleet.live() == places.len()
+                && fleet.live_count() == places.len()
                 && names.iter().all(|n| {
-                    *n == name(self.processes[p].name) || fleet.state_of(n) == Some(State::Alive)
+                    *n == member_name(self.processes[p].member)
+                        || fleet.state_of(n) == Some(MemberState::Alive)
                 })
         })
     }
@@ -26,7 +27,7 @@
     pub fn settles(&mut self, places: &[usize], within: Micros) -> Option<Micros> {
         let from = self.now;
         while self.now <= from + within {
-            if self.settled(places) {
+            if self.is_settled(places) {
                 return Some(self.now - from);
             }
             self.run(50 * MS);
@@ -38,23 +39,23 @@
     pub fn differences(&self, places: &[usize]) -> String {
         let mut text = String::new();
         for &p in places {
-            let view = self.fleet(p).view(self.now);
+            let view = self.local_member(p).view(self.now);
             let others: Vec<String> = view
                 .members
                 .iter()
-                .filter(|m| m.state.live())
+                .filter(|m| m.state.is_live())
                 .map(|m| {
                     let started = m.facts.as_ref().map(|f| f.started_ms);
                     format!(
                         "{} {:?} at {} life {} started {started:?}",
-                        m.name, m.state, m.address, m.life
+                        m.name, m.state, m.address, m.generation
                     )
                 })
                 .collect();
             text += &format!(
                 "{}: {} live, {} health {} displaced {:?}; {}\n",
                 view.name,
-                self.fleet(p).live(),
+                self.local_member(p).live_count(),
                 view.digest,
                 view.health,
                 view.displaced_by,
--- a/crates/fleet-drill/src/watch.rs
+++ b/crates/fleet-drill/src/observers.rs
@@ -30,7 +30,7 @@
     /// When; Unix time, µs, by the placer's clock.
     pub at: u64,
     /// The change or the notice, as it was told.
-    pub what: Value,
+    pub event: Value,
 }
 
 /// All that was read, by the placer's number.
@@ -39,12 +39,12 @@
     /// Views.
     pub samples: BTreeMap<usize, Vec<Sample>>,
     /// Changes.
-    pub told: BTreeMap<usize, Vec<Told>>,
+    pub changes: BTreeMap<usize, Vec<Told>>,
 }
 
 /// Threads that read.
 pub struct Watchers {
-    seen: Arc<Mutex<Watched>>,
+    observations: Arc<Mutex<Watched>>,
     stop: Arc<AtomicBool>,
     threads: Vec<(usize, Arc<AtomicBool>, JoinHandle<()>)>,
 }
@@ -53,7 +53,7 @@
     /// None yet.
     pub fn new() -> Watchers {
         Watchers {
-            seen: Arc::default(),
+            observations: Arc::default(),
             stop: Arc::default(),
             threads: Vec::new(),
         }
@@ -66,7 +66,7 @@
             .filter(|t| t.0 == number)
             .for_each(|t| t.1.store(true, Ordering::Relaxed));
         let (seen, stop, over) = (
-            self.seen.clone(),
+            self.observations.clone(),
             self.stop.clone(),
             Arc::new(AtomicBool::new(false)),
         );
@@ -89,7 +89,10 @@
                         after = change["number"].as_u64().unwrap_or(after);
                         let at = change["at_ms"].as_u64().unwrap_or(0) * 1000;
                         let what = change["change"].clone();
-                        seen.told.entry(number).or_default().push(Told { at, what });
+                        seen.changes
+                            .entry(number)
+                            .or_default()
+                            .push(Told { at, event: what });
                     }
                 }
                 std::thread::sleep(EVERY);
@@ -99,12 +102,17 @@
     }
 
     /// Ends all, and gives what was read.
-    pub fn end(self) -> Watched {
+    pub fn finish(self) -> Watched {
         self.stop.store(true, Ordering::Relaxed);
         for (_, _, thread) in self.threads {
             let _ = thread.join();
         }
-        std::mem::take(&mut *self.seen.lock().unwrap_or_else(PoisonError::into_inner))
+        std::mem::take(
+            &mut *self
+                .observations
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 }
 
--- a/crates/fleet-drill/src/proxy.rs
+++ b/crates/fleet-drill/src/proxy.rs
@@ -60,7 +60,7 @@
         let poller = Poller::new()?;
         for (n, socket) in sockets.iter().enumerate() {
             socket.set_nonblocking(true)?;
-            poller.add(socket, n as u64, false)?;
+            poller.register(socket, n as u64, false)?;
         }
         let network = Arc::new(Mutex::new(Network::new(seed)));
         let traffic = Arc::new(Mutex::new(Traffic::default()));
@@ -168,7 +168,7 @@
         while !self.stop.load(Ordering::Relaxed) {
             let now = clock.now();
             let next = in_flight
-                .next()
+                .next_due_at()
                 .map_or(20_000, |at| at.saturating_sub(now).min(20_000));
             ready.clear();
             if self
@@ -188,7 +188,7 @@
                 }
             }
             let now = clock.now();
-            while let Some((to, bytes)) = in_flight.due(now) {
+            while let Some((to, bytes)) = in_flight.pop_due(now) {
                 let passed = self.sockets[to].send_to(&bytes, listen(self.base, to));
                 lock(&self.traffic).delivered += u64::from(passed.is_ok());
             }
@@ -219,7 +219,7 @@
         drop(traffic);
         for delay in lock(&self.network).send(place, to) {
             if in_flight.len() < MAX_IN_FLIGHT {
-                in_flight.set(now + delay, (to, bytes.to_vec()));
+                in_flight.schedule(now + delay, (to, bytes.to_vec()));
             }
         }
     }
--- a/crates/fleet-drill/src/drawn.rs
+++ b/crates/fleet-drill/src/random_schedule.rs
@@ -1,27 +1,27 @@
 //! Schedules of faults drawn from a seed, for the model: which kinds exist at all is drawn too.
 
-use maplethread_fleet::State;
+use maplethread_fleet::MemberState;
 use maplethread_simnet::Link;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-use crate::model::{MS, Model, S, name};
+use crate::model::{MS, Model, S, member_name};
 
 /// What a schedule came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Played {
+pub struct ScheduleResult {
     /// Members at its end.
     pub members: usize,
     /// How long it took to settle once faults had stopped, µs.
-    pub settled: Option<u64>,
+    pub settled_after: Option<u64>,
     /// Members that ran, could be reached, and were called down before the faults began.
     pub early_alarms: u64,
     /// Members that are gone and came back in some view after all had settled.
     pub ghosts: usize,
     /// The most that one member held for another.
-    pub held: usize,
+    pub max_entries: usize,
     /// What was wrong, for a person.
-    pub wrong: Option<String>,
+    pub failure: Option<String>,
 }
 
 /// Faults stop this long after the start; settling is waited for this long.
@@ -29,7 +29,7 @@
 const SETTLE_WITHIN: u64 = 90 * S;
 
 /// Plays the schedule of a seed.
-pub fn play(seed: u64) -> Played {
+pub fn run_random_schedule(seed: u64) -> ScheduleResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = move |below: u64| rng.next_u64() % below.max(1);
     let mut model = Model::new(seed);
@@ -39,7 +39,7 @@
     let kinds = draw(256);
     model.start_all(count);
     model.run(10 * S);
-    let early_alarms = model.seen().false_alarms;
+    let early_alarms = model.statistics().false_alarms;
     model.watching = false;
     if kinds & 1 != 0 {
         let (loss, late) = (draw(25) as f64 / 100.0, draw(5) as f64 / 100.0);
@@ -110,7 +110,11 @@
         model.run(40 * S);
         let running: Vec<usize> = places.iter().map(|&p| model.member_at(p)).collect();
         let ghost = |p: usize, g: usize| {
-            !running.contains(&g) && model.fleet(p).state_of(&name(g)).is_some_and(State::live)
+            !running.contains(&g)
+                && model
+                    .local_member(p)
+                    .state_of(&member_name(g))
+                    .is_some_and(MemberState::is_live)
         };
         places
             .iter()
@@ -121,7 +125,7 @@
     };
     let held = places
         .iter()
-        .map(|&p| model.fleet(p).held())
+        .map(|&p| model.local_member(p).entry_count())
         .max()
         .unwrap_or(0);
     let wrong = (settled.is_none() || ghosts > 0 || early_alarms > 0).then(|| {
@@ -130,12 +134,12 @@
             model.differences(&places)
         )
     });
-    Played {
+    ScheduleResult {
         members: places.len(),
-        settled,
+        settled_after: settled,
         early_alarms,
         ghosts,
-        held,
-        wrong,
+        max_entries: held,
+        failure: wrong,
     }
 }
--- a/crates/fleet-drill/src/drill.rs
+++ b/crates/fleet-drill/src/run.rs
@@ -7,22 +7,22 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
 use std::time::Duration;
 
-use maplethread_config::Fleet;
+use maplethread_config::FleetSettings;
 use maplethread_placer::Clock;
-use maplethread_standin::day;
-use maplethread_standin::options::{DayNews, FleetPart};
 use maplethread_standin::report::Report;
+use maplethread_standin::run_options::{MembershipTest, RunEvent};
 use maplethread_standin::scenario::Scenario;
+use maplethread_standin::scenario_run;
 use serde_json::{Value, json};
 
-use crate::judge::{Truth, Verdict, judge};
+use crate::checker::{Truth, Verdict, check};
+use crate::observers::{Watched, Watchers};
 use crate::proxy::{NetworkProxy, Traffic};
-use crate::schedule::{Schedule, Step};
-use crate::watch::{Watched, Watchers};
+use crate::schedule::{NetworkStep, Schedule};
 
 /// What to play.
 #[derive(Clone, Debug)]
-pub struct Drill {
+pub struct FaultInjectionRun {
     /// What befalls whom.
     pub schedule: Schedule,
     /// Seed of the network, the owners and the placers.
@@ -30,9 +30,9 @@
     /// The program whose placers are run.
     pub program: PathBuf,
     /// Keep the placers' settings and logs here.
-    pub keep: Option<PathBuf>,
+    pub keep_files_in: Option<PathBuf>,
     /// Tell how it goes, on standard error.
-    pub progress: bool,
+    pub shows_progress: bool,
     /// Placers keep no view: to compare placing.
     pub without_view: bool,
     /// Once this is set the drill ends with an error, and so do its processes.
@@ -42,9 +42,9 @@
 /// What it came to.
 pub struct Outcome {
     /// Of the fleet's view.
-    pub fleet: Verdict,
+    pub membership: Verdict,
     /// Of the five rules, with service and times.
-    pub day: Report,
+    pub service: Report,
     /// What the network carried.
     pub traffic: Traffic,
     /// How long the drill lasted, s.
@@ -53,16 +53,16 @@
 
 impl Outcome {
     /// Whether all held.
-    pub fn good(&self) -> bool {
-        self.fleet.broken.is_empty() && self.day.good()
+    pub fn passed(&self) -> bool {
+        self.membership.violations.is_empty() && self.service.is_good()
     }
 
     /// As one object.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let per_member =
-            self.traffic.bytes as f64 / self.lasted_s / self.fleet.members.max(1) as f64;
+            self.traffic.bytes as f64 / self.lasted_s / self.membership.members.max(1) as f64;
         json!({
-            "fleet": self.fleet.json(), "day": self.day.json(),
+            "fleet": self.membership.to_json(), "day": self.service.json(),
             "network": {
                 "datagrams": self.traffic.sent, "bytes": self.traffic.bytes, "passed_on": self.traffic.delivered,
                 "strangers": self.traffic.strangers, "bytes_a_second_a_member": per_member.round(),
@@ -75,14 +75,14 @@
 const KEY: &str = "2b7e151628aed2a6abf7158809cf4f3c762e7160f38b4da56a784d9045190cfe";
 
 /// Plays a drill.
-pub fn play(drill: &Drill) -> io::Result<Outcome> {
+pub fn run(drill: &FaultInjectionRun) -> io::Result<Outcome> {
     let schedule = &drill.schedule;
     let proxy = NetworkProxy::start(schedule.placers, drill.seed)?;
     let temporary = tempfile::tempdir()?;
     let key_file = temporary.path().join("fleet.key");
     std::fs::write(&key_file, KEY)?;
     let faster = u64::from(schedule.faster.max(1));
-    let section = |place: usize| Fleet {
+    let section = |place: usize| FleetSettings {
         name: "drill".to_owned(),
         listen: proxy.listen(place),
         advertise: Some(proxy.advertise(place)),
@@ -105,31 +105,31 @@
         .filter(|_| !drill.without_view)
         .map(section)
         .collect();
-    let fleet = FleetPart {
+    let fleet = MembershipTest {
         sections,
-        acts: schedule.acts(),
-        news,
+        faults: schedule.acts(),
+        events: news,
     };
-    let mut scenario = Scenario::standard().stretched(schedule.faults_s + schedule.settle_s);
+    let mut scenario = Scenario::standard().with_duration(schedule.faults_s + schedule.settle_s);
     scenario.placers = schedule.placers as u32;
-    scenario = scenario.sized(schedule.hosts);
+    scenario = scenario.with_host_count(schedule.hosts);
     // What befalls hosts and placers is the drill's own.
     scenario.trouble.clear();
-    let options = day::Options {
+    let options = scenario_run::RunOptions {
         scenario,
         seed: drill.seed,
         program: drill.program.clone(),
-        random: false,
-        rogue: 0,
+        use_random_choice: false,
+        mutant: 0,
         consul: None,
-        progress: drill.progress,
-        keep: drill.keep.clone(),
-        trace: None,
+        show_progress: drill.shows_progress,
+        kept_folder: drill.keep_files_in.clone(),
+        trace_folder: None,
         arrivals: None,
-        fleet: Some(fleet),
+        membership: Some(fleet),
         interrupted: drill.interrupted.clone(),
     };
-    let steps = schedule.steps();
+    let steps = schedule.network_steps();
     let ends = schedule.faults_s + schedule.settle_s;
     let clock = Clock::start();
     let started = clock.now();
@@ -137,7 +137,7 @@
         let proxy = &proxy;
         let watching = scope.spawn(move || watch(&heard, proxy, steps, ends));
         // The sender goes with the options, so the watcher ends with the day.
-        let day = day::play(&options);
+        let day = scenario_run::run_scenario(&options);
         drop(options);
         let (news, watched, begun) = watching
             .join()
@@ -161,11 +161,11 @@
             })
             .collect();
         let end = begun + (ends * 1e6) as u64;
-        let fleet = judge(&Truth::of(&news), &watched, &faults, quiet, end);
+        let fleet = check(&Truth::from_events(&news), &watched, &faults, quiet, end);
         let lasted_s = (clock.now() - started) as f64 / 1e6;
         Ok(Outcome {
-            fleet,
-            day,
+            membership: fleet,
+            service: day,
             traffic: proxy.traffic(),
             lasted_s,
         })
@@ -175,11 +175,11 @@
 /// Follows the placers' views and takes the network's steps until the drill is over; what the day told, what placers
 /// showed, and when the drill began.
 fn watch(
-    heard: &Receiver<DayNews>,
+    heard: &Receiver<RunEvent>,
     proxy: &NetworkProxy,
-    steps: Vec<(u64, Step)>,
+    steps: Vec<(u64, NetworkStep)>,
     ends_s: f64,
-) -> (Vec<DayNews>, Watched, u64) {
+) -> (Vec<RunEvent>, Watched, u64) {
     let clock = Clock::start();
     let (mut all, mut begun) = (Vec::new(), None);
     let mut watchers = Some(Watchers::new());
@@ -189,10 +189,10 @@
         match heard.recv_timeout(Duration::from_millis(5)) {
             Ok(news) => {
                 match (news, &mut watchers) {
-                    (DayNews::Serves(_, number, api), Some(watchers)) => {
+                    (RunEvent::PlacerServing(_, number, api), Some(watchers)) => {
                         watchers.follow(number, api)
                     }
-                    (DayNews::Begins(at), _) => begun = Some(at),
+                    (RunEvent::Started(at), _) => begun = Some(at),
                     _ => {}
                 }
                 all.push(news);
@@ -209,11 +209,11 @@
         if now as f64 >= ends_s * 1e6
             && let Some(watchers) = watchers.take()
         {
-            watched = watchers.end();
+            watched = watchers.finish();
         }
     }
     if let Some(watchers) = watchers {
-        watched = watchers.end();
+        watched = watchers.finish();
     }
     (all, watched, begun.unwrap_or(0))
 }
--- a/crates/fleet-drill/src/schedule.rs
+++ b/crates/fleet-drill/src/schedule.rs
@@ -1,6 +1,6 @@
 //! What befalls a drill's network and placers, and when: from a TOML file or drawn from a seed.
 
-use maplethread_config::{ConfigErrors, Doc, parse};
+use maplethread_config::{ConfigErrors, Document, parse_toml};
 use serde::{Deserialize, Serialize};
 
 mod drawn;
@@ -8,7 +8,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use steps::Step;
+pub use steps::NetworkStep;
 
 /// A drill.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -137,8 +137,8 @@
 
 impl Schedule {
     /// Reads and checks a schedule; all that is wrong is told at once.
-    pub fn parse(doc: Doc<'_>) -> Result<Schedule, ConfigErrors> {
-        let schedule: Schedule = parse(doc)?;
+    pub fn parse(doc: Document<'_>) -> Result<Schedule, ConfigErrors> {
+        let schedule: Schedule = parse_toml(doc)?;
         let mut wrong = Vec::new();
         let mut check = |fine: bool, key: String, message: &str| {
             if !fine {
--- a/crates/fleet-drill/src/schedule/drawn.rs
+++ b/crates/fleet-drill/src/schedule/drawn.rs
@@ -7,7 +7,7 @@
 
 impl Schedule {
     /// A schedule drawn from a seed: which kinds exist at all is drawn too.
-    pub fn drawn(seed: u64, placers: usize, faults_s: f64) -> Schedule {
+    pub fn random(seed: u64, placers: usize, faults_s: f64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00f1_ee70);
         let mut draw = move |below: u64| (rng.next_u64() % below.max(1)) as usize;
         let kinds = draw(1 << 9);
--- a/crates/fleet-drill/src/schedule/steps.rs
+++ b/crates/fleet-drill/src/schedule/steps.rs
@@ -1,13 +1,13 @@
 //! What a schedule does to the network and to placers, step by step.
 
 use maplethread_simnet::{Link, Network};
-use maplethread_standin::options::PlacerAct;
+use maplethread_standin::run_options::PlacerFault;
 
 use super::{Kind, Schedule};
 
 /// A step of the network's faults.
 #[derive(Clone, Debug)]
-pub enum Step {
+pub enum NetworkStep {
     /// The default link is this from now on.
     SetDefaultLink(Link),
     /// The link from one to the other is this from now on.
@@ -20,15 +20,15 @@
     Restore(usize, usize),
 }
 
-impl Step {
+impl NetworkStep {
     /// Takes the step.
     pub fn apply(&self, network: &mut Network) {
         match self {
-            Step::SetDefaultLink(link) => network.default_link = *link,
-            Step::SetLink(from, to, link) => network.set_link(*from, *to, *link),
-            Step::Partition(parts) => network.partition(parts),
-            Step::Cut(from, to) => network.cut(*from, *to),
-            Step::Restore(from, to) => network.restore(*from, *to),
+            NetworkStep::SetDefaultLink(link) => network.default_link = *link,
+            NetworkStep::SetLink(from, to, link) => network.set_link(*from, *to, *link),
+            NetworkStep::Partition(parts) => network.partition(parts),
+            NetworkStep::Cut(from, to) => network.cut(*from, *to),
+            NetworkStep::Restore(from, to) => network.restore(*from, *to),
         }
     }
 }
@@ -39,7 +39,7 @@
 
 impl Schedule {
     /// What befalls the network, µs after the drill began, in order. At the end of the faults it is whole.
-    pub fn steps(&self) -> Vec<(u64, Step)> {
+    pub fn network_steps(&self) -> Vec<(u64, NetworkStep)> {
         let mut steps = Vec::new();
         for fault in &self.fault {
             let (at, until) = (us(fault.at_s), us(fault.at_s + fault.for_s));
@@ -55,8 +55,8 @@
                         max_latency,
                         ..Link::default()
                     };
-                    steps.push((at, Step::SetDefaultLink(link)));
-                    steps.push((until, Step::SetDefaultLink(Link::default())));
+                    steps.push((at, NetworkStep::SetDefaultLink(link)));
+                    steps.push((until, NetworkStep::SetDefaultLink(Link::default())));
                 }
                 Kind::Late { share, by_s } => {
                     let link = Link {
@@ -64,8 +64,8 @@
                         late_by: us(*by_s),
                         ..Link::default()
                     };
-                    steps.push((at, Step::SetDefaultLink(link)));
-                    steps.push((until, Step::SetDefaultLink(Link::default())));
+                    steps.push((at, NetworkStep::SetDefaultLink(link)));
+                    steps.push((until, NetworkStep::SetDefaultLink(Link::default())));
                 }
                 Kind::Link {
                     from,
@@ -79,38 +79,38 @@
                         max_latency,
                         ..Link::default()
                     };
-                    steps.push((at, Step::SetLink(*from, *to, link)));
-                    steps.push((until, Step::SetLink(*from, *to, Link::default())));
+                    steps.push((at, NetworkStep::SetLink(*from, *to, link)));
+                    steps.push((until, NetworkStep::SetLink(*from, *to, Link::default())));
                 }
                 Kind::Partition { parts } => {
-                    steps.push((at, Step::Partition(parts.clone())));
-                    steps.push((until, Step::Partition(Vec::new())));
+                    steps.push((at, NetworkStep::Partition(parts.clone())));
+                    steps.push((until, NetworkStep::Partition(Vec::new())));
                 }
                 Kind::OneWay { from, to } => {
-                    steps.push((at, Step::Cut(*from, *to)));
-                    steps.push((until, Step::Restore(*from, *to)));
+                    steps.push((at, NetworkStep::Cut(*from, *to)));
+                    steps.push((until, NetworkStep::Restore(*from, *to)));
                 }
                 Kind::Unheard { placers } => {
                     for &from in placers {
                         for to in (0..self.placers).filter(|&to| to != from) {
-                            steps.push((at, Step::Cut(from, to)));
-                            steps.push((until, Step::Restore(from, to)));
+                            steps.push((at, NetworkStep::Cut(from, to)));
+                            steps.push((until, NetworkStep::Restore(from, to)));
                         }
                     }
                 }
                 Kind::Flap { from, to } => {
                     for second in 0..fault.for_s as u64 {
                         let at = at + second * 1_000_000;
-                        let step: fn(usize, usize) -> Step = if second % 2 == 0 {
-                            Step::Cut
+                        let step: fn(usize, usize) -> NetworkStep = if second % 2 == 0 {
+                            NetworkStep::Cut
                         } else {
-                            Step::Restore
+                            NetworkStep::Restore
                         };
                         steps.push((at, step(*from, *to)));
                         steps.push((at, step(*to, *from)));
                     }
-                    steps.push((until, Step::Restore(*from, *to)));
-                    steps.push((until, Step::Restore(*to, *from)));
+                    steps.push((until, NetworkStep::Restore(*from, *to)));
+                    steps.push((until, NetworkStep::Restore(*to, *from)));
                 }
                 Kind::Kill { .. }
                 | Kind::Lose { .. }
@@ -123,7 +123,7 @@
     }
 
     /// What befalls placers, µs after the drill began.
-    pub fn acts(&self) -> Vec<(u64, PlacerAct)> {
+    pub fn acts(&self) -> Vec<(u64, PlacerFault)> {
         /// The front layer notices this long after.
         const NOTICE: u64 = 500_000;
         let mut acts = Vec::new();
@@ -132,26 +132,26 @@
             match &fault.kind {
                 Kind::Kill { placers } | Kind::Lose { placers } => {
                     for &placer in placers {
-                        acts.push((at, PlacerAct::Kill(placer)));
-                        acts.push(((at + NOTICE).min(until), PlacerAct::Noticed(placer)));
+                        acts.push((at, PlacerFault::Kill(placer)));
+                        acts.push(((at + NOTICE).min(until), PlacerFault::MarkDown(placer)));
                         if matches!(fault.kind, Kind::Kill { .. }) {
-                            acts.push((until + 1, PlacerAct::Respawn(placer)));
+                            acts.push((until + 1, PlacerFault::Restart(placer)));
                         }
                     }
                 }
                 Kind::Pause { placers } => {
                     for &placer in placers {
-                        acts.push((at, PlacerAct::Pause(placer)));
-                        acts.push((until, PlacerAct::GoOn(placer)));
+                        acts.push((at, PlacerFault::Pause(placer)));
+                        acts.push((until, PlacerFault::Resume(placer)));
                     }
                 }
                 Kind::RollingRestart => {
                     let step = (until - at) / self.placers.max(1) as u64;
                     for placer in 0..self.placers {
                         let at = at + placer as u64 * step;
-                        acts.push((at, PlacerAct::End(placer)));
-                        acts.push((at + step / 2, PlacerAct::Reap(placer)));
-                        acts.push((at + step / 2 + 1, PlacerAct::Respawn(placer)));
+                        acts.push((at, PlacerFault::Terminate(placer)));
+                        acts.push((at + step / 2, PlacerFault::KillIfRunning(placer)));
+                        acts.push((at + step / 2 + 1, PlacerFault::Restart(placer)));
                     }
                 }
                 _ => {}
--- a/crates/fleet-drill/src/schedule/tests.rs
+++ b/crates/fleet-drill/src/schedule/tests.rs
@@ -1,20 +1,20 @@
 //! Schedules drawn and parsed.
 
-use maplethread_config::Doc;
+use maplethread_config::Document;
 
 use super::Schedule;
 
 fn faults(text: &str) -> String {
-    Schedule::parse(Doc { file: "f", text }).map_or_else(|e| e.to_string(), |_| String::new())
+    Schedule::parse(Document { file: "f", text }).map_or_else(|e| e.to_string(), |_| String::new())
 }
 
 #[test]
 fn drawn_schedules_are_sound_and_survive_being_written() {
     for seed in 0..300 {
-        let drawn = Schedule::drawn(seed, 8, 20.0);
+        let drawn = Schedule::random(seed, 8, 20.0);
         let text = toml::to_string(&drawn).expect("TOML");
         assert_eq!(
-            Schedule::parse(Doc {
+            Schedule::parse(Document {
                 file: "f",
                 text: &text
             })
@@ -53,7 +53,7 @@
     for file in files {
         let path = file.expect("it can be listed").path();
         let text = std::fs::read_to_string(&path).expect("it can be read");
-        let sound = Schedule::parse(Doc {
+        let sound = Schedule::parse(Document {
             file: &path.display().to_string(),
             text: &text,
         });
--- a/crates/fleet-drill/tests/drawn.rs
+++ b/crates/fleet-drill/tests/drawn.rs
@@ -1,18 +1,22 @@
 //! Drawn schedules of faults in the model: once faults stop, all live members hold one view, and nobody who is gone is in
 //! it. `cargo run --release -p maplethread-fleet-drill --example drawn -- 0 1000` plays more.
 
-use maplethread_fleet_drill::drawn::play;
+use maplethread_fleet_drill::random_schedule::run_random_schedule;
 
 fn all(seeds: impl Iterator<Item = u64>) {
     for seed in seeds {
-        let played = play(seed);
+        let played = run_random_schedule(seed);
         assert!(
-            played.wrong.is_none(),
+            played.failure.is_none(),
             "{}",
-            played.wrong.unwrap_or_default()
+            played.failure.unwrap_or_default()
         );
         // Four tables of all members there ever were, and the addresses of the gone.
-        assert!(played.held < 200, "seed {seed} holds {}", played.held);
+        assert!(
+            played.max_entries < 200,
+            "seed {seed} holds {}",
+            played.max_entries
+        );
     }
 }
 
--- a/crates/fleet-drill/tests/model/bounds.rs
+++ b/crates/fleet-drill/tests/model/bounds.rs
@@ -14,10 +14,10 @@
     };
     let old = maplethread_fleet_drill::model::KEY;
     let mut model = Model::new(15);
-    model.record = true;
+    model.is_recording = true;
     model.start_all(8);
     settled(&mut model, 10 * S);
-    model.record = false;
+    model.is_recording = false;
     let recorded = model.recorded.clone();
     for step in [
         both(old, other),
@@ -29,10 +29,10 @@
             model.run(2 * S);
         }
     }
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
     settled(&mut model, S);
     // What was sealed with the old key, garbage of all lengths, and a cut or longer datagram.
-    let version = model.fleet(0).view(0).version;
+    let version = model.local_member(0).view(0).version;
     for (to, bytes) in recorded.iter().take(200) {
         model.inject(*to, bytes.clone());
     }
@@ -41,29 +41,29 @@
         model.inject(0, bytes);
     }
     model.run(S);
-    let counters = model.fleet(0).view(0).counters;
+    let counters = model.local_member(0).view(0).counters;
     assert!(
         counters.unauthenticated >= 5 && counters.foreign >= 3 && counters.oversize == 2,
         "{counters:?}"
     );
-    assert_eq!(model.fleet(0).view(0).version, version);
+    assert_eq!(model.local_member(0).view(0).version, version);
 }
 
 #[test]
 fn a_datagram_that_is_changed_anywhere_or_cut_is_not_taken() {
     let mut model = Model::new(20);
-    model.record = true;
+    model.is_recording = true;
     model.start_all(4);
     settled(&mut model, 10 * S);
     model.run(5 * S);
-    model.record = false;
+    model.is_recording = false;
     let last = model
         .recorded
         .iter()
         .rev()
         .find(|(to, bytes)| *to == 1 && bytes.len() > 60);
     let sound = last.expect("something came").1.clone();
-    let taken = |model: &Model| model.fleet(1).view(0).counters.unauthenticated;
+    let taken = |model: &Model| model.local_member(1).view(0).counters.unauthenticated;
     let before = taken(&model);
     for at in 1..sound.len() {
         let mut forged = sound.clone();
@@ -80,7 +80,7 @@
         taken(&model) - before
     );
     assert!(
-        model.settled(&model.places()),
+        model.is_settled(&model.places()),
         "{}",
         model.differences(&model.places())
     );
@@ -89,14 +89,14 @@
 #[test]
 fn a_full_table_takes_in_no_more_and_says_so() {
     let mut model = Model::new(17);
-    model.pace.most = 8;
+    model.pace.max_members = 8;
     model.start_all(14);
     model.run(30 * S);
     for place in model.places() {
-        let view = model.fleet(place).view(0);
+        let view = model.local_member(place).view(0);
         assert!(view.members.len() <= 8, "{}", view.members.len());
     }
-    assert!(model.fleet(0).view(0).counters.full > 0);
+    assert!(model.local_member(0).view(0).counters.over_capacity > 0);
 }
 
 #[test]
@@ -108,11 +108,11 @@
     let mut facts = maplethread_fleet_drill::model::facts(1);
     facts.version = "v".repeat(32).try_into().expect("it fits");
     facts.zone = "z".repeat(32).try_into().expect("it fits");
-    (facts.draining, facts.number, facts.load) = (true, Some(u32::MAX), 255);
-    model.tell(4, facts.clone());
+    (facts.is_draining, facts.replica_index, facts.load_percent) = (true, Some(u32::MAX), 255);
+    model.set_facts(4, facts.clone());
     settled(&mut model, 20 * S);
     for place in model.places().into_iter().filter(|&p| p != 4) {
-        let view = model.fleet(place).view(0);
+        let view = model.local_member(place).view(0);
         let seen = view
             .members
             .iter()
@@ -135,7 +135,7 @@
         model.run(2 * S);
     }
     model.run(60 * S);
-    let held = model.fleet(0).held();
+    let held = model.local_member(0).entry_count();
     assert!(held <= 4 * 4 + 64, "{held}");
     settled(&mut model, S);
 }
--- a/crates/fleet-drill/tests/model/faults.rs
+++ b/crates/fleet-drill/tests/model/faults.rs
@@ -1,6 +1,6 @@
 //! Crashes, partitions, loss, pauses and one-way cuts: who is called down, and how soon all agree.
 
-use maplethread_fleet::{Notice, State};
+use maplethread_fleet::{MemberState, Notice};
 use maplethread_fleet_drill::model::{MS, Model, S};
 
 use crate::settled;
@@ -12,7 +12,7 @@
         model.start_all(count);
         let took = settled(&mut model, 10 * S);
         assert!(took <= 6 * S, "{count}: {took}");
-        assert_eq!(model.seen().false_alarms, 0);
+        assert_eq!(model.statistics().false_alarms, 0);
     }
 }
 
@@ -25,7 +25,7 @@
         model.run(20 * S);
         model.kill(3);
         model.run(20 * S);
-        model.seen().clone()
+        model.statistics().clone()
     };
     assert_eq!(run(7), run(7));
     assert_ne!(run(7), run(8));
@@ -40,11 +40,12 @@
         settled(&mut model, 30 * S);
         model.kill(5);
         let mut waited = 0;
-        while model
-            .places()
-            .iter()
-            .any(|&p| model.fleet(p).state_of("p-5").is_some_and(State::live))
-        {
+        while model.places().iter().any(|&p| {
+            model
+                .local_member(p)
+                .state_of("p-5")
+                .is_some_and(MemberState::is_live)
+        }) {
             model.run(50 * MS);
             waited += 50 * MS;
             assert!(
@@ -64,7 +65,7 @@
     (8..16).for_each(|p| model.kill(p));
     let took = settled(&mut model, 40 * S);
     assert!(took < 30 * S, "{took}");
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
 }
 
 #[test]
@@ -79,7 +80,7 @@
         model.network.partition(&parts);
         model.run(60 * S);
         for part in &parts {
-            assert!(model.settled(part), "{}", model.differences(part));
+            assert!(model.is_settled(part), "{}", model.differences(part));
         }
         model.run(30 * S);
         model.network.heal();
@@ -95,9 +96,9 @@
     model.start_all(16);
     model.run(600 * S);
     assert!(
-        model.seen().false_alarms <= 16,
+        model.statistics().false_alarms <= 16,
         "{:?}",
-        model.seen().false_alarms
+        model.statistics().false_alarms
     );
 }
 
@@ -110,23 +111,23 @@
         model.pause(at, 30 * S);
     }
     model.run(29 * S);
-    assert!((4..12).all(|p| model.fleet(p).state_of("p-1") == Some(State::Down)));
-    let before = model.seen().false_alarms;
+    assert!((4..12).all(|p| model.local_member(p).state_of("p-1") == Some(MemberState::Down)));
+    let before = model.statistics().false_alarms;
     model.run(2 * S);
     let took = settled(&mut model, 30 * S);
     assert!(took < 15 * S, "{took}");
     assert_eq!(
-        model.seen().false_alarms,
+        model.statistics().false_alarms,
         before,
         "they woke and called running members down"
     );
     let stood = model
-        .seen()
+        .statistics()
         .notices
         .iter()
         .filter(|(_, n)| matches!(n, Notice::StoodStill { .. }))
         .count();
-    assert!(stood >= 4, "{:?}", model.seen().notices);
+    assert!(stood >= 4, "{:?}", model.statistics().notices);
 }
 
 #[test]
@@ -138,7 +139,7 @@
         model.pause(at, 3 * S);
         model.run(10 * S);
     }
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
 }
 
 #[test]
@@ -149,7 +150,7 @@
     }
     settled(&mut model, 10 * S);
     model.run(300 * S);
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
 }
 
 #[test]
@@ -161,7 +162,7 @@
         model.network.cut(n, (n + 1) % 12);
     }
     model.run(60 * S);
-    assert_eq!(model.seen().false_alarms, 0, "others reach them");
+    assert_eq!(model.statistics().false_alarms, 0, "others reach them");
     model.network.heal();
     for n in 3..12 {
         model.network.cut(n, 0);
@@ -169,9 +170,9 @@
     }
     model.run(60 * S);
     assert!(
-        model.seen().false_alarms <= 12,
+        model.statistics().false_alarms <= 12,
         "{}",
-        model.seen().false_alarms
+        model.statistics().false_alarms
     );
     model.network.heal();
     settled(&mut model, 30 * S);
@@ -186,7 +187,7 @@
     (0..7).for_each(|to| model.network.cut(7, to));
     let rest: Vec<usize> = (0..7).collect();
     model.run(40 * S);
-    assert!(model.settled(&rest), "{}", model.differences(&rest));
+    assert!(model.is_settled(&rest), "{}", model.differences(&rest));
     model.network.heal();
     settled(&mut model, 40 * S);
 }
@@ -203,7 +204,7 @@
         model.network.heal();
         model.run(S);
     }
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
     settled(&mut model, 10 * S);
 }
 
--- a/crates/fleet-drill/tests/model/lives.rs
+++ b/crates/fleet-drill/tests/model/lives.rs
@@ -1,6 +1,6 @@
 //! Lives of one name: restarts, clocks that are wrong, namesakes, departures and datagrams of lives that are over.
 
-use maplethread_fleet::{Notice, State};
+use maplethread_fleet::{MemberState, Notice};
 use maplethread_fleet_drill::model::{MS, Model, S};
 
 use crate::settled;
@@ -20,7 +20,7 @@
     // Its old address is another member's now.
     model.start(9, 4);
     assert!(settled(&mut model, 10 * S) <= 5 * S);
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     model.run(10 * S);
     let told = |model: &Model, what: fn(&Notice) -> bool| {
         model
-            .seen()
+            .statistics()
             .notices
             .iter()
             .filter(|(n, notice)| n == "p-3" && what(notice))
@@ -60,20 +60,20 @@
         told(&model, |n| matches!(n, Notice::Displaced { .. })),
         1,
         "{:?}",
-        model.seen().notices
+        model.statistics().notices
     );
     assert_eq!(
         told(&model, |n| matches!(n, Notice::Claimed { .. })),
         1,
         "{:?}",
-        model.seen().notices
+        model.statistics().notices
     );
     let views = |model: &Model| -> Vec<u64> {
         model
             .places()
             .iter()
             .filter(|&&p| p != 3)
-            .map(|&p| model.fleet(p).view(0).version)
+            .map(|&p| model.local_member(p).view(0).version)
             .collect()
     };
     let before = views(&model);
@@ -81,7 +81,7 @@
     assert_eq!(views(&model), before, "views go on changing");
     let others: Vec<usize> = model.places().into_iter().filter(|&p| p != 3).collect();
     assert!(
-        model.settled(&others),
+        model.is_settled(&others),
         "{}",
         model.differences(&model.places())
     );
@@ -115,14 +115,16 @@
         model
             .places()
             .iter()
-            .all(|&p| model.fleet(p).state_of("p-4") == Some(State::Left))
+            .all(|&p| model.local_member(p).state_of("p-4") == Some(MemberState::Left))
     );
     for _ in 0..90 {
         model.run(S);
-        let back = model
-            .places()
-            .iter()
-            .any(|&p| model.fleet(p).state_of("p-4").is_some_and(State::live));
+        let back = model.places().iter().any(|&p| {
+            model
+                .local_member(p)
+                .state_of("p-4")
+                .is_some_and(MemberState::is_live)
+        });
         assert!(!back, "datagrams a minute late brought it back");
     }
 }
@@ -148,7 +150,7 @@
     settled(&mut model, 10 * S);
     let renewed = |model: &Model| {
         model
-            .seen()
+            .statistics()
             .notices
             .iter()
             .filter(|(_, n)| matches!(n, Notice::Renewed { .. }))
@@ -168,12 +170,12 @@
 fn recorded_datagrams_of_an_earlier_life_bring_nothing_back() {
     let mut model = Model::new(16);
     model.pace.forget_after = std::time::Duration::from_secs(20);
-    model.record = true;
+    model.is_recording = true;
     model.start_all(8);
     settled(&mut model, 10 * S);
     model.run(5 * S);
     let recorded = std::mem::take(&mut model.recorded);
-    model.record = false;
+    model.is_recording = false;
     model.kill(5);
     settled(&mut model, 30 * S);
     model.run(30 * S);
@@ -181,7 +183,7 @@
         model
             .places()
             .iter()
-            .all(|&p| model.fleet(p).state_of("p-5").is_none()),
+            .all(|&p| model.local_member(p).state_of("p-5").is_none()),
         "forgotten"
     );
     for (to, bytes) in recorded.iter().filter(|(to, _)| *to != 5) {
@@ -192,12 +194,12 @@
         let back = model
             .places()
             .iter()
-            .any(|&p| model.fleet(p).state_of("p-5").is_some());
+            .any(|&p| model.local_member(p).state_of("p-5").is_some());
         assert!(
             !back,
             "a recorded datagram brought it back: {}",
             model.differences(&model.places())
         );
     }
-    assert_eq!(model.seen().false_alarms, 0);
+    assert_eq!(model.statistics().false_alarms, 0);
 }
--- a/crates/fleet/src/core.rs
+++ b/crates/fleet/src/core.rs
@@ -12,10 +12,10 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
 use crate::id::{Facts, Id, Record, hash};
-use crate::packet::{Body, FRAME, Keys, LONGEST, Packet};
+use crate::packet::{Body, FRAME, KeyRing, MAX_DATAGRAM_BYTES, Packet};
 use crate::settings::Settings;
 use crate::swim::{Book, Codec, News, Shared, Wants};
-use crate::table::{Awake, Change, Micros, State, Table};
+use crate::table::{Awake, Change, MemberState, Micros, Table};
 use crate::view::{Counters, Notice};
 
 /// A call that comes so much later than the next timer asked for tells of a process that stood still.
@@ -43,7 +43,7 @@
     /// The view has changed.
     Changed(Change),
     /// Something about this member itself.
-    Own(Notice),
+    Notice(Notice),
 }
 
 pub(crate) enum Due {
@@ -51,7 +51,7 @@
     Swim(u32, Timer<Id>),
     Sync,
     Seek,
-    Facts,
+    PublishFacts,
     Farewell(u32),
     Rival,
 }
@@ -62,7 +62,7 @@
 }
 
 /// A member of a fleet.
-pub struct Fleet {
+pub struct LocalMember {
     pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) swim: Foca<Id, Codec, Pcg64Mcg, Book>,
@@ -84,8 +84,8 @@
     seq: u32,
     facts_at: Micros,
     facts_due: bool,
-    leaving: bool,
-    last: Micros,
+    is_leaving: bool,
+    last_call: Micros,
     pub(crate) health: u32,
     pub(crate) digest: u64,
     pub(crate) version: u64,
@@ -98,14 +98,14 @@
     duration.as_micros() as Micros
 }
 
-impl Fleet {
+impl LocalMember {
     /// A member that knows nobody and looks for others at once. Equal seeds and inputs give equal outputs.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Fleet {
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> LocalMember {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let me = Id {
             name: settings.name.clone(),
-            address: settings.advertise,
-            life: settings.life,
+            address: settings.advertised_address,
+            generation: settings.generation,
         };
         let shared = Shared {
             me: me.clone(),
@@ -113,7 +113,7 @@
             said: Vec::new(),
             suspected: false,
             known: BTreeMap::new(),
-            most: settings.pace.most,
+            most: settings.timing.max_members,
             full: 0,
             records: BTreeMap::new(),
             told: BTreeSet::new(),
@@ -121,7 +121,7 @@
         let shared = Rc::new(RefCell::new(shared));
         let swim = swim(&settings, me, &mut rng, &shared);
         let facts = settings.facts.clone();
-        let mut fleet = Fleet {
+        let mut fleet = LocalMember {
             rng,
             swim,
             swim_starts: 0,
@@ -139,8 +139,8 @@
             seq: 0,
             facts_at: 0,
             facts_due: false,
-            leaving: false,
-            last: now,
+            is_leaving: false,
+            last_call: now,
             health: 0,
             digest: 0,
             version: 0,
@@ -150,7 +150,7 @@
         };
         fleet.say_facts(now);
         fleet.seek(now);
-        fleet.sync_after(now, fleet.settings.pace.sync_every);
+        fleet.sync_after(now, fleet.settings.timing.anti_entropy_interval);
         fleet.weigh(now);
         fleet
     }
@@ -188,7 +188,7 @@
                 }
                 Due::Sync => self.sync(now),
                 Due::Seek => self.seek(now),
-                Due::Facts => {
+                Due::PublishFacts => {
                     self.facts_due = false;
                     self.say_facts(now);
                 }
@@ -200,7 +200,7 @@
 
     /// Says something else of itself: at most once a second, the last word counts.
     pub fn set_facts(&mut self, now: Micros, facts: Facts) {
-        if self.facts == facts || self.leaving {
+        if self.facts == facts || self.is_leaving {
             return;
         }
         self.facts = facts;
@@ -208,19 +208,19 @@
         if wait == 0 {
             self.say_facts(now);
         } else if !std::mem::replace(&mut self.facts_due, true) {
-            self.awake.set(now, wait, Due::Facts);
+            self.awake.set(now, wait, Due::PublishFacts);
         }
     }
 
     /// Takes other keys: the first seals from now on.
-    pub fn set_keys(&mut self, keys: Keys) {
+    pub fn set_keys(&mut self, keys: KeyRing) {
         self.settings.keys = keys;
     }
 
     /// Tells others that it leaves, a few times while its process ends.
     pub fn leave(&mut self, now: Micros) {
-        if !std::mem::replace(&mut self.leaving, true) {
-            self.facts.draining = true;
+        if !std::mem::replace(&mut self.is_leaving, true) {
+            self.facts.is_draining = true;
             self.say_facts(now);
             self.with_swim(now, "itself", |swim, wants| swim.leave_cluster(wants));
             self.farewell(now, FAREWELLS);
@@ -238,17 +238,17 @@
     }
 
     /// The state of a member by its name; nothing where it is not known.
-    pub fn state_of(&self, name: &str) -> Option<State> {
+    pub fn state_of(&self, name: &str) -> Option<MemberState> {
         self.table.get(hash(name.as_bytes())).map(|k| k.state)
     }
 
     /// Members that are live, this one included.
-    pub fn live(&self) -> usize {
-        self.table.live() + 1
+    pub fn live_count(&self) -> usize {
+        self.table.live_count() + 1
     }
 
     /// All that is held for members, live or gone.
-    pub fn held(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         let shared = self.shared.borrow();
         self.table.len()
             + shared.records.len()
@@ -265,17 +265,21 @@
     /// that waits is read before anybody is judged. One that was away for as long as the gone are remembered knows
     /// nothing any more.
     pub(crate) fn wake(&mut self, now: Micros) {
-        let expected = self.awake.next().unwrap_or(self.last).max(self.last);
+        let expected = self
+            .awake
+            .next()
+            .unwrap_or(self.last_call)
+            .max(self.last_call);
         let late = now.saturating_sub(expected);
-        self.last = self.last.max(now);
+        self.last_call = self.last_call.max(now);
         if late < STOOD_STILL {
             return;
         }
         self.awake.slept(late);
         self.health = (self.health + 2).min(WORST_HEALTH);
         self.outputs
-            .push(Output::Own(Notice::StoodStill { ms: late / 1000 }));
-        if late >= micros(self.settings.pace.forget_after) {
+            .push(Output::Notice(Notice::StoodStill { ms: late / 1000 }));
+        if late >= micros(self.settings.timing.forget_after) {
             self.begin_anew(now);
         }
     }
@@ -295,14 +299,15 @@
 
     /// This life was taken for down, or another one had the name: goes on as one that is later than both.
     pub(crate) fn renew(&mut self, now: Micros, above: u64) {
-        if self.leaving {
+        if self.is_leaving {
             return;
         }
         let mut me = self.me();
-        me.life = me.life.max(above) + 1;
+        me.generation = me.generation.max(above) + 1;
         self.shared.borrow_mut().me = me.clone();
-        self.outputs
-            .push(Output::Own(Notice::Renewed { life: me.life }));
+        self.outputs.push(Output::Notice(Notice::Renewed {
+            life: me.generation,
+        }));
         self.with_swim(now, "itself", |swim, mut wants| {
             swim.change_identity(me, &mut wants)?;
             // The library starts its periods once it is told that others are there.
@@ -339,7 +344,7 @@
             let after = match timer {
                 Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => after * slower,
                 Timer::ChangeSuspectToDown { .. } => {
-                    self.settings.pace.suspect_for(self.table.live()) * slower
+                    self.settings.timing.suspect_for(self.table.live_count()) * slower
                 }
                 _ => after,
             };
@@ -349,8 +354,8 @@
         let mut defunct = false;
         for news in news {
             match news {
-                News::Of(id) => self.look_at(now, &id, by),
-                News::Defunct => defunct = !self.leaving,
+                News::MemberChanged(id) => self.look_at(now, &id, by),
+                News::Defunct => defunct = !self.is_leaving,
             }
         }
         // The library does not tell of suspicions and refutations: what was said of members and is news is looked up.
@@ -363,7 +368,7 @@
                 && self
                     .table
                     .get(member.id().name.hash())
-                    .is_some_and(|k| k.state == State::Down)
+                    .is_some_and(|k| k.state == MemberState::Down)
             {
                 alive.push(member.id().clone());
             }
@@ -390,8 +395,8 @@
         self.table.get(said.id().name.hash()).is_none_or(|known| {
             let other = match said.state() {
                 foca::State::Alive => false,
-                foca::State::Suspect => known.state == State::Alive,
-                foca::State::Down => known.state.live(),
+                foca::State::Suspect => known.state == MemberState::Alive,
+                foca::State::Down => known.state.is_live(),
             };
             known.id != *said.id() || said.incarnation() > known.incarnation || other
         })
@@ -440,14 +445,14 @@
     fn set(&mut self, now: Micros, id: &Id, incarnation: u16, state: foca::State, by: &str) {
         let name = id.name.hash();
         let mut shared = self.shared.borrow_mut();
-        shared.known.insert(name, id.life);
+        shared.known.insert(name, id.generation);
         let record = shared.records.get(&name);
-        let leaves = record.is_some_and(|r| r.leaves && r.life >= id.life);
+        let leaves = record.is_some_and(|r| r.leaves && r.generation >= id.generation);
         let state = match state {
-            foca::State::Alive => State::Alive,
-            foca::State::Suspect => State::Suspect,
-            foca::State::Down if leaves => State::Left,
-            foca::State::Down => State::Down,
+            foca::State::Alive => MemberState::Alive,
+            foca::State::Suspect => MemberState::Suspect,
+            foca::State::Down if leaves => MemberState::Left,
+            foca::State::Down => MemberState::Down,
         };
         let changed = self.table.set(now, id, incarnation, state, record);
         drop(shared);
@@ -464,8 +469,10 @@
         let (id, incarnation, mut state) = (known.id.clone(), known.incarnation, known.state);
         let shared = self.shared.borrow();
         let record = shared.records.get(&name);
-        if state == State::Down && record.is_some_and(|r| r.leaves && r.life >= id.life) {
-            state = State::Left;
+        if state == MemberState::Down
+            && record.is_some_and(|r| r.leaves && r.generation >= id.generation)
+        {
+            state = MemberState::Left;
         }
         let changed = self.table.set(now, &id, incarnation, state, record);
         drop(shared);
@@ -487,14 +494,14 @@
         self.changed(&known.id, Some(known.state), None, by);
     }
 
-    fn changed(&mut self, id: &Id, from: Option<State>, to: Option<State>, by: &str) {
+    fn changed(&mut self, id: &Id, from: Option<MemberState>, to: Option<MemberState>, by: &str) {
         let change = Change {
             name: id.name.to_string(),
             address: id.address,
-            life: id.life,
-            from,
-            to,
-            by: by.to_owned(),
+            generation: id.generation,
+            previous_state: from,
+            new_state: to,
+            reported_by: by.to_owned(),
         };
         self.outputs.push(Output::Changed(change));
     }
@@ -521,10 +528,10 @@
         self.facts_at = now;
         self.seq += 1;
         let me = self.me();
-        let (seq, leaves, facts) = (self.seq, self.leaving, self.facts.clone());
+        let (seq, leaves, facts) = (self.seq, self.is_leaving, self.facts.clone());
         let record = Record {
             name: me.name,
-            life: me.life,
+            generation: me.generation,
             seq,
             leaves,
             facts,
@@ -565,19 +572,19 @@
         if self.awake.at(now) < self.sync_at {
             return;
         }
-        self.sync_after(now, self.settings.pace.sync_every);
-        if !self.leaving {
+        self.sync_after(now, self.settings.timing.anti_entropy_interval);
+        if !self.is_leaving {
             self.ask_one(now);
         }
     }
 
     /// Looks for others: at first, and for parts of the fleet that went apart.
     fn seek(&mut self, now: Micros) {
-        let alone = self.table.live() == 0;
-        let every = self.settings.pace.seek_every / if alone { ALONE } else { 1 };
+        let alone = self.table.live_count() == 0;
+        let every = self.settings.timing.discovery_interval / if alone { ALONE } else { 1 };
         let every = self.jittered(every);
         self.awake.set(now, every, Due::Seek);
-        if !self.leaving && self.rival.is_none() {
+        if !self.is_leaving && self.rival.is_none() {
             self.ask_strangers(now, alone);
         }
     }
@@ -609,7 +616,7 @@
     rng: &mut Pcg64Mcg,
     shared: &Rc<RefCell<Shared>>,
 ) -> Foca<Id, Codec, Pcg64Mcg, Book> {
-    let pace = &settings.pace;
+    let pace = &settings.timing;
     let count = |n: usize| NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN);
     let periodic = |every: Duration, members| {
         Some(PeriodicParams {
@@ -618,18 +625,18 @@
         })
     };
     let config = Config {
-        probe_period: pace.probe_every,
-        probe_rtt: pace.probe_within,
-        num_indirect_probes: count(pace.helpers),
-        max_transmissions: NonZeroU8::new(pace.transmissions(pace.most.min(400)))
+        probe_period: pace.probe_interval,
+        probe_rtt: pace.probe_timeout,
+        num_indirect_probes: count(pace.indirect_probes),
+        max_transmissions: NonZeroU8::new(pace.transmissions(pace.max_members.min(400)))
             .unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: pace.suspect_for(1),
         remove_down_after: Some(pace.forget_after),
-        max_packet_size: count(LONGEST - FRAME),
+        max_packet_size: count(MAX_DATAGRAM_BYTES - FRAME),
         notify_down_members: true,
         periodic_announce: None,
-        periodic_announce_to_down_members: periodic(pace.seek_every, count(2)),
-        periodic_gossip: periodic(pace.gossip_every, count(pace.helpers)),
+        periodic_announce_to_down_members: periodic(pace.discovery_interval, count(2)),
+        periodic_gossip: periodic(pace.gossip_interval, count(pace.indirect_probes)),
     };
     let (codec, book) = (Codec(shared.clone()), Book(shared.clone()));
     Foca::with_custom_broadcast(
--- a/crates/fleet/src/exchange.rs
+++ b/crates/fleet/src/exchange.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use crate::core::{Due, Fleet, MOST_ADDRESSES, Output, Rival, draw};
+use crate::core::{Due, LocalMember, MOST_ADDRESSES, Output, Rival, draw};
 use crate::id::{Id, Record};
-use crate::packet::{BUCKETS, Body, Entry, LONGEST, Liveness, Packet, Unusable};
+use crate::packet::{BUCKETS, Body, Entry, Liveness, MAX_DATAGRAM_BYTES, Packet, Unusable};
 use crate::swim::Shared;
-use crate::table::{Micros, State, Table};
+use crate::table::{MemberState, Micros, Table};
 use crate::view::Notice;
 
 /// A datagram that is so much older than another of its sender's is out of date.
@@ -25,9 +25,9 @@
 /// A claim of a name counts for so long.
 const CLAIMED_FOR: Micros = 10_000_000;
 
-impl Fleet {
+impl LocalMember {
     /// Takes in a datagram. What is not of this fleet, or can't be read, is counted and changes nothing.
-    pub fn datagram(&mut self, now: Micros, bytes: &[u8]) {
+    pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
         self.wake(now);
         self.counters.received += 1;
         let packet = match self.settings.keys.open(bytes) {
@@ -55,11 +55,14 @@
     fn in_time(&mut self, packet: &Packet) -> bool {
         let name = packet.from.name.hash();
         let (life, sent) = self.heard.get(&name).copied().unwrap_or((0, 0));
-        let late = life == packet.from.life && packet.sent + LATE < sent;
-        self.counters.late += u64::from(late);
-        if !late && self.table.get(name).is_some() && (life, sent) < (packet.from.life, packet.sent)
+        let late = life == packet.from.generation && packet.sent + LATE < sent;
+        self.counters.stale += u64::from(late);
+        if !late
+            && self.table.get(name).is_some()
+            && (life, sent) < (packet.from.generation, packet.sent)
         {
-            self.heard.insert(name, (packet.from.life, packet.sent));
+            self.heard
+                .insert(name, (packet.from.generation, packet.sent));
         }
         !late
     }
@@ -67,14 +70,14 @@
     fn hear(&mut self, now: Micros, packet: Packet) {
         let Packet { from, body, .. } = packet;
         if let Body::Superseded {
-            life,
+            generation: life,
             address,
-            down,
+            is_down: down,
         } = body
         {
             // Also from one that this member holds for down: so two parts of a fleet that went apart hear of each other.
             let id = Id {
-                life,
+                generation: life,
                 address,
                 ..self.me()
             };
@@ -86,17 +89,17 @@
             .map(|k| (k.id.clone(), k.state));
         match known {
             None => return self.stranger(now, &from, body),
-            Some((id, state)) if id.rank() > from.rank() || (id == from && !state.live()) => {
+            Some((id, state)) if id.rank() > from.rank() || (id == from && !state.is_live()) => {
                 self.counters.superseded += 1;
-                let (life, address, down) = (id.life, id.address, !state.live());
+                let (life, address, down) = (id.generation, id.address, !state.is_live());
                 if self.may_tell(now, from.name.hash()) {
                     self.send(
                         now,
                         from.address,
                         Body::Superseded {
-                            life,
+                            generation: life,
                             address,
-                            down,
+                            is_down: down,
                         },
                     );
                 }
@@ -141,7 +144,7 @@
                 nonce: given,
                 buckets,
             } if given == nonce || given == self.nonce(now.saturating_sub(EPOCH), from) => {
-                if self.table.len() >= self.settings.pace.most {
+                if self.table.len() >= self.settings.timing.max_members {
                     self.shared.borrow_mut().full += 1;
                     return;
                 }
@@ -178,7 +181,7 @@
         let text = format!(
             "{} {} {} {} {}",
             me.name,
-            me.life,
+            me.generation,
             from.name,
             from.rank().0,
             now / EPOCH
@@ -195,14 +198,14 @@
         }
         match &packet.body {
             Body::Superseded {
-                life,
+                generation: life,
                 address,
-                down,
-            } if *life >= me.life => {
+                is_down: down,
+            } if *life >= me.generation => {
                 self.superseded(
                     now,
                     &Id {
-                        life: *life,
+                        generation: *life,
                         address: *address,
                         ..me
                     },
@@ -215,16 +218,16 @@
                 self.claimed = Some((from.address, now));
                 if first {
                     self.outputs
-                        .push(Output::Own(Notice::Claimed { by: from.address }));
+                        .push(Output::Notice(Notice::Claimed { by: from.address }));
                 }
                 let (life, address) = me.rank();
                 self.send(
                     now,
                     from.address,
                     Body::Superseded {
-                        life,
+                        generation: life,
                         address,
-                        down: false,
+                        is_down: false,
                     },
                 );
             }
@@ -250,7 +253,7 @@
         if down || by.address == me.address {
             // Nobody lives there, or only this process can: the name is this one's, in a later life.
             if self.rival.is_none() {
-                self.renew(now, by.life);
+                self.renew(now, by.generation);
             }
             return;
         }
@@ -268,7 +271,7 @@
             heard: now,
         });
         self.outputs
-            .push(Output::Own(Notice::Displaced { by: by.address }));
+            .push(Output::Notice(Notice::Displaced { by: by.address }));
         self.reset_swim();
         self.send(now, by.address, Body::Claim);
         self.awake.set(now, RIVAL_EVERY, Due::Rival);
@@ -284,13 +287,13 @@
             return;
         }
         self.rival = None;
-        self.outputs.push(Output::Own(Notice::Reinstated));
-        self.renew(now, id.life);
+        self.outputs.push(Output::Notice(Notice::Reinstated));
+        self.renew(now, id.generation);
         // What it knew of others goes back to the library, which tests them anew.
         let members: Vec<_> = self
             .table
             .iter()
-            .filter(|k| k.state.live())
+            .filter(|k| k.state.is_live())
             .map(|k| foca::Member::alive(k.id.clone()))
             .collect();
         self.with_swim(now, "itself", |swim, wants| {
@@ -324,10 +327,11 @@
         let mut page = Vec::new();
         let mut room = 0;
         for entry in entries {
-            let size = postcard::experimental::serialized_size(&entry).unwrap_or(LONGEST);
+            let size =
+                postcard::experimental::serialized_size(&entry).unwrap_or(MAX_DATAGRAM_BYTES);
             if room < size {
                 self.send_members(now, to.address, std::mem::take(&mut page));
-                room = LONGEST - crate::packet::FRAME;
+                room = MAX_DATAGRAM_BYTES - crate::packet::FRAME;
             }
             room = room.saturating_sub(size);
             page.push(entry);
@@ -404,7 +408,7 @@
         });
         if self.digest != before {
             // Where there was news there may be more: many changes at once come as fast as they can be told.
-            self.sync_after(now, self.settings.pace.gossip_every);
+            self.sync_after(now, self.settings.timing.gossip_interval);
         }
     }
 
@@ -417,9 +421,9 @@
                     now,
                     id.address,
                     Body::Superseded {
-                        life: id.life,
+                        generation: id.generation,
                         address: id.address,
-                        down: true,
+                        is_down: true,
                     },
                 );
             }
@@ -428,7 +432,7 @@
 
     /// Asks one live member whether it sees the same fleet.
     pub(crate) fn ask_one(&mut self, now: Micros) {
-        let live = self.table.live();
+        let live = self.table.live_count();
         if live == 0 || self.rival.is_some() {
             return;
         }
@@ -448,11 +452,11 @@
 
     /// Asks at addresses where no live member is known: the seeds', and where members were that are gone.
     pub(crate) fn ask_strangers(&mut self, now: Micros, all_seeds: bool) {
-        let own = self.settings.advertise;
+        let own = self.settings.advertised_address;
         let live: Vec<SocketAddr> = self
             .table
             .iter()
-            .filter(|k| k.state.live())
+            .filter(|k| k.state.is_live())
             .map(|k| k.id.address)
             .collect();
         let stranger = |a: &&SocketAddr| **a != own && !live.contains(a);
@@ -492,7 +496,7 @@
         let left = self
             .table
             .get(name)
-            .filter(|k| k.state != State::Left)
+            .filter(|k| k.state != MemberState::Left)
             .map(|k| k.id.address);
         let Some(address) = left.filter(|a| !self.addresses.contains(a)) else {
             return;
@@ -514,8 +518,8 @@
             state: Liveness::Down,
             record,
         };
-        for _ in 0..self.settings.pace.helpers {
-            let live = self.table.live();
+        for _ in 0..self.settings.timing.indirect_probes {
+            let live = self.table.live_count();
             let n = self.draw(live);
             if let Some(to) = self.table.nth_live(n).map(|id| id.address) {
                 self.send(now, to, Body::Members(vec![entry.clone()]));
--- a/crates/fleet/src/id.rs
+++ b/crates/fleet/src/id.rs
@@ -14,7 +14,7 @@
 /// A text that is empty, too long, or holds control characters.
 #[derive(Clone, Debug, thiserror::Error)]
 #[error("`{0}`: 1 to {1} bytes without control characters are allowed")]
-pub struct BadText(String, usize);
+pub struct TextError(String, usize);
 
 impl<const MOST: usize> Text<MOST> {
     /// The text.
@@ -24,15 +24,15 @@
 }
 
 impl<const MOST: usize> TryFrom<String> for Text<MOST> {
-    type Error = BadText;
+    type Error = TextError;
 
-    fn try_from(text: String) -> Result<Self, BadText> {
+    fn try_from(text: String) -> Result<Self, TextError> {
         if text.is_empty() || text.len() > MOST || text.chars().any(char::is_control) {
             let end = (0..=text.len().min(2 * MOST))
                 .rev()
                 .find(|&n| text.is_char_boundary(n))
                 .unwrap_or(0);
-            return Err(BadText(text[..end].escape_default().to_string(), MOST));
+            return Err(TextError(text[..end].escape_default().to_string(), MOST));
         }
         Ok(Text(text.into()))
     }
@@ -59,12 +59,12 @@
 /// A member's name, which outlives its restarts, with its hash.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
-pub struct Name {
+pub struct MemberName {
     hash: u64,
     text: Text<64>,
 }
 
-impl Name {
+impl MemberName {
     /// The hash by which tables know it.
     pub fn hash(&self) -> u64 {
         self.hash
@@ -76,31 +76,31 @@
     }
 }
 
-impl TryFrom<String> for Name {
-    type Error = BadText;
+impl TryFrom<String> for MemberName {
+    type Error = TextError;
 
-    fn try_from(text: String) -> Result<Self, BadText> {
+    fn try_from(text: String) -> Result<Self, TextError> {
         let text = Text::try_from(text)?;
-        Ok(Name {
+        Ok(MemberName {
             hash: hash(text.as_str().as_bytes()),
             text,
         })
     }
 }
 
-impl From<Name> for String {
-    fn from(name: Name) -> String {
+impl From<MemberName> for String {
+    fn from(name: MemberName) -> String {
         name.text.into()
     }
 }
 
-impl fmt::Display for Name {
+impl fmt::Display for MemberName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.text.fmt(f)
     }
 }
 
-impl fmt::Debug for Name {
+impl fmt::Debug for MemberName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.text.fmt(f)
     }
@@ -118,17 +118,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Id {
     /// Its name.
-    pub name: Name,
+    pub name: MemberName,
     /// Where its datagrams go.
     pub address: SocketAddr,
     /// When its process started, ms of Unix time, and one more each time it came back after it was taken for down.
-    pub life: u64,
+    pub generation: u64,
 }
 
 impl Id {
     /// What decides between two of one name.
     pub fn rank(&self) -> (u64, SocketAddr) {
-        (self.life, self.address)
+        (self.generation, self.address)
     }
 }
 
@@ -159,19 +159,22 @@
     /// When its process started, ms of Unix time.
     pub started_ms: u64,
     /// It takes nothing new.
-    pub draining: bool,
+    #[serde(rename = "draining")]
+    pub is_draining: bool,
     /// Which of the placers it is, if it has a number.
-    pub number: Option<u32>,
+    #[serde(rename = "number")]
+    pub replica_index: Option<u32>,
     /// How loaded it is, in hundredths.
-    pub load: u8,
+    #[serde(rename = "load")]
+    pub load_percent: u8,
 }
 
 /// Facts on their way: whose they are, and which of them are newer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Record {
-    pub(crate) name: Name,
+    pub(crate) name: MemberName,
     /// The life that says so, and its how-manieth word.
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     pub(crate) seq: u32,
     /// It leaves of its own will.
     pub(crate) leaves: bool,
@@ -180,6 +183,6 @@
 
 impl Record {
     pub(crate) fn age(&self) -> (u64, u32) {
-        (self.life, self.seq)
+        (self.generation, self.seq)
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,9 +15,9 @@
 mod table;
 mod view;
 
-pub use crate::core::{Fleet, OWN_TEST, Output};
-pub use id::{BadText, Facts, Name, Text};
-pub use packet::{BadKeys, Keys, LONGEST};
-pub use settings::{Pace, Settings};
-pub use table::{Change, Member, Micros, State};
+pub use crate::core::{LocalMember, OWN_TEST, Output};
+pub use id::{Facts, MemberName, Text, TextError};
+pub use packet::{BadKeys, KeyRing, MAX_DATAGRAM_BYTES};
+pub use settings::{Settings, Timing};
+pub use table::{Change, Member, MemberState, Micros};
 pub use view::{Counters, Notice, View};
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -6,7 +6,7 @@
 use crate::id::{Id, Record};
 
 /// The longest datagram, bytes.
-pub const LONGEST: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The version of the datagrams.
 const VERSION: u8 = 1;
 /// Bytes of the keyed hash that are sent.
@@ -35,7 +35,7 @@
 
 /// The keys of a fleet: the first seals, all open. Two are valid at once while the key is changed.
 #[derive(Clone)]
-pub struct Keys(Vec<[u8; 32]>);
+pub struct KeyRing(Vec<[u8; 32]>);
 
 /// Why a text holds no keys.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -48,10 +48,10 @@
     Digits(usize),
 }
 
-impl Keys {
+impl KeyRing {
     /// Keys from a file's text: one or two lines of 64 hex digits, the first one seals. Empty lines and lines that begin
     /// with `#` don't count. The fleet's name is part of each key, so that two fleets with one key stay apart.
-    pub fn parse(text: &str, fleet: &str) -> Result<Keys, BadKeys> {
+    pub fn parse(text: &str, fleet: &str) -> Result<KeyRing, BadKeys> {
         let mut keys = Vec::new();
         for (n, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -68,7 +68,7 @@
         if keys.is_empty() || keys.len() > 2 {
             Err(BadKeys::Count(keys.len()))
         } else {
-            Ok(Keys(keys))
+            Ok(KeyRing(keys))
         }
     }
 
@@ -91,11 +91,11 @@
         bytes.push(VERSION);
         bytes.extend_from_slice(&Self::tag(&self.0[0], &body));
         bytes.extend_from_slice(&body);
-        (bytes.len() <= LONGEST).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     pub(crate) fn open(&self, bytes: &[u8]) -> Result<Packet, Unusable> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Unusable::Oversize);
         }
         let (Some((&VERSION, rest)), true) = (bytes.split_first(), bytes.len() > 1 + TAG) else {
@@ -119,7 +119,7 @@
     }
 }
 
-impl std::fmt::Debug for Keys {
+impl std::fmt::Debug for KeyRing {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{} keys", self.0.len())
     }
@@ -150,9 +150,9 @@
     Proof { nonce: u64, buckets: Vec<u32> },
     /// Another life holds the receiver's name, or it was taken for down in this one.
     Superseded {
-        life: u64,
+        generation: u64,
         address: SocketAddr,
-        down: bool,
+        is_down: bool,
     },
     /// The sender's name is the receiver's too.
     Claim,
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -39,12 +39,15 @@
     pub(crate) fn learn(&mut self, record: &Record) -> bool {
         let name = record.name.hash();
         let life = self.known.get(&name).copied();
-        let newer = life.is_none_or(|life| life == record.life)
+        let newer = life.is_none_or(|life| life == record.generation)
             && self.records.get(&name).is_none_or(|known| {
-                known.age() < record.age() || life.is_some_and(|life| life != known.life)
+                known.age() < record.age() || life.is_some_and(|life| life != known.generation)
             });
         let room = self.records.contains_key(&name) || self.records.len() < self.most;
-        if !newer || !room || (name == self.me.name.hash() && record.life != self.me.life) {
+        if !newer
+            || !room
+            || (name == self.me.name.hash() && record.generation != self.me.generation)
+        {
             return false;
         }
         self.records.insert(name, record.clone());
@@ -190,7 +193,7 @@
 /// What it tells.
 pub(crate) enum News {
     /// Something is new about a member.
-    Of(Id),
+    MemberChanged(Id),
     /// This member was called down.
     Defunct,
 }
@@ -200,7 +203,7 @@
         self.news.push(match notification {
             Notification::MemberUp(id)
             | Notification::MemberDown(id)
-            | Notification::Rename(_, id) => News::Of(id.clone()),
+            | Notification::Rename(_, id) => News::MemberChanged(id.clone()),
             Notification::Defunct => News::Defunct,
             _ => return,
         });
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -15,7 +15,7 @@
 /// A member's state, as this one sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum MemberState {
     /// It answers.
     Alive,
     /// It failed a test, and has some time to show that it lives.
@@ -26,10 +26,10 @@
     Down,
 }
 
-impl State {
+impl MemberState {
     /// Whether it counts as a member of the fleet.
-    pub fn live(self) -> bool {
-        matches!(self, State::Alive | State::Suspect)
+    pub fn is_live(self) -> bool {
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 }
 
@@ -41,13 +41,17 @@
     /// Where it is.
     pub address: SocketAddr,
     /// Which life of it.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// Its state before; nothing where it was not known.
-    pub from: Option<State>,
+    #[serde(rename = "from")]
+    pub previous_state: Option<MemberState>,
     /// Its state now; nothing where it is forgotten.
-    pub to: Option<State>,
+    #[serde(rename = "to")]
+    pub new_state: Option<MemberState>,
     /// By whose word: a member's name, or what this one found out itself.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub reported_by: String,
 }
 
 /// A member.
@@ -58,11 +62,12 @@
     /// Where it is.
     pub address: SocketAddr,
     /// Which life of it.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// Its incarnation in that life.
     pub incarnation: u16,
     /// Its state.
-    pub state: State,
+    pub state: MemberState,
     /// For so long, ms.
     pub for_ms: u64,
     /// What it says of itself, once that has come.
@@ -73,7 +78,7 @@
 pub(crate) struct Known {
     pub(crate) id: Id,
     pub(crate) incarnation: u16,
-    pub(crate) state: State,
+    pub(crate) state: MemberState,
     pub(crate) since: Micros,
     /// What it adds to the digest.
     mark: u64,
@@ -83,23 +88,23 @@
 #[derive(Default)]
 pub(crate) struct Table {
     members: BTreeMap<u64, Known>,
-    live: usize,
+    live_count: usize,
     sums: [u64; BUCKETS],
 }
 
-fn mark(id: &Id, state: State, record: Option<&Record>) -> u64 {
-    if !state.live() {
+fn mark(id: &Id, state: MemberState, record: Option<&Record>) -> u64 {
+    if !state.is_live() {
         return 0;
     }
     let (life, seq) = record
-        .filter(|r| r.life == id.life)
+        .filter(|r| r.generation == id.generation)
         .map_or((0, 0), Record::age);
     let address = id.address.to_string();
     let mut bytes = Vec::with_capacity(64);
     for number in [
         id.name.hash(),
-        id.life,
-        u64::from(state == State::Suspect),
+        id.generation,
+        u64::from(state == MemberState::Suspect),
         life,
         u64::from(seq),
     ] {
@@ -123,8 +128,8 @@
     }
 
     /// Members but this one that are alive or suspect.
-    pub(crate) fn live(&self) -> usize {
-        self.live
+    pub(crate) fn live_count(&self) -> usize {
+        self.live_count
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -135,7 +140,7 @@
     pub(crate) fn nth_live(&self, n: usize) -> Option<&Id> {
         self.members
             .values()
-            .filter(|k| k.state.live())
+            .filter(|k| k.state.is_live())
             .nth(n)
             .map(|k| &k.id)
     }
@@ -146,17 +151,17 @@
         now: Micros,
         id: &Id,
         incarnation: u16,
-        state: State,
+        state: MemberState,
         record: Option<&Record>,
-    ) -> Option<Option<State>> {
+    ) -> Option<Option<MemberState>> {
         let name = id.name.hash();
         let before = self.members.remove(&name);
         if let Some(known) = &before {
-            self.live -= usize::from(known.state.live());
+            self.live_count -= usize::from(known.state.is_live());
             self.sums[bucket(name)] = self.sums[bucket(name)].wrapping_sub(known.mark);
         }
         let mark = mark(id, state, record);
-        self.live += usize::from(state.live());
+        self.live_count += usize::from(state.is_live());
         self.sums[bucket(name)] = self.sums[bucket(name)].wrapping_add(mark);
         let same = before.as_ref().filter(|k| k.state == state && k.id == *id);
         let since = same.map_or(now, |k| k.since);
@@ -177,7 +182,7 @@
 
     pub(crate) fn forget(&mut self, name: u64) -> Option<Known> {
         let known = self.members.remove(&name)?;
-        self.live -= usize::from(known.state.live());
+        self.live_count -= usize::from(known.state.is_live());
         self.sums[bucket(name)] = self.sums[bucket(name)].wrapping_sub(known.mark);
         Some(known)
     }
@@ -186,7 +191,7 @@
     pub(crate) fn sums(&self, me: &Id, record: Option<&Record>) -> [u64; BUCKETS] {
         let mut sums = self.sums;
         let own = &mut sums[bucket(me.name.hash())];
-        *own = own.wrapping_add(mark(me, State::Alive, record));
+        *own = own.wrapping_add(mark(me, MemberState::Alive, record));
         sums
     }
 
@@ -229,14 +234,14 @@
     }
 
     pub(crate) fn set(&mut self, now: Micros, after: Micros, what: T) {
-        self.timers.set(now - self.asleep + after, what);
+        self.timers.schedule(now - self.asleep + after, what);
     }
 
     pub(crate) fn next(&self) -> Option<Micros> {
-        self.timers.next().map(|at| at + self.asleep)
+        self.timers.next_due_at().map(|at| at + self.asleep)
     }
 
     pub(crate) fn due(&mut self, now: Micros) -> Option<T> {
-        self.timers.due(now - self.asleep)
+        self.timers.pop_due(now - self.asleep)
     }
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-use crate::core::Fleet;
+use crate::core::LocalMember;
 use crate::id::Facts;
 use crate::table::{Member, Micros};
 
@@ -54,13 +54,15 @@
     /// Of this fleet, and not readable.
     pub unreadable: u64,
     /// Much older than another of the same sender.
-    pub late: u64,
+    #[serde(rename = "late")]
+    pub stale: u64,
     /// Of a life that is over.
     pub superseded: u64,
     /// Of senders that nobody has told of, which were asked who they are.
     pub challenged: u64,
     /// News of members beyond the most that are taken in.
-    pub full: u64,
+    #[serde(rename = "full")]
+    pub over_capacity: u64,
     /// Messages that the SWIM library did not take.
     pub refused: u64,
 }
@@ -73,7 +75,8 @@
     /// Where others send to it.
     pub address: SocketAddr,
     /// Its life.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub generation: u64,
     /// What it says of itself.
     pub facts: Facts,
     /// Members that are live, this one included, and their states come to this: equal at two members that see the same.
@@ -94,7 +97,7 @@
     pub counters: Counters,
 }
 
-impl Fleet {
+impl LocalMember {
     /// The fleet as this member sees it.
     pub fn view(&self, now: Micros) -> View {
         let shared = self.shared.borrow();
@@ -104,7 +107,7 @@
             .map(|known| Member {
                 name: known.id.name.to_string(),
                 address: known.id.address,
-                life: known.id.life,
+                generation: known.id.generation,
                 incarnation: known.incarnation,
                 state: known.state,
                 for_ms: now.saturating_sub(known.since) / 1000,
@@ -118,7 +121,7 @@
         View {
             name: shared.me.name.to_string(),
             address: shared.me.address,
-            life: shared.me.life,
+            generation: shared.me.generation,
             facts: self.facts.clone(),
             digest: format!("{:016x}", self.digest),
             version: self.version,
@@ -128,7 +131,7 @@
             claimed_by: self.claimed_by(now),
             members,
             counters: Counters {
-                full: shared.full,
+                over_capacity: shared.full,
                 ..self.counters
             },
         }
--- a/crates/judge/src/figures.rs
+++ b/crates/judge/src/figures.rs
@@ -1,6 +1,6 @@
 //! The rules' figures for one run.
 
-use crate::record::Where;
+use crate::record::Location;
 
 /// A set of hosts that know each other's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,20 +30,20 @@
     /// Its name.
     pub name: String,
     /// For keyed ones: the group and the window, µs.
-    pub keyed: Option<(Group, u64)>,
+    pub deduplication: Option<(Group, u64)>,
     /// The spread limit.
-    pub spread: Option<(Place, u32)>,
+    pub spread_limit: Option<(Place, u32)>,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct RuleParameters {
     /// The classes.
     pub classes: Vec<ClassRule>,
     /// Where the hosts stand.
-    pub hosts: Vec<Where>,
+    pub hosts: Vec<Location>,
     /// How many placers there are.
-    pub placers: u32,
+    pub placer_count: u32,
     /// Rule 3: nothing new later than this after the news, µs.
     pub drain_grace: u64,
     /// Rule 4: a host is cold for so long after its start, µs.
@@ -51,7 +51,7 @@
     /// Offers in this time, µs...
     pub fall_window: u64,
     /// ...that a cold host always bears, of all placers together.
-    pub fresh_offers: f64,
+    pub warm_up_offers: f64,
     /// Tasks of a host without a connection for this long are told as lost, µs.
     pub lost_after: u64,
     /// A placer that stood still and went on so long before a deadline owes the answer, µs.
--- a/crates/judge/src/judge.rs
+++ b/crates/judge/src/judge.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use maplethread_wire::frame::{Copies, Frame, Reason};
+use maplethread_wire::frame::{DuplicatePolicy, Frame, Reason};
 
-use crate::figures::Figures;
-use crate::numbers::Numbers;
-use crate::read_late::ReadLate;
-use crate::record::{Outcome, Record, Seen, Where};
+use crate::figures::RuleParameters;
+use crate::numbers::ReplicaIndexes;
+use crate::read_late::ObserverDelay;
+use crate::record::{HistoryEntry, Location, Observation, Outcome};
 use crate::rule_1::{Absences, absences, unreadable};
-use crate::verdict::{Broken, Verdict};
+use crate::verdict::{Verdict, Violation};
 
 pub(crate) type Name = Arc<str>;
 
@@ -33,7 +33,7 @@
 
 pub(crate) struct Placing {
     pub(crate) attempts: Vec<u64>,
-    pub(crate) copies: Copies,
+    pub(crate) copies: DuplicatePolicy,
     pub(crate) class: String,
     pub(crate) asked: Option<usize>,
 }
@@ -56,7 +56,7 @@
 }
 
 pub(crate) struct Judge<'a> {
-    pub(crate) figures: &'a Figures,
+    pub(crate) figures: &'a RuleParameters,
     pub(crate) verdict: Verdict,
     pub(crate) at: u64,
     pub(crate) number: usize,
@@ -69,7 +69,7 @@
     pub(crate) links: BTreeMap<(Name, u64), (Name, u64)>,
     pub(crate) held: BTreeMap<(Name, u64), Held>,
     pub(crate) services: BTreeMap<u64, (Name, u64, String)>,
-    pub(crate) places: BTreeMap<Name, Where>,
+    pub(crate) places: BTreeMap<Name, Location>,
     /// Rule 3: when each placer was told that a host takes nothing new, by host.
     pub(crate) barred: BTreeMap<(Name, Name), (u64, usize)>,
     pub(crate) inventory: BTreeMap<Name, (u64, usize)>,
@@ -105,13 +105,13 @@
     /// Times in which the inventory could not be read.
     pub(crate) unreadable: Vec<(u64, u64)>,
     /// How late the readers of the record were.
-    pub(crate) read_late: ReadLate,
+    pub(crate) read_late: ObserverDelay,
     /// Numbers that are leased.
-    pub(crate) numbers: Numbers,
+    pub(crate) numbers: ReplicaIndexes,
 }
 
 /// Reads a record, in the order of its times, and tells which rules were broken.
-pub fn judge(records: &[Record], figures: &Figures) -> Verdict {
+pub fn check(records: &[HistoryEntry], figures: &RuleParameters) -> Verdict {
     let mut judge = Judge {
         figures,
         verdict: Verdict::default(),
@@ -147,18 +147,18 @@
         doubles: VecDeque::new(),
         absences: absences(records),
         unreadable: unreadable(records),
-        read_late: ReadLate::default(),
-        numbers: Numbers::default(),
+        read_late: ObserverDelay::default(),
+        numbers: ReplicaIndexes::default(),
     };
     for (number, record) in records.iter().enumerate() {
-        (judge.at, judge.number) = (record.at, number);
-        let read_through = judge.hosts_read_through(&record.seen);
+        (judge.at, judge.number) = (record.at_us, number);
+        let read_through = judge.hosts_read_through(&record.observation);
         judge.settle_spreads(read_through);
         judge.settle_doubles(read_through);
-        judge.lose_orphans(record.at);
-        judge.take(&record.seen);
+        judge.lose_orphans(record.at_us);
+        judge.take(&record.observation);
     }
-    let end = records.last().map_or(0, |r| r.at);
+    let end = records.last().map_or(0, |r| r.at_us);
     judge.settle_spreads(u64::MAX);
     judge.settle_doubles(u64::MAX);
     judge.close(end);
@@ -168,18 +168,18 @@
 
 impl Judge<'_> {
     pub(crate) fn broken(&mut self, rule: u8, what: String, shown_by: Vec<usize>) {
-        self.verdict.broken.push(Broken {
+        self.verdict.violations.push(Violation {
             rule,
-            at: self.at,
-            what,
+            at_us: self.at,
+            description: what,
             shown_by,
         });
     }
 
-    fn take(&mut self, seen: &Seen) {
+    fn take(&mut self, seen: &Observation) {
         let at = self.at;
         match seen {
-            Seen::HostUp { host, started_ms } => {
+            Observation::HostUp { host, started_ms } => {
                 self.started.insert(host.clone(), *started_ms);
                 self.told_start.retain(|(_, h), _| h != host);
                 self.cold_offers.remove(host);
@@ -187,12 +187,12 @@
                 self.drop_host(host);
                 self.barred.retain(|(_, h), _| h != host);
             }
-            Seen::HostDown { host } => self.drop_host(host),
-            Seen::Link {
+            Observation::HostDown { host } => self.drop_host(host),
+            Observation::PlacerConnected {
                 host,
                 link,
                 placer,
-                life,
+                incarnation: life,
             } => {
                 self.links
                     .insert((host.clone(), *link), (placer.clone(), *life));
@@ -204,7 +204,7 @@
                     .entry((placer.clone(), host.clone()))
                     .or_insert(at);
             }
-            Seen::LinkLost { host, link } => {
+            Observation::LinkLost { host, link } => {
                 let (mut unanswered, lost_at) = (Vec::new(), self.sent_to_host());
                 for wire in self.attempts_at(host) {
                     let Some(attempt) = self.attempts.get_mut(&wire) else {
@@ -234,9 +234,11 @@
                     self.orphans.make_contiguous().sort_by_key(|o| o.0);
                 }
             }
-            Seen::FromPlacer { host, link, frame } => self.placer_frame(host, *link, frame),
-            Seen::FromHost { host, link, frame } => self.host_frame(host, *link, frame),
-            Seen::Asked {
+            Observation::FrameFromPlacer { host, link, frame } => {
+                self.placer_frame(host, *link, frame)
+            }
+            Observation::FromHost { host, link, frame } => self.host_frame(host, *link, frame),
+            Observation::PlacementRequested {
                 request,
                 placer,
                 budget_us,
@@ -252,21 +254,21 @@
                     hung_up: None,
                     cut: None,
                 };
-                self.verdict.asks += 1;
+                self.verdict.requests += 1;
                 self.asks.insert(request.clone(), state);
             }
-            Seen::Answered { request, outcome } => self.answered(request, outcome),
-            Seen::Cut { request } => {
+            Observation::Answered { request, outcome } => self.answered(request, outcome),
+            Observation::ClientConnectionLost { request } => {
                 if let Some(ask) = self.asks.get_mut(request) {
                     ask.cut = ask.cut.or(Some(at));
                 }
             }
-            Seen::HungUp { request } => {
+            Observation::HungUp { request } => {
                 if let Some(ask) = self.asks.get_mut(request) {
                     ask.hung_up = ask.hung_up.or(Some(at));
                 }
             }
-            Seen::Inventory { ready, gone } => {
+            Observation::Inventory { ready, gone } => {
                 // What a host without a connection held is lost as soon as it is told as gone.
                 self.gone = gone.iter().cloned().collect();
                 for orphan in self.orphans.iter_mut().filter(|o| self.gone.contains(&o.1)) {
@@ -289,7 +291,7 @@
                     }
                 }
             }
-            Seen::Catalogue {
+            Observation::Catalogue {
                 placer,
                 index,
                 consistent,
@@ -297,20 +299,20 @@
             } => {
                 self.catalogue_told(placer, *index, *consistent, body);
             }
-            Seen::PlacerUp { placer } => {
+            Observation::PlacerUp { placer } => {
                 self.number_seen(seen);
                 // A new life knows nothing of what the old one was told.
                 self.catalogue.retain(|(p, _), _| p != placer);
                 self.told_index.remove(placer);
             }
-            Seen::NumberLocked { .. }
-            | Seen::NumberFree { .. }
-            | Seen::NoLeader { .. }
-            | Seen::PlacerDown { .. }
-            | Seen::PlacerPaused { .. }
-            | Seen::PlacerGoesOn { .. } => self.number_seen(seen),
-            Seen::ReadLate { reader, since } => self.read_late.note(*reader, *since),
-            Seen::InventoryUnreadable => {}
+            Observation::NumberLocked { .. }
+            | Observation::NumberFree { .. }
+            | Observation::NoLeader { .. }
+            | Observation::PlacerDown { .. }
+            | Observation::PlacerPaused { .. }
+            | Observation::PlacerGoesOn { .. } => self.number_seen(seen),
+            Observation::ReadLate { reader, since } => self.read_late.note(*reader, *since),
+            Observation::InventoryUnreadable => {}
         }
     }
 
@@ -347,12 +349,12 @@
                     return;
                 };
                 self.verdict.offers += 1;
-                let request: Name = offer.request.as_str().into();
+                let request: Name = offer.request_id.as_str().into();
                 self.rule_2(&request, &placer, life, host, offer);
                 self.rule_3(&placer, host);
                 self.rule_4(&placer, host);
                 let attempt = Attempt {
-                    number: offer.number,
+                    number: offer.prior_attempts,
                     host: host.clone(),
                     link,
                     sent: at,
@@ -362,12 +364,12 @@
                     gone: false,
                     accepted: false,
                 };
-                self.attempts.insert(offer.attempt, attempt);
+                self.attempts.insert(offer.attempt_id, attempt);
                 self.attempts_at
                     .entry(host.clone())
                     .or_default()
-                    .insert(offer.attempt);
-                self.hold(offer.attempt, &placer, life, &offer.service);
+                    .insert(offer.attempt_id);
+                self.hold(offer.attempt_id, &placer, life, &offer.service);
                 self.rule_5(&placer, life, host, &offer.service, &offer.class);
             }
             Frame::Cancel(wire) | Frame::Stop(wire) => {
@@ -419,24 +421,24 @@
             }
             Frame::Held(offer, _) => {
                 if let Some(unnamed) = self.unnamed.get_mut(&(host.clone(), link)) {
-                    unnamed.remove(&offer.attempt);
+                    unnamed.remove(&offer.attempt_id);
                 }
                 if let Some((placer, life)) = self.links.get(&(host.clone(), link)).cloned() {
                     // Its own are known already; those of an earlier life are this one's from now on.
                     let own = self
                         .services
-                        .get(&offer.attempt)
+                        .get(&offer.attempt_id)
                         .is_some_and(|(p, l, _)| (p, *l) == (&placer, life));
-                    let ended = self.attempts.get(&offer.attempt).is_some_and(|a| {
+                    let ended = self.attempts.get(&offer.attempt_id).is_some_and(|a| {
                         a.over.is_some()
                             && self.links.values().any(|l| *l == (placer.clone(), life))
                             && a.link == link
                     });
-                    if !own && !ended && self.services.contains_key(&offer.attempt) {
-                        self.release(offer.attempt);
-                        self.hold(offer.attempt, &placer, life, &offer.service);
+                    if !own && !ended && self.services.contains_key(&offer.attempt_id) {
+                        self.release(offer.attempt_id);
+                        self.hold(offer.attempt_id, &placer, life, &offer.service);
                         let read = self.reached(&placer, at) + self.figures.slack;
-                        self.taken_over.insert(offer.attempt, read);
+                        self.taken_over.insert(offer.attempt_id, read);
                     }
                 }
             }
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -14,7 +14,7 @@
 mod rule_5;
 mod verdict;
 
-pub use figures::{ClassRule, Figures, Group, Place};
-pub use judge::judge;
-pub use record::{Outcome, Reader, Record, Seen, Where};
-pub use verdict::{Broken, Verdict};
+pub use figures::{ClassRule, Group, Place, RuleParameters};
+pub use judge::check;
+pub use record::{HistoryEntry, Location, Observation, Observer, Outcome};
+pub use verdict::{Verdict, Violation};
--- a/crates/judge/src/numbers.rs
+++ b/crates/judge/src/numbers.rs
@@ -5,42 +5,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::judge::{Judge, Name};
-use crate::record::Seen;
+use crate::record::Observation;
 
 /// What a placer's present life has.
 #[derive(Clone, Copy)]
-enum Lock {
+enum IndexLock {
     Held,
     /// Let go of by the end of its session: nobody else gets it before then.
-    Ended(u64),
+    ReleasedUntil(u64),
 }
 
 /// A number that nobody holds.
-struct Free {
+struct FreeIndex {
     /// It can be locked from then on.
-    from: u64,
+    available_from: u64,
     /// How long enough placers have wanted one since.
-    waited: u64,
+    waited_us: u64,
 }
 
 /// Who holds what.
 #[derive(Default)]
-pub(crate) struct Numbers {
-    leased: bool,
+pub(crate) struct ReplicaIndexes {
+    are_leased: bool,
     placers: BTreeSet<Name>,
     /// Down, or made to stand still.
-    away: BTreeSet<Name>,
-    locks: BTreeMap<Name, (Name, Lock)>,
-    free: BTreeMap<Name, Free>,
+    unavailable: BTreeSet<Name>,
+    locks: BTreeMap<Name, (Name, IndexLock)>,
+    free: BTreeMap<Name, FreeIndex>,
     no_leader_until: u64,
-    looked: u64,
+    advanced_to: u64,
 }
 
-impl Numbers {
+impl ReplicaIndexes {
     fn holds(&self, placer: &Name) -> bool {
         self.locks
             .get(placer)
-            .is_some_and(|(_, lock)| matches!(lock, Lock::Held))
+            .is_some_and(|(_, lock)| matches!(lock, IndexLock::Held))
     }
 
     /// Lets time go by: a free number waits while there is a leader, and a placer without one for each that is free.
@@ -48,86 +48,97 @@
         let wanting = self
             .placers
             .iter()
-            .filter(|p| !self.away.contains(*p) && !self.holds(p))
+            .filter(|p| !self.unavailable.contains(*p) && !self.holds(p))
+            .count();
+        let open = self
+            .free
+            .values()
+            .filter(|f| f.available_from <= now)
             .count();
-        let open = self.free.values().filter(|f| f.from <= now).count();
         if wanting >= open {
             for free in self.free.values_mut() {
-                let since = self.looked.max(free.from).max(self.no_leader_until);
-                free.waited += now.saturating_sub(since);
+                let since = self
+                    .advanced_to
+                    .max(free.available_from)
+                    .max(self.no_leader_until);
+                free.waited_us += now.saturating_sub(since);
             }
         }
-        self.looked = now;
+        self.advanced_to = now;
     }
 }
 
 impl Judge<'_> {
-    pub(crate) fn number_seen(&mut self, seen: &Seen) {
+    pub(crate) fn number_seen(&mut self, seen: &Observation) {
         let at = self.at;
         self.numbers.advance(at);
         let numbers = &mut self.numbers;
         match seen {
-            Seen::NumberLocked { number, placer } => {
-                numbers.leased = true;
+            Observation::NumberLocked { number, placer } => {
+                numbers.are_leased = true;
                 let other = numbers.locks.iter().find(|(p, (n, lock))| {
                     let out = match lock {
-                        Lock::Held => true,
-                        Lock::Ended(until) => at < *until,
+                        IndexLock::Held => true,
+                        IndexLock::ReleasedUntil(until) => at < *until,
                     };
                     n == number && *p != placer && out
                 });
                 let other = other.map(|(p, _)| p.clone());
                 numbers
                     .locks
-                    .insert(placer.clone(), (number.clone(), Lock::Held));
+                    .insert(placer.clone(), (number.clone(), IndexLock::Held));
                 if let Some(free) = numbers.free.remove(number) {
-                    self.verdict.number_waits.push(free.waited);
+                    self.verdict.number_waits.push(free.waited_us);
                 }
                 if let Some(other) = other {
                     let what = format!("{placer} locked number {number}, which {other} still held");
                     self.broken(4, what, vec![self.number]);
                 }
             }
-            Seen::NumberFree { number, after_us } => {
+            Observation::NumberFree { number, after_us } => {
                 let until = at + after_us;
                 for (n, lock) in numbers.locks.values_mut() {
-                    if n == number && matches!(lock, Lock::Held) {
-                        *lock = Lock::Ended(until);
+                    if n == number && matches!(lock, IndexLock::Held) {
+                        *lock = IndexLock::ReleasedUntil(until);
                     }
                 }
                 numbers.free.insert(
                     number.clone(),
-                    Free {
-                        from: until,
-                        waited: 0,
+                    FreeIndex {
+                        available_from: until,
+                        waited_us: 0,
                     },
                 );
             }
-            Seen::NoLeader { for_us } => numbers.no_leader_until = at + for_us,
-            Seen::PlacerUp { placer } => {
+            Observation::NoLeader { for_us } => numbers.no_leader_until = at + for_us,
+            Observation::PlacerUp { placer } => {
                 numbers.placers.insert(placer.clone());
-                numbers.away.remove(placer);
+                numbers.unavailable.remove(placer);
             }
-            Seen::PlacerDown { placer } => {
+            Observation::PlacerDown { placer } => {
                 // Its next life has to lock a number of its own.
                 numbers.locks.remove(placer);
-                numbers.away.insert(placer.clone());
+                numbers.unavailable.insert(placer.clone());
             }
-            Seen::PlacerPaused { placer } => drop(numbers.away.insert(placer.clone())),
-            Seen::PlacerGoesOn { placer } => drop(numbers.away.remove(placer)),
+            Observation::PlacerPaused { placer } => {
+                drop(numbers.unavailable.insert(placer.clone()))
+            }
+            Observation::PlacerGoesOn { placer } => drop(numbers.unavailable.remove(placer)),
             _ => {}
         }
     }
 
     /// A cold host got an offer: only those who hold a number may send one.
     pub(crate) fn number_needed(&mut self, placer: &Name, host: &Name) {
-        if !self.numbers.leased {
+        if !self.numbers.are_leased {
             return;
         }
         let why = match self.numbers.locks.get(placer) {
-            Some((_, Lock::Held)) => return,
-            Some((_, Lock::Ended(until))) if self.at < *until => return,
-            Some((number, Lock::Ended(_))) => format!("whose number {number} was let go of"),
+            Some((_, IndexLock::Held)) => return,
+            Some((_, IndexLock::ReleasedUntil(until))) if self.at < *until => return,
+            Some((number, IndexLock::ReleasedUntil(_))) => {
+                format!("whose number {number} was let go of")
+            }
             None => "which holds no number".to_owned(),
         };
         self.broken(
@@ -144,7 +155,7 @@
             .numbers
             .free
             .values()
-            .map(|f| f.waited)
+            .map(|f| f.waited_us)
             .filter(|&w| w > 0);
         self.verdict.number_waits.extend(waited);
         self.verdict.number_waits.sort_unstable();
--- a/crates/judge/src/read_late.rs
+++ b/crates/judge/src/read_late.rs
@@ -1,32 +1,32 @@
 //! How late the readers of the record were: what was sent in time and read late is not its sender's fault.
 
 use crate::judge::Judge;
-use crate::record::{Reader, Seen};
+use crate::record::{Observation, Observer};
 
 /// Since when each reader had not looked, where it told that it was late.
 #[derive(Default)]
-pub(crate) struct ReadLate {
-    hosts: Option<u64>,
-    clients: Option<u64>,
+pub(crate) struct ObserverDelay {
+    hosts_since: Option<u64>,
+    clients_since: Option<u64>,
     /// All that was sent to hosts by this time is read.
     hosts_read_through: u64,
 }
 
-impl ReadLate {
+impl ObserverDelay {
     /// What this reader reads from here on may have come at any time since, if it is late.
-    pub(crate) fn note(&mut self, reader: Reader, since: Option<u64>) {
+    pub(crate) fn note(&mut self, reader: Observer, since: Option<u64>) {
         match reader {
-            Reader::Hosts => self.hosts = since,
-            Reader::Clients => self.clients = since,
+            Observer::Hosts => self.hosts_since = since,
+            Observer::Clients => self.clients_since = since,
         }
     }
 }
 
 impl Judge<'_> {
     /// All that was sent to hosts by this time has been read, as far as is known from the record up to here.
-    pub(crate) fn hosts_read_through(&mut self, seen: &Seen) -> u64 {
-        if matches!(seen, Seen::FromPlacer { .. }) {
-            let through = self.earliest_arrival(Reader::Hosts);
+    pub(crate) fn hosts_read_through(&mut self, seen: &Observation) -> u64 {
+        if matches!(seen, Observation::FrameFromPlacer { .. }) {
+            let through = self.earliest_arrival(Observer::Hosts);
             self.read_late.hosts_read_through = self.read_late.hosts_read_through.max(through);
         }
         self.read_late.hosts_read_through
@@ -35,16 +35,16 @@
     /// When what is read now at a host was sent: just now, or where the reader is late, as early as it can have been.
     pub(crate) fn sent_to_host(&self) -> u64 {
         self.read_late
-            .hosts
+            .hosts_since
             .map_or(self.at, |since| since.min(self.at))
     }
 
     /// What is read now came no earlier than this: the slack before, or where the reader itself had not looked for longer,
     /// when it last found nothing more to read.
-    pub(crate) fn earliest_arrival(&self, reader: Reader) -> u64 {
+    pub(crate) fn earliest_arrival(&self, reader: Observer) -> u64 {
         let since = match reader {
-            Reader::Hosts => self.read_late.hosts,
-            Reader::Clients => self.read_late.clients,
+            Observer::Hosts => self.read_late.hosts_since,
+            Observer::Clients => self.read_late.clients_since,
         };
         let usual = self.at.saturating_sub(self.figures.slack);
         since.map_or(usual, |since| since.min(usual))
--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -6,7 +6,7 @@
 
 /// Where a host stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Where {
+pub struct Location {
     /// Its name.
     pub host: Arc<str>,
     /// Its zone.
@@ -21,7 +21,7 @@
     /// Placed on this host.
     Placed(String),
     /// Refused, for this reason.
-    Refused(String),
+    Rejected(String),
     /// Failed.
     Failed,
     /// Not taken: a problem of this status.
@@ -34,22 +34,22 @@
     missing_docs,
     reason = "the fields are what their names say: hosts, placers and requests by name"
 )]
-pub enum Seen {
+pub enum Observation {
     /// A host's process is up, since this Unix time in ms.
     HostUp { host: Arc<str>, started_ms: u64 },
     /// A host's process is gone.
     HostDown { host: Arc<str> },
     /// A placer has greeted a host over this connection.
-    Link {
+    PlacerConnected {
         host: Arc<str>,
         link: u64,
         placer: Arc<str>,
-        life: u64,
+        incarnation: u64,
     },
     /// The connection is over.
     LinkLost { host: Arc<str>, link: u64 },
     /// A frame from the placer on this connection.
-    FromPlacer {
+    FrameFromPlacer {
         host: Arc<str>,
         link: u64,
         frame: Frame,
@@ -61,7 +61,7 @@
         frame: Frame,
     },
     /// A client asked a placer.
-    Asked {
+    PlacementRequested {
         request: Arc<str>,
         placer: Arc<str>,
         class: Arc<str>,
@@ -70,7 +70,7 @@
     /// A client has the answer.
     Answered { request: Arc<str>, outcome: Outcome },
     /// The connection ended without an answer.
-    Cut { request: Arc<str> },
+    ClientConnectionLost { request: Arc<str> },
     /// A client gave up.
     HungUp { request: Arc<str> },
     /// A sound inventory was put in place: hosts that take tasks, with their start, and those that are gone.
@@ -101,14 +101,17 @@
     PlacerPaused { placer: Arc<str> },
     /// A reader is late: what it reads from here on may have come at any time since this one, when it last found nothing
     /// more to read. Or it is in time again.
-    ReadLate { reader: Reader, since: Option<u64> },
+    ReadLate {
+        reader: Observer,
+        since: Option<u64>,
+    },
     /// It goes on.
     PlacerGoesOn { placer: Arc<str> },
 }
 
 /// Whose traffic a reader reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reader {
+pub enum Observer {
     /// What placers send to hosts.
     Hosts,
     /// What placers answer to clients.
@@ -117,9 +120,9 @@
 
 /// What was seen, and when: µs on one clock for all.
 #[derive(Clone, Debug)]
-pub struct Record {
+pub struct HistoryEntry {
     /// When.
-    pub at: u64,
+    pub at_us: u64,
     /// What.
-    pub seen: Seen,
+    pub observation: Observation,
 }
--- a/crates/judge/src/rule_1.rs
+++ b/crates/judge/src/rule_1.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::judge::{Judge, Name};
-use crate::record::{Outcome, Reader, Record, Seen};
+use crate::record::{HistoryEntry, Observation, Observer, Outcome};
 
 /// Times in which a placer was away.
 #[derive(Default)]
@@ -15,7 +15,7 @@
 }
 
 /// When each placer was away.
-pub(crate) fn absences(records: &[Record]) -> BTreeMap<Name, Absences> {
+pub(crate) fn absences(records: &[HistoryEntry]) -> BTreeMap<Name, Absences> {
     let mut all: BTreeMap<Name, Absences> = BTreeMap::new();
     let open = |spans: &mut Vec<(u64, u64)>, at| {
         if spans.last().is_none_or(|s| s.1 != u64::MAX) {
@@ -28,23 +28,25 @@
         }
     };
     for record in records {
-        match &record.seen {
-            Seen::PlacerDown { placer } => {
-                open(&mut all.entry(placer.clone()).or_default().down, record.at)
-            }
-            Seen::PlacerUp { placer } => {
-                shut(&mut all.entry(placer.clone()).or_default().down, record.at)
-            }
-            Seen::PlacerPaused { placer } => {
+        match &record.observation {
+            Observation::PlacerDown { placer } => open(
+                &mut all.entry(placer.clone()).or_default().down,
+                record.at_us,
+            ),
+            Observation::PlacerUp { placer } => shut(
+                &mut all.entry(placer.clone()).or_default().down,
+                record.at_us,
+            ),
+            Observation::PlacerPaused { placer } => {
                 open(
                     &mut all.entry(placer.clone()).or_default().paused,
-                    record.at,
+                    record.at_us,
                 );
             }
-            Seen::PlacerGoesOn { placer } => {
+            Observation::PlacerGoesOn { placer } => {
                 shut(
                     &mut all.entry(placer.clone()).or_default().paused,
-                    record.at,
+                    record.at_us,
                 );
             }
             _ => {}
@@ -54,13 +56,13 @@
 }
 
 /// Times in which the inventory could not be read.
-pub(crate) fn unreadable(records: &[Record]) -> Vec<(u64, u64)> {
+pub(crate) fn unreadable(records: &[HistoryEntry]) -> Vec<(u64, u64)> {
     let mut spans: Vec<(u64, u64)> = Vec::new();
     for record in records {
         let open = spans.last_mut().filter(|s| s.1 == u64::MAX);
-        match (&record.seen, open) {
-            (Seen::InventoryUnreadable, None) => spans.push((record.at, u64::MAX)),
-            (Seen::Inventory { .. }, Some(span)) => span.1 = record.at,
+        match (&record.observation, open) {
+            (Observation::InventoryUnreadable, None) => spans.push((record.at_us, u64::MAX)),
+            (Observation::Inventory { .. }, Some(span)) => span.1 = record.at_us,
             _ => {}
         }
     }
@@ -122,18 +124,18 @@
 
     pub(crate) fn answered(&mut self, request: &Name, outcome: &Outcome) {
         let (at, number) = (self.at, self.number);
-        let arrived = self.earliest_arrival(Reader::Clients);
+        let arrived = self.earliest_arrival(Observer::Clients);
         let Some(ask) = self.asks.get_mut(request) else {
             return;
         };
         match outcome {
             Outcome::Placed(_) => self.verdict.placed += 1,
-            Outcome::Refused(reason) => {
-                self.verdict.refused += 1;
+            Outcome::Rejected(reason) => {
+                self.verdict.rejected += 1;
                 *self.verdict.refused_by.entry(reason.clone()).or_default() += 1;
             }
             Outcome::Failed => self.verdict.failed += 1,
-            Outcome::Turned(_) => self.verdict.turned_away += 1,
+            Outcome::Turned(_) => self.verdict.not_accepted += 1,
         }
         let (shown, deadline, asked, placer) =
             (ask.shown, ask.deadline, ask.at, ask.placer.clone());
@@ -156,7 +158,7 @@
                 vec![shown, number],
             );
         }
-        if let Outcome::Refused(_) = outcome {
+        if let Outcome::Rejected(_) = outcome {
             self.refused(request);
         }
     }
--- a/crates/judge/src/rule_2.rs
+++ b/crates/judge/src/rule_2.rs
@@ -1,10 +1,10 @@
 //! Rule 2: what may have run is sent again only as its class allows, and no ask has two attempts out.
 
-use maplethread_wire::frame::{Copies, Offer};
+use maplethread_wire::frame::{DuplicatePolicy, Offer};
 
 use crate::figures::Group;
 use crate::judge::{Attempt, Judge, Name, Placing};
-use crate::record::Reader;
+use crate::record::Observer;
 
 impl Judge<'_> {
     /// Rule 2: a refusal says that nothing ran, unless a second copy does no harm.
@@ -12,7 +12,7 @@
         let mut shown = Vec::new();
         let wide = |class: &str| {
             let rule = self.figures.classes.iter().find(|c| c.name == class);
-            rule.is_some_and(|c| matches!(c.keyed, Some((Group::All, _))))
+            rule.is_some_and(|c| matches!(c.deduplication, Some((Group::All, _))))
         };
         let first = (request.clone(), Name::from(""), 0);
         let own = self
@@ -20,7 +20,7 @@
             .range(first..)
             .take_while(|((asked, ..), _)| asked == request);
         for (_, placing) in own {
-            if placing.copies == Copies::Safe || wide(&placing.class) {
+            if placing.copies == DuplicatePolicy::Idempotent || wide(&placing.class) {
                 continue;
             }
             for attempt in placing.attempts.iter().filter_map(|w| self.attempts.get(w)) {
@@ -49,17 +49,17 @@
         offer: &Offer,
     ) {
         let (at, slack, number) = (self.at, self.figures.slack, self.number);
-        let arrived = self.earliest_arrival(Reader::Hosts);
+        let arrived = self.earliest_arrival(Observer::Hosts);
         let key = (request.clone(), placer.clone(), life);
         let ask = self.asks.get(request).map(|a| a.shown);
         let placing = self.placings.entry(key).or_insert_with(|| Placing {
             attempts: Vec::new(),
-            copies: offer.copies,
+            copies: offer.duplicate_policy,
             class: offer.class.clone(),
             asked: ask,
         });
         let before = placing.attempts.clone();
-        placing.attempts.push(offer.attempt);
+        placing.attempts.push(offer.attempt_id);
         let asked = placing.asked;
         let mut faults = Vec::new();
         let mut first: Option<&Attempt> = None;
@@ -68,9 +68,9 @@
                 continue;
             };
             // Offers to two hosts may be read in another order than they were sent: the first must be over.
-            let (earlier, over) = match attempt.number <= offer.number {
+            let (earlier, over) = match attempt.number <= offer.prior_attempts {
                 true => (*wire, attempt.over.is_some()),
-                false => (offer.attempt, false),
+                false => (offer.attempt_id, false),
             };
             if !over {
                 let shown = asked.into_iter().chain([attempt.shown, number]).collect();
@@ -84,9 +84,9 @@
         if let Some(first) = first {
             let rule = self.figures.classes.iter().find(|c| c.name == offer.class);
             let place = |h: &Name| self.places.get(h);
-            match (offer.copies, rule.and_then(|r| r.keyed)) {
-                (Copies::Safe, _) => {}
-                (Copies::Keyed(_), Some((group, window))) => {
+            match (offer.duplicate_policy, rule.and_then(|r| r.deduplication)) {
+                (DuplicatePolicy::Idempotent, _) => {}
+                (DuplicatePolicy::IdempotencyKey(_), Some((group, window))) => {
                     let (a, b) = (place(&first.host), place(host));
                     let same = match group {
                         Group::All => true,
--- a/crates/judge/src/rule_3.rs
+++ b/crates/judge/src/rule_3.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 
 use crate::judge::{Judge, Name};
-use crate::record::Reader;
+use crate::record::Observer;
 
 impl Judge<'_> {
     pub(crate) fn rule_3(&mut self, placer: &Name, host: &Name) {
         let (at, grace) = (self.at, self.figures.drain_grace);
-        let arrived = self.earliest_arrival(Reader::Hosts);
+        let arrived = self.earliest_arrival(Observer::Hosts);
         let drained = self.barred.get(&(placer.clone(), host.clone())).copied();
         let listed = self
             .inventory
--- a/crates/judge/src/rule_4.rs
+++ b/crates/judge/src/rule_4.rs
@@ -1,7 +1,7 @@
 //! Rule 4: a cold host gets no more than the placer's part of its budget, in any window.
 
 use crate::judge::{Judge, Name};
-use crate::record::Reader;
+use crate::record::Observer;
 
 impl Judge<'_> {
     pub(crate) fn rule_4(&mut self, placer: &Name, host: &Name) {
@@ -22,16 +22,16 @@
         }
         // Offers further apart than the window when they were sent may be read closer together.
         let (arrived, window) = (
-            self.earliest_arrival(Reader::Hosts),
+            self.earliest_arrival(Observer::Hosts),
             self.figures.fall_window,
         );
-        let fresh = self.figures.fresh_offers;
+        let fresh = self.figures.warm_up_offers;
         let offers = self.cold_offers.entry(host.clone()).or_default();
         offers.retain(|o| o.0 + window >= at);
         offers.push_back((arrived, placer.clone(), told, number));
         let knowing = offers.iter().filter(|o| o.2).count();
         let own = offers.iter().filter(|o| o.1 == *placer && o.2).count() as f64;
-        let part = (fresh / f64::from(self.figures.placers)).ceil();
+        let part = (fresh / f64::from(self.figures.placer_count)).ceil();
         let shown: Vec<usize> = offers.iter().map(|o| o.3).collect();
         if offers.len() as f64 > fresh && knowing * 3 >= offers.len() * 2 {
             let what = format!(
--- a/crates/judge/src/rule_5.rs
+++ b/crates/judge/src/rule_5.rs
@@ -14,7 +14,7 @@
         class: &str,
     ) {
         let rule = self.figures.classes.iter().find(|c| c.name == class);
-        let Some((place, most)) = rule.and_then(|r| r.spread) else {
+        let Some((place, most)) = rule.and_then(|r| r.spread_limit) else {
             return;
         };
         let Some(here) = self.places.get(host) else {
--- a/crates/judge/src/verdict.rs
+++ b/crates/judge/src/verdict.rs
@@ -4,13 +4,13 @@
 
 /// A broken rule.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     /// Which, 1 to 5.
     pub rule: u8,
     /// When, µs on the record's clock.
-    pub at: u64,
+    pub at_us: u64,
     /// What, in a line.
-    pub what: String,
+    pub description: String,
     /// The records that show it, by number.
     pub shown_by: Vec<usize>,
 }
@@ -19,17 +19,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Verdict {
     /// Asks.
-    pub asks: u64,
+    pub requests: u64,
     /// Answered `placed`.
     pub placed: u64,
     /// Answered `refused`.
-    pub refused: u64,
+    pub rejected: u64,
     /// Those refused, by the reason told.
     pub refused_by: BTreeMap<String, u64>,
     /// Answered `failed`.
     pub failed: u64,
     /// Not taken: 503 and the like.
-    pub turned_away: u64,
+    pub not_accepted: u64,
     /// Without an answer, though the placer was running and the client waited until the deadline.
     pub unanswered: u64,
     /// Without an answer that could not be given: the placer was killed, stood still up to the deadline or nearly so, or
@@ -41,14 +41,14 @@
     /// locked, the catalogue had a leader, and as many placers wanted a number as were free.
     pub number_waits: Vec<u64>,
     /// Broken rules.
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
 }
 
 impl Verdict {
     /// How often each rule was broken.
-    pub fn counts(&self) -> BTreeMap<u8, u64> {
+    pub fn violations_by_rule(&self) -> BTreeMap<u8, u64> {
         let mut counts = BTreeMap::new();
-        for broken in &self.broken {
+        for broken in &self.violations {
             *counts.entry(broken.rule).or_default() += 1;
         }
         counts
--- a/crates/judge/tests/excuses.rs
+++ b/crates/judge/tests/excuses.rs
@@ -2,45 +2,45 @@
 
 mod support;
 
-use maplethread_judge::{Figures, Outcome, Record, Seen, Where, judge};
+use maplethread_judge::{HistoryEntry, Location, Observation, Outcome, RuleParameters, check};
 use maplethread_wire::frame::Frame;
 
 use support::{S, figures, name, offer};
 
 /// An ask at 10 s with 3 s to answer, and what happened to its placer; unanswered and excused.
-fn verdict(happened: &[(u64, Seen)]) -> (u64, u64) {
-    let asked = Seen::Asked {
+fn verdict(happened: &[(u64, Observation)]) -> (u64, u64) {
+    let asked = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
         class: name("c"),
         budget_us: 3 * S,
     };
-    let mut records = vec![Record {
-        at: 10 * S,
-        seen: asked,
+    let mut records = vec![HistoryEntry {
+        at_us: 10 * S,
+        observation: asked,
     }];
-    records.extend(happened.iter().map(|(at, seen)| Record {
-        at: *at,
-        seen: seen.clone(),
+    records.extend(happened.iter().map(|(at, seen)| HistoryEntry {
+        at_us: *at,
+        observation: seen.clone(),
     }));
-    records.push(Record {
-        at: 30 * S,
-        seen: Seen::PlacerUp {
+    records.push(HistoryEntry {
+        at_us: 30 * S,
+        observation: Observation::PlacerUp {
             placer: name("other"),
         },
     });
-    records.sort_by_key(|r| r.at);
-    let verdict = judge(&records, &figures());
-    assert_eq!(verdict.broken.len() as u64, verdict.unanswered);
+    records.sort_by_key(|r| r.at_us);
+    let verdict = check(&records, &figures());
+    assert_eq!(verdict.violations.len() as u64, verdict.unanswered);
     (verdict.unanswered, verdict.excused)
 }
 
 #[test]
 fn silence_is_excused_only_where_no_answer_could_be_given() {
-    let paused = || Seen::PlacerPaused { placer: name("p") };
-    let goes_on = || Seen::PlacerGoesOn { placer: name("p") };
-    let down = || Seen::PlacerDown { placer: name("p") };
-    let up = || Seen::PlacerUp { placer: name("p") };
+    let paused = || Observation::PlacerPaused { placer: name("p") };
+    let goes_on = || Observation::PlacerGoesOn { placer: name("p") };
+    let down = || Observation::PlacerDown { placer: name("p") };
+    let up = || Observation::PlacerUp { placer: name("p") };
     assert_eq!(verdict(&[]), (1, 0), "it ran all the time");
     // Half a second of three: the answer is owed.
     assert_eq!(
@@ -78,62 +78,67 @@
 
 #[test]
 fn an_answer_is_given_once_and_in_time() {
-    let placed = || Seen::Answered {
+    let placed = || Observation::Answered {
         request: name("r"),
         outcome: Outcome::Placed("h".to_owned()),
     };
     assert_eq!(verdict(&[(12 * S, placed())]), (0, 0));
-    let ask = Seen::Asked {
+    let ask = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
         class: name("c"),
         budget_us: 3 * S,
     };
     for times in [vec![12 * S, 12 * S + 1], vec![13 * S + 200_000]] {
-        let mut records = vec![Record {
-            at: 10 * S,
-            seen: ask.clone(),
+        let mut records = vec![HistoryEntry {
+            at_us: 10 * S,
+            observation: ask.clone(),
         }];
-        records.extend(times.iter().map(|&at| Record { at, seen: placed() }));
-        let verdict = judge(&records, &figures());
-        assert_eq!(verdict.counts().get(&1), Some(&1), "{times:?}");
+        records.extend(times.iter().map(|&at| HistoryEntry {
+            at_us: at,
+            observation: placed(),
+        }));
+        let verdict = check(&records, &figures());
+        assert_eq!(verdict.violations_by_rule().get(&1), Some(&1), "{times:?}");
     }
 }
 
 #[test]
 fn an_ask_that_lay_unread_beyond_its_deadline_is_turned_away() {
-    let ask = Seen::Asked {
+    let ask = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
         class: name("c"),
         budget_us: 3 * S,
     };
     let late = |stood_still: bool, outcome: Outcome| {
-        let mut records = vec![Record {
-            at: 10 * S,
-            seen: ask.clone(),
+        let mut records = vec![HistoryEntry {
+            at_us: 10 * S,
+            observation: ask.clone(),
         }];
         if stood_still {
             records.insert(
                 0,
-                Record {
-                    at: 9 * S,
-                    seen: Seen::PlacerPaused { placer: name("p") },
+                HistoryEntry {
+                    at_us: 9 * S,
+                    observation: Observation::PlacerPaused { placer: name("p") },
                 },
             );
-            records.push(Record {
-                at: 13 * S,
-                seen: Seen::PlacerGoesOn { placer: name("p") },
+            records.push(HistoryEntry {
+                at_us: 13 * S,
+                observation: Observation::PlacerGoesOn { placer: name("p") },
             });
         }
-        records.push(Record {
-            at: 13 * S + 152_000,
-            seen: Seen::Answered {
+        records.push(HistoryEntry {
+            at_us: 13 * S + 152_000,
+            observation: Observation::Answered {
                 request: name("r"),
                 outcome,
             },
         });
-        judge(&records, &figures()).counts().contains_key(&1)
+        check(&records, &figures())
+            .violations_by_rule()
+            .contains_key(&1)
     };
     assert!(!late(true, Outcome::Turned(503)), "it never took it");
     assert!(late(true, Outcome::Failed), "an answer after the deadline");
@@ -147,62 +152,65 @@
 fn news_counts_from_when_it_could_be_read() {
     let (host, placer) = (name("h"), name("p"));
     // Removed at 10 s, offered to at 14 s, with a grace of 2 s.
-    let broken = |happened: &[(u64, Seen)]| {
-        let link = Seen::Link {
+    let broken = |happened: &[(u64, Observation)]| {
+        let link = Observation::PlacerConnected {
             host: host.clone(),
             link: 1,
             placer: placer.clone(),
-            life: 1,
+            incarnation: 1,
         };
         let frame = Frame::Offer(offer(1));
         let mut records = vec![
-            Record { at: S, seen: link },
-            Record {
-                at: 2 * S,
-                seen: Seen::Inventory {
+            HistoryEntry {
+                at_us: S,
+                observation: link,
+            },
+            HistoryEntry {
+                at_us: 2 * S,
+                observation: Observation::Inventory {
                     ready: vec![(host.clone(), None)],
                     gone: vec![],
                 },
             },
-            Record {
-                at: 10 * S,
-                seen: Seen::Inventory {
+            HistoryEntry {
+                at_us: 10 * S,
+                observation: Observation::Inventory {
                     ready: vec![],
                     gone: vec![host.clone()],
                 },
             },
-            Record {
-                at: 14 * S,
-                seen: Seen::FromPlacer {
+            HistoryEntry {
+                at_us: 14 * S,
+                observation: Observation::FrameFromPlacer {
                     host: host.clone(),
                     link: 1,
                     frame,
                 },
             },
         ];
-        records.extend(happened.iter().map(|(at, seen)| Record {
-            at: *at,
-            seen: seen.clone(),
+        records.extend(happened.iter().map(|(at, seen)| HistoryEntry {
+            at_us: *at,
+            observation: seen.clone(),
         }));
-        records.sort_by_key(|r| r.at);
-        let there = Where {
+        records.sort_by_key(|r| r.at_us);
+        let there = Location {
             host: host.clone(),
             zone: name("z"),
             cell: name("c"),
         };
-        let verdict = judge(
+        let verdict = check(
             &records,
-            &Figures {
+            &RuleParameters {
                 hosts: vec![there],
                 ..figures()
             },
         );
-        verdict.counts().contains_key(&3)
+        verdict.violations_by_rule().contains_key(&3)
     };
     let paused = |at| {
         (
             at,
-            Seen::PlacerPaused {
+            Observation::PlacerPaused {
                 placer: placer.clone(),
             },
         )
@@ -210,16 +218,16 @@
     let goes_on = |at| {
         (
             at,
-            Seen::PlacerGoesOn {
+            Observation::PlacerGoesOn {
                 placer: placer.clone(),
             },
         )
     };
-    let garbled = |at| (at, Seen::InventoryUnreadable);
+    let garbled = |at| (at, Observation::InventoryUnreadable);
     let sound = |at| {
         (
             at,
-            Seen::Inventory {
+            Observation::Inventory {
                 ready: vec![],
                 gone: vec![host.clone()],
             },
--- a/crates/judge/tests/numbers.rs
+++ b/crates/judge/tests/numbers.rs
@@ -2,82 +2,88 @@
 
 mod support;
 
-use maplethread_judge::{Figures, Record, Seen, Verdict, Where, judge};
+use maplethread_judge::{HistoryEntry, Location, Observation, RuleParameters, Verdict, check};
 use maplethread_wire::frame::Frame;
 
 use support::{S, figures, name, offer};
 
-fn locked(number: &str, placer: &str) -> Seen {
-    Seen::NumberLocked {
+fn locked(number: &str, placer: &str) -> Observation {
+    Observation::NumberLocked {
         number: name(number),
         placer: name(placer),
     }
 }
 
-fn free(number: &str) -> Seen {
-    Seen::NumberFree {
+fn free(number: &str) -> Observation {
+    Observation::NumberFree {
         number: name(number),
         after_us: S,
     }
 }
 
 /// Two placers and a host that is cold for all of the day.
-fn verdict(happened: Vec<(u64, Seen)>) -> Verdict {
-    let hosts = vec![Where {
+fn verdict(happened: Vec<(u64, Observation)>) -> Verdict {
+    let hosts = vec![Location {
         host: name("h"),
         zone: name("z"),
         cell: name("c"),
     }];
-    let figures = Figures {
+    let figures = RuleParameters {
         hosts,
         cold_for: 1000 * S,
         ..figures()
     };
-    let mut records = vec![Record {
-        at: 0,
-        seen: Seen::HostUp {
+    let mut records = vec![HistoryEntry {
+        at_us: 0,
+        observation: Observation::HostUp {
             host: name("h"),
             started_ms: 0,
         },
     }];
     for (link, placer) in ["p", "q"].into_iter().enumerate() {
         let placer = name(placer);
-        records.push(Record {
-            at: 1,
-            seen: Seen::PlacerUp {
+        records.push(HistoryEntry {
+            at_us: 1,
+            observation: Observation::PlacerUp {
                 placer: placer.clone(),
             },
         });
-        let link = Seen::Link {
+        let link = Observation::PlacerConnected {
             host: name("h"),
             link: link as u64,
             placer,
-            life: 1,
+            incarnation: 1,
         };
-        records.push(Record { at: 2, seen: link });
+        records.push(HistoryEntry {
+            at_us: 2,
+            observation: link,
+        });
     }
-    records.extend(happened.into_iter().map(|(at, seen)| Record { at, seen }));
-    records.push(Record {
-        at: 60 * S,
-        seen: Seen::HostDown { host: name("h") },
+    records.extend(happened.into_iter().map(|(at, seen)| HistoryEntry {
+        at_us: at,
+        observation: seen,
+    }));
+    records.push(HistoryEntry {
+        at_us: 60 * S,
+        observation: Observation::HostDown { host: name("h") },
     });
-    judge(&records, &figures)
+    check(&records, &figures)
 }
 
 /// An offer by the first or the second placer.
-fn offered(placer: u64, attempt: u64) -> Seen {
-    Seen::FromPlacer {
+fn offered(placer: u64, attempt: u64) -> Observation {
+    Observation::FrameFromPlacer {
         host: name("h"),
         link: placer,
         frame: Frame::Offer(offer(attempt)),
     }
 }
 
-fn broken(happened: Vec<(u64, Seen)>) -> Vec<String> {
+fn broken(happened: Vec<(u64, Observation)>) -> Vec<String> {
     verdict(happened)
-        .broken
+        .violations
         .into_iter()
-        .map(|b| b.what)
+        .map(|b| b.description)
         .collect()
 }
 
@@ -97,18 +103,18 @@
     assert!(ended(5 * S + S / 2).is_empty());
     assert!(ended(7 * S)[0].contains("was let go of"));
     // A new life holds nothing that it did not lock itself.
-    let again = |more: Vec<(u64, Seen)>| {
+    let again = |more: Vec<(u64, Observation)>| {
         let mut all = vec![
             (S, locked("0", "p")),
-            (5 * S, Seen::PlacerDown { placer: name("p") }),
-            (6 * S, Seen::PlacerUp { placer: name("p") }),
+            (5 * S, Observation::PlacerDown { placer: name("p") }),
+            (6 * S, Observation::PlacerUp { placer: name("p") }),
             (
                 7 * S,
-                Seen::Link {
+                Observation::PlacerConnected {
                     host: name("h"),
                     link: 0,
                     placer: name("p"),
-                    life: 2,
+                    incarnation: 2,
                 },
             ),
         ];
@@ -138,7 +144,7 @@
 
 #[test]
 fn a_free_number_waits_while_it_could_be_taken() {
-    let waits = |more: Vec<(u64, Seen)>| {
+    let waits = |more: Vec<(u64, Observation)>| {
         let mut all = vec![(S, locked("0", "p")), (5 * S, free("0"))];
         all.extend(more);
         verdict(all).number_waits
@@ -146,18 +152,18 @@
     // From the lock delay on.
     assert_eq!(waits(vec![(8 * S, locked("0", "q"))]), [2 * S]);
     // Nobody could take it while there was no leader, or nobody was there.
-    let no_leader = (7 * S, Seen::NoLeader { for_us: 2 * S });
+    let no_leader = (7 * S, Observation::NoLeader { for_us: 2 * S });
     assert_eq!(waits(vec![no_leader, (10 * S, locked("0", "q"))]), [2 * S]);
-    let down = |placer| Seen::PlacerDown {
+    let down = |placer| Observation::PlacerDown {
         placer: name(placer),
     };
-    let paused = |placer| Seen::PlacerPaused {
+    let paused = |placer| Observation::PlacerPaused {
         placer: name(placer),
     };
     let away = vec![
         (7 * S, down("p")),
         (7 * S, paused("q")),
-        (9 * S, Seen::PlacerGoesOn { placer: name("q") }),
+        (9 * S, Observation::PlacerGoesOn { placer: name("q") }),
         (10 * S, locked("0", "q")),
     ];
     assert_eq!(waits(away), [2 * S]);
--- a/crates/judge/tests/read_late.rs
+++ b/crates/judge/tests/read_late.rs
@@ -2,8 +2,10 @@
 
 use std::sync::Arc;
 
-use maplethread_judge::{Figures, Outcome, Reader, Record, Seen, Where, judge};
-use maplethread_wire::frame::{Copies, Frame, Load, Offer};
+use maplethread_judge::{
+    HistoryEntry, Location, Observation, Observer, Outcome, RuleParameters, check,
+};
+use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, ResourceAmounts};
 
 const S: u64 = 1_000_000;
 const MS: u64 = 1_000;
@@ -12,19 +14,19 @@
     text.into()
 }
 
-fn figures() -> Figures {
-    Figures {
+fn figures() -> RuleParameters {
+    RuleParameters {
         classes: Vec::new(),
-        hosts: vec![Where {
+        hosts: vec![Location {
             host: name("h"),
             zone: name("z"),
             cell: name("c"),
         }],
-        placers: 1,
+        placer_count: 1,
         drain_grace: 2 * S,
         cold_for: 1000 * S,
         fall_window: 2 * S,
-        fresh_offers: 16.0,
+        warm_up_offers: 16.0,
         lost_after: 5 * S,
         reprieve: S / 2,
         slack: 150 * MS,
@@ -32,50 +34,50 @@
 }
 
 /// How often a rule is broken by these records.
-fn broken(rule: u8, mut records: Vec<Record>) -> u64 {
-    records.sort_by_key(|r| r.at);
-    judge(&records, &figures())
-        .counts()
+fn broken(rule: u8, mut records: Vec<HistoryEntry>) -> u64 {
+    records.sort_by_key(|r| r.at_us);
+    check(&records, &figures())
+        .violations_by_rule()
         .get(&rule)
         .copied()
         .unwrap_or(0)
 }
 
-fn late(reader: Reader, at: u64, since: Option<u64>) -> Record {
-    Record {
-        at,
-        seen: Seen::ReadLate { reader, since },
+fn late(reader: Observer, at: u64, since: Option<u64>) -> HistoryEntry {
+    HistoryEntry {
+        at_us: at,
+        observation: Observation::ReadLate { reader, since },
     }
 }
 
 #[test]
 fn an_answer_is_late_only_if_its_reader_looked_after_the_deadline() {
     let deadline = 13 * S;
-    let answered_after = |span: u64, notes: Vec<Record>| {
-        let asked = Seen::Asked {
+    let answered_after = |span: u64, notes: Vec<HistoryEntry>| {
+        let asked = Observation::PlacementRequested {
             request: name("r"),
             placer: name("p"),
             class: name("c"),
             budget_us: 3 * S,
         };
-        let answered = Seen::Answered {
+        let answered = Observation::Answered {
             request: name("r"),
             outcome: Outcome::Failed,
         };
         let mut records = vec![
-            Record {
-                at: 10 * S,
-                seen: asked,
+            HistoryEntry {
+                at_us: 10 * S,
+                observation: asked,
             },
-            Record {
-                at: deadline + span,
-                seen: answered,
+            HistoryEntry {
+                at_us: deadline + span,
+                observation: answered,
             },
         ];
         records.extend(notes);
         broken(1, records)
     };
-    let clients = |since| late(Reader::Clients, deadline + 200 * MS, Some(since));
+    let clients = |since| late(Observer::Clients, deadline + 200 * MS, Some(since));
     assert_eq!(answered_after(150 * MS, vec![]), 0, "within the slack");
     assert_eq!(answered_after(151 * MS, vec![]), 1);
     assert_eq!(
@@ -88,35 +90,35 @@
         1,
         "there was nothing after the deadline"
     );
-    let in_time_again = late(Reader::Clients, deadline + 250 * MS, None);
+    let in_time_again = late(Observer::Clients, deadline + 250 * MS, None);
     assert_eq!(
         answered_after(300 * MS, vec![clients(deadline - MS), in_time_again]),
         1
     );
-    let hosts = late(Reader::Hosts, deadline + 200 * MS, Some(deadline - MS));
+    let hosts = late(Observer::Hosts, deadline + 200 * MS, Some(deadline - MS));
     assert_eq!(answered_after(300 * MS, vec![hosts]), 1, "another reader");
 }
 
-fn offer(at: u64, attempt: u64) -> Record {
+fn offer(at: u64, attempt: u64) -> HistoryEntry {
     let offer = Offer {
-        attempt,
-        number: 0,
+        attempt_id: attempt,
+        prior_attempts: 0,
         service: "s".into(),
         actor: "a".into(),
         class: "c".into(),
-        request: attempt.to_string(),
-        asks: Load {
+        request_id: attempt.to_string(),
+        requested: ResourceAmounts {
             cores: 1.0,
-            memory: 1.0,
+            memory_gib: 1.0,
         },
         priority: 0,
-        copies: Copies::Safe,
-        life_ms: 0,
-        wait_ms: 100,
+        duplicate_policy: DuplicatePolicy::Idempotent,
+        expected_duration_ms: 0,
+        answer_timeout_ms: 100,
     };
-    Record {
-        at,
-        seen: Seen::FromPlacer {
+    HistoryEntry {
+        at_us: at,
+        observation: Observation::FrameFromPlacer {
             host: name("h"),
             link: 1,
             frame: Frame::Offer(offer),
@@ -127,32 +129,35 @@
 #[test]
 fn offers_that_were_read_late_count_from_the_earliest_time_at_which_they_came() {
     // As many as a cold host bears, read at 10 s, and one more after `gap`.
-    let offered = |gap: u64, notes: Vec<Record>| {
-        let link = Seen::Link {
+    let offered = |gap: u64, notes: Vec<HistoryEntry>| {
+        let link = Observation::PlacerConnected {
             host: name("h"),
             link: 1,
             placer: name("p"),
-            life: 1,
+            incarnation: 1,
         };
         let mut records = vec![
-            Record {
-                at: 0,
-                seen: Seen::HostUp {
+            HistoryEntry {
+                at_us: 0,
+                observation: Observation::HostUp {
                     host: name("h"),
                     started_ms: 0,
                 },
             },
-            Record { at: 1, seen: link },
+            HistoryEntry {
+                at_us: 1,
+                observation: link,
+            },
         ];
         records.extend((0..16).map(|n| offer(10 * S, n)));
         records.push(offer(10 * S + gap, 16));
         records.extend(notes);
         broken(4, records)
     };
-    let hosts = |since| late(Reader::Hosts, 10 * S - MS, Some(since));
+    let hosts = |since| late(Observer::Hosts, 10 * S - MS, Some(since));
     assert_eq!(offered(1_900 * MS, vec![]), 0, "within the slack");
     assert_eq!(offered(1_500 * MS, vec![]), 1);
-    let again = || late(Reader::Hosts, 10 * S + MS, None);
+    let again = || late(Observer::Hosts, 10 * S + MS, None);
     assert_eq!(
         offered(1_500 * MS, vec![hosts(9_400 * MS), again()]),
         0,
@@ -163,7 +168,7 @@
         1,
         "400 ms explain nothing"
     );
-    let second = late(Reader::Hosts, 11 * S, Some(10 * S + MS));
+    let second = late(Observer::Hosts, 11 * S, Some(10 * S + MS));
     assert_eq!(
         offered(1_500 * MS, vec![second]),
         1,
@@ -173,30 +178,33 @@
 
 #[test]
 fn news_that_a_host_drains_binds_whenever_offers_are_read() {
-    let offered = |at: u64, notes: Vec<Record>| {
-        let link = Seen::Link {
+    let offered = |at: u64, notes: Vec<HistoryEntry>| {
+        let link = Observation::PlacerConnected {
             host: name("h"),
             link: 1,
             placer: name("p"),
-            life: 1,
+            incarnation: 1,
         };
-        let drain = Seen::FromHost {
+        let drain = Observation::FromHost {
             host: name("h"),
             link: 1,
             frame: Frame::Drain,
         };
         let mut records = vec![
-            Record { at: S, seen: link },
-            Record {
-                at: 10 * S,
-                seen: drain,
+            HistoryEntry {
+                at_us: S,
+                observation: link,
+            },
+            HistoryEntry {
+                at_us: 10 * S,
+                observation: drain,
             },
             offer(at, 1),
         ];
         records.extend(notes);
         broken(3, records)
     };
-    let hosts = |since| late(Reader::Hosts, 12 * S, Some(since));
+    let hosts = |since| late(Observer::Hosts, 12 * S, Some(since));
     assert_eq!(offered(12_100 * MS, vec![]), 0, "within the slack");
     assert_eq!(offered(12_500 * MS, vec![]), 1);
     assert_eq!(
@@ -208,28 +216,28 @@
 }
 
 /// A connection of the placer to the host.
-fn link(link: u64) -> Record {
-    Record {
-        at: link,
-        seen: Seen::Link {
+fn link(link: u64) -> HistoryEntry {
+    HistoryEntry {
+        at_us: link,
+        observation: Observation::PlacerConnected {
             host: name("h"),
             link,
             placer: name("p"),
-            life: 1,
+            incarnation: 1,
         },
     }
 }
 
 /// The second attempt of the ask whose first is attempt 1, on a connection of its own.
-fn second_attempt() -> Record {
+fn second_attempt() -> HistoryEntry {
     let mut second = offer(10 * S, 2);
-    if let Seen::FromPlacer {
+    if let Observation::FrameFromPlacer {
         link,
         frame: Frame::Offer(offer),
         ..
-    } = &mut second.seen
+    } = &mut second.observation
     {
-        (*link, offer.request, offer.number) = (2, "1".to_owned(), 1);
+        (*link, offer.request_id, offer.prior_attempts) = (2, "1".to_owned(), 1);
     }
     second
 }
@@ -237,22 +245,22 @@
 #[test]
 fn an_earlier_attempt_was_over_if_that_was_sent_in_time_whenever_it_is_read() {
     // Two offers for one ask to two hosts, and the first called off: read after `gap`.
-    let doubled = |gap: u64, notes: Vec<Record>| {
+    let doubled = |gap: u64, notes: Vec<HistoryEntry>| {
         let second = second_attempt();
-        let cancel = Seen::FromPlacer {
+        let cancel = Observation::FrameFromPlacer {
             host: name("h"),
             link: 1,
             frame: Frame::Cancel(1),
         };
         let mut records = vec![link(1), link(2), offer(9 * S, 1), second];
-        records.push(Record {
-            at: 10 * S + gap,
-            seen: cancel,
+        records.push(HistoryEntry {
+            at_us: 10 * S + gap,
+            observation: cancel,
         });
         // Time goes on at others while the reader is away.
-        records.push(Record {
-            at: 10 * S + 200 * MS,
-            seen: Seen::PlacerUp { placer: name("q") },
+        records.push(HistoryEntry {
+            at_us: 10 * S + 200 * MS,
+            observation: Observation::PlacerUp { placer: name("q") },
         });
         records.push(offer(20 * S, 3));
         records.extend(notes);
@@ -260,8 +268,8 @@
     };
     let late_since = |since| {
         vec![
-            late(Reader::Hosts, 10 * S + 300 * MS, Some(since)),
-            late(Reader::Hosts, 11 * S, None),
+            late(Observer::Hosts, 10 * S + 300 * MS, Some(since)),
+            late(Observer::Hosts, 11 * S, None),
         ]
     };
     assert_eq!(doubled(140 * MS, vec![]), 0, "within the slack");
@@ -291,14 +299,14 @@
             offer(20 * S, 3),
         ];
         if cancelled {
-            let cancel = Seen::FromPlacer {
+            let cancel = Observation::FrameFromPlacer {
                 host: name("h"),
                 link: 1,
                 frame: Frame::Cancel(1),
             };
-            records.push(Record {
-                at: 10 * S + 3 * MS,
-                seen: cancel,
+            records.push(HistoryEntry {
+                at_us: 10 * S + 3 * MS,
+                observation: cancel,
             });
         }
         broken(2, records)
--- a/crates/judge/tests/spreads.rs
+++ b/crates/judge/tests/spreads.rs
@@ -3,7 +3,9 @@
 
 mod support;
 
-use maplethread_judge::{ClassRule, Figures, Place, Record, Seen, Where, judge};
+use maplethread_judge::{
+    ClassRule, HistoryEntry, Location, Observation, Place, RuleParameters, check,
+};
 use maplethread_wire::frame::{Frame, Reason};
 
 use support::{S, figures, name, offer};
@@ -12,14 +14,14 @@
 const MOST: u32 = 2;
 
 /// One host, and a class whose services may have `MOST` tasks on it.
-fn spread() -> Figures {
-    Figures {
+fn spread() -> RuleParameters {
+    RuleParameters {
         classes: vec![ClassRule {
             name: "c".into(),
-            keyed: None,
-            spread: Some((Place::Host, MOST)),
+            deduplication: None,
+            spread_limit: Some((Place::Host, MOST)),
         }],
-        hosts: vec![Where {
+        hosts: vec![Location {
             host: name("h"),
             zone: name("z"),
             cell: name("k"),
@@ -28,25 +30,25 @@
     }
 }
 
-fn link(link: u64, life: u64) -> Seen {
-    Seen::Link {
+fn link(link: u64, life: u64) -> Observation {
+    Observation::PlacerConnected {
         host: name("h"),
         link,
         placer: name("p"),
-        life,
+        incarnation: life,
     }
 }
 
-fn sends(link: u64, attempt: u64) -> Seen {
-    Seen::FromPlacer {
+fn sends(link: u64, attempt: u64) -> Observation {
+    Observation::FrameFromPlacer {
         host: name("h"),
         link,
         frame: Frame::Offer(offer(attempt)),
     }
 }
 
-fn host_says(link: u64, frame: Frame) -> Seen {
-    Seen::FromHost {
+fn host_says(link: u64, frame: Frame) -> Observation {
+    Observation::FromHost {
         host: name("h"),
         link,
         frame,
@@ -54,16 +56,16 @@
 }
 
 /// How often rule 5 was broken.
-fn broken(seen: &[(u64, Seen)]) -> u64 {
-    let records: Vec<Record> = seen
+fn broken(seen: &[(u64, Observation)]) -> u64 {
+    let records: Vec<HistoryEntry> = seen
         .iter()
-        .map(|(at, seen)| Record {
-            at: *at,
-            seen: seen.clone(),
+        .map(|(at, seen)| HistoryEntry {
+            at_us: *at,
+            observation: seen.clone(),
         })
         .collect();
-    judge(&records, &spread())
-        .counts()
+    check(&records, &spread())
+        .violations_by_rule()
         .get(&5)
         .copied()
         .unwrap_or(0)
@@ -80,7 +82,7 @@
         (S + 4, started(2)),
         (
             2 * S,
-            Seen::LinkLost {
+            Observation::LinkLost {
                 host: name("h"),
                 link: 1,
             },
@@ -92,7 +94,7 @@
         (3 * S + 4 + after, sends(2, 3)),
         (
             9 * S,
-            Seen::PlacerUp {
+            Observation::PlacerUp {
                 placer: name("other"),
             },
         ),
@@ -110,7 +112,7 @@
 }
 
 /// Two tasks are out on a host, a third is offered at 2 s, and this happens besides.
-fn third_beside(happened: &[(u64, Seen)]) -> u64 {
+fn third_beside(happened: &[(u64, Observation)]) -> u64 {
     let mut seen = vec![
         (S, link(1, 1)),
         (S + 1, sends(1, 1)),
@@ -120,7 +122,7 @@
     seen.extend(happened.iter().cloned());
     seen.push((
         9 * S,
-        Seen::PlacerUp {
+        Observation::PlacerUp {
             placer: name("other"),
         },
     ));
@@ -150,7 +152,7 @@
     let cancels = |at| {
         (
             at,
-            Seen::FromPlacer {
+            Observation::FrameFromPlacer {
                 host: name("h"),
                 link: 1,
                 frame: Frame::Cancel(1),
@@ -166,7 +168,7 @@
     let lost = |at| {
         (
             at,
-            Seen::LinkLost {
+            Observation::LinkLost {
                 host: name("h"),
                 link: 1,
             },
--- a/crates/judge/tests/support/mod.rs
+++ b/crates/judge/tests/support/mod.rs
@@ -3,8 +3,8 @@
 
 use std::sync::Arc;
 
-use maplethread_judge::Figures;
-use maplethread_wire::frame::{Copies, Load, Offer};
+use maplethread_judge::RuleParameters;
+use maplethread_wire::frame::{DuplicatePolicy, Offer, ResourceAmounts};
 
 pub const S: u64 = 1_000_000;
 
@@ -13,15 +13,15 @@
 }
 
 /// Figures of one placer, without classes and hosts.
-pub fn figures() -> Figures {
-    Figures {
+pub fn figures() -> RuleParameters {
+    RuleParameters {
         classes: Vec::new(),
         hosts: Vec::new(),
-        placers: 1,
+        placer_count: 1,
         drain_grace: 2 * S,
         cold_for: 6 * S,
         fall_window: 2 * S,
-        fresh_offers: 16.0,
+        warm_up_offers: 16.0,
         lost_after: 5 * S,
         reprieve: S / 2,
         slack: 150_000,
@@ -31,19 +31,19 @@
 /// An offer of a request of its own, of class `c`.
 pub fn offer(attempt: u64) -> Offer {
     Offer {
-        attempt,
-        number: 0,
+        attempt_id: attempt,
+        prior_attempts: 0,
         service: "s".into(),
         actor: "a".into(),
         class: "c".into(),
-        request: format!("r{attempt}"),
-        asks: Load {
+        request_id: format!("r{attempt}"),
+        requested: ResourceAmounts {
             cores: 1.0,
-            memory: 1.0,
+            memory_gib: 1.0,
         },
         priority: 0,
-        copies: Copies::Safe,
-        life_ms: 0,
-        wait_ms: 100,
+        duplicate_policy: DuplicatePolicy::Idempotent,
+        expected_duration_ms: 0,
+        answer_timeout_ms: 100,
     }
 }
--- a/crates/ownership/tests/model.rs
+++ b/crates/ownership/tests/model.rs
@@ -113,7 +113,7 @@
         if process.voter.take().is_some() {
             process.inbox.clear();
             process.paused = false;
-            self.queue.set(self.now + back_after, Ev::Start(id));
+            self.queue.schedule(self.now + back_after, Ev::Start(id));
         }
     }
 
@@ -122,7 +122,8 @@
         let process = &self.processes[&id];
         let Some(voter) = &process.voter else { return };
         let wait = (voter.next_timeout().saturating_sub(local) as f64 / process.rate) as Micros + 1;
-        self.queue.set(self.now + wait, Ev::Tick(id, process.life));
+        self.queue
+            .schedule(self.now + wait, Ev::Tick(id, process.life));
     }
 
     fn carry_out(&mut self, id: u64) {
@@ -146,7 +147,7 @@
                 Output::Send(to, bytes) => {
                     for takes in self.network.send(id as usize, to as usize) {
                         self.queue
-                            .set(self.now + takes, Ev::Arrives(to, bytes.clone()));
+                            .schedule(self.now + takes, Ev::Arrives(to, bytes.clone()));
                     }
                 }
                 Output::Owned(owned) => {
@@ -198,10 +199,10 @@
 
     fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(at) = self.queue.next().filter(|&at| at <= end) {
+        while let Some(at) = self.queue.next_due_at().filter(|&at| at <= end) {
             // Between events too, as leases end and others begin.
             self.now = self.now.max(at);
-            let Some(event) = self.queue.due(at) else {
+            let Some(event) = self.queue.pop_due(at) else {
                 break;
             };
             match event {
@@ -318,7 +319,7 @@
         // One that stood still for long finds its lease over before it acts.
         let paused = world.actor().expect("one acts");
         world.processes.get_mut(&paused).expect("it is one").paused = true;
-        world.queue.set(world.now + 20 * S, Ev::Resume(paused));
+        world.queue.schedule(world.now + 20 * S, Ev::Resume(paused));
         world.run(S);
         world.until_acting(8 * S);
         assert_ne!(world.actor(), Some(paused));
@@ -492,7 +493,7 @@
             5 => {
                 let span = 200 * MS + world.draw(10 * S);
                 world.processes.get_mut(&id).expect("it is one").paused = true;
-                world.queue.set(world.now + span, Ev::Resume(id));
+                world.queue.schedule(world.now + span, Ev::Resume(id));
             }
             6 => {
                 for id in 1..=voters {
--- a/crates/placer/src/catalogue.rs
+++ b/crates/placer/src/catalogue.rs
@@ -4,10 +4,10 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use maplethread_config::{Consul, PlacerConfig};
-use maplethread_consul::{CallId, Out, Source, Update};
-use maplethread_reactor::{Conn, Poller, ReadOutcome, Readiness};
-use maplethread_wire::http::{Found, Limits, Message, Reader, Role};
+use maplethread_config::{ConsulSettings, PlacerConfig};
+use maplethread_consul::{CallId, ConsulSource, Output, Update};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
+use maplethread_wire::http::{Limits, Message, MessageReader, ReadResult, Role};
 
 use crate::start::{Error, io_error};
 
@@ -19,25 +19,25 @@
 const MOST_IDLE: usize = 4;
 
 struct Call {
-    conn: Conn,
+    connection: TcpConnection,
     server: usize,
-    reader: Reader,
+    reader: MessageReader,
     /// The call in flight and until when its answer is waited for; none on an idle connection.
-    call: Option<(CallId, u64)>,
+    in_flight: Option<(CallId, u64)>,
 }
 
 /// A source on sockets.
-pub struct Catalogue {
+pub struct ConsulClient {
     /// What is asked and known.
-    pub source: Source,
-    config: Consul,
-    calls: HashMap<u64, Call>,
-    idle: Vec<u64>,
+    pub source: ConsulSource,
+    config: ConsulSettings,
+    connections: HashMap<u64, Call>,
+    idle_tokens: Vec<u64>,
 }
 
-impl Catalogue {
+impl ConsulClient {
     /// The source that the settings name, if they name one.
-    pub fn new(config: &PlacerConfig, seed: u64) -> Result<Option<Catalogue>, Error> {
+    pub fn new(config: &PlacerConfig, seed: u64) -> Result<Option<ConsulClient>, Error> {
         let Some(consul) = &config.consul else {
             return Ok(None);
         };
@@ -49,26 +49,26 @@
                 Some(text.trim().to_owned())
             }
         };
-        let source = Source::new(config, consul, token, seed);
-        Ok(Some(Catalogue {
+        let source = ConsulSource::new(config, consul, token, seed);
+        Ok(Some(ConsulClient {
             source,
             config: consul.clone(),
-            calls: HashMap::new(),
-            idle: Vec::new(),
+            connections: HashMap::new(),
+            idle_tokens: Vec::new(),
         }))
     }
 
     /// Whether a token of the poller belongs to one of its connections.
-    pub fn has(&self, token: u64) -> bool {
-        self.calls.contains_key(&token)
+    pub fn owns_token(&self, token: u64) -> bool {
+        self.connections.contains_key(&token)
     }
 
     /// When [`Catalogue::tick`] is to be called at the latest.
     pub fn next_timeout(&self, now: u64) -> Option<u64> {
         let waits = self
-            .calls
+            .connections
             .values()
-            .filter_map(|c| c.call.map(|(_, until)| until))
+            .filter_map(|c| c.in_flight.map(|(_, until)| until))
             .min();
         [self.source.next_timeout(now), waits]
             .into_iter()
@@ -79,9 +79,9 @@
     /// Does what is due, and returns what is new.
     pub fn tick(&mut self, now: u64, poller: &Poller, next_token: &mut u64) -> Vec<Update> {
         let late: Vec<u64> = self
-            .calls
+            .connections
             .iter()
-            .filter(|(_, c)| c.call.is_some_and(|(_, until)| until <= now))
+            .filter(|(_, c)| c.in_flight.is_some_and(|(_, until)| until <= now))
             .map(|(&token, _)| token)
             .collect();
         late.into_iter()
@@ -95,22 +95,22 @@
             }
             for out in outputs {
                 match out {
-                    Out::Call {
+                    Output::Call {
                         call,
                         server,
                         request,
-                        within,
+                        timeout: within,
                     } => {
                         let result =
                             self.send(call, server, &request, now + within, poller, next_token);
                         if let Err(e) = result {
-                            self.source.failed(now, call, &e.to_string());
+                            self.source.handle_failure(now, call, &e.to_string());
                         }
                     }
                 }
             }
         }
-        self.source.updates()
+        self.source.take_updates()
     }
 
     fn send(
@@ -123,75 +123,75 @@
         next_token: &mut u64,
     ) -> std::io::Result<()> {
         let at = self
-            .idle
+            .idle_tokens
             .iter()
-            .position(|t| self.calls.get(t).is_some_and(|c| c.server == server));
+            .position(|t| self.connections.get(t).is_some_and(|c| c.server == server));
         let token = match at {
-            Some(at) => self.idle.swap_remove(at),
+            Some(at) => self.idle_tokens.swap_remove(at),
             None => {
                 *next_token += 1;
                 let address: SocketAddr = self.config.servers[server];
-                let conn = Conn::connect(address, *next_token, poller)?;
+                let conn = TcpConnection::connect(address, *next_token, poller)?;
                 let limits = Limits {
-                    body: self.config.max_answer_bytes,
+                    max_body_bytes: self.config.max_answer_bytes,
                     ..Limits::default()
                 };
-                let reader = Reader::new(Role::Responses, limits);
-                self.calls.insert(
+                let reader = MessageReader::new(Role::Responses, limits);
+                self.connections.insert(
                     *next_token,
                     Call {
-                        conn,
+                        connection: conn,
                         server,
                         reader,
-                        call: None,
+                        in_flight: None,
                     },
                 );
                 *next_token
             }
         };
-        if let Some(c) = self.calls.get_mut(&token) {
-            c.call = Some((call, until));
-            c.conn.out().extend_from_slice(request);
-            c.conn.flush(poller)?;
+        if let Some(c) = self.connections.get_mut(&token) {
+            c.in_flight = Some((call, until));
+            c.connection.write_buffer().extend_from_slice(request);
+            c.connection.flush(poller)?;
         }
         Ok(())
     }
 
     fn fail(&mut self, now: u64, token: u64, why: &str) {
-        self.idle.retain(|&t| t != token);
-        if let Some(c) = self.calls.remove(&token)
-            && let Some((call, _)) = c.call
+        self.idle_tokens.retain(|&t| t != token);
+        if let Some(c) = self.connections.remove(&token)
+            && let Some((call, _)) = c.in_flight
         {
-            self.source.failed(now, call, why);
+            self.source.handle_failure(now, call, why);
         }
     }
 
     /// One of its connections is ready.
-    pub fn ready(&mut self, now: u64, token: u64, r: &Readiness, poller: &Poller) {
-        let Some(c) = self.calls.get_mut(&token) else {
+    pub fn on_ready(&mut self, now: u64, token: u64, r: &Readiness, poller: &Poller) {
+        let Some(c) = self.connections.get_mut(&token) else {
             return;
         };
-        if c.conn.connecting() {
-            if !r.write && !r.closed {
+        if c.connection.is_connecting() {
+            if !r.is_writable && !r.is_closed {
                 return;
             }
-            if let Err(e) = c.conn.connected() {
+            if let Err(e) = c.connection.finish_connect() {
                 self.fail(now, token, &e.to_string());
                 return;
             }
         }
-        if let Err(e) = c.conn.flush(poller) {
+        if let Err(e) = c.connection.flush(poller) {
             self.fail(now, token, &e.to_string());
             return;
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let outcome = c.conn.fill(READ_ROUND, READ_MOST);
-        let answer: Result<Option<Message>, String> = match c.reader.read(c.conn.unread()) {
+        let outcome = c.connection.read_available(READ_ROUND, READ_MOST);
+        let answer: Result<Option<Message>, String> = match c.reader.read(c.connection.unread()) {
             Ok((found, used)) => {
-                c.conn.take(used);
-                Ok(if let Found::Message(message) = found {
+                c.connection.consume(used);
+                Ok(if let ReadResult::Message(message) = found {
                     Some(message)
                 } else {
                     None
@@ -202,18 +202,18 @@
         match answer {
             Err(why) => self.fail(now, token, &why),
             Ok(Some(message)) => {
-                let call = c.call.take();
-                let keep = message.head.keep_alive() && c.conn.unread().is_empty();
+                let call = c.in_flight.take();
+                let keep = message.head.is_keep_alive() && c.connection.unread().is_empty();
                 if let Some((call, _)) = call {
-                    self.source.answered(now, call, message);
+                    self.source.handle_response(now, call, message);
                 }
-                if keep && outcome == ReadOutcome::Drained && self.idle.len() < MOST_IDLE {
-                    self.idle.push(token);
+                if keep && outcome == ReadOutcome::Drained && self.idle_tokens.len() < MOST_IDLE {
+                    self.idle_tokens.push(token);
                 } else {
-                    self.calls.remove(&token);
+                    self.connections.remove(&token);
                 }
             }
-            Ok(None) if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) => {
+            Ok(None) if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) => {
                 self.fail(now, token, "the connection ended before the answer");
             }
             Ok(None) => {}
--- a/crates/placer/src/daemon.rs
+++ b/crates/placer/src/daemon.rs
@@ -8,20 +8,20 @@
 use std::time::{Duration, Instant};
 
 use maplethread::SettingsError;
-use maplethread_config::{Doc, Inventory, PlacerConfig};
+use maplethread_config::{Document, Inventory, PlacerConfig};
 use maplethread_consul::Update;
-use maplethread_engine::{Boot, ClientId, Decide, Engine, HostId, Output};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
 use maplethread_reactor::{
-    Clock, Conn, FileWatch, MAX_READY, Poller, ReadOutcome, Readiness, Signals,
+    Clock, FileWatch, MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, Signals, TcpConnection,
 };
 
-use crate::catalogue::Catalogue;
+use crate::catalogue::ConsulClient;
 use crate::decide_time::{DecideTime, Span, Spent, Timed};
 use crate::dirty::Dirty;
 use crate::fleet::Member;
 use crate::recorder::Recorder;
 use crate::recording::{Item, Recorded};
-use crate::start::{Error, Options, io_error, load};
+use crate::start::{Error, Options, io_error, load_config};
 
 const LISTENER: u64 = 0;
 const SIGNALS: u64 = 1;
@@ -53,11 +53,11 @@
     options: &Options,
     decider: impl FnOnce(&PlacerConfig, u64) -> Result<D, SettingsError>,
 ) -> Result<(), Error> {
-    let config = load(&options.config)?;
+    let config = load_config(&options.config_path)?;
     let clock = Clock::start();
     let started_ms = clock.now() / 1000;
     let seed = config
-        .placer
+        .identity
         .seed
         .unwrap_or_else(|| clock.now() ^ (u64::from(std::process::id()) << 32));
     let decider = decider(&config, seed).map_err(Error::Settings)?;
@@ -69,26 +69,26 @@
     // Recording is no part of the decision's time.
     let timed = Timed {
         inner: decider,
-        spent: deciding.clone(),
+        phase: deciding.clone(),
     };
     let recording = Rc::new(Cell::new(Span::default()));
     let queue = recorder.as_ref().map(Recorder::queue);
     let decider = Recorded {
         inner: timed,
         queue,
-        spent: recording.clone(),
+        phase: recording.clone(),
     };
     let deciding = [deciding, recording];
     let mut daemon = Daemon::new(
         config,
         decider,
         deciding,
-        Boot { started_ms, seed },
+        StartInfo { started_ms, seed },
         clock,
         listener,
     )?;
     if recorder.is_some() {
-        daemon.engine.keep_notes();
+        daemon.engine.enable_audit_log();
         daemon.recorder = recorder;
     }
     daemon.read_inventory();
@@ -96,12 +96,12 @@
 }
 
 struct ClientConn {
-    conn: Conn,
+    conn: TcpConnection,
     id: ClientId,
 }
 
 struct HostConn {
-    conn: Conn,
+    conn: TcpConnection,
     id: HostId,
 }
 
@@ -112,11 +112,11 @@
     signals: Signals,
     listener: Option<TcpListener>,
     accepting: bool,
-    watch: Option<FileWatch>,
-    catalogue: Option<Catalogue>,
-    fleet: Option<Member>,
+    inventory_watch: Option<FileWatch>,
+    consul: Option<ConsulClient>,
+    membership: Option<Member>,
     /// The placer's number, as the decisions know it.
-    number: Option<u32>,
+    replica_index: Option<u32>,
     config: PlacerConfig,
     next_token: u64,
     clients: HashMap<u64, ClientConn>,
@@ -124,17 +124,17 @@
     hosts: HashMap<u64, HostConn>,
     host_tokens: HashMap<HostId, u64>,
     /// Closed by the engine, with what is still to be written and until when that may take.
-    lingering: HashMap<u64, (Conn, u64)>,
+    lingering: HashMap<u64, (TcpConnection, u64)>,
     /// Clients with bytes that the engine did not take yet.
     stuffed: BTreeSet<u64>,
     /// Some of those may get on.
-    feed: bool,
+    has_retriable_backlog: bool,
     /// Connections with something new to write.
-    dirty: Dirty,
+    pending_writes: Dirty,
     decide_time: DecideTime,
-    spent: Spent,
+    loop_time: Spent,
     /// What deciding took, and recording.
-    deciding: [Rc<Cell<Span>>; 2],
+    decider_phases: [Rc<Cell<Span>>; 2],
     gauges_at: u64,
     stop_by: Option<u64>,
     recorder: Option<Recorder>,
@@ -145,7 +145,7 @@
         config: PlacerConfig,
         decider: D,
         deciding: [Rc<Cell<Span>>; 2],
-        boot: Boot,
+        boot: StartInfo,
         clock: Clock,
         listener: TcpListener,
     ) -> Result<Daemon<D>, Error> {
@@ -160,13 +160,13 @@
                 let watch = FileWatch::new(path)
                     .map_err(io_error(format!("watching {}", path.display())))?;
                 poller
-                    .add(&watch, INVENTORY, false)
+                    .register(&watch, INVENTORY, false)
                     .map_err(io_error("inotify"))?;
                 Some(watch)
             }
             None => None,
         };
-        let catalogue = Catalogue::new(&config, boot.seed)?;
+        let catalogue = ConsulClient::new(&config, boot.seed)?;
         let boot_time = (boot.started_ms, boot.seed, clock.now());
         let fleet = Member::new(&config, boot_time, &poller, (FLEET, FLEET_KEYS))?;
         listener
@@ -180,10 +180,10 @@
             signals,
             listener: Some(listener),
             accepting: false,
-            watch,
-            catalogue,
-            fleet,
-            number: Some(config.placer.number),
+            inventory_watch: watch,
+            consul: catalogue,
+            membership: fleet,
+            replica_index: Some(config.identity.replica_index),
             config,
             next_token: FIRST,
             clients: HashMap::new(),
@@ -192,11 +192,11 @@
             host_tokens: HashMap::new(),
             lingering: HashMap::new(),
             stuffed: BTreeSet::new(),
-            feed: false,
-            dirty: Dirty::default(),
+            has_retriable_backlog: false,
+            pending_writes: Dirty::default(),
             decide_time: DecideTime::new(),
-            spent: Spent::default(),
-            deciding,
+            loop_time: Spent::default(),
+            decider_phases: deciding,
             gauges_at: 0,
             stop_by: None,
             recorder: None,
@@ -207,8 +207,8 @@
             .as_ref()
             .is_some_and(|c| c.membership.is_some())
         {
-            daemon.engine.numbered(None);
-            daemon.number = None;
+            daemon.engine.set_replica_index(None);
+            daemon.replica_index = None;
         }
         Ok(daemon)
     }
@@ -225,7 +225,7 @@
             let before = self.clock.now();
             let due = self.next_due();
             let timeout = due.map(|at| Duration::from_micros(at.saturating_sub(before)));
-            let timeout = if self.feed {
+            let timeout = if self.has_retriable_backlog {
                 Some(Duration::ZERO)
             } else {
                 timeout
@@ -247,7 +247,7 @@
                 tracing::warn!(ms = (woke - unread_since) / 1000, "stood still");
             }
             self.engine
-                .unread_since(if stalled { unread_since } else { woke });
+                .set_unread_since(if stalled { unread_since } else { woke });
             last_read = self.read(&mut ready, woke, stalled)?.unwrap_or(last_read);
             self.feed_stuffed();
             let read = self.clock.now();
@@ -259,15 +259,15 @@
             self.keep_notes(read);
             let decided = self.clock.now();
             self.carry_out();
-            if let Some(fleet) = &mut self.fleet {
+            if let Some(fleet) = &mut self.membership {
                 fleet.tick(self.clock.now());
             }
-            self.spent.read.add(read - woke);
-            self.spent.turn.add(decided - read);
+            self.loop_time.read.add_micros(read - woke);
+            self.loop_time.turn.add_micros(decided - read);
             let written = self.clock.now();
-            self.spent.write.add(written - decided);
-            self.engine.round_took(woke, written);
-            if !self.accepting && self.stop_by.is_none() && self.engine.ready() {
+            self.loop_time.write.add_micros(written - decided);
+            self.engine.record_round(woke, written);
+            if !self.accepting && self.stop_by.is_none() && self.engine.is_ready() {
                 self.accept_from_now()?;
             }
             if self.done() {
@@ -292,7 +292,7 @@
             self.poller
                 .wait(Some(Duration::ZERO), ready)
                 .map_err(io_error("epoll"))?;
-            if ready.len() < MAX_READY {
+            if ready.len() < MAX_EVENTS_PER_WAIT {
                 read_by = Some(looked_at);
             }
             self.take_in(ready);
@@ -312,17 +312,17 @@
         let from = Instant::now();
         let queue = recorder.queue();
         self.engine
-            .notes()
+            .take_audit_entries()
             .into_iter()
-            .for_each(|note| queue.push(now, Item::Note(note)));
-        let mut spent = self.deciding[1].get();
+            .for_each(|note| queue.push(now, Item::AuditEntry(note)));
+        let mut spent = self.decider_phases[1].get();
         spent.add_nanos(from.elapsed().as_nanos() as u64);
-        self.deciding[1].set(spent);
+        self.decider_phases[1].set(spent);
     }
 
     /// Lets the catalogue do what is due, and gives what is new to the engine.
     fn look_up(&mut self, stalled: bool) {
-        let Some(catalogue) = &mut self.catalogue else {
+        let Some(catalogue) = &mut self.consul else {
             return;
         };
         let now = self.clock.now();
@@ -333,26 +333,26 @@
             match update {
                 Update::Hosts(hosts) => {
                     tracing::info!(hosts = hosts.len(), "news of the catalogue");
-                    self.engine.hosts_changed(now, &hosts);
+                    self.engine.apply_host_changes(now, &hosts);
                 }
                 Update::Slot(slot) => {
-                    self.number = slot;
-                    self.engine.numbered(slot);
+                    self.replica_index = slot;
+                    self.engine.set_replica_index(slot);
                 }
             }
         }
         if self.accepting {
-            self.spent.lists.add(self.clock.now() - now);
+            self.loop_time.discovery.add_micros(self.clock.now() - now);
         }
     }
 
     fn next_due(&self) -> Option<u64> {
         let catalogue = self
-            .catalogue
+            .consul
             .as_ref()
             .and_then(|c| c.next_timeout(self.clock.now()));
         let linger = self.lingering.values().map(|l| l.1).min();
-        let fleet = self.fleet.as_ref().and_then(Member::next_timeout);
+        let fleet = self.membership.as_ref().and_then(Member::next_timeout);
         [
             self.engine.next_timeout(),
             catalogue,
@@ -371,18 +371,20 @@
         };
         self.accepting = true;
         self.poller
-            .add(listener, LISTENER, false)
+            .register(listener, LISTENER, false)
             .map_err(io_error("listener"))?;
         let address = listener.local_addr().map_err(io_error("listener"))?;
-        tracing::info!(placer = %self.config.placer.name, %address, "listening");
-        if let Some(catalogue) = &mut self.catalogue {
-            catalogue.source.serves(&self.config.placer.name, address);
+        tracing::info!(placer = %self.config.identity.name, %address, "listening");
+        if let Some(catalogue) = &mut self.consul {
+            catalogue
+                .source
+                .set_registration(&self.config.identity.name, address);
         }
         let mut out = io::stdout().lock();
         let _ = writeln!(
             out,
             "maplethread placer {} listening on {address}",
-            self.config.placer.name
+            self.config.identity.name
         );
         let _ = out.flush();
         Ok(())
@@ -390,8 +392,8 @@
 
     fn done(&self) -> bool {
         let Some(by) = self.stop_by else { return false };
-        let written = self.clients.values().all(|c| c.conn.unwritten() == 0);
-        (self.engine.open_asks() == 0 && written) || self.clock.now() >= by
+        let written = self.clients.values().all(|c| c.conn.unwritten_bytes() == 0);
+        (self.engine.pending_requests() == 0 && written) || self.clock.now() >= by
     }
 
     fn stop(&mut self, signal: i32) {
@@ -402,16 +404,16 @@
         }
         tracing::info!(
             signal,
-            open = self.engine.open_asks(),
+            open = self.engine.pending_requests(),
             "told to stop; answering what is out"
         );
         if let Some(listener) = self.listener.take()
             && self.accepting
         {
-            let _ = self.poller.remove(&listener);
+            let _ = self.poller.deregister(&listener);
         }
-        self.engine.stop();
-        if let Some(fleet) = &mut self.fleet {
+        self.engine.stop_accepting();
+        if let Some(fleet) = &mut self.membership {
             fleet.leave(self.clock.now());
         }
         self.stop_by = Some(self.clock.now() + self.config.api.stop_within_ms * 1000);
@@ -423,29 +425,33 @@
                 LISTENER => self.accept(),
                 SIGNALS => self
                     .signals
-                    .take()
+                    .take_received()
                     .into_iter()
                     .for_each(|signal| self.stop(signal)),
                 INVENTORY => {
-                    if self.watch.as_mut().is_some_and(FileWatch::changed) {
+                    if self
+                        .inventory_watch
+                        .as_mut()
+                        .is_some_and(FileWatch::has_changed)
+                    {
                         self.read_inventory();
                     }
                 }
                 FLEET => {
-                    if let Some(fleet) = &mut self.fleet {
+                    if let Some(fleet) = &mut self.membership {
                         fleet.read(self.clock.now());
                     }
                 }
                 FLEET_KEYS => {
-                    if let Some(fleet) = &mut self.fleet {
+                    if let Some(fleet) = &mut self.membership {
                         fleet.keys_changed();
                     }
                 }
                 token if self.hosts.contains_key(&token) => self.host_ready(token, r),
-                token if self.catalogue.as_ref().is_some_and(|c| c.has(token)) => {
+                token if self.consul.as_ref().is_some_and(|c| c.owns_token(token)) => {
                     let now = self.clock.now();
-                    if let Some(catalogue) = &mut self.catalogue {
-                        catalogue.ready(now, token, r, &self.poller);
+                    if let Some(catalogue) = &mut self.consul {
+                        catalogue.on_ready(now, token, r, &self.poller);
                     }
                 }
                 token if self.clients.contains_key(&token) => self.client_ready(token, r),
@@ -455,7 +461,7 @@
     }
 
     fn read_inventory(&mut self) {
-        let Some(path) = self.watch.as_ref().map(|w| w.path().to_owned()) else {
+        let Some(path) = self.inventory_watch.as_ref().map(|w| w.path().to_owned()) else {
             return;
         };
         let file = path.display().to_string();
@@ -473,7 +479,7 @@
             }
         };
         match Inventory::parse(
-            Doc {
+            Document {
                 file: &file,
                 text: &text,
             },
@@ -481,7 +487,7 @@
         ) {
             Ok(inventory) => {
                 tracing::info!(%file, hosts = inventory.host.len(), "inventory read");
-                self.engine.inventory(self.clock.now(), &inventory);
+                self.engine.apply_inventory(self.clock.now(), &inventory);
             }
             Err(e) => tracing::error!(error = %e, "bad inventory; the last good list is kept"),
         }
@@ -496,7 +502,7 @@
                 Ok((stream, _)) => {
                     let token = self.token();
                     let id = ClientId(token);
-                    match Conn::accepted(stream, token, &self.poller) {
+                    match TcpConnection::from_accepted(stream, token, &self.poller) {
                         Ok(conn) => {
                             self.clients.insert(token, ClientConn { conn, id });
                             self.client_tokens.insert(id, token);
@@ -520,26 +526,26 @@
         let Some(client) = self.clients.get_mut(&token) else {
             return;
         };
-        if r.write {
-            self.dirty.insert(token);
+        if r.is_writable {
+            self.pending_writes.insert(token);
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
         let id = client.id;
-        let outcome = client.conn.fill(READ_ROUND, READ_MOST);
+        let outcome = client.conn.read_available(READ_ROUND, READ_MOST);
         let used = self.engine.client_bytes(now, id, client.conn.unread());
-        client.conn.take(used);
+        client.conn.consume(used);
         let full = client.conn.unread().len() >= READ_MOST;
         if !client.conn.unread().is_empty() {
             self.stuffed.insert(token);
-            self.feed |= used > 0;
+            self.has_retriable_backlog |= used > 0;
         }
         if full {
             let _ = client.conn.set_reading(false, &self.poller);
         }
         let gone =
-            matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) || (full && r.closed);
+            matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) || (full && r.is_closed);
         if gone {
             self.engine.client_closed(now, id);
             self.drop_client(token);
@@ -549,7 +555,7 @@
     /// Bytes that the engine left, while a client had too many requests in hand, are offered to it again.
     fn feed_stuffed(&mut self) {
         let now = self.clock.now();
-        if !std::mem::take(&mut self.feed) {
+        if !std::mem::take(&mut self.has_retriable_backlog) {
             return;
         }
         for token in std::mem::take(&mut self.stuffed) {
@@ -559,12 +565,12 @@
             let used = self
                 .engine
                 .client_bytes(now, client.id, client.conn.unread());
-            client.conn.take(used);
-            self.feed |= used > 0;
+            client.conn.consume(used);
+            self.has_retriable_backlog |= used > 0;
             if !client.conn.unread().is_empty() {
                 self.stuffed.insert(token);
             }
-            if !client.conn.reading() && client.conn.unread().len() < READ_MOST {
+            if !client.conn.is_reading() && client.conn.unread().len() < READ_MOST {
                 let _ = client.conn.set_reading(true, &self.poller);
             }
         }
@@ -583,26 +589,26 @@
             return;
         };
         let id = host.id;
-        if host.conn.connecting() {
-            if !r.write && !r.closed {
+        if host.conn.is_connecting() {
+            if !r.is_writable && !r.is_closed {
                 return;
             }
-            if let Err(e) = host.conn.connected() {
+            if let Err(e) = host.conn.finish_connect() {
                 tracing::debug!(host = id.0, error = %e, "not connected");
                 self.lose_host(token);
                 return;
             }
-            self.dirty.insert(token);
+            self.pending_writes.insert(token);
             self.engine.host_connected(now, id);
         }
-        if r.write {
-            self.dirty.insert(token);
+        if r.is_writable {
+            self.pending_writes.insert(token);
         }
-        if r.read {
-            let outcome = host.conn.fill(READ_ROUND, READ_MOST);
+        if r.is_readable {
+            let outcome = host.conn.read_available(READ_ROUND, READ_MOST);
             let used = self.engine.host_bytes(now, id, host.conn.unread());
-            host.conn.take(used);
-            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+            host.conn.consume(used);
+            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
                 self.lose_host(token);
             }
         }
@@ -614,7 +620,7 @@
         {
             self.host_tokens.remove(&host.id);
             self.engine
-                .host_closed(self.clock.now(), host.id, host.conn.written());
+                .host_closed(self.clock.now(), host.id, host.conn.written_bytes());
         }
     }
 
@@ -626,13 +632,13 @@
             self.lingering.remove(&token);
             return;
         }
-        if conn.unwritten() == 0 {
-            conn.finish();
+        if conn.unwritten_bytes() == 0 {
+            conn.shutdown_write();
         }
-        if r.read {
-            let outcome = conn.fill(READ_ROUND, READ_MOST);
-            conn.take(READ_MOST);
-            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if r.is_readable {
+            let outcome = conn.read_available(READ_ROUND, READ_MOST);
+            conn.consume(READ_MOST);
+            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
                 self.lingering.remove(&token);
             }
         }
@@ -641,31 +647,31 @@
     fn carry_out(&mut self) {
         // Carrying out may give rise to more, such as a connection that can't be made.
         for _ in 0..8 {
-            let outputs = self.engine.outputs();
+            let outputs = self.engine.take_outputs();
             if outputs.is_empty() {
                 break;
             }
             outputs.into_iter().for_each(|output| self.output(output));
         }
-        for token in self.dirty.take() {
+        for token in self.pending_writes.take() {
             self.flush(token);
         }
         let now = self.clock.now();
-        for read in self.engine.decided() {
+        for read in self.engine.take_decided_arrivals() {
             self.decide_time.record(now.saturating_sub(read));
         }
         if now >= self.gauges_at {
             self.gauges_at = now + 250_000;
-            (self.spent.decide, self.spent.record) =
-                (self.deciding[0].get(), self.deciding[1].get());
-            let mut gauges = self.decide_time.json_with(&self.spent);
-            if let Some(catalogue) = &self.catalogue {
+            (self.loop_time.decide, self.loop_time.record) =
+                (self.decider_phases[0].get(), self.decider_phases[1].get());
+            let mut gauges = self.decide_time.json_with(&self.loop_time);
+            if let Some(catalogue) = &self.consul {
                 gauges["catalogue"] = serde_json::json!(catalogue.source.report(now));
             }
             self.engine.set_gauges(gauges);
-            if let Some(fleet) = self.fleet.as_mut().filter(|_| self.stop_by.is_none()) {
-                let load = self.engine.open_asks() as f64 / self.config.api.max_asks as f64;
-                fleet.says(now, false, self.number, load);
+            if let Some(fleet) = self.membership.as_mut().filter(|_| self.stop_by.is_none()) {
+                let load = self.engine.pending_requests() as f64 / self.config.api.max_asks as f64;
+                fleet.says(now, false, self.replica_index, load);
             }
         }
         self.lingering.retain(|_, (_, until)| *until > now);
@@ -677,8 +683,8 @@
                 if let Some(&token) = self.client_tokens.get(&id)
                     && let Some(client) = self.clients.get_mut(&token)
                 {
-                    client.conn.out().extend_from_slice(&bytes);
-                    self.dirty.insert(token);
+                    client.conn.write_buffer().extend_from_slice(&bytes);
+                    self.pending_writes.insert(token);
                 }
             }
             Output::CloseClient(id) => {
@@ -691,13 +697,13 @@
                     return;
                 };
                 let flushed = client.conn.flush(&self.poller);
-                let stuck = client.conn.unwritten() > self.config.api.max_unread_bytes;
+                let stuck = client.conn.unwritten_bytes() > self.config.api.max_unread_bytes;
                 if flushed.is_err() || stuck || self.lingering.len() >= MOST_LINGERING {
                     client.conn.reset();
                     return;
                 }
-                if client.conn.unwritten() == 0 {
-                    client.conn.finish();
+                if client.conn.unwritten_bytes() == 0 {
+                    client.conn.shutdown_write();
                 }
                 let _ = client.conn.set_reading(true, &self.poller);
                 self.lingering
@@ -707,13 +713,13 @@
                 if let Some(&token) = self.host_tokens.get(&id)
                     && let Some(host) = self.hosts.get_mut(&token)
                 {
-                    host.conn.out().extend_from_slice(&bytes);
-                    self.dirty.insert(token);
+                    host.conn.write_buffer().extend_from_slice(&bytes);
+                    self.pending_writes.insert(token);
                 }
             }
             Output::Connect(id, address) => {
                 let token = self.token();
-                match Conn::connect(address, token, &self.poller) {
+                match TcpConnection::connect(address, token, &self.poller) {
                     Ok(conn) => {
                         self.hosts.insert(token, HostConn { conn, id });
                         self.host_tokens.insert(id, token);
@@ -724,14 +730,17 @@
                     }
                 }
             }
-            Output::AskFleet(id, slot, after) => {
+            Output::FetchMembership(id, slot, after) => {
                 let now = self.clock.now();
-                let view = self.fleet.as_ref().map(|fleet| fleet.answer(now, after));
-                self.engine.tell_fleet(id, slot, view.as_ref());
+                let view = self
+                    .membership
+                    .as_ref()
+                    .map(|fleet| fleet.answer(now, after));
+                self.engine.answer_membership(id, slot, view.as_ref());
             }
             Output::CloseHost(id) => {
                 if let Some(token) = self.host_tokens.remove(&id) {
-                    self.dirty.remove(token);
+                    self.pending_writes.remove(token);
                     self.hosts.remove(&token);
                 }
             }
@@ -741,14 +750,14 @@
     fn flush(&mut self, token: u64) {
         if let Some(host) = self.hosts.get_mut(&token) {
             let (id, result) = (host.id, host.conn.flush(&self.poller));
-            self.engine.host_written(id, host.conn.written());
+            self.engine.host_written(id, host.conn.written_bytes());
             if result.is_err() {
                 self.lose_host(token);
             }
         } else if let Some(client) = self.clients.get_mut(&token) {
             let (id, result) = (client.id, client.conn.flush(&self.poller));
-            self.engine.client_unread(id, client.conn.unwritten());
-            self.feed |= self.stuffed.contains(&token);
+            self.engine.client_unread(id, client.conn.unwritten_bytes());
+            self.has_retriable_backlog |= self.stuffed.contains(&token);
             if result.is_err() {
                 self.engine.client_closed(self.clock.now(), id);
                 self.drop_client(token);
