--- a/crates/placer/src/decide_time.rs
+++ b/crates/placer/src/decide_time.rs
@@ -54,7 +54,7 @@
 pub struct Spent {
     pub read: Span,
     /// Of reading, the catalogue's news once clients are served.
-    pub lists: Span,
+    pub discovery: Span,
     pub turn: Span,
     pub write: Span,
     pub decide: Span,
@@ -64,26 +64,26 @@
 /// One kind of work, ns.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Span {
-    all: u64,
-    longest: u64,
+    total_ns: u64,
+    max_ns: u64,
 }
 
 impl Span {
-    pub fn add(&mut self, micros: u64) {
+    pub fn add_micros(&mut self, micros: u64) {
         self.add_nanos(micros * 1000);
     }
 
     pub fn add_nanos(&mut self, nanos: u64) {
-        self.all += nanos;
-        self.longest = self.longest.max(nanos);
+        self.total_ns += nanos;
+        self.max_ns = self.max_ns.max(nanos);
     }
 }
 
 impl Spent {
     fn json(&self) -> Value {
-        let span = |s: Span| json!({"all": s.all / 1000, "longest": s.longest / 1000});
+        let span = |s: Span| json!({"all": s.total_ns / 1000, "longest": s.max_ns / 1000});
         json!({
-        "reading": span(self.read), "lists": span(self.lists), "turn": span(self.turn), "deciding": span(self.decide),
+        "reading": span(self.read), "lists": span(self.discovery), "turn": span(self.turn), "deciding": span(self.decide),
             "recording": span(self.record), "writing": span(self.write),
         })
     }
@@ -92,16 +92,16 @@
 /// A decider whose time is measured.
 pub struct Timed<D> {
     pub inner: D,
-    pub spent: Rc<Cell<Span>>,
+    pub phase: Rc<Cell<Span>>,
 }
 
 impl<D: Decide> Decide for Timed<D> {
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         let from = Instant::now();
         self.inner.turn(now, events, actions);
-        let mut spent = self.spent.get();
+        let mut spent = self.phase.get();
         spent.add_nanos(from.elapsed().as_nanos() as u64);
-        self.spent.set(spent);
+        self.phase.set(spent);
     }
 
     fn last_word(&self) -> bool {
--- a/crates/placer/src/fleet.rs
+++ b/crates/placer/src/fleet.rs
@@ -6,8 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use maplethread_config::{Fleet as FleetConfig, PlacerConfig};
-use maplethread_fleet::{Facts, Fleet, Keys, LONGEST, Name, Output, Pace, Settings, State};
+use maplethread_config::{FleetSettings as FleetConfig, PlacerConfig};
+use maplethread_fleet::{
+    Facts, KeyRing, LocalMember, MAX_DATAGRAM_BYTES, MemberName, MemberState, Output, Settings,
+    Timing,
+};
 use maplethread_reactor::{FileWatch, Poller};
 use serde_json::{Value, json};
 
@@ -22,37 +25,37 @@
 
 /// A member of a fleet on its socket.
 pub(crate) struct Member {
-    fleet: Fleet,
+    member: LocalMember,
     socket: UdpSocket,
-    keys: FileWatch,
+    key_watch: FileWatch,
     key_file: PathBuf,
-    name: String,
+    fleet_name: String,
     /// Number, time in ms, and what changed.
     changes: VecDeque<(u64, u64, Value)>,
-    next: u64,
+    next_change_number: u64,
     /// Datagrams that the socket did not take.
     unsent: u64,
 }
 
-fn keys(path: &Path, fleet: &str) -> Result<Keys, Error> {
+fn load_keys(path: &Path, fleet: &str) -> Result<KeyRing, Error> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(io_error(file.clone()))?;
-    Keys::parse(&text, fleet)
+    KeyRing::parse(&text, fleet)
         .map_err(|e| io_error(file)(io::Error::new(io::ErrorKind::InvalidData, e)))
 }
 
-fn pace(config: &FleetConfig) -> Pace {
+fn pace(config: &FleetConfig) -> Timing {
     let ms = Duration::from_millis;
-    Pace {
-        probe_every: ms(config.probe_every_ms),
-        probe_within: ms(config.probe_within_ms),
-        helpers: config.helpers,
-        suspicion: config.suspicion,
-        gossip_every: ms(config.gossip_every_ms),
-        sync_every: ms(config.sync_every_ms),
-        seek_every: ms(config.seek_every_ms),
+    Timing {
+        probe_interval: ms(config.probe_every_ms),
+        probe_timeout: ms(config.probe_within_ms),
+        indirect_probes: config.helpers,
+        suspicion_multiplier: config.suspicion,
+        gossip_interval: ms(config.gossip_every_ms),
+        anti_entropy_interval: ms(config.sync_every_ms),
+        discovery_interval: ms(config.seek_every_ms),
         forget_after: Duration::from_secs(config.forget_after_s),
-        most: config.max_members,
+        max_members: config.max_members,
     }
 }
 
@@ -76,57 +79,57 @@
             .local_addr()
             .map_err(io_error("the fleet's socket"))?;
         poller
-            .add(&socket, socket_token, false)
+            .register(&socket, socket_token, false)
             .map_err(io_error("epoll"))?;
-        let loaded = keys(&fleet.key_file, &fleet.name)?;
+        let loaded = load_keys(&fleet.key_file, &fleet.name)?;
         let watch = FileWatch::new(&fleet.key_file)
             .map_err(io_error(format!("watching {}", fleet.key_file.display())))?;
         poller
-            .add(&watch, keys_token, false)
+            .register(&watch, keys_token, false)
             .map_err(io_error("inotify"))?;
-        let bad = |e: maplethread_fleet::BadText| io_error("[fleet]")(io::Error::other(e));
+        let bad = |e: maplethread_fleet::TextError| io_error("[fleet]")(io::Error::other(e));
         let settings = Settings {
-            name: Name::try_from(config.placer.name.clone()).map_err(bad)?,
-            advertise: fleet.advertise.unwrap_or(bound),
-            life: started_ms,
+            name: MemberName::try_from(config.identity.name.clone()).map_err(bad)?,
+            advertised_address: fleet.advertise.unwrap_or(bound),
+            generation: started_ms,
             facts: Facts {
                 version: env!("CARGO_PKG_VERSION")
                     .to_owned()
                     .try_into()
                     .map_err(bad)?,
-                zone: config.placer.zone.clone().try_into().map_err(bad)?,
+                zone: config.identity.zone.clone().try_into().map_err(bad)?,
                 started_ms,
-                draining: false,
-                number: None,
-                load: 0,
+                is_draining: false,
+                replica_index: None,
+                load_percent: 0,
             },
             seeds: fleet.seeds.clone(),
             keys: loaded,
-            pace: pace(fleet),
+            timing: pace(fleet),
         };
-        tracing::info!(listen = %bound, advertise = %settings.advertise, seeds = fleet.seeds.len(), "fleet: joining");
+        tracing::info!(listen = %bound, advertise = %settings.advertised_address, seeds = fleet.seeds.len(), "fleet: joining");
         Ok(Some(Member {
-            fleet: Fleet::new(settings, seed, now),
+            member: LocalMember::new(settings, seed, now),
             socket,
-            keys: watch,
+            key_watch: watch,
             key_file: fleet.key_file.clone(),
-            name: fleet.name.clone(),
+            fleet_name: fleet.name.clone(),
             changes: VecDeque::new(),
-            next: 1,
+            next_change_number: 1,
             unsent: 0,
         }))
     }
 
     pub(crate) fn next_timeout(&self) -> Option<u64> {
-        self.fleet.next_timeout()
+        self.member.next_timeout()
     }
 
     /// Reads what waits on the socket, up to a turn's share.
     pub(crate) fn read(&mut self, now: u64) {
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..READ_ROUND {
             match self.socket.recv_from(&mut bytes) {
-                Ok((n, _)) => self.fleet.datagram(now, &bytes[..n]),
+                Ok((n, _)) => self.member.handle_datagram(now, &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                 // What an earlier datagram met: nobody listened where it went.
                 Err(_) => {}
@@ -136,25 +139,28 @@
 
     /// Does what is due, and sends what is to be sent.
     pub(crate) fn tick(&mut self, now: u64) {
-        self.fleet.tick(now);
-        for output in self.fleet.outputs() {
+        self.member.tick(now);
+        for output in self.member.outputs() {
             match output {
                 Output::Send(to, bytes) => {
                     let sent = self.socket.send_to(&bytes, to);
                     self.unsent += u64::from(sent.is_err());
                 }
                 Output::Changed(change) => {
-                    let (from, to) = (told(change.from), told(change.to));
-                    let (member, address, life) = (&change.name, change.address, change.life);
-                    let by = &change.by;
-                    if matches!(change.to, Some(State::Down | State::Suspect)) {
+                    let (from, to) = (told(change.previous_state), told(change.new_state));
+                    let (member, address, life) = (&change.name, change.address, change.generation);
+                    let by = &change.reported_by;
+                    if matches!(
+                        change.new_state,
+                        Some(MemberState::Down | MemberState::Suspect)
+                    ) {
                         tracing::warn!(%member, %address, life, from, to, %by, "fleet: a member has changed");
                     } else {
                         tracing::info!(%member, %address, life, from, to, %by, "fleet: a member has changed");
                     }
                     self.keep(now, json!(change));
                 }
-                Output::Own(notice) => {
+                Output::Notice(notice) => {
                     tracing::warn!(?notice, "fleet: this member itself");
                     self.keep(now, json!(notice));
                 }
@@ -163,8 +169,9 @@
     }
 
     fn keep(&mut self, now: u64, what: Value) {
-        self.changes.push_back((self.next, now / 1000, what));
-        self.next += 1;
+        self.changes
+            .push_back((self.next_change_number, now / 1000, what));
+        self.next_change_number += 1;
         if self.changes.len() > KEPT {
             self.changes.pop_front();
         }
@@ -172,13 +179,13 @@
 
     /// The key file may have changed. One that can't be used leaves the keys as they are.
     pub(crate) fn keys_changed(&mut self) {
-        if !self.keys.changed() {
+        if !self.key_watch.has_changed() {
             return;
         }
-        match keys(&self.key_file, &self.name) {
+        match load_keys(&self.key_file, &self.fleet_name) {
             Ok(keys) => {
                 tracing::info!(file = %self.key_file.display(), ?keys, "fleet: the keys are read again");
-                self.fleet.set_keys(keys);
+                self.member.set_keys(keys);
             }
             Err(error) => {
                 tracing::error!(%error, "fleet: the key file can't be used; the keys are kept")
@@ -189,33 +196,36 @@
     /// What the member says of itself from now on; its load is told in quarters, so that the view settles under load.
     pub(crate) fn says(&mut self, now: u64, draining: bool, number: Option<u32>, load: f64) {
         let load = ((load.clamp(0.0, 1.0) * 4.0).floor() * 25.0) as u8;
-        let mut facts = self.fleet.facts().clone();
-        (facts.draining, facts.number, facts.load) = (draining, number, load);
-        self.fleet.set_facts(now, facts);
+        let mut facts = self.member.facts().clone();
+        (facts.is_draining, facts.replica_index, facts.load_percent) = (draining, number, load);
+        self.member.set_facts(now, facts);
     }
 
     /// Tells others that it leaves.
     pub(crate) fn leave(&mut self, now: u64) {
-        self.fleet.leave(now);
+        self.member.leave(now);
         self.tick(now);
     }
 
     /// The view; or what has changed since a number, with what the view comes to.
     pub(crate) fn answer(&self, now: u64, after: Option<u64>) -> Value {
         let Some(after) = after else {
-            let mut view = json!(self.fleet.view(now));
+            let mut view = json!(self.member.view(now));
             view["unsent"] = json!(self.unsent);
-            view["next"] = json!(self.next);
+            view["next"] = json!(self.next_change_number);
             return view;
         };
-        let oldest = self.changes.front().map_or(self.next, |c| c.0);
+        let oldest = self
+            .changes
+            .front()
+            .map_or(self.next_change_number, |c| c.0);
         let new = self.changes.iter().filter(|c| c.0 > after).take(ANSWERED);
         let changes: Vec<Value> = new
             .map(|(number, at_ms, what)| json!({"number": number, "at_ms": at_ms, "change": what}))
             .collect();
         json!({
-            "digest": format!("{:016x}", self.fleet.digest()),
-            "live": self.fleet.live(),
+            "digest": format!("{:016x}", self.member.digest()),
+            "live": self.member.live_count(),
             "now_ms": now / 1000,
             "lost": after + 1 < oldest,
             "changes": changes,
@@ -223,12 +233,12 @@
     }
 }
 
-fn told(state: Option<State>) -> &'static str {
+fn told(state: Option<MemberState>) -> &'static str {
     match state {
-        Some(State::Alive) => "alive",
-        Some(State::Suspect) => "suspect",
-        Some(State::Left) => "left",
-        Some(State::Down) => "down",
+        Some(MemberState::Alive) => "alive",
+        Some(MemberState::Suspect) => "suspect",
+        Some(MemberState::Left) => "left",
+        Some(MemberState::Down) => "down",
         None => "unknown",
     }
 }
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -12,7 +12,7 @@
 mod start;
 
 pub use call::get_json;
-pub use catalogue::Catalogue;
+pub use catalogue::ConsulClient;
 pub use daemon::run;
 pub use maplethread_reactor::Clock;
-pub use start::{Error, Options, load};
+pub use start::{Error, Options, load_config};
--- a/crates/placer/src/recorder.rs
+++ b/crates/placer/src/recorder.rs
@@ -11,9 +11,9 @@
 use std::time::{Duration, Instant};
 
 use maplethread::Micros;
-use maplethread_config::{PlacerConfig, Trace};
-use maplethread_engine::{Ending, Kept};
-use maplethread_trace::{Header, Outcome, Record, Stamped, TraceError, Writer, module_hash};
+use maplethread_config::{PlacerConfig, TraceSettings};
+use maplethread_engine::{AuditEntry, RequestOutcome};
+use maplethread_trace::{Header, Outcome, Record, TimedRecord, TraceError, Writer, module_hash};
 
 use crate::recording::{Item, Queue, Waiting};
 
@@ -45,11 +45,11 @@
         let header = Header {
             writer: concat!("maplethread ", env!("CARGO_PKG_VERSION")).to_owned(),
             module: module_hash(),
-            placer: config.placer.name.clone(),
+            placer: config.identity.name.clone(),
             started_ms,
             seed,
-            settings: module.then(|| config.settings()),
-            classes: config.class.iter().map(|c| c.name.clone()).collect(),
+            settings: module.then(|| config.policy_settings()),
+            classes: config.classes.iter().map(|c| c.name.clone()).collect(),
             part: 0,
             changed: Vec::new(),
             sources: Vec::new(),
@@ -101,53 +101,53 @@
 }
 
 struct Files<O> {
-    open: O,
-    settings: Trace,
+    open_file: O,
+    settings: TraceSettings,
     header: Header,
     writer: Option<Writer<Box<dyn Sink>>>,
     path: PathBuf,
-    opened: Instant,
+    opened_at: Instant,
     flushed: Instant,
     /// Not tried before.
     not_before: Instant,
     complained: bool,
     /// Turns and records lost since the last gap was written, and why.
     lost: (u64, u64),
-    why: &'static str,
+    lost_reason: &'static str,
     /// Hosts by name, and the names of services, as they were last told.
     hosts: BTreeMap<String, u32>,
-    names: Vec<Stamped>,
-    services: BTreeSet<u64>,
+    host_records: Vec<TimedRecord>,
+    named_services: BTreeSet<u64>,
     /// The time of the last record.
-    last: Micros,
+    last_record_at: Micros,
 }
 
 impl<O: FnMut(&Path) -> io::Result<Box<dyn Sink>>> Files<O> {
-    fn new(settings: Trace, header: Header, open: O) -> Files<O> {
+    fn new(settings: TraceSettings, header: Header, open_file: O) -> Files<O> {
         let now = Instant::now();
         Files {
-            open,
+            open_file,
             settings,
             header,
             writer: None,
             path: PathBuf::new(),
-            opened: now,
+            opened_at: now,
             flushed: now,
             not_before: now,
             complained: false,
             lost: (0, 0),
-            why: "",
+            lost_reason: "",
             hosts: BTreeMap::new(),
-            names: Vec::new(),
-            services: BTreeSet::new(),
-            last: 0,
+            host_records: Vec::new(),
+            named_services: BTreeSet::new(),
+            last_record_at: 0,
         }
     }
 
     fn run(mut self, queue: &Queue) {
         loop {
             let waiting = queue.take();
-            let stop = waiting.stop;
+            let stop = waiting.is_stopping;
             self.write(waiting, stop);
             if stop {
                 // What came in between the last look and the word to stop is in it.
@@ -160,17 +160,17 @@
 
     fn write(&mut self, waiting: Waiting, stop: bool) {
         for (at, item) in waiting.items {
-            self.last = at;
+            self.last_record_at = at;
             for record in self.records(item) {
-                self.push(Stamped { at, record });
+                self.push(TimedRecord { at, record });
             }
         }
         if waiting.lost.1 > 0 {
             self.lose(waiting.lost, "the writer could not keep up");
         }
         if stop {
-            self.push(Stamped {
-                at: self.last,
+            self.push(TimedRecord {
+                at: self.last_record_at,
                 record: Record::Stopped,
             });
         }
@@ -184,9 +184,9 @@
         let full = self
             .writer
             .as_ref()
-            .is_some_and(|w| w.totals().octets >= self.settings.rotate_mib << 20);
+            .is_some_and(|w| w.totals().bytes_written >= self.settings.rotate_mib << 20);
         if self.writer.is_some()
-            && (full || self.opened + Duration::from_secs(self.settings.rotate_s) <= now)
+            && (full || self.opened_at + Duration::from_secs(self.settings.rotate_s) <= now)
         {
             self.close();
         }
@@ -199,10 +199,10 @@
         };
         match item {
             Item::Turn(turn) => vec![Record::Turn(turn)],
-            Item::Note(Kept::Host {
+            Item::AuditEntry(AuditEntry::Host {
                 machine,
                 name,
-                place: [zone, cell, kind],
+                topology: [zone, cell, kind],
             }) => {
                 self.hosts.insert(name.to_string(), machine);
                 let record = Record::Host {
@@ -212,75 +212,78 @@
                     cell: cell.to_string(),
                     kind: kind.to_string(),
                 };
-                self.names.push(Stamped {
+                self.host_records.push(TimedRecord {
                     at: 0,
                     record: record.clone(),
                 });
                 vec![record]
             }
-            Item::Note(Kept::Service(number, name)) => {
-                if self.services.insert(number.0) {
+            Item::AuditEntry(AuditEntry::Service(number, name)) => {
+                if self.named_services.insert(number.0) {
                     vec![service(number.0, &name)]
                 } else {
                     Vec::new()
                 }
             }
-            Item::Note(Kept::Asked {
+            Item::AuditEntry(AuditEntry::RequestAccepted {
                 task,
                 service: number,
                 key,
                 class,
-                request,
-                idempotency,
+                request_id: request,
+                idempotency_key: idempotency,
             }) => {
                 let mut records = Vec::with_capacity(2);
-                if self.services.insert(number.0) {
+                if self.named_services.insert(number.0) {
                     records.push(service(number.0, &key.0));
                 }
-                records.push(Record::Asked {
+                records.push(Record::RequestReceived {
                     task: task.0,
                     service: number.0,
                     actor: key.1.to_string(),
                     class: class as u32,
-                    request: request.to_string(),
-                    key: idempotency.map(|k| k.to_string()),
-                    read: 0,
+                    request_id: request.to_string(),
+                    idempotency_key: idempotency.map(|k| k.to_string()),
+                    received_at: 0,
                 });
                 records
             }
-            Item::Note(Kept::Answered {
+            Item::AuditEntry(AuditEntry::RequestFinished {
                 task,
-                ending,
+                outcome: ending,
                 attempts,
-                after,
+                elapsed,
             }) => {
                 let outcome = match ending {
-                    Ending::Placed(host) => Outcome::Placed {
+                    RequestOutcome::Placed(host) => Outcome::Placed {
                         host: self.hosts.get(&*host).copied().unwrap_or(u32::MAX),
                     },
-                    Ending::Refused(reason, come_back_ms) => Outcome::Refused {
+                    RequestOutcome::Rejected(reason, come_back_ms) => Outcome::Rejected {
                         reason: reason.to_owned(),
-                        come_back_ms,
+                        retry_after_ms: come_back_ms,
                     },
-                    Ending::Failed => Outcome::Failed,
-                    Ending::HungUp => Outcome::HungUp,
+                    RequestOutcome::Failed => Outcome::Failed,
+                    RequestOutcome::ClientDisconnected => Outcome::ClientDisconnected,
                 };
                 vec![Record::Answered {
                     task: task.0,
                     outcome,
                     attempts,
-                    after,
+                    elapsed,
                 }]
             }
         }
     }
 
-    fn push(&mut self, mut stamped: Stamped) {
-        if let Record::Asked { read, .. } = &mut stamped.record {
+    fn push(&mut self, mut stamped: TimedRecord) {
+        if let Record::RequestReceived {
+            received_at: read, ..
+        } = &mut stamped.record
+        {
             *read = stamped.at;
         }
         let cost = (u64::from(matches!(stamped.record, Record::Turn(_))), 1);
-        if !self.open(stamped.at) {
+        if !self.ensure_open(stamped.at) {
             self.lose(cost, "the file could not be written");
             return;
         }
@@ -289,14 +292,14 @@
         };
         let gap = self.lost.1 > 0;
         let (turns, records) = self.lost;
-        let why = self.why.to_owned();
+        let why = self.lost_reason.to_owned();
         let result = if gap {
-            let gap = Stamped {
+            let gap = TimedRecord {
                 at: stamped.at,
                 record: Record::Gap {
                     turns,
                     records,
-                    why,
+                    reason: why,
                 },
             };
             writer.push(&gap).and_then(|()| writer.push(&stamped))
@@ -310,7 +313,7 @@
 
     fn lose(&mut self, lost: (u64, u64), why: &'static str) {
         self.lost = (self.lost.0 + lost.0, self.lost.1 + lost.1);
-        self.why = why;
+        self.lost_reason = why;
     }
 
     /// Whether a write went well; else the file is left as it is, and another one is tried later.
@@ -320,7 +323,7 @@
             tracing::error!(folder = %self.settings.folder.display(), error = %e, "trace can't be written; placing goes on");
         }
         // What the open block held is lost with it.
-        let block = self.writer.take().map_or((0, 0), |w| w.waiting());
+        let block = self.writer.take().map_or((0, 0), |w| w.unflushed());
         self.lose(
             (cost.0 + block.0, cost.1 + block.1),
             "the file could not be written",
@@ -330,7 +333,7 @@
     }
 
     /// Whether a file is open to write to.
-    fn open(&mut self, at: Micros) -> bool {
+    fn ensure_open(&mut self, at: Micros) -> bool {
         if self.writer.is_some() {
             return true;
         }
@@ -340,7 +343,7 @@
         }
         self.make_room();
         let result = self.next_file(at);
-        self.opened = now;
+        self.opened_at = now;
         match result {
             Ok(writer) => {
                 self.writer = Some(writer);
@@ -368,7 +371,7 @@
     fn next_file(&mut self, at: Micros) -> Result<Writer<Box<dyn Sink>>, TraceError> {
         std::fs::create_dir_all(&self.settings.folder)?;
         self.path = self.path(self.header.part);
-        let file = (self.open)(&self.path);
+        let file = (self.open_file)(&self.path);
         let file = match file {
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
                 self.header.part += 1;
@@ -377,14 +380,14 @@
             file => file?,
         };
         let mut writer = Writer::new(file, &self.header)?;
-        for name in &self.names {
-            writer.know(&Stamped {
+        for name in &self.host_records {
+            writer.register_name(&TimedRecord {
                 at,
                 record: name.record.clone(),
             });
         }
         // Services are said again as they are asked for.
-        self.services.clear();
+        self.named_services.clear();
         Ok(writer)
     }
 
@@ -463,8 +466,8 @@
     use maplethread_trace::{Part, Reader, Turn};
     use std::sync::atomic::{AtomicBool, Ordering};
 
-    fn settings(folder: &Path) -> Trace {
-        Trace {
+    fn settings(folder: &Path) -> TraceSettings {
+        TraceSettings {
             folder: folder.to_owned(),
             rotate_mib: 1,
             rotate_s: 3600,
@@ -493,7 +496,7 @@
             n,
             Item::Turn(Turn {
                 now: n,
-                events: vec![Event::TimerFired(n)],
+                events: vec![Event::TimerFired { label: n }],
                 actions: Vec::new(),
             }),
         )
@@ -526,7 +529,9 @@
                 for r in records {
                     match r.record {
                         Record::Turn(turn) => turns.push(turn.now),
-                        Record::Gap { turns, why, .. } => gaps.push((turns, why)),
+                        Record::Gap {
+                            turns, reason: why, ..
+                        } => gaps.push((turns, why)),
                         _ => {}
                     }
                 }
@@ -683,15 +688,15 @@
             queue.push(at, item);
         }
         files.write(queue.take(), false);
-        let asked = Kept::Asked {
+        let asked = AuditEntry::RequestAccepted {
             task: TaskId(1),
             service: ServiceId(5),
             key: ("s".into(), "a".into()),
             class: 0,
-            request: "r".into(),
-            idempotency: None,
+            request_id: "r".into(),
+            idempotency_key: None,
         };
-        queue.push(30, Item::Note(asked));
+        queue.push(30, Item::AuditEntry(asked));
         files.write(queue.take(), true);
         files.close();
         let (turns, gaps) = written(folder.path());
--- a/crates/placer/src/recording.rs
+++ b/crates/placer/src/recording.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use maplethread::{Action, Event, Micros};
-use maplethread_engine::{Decide, Kept};
+use maplethread_engine::{AuditEntry, Decide};
 use maplethread_trace::Turn;
 
 use crate::decide_time::Span;
@@ -14,7 +14,7 @@
 /// Something to be kept.
 pub(crate) enum Item {
     Turn(Turn),
-    Note(Kept),
+    AuditEntry(AuditEntry),
 }
 
 /// What waits to be written.
@@ -25,36 +25,36 @@
     weight: usize,
     /// Turns and records that found no room since the items before.
     pub lost: (u64, u64),
-    pub stop: bool,
+    pub is_stopping: bool,
 }
 
 /// The queue between the deciding thread and the writer.
 pub(crate) struct Queue {
-    waiting: Mutex<Waiting>,
-    most: usize,
+    buffer: Mutex<Waiting>,
+    max_weight: usize,
 }
 
 impl Queue {
-    pub fn new(most: usize) -> Queue {
+    pub fn new(max_weight: usize) -> Queue {
         Queue {
-            waiting: Mutex::default(),
-            most,
+            buffer: Mutex::default(),
+            max_weight,
         }
     }
 
     /// The lock is held for a few instructions on either side.
     fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds an item; once one was lost, all are until the writer has taken what waits, so that there is one gap.
     pub fn push(&self, at: Micros, item: Item) {
         let weight = match &item {
             Item::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
-            Item::Note(_) => 1,
+            Item::AuditEntry(_) => 1,
         };
         let mut waiting = self.lock();
-        if waiting.lost.1 > 0 || waiting.weight + weight > self.most {
+        if waiting.lost.1 > 0 || waiting.weight + weight > self.max_weight {
             waiting.lost.0 += u64::from(matches!(item, Item::Turn(_)));
             waiting.lost.1 += 1;
             return;
@@ -66,18 +66,18 @@
     /// Takes what waits.
     pub fn take(&self) -> Waiting {
         let mut waiting = self.lock();
-        let stop = waiting.stop;
+        let stop = waiting.is_stopping;
         std::mem::replace(
             &mut *waiting,
             Waiting {
-                stop,
+                is_stopping: stop,
                 ..Waiting::default()
             },
         )
     }
 
     pub fn stop(&self) {
-        self.lock().stop = true;
+        self.lock().is_stopping = true;
     }
 }
 
@@ -86,7 +86,7 @@
     pub inner: D,
     pub queue: Option<Arc<Queue>>,
     /// What keeping them takes of the deciding thread.
-    pub spent: Rc<Cell<Span>>,
+    pub phase: Rc<Cell<Span>>,
 }
 
 impl<D: Decide> Decide for Recorded<D> {
@@ -101,9 +101,9 @@
                 actions: actions[before..].to_vec(),
             };
             queue.push(now, Item::Turn(turn));
-            let mut spent = self.spent.get();
+            let mut spent = self.phase.get();
             spent.add_nanos(from.elapsed().as_nanos() as u64);
-            self.spent.set(spent);
+            self.phase.set(spent);
         }
     }
 
@@ -122,7 +122,7 @@
         let turn = || {
             Item::Turn(Turn {
                 now: 1,
-                events: vec![Event::TimerFired(1); 3],
+                events: vec![Event::TimerFired { label: 1 }; 3],
                 actions: Vec::new(),
             })
         };
--- a/crates/placer/src/start.rs
+++ b/crates/placer/src/start.rs
@@ -4,13 +4,13 @@
 use std::path::{Path, PathBuf};
 
 use maplethread::SettingsError;
-use maplethread_config::{ConfigErrors, Doc, PlacerConfig};
+use maplethread_config::{ConfigErrors, Document, PlacerConfig};
 
 /// How to run a placer.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Its settings file.
-    pub config: PathBuf,
+    pub config_path: PathBuf,
 }
 
 /// Why a placer could not run.
@@ -42,10 +42,10 @@
 }
 
 /// Reads a settings file; the inventory's path is taken from its folder.
-pub fn load(path: &Path) -> Result<PlacerConfig, Error> {
+pub fn load_config(path: &Path) -> Result<PlacerConfig, Error> {
     let text = std::fs::read_to_string(path).map_err(io_error(path.display().to_string()))?;
     let file = path.display().to_string();
-    let mut config = PlacerConfig::parse(Doc {
+    let mut config = PlacerConfig::parse(Document {
         file: &file,
         text: &text,
     })
--- a/crates/platform/src/channel.rs
+++ b/crates/platform/src/channel.rs
@@ -5,7 +5,7 @@
 
 use maplethread::Micros;
 use maplethread_platform_wire::channel::{self, Batch};
-use maplethread_wire::http::{Found, Limits, Reader, Role, write_request};
+use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role, write_request};
 
 /// How long the channel is asked to wait for something new. Silence is noticed soon after.
 const BLOCK: Micros = 1_000_000;
@@ -39,37 +39,37 @@
     /// A connection is being made, until then.
     Connecting(Micros),
     /// A poll is out, and answered by then or not at all.
-    Asked(Micros),
+    Polling(Micros),
 }
 
 /// The poll.
-pub struct Channel {
+pub struct ChannelPoll {
     address: SocketAddr,
     state: State,
-    reader: Reader,
+    reader: MessageReader,
     /// How often on end it was too slow, up to `MAX_DOUBLINGS`.
-    slow: u32,
+    consecutive_timeouts: u32,
     pub(crate) wants: Vec<Want>,
 }
 
-fn reader() -> Reader {
-    Reader::new(
+fn reader() -> MessageReader {
+    MessageReader::new(
         Role::Responses,
         Limits {
-            body: BODY,
+            max_body_bytes: BODY,
             ..Limits::default()
         },
     )
 }
 
-impl Channel {
+impl ChannelPoll {
     /// A poll of the channel at this address, due at once.
-    pub fn new(address: SocketAddr) -> Channel {
-        Channel {
+    pub fn new(address: SocketAddr) -> ChannelPoll {
+        ChannelPoll {
             address,
             state: State::Idle(0),
             reader: reader(),
-            slow: 0,
+            consecutive_timeouts: 0,
             wants: Vec::new(),
         }
     }
@@ -86,7 +86,7 @@
     /// When something is due.
     pub fn next_timeout(&self) -> Micros {
         match self.state {
-            State::Idle(at) | State::Connecting(at) | State::Asked(at) => at,
+            State::Idle(at) | State::Connecting(at) | State::Polling(at) => at,
         }
     }
 
@@ -98,15 +98,15 @@
         if !matches!(self.state, State::Idle(_)) {
             tracing::warn!(state = ?self.state, "the command channel does not answer");
             self.wants.push(Want::Close);
-            self.slow = (self.slow + 1).min(MAX_DOUBLINGS);
+            self.consecutive_timeouts = (self.consecutive_timeouts + 1).min(MAX_DOUBLINGS);
         }
-        self.state = State::Connecting(now + (CONNECT_WITHIN << self.slow));
+        self.state = State::Connecting(now + (CONNECT_WITHIN << self.consecutive_timeouts));
         self.reader = reader();
         self.wants.push(Want::Connect(self.address));
     }
 
     /// The connection is made.
-    pub fn up(&mut self, now: Micros, cursor: u64) {
+    pub fn connection_established(&mut self, now: Micros, cursor: u64) {
         if matches!(self.state, State::Connecting(_)) {
             self.ask(now, cursor);
         }
@@ -122,19 +122,19 @@
             &[("Host", &self.address.to_string())],
             b"",
         );
-        self.state = State::Asked(now + BLOCK + (SLACK << self.slow));
+        self.state = State::Polling(now + BLOCK + (SLACK << self.consecutive_timeouts));
         self.wants.push(Want::Send(bytes));
     }
 
     /// Takes bytes that came; returns how many were used, and what they told. After whole answers the caller takes
     /// in what was told and calls [`Channel::next`]. An answer that can't be read breaks the connection off.
-    pub fn read(&mut self, now: Micros, unread: &[u8]) -> (usize, Option<Batch>) {
+    pub fn read_response(&mut self, now: Micros, unread: &[u8]) -> (usize, Option<Batch>) {
         match self.reader.read(unread) {
-            Ok((Found::Message(message), used)) => {
+            Ok((ReadResult::Message(message), used)) => {
                 if message.head.status() == 200 {
                     match channel::read(&message.body) {
                         Ok(batch) => {
-                            self.slow = 0;
+                            self.consecutive_timeouts = 0;
                             return (used, Some(batch));
                         }
                         Err(error) => {
@@ -147,30 +147,30 @@
                         "the command channel refuses"
                     );
                 }
-                self.broken(now);
+                self.connection_lost(now);
                 (used, None)
             }
             Ok((_, used)) => (used, None),
             Err(error) => {
                 tracing::warn!(%error, "the command channel's answer can't be read");
-                self.broken(now);
+                self.connection_lost(now);
                 (unread.len(), None)
             }
         }
     }
 
     /// The next poll, on the connection that is up.
-    pub fn next(&mut self, now: Micros, cursor: u64) {
-        if matches!(self.state, State::Asked(_)) {
+    pub fn poll_again(&mut self, now: Micros, cursor: u64) {
+        if matches!(self.state, State::Polling(_)) {
             self.ask(now, cursor);
         }
     }
 
     /// The connection broke, or could not be made.
-    pub fn broken(&mut self, now: Micros) {
+    pub fn connection_lost(&mut self, now: Micros) {
         self.wants.push(Want::Close);
         self.reader = reader();
-        let at_once = matches!(self.state, State::Asked(_));
+        let at_once = matches!(self.state, State::Polling(_));
         self.state = State::Idle(if at_once { now } else { now + RETRY_AFTER });
     }
 }
--- a/crates/platform/src/channel/tests.rs
+++ b/crates/platform/src/channel/tests.rs
@@ -14,7 +14,7 @@
     .into_bytes()
 }
 
-fn wants(channel: &mut Channel) -> Vec<Want> {
+fn wants(channel: &mut ChannelPoll) -> Vec<Want> {
     std::mem::take(&mut channel.wants)
 }
 
@@ -26,11 +26,11 @@
 }
 
 /// A poll that is out, after event 5.
-fn asked() -> Channel {
-    let mut channel = Channel::new(address(1));
+fn asked() -> ChannelPoll {
+    let mut channel = ChannelPoll::new(address(1));
     channel.tick(0);
     assert_eq!(wants(&mut channel), [Want::Connect(address(1))]);
-    channel.up(MS, 5);
+    channel.connection_established(MS, 5);
     assert!(asks(&wants(&mut channel), 5));
     channel
 }
@@ -39,34 +39,34 @@
 fn a_poll_follows_each_answer_on_the_same_connection() {
     let mut channel = asked();
     let bytes = answer("{\"cursor\":6,\"cmds\":[{\"cursor\":6}]}");
-    let (used, none) = channel.read(2 * MS, &bytes[..30]);
+    let (used, none) = channel.read_response(2 * MS, &bytes[..30]);
     assert_eq!(none, None);
-    let (rest, batch) = channel.read(3 * MS, &bytes[used..]);
+    let (rest, batch) = channel.read_response(3 * MS, &bytes[used..]);
     assert_eq!(
         (used + rest, batch.map(|b| b.cursor)),
         (bytes.len(), Some(6))
     );
-    channel.next(3 * MS, 6);
+    channel.poll_again(3 * MS, 6);
     assert!(asks(&wants(&mut channel), 6));
 }
 
 #[test]
 fn one_that_breaks_off_mid_event_is_asked_again_at_once_from_the_last_whole_event() {
     let mut channel = asked();
-    channel.read(
+    channel.read_response(
         2 * MS,
         &answer("{\"cursor\":6,\"cmds\":[{\"cursor\":6}]}")[..50],
     );
-    channel.broken(3 * MS);
+    channel.connection_lost(3 * MS);
     assert_eq!(channel.next_timeout(), 3 * MS);
     channel.tick(3 * MS);
     assert_eq!(
         wants(&mut channel),
         [Want::Close, Want::Connect(address(1))]
     );
-    channel.up(4 * MS, 5);
+    channel.connection_established(4 * MS, 5);
     assert!(asks(&wants(&mut channel), 5));
-    let (_, batch) = channel.read(5 * MS, &answer("{\"cursor\":6,\"cmds\":[]}"));
+    let (_, batch) = channel.read_response(5 * MS, &answer("{\"cursor\":6,\"cmds\":[]}"));
     assert_eq!(batch.map(|b| b.cursor), Some(6));
 }
 
@@ -98,12 +98,12 @@
         vec![0; 40],
     ] {
         let mut channel = asked();
-        let (_, batch) = channel.read(2 * MS, &bytes);
+        let (_, batch) = channel.read_response(2 * MS, &bytes);
         assert_eq!((batch, wants(&mut channel)), (None, vec![Want::Close]));
     }
-    let mut channel = Channel::new(address(1));
+    let mut channel = ChannelPoll::new(address(1));
     channel.tick(0);
-    channel.broken(MS);
+    channel.connection_lost(MS);
     assert_eq!(channel.next_timeout(), MS + RETRY_AFTER);
 }
 
@@ -118,7 +118,7 @@
         wants(&mut channel),
         [Want::Close, Want::Connect(address(2))]
     );
-    channel.up(3 * MS, 5);
+    channel.connection_established(3 * MS, 5);
     assert!(asks(&wants(&mut channel), 5));
 }
 
@@ -131,7 +131,7 @@
     for _ in 0..4 {
         let answered = now + late;
         if channel.next_timeout() > answered {
-            let (_, batch) = channel.read(answered, &answer("{\"cursor\":6,\"cmds\":[]}"));
+            let (_, batch) = channel.read_response(answered, &answer("{\"cursor\":6,\"cmds\":[]}"));
             heard = batch.is_some();
             break;
         }
@@ -144,11 +144,11 @@
             [Want::Close, Want::Connect(address(1))]
         );
         now = due + MS;
-        channel.up(now, 5);
+        channel.connection_established(now, 5);
         assert!(asks(&wants(&mut channel), 5));
     }
     assert!(heard);
     // Once it answers it is expected to do so in time again.
-    channel.next(now, 6);
+    channel.poll_again(now, 6);
     assert!(channel.next_timeout() <= now + BLOCK + SLACK);
 }
--- a/crates/platform/src/engine/arrivals.rs
+++ b/crates/platform/src/engine/admission_queue.rs
@@ -9,32 +9,32 @@
 
 /// Asks that wait. Bounded by the bound on tasks.
 #[derive(Default)]
-pub(super) struct Arrivals {
-    of: HashMap<OwnerId, VecDeque<Task>>,
+pub(super) struct AdmissionQueue {
+    by_owner: HashMap<OwnerId, VecDeque<Task>>,
     /// Owners with something in `of`, each once.
-    order: VecDeque<OwnerId>,
+    owner_order: VecDeque<OwnerId>,
 }
 
-impl Arrivals {
+impl AdmissionQueue {
     pub(super) fn push(&mut self, owner: OwnerId, task: Task) {
-        let waiting = self.of.entry(owner).or_default();
+        let waiting = self.by_owner.entry(owner).or_default();
         if waiting.is_empty() {
-            self.order.push_back(owner);
+            self.owner_order.push_back(owner);
         }
         waiting.push_back(task);
     }
 
     /// The next one that is still wanted.
     pub(super) fn next(&mut self, wanted: impl Fn(TaskId) -> bool) -> Option<Task> {
-        while let Some(owner) = self.order.pop_front() {
-            let Some(waiting) = self.of.get_mut(&owner) else {
+        while let Some(owner) = self.owner_order.pop_front() {
+            let Some(waiting) = self.by_owner.get_mut(&owner) else {
                 continue;
             };
             let task = std::iter::from_fn(|| waiting.pop_front()).find(|task| wanted(task.id));
             if waiting.is_empty() {
-                self.of.remove(&owner);
+                self.by_owner.remove(&owner);
             } else {
-                self.order.push_back(owner);
+                self.owner_order.push_back(owner);
             }
             if task.is_some() {
                 return task;
@@ -45,12 +45,12 @@
 
     /// Whether the decisions were not told of it yet.
     pub(super) fn holds(&self, owner: OwnerId, task: TaskId) -> bool {
-        self.of
+        self.by_owner
             .get(&owner)
             .is_some_and(|waiting| waiting.binary_search_by_key(&task, |t| t.id).is_ok())
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.of.is_empty()
+        self.by_owner.is_empty()
     }
 }
--- a/crates/platform/src/engine/links.rs
+++ b/crates/platform/src/engine/connections.rs
@@ -2,15 +2,18 @@
 
 use std::collections::BTreeSet;
 
-use maplethread::{AttemptId, AttemptOutcome, Event, MachineId, MachineState, Micros, TaskReport, TaskId, FailureReason};
+use maplethread::{
+    AttemptId, AttemptOutcome, Event, FailureReason, MachineId, MachineState, Micros, TaskId,
+    TaskReport,
+};
 use maplethread_engine::Decide;
 use maplethread_platform_wire::host::{FromHost, ToHost, Told};
 use maplethread_platform_wire::owner::ToOwner;
 use maplethread_platform_wire::{Sid, cause};
 
-use super::early::End;
+use super::early::EarlyResult;
 use super::tasks::Stand;
-use super::{Due, Engine, LinkId, Loss, Output};
+use super::{Engine, LinkId, Loss, Output, Timer};
 
 /// A connection to a host with standing tasks that was silent for so long is tested. A test passes at once: one that
 /// has no answer within the settings' connect time gives the connection up.
@@ -49,23 +52,23 @@
         machine: MachineId,
         but: &[LinkId],
     ) -> Option<LinkId> {
-        let host = self.fleet.hosts.get(&machine)?;
+        let host = self.host_table.hosts.get(&machine)?;
         let usable =
-            |id: &&LinkId| !but.contains(id) && self.links.get(id).is_some_and(|l| !l.tested);
+            |id: &&LinkId| !but.contains(id) && self.connections.get(id).is_some_and(|l| !l.tested);
         let best = host
             .links
             .iter()
             .filter(usable)
-            .min_by_key(|id| !self.links[id].up)
+            .min_by_key(|id| !self.connections[id].up)
             .copied();
         best.or_else(|| self.connect(now, machine))
     }
 
     pub(super) fn connect(&mut self, now: Micros, machine: MachineId) -> Option<LinkId> {
-        if self.fleet.replaced(machine) {
+        if self.host_table.replaced(machine) {
             return None;
         }
-        let host = self.fleet.hosts.get_mut(&machine)?;
+        let host = self.host_table.hosts.get_mut(&machine)?;
         let address = host.address?;
         self.last_link += 1;
         let id = LinkId(self.last_link);
@@ -86,10 +89,10 @@
             silent: false,
             due,
         };
-        self.links.insert(id, link);
-        self.timers.set(due, Due::Link(id));
+        self.connections.insert(id, link);
+        self.timers.schedule(due, Timer::ConnectionCheck(id));
         if begin > now {
-            self.timers.set(begin, Due::Connect(id));
+            self.timers.schedule(begin, Timer::Connect(id));
         } else {
             self.outputs.push(Output::Connect(id, address));
         }
@@ -98,11 +101,11 @@
 
     /// A connection is to be opened that waited for the host to see the end of an earlier one.
     pub(super) fn connect_due(&mut self, now: Micros, id: LinkId) {
-        let Some(machine) = self.links.get(&id).map(|l| l.machine) else {
+        let Some(machine) = self.connections.get(&id).map(|l| l.machine) else {
             return;
         };
-        let address = self.fleet.hosts.get(&machine).and_then(|h| h.address);
-        match address.filter(|_| !self.fleet.replaced(machine)) {
+        let address = self.host_table.hosts.get(&machine).and_then(|h| h.address);
+        match address.filter(|_| !self.host_table.replaced(machine)) {
             Some(address) => self.outputs.push(Output::Connect(id, address)),
             None => self.link_lost(now, id, Loss::Broken),
         }
@@ -110,7 +113,7 @@
 
     /// A connection is made: what waited for it goes out.
     pub fn link_up(&mut self, now: Micros, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(link) = self.connections.get_mut(&id) else {
             return;
         };
         (link.up, link.heard) = (true, now);
@@ -138,7 +141,7 @@
     /// with a connection, and saying it twice does no harm.
     fn cuts(&self, machine: MachineId) -> Vec<(Sid, u8)> {
         let standing = self
-            .fleet
+            .host_table
             .hosts
             .get(&machine)
             .into_iter()
@@ -151,20 +154,20 @@
 
     /// A connection is over.
     pub fn link_lost(&mut self, now: Micros, id: LinkId, loss: Loss) {
-        let Some(link) = self.links.remove(&id) else {
+        let Some(link) = self.connections.remove(&id) else {
             return;
         };
         let machine = link.machine;
-        let name = self.fleet.name(machine).to_owned();
+        let name = self.host_table.name(machine).to_owned();
         tracing::debug!(host = %name, link = id.0, ?loss, up = link.up, open = link.attempts.len(), "link lost");
-        if let Some(host) = self.fleet.hosts.get_mut(&machine) {
+        if let Some(host) = self.host_table.hosts.get_mut(&machine) {
             host.links.remove(&id);
         }
         for task in link.attempts {
             let Some(out) = self.take_attempt(task) else {
                 continue;
             };
-            let closed = self.tasks.get(task).is_none_or(|e| !e.open);
+            let closed = self.tasks.get(task).is_none_or(|e| !e.is_pending);
             let ending = if out.sent {
                 AttemptOutcome::Disconnected
             } else {
@@ -173,7 +176,7 @@
             self.ended(task, out.number, ending, None, closed);
             self.tasks.drop_if_over(task);
         }
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         host.unsure |= link.silent;
@@ -209,13 +212,18 @@
 
     /// A host said something.
     pub fn host_says(&mut self, now: Micros, id: LinkId, says: FromHost) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(link) = self.connections.get_mut(&id) else {
             return;
         };
         let machine = link.machine;
         (link.heard, link.tested) = (now, false);
         self.host_spoke(now, id, machine);
-        tracing::trace!(host = self.fleet.name(machine), link = id.0, ?says, "host");
+        tracing::trace!(
+            host = self.host_table.name(machine),
+            link = id.0,
+            ?says,
+            "host"
+        );
         match says {
             FromHost::Ready(sid, text) => self.ready(now, id, sid, text),
             FromHost::Close(sid, cause, told) => {
@@ -235,7 +243,7 @@
         };
         let Some(out) = entry
             .out
-            .filter(|out| out.link == link && out.sent && entry.open)
+            .filter(|out| out.link == link && out.sent && entry.is_pending)
         else {
             return;
         };
@@ -258,14 +266,16 @@
             task,
             number: out.number,
         };
-        self.events
-            .push(Event::AttemptAccepted(id, Some(now.saturating_sub(out.offered))));
+        self.events.push(Event::AttemptAccepted {
+            attempt: id,
+            elapsed: Some(now.saturating_sub(out.offered)),
+        });
         self.stands(now, task, out.machine);
     }
 
     /// A task stands on a host: a connection is kept on which its end can be told.
     pub(super) fn stands(&mut self, now: Micros, task: TaskId, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         if host.standing.is_empty() {
@@ -290,7 +300,7 @@
         let Some(task) = self.tasks.by_sid(sid) else {
             // Other causes are answers to set-ups, not ends of what runs.
             if matches!(cause, cause::NORMAL | cause::RESET | cause::CANCELLED) {
-                self.early.put(now, sid, End::Told(machine, cause));
+                self.early.put(now, sid, EarlyResult::Told(machine, cause));
             }
             return;
         };
@@ -298,7 +308,7 @@
             return;
         };
         if let Some(out) = entry.out.filter(|out| out.link == link && out.sent) {
-            let closed = !entry.open;
+            let closed = !entry.is_pending;
             self.take_attempt(task);
             let ending = match cause {
                 cause::FULL => AttemptOutcome::Rejected,
@@ -320,7 +330,14 @@
     }
 
     /// A standing task is over, whoever says so.
-    fn over(&mut self, now: Micros, task: TaskId, ending: AttemptOutcome, why: Option<FailureReason>, cause: u8) {
+    fn over(
+        &mut self,
+        now: Micros,
+        task: TaskId,
+        ending: AttemptOutcome,
+        why: Option<FailureReason>,
+        cause: u8,
+    ) {
         let Some(entry) = self.tasks.get_mut(task) else {
             return;
         };
@@ -328,7 +345,7 @@
             return;
         };
         let (owner, sid) = (entry.owner, entry.set_up.sid);
-        if let Some(host) = self.fleet.hosts.get_mut(&stand.machine) {
+        if let Some(host) = self.host_table.hosts.get_mut(&stand.machine) {
             host.standing.remove(&task);
         }
         self.ended(task, stand.number, ending, why, true);
@@ -357,19 +374,19 @@
             Told::Pressure => TaskReport::MachineMemory(figure),
             _ => return,
         };
-        self.events.push(Event::TaskReported(
-            AttemptId {
+        self.events.push(Event::TaskReported {
+            attempt: AttemptId {
                 task,
                 number: stand.number,
             },
-            note,
-        ));
+            report: note,
+        });
     }
 
     /// News of a host: what waits for it is withdrawn where it takes nothing new, and what stood in an earlier process
     /// is over.
     pub(super) fn host_changed(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get(&machine) else {
+        let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
         };
         let (state, started) = (host.state, host.started);
@@ -377,7 +394,7 @@
         if state != MachineState::Ready {
             let waiting: Vec<TaskId> = links
                 .iter()
-                .filter_map(|id| self.links.get(id).filter(|l| !l.up))
+                .filter_map(|id| self.connections.get(id).filter(|l| !l.up))
                 .flat_map(|l| l.attempts.iter().copied())
                 .collect();
             for task in waiting {
@@ -404,7 +421,7 @@
         machine: MachineId,
         which: impl Fn(Micros) -> bool,
     ) {
-        let Some(host) = self.fleet.hosts.get(&machine) else {
+        let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
         };
         let stands = |id: &TaskId| {
@@ -416,7 +433,7 @@
         let lost: Vec<TaskId> = host.standing.iter().copied().filter(stands).collect();
         if !lost.is_empty() {
             tracing::debug!(
-                host = self.fleet.name(machine),
+                host = self.host_table.name(machine),
                 tasks = lost.len(),
                 "standing tasks are lost"
             );
@@ -428,7 +445,7 @@
 
     /// An answer did not come on this connection: it is tested, and takes no further offers until the test is passed.
     pub(super) fn doubt(&mut self, now: Micros, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.up && !l.tested) else {
+        let Some(link) = self.connections.get_mut(&id).filter(|l| l.up && !l.tested) else {
             return;
         };
         link.tested = true;
@@ -439,7 +456,7 @@
     /// A look at a connection: is it made, does it answer, is it still needed?
     pub(super) fn link_due(&mut self, now: Micros, id: LinkId) {
         let test_after = self.quiet();
-        let Some(link) = self.links.get_mut(&id).filter(|l| l.due <= now) else {
+        let Some(link) = self.connections.get_mut(&id).filter(|l| l.due <= now) else {
             return;
         };
         if !link.up || link.tested {
@@ -452,7 +469,7 @@
             return self.no_answer(now, id);
         }
         let quiet = now.saturating_sub(link.heard);
-        let host = self.fleet.hosts.get(&link.machine);
+        let host = self.host_table.hosts.get(&link.machine);
         let standing = host.is_some_and(|h| !h.standing.is_empty());
         let gone = host.is_none_or(|h| h.state == MachineState::Gone);
         let waits = !link.attempts.is_empty() && quiet >= self.terms.connect_within;
@@ -486,9 +503,9 @@
 
     /// A look at a connection is due at this time, and not at the one set before.
     pub(super) fn look_at(&mut self, id: LinkId, at: Micros) {
-        if let Some(link) = self.links.get_mut(&id) {
+        if let Some(link) = self.connections.get_mut(&id) {
             link.due = at;
-            self.timers.set(at, Due::Link(id));
+            self.timers.schedule(at, Timer::ConnectionCheck(id));
         }
     }
 
--- a/crates/platform/src/engine/early.rs
+++ b/crates/platform/src/engine/early.rs
@@ -15,33 +15,33 @@
 
 /// An end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum EarlyResult {
     /// This host says that the task is over, with this cause.
     Told(MachineId, u8),
     /// The owner wants it to end, with this cause.
-    Wanted(u8),
+    OwnerRequested(u8),
 }
 
 /// Ends of tasks that are not known.
 #[derive(Default)]
-pub(super) struct Early {
-    ends: HashMap<Sid, (Micros, End)>,
+pub(super) struct EarlyResults {
+    by_setup_id: HashMap<Sid, (Micros, EarlyResult)>,
     order: VecDeque<(Micros, Sid)>,
 }
 
-impl Early {
-    pub(super) fn put(&mut self, now: Micros, sid: Sid, end: End) {
+impl EarlyResults {
+    pub(super) fn put(&mut self, now: Micros, sid: Sid, end: EarlyResult) {
         self.forget(now);
-        if let Entry::Vacant(place) = self.ends.entry(sid) {
+        if let Entry::Vacant(place) = self.by_setup_id.entry(sid) {
             place.insert((now, end));
             self.order.push_back((now, sid));
         }
     }
 
     /// The end of this task, if it came.
-    pub(super) fn take(&mut self, now: Micros, sid: Sid) -> Option<End> {
+    pub(super) fn take(&mut self, now: Micros, sid: Sid) -> Option<EarlyResult> {
         self.forget(now);
-        self.ends.remove(&sid).map(|(_, end)| end)
+        self.by_setup_id.remove(&sid).map(|(_, end)| end)
     }
 
     pub(super) fn len(&self) -> usize {
@@ -53,8 +53,12 @@
             && (at + KEPT < now || self.order.len() >= MAX_KEPT)
         {
             self.order.pop_front();
-            if self.ends.get(&sid).is_some_and(|&(put, _)| put <= at) {
-                self.ends.remove(&sid);
+            if self
+                .by_setup_id
+                .get(&sid)
+                .is_some_and(|&(put, _)| put <= at)
+            {
+                self.by_setup_id.remove(&sid);
             }
         }
     }
--- a/crates/platform/src/engine/fleet.rs
+++ b/crates/platform/src/engine/host_table.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use maplethread::{Event, MachineEntry, MachineId, MachineState, Micros, UpdateScope, TaskId};
-use maplethread_deployment::hosts::label;
-use maplethread_deployment::{Hosts, micros};
+use maplethread::{Event, MachineEntry, MachineId, MachineState, Micros, TaskId, UpdateScope};
+use maplethread_deployment::host_names::stable_hash;
+use maplethread_deployment::{HostNames, micros};
 use maplethread_platform_wire::channel::{Endpoint, Nodes, Status};
 
 use super::LinkId;
@@ -47,26 +47,26 @@
 
 /// All hosts that are listed or hold a task.
 #[derive(Default)]
-pub(super) struct Fleet {
-    names: Hosts,
+pub(super) struct HostTable {
+    names: HostNames,
     pub(super) hosts: BTreeMap<MachineId, Host>,
-    zones: Vec<String>,
-    kinds: Vec<String>,
-    gone: Vec<(Micros, MachineId)>,
+    zone_names: Vec<String>,
+    machine_kind_names: Vec<String>,
+    removed: Vec<(Micros, MachineId)>,
 }
 
-impl Fleet {
-    pub(super) fn new(zones: Vec<String>, kinds: Vec<String>) -> Fleet {
-        Fleet {
-            zones,
-            kinds,
-            ..Fleet::default()
+impl HostTable {
+    pub(super) fn new(zone_names: Vec<String>, machine_kind_names: Vec<String>) -> HostTable {
+        HostTable {
+            zone_names,
+            machine_kind_names,
+            ..HostTable::default()
         }
     }
 
     /// A host by its name, which need not be listed yet.
     pub(super) fn by_name(&mut self, name: &str, now: Micros) -> MachineId {
-        let id = self.names.id(name);
+        let id = self.names.id_or_assign(name);
         self.hosts.entry(id).or_insert_with(|| Host {
             address: None,
             state: MachineState::Gone,
@@ -118,7 +118,7 @@
                 .get(id)
                 .is_some_and(|h| h.state == MachineState::Gone)
         });
-        self.gone.extend(gone.map(|&id| (now, id)));
+        self.removed.extend(gone.map(|&id| (now, id)));
         self.forget(now);
         let scope = if nodes.snapshot {
             UpdateScope::Full
@@ -137,11 +137,15 @@
         let unknown = |what: &str, value: &str| {
             tracing::warn!(host = %endpoint.name, what, value, "an entry of the command channel can't be used");
         };
-        let Some(zone) = self.zones.iter().position(|z| *z == endpoint.zone) else {
+        let Some(zone) = self.zone_names.iter().position(|z| *z == endpoint.zone) else {
             unknown("zone", &endpoint.zone);
             return None;
         };
-        let Some(kind) = self.kinds.iter().position(|k| *k == endpoint.kind) else {
+        let Some(kind) = self
+            .machine_kind_names
+            .iter()
+            .position(|k| *k == endpoint.kind)
+        else {
             unknown("type", &endpoint.kind);
             return None;
         };
@@ -162,7 +166,7 @@
         }
         host.linked &= host.started == started;
         (host.address, host.state, host.started) = (Some(address), state, started);
-        let label = label(&endpoint.name);
+        let label = stable_hash(&endpoint.name);
         let (zone, cell) = (zone as u32, endpoint.group);
         Some(MachineEntry {
             machine,
@@ -171,7 +175,7 @@
             cell,
             kind,
             state,
-            started,
+            started_at: started,
             unallocated: None,
         })
     }
@@ -196,7 +200,7 @@
             h.state != MachineState::Gone || !h.links.is_empty() || !h.standing.is_empty()
         });
         let (names, hosts) = (&mut self.names, &self.hosts);
-        self.gone.retain(|&(at, id)| {
+        self.removed.retain(|&(at, id)| {
             let keep = at + FORGET > now;
             if !keep && !hosts.contains_key(&id) {
                 names.forget(id);
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -1,10 +1,10 @@
 //! The engine: what owners, hosts and the command channel say becomes events of the decisions, and their actions
 //! become messages.
 
-mod arrivals;
+mod admission_queue;
+mod connections;
 mod early;
-mod fleet;
-mod links;
+mod host_table;
 mod owners;
 mod silence;
 mod tasks;
@@ -15,22 +15,22 @@
 use std::net::SocketAddr;
 
 use maplethread::{
-    Action, AttemptId, RetrySafety, AttemptResult, AttemptOutcome, Event, MachineId, MachineState, Micros, Settings,
-    TaskId, FailureReason,
+    Action, AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, MachineId,
+    MachineState, Micros, RetrySafety, Settings, TaskId,
 };
-use maplethread_deployment::Terms;
+use maplethread_deployment::PlatformSettings;
 use maplethread_engine::{Decide, Timers};
 use maplethread_platform_wire::channel::Batch;
 use maplethread_platform_wire::host::{self, ToHost};
 use maplethread_platform_wire::owner::ToOwner;
 use maplethread_platform_wire::{Sid, cause};
 
-use arrivals::Arrivals;
-use early::Early;
-use fleet::Fleet;
-use links::Link;
+use admission_queue::AdmissionQueue;
+use connections::Link;
+use early::EarlyResults;
+use host_table::HostTable;
 use owners::Owner;
-use tasks::{Attempt, Tasks};
+use tasks::{Attempt, TaskTable};
 
 /// Turns of the decisions in one of the engine's, while what they want fails at once.
 const ROUNDS: usize = 8;
@@ -63,7 +63,7 @@
     ToHost(LinkId, Vec<u8>),
     /// Send these bytes, which end something at a host, and have them written before anything that is wanted after
     /// them: what ended is out until then. A connection that does not take them at once is to be closed.
-    End(LinkId, Vec<u8>),
+    SendToHostImmediately(LinkId, Vec<u8>),
     /// Close a connection to a host.
     CloseLink(LinkId),
 }
@@ -79,11 +79,11 @@
 
 /// How much the engine holds, to see that nothing grows with what is gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct TableSizes {
     /// Tasks that are owed an answer, are out, or stand.
     pub tasks: usize,
     /// Connections to hosts.
-    pub links: usize,
+    pub connections: usize,
     /// Hosts that are listed or hold a task.
     pub hosts: usize,
     /// Timers, those that are no longer wanted among them.
@@ -95,12 +95,12 @@
 }
 
 /// What falls due.
-enum Due {
+enum Timer {
     Wake(u64),
     Attempt(TaskId, u32),
-    Link(LinkId),
+    ConnectionCheck(LinkId),
     Connect(LinkId),
-    Host(MachineId),
+    HostCheck(MachineId),
     Owner(OwnerId),
     Releases,
     /// A task that the decisions were not told of has to be answered.
@@ -110,60 +110,60 @@
 /// The engine around the decisions `D`.
 pub struct Engine<D> {
     decider: D,
-    terms: Terms,
+    terms: PlatformSettings,
     /// Which classes are keyed.
-    keyed: Vec<bool>,
-    fleet: Fleet,
-    links: HashMap<LinkId, Link>,
+    requires_idempotency_key: Vec<bool>,
+    host_table: HostTable,
+    connections: HashMap<LinkId, Link>,
     last_link: u64,
     owners: HashMap<OwnerId, Owner>,
     /// The owner heard last of those whose tasks stood.
     latest: Option<OwnerId>,
-    tasks: Tasks,
+    tasks: TaskTable,
     max_text: usize,
     /// Asks that the decisions were not told of yet.
-    arrivals: Arrivals,
+    admission_queue: AdmissionQueue,
     /// Ends of tasks that are not known, or not yet.
-    early: Early,
+    early: EarlyResults,
     /// Releases that no connection could take yet.
     undelivered: VecDeque<(Micros, Sid, u8)>,
-    timers: Timers<Due>,
+    timers: Timers<Timer>,
     events: Vec<Event>,
     actions: Vec<Action>,
     outputs: Vec<Output>,
     cursor: u64,
-    stopping: Option<Micros>,
+    draining_until: Option<Micros>,
     /// What is asked now is refused at once: the process is about to end.
     refusing: bool,
 }
 
 impl<D: Decide> Engine<D> {
     /// An engine from what the settings object says of the platform, and the decisions' part of it.
-    pub fn new(terms: Terms, settings: &Settings, decider: D) -> Engine<D> {
+    pub fn new(terms: PlatformSettings, settings: &Settings, decider: D) -> Engine<D> {
         Engine {
             decider,
-            fleet: Fleet::new(terms.zones.clone(), terms.kinds.clone()),
-            keyed: settings
+            host_table: HostTable::new(terms.zones.clone(), terms.kinds.clone()),
+            requires_idempotency_key: settings
                 .classes
                 .iter()
                 .map(|c| matches!(c.retry_safety, RetrySafety::IdempotencyKey { .. }))
                 .collect(),
             terms,
-            links: HashMap::new(),
+            connections: HashMap::new(),
             last_link: 0,
             owners: HashMap::new(),
             latest: None,
-            tasks: Tasks::default(),
+            tasks: TaskTable::default(),
             max_text: MAX_TEXT,
-            arrivals: Arrivals::default(),
-            early: Early::default(),
+            admission_queue: AdmissionQueue::default(),
+            early: EarlyResults::default(),
             undelivered: VecDeque::new(),
             timers: Timers::default(),
             events: Vec::new(),
             actions: Vec::new(),
             outputs: Vec::new(),
             cursor: 0,
-            stopping: None,
+            draining_until: None,
             refusing: false,
         }
     }
@@ -174,7 +174,7 @@
     }
 
     /// Takes in events of the command channel that are new; whether there were any.
-    pub fn told(&mut self, now: Micros, batch: &Batch) -> bool {
+    pub fn apply_update(&mut self, now: Micros, batch: &Batch) -> bool {
         let before = self.cursor;
         for command in &batch.cmds {
             if command.cursor <= self.cursor {
@@ -184,7 +184,7 @@
             let Some(nodes) = &command.nodes else {
                 continue;
             };
-            let (event, changed) = self.fleet.listed(nodes, now);
+            let (event, changed) = self.host_table.listed(nodes, now);
             self.events.push(event);
             for machine in changed {
                 self.host_changed(now, machine);
@@ -201,24 +201,24 @@
 
     /// When a turn is due even if nothing happens.
     pub fn next_timeout(&self) -> Option<Micros> {
-        if self.events.is_empty() && self.arrivals.is_empty() {
-            self.timers.next()
+        if self.events.is_empty() && self.admission_queue.is_empty() {
+            self.timers.next_due_at()
         } else {
             Some(0)
         }
     }
 
     /// Asks that are owed an answer.
-    pub fn open_asks(&self) -> usize {
-        self.tasks.open()
+    pub fn pending_request_count(&self) -> usize {
+        self.tasks.pending_count()
     }
 
     /// What is held in tables.
-    pub fn held(&self) -> Held {
-        Held {
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
             tasks: self.tasks.len(),
-            links: self.links.len(),
-            hosts: self.fleet.hosts.len(),
+            connections: self.connections.len(),
+            hosts: self.host_table.hosts.len(),
             timers: self.timers.len(),
             undelivered: self.undelivered.len(),
             early: self.early.len(),
@@ -232,7 +232,7 @@
 
     /// It is about to end: what is open at `last` has its answer then.
     pub fn stop(&mut self, last: Micros) {
-        self.stopping = Some(last);
+        self.draining_until = Some(last);
     }
 
     /// The process ends in a moment: what is asked from now on is refused, and never sent on.
@@ -242,16 +242,16 @@
 
     /// Lets the decisions act on all that happened.
     pub fn turn(&mut self, now: Micros) {
-        while let Some(due) = self.timers.due(now) {
+        while let Some(due) = self.timers.pop_due(now) {
             match due {
-                Due::Wake(label) => self.events.push(Event::TimerFired(label)),
-                Due::Attempt(task, number) => self.attempt_over(now, task, number),
-                Due::Link(link) => self.link_due(now, link),
-                Due::Connect(link) => self.connect_due(now, link),
-                Due::Host(machine) => self.host_due(now, machine),
-                Due::Owner(owner) => self.owner_due(owner),
-                Due::Releases => self.releases_due(now),
-                Due::Overdue(task) => self.overdue(task),
+                Timer::Wake(label) => self.events.push(Event::TimerFired { label }),
+                Timer::Attempt(task, number) => self.attempt_over(now, task, number),
+                Timer::ConnectionCheck(link) => self.link_due(now, link),
+                Timer::Connect(link) => self.connect_due(now, link),
+                Timer::HostCheck(machine) => self.host_due(now, machine),
+                Timer::Owner(owner) => self.owner_due(owner),
+                Timer::Releases => self.releases_due(now),
+                Timer::Overdue(task) => self.overdue(task),
             }
         }
         self.admit_asks();
@@ -269,7 +269,7 @@
             }
             self.actions = actions;
         }
-        if self.stopping.is_some_and(|at| at <= now) {
+        if self.draining_until.is_some_and(|at| at <= now) {
             self.last_words();
         }
     }
@@ -284,7 +284,11 @@
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Offer(task, machine, wait) => self.offer(now, task, machine, wait),
+            Action::Offer {
+                task,
+                machine,
+                timeout: wait,
+            } => self.offer(now, task, machine, wait),
             Action::Cancel(id) => {
                 if self
                     .tasks
@@ -295,14 +299,16 @@
                     self.give_up(id.task, AttemptOutcome::Cancelled, false);
                 }
             }
-            Action::Reject(task, _) => self.answer(task, cause::FULL),
+            Action::Reject { task, .. } => self.answer(task, cause::FULL),
             Action::Fail(task) => self.answer(task, cause::ERROR),
             Action::Migrate(task) => self.move_away(task),
-            Action::SetTimer(after, label) => self.timers.set(now + after, Due::Wake(label)),
+            Action::SetTimer { after, label } => {
+                self.timers.schedule(now + after, Timer::Wake(label))
+            }
             Action::Log(text) => tracing::info!("{text}"),
-            Action::Blocked(task, lack) => tracing::debug!(task = task.0, ?lack, "held"),
+            Action::Blocked { task, reason: lack } => tracing::debug!(task = task.0, ?lack, "held"),
             // The channel is always asked, and none of the others is allowed here.
-            Action::WatchEndpoints(_)
+            Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::Probe(_)
             | Action::CloseIdle(_)
@@ -314,11 +320,11 @@
         let Some(entry) = self.tasks.get_mut(task) else {
             return;
         };
-        let (number, open, used) = (entry.attempts, entry.open, entry.used.clone());
+        let (number, open, used) = (entry.attempts, entry.is_pending, entry.used.clone());
         entry.attempts += 1;
         let until = now + wait;
         let ready = self
-            .fleet
+            .host_table
             .hosts
             .get(&machine)
             .is_some_and(|h| h.state == MachineState::Ready);
@@ -333,7 +339,7 @@
             self.ended(task, number, AttemptOutcome::ConnectFailed, None, false);
             return;
         };
-        let up = self.links.get(&link).is_some_and(|l| l.up);
+        let up = self.connections.get(&link).is_some_and(|l| l.up);
         let attempt = Attempt {
             number,
             machine,
@@ -346,8 +352,8 @@
             entry.out = Some(attempt);
             entry.used.push(link);
         }
-        self.timers.set(until, Due::Attempt(task, number));
-        if let Some(link) = self.links.get_mut(&link) {
+        self.timers.schedule(until, Timer::Attempt(task, number));
+        if let Some(link) = self.connections.get_mut(&link) {
             link.attempts.insert(task);
         }
         if up {
@@ -417,7 +423,7 @@
     /// An attempt is out no more, for its task and for its connection.
     fn take_attempt(&mut self, task: TaskId) -> Option<Attempt> {
         let out = self.tasks.get_mut(task)?.out.take()?;
-        if let Some(link) = self.links.get_mut(&out.link) {
+        if let Some(link) = self.connections.get_mut(&out.link) {
             link.attempts.remove(&task);
         }
         Some(out)
@@ -435,15 +441,24 @@
         self.tasks.close(task)
     }
 
-    fn ended(&mut self, task: TaskId, number: u32, ending: AttemptOutcome, why: Option<FailureReason>, closed: bool) {
+    fn ended(
+        &mut self,
+        task: TaskId,
+        number: u32,
+        ending: AttemptOutcome,
+        why: Option<FailureReason>,
+        closed: bool,
+    ) {
         let end = AttemptResult {
             outcome: ending,
             reason: why,
-            closed,
+            closes_task: closed,
             load: None,
         };
-        self.events
-            .push(Event::AttemptFinished(AttemptId { task, number }, end));
+        self.events.push(Event::AttemptFinished {
+            attempt: AttemptId { task, number },
+            result: end,
+        });
     }
 
     /// The one final answer that is not 'placed'.
@@ -467,7 +482,7 @@
         host::write(&mut bytes, message);
         let ends = matches!(message, ToHost::Close(..));
         self.outputs.push(if ends {
-            Output::End(link, bytes)
+            Output::SendToHostImmediately(link, bytes)
         } else {
             Output::ToHost(link, bytes)
         });
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -10,9 +10,9 @@
 
 use maplethread_deployment::micros;
 
-use super::early::End;
-use super::tasks::{Entry, Stand};
-use super::{ASKS_A_TURN, Due, Engine, MAX_TASKS, Output, OwnerId};
+use super::early::EarlyResult;
+use super::tasks::{Stand, TaskEntry};
+use super::{ASKS_A_TURN, Engine, MAX_TASKS, Output, OwnerId, Timer};
 
 /// A connection that has said nothing of use for so long is closed, within the 3 s that PROTOCOL's days give.
 const SILENT_FOR: Micros = 2_500_000;
@@ -48,7 +48,7 @@
                 ..Owner::default()
             },
         );
-        self.timers.set(now + SILENT_FOR, Due::Owner(owner));
+        self.timers.schedule(now + SILENT_FOR, Timer::Owner(owner));
     }
 
     /// A connection that could be closed to make room for others: one that said nothing of use, or else one of which
@@ -135,7 +135,7 @@
     /// connection is closed.
     fn turn_away(&mut self, owner: OwnerId, sid: Sid, cause: u8) {
         let task = self.tasks.by_sid(sid).and_then(|id| self.tasks.get(id));
-        if task.is_some_and(|e| e.open && e.owner == owner) {
+        if task.is_some_and(|e| e.is_pending && e.owner == owner) {
             self.disconnect(owner);
         } else {
             self.outputs
@@ -146,10 +146,10 @@
     fn class(&self, set_up: &SetUp) -> Option<usize> {
         let class = self
             .terms
-            .classes
+            .class_names
             .iter()
             .position(|name| *name == set_up.class)?;
-        (!self.keyed[class] || set_up.idem.is_some()).then_some(class)
+        (!self.requires_idempotency_key[class] || set_up.idem.is_some()).then_some(class)
     }
 
     fn asked(&mut self, now: Micros, from: OwnerId, set_up: Box<SetUp>) {
@@ -165,8 +165,8 @@
         if self.owners.get(&from).is_none_or(|o| o.gone) {
             return;
         }
-        let full =
-            self.tasks.len() >= MAX_TASKS || self.tasks.text() + set_up.text.len() > self.max_text;
+        let full = self.tasks.len() >= MAX_TASKS
+            || self.tasks.description_bytes() + set_up.text.len() > self.max_text;
         if self.refusing || full {
             return self.turn_away(from, sid, cause::FULL);
         }
@@ -177,10 +177,10 @@
             is_resubmission: again,
             ..self.task(class, &set_up, now + micros(left))
         };
-        let entry = Entry {
+        let entry = TaskEntry {
             set_up,
             owner: from,
-            open: true,
+            is_pending: true,
             attempts: 0,
             out: None,
             stand: None,
@@ -194,10 +194,10 @@
                 self.latest = Some(from);
             }
         }
-        self.arrivals.push(from, Task { id, ..task });
-        self.timers.set(
+        self.admission_queue.push(from, Task { id, ..task });
+        self.timers.schedule(
             task.deadline.saturating_sub(ANSWER_MARGIN),
-            Due::Overdue(id),
+            Timer::Overdue(id),
         );
     }
 
@@ -206,8 +206,8 @@
         for _ in 0..ASKS_A_TURN {
             let tasks = &self.tasks;
             let Some(task) = self
-                .arrivals
-                .next(|id| tasks.get(id).is_some_and(|e| e.open))
+                .admission_queue
+                .next(|id| tasks.get(id).is_some_and(|e| e.is_pending))
             else {
                 return;
             };
@@ -218,7 +218,7 @@
     /// An ask whose time is over before the decisions were told of it was never sent on.
     pub(super) fn overdue(&mut self, task: TaskId) {
         let owner = self.tasks.get(task).map(|e| e.owner);
-        if owner.is_some_and(|owner| self.arrivals.holds(owner, task)) {
+        if owner.is_some_and(|owner| self.admission_queue.holds(owner, task)) {
             self.answer(task, cause::FULL);
         }
     }
@@ -252,8 +252,8 @@
         }
         // Its end may have come before it: the host tells that on the first connection, its owner on any.
         let ended = self.early.take(now, set_up.sid);
-        let machine = self.fleet.by_name(&at, now);
-        if let Some(End::Told(host, cause)) = ended
+        let machine = self.host_table.by_name(&at, now);
+        if let Some(EarlyResult::Told(host, cause)) = ended
             && host == machine
         {
             return self.release(now, owner, set_up.sid, cause);
@@ -268,10 +268,10 @@
             cut: None,
             moved: false,
         });
-        let entry = Entry {
+        let entry = TaskEntry {
             set_up,
             owner,
-            open: false,
+            is_pending: false,
             attempts: 1,
             out: None,
             stand,
@@ -279,11 +279,13 @@
         };
         let id = self.tasks.add(entry);
         self.tasks.drop_text(id);
-        self.events
-            .push(Event::TaskAdopted(Task { id, ..task }, machine));
+        self.events.push(Event::TaskAdopted {
+            task: Task { id, ..task },
+            machine,
+        });
         self.stands(now, id, machine);
         self.placed(owner);
-        if let Some(End::Wanted(cause)) = ended {
+        if let Some(EarlyResult::OwnerRequested(cause)) = ended {
             self.owner_ends(now, sid, cause);
         }
     }
@@ -304,7 +306,7 @@
     /// An owner gives a set-up up, or ends its task.
     fn owner_ends(&mut self, now: Micros, sid: Sid, cause: u8) {
         let Some(id) = self.tasks.by_sid(sid) else {
-            return self.early.put(now, sid, End::Wanted(cause));
+            return self.early.put(now, sid, EarlyResult::OwnerRequested(cause));
         };
         let Some(entry) = self.tasks.get_mut(id) else {
             return;
@@ -347,7 +349,7 @@
                 }
                 self.undelivered
                     .push_back((now + RELEASE_WITHIN, sid, cause));
-                self.timers.set(now + RELEASE_WITHIN, Due::Releases);
+                self.timers.schedule(now + RELEASE_WITHIN, Timer::Releases);
             }
         }
     }
@@ -387,7 +389,7 @@
         let Some(link) = self.link_to(now, machine, &[]) else {
             return;
         };
-        if self.links.get(&link).is_some_and(|l| l.up) {
+        if self.connections.get(&link).is_some_and(|l| l.up) {
             self.send(link, &ToHost::Close(sid, cause));
         }
     }
--- a/crates/platform/src/engine/silence.rs
+++ b/crates/platform/src/engine/silence.rs
@@ -7,8 +7,8 @@
 use maplethread_engine::Decide;
 use maplethread_platform_wire::host::ToHost;
 
-use super::links::{QUIET, TEST};
-use super::{Due, Engine, LinkId};
+use super::connections::{QUIET, TEST};
+use super::{Engine, LinkId, Timer};
 
 /// A host that could not be reached for so long has lost its tasks.
 const UNREACHABLE: Micros = 3_000_000;
@@ -31,7 +31,7 @@
     pub(super) fn expect_answer(&mut self, now: Micros, id: LinkId) {
         let due = now + self.terms.connect_within;
         if self
-            .links
+            .connections
             .get(&id)
             .is_some_and(|l| l.up && !l.tested && l.due > due)
         {
@@ -41,11 +41,11 @@
 
     /// A connection was not made in time, or failed its test.
     pub(super) fn no_answer(&mut self, now: Micros, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(link) = self.connections.get_mut(&id) else {
             return;
         };
         let (machine, up, was_silent) = (link.machine, link.up, link.silent);
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         // What is gone from the list is waited for no longer.
@@ -76,24 +76,30 @@
     }
 
     fn out_of_reach(&mut self, machine: MachineId) {
-        if let Some(host) = self.fleet.hosts.get_mut(&machine)
+        if let Some(host) = self.host_table.hosts.get_mut(&machine)
             && !std::mem::replace(&mut host.cut, true)
         {
-            self.events.push(Event::ConnectionChanged(machine, false));
+            self.events.push(Event::ConnectionChanged {
+                machine,
+                is_connected: false,
+            });
         }
     }
 
     pub(super) fn in_reach(&mut self, machine: MachineId) {
-        if let Some(host) = self.fleet.hosts.get_mut(&machine)
+        if let Some(host) = self.host_table.hosts.get_mut(&machine)
             && std::mem::take(&mut host.cut)
         {
-            self.events.push(Event::ConnectionChanged(machine, true));
+            self.events.push(Event::ConnectionChanged {
+                machine,
+                is_connected: true,
+            });
         }
     }
 
     /// A new connection to a host is made.
     pub(super) fn reached(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         host.linked = true;
@@ -110,7 +116,7 @@
 
     /// A host said something on a connection.
     pub(super) fn host_spoke(&mut self, now: Micros, id: LinkId, machine: MachineId) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(link) = self.connections.get_mut(&id) else {
             return;
         };
         // A connection that goes on where it stopped leads to the process of before.
@@ -119,7 +125,7 @@
             self.look_at(id, now + QUIET);
         }
         if let Some(host) = self
-            .fleet
+            .host_table
             .hosts
             .get_mut(&machine)
             .filter(|h| same || !h.unsure)
@@ -128,7 +134,7 @@
         }
         if same {
             tracing::debug!(
-                host = self.fleet.name(machine),
+                host = self.host_table.name(machine),
                 link = id.0,
                 "a silent connection goes on"
             );
@@ -140,7 +146,7 @@
     /// A host speaks of a task that stands there since then: if that was before it fell silent, its process is the same.
     pub(super) fn knows_task(&mut self, now: Micros, machine: MachineId, since: Micros) {
         let Some(host) = self
-            .fleet
+            .host_table
             .hosts
             .get_mut(&machine)
             .filter(|h| h.unsure && since <= h.heard)
@@ -153,13 +159,13 @@
 
     /// Silent connections have told what they were kept for.
     fn drop_silent(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get(&machine) else {
+        let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
         };
         let links: Vec<LinkId> = host.links.iter().copied().collect();
         for id in links {
             if self
-                .links
+                .connections
                 .get_mut(&id)
                 .is_some_and(|l| std::mem::take(&mut l.silent))
             {
@@ -170,19 +176,24 @@
 
     /// Whether so many hosts are out of reach together that it is rather the network than they.
     fn cut_off(&self) -> bool {
-        let holding = || self.fleet.hosts.values().filter(|h| !h.standing.is_empty());
+        let holding = || {
+            self.host_table
+                .hosts
+                .values()
+                .filter(|h| !h.standing.is_empty())
+        };
         let cut = holding().filter(|h| h.cut).count();
         cut >= MANY && cut * PART >= holding().count()
     }
 
     fn try_again(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get(&machine) else {
+        let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
         };
         let waits = host
             .links
             .iter()
-            .any(|id| self.links.get(id).is_some_and(|l| !l.silent));
+            .any(|id| self.connections.get(id).is_some_and(|l| !l.silent));
         let needed = !host.standing.is_empty() || (host.cut && host.state == MachineState::Ready);
         if needed && !waits {
             self.connect(now, machine);
@@ -191,7 +202,7 @@
 
     /// Has a host that holds tasks, or is out of reach, looked at.
     pub(super) fn watch(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         if std::mem::replace(&mut host.watched, true) {
@@ -204,19 +215,19 @@
         } else {
             self.terms.connect_within
         };
-        self.timers.set(now + again, Due::Host(machine));
+        self.timers.schedule(now + again, Timer::HostCheck(machine));
     }
 
     /// A look at a host with standing tasks, or out of reach, and no connection that answers.
     pub(super) fn host_due(&mut self, now: Micros, machine: MachineId) {
-        let Some(host) = self.fleet.hosts.get_mut(&machine) else {
+        let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         host.watched = false;
         let up = host
             .links
             .iter()
-            .any(|id| self.links.get(id).is_some_and(|l| l.up && !l.silent));
+            .any(|id| self.connections.get(id).is_some_and(|l| l.up && !l.silent));
         let (standing, quiet) = (!host.standing.is_empty(), now.saturating_sub(host.heard));
         if up && !(standing && host.unsure) || !standing && !host.cut {
             return;
@@ -229,14 +240,14 @@
         };
         if standing && over() {
             self.lose_standing(now, machine, |since| since <= heard);
-            if let Some(host) = self.fleet.hosts.get_mut(&machine) {
+            if let Some(host) = self.host_table.hosts.get_mut(&machine) {
                 host.unsure = false;
             }
             self.drop_silent(now, machine);
         }
         self.try_again(now, machine);
         if self
-            .fleet
+            .host_table
             .hosts
             .get(&machine)
             .is_some_and(|h| h.state == MachineState::Ready || !h.standing.is_empty())
--- a/crates/platform/src/engine/tasks.rs
+++ b/crates/platform/src/engine/tasks.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use maplethread::{MachineId, Micros, TaskId};
-use maplethread_engine::hash;
+use maplethread_engine::stable_hash;
 use maplethread_platform_wire::Sid;
 use maplethread_platform_wire::owner::SetUp;
 
@@ -40,11 +40,11 @@
 
 /// A task.
 #[derive(Debug)]
-pub(super) struct Entry {
+pub(super) struct TaskEntry {
     pub(super) set_up: Box<SetUp>,
     pub(super) owner: OwnerId,
     /// The owner waits for the answer.
-    pub(super) open: bool,
+    pub(super) is_pending: bool,
     pub(super) attempts: u32,
     pub(super) out: Option<Attempt>,
     pub(super) stand: Option<Stand>,
@@ -54,14 +54,14 @@
 
 /// All tasks, by the decisions' number and by the set-up's id.
 #[derive(Default)]
-pub(super) struct Tasks {
-    entries: HashMap<TaskId, Entry>,
+pub(super) struct TaskTable {
+    entries: HashMap<TaskId, TaskEntry>,
     sids: HashMap<Sid, TaskId>,
-    last: u64,
-    open: usize,
+    last_id: u64,
+    pending_count: usize,
     /// Bytes of descriptions.
-    text: usize,
-    names: Names,
+    description_bytes: usize,
+    recent_ids: Names,
 }
 
 /// Names of tasks that were asked for or handed over of late: one that comes under a new id comes again.
@@ -80,7 +80,7 @@
             self.order.pop_front();
             self.known.remove(&old);
         }
-        let name = hash(name);
+        let name = stable_hash(name);
         let new = self.known.insert(name);
         if new {
             self.order.push_back((now, name));
@@ -89,28 +89,28 @@
     }
 }
 
-impl Tasks {
-    pub(super) fn add(&mut self, entry: Entry) -> TaskId {
-        self.last += 1;
-        let id = TaskId(self.last);
+impl TaskTable {
+    pub(super) fn add(&mut self, entry: TaskEntry) -> TaskId {
+        self.last_id += 1;
+        let id = TaskId(self.last_id);
         self.sids.insert(entry.set_up.sid, id);
-        self.open += usize::from(entry.open);
-        self.text += entry.set_up.text.len();
+        self.pending_count += usize::from(entry.is_pending);
+        self.description_bytes += entry.set_up.text.len();
         self.entries.insert(id, entry);
         id
     }
 
-    pub(super) fn get(&self, id: TaskId) -> Option<&Entry> {
+    pub(super) fn get(&self, id: TaskId) -> Option<&TaskEntry> {
         self.entries.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: TaskId) -> Option<&mut Entry> {
+    pub(super) fn get_mut(&mut self, id: TaskId) -> Option<&mut TaskEntry> {
         self.entries.get_mut(&id)
     }
 
     /// Whether a task of this name came before; it is remembered from now on.
     pub(super) fn came_again(&mut self, now: Micros, name: &str) -> bool {
-        self.names.again(now, name)
+        self.recent_ids.again(now, name)
     }
 
     pub(super) fn by_sid(&self, sid: Sid) -> Option<TaskId> {
@@ -122,37 +122,37 @@
         let open = self
             .entries
             .get_mut(&id)
-            .is_some_and(|e| std::mem::take(&mut e.open));
-        self.open -= usize::from(open);
+            .is_some_and(|e| std::mem::take(&mut e.is_pending));
+        self.pending_count -= usize::from(open);
         open
     }
 
     /// Drops a task with nothing left to come.
     pub(super) fn drop_if_over(&mut self, id: TaskId) {
-        let over = |e: &Entry| !e.open && e.out.is_none() && e.stand.is_none();
+        let over = |e: &TaskEntry| !e.is_pending && e.out.is_none() && e.stand.is_none();
         if self.entries.get(&id).is_some_and(over)
             && let Some(entry) = self.entries.remove(&id)
         {
             self.sids.remove(&entry.set_up.sid);
-            self.text -= entry.set_up.text.len();
+            self.description_bytes -= entry.set_up.text.len();
         }
     }
 
     /// A task stands, or is not sent any more: its description is of no further use.
     pub(super) fn drop_text(&mut self, id: TaskId) {
         if let Some(entry) = self.entries.get_mut(&id) {
-            self.text -= std::mem::take(&mut entry.set_up.text).len();
+            self.description_bytes -= std::mem::take(&mut entry.set_up.text).len();
         }
     }
 
     /// Bytes of descriptions that are held.
-    pub(super) fn text(&self) -> usize {
-        self.text
+    pub(super) fn description_bytes(&self) -> usize {
+        self.description_bytes
     }
 
     /// Tasks that are owed an answer.
-    pub(super) fn open(&self) -> usize {
-        self.open
+    pub(super) fn pending_count(&self) -> usize {
+        self.pending_count
     }
 
     /// All tasks.
@@ -165,7 +165,7 @@
         let mut ids: Vec<TaskId> = self
             .entries
             .iter()
-            .filter(|(_, e)| e.open)
+            .filter(|(_, e)| e.is_pending)
             .map(|(&id, _)| id)
             .collect();
         ids.sort();
--- a/crates/platform/src/engine/tests.rs
+++ b/crates/platform/src/engine/tests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use maplethread::*;
-use maplethread_deployment::{decode, terms};
+use maplethread_deployment::{decode_policy_settings, terms};
 use maplethread_platform_wire::channel::{self, Batch};
 use maplethread_platform_wire::host::{FromHost, Told};
 use maplethread_platform_wire::owner::{Fault, FromOwner, SetUp};
@@ -26,15 +26,15 @@
 
 /// Decisions that do what the test says, and keep what they were told.
 #[derive(Clone, Default)]
-struct Script {
-    told: Rc<RefCell<Vec<Event>>>,
-    next: Rc<RefCell<Vec<Action>>>,
+struct ScriptedDecider {
+    events: Rc<RefCell<Vec<Event>>>,
+    next_actions: Rc<RefCell<Vec<Action>>>,
 }
 
-impl Decide for Script {
+impl Decide for ScriptedDecider {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        self.told.borrow_mut().extend(events.iter().cloned());
-        actions.append(&mut self.next.borrow_mut());
+        self.events.borrow_mut().extend(events.iter().cloned());
+        actions.append(&mut self.next_actions.borrow_mut());
     }
 }
 
@@ -55,27 +55,27 @@
     })
 }
 
-struct Rig {
-    engine: Engine<Script>,
-    script: Script,
+struct Harness {
+    engine: Engine<ScriptedDecider>,
+    decider: ScriptedDecider,
     now: Micros,
     cursor: u64,
 }
 
-impl Rig {
+impl Harness {
     /// An engine that knows host `a` and has heard owners `A` and `B` connect.
-    fn new() -> Rig {
-        Rig::with(&settings())
+    fn new() -> Harness {
+        Harness::with(&settings())
     }
 
-    fn with(object: &Value) -> Rig {
-        let (decisions, _) = decode(object).expect("sound settings");
-        let script = Script::default();
+    fn with(object: &Value) -> Harness {
+        let (decisions, _) = decode_policy_settings(object).expect("sound settings");
+        let script = ScriptedDecider::default();
         let terms = terms(object).expect("sound settings");
         let engine = Engine::new(terms, &decisions, script.clone());
-        let mut rig = Rig {
+        let mut rig = Harness {
             engine,
-            script,
+            decider: script,
             now: T0,
             cursor: 0,
         };
@@ -83,7 +83,7 @@
         rig.engine.owner_opened(T0, A);
         rig.engine.owner_opened(T0, B);
         rig.turn();
-        rig.told();
+        rig.take_events();
         rig
     }
 
@@ -93,7 +93,7 @@
             {"name": name, "address": address, "zone": "east", "type": "std", "group": 0, "status": status,
              "since_ms": since_ms}]}}]});
         let batch: Batch = channel::read(batch.to_string().as_bytes()).expect("sound");
-        self.engine.told(self.now, &batch);
+        self.engine.apply_update(self.now, &batch);
     }
 
     /// One turn; what the engine wants done.
@@ -114,14 +114,14 @@
         all
     }
 
-    fn told(&self) -> Vec<Event> {
-        std::mem::take(&mut self.script.told.borrow_mut())
+    fn take_events(&self) -> Vec<Event> {
+        std::mem::take(&mut self.decider.events.borrow_mut())
     }
 
     fn act(&mut self, action: Action) -> Vec<Output> {
-        self.script.next.borrow_mut().push(action);
+        self.decider.next_actions.borrow_mut().push(action);
         // Decisions have a turn when something happens; a reminder does.
-        self.engine.events.push(Event::TimerFired(0));
+        self.engine.events.push(Event::TimerFired { label: 0 });
         self.turn()
     }
 
@@ -133,7 +133,7 @@
     /// An ask of class `web` becomes task `id`.
     fn ask(&mut self, owner: OwnerId, sid: u64) -> TaskId {
         self.says(owner, FromOwner::SetUp(Box::new(set_up(sid))));
-        let asked = self.told().into_iter().find_map(|e| match e {
+        let asked = self.take_events().into_iter().find_map(|e| match e {
             Event::PlacementRequested(task) => Some(task.id),
             _ => None,
         });
@@ -141,7 +141,11 @@
     }
 
     fn offer(&mut self, task: TaskId, machine: u32) -> Vec<Output> {
-        self.act(Action::Offer(task, MachineId(machine), 300 * MS))
+        self.act(Action::Offer {
+            task,
+            machine: MachineId(machine),
+            timeout: 300 * MS,
+        })
     }
 
     /// An offer on a connection that is up, or a new one that comes up; the connection.
@@ -166,7 +170,7 @@
         let link = self.offered(task, 0);
         let outputs = self.host(link, FromHost::Ready(Sid(sid), "t".into()));
         assert!(outputs.contains(&Output::ToOwner(A, ToOwner::Ready(Sid(sid), "t".into()))));
-        self.told();
+        self.take_events();
         (task, link)
     }
 
@@ -194,9 +198,12 @@
 
     /// How the attempts told of ended.
     fn endings(&mut self) -> Vec<(u32, AttemptOutcome, bool)> {
-        let told = self.told().into_iter();
+        let told = self.take_events().into_iter();
         told.filter_map(|e| match e {
-            Event::AttemptFinished(id, end) => Some((id.number, end.outcome, end.closed)),
+            Event::AttemptFinished {
+                attempt: id,
+                result: end,
+            } => Some((id.number, end.outcome, end.closes_task)),
             _ => None,
         })
         .collect()
@@ -234,7 +241,7 @@
 }
 
 fn is_sent(output: &Output, link: LinkId, kind: u8) -> bool {
-    let (Output::ToHost(l, bytes) | Output::End(l, bytes)) = output else {
+    let (Output::ToHost(l, bytes) | Output::SendToHostImmediately(l, bytes)) = output else {
         return false;
     };
     *l == link && bytes[2] == kind
--- a/crates/platform/src/engine/tests/crossings.rs
+++ b/crates/platform/src/engine/tests/crossings.rs
@@ -10,7 +10,7 @@
     }))
 }
 
-fn next_connect(rig: &mut Rig) -> LinkId {
+fn next_connect(rig: &mut Harness) -> LinkId {
     let connects = |o: &Output| matches!(o, Output::Connect(..));
     let outputs = (0..100)
         .map(|_| rig.pass(10 * MS))
@@ -18,8 +18,8 @@
     connect(&outputs.expect("a connection is wanted"))
 }
 
-fn asked(rig: &Rig) -> Vec<TaskId> {
-    let told = rig.told().into_iter();
+fn asked(rig: &Harness) -> Vec<TaskId> {
+    let told = rig.take_events().into_iter();
     told.filter_map(|e| {
         if let Event::PlacementRequested(task) = e {
             Some(task.id)
@@ -32,7 +32,7 @@
 
 #[test]
 fn one_owner_that_asks_by_the_thousand_makes_no_turn_long_and_no_other_wait() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     for sid in 1..=1000 {
         rig.engine
             .owner_says(rig.now, A, Ok(FromOwner::SetUp(Box::new(set_up(sid)))));
@@ -52,14 +52,18 @@
     rig.engine.owner_gone(A);
     rig.says(A, FromOwner::SetUp(Box::new(set_up(3000))));
     assert_eq!(
-        (asked(&rig), rig.engine.open_asks(), rig.engine.held().tasks),
+        (
+            asked(&rig),
+            rig.engine.pending_request_count(),
+            rig.engine.table_sizes().tasks
+        ),
         (vec![], 1, 1)
     );
 }
 
 #[test]
 fn an_ask_whose_time_is_over_before_the_decisions_hear_of_it_is_refused_in_time_and_once() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     for sid in 1..=200 {
         let set_up = SetUp {
             left_ms: Some(100.0),
@@ -79,12 +83,15 @@
             .iter()
             .all(|(_, m)| matches!(m, ToOwner::Close(_, cause::FULL)))
     );
-    assert_eq!((asked(&rig).len(), rig.engine.open_asks()), (0, told));
+    assert_eq!(
+        (asked(&rig).len(), rig.engine.pending_request_count()),
+        (0, told)
+    );
 }
 
 #[test]
 fn descriptions_are_held_up_to_a_bound_and_not_for_what_stands() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     rig.engine.limit_text(10_000);
     let long = |sid| {
         FromOwner::SetUp(Box::new(SetUp {
@@ -109,7 +116,7 @@
 
 #[test]
 fn an_end_and_the_hand_over_of_its_task_may_come_in_either_order() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     let (_, link) = rig.stand(7);
     // The host's word first.
     rig.host(link, FromHost::Close(Sid(8), cause::RESET, None));
@@ -141,12 +148,12 @@
         rig.engine
             .owner_says(rig.now, B, Ok(FromOwner::Close(Sid(sid), cause::NORMAL)));
     }
-    assert!(rig.engine.held().early <= 1 << 13);
+    assert!(rig.engine.table_sizes().early <= 1 << 13);
 }
 
 #[test]
 fn the_end_of_a_task_that_a_broken_connection_may_have_lost_is_said_again() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     let (_, link) = rig.stand(7);
     assert!(sends(
         &rig.says(A, FromOwner::Close(Sid(7), cause::NORMAL)),
@@ -164,13 +171,13 @@
     assert!(
         to_owners(&rig.host(third, FromHost::Close(Sid(7), cause::CANCELLED, None))).is_empty()
     );
-    assert_eq!(rig.engine.held().tasks, 0);
+    assert_eq!(rig.engine.table_sizes().tasks, 0);
 }
 
 #[test]
 fn an_owner_that_goes_while_its_set_up_waits_for_a_connection_has_it_withdrawn_unsent() {
     for reset in [false, true] {
-        let mut rig = Rig::new();
+        let mut rig = Harness::new();
         let task = rig.ask(A, 7);
         let link = connect(&rig.offer(task, 0));
         // Both lie there in one round: the connection that came up is read first.
@@ -192,7 +199,7 @@
         let mut settings = settings();
         settings["allowed"]["probes"] = json!(true);
         settings["fees"] = json!({"probe": price});
-        let mut rig = Rig::with(&settings);
+        let mut rig = Harness::with(&settings);
         let (_, link) = rig.stand(7);
         let mut count = 0;
         for _ in 0..100 {
@@ -213,7 +220,7 @@
 
 #[test]
 fn an_owner_that_goes_may_have_ended_a_task_and_is_told_nothing_more() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     let (_, link) = rig.stand(7);
     rig.stand(8);
     let task = rig.ask(B, 9);
--- a/crates/platform/src/engine/tests/lists.rs
+++ b/crates/platform/src/engine/tests/lists.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn events_of_the_channel_count_once_and_in_order() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     let event = |cursor: u64, snapshot: bool, names: &[&str]| {
         let endpoint = |name: &&str| {
             json!({"name": name, "address": "127.0.0.1:3", "zone": "west", "type": "std", "group": 1,
@@ -15,16 +15,16 @@
         let batch = json!({"cursor": cursor, "cmds": [{"cursor": cursor, "nodes": nodes}]});
         channel::read(batch.to_string().as_bytes()).expect("sound")
     };
-    assert!(!rig.engine.told(rig.now, &event(1, false, &["x"])));
-    assert!(rig.engine.told(rig.now, &event(2, false, &["b"])));
-    assert!(!rig.engine.told(rig.now, &event(2, false, &["c"])));
+    assert!(!rig.engine.apply_update(rig.now, &event(1, false, &["x"])));
+    assert!(rig.engine.apply_update(rig.now, &event(2, false, &["b"])));
+    assert!(!rig.engine.apply_update(rig.now, &event(2, false, &["c"])));
     rig.turn();
-    let listed = rig.told();
+    let listed = rig.take_events();
     assert!(
         matches!(&listed[..], [Event::EndpointsUpdated { scope: UpdateScope::Delta, machines }] if machines.len() == 1)
     );
     // A whole list: who is not in it is gone.
-    rig.engine.told(rig.now, &event(3, true, &["b"]));
+    rig.engine.apply_update(rig.now, &event(3, true, &["b"]));
     let task = rig.ask(A, 7);
     assert_eq!(rig.offer(task, 0), []);
     assert_eq!(rig.endings(), [(0, AttemptOutcome::ConnectFailed, false)]);
@@ -32,7 +32,7 @@
 
 #[test]
 fn nothing_grows_with_hosts_that_are_gone() {
-    let mut rig = Rig::new();
+    let mut rig = Harness::new();
     for n in 0..200 {
         let (name, address) = (format!("h{n}"), format!("127.0.0.1:{}", 100 + n));
         rig.list(&name, &address, "active", 0.0);
@@ -41,10 +41,16 @@
         rig.turn();
     }
     assert_eq!(
-        (rig.engine.fleet.hosts.len(), rig.engine.links.len()),
+        (
+            rig.engine.host_table.hosts.len(),
+            rig.engine.connections.len()
+        ),
         (1, 0)
     );
     let address: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    assert_eq!(rig.engine.fleet.hosts[&MachineId(0)].address, Some(address));
+    assert_eq!(
+        rig.engine.host_table.hosts[&MachineId(0)].address,
+        Some(address)
+    );
     assert!(rig.engine.timers.len() < 10);
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -11,4 +11,4 @@
 mod start;
 
 pub use shell::run;
-pub use start::{Error, decode};
+pub use start::{StartError, decode_settings};
--- a/crates/platform/src/shell/hosts.rs
+++ b/crates/platform/src/shell/hosts.rs
@@ -32,12 +32,12 @@
         }
         // Nor do hosts take all, however many there are: owners have to be heard.
         let most = self.sockets * MAX_PART.0 / MAX_PART.1;
-        let result = match self.used() < self.sockets && self.links.len() < most {
+        let result = match self.used() < self.sockets && self.host_connections.len() < most {
             true => self.connect(address, token(LINK, id.0)),
             false => Err(io::Error::other("all descriptors are in use")),
         };
         match result {
-            Ok(conn) => drop(self.links.insert(id, conn)),
+            Ok(conn) => drop(self.host_connections.insert(id, conn)),
             Err(error) => {
                 tracing::debug!(%address, %error, "connect");
                 self.engine.link_lost(now, id, why_lost(&error));
@@ -47,14 +47,14 @@
 
     pub(super) fn link_ready(&mut self, id: LinkId, r: &Readiness) {
         let now = self.clock.now();
-        let Some(conn) = self.links.get_mut(&id) else {
+        let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
-        if conn.connecting() {
-            if !r.write && !r.closed {
+        if conn.is_connecting() {
+            if !r.is_writable && !r.is_closed {
                 return;
             }
-            match conn.connected() {
+            match conn.finish_connect() {
                 Ok(()) => {
                     self.engine.link_up(now, id);
                     self.dirty.insert(token(LINK, id.0));
@@ -64,20 +64,20 @@
                     return;
                 }
             }
-        } else if r.write {
+        } else if r.is_writable {
             self.dirty.insert(token(LINK, id.0));
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let Some(conn) = self.links.get_mut(&id) else {
+        let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
-        let outcome = conn.fill(READ_ROUND, MAX_UNREAD);
+        let outcome = conn.read_available(READ_ROUND, MAX_UNREAD);
         loop {
             match host::read(conn.unread()) {
                 Ok(Some((says, n))) => {
-                    conn.take(n);
+                    conn.consume(n);
                     self.engine.host_says(now, id, says);
                 }
                 Ok(None) => break,
@@ -88,34 +88,34 @@
                 }
             }
         }
-        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.lose(now, id, Loss::Broken);
         }
     }
 
     pub(super) fn lose(&mut self, now: Micros, id: LinkId, loss: Loss) {
-        self.links.remove(&id);
+        self.host_connections.remove(&id);
         self.resume();
         self.engine.link_lost(now, id, loss);
     }
 
     /// Has an end written now: what it ends is out until then.
     pub(super) fn end_at_host(&mut self, now: Micros, id: LinkId, bytes: &[u8]) {
-        let Some(conn) = self.links.get_mut(&id) else {
+        let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
-        conn.out().extend_from_slice(bytes);
-        if conn.flush(&self.poller).is_err() || conn.unwritten() > 0 {
+        conn.write_buffer().extend_from_slice(bytes);
+        if conn.flush(&self.poller).is_err() || conn.unwritten_bytes() > 0 {
             tracing::debug!(link = id.0, "a connection does not take an end");
             self.lose(now, id, Loss::Broken);
         }
     }
 
     pub(super) fn flush_host(&mut self, now: Micros, id: LinkId) {
-        let Some(conn) = self.links.get_mut(&id) else {
+        let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
-        if conn.flush(&self.poller).is_err() || conn.unwritten() > MAX_UNWRITTEN {
+        if conn.flush(&self.poller).is_err() || conn.unwritten_bytes() > MAX_UNWRITTEN {
             self.lose(now, id, Loss::Broken);
         }
     }
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -11,14 +11,16 @@
 
 use maplethread::{Micros, Placer};
 use maplethread_platform_wire::LONGEST;
-use maplethread_reactor::{Clock, Conn, Poller, ReadOutcome, Readiness, Signals, exhausted};
+use maplethread_reactor::{
+    Clock, Poller, ReadOutcome, Readiness, Signals, TcpConnection, is_resource_exhausted,
+};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::channel::{Channel, Want};
+use crate::channel::{ChannelPoll, Want};
 use crate::engine::{Engine, LinkId, Output, OwnerId};
-use crate::shutdown::Shutdown;
-use crate::start::{Error, decode, io_error, load};
-use owners::{Lingering, OwnerConn};
+use crate::shutdown::ShutdownSchedule;
+use crate::start::{StartError, decode_settings, io_error, load};
+use owners::{LingeringConnection, OwnerConn};
 
 const LISTENER: u64 = 0;
 const SIGNALS: u64 = 1;
@@ -44,16 +46,16 @@
 const TEXT_PART: usize = 8;
 
 /// Runs the placer that `config` describes until it is told to end.
-pub fn run(config: &Path) -> Result<(), Error> {
+pub fn run(config: &Path) -> Result<(), StartError> {
     let (settings, listen) = load(config)?;
-    let wrong = |why: String| Error::Config {
+    let wrong = |why: String| StartError::Config {
         file: config.to_owned(),
         why,
     };
     let unusable = |e: &dyn std::fmt::Display| wrong(format!("settings: {e}"));
-    let (decisions, terms) = decode(&settings.settings).map_err(|e| unusable(&e))?;
+    let (decisions, terms) = decode_settings(&settings.settings).map_err(|e| unusable(&e))?;
     let placer = Placer::new(decisions.clone(), settings.seed).map_err(|e| unusable(&e))?;
-    let shutdown = Shutdown::new(terms.longest_deadline);
+    let shutdown = ShutdownSchedule::new(terms.longest_deadline);
     let mut engine = Engine::new(terms, &decisions, placer);
     let memory = (settings.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
     engine.limit_text(memory / TEXT_PART);
@@ -69,12 +71,12 @@
         .map_err(io_error("listener"))?;
     let listen = listener.local_addr().map_err(io_error("listener"))?;
     poller
-        .add(&listener, LISTENER, false)
+        .register(&listener, LISTENER, false)
         .map_err(io_error("listener"))?;
     let sockets = settings.limits.sockets.saturating_sub(RESERVED).max(32);
     let mut shell = Shell {
         engine,
-        channel: Channel::new(settings.channel),
+        channel: ChannelPoll::new(settings.channel),
         channel_conn: None,
         channel_number: 0,
         clock: Clock::start(),
@@ -83,13 +85,13 @@
         listener: Some(listener),
         accept_due: false,
         paused: None,
-        file: config.to_owned(),
+        config_path: config.to_owned(),
         reload: None,
-        round: 0,
+        turn_number: 0,
         owners: HashMap::new(),
         lingering: BTreeMap::new(),
         throttled: BTreeSet::new(),
-        links: HashMap::new(),
+        host_connections: HashMap::new(),
         last_owner: 0,
         sockets,
         max_throttled: (memory / owners::MAX_UNWRITTEN / TEXT_PART).max(4),
@@ -98,7 +100,7 @@
         stop_at: None,
     };
     let now = shell.clock.now();
-    shell.engine.told(now, &settings.known);
+    shell.engine.apply_update(now, &settings.known);
     tracing::info!(name = %settings.name, %listen, sockets = settings.limits.sockets,
         cores = settings.limits.cores, memory_mb = settings.limits.memory_mb, "serving");
     shell.serve()
@@ -106,8 +108,8 @@
 
 struct Shell {
     engine: Engine<Placer>,
-    channel: Channel,
-    channel_conn: Option<Conn>,
+    channel: ChannelPoll,
+    channel_conn: Option<TcpConnection>,
     channel_number: u64,
     clock: Clock,
     poller: Poller,
@@ -118,24 +120,24 @@
     accept_due: bool,
     /// Nothing is accepted until then, since there is no descriptor for it.
     paused: Option<Micros>,
-    file: PathBuf,
+    config_path: PathBuf,
     /// When a new configuration is read, and how often once more.
     reload: Option<(Micros, u32)>,
     /// Turns of the loop: an owner's connection is read once in each.
-    round: u64,
+    turn_number: u64,
     owners: HashMap<OwnerId, OwnerConn>,
     /// Connections that are being closed.
-    lingering: BTreeMap<OwnerId, Lingering>,
+    lingering: BTreeMap<OwnerId, LingeringConnection>,
     /// Owners that are not read, since they don't read.
     throttled: BTreeSet<OwnerId>,
     max_throttled: usize,
-    links: HashMap<LinkId, Conn>,
+    host_connections: HashMap<LinkId, TcpConnection>,
     last_owner: u64,
     /// Descriptors for owners and hosts.
     sockets: usize,
     /// Connections with something to write.
     dirty: BTreeSet<u64>,
-    shutdown: Shutdown,
+    shutdown: ShutdownSchedule,
     stop_at: Option<Micros>,
 }
 
@@ -145,7 +147,7 @@
 }
 
 impl Shell {
-    fn serve(&mut self) -> Result<(), Error> {
+    fn serve(&mut self) -> Result<(), StartError> {
         let mut ready = Vec::new();
         loop {
             let before = self.clock.now();
@@ -154,7 +156,7 @@
             self.poller
                 .wait(Some(Duration::from_micros(timeout)), &mut ready)
                 .map_err(io_error("epoll"))?;
-            self.round += 1;
+            self.turn_number += 1;
             for _ in 0..ROUNDS {
                 if ready.is_empty() {
                     break;
@@ -185,7 +187,7 @@
 
     fn next_due(&self) -> Micros {
         let engine = self.engine.next_timeout().unwrap_or(Micros::MAX);
-        let stop = self.stop_at.map_or(Micros::MAX, Shutdown::earliest);
+        let stop = self.stop_at.map_or(Micros::MAX, ShutdownSchedule::earliest);
         let lingering = self
             .lingering
             .values()
@@ -204,9 +206,9 @@
 
     fn done(&self, now: Micros) -> bool {
         let Some(at) = self.stop_at else { return false };
-        let written = self.owners.values().all(|o| o.conn.unwritten() == 0);
+        let written = self.owners.values().all(|o| o.conn.unwritten_bytes() == 0);
         self.shutdown
-            .over(at, now, self.engine.open_asks(), written)
+            .over(at, now, self.engine.pending_request_count(), written)
     }
 
     fn take_in(&mut self, ready: &[Readiness]) {
@@ -215,7 +217,7 @@
                 LISTENER => self.accept_due = true,
                 SIGNALS => self
                     .signals
-                    .take()
+                    .take_received()
                     .into_iter()
                     .for_each(|signal| self.signal(signal)),
                 token => match token & ((1 << KINDS) - 1) {
@@ -233,7 +235,11 @@
             self.reload = Some((now, RELOADS));
             self.load_again(now);
         } else if self.stop_at.is_none() {
-            tracing::info!(signal, open = self.engine.open_asks(), "told to end");
+            tracing::info!(
+                signal,
+                open = self.engine.pending_request_count(),
+                "told to end"
+            );
             self.stop_at = Some(now);
             self.engine.stop(self.shutdown.answered_by(now));
         }
@@ -244,11 +250,11 @@
         let Some((_, left)) = self.reload.take_if(|(at, _)| *at <= now) else {
             return;
         };
-        match load(&self.file) {
+        match load(&self.config_path) {
             Ok((config, _)) => {
                 tracing::info!(channel = %config.channel, "new configuration");
                 self.channel.moved(config.channel);
-                self.engine.told(now, &config.known);
+                self.engine.apply_update(now, &config.known);
             }
             Err(error) if left == 0 => {
                 tracing::error!(%error, "the new configuration can't be used; the old one is kept")
@@ -268,32 +274,34 @@
         let Some(conn) = &mut self.channel_conn else {
             return;
         };
-        if conn.connecting() {
-            if !r.write && !r.closed {
+        if conn.is_connecting() {
+            if !r.is_writable && !r.is_closed {
                 return;
             }
-            match conn.connected() {
-                Ok(()) => self.channel.up(now, self.engine.cursor()),
+            match conn.finish_connect() {
+                Ok(()) => self
+                    .channel
+                    .connection_established(now, self.engine.cursor()),
                 Err(error) => {
                     tracing::warn!(%error, "the command channel");
-                    self.channel.broken(now);
+                    self.channel.connection_lost(now);
                 }
             }
-        } else if r.read {
-            let outcome = conn.fill(CHANNEL_ROUND, MAX_UNREAD);
+        } else if r.is_readable {
+            let outcome = conn.read_available(CHANNEL_ROUND, MAX_UNREAD);
             loop {
-                let (used, batch) = self.channel.read(now, conn.unread());
-                conn.take(used);
+                let (used, batch) = self.channel.read_response(now, conn.unread());
+                conn.consume(used);
                 if let Some(batch) = &batch {
-                    self.engine.told(now, batch);
-                    self.channel.next(now, self.engine.cursor());
+                    self.engine.apply_update(now, batch);
+                    self.channel.poll_again(now, self.engine.cursor());
                 }
                 if batch.is_none() || used == 0 {
                     break;
                 }
             }
-            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
-                self.channel.broken(now);
+            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
+                self.channel.connection_lost(now);
             }
         }
         self.ask_channel(now);
@@ -310,13 +318,13 @@
                         Ok(conn) => self.channel_conn = Some(conn),
                         Err(error) => {
                             tracing::warn!(%error, "the command channel");
-                            self.channel.broken(now);
+                            self.channel.connection_lost(now);
                         }
                     }
                 }
                 Want::Send(bytes) => {
                     if let Some(conn) = &mut self.channel_conn {
-                        conn.out().extend_from_slice(&bytes);
+                        conn.write_buffer().extend_from_slice(&bytes);
                     }
                 }
             }
@@ -324,15 +332,15 @@
         if let Some(conn) = &mut self.channel_conn
             && conn.flush(&self.poller).is_err()
         {
-            self.channel.broken(now);
+            self.channel.connection_lost(now);
         }
     }
 
     /// Opens a connection, for which an owner's that can be spared is closed if there is no descriptor for it.
-    fn connect(&mut self, to: std::net::SocketAddr, token: u64) -> io::Result<Conn> {
-        match Conn::connect(to, token, &self.poller) {
-            Err(error) if exhausted(&error) && self.spare() => {
-                Conn::connect(to, token, &self.poller)
+    fn connect(&mut self, to: std::net::SocketAddr, token: u64) -> io::Result<TcpConnection> {
+        match TcpConnection::connect(to, token, &self.poller) {
+            Err(error) if is_resource_exhausted(&error) && self.spare() => {
+                TcpConnection::connect(to, token, &self.poller)
             }
             result => result,
         }
@@ -359,14 +367,14 @@
             Output::CloseOwner(id) => self.linger(now, id),
             Output::Connect(id, address) => self.connect_host(now, id, address),
             Output::ToHost(id, bytes) => {
-                if let Some(conn) = self.links.get_mut(&id) {
-                    conn.out().extend_from_slice(&bytes);
+                if let Some(conn) = self.host_connections.get_mut(&id) {
+                    conn.write_buffer().extend_from_slice(&bytes);
                     self.dirty.insert(token(LINK, id.0));
                 }
             }
-            Output::End(id, bytes) => self.end_at_host(now, id, &bytes),
+            Output::SendToHostImmediately(id, bytes) => self.end_at_host(now, id, &bytes),
             Output::CloseLink(id) => {
-                self.links.remove(&id);
+                self.host_connections.remove(&id);
                 self.resume();
             }
         }
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -5,11 +5,11 @@
 
 use maplethread::Micros;
 use maplethread_platform_wire::owner::{self, ToOwner};
-use maplethread_reactor::{Conn, ReadOutcome, Readiness, exhausted};
+use maplethread_reactor::{ReadOutcome, Readiness, TcpConnection, is_resource_exhausted};
 
 use super::{KINDS, LISTENER, MAX_UNREAD, OWNER, Shell, token};
 use crate::engine::OwnerId;
-use crate::start::{Error, io_error};
+use crate::start::{StartError, io_error};
 
 /// Bytes read from one owner in one turn of the loop: however many send at once, the turn ends soon, and what an owner
 /// takes back is read in the next one.
@@ -40,26 +40,26 @@
 const SPARES: usize = 8;
 
 pub(super) struct OwnerConn {
-    pub(super) conn: Conn,
+    pub(super) conn: TcpConnection,
     scanned: usize,
     /// The turn in which it was last read.
     read_in: u64,
 }
 
 /// A connection that is being closed.
-pub(super) struct Lingering {
-    conn: Conn,
+pub(super) struct LingeringConnection {
+    conn: TcpConnection,
     pub(super) until: Micros,
     /// So much more is read.
-    left: usize,
+    remaining_bytes: usize,
     /// The own side is closed.
-    finished: bool,
+    is_write_closed: bool,
 }
 
 impl Shell {
     /// Descriptors that owners and hosts hold.
     pub(super) fn used(&self) -> usize {
-        self.owners.len() + self.lingering.len() + self.links.len()
+        self.owners.len() + self.lingering.len() + self.host_connections.len()
     }
 
     pub(super) fn accept(&mut self) {
@@ -79,7 +79,7 @@
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
                 Err(error) => {
                     tracing::warn!(%error, "accept");
-                    if exhausted(&error) && !self.spare() {
+                    if is_resource_exhausted(&error) && !self.spare() {
                         return self.pause();
                     }
                     continue;
@@ -87,7 +87,7 @@
             };
             self.last_owner += 1;
             let id = OwnerId(self.last_owner);
-            match Conn::accepted(stream, token(OWNER, id.0), &self.poller) {
+            match TcpConnection::from_accepted(stream, token(OWNER, id.0), &self.poller) {
                 Ok(conn) => {
                     self.owners.insert(
                         id,
@@ -109,7 +109,7 @@
         if self.paused.is_none() && self.listen(false) {
             tracing::debug!(
                 owners = self.owners.len(),
-                hosts = self.links.len(),
+                hosts = self.host_connections.len(),
                 "no descriptor is left"
             );
             self.paused = Some(self.clock.now() + ACCEPT_RETRY);
@@ -135,7 +135,7 @@
     fn listen(&self, on: bool) -> bool {
         self.listener
             .as_ref()
-            .is_some_and(|l| self.poller.change(l, LISTENER, on, false).is_ok())
+            .is_some_and(|l| self.poller.modify(l, LISTENER, on, false).is_ok())
     }
 
     /// Closes the owner's connection that can be spared first; whether there was one. What it has said by now is read
@@ -157,7 +157,7 @@
                 && self
                     .owners
                     .get(&id)
-                    .is_some_and(|o| o.conn.unwritten() == 0)
+                    .is_some_and(|o| o.conn.unwritten_bytes() == 0)
             {
                 self.drop_owner(id);
                 return true;
@@ -174,10 +174,10 @@
     }
 
     pub(super) fn owner_ready(&mut self, id: OwnerId, r: &Readiness) {
-        if r.write {
+        if r.is_writable {
             self.dirty.insert(token(OWNER, id.0));
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
         if self.lingering.contains_key(&id) {
@@ -186,11 +186,11 @@
         let Some(owner) = self.owners.get_mut(&id) else {
             return;
         };
-        if r.closed {
+        if r.is_closed {
             // More of what it said may lie unread, such as the ends of tasks that stand; it waits for nothing any more.
             self.engine.owner_gone(id);
         }
-        if std::mem::replace(&mut owner.read_in, self.round) != self.round {
+        if std::mem::replace(&mut owner.read_in, self.turn_number) != self.turn_number {
             self.read_owner(id, READ_TURN);
         }
     }
@@ -202,15 +202,15 @@
             return false;
         };
         let before = owner.conn.unread().len();
-        let outcome = owner.conn.fill(most, MAX_UNREAD);
+        let outcome = owner.conn.read_available(most, MAX_UNREAD);
         let mut said = owner.conn.unread().len() > before;
         while let Some((says, n)) = owner::read(owner.conn.unread(), &mut owner.scanned) {
-            owner.conn.take(n);
+            owner.conn.consume(n);
             tracing::trace!(owner = id.0, ?says, "owner");
             self.engine.owner_says(now, id, says);
             said = true;
         }
-        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.drop_owner(id);
         }
         said
@@ -219,7 +219,7 @@
     pub(super) fn tell_owner(&mut self, id: OwnerId, message: &ToOwner) {
         tracing::trace!(owner = id.0, ?message, "to owner");
         if let Some(owner) = self.owners.get_mut(&id) {
-            owner::write(owner.conn.out(), message);
+            owner::write(owner.conn.write_buffer(), message);
             self.dirty.insert(token(OWNER, id.0));
         }
     }
@@ -228,10 +228,10 @@
         if let Some(closing) = self.lingering.get_mut(&id) {
             if closing.conn.flush(&self.poller).is_err() {
                 self.lingering.remove(&id);
-            } else if closing.conn.unwritten() == 0
-                && !std::mem::replace(&mut closing.finished, true)
+            } else if closing.conn.unwritten_bytes() == 0
+                && !std::mem::replace(&mut closing.is_write_closed, true)
             {
-                closing.conn.finish();
+                closing.conn.shutdown_write();
             }
             return;
         }
@@ -239,13 +239,13 @@
             return;
         };
         let failed = owner.conn.flush(&self.poller).is_err();
-        let waits = owner.conn.unwritten();
+        let waits = owner.conn.unwritten_bytes();
         if failed || waits > MAX_UNWRITTEN {
             return self.drop_owner(id);
         }
         // One that does not read is not read either, so that what it is owed does not grow; its end is still seen.
         let throttled = waits
-            > if owner.conn.reading() {
+            > if owner.conn.is_reading() {
                 THROTTLE_ABOVE
             } else {
                 RESUME_BELOW
@@ -256,7 +256,7 @@
         if !throttled {
             self.throttled.remove(&id);
         } else if self.throttled.insert(id) && self.throttled.len() > self.max_throttled {
-            let waits = |id: &OwnerId| self.owners.get(id).map_or(0, |o| o.conn.unwritten());
+            let waits = |id: &OwnerId| self.owners.get(id).map_or(0, |o| o.conn.unwritten_bytes());
             if let Some(worst) = self.throttled.iter().copied().max_by_key(waits) {
                 self.drop_owner(worst);
             }
@@ -270,7 +270,7 @@
         };
         self.throttled.remove(&id);
         self.resume();
-        if conn.written() == 0 && conn.unwritten() == 0 {
+        if conn.written_bytes() == 0 && conn.unwritten_bytes() == 0 {
             return;
         }
         if self.lingering.len() >= MAX_LINGERING {
@@ -279,18 +279,18 @@
         self.keep_lingering(id, conn, now + LINGER);
     }
 
-    fn keep_lingering(&mut self, id: OwnerId, mut conn: Conn, until: Micros) {
+    fn keep_lingering(&mut self, id: OwnerId, mut conn: TcpConnection, until: Micros) {
         // What it goes on to send is read and dropped.
         if conn.set_reading(true, &self.poller).is_ok() {
             let all = conn.unread().len();
-            conn.take(all);
+            conn.consume(all);
             self.lingering.insert(
                 id,
-                Lingering {
+                LingeringConnection {
                     conn,
                     until,
-                    left: LINGER_BYTES,
-                    finished: false,
+                    remaining_bytes: LINGER_BYTES,
+                    is_write_closed: false,
                 },
             );
             self.dirty.insert(token(OWNER, id.0));
@@ -302,12 +302,13 @@
         let Some(closing) = self.lingering.get_mut(&id) else {
             return;
         };
-        let outcome = closing.conn.fill(MAX_UNREAD, MAX_UNREAD);
+        let outcome = closing.conn.read_available(MAX_UNREAD, MAX_UNREAD);
         let all = closing.conn.unread().len();
-        closing.conn.take(all);
-        closing.left = closing.left.saturating_sub(all);
-        let throttled = closing.left > 0 || closing.conn.set_reading(false, &self.poller).is_ok();
-        if !throttled || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        closing.conn.consume(all);
+        closing.remaining_bytes = closing.remaining_bytes.saturating_sub(all);
+        let throttled =
+            closing.remaining_bytes > 0 || closing.conn.set_reading(false, &self.poller).is_ok();
+        if !throttled || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.lingering.remove(&id);
             self.resume();
         }
@@ -315,7 +316,7 @@
 
     /// The end of the process. What has come by now is answered, with a refusal where it is a new ask; then each owner's
     /// connection is half-closed and read on until its owner has closed it too, or time is up.
-    pub(super) fn shut_down(&mut self) -> Result<(), Error> {
+    pub(super) fn shut_down(&mut self) -> Result<(), StartError> {
         self.engine.refuse_all();
         let ids: Vec<OwnerId> = self.owners.keys().copied().collect();
         for &id in &ids {
@@ -325,7 +326,7 @@
         self.engine.turn(now);
         self.carry_out(now);
         self.flush(now);
-        self.links.clear();
+        self.host_connections.clear();
         self.channel_conn = None;
         for (id, owner) in std::mem::take(&mut self.owners) {
             self.keep_lingering(id, owner.conn, now + CLOSE_WITHIN);
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -18,21 +18,21 @@
 
 /// The last part of a placer's shutdown.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shutdown {
-    killed: Micros,
+pub(crate) struct ShutdownSchedule {
+    kill_after: Micros,
 }
 
-impl Shutdown {
+impl ShutdownSchedule {
     /// Under classes whose longest deadline this is.
-    pub(crate) fn new(longest_deadline: Micros) -> Shutdown {
-        Shutdown {
-            killed: longest_deadline.min(LONGEST_COUNTED) + KILLED_AFTER,
+    pub(crate) fn new(longest_deadline: Micros) -> ShutdownSchedule {
+        ShutdownSchedule {
+            kill_after: longest_deadline.min(LONGEST_COUNTED) + KILLED_AFTER,
         }
     }
 
     /// When everything has its answer, if the process was told to end at `told`.
     pub(crate) fn answered_by(self, told: Micros) -> Micros {
-        told + self.killed - TO_WRITE
+        told + self.kill_after - TO_WRITE
     }
 
     /// The earliest end.
@@ -44,11 +44,11 @@
     /// Tasks that stand are no reason to stay: they run on, and the next start is handed them, sooner if this one ends
     /// sooner.
     pub(crate) fn over(self, told: Micros, now: Micros, owed: usize, written: bool) -> bool {
-        now >= self.last(told) || (now >= Shutdown::earliest(told) && owed == 0 && written)
+        now >= self.last(told) || (now >= ShutdownSchedule::earliest(told) && owed == 0 && written)
     }
 
     /// When the process ends, whoever still reads.
     pub(crate) fn last(self, told: Micros) -> Micros {
-        told + self.killed - TO_READ
+        told + self.kill_after - TO_READ
     }
 }
--- a/crates/platform/src/shutdown/tests.rs
+++ b/crates/platform/src/shutdown/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn it_stays_while_asks_may_come_or_are_owed_an_answer_and_no_longer() {
-    let shutdown = Shutdown::new(6_000_000);
+    let shutdown = ShutdownSchedule::new(6_000_000);
     assert!(
         !shutdown.over(TOLD, TOLD + STILL_COMES - 1, 0, true),
         "requests still come"
@@ -32,7 +32,7 @@
 fn where_all_deadlines_are_short_it_ends_before_it_is_killed() {
     // PROTOCOL: SIGKILL comes no earlier than the longest deadline plus 0.7 s after SIGTERM.
     for deadline in [900_000, 1_800_000, 3_000_000, 20_000_000] {
-        let shutdown = Shutdown::new(deadline);
+        let shutdown = ShutdownSchedule::new(deadline);
         let killed = TOLD + deadline.min(3_000_000) + 700_000;
         assert!(
             shutdown.answered_by(TOLD) < shutdown.last(TOLD) && shutdown.last(TOLD) < killed,
@@ -43,7 +43,7 @@
             "{deadline}"
         );
         assert!(
-            shutdown.last(TOLD) >= Shutdown::earliest(TOLD),
+            shutdown.last(TOLD) >= ShutdownSchedule::earliest(TOLD),
             "{deadline}"
         );
     }
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -5,13 +5,13 @@
 use std::path::{Path, PathBuf};
 
 use maplethread::{LoadReport, Micros, Settings};
-use maplethread_deployment::{Terms, WireError};
+use maplethread_deployment::{FieldError, PlatformSettings};
 use maplethread_platform_wire::config::Config;
 use serde_json::Value;
 
 /// Why the placer could not start, or not go on.
 #[derive(Debug, thiserror::Error)]
-pub enum Error {
+pub enum StartError {
     /// The configuration can't be used.
     #[error("{}: {why}", .file.display())]
     Config {
@@ -25,9 +25,9 @@
     Io(String, io::Error),
 }
 
-pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> Error {
+pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
     let what = what.into();
-    move |e| Error::Io(what, e)
+    move |e| StartError::Io(what, e)
 }
 
 /// How far apart the decisions on two offers, and their arrival, may lie besides the time that a connection may take to
@@ -36,15 +36,15 @@
 
 /// The decisions' settings and the platform's terms, from the settings object; the error names the first key that is
 /// missing or wrong.
-pub fn decode(settings: &Value) -> Result<(Settings, Terms), WireError> {
-    let (mut decisions, _) = maplethread_deployment::decode(settings)?;
+pub fn decode_settings(settings: &Value) -> Result<(Settings, PlatformSettings), FieldError> {
+    let (mut decisions, _) = maplethread_deployment::decode_policy_settings(settings)?;
     let terms = maplethread_deployment::terms(settings)?;
     // Offers wait for connections that are being made, and leave together: what is decided within a window and that time
     // may reach a host that came up cold within one window.
     decisions.rules.overload_window += terms.connect_within + ON_ITS_WAY;
     // The protocol's page knows neither load reports in hosts' messages nor room in lists, whatever the settings say, and
     // neither is read here: the decisions reckon without them.
-    (decisions.report, decisions.view) = (LoadReport::Silent, false);
+    (decisions.load_report, decisions.endpoints_report_capacity) = (LoadReport::Silent, false);
     Ok((decisions, terms))
 }
 
@@ -52,8 +52,8 @@
 const LONGEST: u64 = 8 << 20;
 
 /// Reads the configuration; name and address come from `RELAY_NAME` and `RELAY_LISTEN` where it lacks them.
-pub(crate) fn load(path: &Path) -> Result<(Config, SocketAddr), Error> {
-    let wrong = |why: String| Error::Config {
+pub(crate) fn load(path: &Path) -> Result<(Config, SocketAddr), StartError> {
+    let wrong = |why: String| StartError::Config {
         file: path.to_owned(),
         why,
     };
--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -148,7 +148,7 @@
             world
                 .held()
                 .iter()
-                .all(|h| h.tasks < 10_000 && h.links <= 12),
+                .all(|h| h.tasks < 10_000 && h.connections <= 12),
             "{:?}",
             world.held()
         );
@@ -178,7 +178,7 @@
     assert!(seen.asked > 10_000 && seen.lost > 1_000, "{seen:?}");
     for (early, late) in early.iter().zip(&late) {
         assert!(
-            late.tasks <= early.tasks + 5 && late.links <= 16 && late.hosts == 8,
+            late.tasks <= early.tasks + 5 && late.connections <= 16 && late.hosts == 8,
             "{early:?} {late:?}"
         );
         assert!(
@@ -230,8 +230,12 @@
     settings["domain"]["listsFree"] = true.into();
     settings["domain"]["freeBy"] = "asked".into();
     settings["reporting"] = serde_json::json!({"how": "piggyback", "fields": ["x0", "x1"]});
-    let (decisions, terms) = maplethread_platform::decode(&settings).expect("sound settings");
-    assert!(!decisions.view && decisions.report == maplethread::LoadReport::Silent);
+    let (decisions, terms) =
+        maplethread_platform::decode_settings(&settings).expect("sound settings");
+    assert!(
+        !decisions.endpoints_report_capacity
+            && decisions.load_report == maplethread::LoadReport::Silent
+    );
     // What is counted for a cold host holds for the time that a connection may take to come up too.
     assert!(decisions.rules.overload_window > support::WINDOW + terms.connect_within);
 }
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet};
 
 use maplethread::{Micros, Placer};
-use maplethread_platform::decode;
-use maplethread_platform::engine::{Engine, Held, LinkId, Loss, Output, OwnerId};
+use maplethread_platform::decode_settings;
+use maplethread_platform::engine::{Engine, LinkId, Loss, Output, OwnerId, TableSizes};
 use maplethread_platform_wire::channel::{self, Batch};
 use maplethread_platform_wire::host::{FromHost, Told};
 use maplethread_platform_wire::owner::{FromOwner, SetUp, ToOwner};
@@ -290,10 +290,10 @@
     }
 
     /// What each placer holds in its tables.
-    pub fn held(&self) -> Vec<Held> {
+    pub fn held(&self) -> Vec<TableSizes> {
         self.placers
             .iter()
-            .filter_map(|p| Some(p.engine.as_ref()?.held()))
+            .filter_map(|p| Some(p.engine.as_ref()?.table_sizes()))
             .collect()
     }
 
@@ -348,14 +348,14 @@
 
     fn start(&mut self, placer: usize) {
         let object = settings(placer, self.placers.len(), self.connects);
-        let (decisions, terms) = decode(&object).expect("sound settings");
+        let (decisions, terms) = decode_settings(&object).expect("sound settings");
         let seed = self.rng.next_u64();
         let decider = Placer::new(decisions.clone(), seed).expect("sound settings");
         let mut engine = Engine::new(terms, &decisions, decider);
         let all: Vec<Value> = (0..self.hosts.len())
             .map(|h| self.entry(h, "active"))
             .collect();
-        engine.told(self.now, &batch(&changes(self.cursor, true, &all)));
+        engine.apply_update(self.now, &batch(&changes(self.cursor, true, &all)));
         engine.owner_opened(self.now, OWNER);
         engine.owner_says(self.now, OWNER, Ok(FromOwner::Probe(Sid(1))));
         let process = &mut self.placers[placer];
@@ -474,7 +474,7 @@
                 Input::Lost(link, loss) => engine.link_lost(now, link, loss),
                 Input::Says(link, says) => engine.host_says(now, link, says),
                 Input::Owner(says) => engine.owner_says(now, OWNER, Ok(*says)),
-                Input::Told(list) => drop(engine.told(now, &batch(&list))),
+                Input::Told(list) => drop(engine.apply_update(now, &batch(&list))),
             }
         }
         engine.turn(now);
@@ -500,7 +500,7 @@
                         dirty.push(link);
                     }
                 }
-                Output::End(link, bytes) => {
+                Output::SendToHostImmediately(link, bytes) => {
                     if let Some(conn) = self.conns.get_mut(&(placer, life, link)) {
                         conn.out.push(bytes);
                         self.write((placer, life, link), at);
--- a/crates/reactor/src/accept.rs
+++ b/crates/reactor/src/accept.rs
@@ -18,7 +18,7 @@
 
 /// Whether an error says that the process or the system has no descriptor or memory left for another socket, so that the
 /// same call fails again until something is closed.
-pub fn exhausted(error: &io::Error) -> bool {
+pub fn is_resource_exhausted(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(
         errno,
--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -5,25 +5,25 @@
 /// A clock that never runs back and starts at Unix time, µs.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    start: Instant,
-    unix: u64,
+    started: Instant,
+    started_unix_us: u64,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
+        let started_unix_us = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or(Duration::ZERO)
             .as_micros() as u64;
         Clock {
-            start: Instant::now(),
-            unix,
+            started: Instant::now(),
+            started_unix_us,
         }
     }
 
     /// The time, µs.
     pub fn now(&self) -> u64 {
-        self.unix + self.start.elapsed().as_micros() as u64
+        self.started_unix_us + self.started.elapsed().as_micros() as u64
     }
 }
--- a/crates/reactor/src/conn.rs
+++ b/crates/reactor/src/conn.rs
@@ -13,39 +13,43 @@
     /// All that was there is read.
     Drained,
     /// More may be there; the buffer is full or the turn's share is used up.
-    More,
+    LimitReached,
     /// The peer has closed its side.
     Closed,
     /// The connection broke.
-    Broken,
+    Failed,
 }
 
 /// A connection with what was read and not yet taken, and what is still to be written.
-pub struct Conn {
+pub struct TcpConnection {
     stream: TcpStream,
     token: u64,
-    read: Vec<u8>,
+    read_buffer: Vec<u8>,
     read_from: usize,
-    write: Vec<u8>,
+    outgoing: Vec<u8>,
     write_from: usize,
     /// Bytes ever taken by the kernel.
-    written: u64,
+    written_bytes: u64,
     wants_write: bool,
     wants_read: bool,
-    connecting: bool,
+    is_connecting: bool,
 }
 
-impl Conn {
+impl TcpConnection {
     /// Takes over an accepted stream.
-    pub fn accepted(stream: TcpStream, token: u64, poller: &Poller) -> io::Result<Conn> {
+    pub fn from_accepted(
+        stream: TcpStream,
+        token: u64,
+        poller: &Poller,
+    ) -> io::Result<TcpConnection> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        poller.add(&stream, token, false)?;
-        Ok(Conn::new(stream, token, false))
+        poller.register(&stream, token, false)?;
+        Ok(TcpConnection::new(stream, token, false))
     }
 
     /// Starts to connect; the first write readiness tells how it went, by [`Conn::connected`].
-    pub fn connect(to: SocketAddr, token: u64, poller: &Poller) -> io::Result<Conn> {
+    pub fn connect(to: SocketAddr, token: u64, poller: &Poller) -> io::Result<TcpConnection> {
         let family = if to.is_ipv4() {
             AddressFamily::INET
         } else {
@@ -58,67 +62,70 @@
             Err(e) => return Err(e.into()),
         }
         let stream = TcpStream::from(socket);
-        poller.add(&stream, token, true)?;
-        let mut conn = Conn::new(stream, token, true);
+        poller.register(&stream, token, true)?;
+        let mut conn = TcpConnection::new(stream, token, true);
         conn.wants_write = true;
         Ok(conn)
     }
 
-    fn new(stream: TcpStream, token: u64, connecting: bool) -> Conn {
+    fn new(stream: TcpStream, token: u64, is_connecting: bool) -> TcpConnection {
         let (wants_write, wants_read) = (false, true);
-        Conn {
+        TcpConnection {
             stream,
             token,
-            read: Vec::new(),
+            read_buffer: Vec::new(),
             read_from: 0,
-            write: Vec::new(),
+            outgoing: Vec::new(),
             write_from: 0,
-            written: 0,
+            written_bytes: 0,
             wants_write,
             wants_read,
-            connecting,
+            is_connecting,
         }
     }
 
     /// Whether the connection is still being made.
-    pub fn connecting(&self) -> bool {
-        self.connecting
+    pub fn is_connecting(&self) -> bool {
+        self.is_connecting
     }
 
     /// Whether the connection is made, told also before its first readiness: on loopback it mostly is at once.
-    pub fn try_connected(&mut self) -> bool {
-        if self.connecting && self.stream.peer_addr().is_ok() {
-            let _ = self.connected();
+    pub fn poll_connected(&mut self) -> bool {
+        if self.is_connecting && self.stream.peer_addr().is_ok() {
+            let _ = self.finish_connect();
         }
-        !self.connecting
+        !self.is_connecting
     }
 
     /// After readiness while connecting: the connection is made, or why it can't be.
-    pub fn connected(&mut self) -> io::Result<()> {
+    pub fn finish_connect(&mut self) -> io::Result<()> {
         if let Some(error) = self.stream.take_error()? {
             return Err(error);
         }
-        self.connecting = false;
+        self.is_connecting = false;
         self.stream.set_nodelay(true)
     }
 
     /// Reads what is there, up to so many bytes in this turn and in the buffer.
-    pub fn fill(&mut self, turn: usize, most: usize) -> ReadOutcome {
+    pub fn read_available(&mut self, turn: usize, most: usize) -> ReadOutcome {
         if self.read_from > 0 {
-            self.read.drain(..self.read_from);
+            self.read_buffer.drain(..self.read_from);
             self.read_from = 0;
         }
         let mut left = turn;
         loop {
-            let room = most.saturating_sub(self.read.len()).min(left).min(16 << 10);
+            let room = most
+                .saturating_sub(self.read_buffer.len())
+                .min(left)
+                .min(16 << 10);
             if room == 0 {
-                return ReadOutcome::More;
+                return ReadOutcome::LimitReached;
             }
-            let start = self.read.len();
-            self.read.resize(start + room, 0);
-            let result = self.stream.read(&mut self.read[start..]);
+            let start = self.read_buffer.len();
+            self.read_buffer.resize(start + room, 0);
+            let result = self.stream.read(&mut self.read_buffer[start..]);
             let n = *result.as_ref().unwrap_or(&0);
-            self.read.truncate(start + n);
+            self.read_buffer.truncate(start + n);
             match result {
                 Ok(0) => return ReadOutcome::Closed,
                 Ok(n) => {
@@ -129,71 +136,71 @@
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return ReadOutcome::Drained,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(_) => return ReadOutcome::Broken,
+                Err(_) => return ReadOutcome::Failed,
             }
         }
     }
 
     /// What was read and not yet taken.
     pub fn unread(&self) -> &[u8] {
-        &self.read[self.read_from..]
+        &self.read_buffer[self.read_from..]
     }
 
     /// Takes so many bytes from the front of what was read.
-    pub fn take(&mut self, n: usize) {
-        self.read_from = (self.read_from + n).min(self.read.len());
-        if self.read_from == self.read.len() {
-            self.read.clear();
+    pub fn consume(&mut self, n: usize) {
+        self.read_from = (self.read_from + n).min(self.read_buffer.len());
+        if self.read_from == self.read_buffer.len() {
+            self.read_buffer.clear();
             self.read_from = 0;
-            if self.read.capacity() > 64 << 10 {
-                self.read.shrink_to(4 << 10);
+            if self.read_buffer.capacity() > 64 << 10 {
+                self.read_buffer.shrink_to(4 << 10);
             }
         }
     }
 
     /// The buffer of bytes to be written; add to its end.
-    pub fn out(&mut self) -> &mut Vec<u8> {
-        &mut self.write
+    pub fn write_buffer(&mut self) -> &mut Vec<u8> {
+        &mut self.outgoing
     }
 
     /// Bytes that wait to be written.
-    pub fn unwritten(&self) -> usize {
-        self.write.len() - self.write_from
+    pub fn unwritten_bytes(&self) -> usize {
+        self.outgoing.len() - self.write_from
     }
 
     /// Bytes that the kernel has taken, ever.
-    pub fn written(&self) -> u64 {
-        self.written
+    pub fn written_bytes(&self) -> u64 {
+        self.written_bytes
     }
 
     /// Writes as much as the kernel takes, and keeps the write interest as it is needed.
     pub fn flush(&mut self, poller: &Poller) -> io::Result<()> {
-        while !self.connecting && self.write_from < self.write.len() {
-            match self.stream.write(&self.write[self.write_from..]) {
+        while !self.is_connecting && self.write_from < self.outgoing.len() {
+            match self.stream.write(&self.outgoing[self.write_from..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(n) => {
                     self.write_from += n;
-                    self.written += n as u64;
+                    self.written_bytes += n as u64;
                 }
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => break,
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) => return Err(e),
             }
         }
-        if self.write_from == self.write.len() {
-            self.write.clear();
+        if self.write_from == self.outgoing.len() {
+            self.outgoing.clear();
             self.write_from = 0;
-            if self.write.capacity() > 64 << 10 {
-                self.write.shrink_to(4 << 10);
+            if self.outgoing.capacity() > 64 << 10 {
+                self.outgoing.shrink_to(4 << 10);
             }
         } else if self.write_from > 64 << 10 {
-            self.write.drain(..self.write_from);
+            self.outgoing.drain(..self.write_from);
             self.write_from = 0;
         }
-        let wants = self.connecting || self.unwritten() > 0;
+        let wants = self.is_connecting || self.unwritten_bytes() > 0;
         if wants != self.wants_write {
             self.wants_write = wants;
-            poller.change(&self.stream, self.token, self.wants_read, wants)?;
+            poller.modify(&self.stream, self.token, self.wants_read, wants)?;
         }
         Ok(())
     }
@@ -202,18 +209,18 @@
     pub fn set_reading(&mut self, on: bool, poller: &Poller) -> io::Result<()> {
         if on != self.wants_read {
             self.wants_read = on;
-            poller.change(&self.stream, self.token, on, self.wants_write)?;
+            poller.modify(&self.stream, self.token, on, self.wants_write)?;
         }
         Ok(())
     }
 
     /// Whether reading is on.
-    pub fn reading(&self) -> bool {
+    pub fn is_reading(&self) -> bool {
         self.wants_read
     }
 
     /// Ends the own side; the peer's is still read.
-    pub fn finish(&self) {
+    pub fn shutdown_write(&self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Write);
     }
 
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -7,8 +7,8 @@
 mod poll;
 mod watch;
 
-pub use accept::{exhausted, listen};
+pub use accept::{is_resource_exhausted, listen};
 pub use clock::Clock;
-pub use conn::{Conn, ReadOutcome};
-pub use poll::{MAX_READY, Poller, Readiness, Signals};
+pub use conn::{ReadOutcome, TcpConnection};
+pub use poll::{MAX_EVENTS_PER_WAIT, Poller, Readiness, Signals};
 pub use watch::FileWatch;
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poll.rs
@@ -8,7 +8,7 @@
 use rustix::event::{EventfdFlags, Timespec, eventfd};
 
 /// So many descriptors are told ready at once; with fewer, none that was ready is left out.
-pub const MAX_READY: usize = 256;
+pub const MAX_EVENTS_PER_WAIT: usize = 256;
 
 /// What a registered descriptor is ready for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,11 +16,11 @@
     /// The number it was registered with.
     pub token: u64,
     /// Something can be read, or the peer has closed.
-    pub read: bool,
+    pub is_readable: bool,
     /// Something can be written.
-    pub write: bool,
+    pub is_writable: bool,
     /// The peer has closed its side, or the connection broke.
-    pub closed: bool,
+    pub is_closed: bool,
 }
 
 /// An epoll instance. Level-triggered: what was left unread is told again.
@@ -45,7 +45,7 @@
     }
 
     /// Watches a descriptor for reading, and for writing if asked.
-    pub fn add(&self, fd: impl AsFd, token: u64, write: bool) -> io::Result<()> {
+    pub fn register(&self, fd: impl AsFd, token: u64, write: bool) -> io::Result<()> {
         Ok(epoll::add(
             &self.epoll,
             fd,
@@ -55,7 +55,7 @@
     }
 
     /// Changes what a descriptor is watched for; with `read` off it is watched for writing and its end only.
-    pub fn change(&self, fd: impl AsFd, token: u64, read: bool, write: bool) -> io::Result<()> {
+    pub fn modify(&self, fd: impl AsFd, token: u64, read: bool, write: bool) -> io::Result<()> {
         let mut flags = Self::flags(write);
         if !read {
             flags.remove(epoll::EventFlags::IN);
@@ -69,7 +69,7 @@
     }
 
     /// Ends the watch.
-    pub fn remove(&self, fd: impl AsFd) -> io::Result<()> {
+    pub fn deregister(&self, fd: impl AsFd) -> io::Result<()> {
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
@@ -82,7 +82,7 @@
         let mut room = [epoll::Event {
             flags: epoll::EventFlags::empty(),
             data: epoll::EventData::new_u64(0),
-        }; MAX_READY];
+        }; MAX_EVENTS_PER_WAIT];
         let mut waited = epoll::wait(&self.epoll, &mut room, timeout.as_ref());
         if waited == Err(rustix::io::Errno::INTR) {
             // A process that was stopped and goes on comes here, and much may be ready by now.
@@ -102,9 +102,9 @@
             let closed = epoll::EventFlags::HUP | epoll::EventFlags::ERR | epoll::EventFlags::RDHUP;
             ready.push(Readiness {
                 token: event.data.u64(),
-                read: flags.intersects(epoll::EventFlags::IN | closed),
-                write: flags.intersects(epoll::EventFlags::OUT | epoll::EventFlags::ERR),
-                closed: flags.intersects(closed),
+                is_readable: flags.intersects(epoll::EventFlags::IN | closed),
+                is_writable: flags.intersects(epoll::EventFlags::OUT | epoll::EventFlags::ERR),
+                is_closed: flags.intersects(closed),
             });
         }
         Ok(())
@@ -138,11 +138,11 @@
     pub fn register(&self, poller: &Poller, token: u64) -> io::Result<()> {
         self.pipes
             .iter()
-            .try_for_each(|(_, read)| poller.add(read, token, false))
+            .try_for_each(|(_, read)| poller.register(read, token, false))
     }
 
     /// How often each signal came since the last call.
-    pub fn take(&mut self) -> Vec<i32> {
+    pub fn take_received(&mut self) -> Vec<i32> {
         let mut came = Vec::new();
         for (signal, read) in &mut self.pipes {
             let mut bytes = [0; 16];
--- a/crates/reactor/src/watch.rs
+++ b/crates/reactor/src/watch.rs
@@ -13,7 +13,7 @@
 pub struct FileWatch {
     fd: OwnedFd,
     path: PathBuf,
-    name: OsString,
+    file_name: OsString,
 }
 
 impl FileWatch {
@@ -32,7 +32,11 @@
             | inotify::WatchFlags::CREATE;
         inotify::add_watch(&fd, folder, flags)?;
         let name = name.to_owned();
-        Ok(FileWatch { fd, path, name })
+        Ok(FileWatch {
+            fd,
+            path,
+            file_name: name,
+        })
     }
 
     /// The file.
@@ -41,7 +45,7 @@
     }
 
     /// Whether the file changed since the last call.
-    pub fn changed(&mut self) -> bool {
+    pub fn has_changed(&mut self) -> bool {
         let mut buffer = [MaybeUninit::uninit(); 4096];
         let mut reader = inotify::Reader::new(&self.fd, &mut buffer);
         let mut changed = false;
@@ -49,7 +53,7 @@
             let overflow = event.events().contains(inotify::ReadFlags::QUEUE_OVERFLOW);
             let named = event
                 .file_name()
-                .is_some_and(|n| n.to_bytes() == self.name.as_bytes());
+                .is_some_and(|n| n.to_bytes() == self.file_name.as_bytes());
             changed |= overflow || named;
         }
         changed
--- a/crates/reactor/tests/accept.rs
+++ b/crates/reactor/tests/accept.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use maplethread_reactor::{Conn, Poller, listen};
+use maplethread_reactor::{Poller, TcpConnection, listen};
 
 /// What the system leaves room for at most.
 fn system_limit() -> usize {
@@ -18,8 +18,8 @@
     let poller = Poller::new().expect("epoll");
     let burst = 400.min(system_limit());
     // On loopback the handshake is over when `connect` returns, unless it was dropped for want of room.
-    let connections: Vec<Conn> = (0..burst as u64)
-        .map(|n| Conn::connect(address, n, &poller).expect("connecting"))
+    let connections: Vec<TcpConnection> = (0..burst as u64)
+        .map(|n| TcpConnection::connect(address, n, &poller).expect("connecting"))
         .collect();
     let waiting = std::iter::from_fn(|| listener.accept().ok()).count();
     assert_eq!(waiting, connections.len());
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -15,7 +15,7 @@
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
 use crate::phases::settle;
-use crate::sampler::{Moment, Sampler, process_sample};
+use crate::sampler::{Sampler, Snapshot, process_sample};
 use crate::scenario::{RACK, ZONES};
 use crate::sweep_file::Phases;
 
@@ -114,7 +114,7 @@
     sampler: Sampler,
     /// Tasks that are to run once the fleet has settled.
     tasks: u64,
-    moments: Vec<Moment>,
+    moments: Vec<Snapshot>,
 }
 
 impl Watch {
@@ -145,7 +145,7 @@
     /// Goes on until a time, with a moment each second.
     fn sample_until(&mut self, fleet: &Fleet, until: Instant) -> Result<(), ScaleError> {
         loop {
-            let next = self.moments.last().map_or(until, Moment::next_second);
+            let next = self.moments.last().map_or(until, Snapshot::next_second);
             if next > until {
                 return fleet.interrupted().sleep_until(until);
             }
@@ -183,7 +183,7 @@
             let next = self
                 .moments
                 .last()
-                .map_or_else(Instant::now, Moment::next_second);
+                .map_or_else(Instant::now, Snapshot::next_second);
             fleet.interrupted().sleep_until(next)?;
             self.moments.push(self.sampler.moment(fleet));
             if done(fleet, start.elapsed().as_secs_f64())? {
@@ -236,7 +236,7 @@
         })
     }
 
-    fn pairs(&self) -> impl Iterator<Item = (&Moment, &Moment)> {
+    fn pairs(&self) -> impl Iterator<Item = (&Snapshot, &Snapshot)> {
         self.moments.iter().zip(self.moments.iter().skip(1))
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -7,22 +7,22 @@
 
 use maplethread_config::{HostState, Inventory};
 use maplethread_standin::clients::Clients;
-use maplethread_standin::day::replace;
 use maplethread_standin::hollow_placers::HollowPlacers;
-use maplethread_standin::processes::Placers;
-use maplethread_standin::rack::{Command, Rack};
+use maplethread_standin::placer_processes::Placers;
+use maplethread_standin::rack::{HostCommand, HostPool};
 use maplethread_standin::scenario::Scenario;
+use maplethread_standin::scenario_run::replace_file;
 use maplethread_standin::settings;
 use maplethread_standin::traffic::TrafficCounter;
-use maplethread_standin::world::World;
+use maplethread_standin::world::RunContext;
 use rustix::process::Signal;
 use tempfile::TempDir;
 
 use crate::error::ScaleError;
 use crate::owners::{ClientPlan, Owners, Statuses};
-use crate::pause::Interrupted;
+use crate::pause::InterruptFlag;
 use crate::scenario::scenario;
-use crate::view::{self, Datagrams};
+use crate::view::{self, DatagramCounters};
 
 /// A fleet that has not come to its state after this has failed.
 const SETTLES_WITHIN: Duration = Duration::from_secs(120);
@@ -52,16 +52,16 @@
 pub struct Fleet {
     size: FleetSize,
     program: PathBuf,
-    interrupted: Interrupted,
+    interrupted: InterruptFlag,
     folder: TempDir,
     scenario: Arc<Scenario>,
-    rack: Rack,
+    rack: HostPool,
     placers: Placers,
     hollow_placers: Option<HollowPlacers>,
     owners: Owners,
     counter: TrafficCounter,
-    dead: Vec<usize>,
-    unreachable: Vec<usize>,
+    dead_workers: Vec<usize>,
+    unreachable_workers: Vec<usize>,
 }
 
 impl Fleet {
@@ -69,13 +69,14 @@
     pub fn start(
         size: FleetSize,
         program: &Path,
-        interrupted: &Interrupted,
+        interrupted: &InterruptFlag,
     ) -> Result<Fleet, ScaleError> {
         let scenario = Arc::new(scenario(size.workers, size.placers as u32));
-        let world = World::quiet(scenario.class.len());
+        let world = RunContext::without_history(scenario.classes.len());
         let counter = TrafficCounter::default();
-        let rack = Rack::start_counted(&scenario, &world, size.seed, None, Some(counter.clone()))
-            .map_err(ScaleError::io("hollow workers"))?;
+        let rack =
+            HostPool::start_with_counter(&scenario, &world, size.seed, None, Some(counter.clone()))
+                .map_err(ScaleError::io("hollow workers"))?;
         let folder = tempfile::tempdir().map_err(ScaleError::io("a folder for settings"))?;
         let mut fleet = Fleet {
             size,
@@ -88,8 +89,8 @@
             hollow_placers: None,
             owners: Owners::new(size.placers, interrupted),
             counter,
-            dead: Vec::new(),
-            unreachable: Vec::new(),
+            dead_workers: Vec::new(),
+            unreachable_workers: Vec::new(),
         };
         fleet.write_inventory(&fleet.inventory())?;
         fleet.start_placers()?;
@@ -119,7 +120,7 @@
         self.owners.statuses()
     }
 
-    pub(crate) fn interrupted(&self) -> &Interrupted {
+    pub(crate) fn interrupted(&self) -> &InterruptFlag {
         &self.interrupted
     }
 
@@ -184,7 +185,7 @@
         let mut serving = 0;
         while serving < count {
             self.interrupted.check()?;
-            let serves = self.placers.serves(Duration::from_millis(100));
+            let serves = self.placers.next_serving(Duration::from_millis(100));
             if let Some((number, address)) = serves.map_err(ScaleError::io("a placer process"))? {
                 self.owners.placers[number] = address;
                 serving += 1;
@@ -211,7 +212,7 @@
 
     /// Workers that placers can be connected to.
     pub(crate) fn workers_there(&self) -> usize {
-        self.size.workers - self.dead.len() - self.unreachable.len()
+        self.size.workers - self.dead_workers.len() - self.unreachable_workers.len()
     }
 
     /// Whether each placer is connected to just the workers that are there.
@@ -272,10 +273,10 @@
     }
 
     /// Datagrams that each placer with a view has sent; none for one that is just being restarted.
-    pub(crate) fn datagrams(&self) -> Vec<Datagrams> {
+    pub(crate) fn datagrams(&self) -> Vec<DatagramCounters> {
         self.viewers()
             .iter()
-            .map(|&at| view::look(at).map_or_else(|_| Datagrams::default(), |s| s.sent))
+            .map(|&at| view::look(at).map_or_else(|_| DatagramCounters::default(), |s| s.sent))
             .collect()
     }
 
@@ -304,37 +305,37 @@
     /// Workers die: their connections are reset and their tasks are lost.
     pub(crate) fn kill_workers(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
-            self.rack.command(Command::Crash(worker));
-            self.dead.push(worker);
+            self.rack.command(HostCommand::Crash(worker));
+            self.dead_workers.push(worker);
         }
     }
 
     /// Dead workers come back, cold.
     pub(crate) fn start_dead_workers(&mut self) {
-        self.dead
+        self.dead_workers
             .drain(..)
-            .for_each(|worker| self.rack.command(Command::Start(worker)));
+            .for_each(|worker| self.rack.command(HostCommand::Start(worker)));
     }
 
     /// A worker's process is replaced by a new one, cold.
     pub(crate) fn restart_worker(&self, worker: usize) {
-        self.rack.command(Command::Crash(worker));
-        self.rack.command(Command::Start(worker));
+        self.rack.command(HostCommand::Crash(worker));
+        self.rack.command(HostCommand::Start(worker));
     }
 
     /// Nothing gets to these workers or from them any more.
     pub(crate) fn cut_off(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
-            self.rack.command(Command::Reachable(worker, false));
-            self.unreachable.push(worker);
+            self.rack.command(HostCommand::SetReachable(worker, false));
+            self.unreachable_workers.push(worker);
         }
     }
 
     /// All workers can be reached again.
     pub(crate) fn heal(&mut self) {
-        self.unreachable
+        self.unreachable_workers
             .drain(..)
-            .for_each(|worker| self.rack.command(Command::Reachable(worker, true)));
+            .for_each(|worker| self.rack.command(HostCommand::SetReachable(worker, true)));
     }
 
     /// Tells a placer to end in order.
@@ -363,7 +364,7 @@
     pub(crate) fn placer_serves(&mut self) -> Result<bool, ScaleError> {
         let serves = self
             .placers
-            .serves(Duration::ZERO)
+            .next_serving(Duration::ZERO)
             .map_err(ScaleError::io("a placer process"))?;
         if let Some((number, address)) = serves {
             self.owners.placers[number] = address;
@@ -375,6 +376,6 @@
 /// Replaces a host list as a whole.
 pub(crate) fn write_inventory(path: &Path, inventory: &Inventory) -> Result<(), ScaleError> {
     let text = toml::to_string(inventory).map_err(std::io::Error::other);
-    text.and_then(|text| replace(path, &text))
+    text.and_then(|text| replace_file(path, &text))
         .map_err(ScaleError::io(path.display().to_string()))
 }
--- a/crates/scale/src/host_list.rs
+++ b/crates/scale/src/host_list.rs
@@ -7,7 +7,7 @@
 
 use crate::error::ScaleError;
 use crate::fleet::write_inventory;
-use crate::pause::Interrupted;
+use crate::pause::InterruptFlag;
 
 /// A prime, so that successive changes strike workers far from each other.
 const STRIDE: usize = 7;
@@ -20,7 +20,7 @@
     pub(crate) rate: f64,
     /// For so long, s.
     pub(crate) seconds: f64,
-    pub(crate) interrupted: Interrupted,
+    pub(crate) interrupted: InterruptFlag,
 }
 
 impl ListChanges {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -20,6 +20,6 @@
 pub use error::ScaleError;
 pub use fleet::{Fleet, FleetSize};
 pub use owners::ClientPlan;
-pub use pause::Interrupted;
-pub use sweep::{Options, run};
+pub use pause::InterruptFlag;
+pub use sweep::{SweepOptions, run};
 pub use sweep_file::{Phases, SweepFile};
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use maplethread_standin::clients::{Clients, Load};
+use maplethread_standin::clients::{Clients, RequestLoad};
 
 use crate::error::ScaleError;
-use crate::pause::Interrupted;
+use crate::pause::InterruptFlag;
 
 /// Tasks that are to run before the phases begin are asked for at this rate.
 const PRELOAD_RATE: f64 = 2_000.0;
@@ -26,7 +26,7 @@
 pub(crate) struct Owners {
     /// Where each placer serves.
     pub(crate) placers: Vec<SocketAddr>,
-    interrupted: Interrupted,
+    interrupted: InterruptFlag,
     /// Loads so far, so that each asks for actors of its own.
     loads: Arc<AtomicU64>,
 }
@@ -35,13 +35,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPlan {
     /// Asks a second.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// For so long, s.
     pub seconds: f64,
     /// Times of asks due before this are kept apart, s.
     pub split_s: f64,
     /// The life of their tasks; without end where missing.
-    pub life_ms: Option<u64>,
+    pub task_duration_ms: Option<u64>,
 }
 
 /// What the placers tell of themselves.
@@ -55,7 +55,7 @@
 
 impl Owners {
     /// Owners of a fleet of so many placers, none of which serves yet.
-    pub(crate) fn new(placers: usize, interrupted: &Interrupted) -> Owners {
+    pub(crate) fn new(placers: usize, interrupted: &InterruptFlag) -> Owners {
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
         Owners {
             placers: vec![nowhere; placers],
@@ -80,12 +80,12 @@
 
     /// Clients that will ask at this rate for so long, over all placers in turn.
     pub(crate) fn clients(&self, plan: ClientPlan) -> Result<Clients, ScaleError> {
-        let load = Load {
-            rate: plan.rate,
+        let load = RequestLoad {
+            requests_per_s: plan.requests_per_second,
             seconds: plan.seconds,
             split_s: plan.split_s,
             connections: CONNECTIONS_EACH * self.placers.len(),
-            life_ms: plan.life_ms,
+            task_duration_ms: plan.task_duration_ms,
             name: format!("actor-{}", self.loads.fetch_add(1, Ordering::Relaxed)),
         };
         Clients::connect(load, &self.placers).map_err(ScaleError::io("clients"))
@@ -129,10 +129,10 @@
 
     fn ask(&self, tasks: u64, rate: f64) -> Result<(), ScaleError> {
         let plan = ClientPlan {
-            rate,
+            requests_per_second: rate,
             seconds: tasks as f64 / rate,
             split_s: 0.0,
-            life_ms: None,
+            task_duration_ms: None,
         };
         self.clients(plan)?
             .run()
--- a/crates/scale/src/pause.rs
+++ b/crates/scale/src/pause.rs
@@ -11,9 +11,9 @@
 
 /// Told by a flag that the sweep is to end.
 #[derive(Clone, Debug, Default)]
-pub struct Interrupted(pub Arc<AtomicBool>);
+pub struct InterruptFlag(pub Arc<AtomicBool>);
 
-impl Interrupted {
+impl InterruptFlag {
     /// An error once the flag is set.
     pub(crate) fn check(&self) -> Result<(), ScaleError> {
         if self.0.load(Ordering::Relaxed) {
--- a/crates/scale/src/phases.rs
+++ b/crates/scale/src/phases.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 use maplethread_capacity::{Phase, PhaseSample, PointSettings};
-use maplethread_standin::clients::{Answers, Clients};
+use maplethread_standin::clients::{AnswerTimes, Clients};
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
@@ -85,10 +85,10 @@
         return Ok(None);
     }
     let plan = ClientPlan {
-        rate: point.starts_per_second,
+        requests_per_second: point.starts_per_second,
         seconds,
         split_s: phases.task_life_s + ENDS_WITHIN,
-        life_ms: Some((phases.task_life_s * 1000.0) as u64),
+        task_duration_ms: Some((phases.task_life_s * 1000.0) as u64),
     };
     fleet.clients(plan).map(Some)
 }
@@ -105,9 +105,9 @@
 }
 
 /// Median, 99th percentile and longest time to an answer; an error if not every ask was placed.
-fn answered(answers: &Answers) -> Result<[u64; 3], ScaleError> {
-    if answers.placed < answers.asked {
-        let (placed, asked) = (answers.placed, answers.asked);
+fn answered(answers: &AnswerTimes) -> Result<[u64; 3], ScaleError> {
+    if answers.placed < answers.requests {
+        let (placed, asked) = (answers.placed, answers.requests);
         return Err(ScaleError::NotSettled(format!(
             "{placed} of {asked} asks at the peak were placed"
         )));
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -4,12 +4,12 @@
 
 use maplethread_capacity::{MessageCount, Phase, PhaseSample, ProcessSample};
 use maplethread_standin::traffic::Traffic;
-use maplethread_standin::usage::{holdings, usage};
+use maplethread_standin::usage::{process_holdings, process_usage};
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
 use crate::machine::loopback_packets;
-use crate::view::{Datagrams, sent_since};
+use crate::view::{DatagramCounters, sent_since};
 
 /// Processor time of one placer process so far.
 #[derive(Clone, Copy, Debug)]
@@ -20,12 +20,12 @@
 
 /// What was used up to a moment.
 #[derive(Clone, Debug)]
-pub(crate) struct Moment {
-    at: Instant,
+pub(crate) struct Snapshot {
+    taken_at: Instant,
     processors: Vec<Option<ProcessorTime>>,
     traffic: Traffic,
-    datagrams: Vec<Datagrams>,
-    packets: Option<u64>,
+    datagrams: Vec<DatagramCounters>,
+    loopback_packets: Option<u64>,
 }
 
 /// Takes moments of one fleet.
@@ -37,17 +37,17 @@
 
 impl Sampler {
     /// What was used so far.
-    pub(crate) fn moment(self, fleet: &Fleet) -> Moment {
+    pub(crate) fn moment(self, fleet: &Fleet) -> Snapshot {
         let pids = fleet.pids();
         let processors = pids.into_iter().map(|pid| processor_time(pid?)).collect();
         let packets = if self.alone { loopback_packets() } else { None };
         let datagrams = fleet.datagrams();
-        Moment {
-            at: Instant::now(),
+        Snapshot {
+            taken_at: Instant::now(),
             processors,
             traffic: fleet.counter().snapshot(),
             datagrams,
-            packets,
+            loopback_packets: packets,
         }
     }
 
@@ -56,7 +56,7 @@
         self,
         fleet: &Fleet,
         phase: Phase,
-        span: (&Moment, &Moment),
+        span: (&Snapshot, &Snapshot),
     ) -> Result<PhaseSample, ScaleError> {
         let (before, after) = span;
         let seconds = after.seconds_since(before);
@@ -77,18 +77,18 @@
     }
 }
 
-impl Moment {
+impl Snapshot {
     /// When a second has passed since.
     pub(crate) fn next_second(&self) -> Instant {
-        self.at + Duration::from_secs(1)
+        self.taken_at + Duration::from_secs(1)
     }
 
-    pub(crate) fn seconds_since(&self, earlier: &Moment) -> f64 {
-        (self.at - earlier.at).as_secs_f64()
+    pub(crate) fn seconds_since(&self, earlier: &Snapshot) -> f64 {
+        (self.taken_at - earlier.taken_at).as_secs_f64()
     }
 
     /// Cores that each placer used since an earlier moment; one that was started since counts from its start.
-    pub(crate) fn cores_since(&self, earlier: &Moment) -> Vec<f64> {
+    pub(crate) fn cores_since(&self, earlier: &Snapshot) -> Vec<f64> {
         let seconds = self.seconds_since(earlier).max(1e-9);
         let pairs = self.processors.iter().zip(&earlier.processors);
         let used = pairs.map(|(now, before)| match (now, before) {
@@ -100,23 +100,23 @@
     }
 
     /// Messages since an earlier moment.
-    pub(crate) fn messages_since(&self, earlier: &Moment) -> Vec<MessageCount> {
+    pub(crate) fn messages_since(&self, earlier: &Snapshot) -> Vec<MessageCount> {
         let mut messages = self.traffic.since(&earlier.traffic);
         messages.extend(sent_since(&self.datagrams, &earlier.datagrams));
         messages
     }
 
     /// Packets of the loopback interface since an earlier moment.
-    pub(crate) fn packets_since(&self, earlier: &Moment) -> Option<u64> {
-        self.packets
-            .zip(earlier.packets)
+    pub(crate) fn packets_since(&self, earlier: &Snapshot) -> Option<u64> {
+        self.loopback_packets
+            .zip(earlier.loopback_packets)
             .map(|(now, before)| now - before)
     }
 }
 
 fn processor_time(pid: u32) -> Option<ProcessorTime> {
     // A process that is just ending can't be read any more.
-    usage(pid).ok().map(|usage| ProcessorTime {
+    process_usage(pid).ok().map(|usage| ProcessorTime {
         pid,
         cpu_s: usage.cpu_s,
     })
@@ -133,8 +133,8 @@
         return Err(ScaleError::NotSettled(format!("placer {number} has ended")));
     };
     let failed = || ScaleError::io(format!("/proc/{pid}"));
-    let memory = usage(pid).map_err(failed())?;
-    let holdings = holdings(pid).map_err(failed())?;
+    let memory = process_usage(pid).map_err(failed())?;
+    let holdings = process_holdings(pid).map_err(failed())?;
     Ok(ProcessSample {
         cpu_cores,
         resident_kib: memory.resident_kib,
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,7 +1,7 @@
 //! The fleet that a sweep measures, as the stand-in hosts take it: one kind of host with room to spare and one class of
 //! tasks, so that a measured size is limited by the placers and not by the hosts.
 
-use maplethread_config::PlacedWhen;
+use maplethread_config::AcceptancePoint;
 use maplethread_standin::scenario::{Class, Demand, Fleet, KindShare, Rules, Scenario};
 use maplethread_standin::settings::plain_class;
 
@@ -21,17 +21,17 @@
         rules: rules(),
         demand: Demand {
             load: vec![[0.0, 0.0]],
-            again_ms: [1000.0, 1000.0],
+            retry_after_ms: [1000.0, 1000.0],
             settle_ms: 1000,
-            front_notice_ms: 1000,
+            failover_delay_ms: 1000,
         },
-        kind: vec![KindShare {
+        kinds: vec![KindShare {
             name: "std".to_owned(),
             cores: 64.0,
             memory_gib: 512.0,
             share: 1.0,
         }],
-        class: vec![class()],
+        classes: vec![class()],
         trouble: Vec::new(),
     }
 }
@@ -41,16 +41,16 @@
         hosts,
         zones: (0..ZONES).map(|zone| format!("zone-{zone}")).collect(),
         cell_size: RACK,
-        placed_when: PlacedWhen::Accepted,
-        over_cores: 1.0,
-        over_memory: 1.0,
-        admit_ms: [1.0, 1.0],
-        line: 256,
-        starts: 16,
-        setup: 1.0,
-        kept: 16,
-        push_out: false,
-        notice_ms: 1000,
+        placed_when: AcceptancePoint::Accepted,
+        cpu_overcommit: 1.0,
+        memory_overcommit: 1.0,
+        admission_ms: [1.0, 1.0],
+        max_queued: 256,
+        max_concurrent_starts: 16,
+        cold_start_factor: 1.0,
+        max_kept_programs: 16,
+        preempts: false,
+        inventory_delay_ms: 1000,
         measures_together: true,
     }
 }
@@ -58,11 +58,11 @@
 fn rules() -> Rules {
     Rules {
         drain_grace_ms: 2000,
-        cold_from: 0.2,
-        cold_for_ms: 5000,
-        fall_multiple: 4.0,
-        fall_window_ms: 2000,
-        fresh_offers: 20.0,
+        initial_capacity_share: 0.2,
+        warm_up_ms: 5000,
+        overload_multiple: 4.0,
+        overload_window_ms: 2000,
+        warm_up_offers: 20.0,
     }
 }
 
@@ -71,13 +71,13 @@
         rules: plain_class(),
         share: 1.0,
         shapes: vec![[0.5, 1.0]],
-        uses: [0.5, 0.5],
-        life_s: 5.0,
+        used_share: [0.5, 0.5],
+        mean_duration_s: 5.0,
         work_ms: 50.0,
         deadline_ms: 10_000,
-        late_share: 0.2,
-        calm: 1.0,
-        fade: 1.0,
-        services: 500,
+        late_start_share: 0.2,
+        contention_onset: 1.0,
+        contention_range: 1.0,
+        service_count: 500,
     }
 }
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -10,14 +10,14 @@
 use crate::fleet::{Fleet, FleetSize};
 use crate::machine::{commit, machine};
 use crate::needs;
-use crate::pause::Interrupted;
+use crate::pause::InterruptFlag;
 use crate::phases::{peak, rest};
 use crate::sampler::Sampler;
 use crate::sweep_file::SweepFile;
 
 /// How to run a sweep.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct SweepOptions {
     /// The sweep.
     pub sweep: SweepFile,
     /// Its name, the stem of its file.
@@ -27,15 +27,15 @@
     /// The program whose `placer` command is measured.
     pub program: PathBuf,
     /// Nothing else uses the loopback interface, so its packets can be told.
-    pub alone: bool,
+    pub owns_loopback: bool,
     /// Tell how it goes, on standard error.
-    pub progress: bool,
+    pub shows_progress: bool,
     /// Ends the sweep.
-    pub interrupted: Interrupted,
+    pub interrupted: InterruptFlag,
 }
 
 /// Runs a sweep, after a look whether each of its points fits on the machine.
-pub fn run(options: &Options) -> Result<SweepResult, ScaleError> {
+pub fn run(options: &SweepOptions) -> Result<SweepResult, ScaleError> {
     let sweep = &options.sweep;
     let sizes: Vec<PointSettings> = sweep
         .values
@@ -60,12 +60,16 @@
     })
 }
 
-fn measure(options: &Options, settings: PointSettings, seed: u64) -> Result<Point, ScaleError> {
+fn measure(
+    options: &SweepOptions,
+    settings: PointSettings,
+    seed: u64,
+) -> Result<Point, ScaleError> {
     let started = Instant::now();
     let (phases, sampler) = (
         &options.sweep.phases,
         Sampler {
-            alone: options.alone,
+            alone: options.owns_loopback,
         },
     );
     let size = FleetSize {
@@ -82,7 +86,7 @@
     for &fault in &options.sweep.faults {
         samples.push(strike(&mut fleet, fault, &settings, phases, sampler)?);
     }
-    if options.progress {
+    if options.shows_progress {
         let seconds = started.elapsed().as_secs_f64();
         let dimension = options.sweep.dimension;
         eprintln!(
--- a/crates/scale/src/sweep_file.rs
+++ b/crates/scale/src/sweep_file.rs
@@ -1,7 +1,7 @@
 //! Sweep files: what varies, over which values, while everything else stands still. TOML, parsed and checked whole.
 
 use maplethread_capacity::{Dimension, Fault, PointSettings};
-use maplethread_config::{ConfigError, Doc, parse};
+use maplethread_config::{ConfigError, Document, parse_toml};
 use serde::{Deserialize, Serialize};
 
 /// Hosts and tasks of one point; the hollow workers' process bounds both.
@@ -118,17 +118,17 @@
 }
 
 /// A number and its bounds, so that every complaint reads alike.
-struct Bounded<'a> {
+struct BoundedValue<'a> {
     key: &'a str,
     value: f64,
-    least: f64,
-    most: f64,
+    min: f64,
+    max: f64,
 }
 
 impl SweepFile {
     /// Parses and checks a sweep file.
-    pub fn parse(doc: Doc<'_>) -> Result<SweepFile, ConfigError> {
-        let sweep: SweepFile = parse(doc)?;
+    pub fn parse(doc: Document<'_>) -> Result<SweepFile, ConfigError> {
+        let sweep: SweepFile = parse_toml(doc)?;
         sweep.check(doc)?;
         Ok(sweep)
     }
@@ -165,20 +165,20 @@
         point
     }
 
-    fn check(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         self.check_dimension(doc)?;
-        doc.check(
+        doc.ensure(
             (1..=MAX_VALUES).contains(&self.values.len()),
             "values",
             "1 to 64 of them",
         )?;
-        doc.check(
+        doc.ensure(
             (1..=MAX_VALUES).contains(&self.seeds.len()),
             "seeds",
             "1 to 64 of them",
         )?;
         let real = (1..=MAX_PLACERS).contains(&self.max_real_placers);
-        doc.check(real, "max_real_placers", format!("1 to {MAX_PLACERS}"))?;
+        doc.ensure(real, "max_real_placers", format!("1 to {MAX_PLACERS}"))?;
         for (index, &value) in self.values.iter().enumerate() {
             let key = format!("values[{index}]");
             self.check_value(value, &key, doc)?;
@@ -188,14 +188,14 @@
         self.check_faults(doc)
     }
 
-    fn check_dimension(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check_dimension(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let has_reload = self.dimension != Dimension::ConfigChangesPerHour;
         let why_not =
             "a placer reads its settings once, when it starts: it has no reload to be measured";
-        doc.check(has_reload, "dimension", why_not)
+        doc.ensure(has_reload, "dimension", why_not)
     }
 
-    fn check_value(&self, value: f64, key: &str, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check_value(&self, value: f64, key: &str, doc: Document<'_>) -> Result<(), ConfigError> {
         let (least, most, whole) = match self.dimension {
             Dimension::Workers => (1.0, f64::from(MAX_WORKERS), true),
             Dimension::Placers => (1.0, f64::from(MAX_PLACERS + MAX_HOLLOW_PLACERS), true),
@@ -207,14 +207,14 @@
         };
         check_bounds(
             doc,
-            Bounded {
+            BoundedValue {
                 key,
                 value,
-                least,
-                most,
+                min: least,
+                max: most,
             },
         )?;
-        doc.check(
+        doc.ensure(
             !whole || value.fract() == 0.0,
             key,
             format!("{value} is given; a whole number is needed"),
@@ -222,7 +222,7 @@
     }
 
     /// Faults that end another one come right after it.
-    fn check_faults(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check_faults(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         for (index, fault) in self.faults.iter().enumerate() {
             let needed = match fault {
                 Fault::ZoneReturns => Fault::ZoneDies,
@@ -231,7 +231,7 @@
             };
             let before = index.checked_sub(1).map(|before| self.faults[before]);
             let key = format!("faults[{index}]");
-            doc.check(
+            doc.ensure(
                 before == Some(needed),
                 &key,
                 format!("{fault:?} comes right after {needed:?}"),
@@ -240,7 +240,7 @@
         Ok(())
     }
 
-    fn check_base(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check_base(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let base = self.base;
         let bounds = [
             (
@@ -285,17 +285,17 @@
             .try_for_each(|(key, value, least, most)| {
                 check_bounds(
                     doc,
-                    Bounded {
+                    BoundedValue {
                         key,
                         value,
-                        least,
-                        most,
+                        min: least,
+                        max: most,
                     },
                 )
             })
     }
 
-    fn check_phases(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
+    fn check_phases(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let phases = self.phases;
         let bounds = [
             ("phases.settle_s", phases.settle_s, 0.0, MAX_SECONDS),
@@ -334,24 +334,24 @@
             .try_for_each(|(key, value, least, most)| {
                 check_bounds(
                     doc,
-                    Bounded {
+                    BoundedValue {
                         key,
                         value,
-                        least,
-                        most,
+                        min: least,
+                        max: most,
                     },
                 )
             })
     }
 }
 
-fn check_bounds(doc: Doc<'_>, bounded: Bounded<'_>) -> Result<(), ConfigError> {
-    let Bounded {
+fn check_bounds(doc: Document<'_>, bounded: BoundedValue<'_>) -> Result<(), ConfigError> {
+    let BoundedValue {
         key,
         value,
-        least,
-        most,
+        min: least,
+        max: most,
     } = bounded;
     let fine = value.is_finite() && (least..=most).contains(&value);
-    doc.check(fine, key, format!("{value} is given; {least} to {most}"))
+    doc.ensure(fine, key, format!("{value} is given; {least} to {most}"))
 }
--- a/crates/scale/src/view.rs
+++ b/crates/scale/src/view.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use maplethread_capacity::{Direction, MessageCount, MessageKind};
-use maplethread_config::Fleet as FleetSection;
+use maplethread_config::FleetSettings as FleetSection;
 
 use crate::error::ScaleError;
 
@@ -19,9 +19,9 @@
 
 /// Datagrams that a placer has sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Datagrams {
+pub(crate) struct DatagramCounters {
     /// The start of the process that counted them.
-    life: u64,
+    incarnation: u64,
     count: u64,
     bytes: u64,
 }
@@ -31,7 +31,7 @@
 pub(crate) struct Seen {
     /// Live members, itself included.
     pub(crate) live: usize,
-    pub(crate) sent: Datagrams,
+    pub(crate) sent: DatagramCounters,
 }
 
 /// Sections for so many members on free ports, with a key in this folder; all else as it is by default.
@@ -78,8 +78,8 @@
     let (count, bytes) = (number(&counters["sent"]), number(&counters["sent_bytes"]));
     Ok(Seen {
         live,
-        sent: Datagrams {
-            life: number(&view["life"]),
+        sent: DatagramCounters {
+            incarnation: number(&view["life"]),
             count,
             bytes,
         },
@@ -87,13 +87,16 @@
 }
 
 /// Datagrams of all placers between two moments; those of a process that ended in between are not known.
-pub(crate) fn sent_since(now: &[Datagrams], before: &[Datagrams]) -> Option<MessageCount> {
+pub(crate) fn sent_since(
+    now: &[DatagramCounters],
+    before: &[DatagramCounters],
+) -> Option<MessageCount> {
     let (mut count, mut bytes) = (0, 0);
     for (now, before) in now.iter().zip(before) {
-        let before = if now.life == before.life {
+        let before = if now.incarnation == before.incarnation {
             *before
         } else {
-            Datagrams::default()
+            DatagramCounters::default()
         };
         count += now.count - before.count;
         bytes += now.bytes - before.bytes;
--- a/crates/standin/src/calls.rs
+++ b/crates/standin/src/calls.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use maplethread_config::{HostEntry, HostState};
-use maplethread_wire::http::{self, Found, Limits, Reader, Role};
+use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
 use serde_json::{Value, json};
 
 /// Puts what is listed of a host in the catalogue.
@@ -49,12 +49,12 @@
         body.to_string().as_bytes(),
     );
     stream.write_all(&out)?;
-    let mut reader = Reader::new(Role::Responses, Limits::default());
+    let mut reader = MessageReader::new(Role::Responses, Limits::default());
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     loop {
         let (found, used) = reader.read(&bytes).map_err(io::Error::other)?;
         bytes.drain(..used);
-        if let Found::Message(message) = found {
+        if let ReadResult::Message(message) = found {
             // Without a leader nothing is registered; the day goes on, and what is next tells all that differs.
             return if message.head.status() == 200 {
                 Ok(())
