--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -8,17 +8,17 @@
 
 use hdrhistogram::Histogram;
 use maplethread_placer::Clock;
-use maplethread_reactor::{Conn, Poller};
-use maplethread_wire::http::{self, Found, Limits, Reader, Role};
+use maplethread_reactor::{Poller, TcpConnection};
+use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
 
 /// Answers that are out this long after the last ask was due are not waited for, µs.
 const GIVE_UP: u64 = 30_000_000;
 
 /// What is asked, and how often.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct RequestLoad {
     /// Asks a second.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// For so long, s.
     pub seconds: f64,
     /// Times of asks that were due before this are kept apart from those after it, s.
@@ -26,16 +26,16 @@
     /// Client connections, at least one for each placer.
     pub connections: usize,
     /// Tasks are told to live so long, ms; nothing is told where missing.
-    pub life_ms: Option<u64>,
+    pub task_duration_ms: Option<u64>,
     /// Actors are named after this, so that several loads don't ask for the same ones.
     pub name: String,
 }
 
 /// What came of a load.
 #[derive(Clone, Debug)]
-pub struct Answers {
+pub struct AnswerTimes {
     /// Asks.
-    pub asked: u64,
+    pub requests: u64,
     /// Those placed.
     pub placed: u64,
     /// From when an ask was due to its answer, µs: of those due before the split, and after it.
@@ -45,30 +45,30 @@
 }
 
 struct Connection {
-    conn: Conn,
-    reader: Reader,
+    conn: TcpConnection,
+    reader: MessageReader,
     /// When the asks without an answer were due.
     waiting: VecDeque<u64>,
 }
 
 /// Client connections to placers.
 pub struct Clients {
-    load: Load,
+    load: RequestLoad,
     poller: Poller,
     clock: Clock,
     connections: Vec<Connection>,
-    answers: Answers,
+    answers: AnswerTimes,
 }
 
 impl Clients {
     /// Connects to all of these placers in turn.
-    pub fn connect(load: Load, placers: &[SocketAddr]) -> io::Result<Clients> {
+    pub fn connect(load: RequestLoad, placers: &[SocketAddr]) -> io::Result<Clients> {
         let poller = Poller::new()?;
         let mut connections = Vec::new();
         for token in 0..load.connections.max(placers.len()) {
             let stream = std::net::TcpStream::connect(placers[token % placers.len()])?;
-            let conn = Conn::accepted(stream, token as u64, &poller)?;
-            let reader = Reader::new(Role::Responses, Limits::default());
+            let conn = TcpConnection::from_accepted(stream, token as u64, &poller)?;
+            let reader = MessageReader::new(Role::Responses, Limits::default());
             connections.push(Connection {
                 conn,
                 reader,
@@ -76,8 +76,8 @@
             });
         }
         let times = Histogram::new_with_bounds(1, 120_000_000, 3).map_err(io::Error::other)?;
-        let answers = Answers {
-            asked: 0,
+        let answers = AnswerTimes {
+            requests: 0,
             placed: 0,
             times: [times.clone(), times],
             took_s: 0.0,
@@ -92,9 +92,9 @@
     }
 
     /// Asks until all is asked and answered.
-    pub fn run(mut self) -> io::Result<Answers> {
+    pub fn run(mut self) -> io::Result<AnswerTimes> {
         let start = self.clock.now();
-        let total = (self.load.rate * self.load.seconds).round() as u64;
+        let total = (self.load.requests_per_s * self.load.seconds).round() as u64;
         let give_up = start + (self.load.seconds * 1e6) as u64 + GIVE_UP;
         let mut ready = Vec::new();
         let mut answered = 0;
@@ -104,8 +104,10 @@
                 break;
             }
             self.ask_due(start, now, total)?;
-            let wait = match self.answers.asked < total {
-                true => self.due_at(start, self.answers.asked).saturating_sub(now),
+            let wait = match self.answers.requests < total {
+                true => self
+                    .due_at(start, self.answers.requests)
+                    .saturating_sub(now),
                 false => 50_000,
             };
             ready.clear();
@@ -120,24 +122,24 @@
     }
 
     fn due_at(&self, start: u64, n: u64) -> u64 {
-        start + (n as f64 * 1e6 / self.load.rate) as u64
+        start + (n as f64 * 1e6 / self.load.requests_per_s) as u64
     }
 
     fn ask_due(&mut self, start: u64, now: u64, total: u64) -> io::Result<()> {
         let mut touched = vec![false; self.connections.len()];
-        while self.answers.asked < total && self.due_at(start, self.answers.asked) <= now {
-            let n = self.answers.asked;
+        while self.answers.requests < total && self.due_at(start, self.answers.requests) <= now {
+            let n = self.answers.requests;
             let due = self.due_at(start, n);
             let at = n as usize % self.connections.len();
             let body = self.body(n);
             let connection = &mut self.connections[at];
-            let out = connection.conn.out();
+            let out = connection.conn.write_buffer();
             let request = format!("{}-{n}", self.load.name);
             let headers = [("Host", "placer"), ("X-Request-Id", request.as_str())];
             http::write_request(out, "POST", "/v1/actors", &headers, body.as_bytes());
             connection.waiting.push_back(due);
             touched[at] = true;
-            self.answers.asked += 1;
+            self.answers.requests += 1;
         }
         for (at, _) in touched.iter().enumerate().filter(|(_, t)| **t) {
             self.connections[at].conn.flush(&self.poller)?;
@@ -148,7 +150,7 @@
     fn body(&self, n: u64) -> String {
         let life = self
             .load
-            .life_ms
+            .task_duration_ms
             .map_or(String::new(), |ms| format!(",\"life_ms\":{ms}"));
         format!(
             "{{\"service\":\"service-{}\",\"actor\":\"{}-{n}\",\"class\":\"web-api\",\"cores\":0.5,\"memory_gib\":1,\"budget_ms\":10000{life}}}",
@@ -162,15 +164,15 @@
         let split = start + (self.load.split_s * 1e6) as u64;
         let connection = &mut self.connections[at];
         connection.conn.flush(&self.poller)?;
-        connection.conn.fill(256 << 10, 512 << 10);
+        connection.conn.read_available(256 << 10, 512 << 10);
         let mut answered = 0;
         loop {
             let (found, used) = connection
                 .reader
                 .read(connection.conn.unread())
                 .map_err(io::Error::other)?;
-            connection.conn.take(used);
-            let Found::Message(message) = found else {
+            connection.conn.consume(used);
+            let ReadResult::Message(message) = found else {
                 return Ok(answered);
             };
             if let Some(due) = connection.waiting.pop_front() {
--- a/crates/standin/src/demand.rs
+++ b/crates/standin/src/demand.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use crate::scenario::{Scenario, TroubleKind};
-use crate::world::{Dice, Wanted};
+use crate::world::{SeededRng, TaskDemand};
 
 /// An owner, as it comes to the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     /// When, µs after the day's start.
-    pub at: u64,
+    pub at_us: u64,
     /// Its class, by number.
     pub class: usize,
     /// Its service.
@@ -20,7 +20,7 @@
     /// Cores and memory (GiB) that it asks for.
     pub shape: [f64; 2],
     /// How long it wants to run from its arrival on, µs.
-    pub life: u64,
+    pub wanted_for_us: u64,
     /// Its zone, by number.
     pub zone: usize,
     /// Seed of what it draws later.
@@ -29,30 +29,30 @@
 
 impl Arrival {
     /// What is to be served, for a day that starts at `start`.
-    pub fn wanted(&self, scenario: &Scenario, start: u64) -> Wanted {
-        let c = &scenario.class[self.class];
+    pub fn demand(&self, scenario: &Scenario, start: u64) -> TaskDemand {
+        let c = &scenario.classes[self.class];
         let mean = |i: usize| c.shapes.iter().map(|s| s[i]).sum::<f64>() / c.shapes.len() as f64;
         let size = 0.5 * (self.shape[0] / mean(0) + self.shape[1] / mean(1));
         let rate = c.rules.worth * size;
         let bonus = rate * c.rules.start_bonus_s;
-        let from = start + self.at;
-        Wanted {
+        let from = start + self.at_us;
+        TaskDemand {
             class: self.class,
-            rate,
-            from,
-            until: from + self.life,
-            aim: from + c.rules.aim_ms * 1000,
+            value_per_s: rate,
+            from_us: from,
+            until_us: from + self.wanted_for_us,
+            objective_us: from + c.rules.latency_objective_ms * 1000,
             bonus,
-            deadline: from + c.deadline_ms * 1000,
-            late_bonus: bonus * c.late_share,
+            deadline_us: from + c.deadline_ms * 1000,
+            late_bonus: bonus * c.late_start_share,
         }
     }
 }
 
 /// All arrivals of a day, in order.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let mut dice = Dice::new(seed, 9);
-    let total: f64 = scenario.class.iter().map(|c| c.share).sum();
+    let mut dice = SeededRng::new(seed, 9);
+    let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
     let end = scenario.seconds * 1e6;
     let (mut all, mut at) = (Vec::new(), 0.0);
     loop {
@@ -62,21 +62,21 @@
         if at >= end {
             return all;
         }
-        let mut left = dice.share() * total;
-        let class = scenario.class.iter().position(|c| {
+        let mut left = dice.fraction() * total;
+        let class = scenario.classes.iter().position(|c| {
             left -= c.share;
             left < 0.0
         });
         let class = class.unwrap_or(0);
-        let c = &scenario.class[class];
+        let c = &scenario.classes[class];
         all.push(Arrival {
-            at: at as u64,
+            at_us: at as u64,
             class,
-            service: format!("{}-{:02}", c.rules.name, dice.below(c.services)).into(),
+            service: format!("{}-{:02}", c.rules.name, dice.index_below(c.service_count)).into(),
             actor: format!("{}-{}", c.rules.name, all.len()).into(),
-            shape: c.shapes[dice.below(c.shapes.len())],
-            life: ((0.3 + 0.7 * dice.exp(1.0)).min(4.0) * c.life_s * 1e6) as u64,
-            zone: dice.below(scenario.fleet.zones.len()),
+            shape: c.shapes[dice.index_below(c.shapes.len())],
+            wanted_for_us: ((0.3 + 0.7 * dice.exp(1.0)).min(4.0) * c.mean_duration_s * 1e6) as u64,
+            zone: dice.index_below(scenario.fleet.zones.len()),
             seed: dice.seed(),
         });
     }
@@ -103,7 +103,7 @@
         let first = arrivals(&day, 4);
         assert_eq!(first, arrivals(&day, 4));
         assert_ne!(first, arrivals(&day, 5));
-        assert!(first.is_sorted_by_key(|a| a.at));
+        assert!(first.is_sorted_by_key(|a| a.at_us));
         // Their number is what the load calls for, within what chance does.
         let rate = |s: f64| day.load_at(s) * overload(&day, s) * day.cores() / day.core_seconds();
         let expected: f64 = (0..300).map(|i| rate(f64::from(i) / 10.0) / 10.0).sum();
--- a/crates/standin/src/drawn.rs
+++ b/crates/standin/src/drawn.rs
@@ -1,15 +1,15 @@
 //! Days that nobody wrote: a fleet, demand and overlapping troubles drawn from a seed, for faults on no list.
 
 use crate::scenario::{Scenario, Trouble, TroubleKind};
-use crate::world::Dice;
+use crate::world::SeededRng;
 
 /// Which troubles a day has, how many of each, and their spans as shares of the day.
-struct Kind {
+struct FaultRange {
     kind: TroubleKind,
-    most: usize,
+    max_count: usize,
     /// At least so many.
-    least: usize,
-    span: [f64; 2],
+    min_count: usize,
+    duration_share: [f64; 2],
     reach: [f64; 2],
     size: [f64; 2],
 }
@@ -20,19 +20,19 @@
     span: [f64; 2],
     reach: [f64; 2],
     size: [f64; 2],
-) -> Kind {
-    Kind {
+) -> FaultRange {
+    FaultRange {
         kind,
-        most,
-        least,
-        span,
+        max_count: most,
+        min_count: least,
+        duration_share: span,
         reach,
         size,
     }
 }
 
 /// A restart, a lost zone and a deploy are on each day, since their overlaps have broken rules; the rest may be.
-const KINDS: [Kind; 18] = [
+const KINDS: [FaultRange; 18] = [
     kind(
         TroubleKind::PlacerKill,
         [2, 4],
@@ -164,9 +164,9 @@
 impl Scenario {
     /// A day of the standard day's length, fleet and classes, with troubles and demand of this seed's own. What was
     /// drawn is the same on every machine, so a day that showed something can be played again.
-    pub fn drawn(seed: u64) -> Scenario {
+    pub fn random(seed: u64) -> Scenario {
         let mut scenario = Scenario::standard();
-        let mut dice = Dice::new(seed, 31);
+        let mut dice = SeededRng::new(seed, 31);
         scenario.name = format!("drawn {seed}");
         let length = scenario.seconds;
         let round = |x: f64| (x * 1000.0).round() / 1000.0;
@@ -176,9 +176,9 @@
             .collect();
         scenario.trouble.clear();
         for kind in &KINDS {
-            let count = kind.least + dice.below(kind.most - kind.least + 1);
+            let count = kind.min_count + dice.index_below(kind.max_count - kind.min_count + 1);
             for _ in 0..count {
-                let span = dice.between(kind.span) * length;
+                let span = dice.between(kind.duration_share) * length;
                 let at_s = round(dice.between([0.03 * length, 0.93 * length - span]));
                 let (reach, size) = (
                     round(dice.between(kind.reach)),
@@ -188,15 +188,15 @@
                     kind.kind,
                     TroubleKind::ClassErrors | TroubleKind::ClassSilence
                 );
-                let class = dice.below(scenario.class.len());
-                let zone = dice.below(scenario.fleet.zones.len());
+                let class = dice.index_below(scenario.classes.len());
+                let zone = dice.index_below(scenario.fleet.zones.len());
                 let trouble = Trouble {
                     kind: kind.kind,
                     at_s,
                     for_s: round(span),
                     reach,
                     size,
-                    class: struck_class.then(|| scenario.class[class].rules.name.clone()),
+                    class: struck_class.then(|| scenario.classes[class].rules.name.clone()),
                     zone: (kind.kind == TroubleKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
@@ -211,21 +211,21 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use maplethread_config::Doc;
+    use maplethread_config::Document;
 
     #[test]
     fn drawn_days_are_sound_differ_and_come_back_from_their_file() {
         let mut seen = std::collections::BTreeSet::new();
         for seed in 0..200 {
-            let drawn = Scenario::drawn(seed);
+            let drawn = Scenario::random(seed);
             let text = toml::to_string(&drawn).expect("a scenario is TOML");
-            let again = Scenario::parse(Doc {
+            let again = Scenario::parse(Document {
                 file: "drawn",
                 text: &text,
             })
             .expect("sound");
             assert_eq!(again, drawn);
-            assert_eq!(Scenario::drawn(seed), drawn, "the same seed, the same day");
+            assert_eq!(Scenario::random(seed), drawn, "the same seed, the same day");
             let kills = drawn
                 .trouble
                 .iter()
@@ -251,14 +251,14 @@
     #[test]
     fn a_sized_day_means_the_same_at_every_size() {
         let small = Scenario::standard();
-        let per_service = |s: &Scenario| s.cores() / s.class[0].services as f64;
+        let per_service = |s: &Scenario| s.cores() / s.classes[0].service_count as f64;
         let cells = |s: &Scenario| {
             let all: std::collections::BTreeSet<_> =
                 (0..s.fleet.hosts).map(|h| s.place_of(h)).collect();
             all.len() as f64
         };
         for hosts in [15, 60, 130, 400] {
-            let sized = Scenario::standard().sized(hosts);
+            let sized = Scenario::standard().with_host_count(hosts);
             assert_eq!(sized.fleet.hosts, hosts);
             let ratio = per_service(&sized) / per_service(&small);
             assert!(
--- a/crates/standin/src/hollow_placers.rs
+++ b/crates/standin/src/hollow_placers.rs
@@ -11,7 +11,7 @@
 
 use maplethread_engine::Timers;
 use maplethread_placer::Clock;
-use maplethread_reactor::{Conn, Poller, ReadOutcome, Readiness};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 
 /// Their names begin with this, so that traffic of real placers can be told from theirs.
@@ -30,7 +30,7 @@
 
 /// The thread of the hollow placers; they end when it is dropped.
 pub struct HollowPlacers {
-    end: Arc<AtomicBool>,
+    should_end: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
@@ -61,7 +61,7 @@
             .name("hollow-placers".into())
             .spawn(move || run.run(&ended))?;
         Ok(HollowPlacers {
-            end,
+            should_end: end,
             connected,
             thread: Some(thread),
         })
@@ -75,7 +75,7 @@
 
 impl Drop for HollowPlacers {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.should_end.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -106,7 +106,7 @@
 }
 
 struct HollowConn {
-    conn: Conn,
+    conn: TcpConnection,
     link: Link,
     named_all: bool,
 }
@@ -126,7 +126,7 @@
             for host in 0..self.hosts.len() {
                 let link = Link { placer, host };
                 let at = now + self.token(link) * span / links;
-                self.timers.set(at, Due::Connect(link));
+                self.timers.schedule(at, Due::Connect(link));
             }
         }
     }
@@ -137,14 +137,14 @@
             let now = self.clock.now();
             let wait = self
                 .timers
-                .next()
+                .next_due_at()
                 .map_or(LOOK_EVERY, |at| at.saturating_sub(now).min(LOOK_EVERY));
             ready.clear();
             self.poller
                 .wait(Some(Duration::from_micros(wait)), &mut ready)?;
             ready.iter().for_each(|readiness| self.ready(readiness));
             let now = self.clock.now();
-            while let Some(due) = self.timers.due(now) {
+            while let Some(due) = self.timers.pop_due(now) {
                 match due {
                     Due::Connect(link) => self.connect(link),
                     Due::Ping(link) => self.ping(link),
@@ -156,7 +156,7 @@
 
     fn connect(&mut self, link: Link) {
         let token = self.token(link);
-        match Conn::connect(self.hosts[link.host], token, &self.poller) {
+        match TcpConnection::connect(self.hosts[link.host], token, &self.poller) {
             Ok(conn) => {
                 self.conns.insert(
                     token,
@@ -169,7 +169,7 @@
             }
             Err(_) => self
                 .timers
-                .set(self.clock.now() + RECONNECT_EVERY, Due::Connect(link)),
+                .schedule(self.clock.now() + RECONNECT_EVERY, Due::Connect(link)),
         }
     }
 
@@ -178,7 +178,7 @@
         if self.conns.get(&token).is_some_and(|c| c.named_all) {
             self.send(token, &Frame::Ping(token as u32));
             self.timers
-                .set(self.clock.now() + self.ping_every, Due::Ping(link));
+                .schedule(self.clock.now() + self.ping_every, Due::Ping(link));
         }
     }
 
@@ -186,7 +186,7 @@
         let Some(hollow) = self.conns.get_mut(&token) else {
             return;
         };
-        frame::encode(frame, hollow.conn.out());
+        frame::encode(frame, hollow.conn.write_buffer());
         if hollow.conn.flush(&self.poller).is_err() {
             self.lose(token);
         }
@@ -199,7 +199,7 @@
         if hollow.named_all {
             self.connected.fetch_sub(1, Ordering::Relaxed);
         }
-        self.timers.set(
+        self.timers.schedule(
             self.clock.now() + RECONNECT_EVERY,
             Due::Connect(hollow.link),
         );
@@ -210,8 +210,8 @@
         let Some(hollow) = self.conns.get_mut(&token) else {
             return;
         };
-        if hollow.conn.connecting() {
-            if hollow.conn.connected().is_err() {
+        if hollow.conn.is_connecting() {
+            if hollow.conn.finish_connect().is_err() {
                 self.lose(token);
                 return;
             }
@@ -221,11 +221,11 @@
         let Some(hollow) = self.conns.get_mut(&token) else {
             return;
         };
-        if readiness.write && hollow.conn.flush(&self.poller).is_err() {
+        if readiness.is_writable && hollow.conn.flush(&self.poller).is_err() {
             self.lose(token);
             return;
         }
-        if readiness.read {
+        if readiness.is_readable {
             self.read(token);
         }
     }
@@ -234,22 +234,22 @@
         let Some(hollow) = self.conns.get_mut(&token) else {
             return;
         };
-        let outcome = hollow.conn.fill(64 << 10, 128 << 10);
-        let mut broken = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken);
+        let outcome = hollow.conn.read_available(64 << 10, 128 << 10);
+        let mut broken = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed);
         loop {
             match frame::decode(hollow.conn.unread()) {
                 Ok((frame, used)) => {
-                    hollow.conn.take(used);
+                    hollow.conn.consume(used);
                     match frame {
                         None => break,
                         Some(Frame::HeldEnd) if !hollow.named_all => {
                             hollow.named_all = true;
                             self.connected.fetch_add(1, Ordering::Relaxed);
                             let first = self.clock.now() + self.ping_every;
-                            self.timers.set(first, Due::Ping(hollow.link));
+                            self.timers.schedule(first, Due::Ping(hollow.link));
                         }
                         Some(Frame::Ping(nonce)) => {
-                            frame::encode(&Frame::Pong(nonce), hollow.conn.out())
+                            frame::encode(&Frame::Pong(nonce), hollow.conn.write_buffer())
                         }
                         Some(_) => {}
                     }
@@ -272,6 +272,6 @@
         minor: frame::MINOR,
         name: format!("{PREFIX}{}", link.placer),
         started_ms: 1,
-        most_offers: 0,
+        max_offers: 0,
     }
 }
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -5,28 +5,29 @@
 use std::sync::Arc;
 
 use maplethread_admission::{
-    Admission, Ask, Copies as AskCopies, KeyTable, Policy, Refusal, Stage, Verdict,
+    Admission, AdmissionDecision, AdmissionPolicy, Deduplication as AskCopies, DeduplicationTable,
+    RejectionReason, TaskRequest, TaskStage,
 };
-use maplethread_wire::frame::{Copies, Frame, Load, NoteKind, Offer, Reason};
+use maplethread_wire::frame::{DuplicatePolicy, Frame, NoteKind, Offer, Reason, ResourceAmounts};
 
 use crate::scenario::Scenario;
-use crate::world::{Dice, World};
+use crate::world::{RunContext, SeededRng};
 
 /// What goes wrong with a host just now.
 #[derive(Clone, Debug, Default)]
-pub struct Faults {
+pub struct HostFaults {
     /// It reads and never answers.
-    pub silent: bool,
+    pub is_silent: bool,
     /// Share of the starts that fail at once.
-    pub errors: f64,
+    pub error_share: f64,
     /// Share of one class's asks that fail (true) or stay unanswered (false).
-    pub class: Option<(String, f64, bool)>,
+    pub class_fault: Option<(String, f64, bool)>,
     /// Share of the answers that are lost.
     pub answers_lost: f64,
     /// Share of the cores that another program takes.
     pub neighbour: f64,
     /// Looking at an ask takes so many times as long; 0 for as long as ever.
-    pub slow: f64,
+    pub admission_slowdown: f64,
     /// Share of one class's new tasks that use three times the cores and twice the memory that they would.
     pub heavy: Option<(String, f64)>,
     /// Share of the services all of whose tasks use twice the cores that they asked for.
@@ -37,11 +38,11 @@
 
 /// What a host has to do later.
 #[derive(Clone, Copy, Debug)]
-pub enum Later {
+pub enum Timer {
     /// Look at the next ask.
-    Look,
+    AdmitNext,
     /// A start is done.
-    Started(u64),
+    StartFinished(u64),
     /// A task's life is over.
     Over(u64),
 }
@@ -51,24 +52,24 @@
     /// Send a frame to this placer, if it is connected.
     Send(Arc<str>, Frame),
     /// Call back after so long, µs.
-    After(u64, Later),
+    After(u64, Timer),
     /// It has fallen over and stays down.
     FallOver,
 }
 
-struct Task {
+struct HostedTask {
     offer: Offer,
     placer: Arc<str>,
-    read: u64,
+    received_at: u64,
     /// What it uses once it runs, and its memory after growing.
     cores: f64,
     memory: f64,
     runs_since: Option<u64>,
-    noted: u64,
+    reported_at: u64,
 }
 
 /// What a task uses while so large a share of the services is hot: all hosts see the same ones so.
-fn cores_of(task: &Task, hot: f64) -> f64 {
+fn cores_of(task: &HostedTask, hot: f64) -> f64 {
     let place = task
         .offer
         .service
@@ -76,7 +77,7 @@
         .fold(11, |h: u32, b| h.wrapping_mul(16_777_619) ^ u32::from(b));
     let is_hot = f64::from(place % 1000) < hot * 1000.0;
     if is_hot {
-        task.cores.max(2.0 * task.offer.asks.cores)
+        task.cores.max(2.0 * task.offer.requested.cores)
     } else {
         task.cores
     }
@@ -94,23 +95,23 @@
 }
 
 /// A host's process.
-pub struct Host {
+pub struct EmulatedHost {
     pub spec: Spec,
-    pub started: u64,
-    faults: Faults,
+    pub started_us: u64,
+    faults: HostFaults,
     scenario: Arc<Scenario>,
-    world: World,
+    world: RunContext,
     admission: Admission,
-    tasks: BTreeMap<u64, Task>,
+    tasks: BTreeMap<u64, HostedTask>,
     /// Asks in the line, by attempt.
-    asked: BTreeMap<u64, Task>,
-    looking: bool,
-    dice: Dice,
+    queued: BTreeMap<u64, HostedTask>,
+    is_admitting: bool,
+    dice: SeededRng,
     /// Offers while it is cold.
-    offers: Vec<u64>,
+    recent_offers: Vec<u64>,
     worst_told: BTreeMap<Arc<str>, u64>,
     /// When it last measured all that runs, where it measures together.
-    measured: u64,
+    last_measured: u64,
 }
 
 /// What runs is measured, and told to its placers, this often, µs.
@@ -118,95 +119,97 @@
 /// Over this share of memory all tasks slow down, and placers are told.
 const TIGHT: f64 = 0.92;
 
-impl Host {
+impl EmulatedHost {
     pub fn new(
         spec: Spec,
         scenario: Arc<Scenario>,
-        world: World,
-        mut dice: Dice,
+        world: RunContext,
+        mut dice: SeededRng,
         cold: bool,
-    ) -> Host {
+    ) -> EmulatedHost {
         let fleet = &scenario.fleet;
-        let policy = Policy {
+        let policy = AdmissionPolicy {
             cores: spec.cores,
-            memory: spec.memory,
-            over_cores: fleet.over_cores,
-            over_memory: fleet.over_memory,
-            line: fleet.line,
-            starts: fleet.starts,
-            kept: fleet.kept,
-            push_out: fleet.push_out,
+            memory_gib: spec.memory,
+            cpu_overcommit: fleet.cpu_overcommit,
+            memory_overcommit: fleet.memory_overcommit,
+            max_queue_length: fleet.max_queued,
+            max_concurrent_starts: fleet.max_concurrent_starts,
+            max_warm_programs: fleet.max_kept_programs,
+            allows_preemption: fleet.preempts,
         };
         // A host that is up when the day begins started long ago.
         let now = world.clock.now();
-        let started = if cold { now } else { now - 3_600_000_000 } / 1000 * 1000;
+        let started_us = if cold { now } else { now - 3_600_000_000 } / 1000 * 1000;
         // Hosts don't measure in step with each other.
         let ago = if fleet.measures_together {
             dice.between([0.0, MEASURE_EVERY as f64]) as u64
         } else {
             0
         };
-        Host {
+        EmulatedHost {
             spec,
-            started,
-            faults: Faults::default(),
+            started_us,
+            faults: HostFaults::default(),
             admission: Admission::new(policy),
             scenario,
             world,
             tasks: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            looking: false,
+            queued: BTreeMap::new(),
+            is_admitting: false,
             dice,
-            offers: Vec::new(),
+            recent_offers: Vec::new(),
             worst_told: BTreeMap::new(),
-            measured: now - ago,
+            last_measured: now - ago,
         }
     }
 
     /// A new process in its place, cold.
     pub fn restart(&mut self) {
-        self.die();
+        self.stop();
         let cold = self.dice.seed();
-        *self = Host::new(
+        *self = EmulatedHost::new(
             self.spec.clone(),
             self.scenario.clone(),
             self.world.clone(),
-            Dice::new(cold, 5),
+            SeededRng::new(cold, 5),
             true,
         );
     }
 
     /// All that ran is lost.
-    pub fn die(&mut self) {
+    pub fn stop(&mut self) {
         for task in self.tasks.values().filter(|t| t.runs_since.is_some()) {
-            self.world.ledger().ends(&task.offer.actor);
+            self.world
+                .service_accounting()
+                .record_end(&task.offer.actor);
         }
         self.tasks.clear();
-        self.asked.clear();
+        self.queued.clear();
     }
 
     /// What ails it from now on.
-    pub fn ail(&mut self, faults: Faults) {
+    pub fn ail(&mut self, faults: HostFaults) {
         if faults.programs_lost && !self.faults.programs_lost {
-            self.admission.flush();
+            self.admission.forget_warm_programs();
         }
         self.faults = faults;
     }
 
     /// Whether it reads and never answers.
-    pub fn silent(&self) -> bool {
-        self.faults.silent
+    pub fn is_silent(&self) -> bool {
+        self.faults.is_silent
     }
 
     /// Lets go of keys that it let stand.
-    pub fn forget_keys(&mut self, keys: &mut KeyTable) {
+    pub fn forget_keys(&mut self, keys: &mut DeduplicationTable) {
         for attempt in self.tasks.keys().copied().collect::<Vec<_>>() {
-            self.admission.end(attempt, keys);
+            self.admission.remove(attempt, keys);
         }
     }
 
-    pub fn draining(&self) -> bool {
-        self.admission.draining()
+    pub fn is_draining(&self) -> bool {
+        self.admission.is_draining()
     }
 
     pub fn drain(&mut self) {
@@ -214,7 +217,7 @@
     }
 
     /// What it holds of a placer.
-    pub fn held(&self, placer: &str) -> Vec<Frame> {
+    pub fn held_frames(&self, placer: &str) -> Vec<Frame> {
         let own = self.tasks.values().filter(|t| *t.placer == *placer);
         own.map(|t| Frame::Held(t.offer.clone(), t.runs_since.is_some()))
             .collect()
@@ -223,42 +226,42 @@
     /// Its pace, less while it is cold.
     fn pace(&self, now: u64) -> f64 {
         let rules = &self.scenario.rules;
-        let age = (now - self.started.min(now)) as f64 / 1000.0 / rules.cold_for_ms as f64;
-        (rules.cold_from + (1.0 - rules.cold_from) * age).min(1.0)
+        let age = (now - self.started_us.min(now)) as f64 / 1000.0 / rules.warm_up_ms as f64;
+        (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age).min(1.0)
             * (1.0 - self.faults.neighbour)
             * self.spec.speed
     }
 
-    fn load(&self) -> Option<Load> {
-        let (cores, memory) = self.admission.asked();
-        Some(Load {
+    fn load(&self) -> Option<ResourceAmounts> {
+        let (cores, memory) = self.admission.requested();
+        Some(ResourceAmounts {
             cores: self.spec.cores - cores,
-            memory: self.spec.memory - memory,
+            memory_gib: self.spec.memory - memory,
         })
     }
 
     /// Answers of attempts may be lost on the way; other frames are not.
     fn answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<Do>) {
-        if !self.faults.silent && !self.dice.chance(self.faults.answers_lost) {
+        if !self.faults.is_silent && !self.dice.random_bool(self.faults.answers_lost) {
             out.push(Do::Send(placer.clone(), frame));
         }
     }
 
     /// A frame from a placer that has greeted.
-    pub fn frame(
+    pub fn handle_frame(
         &mut self,
         now: u64,
         placer: &Arc<str>,
         frame: Frame,
-        keys: &mut KeyTable,
+        keys: &mut DeduplicationTable,
         out: &mut Vec<Do>,
     ) {
         match frame {
             Frame::Offer(offer) => self.offer(now, placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt) => {
-                let mine = |t: &Task| *t.placer == **placer;
+                let mine = |t: &HostedTask| *t.placer == **placer;
                 if self.tasks.get(&attempt).is_some_and(mine)
-                    || self.asked.get(&attempt).is_some_and(mine)
+                    || self.queued.get(&attempt).is_some_and(mine)
                 {
                     let ran = self.finish(attempt, keys);
                     let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.load());
@@ -266,11 +269,11 @@
                     self.start_more(now, out);
                 }
             }
-            Frame::Probe(nonce) if !self.faults.silent => {
+            Frame::Probe(nonce) if !self.faults.is_silent => {
                 let load = self.load().unwrap_or_default();
                 out.push(Do::Send(placer.clone(), Frame::Report(nonce, load)));
             }
-            Frame::Ping(nonce) if !self.faults.silent => {
+            Frame::Ping(nonce) if !self.faults.is_silent => {
                 out.push(Do::Send(placer.clone(), Frame::Pong(nonce)))
             }
             _ => {}
@@ -282,18 +285,18 @@
             out.push(Do::FallOver);
             return;
         }
-        if self.faults.silent {
+        if self.faults.is_silent {
             return;
         }
-        let attempt = offer.attempt;
-        if self.dice.chance(self.faults.errors) {
-            let ran = self.dice.chance(0.5);
+        let attempt = offer.attempt_id;
+        if self.dice.random_bool(self.faults.error_share) {
+            let ran = self.dice.random_bool(0.5);
             self.answer(placer, Frame::Ended(attempt, Reason::Error, ran, None), out);
             return;
         }
-        if let Some((class, share, errors)) = self.faults.class.clone()
+        if let Some((class, share, errors)) = self.faults.class_fault.clone()
             && class == offer.class
-            && self.dice.chance(share)
+            && self.dice.random_bool(share)
         {
             if errors {
                 self.answer(
@@ -304,24 +307,24 @@
             }
             return;
         }
-        let copies = match offer.copies {
-            Copies::Keyed(key) => AskCopies::One {
+        let copies = match offer.duplicate_policy {
+            DuplicatePolicy::IdempotencyKey(key) => AskCopies::OnePerKey {
                 group: self.group(&offer.class),
                 key,
             },
-            Copies::Safe | Copies::Unsafe => AskCopies::Any,
+            DuplicatePolicy::Idempotent | DuplicatePolicy::NonIdempotent => AskCopies::Disabled,
         };
-        let ask = Ask {
-            attempt,
-            program: offer.service.bytes().fold(7, |h: u64, b| {
+        let ask = TaskRequest {
+            attempt_id: attempt,
+            program_id: offer.service.bytes().fold(7, |h: u64, b| {
                 h.wrapping_mul(131).wrapping_add(u64::from(b))
             }),
-            cores: offer.asks.cores,
-            memory: offer.asks.memory,
+            cores: offer.requested.cores,
+            memory_gib: offer.requested.memory_gib,
             priority: offer.priority,
-            copies,
+            deduplication: copies,
         };
-        match self.admission.queue(ask) {
+        match self.admission.enqueue(ask) {
             Err(refusal) => {
                 let refused = Frame::Refused(attempt, reason(refusal), self.load());
                 self.answer(placer, refused, out);
@@ -329,28 +332,30 @@
             Ok(()) => {
                 let uses = self
                     .scenario
-                    .class
+                    .classes
                     .iter()
                     .find(|c| c.rules.name == offer.class)
-                    .map_or([1.0; 2], |c| c.uses);
+                    .map_or([1.0; 2], |c| c.used_share);
                 let swing = self.dice.between([0.6, 1.4]);
                 let heavy = match self.faults.heavy.clone() {
-                    Some((class, share)) if class == offer.class && self.dice.chance(share) => {
+                    Some((class, share))
+                        if class == offer.class && self.dice.random_bool(share) =>
+                    {
                         [3.0, 2.0]
                     }
                     _ => [1.0, 1.0],
                 };
-                let memory = offer.asks.memory * uses[1] * self.dice.between([0.8, 1.2]);
-                let task = Task {
-                    cores: (offer.asks.cores * uses[0] * swing * heavy[0]).max(0.0),
+                let memory = offer.requested.memory_gib * uses[1] * self.dice.between([0.8, 1.2]);
+                let task = HostedTask {
+                    cores: (offer.requested.cores * uses[0] * swing * heavy[0]).max(0.0),
                     memory: (memory * heavy[1]).max(0.0),
                     offer,
                     placer: placer.clone(),
-                    read: now,
+                    received_at: now,
                     runs_since: None,
-                    noted: now,
+                    reported_at: now,
                 };
-                self.asked.insert(attempt, task);
+                self.queued.insert(attempt, task);
                 self.look_later(out);
             }
         }
@@ -358,11 +363,11 @@
 
     /// Hosts that know each other's keys of a class.
     fn group(&self, class: &str) -> u64 {
-        use maplethread_config::Group;
-        let rules = self.scenario.class.iter().find(|c| c.rules.name == class);
+        use maplethread_config::DeduplicationScope;
+        let rules = self.scenario.classes.iter().find(|c| c.rules.name == class);
         let place = match rules.and_then(|c| c.rules.group) {
-            Some(Group::Zone) => self.spec.zone.clone(),
-            Some(Group::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
+            Some(DeduplicationScope::Zone) => self.spec.zone.clone(),
+            Some(DeduplicationScope::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
         };
         place.bytes().fold(11, |h: u64, b| {
@@ -373,86 +378,106 @@
     /// A cold host that is sent too much falls over.
     fn falls_over(&mut self, now: u64) -> bool {
         let rules = &self.scenario.rules;
-        if now >= self.started + rules.cold_for_ms * 1000 {
-            self.offers.clear();
+        if now >= self.started_us + rules.warm_up_ms * 1000 {
+            self.recent_offers.clear();
             return false;
         }
-        let window = rules.fall_window_ms * 1000;
-        self.offers.retain(|&at| at + window >= now);
-        self.offers.push(now);
-        let work = self.scenario.class.first().map_or(100.0, |c| c.work_ms) * 1000.0;
-        let can = self.pace(now) * self.scenario.fleet.starts as f64 * window as f64 / work;
-        self.offers.len() as f64 > rules.fresh_offers.max(rules.fall_multiple * can)
+        let window = rules.overload_window_ms * 1000;
+        self.recent_offers.retain(|&at| at + window >= now);
+        self.recent_offers.push(now);
+        let work = self.scenario.classes.first().map_or(100.0, |c| c.work_ms) * 1000.0;
+        let can = self.pace(now) * self.scenario.fleet.max_concurrent_starts as f64 * window as f64
+            / work;
+        self.recent_offers.len() as f64 > rules.warm_up_offers.max(rules.overload_multiple * can)
     }
 
     fn look_later(&mut self, out: &mut Vec<Do>) {
-        if !self.looking && self.admission.in_line() > 0 {
-            self.looking = true;
-            let ms = self.dice.between(self.scenario.fleet.admit_ms) * self.faults.slow.max(1.0);
-            out.push(Do::After((ms * 1000.0) as u64, Later::Look));
+        if !self.is_admitting && self.admission.queue_length() > 0 {
+            self.is_admitting = true;
+            let ms = self.dice.between(self.scenario.fleet.admission_ms)
+                * self.faults.admission_slowdown.max(1.0);
+            out.push(Do::After((ms * 1000.0) as u64, Timer::AdmitNext));
         }
     }
 
     /// Something falls due.
-    pub fn due(&mut self, now: u64, later: Later, keys: &mut KeyTable, out: &mut Vec<Do>) {
+    pub fn handle_timer(
+        &mut self,
+        now: u64,
+        later: Timer,
+        keys: &mut DeduplicationTable,
+        out: &mut Vec<Do>,
+    ) {
         match later {
-            Later::Look => {
-                self.looking = false;
-                if let Some((ask, verdict)) = self.admission.look(keys) {
+            Timer::AdmitNext => {
+                self.is_admitting = false;
+                if let Some((ask, verdict)) = self.admission.decide_next(keys) {
                     self.verdict(now, ask, verdict, out);
                 }
                 self.look_later(out);
                 self.start_more(now, out);
             }
-            Later::Started(attempt) => {
-                self.admission.started(attempt);
+            Timer::StartFinished(attempt) => {
+                self.admission.mark_running(attempt);
                 let Some(task) = self.tasks.get_mut(&attempt) else {
                     return;
                 };
                 task.runs_since = Some(now);
-                let took = ((now - task.read) / 1000) as u32;
-                let (placer, life) = (task.placer.clone(), task.offer.life_ms * 1000);
-                self.world.ledger().starts(&task.offer.actor, now);
+                let took = ((now - task.received_at) / 1000) as u32;
+                let (placer, life) = (task.placer.clone(), task.offer.expected_duration_ms * 1000);
+                self.world
+                    .service_accounting()
+                    .record_start(&task.offer.actor, now);
                 self.answer(&placer, Frame::Started(attempt, took), out);
                 if life > 0 {
-                    out.push(Do::After(life, Later::Over(attempt)));
+                    out.push(Do::After(life, Timer::Over(attempt)));
                 }
                 self.start_more(now, out);
             }
-            Later::Over(attempt) => self.over(now, attempt, Reason::Done, keys, out),
+            Timer::Over(attempt) => self.over(now, attempt, Reason::Completed, keys, out),
         }
     }
 
-    fn verdict(&mut self, now: u64, ask: Ask, verdict: Verdict, out: &mut Vec<Do>) {
-        let Some(task) = self.asked.remove(&ask.attempt) else {
+    fn verdict(
+        &mut self,
+        now: u64,
+        ask: TaskRequest,
+        verdict: AdmissionDecision,
+        out: &mut Vec<Do>,
+    ) {
+        let Some(task) = self.queued.remove(&ask.attempt_id) else {
             return;
         };
         let placer = task.placer.clone();
         match verdict {
-            Verdict::Refused(refusal) => {
-                let refused = Frame::Refused(ask.attempt, reason(refusal), self.load());
+            AdmissionDecision::Rejected(refusal) => {
+                let refused = Frame::Refused(ask.attempt_id, reason(refusal), self.load());
                 self.answer(&placer, refused, out);
             }
-            Verdict::Taken { push_out } => {
+            AdmissionDecision::Admitted {
+                preempted: push_out,
+            } => {
                 for attempt in push_out {
                     if let Some(gone) = self.tasks.remove(&attempt) {
-                        self.gone(&gone, attempt, Reason::PushedOut, out);
+                        self.gone(&gone, attempt, Reason::Preempted, out);
                     }
                 }
-                let took = ((now - task.read) / 1000) as u32;
-                self.tasks.insert(ask.attempt, task);
-                self.answer(&placer, Frame::Accepted(ask.attempt, took), out);
+                let took = ((now - task.received_at) / 1000) as u32;
+                self.tasks.insert(ask.attempt_id, task);
+                self.answer(&placer, Frame::Accepted(ask.attempt_id, took), out);
             }
         }
     }
 
-    fn gone(&mut self, task: &Task, attempt: u64, why: Reason, out: &mut Vec<Do>) {
+    fn gone(&mut self, task: &HostedTask, attempt: u64, why: Reason, out: &mut Vec<Do>) {
         let ran = task.runs_since.is_some();
         if ran {
-            self.world.ledger().ends(&task.offer.actor);
+            self.world
+                .service_accounting()
+                .record_end(&task.offer.actor);
         }
         // Losing a task is not an answer that gets lost on its way: the next greeting tells it at the latest.
-        if !self.faults.silent {
+        if !self.faults.is_silent {
             out.push(Do::Send(
                 task.placer.clone(),
                 Frame::Ended(attempt, why, ran, self.load()),
@@ -465,10 +490,10 @@
         now: u64,
         attempt: u64,
         why: Reason,
-        keys: &mut KeyTable,
+        keys: &mut DeduplicationTable,
         out: &mut Vec<Do>,
     ) {
-        self.admission.end(attempt, keys);
+        self.admission.remove(attempt, keys);
         if let Some(task) = self.tasks.remove(&attempt) {
             self.gone(&task, attempt, why, out);
         }
@@ -476,15 +501,17 @@
     }
 
     /// Takes a task away without a word; whether it ever ran.
-    fn finish(&mut self, attempt: u64, keys: &mut KeyTable) -> bool {
-        let stage = self.admission.end(attempt, keys);
-        self.asked.remove(&attempt);
+    fn finish(&mut self, attempt: u64, keys: &mut DeduplicationTable) -> bool {
+        let stage = self.admission.remove(attempt, keys);
+        self.queued.remove(&attempt);
         if let Some(task) = self.tasks.remove(&attempt)
             && task.runs_since.is_some()
         {
-            self.world.ledger().ends(&task.offer.actor);
+            self.world
+                .service_accounting()
+                .record_end(&task.offer.actor);
         }
-        !matches!(stage, Some(Stage::Waiting) | None)
+        !matches!(stage, Some(TaskStage::Waiting) | None)
     }
 
     fn start_more(&mut self, now: u64, out: &mut Vec<Do>) {
@@ -494,27 +521,36 @@
                 .get(&attempt)
                 .map(|t| t.offer.class.clone())
                 .unwrap_or_default();
-            let class = self.scenario.class.iter().find(|c| c.rules.name == class);
+            let class = self.scenario.classes.iter().find(|c| c.rules.name == class);
             let work = class.map_or(50.0, |c| c.work_ms)
                 * if there {
                     1.0
                 } else {
-                    self.scenario.fleet.setup
+                    self.scenario.fleet.cold_start_factor
                 };
             let took = work * self.dice.between([0.7, 1.3]) / self.pace(now).max(0.02);
-            out.push(Do::After((took * 1000.0) as u64, Later::Started(attempt)));
+            out.push(Do::After(
+                (took * 1000.0) as u64,
+                Timer::StartFinished(attempt),
+            ));
         }
     }
 
     /// Whether it holds tasks, so that a span of service matters.
-    pub fn busy(&self) -> bool {
+    pub fn has_tasks(&self) -> bool {
         !self.tasks.is_empty()
     }
 
     /// Serves what runs for a span, tells placers how it fares, and evicts when memory runs out.
-    pub fn serve(&mut self, from: u64, now: u64, keys: &mut KeyTable, out: &mut Vec<Do>) {
+    pub fn serve_interval(
+        &mut self,
+        from: u64,
+        now: u64,
+        keys: &mut DeduplicationTable,
+        out: &mut Vec<Do>,
+    ) {
         let grows = 4_000_000.0;
-        let memory_of = |t: &Task| {
+        let memory_of = |t: &HostedTask| {
             let part = t
                 .runs_since
                 .map_or(0.3, |s| ((now - s.min(now)) as f64 / grows).clamp(0.3, 1.0));
@@ -523,7 +559,10 @@
         let memory: f64 = self.tasks.values().map(memory_of).sum();
         if memory > self.spec.memory {
             let used = |a: u64| self.tasks.get(&a).map_or(0.0, memory_of);
-            for attempt in self.admission.evict(self.spec.memory * TIGHT, used) {
+            for attempt in self
+                .admission
+                .select_evictions(self.spec.memory * TIGHT, used)
+            {
                 self.over(now, attempt, Reason::Evicted, keys, out);
             }
         }
@@ -542,15 +581,15 @@
             .collect();
         let starting: f64 = self
             .admission
-            .taken()
-            .filter(|t| t.1 == Stage::Starting)
+            .admitted_tasks()
+            .filter(|t| t.1 == TaskStage::Starting)
             .map(|_| 0.5)
             .sum();
         let together = self.scenario.fleet.measures_together;
-        let periods = now.saturating_sub(self.measured) / MEASURE_EVERY;
-        let (measures, measured) = (together && periods > 0, self.measured);
+        let periods = now.saturating_sub(self.last_measured) / MEASURE_EVERY;
+        let (measures, measured) = (together && periods > 0, self.last_measured);
         if measures {
-            self.measured += periods * MEASURE_EVERY;
+            self.last_measured += periods * MEASURE_EVERY;
         }
         let mut worst: BTreeMap<Arc<str>, (u64, f64)> = BTreeMap::new();
         let mut notes = Vec::new();
@@ -560,10 +599,11 @@
             };
             let class = self
                 .scenario
-                .class
+                .classes
                 .iter()
                 .find(|c| c.rules.name == task.offer.class);
-            let (calm, fade) = class.map_or((1.0, 1.0), |c| (c.calm, c.fade));
+            let (calm, fade) =
+                class.map_or((1.0, 1.0), |c| (c.contention_onset, c.contention_range));
             let own = task.offer.priority;
             let busy: f64 = running
                 .iter()
@@ -572,9 +612,12 @@
                 + starting;
             let busy = busy / cores.max(0.1);
             let served = (1.0 - (busy - calm) / fade.max(1e-6)).clamp(0.0, 1.0) * slow;
-            self.world
-                .ledger()
-                .serve(&task.offer.actor, from.max(since), now, served);
+            self.world.service_accounting().record_service(
+                &task.offer.actor,
+                from.max(since),
+                now,
+                served,
+            );
             if served < 0.95 {
                 let entry = worst
                     .entry(task.placer.clone())
@@ -586,10 +629,10 @@
             let due = if together {
                 measures && since <= measured
             } else {
-                task.noted + MEASURE_EVERY <= now
+                task.reported_at + MEASURE_EVERY <= now
             };
             if due {
-                task.noted = now;
+                task.reported_at = now;
                 notes.push((
                     task.placer.clone(),
                     Frame::Note(attempt, NoteKind::Cores, cores_of(task, self.faults.hot)),
@@ -617,14 +660,17 @@
             if served < 0.95 {
                 notes.push((
                     placer.clone(),
-                    Frame::Note(attempt, NoteKind::Served, served),
+                    Frame::Note(attempt, NoteKind::ServedShare, served),
                 ));
             }
             if share > 0.85 {
-                tight.push((placer, Frame::Note(attempt, NoteKind::HostMemory, share)));
+                tight.push((
+                    placer,
+                    Frame::Note(attempt, NoteKind::HostMemoryShare, share),
+                ));
             }
         }
-        if !self.faults.silent {
+        if !self.faults.is_silent {
             out.extend(
                 notes
                     .into_iter()
@@ -635,11 +681,11 @@
     }
 }
 
-fn reason(refusal: Refusal) -> Reason {
+fn reason(refusal: RejectionReason) -> Reason {
     match refusal {
-        Refusal::Cores => Reason::Cores,
-        Refusal::Memory => Reason::Memory,
-        Refusal::Line => Reason::Line,
-        Refusal::Draining | Refusal::CopyStands => Reason::NotHere,
+        RejectionReason::InsufficientCores => Reason::Cores,
+        RejectionReason::InsufficientMemory => Reason::Memory,
+        RejectionReason::QueueFull => Reason::QueueFull,
+        RejectionReason::Draining | RejectionReason::DuplicateKey => Reason::Ineligible,
     }
 }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,25 +3,25 @@
 //! which the traffic is judged. Also a load generator, and a random-choice decider to compare the module with,
 //! which can be made to break each rule on purpose.
 
-pub mod baseline;
 mod calls;
 pub mod clients;
-pub mod day;
 pub mod demand;
 mod drawn;
 pub mod hollow_placers;
 mod host;
-pub mod load;
+pub mod load_test;
 mod looks;
-pub mod options;
+pub mod mutant;
 mod owners;
+pub mod placer_processes;
 mod plan;
-pub mod processes;
 pub mod rack;
-pub mod recorded;
+pub mod random_choice;
+pub mod recorded_scenario;
 pub mod report;
-pub mod rogue;
+pub mod run_options;
 pub mod scenario;
+pub mod scenario_run;
 pub mod settings;
 pub mod traffic;
 pub mod usage;
--- a/crates/standin/src/load.rs
+++ b/crates/standin/src/load_test.rs
@@ -12,58 +12,58 @@
 
 use hdrhistogram::Histogram;
 use maplethread_config::{
-    Damping, HostEntry, HostState, Hosts, Identity, Inventory, Kind, PlacerConfig, Placing, Prices,
-    Rules,
+    CostSettings, DampingMode, HostEntry, HostKind, HostSettings, HostState, Identity, Inventory,
+    PlacementSettings, PlacerConfig, RuleSettings,
 };
-use maplethread_consul_standin::{Servers, Settings as ServerSettings};
+use maplethread_consul_standin::{EmulatorSettings as ServerSettings, Servers};
 use maplethread_engine::Timers;
 use maplethread_placer::Clock;
-use maplethread_reactor::{Conn, Poller, ReadOutcome, Readiness};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 use serde_json::{Value, json};
 
 use crate::calls::register;
-use crate::clients::{Clients, Load};
+use crate::clients::{Clients, RequestLoad};
 use crate::settings::{api, consul, hosts, plain_class};
-use crate::usage::usage;
+use crate::usage::process_usage;
 
 /// What load to make.
 #[derive(Clone, Debug)]
-pub struct Options {
+pub struct LoadOptions {
     /// The program whose `placer` subcommand is run.
     pub program: PathBuf,
     /// Asks a second.
-    pub rate: f64,
+    pub requests_per_s: f64,
     /// For so long, s.
     pub seconds: f64,
     /// Hosts.
-    pub hosts: usize,
+    pub host_count: usize,
     /// Client connections.
-    pub connections: usize,
+    pub connection_count: usize,
     /// Tasks end after so long, ms; 0 for never.
-    pub life_ms: u64,
+    pub task_duration_ms: u64,
     /// Seed of the placer.
     pub seed: u64,
     /// The hosts come from a catalogue, and in the second half of the run the health of a third of them changes so
     /// often a second.
-    pub storm: Option<f64>,
+    pub health_changes_per_s: Option<f64>,
     /// The placer writes trace files into this folder.
-    pub trace: Option<PathBuf>,
+    pub trace_folder: Option<PathBuf>,
 }
 
 /// What a run measured.
 #[derive(Clone, Debug)]
-pub struct Measured {
+pub struct LoadResult {
     /// Asks a second that were wanted, and that got their answer.
     pub rate: f64,
     /// See `rate`.
     pub answered_rate: f64,
     /// Asks.
-    pub asks: u64,
+    pub requests: u64,
     /// Those placed.
     pub placed: u64,
     /// From when an ask was due to its answer: p50, p99, p99.9 and the longest, µs.
-    pub place_us: [u64; 4],
+    pub answer_us: [u64; 4],
     /// The same for the first half of the run and for the second.
     pub halves_us: [[u64; 4]; 2],
     /// Decisions: p50 and p99, µs, as the placer measured them.
@@ -79,12 +79,12 @@
     pub cpu: [f64; 2],
 }
 
-impl Measured {
+impl LoadResult {
     /// As an object.
     pub fn json(&self) -> Value {
         json!({
-            "rate": self.rate, "answered_rate": self.answered_rate, "asks": self.asks, "placed": self.placed,
-            "place_us": {"p50": self.place_us[0], "p99": self.place_us[1], "p99.9": self.place_us[2], "max": self.place_us[3]},
+            "rate": self.rate, "answered_rate": self.answered_rate, "asks": self.requests, "placed": self.placed,
+            "place_us": {"p50": self.answer_us[0], "p99": self.answer_us[1], "p99.9": self.answer_us[2], "max": self.answer_us[3]},
             "halves_us": self.halves_us,
             "decide_us": {"p50": self.decide_us[0], "p99": self.decide_us[1]},
             "rss_kib": {"before": self.rss_kib[0], "after": self.rss_kib[1]},
@@ -100,7 +100,7 @@
             let of = |key: &str| self.spent[part][key].as_u64().unwrap_or(0);
             format!(
                 "{:.1} us ({:.1} ms)",
-                of("all") as f64 / self.asks.max(1) as f64,
+                of("all") as f64 / self.requests.max(1) as f64,
                 of("longest") as f64 / 1000.0
             )
         };
@@ -120,12 +120,12 @@
              placer: {:.1} MiB before, {:.1} MiB with {} actors; {:.1}% of a core idle, {:.1}% under load\n",
             self.rate,
             self.answered_rate,
-            self.asks,
+            self.requests,
             self.placed,
-            self.place_us[0],
-            self.place_us[1],
-            self.place_us[2],
-            self.place_us[3],
+            self.answer_us[0],
+            self.answer_us[1],
+            self.answer_us[2],
+            self.answer_us[3],
             self.decide_us[0],
             self.decide_us[1],
             self.rss_kib[0] as f64 / 1024.0,
@@ -157,7 +157,7 @@
         for number in 0..count {
             let listener = TcpListener::bind("127.0.0.1:0")?;
             listener.set_nonblocking(true)?;
-            poller.add(&listener, number as u64, false)?;
+            poller.register(&listener, number as u64, false)?;
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
@@ -191,14 +191,14 @@
     ended: &AtomicBool,
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let mut conns: HashMap<u64, (Conn, usize)> = HashMap::new();
+    let mut conns: HashMap<u64, (TcpConnection, usize)> = HashMap::new();
     let mut next = listeners.len() as u64;
     let mut ready: Vec<Readiness> = Vec::new();
     let mut over: Timers<(u64, u64)> = Timers::default();
     while !ended.load(Ordering::Relaxed) {
         ready.clear();
         let wait = over
-            .next()
+            .next_due_at()
             .map_or(50_000, |at| at.saturating_sub(clock.now()).min(50_000));
         poller.wait(Some(Duration::from_micros(wait)), &mut ready)?;
         for r in &ready {
@@ -207,7 +207,10 @@
                     next += 1;
                     conns.insert(
                         next,
-                        (Conn::accepted(stream, next, poller)?, r.token as usize),
+                        (
+                            TcpConnection::from_accepted(stream, next, poller)?,
+                            r.token as usize,
+                        ),
                     );
                 }
                 continue;
@@ -215,9 +218,9 @@
             let Some((conn, host)) = conns.get_mut(&r.token) else {
                 continue;
             };
-            let outcome = conn.fill(256 << 10, 512 << 10);
+            let outcome = conn.read_available(256 << 10, 512 << 10);
             while let Ok((Some(frame), used)) = frame::decode(conn.unread()) {
-                conn.take(used);
+                conn.consume(used);
                 let mut answers = Vec::new();
                 match frame {
                     Frame::Hello { .. } => {
@@ -228,15 +231,15 @@
                             minor,
                             name,
                             started_ms: 1,
-                            most_offers: 0,
+                            max_offers: 0,
                         });
                         answers.push(Frame::HeldEnd);
                     }
                     Frame::Offer(offer) => {
-                        answers.push(Frame::Accepted(offer.attempt, 0));
-                        answers.push(Frame::Started(offer.attempt, 0));
+                        answers.push(Frame::Accepted(offer.attempt_id, 0));
+                        answers.push(Frame::Started(offer.attempt_id, 0));
                         if life_us > 0 {
-                            over.set(clock.now() + life_us, (r.token, offer.attempt));
+                            over.schedule(clock.now() + life_us, (r.token, offer.attempt_id));
                         }
                     }
                     Frame::Cancel(attempt) | Frame::Stop(attempt) => {
@@ -247,18 +250,18 @@
                 }
                 answers
                     .iter()
-                    .for_each(|frame| frame::encode(frame, conn.out()));
+                    .for_each(|frame| frame::encode(frame, conn.write_buffer()));
             }
             let broken = conn.flush(poller).is_err();
-            if broken || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+            if broken || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
                 conns.remove(&r.token);
             }
         }
-        while let Some((token, attempt)) = over.due(clock.now()) {
+        while let Some((token, attempt)) = over.pop_due(clock.now()) {
             if let Some((conn, _)) = conns.get_mut(&token) {
                 frame::encode(
-                    &Frame::Ended(attempt, frame::Reason::Done, true, None),
-                    conn.out(),
+                    &Frame::Ended(attempt, frame::Reason::Completed, true, None),
+                    conn.write_buffer(),
                 );
                 let _ = conn.flush(poller);
             }
@@ -277,9 +280,9 @@
 }
 
 /// Runs one placer under a load.
-pub fn run(options: &Options) -> io::Result<Measured> {
+pub fn run(options: &LoadOptions) -> io::Result<LoadResult> {
     let folder = tempfile::tempdir()?;
-    let hosts_up = NullHosts::start(options.hosts, options.life_ms * 1000)?;
+    let hosts_up = NullHosts::start(options.host_count, options.task_duration_ms * 1000)?;
     let entry = |(number, address): (usize, &SocketAddr)| HostEntry {
         name: format!("host-{number}"),
         address: *address,
@@ -298,7 +301,7 @@
         folder.path().join("hosts.toml"),
         toml::to_string(&inventory).map_err(io::Error::other)?,
     )?;
-    let servers = match options.storm {
+    let servers = match options.health_changes_per_s {
         None => None,
         Some(_) => {
             let servers = Servers::start(ServerSettings::new(3))?;
@@ -310,43 +313,43 @@
     };
     let config = PlacerConfig {
         fleet: None,
-        placer: Identity {
+        identity: Identity {
             name: "placer-0".to_owned(),
-            number: 0,
-            placers: 1,
+            replica_index: 0,
+            replica_count: 1,
             zone: "a".to_owned(),
             zones: ["a", "b", "c"].map(str::to_owned).to_vec(),
             seed: Some(options.seed),
         },
         api: api(),
-        hosts: Hosts {
+        hosts: HostSettings {
             inventory: servers.is_none().then(|| "hosts.toml".into()),
             ..hosts("hosts.toml")
         },
         consul: servers
             .as_ref()
-            .map(|s| consul(s.addresses.clone(), Damping::Off, None)),
-        placing: Placing {
+            .map(|s| consul(s.addresses.clone(), DampingMode::Off, None)),
+        placing: PlacementSettings {
             admit_cores: 1.0,
             admit_memory: 1.0,
-            ..Placing::default()
+            ..PlacementSettings::default()
         },
-        rules: Rules {
+        rules: RuleSettings {
             ask_within_ms: 10_000,
-            cold_from: 0.2,
-            cold_for_ms: 5_000,
-            fall_multiple: 4.0,
-            fall_window_ms: 2_000,
-            fresh_offers: 20.0,
+            initial_capacity_share: 0.2,
+            warm_up_duration_ms: 5_000,
+            overload_multiple: 4.0,
+            overload_window_ms: 2_000,
+            warm_up_offers: 20.0,
         },
-        prices: Prices::default(),
-        trace: options.trace.clone().map(crate::settings::trace),
-        kind: vec![Kind {
+        prices: CostSettings::default(),
+        trace: options.trace_folder.clone().map(crate::settings::trace),
+        kinds: vec![HostKind {
             name: "std".to_owned(),
             cores: 1e6,
             memory_gib: 1e6,
         }],
-        class: vec![plain_class()],
+        classes: vec![plain_class()],
     };
     let path = folder.path().join("placer.toml");
     std::fs::write(&path, config.to_toml().map_err(io::Error::other)?)?;
@@ -372,40 +375,43 @@
         .and_then(|a| a.parse().ok())
         .ok_or_else(|| io::Error::other("the placer did not start"))?;
     std::thread::sleep(Duration::from_millis(300));
-    let idle_from = usage(pid)?;
+    let idle_from = process_usage(pid)?;
     std::thread::sleep(Duration::from_secs(1));
-    let idle_to = usage(pid)?;
-    let load = Load {
-        rate: options.rate,
+    let idle_to = process_usage(pid)?;
+    let load = RequestLoad {
+        requests_per_s: options.requests_per_s,
         seconds: options.seconds,
         split_s: options.seconds / 2.0,
-        connections: options.connections,
-        life_ms: None,
+        connections: options.connection_count,
+        task_duration_ms: None,
         name: "actor".to_owned(),
     };
     let clients = Clients::connect(load, &[address])?;
-    let storm = servers.as_ref().zip(options.storm).map(|(servers, rate)| {
-        let (at, hosts) = (servers.addresses[0], inventory.host.clone());
-        let (half, rate) = (options.seconds / 2.0, rate.max(0.1));
-        std::thread::spawn(move || {
-            std::thread::sleep(Duration::from_secs_f64(half));
-            for n in 0..(half * rate) as usize {
-                let mut host = hosts[n * 7 % (hosts.len() / 3).max(1)].clone();
-                host.state = if n % 2 == 0 {
-                    HostState::Draining
-                } else {
-                    HostState::Ready
-                };
-                let _ = register(at, &host);
-                std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
-            }
-        })
-    });
+    let storm = servers
+        .as_ref()
+        .zip(options.health_changes_per_s)
+        .map(|(servers, rate)| {
+            let (at, hosts) = (servers.addresses[0], inventory.host.clone());
+            let (half, rate) = (options.seconds / 2.0, rate.max(0.1));
+            std::thread::spawn(move || {
+                std::thread::sleep(Duration::from_secs_f64(half));
+                for n in 0..(half * rate) as usize {
+                    let mut host = hosts[n * 7 % (hosts.len() / 3).max(1)].clone();
+                    host.state = if n % 2 == 0 {
+                        HostState::Draining
+                    } else {
+                        HostState::Ready
+                    };
+                    let _ = register(at, &host);
+                    std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
+                }
+            })
+        });
     let answers = clients.run()?;
     if let Some(storm) = storm {
         let _ = storm.join();
     }
-    let loaded = usage(pid)?;
+    let loaded = process_usage(pid)?;
     let took = answers.took_s;
     std::thread::sleep(Duration::from_millis(600));
     let (_, status) = maplethread_placer::get_json(address, "/v1/status?full")?;
@@ -421,15 +427,15 @@
     let halves = &answers.times;
     let mut all = halves[0].clone();
     all.add(&halves[1]).map_err(io::Error::other)?;
-    Ok(Measured {
-        rate: options.rate,
+    Ok(LoadResult {
+        rate: options.requests_per_s,
         answered_rate: all.len() as f64 / took,
-        asks: answers.asked,
+        requests: answers.requests,
         placed: answers.placed,
-        place_us: quantiles(&all),
+        answer_us: quantiles(&all),
         halves_us: [quantiles(&halves[0]), quantiles(&halves[1])],
         decide_us: [decide("p50"), decide("p99")],
-        rss_kib: [idle_to.resident_kib, usage(pid)?.resident_kib],
+        rss_kib: [idle_to.resident_kib, process_usage(pid)?.resident_kib],
         actors: status["actors"].as_u64().unwrap_or(0),
         spent: status["gauges"]["spent_us"].clone(),
         cpu: [
--- a/crates/standin/src/looks.rs
+++ b/crates/standin/src/looks.rs
@@ -1,6 +1,6 @@
 //! How late a thread of stand-ins reads what it records: when it last found nothing more to read.
 
-use maplethread_judge::{Reader, Seen};
+use maplethread_judge::{Observation, Observer};
 
 #[cfg(test)]
 mod tests;
@@ -9,44 +9,44 @@
 const TOLD_FROM: u64 = 50_000;
 
 /// The looks of one reader at its connections.
-pub struct Looks {
-    reader: Reader,
+pub struct ReadTimes {
+    reader: Observer,
     /// What is read now came after this time.
-    since: u64,
+    read_since: u64,
     /// The last time that all connections were looked at.
-    last: u64,
-    told: Option<u64>,
+    last_complete_poll: u64,
+    reported_since: Option<u64>,
 }
 
-impl Looks {
+impl ReadTimes {
     /// A reader that begins now.
-    pub fn new(reader: Reader, now: u64) -> Looks {
-        Looks {
+    pub fn new(reader: Observer, now: u64) -> ReadTimes {
+        ReadTimes {
             reader,
-            since: now,
-            last: now,
-            told: None,
+            read_since: now,
+            last_complete_poll: now,
+            reported_since: None,
         }
     }
 
     /// The connections were looked at, from `began` on; `all` tells that none was left out that had something to read.
-    pub fn looked(&mut self, began: u64, all: bool) {
-        self.since = self.last;
+    pub fn polled(&mut self, began: u64, all: bool) {
+        self.read_since = self.last_complete_poll;
         if all {
-            self.last = began;
+            self.last_complete_poll = began;
         }
     }
 
     /// Something is read at `now` and will be recorded: what the judge must be told first, where that is late, or no
     /// more.
-    pub fn reads(&mut self, now: u64) -> Option<Seen> {
-        let late = now.saturating_sub(self.since) > TOLD_FROM;
-        let since = late.then_some(self.since);
-        if since == self.told {
+    pub fn delay_to_report(&mut self, now: u64) -> Option<Observation> {
+        let late = now.saturating_sub(self.read_since) > TOLD_FROM;
+        let since = late.then_some(self.read_since);
+        if since == self.reported_since {
             return None;
         }
-        self.told = since;
-        Some(Seen::ReadLate {
+        self.reported_since = since;
+        Some(Observation::ReadLate {
             reader: self.reader,
             since,
         })
--- a/crates/standin/src/looks/tests.rs
+++ b/crates/standin/src/looks/tests.rs
@@ -1,14 +1,14 @@
 //! When a reader tells that it is late, and since when.
 
-use maplethread_judge::{Reader, Seen};
+use maplethread_judge::{Observation, Observer};
 
-use super::Looks;
+use super::ReadTimes;
 
 /// What is told of a read: nothing, or the time since which it may have lain unread.
-fn told(looks: &mut Looks, now: u64) -> Option<Option<u64>> {
-    looks.reads(now).map(|seen| match seen {
-        Seen::ReadLate {
-            reader: Reader::Hosts,
+fn told(looks: &mut ReadTimes, now: u64) -> Option<Option<u64>> {
+    looks.delay_to_report(now).map(|seen| match seen {
+        Observation::ReadLate {
+            reader: Observer::Hosts,
             since,
         } => since,
         other => panic!("{other:?}"),
@@ -17,23 +17,23 @@
 
 #[test]
 fn a_late_read_is_told_with_the_last_look_before_it_and_once() {
-    let mut looks = Looks::new(Reader::Hosts, 1_000_000);
-    looks.looked(1_010_000, true);
+    let mut looks = ReadTimes::new(Observer::Hosts, 1_000_000);
+    looks.polled(1_010_000, true);
     assert_eq!(told(&mut looks, 1_011_000), None, "in time");
     // The next look is 300 ms later: what it finds came at any time since the one before.
-    looks.looked(1_310_000, true);
+    looks.polled(1_310_000, true);
     assert_eq!(told(&mut looks, 1_311_000), Some(Some(1_010_000)));
     assert_eq!(told(&mut looks, 1_312_000), None, "told already");
-    looks.looked(1_320_000, true);
+    looks.polled(1_320_000, true);
     assert_eq!(told(&mut looks, 1_321_000), Some(None), "in time again");
 }
 
 #[test]
 fn a_look_that_left_something_out_is_no_look() {
-    let mut looks = Looks::new(Reader::Hosts, 1_000_000);
-    looks.looked(1_010_000, true);
+    let mut looks = ReadTimes::new(Observer::Hosts, 1_000_000);
+    looks.polled(1_010_000, true);
     for look in 1..10 {
-        looks.looked(1_010_000 + look * 10_000, false);
+        looks.polled(1_010_000 + look * 10_000, false);
     }
     assert_eq!(told(&mut looks, 1_101_000), Some(Some(1_010_000)));
 }
--- a/crates/standin/src/rogue.rs
+++ b/crates/standin/src/mutant.rs
@@ -7,73 +7,77 @@
 
 use maplethread_judge::Verdict;
 
-use crate::baseline::MOVE_AGAINST_RULE;
+use crate::random_choice::MOVE_AGAINST_RULE;
 
 /// The rogue that breaks rule 1 around pauses only.
 const QUIET_AROUND_PAUSES: u8 = 6;
 
 /// A placer that breaks a rule on purpose, at the end of its day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rogue {
+pub struct MutantResult {
     /// Its number, as told with `--rogue`.
     pub number: u8,
     /// Its moves that its own guard forbids. The rule itself may allow some of them, such as an offer within the grace of
     /// a drain.
-    pub moves: u64,
+    pub violations_made: u64,
     /// How often the judge found that rule broken.
-    pub caught: u64,
+    pub violations_found: u64,
 }
 
 /// Whether the judge caught a rogue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RogueOutcome {
+pub enum MutantOutcome {
     /// The judge found the rule broken.
-    Caught,
+    Detected,
     /// There was nothing to catch: the rogue made no move against the rule.
-    NoOccasion,
+    NoOpportunity,
     /// The rogue moved against the rule, and the judge found the rule kept.
     Missed,
 }
 
-impl Rogue {
-    pub(crate) fn new(number: u8, moves: u64, verdict: &Verdict) -> Rogue {
-        let caught = verdict.counts().get(&rule_of(number)).copied().unwrap_or(0);
-        Rogue {
+impl MutantResult {
+    pub(crate) fn new(number: u8, violations_made: u64, verdict: &Verdict) -> MutantResult {
+        let violations_found = verdict
+            .violations_by_rule()
+            .get(&rule_of(number))
+            .copied()
+            .unwrap_or(0);
+        MutantResult {
             number,
-            moves,
-            caught,
+            violations_made,
+            violations_found,
         }
     }
 
     /// Whether the judge caught it.
-    pub fn outcome(&self) -> RogueOutcome {
-        match (self.caught, self.moves) {
-            (0, 0) => RogueOutcome::NoOccasion,
-            (0, _) => RogueOutcome::Missed,
-            _ => RogueOutcome::Caught,
+    pub fn outcome(&self) -> MutantOutcome {
+        match (self.violations_found, self.violations_made) {
+            (0, 0) => MutantOutcome::NoOpportunity,
+            (0, _) => MutantOutcome::Missed,
+            _ => MutantOutcome::Detected,
         }
     }
 
     /// The outcome in a line.
     pub fn text(&self) -> String {
-        let Rogue {
+        let MutantResult {
             number,
-            moves,
-            caught,
+            violations_made: moves,
+            violations_found: caught,
         } = self;
         let rule = rule_of(*number);
         match self.outcome() {
-            RogueOutcome::Caught => {
+            MutantOutcome::Detected => {
                 format!(
                     "rogue {number} moved against rule {rule} {moves} times; the judge found it broken {caught} times"
                 )
             }
-            RogueOutcome::NoOccasion => {
+            MutantOutcome::NoOpportunity => {
                 format!(
                     "rogue {number} had no occasion to break rule {rule}: this day tells nothing of the judge"
                 )
             }
-            RogueOutcome::Missed => {
+            MutantOutcome::Missed => {
                 format!(
                     "rogue {number} moved against rule {rule} {moves} times, and the judge found the rule kept"
                 )
--- a/crates/standin/src/owners.rs
+++ b/crates/standin/src/owners.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use maplethread_engine::Timers;
-use maplethread_judge::{Outcome, Reader as RecordReader, Seen};
-use maplethread_reactor::{Conn, MAX_READY, Poller, ReadOutcome, Readiness};
-use maplethread_wire::http::{self, Decoder, Found, Limits, Reader, Role, Step};
+use maplethread_judge::{Observation, Observer as RecordReader, Outcome};
+use maplethread_reactor::{MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, TcpConnection};
+use maplethread_wire::http::{self, Decoder, Limits, MessageReader, ReadResult, Role, Step};
 use serde_json::{Value, json};
 
 use crate::demand::Arrival;
-use crate::looks::Looks;
+use crate::looks::ReadTimes;
 use crate::scenario::Scenario;
-use crate::world::{Dice, World};
+use crate::world::{RunContext, SeededRng};
 
 /// An owner waits this much longer than its deadline before it holds that no answer came, µs: what the reading and
 /// recording may be late by.
@@ -28,7 +28,7 @@
 
 /// A placer as the front layer sees it.
 #[derive(Clone, Debug, Default)]
-pub struct Front {
+pub struct LoadBalancerEntry {
     /// Its name.
     pub name: String,
     /// Its zone.
@@ -36,31 +36,31 @@
     /// Where it listens; the last address while it is down.
     pub address: Option<SocketAddr>,
     /// Counts its lives.
-    pub life: u64,
+    pub incarnation: u64,
     /// The front has noticed that it is down.
-    pub down: bool,
+    pub is_down: bool,
 }
 
 /// What the day does to owners.
 #[derive(Clone, Debug, Default)]
-pub struct Mood {
+pub struct OwnerBehaviour {
     /// The placers.
-    pub placers: Vec<Front>,
+    pub placers: Vec<LoadBalancerEntry>,
     /// This share of asks is hung up on before the deadline.
     pub hang_ups: f64,
     /// No new tasks, and nobody comes again.
     pub closing: bool,
     /// All asks are over.
-    pub closed: bool,
+    pub is_closed: bool,
     /// Asks sent so far, and those answered `placed`.
-    pub asked: u64,
+    pub request_count: u64,
     /// See `asked`.
-    pub placed: u64,
+    pub placed_count: u64,
 }
 
 /// The thread of the owners.
 pub struct Owners {
-    mood: Arc<Mutex<Mood>>,
+    mood: Arc<Mutex<OwnerBehaviour>>,
     thread: Option<JoinHandle<io::Result<Vec<u64>>>>,
 }
 
@@ -68,17 +68,17 @@
     /// Starts it.
     pub fn start(
         scenario: Arc<Scenario>,
-        world: World,
+        world: RunContext,
         arrivals: Vec<Arrival>,
-        placers: Vec<Front>,
+        placers: Vec<LoadBalancerEntry>,
     ) -> io::Result<Owners> {
-        let mood = Arc::new(Mutex::new(Mood {
+        let mood = Arc::new(Mutex::new(OwnerBehaviour {
             placers,
-            ..Mood::default()
+            ..OwnerBehaviour::default()
         }));
         let start = world.clock.now();
         let arrivals = arrivals.into_iter();
-        let mut run = Run {
+        let mut run = OwnerThread {
             poller: Poller::new()?,
             max_connections: max_connections(&scenario),
             scenario,
@@ -90,17 +90,17 @@
             by_actor: HashMap::new(),
             conns: HashMap::new(),
             idle: BTreeMap::new(),
-            followers: BTreeMap::new(),
-            next: 1,
+            event_connections: BTreeMap::new(),
+            last_token: 1,
             timers: Timers::default(),
-            looks: Looks::new(RecordReader::Clients, start),
-            open: 0,
+            read_times: ReadTimes::new(RecordReader::Clients, start),
+            unanswered: 0,
             place_us: Vec::new(),
         };
         if let Some(first) = run.arrivals.as_slice().first() {
-            run.timers.set(start + first.at, Due::Arrive);
+            run.timers.schedule(start + first.at_us, Timer::Arrive);
         }
-        run.timers.set(start, Due::Follow);
+        run.timers.schedule(start, Timer::Follow);
         let thread = std::thread::Builder::new()
             .name("owners".into())
             .spawn(move || run.run())?;
@@ -111,7 +111,7 @@
     }
 
     /// What the day does to them.
-    pub fn mood(&self) -> MutexGuard<'_, Mood> {
+    pub fn mood(&self) -> MutexGuard<'_, OwnerBehaviour> {
         self.mood
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -140,13 +140,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum OwnerState {
     /// A timer leads to the next ask.
-    Between,
+    BetweenRequests,
     /// It waits for an answer on this connection.
     Asking(u64),
     /// It runs, placed by this placer in this life.
-    Held(usize, u64),
+    Placed(usize, u64),
     /// It is over.
     Over,
 }
@@ -156,72 +156,72 @@
     actor: Arc<str>,
     class: usize,
     shape: [f64; 2],
-    until: u64,
+    wanted_until: u64,
     zone: String,
-    state: State,
-    asks: u32,
+    state: OwnerState,
+    request_count: u32,
     failures: u32,
     request: Arc<str>,
-    asked: u64,
+    requested_at: u64,
     /// What it draws itself.
-    dice: Dice,
+    dice: SeededRng,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Due {
+enum Timer {
     /// The next new owner.
     Arrive,
     Ask(usize),
     Deadline(usize, u32),
     EarlyHangUp(usize, u32),
-    Check(usize),
+    CheckPlacement(usize),
     Follow,
     Close(u64),
 }
 
-enum Use {
+enum ConnectionUse {
     /// Answers to asks.
-    Asks {
-        reader: Reader,
+    Requests {
+        reader: MessageReader,
         owner: Option<usize>,
         hung_up: bool,
     },
     /// Life-cycle events.
-    Follows { decoder: Decoder, line: Vec<u8> },
+    Events { decoder: Decoder, line: Vec<u8> },
 }
 
-struct Link {
-    conn: Conn,
+struct OwnerConnection {
+    conn: TcpConnection,
     placer: usize,
-    life: u64,
-    made: Use,
+    incarnation: u64,
+    purpose: ConnectionUse,
 }
 
-struct Run {
+struct OwnerThread {
     poller: Poller,
     scenario: Arc<Scenario>,
-    world: World,
+    world: RunContext,
     max_connections: usize,
     /// Those to come.
     arrivals: std::vec::IntoIter<Arrival>,
-    mood: Arc<Mutex<Mood>>,
+    mood: Arc<Mutex<OwnerBehaviour>>,
     start: u64,
     owners: Vec<Owner>,
     by_actor: HashMap<Arc<str>, usize>,
-    conns: HashMap<u64, Link>,
+    conns: HashMap<u64, OwnerConnection>,
     /// Connections without an ask, by placer and life.
     idle: BTreeMap<(usize, u64), Vec<u64>>,
-    followers: BTreeMap<usize, u64>,
-    next: u64,
-    timers: Timers<Due>,
-    looks: Looks,
+    event_connections: BTreeMap<usize, u64>,
+    last_token: u64,
+    timers: Timers<Timer>,
+    read_times: ReadTimes,
     /// Asks without an answer.
-    open: usize,
+    unanswered: usize,
     place_us: Vec<u64>,
 }
 
-impl Run {
-    fn mood(&self) -> MutexGuard<'_, Mood> {
+impl OwnerThread {
+    fn mood(&self) -> MutexGuard<'_, OwnerBehaviour> {
         self.mood
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
@@ -231,46 +231,51 @@
         let mut ready: Vec<Readiness> = Vec::new();
         loop {
             let now = self.world.clock.now();
-            let next = self.timers.next().unwrap_or(now + 50_000).min(now + 50_000);
+            let next = self
+                .timers
+                .next_due_at()
+                .unwrap_or(now + 50_000)
+                .min(now + 50_000);
             ready.clear();
             self.poller.wait(
                 Some(Duration::from_micros(next.saturating_sub(now))),
                 &mut ready,
             )?;
-            self.looks.looked(now, ready.len() < MAX_READY);
+            self.read_times
+                .polled(now, ready.len() < MAX_EVENTS_PER_WAIT);
             for r in &ready {
                 self.link_ready(r);
             }
             let due_by = self.world.clock.now();
-            while let Some(due) = self.timers.due(due_by) {
+            while let Some(due) = self.timers.pop_due(due_by) {
                 // Deadlines count from when their asks leave, and a thread that is late takes long over what is due.
                 self.due(self.world.clock.now(), due);
             }
-            if self.mood().closing && self.open == 0 {
-                self.mood().closed = true;
+            if self.mood().closing && self.unanswered == 0 {
+                self.mood().is_closed = true;
                 return Ok(std::mem::take(&mut self.place_us));
             }
         }
     }
 
-    fn due(&mut self, now: u64, due: Due) {
+    fn due(&mut self, now: u64, due: Timer) {
         match due {
-            Due::Arrive => self.arrive(now),
-            Due::Ask(owner) => self.ask(now, owner),
-            Due::Deadline(owner, ask) => {
-                if self.owners[owner].asks == ask {
+            Timer::Arrive => self.arrive(now),
+            Timer::Ask(owner) => self.ask(now, owner),
+            Timer::Deadline(owner, ask) => {
+                if self.owners[owner].request_count == ask {
                     self.read_first(owner);
                     self.hang_up(now, owner, false);
                 }
             }
-            Due::EarlyHangUp(owner, ask) => {
-                if self.owners[owner].asks == ask {
+            Timer::EarlyHangUp(owner, ask) => {
+                if self.owners[owner].request_count == ask {
                     self.hang_up(now, owner, true);
                 }
             }
-            Due::Check(owner) => self.check(now, owner),
-            Due::Follow => self.follow_all(now),
-            Due::Close(token) => self.drop_link(token),
+            Timer::CheckPlacement(owner) => self.check(now, owner),
+            Timer::Follow => self.follow_all(now),
+            Timer::Close(token) => self.drop_link(token),
         }
     }
 
@@ -279,13 +284,13 @@
             return;
         };
         if let Some(next) = self.arrivals.as_slice().first() {
-            self.timers.set(self.start + next.at, Due::Arrive);
+            self.timers.schedule(self.start + next.at_us, Timer::Arrive);
         }
         if self.mood().closing {
             return;
         }
-        let wanted = arrival.wanted(&self.scenario, self.start);
-        self.world.ledger().want(&arrival.actor, wanted);
+        let wanted = arrival.demand(&self.scenario, self.start);
+        self.world.service_accounting().want(&arrival.actor, wanted);
         let number = self.owners.len();
         self.by_actor.insert(arrival.actor.clone(), number);
         self.owners.push(Owner {
@@ -293,14 +298,14 @@
             actor: arrival.actor,
             class: arrival.class,
             shape: arrival.shape,
-            until: wanted.until,
+            wanted_until: wanted.until_us,
             zone: self.scenario.fleet.zones[arrival.zone].clone(),
-            state: State::Between,
-            asks: 0,
+            state: OwnerState::BetweenRequests,
+            request_count: 0,
             failures: 0,
             request: "".into(),
-            asked: now,
-            dice: Dice::new(arrival.seed, 10),
+            requested_at: now,
+            dice: SeededRng::new(arrival.seed, 10),
         });
         self.ask(now, number);
     }
@@ -312,9 +317,9 @@
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
         let o = &mut self.owners[owner];
-        let up = |f: &&(usize, &Front)| !f.1.down && f.1.address.is_some();
-        let all: Vec<(usize, &Front)> = mood.placers.iter().enumerate().collect();
-        let mut some: Vec<&(usize, &Front)> = all
+        let up = |f: &&(usize, &LoadBalancerEntry)| !f.1.is_down && f.1.address.is_some();
+        let all: Vec<(usize, &LoadBalancerEntry)> = mood.placers.iter().enumerate().collect();
+        let mut some: Vec<&(usize, &LoadBalancerEntry)> = all
             .iter()
             .filter(up)
             .filter(|f| f.1.zone == o.zone)
@@ -322,26 +327,26 @@
         if some.is_empty() {
             some = all.iter().filter(up).collect();
         }
-        let &&(number, front) = some.get(o.dice.below(some.len().max(1)))?;
-        Some((number, front.address?, front.life))
+        let &&(number, front) = some.get(o.dice.index_below(some.len().max(1)))?;
+        Some((number, front.address?, front.incarnation))
     }
 
     fn again(&mut self, now: u64, owner: usize, after_ms: [f64; 2]) {
         let o = &mut self.owners[owner];
-        o.state = State::Between;
+        o.state = OwnerState::BetweenRequests;
         let factor = 1.0 + 0.5 * f64::from(o.failures.min(6).saturating_sub(2));
         let wait = o.dice.between(after_ms) * factor * 1000.0;
-        self.timers.set(now + wait as u64, Due::Ask(owner));
+        self.timers.schedule(now + wait as u64, Timer::Ask(owner));
     }
 
     fn ask(&mut self, now: u64, owner: usize) {
         let closing = self.mood().closing;
         let o = &self.owners[owner];
-        if o.state != State::Between {
+        if o.state != OwnerState::BetweenRequests {
             return;
         }
-        if closing || now + 300_000 >= o.until {
-            self.owners[owner].state = State::Over;
+        if closing || now + 300_000 >= o.wanted_until {
+            self.owners[owner].state = OwnerState::Over;
             return;
         }
         let Some((placer, address, life)) = self.choose(owner) else {
@@ -355,54 +360,56 @@
                 return;
             }
         };
-        let class = &self.scenario.class[self.owners[owner].class];
+        let class = &self.scenario.classes[self.owners[owner].class];
         let deadline_ms = class.deadline_ms;
         let o = &mut self.owners[owner];
-        o.asks += 1;
-        o.state = State::Asking(token);
-        o.asked = now;
-        o.request = format!("{}.{}", o.actor, o.asks).into();
+        o.request_count += 1;
+        o.state = OwnerState::Asking(token);
+        o.requested_at = now;
+        o.request = format!("{}.{}", o.actor, o.request_count).into();
         let body = json!({
             "service": o.service, "actor": o.actor, "class": class.rules.name,
             "cores": o.shape[0], "memory_gib": o.shape[1], "budget_ms": deadline_ms,
-            "life_ms": (o.until - now) / 1000, "again": o.asks > 1,
+            "life_ms": (o.wanted_until - now) / 1000, "again": o.request_count > 1,
         });
-        let (request, asks) = (o.request.clone(), o.asks);
+        let (request, asks) = (o.request.clone(), o.request_count);
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        link.conn.try_connected();
+        link.conn.poll_connected();
         let fields = [("Host", "placer"), ("X-Request-Id", &*request)];
         http::write_request(
-            link.conn.out(),
+            link.conn.write_buffer(),
             "POST",
             "/v1/actors",
             &fields,
             body.to_string().as_bytes(),
         );
-        link.made = Use::Asks {
-            reader: Reader::new(Role::Responses, Limits::default()),
+        link.purpose = ConnectionUse::Requests {
+            reader: MessageReader::new(Role::Responses, Limits::default()),
             owner: Some(owner),
             hung_up: false,
         };
         let name: Arc<str> = self.mood().placers[placer].name.as_str().into();
-        self.world.see(Seen::Asked {
+        self.world.record(Observation::PlacementRequested {
             request,
             placer: name,
             class: class.rules.name.as_str().into(),
             budget_us: deadline_ms * 1000,
         });
-        self.open += 1;
-        self.mood().asked += 1;
-        self.timers
-            .set(now + deadline_ms * 1000 + SLACK, Due::Deadline(owner, asks));
+        self.unanswered += 1;
+        self.mood().request_count += 1;
+        self.timers.schedule(
+            now + deadline_ms * 1000 + SLACK,
+            Timer::Deadline(owner, asks),
+        );
         let early = self.mood().hang_ups;
         let dice = &mut self.owners[owner].dice;
-        if dice.chance(early) {
+        if dice.random_bool(early) {
             let share = dice.between([0.02, 0.9]);
-            self.timers.set(
+            self.timers.schedule(
                 now + (deadline_ms as f64 * 1000.0 * share) as u64,
-                Due::EarlyHangUp(owner, asks),
+                Timer::EarlyHangUp(owner, asks),
             );
         }
         let poller = &self.poller;
@@ -425,7 +432,7 @@
                 "as many connections as this process has descriptors for",
             ));
         }
-        self.connect(placer, address, life, |reader| Use::Asks {
+        self.connect(placer, address, life, |reader| ConnectionUse::Requests {
             reader,
             owner: None,
             hung_up: false,
@@ -437,19 +444,19 @@
         placer: usize,
         address: SocketAddr,
         life: u64,
-        made: impl FnOnce(Reader) -> Use,
+        made: impl FnOnce(MessageReader) -> ConnectionUse,
     ) -> io::Result<u64> {
-        self.next += 1;
-        let token = self.next;
-        let conn = Conn::connect(address, token, &self.poller)?;
-        let made = made(Reader::new(Role::Responses, Limits::default()));
+        self.last_token += 1;
+        let token = self.last_token;
+        let conn = TcpConnection::connect(address, token, &self.poller)?;
+        let made = made(MessageReader::new(Role::Responses, Limits::default()));
         self.conns.insert(
             token,
-            Link {
+            OwnerConnection {
                 conn,
                 placer,
-                life,
-                made,
+                incarnation: life,
+                purpose: made,
             },
         );
         Ok(token)
@@ -457,7 +464,7 @@
 
     fn drop_link(&mut self, token: u64) {
         if let Some(link) = self.conns.remove(&token)
-            && let Some(idle) = self.idle.get_mut(&(link.placer, link.life))
+            && let Some(idle) = self.idle.get_mut(&(link.placer, link.incarnation))
         {
             idle.retain(|&t| t != token);
         }
@@ -465,44 +472,44 @@
 
     /// Reads what has come for an owner: an answer that lies unread, since this thread is late, has been given.
     fn read_first(&mut self, owner: usize) {
-        let State::Asking(token) = self.owners[owner].state else {
+        let OwnerState::Asking(token) = self.owners[owner].state else {
             return;
         };
         self.link_ready(&Readiness {
             token,
-            read: true,
-            write: false,
-            closed: false,
+            is_readable: true,
+            is_writable: false,
+            is_closed: false,
         });
     }
 
     /// Gives up on an ask: by closing the connection at once, by an explicit word, or a while later, to see that
     /// nothing is said after the deadline.
     fn hang_up(&mut self, now: u64, owner: usize, early: bool) {
-        let State::Asking(token) = self.owners[owner].state else {
+        let OwnerState::Asking(token) = self.owners[owner].state else {
             return;
         };
         let request = self.owners[owner].request.clone();
-        self.world.see(Seen::HungUp {
+        self.world.record(Observation::HungUp {
             request: request.clone(),
         });
-        self.open -= 1;
-        if let Some(Link {
-            made: Use::Asks { owner, hung_up, .. },
+        self.unanswered -= 1;
+        if let Some(OwnerConnection {
+            purpose: ConnectionUse::Requests { owner, hung_up, .. },
             ..
         }) = self.conns.get_mut(&token)
         {
             (*owner, *hung_up) = (None, true);
         }
-        let odd = self.owners[owner].dice.chance(0.5);
+        let odd = self.owners[owner].dice.random_bool(0.5);
         if early && odd {
             self.cancel(token, &request);
-            self.timers.set(now + 300_000, Due::Close(token));
+            self.timers.schedule(now + 300_000, Timer::Close(token));
         } else if !early && odd {
             // Left open, to see whether something still comes.
-            if let Some(Link {
-                made:
-                    Use::Asks {
+            if let Some(OwnerConnection {
+                purpose:
+                    ConnectionUse::Requests {
                         owner: waiting,
                         hung_up,
                         ..
@@ -512,7 +519,7 @@
             {
                 (*waiting, *hung_up) = (Some(owner), true);
             }
-            self.timers.set(now + 300_000, Due::Close(token));
+            self.timers.schedule(now + 300_000, Timer::Close(token));
         } else {
             self.drop_link(token);
         }
@@ -520,7 +527,7 @@
     }
 
     fn cancel(&mut self, token: u64, request: &str) {
-        let Some((placer, life)) = self.conns.get(&token).map(|l| (l.placer, l.life)) else {
+        let Some((placer, life)) = self.conns.get(&token).map(|l| (l.placer, l.incarnation)) else {
             return;
         };
         let Some(address) = self.mood().placers[placer].address else {
@@ -531,7 +538,7 @@
         {
             let target = format!("/v1/asks/{request}");
             http::write_request(
-                link.conn.out(),
+                link.conn.write_buffer(),
                 "DELETE",
                 &target,
                 &[("Host", "placer")],
@@ -547,7 +554,7 @@
         o.failures += 1;
         let careful = self.scenario.careful(o.class);
         let settle = self.scenario.demand.settle_ms as f64;
-        let again = self.scenario.demand.again_ms;
+        let again = self.scenario.demand.retry_after_ms;
         if careful {
             self.again(now, owner, [settle, settle * 1.2])
         } else {
@@ -556,24 +563,30 @@
     }
 
     fn check(&mut self, now: u64, owner: usize) {
-        let State::Held(placer, life) = self.owners[owner].state else {
+        let OwnerState::Placed(placer, life) = self.owners[owner].state else {
             return;
         };
-        if now >= self.owners[owner].until {
-            self.owners[owner].state = State::Over;
+        if now >= self.owners[owner].wanted_until {
+            self.owners[owner].state = OwnerState::Over;
             return;
         }
         let same = {
             let mood = self.mood();
-            mood.placers[placer].life == life && !mood.placers[placer].down
+            mood.placers[placer].incarnation == life && !mood.placers[placer].is_down
         };
-        if !same && !self.world.ledger().runs(&self.owners[owner].actor) {
+        if !same
+            && !self
+                .world
+                .service_accounting()
+                .is_running(&self.owners[owner].actor)
+        {
             // Its placer is not the one that it was, and the task runs nowhere.
-            let again = self.scenario.demand.again_ms;
+            let again = self.scenario.demand.retry_after_ms;
             self.again(now, owner, again);
             return;
         }
-        self.timers.set(now + 2_000_000, Due::Check(owner));
+        self.timers
+            .schedule(now + 2_000_000, Timer::CheckPlacement(owner));
     }
 
     fn broken(&mut self, token: u64) {
@@ -581,24 +594,25 @@
         let Some(link) = self.conns.remove(&token) else {
             return;
         };
-        match link.made {
-            Use::Asks {
+        match link.purpose {
+            ConnectionUse::Requests {
                 owner: Some(owner),
                 hung_up: false,
                 ..
             } => {
                 let request = self.owners[owner].request.clone();
-                self.world.see(Seen::Cut { request });
-                self.open -= 1;
+                self.world
+                    .record(Observation::ClientConnectionLost { request });
+                self.unanswered -= 1;
                 self.unknown(now, owner);
             }
-            Use::Asks { .. } => {
-                if let Some(idle) = self.idle.get_mut(&(link.placer, link.life)) {
+            ConnectionUse::Requests { .. } => {
+                if let Some(idle) = self.idle.get_mut(&(link.placer, link.incarnation)) {
                     idle.retain(|&t| t != token);
                 }
             }
-            Use::Follows { .. } => {
-                self.followers.remove(&link.placer);
+            ConnectionUse::Events { .. } => {
+                self.event_connections.remove(&link.placer);
             }
         }
     }
@@ -609,11 +623,11 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        if link.conn.connecting() {
-            if !r.write && !r.closed {
+        if link.conn.is_connecting() {
+            if !r.is_writable && !r.is_closed {
                 return;
             }
-            if link.conn.connected().is_err() {
+            if link.conn.finish_connect().is_err() {
                 self.broken(token);
                 return;
             }
@@ -622,15 +636,15 @@
             self.broken(token);
             return;
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let outcome = link.conn.fill(256 << 10, 512 << 10);
-        let bad = match &link.made {
-            Use::Asks { .. } => self.answers(token),
-            Use::Follows { .. } => self.events(token),
+        let outcome = link.conn.read_available(256 << 10, 512 << 10);
+        let bad = match &link.purpose {
+            ConnectionUse::Requests { .. } => self.answers(token),
+            ConnectionUse::Events { .. } => self.events(token),
         };
-        if bad || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if bad || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.broken(token);
         }
     }
@@ -641,28 +655,28 @@
             let Some(link) = self.conns.get_mut(&token) else {
                 return false;
             };
-            let Use::Asks {
+            let ConnectionUse::Requests {
                 reader,
                 owner,
                 hung_up,
-            } = &mut link.made
+            } = &mut link.purpose
             else {
                 return true;
             };
             let message = match reader.read(link.conn.unread()) {
-                Ok((Found::Message(message), used)) => {
-                    link.conn.take(used);
+                Ok((ReadResult::Message(message), used)) => {
+                    link.conn.consume(used);
                     message
                 }
                 Ok((_, used)) => {
-                    link.conn.take(used);
+                    link.conn.consume(used);
                     return false;
                 }
                 Err(_) => return true,
             };
             let (owner, hung_up) = (owner.take(), *hung_up);
-            let keep = message.head.keep_alive() && !hung_up;
-            let (placer, life) = (link.placer, link.life);
+            let keep = message.head.is_keep_alive() && !hung_up;
+            let (placer, life) = (link.placer, link.incarnation);
             if let Some(owner) = owner {
                 self.answer(
                     owner,
@@ -700,7 +714,7 @@
         };
         let outcome = match (status, text("outcome").as_str()) {
             (200, "placed") => Outcome::Placed(text("host")),
-            (200, "refused") => Outcome::Refused(text("reason")),
+            (200, "refused") => Outcome::Rejected(text("reason")),
             (200, "failed") => Outcome::Failed,
             _ => Outcome::Turned(status),
         };
@@ -710,27 +724,28 @@
             None if hung_up => return,
             None => self.owners[owner].request.clone(),
         };
-        if let Some(late) = self.looks.reads(now) {
-            self.world.see(late);
+        if let Some(late) = self.read_times.delay_to_report(now) {
+            self.world.record(late);
         }
-        self.world.see(Seen::Answered {
+        self.world.record(Observation::Answered {
             request,
             outcome: outcome.clone(),
         });
         if hung_up {
             return;
         }
-        self.open -= 1;
+        self.unanswered -= 1;
         let demand = self.scenario.demand.clone();
         match outcome {
             Outcome::Placed(_) => {
-                self.place_us.push(now - self.owners[owner].asked);
-                self.mood().placed += 1;
+                self.place_us.push(now - self.owners[owner].requested_at);
+                self.mood().placed_count += 1;
                 let o = &mut self.owners[owner];
-                (o.state, o.failures) = (State::Held(placer, life), 0);
-                self.timers.set(now + 2_000_000, Due::Check(owner));
+                (o.state, o.failures) = (OwnerState::Placed(placer, life), 0);
+                self.timers
+                    .schedule(now + 2_000_000, Timer::CheckPlacement(owner));
             }
-            Outcome::Refused(_) => {
+            Outcome::Rejected(_) => {
                 self.owners[owner].failures += 1;
                 let advice = body
                     .get("come_back_ms")
@@ -740,51 +755,51 @@
                     now,
                     owner,
                     [
-                        demand.again_ms[0].max(advice),
-                        demand.again_ms[1].max(advice),
+                        demand.retry_after_ms[0].max(advice),
+                        demand.retry_after_ms[1].max(advice),
                     ],
                 );
             }
             Outcome::Failed => self.unknown(now, owner),
             Outcome::Turned(_) => {
                 self.owners[owner].failures += 1;
-                self.again(now, owner, demand.again_ms);
+                self.again(now, owner, demand.retry_after_ms);
             }
         }
     }
 
     /// Follows the life-cycle events of each placer that it does not follow yet.
     fn follow_all(&mut self, now: u64) {
-        self.timers.set(now + 200_000, Due::Follow);
+        self.timers.schedule(now + 200_000, Timer::Follow);
         let placers = self.mood().placers.clone();
         for (number, front) in placers.iter().enumerate() {
-            let Some(address) = front.address.filter(|_| !front.down) else {
+            let Some(address) = front.address.filter(|_| !front.is_down) else {
                 continue;
             };
-            if self.followers.contains_key(&number) {
+            if self.event_connections.contains_key(&number) {
                 continue;
             }
-            let made = |_| Use::Follows {
+            let made = |_| ConnectionUse::Events {
                 decoder: Decoder::new(
                     Role::Responses,
                     Limits {
-                        body: usize::MAX,
+                        max_body_bytes: usize::MAX,
                         ..Limits::default()
                     },
                 ),
                 line: Vec::new(),
             };
-            if let Ok(token) = self.connect(number, address, front.life, made)
+            if let Ok(token) = self.connect(number, address, front.incarnation, made)
                 && let Some(link) = self.conns.get_mut(&token)
             {
                 http::write_request(
-                    link.conn.out(),
+                    link.conn.write_buffer(),
                     "GET",
                     "/v1/events",
                     &[("Host", "placer")],
                     b"",
                 );
-                self.followers.insert(number, token);
+                self.event_connections.insert(number, token);
             }
         }
     }
@@ -794,30 +809,30 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return false;
         };
-        let Use::Follows { decoder, line } = &mut link.made else {
+        let ConnectionUse::Events { decoder, line } = &mut link.purpose else {
             return true;
         };
         loop {
             match decoder.step(link.conn.unread()) {
-                Ok((Step::More, used)) => {
-                    link.conn.take(used);
+                Ok((Step::NeedMore, used)) => {
+                    link.conn.consume(used);
                     break;
                 }
                 Ok((Step::Head(head), used)) => {
-                    link.conn.take(used);
+                    link.conn.consume(used);
                     if head.status() != 200 {
                         return true;
                     }
                 }
                 Ok((Step::Data(data), used)) => {
-                    link.conn.take(used);
+                    link.conn.consume(used);
                     line.extend_from_slice(&data);
                     while let Some(end) = line.iter().position(|&b| b == b'\n') {
                         let one: Vec<u8> = line.drain(..=end).collect();
                         lines.extend(serde_json::from_slice::<Value>(&one).ok());
                     }
                 }
-                Ok((Step::End, _)) | Err(_) => return true,
+                Ok((Step::MessageEnd, _)) | Err(_) => return true,
             }
         }
         let now = self.world.clock.now();
@@ -832,12 +847,12 @@
         let Some(&owner) = self.by_actor.get(text("actor")) else {
             return;
         };
-        if !matches!(self.owners[owner].state, State::Held(..)) {
+        if !matches!(self.owners[owner].state, OwnerState::Placed(..)) {
             return;
         }
-        let again = self.scenario.demand.again_ms;
+        let again = self.scenario.demand.retry_after_ms;
         match text("event") {
-            "ended" if text("reason").is_empty() => self.owners[owner].state = State::Over,
+            "ended" if text("reason").is_empty() => self.owners[owner].state = OwnerState::Over,
             "ended" | "evicted" => {
                 self.owners[owner].failures += 1;
                 self.again(now, owner, again);
--- a/crates/standin/src/processes.rs
+++ b/crates/standin/src/placer_processes.rs
@@ -19,15 +19,15 @@
     pub child: Option<Child>,
     pub(crate) paused: bool,
     /// Times that it was started.
-    pub starts: u64,
+    pub start_count: u64,
 }
 
 /// All placers of a day; those that still run when it is dropped are killed.
 pub struct Placers {
     /// Each placer, by number.
     pub all: Vec<PlacerProcess>,
-    told: mpsc::Sender<Start>,
-    starting: mpsc::Receiver<Start>,
+    start_sender: mpsc::Sender<Start>,
+    start_receiver: mpsc::Receiver<Start>,
 }
 
 /// A placer, its start, and where it then listened, if it did.
@@ -37,11 +37,11 @@
     /// No placers yet.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Placers {
-        let (told, starting) = mpsc::channel();
+        let (start_sender, start_receiver) = mpsc::channel();
         Placers {
             all: Vec::new(),
-            told,
-            starting,
+            start_sender,
+            start_receiver,
         }
     }
 
@@ -54,7 +54,7 @@
             log_from,
             child: None,
             paused: false,
-            starts: 0,
+            start_count: 0,
         });
     }
 
@@ -80,8 +80,8 @@
             .spawn()?;
         let out = child.stdout.take();
         placer.child = Some(child);
-        placer.starts += 1;
-        let (start, told) = (placer.starts, self.told.clone());
+        placer.start_count += 1;
+        let (start, told) = (placer.start_count, self.start_sender.clone());
         // It serves only once it has read a sound inventory, which may be long in coming.
         std::thread::Builder::new()
             .name(format!("starts placer-{number}"))
@@ -100,11 +100,11 @@
 
     /// The next placer that has begun to serve, and where; waits up to `within` for it. One that ended before it served,
     /// and was not killed, is an error.
-    pub fn serves(&mut self, within: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
-        while let Ok((number, start, address)) = self.starting.recv_timeout(within) {
+    pub fn next_serving(&mut self, within: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
+        while let Ok((number, start, address)) = self.start_receiver.recv_timeout(within) {
             let placer = &self.all[number];
             match address {
-                _ if placer.starts != start || placer.child.is_none() => {}
+                _ if placer.start_count != start || placer.child.is_none() => {}
                 Some(address) => return Ok(Some((number, address))),
                 None => {
                     let log = std::fs::read_to_string(&placer.log).unwrap_or_default();
--- a/crates/standin/src/rack.rs
+++ b/crates/standin/src/rack.rs
@@ -11,18 +11,18 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use maplethread_admission::KeyTable;
+use maplethread_admission::DeduplicationTable;
 use maplethread_engine::Timers;
-use maplethread_judge::{Reader, Seen};
-use maplethread_reactor::{Conn, MAX_READY, Poller, ReadOutcome, Readiness};
+use maplethread_judge::{Observation, Observer};
+use maplethread_reactor::{MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 
 use crate::hollow_placers;
-use crate::host::{Do, Faults, Host, Later, Spec};
-use crate::looks::Looks;
+use crate::host::{Do, EmulatedHost, HostFaults, Spec, Timer};
+use crate::looks::ReadTimes;
 use crate::scenario::Scenario;
 use crate::traffic::{Counted, LinkTraffic, TrafficCounter, kind_of};
-use crate::world::{Dice, World};
+use crate::world::{RunContext, SeededRng};
 
 const WAKER: u64 = 0;
 const LISTENERS: u64 = 1 << 32;
@@ -32,7 +32,7 @@
 
 /// What is done to hosts.
 #[derive(Clone, Debug)]
-pub enum Command {
+pub enum HostCommand {
     /// The process dies: connections are reset, the port is closed.
     Crash(usize),
     /// A new process starts, cold.
@@ -40,50 +40,50 @@
     /// It takes nothing new and tells its placers.
     Drain(usize),
     /// Its faults from now on.
-    Faults(usize, Faults),
+    SetFaults(usize, HostFaults),
     /// Its connections are reset in the middle of a frame.
     ResetMidFrame(usize),
     /// Whether packets reach it, and its own reach others; it lives on meanwhile.
-    Reachable(usize, bool),
+    SetReachable(usize, bool),
     /// The thread ends.
     End,
 }
 
 /// The thread of the hosts.
-pub struct Rack {
-    commands: Arc<Mutex<VecDeque<Command>>>,
+pub struct HostPool {
+    commands: Arc<Mutex<VecDeque<HostCommand>>>,
     waker: OwnedFd,
     thread: Option<JoinHandle<io::Result<()>>>,
     /// Where each host listens.
     pub addresses: Vec<SocketAddr>,
     /// When each host last started, Unix time in ms; 0 while it is down.
-    pub started: Arc<Mutex<Vec<u64>>>,
+    pub started_ms: Arc<Mutex<Vec<u64>>>,
 }
 
-impl Rack {
+impl HostPool {
     /// Starts all hosts of a scenario, on loopback addresses of their own or at these.
     pub fn start(
         scenario: &Arc<Scenario>,
-        world: &World,
+        world: &RunContext,
         seed: u64,
         at: Option<&[SocketAddr]>,
-    ) -> io::Result<Rack> {
-        Rack::start_counted(scenario, world, seed, at, None)
+    ) -> io::Result<HostPool> {
+        HostPool::start_with_counter(scenario, world, seed, at, None)
     }
 
     /// The same, with all that real placers and these hosts send each other counted.
-    pub fn start_counted(
+    pub fn start_with_counter(
         scenario: &Arc<Scenario>,
-        world: &World,
+        world: &RunContext,
         seed: u64,
         at: Option<&[SocketAddr]>,
         counter: Option<TrafficCounter>,
-    ) -> io::Result<Rack> {
-        let mut dice = Dice::new(seed, 3);
+    ) -> io::Result<HostPool> {
+        let mut dice = SeededRng::new(seed, 3);
         let mut slots = Vec::new();
         let poller = Poller::new()?;
         let waker = Poller::waker()?;
-        poller.add(&waker, WAKER, false)?;
+        poller.register(&waker, WAKER, false)?;
         let mut addresses = Vec::new();
         let net = 1 + std::process::id() % 200;
         for number in 0..scenario.fleet.hosts {
@@ -111,36 +111,36 @@
             let listener = TcpListener::bind(at)?;
             let address = listener.local_addr()?;
             addresses.push(address);
-            let set = Dice::new(dice.seed(), number as u64);
-            let host = Host::new(spec, scenario.clone(), world.clone(), set, false);
-            slots.push(Slot {
+            let set = SeededRng::new(dice.seed(), number as u64);
+            let host = EmulatedHost::new(spec, scenario.clone(), world.clone(), set, false);
+            slots.push(HostSlot {
                 host,
                 address,
                 listener: None,
                 epoch: 0,
-                down: true,
+                is_down: true,
                 reachable: true,
-                fresh: Some(listener),
+                first_listener: Some(listener),
             });
         }
         let commands = Arc::new(Mutex::new(VecDeque::new()));
         let started = Arc::new(Mutex::new(vec![0; slots.len()]));
-        let mut run = Run {
+        let mut run = HostThread {
             poller,
             slots,
             world: world.clone(),
-            keys: KeyTable::default(),
+            keys: DeduplicationTable::default(),
             conns: HashMap::new(),
-            by_placer: BTreeMap::new(),
-            next: CONNS,
+            connection_of_placer: BTreeMap::new(),
+            last_token: CONNS,
             timers: Timers::default(),
-            looks: Looks::new(Reader::Hosts, world.clock.now()),
+            read_times: ReadTimes::new(Observer::Hosts, world.clock.now()),
             commands: commands.clone(),
             waker: rustix::io::dup(&waker)?,
             started: started.clone(),
-            ended: false,
+            is_ended: false,
             counter,
-            dirty: BTreeSet::new(),
+            pending_writes: BTreeSet::new(),
         };
         for slot in 0..run.slots.len() {
             run.up(slot)?;
@@ -148,17 +148,17 @@
         let thread = std::thread::Builder::new()
             .name("hosts".into())
             .spawn(move || run.run())?;
-        Ok(Rack {
+        Ok(HostPool {
             commands,
             waker,
             thread: Some(thread),
             addresses,
-            started,
+            started_ms: started,
         })
     }
 
     /// Has something done to a host.
-    pub fn command(&self, command: Command) {
+    pub fn command(&self, command: HostCommand) {
         let mut commands = self
             .commands
             .lock()
@@ -176,36 +176,36 @@
     }
 }
 
-impl Drop for Rack {
+impl Drop for HostPool {
     fn drop(&mut self) {
-        self.command(Command::End);
+        self.command(HostCommand::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-struct Slot {
-    host: Host,
+struct HostSlot {
+    host: EmulatedHost,
     address: SocketAddr,
     listener: Option<TcpListener>,
     /// Counts processes, so that timers of an old one are known as such.
     epoch: u64,
-    down: bool,
+    is_down: bool,
     reachable: bool,
-    fresh: Option<TcpListener>,
+    first_listener: Option<TcpListener>,
 }
 
-struct Link {
-    conn: Conn,
-    slot: usize,
+struct PlacerConnection {
+    conn: TcpConnection,
+    host_index: usize,
     placer: Option<Arc<str>>,
     /// Frames that wait to be written.
     unwritten: Vec<Counted>,
     traffic: LinkTraffic,
 }
 
-impl Link {
+impl PlacerConnection {
     /// Whether its traffic counts: that of hollow placers does not.
     fn counts(&self) -> bool {
         self.placer
@@ -214,40 +214,45 @@
     }
 }
 
-struct Run {
+struct HostThread {
     poller: Poller,
-    slots: Vec<Slot>,
-    world: World,
-    keys: KeyTable,
-    conns: HashMap<u64, Link>,
+    slots: Vec<HostSlot>,
+    world: RunContext,
+    keys: DeduplicationTable,
+    conns: HashMap<u64, PlacerConnection>,
     /// The connection of each placer to each host.
-    by_placer: BTreeMap<(usize, Arc<str>), u64>,
-    next: u64,
-    timers: Timers<(usize, u64, Later)>,
-    looks: Looks,
-    commands: Arc<Mutex<VecDeque<Command>>>,
+    connection_of_placer: BTreeMap<(usize, Arc<str>), u64>,
+    last_token: u64,
+    timers: Timers<(usize, u64, Timer)>,
+    read_times: ReadTimes,
+    commands: Arc<Mutex<VecDeque<HostCommand>>>,
     waker: OwnedFd,
     started: Arc<Mutex<Vec<u64>>>,
-    ended: bool,
+    is_ended: bool,
     /// Nothing is counted without it.
     counter: Option<TrafficCounter>,
     /// Connections with something new to write.
-    dirty: BTreeSet<u64>,
+    pending_writes: BTreeSet<u64>,
 }
 
-impl Run {
+impl HostThread {
     fn run(&mut self) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
         let mut ticked = self.world.clock.now();
-        while !self.ended {
+        while !self.is_ended {
             let now = self.world.clock.now();
-            let next = self.timers.next().unwrap_or(u64::MAX).min(ticked + TICK);
+            let next = self
+                .timers
+                .next_due_at()
+                .unwrap_or(u64::MAX)
+                .min(ticked + TICK);
             ready.clear();
             self.poller.wait(
                 Some(Duration::from_micros(next.saturating_sub(now))),
                 &mut ready,
             )?;
-            self.looks.looked(now, ready.len() < MAX_READY);
+            self.read_times
+                .polled(now, ready.len() < MAX_EVENTS_PER_WAIT);
             for r in &ready {
                 match r.token {
                     WAKER => self.commanded()?,
@@ -257,23 +262,23 @@
                 self.flush_dirty();
             }
             let now = self.world.clock.now();
-            while let Some((slot, epoch, later)) = self.timers.due(now) {
-                if self.slots[slot].epoch == epoch && !self.slots[slot].down {
+            while let Some((slot, epoch, later)) = self.timers.pop_due(now) {
+                if self.slots[slot].epoch == epoch && !self.slots[slot].is_down {
                     let mut out = Vec::new();
                     self.slots[slot]
                         .host
-                        .due(now, later, &mut self.keys, &mut out);
+                        .handle_timer(now, later, &mut self.keys, &mut out);
                     self.carry_out(slot, out);
                     self.flush_dirty();
                 }
             }
             if ticked + TICK <= now {
                 for slot in 0..self.slots.len() {
-                    if !self.slots[slot].down && self.slots[slot].host.busy() {
+                    if !self.slots[slot].is_down && self.slots[slot].host.has_tasks() {
                         let mut out = Vec::new();
                         self.slots[slot]
                             .host
-                            .serve(ticked, now, &mut self.keys, &mut out);
+                            .serve_interval(ticked, now, &mut self.keys, &mut out);
                         self.carry_out(slot, out);
                     }
                 }
@@ -296,17 +301,17 @@
             };
             match command {
                 None => return Ok(()),
-                Some(Command::End) => self.ended = true,
-                Some(Command::Crash(slot)) => self.crash(slot),
-                Some(Command::Start(slot)) if self.slots[slot].down => {
+                Some(HostCommand::End) => self.is_ended = true,
+                Some(HostCommand::Crash(slot)) => self.crash(slot),
+                Some(HostCommand::Start(slot)) if self.slots[slot].is_down => {
                     self.slots[slot].host.restart();
                     self.up(slot)?;
                 }
-                Some(Command::Start(_)) => {}
-                Some(Command::Drain(slot)) => {
+                Some(HostCommand::Start(_)) => {}
+                Some(HostCommand::Drain(slot)) => {
                     self.slots[slot].host.drain();
                     let links: Vec<u64> = self
-                        .by_placer
+                        .connection_of_placer
                         .iter()
                         .filter(|((s, _), _)| *s == slot)
                         .map(|(_, &t)| t)
@@ -315,19 +320,21 @@
                         .into_iter()
                         .for_each(|token| self.send(token, Frame::Drain));
                 }
-                Some(Command::Faults(slot, faults)) => self.slots[slot].host.ail(faults),
-                Some(Command::Reachable(slot, reachable)) => self.set_reachable(slot, reachable),
-                Some(Command::ResetMidFrame(slot)) => {
+                Some(HostCommand::SetFaults(slot, faults)) => self.slots[slot].host.ail(faults),
+                Some(HostCommand::SetReachable(slot, reachable)) => {
+                    self.set_reachable(slot, reachable)
+                }
+                Some(HostCommand::ResetMidFrame(slot)) => {
                     let links: Vec<u64> = self
                         .conns
                         .iter()
-                        .filter(|(_, l)| l.slot == slot)
+                        .filter(|(_, l)| l.host_index == slot)
                         .map(|(&t, _)| t)
                         .collect();
                     for token in links {
                         self.flush(token);
                         if let Some(link) = self.conns.get_mut(&token) {
-                            link.conn.out().extend_from_slice(&[9, 0, 0, 0, 7]);
+                            link.conn.write_buffer().extend_from_slice(&[9, 0, 0, 0, 7]);
                             let _ = link.conn.flush(&self.poller);
                         }
                         self.lose(token, true);
@@ -339,21 +346,21 @@
 
     fn up(&mut self, number: usize) -> io::Result<()> {
         let slot = &mut self.slots[number];
-        let listener = match slot.fresh.take() {
+        let listener = match slot.first_listener.take() {
             Some(listener) => listener,
             None => TcpListener::bind(slot.address)?,
         };
         listener.set_nonblocking(true)?;
         self.poller
-            .add(&listener, LISTENERS + number as u64, false)?;
+            .register(&listener, LISTENERS + number as u64, false)?;
         slot.listener = Some(listener);
-        slot.down = false;
+        slot.is_down = false;
         slot.epoch += 1;
-        let started_ms = slot.host.started / 1000;
+        let started_ms = slot.host.started_us / 1000;
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = started_ms;
-        self.world.see(Seen::HostUp {
+        self.world.record(Observation::HostUp {
             host: slot.host.spec.name.clone(),
             started_ms,
         });
@@ -362,23 +369,23 @@
 
     fn crash(&mut self, number: usize) {
         let slot = &mut self.slots[number];
-        if slot.down {
+        if slot.is_down {
             return;
         }
-        slot.down = true;
+        slot.is_down = true;
         slot.listener = None;
         slot.host.forget_keys(&mut self.keys);
-        slot.host.die();
+        slot.host.stop();
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = 0;
-        self.world.see(Seen::HostDown {
+        self.world.record(Observation::HostDown {
             host: slot.host.spec.name.clone(),
         });
         let links: Vec<u64> = self
             .conns
             .iter()
-            .filter(|(_, l)| l.slot == number)
+            .filter(|(_, l)| l.host_index == number)
             .map(|(&t, _)| t)
             .collect();
         links.into_iter().for_each(|token| self.lose(token, true));
@@ -388,9 +395,9 @@
         while let Some(listener) = self.slots.get(number).and_then(|s| s.listener.as_ref())
             && let Ok((stream, _)) = listener.accept()
         {
-            self.next += 1;
-            let token = self.next;
-            let Ok(mut conn) = Conn::accepted(stream, token, &self.poller) else {
+            self.last_token += 1;
+            let token = self.last_token;
+            let Ok(mut conn) = TcpConnection::from_accepted(stream, token, &self.poller) else {
                 continue;
             };
             if !self.slots[number].reachable && conn.set_reading(false, &self.poller).is_err() {
@@ -399,9 +406,9 @@
             let (unwritten, traffic) = (Vec::new(), LinkTraffic::default());
             self.conns.insert(
                 token,
-                Link {
+                PlacerConnection {
                     conn,
-                    slot: number,
+                    host_index: number,
                     placer: None,
                     unwritten,
                     traffic,
@@ -414,19 +421,20 @@
         let Some(mut link) = self.conns.remove(&token) else {
             return;
         };
-        self.dirty.remove(&token);
+        self.pending_writes.remove(&token);
         if let Some(counter) = self.counter.as_ref().filter(|_| link.counts()) {
             counter.closed(&mut link.traffic, reset);
         }
-        if let Some(late) = self.looks.reads(self.world.clock.now()) {
-            self.world.see(late);
+        if let Some(late) = self.read_times.delay_to_report(self.world.clock.now()) {
+            self.world.record(late);
         }
         if let Some(placer) = link.placer {
-            let host = self.slots[link.slot].host.spec.name.clone();
-            self.world.see(Seen::LinkLost { host, link: token });
-            let key = (link.slot, placer);
-            if self.by_placer.get(&key) == Some(&token) {
-                self.by_placer.remove(&key);
+            let host = self.slots[link.host_index].host.spec.name.clone();
+            self.world
+                .record(Observation::LinkLost { host, link: token });
+            let key = (link.host_index, placer);
+            if self.connection_of_placer.get(&key) == Some(&token) {
+                self.connection_of_placer.remove(&key);
             }
         }
         if reset {
@@ -438,25 +446,25 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        if !self.slots[link.slot].reachable {
-            if r.closed {
+        if !self.slots[link.host_index].reachable {
+            if r.is_closed {
                 self.lose(token, false);
             }
             return;
         }
-        if r.write && link.conn.flush(&self.poller).is_err() {
+        if r.is_writable && link.conn.flush(&self.poller).is_err() {
             self.lose(token, false);
             return;
         }
-        if !r.read {
+        if !r.is_readable {
             return;
         }
-        let outcome = link.conn.fill(256 << 10, 512 << 10);
+        let outcome = link.conn.read_available(256 << 10, 512 << 10);
         let mut segment = Vec::new();
         while let Some(link) = self.conns.get_mut(&token) {
             match frame::decode(link.conn.unread()) {
                 Ok((frame, used)) => {
-                    link.conn.take(used);
+                    link.conn.consume(used);
                     let Some(frame) = frame else { break };
                     segment.push(Counted {
                         kind: kind_of(&frame),
@@ -471,7 +479,7 @@
             }
         }
         self.count_read(token, &segment);
-        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Broken) {
+        if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.lose(token, false);
         }
     }
@@ -481,7 +489,7 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        let number = link.slot;
+        let number = link.host_index;
         let host = self.slots[number].host.spec.name.clone();
         if let Frame::Hello {
             name, started_ms, ..
@@ -489,28 +497,29 @@
         {
             let placer: Arc<str> = name.as_str().into();
             link.placer = Some(placer.clone());
-            self.world.see(Seen::Link {
+            self.world.record(Observation::PlacerConnected {
                 host: host.clone(),
                 link: token,
                 placer: placer.clone(),
-                life: *started_ms,
+                incarnation: *started_ms,
             });
-            self.by_placer.insert((number, placer.clone()), token);
+            self.connection_of_placer
+                .insert((number, placer.clone()), token);
             let slot = &self.slots[number].host;
-            if slot.silent() {
+            if slot.is_silent() {
                 return;
             }
             let hello = Frame::Hello {
                 major: frame::MAJOR,
                 minor: frame::MINOR,
                 name: host.to_string(),
-                started_ms: slot.started / 1000,
-                most_offers: 0,
+                started_ms: slot.started_us / 1000,
+                max_offers: 0,
             };
             let mut frames = vec![hello];
-            frames.extend(slot.held(&placer));
+            frames.extend(slot.held_frames(&placer));
             frames.push(Frame::HeldEnd);
-            if slot.draining() {
+            if slot.is_draining() {
                 frames.push(Frame::Drain);
             }
             frames.into_iter().for_each(|frame| self.send(token, frame));
@@ -519,10 +528,10 @@
         let Some(placer) = link.placer.clone() else {
             return;
         };
-        if let Some(late) = self.looks.reads(now) {
-            self.world.see(late);
+        if let Some(late) = self.read_times.delay_to_report(now) {
+            self.world.record(late);
         }
-        self.world.see(Seen::FromPlacer {
+        self.world.record(Observation::FrameFromPlacer {
             host,
             link: token,
             frame: frame.clone(),
@@ -530,7 +539,7 @@
         let mut out = Vec::new();
         self.slots[number]
             .host
-            .frame(now, &placer, frame, &mut self.keys, &mut out);
+            .handle_frame(now, &placer, frame, &mut self.keys, &mut out);
         self.carry_out(number, out);
     }
 
@@ -538,14 +547,14 @@
         for what in out {
             match what {
                 Do::Send(placer, frame) => {
-                    if let Some(&token) = self.by_placer.get(&(number, placer)) {
+                    if let Some(&token) = self.connection_of_placer.get(&(number, placer)) {
                         self.send(token, frame);
                     }
                 }
                 Do::After(after, later) => {
                     let epoch = self.slots[number].epoch;
                     self.timers
-                        .set(self.world.clock.now() + after, (number, epoch, later));
+                        .schedule(self.world.clock.now() + after, (number, epoch, later));
                 }
                 Do::FallOver => self.crash(number),
             }
--- a/crates/standin/src/rack/sending.rs
+++ b/crates/standin/src/rack/sending.rs
@@ -1,23 +1,23 @@
 //! What the hosts write, what is counted of their traffic, and hosts that cannot be reached.
 
 use maplethread_capacity::Direction;
-use maplethread_judge::Seen;
+use maplethread_judge::Observation;
 use maplethread_wire::frame::{self, Frame};
 
-use super::Run;
+use super::HostThread;
 use crate::traffic::{Counted, kind_of};
 
 /// Bytes that may wait to be written to one placer.
 const MOST_UNWRITTEN: usize = 4 << 20;
 
-impl Run {
+impl HostThread {
     /// The connections of an unreachable host stay as they are, unread and unwritten, until their placers give them up.
     pub(super) fn set_reachable(&mut self, number: usize, reachable: bool) {
         self.slots[number].reachable = reachable;
         let links: Vec<u64> = self
             .conns
             .iter()
-            .filter(|(_, l)| l.slot == number)
+            .filter(|(_, l)| l.host_index == number)
             .map(|(&t, _)| t)
             .collect();
         for token in links {
@@ -27,7 +27,7 @@
             if link.conn.set_reading(reachable, &self.poller).is_err() {
                 self.lose(token, true);
             }
-            self.dirty.insert(token);
+            self.pending_writes.insert(token);
         }
     }
 
@@ -46,24 +46,24 @@
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
-        let host = self.slots[link.slot].host.spec.name.clone();
-        let before = link.conn.out().len();
-        frame::encode(&frame, link.conn.out());
-        let bytes = (link.conn.out().len() - before) as u64;
+        let host = self.slots[link.host_index].host.spec.name.clone();
+        let before = link.conn.write_buffer().len();
+        frame::encode(&frame, link.conn.write_buffer());
+        let bytes = (link.conn.write_buffer().len() - before) as u64;
         link.unwritten.push(Counted {
             kind: kind_of(&frame),
             bytes,
         });
-        self.world.see(Seen::FromHost {
+        self.world.record(Observation::FromHost {
             host,
             link: token,
             frame,
         });
-        self.dirty.insert(token);
+        self.pending_writes.insert(token);
     }
 
     pub(super) fn flush_dirty(&mut self) {
-        while let Some(token) = self.dirty.pop_first() {
+        while let Some(token) = self.pending_writes.pop_first() {
             self.flush(token);
         }
     }
@@ -74,7 +74,7 @@
             return;
         };
         let mut broken = false;
-        if self.slots[link.slot].reachable {
+        if self.slots[link.host_index].reachable {
             // Counted first: whoever has read it finds it counted.
             let segment = std::mem::take(&mut link.unwritten);
             if let Some(counter) = self.counter.as_ref().filter(|_| link.counts()) {
@@ -83,7 +83,7 @@
             broken = link.conn.flush(&self.poller).is_err();
         }
         // A placer that stands still reads nothing; what waits for it is bounded.
-        if broken || link.conn.unwritten() > MOST_UNWRITTEN {
+        if broken || link.conn.unwritten_bytes() > MOST_UNWRITTEN {
             self.lose(token, true);
         }
     }
--- a/crates/standin/src/baseline.rs
+++ b/crates/standin/src/random_choice.rs
@@ -6,12 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use maplethread::{
-    Action, AttemptId, RetrySafety, AttemptOutcome, Event, DeduplicationScope, MachineEntry, MachineId, MachineState, Micros,
-    TopologyLevel, UpdateScope, ServiceId, Settings, Task, TaskId,
+    Action, AttemptId, AttemptOutcome, DeduplicationScope, Event, MachineEntry, MachineId,
+    MachineState, Micros, RetrySafety, ServiceId, Settings, Task, TaskId, TopologyLevel,
+    UpdateScope,
 };
 use maplethread_engine::Decide;
 
-use crate::world::Dice;
+use crate::world::SeededRng;
 
 /// Final answers are given this long before the deadline.
 const MARGIN: Micros = 15_000;
@@ -25,10 +26,10 @@
 /// Log line of a rogue for each of its moves that its own guard forbids.
 pub(crate) const MOVE_AGAINST_RULE: &str = "a move against the rule, on purpose";
 
-struct Open {
+struct PendingTask {
     task: Task,
     attempts: u32,
-    out: bool,
+    in_flight: bool,
     may_run: Option<(Micros, MachineId)>,
     /// Machines that refused it; at most as many as attempts.
     refused_by: Vec<MachineId>,
@@ -37,42 +38,42 @@
 /// Random choice among the hosts that the rules allow.
 pub struct RandomChoice {
     settings: Settings,
-    dice: Dice,
+    dice: SeededRng,
     now: Micros,
     machines: BTreeMap<MachineId, MachineEntry>,
     unlinked: BTreeSet<MachineId>,
     numbered: bool,
-    sends: BTreeMap<MachineId, VecDeque<Micros>>,
+    recent_offers: BTreeMap<MachineId, VecDeque<Micros>>,
     /// Attempts and running tasks, by service and machine.
-    held: BTreeMap<ServiceId, BTreeMap<MachineId, u32>>,
-    open: BTreeMap<TaskId, Open>,
+    placements: BTreeMap<ServiceId, BTreeMap<MachineId, u32>>,
+    pending: BTreeMap<TaskId, PendingTask>,
     attempts: BTreeMap<AttemptId, (Task, MachineId, Micros)>,
     todo: VecDeque<TaskId>,
     on_hold: VecDeque<TaskId>,
     ticking: bool,
-    rogue: u8,
-    dropped: u64,
+    mutant: u8,
+    request_count: u64,
 }
 
 impl RandomChoice {
     /// Keeps all rules but the one named by `rogue` (1 to 5; 6 for rule 1 around pauses only; 0 for none).
-    pub fn new(settings: Settings, seed: u64, rogue: u8) -> RandomChoice {
+    pub fn new(settings: Settings, seed: u64, mutant: u8) -> RandomChoice {
         RandomChoice {
             settings,
-            dice: Dice::new(seed, 77),
+            dice: SeededRng::new(seed, 77),
             now: 0,
             machines: BTreeMap::new(),
             unlinked: BTreeSet::new(),
             numbered: true,
-            sends: BTreeMap::new(),
-            held: BTreeMap::new(),
-            open: BTreeMap::new(),
+            recent_offers: BTreeMap::new(),
+            placements: BTreeMap::new(),
+            pending: BTreeMap::new(),
             attempts: BTreeMap::new(),
             todo: VecDeque::new(),
             on_hold: VecDeque::new(),
             ticking: false,
-            rogue,
-            dropped: 0,
+            mutant,
+            request_count: 0,
         }
     }
 
@@ -85,7 +86,10 @@
                 self.machines
                     .extend(machines.iter().map(|m| (m.machine, *m)));
             }
-            Event::ConnectionChanged(machine, up) => {
+            Event::ConnectionChanged {
+                machine,
+                is_connected: up,
+            } => {
                 if *up {
                     self.unlinked.remove(machine);
                 } else {
@@ -94,24 +98,27 @@
             }
             Event::ReplicaIndexChanged(number) => self.numbered = number.is_some(),
             Event::PlacementRequested(task) => {
-                self.dropped += 1;
-                if self.rogue == 1 && self.dropped.is_multiple_of(7) {
+                self.request_count += 1;
+                if self.mutant == 1 && self.request_count.is_multiple_of(7) {
                     self.log_move();
                     return;
                 }
-                let open = Open {
+                let open = PendingTask {
                     task: *task,
                     attempts: 0,
-                    out: false,
+                    in_flight: false,
                     may_run: None,
                     refused_by: Vec::new(),
                 };
-                self.open.insert(task.id, open);
+                self.pending.insert(task.id, open);
                 let last = task.deadline.saturating_sub(MARGIN);
-                actions.push(Action::SetTimer(last.saturating_sub(self.now), task.id.0 + 1));
+                actions.push(Action::SetTimer {
+                    after: last.saturating_sub(self.now),
+                    label: task.id.0 + 1,
+                });
                 self.todo.push_back(task.id);
             }
-            Event::TaskAdopted(task, machine) => {
+            Event::TaskAdopted { task, machine } => {
                 self.bind(
                     AttemptId {
                         task: task.id,
@@ -121,23 +128,28 @@
                     *machine,
                 );
             }
-            Event::AttemptAccepted(id, _) => drop(self.open.remove(&id.task)),
-            Event::AttemptFinished(id, end) => {
+            Event::AttemptAccepted { attempt: id, .. } => drop(self.pending.remove(&id.task)),
+            Event::AttemptFinished {
+                attempt: id,
+                result: end,
+            } => {
                 let Some((task, machine, sent)) = self.attempts.remove(id) else {
                     return;
                 };
                 let there = self
-                    .held
+                    .placements
                     .get_mut(&task.service)
                     .and_then(|there| there.get_mut(&machine));
                 there.into_iter().for_each(|count| *count -= 1);
-                let Some(open) = self.open.get_mut(&id.task) else {
+                let Some(open) = self.pending.get_mut(&id.task) else {
                     return;
                 };
-                open.out = false;
+                open.in_flight = false;
                 if !matches!(
                     end.outcome,
-                    AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent
+                    AttemptOutcome::Rejected
+                        | AttemptOutcome::ConnectFailed
+                        | AttemptOutcome::NeverSent
                 ) {
                     open.may_run = open.may_run.or(Some((sent, machine)));
                 }
@@ -149,12 +161,12 @@
                     self.todo.push_back(id.task)
                 }
             }
-            Event::ClientDisconnected(task) => drop(self.open.remove(task)),
-            Event::TimerFired(TICK) => self.ticking = false,
-            Event::TimerFired(label) => {
+            Event::ClientDisconnected(task) => drop(self.pending.remove(task)),
+            Event::TimerFired { label: TICK } => self.ticking = false,
+            Event::TimerFired { label } => {
                 let id = TaskId(label - 1);
                 if self
-                    .open
+                    .pending
                     .get(&id)
                     .is_some_and(|o| o.task.deadline <= self.now + MARGIN)
                 {
@@ -172,7 +184,7 @@
             .is_none()
         {
             *self
-                .held
+                .placements
                 .entry(task.service)
                 .or_default()
                 .entry(machine)
@@ -181,33 +193,37 @@
     }
 
     fn answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.remove(&id) else {
+        let Some(open) = self.pending.remove(&id) else {
             return;
         };
         let harmless = match self.settings.classes[open.task.class].retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
-                group: DeduplicationScope::All, ..
+                group: DeduplicationScope::All,
+                ..
             } => true,
-            _ => !open.out && open.may_run.is_none(),
+            _ => !open.in_flight && open.may_run.is_none(),
         };
         actions.push(if harmless {
-            Action::Reject(id, None)
+            Action::Reject {
+                task: id,
+                retry_after: None,
+            }
         } else {
             Action::Fail(id)
         });
     }
 
     fn place(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.open.get(&id) else {
+        let Some(open) = self.pending.get(&id) else {
             return;
         };
         let task = open.task;
         let class = &self.settings.classes[task.class];
-        if open.out || task.deadline <= self.now + MARGIN {
+        if open.in_flight || task.deadline <= self.now + MARGIN {
             return;
         }
-        if !self.may_send_again(open, self.rogue)
+        if !self.may_send_again(open, self.mutant)
             || open.attempts >= self.settings.limits.max_attempts
         {
             self.answer(id, actions);
@@ -216,19 +232,19 @@
         let allowed: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| self.allowed(m, open, self.rogue))
+            .filter(|m| self.allowed(m, open, self.mutant))
             .map(|m| m.machine)
             .collect();
         if allowed.is_empty() {
             self.on_hold.push_back(id);
             return;
         }
-        let machine = match self.rogue {
+        let machine = match self.mutant {
             // Cold hosts first.
             4 if allowed.iter().any(|id| self.cold(id)) => {
                 let cold: Vec<MachineId> =
                     allowed.iter().copied().filter(|id| self.cold(id)).collect();
-                cold[self.dice.below(cold.len())]
+                cold[self.dice.index_below(cold.len())]
             }
             // Where most of the service is, of those that may take it: one place is full as soon as can be.
             5 => {
@@ -243,23 +259,31 @@
                     &willing
                 };
                 let crowded = self.most_crowded(from, class.spread_limit, task.service);
-                crowded[self.dice.below(crowded.len())]
+                crowded[self.dice.index_below(crowded.len())]
             }
-            _ => allowed[self.dice.below(allowed.len())],
+            _ => allowed[self.dice.index_below(allowed.len())],
         };
         if !self.keeps_rules(machine, open) {
             self.log_move();
         }
         let number = open.attempts;
         // Giving up before a host can have answered makes for attempts that may have run.
-        let patience = if self.rogue == 2 { 3_000 } else { class.latency_objective };
+        let patience = if self.mutant == 2 {
+            3_000
+        } else {
+            class.latency_objective
+        };
         let wait = patience.min(task.deadline - self.now);
-        actions.push(Action::Offer(id, machine, wait));
+        actions.push(Action::Offer {
+            task: id,
+            machine,
+            timeout: wait,
+        });
         self.bind(AttemptId { task: id, number }, task, machine);
-        if let Some(open) = self.open.get_mut(&id) {
-            (open.attempts, open.out) = (number + 1, true);
+        if let Some(open) = self.pending.get_mut(&id) {
+            (open.attempts, open.in_flight) = (number + 1, true);
         }
-        let sends = self.sends.entry(machine).or_default();
+        let sends = self.recent_offers.entry(machine).or_default();
         sends.push_back(self.now);
         let window = self.settings.rules.overload_window;
         while sends.front().is_some_and(|&at| at + window < self.now) {
@@ -268,11 +292,11 @@
     }
 
     fn log_move(&self) {
-        tracing::info!(rogue = self.rogue, "{MOVE_AGAINST_RULE}");
+        tracing::info!(rogue = self.mutant, "{MOVE_AGAINST_RULE}");
     }
 
     /// Whether all guards allow an offer of this task to this machine.
-    fn keeps_rules(&self, machine: MachineId, open: &Open) -> bool {
+    fn keeps_rules(&self, machine: MachineId, open: &PendingTask) -> bool {
         let allowed = self
             .machines
             .get(&machine)
@@ -304,8 +328,11 @@
     }
 
     /// Whether what may have run may be sent once more, for one that breaks the rule `rogue`.
-    fn may_send_again(&self, open: &Open, rogue: u8) -> bool {
-        match (open.may_run, self.settings.classes[open.task.class].retry_safety) {
+    fn may_send_again(&self, open: &PendingTask, rogue: u8) -> bool {
+        match (
+            open.may_run,
+            self.settings.classes[open.task.class].retry_safety,
+        ) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
             (Some((sent, _)), RetrySafety::IdempotencyKey { window, .. }) => {
                 self.now + MARGIN < sent + window || rogue == 2
@@ -315,11 +342,11 @@
     }
 
     /// Whether the guards of the host allow an offer, for one that breaks the rule `rogue`.
-    fn allowed(&self, machine: &MachineEntry, open: &Open, rogue: u8) -> bool {
+    fn allowed(&self, machine: &MachineEntry, open: &PendingTask, rogue: u8) -> bool {
         let class = &self.settings.classes[open.task.class];
         let state = machine.state == MachineState::Ready || rogue == 3;
         let state = state && !self.unlinked.contains(&machine.machine);
-        if !state || class.kind.is_some_and(|kind| kind != machine.kind) {
+        if !state || class.machine_kind.is_some_and(|kind| kind != machine.kind) {
             return false;
         }
         if let (Some((_, first)), RetrySafety::IdempotencyKey { group, .. }, true) =
@@ -342,8 +369,9 @@
         }
         let rules = &self.settings.rules;
         if self.cold(&machine.machine) && rogue != 4 {
-            let part = (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
-            let sends = self.sends.get(&machine.machine);
+            let part =
+                (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
+            let sends = self.recent_offers.get(&machine.machine);
             let lately = sends.map_or(0, |s| {
                 s.iter()
                     .filter(|&&at| at + rules.overload_window >= self.now)
@@ -355,7 +383,7 @@
     }
 
     fn cold(&self, id: &MachineId) -> bool {
-        let started = self.machines.get(id).and_then(|m| m.started);
+        let started = self.machines.get(id).and_then(|m| m.started_at);
         started.is_some_and(|start| start + self.settings.rules.warm_up_duration > self.now)
     }
 
@@ -367,7 +395,7 @@
                 TopologyLevel::Zone => m.zone == at.zone,
             })
         };
-        let held = self.held.get(&service).into_iter().flatten();
+        let held = self.placements.get(&service).into_iter().flatten();
         held.map(|(id, count)| if there(id) { *count } else { 0 })
             .sum()
     }
@@ -375,19 +403,19 @@
 
 impl Decide for RandomChoice {
     fn last_word(&self) -> bool {
-        !matches!(self.rogue, 1 | 6)
+        !matches!(self.mutant, 1 | 6)
     }
 
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        let quiet = self.rogue == 6 && now > self.now + STOOD_STILL;
+        let quiet = self.mutant == 6 && now > self.now + STOOD_STILL;
         self.now = self.now.max(now);
         for event in events {
             self.take(event, actions);
         }
         if quiet {
             // What was open when it stood still, and what came meanwhile, is kept quiet about.
-            self.open.values().for_each(|_| self.log_move());
-            self.open.clear();
+            self.pending.values().for_each(|_| self.log_move());
+            self.pending.clear();
         }
         if !self.ticking {
             self.todo.extend(self.on_hold.drain(..));
@@ -396,9 +424,12 @@
             self.place(id, actions);
         }
         // One that takes long times without a turn for pauses needs turns all the time.
-        if (self.rogue == 6 || !self.on_hold.is_empty()) && !self.ticking {
+        if (self.mutant == 6 || !self.on_hold.is_empty()) && !self.ticking {
             self.ticking = true;
-            actions.push(Action::SetTimer(HOLD, TICK));
+            actions.push(Action::SetTimer {
+                after: HOLD,
+                label: TICK,
+            });
         }
     }
 }
--- a/crates/standin/src/recorded.rs
+++ b/crates/standin/src/recorded_scenario.rs
@@ -16,7 +16,7 @@
 
 use crate::demand::Arrival;
 use crate::scenario::{Scenario, Trouble, TroubleKind};
-use crate::world::Dice;
+use crate::world::SeededRng;
 
 /// How long a host is away before it starts anew, s.
 pub const AWAY_S: f64 = 1.5;
@@ -30,7 +30,7 @@
 const MOST_ASKS: usize = 1 << 22;
 
 /// A recorded day.
-pub struct Recorded {
+pub struct RecordedScenario {
     /// The day, with the troubles that were seen.
     pub scenario: Scenario,
     /// Its first asks.
@@ -40,25 +40,25 @@
 }
 
 /// One first ask as it was recorded.
-struct Ask {
+struct RecordedRequest {
     at: u64,
     class: String,
     service: String,
     actor: String,
     shape: [f64; 2],
-    life: Option<u64>,
+    expected_duration_us: Option<u64>,
     placer: String,
 }
 
 /// What the traces tell.
 #[derive(Default)]
-struct Told {
-    asks: Vec<Ask>,
+struct TraceContents {
+    requests: Vec<RecordedRequest>,
     /// Hosts' zones, and when they started.
     hosts: BTreeMap<String, String>,
-    starts: BTreeSet<(u64, String)>,
+    host_starts: BTreeSet<(u64, String)>,
     /// For each placer, when its runs began and when their records end.
-    runs: BTreeMap<String, BTreeMap<u64, u64>>,
+    placer_runs: BTreeMap<String, BTreeMap<u64, u64>>,
 }
 
 /// Reads traces; the day is played on `base`, grown to as many hosts and placers as were recorded, `speed` times as fast.
@@ -67,23 +67,23 @@
     base: &Scenario,
     speed: f64,
     seed: u64,
-) -> Result<Recorded, String> {
-    let mut told = Told::default();
+) -> Result<RecordedScenario, String> {
+    let mut told = TraceContents::default();
     let mut summary = None;
     for trace in traces {
         let summary = summary.get_or_insert_with(|| Summary::new(&trace.header));
         told.read(trace, summary)?;
     }
-    let summary = summary.ok_or("no trace is given")?.json();
+    let summary = summary.ok_or("no trace is given")?.to_json();
     told.day(base, speed, seed)
-        .map(|(scenario, arrivals)| Recorded {
+        .map(|(scenario, arrivals)| RecordedScenario {
             scenario,
             arrivals,
             summary,
         })
 }
 
-impl Told {
+impl TraceContents {
     fn read<R: Read + Seek>(
         &mut self,
         trace: &mut Reader<R>,
@@ -101,7 +101,7 @@
             for r in &records {
                 summary.feed(r);
                 let ends = self
-                    .runs
+                    .placer_runs
                     .entry(run.0.clone())
                     .or_default()
                     .entry(run.1)
@@ -127,12 +127,12 @@
                         names.insert(*machine, name.clone());
                         self.hosts.insert(name.clone(), zone.clone());
                     }
-                    Record::Asked {
+                    Record::RequestReceived {
                         task,
                         service,
                         actor,
                         class,
-                        read,
+                        received_at: read,
                         ..
                     } => {
                         open.insert(*task, (*service, actor.clone(), *read, *class));
@@ -145,11 +145,11 @@
                                     else {
                                         continue;
                                     };
-                                    if task.is_resubmission || self.asks.len() >= MOST_ASKS {
+                                    if task.is_resubmission || self.requests.len() >= MOST_ASKS {
                                         continue;
                                     }
                                     let class = header.classes.get(class as usize).cloned();
-                                    self.asks.push(Ask {
+                                    self.requests.push(RecordedRequest {
                                         at,
                                         class: class.ok_or("a class that no header names")?,
                                         service: services
@@ -158,16 +158,16 @@
                                             .unwrap_or_default(),
                                         actor,
                                         shape: [task.requested.cores, task.requested.memory],
-                                        life: task.expected_duration,
+                                        expected_duration_us: task.expected_duration,
                                         placer: run.0.clone(),
                                     });
                                 }
                                 Event::EndpointsUpdated { machines, .. } => {
                                     for listing in machines {
-                                        if let Some(at) = listing.started
+                                        if let Some(at) = listing.started_at
                                             && let Some(name) = names.get(&listing.machine.0)
                                         {
-                                            self.starts.insert((at, name.clone()));
+                                            self.host_starts.insert((at, name.clone()));
                                         }
                                     }
                                 }
@@ -188,28 +188,28 @@
         speed: f64,
         seed: u64,
     ) -> Result<(Scenario, Vec<Arrival>), String> {
-        self.asks
+        self.requests
             .sort_by(|a, b| (a.at, &a.service, &a.actor).cmp(&(b.at, &b.service, &b.actor)));
-        let begin = self.asks.first().ok_or("no first ask is recorded")?.at;
-        let end = self.asks.last().map_or(begin, |a| a.at);
+        let begin = self.requests.first().ok_or("no first ask is recorded")?.at;
+        let end = self.requests.last().map_or(begin, |a| a.at);
         let after = |at: u64| at.saturating_sub(begin) as f64 / speed;
-        let mut scenario = base.clone().sized(self.hosts.len().max(1));
+        let mut scenario = base.clone().with_host_count(self.hosts.len().max(1));
         scenario.name = "recorded".to_owned();
         scenario.seconds = (after(end) / 1e6).max(1.0);
-        scenario.placers = self.runs.len().max(1) as u32;
+        scenario.placers = self.placer_runs.len().max(1) as u32;
         scenario.trouble = self.troubles(begin, end, speed, scenario.placers, base);
         let zones = &scenario.fleet.zones;
-        let placers: Vec<&String> = self.runs.keys().collect();
-        let mut dice = Dice::new(seed, 9);
+        let placers: Vec<&String> = self.placer_runs.keys().collect();
+        let mut dice = SeededRng::new(seed, 9);
         let mut seen = BTreeSet::new();
         let mut arrivals = Vec::new();
-        for ask in &self.asks {
+        for ask in &self.requests {
             // An owner that went on to another placer asks for the same again.
             if !seen.insert((&ask.service, &ask.actor)) {
                 continue;
             }
             let class = scenario
-                .class
+                .classes
                 .iter()
                 .position(|c| c.rules.name == ask.class)
                 .ok_or_else(|| {
@@ -219,15 +219,15 @@
                     )
                 })?;
             let life = ask
-                .life
-                .unwrap_or((scenario.class[class].life_s * 1e6) as u64);
+                .expected_duration_us
+                .unwrap_or((scenario.classes[class].mean_duration_s * 1e6) as u64);
             arrivals.push(Arrival {
-                at: after(ask.at) as u64,
+                at_us: after(ask.at) as u64,
                 class,
                 service: ask.service.as_str().into(),
                 actor: ask.actor.as_str().into(),
                 shape: ask.shape,
-                life,
+                wanted_for_us: life,
                 // Owners ask a placer of their zone first, so that of the placer that was asked is theirs.
                 zone: placers.iter().position(|p| **p == ask.placer).unwrap_or(0) % zones.len(),
                 seed: dice.seed(),
@@ -257,7 +257,7 @@
         let mut all = Vec::new();
         // Starts from a little after the first ask on; those before it are what the day began with.
         let mut starts: Vec<&(u64, String)> = self
-            .starts
+            .host_starts
             .iter()
             .filter(|(at, _)| (begin + TOGETHER..end).contains(at))
             .collect();
@@ -296,7 +296,7 @@
                 ));
             }
         }
-        for runs in self.runs.values() {
+        for runs in self.placer_runs.values() {
             let mut earlier: Option<u64> = None;
             for (&began, &ended) in runs {
                 if let Some(died) = earlier {
@@ -316,8 +316,10 @@
 mod tests {
     use std::io::Cursor;
 
-    use maplethread::{MachineEntry, MachineId, MachineState, Resources, UpdateScope, ServiceId, Task, TaskId};
-    use maplethread_trace::{Header, Stamped, Turn, Writer};
+    use maplethread::{
+        MachineEntry, MachineId, MachineState, Resources, ServiceId, Task, TaskId, UpdateScope,
+    };
+    use maplethread_trace::{Header, TimedRecord, Turn, Writer};
 
     use super::*;
 
@@ -350,13 +352,13 @@
                 kind: "k".into(),
             };
             writer
-                .push(&Stamped {
+                .push(&TimedRecord {
                     at: START + began * S,
                     record,
                 })
                 .expect("a record");
         }
-        writer.know(&Stamped {
+        writer.register_name(&TimedRecord {
             at: 0,
             record: Record::Service {
                 service: 3,
@@ -365,14 +367,14 @@
         });
         for (n, &(at, actor, again)) in asks.iter().enumerate() {
             let (at, task) = (START + at * S, n as u64);
-            let asked = Record::Asked {
+            let asked = Record::RequestReceived {
                 task,
                 service: 3,
                 actor: actor.into(),
                 class: 1,
-                request: format!("r{n}"),
-                key: None,
-                read: at,
+                request_id: format!("r{n}"),
+                idempotency_key: None,
+                received_at: at,
             };
             let task = Task {
                 id: TaskId(task),
@@ -389,10 +391,10 @@
                 actions: Vec::new(),
             };
             writer
-                .push(&Stamped { at, record: asked })
+                .push(&TimedRecord { at, record: asked })
                 .expect("a record");
             writer
-                .push(&Stamped {
+                .push(&TimedRecord {
                     at,
                     record: Record::Turn(turn),
                 })
@@ -407,7 +409,7 @@
                 cell: 0,
                 kind: 0,
                 state: MachineState::Ready,
-                started: Some(at),
+                started_at: Some(at),
                 unallocated: None,
             };
             let listed = Event::EndpointsUpdated {
@@ -420,7 +422,7 @@
                 actions: Vec::new(),
             };
             writer
-                .push(&Stamped {
+                .push(&TimedRecord {
                     at,
                     record: Record::Turn(turn),
                 })
@@ -430,7 +432,7 @@
         bytes
     }
 
-    fn read_all(files: &[&[u8]], speed: f64) -> Result<Recorded, String> {
+    fn read_all(files: &[&[u8]], speed: f64) -> Result<RecordedScenario, String> {
         let mut traces: Vec<_> = files
             .iter()
             .map(|f| Reader::open(Cursor::new(*f)).expect("a file"))
@@ -451,7 +453,11 @@
         let second = run("p0", 22, &[(30, "c", false)], &[]);
         let other = run("p1", 0, &[(4, "b", false), (8, "d", false)], &zone);
         let day = read_all(&[&first, &second, &other], 1.0).expect("a day");
-        let asks: Vec<(&str, u64)> = day.arrivals.iter().map(|a| (&*a.actor, a.at / S)).collect();
+        let asks: Vec<(&str, u64)> = day
+            .arrivals
+            .iter()
+            .map(|a| (&*a.actor, a.at_us / S))
+            .collect();
         assert_eq!(
             asks,
             [("a", 0), ("b", 1), ("d", 7), ("c", 29)],
@@ -459,10 +465,10 @@
         );
         let one = &day.arrivals[0];
         assert_eq!(
-            (&*one.service, one.shape, one.life),
+            (&*one.service, one.shape, one.wanted_for_us),
             ("web-api-03", [0.5, 2.0], 7 * S)
         );
-        assert_eq!(day.scenario.class[one.class].rules.name, "web-api");
+        assert_eq!(day.scenario.classes[one.class].rules.name, "web-api");
         let s = &day.scenario;
         assert_eq!((s.fleet.hosts, s.placers, s.seconds), (12, 2, 29.0));
         let troubles: Vec<(TroubleKind, f64)> =
@@ -478,7 +484,7 @@
         // Twice as fast: the same asks in half the time.
         let fast = read_all(&[&first, &second, &other], 2.0).expect("a day");
         assert_eq!(
-            fast.arrivals.iter().map(|a| a.at).collect::<Vec<_>>(),
+            fast.arrivals.iter().map(|a| a.at_us).collect::<Vec<_>>(),
             [0, S / 2, 7 * S / 2, 29 * S / 2]
         );
     }
@@ -491,7 +497,7 @@
         );
         let file = run("p0", 0, &[(1, "a", false)], &[]);
         let mut base = Scenario::standard();
-        base.class.retain(|c| c.rules.name != "web-api");
+        base.classes.retain(|c| c.rules.name != "web-api");
         let mut traces = [Reader::open(Cursor::new(&file)).expect("a file")];
         let error = read(&mut traces, &base, 1.0, 5)
             .err()
--- a/crates/standin/src/report.rs
+++ b/crates/standin/src/report.rs
@@ -4,12 +4,12 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use maplethread_judge::{Broken, Outcome, Record, Seen, Verdict};
+use maplethread_judge::{HistoryEntry, Observation, Outcome, Verdict, Violation};
 use maplethread_wire::frame::Frame;
 use serde_json::{Value, json};
 
-use crate::rogue::Rogue;
-use crate::world::{Lost, Service};
+use crate::mutant::MutantResult;
+use crate::world::{Lost, ServiceShares};
 
 /// So many cases of a broken rule are shown.
 const SHOWN_OF_A_RULE: usize = 8;
@@ -19,13 +19,13 @@
     /// What the traffic shows.
     pub verdict: Verdict,
     /// What was asked for first, which no decider changes.
-    pub first: FirstAsks,
+    pub first_requests: FirstRequests,
     /// The worth served over the worth asked for.
-    pub service: Service,
+    pub service: ServiceShares,
     /// The same by class.
     pub by_class: BTreeMap<String, f64>,
     /// What the rest was lost to.
-    pub lost: Lost,
+    pub service_loss: Lost,
     /// Seconds that second copies ran.
     pub double_s: f64,
     /// Times from an ask to `placed` at the owner, µs, sorted.
@@ -33,19 +33,19 @@
     /// Times of decisions, µs, with their counts, of all placers that were up at the end.
     pub decide_us: BTreeMap<u64, u64>,
     /// Asks that were held, by what for, as told by the lives of placers that were up at the end.
-    pub held: BTreeMap<String, u64>,
+    pub blocked_by_reason: BTreeMap<String, u64>,
     /// Offers to a host in the second after its health came back: how many returns, the mean and the most.
-    pub returns: (usize, f64, usize),
+    pub health_returns: (usize, f64, usize),
     /// What became of the placers that broke a rule on purpose, if they did.
-    pub rogue: Option<Rogue>,
+    pub mutant: Option<MutantResult>,
     /// The record, for frames that show a broken rule.
-    pub record: Vec<Record>,
+    pub history: Vec<HistoryEntry>,
 }
 
 impl Report {
     /// No rule broken, and no ask without its answer.
-    pub fn good(&self) -> bool {
-        self.verdict.broken.is_empty() && self.verdict.unanswered == 0
+    pub fn is_good(&self) -> bool {
+        self.verdict.violations.is_empty() && self.verdict.unanswered == 0
     }
 
     fn decide_quantile(&self, q: f64) -> u64 {
@@ -72,25 +72,25 @@
     pub fn json(&self) -> Value {
         let v = &self.verdict;
         let broken: BTreeMap<String, u64> = v
-            .counts()
+            .violations_by_rule()
             .into_iter()
             .map(|(r, n)| (r.to_string(), n))
             .collect();
         json!({
-            "asks": v.asks, "placed": v.placed, "refused": v.refused, "failed": v.failed,
-            "turned_away": v.turned_away, "unanswered": v.unanswered, "excused": v.excused,
-            "first_asks": self.first.asks, "first_placed": self.first.placed,
-            "offers": v.offers, "refused_by": v.refused_by, "held_for": self.held,
-            "service": self.service.whole,
+            "asks": v.requests, "placed": v.placed, "refused": v.rejected, "failed": v.failed,
+            "turned_away": v.not_accepted, "unanswered": v.unanswered, "excused": v.excused,
+            "first_asks": self.first_requests.requests, "first_placed": self.first_requests.placed,
+            "offers": v.offers, "refused_by": v.refused_by, "held_for": self.blocked_by_reason,
+            "service": self.service.overall,
             "service_worst_10_s": self.service.worst_10_s,
             "service_worst_class": self.service.worst_class,
             "service_by_class": self.by_class,
             "service_lost": {
-                "late_start": self.lost.late_start, "not_running": self.lost.not_running,
-                "crowded": self.lost.crowded,
+                "late_start": self.service_loss.late_start, "not_running": self.service_loss.not_running,
+                "crowded": self.service_loss.crowded,
             },
             "double_s": self.double_s,
-            "rogue": self.rogue.map(|r| json!({"number": r.number, "moves": r.moves, "caught": r.caught})),
+            "rogue": self.mutant.map(|r| json!({"number": r.number, "moves": r.violations_made, "caught": r.violations_found})),
             "broken": broken,
             "broken_shown": self.first_broken().map(|b| self.shown(b)).collect::<Vec<_>>(),
             "numbers": {
@@ -98,7 +98,7 @@
                     "p50": self.number_wait(0.5), "p99": self.number_wait(0.99), "max": self.number_wait(1.0),
                 },
             },
-            "returns": {"count": self.returns.0, "offers_mean": self.returns.1, "offers_most": self.returns.2},
+            "returns": {"count": self.health_returns.0, "offers_mean": self.health_returns.1, "offers_most": self.health_returns.2},
             "place_ms": {
                 "p50": self.place_quantile(0.5), "p99": self.place_quantile(0.99), "max": self.place_quantile(1.0),
             },
@@ -107,10 +107,10 @@
     }
 
     /// The first few of each rule.
-    fn first_broken(&self) -> impl Iterator<Item = &Broken> {
+    fn first_broken(&self) -> impl Iterator<Item = &Violation> {
         let of = |rule: u8| {
             self.verdict
-                .broken
+                .violations
                 .iter()
                 .filter(move |b| b.rule == rule)
                 .take(SHOWN_OF_A_RULE)
@@ -118,16 +118,22 @@
         (1..=5).flat_map(of)
     }
 
-    fn shown(&self, broken: &Broken) -> Value {
-        let first = self.record.first().map_or(0, |r| r.at);
+    fn shown(&self, broken: &Violation) -> Value {
+        let first = self.history.first().map_or(0, |r| r.at_us);
         let frames: Vec<String> = broken
             .shown_by
             .iter()
             .take(12)
-            .filter_map(|&i| self.record.get(i))
-            .map(|r| format!("{:.3} s {:?}", (r.at - first) as f64 / 1e6, r.seen))
+            .filter_map(|&i| self.history.get(i))
+            .map(|r| {
+                format!(
+                    "{:.3} s {:?}",
+                    (r.at_us - first) as f64 / 1e6,
+                    r.observation
+                )
+            })
             .collect();
-        json!({"rule": broken.rule, "what": broken.what, "records": frames})
+        json!({"rule": broken.rule, "what": broken.description, "records": frames})
     }
 
     /// The report for a person.
@@ -135,13 +141,13 @@
         let v = &self.verdict;
         let mut out = String::new();
         let share = |n: u64, of: u64| n as f64 / of.max(1) as f64 * 100.0;
-        let first = &self.first;
+        let first = &self.first_requests;
         let _ = writeln!(
             out,
             "{} asked for the first time, {:.1}% of them placed by that ask; {} asks came again",
-            first.asks,
-            share(first.placed, first.asks),
-            v.asks - first.asks
+            first.requests,
+            share(first.placed, first.requests),
+            v.requests - first.requests
         );
         let list = |counts: &BTreeMap<String, u64>, of: u64| {
             let one = |(what, &n): (&String, &u64)| format!("{what} {:.1}%", share(n, of));
@@ -155,21 +161,21 @@
         let _ = writeln!(
             out,
             "what bound, in shares of all asks: held for {}; refused by {}",
-            list(&self.held, v.asks),
-            list(&v.refused_by, v.asks)
+            list(&self.blocked_by_reason, v.requests),
+            list(&v.refused_by, v.requests)
         );
         let s = &self.service;
         let _ = writeln!(
             out,
             "asks {}: placed {}, refused {}, failed {}, turned away {}; unanswered {}, excused {}",
-            v.asks, v.placed, v.refused, v.failed, v.turned_away, v.unanswered, v.excused
+            v.requests, v.placed, v.rejected, v.failed, v.not_accepted, v.unanswered, v.excused
         );
         let _ = writeln!(
             out,
             "service {:.3} of the worth asked for; worst ten seconds {:.3}, worst-served class {:.3} (simulated work)",
-            s.whole, s.worst_10_s, s.worst_class
+            s.overall, s.worst_10_s, s.worst_class
         );
-        let lost = &self.lost;
+        let lost = &self.service_loss;
         let _ = writeln!(
             out,
             "lost of it: {:.3} to starts later than their aim, {:.3} while not running, {:.3} to crowded hosts",
@@ -195,26 +201,30 @@
                 self.number_wait(1.0)
             );
         }
-        for broken in v.broken.iter().take(10) {
-            let _ = writeln!(out, "rule {} broken: {}", broken.rule, broken.what);
+        for broken in v.violations.iter().take(10) {
+            let _ = writeln!(out, "rule {} broken: {}", broken.rule, broken.description);
             if let Some(records) = self.shown(broken)["records"].as_array() {
                 for line in records.iter().filter_map(Value::as_str) {
                     let _ = writeln!(out, "    {line}");
                 }
             }
         }
-        if v.broken.len() > 10 {
-            let _ = writeln!(out, "and {} more", v.broken.len() - 10);
+        if v.violations.len() > 10 {
+            let _ = writeln!(out, "and {} more", v.violations.len() - 10);
         }
-        let _ = if self.good() {
+        let _ = if self.is_good() {
             writeln!(
                 out,
                 "all five rules held, and every ask had exactly one answer"
             )
         } else {
-            writeln!(out, "RULES BROKEN: {:?} (rule: times)", v.counts())
+            writeln!(
+                out,
+                "RULES BROKEN: {:?} (rule: times)",
+                v.violations_by_rule()
+            )
         };
-        if let Some(rogue) = &self.rogue {
+        if let Some(rogue) = &self.mutant {
             let _ = writeln!(out, "{}", rogue.text());
         }
         out
@@ -233,21 +243,23 @@
 
 /// Asks of owners that had never asked before.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FirstAsks {
+pub struct FirstRequests {
     /// So many.
-    pub asks: u64,
+    pub requests: u64,
     /// So many of them were answered `placed`.
     pub placed: u64,
 }
 
-impl FirstAsks {
+impl FirstRequests {
     /// Those of a record: owners number their asks.
-    pub(crate) fn of(record: &[Record]) -> FirstAsks {
-        let mut first = FirstAsks::default();
+    pub(crate) fn of(record: &[HistoryEntry]) -> FirstRequests {
+        let mut first = FirstRequests::default();
         for r in record {
-            match &r.seen {
-                Seen::Asked { request, .. } if request.ends_with(".1") => first.asks += 1,
-                Seen::Answered {
+            match &r.observation {
+                Observation::PlacementRequested { request, .. } if request.ends_with(".1") => {
+                    first.requests += 1
+                }
+                Observation::Answered {
                     request,
                     outcome: Outcome::Placed(_),
                 } if request.ends_with(".1") => {
@@ -261,16 +273,19 @@
 }
 
 /// Offers to hosts in the second after each of these returns: how many returns, the mean and the most.
-pub(crate) fn returns(record: &[Record], returned: &[(u64, Arc<str>)]) -> (usize, f64, usize) {
+pub(crate) fn offers_after_health_return(
+    record: &[HistoryEntry],
+    returned: &[(u64, Arc<str>)],
+) -> (usize, f64, usize) {
     let mut offers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for r in record {
-        if let Seen::FromPlacer {
+        if let Observation::FrameFromPlacer {
             host,
             frame: Frame::Offer(_),
             ..
-        } = &r.seen
+        } = &r.observation
         {
-            offers.entry(host).or_default().push(r.at);
+            offers.entry(host).or_default().push(r.at_us);
         }
     }
     let counts: Vec<usize> = returned
--- a/crates/standin/src/scenario.rs
+++ b/crates/standin/src/scenario.rs
@@ -1,6 +1,9 @@
 //! Scenarios: a fleet, classes, demand over time and troubles, as TOML.
 
-use maplethread_config::{Class as PlacerClass, ConfigError, Doc, Effect, Kind, PlacedWhen, parse};
+use maplethread_config::{
+    AcceptancePoint, ConfigError, Document, HostKind, RetrySafety, TaskClass as PlacerClass,
+    parse_toml,
+};
 use serde::{Deserialize, Serialize};
 
 /// A day.
@@ -23,9 +26,11 @@
     /// What owners want.
     pub demand: Demand,
     /// The kinds of hosts.
-    pub kind: Vec<KindShare>,
+    #[serde(rename = "kind")]
+    pub kinds: Vec<KindShare>,
     /// The classes of tasks.
-    pub class: Vec<Class>,
+    #[serde(rename = "class")]
+    pub classes: Vec<Class>,
     /// The troubles.
     #[serde(default)]
     pub trouble: Vec<Trouble>,
@@ -43,25 +48,34 @@
     pub cell_size: usize,
     /// When an ask counts as placed.
     #[serde(default)]
-    pub placed_when: PlacedWhen,
+    pub placed_when: AcceptancePoint,
     /// Asks are taken while they stay within this multiple of a host's cores...
-    pub over_cores: f64,
+    #[serde(rename = "over_cores")]
+    pub cpu_overcommit: f64,
     /// ...and of its memory.
-    pub over_memory: f64,
+    #[serde(rename = "over_memory")]
+    pub memory_overcommit: f64,
     /// Looking at one ask takes from so long to so long, ms.
-    pub admit_ms: [f64; 2],
+    #[serde(rename = "admit_ms")]
+    pub admission_ms: [f64; 2],
     /// So many asks may wait.
-    pub line: usize,
+    #[serde(rename = "line")]
+    pub max_queued: usize,
     /// So many tasks start at once.
-    pub starts: usize,
+    #[serde(rename = "starts")]
+    pub max_concurrent_starts: usize,
     /// A start without the program takes so many times as long.
-    pub setup: f64,
+    #[serde(rename = "setup")]
+    pub cold_start_factor: f64,
     /// Programs kept after their last task.
-    pub kept: usize,
+    #[serde(rename = "kept")]
+    pub max_kept_programs: usize,
     /// Higher priorities push out lower ones.
-    pub push_out: bool,
+    #[serde(rename = "push_out")]
+    pub preempts: bool,
     /// The inventory tells changes after so long, ms.
-    pub notice_ms: u64,
+    #[serde(rename = "notice_ms")]
+    pub inventory_delay_ms: u64,
     /// A host measures all that runs at the same moments, as node agents do, and not each task at its own.
     #[serde(default)]
     pub measures_together: bool,
@@ -74,15 +88,20 @@
     /// Nothing new to a host later than this after the placer was told, ms.
     pub drain_grace_ms: u64,
     /// A host's share of its pace right after its start.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub initial_capacity_share: f64,
     /// It is warm after this, ms.
-    pub cold_for_ms: u64,
+    #[serde(rename = "cold_for_ms")]
+    pub warm_up_ms: u64,
     /// It falls over when sent this many times what it can do...
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
     /// ...for this long, ms.
-    pub fall_window_ms: u64,
+    #[serde(rename = "fall_window_ms")]
+    pub overload_window_ms: u64,
     /// Offers in that time that it always bears.
-    pub fresh_offers: f64,
+    #[serde(rename = "fresh_offers")]
+    pub warm_up_offers: f64,
 }
 
 /// What owners want.
@@ -92,11 +111,13 @@
     /// Share of the fleet's cores that all wanted tasks use, at these times: `[s, share]`, straight between them.
     pub load: Vec<[f64; 2]>,
     /// An owner waits from so long to so long before it asks again, ms.
-    pub again_ms: [f64; 2],
+    #[serde(rename = "again_ms")]
+    pub retry_after_ms: [f64; 2],
     /// After an attempt that may have run it looks whether the task runs, ms.
     pub settle_ms: u64,
     /// A front goes on sending to a dead placer for so long, ms.
-    pub front_notice_ms: u64,
+    #[serde(rename = "front_notice_ms")]
+    pub failover_delay_ms: u64,
 }
 
 /// A kind of host and how many of the fleet it makes up.
@@ -115,8 +136,8 @@
 
 impl KindShare {
     /// As placers know it.
-    pub fn kind(&self) -> Kind {
-        Kind {
+    pub fn kind(&self) -> HostKind {
+        HostKind {
             name: self.name.clone(),
             cores: self.cores,
             memory_gib: self.memory_gib,
@@ -135,21 +156,27 @@
     /// Shapes: cores and memory (GiB) asked for.
     pub shapes: Vec<[f64; 2]>,
     /// What is used of that, in the mean: cores and memory.
-    pub uses: [f64; 2],
+    #[serde(rename = "uses")]
+    pub used_share: [f64; 2],
     /// Mean life, s.
-    pub life_s: f64,
+    #[serde(rename = "life_s")]
+    pub mean_duration_s: f64,
     /// A start's work on a warm host that has the program, ms.
     pub work_ms: f64,
     /// The owner gives up after this, ms.
     pub deadline_ms: u64,
     /// A first start after the aim is worth this share.
-    pub late_share: f64,
+    #[serde(rename = "late_share")]
+    pub late_start_share: f64,
     /// Served in full while the cores are busy up to this...
-    pub calm: f64,
+    #[serde(rename = "calm")]
+    pub contention_onset: f64,
     /// ...and not at all from so much further on.
-    pub fade: f64,
+    #[serde(rename = "fade")]
+    pub contention_range: f64,
     /// Services of this class.
-    pub services: usize,
+    #[serde(rename = "services")]
+    pub service_count: usize,
 }
 
 /// What goes wrong.
@@ -250,15 +277,15 @@
 
 impl Scenario {
     /// Parses and checks a scenario file.
-    pub fn parse(doc: Doc<'_>) -> Result<Scenario, ConfigError> {
-        let scenario: Scenario = parse(doc)?;
+    pub fn parse(doc: Document<'_>) -> Result<Scenario, ConfigError> {
+        let scenario: Scenario = parse_toml(doc)?;
         scenario.check(doc)?;
         Ok(scenario)
     }
 
     /// The standard bad day: every kind of trouble, spread over its length.
     pub fn standard() -> Scenario {
-        let doc = Doc {
+        let doc = Document {
             file: "scenarios/standard.toml",
             text: include_str!("../scenarios/standard.toml"),
         };
@@ -271,74 +298,76 @@
         struct More {
             trouble: Vec<Trouble>,
         }
-        let doc = Doc {
+        let doc = Document {
             file: "scenarios/catalogue.toml",
             text: include_str!("../scenarios/catalogue.toml"),
         };
-        let more: More = parse(doc).expect("the built-in troubles are sound, which a test holds");
+        let more: More =
+            parse_toml(doc).expect("the built-in troubles are sound, which a test holds");
         let mut scenario = Scenario::standard();
         scenario.name = "standard with catalogue".to_owned();
         scenario.trouble.extend(more.trouble);
         scenario
     }
 
-    fn check(&self, doc: Doc<'_>) -> Result<(), ConfigError> {
-        let above = |key: &str, x: f64| doc.check(x.is_finite() && x > 0.0, key, "must be above 0");
+    fn check(&self, doc: Document<'_>) -> Result<(), ConfigError> {
+        let above =
+            |key: &str, x: f64| doc.ensure(x.is_finite() && x > 0.0, key, "must be above 0");
         above("seconds", self.seconds)?;
-        doc.check(self.placers >= 1, "placers", "at least 1")?;
-        doc.check(self.numbers() >= 1, "slots", "at least 1")?;
-        doc.check(self.fleet.hosts >= 1, "fleet.hosts", "at least 1")?;
-        doc.check(self.fleet.cell_size >= 1, "fleet.cell_size", "at least 1")?;
-        doc.check(!self.fleet.zones.is_empty(), "fleet.zones", "at least one")?;
-        doc.check(!self.kind.is_empty(), "kind", "at least one")?;
-        doc.check(!self.class.is_empty(), "class", "at least one")?;
-        doc.check(
+        doc.ensure(self.placers >= 1, "placers", "at least 1")?;
+        doc.ensure(self.replica_index_count() >= 1, "slots", "at least 1")?;
+        doc.ensure(self.fleet.hosts >= 1, "fleet.hosts", "at least 1")?;
+        doc.ensure(self.fleet.cell_size >= 1, "fleet.cell_size", "at least 1")?;
+        doc.ensure(!self.fleet.zones.is_empty(), "fleet.zones", "at least one")?;
+        doc.ensure(!self.kinds.is_empty(), "kind", "at least one")?;
+        doc.ensure(!self.classes.is_empty(), "class", "at least one")?;
+        doc.ensure(
             !self.demand.load.is_empty(),
             "demand.load",
             "at least one point",
         )?;
         let range = |key: &str, r: [f64; 2]| {
-            doc.check(
+            doc.ensure(
                 r[0].is_finite() && r[0] >= 0.0 && r[1] >= r[0],
                 key,
                 "from a least to a most, both 0 or above",
             )
         };
-        range("fleet.admit_ms", self.fleet.admit_ms)?;
-        range("demand.again_ms", self.demand.again_ms)?;
-        for (i, class) in self.class.iter().enumerate() {
+        range("fleet.admit_ms", self.fleet.admission_ms)?;
+        range("demand.again_ms", self.demand.retry_after_ms)?;
+        for (i, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{i}].{field}");
-            above(&key("life_s"), class.life_s)?;
+            above(&key("life_s"), class.mean_duration_s)?;
             above(&key("work_ms"), class.work_ms)?;
-            doc.check(!class.shapes.is_empty(), &key("shapes"), "at least one")?;
-            doc.check(class.services >= 1, &key("services"), "at least 1")?;
-            doc.check(class.share >= 0.0, &key("share"), "0 or above")?;
+            doc.ensure(!class.shapes.is_empty(), &key("shapes"), "at least one")?;
+            doc.ensure(class.service_count >= 1, &key("services"), "at least 1")?;
+            doc.ensure(class.share >= 0.0, &key("share"), "0 or above")?;
         }
         for (i, trouble) in self.trouble.iter().enumerate() {
             let key = |field: &str| format!("trouble[{i}].{field}");
-            doc.check(trouble.at_s >= 0.0, &key("at_s"), "0 or above")?;
-            doc.check(
+            doc.ensure(trouble.at_s >= 0.0, &key("at_s"), "0 or above")?;
+            doc.ensure(
                 (0.0..=1.0).contains(&trouble.reach),
                 &key("reach"),
                 "a share, 0 to 1",
             )?;
             if let Some(zone) = &trouble.zone {
-                doc.check(
+                doc.ensure(
                     self.fleet.zones.contains(zone),
                     &key("zone"),
                     format!("unknown zone `{zone}`"),
                 )?;
             }
             if let Some(class) = &trouble.class {
-                let known = self.class.iter().any(|c| &c.rules.name == class);
-                doc.check(known, &key("class"), format!("unknown class `{class}`"))?;
+                let known = self.classes.iter().any(|c| &c.rules.name == class);
+                doc.ensure(known, &key("class"), format!("unknown class `{class}`"))?;
             }
         }
         Ok(())
     }
 
     /// The same day squeezed or stretched to another length; lives of tasks stay as they are.
-    pub fn stretched(mut self, seconds: f64) -> Scenario {
+    pub fn with_duration(mut self, seconds: f64) -> Scenario {
         let by = seconds / self.seconds;
         for trouble in &mut self.trouble {
             (trouble.at_s, trouble.for_s) = (trouble.at_s * by, trouble.for_s * by);
@@ -351,12 +380,12 @@
     }
 
     /// Among how many placers a cold host's budget is parted.
-    pub fn numbers(&self) -> u32 {
+    pub fn replica_index_count(&self) -> u32 {
         self.slots.unwrap_or(self.placers)
     }
 
     /// The same day without troubles of a kind, to see what they cost.
-    pub fn without(mut self, kind: TroubleKind) -> Scenario {
+    pub fn without_fault(mut self, kind: TroubleKind) -> Scenario {
         self.trouble.retain(|t| t.kind != kind);
         self
     }
@@ -364,11 +393,11 @@
     /// The same day on so many hosts: demand grows with the fleet (`demand.load` is a share of its cores), so services
     /// grow with it too, and each of them is wanted as much as before; and cells keep their number, as zones do.
     /// Troubles strike shares of hosts and placers, and need no change.
-    pub fn sized(mut self, hosts: usize) -> Scenario {
+    pub fn with_host_count(mut self, hosts: usize) -> Scenario {
         let by = hosts as f64 / self.fleet.hosts as f64;
         let grown = |n: usize| ((n as f64 * by).round() as usize).max(1);
-        for class in &mut self.class {
-            class.services = grown(class.services);
+        for class in &mut self.classes {
+            class.service_count = grown(class.service_count);
         }
         self.fleet.cell_size = grown(self.fleet.cell_size);
         self.fleet.hosts = hosts;
@@ -391,15 +420,15 @@
 
     /// Kind of the host of this number.
     pub fn kind_of(&self, host: usize) -> &KindShare {
-        let total: f64 = self.kind.iter().map(|k| k.share).sum();
+        let total: f64 = self.kinds.iter().map(|k| k.share).sum();
         // A low-discrepancy walk, so that each part of the fleet has its mix.
         let x = (host as f64 * 0.618_033_988_749_895 + 0.25).fract() * total;
         let mut sum = 0.0;
-        let found = self.kind.iter().find(|k| {
+        let found = self.kinds.iter().find(|k| {
             sum += k.share;
             x < sum
         });
-        found.unwrap_or(&self.kind[0])
+        found.unwrap_or(&self.kinds[0])
     }
 
     /// Zone and cell of the host of this number.
@@ -419,17 +448,17 @@
 
     /// Core-seconds that a task uses in the mean.
     pub fn core_seconds(&self) -> f64 {
-        let share: f64 = self.class.iter().map(|c| c.share).sum();
+        let share: f64 = self.classes.iter().map(|c| c.share).sum();
         let of = |c: &Class| {
             let cores = c.shapes.iter().map(|s| s[0]).sum::<f64>() / c.shapes.len() as f64;
-            c.share / share * cores * c.uses[0] * c.life_s
+            c.share / share * cores * c.used_share[0] * c.mean_duration_s
         };
-        self.class.iter().map(of).sum::<f64>().max(1e-9)
+        self.classes.iter().map(of).sum::<f64>().max(1e-9)
     }
 
     /// Whether a second start does harm.
     pub fn careful(&self, class: usize) -> bool {
-        self.class[class].rules.effect != Effect::Safe
+        self.classes[class].rules.retry_safety != RetrySafety::Safe
     }
 }
 
@@ -449,7 +478,7 @@
                 continue;
             }
             let file = path.display().to_string();
-            let day = Scenario::parse(Doc {
+            let day = Scenario::parse(Document {
                 file: &file,
                 text: &text,
             })
