--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/scenario_run.rs
@@ -10,47 +10,47 @@
 
 use maplethread_config::{HostState, Inventory};
 use maplethread_consul_standin::{
-    Faults as CatalogueFaults, LockNews, Servers, Settings as ServerSettings,
+    EmulatorSettings as ServerSettings, Faults as CatalogueFaults, LockEvent, Servers,
 };
-use maplethread_judge::{Seen, Verdict, judge};
+use maplethread_judge::{Observation, Verdict, check};
 use rustix::process::Signal;
 
 use crate::calls::register;
 use crate::demand::arrivals;
-use crate::host::Faults;
-pub use crate::options::Options;
-use crate::options::{DayNews, PlacerAct};
-use crate::owners::{Front, Owners};
-use crate::plan::{Act, Fault, plan};
-use crate::processes::Placers;
-use crate::rack::{Command, Rack};
-use crate::report::{FirstAsks, Report, returns};
-use crate::rogue::{Rogue, moves_told};
+use crate::host::HostFaults;
+use crate::mutant::{MutantResult, moves_told};
+use crate::owners::{LoadBalancerEntry, Owners};
+use crate::placer_processes::Placers;
+use crate::plan::{HostFault, ScheduledAction, plan};
+use crate::rack::{HostCommand, HostPool};
+use crate::report::{FirstRequests, Report, offers_after_health_return};
+pub use crate::run_options::RunOptions;
+use crate::run_options::{PlacerFault, RunEvent};
 use crate::scenario::Scenario;
 use crate::settings::{self, inventory};
-use crate::world::{Dice, World};
+use crate::world::{RunContext, SeededRng};
 
-struct Day<'a> {
-    options: &'a Options,
+struct ScenarioRun<'a> {
+    options: &'a RunOptions,
     scenario: Arc<Scenario>,
-    world: World,
-    dice: Dice,
-    rack: Rack,
+    world: RunContext,
+    dice: SeededRng,
+    host_pool: HostPool,
     folder: PathBuf,
     placers: Placers,
-    acts: Vec<(u64, Act)>,
+    actions: Vec<(u64, ScheduledAction)>,
     /// Host states that the inventory will tell, and when.
-    news: Vec<(u64, usize, HostState)>,
+    pending_listings: Vec<(u64, usize, HostState)>,
     listed: Vec<(HostState, Option<u64>)>,
-    faults: Vec<Faults>,
+    faults: Vec<HostFaults>,
     /// The hosts that the last sound inventory told as ready.
     told_ready: Vec<(Arc<str>, Option<u64>)>,
-    notice: u64,
+    notice_us: u64,
     garbled: bool,
     /// When a host's health came back after a flap.
     returned: Vec<(u64, Arc<str>)>,
     /// Hosts that said that they drain.
-    draining: BTreeSet<usize>,
+    draining_hosts: BTreeSet<usize>,
     servers: Option<Servers>,
     /// The hosts as they stand in the catalogue, and whether it lacks something.
     in_catalogue: Inventory,
@@ -58,16 +58,16 @@
 }
 
 /// Plays a day and judges it.
-pub fn play(options: &Options) -> io::Result<Report> {
+pub fn run_scenario(options: &RunOptions) -> io::Result<Report> {
     let scenario = Arc::new(options.scenario.clone());
     let temporary = tempfile::tempdir()?;
     let folder = options
-        .keep
+        .kept_folder
         .clone()
         .unwrap_or_else(|| temporary.path().to_owned());
     std::fs::create_dir_all(&folder)?;
-    let world = World::new(scenario.class.len());
-    let rack = Rack::start(&scenario, &world, options.seed, None)?;
+    let world = RunContext::new(scenario.classes.len());
+    let rack = HostPool::start(&scenario, &world, options.seed, None)?;
     let hosts = scenario.fleet.hosts;
     let servers = match options.consul {
         None => None,
@@ -77,7 +77,7 @@
                 |who: &str| -> Arc<str> { who.split(['(', ')']).nth(1).unwrap_or("").into() };
             let seen = world.clone();
             let watch = move |who: &str, index: u64, consistent: bool, body: &[u8]| {
-                seen.see(Seen::Catalogue {
+                seen.record(Observation::Catalogue {
                     placer: placer(who),
                     index,
                     consistent,
@@ -85,15 +85,15 @@
                 });
             };
             let seen = world.clone();
-            let locks = move |news: LockNews<'_>| {
+            let locks = move |news: LockEvent<'_>| {
                 let number =
                     |key: &str| -> Arc<str> { key.rsplit('/').next().unwrap_or("").into() };
-                seen.see(match news {
-                    LockNews::Locked(key, who) => Seen::NumberLocked {
+                seen.record(match news {
+                    LockEvent::Locked(key, who) => Observation::NumberLocked {
                         number: number(key),
                         placer: placer(who),
                     },
-                    LockNews::Free(key, after_us) => Seen::NumberFree {
+                    LockEvent::Released(key, after_us) => Observation::NumberFree {
                         number: number(key),
                         after_us,
                     },
@@ -101,28 +101,28 @@
             };
             let settings = ServerSettings {
                 seed: options.seed,
-                watch: Some(Arc::new(watch)),
-                locks: Some(Arc::new(locks)),
+                answer_observer: Some(Arc::new(watch)),
+                lock_observer: Some(Arc::new(locks)),
                 ..ServerSettings::new(3)
             };
             Some(Servers::start(settings)?)
         }
     };
-    let mut day = Day {
+    let mut day = ScenarioRun {
         options,
-        dice: Dice::new(options.seed, 1),
-        rack,
+        dice: SeededRng::new(options.seed, 1),
+        host_pool: rack,
         folder,
         placers: Placers::new(),
-        acts: Vec::new(),
-        news: Vec::new(),
+        actions: Vec::new(),
+        pending_listings: Vec::new(),
         listed: vec![(HostState::Ready, None); hosts],
-        faults: vec![Faults::default(); hosts],
+        faults: vec![HostFaults::default(); hosts],
         told_ready: Vec::new(),
-        notice: scenario.fleet.notice_ms * 1000,
+        notice_us: scenario.fleet.inventory_delay_ms * 1000,
         garbled: false,
         returned: Vec::new(),
-        draining: BTreeSet::new(),
+        draining_hosts: BTreeSet::new(),
         servers,
         in_catalogue: Inventory::default(),
         unregistered: false,
@@ -132,7 +132,7 @@
     day.run()
 }
 
-impl Day<'_> {
+impl ScenarioRun<'_> {
     fn run(&mut self) -> io::Result<Report> {
         for number in 0..self.scenario.fleet.hosts {
             self.listed[number] = (HostState::Ready, Some(self.started(number)));
@@ -150,27 +150,31 @@
                 &self.options.placer_arguments(),
             )?;
             let zone = self.scenario.fleet.zones[number % self.scenario.fleet.zones.len()].clone();
-            fronts.push(Front {
+            fronts.push(LoadBalancerEntry {
                 name,
                 zone,
                 address: None,
-                life: 1,
-                down: false,
+                incarnation: 1,
+                is_down: false,
             });
         }
         for _ in 0..fronts.len() {
             let (number, address) = self.first_serves()?;
             fronts[number].address = Some(address);
             self.tell_serves(number, address);
-            self.world.see(Seen::PlacerUp {
+            self.world.record(Observation::PlacerUp {
                 placer: format!("placer-{number}").into(),
             });
         }
-        self.acts = plan(&self.scenario, &mut self.dice);
-        if let Some(fleet) = &self.options.fleet {
-            self.acts
-                .extend(fleet.acts.iter().map(|&(at, act)| (at, Act::Placer(act))));
-            let _ = fleet.news.send(DayNews::Begins(self.world.clock.now()));
+        self.actions = plan(&self.scenario, &mut self.dice);
+        if let Some(fleet) = &self.options.membership {
+            self.actions.extend(
+                fleet
+                    .faults
+                    .iter()
+                    .map(|&(at, act)| (at, ScheduledAction::PlacerFault(act))),
+            );
+            let _ = fleet.events.send(RunEvent::Started(self.world.clock.now()));
         }
         let arrivals = self
             .options
@@ -185,52 +189,52 @@
         loop {
             self.go_on()?;
             let now = self.world.clock.now();
-            self.acts.sort_by_key(|a| a.0);
-            while self.acts.first().is_some_and(|a| start + a.0 <= now) {
-                let (_, act) = self.acts.remove(0);
+            self.actions.sort_by_key(|a| a.0);
+            while self.actions.first().is_some_and(|a| start + a.0 <= now) {
+                let (_, act) = self.actions.remove(0);
                 self.act(act, &owners)?;
             }
-            while let Some((number, address)) = self.placers.serves(Duration::ZERO)? {
-                self.world.see(Seen::PlacerUp {
+            while let Some((number, address)) = self.placers.next_serving(Duration::ZERO)? {
+                self.world.record(Observation::PlacerUp {
                     placer: format!("placer-{number}").into(),
                 });
                 self.tell_serves(number, address);
                 let mut mood = owners.mood();
                 let front = &mut mood.placers[number];
-                (front.address, front.down) = (Some(address), false);
-                front.life += 1;
+                (front.address, front.is_down) = (Some(address), false);
+                front.incarnation += 1;
             }
             self.tell_news(now)?;
             if now >= end && closing.is_none() {
                 owners.mood().closing = true;
                 closing = Some(now);
             }
-            let over = owners.mood().closed || closing.is_some_and(|at| now > at + 30_000_000);
-            if over && self.acts.is_empty() {
+            let over = owners.mood().is_closed || closing.is_some_and(|at| now > at + 30_000_000);
+            if over && self.actions.is_empty() {
                 break;
             }
             let second = (now - start) / 1_000_000;
-            if self.options.progress && second > told {
+            if self.options.show_progress && second > told {
                 told = second;
                 let (asked, placed) = {
                     let mood = owners.mood();
-                    (mood.asked, mood.placed)
+                    (mood.request_count, mood.placed_count)
                 };
                 eprint!("\r{second:3} s: {asked} asks, {placed} placed ");
                 let _ = io::stderr().flush();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        if self.options.progress {
+        if self.options.show_progress {
             eprintln!();
         }
         let (service, lost, double_s, by_class) = {
-            let ledger = self.world.ledger();
-            let names = self.scenario.class.iter().map(|c| c.rules.name.clone());
+            let ledger = self.world.service_accounting();
+            let names = self.scenario.classes.iter().map(|c| c.rules.name.clone());
             let by_class = names.zip(ledger.by_class(end)).collect();
             (
-                ledger.service(end),
-                ledger.lost(end),
+                ledger.service_shares(end),
+                ledger.loss(end),
                 ledger.double_s,
                 by_class,
             )
@@ -240,36 +244,36 @@
         place_us.sort_unstable();
         self.placers.stop();
         let record = self.world.take_record();
-        let verdict = judge(&record, &settings::figures(&self.scenario));
-        let returns = returns(&record, &self.returned);
-        let first = FirstAsks::of(&record);
-        let rogue = self.rogue(&verdict)?;
+        let verdict = check(&record, &settings::figures(&self.scenario));
+        let returns = offers_after_health_return(&record, &self.returned);
+        let first = FirstRequests::of(&record);
+        let rogue = self.mutant_result(&verdict)?;
         Ok(Report {
             verdict,
-            first,
+            first_requests: first,
             service,
             by_class,
-            lost,
+            service_loss: lost,
             double_s,
             place_us,
             decide_us,
-            held,
-            returns,
-            rogue,
-            record,
+            blocked_by_reason: held,
+            health_returns: returns,
+            mutant: rogue,
+            history: record,
         })
     }
 
     /// What became of placers that broke a rule on purpose, once they have ended.
-    fn rogue(&self, verdict: &Verdict) -> io::Result<Option<Rogue>> {
-        if self.options.rogue == 0 {
+    fn mutant_result(&self, verdict: &Verdict) -> io::Result<Option<MutantResult>> {
+        if self.options.mutant == 0 {
             return Ok(None);
         }
         let mut moves = 0;
         for (log, from) in self.placers.logs() {
             moves += moves_told(log, from)?;
         }
-        Ok(Some(Rogue::new(self.options.rogue, moves, verdict)))
+        Ok(Some(MutantResult::new(self.options.mutant, moves, verdict)))
     }
 
     /// An error once the day is interrupted; its processes end with it.
@@ -287,7 +291,7 @@
     fn first_serves(&mut self) -> io::Result<(usize, SocketAddr)> {
         for _ in 0..300 {
             self.go_on()?;
-            if let Some(serves) = self.placers.serves(Duration::from_millis(100))? {
+            if let Some(serves) = self.placers.next_serving(Duration::from_millis(100))? {
                 return Ok(serves);
             }
         }
@@ -295,16 +299,18 @@
     }
 
     fn tell_serves(&self, number: usize, address: SocketAddr) {
-        if let Some(fleet) = &self.options.fleet {
-            let _ = fleet
-                .news
-                .send(DayNews::Serves(self.world.clock.now(), number, address));
+        if let Some(fleet) = &self.options.membership {
+            let _ = fleet.events.send(RunEvent::PlacerServing(
+                self.world.clock.now(),
+                number,
+                address,
+            ));
         }
     }
 
     fn started(&self, host: usize) -> u64 {
-        self.rack
-            .started
+        self.host_pool
+            .started_ms
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[host]
     }
@@ -315,10 +321,10 @@
         let mut config = settings::placer(&self.scenario, number, self.options.seed, servers);
         config.fleet = self
             .options
-            .fleet
+            .membership
             .as_ref()
             .and_then(|f| f.sections.get(number).cloned());
-        config.trace = self.options.trace.clone().map(settings::trace);
+        config.trace = self.options.trace_folder.clone().map(settings::trace);
         let path = self.folder.join(format!("placer-{number}.toml"));
         let text = config.to_toml().map_err(io::Error::other)?;
         std::fs::write(&path, text)?;
@@ -326,12 +332,12 @@
     }
 
     fn replace_inventory(&self, text: &str) -> io::Result<()> {
-        replace(&self.folder.join("hosts.toml"), text)
+        replace_file(&self.folder.join("hosts.toml"), text)
     }
 
     fn write_inventory(&mut self) -> io::Result<()> {
         if let Some(servers) = &self.servers {
-            let now = inventory(&self.scenario, &self.rack.addresses, &self.listed);
+            let now = inventory(&self.scenario, &self.host_pool.addresses, &self.listed);
             let mut told = Vec::new();
             for host in &now.host {
                 let known = self.in_catalogue.host.iter().find(|h| h.name == host.name);
@@ -346,7 +352,7 @@
             self.in_catalogue.host = told;
             return Ok(());
         }
-        let inventory = inventory(&self.scenario, &self.rack.addresses, &self.listed);
+        let inventory = inventory(&self.scenario, &self.host_pool.addresses, &self.listed);
         let ready = inventory
             .host
             .iter()
@@ -366,12 +372,12 @@
         );
         let gone = inventory.host.iter().filter(|h| h.state == HostState::Gone);
         let gone: Vec<Arc<str>> = gone.map(|h| h.name.as_str().into()).collect();
-        self.world.see(Seen::Inventory {
+        self.world.record(Observation::Inventory {
             ready: either,
             gone: gone.clone(),
         });
         self.replace_inventory(&text)?;
-        self.world.see(Seen::Inventory {
+        self.world.record(Observation::Inventory {
             ready: ready.clone(),
             gone,
         });
@@ -381,13 +387,14 @@
 
     /// The inventory tells what it has noticed.
     fn tell_news(&mut self, now: u64) -> io::Result<()> {
-        if self.garbled || !(self.unregistered || self.news.iter().any(|n| n.0 <= now)) {
+        if self.garbled || !(self.unregistered || self.pending_listings.iter().any(|n| n.0 <= now))
+        {
             return Ok(());
         }
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.news)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_listings)
             .into_iter()
             .partition(|n| n.0 <= now);
-        self.news = later;
+        self.pending_listings = later;
         for (_, host, state) in due {
             let started = self.started(host);
             self.listed[host] = (
@@ -398,55 +405,65 @@
         self.write_inventory()
     }
 
-    fn act(&mut self, act: Act, owners: &Owners) -> io::Result<()> {
+    fn act(&mut self, act: ScheduledAction, owners: &Owners) -> io::Result<()> {
         tracing::debug!(?act, "trouble");
         match act {
-            Act::Host(command) => {
+            ScheduledAction::Host(command) => {
                 match command {
-                    Command::Drain(host) => drop(self.draining.insert(host)),
-                    Command::Start(host) => drop(self.draining.remove(&host)),
+                    HostCommand::Drain(host) => drop(self.draining_hosts.insert(host)),
+                    HostCommand::Start(host) => drop(self.draining_hosts.remove(&host)),
                     _ => {}
                 }
-                self.rack.command(command);
+                self.host_pool.command(command);
             }
-            Act::HostListed(host, state) => {
-                self.news
-                    .push((self.world.clock.now() + self.notice, host, state));
+            ScheduledAction::HostListed(host, state) => {
+                self.pending_listings
+                    .push((self.world.clock.now() + self.notice_us, host, state));
             }
-            Act::Fault(host, fault, on) => {
+            ScheduledAction::SetHostFault(host, fault, on) => {
                 let faults = &mut self.faults[host];
                 match fault {
-                    Fault::Silent => faults.silent = on,
-                    Fault::Errors(share) => faults.errors = if on { share } else { 0.0 },
-                    Fault::Class(class, share, errors) => {
-                        faults.class = on.then_some((class, share, errors))
+                    HostFault::Silent => faults.is_silent = on,
+                    HostFault::Errors(share) => faults.error_share = if on { share } else { 0.0 },
+                    HostFault::Class(class, share, errors) => {
+                        faults.class_fault = on.then_some((class, share, errors))
+                    }
+                    HostFault::AnswersLost(share) => {
+                        faults.answers_lost = if on { share } else { 0.0 }
+                    }
+                    HostFault::Neighbour(share) => faults.neighbour = if on { share } else { 0.0 },
+                    HostFault::Slow(times) => {
+                        faults.admission_slowdown = if on { times } else { 0.0 }
+                    }
+                    HostFault::HeavyTail(class, share) => {
+                        faults.heavy = on.then_some((class, share))
                     }
-                    Fault::AnswersLost(share) => faults.answers_lost = if on { share } else { 0.0 },
-                    Fault::Neighbour(share) => faults.neighbour = if on { share } else { 0.0 },
-                    Fault::Slow(times) => faults.slow = if on { times } else { 0.0 },
-                    Fault::HeavyTail(class, share) => faults.heavy = on.then_some((class, share)),
-                    Fault::HotServices(share) => faults.hot = if on { share } else { 0.0 },
-                    Fault::ProgramsLost => faults.programs_lost = on,
+                    HostFault::HotServices(share) => faults.hot = if on { share } else { 0.0 },
+                    HostFault::ProgramsLost => faults.programs_lost = on,
                 }
-                self.rack.command(Command::Faults(host, faults.clone()));
+                self.host_pool
+                    .command(HostCommand::SetFaults(host, faults.clone()));
             }
-            Act::Placer(act) => {
+            ScheduledAction::PlacerFault(act) => {
                 self.befall(act, owners)?;
-                if let Some(fleet) = &self.options.fleet {
+                if let Some(fleet) = &self.options.membership {
                     let _ = fleet
-                        .news
-                        .send(DayNews::Befell(self.world.clock.now(), act));
+                        .events
+                        .send(RunEvent::FaultInjected(self.world.clock.now(), act));
                 }
             }
-            Act::Flap(host, good) => {
+            ScheduledAction::SetHealth(host, good) => {
                 // Only a host that is listed as up flaps; what other troubles did to it stands.
                 let (from, to) = if good {
                     (HostState::Draining, HostState::Ready)
                 } else {
                     (HostState::Ready, HostState::Draining)
                 };
-                let up = self.started(host) > 0 && !self.draining.contains(&host);
-                if up && self.listed[host].0 == from && !self.news.iter().any(|n| n.1 == host) {
+                let up = self.started(host) > 0 && !self.draining_hosts.contains(&host);
+                if up
+                    && self.listed[host].0 == from
+                    && !self.pending_listings.iter().any(|n| n.1 == host)
+                {
                     self.listed[host].0 = to;
                     if good {
                         self.returned
@@ -457,72 +474,73 @@
                     }
                 }
             }
-            Act::Catalogue(faults) => {
+            ScheduledAction::Catalogue(faults) => {
                 if let Some(servers) = &self.servers {
                     // Stale indexes are those of one server; the rest strikes all.
-                    let server = (faults.index_back > 0).then_some(1);
-                    servers.faults(server, faults);
+                    let server = (faults.index_offset > 0).then_some(1);
+                    servers.set_faults(server, faults);
                 }
             }
-            Act::LoseLeader(span) => {
+            ScheduledAction::LoseLeader(span) => {
                 if let Some(servers) = &self.servers {
-                    self.world.see(Seen::NoLeader { for_us: span });
+                    self.world.record(Observation::NoLeader { for_us: span });
                     servers.lose_leader(span);
                 }
             }
-            Act::Garbage(text) if self.servers.is_some() => {
+            ScheduledAction::Garbage(text) if self.servers.is_some() => {
                 // An empty or a garbled file is an empty or a cut answer here.
                 let faults = match text {
                     "" => CatalogueFaults {
-                        empty: true,
+                        empty_lists: true,
                         ..CatalogueFaults::default()
                     },
                     "sound" => CatalogueFaults::default(),
                     _ => CatalogueFaults {
-                        cut: 1.0,
+                        truncated_share: 1.0,
                         ..CatalogueFaults::default()
                     },
                 };
                 if let Some(servers) = &self.servers {
-                    servers.faults(None, faults);
+                    servers.set_faults(None, faults);
                 }
             }
-            Act::Garbage("sound") => {
+            ScheduledAction::Garbage("sound") => {
                 self.garbled = false;
                 self.write_inventory()?;
             }
-            Act::Garbage(text) => {
+            ScheduledAction::Garbage(text) => {
                 self.garbled = true;
-                self.world.see(Seen::InventoryUnreadable);
+                self.world.record(Observation::InventoryUnreadable);
                 self.replace_inventory(text)?;
             }
-            Act::HangUps(share) => owners.mood().hang_ups = share,
-            Act::Late(times) => {
-                self.notice = (self.scenario.fleet.notice_ms as f64 * 1000.0 * times) as u64;
+            ScheduledAction::HangUps(share) => owners.mood().hang_ups = share,
+            ScheduledAction::SetInventoryDelay(times) => {
+                self.notice_us =
+                    (self.scenario.fleet.inventory_delay_ms as f64 * 1000.0 * times) as u64;
             }
         }
         Ok(())
     }
 
-    fn befall(&mut self, act: PlacerAct, owners: &Owners) -> io::Result<()> {
+    fn befall(&mut self, act: PlacerFault, owners: &Owners) -> io::Result<()> {
         match act {
-            PlacerAct::Kill(number) => {
+            PlacerFault::Kill(number) => {
                 let placer: Arc<str> = format!("placer-{number}").into();
                 if self.placers.all[number].paused {
                     return Ok(());
                 }
-                self.world.see(Seen::PlacerDown { placer });
+                self.world.record(Observation::PlacerDown { placer });
                 if let Some(mut child) = self.placers.all[number].child.take() {
                     child.kill()?;
                     child.wait()?;
                 }
             }
-            PlacerAct::Noticed(number) => {
+            PlacerFault::MarkDown(number) => {
                 if self.placers.all[number].child.is_none() {
-                    owners.mood().placers[number].down = true;
+                    owners.mood().placers[number].is_down = true;
                 }
             }
-            PlacerAct::Respawn(number) => {
+            PlacerFault::Restart(number) => {
                 if self.placers.all[number].child.is_none() {
                     self.placers.spawn(
                         number,
@@ -531,34 +549,34 @@
                     )?;
                 }
             }
-            PlacerAct::Pause(number) => {
+            PlacerFault::Pause(number) => {
                 if self.placers.all[number].child.is_some() {
-                    self.world.see(Seen::PlacerPaused {
+                    self.world.record(Observation::PlacerPaused {
                         placer: format!("placer-{number}").into(),
                     });
                     self.placers.signal(number, Signal::STOP)?;
                     self.placers.all[number].paused = true;
                 }
             }
-            PlacerAct::GoOn(number) => {
+            PlacerFault::Resume(number) => {
                 if std::mem::take(&mut self.placers.all[number].paused) {
                     self.placers.signal(number, Signal::CONT)?;
-                    self.world.see(Seen::PlacerGoesOn {
+                    self.world.record(Observation::PlacerGoesOn {
                         placer: format!("placer-{number}").into(),
                     });
                 }
             }
-            PlacerAct::End(number) => {
+            PlacerFault::Terminate(number) => {
                 if self.placers.all[number].child.is_some() && !self.placers.all[number].paused {
                     // What it does not answer while it ends is its end's matter; the front layer is told at once.
-                    self.world.see(Seen::PlacerDown {
+                    self.world.record(Observation::PlacerDown {
                         placer: format!("placer-{number}").into(),
                     });
-                    owners.mood().placers[number].down = true;
+                    owners.mood().placers[number].is_down = true;
                     self.placers.signal(number, Signal::TERM)?;
                 }
             }
-            PlacerAct::Reap(number) => {
+            PlacerFault::KillIfRunning(number) => {
                 if let Some(mut child) = self.placers.all[number].child.take() {
                     child.kill()?;
                     child.wait()?;
@@ -603,7 +621,7 @@
 }
 
 /// Replaces a file atomically, as operators are told to do with inventories.
-pub fn replace(path: &Path, text: &str) -> io::Result<()> {
+pub fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
     std::fs::write(&new, text)?;
@@ -617,10 +635,10 @@
     seed: u64,
     inventory_file: &Path,
 ) -> io::Result<()> {
-    let world = World::quiet(scenario.class.len());
-    let rack = Rack::start(scenario, &world, seed, Some(addresses))?;
+    let world = RunContext::without_history(scenario.classes.len());
+    let rack = HostPool::start(scenario, &world, seed, Some(addresses))?;
     let started = rack
-        .started
+        .started_ms
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
         .clone();
@@ -630,7 +648,7 @@
         .collect();
     let text = toml::to_string(&inventory(scenario, &rack.addresses, &listed))
         .map_err(io::Error::other)?;
-    replace(inventory_file, &text)?;
+    replace_file(inventory_file, &text)?;
     println!(
         "{} stand-in hosts listening; inventory in {}",
         listed.len(),
--- a/crates/standin/src/settings.rs
+++ b/crates/standin/src/settings.rs
@@ -4,17 +4,18 @@
 use std::path::Path;
 
 use maplethread_config::{
-    Api, Consul, Damping, HostEntry, HostState, Hosts, Identity, Inventory, Membership,
-    PlacerConfig, Placing, Prices, Reads, Rules as PlacerRules, Trace,
+    ApiSettings, ConsulSettings, CostSettings, DampingMode, HostEntry, HostSettings, HostState,
+    Identity, Inventory, PlacementSettings, PlacerConfig, ReadConsistency,
+    RuleSettings as PlacerRules, SlotLeaseSettings, TraceSettings,
 };
-use maplethread_judge::{ClassRule, Figures, Group, Place, Where};
+use maplethread_judge::{ClassRule, Group, Location, Place, RuleParameters};
 
 use crate::owners::SLACK;
 use crate::scenario::Scenario;
 
 /// Trace files of a day: all of it is kept.
-pub(crate) fn trace(folder: std::path::PathBuf) -> Trace {
-    Trace {
+pub(crate) fn trace(folder: std::path::PathBuf) -> TraceSettings {
+    TraceSettings {
         folder,
         rotate_mib: 256,
         rotate_s: 86_400,
@@ -28,26 +29,26 @@
     s: &Scenario,
     number: usize,
     seed: u64,
-    servers: Option<(&[SocketAddr], Damping)>,
+    servers: Option<(&[SocketAddr], DampingMode)>,
 ) -> PlacerConfig {
     let zones = &s.fleet.zones;
     PlacerConfig {
-        placer: Identity {
+        identity: Identity {
             name: format!("placer-{number}"),
             // Where numbers are leased this one counts for nothing.
-            number: number as u32 % s.numbers(),
-            placers: s.numbers(),
+            replica_index: number as u32 % s.replica_index_count(),
+            replica_count: s.replica_index_count(),
             zone: zones[number % zones.len()].clone(),
             zones: zones.clone(),
             seed: Some(seed.wrapping_mul(1000) + number as u64),
         },
         api: api(),
-        hosts: Hosts {
+        hosts: HostSettings {
             inventory: servers.is_none().then(|| "hosts.toml".into()),
             ..hosts("hosts.toml")
         },
         consul: servers.map(|(servers, damping)| {
-            let membership = Membership {
+            let membership = SlotLeaseSettings {
                 service: "maplethread-placer".to_owned(),
                 prefix: "maplethread/slots".to_owned(),
                 ttl_ms: 2_000,
@@ -55,51 +56,51 @@
             };
             consul(servers.to_vec(), damping, Some(membership))
         }),
-        placing: Placing {
+        placing: PlacementSettings {
             placed_when: s.fleet.placed_when,
-            admit_cores: s.fleet.over_cores,
-            admit_memory: s.fleet.over_memory,
-            ..Placing::default()
+            admit_cores: s.fleet.cpu_overcommit,
+            admit_memory: s.fleet.memory_overcommit,
+            ..PlacementSettings::default()
         },
         rules: PlacerRules {
             ask_within_ms: 10_000,
-            cold_from: s.rules.cold_from,
-            cold_for_ms: s.rules.cold_for_ms,
-            fall_multiple: s.rules.fall_multiple,
-            fall_window_ms: s.rules.fall_window_ms,
-            fresh_offers: s.rules.fresh_offers,
+            initial_capacity_share: s.rules.initial_capacity_share,
+            warm_up_duration_ms: s.rules.warm_up_ms,
+            overload_multiple: s.rules.overload_multiple,
+            overload_window_ms: s.rules.overload_window_ms,
+            warm_up_offers: s.rules.warm_up_offers,
         },
-        prices: Prices::default(),
+        prices: CostSettings::default(),
         fleet: None,
         trace: None,
-        kind: s.kind.iter().map(|k| k.kind()).collect(),
-        class: s.class.iter().map(|c| c.rules.clone()).collect(),
+        kinds: s.kinds.iter().map(|k| k.kind()).collect(),
+        classes: s.classes.iter().map(|c| c.rules.clone()).collect(),
     }
 }
 
 /// Figures of the rules, as the judge takes them.
-pub(crate) fn figures(s: &Scenario) -> Figures {
+pub(crate) fn figures(s: &Scenario) -> RuleParameters {
     let class = |c: &crate::scenario::Class| {
         use maplethread_config as mc;
         ClassRule {
             name: c.rules.name.clone(),
-            keyed: c.rules.group.zip(c.rules.window_ms).map(|(group, ms)| {
+            deduplication: c.rules.group.zip(c.rules.window_ms).map(|(group, ms)| {
                 let group = match group {
-                    mc::Group::All => Group::All,
-                    mc::Group::Zone => Group::Zone,
-                    mc::Group::Cell => Group::Cell,
+                    mc::DeduplicationScope::All => Group::All,
+                    mc::DeduplicationScope::Zone => Group::Zone,
+                    mc::DeduplicationScope::Cell => Group::Cell,
                 };
                 (group, ms * 1000)
             }),
-            spread: c
+            spread_limit: c
                 .rules
                 .spread_over
                 .zip(c.rules.spread_most)
                 .map(|(place, most)| {
                     let place = match place {
-                        mc::Place::Host => Place::Host,
-                        mc::Place::Cell => Place::Cell,
-                        mc::Place::Zone => Place::Zone,
+                        mc::TopologyLevel::Host => Place::Host,
+                        mc::TopologyLevel::Cell => Place::Cell,
+                        mc::TopologyLevel::Zone => Place::Zone,
                     };
                     (place, most)
                 }),
@@ -107,20 +108,20 @@
     };
     let host = |number: usize| {
         let (zone, cell) = s.place_of(number);
-        Where {
+        Location {
             host: format!("host-{number:02}").into(),
             zone: zone.into(),
             cell: cell.into(),
         }
     };
-    Figures {
-        classes: s.class.iter().map(class).collect(),
+    RuleParameters {
+        classes: s.classes.iter().map(class).collect(),
         hosts: (0..s.fleet.hosts).map(host).collect(),
-        placers: s.numbers(),
+        placer_count: s.replica_index_count(),
         drain_grace: s.rules.drain_grace_ms * 1000,
-        cold_for: s.rules.cold_for_ms * 1000,
-        fall_window: s.rules.fall_window_ms * 1000,
-        fresh_offers: s.rules.fresh_offers,
+        cold_for: s.rules.warm_up_ms * 1000,
+        fall_window: s.rules.overload_window_ms * 1000,
+        warm_up_offers: s.rules.warm_up_offers,
         lost_after: hosts("").lost_after_ms * 1000,
         reprieve: 500_000,
         slack: SLACK,
@@ -154,13 +155,13 @@
 }
 
 /// A class of tasks that may be started twice, is wanted alike everywhere and has no limits.
-pub fn plain_class() -> maplethread_config::Class {
-    maplethread_config::Class {
+pub fn plain_class() -> maplethread_config::TaskClass {
+    maplethread_config::TaskClass {
         name: "web-api".to_owned(),
-        effect: maplethread_config::Effect::Safe,
+        retry_safety: maplethread_config::RetrySafety::Safe,
         group: None,
         window_ms: None,
-        aim_ms: 600,
+        latency_objective_ms: 600,
         worth: 1.0,
         start_bonus_s: 10.0,
         priority: 0,
@@ -170,8 +171,8 @@
     }
 }
 
-pub(crate) fn api() -> Api {
-    Api {
+pub(crate) fn api() -> ApiSettings {
+    ApiSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         max_clients: 10_000,
         max_asks: 20_000,
@@ -190,8 +191,8 @@
     }
 }
 
-pub(crate) fn hosts(inventory: impl AsRef<Path>) -> Hosts {
-    Hosts {
+pub(crate) fn hosts(inventory: impl AsRef<Path>) -> HostSettings {
+    HostSettings {
         inventory: Some(inventory.as_ref().to_owned()),
         max_hosts: 8192,
         connect_within_ms: 1000,
@@ -209,15 +210,15 @@
 /// Settings of a placer that reads its hosts from these servers.
 pub(crate) fn consul(
     servers: Vec<SocketAddr>,
-    damping: Damping,
-    membership: Option<Membership>,
-) -> Consul {
-    Consul {
+    damping: DampingMode,
+    membership: Option<SlotLeaseSettings>,
+) -> ConsulSettings {
+    ConsulSettings {
         servers,
         service: "maplethread-host".to_owned(),
         datacentre: Some("dc1".to_owned()),
         token_file: None,
-        reads: Reads::Stale,
+        reads: ReadConsistency::Stale,
         filter: None,
         watch: true,
         wait_ms: 2_000,
--- a/crates/standin/src/traffic.rs
+++ b/crates/standin/src/traffic.rs
@@ -19,7 +19,7 @@
 use maplethread_wire::frame::Frame;
 
 /// Bytes of the IPv4 and TCP headers of a segment with timestamps.
-pub const HEADER: u64 = 52;
+pub const HEADER_BYTES: u64 = 52;
 /// Bytes of a segment that opens a connection, with its options.
 const SYN: u64 = 60;
 /// Data this soon after a segment acknowledges it, µs: the delayed acknowledgement of Linux.
@@ -108,7 +108,7 @@
             Direction::FromPlacer,
             1,
             0,
-            SYN + HEADER,
+            SYN + HEADER_BYTES,
         );
         counts.add(MessageKind::Connection, Direction::ToPlacer, 1, 0, SYN);
     }
@@ -120,7 +120,7 @@
         if let Some(segment) = link.unacknowledged.take() {
             counts.lone_acknowledgement(segment);
         }
-        let from_placer = if reset { 0 } else { 2 * HEADER };
+        let from_placer = if reset { 0 } else { 2 * HEADER_BYTES };
         counts.add(
             MessageKind::Connection,
             Direction::FromPlacer,
@@ -128,7 +128,13 @@
             0,
             from_placer,
         );
-        counts.add(MessageKind::Connection, Direction::ToPlacer, 0, 0, HEADER);
+        counts.add(
+            MessageKind::Connection,
+            Direction::ToPlacer,
+            0,
+            0,
+            HEADER_BYTES,
+        );
     }
 
     /// A segment with these frames was read or written at a time, µs.
@@ -147,8 +153,8 @@
         {
             counts.lone_acknowledgement(earlier);
         }
-        let share = HEADER / frames.len() as u64;
-        let rest = HEADER % frames.len() as u64;
+        let share = HEADER_BYTES / frames.len() as u64;
+        let rest = HEADER_BYTES % frames.len() as u64;
         for frame in frames {
             counts.add(frame.kind, direction, 1, frame.bytes, frame.bytes + share);
         }
@@ -182,7 +188,7 @@
 
     /// The acknowledgement is a packet against the segment's direction, and counted with the message that caused it.
     fn lone_acknowledgement(&mut self, segment: Unacknowledged) {
-        self.add(segment.last, segment.direction, 0, 0, HEADER);
+        self.add(segment.last, segment.direction, 0, 0, HEADER_BYTES);
     }
 
     /// What came since an earlier snapshot, without what did not come at all.
--- a/crates/standin/src/usage.rs
+++ b/crates/standin/src/usage.rs
@@ -24,7 +24,7 @@
 }
 
 /// Processor time of a process so far and its memory.
-pub fn usage(pid: u32) -> io::Result<Usage> {
+pub fn process_usage(pid: u32) -> io::Result<Usage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -46,7 +46,7 @@
 }
 
 /// Proportional memory and open descriptors of a process.
-pub fn holdings(pid: u32) -> io::Result<Holdings> {
+pub fn process_holdings(pid: u32) -> io::Result<Holdings> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
     Ok(Holdings {
--- a/crates/standin/src/world.rs
+++ b/crates/standin/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use maplethread_judge::{Record, Seen};
+use maplethread_judge::{HistoryEntry, Observation};
 use maplethread_placer::Clock;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
@@ -20,99 +20,99 @@
 
 /// Shared by all threads of a run.
 #[derive(Clone)]
-pub struct World {
+pub struct RunContext {
     /// The clock of the record; Unix time, µs.
     pub clock: Clock,
     /// Nothing is recorded without it.
-    record: Option<Arc<Mutex<Vec<Record>>>>,
-    ledger: Arc<Mutex<Ledger>>,
+    history: Option<Arc<Mutex<Vec<HistoryEntry>>>>,
+    accounting: Arc<Mutex<ServiceAccounting>>,
 }
 
-impl World {
+impl RunContext {
     /// A world in which nothing was seen yet, with so many classes.
-    pub fn new(classes: usize) -> World {
+    pub fn new(classes: usize) -> RunContext {
         let clock = Clock::start();
-        let ledger = Ledger::new(clock.now(), classes);
-        World {
+        let ledger = ServiceAccounting::new(clock.now(), classes);
+        RunContext {
             clock,
-            record: Some(Arc::default()),
-            ledger: Arc::new(Mutex::new(ledger)),
+            history: Some(Arc::default()),
+            accounting: Arc::new(Mutex::new(ledger)),
         }
     }
 
     /// A world that records nothing, for hosts that run for long.
-    pub fn quiet(classes: usize) -> World {
-        World {
-            record: None,
-            ..World::new(classes)
+    pub fn without_history(classes: usize) -> RunContext {
+        RunContext {
+            history: None,
+            ..RunContext::new(classes)
         }
     }
 
     /// Records what was seen; the order of the record is that of its times.
-    pub fn see(&self, seen: Seen) {
-        let Some(record) = &self.record else { return };
+    pub fn record(&self, seen: Observation) {
+        let Some(record) = &self.history else { return };
         let mut record = lock(record);
-        record.push(Record {
-            at: self.clock.now(),
-            seen,
+        record.push(HistoryEntry {
+            at_us: self.clock.now(),
+            observation: seen,
         });
     }
 
     /// The record.
-    pub fn take_record(&self) -> Vec<Record> {
-        self.record
+    pub fn take_record(&self) -> Vec<HistoryEntry> {
+        self.history
             .as_ref()
             .map(|record| std::mem::take(&mut *lock(record)))
             .unwrap_or_default()
     }
 
     /// The ledger.
-    pub fn ledger(&self) -> MutexGuard<'_, Ledger> {
-        lock(&self.ledger)
+    pub fn service_accounting(&self) -> MutexGuard<'_, ServiceAccounting> {
+        lock(&self.accounting)
     }
 }
 
 /// A task that an owner wants.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted {
+pub struct TaskDemand {
     /// Its class.
     pub class: usize,
     /// Worth of a second.
-    pub rate: f64,
+    pub value_per_s: f64,
     /// From when...
-    pub from: u64,
+    pub from_us: u64,
     /// ...until when, µs.
-    pub until: u64,
+    pub until_us: u64,
     /// A first start by then is worth...
-    pub aim: u64,
+    pub objective_us: u64,
     /// ...so much...
     pub bonus: f64,
     /// ...and later, by then, so much.
-    pub deadline: u64,
+    pub deadline_us: u64,
     /// The bonus of a late start.
     pub late_bonus: f64,
 }
 
 #[derive(Default)]
-struct Served {
+struct ServedState {
     /// Where it runs now: how many copies.
-    running: u32,
-    started: bool,
+    running_copies: u32,
+    has_started: bool,
     /// Served up to this time, so that two copies count once.
-    until: u64,
+    served_until: u64,
 }
 
 /// Worth wanted and served, by second and by class.
-pub struct Ledger {
+pub struct ServiceAccounting {
     start: u64,
-    wanted: HashMap<Arc<str>, (Wanted, Served)>,
+    tasks: HashMap<Arc<str>, (TaskDemand, ServedState)>,
     by_second: Vec<(f64, f64)>,
     /// The same of each class.
     by_class: Vec<Vec<(f64, f64)>>,
     /// Seconds that second copies ran, which earn nothing.
     pub double_s: f64,
     /// Worth of starts that came late or never, and of crowding while tasks ran.
-    late: f64,
+    late_start_loss: f64,
     crowded: f64,
 }
 
@@ -129,25 +129,25 @@
 
 /// Service, as shares of the worth that was asked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Service {
+pub struct ServiceShares {
     /// Over the whole run.
-    pub whole: f64,
+    pub overall: f64,
     /// In the worst ten seconds.
     pub worst_10_s: f64,
     /// Of the worst-served class.
     pub worst_class: f64,
 }
 
-impl Ledger {
-    fn new(start: u64, classes: usize) -> Ledger {
+impl ServiceAccounting {
+    fn new(start: u64, classes: usize) -> ServiceAccounting {
         let by_class = vec![Vec::new(); classes];
-        Ledger {
+        ServiceAccounting {
             start,
-            wanted: HashMap::new(),
+            tasks: HashMap::new(),
             by_second: Vec::new(),
             by_class,
             double_s: 0.0,
-            late: 0.0,
+            late_start_loss: 0.0,
             crowded: 0.0,
         }
     }
@@ -165,74 +165,74 @@
     }
 
     /// An owner wants a task.
-    pub fn want(&mut self, actor: &Arc<str>, wanted: Wanted) {
-        self.late += wanted.bonus;
-        self.add(wanted.class, wanted.from, wanted.bonus, 0.0);
-        let mut at = wanted.from;
-        while at < wanted.until {
-            let next = (at + 1_000_000).min(wanted.until);
+    pub fn want(&mut self, actor: &Arc<str>, wanted: TaskDemand) {
+        self.late_start_loss += wanted.bonus;
+        self.add(wanted.class, wanted.from_us, wanted.bonus, 0.0);
+        let mut at = wanted.from_us;
+        while at < wanted.until_us {
+            let next = (at + 1_000_000).min(wanted.until_us);
             self.add(
                 wanted.class,
                 at,
-                wanted.rate * (next - at) as f64 / 1e6,
+                wanted.value_per_s * (next - at) as f64 / 1e6,
                 0.0,
             );
             at = next;
         }
-        self.wanted
-            .insert(actor.clone(), (wanted, Served::default()));
+        self.tasks
+            .insert(actor.clone(), (wanted, ServedState::default()));
     }
 
     /// A copy of a task runs.
-    pub fn starts(&mut self, actor: &str, now: u64) {
-        let Some((wanted, served)) = self.wanted.get_mut(actor) else {
+    pub fn record_start(&mut self, actor: &str, now: u64) {
+        let Some((wanted, served)) = self.tasks.get_mut(actor) else {
             return;
         };
-        served.running += 1;
-        if std::mem::replace(&mut served.started, true) {
+        served.running_copies += 1;
+        if std::mem::replace(&mut served.has_started, true) {
             return;
         }
         let (wanted, bonus) = (
             *wanted,
-            if now <= wanted.aim {
+            if now <= wanted.objective_us {
                 wanted.bonus
-            } else if now <= wanted.deadline {
+            } else if now <= wanted.deadline_us {
                 wanted.late_bonus
             } else {
                 0.0
             },
         );
-        self.late -= bonus;
-        self.add(wanted.class, wanted.from, 0.0, bonus);
+        self.late_start_loss -= bonus;
+        self.add(wanted.class, wanted.from_us, 0.0, bonus);
     }
 
     /// A copy of a task does not run any more.
-    pub fn ends(&mut self, actor: &str) {
-        if let Some((_, served)) = self.wanted.get_mut(actor) {
-            served.running = served.running.saturating_sub(1);
+    pub fn record_end(&mut self, actor: &str) {
+        if let Some((_, served)) = self.tasks.get_mut(actor) {
+            served.running_copies = served.running_copies.saturating_sub(1);
         }
     }
 
     /// A copy was served with this share of full service.
-    pub fn serve(&mut self, actor: &str, from: u64, to: u64, share: f64) {
-        let Some((wanted, served)) = self.wanted.get_mut(actor) else {
+    pub fn record_service(&mut self, actor: &str, from: u64, to: u64, share: f64) {
+        let Some((wanted, served)) = self.tasks.get_mut(actor) else {
             return;
         };
         let whole = to.saturating_sub(from);
-        let from = from.max(served.until).max(wanted.from);
-        let to_wanted = to.min(wanted.until);
-        served.until = served.until.max(to);
+        let from = from.max(served.served_until).max(wanted.from_us);
+        let to_wanted = to.min(wanted.until_us);
+        served.served_until = served.served_until.max(to);
         let span = to_wanted.saturating_sub(from) as f64 / 1e6;
-        let (wanted, copies) = (*wanted, served.running);
+        let (wanted, copies) = (*wanted, served.running_copies);
         if copies > 1 && span == 0.0 {
             self.double_s += whole as f64 / 1e6;
         }
-        self.crowded += wanted.rate * (1.0 - share) * span;
+        self.crowded += wanted.value_per_s * (1.0 - share) * span;
         self.add(
             wanted.class,
-            to_wanted.max(wanted.from),
+            to_wanted.max(wanted.from_us),
             0.0,
-            wanted.rate * share * span,
+            wanted.value_per_s * share * span,
         );
     }
 
@@ -250,30 +250,30 @@
     }
 
     /// Whether some copy runs.
-    pub fn runs(&self, actor: &str) -> bool {
-        self.wanted
+    pub fn is_running(&self, actor: &str) -> bool {
+        self.tasks
             .get(actor)
-            .is_some_and(|(_, served)| served.running > 0)
+            .is_some_and(|(_, served)| served.running_copies > 0)
     }
 
     /// What the worth that was not served up to a time was lost to.
-    pub fn lost(&self, until: u64) -> Lost {
+    pub fn loss(&self, until: u64) -> Lost {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let all = &self.by_second[..seconds.min(self.by_second.len())];
         let all = all
             .iter()
             .fold((0.0, 0.0), |sum, b| (sum.0 + b.0, sum.1 + b.1));
         let part = |worth: f64| worth / all.0.max(f64::MIN_POSITIVE);
-        let not_running = (all.0 - all.1 - self.late - self.crowded).max(0.0);
+        let not_running = (all.0 - all.1 - self.late_start_loss - self.crowded).max(0.0);
         Lost {
-            late_start: part(self.late),
+            late_start: part(self.late_start_loss),
             not_running: part(not_running),
             crowded: part(self.crowded),
         }
     }
 
     /// The service up to a time.
-    pub fn service(&self, until: u64) -> Service {
+    pub fn service_shares(&self, until: u64) -> ServiceShares {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let part = |from: usize, to: usize| {
             let all = &self.by_second[from.min(self.by_second.len())..to.min(self.by_second.len())];
@@ -285,8 +285,8 @@
             .map(|from| part(from, from + 10))
             .fold(1.0, f64::min);
         let worst_class = self.by_class(until).into_iter().fold(1.0, f64::min);
-        Service {
-            whole: part(0, seconds),
+        ServiceShares {
+            overall: part(0, seconds),
             worst_10_s,
             worst_class,
         }
@@ -294,45 +294,45 @@
 }
 
 /// Seeded random numbers with the draws that the stand-ins need.
-pub struct Dice(Pcg64Mcg);
+pub struct SeededRng(Pcg64Mcg);
 
-impl Dice {
+impl SeededRng {
     /// Dice of this seed, one of several sets.
-    pub fn new(seed: u64, set: u64) -> Dice {
-        Dice(Pcg64Mcg::seed_from_u64(
+    pub fn new(seed: u64, set: u64) -> SeededRng {
+        SeededRng(Pcg64Mcg::seed_from_u64(
             seed ^ set.wrapping_mul(0x9e37_79b9_7f4a_7c15),
         ))
     }
 
     /// A number in 0..1.
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// Whether something of this likelihood happens.
-    pub fn chance(&mut self, likely: f64) -> bool {
-        self.share() < likely
+    pub fn random_bool(&mut self, likely: f64) -> bool {
+        self.fraction() < likely
     }
 
     /// A number below `n`.
-    pub fn below(&mut self, n: usize) -> usize {
-        ((self.share() * n as f64) as usize).min(n.saturating_sub(1))
+    pub fn index_below(&mut self, n: usize) -> usize {
+        ((self.fraction() * n as f64) as usize).min(n.saturating_sub(1))
     }
 
     /// A number between two.
     pub fn between(&mut self, range: [f64; 2]) -> f64 {
-        range[0] + (range[1] - range[0]) * self.share()
+        range[0] + (range[1] - range[0]) * self.fraction()
     }
 
     /// An exponential draw of this mean.
     pub fn exp(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.share()).ln()
+        -mean * (1.0 - self.fraction()).ln()
     }
 
     /// Puts items in a random order.
     pub fn shuffle<T>(&mut self, items: &mut [T]) {
         for i in (1..items.len()).rev() {
-            let j = self.below(i + 1);
+            let j = self.index_below(i + 1);
             items.swap(i, j);
         }
     }
--- a/crates/standin/src/world/tests.rs
+++ b/crates/standin/src/world/tests.rs
@@ -2,30 +2,30 @@
 
 use std::sync::Arc;
 
-use super::{Ledger, Wanted};
+use super::{ServiceAccounting, TaskDemand};
 
 const S: u64 = 1_000_000;
 
 #[test]
 fn what_is_wanted_after_the_day_counts_for_no_class() {
-    let mut ledger = Ledger::new(0, 2);
+    let mut ledger = ServiceAccounting::new(0, 2);
     // Both live for 120 s of a day of 20; one runs from the beginning, the other from the middle on.
     for (class, name, runs_from) in [(0, "a", 0), (1, "b", 10 * S)] {
         let actor: Arc<str> = name.into();
-        let wanted = Wanted {
+        let wanted = TaskDemand {
             class,
-            rate: 1.0,
-            from: 0,
-            until: 120 * S,
-            aim: S,
+            value_per_s: 1.0,
+            from_us: 0,
+            until_us: 120 * S,
+            objective_us: S,
             bonus: 0.0,
-            deadline: 2 * S,
+            deadline_us: 2 * S,
             late_bonus: 0.0,
         };
         ledger.want(&actor, wanted);
-        ledger.starts(&actor, runs_from);
+        ledger.record_start(&actor, runs_from);
         for from in (runs_from..20 * S).step_by(S as usize / 2) {
-            ledger.serve(&actor, from, from + S / 2, 1.0);
+            ledger.record_service(&actor, from, from + S / 2, 1.0);
         }
     }
     let shares = ledger.by_class(20 * S);
@@ -33,7 +33,7 @@
         shares[0] > 0.97 && (0.47..=0.5).contains(&shares[1]),
         "{shares:?}"
     );
-    let service = ledger.service(20 * S);
+    let service = ledger.service_shares(20 * S);
     assert_eq!(service.worst_class, shares[1]);
-    assert!((0.72..=0.75).contains(&service.whole), "{service:?}");
+    assert!((0.72..=0.75).contains(&service.overall), "{service:?}");
 }
--- a/crates/standin/tests/rogue.rs
+++ b/crates/standin/tests/rogue.rs
@@ -3,12 +3,13 @@
 use std::collections::BTreeMap;
 
 use maplethread::{
-    Action, Event, MachineEntry, MachineId, MachineState, Resources, UpdateScope, ServiceId, Settings, Task, TaskId,
+    Action, Event, MachineEntry, MachineId, MachineState, Resources, ServiceId, Settings, Task,
+    TaskId, UpdateScope,
 };
-use maplethread_config::{Doc, PlacerConfig};
+use maplethread_config::{Document, PlacerConfig};
 use maplethread_engine::Decide;
-use maplethread_standin::baseline::RandomChoice;
-use maplethread_standin::rogue::{Rogue, RogueOutcome};
+use maplethread_standin::mutant::{MutantOutcome, MutantResult};
+use maplethread_standin::random_choice::RandomChoice;
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
 /// The class that is spread over zones.
@@ -19,12 +20,12 @@
 const MACHINES: u32 = 15;
 
 fn settings() -> Settings {
-    PlacerConfig::parse(Doc {
+    PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound")
-    .settings()
+    .policy_settings()
 }
 
 fn zone_of(machine: MachineId) -> u32 {
@@ -40,7 +41,7 @@
         cell: number,
         kind: 0,
         state: MachineState::Ready,
-        started: None,
+        started_at: None,
         unallocated: None,
     }
 }
@@ -72,12 +73,15 @@
         &mut actions,
     );
     for id in 0..=u64::from(MOST) {
-        let lost = Event::ConnectionChanged(MachineId(id as u32), false);
+        let lost = Event::ConnectionChanged {
+            machine: MachineId(id as u32),
+            is_connected: false,
+        };
         placer.turn(id + 1, &[lost, ask(id)], &mut actions);
     }
     let mut zones: BTreeMap<u32, u32> = BTreeMap::new();
     for action in &actions {
-        if let Action::Offer(_, machine, _) = action {
+        if let Action::Offer { machine, .. } = action {
             *zones.entry(zone_of(*machine)).or_default() += 1;
         }
     }
@@ -115,13 +119,13 @@
     assert!(
         actions
             .iter()
-            .any(|a| matches!(a, Action::SetTimer(after, _) if *after < 300_000)),
+            .any(|a| matches!(a, Action::SetTimer { after, .. } if *after < 300_000)),
         "{actions:?}"
     );
     let offers = |actions: &[Action], task: u64| {
         actions
             .iter()
-            .any(|a| matches!(a, Action::Offer(id, ..) if *id == TaskId(task)))
+            .any(|a| matches!(a, Action::Offer { task: id, .. } if *id == TaskId(task)))
     };
     placer.turn(100_000, &[ask(1)], &mut actions);
     assert!(offers(&actions, 1));
@@ -134,14 +138,14 @@
 #[test]
 fn what_the_judge_did_not_catch_is_told_from_what_there_was_not_to_catch() {
     let outcome = |moves, caught| {
-        Rogue {
+        MutantResult {
             number: 5,
-            moves,
-            caught,
+            violations_made: moves,
+            violations_found: caught,
         }
         .outcome()
     };
-    assert_eq!(outcome(0, 0), RogueOutcome::NoOccasion);
-    assert_eq!(outcome(7, 0), RogueOutcome::Missed);
-    assert_eq!(outcome(7, 2), RogueOutcome::Caught);
+    assert_eq!(outcome(0, 0), MutantOutcome::NoOpportunity);
+    assert_eq!(outcome(7, 0), MutantOutcome::Missed);
+    assert_eq!(outcome(7, 2), MutantOutcome::Detected);
 }
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -6,7 +6,7 @@
 /// Due times with what they are for, in order; equal times in the order in which they were set.
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(u64, u64, Slot<T>)>>,
-    set: u64,
+    set_count: u64,
 }
 
 /// Keeps `T` out of the order.
@@ -33,26 +33,26 @@
     fn default() -> Self {
         Timers {
             heap: BinaryHeap::new(),
-            set: 0,
+            set_count: 0,
         }
     }
 }
 
 impl<T> Timers<T> {
     /// Sets a timer.
-    pub fn set(&mut self, at: u64, what: T) {
-        self.set += 1;
-        self.heap.push(Reverse((at, self.set, Slot(what))));
+    pub fn schedule(&mut self, at: u64, what: T) {
+        self.set_count += 1;
+        self.heap.push(Reverse((at, self.set_count, Slot(what))));
     }
 
     /// When the next one falls due.
-    pub fn next(&self) -> Option<u64> {
+    pub fn next_due_at(&self) -> Option<u64> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
     /// The next one that is due.
-    pub fn due(&mut self, now: u64) -> Option<T> {
-        if self.next()? > now {
+    pub fn pop_due(&mut self, now: u64) -> Option<T> {
+        if self.next_due_at()? > now {
             return None;
         }
         self.heap.pop().map(|Reverse((_, _, Slot(what)))| what)
--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -5,7 +5,7 @@
 use std::io::BufWriter;
 
 use maplethread::{Action, AttemptId, Event, MachineId, Resources, ServiceId, Task, TaskId};
-use maplethread_trace::{Header, Outcome, Record, Stamped, Turn, Writer};
+use maplethread_trace::{Header, Outcome, Record, TimedRecord, Turn, Writer};
 
 const SERVICES: u64 = 20_000;
 /// Asks of a service come in bursts of so many.
@@ -41,26 +41,26 @@
             cell,
             kind,
         };
-        writer.know(&Stamped { at, record });
+        writer.register_name(&TimedRecord { at, record });
     }
     for n in 0..SERVICES {
         let record = Record::Service {
             service: n,
             name: format!("service-{n}"),
         };
-        writer.know(&Stamped { at, record });
+        writer.register_name(&TimedRecord { at, record });
     }
     for ask in 0..records / 4 {
         at += 2500;
         let (service, machine) = (ask / BURST * 7919 % SERVICES, (ask * 31 % 200) as u32);
-        let asked = Record::Asked {
+        let asked = Record::RequestReceived {
             task: ask,
             service,
             actor: format!("actor-{ask}"),
             class: 0,
-            request: format!("request-{ask}"),
-            key: None,
-            read: at,
+            request_id: format!("request-{ask}"),
+            idempotency_key: None,
+            received_at: at,
         };
         let task = Task {
             id: TaskId(ask),
@@ -71,7 +71,11 @@
             deadline: at + 3_000_000,
             is_resubmission: false,
         };
-        let offer = Action::Offer(TaskId(ask), MachineId(machine), 600_000);
+        let offer = Action::Offer {
+            task: TaskId(ask),
+            machine: MachineId(machine),
+            timeout: 600_000,
+        };
         let first = Turn {
             now: at,
             events: vec![Event::PlacementRequested(task)],
@@ -83,25 +87,28 @@
         };
         let second = Turn {
             now: at + 900,
-            events: vec![Event::AttemptAccepted(id, Some(900))],
+            events: vec![Event::AttemptAccepted {
+                attempt: id,
+                elapsed: Some(900),
+            }],
             actions: Vec::new(),
         };
         let answered = Record::Answered {
             task: ask,
             outcome: Outcome::Placed { host: machine },
             attempts: 1,
-            after: 950,
+            elapsed: 950,
         };
-        writer.push(&Stamped { at, record: asked })?;
-        writer.push(&Stamped {
+        writer.push(&TimedRecord { at, record: asked })?;
+        writer.push(&TimedRecord {
             at,
             record: Record::Turn(first),
         })?;
-        writer.push(&Stamped {
+        writer.push(&TimedRecord {
             at: at + 900,
             record: Record::Turn(second),
         })?;
-        writer.push(&Stamped {
+        writer.push(&TimedRecord {
             at: at + 950,
             record: answered,
         })?;
--- a/crates/trace/examples/measure.rs
+++ b/crates/trace/examples/measure.rs
@@ -6,11 +6,11 @@
 
 use maplethread_trace::replay::Replay;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Part, Reader, Record, Stamped, Writer};
+use maplethread_trace::{Part, Reader, Record, TimedRecord, Writer};
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
-fn each(file: &str, mut record: impl FnMut(&Stamped) -> Result<()>) -> Result<(u64, f64)> {
+fn each(file: &str, mut record: impl FnMut(&TimedRecord) -> Result<()>) -> Result<(u64, f64)> {
     let mut reader = Reader::open(BufReader::new(File::open(file)?))?;
     let (from, mut records) = (Instant::now(), 0);
     while let Some(part) = reader.next_part()? {
@@ -39,7 +39,7 @@
                 Record::Turn(turn) => {
                     (turns, decisions) = (turns + 1, decisions + turn.actions.len() as u64)
                 }
-                Record::Asked { .. } => asks += 1,
+                Record::RequestReceived { .. } => asks += 1,
                 _ => {}
             }
             Ok(())
@@ -87,7 +87,7 @@
     );
     println!(
         "replay: {} turns, {} differ",
-        replay.found.turns, replay.found.differing
+        replay.result.turns, replay.result.differing
     );
     Ok(())
 }
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -6,11 +6,12 @@
 use std::collections::BTreeSet;
 
 use maplethread::{
-    Action, AttemptId, AttemptResult, Event, MachineEntry, MachineId, Micros, TaskReport, Resources, ServiceId, Task, TaskId,
+    Action, AttemptId, AttemptResult, Event, MachineEntry, MachineId, Micros, Resources, ServiceId,
+    Task, TaskId, TaskReport,
 };
 
 use crate::header::{Header, Source};
-use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::record::{Outcome, Record, TimedRecord, Turn};
 
 /// Reasons of refusals that say nothing of whom they concern.
 const REASONS: [&str; 20] = [
@@ -93,7 +94,7 @@
     }
 
     /// The header; a trace whose names are hidden can't be replayed, since hosts are ranked by their names' hashes.
-    pub fn header(&self, header: &Header) -> Header {
+    pub fn anonymise_header(&self, header: &Header) -> Header {
         let Header {
             writer,
             module,
@@ -145,8 +146,8 @@
     }
 
     /// A record.
-    pub fn record(&self, stamped: &Stamped) -> Stamped {
-        let Stamped { at, record } = stamped;
+    pub fn anonymise_record(&self, stamped: &TimedRecord) -> TimedRecord {
+        let TimedRecord { at, record } = stamped;
         let record = match record {
             Record::Turn(Turn {
                 now,
@@ -174,35 +175,35 @@
                 service: self.service(*service),
                 name: self.name("service", name),
             },
-            Record::Asked {
+            Record::RequestReceived {
                 task,
                 service,
                 actor,
                 class,
-                request,
-                key,
-                read,
-            } => Record::Asked {
+                request_id: request,
+                idempotency_key: key,
+                received_at: read,
+            } => Record::RequestReceived {
                 task: *task,
                 service: self.service(*service),
                 actor: self.name("actor", actor),
                 class: *class,
-                request: self.name("request", request),
-                key: key.as_ref().map(|k| self.name("key", k)),
-                read: self.time(*read),
+                request_id: self.name("request", request),
+                idempotency_key: key.as_ref().map(|k| self.name("key", k)),
+                received_at: self.time(*read),
             },
             Record::Answered {
                 task,
                 outcome,
                 attempts,
-                after,
+                elapsed: after,
             } => Record::Answered {
                 task: *task,
                 outcome: match outcome {
                     Outcome::Placed { host } => Outcome::Placed { host: *host },
-                    Outcome::Refused {
+                    Outcome::Rejected {
                         reason,
-                        come_back_ms,
+                        retry_after_ms: come_back_ms,
                     } => {
                         let known = REASONS.contains(&reason.as_str());
                         let reason = if known {
@@ -210,21 +211,21 @@
                         } else {
                             "other".to_owned()
                         };
-                        Outcome::Refused {
+                        Outcome::Rejected {
                             reason,
-                            come_back_ms: *come_back_ms,
+                            retry_after_ms: *come_back_ms,
                         }
                     }
                     Outcome::Failed => Outcome::Failed,
-                    Outcome::HungUp => Outcome::HungUp,
+                    Outcome::ClientDisconnected => Outcome::ClientDisconnected,
                 },
                 attempts: *attempts,
-                after: *after,
+                elapsed: *after,
             },
             Record::Gap {
                 turns,
                 records,
-                why,
+                reason: why,
             } => {
                 let known = GAPS.contains(&why.as_str());
                 let why = if known {
@@ -235,13 +236,13 @@
                 Record::Gap {
                     turns: *turns,
                     records: *records,
-                    why,
+                    reason: why,
                 }
             }
             Record::Stopped => Record::Stopped,
             Record::Source(source) => Record::Source(*source),
         };
-        Stamped {
+        TimedRecord {
             at: self.time(*at),
             record,
         }
@@ -281,7 +282,7 @@
             cell,
             kind,
             state,
-            started,
+            started_at: started,
             unallocated: unasked,
         } = *listing;
         MachineEntry {
@@ -291,7 +292,7 @@
             cell,
             kind,
             state,
-            started: started.map(|at| self.time(at)),
+            started_at: started.map(|at| self.time(at)),
             unallocated: unasked,
         }
     }
@@ -303,18 +304,36 @@
                 machines: machines.iter().map(|m| self.listing(m)).collect(),
             },
             Event::ReplicaIndexChanged(number) => Event::ReplicaIndexChanged(*number),
-            Event::ConnectionChanged(MachineId(n), on) => Event::ConnectionChanged(MachineId(*n), *on),
+            Event::ConnectionChanged {
+                machine: MachineId(n),
+                is_connected: on,
+            } => Event::ConnectionChanged {
+                machine: MachineId(*n),
+                is_connected: *on,
+            },
             Event::DiscoveryUnavailable => Event::DiscoveryUnavailable,
             Event::PlacementRequested(task) => Event::PlacementRequested(self.task(task)),
-            Event::TaskAdopted(task, MachineId(n)) => Event::TaskAdopted(self.task(task), MachineId(*n)),
-            Event::AttemptAccepted(AttemptId { task, number }, took) => Event::AttemptAccepted(
-                AttemptId {
+            Event::TaskAdopted {
+                task,
+                machine: MachineId(n),
+            } => Event::TaskAdopted {
+                task: self.task(task),
+                machine: MachineId(*n),
+            },
+            Event::AttemptAccepted {
+                attempt: AttemptId { task, number },
+                elapsed: took,
+            } => Event::AttemptAccepted {
+                attempt: AttemptId {
                     task: *task,
                     number: *number,
                 },
-                *took,
-            ),
-            Event::TaskReported(AttemptId { task, number }, note) => {
+                elapsed: *took,
+            },
+            Event::TaskReported {
+                attempt: AttemptId { task, number },
+                report: note,
+            } => {
                 let note = match note {
                     TaskReport::Started => TaskReport::Started,
                     TaskReport::CoresUsed(x) => TaskReport::CoresUsed(*x),
@@ -322,42 +341,47 @@
                     TaskReport::Served(x) => TaskReport::Served(*x),
                     TaskReport::MachineMemory(x) => TaskReport::MachineMemory(*x),
                 };
-                Event::TaskReported(
-                    AttemptId {
+                Event::TaskReported {
+                    attempt: AttemptId {
                         task: *task,
                         number: *number,
                     },
-                    note,
-                )
+                    report: note,
+                }
             }
-            Event::AttemptFinished(
-                AttemptId { task, number },
-                AttemptResult {
-                    outcome: ending,
-                    reason: why,
-                    closed,
-                    load,
-                },
-            ) => {
+            Event::AttemptFinished {
+                attempt: AttemptId { task, number },
+                result:
+                    AttemptResult {
+                        outcome: ending,
+                        reason: why,
+                        closes_task: closed,
+                        load,
+                    },
+            } => {
                 let end = AttemptResult {
                     outcome: *ending,
                     reason: *why,
-                    closed: *closed,
+                    closes_task: *closed,
                     load: *load,
                 };
-                Event::AttemptFinished(
-                    AttemptId {
+                Event::AttemptFinished {
+                    attempt: AttemptId {
                         task: *task,
                         number: *number,
                     },
-                    end,
-                )
+                    result: end,
+                }
             }
             Event::ClientDisconnected(TaskId(task)) => Event::ClientDisconnected(TaskId(*task)),
-            Event::TimerFired(label) => Event::TimerFired(*label),
-            Event::Probed { machine, ok, load } => Event::Probed {
+            Event::TimerFired { label } => Event::TimerFired { label: *label },
+            Event::Probed {
+                machine,
+                answered: ok,
+                load,
+            } => Event::Probed {
                 machine: *machine,
-                ok: *ok,
+                answered: *ok,
                 load: *load,
             },
             Event::PeerMessage { from, bytes: _ } => Event::PeerMessage {
@@ -369,25 +393,46 @@
 
     fn action(&self, action: &Action) -> Action {
         match action {
-            Action::Offer(TaskId(task), MachineId(machine), wait) => {
-                Action::Offer(TaskId(*task), MachineId(*machine), *wait)
-            }
+            Action::Offer {
+                task: TaskId(task),
+                machine: MachineId(machine),
+                timeout: wait,
+            } => Action::Offer {
+                task: TaskId(*task),
+                machine: MachineId(*machine),
+                timeout: *wait,
+            },
             Action::Cancel(AttemptId { task, number }) => Action::Cancel(AttemptId {
                 task: *task,
                 number: *number,
             }),
-            Action::Reject(TaskId(task), advice) => Action::Reject(TaskId(*task), *advice),
+            Action::Reject {
+                task: TaskId(task),
+                retry_after: advice,
+            } => Action::Reject {
+                task: TaskId(*task),
+                retry_after: *advice,
+            },
             Action::Fail(TaskId(task)) => Action::Fail(TaskId(*task)),
-            Action::Blocked(TaskId(task), lack) => Action::Blocked(TaskId(*task), *lack),
+            Action::Blocked {
+                task: TaskId(task),
+                reason: lack,
+            } => Action::Blocked {
+                task: TaskId(*task),
+                reason: *lack,
+            },
             Action::Migrate(TaskId(task)) => Action::Migrate(TaskId(*task)),
-            Action::SetTimer(after, label) => Action::SetTimer(*after, *label),
+            Action::SetTimer { after, label } => Action::SetTimer {
+                after: *after,
+                label: *label,
+            },
             Action::Probe(MachineId(n)) => Action::Probe(MachineId(*n)),
             Action::CloseIdle(MachineId(n)) => Action::CloseIdle(MachineId(*n)),
             Action::SendToPeer { to, bytes: _ } => Action::SendToPeer {
                 to: *to,
                 bytes: Vec::new(),
             },
-            Action::WatchEndpoints(on) => Action::WatchEndpoints(*on),
+            Action::WatchEndpoints { enabled: on } => Action::WatchEndpoints { enabled: *on },
             Action::FetchEndpoints => Action::FetchEndpoints,
             Action::Log(_) => Action::Log(String::new()),
         }
@@ -415,7 +460,7 @@
     }
 
     /// Takes in what a record names.
-    pub fn of_record(&mut self, stamped: &Stamped) {
+    pub fn of_record(&mut self, stamped: &TimedRecord) {
         texts(&stamped.record, &mut |text| self.add(text));
         numbers(&stamped.record, &mut |n| {
             self.numbers.insert(n);
@@ -439,7 +484,7 @@
     }
 
     /// The first of them that stands as a text or a number of its own in a record.
-    pub fn found_in(&self, stamped: &Stamped) -> Option<String> {
+    pub fn found_in(&self, stamped: &TimedRecord) -> Option<String> {
         let mut found = None;
         texts(&stamped.record, &mut |text| {
             if self.texts.contains(text) {
@@ -456,7 +501,7 @@
 
     /// Those long enough to be looked for anywhere among octets, where chance does not find them: six octets, or
     /// twelve of hexadecimal digits, as hashes are written.
-    pub fn long(&self) -> impl Iterator<Item = &str> {
+    pub fn searchable_texts(&self) -> impl Iterator<Item = &str> {
         self.texts.iter().map(String::as_str).filter(|text| {
             let hex = text.bytes().all(|b| b.is_ascii_hexdigit());
             // The hashes' own prefixes stand in each of them.
@@ -485,10 +530,10 @@
             ..
         } => [name, zone, cell, kind].into_iter().for_each(|t| see(t)),
         Record::Service { name, .. } => see(name),
-        Record::Asked {
+        Record::RequestReceived {
             actor,
-            request,
-            key,
+            request_id: request,
+            idempotency_key: key,
             ..
         } => {
             see(actor);
@@ -496,10 +541,10 @@
             key.iter().for_each(|k| see(k));
         }
         Record::Answered {
-            outcome: Outcome::Refused { reason, .. },
+            outcome: Outcome::Rejected { reason, .. },
             ..
         } => see(reason),
-        Record::Gap { why, .. } => see(why),
+        Record::Gap { reason: why, .. } => see(why),
         Record::Answered { .. } | Record::Stopped | Record::Source(_) => {}
     }
 }
@@ -509,13 +554,17 @@
         Record::Turn(turn) => {
             for event in &turn.events {
                 match event {
-                    Event::EndpointsUpdated { machines, .. } => machines.iter().for_each(|m| see(m.stable_hash)),
-                    Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => see(task.service.0),
+                    Event::EndpointsUpdated { machines, .. } => {
+                        machines.iter().for_each(|m| see(m.stable_hash))
+                    }
+                    Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => {
+                        see(task.service.0)
+                    }
                     _ => {}
                 }
             }
         }
-        Record::Service { service, .. } | Record::Asked { service, .. } => see(*service),
+        Record::Service { service, .. } | Record::RequestReceived { service, .. } => see(*service),
         _ => {}
     }
 }
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::TraceError;
-use crate::record::{Record, Stamped};
+use crate::record::{Record, TimedRecord};
 
 /// How each block begins.
 pub const MAGIC: &[u8; 4] = b"MTB1";
@@ -19,47 +19,48 @@
 
 /// What a block's head tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Info {
+pub struct BlockInfo {
     /// Octets of the payload.
-    pub packed: u32,
+    pub packed_bytes: u32,
     /// Octets of its records.
     pub raw: u32,
     /// Records.
-    pub records: u32,
+    pub record_count: u32,
     /// The earliest time, µs.
-    pub first: u64,
+    pub first_us: u64,
     /// The latest.
-    pub last: u64,
+    pub last_us: u64,
 }
 
-impl Info {
+impl BlockInfo {
     fn bytes(&self) -> [u8; 32] {
         let mut bytes = [0; 32];
         bytes[..4].copy_from_slice(MAGIC);
-        bytes[4..8].copy_from_slice(&self.packed.to_le_bytes());
+        bytes[4..8].copy_from_slice(&self.packed_bytes.to_le_bytes());
         bytes[8..12].copy_from_slice(&self.raw.to_le_bytes());
-        bytes[12..16].copy_from_slice(&self.records.to_le_bytes());
-        bytes[16..24].copy_from_slice(&self.first.to_le_bytes());
-        bytes[24..32].copy_from_slice(&self.last.to_le_bytes());
+        bytes[12..16].copy_from_slice(&self.record_count.to_le_bytes());
+        bytes[16..24].copy_from_slice(&self.first_us.to_le_bytes());
+        bytes[24..32].copy_from_slice(&self.last_us.to_le_bytes());
         bytes
     }
 
     /// Reads a head; with the checksum that follows it.
-    pub fn read(head: &[u8; HEAD]) -> Result<(Info, [u8; 16]), &'static str> {
+    pub fn parse(head: &[u8; HEAD]) -> Result<(BlockInfo, [u8; 16]), &'static str> {
         if &head[..4] != MAGIC {
             return Err("no block begins here");
         }
         let four =
             |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let eight = |at: usize| u64::from(four(at)) | u64::from(four(at + 4)) << 32;
-        let info = Info {
-            packed: four(4),
+        let info = BlockInfo {
+            packed_bytes: four(4),
             raw: four(8),
-            records: four(12),
-            first: eight(16),
-            last: eight(24),
+            record_count: four(12),
+            first_us: eight(16),
+            last_us: eight(24),
         };
-        if info.raw as usize > MOST_RAW || info.packed as usize > MOST_RAW + (MOST_RAW >> 7) + 1024
+        if info.raw as usize > MOST_RAW
+            || info.packed_bytes as usize > MOST_RAW + (MOST_RAW >> 7) + 1024
         {
             return Err("a block's length is out of range");
         }
@@ -69,7 +70,7 @@
     }
 
     /// The checksum over the head and the payload.
-    pub fn check(&self, payload: &[u8]) -> [u8; 16] {
+    pub fn checksum(&self, payload: &[u8]) -> [u8; 16] {
         let mut hash = blake3::Hasher::new();
         hash.update(&self.bytes()).update(payload);
         let mut check = [0; 16];
@@ -82,18 +83,18 @@
 #[derive(Debug, Default)]
 pub struct Packer {
     raw: Vec<u8>,
-    records: u32,
+    record_count: u32,
     /// The time of its first record.
-    start: u64,
-    first: u64,
-    last: u64,
-    before: u64,
+    first_record_us: u64,
+    earliest_us: u64,
+    latest_us: u64,
+    previous_us: u64,
 }
 
 impl Packer {
     /// Whether nothing is in it.
     pub fn is_empty(&self) -> bool {
-        self.records == 0
+        self.record_count == 0
     }
 
     /// Octets of its records.
@@ -102,42 +103,45 @@
     }
 
     /// Adds a record.
-    pub fn add(&mut self, stamped: &Stamped) -> Result<(), TraceError> {
+    pub fn add(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
         let record = postcard::to_stdvec(&stamped.record).map_err(std::io::Error::other)?;
         if self.raw.len() + record.len() + 32 > MOST_RAW {
             return Err(TraceError::TooLarge(record.len()));
         }
-        if self.records == 0 {
-            (self.start, self.before) = (stamped.at, stamped.at);
-            (self.first, self.last) = (stamped.at, stamped.at);
+        if self.record_count == 0 {
+            (self.first_record_us, self.previous_us) = (stamped.at, stamped.at);
+            (self.earliest_us, self.latest_us) = (stamped.at, stamped.at);
         }
-        let since = stamped.at.wrapping_sub(self.before) as i64;
-        put(&mut self.raw, record.len() as u64);
-        put(&mut self.raw, ((since << 1) ^ (since >> 63)) as u64);
+        let since = stamped.at.wrapping_sub(self.previous_us) as i64;
+        write_varint(&mut self.raw, record.len() as u64);
+        write_varint(&mut self.raw, ((since << 1) ^ (since >> 63)) as u64);
         self.raw.extend_from_slice(&record);
-        self.before = stamped.at;
-        (self.first, self.last) = (self.first.min(stamped.at), self.last.max(stamped.at));
-        self.records += 1;
+        self.previous_us = stamped.at;
+        (self.earliest_us, self.latest_us) = (
+            self.earliest_us.min(stamped.at),
+            self.latest_us.max(stamped.at),
+        );
+        self.record_count += 1;
         Ok(())
     }
 
     /// The block, and what its head tells; what follows begins a new one.
-    pub fn pack(&mut self, level: i32) -> Result<(Info, Vec<u8>), TraceError> {
+    pub fn pack(&mut self, level: i32) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         // The first record's time stands against the earliest, which may be another's.
         let mut raw = Vec::with_capacity(self.raw.len() + 16);
-        put(&mut raw, self.start - self.first);
+        write_varint(&mut raw, self.first_record_us - self.earliest_us);
         raw.extend_from_slice(&self.raw);
         let payload = zstd::bulk::compress(&raw, level)?;
-        let info = Info {
-            packed: payload.len() as u32,
+        let info = BlockInfo {
+            packed_bytes: payload.len() as u32,
             raw: raw.len() as u32,
-            records: self.records,
-            first: self.first,
-            last: self.last,
+            record_count: self.record_count,
+            first_us: self.earliest_us,
+            last_us: self.latest_us,
         };
         let mut block = Vec::with_capacity(HEAD + payload.len());
         block.extend_from_slice(&info.bytes());
-        block.extend_from_slice(&info.check(&payload));
+        block.extend_from_slice(&info.checksum(&payload));
         block.extend_from_slice(&payload);
         *self = Packer::default();
         Ok((info, block))
@@ -145,7 +149,7 @@
 }
 
 /// The octets of a payload, unpacked.
-pub fn octets(info: &Info, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
+pub fn unpack_bytes(info: &BlockInfo, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
     let raw = zstd::bulk::decompress(payload, info.raw as usize)
         .map_err(|_| "a block can't be unpacked")?;
     if raw.len() == info.raw as usize {
@@ -156,17 +160,17 @@
 }
 
 /// Records out of a payload; kinds that are not known are counted, not given.
-pub fn unpack(info: &Info, payload: &[u8]) -> Result<(Vec<Stamped>, u32), &'static str> {
-    let raw = octets(info, payload)?;
+pub fn unpack(info: &BlockInfo, payload: &[u8]) -> Result<(Vec<TimedRecord>, u32), &'static str> {
+    let raw = unpack_bytes(info, payload)?;
     let mut at = 0;
     let mut time = info
-        .first
+        .first_us
         .wrapping_add(get(&raw, &mut at).ok_or("a block is cut off")?);
     let (mut records, mut unknown) = (
-        Vec::with_capacity((info.records as usize).min(raw.len())),
+        Vec::with_capacity((info.record_count as usize).min(raw.len())),
         0,
     );
-    for _ in 0..info.records {
+    for _ in 0..info.record_count {
         let length = get(&raw, &mut at).ok_or("a block is cut off")?;
         let since = get(&raw, &mut at).ok_or("a block is cut off")?;
         time = time.wrapping_add(unzigzag(since) as u64);
@@ -175,7 +179,7 @@
             .filter(|&end| end <= raw.len());
         let end = end.ok_or("a record is longer than its block")?;
         match postcard::take_from_bytes::<Record>(&raw[at..end]) {
-            Ok((record, [])) => records.push(Stamped { at: time, record }),
+            Ok((record, [])) => records.push(TimedRecord { at: time, record }),
             _ => unknown += 1,
         }
         at = end;
@@ -190,7 +194,7 @@
     ((n >> 1) as i64) ^ -((n & 1) as i64)
 }
 
-fn put(out: &mut Vec<u8>, mut n: u64) {
+fn write_varint(out: &mut Vec<u8>, mut n: u64) {
     while n >= 0x80 {
         out.push(n as u8 | 0x80);
         n >>= 7;
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -4,12 +4,12 @@
 
 use maplethread::{Action, Event};
 
-use crate::record::{Record, Stamped, Turn};
-use crate::writer::Entry;
+use crate::record::{Record, TimedRecord, Turn};
+use crate::writer::IndexEntry;
 
 /// What is wanted; all of what is set must hold.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted {
+pub struct Filter {
     /// From this time on, µs.
     pub from: Option<u64>,
     /// Before this time, µs.
@@ -24,7 +24,7 @@
     pub outcome: Option<String>,
 }
 
-impl Wanted {
+impl Filter {
     /// Whether single asks are chosen, so that turns keep only what concerns them.
     pub fn chooses(&self) -> bool {
         self.service.is_some()
@@ -34,10 +34,10 @@
     }
 
     /// Whether a block may hold something of it.
-    pub fn may_be_in(&self, entry: &Entry) -> bool {
+    pub fn may_be_in(&self, entry: &IndexEntry) -> bool {
         // An ask and its answer may lie in different blocks, so an outcome rules out none.
-        self.from.is_none_or(|from| entry.last >= from)
-            && self.until.is_none_or(|until| entry.first < until)
+        self.from.is_none_or(|from| entry.last_us >= from)
+            && self.until.is_none_or(|until| entry.first_us < until)
             && self
                 .service
                 .is_none_or(|s| entry.any_service || entry.services.binary_search(&s).is_ok())
@@ -62,15 +62,15 @@
 
 impl Chosen {
     /// First pass: takes in a record.
-    pub fn look(&mut self, wanted: &Wanted, stamped: &Stamped) {
+    pub fn scan(&mut self, wanted: &Filter, stamped: &TimedRecord) {
         if !wanted.in_time(stamped.at) {
             return;
         }
         match &stamped.record {
-            Record::Asked {
+            Record::RequestReceived {
                 task,
                 service,
-                request,
+                request_id: request,
                 ..
             } => {
                 if wanted.service == Some(*service) {
@@ -81,13 +81,13 @@
                 }
             }
             Record::Answered { task, outcome, .. }
-                if wanted.outcome.as_deref() == Some(outcome.name()) =>
+                if wanted.outcome.as_deref() == Some(outcome.api_name()) =>
             {
                 self.of_outcome.insert(*task);
             }
             Record::Turn(turn) => {
                 for event in &turn.events {
-                    if let Event::TaskAdopted(task, machine) = event {
+                    if let Event::TaskAdopted { task, machine } = event {
                         if wanted.machine == Some(machine.0) {
                             self.of_machine.insert(task.id.0);
                         }
@@ -97,7 +97,7 @@
                     }
                 }
                 for action in &turn.actions {
-                    if let Action::Offer(task, machine, _) = action
+                    if let Action::Offer { task, machine, .. } = action
                         && wanted.machine == Some(machine.0)
                     {
                         self.of_machine.insert(task.0);
@@ -108,7 +108,7 @@
         }
     }
 
-    fn has(&self, wanted: &Wanted, task: u64) -> bool {
+    fn has(&self, wanted: &Filter, task: u64) -> bool {
         (wanted.service.is_none() || self.of_service.contains(&task))
             && (wanted.machine.is_none() || self.of_machine.contains(&task))
             && (wanted.request.is_none() || self.of_request.contains(&task))
@@ -116,7 +116,7 @@
     }
 
     /// Second pass: the record as it belongs to the part, if it does.
-    pub fn keep(&self, wanted: &Wanted, stamped: &Stamped) -> Option<Stamped> {
+    pub fn filter_record(&self, wanted: &Filter, stamped: &TimedRecord) -> Option<TimedRecord> {
         if !wanted.in_time(stamped.at) {
             return None;
         }
@@ -145,7 +145,7 @@
                     actions,
                 })
             }
-            Record::Asked { task, .. } | Record::Answered { task, .. } => {
+            Record::RequestReceived { task, .. } | Record::Answered { task, .. } => {
                 return self.has(wanted, *task).then(|| stamped.clone());
             }
             // Names come again with what names them; gaps concern all.
@@ -155,13 +155,13 @@
             | Record::Stopped
             | Record::Source(_) => stamped.record.clone(),
         };
-        Some(Stamped {
+        Some(TimedRecord {
             at: stamped.at,
             record,
         })
     }
 
-    fn event(&self, wanted: &Wanted, event: &Event) -> Option<Event> {
+    fn event(&self, wanted: &Filter, event: &Event) -> Option<Event> {
         let task = match event {
             Event::EndpointsUpdated { scope, machines } => {
                 let machines: Vec<_> = machines
@@ -174,32 +174,36 @@
                     machines,
                 });
             }
-            Event::ConnectionChanged(machine, _) | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged { machine, .. } | Event::Probed { machine, .. } => {
                 return (wanted.machine == Some(machine.0)).then(|| event.clone());
             }
-            Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => task.id.0,
-            Event::AttemptAccepted(id, _) | Event::TaskReported(id, _) | Event::AttemptFinished(id, _) => id.task.0,
+            Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => task.id.0,
+            Event::AttemptAccepted { attempt: id, .. }
+            | Event::TaskReported { attempt: id, .. }
+            | Event::AttemptFinished { attempt: id, .. } => id.task.0,
             Event::ClientDisconnected(task) => task.0,
-            Event::ReplicaIndexChanged(_) | Event::DiscoveryUnavailable => return Some(event.clone()),
-            Event::TimerFired(_) | Event::PeerMessage { .. } => return None,
+            Event::ReplicaIndexChanged(_) | Event::DiscoveryUnavailable => {
+                return Some(event.clone());
+            }
+            Event::TimerFired { .. } | Event::PeerMessage { .. } => return None,
         };
         self.has(wanted, task).then(|| event.clone())
     }
 
-    fn action(&self, wanted: &Wanted, action: &Action) -> bool {
+    fn action(&self, wanted: &Filter, action: &Action) -> bool {
         match action {
-            Action::Offer(task, ..)
-            | Action::Reject(task, _)
+            Action::Offer { task, .. }
+            | Action::Reject { task, .. }
             | Action::Fail(task)
-            | Action::Blocked(task, _)
+            | Action::Blocked { task, .. }
             | Action::Migrate(task) => self.has(wanted, task.0),
             Action::Cancel(id) => self.has(wanted, id.task.0),
             Action::Probe(machine) | Action::CloseIdle(machine) => {
                 wanted.machine == Some(machine.0)
             }
-            Action::SetTimer(..)
+            Action::SetTimer { .. }
             | Action::SendToPeer { .. }
-            | Action::WatchEndpoints(_)
+            | Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::Log(_) => false,
         }
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -60,11 +60,86 @@
     pub error_us: Option<u64>,
 }
 
-/// The hash of the text of the module that this program decides with.
+/// The files that hold the decisions, with their text: those of `policy` in `deploy/balancer.toml`, in that order.
+pub const POLICY_SOURCES: [(&str, &str); 17] = [
+    (
+        "src/policy/mod.rs",
+        include_str!("../../../src/policy/mod.rs"),
+    ),
+    (
+        "src/policy/answer_times.rs",
+        include_str!("../../../src/policy/answer_times.rs"),
+    ),
+    (
+        "src/policy/answers.rs",
+        include_str!("../../../src/policy/answers.rs"),
+    ),
+    (
+        "src/policy/attempts.rs",
+        include_str!("../../../src/policy/attempts.rs"),
+    ),
+    (
+        "src/policy/endpoints.rs",
+        include_str!("../../../src/policy/endpoints.rs"),
+    ),
+    (
+        "src/policy/feasibility.rs",
+        include_str!("../../../src/policy/feasibility.rs"),
+    ),
+    (
+        "src/policy/load.rs",
+        include_str!("../../../src/policy/load.rs"),
+    ),
+    (
+        "src/policy/machine.rs",
+        include_str!("../../../src/policy/machine.rs"),
+    ),
+    (
+        "src/policy/migration.rs",
+        include_str!("../../../src/policy/migration.rs"),
+    ),
+    (
+        "src/policy/outlier.rs",
+        include_str!("../../../src/policy/outlier.rs"),
+    ),
+    (
+        "src/policy/placements.rs",
+        include_str!("../../../src/policy/placements.rs"),
+    ),
+    (
+        "src/policy/placing.rs",
+        include_str!("../../../src/policy/placing.rs"),
+    ),
+    (
+        "src/policy/random.rs",
+        include_str!("../../../src/policy/random.rs"),
+    ),
+    (
+        "src/policy/restart_throttle.rs",
+        include_str!("../../../src/policy/restart_throttle.rs"),
+    ),
+    (
+        "src/policy/selection.rs",
+        include_str!("../../../src/policy/selection.rs"),
+    ),
+    (
+        "src/policy/service_rate.rs",
+        include_str!("../../../src/policy/service_rate.rs"),
+    ),
+    (
+        "src/policy/slow_start.rs",
+        include_str!("../../../src/policy/slow_start.rs"),
+    ),
+];
+
+/// The hash of the text of the decision modules that this program decides with, one file after the other in the order of
+/// [`POLICY_SOURCES`].
 pub fn module_hash() -> String {
-    blake3::hash(include_bytes!("../../../src/control.rs"))
-        .to_hex()
-        .to_string()
+    let mut hasher = blake3::Hasher::new();
+    for (_, text) in POLICY_SOURCES {
+        hasher.update(text.as_bytes());
+    }
+    hasher.finalize().to_hex().to_string()
 }
 
 impl Header {
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -20,9 +20,9 @@
 pub mod summary;
 pub mod writer;
 
-pub use block::Info;
+pub use block::BlockInfo;
 pub use error::TraceError;
-pub use header::{Header, Source, module_hash};
+pub use header::{Header, POLICY_SOURCES, Source, module_hash};
 pub use reader::{Part, Reader};
-pub use record::{Outcome, Record, Stamped, Turn};
+pub use record::{Outcome, Record, TimedRecord, Turn};
 pub use writer::{Totals, Writer};
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -8,10 +8,10 @@
 use std::collections::{BTreeMap, HashMap};
 
 use hdrhistogram::Histogram;
-use maplethread::{Action, AttemptId, AttemptResult, AttemptOutcome, Event, Micros, TaskReport};
+use maplethread::{Action, AttemptId, AttemptOutcome, AttemptResult, Event, Micros, TaskReport};
 use serde_json::{Value, json};
 
-use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::record::{Outcome, Record, TimedRecord, Turn};
 use crate::report_names;
 
 /// Actors that are followed at a time; when as many are wanted, new ones are counted as not followed.
@@ -20,80 +20,80 @@
 const LONGEST: u64 = 3_600_000_000;
 
 /// A time without a running copy, on its way.
-struct Gap {
-    began: String,
+struct Outage {
+    cause: String,
     phase: String,
-    since: Micros,
+    phase_started: Micros,
     /// The host that the phase is spent at, if at one.
     host: Option<u32>,
-    spent: Vec<(String, Option<u32>, Micros)>,
+    phase_times: Vec<(String, Option<u32>, Micros)>,
 }
 
 struct Actor {
     class: usize,
-    asked: Micros,
+    requested_at: Micros,
     /// Until when it is wanted; known once the module was given its first ask.
-    until: Option<Micros>,
-    started: bool,
-    copies: u32,
-    gap: Option<Gap>,
+    required_until: Option<Micros>,
+    has_started: bool,
+    running_copies: u32,
+    outage: Option<Outage>,
 }
 
 impl Actor {
     /// Ends the phase that a gap is in, and begins the next.
     fn phase(&mut self, now: Micros, phase: impl Into<String>, host: Option<u32>) {
-        let until = self.until.unwrap_or(now);
-        let Some(gap) = &mut self.gap else { return };
-        let spent = now.min(until).saturating_sub(gap.since.min(until));
+        let until = self.required_until.unwrap_or(now);
+        let Some(gap) = &mut self.outage else { return };
+        let spent = now.min(until).saturating_sub(gap.phase_started.min(until));
         let ended = std::mem::replace(&mut gap.phase, phase.into());
         if spent > 0 {
-            gap.spent.push((ended, gap.host, spent));
+            gap.phase_times.push((ended, gap.host, spent));
         }
-        (gap.since, gap.host) = (now, host);
+        (gap.phase_started, gap.host) = (now, host);
     }
 }
 
 /// Times of one class.
-struct Class {
+struct ClassLosses {
     name: String,
     actors: u64,
-    never: u64,
-    wanted: Micros,
-    gaps: BTreeMap<String, (u64, BTreeMap<String, Micros>)>,
+    never_started: u64,
+    required_time: Micros,
+    outages: BTreeMap<String, (u64, BTreeMap<String, Micros>)>,
     first_start: Histogram<u64>,
 }
 
 /// Losses on their way. Records are to come in the order of a merged trace, or of one run of a placer.
-pub struct Losses {
-    classes: Vec<Class>,
+pub struct LossCollector {
+    classes: Vec<ClassLosses>,
     actors: HashMap<String, Actor>,
     /// Which actor a task is for, and attempts made.
     tasks: HashMap<u64, (String, u32)>,
     /// Hosts of attempts that have not ended, and whether they run.
     attempts: HashMap<(u64, u32), (u32, bool)>,
-    hosts: BTreeMap<u32, String>,
+    host_names: BTreeMap<u32, String>,
     at_hosts: BTreeMap<u32, BTreeMap<String, Micros>>,
     not_followed: u64,
     now: Micros,
 }
 
-impl Losses {
+impl LossCollector {
     /// Losses of these classes.
-    pub fn new(classes: &[String]) -> Losses {
-        let class = |name: &String| Class {
+    pub fn new(classes: &[String]) -> LossCollector {
+        let class = |name: &String| ClassLosses {
             name: name.clone(),
             actors: 0,
-            never: 0,
-            wanted: 0,
-            gaps: BTreeMap::new(),
+            never_started: 0,
+            required_time: 0,
+            outages: BTreeMap::new(),
             first_start: Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in range"),
         };
-        Losses {
+        LossCollector {
             classes: classes.iter().map(class).collect(),
             actors: HashMap::new(),
             tasks: HashMap::new(),
             attempts: HashMap::new(),
-            hosts: BTreeMap::new(),
+            host_names: BTreeMap::new(),
             at_hosts: BTreeMap::new(),
             not_followed: 0,
             now: 0,
@@ -101,18 +101,20 @@
     }
 
     /// Takes in a record.
-    pub fn feed(&mut self, stamped: &Stamped) {
+    pub fn feed(&mut self, stamped: &TimedRecord) {
         self.now = self.now.max(stamped.at);
         match &stamped.record {
-            Record::Host { machine, name, .. } => drop(self.hosts.insert(*machine, name.clone())),
-            Record::Asked {
+            Record::Host { machine, name, .. } => {
+                drop(self.host_names.insert(*machine, name.clone()))
+            }
+            Record::RequestReceived {
                 task,
                 actor,
                 class,
-                read,
+                received_at: read,
                 ..
             } => {
-                self.asked(stamped.at, *task, actor, *class as usize, *read);
+                self.handle_request(stamped.at, *task, actor, *class as usize, *read);
             }
             Record::Answered { task, outcome, .. } => self.answered(stamped.at, *task, outcome),
             Record::Turn(turn) => self.turn(stamped.at, turn),
@@ -120,7 +122,7 @@
         }
     }
 
-    fn asked(&mut self, now: Micros, task: u64, name: &str, class: usize, read: Micros) {
+    fn handle_request(&mut self, now: Micros, task: u64, name: &str, class: usize, read: Micros) {
         if class >= self.classes.len() {
             return;
         }
@@ -134,20 +136,20 @@
                 self.not_followed += 1;
                 return;
             }
-            let gap = Gap {
-                began: "first start".into(),
+            let gap = Outage {
+                cause: "first start".into(),
                 phase: "asked".into(),
-                since: read,
+                phase_started: read,
                 host: None,
-                spent: Vec::new(),
+                phase_times: Vec::new(),
             };
             let actor = Actor {
                 class,
-                asked: read,
-                until: None,
-                started: false,
-                copies: 0,
-                gap: Some(gap),
+                requested_at: read,
+                required_until: None,
+                has_started: false,
+                running_copies: 0,
+                outage: Some(gap),
             };
             self.actors.insert(name.to_owned(), actor);
             self.classes[class].actors += 1;
@@ -161,7 +163,7 @@
         let over: Vec<String> = self
             .actors
             .iter()
-            .filter(|(_, a)| a.until.is_some_and(|until| until < now))
+            .filter(|(_, a)| a.required_until.is_some_and(|until| until < now))
             .map(|(name, _)| name.clone())
             .collect();
         for name in over {
@@ -181,18 +183,18 @@
         let now = self.now;
         actor.phase(now, "", None);
         let class = &mut self.classes[actor.class];
-        class.never += u64::from(!actor.started);
-        let until = actor.until.unwrap_or(now).min(now);
-        class.wanted += until.saturating_sub(actor.asked);
-        if let Some(gap) = actor.gap {
+        class.never_started += u64::from(!actor.has_started);
+        let until = actor.required_until.unwrap_or(now).min(now);
+        class.required_time += until.saturating_sub(actor.requested_at);
+        if let Some(gap) = actor.outage {
             self.count(actor.class, gap);
         }
     }
 
-    fn count(&mut self, class: usize, gap: Gap) {
-        let (gaps, phases) = self.classes[class].gaps.entry(gap.began).or_default();
+    fn count(&mut self, class: usize, gap: Outage) {
+        let (gaps, phases) = self.classes[class].outages.entry(gap.cause).or_default();
         *gaps += 1;
-        for (phase, host, spent) in gap.spent {
+        for (phase, host, spent) in gap.phase_times {
             *phases.entry(phase.clone()).or_default() += spent;
             if let Some(host) = host {
                 *self
@@ -213,9 +215,9 @@
     fn answered(&mut self, now: Micros, task: u64, outcome: &Outcome) {
         let phase = match outcome {
             Outcome::Placed { .. } => return,
-            Outcome::Refused { reason, .. } => format!("with its owner, refused for {reason}"),
+            Outcome::Rejected { reason, .. } => format!("with its owner, refused for {reason}"),
             Outcome::Failed => "with its owner, failed".to_owned(),
-            Outcome::HungUp => "with its owner, who hung up".to_owned(),
+            Outcome::ClientDisconnected => "with its owner, who hung up".to_owned(),
         };
         if let Some(actor) = self.actor(task) {
             actor.phase(now, phase, None);
@@ -230,24 +232,30 @@
                         // Without a life it is wanted until it is done.
                         let until = task
                             .expected_duration
-                            .map_or(Micros::MAX, |life| actor.asked.saturating_add(life));
-                        actor.until.get_or_insert(until);
+                            .map_or(Micros::MAX, |life| actor.requested_at.saturating_add(life));
+                        actor.required_until.get_or_insert(until);
                     }
                 }
-                Event::AttemptAccepted(id, _) => {
+                Event::AttemptAccepted { attempt: id, .. } => {
                     let host = self.attempts.get(&key(id)).map(|a| a.0);
                     if let Some(actor) = self.actor(id.task.0) {
                         actor.phase(now, "accepted, starting", host);
                     }
                 }
-                Event::TaskReported(id, TaskReport::Started) => self.started(now, id),
-                Event::AttemptFinished(id, end) => self.ended(now, id, *end),
+                Event::TaskReported {
+                    attempt: id,
+                    report: TaskReport::Started,
+                } => self.handle_started(now, id),
+                Event::AttemptFinished {
+                    attempt: id,
+                    result: end,
+                } => self.ended(now, id, *end),
                 _ => {}
             }
         }
         for action in &turn.actions {
             match action {
-                Action::Offer(task, machine, _) => {
+                Action::Offer { task, machine, .. } => {
                     let Some((_, made)) = self.tasks.get_mut(&task.0) else {
                         continue;
                     };
@@ -258,7 +266,7 @@
                         actor.phase(now, "offered", Some(machine.0));
                     }
                 }
-                Action::Blocked(task, lack) => {
+                Action::Blocked { task, reason: lack } => {
                     if let Some(actor) = self.actor(task.0) {
                         actor.phase(now, format!("held for {}", report_names::lack(*lack)), None);
                     }
@@ -268,7 +276,7 @@
         }
     }
 
-    fn started(&mut self, now: Micros, id: &AttemptId) {
+    fn handle_started(&mut self, now: Micros, id: &AttemptId) {
         match self.attempts.get_mut(&key(id)) {
             Some((_, runs)) if !*runs => *runs = true,
             _ => return,
@@ -276,11 +284,15 @@
         let Some(actor) = self.actor(id.task.0) else {
             return;
         };
-        actor.copies += 1;
+        actor.running_copies += 1;
         actor.phase(now, "", None);
-        let (class, first, after) = (actor.class, !actor.started, now.saturating_sub(actor.asked));
-        actor.started = true;
-        let gap = actor.gap.take();
+        let (class, first, after) = (
+            actor.class,
+            !actor.has_started,
+            now.saturating_sub(actor.requested_at),
+        );
+        actor.has_started = true;
+        let gap = actor.outage.take();
         if first {
             self.classes[class]
                 .first_start
@@ -300,20 +312,20 @@
             return;
         };
         if ran {
-            actor.copies = actor.copies.saturating_sub(1);
+            actor.running_copies = actor.running_copies.saturating_sub(1);
             if end.outcome == AttemptOutcome::Completed {
-                actor.until = Some(actor.until.unwrap_or(now).min(now));
-            } else if actor.copies == 0 && actor.gap.is_none() {
+                actor.required_until = Some(actor.required_until.unwrap_or(now).min(now));
+            } else if actor.running_copies == 0 && actor.outage.is_none() {
                 let phase = "with its owner, told of the loss".to_owned();
-                actor.gap = Some(Gap {
-                    began: why,
+                actor.outage = Some(Outage {
+                    cause: why,
                     phase,
-                    since: now,
+                    phase_started: now,
                     host: None,
-                    spent: Vec::new(),
+                    phase_times: Vec::new(),
                 });
             }
-        } else if let Some(gap) = &mut actor.gap {
+        } else if let Some(gap) = &mut actor.outage {
             // What was waited for in vain is told apart from what came.
             gap.phase = format!("{}, in vain: {why}", gap.phase);
             gap.host = Some(host);
@@ -322,11 +334,11 @@
     }
 
     /// The end of the trace: all counts.
-    pub fn finish(mut self) -> Counted {
+    pub fn finish(mut self) -> LossReport {
         for (_, actor) in std::mem::take(&mut self.actors) {
             self.over(actor);
         }
-        Counted(self)
+        LossReport(self)
     }
 }
 
@@ -335,7 +347,7 @@
 }
 
 /// Losses, counted.
-pub struct Counted(Losses);
+pub struct LossReport(LossCollector);
 
 /// Names with their times, the longest first.
 fn longest<K: Clone + Ord>(times: impl Iterator<Item = (K, Micros)>) -> Vec<(K, Micros)> {
@@ -348,8 +360,8 @@
     time as f64 / 1e6
 }
 
-impl Counted {
-    fn hosts(&self) -> Vec<(String, &BTreeMap<String, Micros>)> {
+impl LossReport {
+    fn hosts_by_lost_time(&self) -> Vec<(String, &BTreeMap<String, Micros>)> {
         let all = longest(
             self.0
                 .at_hosts
@@ -358,7 +370,7 @@
         );
         let name = |n: &u32| {
             self.0
-                .hosts
+                .host_names
                 .get(n)
                 .cloned()
                 .unwrap_or_else(|| format!("#{n}"))
@@ -369,30 +381,30 @@
     }
 
     /// All as one object; times in seconds.
-    pub fn json(&self) -> Value {
+    pub fn to_json(&self) -> Value {
         let in_seconds = |phases: &BTreeMap<String, Micros>| -> BTreeMap<String, f64> {
             phases
                 .iter()
                 .map(|(phase, &time)| (phase.clone(), seconds(time)))
                 .collect()
         };
-        let class = |c: &Class| {
+        let class = |c: &ClassLosses| {
             let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
             let gaps: BTreeMap<&String, Value> = c
-                .gaps
+                .outages
                 .iter()
                 .map(|(began, (n, phases))| {
                     (began, json!({"count": n, "seconds": in_seconds(phases)}))
                 })
                 .collect();
             let value = json!({
-                "actors": c.actors, "never_started": c.never, "wanted_s": seconds(c.wanted), "gaps": gaps,
+                "actors": c.actors, "never_started": c.never_started, "wanted_s": seconds(c.required_time), "gaps": gaps,
                 "first_start_ms": {"p50": q(0.5), "p90": q(0.9), "p99": q(0.99), "max": q(1.0)},
             });
             (c.name.clone(), value)
         };
         let hosts: BTreeMap<String, Value> = self
-            .hosts()
+            .hosts_by_lost_time()
             .into_iter()
             .map(|(name, phases)| (name, json!(in_seconds(phases))))
             .collect();
@@ -403,16 +415,16 @@
     }
 
     /// All for a person.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         use std::fmt::Write;
         let mut out = String::new();
         for c in self.0.classes.iter().filter(|c| c.actors > 0) {
             let lost: Micros = c
-                .gaps
+                .outages
                 .values()
                 .flat_map(|(_, phases)| phases.values())
                 .sum();
-            let share = |time: Micros| 100.0 * time as f64 / c.wanted.max(1) as f64;
+            let share = |time: Micros| 100.0 * time as f64 / c.required_time.max(1) as f64;
             let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
             let _ = writeln!(
                 out,
@@ -420,9 +432,9 @@
                  p90 {:.0} ms, p99 {:.0} ms",
                 c.name,
                 c.actors,
-                seconds(c.wanted),
+                seconds(c.required_time),
                 share(lost),
-                c.never,
+                c.never_started,
                 q(0.5),
                 q(0.9),
                 q(0.99)
@@ -430,8 +442,8 @@
             let whole = |(began, (_, phases)): (&String, &(u64, BTreeMap<String, Micros>))| {
                 (began.clone(), phases.values().sum())
             };
-            for (began, time) in longest(c.gaps.iter().map(whole)) {
-                let (n, phases) = &c.gaps[&began];
+            for (began, time) in longest(c.outages.iter().map(whole)) {
+                let (n, phases) = &c.outages[&began];
                 let _ = writeln!(out, "  {:.2}% in {n} gaps after {began}:", share(time));
                 for (phase, time) in longest(phases.iter().map(|(p, &t)| (p, t)))
                     .into_iter()
@@ -441,7 +453,7 @@
                 }
             }
         }
-        for (name, phases) in self.hosts().into_iter().take(5) {
+        for (name, phases) in self.hosts_by_lost_time().into_iter().take(5) {
             let phases: Vec<String> = longest(phases.iter().map(|(p, &t)| (p, t)))
                 .into_iter()
                 .take(3)
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -12,7 +12,7 @@
 
 use crate::header::{Header, Source};
 use crate::reader::{Part, Reader};
-use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::record::{Outcome, Record, TimedRecord, Turn};
 use crate::{TraceError, Writer};
 
 /// Starts of hosts that are compared.
@@ -39,10 +39,10 @@
 
 /// A source as one input has it.
 #[derive(Clone, Debug)]
-struct Piece {
+struct SourceSlice {
     input: usize,
     /// Its place among the input's sources.
-    index: u32,
+    source_index: u32,
     source: Source,
 }
 
@@ -68,8 +68,8 @@
 }
 
 /// A plan of a merge: which pieces make up which source, what things are called, and how clocks differ.
-pub struct Merge {
-    pieces: Vec<Vec<Piece>>,
+pub struct MergePlan {
+    pieces: Vec<Vec<SourceSlice>>,
     header: Header,
     /// For each input, its classes' and hosts' numbers in the merged trace.
     classes: Vec<Vec<u32>>,
@@ -79,9 +79,9 @@
     merged: Vec<bool>,
 }
 
-impl Merge {
+impl MergePlan {
     /// Reads all inputs once.
-    pub fn plan<R: Read + Seek>(inputs: &mut [Reader<R>]) -> Result<Merge, MergeError> {
+    pub fn new<R: Read + Seek>(inputs: &mut [Reader<R>]) -> Result<MergePlan, MergeError> {
         let pieces = pieces(inputs)?;
         let mut named: Vec<Named> = inputs.iter().map(|_| Named::default()).collect();
         let mut services: BTreeMap<u64, String> = BTreeMap::new();
@@ -96,7 +96,7 @@
                 .flat_map(|(s, all)| {
                     all.iter()
                         .filter(|p| p.input == n)
-                        .map(move |p| (p.index, s))
+                        .map(move |p| (p.source_index, s))
                 })
                 .collect();
             let offsets: Vec<i64> = sources(&input.header).iter().map(|s| s.offset_us).collect();
@@ -106,7 +106,7 @@
                 let Part::Block { records, .. } = part else {
                     continue;
                 };
-                for Stamped { at, record } in records {
+                for TimedRecord { at, record } in records {
                     match record {
                         Record::Source(source) => now = source,
                         Record::Host {
@@ -215,7 +215,7 @@
             .iter()
             .map(|i| !i.header.sources.is_empty())
             .collect();
-        Ok(Merge {
+        Ok(MergePlan {
             pieces,
             header,
             classes,
@@ -237,7 +237,7 @@
         writer: &mut Writer<W>,
     ) -> Result<(), MergeError> {
         for record in &self.names {
-            writer.know(&Stamped {
+            writer.register_name(&TimedRecord {
                 at: 0,
                 record: record.clone(),
             });
@@ -250,12 +250,12 @@
             }
             inputs.reverse();
             let offset = self.header.sources[n].offset_us;
-            let mut stream = Stream {
+            let mut stream = SourceStream {
                 inputs,
-                block: Vec::new().into_iter(),
-                now: 0,
-                offset,
-                key: 0,
+                records: Vec::new().into_iter(),
+                current_source: 0,
+                offset_us: offset,
+                sort_key: 0,
                 next: None,
             };
             stream.advance(self, n)?;
@@ -268,13 +268,13 @@
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.next.is_some())
-                .min_by_key(|(_, s)| s.key);
+                .min_by_key(|(_, s)| s.sort_key);
             let Some((n, _)) = least else { return Ok(()) };
             let Some(stamped) = streams[n].next.take() else {
                 return Ok(());
             };
             if source != Some(n) {
-                writer.push(&Stamped {
+                writer.push(&TimedRecord {
                     at: stamped.at,
                     record: Record::Source(n as u32),
                 })?;
@@ -335,39 +335,93 @@
                                 machines: machines.into_iter().map(one).collect(),
                             }
                         }
-                        Event::ConnectionChanged(m, on) => Event::ConnectionChanged(MachineId(host(m.0)), on),
+                        Event::ConnectionChanged {
+                            machine: m,
+                            is_connected: on,
+                        } => Event::ConnectionChanged {
+                            machine: MachineId(host(m.0)),
+                            is_connected: on,
+                        },
                         Event::PlacementRequested(t) => Event::PlacementRequested(whole(t)?),
-                        Event::TaskAdopted(t, m) => Event::TaskAdopted(whole(t)?, MachineId(host(m.0))),
-                        Event::AttemptAccepted(id, took) => Event::AttemptAccepted(attempt(id)?, took),
-                        Event::TaskReported(id, note) => Event::TaskReported(attempt(id)?, note),
-                        Event::AttemptFinished(id, end) => Event::AttemptFinished(attempt(id)?, end),
-                        Event::ClientDisconnected(id) => Event::ClientDisconnected(TaskId(task(id.0)?)),
-                        Event::Probed { machine, ok, load } => Event::Probed {
+                        Event::TaskAdopted {
+                            task: t,
+                            machine: m,
+                        } => Event::TaskAdopted {
+                            task: whole(t)?,
+                            machine: MachineId(host(m.0)),
+                        },
+                        Event::AttemptAccepted {
+                            attempt: id,
+                            elapsed: took,
+                        } => Event::AttemptAccepted {
+                            attempt: attempt(id)?,
+                            elapsed: took,
+                        },
+                        Event::TaskReported {
+                            attempt: id,
+                            report: note,
+                        } => Event::TaskReported {
+                            attempt: attempt(id)?,
+                            report: note,
+                        },
+                        Event::AttemptFinished {
+                            attempt: id,
+                            result: end,
+                        } => Event::AttemptFinished {
+                            attempt: attempt(id)?,
+                            result: end,
+                        },
+                        Event::ClientDisconnected(id) => {
+                            Event::ClientDisconnected(TaskId(task(id.0)?))
+                        }
+                        Event::Probed {
+                            machine,
+                            answered: ok,
+                            load,
+                        } => Event::Probed {
                             machine: MachineId(host(machine.0)),
-                            ok,
+                            answered: ok,
                             load,
                         },
                         Event::ReplicaIndexChanged(_)
                         | Event::DiscoveryUnavailable
-                        | Event::TimerFired(_)
+                        | Event::TimerFired { .. }
                         | Event::PeerMessage { .. } => event,
                     })
                 };
                 let action = |action: Action| -> Result<Action, MergeError> {
                     Ok(match action {
-                        Action::Offer(id, m, wait) => {
-                            Action::Offer(TaskId(task(id.0)?), MachineId(host(m.0)), wait)
-                        }
+                        Action::Offer {
+                            task: id,
+                            machine: m,
+                            timeout: wait,
+                        } => Action::Offer {
+                            task: TaskId(task(id.0)?),
+                            machine: MachineId(host(m.0)),
+                            timeout: wait,
+                        },
                         Action::Cancel(id) => Action::Cancel(attempt(id)?),
-                        Action::Reject(id, advice) => Action::Reject(TaskId(task(id.0)?), advice),
+                        Action::Reject {
+                            task: id,
+                            retry_after: advice,
+                        } => Action::Reject {
+                            task: TaskId(task(id.0)?),
+                            retry_after: advice,
+                        },
                         Action::Fail(id) => Action::Fail(TaskId(task(id.0)?)),
-                        Action::Blocked(id, lack) => Action::Blocked(TaskId(task(id.0)?), lack),
+                        Action::Blocked {
+                            task: id,
+                            reason: lack,
+                        } => Action::Blocked {
+                            task: TaskId(task(id.0)?),
+                            reason: lack,
+                        },
                         Action::Migrate(id) => Action::Migrate(TaskId(task(id.0)?)),
                         Action::Probe(m) => Action::Probe(MachineId(host(m.0))),
                         Action::CloseIdle(m) => Action::CloseIdle(MachineId(host(m.0))),
-                        Action::SetTimer(..)
+                        Action::SetTimer { .. }
                         | Action::SendToPeer { .. }
-                        | Action::WatchEndpoints(_)
+                        | Action::WatchEndpoints { .. }
                         | Action::FetchEndpoints
                         | Action::Log(_) => action,
                     })
@@ -378,31 +432,31 @@
                     actions: actions.into_iter().map(action).collect::<Result<_, _>>()?,
                 })
             }
-            Record::Asked {
+            Record::RequestReceived {
                 task: id,
                 service,
                 actor,
                 class: c,
-                request,
-                key,
-                read,
+                request_id: request,
+                idempotency_key: key,
+                received_at: read,
             } => {
                 let c = class(c as usize) as u32;
-                Record::Asked {
+                Record::RequestReceived {
                     task: task(id)?,
                     service,
                     actor,
                     class: c,
-                    request,
-                    key,
-                    read,
+                    request_id: request,
+                    idempotency_key: key,
+                    received_at: read,
                 }
             }
             Record::Answered {
                 task: id,
                 outcome,
                 attempts,
-                after,
+                elapsed: after,
             } => {
                 let outcome = match outcome {
                     Outcome::Placed { host: n } => Outcome::Placed { host: host(n) },
@@ -412,7 +466,7 @@
                     task: task(id)?,
                     outcome,
                     attempts,
-                    after,
+                    elapsed: after,
                 }
             }
             other => other,
@@ -421,58 +475,60 @@
 }
 
 /// One source's records in its own order.
-struct Stream<R> {
+struct SourceStream<R> {
     /// What is left of its pieces, the next one last.
-    inputs: Vec<(Reader<R>, Piece)>,
-    block: std::vec::IntoIter<Stamped>,
+    inputs: Vec<(Reader<R>, SourceSlice)>,
+    records: std::vec::IntoIter<TimedRecord>,
     /// The source that the piece's records are of just now.
-    now: u32,
-    offset: i64,
+    current_source: u32,
+    offset_us: i64,
     /// Where the next record stands among those of other sources: never before the one before it.
-    key: u64,
-    next: Option<Stamped>,
+    sort_key: u64,
+    next: Option<TimedRecord>,
 }
 
-impl<R: Read + Seek> Stream<R> {
-    fn advance(&mut self, merge: &Merge, source: usize) -> Result<(), MergeError> {
+impl<R: Read + Seek> SourceStream<R> {
+    fn advance(&mut self, merge: &MergePlan, source: usize) -> Result<(), MergeError> {
         loop {
             let Some((reader, piece)) = self.inputs.last_mut() else {
                 return Ok(());
             };
-            let Some(Stamped { at, record }) = self.block.next() else {
+            let Some(TimedRecord { at, record }) = self.records.next() else {
                 match reader.next_part()? {
-                    Some(Part::Block { records, .. }) => self.block = records.into_iter(),
-                    Some(Part::Damaged { octets, .. }) => {
+                    Some(Part::Block { records, .. }) => self.records = records.into_iter(),
+                    Some(Part::Damaged {
+                        byte_count: octets, ..
+                    }) => {
                         let why = format!("{octets} damaged octets");
                         let record = Record::Gap {
                             turns: 1,
                             records: 1,
-                            why,
+                            reason: why,
                         };
-                        self.block = vec![Stamped {
-                            at: self.key,
+                        self.records = vec![TimedRecord {
+                            at: self.sort_key,
                             record,
                         }]
                         .into_iter();
                     }
                     None => {
                         self.inputs.pop();
-                        self.now = 0;
+                        self.current_source = 0;
                     }
                 }
                 continue;
             };
             match record {
-                Record::Source(n) => self.now = n,
+                Record::Source(n) => self.current_source = n,
                 Record::Host { .. } | Record::Service { .. } => {}
-                record if self.now == piece.index => {
+                record if self.current_source == piece.source_index => {
                     // The times of a merged input are corrected already.
                     let at = at
                         .wrapping_sub(piece.source.offset_us as u64)
-                        .wrapping_add(self.offset as u64);
-                    self.key = self.key.max(at);
+                        .wrapping_add(self.offset_us as u64);
+                    self.sort_key = self.sort_key.max(at);
                     let record = merge.renumber(piece.input, source, record)?;
-                    self.next = Some(Stamped { at, record });
+                    self.next = Some(TimedRecord { at, record });
                     return Ok(());
                 }
                 _ => {}
@@ -482,17 +538,17 @@
 }
 
 /// Which pieces make up each source, in the order of sources; what another input holds as a whole is left out.
-fn pieces<R: Read + Seek>(inputs: &[Reader<R>]) -> Result<Vec<Vec<Piece>>, MergeError> {
-    let mut all: BTreeMap<(String, u64), Vec<Piece>> = BTreeMap::new();
+fn pieces<R: Read + Seek>(inputs: &[Reader<R>]) -> Result<Vec<Vec<SourceSlice>>, MergeError> {
+    let mut all: BTreeMap<(String, u64), Vec<SourceSlice>> = BTreeMap::new();
     for (input, reader) in inputs.iter().enumerate() {
         if reader.header.changed.iter().any(|c| c == "anonymise") {
             return Err(MergeError::Hidden);
         }
         for (index, source) in sources(&reader.header).into_iter().enumerate() {
             let run = (source.placer.clone(), source.started_ms);
-            all.entry(run).or_default().push(Piece {
+            all.entry(run).or_default().push(SourceSlice {
                 input,
-                index: index as u32,
+                source_index: index as u32,
                 source,
             });
         }
@@ -506,9 +562,9 @@
                 .cmp(&a.source.parts.len())
                 .then(a.input.cmp(&b.input))
         });
-        let mut kept: Vec<Piece> = Vec::new();
+        let mut kept: Vec<SourceSlice> = Vec::new();
         for piece in pieces {
-            let has = |p: &Piece, part: &u32| p.source.parts.contains(part);
+            let has = |p: &SourceSlice, part: &u32| p.source.parts.contains(part);
             if kept
                 .iter()
                 .any(|k| piece.source.parts.iter().all(|part| has(k, part)))
@@ -544,7 +600,7 @@
         };
         for listing in machines {
             let (Some(started), Some(host)) =
-                (listing.started, named.hosts.get(&listing.machine.0))
+                (listing.started_at, named.hosts.get(&listing.machine.0))
             else {
                 continue;
             };
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -3,10 +3,10 @@
 use std::io::{Read, Seek, SeekFrom};
 
 use crate::TraceError;
-use crate::block::{self, HEAD, Info, MAGIC, MOST_RAW, unpack};
+use crate::block::{self, BlockInfo, HEAD, MAGIC, MOST_RAW, unpack};
 use crate::header::{Header, MINOR};
-use crate::record::Stamped;
-use crate::writer::{END, Entry, INDEX};
+use crate::record::TimedRecord;
+use crate::writer::{END, INDEX, IndexEntry};
 
 /// A part of a file.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,37 +14,37 @@
     /// A sound block.
     Block {
         /// Where it begins.
-        at: u64,
+        offset: u64,
         /// What its head tells.
-        info: Info,
+        info: BlockInfo,
         /// Its records.
-        records: Vec<Stamped>,
+        records: Vec<TimedRecord>,
         /// Records of kinds that this program does not know.
-        unknown: u32,
+        unknown_records: u32,
     },
     /// Octets that are no sound block.
     Damaged {
         /// Where they begin.
-        at: u64,
+        offset: u64,
         /// How many there are, up to the next sound block or the end.
-        octets: u64,
+        byte_count: u64,
         /// What is wrong with the first of them.
-        why: &'static str,
+        reason: &'static str,
     },
 }
 
 /// A file being read.
 pub struct Reader<R> {
-    from: R,
+    input: R,
     /// What it begins with.
     pub header: Header,
-    minor: u16,
+    minor_version: u16,
     /// Where blocks begin.
-    start: u64,
-    at: u64,
-    length: u64,
+    first_block: u64,
+    position: u64,
+    file_bytes: u64,
     /// Octets read so far, for those who want to know how much a cut read.
-    read: u64,
+    bytes_read: u64,
 }
 
 impl<R: Read + Seek> Reader<R> {
@@ -54,28 +54,28 @@
         let (header, start, minor) = Header::read(&mut from)?;
         let length = from.seek(SeekFrom::End(0))?;
         Ok(Reader {
-            from,
+            input: from,
             header,
-            minor,
-            start,
-            at: start,
-            length,
-            read: start,
+            minor_version: minor,
+            first_block: start,
+            position: start,
+            file_bytes: length,
+            bytes_read: start,
         })
     }
 
     /// Whether a newer program wrote it, whose kinds of records may be passed over.
     pub fn newer(&self) -> bool {
-        self.minor > MINOR
+        self.minor_version > MINOR
     }
 
     /// Octets of the file, and those read so far.
     pub fn progress(&self) -> (u64, u64) {
-        (self.length, self.read)
+        (self.file_bytes, self.bytes_read)
     }
 
     /// The index, if the file was finished and it is sound.
-    pub fn index(&mut self) -> Result<Option<Vec<Entry>>, TraceError> {
+    pub fn read_index(&mut self) -> Result<Option<Vec<IndexEntry>>, TraceError> {
         let Some(at) = self.index_at()? else {
             return Ok(None);
         };
@@ -83,7 +83,7 @@
         let four =
             |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (packed, raw) = (u64::from(four(4)), four(8) as usize);
-        if at + 28 + packed + 16 != self.length || raw > 4 * MOST_RAW {
+        if at + 28 + packed + 16 != self.file_bytes || raw > 4 * MOST_RAW {
             return Ok(None);
         }
         let bytes = self.take(at + 28, packed as usize)?;
@@ -96,29 +96,29 @@
 
     /// Where the index begins, by the end of the file.
     fn index_at(&mut self) -> Result<Option<u64>, TraceError> {
-        if self.length < self.start + 44 {
+        if self.file_bytes < self.first_block + 44 {
             return Ok(None);
         }
-        let end = self.take(self.length - 16, 16)?;
+        let end = self.take(self.file_bytes - 16, 16)?;
         if end[8..] != *END {
             return Ok(None);
         }
         let at = u64::from_le_bytes([
             end[0], end[1], end[2], end[3], end[4], end[5], end[6], end[7],
         ]);
-        if at < self.start || at + 44 > self.length || self.take(at, 4)? != INDEX {
+        if at < self.first_block || at + 44 > self.file_bytes || self.take(at, 4)? != INDEX {
             return Ok(None);
         }
         Ok(Some(at))
     }
 
     fn take(&mut self, at: u64, octets: usize) -> Result<Vec<u8>, TraceError> {
-        self.from.seek(SeekFrom::Start(at))?;
+        self.input.seek(SeekFrom::Start(at))?;
         let mut bytes = Vec::new();
-        (&mut self.from)
+        (&mut self.input)
             .take(octets as u64)
             .read_to_end(&mut bytes)?;
-        self.read += bytes.len() as u64;
+        self.bytes_read += bytes.len() as u64;
         if bytes.len() != octets {
             return Err(TraceError::Damaged {
                 at,
@@ -129,37 +129,37 @@
     }
 
     /// The block that begins at this octet.
-    pub fn block(&mut self, at: u64) -> Result<Part, TraceError> {
+    pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
         let (info, payload) = self.payload(at)?;
         let (records, unknown) =
             unpack(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
         Ok(Part::Block {
-            at,
+            offset: at,
             info,
             records,
-            unknown,
+            unknown_records: unknown,
         })
     }
 
     /// The octets of the block that begins at this octet, unpacked.
-    pub fn octets(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
+    pub fn read_block_bytes(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
         let (info, payload) = self.payload(at)?;
-        block::octets(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
+        block::unpack_bytes(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
     }
 
-    fn payload(&mut self, at: u64) -> Result<(Info, Vec<u8>), TraceError> {
+    fn payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         let damaged = |why| TraceError::Damaged { at, why };
-        if at + HEAD as u64 > self.length {
+        if at + HEAD as u64 > self.file_bytes {
             return Err(damaged("the file ends in a block's head"));
         }
         let mut head = [0; HEAD];
         head.copy_from_slice(&self.take(at, HEAD)?);
-        let (info, check) = Info::read(&head).map_err(damaged)?;
-        if at + HEAD as u64 + u64::from(info.packed) > self.length {
+        let (info, check) = BlockInfo::parse(&head).map_err(damaged)?;
+        if at + HEAD as u64 + u64::from(info.packed_bytes) > self.file_bytes {
             return Err(damaged("the file ends in a block"));
         }
-        let payload = self.take(at + HEAD as u64, info.packed as usize)?;
-        if info.check(&payload) != check {
+        let payload = self.take(at + HEAD as u64, info.packed_bytes as usize)?;
+        if info.checksum(&payload) != check {
             return Err(damaged("a block's checksum does not fit"));
         }
         Ok((info, payload))
@@ -167,39 +167,39 @@
 
     /// Begins again with the first block.
     pub fn rewind(&mut self) {
-        self.at = self.start;
+        self.position = self.first_block;
     }
 
     /// The next part; none at the end.
     pub fn next_part(&mut self) -> Result<Option<Part>, TraceError> {
-        let (from, mut why) = (self.at, None);
-        let end = self.index_at().ok().flatten().unwrap_or(self.length);
-        while self.at < end {
-            match self.block(self.at) {
+        let (from, mut why) = (self.position, None);
+        let end = self.index_at().ok().flatten().unwrap_or(self.file_bytes);
+        while self.position < end {
+            match self.read_block(self.position) {
                 Ok(part) => {
                     if let Some(why) = why {
                         return Ok(Some(Part::Damaged {
-                            at: from,
-                            octets: self.at - from,
-                            why,
+                            offset: from,
+                            byte_count: self.position - from,
+                            reason: why,
                         }));
                     }
                     if let Part::Block { info, .. } = &part {
-                        self.at += HEAD as u64 + u64::from(info.packed);
+                        self.position += HEAD as u64 + u64::from(info.packed_bytes);
                     }
                     return Ok(Some(part));
                 }
                 Err(TraceError::Damaged { why: wrong, .. }) => {
                     why.get_or_insert(wrong);
-                    self.at = self.next_magic(self.at + 1, end)?;
+                    self.position = self.next_magic(self.position + 1, end)?;
                 }
                 Err(e) => return Err(e),
             }
         }
         Ok(why.map(|why| Part::Damaged {
-            at: from,
-            octets: end - from,
-            why,
+            offset: from,
+            byte_count: end - from,
+            reason: why,
         }))
     }
 
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -25,26 +25,29 @@
         host: u32,
     },
     /// Refused.
-    Refused {
+    #[serde(rename = "Refused")]
+    Rejected {
         /// Why.
         reason: String,
         /// When to come back, ms.
-        come_back_ms: u64,
+        #[serde(rename = "come_back_ms")]
+        retry_after_ms: u64,
     },
     /// Failed.
     Failed,
     /// The client hung up before it had one.
-    HungUp,
+    #[serde(rename = "HungUp")]
+    ClientDisconnected,
 }
 
 impl Outcome {
     /// Its name in the API.
-    pub fn name(&self) -> &'static str {
+    pub fn api_name(&self) -> &'static str {
         match self {
             Outcome::Placed { .. } => "placed",
-            Outcome::Refused { .. } => "refused",
+            Outcome::Rejected { .. } => "refused",
             Outcome::Failed => "failed",
-            Outcome::HungUp => "hung_up",
+            Outcome::ClientDisconnected => "hung_up",
         }
     }
 }
@@ -75,7 +78,8 @@
         name: String,
     },
     /// An ask was taken.
-    Asked {
+    #[serde(rename = "Asked")]
+    RequestReceived {
         /// The module's number of it.
         task: u64,
         /// The service's number.
@@ -85,11 +89,14 @@
         /// The class's place in the settings.
         class: u32,
         /// The client's id of the request.
-        request: String,
+        #[serde(rename = "request")]
+        request_id: String,
         /// The client's key, if it gave one.
-        key: Option<String>,
+        #[serde(rename = "key")]
+        idempotency_key: Option<String>,
         /// When it was read, µs; its budget counts from there.
-        read: Micros,
+        #[serde(rename = "read")]
+        received_at: Micros,
     },
     /// An ask has its answer.
     Answered {
@@ -100,7 +107,8 @@
         /// Attempts made.
         attempts: u32,
         /// From when it was read to its answer, µs.
-        after: Micros,
+        #[serde(rename = "after")]
+        elapsed: Micros,
     },
     /// Records were lost here: the writer could not keep up, or could not write.
     Gap {
@@ -109,7 +117,8 @@
         /// Records in all.
         records: u64,
         /// Why.
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// The placer was told to stop.
     Stopped,
@@ -119,7 +128,7 @@
 
 /// A record with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stamped {
+pub struct TimedRecord {
     /// When, µs on the placer's clock (Unix time that never steps back).
     pub at: Micros,
     /// What.
@@ -139,7 +148,7 @@
 
 impl Record {
     /// What it names.
-    pub fn names(&self) -> Names {
+    pub fn referenced_ids(&self) -> Names {
         let mut names = Names::default();
         match self {
             Record::Turn(turn) => {
@@ -148,7 +157,7 @@
             }
             Record::Host { machine, .. } => drop(names.machines.insert(*machine)),
             Record::Service { service, .. } => drop(names.services.insert(*service)),
-            Record::Asked { task, service, .. } => {
+            Record::RequestReceived { task, service, .. } => {
                 names.tasks.insert(*task);
                 names.services.insert(*service);
             }
@@ -170,45 +179,50 @@
             Event::EndpointsUpdated { machines, .. } => {
                 self.machines.extend(machines.iter().map(|m| m.machine.0))
             }
-            Event::ConnectionChanged(machine, _) | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged { machine, .. } | Event::Probed { machine, .. } => {
                 self.machines.insert(machine.0);
             }
             Event::PlacementRequested(task) => {
                 self.tasks.insert(task.id.0);
                 self.services.insert(task.service.0);
             }
-            Event::TaskAdopted(task, machine) => {
+            Event::TaskAdopted { task, machine } => {
                 self.tasks.insert(task.id.0);
                 self.services.insert(task.service.0);
                 self.machines.insert(machine.0);
             }
-            Event::AttemptAccepted(id, _) | Event::TaskReported(id, _) | Event::AttemptFinished(id, _) => {
+            Event::AttemptAccepted { attempt: id, .. }
+            | Event::TaskReported { attempt: id, .. }
+            | Event::AttemptFinished { attempt: id, .. } => {
                 self.tasks.insert(id.task.0);
             }
             Event::ClientDisconnected(task) => drop(self.tasks.insert(task.0)),
-            Event::ReplicaIndexChanged(_) | Event::DiscoveryUnavailable | Event::TimerFired(_) | Event::PeerMessage { .. } => {}
+            Event::ReplicaIndexChanged(_)
+            | Event::DiscoveryUnavailable
+            | Event::TimerFired { .. }
+            | Event::PeerMessage { .. } => {}
         }
     }
 
     fn of_action(&mut self, action: &Action) {
         match action {
-            Action::Offer(task, machine, _) => {
+            Action::Offer { task, machine, .. } => {
                 self.tasks.insert(task.0);
                 self.machines.insert(machine.0);
             }
             Action::Cancel(id) => drop(self.tasks.insert(id.task.0)),
-            Action::Reject(task, _)
+            Action::Reject { task, .. }
             | Action::Fail(task)
-            | Action::Blocked(task, _)
+            | Action::Blocked { task, .. }
             | Action::Migrate(task) => {
                 self.tasks.insert(task.0);
             }
             Action::Probe(machine) | Action::CloseIdle(machine) => {
-                drop(self.machines.insert(machine.0))
+                self.machines.insert(machine.0);
             }
-            Action::SetTimer(..)
+            Action::SetTimer { .. }
             | Action::SendToPeer { .. }
-            | Action::WatchEndpoints(_)
+            | Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::Log(_) => {}
         }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -5,15 +5,15 @@
 use maplethread::{Action, Placer, Settings};
 
 use crate::header::Header;
-use crate::record::{Record, Stamped, Turn};
+use crate::record::{Record, TimedRecord, Turn};
 
 /// Where a replay came to another decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// Which turn, from 0.
-    pub turn: u64,
+    pub turn_index: u64,
     /// When, µs.
-    pub at: u64,
+    pub time_us: u64,
     /// What the trace has from the first differing action on.
     pub recorded: Vec<Action>,
     /// What the module now does.
@@ -22,20 +22,20 @@
 
 /// How a replay went.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Replayed {
+pub struct ReplayResult {
     /// Turns fed.
     pub turns: u64,
     /// Actions compared.
-    pub actions: u64,
+    pub compared_actions: u64,
     /// Turns in which some action differed.
     pub differing: u64,
     /// The first of them.
-    pub first: Option<Difference>,
+    pub first_difference: Option<Difference>,
     /// Actions by what they are: recorded, and replayed. What the module would do on the recorded events; events that
     /// its other decisions would have led to are not in them.
-    pub kinds: BTreeMap<&'static str, [u64; 2]>,
+    pub actions_by_kind: BTreeMap<&'static str, [u64; 2]>,
     /// Offers by host's number: recorded, and replayed.
-    pub hosts: BTreeMap<u32, [u64; 2]>,
+    pub offers_by_host: BTreeMap<u32, [u64; 2]>,
     /// Turns that could not be compared, since the trace has a gap before them.
     pub after_gap: u64,
 }
@@ -44,19 +44,19 @@
 pub struct Replay {
     module: Placer,
     actions: Vec<Action>,
-    gap: bool,
+    is_after_gap: bool,
     /// What was found so far.
-    pub found: Replayed,
+    pub result: ReplayResult,
 }
 
 impl Replay {
     /// A fresh module with the settings and the seed of the trace; why it can't be had.
     pub fn new(header: &Header) -> Result<Replay, String> {
-        Replay::with(header, None)
+        Replay::with_settings(header, None)
     }
 
     /// The same with other settings, for a what-if.
-    pub fn with(header: &Header, settings: Option<Settings>) -> Result<Replay, String> {
+    pub fn with_settings(header: &Header, settings: Option<Settings>) -> Result<Replay, String> {
         if header.part != 0 {
             return Err(format!(
                 "this is part {} of its run; a replay begins with part 0",
@@ -72,34 +72,34 @@
         Ok(Replay {
             module,
             actions: Vec::new(),
-            gap: false,
-            found: Replayed::default(),
+            is_after_gap: false,
+            result: ReplayResult::default(),
         })
     }
 
     /// Takes in a record.
-    pub fn feed(&mut self, stamped: &Stamped) {
+    pub fn feed(&mut self, stamped: &TimedRecord) {
         match &stamped.record {
-            Record::Turn(_) if self.gap => self.found.after_gap += 1,
-            Record::Turn(turn) => self.turn(stamped.at, turn),
-            Record::Gap { turns, .. } if *turns > 0 => self.gap = true,
+            Record::Turn(_) if self.is_after_gap => self.result.after_gap += 1,
+            Record::Turn(turn) => self.replay_turn(stamped.at, turn),
+            Record::Gap { turns, .. } if *turns > 0 => self.is_after_gap = true,
             _ => {}
         }
     }
 
     /// Blocks are missing here: what follows can't be compared.
     pub fn damaged(&mut self) {
-        self.gap = true;
+        self.is_after_gap = true;
     }
 
-    fn turn(&mut self, at: u64, turn: &Turn) {
+    fn replay_turn(&mut self, at: u64, turn: &Turn) {
         self.actions.clear();
         self.module.turn(turn.now, &turn.events, &mut self.actions);
         for (which, actions) in [&turn.actions, &self.actions].into_iter().enumerate() {
             for action in actions {
-                self.found.kinds.entry(kind(action)).or_default()[which] += 1;
-                if let Action::Offer(_, machine, _) = action {
-                    self.found.hosts.entry(machine.0).or_default()[which] += 1;
+                self.result.actions_by_kind.entry(kind(action)).or_default()[which] += 1;
+                if let Action::Offer { machine, .. } = action {
+                    self.result.offers_by_host.entry(machine.0).or_default()[which] += 1;
                 }
             }
         }
@@ -109,44 +109,50 @@
             .zip(&self.actions)
             .take_while(|(a, b)| a == b)
             .count();
-        let number = self.found.turns;
-        self.found.turns += 1;
-        self.found.actions += turn.actions.len() as u64;
+        let number = self.result.turns;
+        self.result.turns += 1;
+        self.result.compared_actions += turn.actions.len() as u64;
         if same < turn.actions.len().max(self.actions.len()) {
-            self.found.differing += 1;
-            self.found.first.get_or_insert_with(|| Difference {
-                turn: number,
-                at,
-                recorded: turn.actions[same..].to_vec(),
-                replayed: self.actions[same..].to_vec(),
-            });
+            self.result.differing += 1;
+            self.result
+                .first_difference
+                .get_or_insert_with(|| Difference {
+                    turn_index: number,
+                    time_us: at,
+                    recorded: turn.actions[same..].to_vec(),
+                    replayed: self.actions[same..].to_vec(),
+                });
         }
     }
 }
 
-impl Replayed {
+impl ReplayResult {
     /// The share of the recorded offers that would go to other hosts, as far as counts by host tell.
     pub fn elsewhere(&self) -> f64 {
-        let [recorded, replayed] = self.kinds.get("offer").copied().unwrap_or_default();
+        let [recorded, replayed] = self
+            .actions_by_kind
+            .get("offer")
+            .copied()
+            .unwrap_or_default();
         let whole = [recorded.max(1) as f64, replayed.max(1) as f64];
         let alike = |&[a, b]: &[u64; 2]| (a as f64 / whole[0]).min(b as f64 / whole[1]);
-        1.0 - self.hosts.values().map(alike).sum::<f64>()
+        1.0 - self.offers_by_host.values().map(alike).sum::<f64>()
     }
 }
 
 fn kind(action: &Action) -> &'static str {
     match action {
-        Action::Offer(..) => "offer",
+        Action::Offer { .. } => "offer",
         Action::Cancel(_) => "cancel",
-        Action::Reject(..) => "refuse",
+        Action::Reject { .. } => "refuse",
         Action::Fail(_) => "fail",
-        Action::Blocked(..) => "held",
+        Action::Blocked { .. } => "held",
         Action::Migrate(_) => "move",
-        Action::SetTimer(..) => "wake",
+        Action::SetTimer { .. } => "wake",
         Action::Probe(_) => "probe",
         Action::CloseIdle(_) => "close_idle",
         Action::SendToPeer { .. } => "tell",
-        Action::WatchEndpoints(_) => "listen",
+        Action::WatchEndpoints { .. } => "listen",
         Action::FetchEndpoints => "lookup",
         Action::Log(_) => "log",
     }
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -1,7 +1,7 @@
 //! The names by which reports call what the module decides with. They are part of the printed and JSON reports that
 //! scripts and operators read, so they are stated here and do not follow the names of the variants in the code.
 
-use maplethread::{AttemptResult, AttemptOutcome, BlockReason, FailureReason};
+use maplethread::{AttemptOutcome, AttemptResult, BlockReason, FailureReason};
 
 /// The name in reports of how an attempt ended.
 pub(crate) fn ending(ending: AttemptOutcome) -> &'static str {
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -4,11 +4,11 @@
 
 use hdrhistogram::Histogram;
 use hdrhistogram::iterators::IterationValue;
-use maplethread::{Action, AttemptResult, AttemptOutcome, Event, MachineState, Rules};
+use maplethread::{Action, AttemptOutcome, AttemptResult, Event, MachineState, Rules};
 use serde_json::{Value, json};
 
 use crate::header::Header;
-use crate::record::{Outcome, Record, Stamped, Turn};
+use crate::record::{Outcome, Record, TimedRecord, Turn};
 use crate::report_names;
 
 /// Asks that are open at a time; beyond it the oldest count as without an answer.
@@ -25,8 +25,8 @@
 
 /// Counts of one class.
 #[derive(Clone, Debug, Default)]
-struct Class {
-    asked: u64,
+struct ClassCounts {
+    requests: u64,
     outcomes: BTreeMap<&'static str, u64>,
     reasons: BTreeMap<String, u64>,
     attempts: u64,
@@ -34,15 +34,15 @@
 
 /// Counts of one host.
 #[derive(Clone, Debug, Default)]
-struct Host {
+struct HostCounts {
     offers: u64,
     seated: u64,
-    ended: BTreeMap<String, u64>,
+    attempts_by_outcome: BTreeMap<String, u64>,
     drains: u64,
     after_drain: u64,
     latest_after_drain: u64,
     /// Refusals by reason and by steps since the first record.
-    refused: BTreeMap<String, BTreeMap<u64, u64>>,
+    rejections: BTreeMap<String, BTreeMap<u64, u64>>,
     /// Offers while it was cold, and the most of one placer's in a budget window.
     cold_offers: u64,
     cold_most: u64,
@@ -50,21 +50,21 @@
 
 /// What one run of a placer was last told of one host.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
-    ready: bool,
+struct KnownHostState {
+    is_ready: bool,
     draining_since: Option<u64>,
-    started: Option<u64>,
+    started_at: Option<u64>,
 }
 
 /// Counts of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Second {
+pub struct SecondCounts {
     /// Asks taken.
-    pub asked: u32,
+    pub requests: u32,
     /// Answered `placed`.
     pub placed: u32,
     /// Answered `refused`.
-    pub refused: u32,
+    pub rejected: u32,
     /// Answered `failed`.
     pub failed: u32,
     /// Offers sent.
@@ -75,30 +75,30 @@
 
 /// A summary on its way.
 pub struct Summary {
-    classes: Vec<(String, Class)>,
-    hosts: BTreeMap<u32, Host>,
+    classes: Vec<(String, ClassCounts)>,
+    hosts: BTreeMap<u32, HostCounts>,
     /// By source and host: each run is told for itself.
-    told: BTreeMap<(u32, u32), Told>,
+    known_hosts: BTreeMap<(u32, u32), KnownHostState>,
     /// Times of offers to cold hosts within the last budget window, by source and host.
-    cold: BTreeMap<(u32, u32), VecDeque<u64>>,
+    warm_up_windows: BTreeMap<(u32, u32), VecDeque<u64>>,
     /// The rules and the number of placers that the file's settings tell; a merged trace has none.
     rules: Option<(Rules, u32)>,
     steps: usize,
-    source: u32,
-    names: BTreeMap<u32, String>,
-    open: HashMap<u64, usize>,
-    offered: HashMap<(u64, u32), u32>,
-    numbers: HashMap<u64, u32>,
-    seconds: Vec<Second>,
+    current_source: u32,
+    host_names: BTreeMap<u32, String>,
+    open_requests: HashMap<u64, usize>,
+    open_offers: HashMap<(u64, u32), u32>,
+    attempt_counts: HashMap<u64, u32>,
+    seconds: Vec<SecondCounts>,
     begin: Option<u64>,
     end: u64,
-    after: Histogram<u64>,
-    held: BTreeMap<String, u64>,
+    place_times: Histogram<u64>,
+    blocked: BTreeMap<String, u64>,
     turns: u64,
     records: u64,
-    gaps: (u64, u64),
+    lost_in_gaps: (u64, u64),
     damaged: u64,
-    unknown: u64,
+    unknown_records: u64,
 }
 
 impl Summary {
@@ -107,30 +107,30 @@
         let names = header
             .classes
             .iter()
-            .map(|name| (name.clone(), Class::default()))
+            .map(|name| (name.clone(), ClassCounts::default()))
             .collect();
         Summary {
             classes: names,
             hosts: BTreeMap::new(),
-            told: BTreeMap::new(),
-            cold: BTreeMap::new(),
+            known_hosts: BTreeMap::new(),
+            warm_up_windows: BTreeMap::new(),
             rules: header.settings.as_ref().map(|s| (s.rules, s.replica_count)),
             steps: 0,
-            source: 0,
-            names: BTreeMap::new(),
-            open: HashMap::new(),
-            offered: HashMap::new(),
-            numbers: HashMap::new(),
+            current_source: 0,
+            host_names: BTreeMap::new(),
+            open_requests: HashMap::new(),
+            open_offers: HashMap::new(),
+            attempt_counts: HashMap::new(),
             seconds: Vec::new(),
             begin: None,
             end: 0,
-            after: Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in range"),
-            held: BTreeMap::new(),
+            place_times: Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in range"),
+            blocked: BTreeMap::new(),
             turns: 0,
             records: 0,
-            gaps: (0, 0),
+            lost_in_gaps: (0, 0),
             damaged: 0,
-            unknown: 0,
+            unknown_records: 0,
         }
     }
 
@@ -140,71 +140,73 @@
     }
 
     /// Records of kinds that are not known.
-    pub fn unknown(&mut self, records: u32) {
-        self.unknown += u64::from(records);
+    pub fn add_unknown_records(&mut self, records: u32) {
+        self.unknown_records += u64::from(records);
     }
 
-    fn second(&mut self, at: u64) -> &mut Second {
+    fn second(&mut self, at: u64) -> &mut SecondCounts {
         let begin = *self.begin.get_or_insert(at);
         let n = ((at.saturating_sub(begin) / 1_000_000) as usize).min(MOST_SECONDS - 1);
         if self.seconds.len() <= n {
-            self.seconds.resize(n + 1, Second::default());
+            self.seconds.resize(n + 1, SecondCounts::default());
         }
         &mut self.seconds[n]
     }
 
     /// Takes in a record.
-    pub fn feed(&mut self, stamped: &Stamped) {
+    pub fn feed(&mut self, stamped: &TimedRecord) {
         self.records += 1;
         self.end = self.end.max(stamped.at);
         self.begin.get_or_insert(stamped.at);
         match &stamped.record {
-            Record::Host { machine, name, .. } => drop(self.names.insert(*machine, name.clone())),
-            Record::Asked { task, class, .. } => {
-                if self.open.len() >= MOST_OPEN {
-                    self.open.clear();
+            Record::Host { machine, name, .. } => {
+                drop(self.host_names.insert(*machine, name.clone()))
+            }
+            Record::RequestReceived { task, class, .. } => {
+                if self.open_requests.len() >= MOST_OPEN {
+                    self.open_requests.clear();
                 }
-                self.open.insert(*task, *class as usize);
+                self.open_requests.insert(*task, *class as usize);
                 if let Some((_, class)) = self.classes.get_mut(*class as usize) {
-                    class.asked += 1;
+                    class.requests += 1;
                 }
-                self.second(stamped.at).asked += 1;
+                self.second(stamped.at).requests += 1;
             }
             Record::Answered {
                 task,
                 outcome,
                 attempts,
-                after,
+                elapsed: after,
             } => {
                 self.answered(stamped.at, *task, outcome, *attempts, *after);
             }
             Record::Turn(turn) => self.turn(stamped.at, turn),
             Record::Gap { turns, records, .. } => {
-                self.gaps = (self.gaps.0 + turns, self.gaps.1 + records);
+                self.lost_in_gaps = (self.lost_in_gaps.0 + turns, self.lost_in_gaps.1 + records);
             }
-            Record::Source(source) => self.source = *source,
+            Record::Source(source) => self.current_source = *source,
             Record::Service { .. } | Record::Stopped => {}
         }
     }
 
     fn answered(&mut self, at: u64, task: u64, outcome: &Outcome, attempts: u32, after: u64) {
-        let class = self.open.remove(&task);
+        let class = self.open_requests.remove(&task);
         if let Some((_, class)) = class.and_then(|c| self.classes.get_mut(c)) {
-            *class.outcomes.entry(outcome.name()).or_default() += 1;
+            *class.outcomes.entry(outcome.api_name()).or_default() += 1;
             class.attempts += u64::from(attempts);
-            if let Outcome::Refused { reason, .. } = outcome {
+            if let Outcome::Rejected { reason, .. } = outcome {
                 *class.reasons.entry(reason.clone()).or_default() += 1;
             }
         }
         let second = self.second(at);
         match outcome {
             Outcome::Placed { .. } => second.placed += 1,
-            Outcome::Refused { .. } => second.refused += 1,
+            Outcome::Rejected { .. } => second.rejected += 1,
             Outcome::Failed => second.failed += 1,
-            Outcome::HungUp => {}
+            Outcome::ClientDisconnected => {}
         }
         if matches!(outcome, Outcome::Placed { .. }) {
-            self.after.saturating_record(after.max(1));
+            self.place_times.saturating_record(after.max(1));
         }
     }
 
@@ -217,39 +219,42 @@
                     for listing in machines {
                         let host = self.hosts.entry(listing.machine.0).or_default();
                         let told = self
-                            .told
-                            .entry((self.source, listing.machine.0))
+                            .known_hosts
+                            .entry((self.current_source, listing.machine.0))
                             .or_default();
                         let ready = listing.state == MachineState::Ready;
-                        drained += u32::from(!ready && told.ready);
+                        drained += u32::from(!ready && told.is_ready);
                         if ready {
                             told.draining_since = None;
-                        } else if told.ready {
+                        } else if told.is_ready {
                             (told.draining_since, host.drains) = (Some(at), host.drains + 1);
                         }
-                        told.ready = ready;
-                        told.started = listing.started;
+                        told.is_ready = ready;
+                        told.started_at = listing.started_at;
                     }
                 }
-                Event::AttemptAccepted(id, _) => {
-                    if let Some(host) = self.offered.get(&(id.task.0, id.number)) {
+                Event::AttemptAccepted { attempt: id, .. } => {
+                    if let Some(host) = self.open_offers.get(&(id.task.0, id.number)) {
                         self.hosts.entry(*host).or_default().seated += 1;
                     }
                 }
-                Event::AttemptFinished(id, end) => {
-                    if let Some(host) = self.offered.remove(&(id.task.0, id.number)) {
+                Event::AttemptFinished {
+                    attempt: id,
+                    result: end,
+                } => {
+                    if let Some(host) = self.open_offers.remove(&(id.task.0, id.number)) {
                         let why = report_names::end(end);
                         *self
                             .hosts
                             .entry(host)
                             .or_default()
-                            .ended
+                            .attempts_by_outcome
                             .entry(why)
                             .or_default() += 1;
-                        self.refused(at, host, *end);
+                        self.record_rejection(at, host, *end);
                     }
-                    if end.closed {
-                        self.numbers.remove(&id.task.0);
+                    if end.closes_task {
+                        self.attempt_counts.remove(&id.task.0);
                     }
                 }
                 _ => {}
@@ -260,34 +265,34 @@
         }
         for action in &turn.actions {
             match action {
-                Action::Offer(task, machine, _) => {
-                    if self.offered.len() >= MOST_OPEN {
-                        self.offered.clear();
-                        self.numbers.clear();
+                Action::Offer { task, machine, .. } => {
+                    if self.open_offers.len() >= MOST_OPEN {
+                        self.open_offers.clear();
+                        self.attempt_counts.clear();
                     }
-                    let number = self.numbers.entry(task.0).or_default();
-                    self.offered.insert((task.0, *number), machine.0);
+                    let number = self.attempt_counts.entry(task.0).or_default();
+                    self.open_offers.insert((task.0, *number), machine.0);
                     *number += 1;
                     let host = self.hosts.entry(machine.0).or_default();
                     host.offers += 1;
-                    let told = self.told.get(&(self.source, machine.0));
+                    let told = self.known_hosts.get(&(self.current_source, machine.0));
                     if let Some(since) = told.and_then(|t| t.draining_since) {
                         host.after_drain += 1;
                         host.latest_after_drain = host.latest_after_drain.max(at - since);
                     }
-                    self.cold(at, machine.0);
+                    self.record_warm_up_offer(at, machine.0);
                     self.second(at).offers += 1;
                 }
-                Action::Blocked(_, lack) => {
+                Action::Blocked { reason: lack, .. } => {
                     let name = report_names::lack(*lack).to_owned();
-                    *self.held.entry(name).or_default() += 1;
+                    *self.blocked.entry(name).or_default() += 1;
                 }
                 _ => {}
             }
         }
     }
 
-    fn refused(&mut self, at: u64, host: u32, end: AttemptResult) {
+    fn record_rejection(&mut self, at: u64, host: u32, end: AttemptResult) {
         if end.outcome != AttemptOutcome::Rejected {
             return;
         }
@@ -297,7 +302,7 @@
             .hosts
             .entry(host)
             .or_default()
-            .refused
+            .rejections
             .entry(reason)
             .or_default();
         let step = match steps.last_key_value() {
@@ -309,15 +314,15 @@
     }
 
     /// An offer, counted against the cold budget if its placer was told of a start not long ago.
-    fn cold(&mut self, at: u64, host: u32) {
+    fn record_warm_up_offer(&mut self, at: u64, host: u32) {
         let Some((rules, _)) = self.rules else { return };
-        let key = (self.source, host);
-        let started = self.told.get(&key).and_then(|told| told.started);
+        let key = (self.current_source, host);
+        let started = self.known_hosts.get(&key).and_then(|told| told.started_at);
         if started.is_none_or(|started| started + rules.warm_up_duration <= at) {
-            self.cold.remove(&key);
+            self.warm_up_windows.remove(&key);
             return;
         }
-        let window = self.cold.entry(key).or_default();
+        let window = self.warm_up_windows.entry(key).or_default();
         window.retain(|&sent| sent + rules.overload_window >= at);
         window.push_back(at);
         let most = window.len() as u64;
@@ -332,22 +337,25 @@
             .seconds
             .windows(10.min(self.seconds.len().max(1)))
             .enumerate();
-        let share = |(at, window): (usize, &[Second])| {
+        let share = |(at, window): (usize, &[SecondCounts])| {
             let placed: u32 = window.iter().map(|s| s.placed).sum();
-            let all: u32 = window.iter().map(|s| s.placed + s.refused + s.failed).sum();
+            let all: u32 = window
+                .iter()
+                .map(|s| s.placed + s.rejected + s.failed)
+                .sum();
             (all >= 10).then(|| (at, f64::from(placed) / f64::from(all)))
         };
         windows.filter_map(share).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
     /// Counts of each second since the first record.
-    pub fn seconds(&self) -> &[Second] {
+    pub fn seconds(&self) -> &[SecondCounts] {
         &self.seconds
     }
 
     /// The summary as one object. Times are in the units their names tell.
-    pub fn json(&self) -> Value {
-        let q = |q: f64| self.after.value_at_quantile(q) as f64 / 1000.0;
+    pub fn to_json(&self) -> Value {
+        let q = |q: f64| self.place_times.value_at_quantile(q) as f64 / 1000.0;
         let classes: BTreeMap<&str, Value> = self
             .classes
             .iter()
@@ -355,7 +363,7 @@
                 let answered: u64 = c.outcomes.values().sum();
                 let each = c.attempts as f64 / answered.max(1) as f64;
                 let value = json!({
-                    "asked": c.asked, "outcomes": c.outcomes, "refused_for": c.reasons, "attempts_each": each,
+                    "asked": c.requests, "outcomes": c.outcomes, "refused_for": c.reasons, "attempts_each": each,
                 });
                 (name.as_str(), value)
             })
@@ -364,11 +372,11 @@
             .hosts
             .iter()
             .map(|(n, h)| {
-                let name = self.names.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
+                let name = self.host_names.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
                 let value = json!({
-                    "offers": h.offers, "seated": h.seated, "ended": h.ended, "drains": h.drains,
+                    "offers": h.offers, "seated": h.seated, "ended": h.attempts_by_outcome, "drains": h.drains,
                     "offers_after_drain": h.after_drain, "latest_after_drain_ms": h.latest_after_drain / 1000,
-                    "refused_from_s": h.refused, "cold_offers": h.cold_offers, "cold_most_in_window": h.cold_most,
+                    "refused_from_s": h.rejections, "cold_offers": h.cold_offers, "cold_most_in_window": h.cold_most,
                 });
                 (name, value)
             })
@@ -376,11 +384,15 @@
         let seconds: Vec<Value> = self
             .seconds
             .iter()
-            .map(|s| json!([s.asked, s.placed, s.refused, s.failed, s.offers, s.drains]))
+            .map(|s| {
+                json!([
+                    s.requests, s.placed, s.rejected, s.failed, s.offers, s.drains
+                ])
+            })
             .collect();
         let upper_ms = |bar: &IterationValue<u64>| bar.value_iterated_to() as f64 / 1000.0;
         let bars: Vec<Value> = self
-            .after
+            .place_times
             .iter_log(1000, 2.0)
             .map(|bar| json!([upper_ms(&bar), bar.count_since_last_iteration()]))
             .collect();
@@ -393,8 +405,8 @@
         json!({
             "seconds": self.end.saturating_sub(self.begin.unwrap_or(self.end)) as f64 / 1e6,
             "records": self.records, "turns": self.turns,
-            "lost": {"turns": self.gaps.0, "records": self.gaps.1, "octets": self.damaged, "unknown": self.unknown},
-            "classes": classes, "hosts": hosts, "held_for": self.held, "unanswered": self.open.len(),
+            "lost": {"turns": self.lost_in_gaps.0, "records": self.lost_in_gaps.1, "octets": self.damaged, "unknown": self.unknown_records},
+            "classes": classes, "hosts": hosts, "held_for": self.blocked, "unanswered": self.open_requests.len(),
             "ask_to_placed_ms": {"p50": q(0.5), "p99": q(0.99), "max": q(1.0)},
             "ask_to_placed_histogram": {"columns": ["up_to_ms", "asks"], "rows": bars},
             "cold_budget": cold_budget,
@@ -404,17 +416,17 @@
     }
 
     /// The summary for a person.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         use std::fmt::Write;
         let mut out = String::new();
-        let json = self.json();
+        let json = self.to_json();
         let _ = writeln!(
             out,
             "{:.1} s, {} turns, {} records; lost: {} turns, {} octets",
             json["seconds"].as_f64().unwrap_or(0.0),
             self.turns,
             self.records,
-            self.gaps.0,
+            self.lost_in_gaps.0,
             self.damaged
         );
         for (name, class) in &self.classes {
@@ -433,7 +445,7 @@
                     .collect(),
             );
             let reasons = list(class.reasons.iter().map(|(k, n)| (k.clone(), *n)).collect());
-            let _ = write!(out, "{name}: asked {}; {outcomes}", class.asked);
+            let _ = write!(out, "{name}: asked {}; {outcomes}", class.requests);
             let _ = if reasons.is_empty() {
                 writeln!(out)
             } else {
@@ -462,12 +474,12 @@
         for (n, lost) in worst.into_iter().take(5).filter(|&(_, lost)| lost > 0) {
             let host = &self.hosts[n];
             let name = self
-                .names
+                .host_names
                 .get(n)
                 .cloned()
                 .unwrap_or_else(|| format!("#{n}"));
             let ended: Vec<String> = host
-                .ended
+                .attempts_by_outcome
                 .iter()
                 .map(|(why, n)| format!("{why} {n}"))
                 .collect();
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -6,9 +6,9 @@
 use maplethread::Event;
 use serde::{Deserialize, Serialize};
 
-use crate::block::{Info, Packer};
+use crate::block::{BlockInfo, Packer};
 use crate::header::Header;
-use crate::record::{Names, Record, Stamped};
+use crate::record::{Names, Record, TimedRecord};
 use crate::{Outcome, TraceError};
 
 /// A block is closed once its records have so many octets.
@@ -21,17 +21,17 @@
 
 /// What the index tells of a block.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct IndexEntry {
     /// Where it begins.
-    pub at: u64,
+    pub offset: u64,
     /// Its octets, head and payload.
-    pub octets: u64,
+    pub byte_count: u64,
     /// Records in it.
-    pub records: u32,
+    pub record_count: u32,
     /// Its earliest time, µs.
-    pub first: u64,
+    pub first_us: u64,
     /// Its latest.
-    pub last: u64,
+    pub last_us: u64,
     /// The hosts that it names.
     pub machines: Vec<u32>,
     /// The services that it names, or whose tasks it names.
@@ -52,29 +52,29 @@
     /// Octets, unpacked.
     pub raw: u64,
     /// Octets on disk.
-    pub octets: u64,
+    pub bytes_written: u64,
 }
 
 /// A file being written.
 pub struct Writer<W> {
     out: W,
-    at: u64,
+    position: u64,
     level: i32,
     packer: Packer,
-    index: Vec<Entry>,
-    machines: BTreeMap<u32, Record>,
-    services: BTreeMap<u64, Record>,
-    tasks: HashMap<u64, u64>,
+    index: Vec<IndexEntry>,
+    host_names: BTreeMap<u32, Record>,
+    service_names: BTreeMap<u64, Record>,
+    task_services: HashMap<u64, u64>,
     /// What the present block has said and named.
-    said: Names,
+    ids_in_block: Names,
     services_named: BTreeSet<u64>,
     any_service: bool,
     outcomes: [u32; 4],
     /// Of which source a merged trace's records are just now.
-    source: Option<u32>,
+    current_source: Option<u32>,
     totals: Totals,
     /// As of the last block that was written.
-    flushed: Totals,
+    flushed_totals: Totals,
 }
 
 impl<W: Write> Writer<W> {
@@ -83,48 +83,48 @@
         let at = header.write(&mut out)?;
         Ok(Writer {
             out,
-            at,
+            position: at,
             level: 3,
             packer: Packer::default(),
             index: Vec::new(),
-            machines: BTreeMap::new(),
-            services: BTreeMap::new(),
-            tasks: HashMap::new(),
-            said: Names::default(),
+            host_names: BTreeMap::new(),
+            service_names: BTreeMap::new(),
+            task_services: HashMap::new(),
+            ids_in_block: Names::default(),
             services_named: BTreeSet::new(),
             any_service: false,
             outcomes: [0; 4],
-            source: None,
+            current_source: None,
             totals: Totals {
-                octets: at,
+                bytes_written: at,
                 ..Totals::default()
             },
-            flushed: Totals::default(),
+            flushed_totals: Totals::default(),
         })
     }
 
     /// Takes in a name without writing it: it is said once something names its number.
-    pub fn know(&mut self, name: &Stamped) {
+    pub fn register_name(&mut self, name: &TimedRecord) {
         match &name.record {
             Record::Host { machine, .. } => {
-                drop(self.machines.insert(*machine, name.record.clone()))
+                drop(self.host_names.insert(*machine, name.record.clone()))
             }
             Record::Service { service, .. } => {
                 // Names of services are as many as services: those of blocks long past are forgotten.
-                if self.services.len() >= MOST_TASKS {
-                    self.services.clear();
+                if self.service_names.len() >= MOST_TASKS {
+                    self.service_names.clear();
                 }
-                self.services.insert(*service, name.record.clone());
+                self.service_names.insert(*service, name.record.clone());
             }
             _ => {}
         }
     }
 
     /// Turns and records of the present block, which are not yet written.
-    pub fn waiting(&self) -> (u64, u64) {
+    pub fn unflushed(&self) -> (u64, u64) {
         (
-            self.totals.turns - self.flushed.turns,
-            self.totals.records - self.flushed.records,
+            self.totals.turns - self.flushed_totals.turns,
+            self.totals.records - self.flushed_totals.records,
         )
     }
 
@@ -134,35 +134,35 @@
     }
 
     /// Adds a record.
-    pub fn push(&mut self, stamped: &Stamped) -> Result<(), TraceError> {
+    pub fn push(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
         match &stamped.record {
-            Record::Host { .. } | Record::Service { .. } => self.know(stamped),
-            Record::Asked { task, service, .. } => {
-                if self.tasks.len() >= MOST_TASKS {
-                    self.tasks.clear();
+            Record::Host { .. } | Record::Service { .. } => self.register_name(stamped),
+            Record::RequestReceived { task, service, .. } => {
+                if self.task_services.len() >= MOST_TASKS {
+                    self.task_services.clear();
                 }
-                self.tasks.insert(*task, *service);
+                self.task_services.insert(*task, *service);
             }
             Record::Answered { outcome, .. } => self.outcomes[place(outcome)] += 1,
-            Record::Source(source) => self.source = Some(*source),
+            Record::Source(source) => self.current_source = Some(*source),
             _ => {}
         }
-        if let Some(source) = self.source.filter(|_| self.packer.is_empty())
+        if let Some(source) = self.current_source.filter(|_| self.packer.is_empty())
             && !matches!(stamped.record, Record::Source(_))
         {
-            self.add(&Stamped {
+            self.add(&TimedRecord {
                 at: stamped.at,
                 record: Record::Source(source),
             })?;
         }
-        let names = stamped.record.names();
+        let names = stamped.record.referenced_ids();
         for &machine in &names.machines {
-            if self.said.machines.insert(machine)
+            if self.ids_in_block.machines.insert(machine)
                 && !matches!(stamped.record, Record::Host { .. })
-                && let Some(record) = self.machines.get(&machine)
+                && let Some(record) = self.host_names.get(&machine)
             {
                 let record = record.clone();
-                self.add(&Stamped {
+                self.add(&TimedRecord {
                     at: stamped.at,
                     record,
                 })?;
@@ -172,7 +172,7 @@
             self.say_service(service, stamped)?;
         }
         for task in &names.tasks {
-            match self.tasks.get(task) {
+            match self.task_services.get(task) {
                 Some(&service) => self.say_service(service, stamped)?,
                 None => self.any_service = true,
             }
@@ -181,11 +181,14 @@
             self.totals.turns += 1;
             for event in &turn.events {
                 match event {
-                    Event::PlacementRequested(task) | Event::TaskAdopted(task, _) => {
-                        self.tasks.insert(task.id.0, task.service.0);
+                    Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => {
+                        self.task_services.insert(task.id.0, task.service.0);
                     }
-                    Event::AttemptFinished(id, end) if end.closed => {
-                        self.tasks.remove(&id.task.0);
+                    Event::AttemptFinished {
+                        attempt: id,
+                        result: end,
+                    } if end.closes_task => {
+                        self.task_services.remove(&id.task.0);
                     }
                     _ => {}
                 }
@@ -199,14 +202,14 @@
         }
     }
 
-    fn say_service(&mut self, service: u64, stamped: &Stamped) -> Result<(), TraceError> {
+    fn say_service(&mut self, service: u64, stamped: &TimedRecord) -> Result<(), TraceError> {
         self.services_named.insert(service);
-        if self.said.services.insert(service)
+        if self.ids_in_block.services.insert(service)
             && !matches!(stamped.record, Record::Service { .. })
-            && let Some(record) = self.services.get(&service)
+            && let Some(record) = self.service_names.get(&service)
         {
             let record = record.clone();
-            self.add(&Stamped {
+            self.add(&TimedRecord {
                 at: stamped.at,
                 record,
             })?;
@@ -214,7 +217,7 @@
         Ok(())
     }
 
-    fn add(&mut self, stamped: &Stamped) -> Result<(), TraceError> {
+    fn add(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
         self.totals.records += 1;
         self.packer.add(stamped)
     }
@@ -225,13 +228,13 @@
             return Ok(());
         }
         let (info, block) = self.packer.pack(self.level)?;
-        let entry = Entry {
-            at: self.at,
-            octets: block.len() as u64,
-            records: info.records,
-            first: info.first,
-            last: info.last,
-            machines: std::mem::take(&mut self.said.machines)
+        let entry = IndexEntry {
+            offset: self.position,
+            byte_count: block.len() as u64,
+            record_count: info.record_count,
+            first_us: info.first_us,
+            last_us: info.last_us,
+            machines: std::mem::take(&mut self.ids_in_block.machines)
                 .into_iter()
                 .collect(),
             services: std::mem::take(&mut self.services_named)
@@ -240,7 +243,7 @@
             any_service: std::mem::take(&mut self.any_service),
             outcomes: std::mem::take(&mut self.outcomes),
         };
-        self.said = Names::default();
+        self.ids_in_block = Names::default();
         self.out.write_all(&block)?;
         self.out.flush()?;
         self.written(&info, block.len());
@@ -248,11 +251,11 @@
         Ok(())
     }
 
-    fn written(&mut self, info: &Info, octets: usize) {
-        self.at += octets as u64;
-        self.totals.octets = self.at;
+    fn written(&mut self, info: &BlockInfo, octets: usize) {
+        self.position += octets as u64;
+        self.totals.bytes_written = self.position;
         self.totals.raw += u64::from(info.raw);
-        self.flushed = self.totals;
+        self.flushed_totals = self.totals;
     }
 
     /// Writes what waits and the index; returns what was written to.
@@ -266,12 +269,12 @@
         bytes.extend_from_slice(&(entries.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&blake3::hash(&packed).as_bytes()[..16]);
         bytes.extend_from_slice(&packed);
-        bytes.extend_from_slice(&self.at.to_le_bytes());
+        bytes.extend_from_slice(&self.position.to_le_bytes());
         bytes.extend_from_slice(END);
         self.out.write_all(&bytes)?;
         self.out.flush()?;
-        self.at += bytes.len() as u64;
-        self.totals.octets = self.at;
+        self.position += bytes.len() as u64;
+        self.totals.bytes_written = self.position;
         Ok(self.totals)
     }
 
@@ -285,8 +288,8 @@
 pub(crate) fn place(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Placed { .. } => 0,
-        Outcome::Refused { .. } => 1,
+        Outcome::Rejected { .. } => 1,
         Outcome::Failed => 2,
-        Outcome::HungUp => 3,
+        Outcome::ClientDisconnected => 3,
     }
 }
