--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -4,10 +4,12 @@
 use std::io::Cursor;
 
 use maplethread::*;
-use maplethread_trace::cut::{Chosen, Wanted};
+use maplethread_trace::cut::{Chosen, Filter};
 use maplethread_trace::replay::Replay;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Header, Outcome, Part, Reader, Record, Stamped, TraceError, Turn, Writer};
+use maplethread_trace::{
+    Header, Outcome, Part, Reader, Record, TimedRecord, TraceError, Turn, Writer,
+};
 use proptest::prelude::*;
 
 const S: u64 = 1_000_000;
@@ -24,7 +26,7 @@
             priority_weight: 1.0,
             start_bonus_s: 10.0,
             priority: 0,
-            kind: None,
+            machine_kind: None,
             spread_limit: None,
         }],
         kinds: vec![Resources::new(16.0, 64.0)],
@@ -32,13 +34,13 @@
         acceptance_point: AcceptancePoint::Accepted,
         admit_cores: 1.0,
         admit_memory: 1.0,
-        view: false,
-        report: LoadReport::Unallocated,
+        endpoints_report_capacity: false,
+        load_report: LoadReport::Unallocated,
         limits: Limits {
             max_attempts: 3,
-            cancel: true,
-            probes: true,
-            peers: false,
+            can_cancel: true,
+            can_probe: true,
+            can_message_peers: false,
             max_retry_after: Some(60 * S),
         },
         rules: Rules {
@@ -69,7 +71,7 @@
 }
 
 /// A run of a real module: asks by turns for each of some services, every hundredth attempt refused.
-fn run(asks: u64, services: u64) -> Vec<Stamped> {
+fn run(asks: u64, services: u64) -> Vec<TimedRecord> {
     let mut module = Placer::new(settings(), 7).expect("settings");
     let mut now = 1_700_000_000 * S;
     let mut records = Vec::new();
@@ -80,7 +82,7 @@
         cell: n / 2,
         kind: 0,
         state: MachineState::Ready,
-        started: None,
+        started_at: None,
         unallocated: None,
     };
     for n in 0..4 {
@@ -92,10 +94,10 @@
             cell,
             kind: "std".into(),
         };
-        records.push(Stamped { at: now, record });
+        records.push(TimedRecord { at: now, record });
     }
     for n in 0..services {
-        records.push(Stamped {
+        records.push(TimedRecord {
             at: now,
             record: Record::Service {
                 service: n,
@@ -119,16 +121,16 @@
                 deadline: now + 3 * S,
                 is_resubmission: false,
             };
-            let asked = Record::Asked {
+            let asked = Record::RequestReceived {
                 task: next,
                 service: next % services,
                 actor: format!("a{next}"),
                 class: 0,
-                request: format!("r{next}"),
-                key: None,
-                read: now,
+                request_id: format!("r{next}"),
+                idempotency_key: None,
+                received_at: now,
             };
-            records.push(Stamped {
+            records.push(TimedRecord {
                 at: now,
                 record: asked,
             });
@@ -142,43 +144,49 @@
             events: std::mem::take(&mut events),
             actions: actions.clone(),
         };
-        records.push(Stamped {
+        records.push(TimedRecord {
             at: now,
             record: Record::Turn(turn_is),
         });
         for action in actions {
-            if let Action::Offer(task, machine, _) = action {
+            if let Action::Offer { task, machine, .. } = action {
                 let id = AttemptId { task, number: 0 };
                 if task.0 % 100 == 3 {
                     let end = AttemptResult {
                         outcome: AttemptOutcome::Rejected,
                         reason: Some(FailureReason::Cores),
-                        closed: false,
+                        closes_task: false,
                         load: None,
                     };
-                    events.push(Event::AttemptFinished(id, end));
+                    events.push(Event::AttemptFinished {
+                        attempt: id,
+                        result: end,
+                    });
                     events.push(Event::ClientDisconnected(task));
-                    let outcome = Outcome::Refused {
+                    let outcome = Outcome::Rejected {
                         reason: "cores".into(),
-                        come_back_ms: 500,
+                        retry_after_ms: 500,
                     };
                     let record = Record::Answered {
                         task: task.0,
                         outcome,
                         attempts: 1,
-                        after: 900,
+                        elapsed: 900,
                     };
-                    records.push(Stamped { at: now, record });
+                    records.push(TimedRecord { at: now, record });
                 } else {
-                    events.push(Event::AttemptAccepted(id, Some(1000)));
+                    events.push(Event::AttemptAccepted {
+                        attempt: id,
+                        elapsed: Some(1000),
+                    });
                     let outcome = Outcome::Placed { host: machine.0 };
                     let record = Record::Answered {
                         task: task.0,
                         outcome,
                         attempts: 1,
-                        after: 1000,
+                        elapsed: 1000,
                     };
-                    records.push(Stamped { at: now, record });
+                    records.push(TimedRecord { at: now, record });
                 }
             }
         }
@@ -187,7 +195,7 @@
     records
 }
 
-fn write(records: &[Stamped]) -> Vec<u8> {
+fn write(records: &[TimedRecord]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header()).expect("a header");
     for (n, record) in records.iter().enumerate() {
@@ -201,20 +209,22 @@
 }
 
 /// All records of a file, and the octets that were damaged.
-fn read(bytes: &[u8]) -> Result<(Vec<Stamped>, u64), TraceError> {
+fn read(bytes: &[u8]) -> Result<(Vec<TimedRecord>, u64), TraceError> {
     let mut reader = Reader::open(Cursor::new(bytes))?;
     let (mut all, mut lost) = (Vec::new(), 0);
     while let Some(part) = reader.next_part()? {
         match part {
             Part::Block { records, .. } => all.extend(records),
-            Part::Damaged { octets, .. } => lost += octets,
+            Part::Damaged {
+                byte_count: octets, ..
+            } => lost += octets,
         }
     }
     Ok((all, lost))
 }
 
 /// Without the names that are said again.
-fn plain(records: &[Stamped]) -> Vec<&Stamped> {
+fn plain(records: &[TimedRecord]) -> Vec<&TimedRecord> {
     records
         .iter()
         .filter(|r| !matches!(r.record, Record::Host { .. } | Record::Service { .. }))
@@ -229,9 +239,9 @@
     assert_eq!((plain(&got), lost), (plain(&records), 0));
     let mut replay = Replay::new(&header()).expect("a module");
     got.iter().for_each(|r| replay.feed(r));
-    let found = &replay.found;
+    let found = &replay.result;
     assert!(
-        found.turns == 900 && found.actions > 300 && found.differing == 0,
+        found.turns == 900 && found.compared_actions > 300 && found.differing == 0,
         "{found:?}"
     );
     assert!(found.elsewhere().abs() < 1e-9, "{found:?}");
@@ -242,52 +252,52 @@
     })
     .expect("a module");
     got.iter().for_each(|r| replay.feed(r));
-    assert!(replay.found.differing > 0);
-    let first = replay.found.first.expect("a difference");
-    assert!(first.recorded != first.replayed && first.at >= records[0].at);
+    assert!(replay.result.differing > 0);
+    let first = replay.result.first_difference.expect("a difference");
+    assert!(first.recorded != first.replayed && first.time_us >= records[0].at);
     // What if: machines too small for any of it.
     let small = Settings {
         kinds: vec![Resources::new(0.001, 0.001)],
         ..settings()
     };
-    let mut replay = Replay::with(&header(), Some(small)).expect("a module");
+    let mut replay = Replay::with_settings(&header(), Some(small)).expect("a module");
     got.iter().for_each(|r| replay.feed(r));
     let refused = replay
-        .found
-        .kinds
+        .result
+        .actions_by_kind
         .get("refuse")
         .copied()
         .unwrap_or_default();
     assert!(
-        replay.found.differing > 0 && refused == [0, 300],
+        replay.result.differing > 0 && refused == [0, 300],
         "{:?}",
-        replay.found.kinds
+        replay.result.actions_by_kind
     );
     assert!(
         replay
-            .found
-            .hosts
+            .result
+            .offers_by_host
             .values()
             .all(|[recorded, replayed]| *recorded > 0 && *replayed == 0)
     );
     assert_eq!(
-        replay.found.elsewhere(),
+        replay.result.elsewhere(),
         1.0,
         "all of them would go nowhere"
     );
     // A gap ends what can be compared.
-    let gap = Stamped {
+    let gap = TimedRecord {
         at: 1,
         record: Record::Gap {
             turns: 1,
             records: 1,
-            why: "slow disk".into(),
+            reason: "slow disk".into(),
         },
     };
     let mut replay = Replay::new(&header()).expect("a module");
     replay.feed(&gap);
     got.iter().for_each(|r| replay.feed(r));
-    assert_eq!((replay.found.turns, replay.found.after_gap), (0, 900));
+    assert_eq!((replay.result.turns, replay.result.after_gap), (0, 900));
 }
 
 #[test]
@@ -379,7 +389,9 @@
     assert!(reader.newer());
     match reader.next_part().expect("no fault") {
         Some(Part::Block {
-            records, unknown, ..
+            records,
+            unknown_records: unknown,
+            ..
         }) => assert_eq!((records.len(), unknown), (2, 1)),
         part => panic!("{part:?}"),
     }
@@ -400,7 +412,7 @@
         );
         let index = Reader::open(Cursor::new(&bytes))
             .expect("a trace")
-            .index()
+            .read_index()
             .expect("no fault");
         assert!(index.is_some(), "{}", path.display());
         versions += 1;
@@ -413,15 +425,15 @@
     let records = run(2000, 400);
     let bytes = write(&records);
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file");
-    let index = reader.index().expect("no fault").expect("an index");
-    let wanted = Wanted {
+    let index = reader.read_index().expect("no fault").expect("an index");
+    let wanted = Filter {
         service: Some(17),
-        ..Wanted::default()
+        ..Filter::default()
     };
     let at: Vec<u64> = index
         .iter()
         .filter(|e| wanted.may_be_in(e))
-        .map(|e| e.at)
+        .map(|e| e.offset)
         .collect();
     assert!(
         at.len() * 4 < index.len(),
@@ -431,30 +443,30 @@
     );
     let mut found = Vec::new();
     for &at in &at {
-        if let Part::Block { records, .. } = reader.block(at).expect("a block") {
+        if let Part::Block { records, .. } = reader.read_block(at).expect("a block") {
             found.extend(records);
         }
     }
     let mut chosen = Chosen::default();
-    found.iter().for_each(|r| chosen.look(&wanted, r));
-    let kept: Vec<Stamped> = found
+    found.iter().for_each(|r| chosen.scan(&wanted, r));
+    let kept: Vec<TimedRecord> = found
         .iter()
-        .filter_map(|r| chosen.keep(&wanted, r))
+        .filter_map(|r| chosen.filter_record(&wanted, r))
         .collect();
     let asked = kept
         .iter()
-        .filter(|r| matches!(r.record, Record::Asked { service: 17, .. }))
+        .filter(|r| matches!(r.record, Record::RequestReceived { service: 17, .. }))
         .count();
     let others = kept
         .iter()
-        .filter(|r| matches!(r.record, Record::Asked { service, .. } if service != 17));
+        .filter(|r| matches!(r.record, Record::RequestReceived { service, .. } if service != 17));
     assert_eq!((asked, others.count()), (5, 0));
     // The same from the whole file, without the index.
     let mut all = Chosen::default();
-    records.iter().for_each(|r| all.look(&wanted, r));
-    let slow: Vec<Stamped> = records
+    records.iter().for_each(|r| all.scan(&wanted, r));
+    let slow: Vec<TimedRecord> = records
         .iter()
-        .filter_map(|r| all.keep(&wanted, r))
+        .filter_map(|r| all.filter_record(&wanted, r))
         .collect();
     assert_eq!(plain(&kept), plain(&slow));
 }
@@ -463,7 +475,7 @@
 fn a_summary_counts_what_happened() {
     let mut summary = Summary::new(&header());
     run(300, 5).iter().for_each(|r| summary.feed(r));
-    let json = summary.json();
+    let json = summary.to_json();
     let web = &json["classes"]["web"];
     let outcomes = &web["outcomes"];
     assert_eq!(
@@ -477,9 +489,9 @@
         .sum();
     assert_eq!(offers, 300);
     assert!(
-        summary.text().contains("refused for cores 3"),
+        summary.to_text().contains("refused for cores 3"),
         "{}",
-        summary.text()
+        summary.to_text()
     );
 }
 
@@ -493,7 +505,7 @@
             events,
             actions,
         });
-        summary.feed(&Stamped {
+        summary.feed(&TimedRecord {
             at: begin + at,
             record: turn,
         });
@@ -505,7 +517,7 @@
         cell: 0,
         kind: 0,
         state: MachineState::Ready,
-        started: Some(begin),
+        started_at: Some(begin),
         unallocated: None,
     };
     turn(
@@ -521,24 +533,32 @@
         turn(
             at,
             vec![],
-            vec![Action::Offer(TaskId(task), MachineId(1), S)],
+            vec![Action::Offer {
+                task: TaskId(task),
+                machine: MachineId(1),
+                timeout: S,
+            }],
         );
-        let why = if task == 5 { FailureReason::QueueFull } else { FailureReason::Cores };
+        let why = if task == 5 {
+            FailureReason::QueueFull
+        } else {
+            FailureReason::Cores
+        };
         let end = AttemptResult {
             outcome: AttemptOutcome::Rejected,
             reason: Some(why),
-            closed: false,
+            closes_task: false,
             load: None,
         };
         turn(
             at + 1000,
-            vec![Event::AttemptFinished(
-                AttemptId {
+            vec![Event::AttemptFinished {
+                attempt: AttemptId {
                     task: TaskId(task),
                     number: 0,
                 },
-                end,
-            )],
+                result: end,
+            }],
             vec![],
         );
     }
@@ -547,14 +567,14 @@
             task,
             outcome: Outcome::Placed { host: 1 },
             attempts: 1,
-            after,
+            elapsed: after,
         };
-        summary.feed(&Stamped {
+        summary.feed(&TimedRecord {
             at: begin + 26 * S,
             record: answered,
         });
     }
-    let json = summary.json();
+    let json = summary.to_json();
     let host = &json["hosts"]["#1"];
     assert_eq!(
         host["refused_from_s"]["Cores"],
@@ -573,39 +593,45 @@
     assert_eq!(asks, [1, 0, 1], "up to 1, 2 and 4 ms: {rows:?}");
     assert!(
         summary
-            .text()
+            .to_text()
             .contains("cold hosts: 3 offers, at most 2 to one in 2.0 s"),
         "{}",
-        summary.text()
+        summary.to_text()
     );
 }
 
 fn any_record() -> impl Strategy<Value = Record> {
     let event = prop_oneof![
         any::<Option<u32>>().prop_map(Event::ReplicaIndexChanged),
-        (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::ConnectionChanged(MachineId(m), on)),
+        (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::ConnectionChanged {
+            machine: MachineId(m),
+            is_connected: on
+        }),
         (
             any::<u64>(),
             any::<u32>(),
             any::<f64>().prop_filter("equal to itself", |x| !x.is_nan())
         )
-            .prop_map(|(task, number, x)| Event::TaskReported(
-                AttemptId {
+            .prop_map(|(task, number, x)| Event::TaskReported {
+                attempt: AttemptId {
                     task: TaskId(task),
                     number
                 },
-                TaskReport::Served(x)
-            )),
+                report: TaskReport::Served(x)
+            }),
         (any::<u32>(), prop::collection::vec(any::<u8>(), 0..9))
             .prop_map(|(from, bytes)| Event::PeerMessage { from, bytes }),
     ];
     let action = prop_oneof![
-        (any::<u64>(), any::<u32>(), any::<u64>()).prop_map(|(t, m, w)| Action::Offer(
-            TaskId(t),
-            MachineId(m),
-            w
-        )),
-        (any::<u64>(), any::<Option<u64>>()).prop_map(|(t, w)| Action::Reject(TaskId(t), w)),
+        (any::<u64>(), any::<u32>(), any::<u64>()).prop_map(|(t, m, w)| Action::Offer {
+            task: TaskId(t),
+            machine: MachineId(m),
+            timeout: w
+        }),
+        (any::<u64>(), any::<Option<u64>>()).prop_map(|(t, w)| Action::Reject {
+            task: TaskId(t),
+            retry_after: w
+        }),
         any::<String>().prop_map(Action::Log),
     ];
     prop_oneof![
@@ -632,20 +658,22 @@
             any::<String>(),
             any::<Option<String>>()
         )
-            .prop_map(|(task, service, actor, key)| Record::Asked {
-                task,
-                service,
-                request: actor.clone(),
-                actor,
-                class: 0,
-                key,
-                read: task
-            }),
-        (any::<u64>(), any::<u64>(), any::<String>()).prop_map(|(turns, records, why)| {
+            .prop_map(
+                |(task, service, actor, idempotency_key)| Record::RequestReceived {
+                    task,
+                    service,
+                    request_id: actor.clone(),
+                    actor,
+                    class: 0,
+                    idempotency_key,
+                    received_at: task
+                }
+            ),
+        (any::<u64>(), any::<u64>(), any::<String>()).prop_map(|(turns, records, reason)| {
             Record::Gap {
                 turns,
                 records,
-                why,
+                reason,
             }
         }),
     ]
@@ -654,7 +682,7 @@
 proptest! {
     #[test]
     fn any_records_come_back(all in prop::collection::vec((any::<u64>(), any_record()), 0..40)) {
-        let all: Vec<Stamped> = all.into_iter().map(|(at, record)| Stamped { at, record }).collect();
+        let all: Vec<TimedRecord> = all.into_iter().map(|(at, record)| TimedRecord { at, record }).collect();
         let (got, lost) = read(&write(&all)).expect("a file");
         prop_assert_eq!(lost, 0);
         prop_assert_eq!(plain(&got), plain(&all));
@@ -700,30 +728,30 @@
     let at = records[0].at;
     for (n, name) in names.iter().enumerate() {
         let n = n as u64;
-        records.push(Stamped {
+        records.push(TimedRecord {
             at,
             record: Record::Service {
                 service: 1000 + n,
                 name: (*name).to_owned(),
             },
         });
-        let asked = Record::Asked {
+        let asked = Record::RequestReceived {
             task: 1000 + n,
             service: 1000 + n,
             actor: (*name).to_owned(),
             class: 0,
-            request: (*name).to_owned(),
-            key: Some((*name).to_owned()),
-            read: at,
+            request_id: (*name).to_owned(),
+            idempotency_key: Some((*name).to_owned()),
+            received_at: at,
         };
-        records.push(Stamped { at, record: asked });
+        records.push(TimedRecord { at, record: asked });
         let why = (*name).to_owned();
-        records.push(Stamped {
+        records.push(TimedRecord {
             at,
             record: Record::Gap {
                 turns: 0,
                 records: 1,
-                why,
+                reason: why,
             },
         });
         let told = Event::PeerMessage {
@@ -736,7 +764,7 @@
             events: vec![told],
             actions: vec![log],
         };
-        records.push(Stamped {
+        records.push(TimedRecord {
             at,
             record: Record::Turn(turn),
         });
@@ -746,9 +774,12 @@
     records.iter().for_each(|r| identifiers.of_record(r));
     let copies = [[1; 32], [2; 32]].map(|key| {
         let hide = Anonymiser::new(key, 7 * S, 0.5);
-        let head = hide.header(&header());
+        let head = hide.anonymise_header(&header());
         assert!(head.settings.is_none() && head.seed == 0 && !head.placer.contains("p0"));
-        records.iter().map(|r| hide.record(r)).collect::<Vec<_>>()
+        records
+            .iter()
+            .map(|r| hide.anonymise_record(r))
+            .collect::<Vec<_>>()
     });
     for copy in &copies {
         for (old, new) in records.iter().zip(copy) {
@@ -758,13 +789,13 @@
         let octets = {
             let bytes = write(copy);
             let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
-            let index = reader.index().expect("no fault").expect("an index");
+            let index = reader.read_index().expect("no fault").expect("an index");
             index
                 .iter()
-                .flat_map(|e| reader.octets(e.at).expect("a block"))
+                .flat_map(|e| reader.read_block_bytes(e.offset).expect("a block"))
                 .collect::<Vec<u8>>()
         };
-        for text in identifiers.long() {
+        for text in identifiers.searchable_texts() {
             let found = octets.windows(text.len()).any(|w| w == text.as_bytes());
             assert!(!found, "{text} stands in the copy");
         }
@@ -783,7 +814,7 @@
         let mut sums = [Summary::new(&header()), Summary::new(&header())];
         records.iter().for_each(|r| sums[0].feed(r));
         copy.iter().for_each(|r| sums[1].feed(r));
-        let [old, new] = sums.map(|s| s.json());
+        let [old, new] = sums.map(|s| s.to_json());
         assert_eq!(
             (&old["classes"], &old["held_for"]),
             (&new["classes"], &new["held_for"])
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -6,12 +6,12 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-use maplethread_trace::{Header, Part, Reader, Record, Stamped, Writer, module_hash};
+use maplethread_trace::{Header, Part, Reader, Record, TimedRecord, Writer, module_hash};
 
 const OUT: &str = "MAPLETHREAD_TRACE_KILLED";
 
 /// The n-th record: all of them differ, and pack badly, so that writes are long.
-fn record(n: u64) -> Stamped {
+fn record(n: u64) -> TimedRecord {
     let noise = |k: u64| {
         (n * 7 + k)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -19,16 +19,16 @@
             .wrapping_mul(0xd6e8_feb8_6659_fd93)
     };
     let actor: String = (0..4).map(|k| format!("{:016x}", noise(k))).collect();
-    let record = Record::Asked {
+    let record = Record::RequestReceived {
         task: n,
         service: 3,
         actor,
         class: 0,
-        request: format!("{n}"),
-        key: None,
-        read: n,
+        request_id: format!("{n}"),
+        idempotency_key: None,
+        received_at: n,
     };
-    Stamped {
+    TimedRecord {
         at: 1_700_000_000_000_000 + n,
         record,
     }
@@ -55,7 +55,7 @@
         service: 3,
         name: "web-1".into(),
     };
-    writer.know(&Stamped {
+    writer.register_name(&TimedRecord {
         at: 0,
         record: service,
     });
@@ -74,7 +74,7 @@
 }
 
 /// Records of asks in a file, in order, and the octets that are no whole block.
-fn read(file: &Path) -> (Vec<Stamped>, u64) {
+fn read(file: &Path) -> (Vec<TimedRecord>, u64) {
     let mut reader =
         Reader::open(BufReader::new(File::open(file).expect("a file"))).expect("a trace");
     let (mut asks, mut lost) = (Vec::new(), 0);
@@ -84,10 +84,12 @@
                 asks.extend(
                     records
                         .into_iter()
-                        .filter(|r| matches!(r.record, Record::Asked { .. })),
+                        .filter(|r| matches!(r.record, Record::RequestReceived { .. })),
                 );
             }
-            Part::Damaged { octets, .. } => lost += octets,
+            Part::Damaged {
+                byte_count: octets, ..
+            } => lost += octets,
         }
     }
     (asks, lost)
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -1,19 +1,19 @@
 //! What kept tasks from running: each time without a running copy goes to what began it and to what took it.
 
 use maplethread::*;
-use maplethread_trace::losses::Losses;
-use maplethread_trace::{Outcome, Record, Stamped, Turn};
+use maplethread_trace::losses::LossCollector;
+use maplethread_trace::{Outcome, Record, TimedRecord, Turn};
 use serde_json::{Value, json};
 
 const MS: u64 = 1000;
 
 /// A trace told line by line, in ms.
 #[derive(Default)]
-struct Tale(Vec<Stamped>);
+struct Tale(Vec<TimedRecord>);
 
 impl Tale {
     fn record(&mut self, at: u64, record: Record) {
-        self.0.push(Stamped {
+        self.0.push(TimedRecord {
             at: at * MS,
             record,
         });
@@ -33,14 +33,14 @@
     /// An ask whose module answers with these actions at once.
     fn asks(&mut self, at: u64, task: u64, actor: &str, life: u64, actions: Vec<Action>) {
         let (actor, request) = (actor.to_owned(), format!("{actor}.{task}"));
-        let asked = Record::Asked {
+        let asked = Record::RequestReceived {
             task,
             service: 1,
             actor,
             class: 0,
-            request,
-            key: None,
-            read: at * MS,
+            request_id: request,
+            idempotency_key: None,
+            received_at: at * MS,
         };
         self.record(at, asked);
         let asked = Task {
@@ -56,16 +56,24 @@
     }
 
     fn counted(&self) -> Value {
-        let mut losses = Losses::new(&["web".to_owned()]);
+        let mut losses = LossCollector::new(&["web".to_owned()]);
         self.0.iter().for_each(|r| losses.feed(r));
         let counted = losses.finish();
-        assert!(counted.text().starts_with("web:"), "{}", counted.text());
-        counted.json()
+        assert!(
+            counted.to_text().starts_with("web:"),
+            "{}",
+            counted.to_text()
+        );
+        counted.to_json()
     }
 }
 
 fn offer(task: u64, host: u32) -> Action {
-    Action::Offer(TaskId(task), MachineId(host), 100 * MS)
+    Action::Offer {
+        task: TaskId(task),
+        machine: MachineId(host),
+        timeout: 100 * MS,
+    }
 }
 
 fn attempt(task: u64, number: u32) -> AttemptId {
@@ -76,19 +84,22 @@
 }
 
 fn started(task: u64, number: u32) -> Event {
-    Event::TaskReported(attempt(task, number), TaskReport::Started)
+    Event::TaskReported {
+        attempt: attempt(task, number),
+        report: TaskReport::Started,
+    }
 }
 
 fn ended(task: u64, number: u32, ending: AttemptOutcome, why: Option<FailureReason>) -> Event {
-    Event::AttemptFinished(
-        attempt(task, number),
-        AttemptResult {
+    Event::AttemptFinished {
+        attempt: attempt(task, number),
+        result: AttemptResult {
             outcome: ending,
             reason: why,
-            closed: false,
+            closes_task: false,
             load: None,
         },
-    )
+    }
 }
 
 fn seconds(counted: &Value, began: &str) -> Value {
@@ -107,30 +118,55 @@
     };
     tale.record(0, host(3));
     // Held for 200 ms, refused by one host after 50, accepted by another after 10, started after 300 more.
-    tale.asks(0, 1, "a", 10_000, vec![Action::Blocked(TaskId(1), BlockReason::NoCapacity)]);
+    tale.asks(
+        0,
+        1,
+        "a",
+        10_000,
+        vec![Action::Blocked {
+            task: TaskId(1),
+            reason: BlockReason::NoCapacity,
+        }],
+    );
     tale.turn(200, vec![], vec![offer(1, 2)]);
     tale.turn(
         250,
-        vec![ended(1, 0, AttemptOutcome::Rejected, Some(FailureReason::Cores))],
+        vec![ended(
+            1,
+            0,
+            AttemptOutcome::Rejected,
+            Some(FailureReason::Cores),
+        )],
         vec![offer(1, 3)],
     );
-    tale.turn(260, vec![Event::AttemptAccepted(attempt(1, 1), None)], vec![]);
+    tale.turn(
+        260,
+        vec![Event::AttemptAccepted {
+            attempt: attempt(1, 1),
+            elapsed: None,
+        }],
+        vec![],
+    );
     tale.record(
         260,
         Record::Answered {
             task: 1,
             outcome: Outcome::Placed { host: 3 },
             attempts: 2,
-            after: 260 * MS,
+            elapsed: 260 * MS,
         },
     );
     tale.turn(560, vec![started(1, 1)], vec![]);
     // Lost at 2 s; its owner comes after 700 ms, is refused, and comes again 300 ms before the end of its time.
-    tale.turn(2000, vec![ended(1, 1, AttemptOutcome::Disconnected, None)], vec![]);
+    tale.turn(
+        2000,
+        vec![ended(1, 1, AttemptOutcome::Disconnected, None)],
+        vec![],
+    );
     tale.asks(2700, 2, "a", 7_300, vec![]);
-    let refused = Outcome::Refused {
+    let refused = Outcome::Rejected {
         reason: "cores".into(),
-        come_back_ms: 1000,
+        retry_after_ms: 1000,
     };
     tale.record(
         2800,
@@ -138,7 +174,7 @@
             task: 2,
             outcome: refused,
             attempts: 0,
-            after: 100 * MS,
+            elapsed: 100 * MS,
         },
     );
     tale.asks(9700, 3, "a", 300, vec![offer(3, 3)]);
@@ -176,10 +212,19 @@
     tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
     tale.asks(100, 2, "a", 4900, vec![offer(2, 2)]);
     tale.turn(200, vec![started(1, 0), started(2, 0)], vec![]);
-    tale.turn(1000, vec![ended(1, 0, AttemptOutcome::TimedOut, None)], vec![]);
+    tale.turn(
+        1000,
+        vec![ended(1, 0, AttemptOutcome::TimedOut, None)],
+        vec![],
+    );
     tale.turn(
         2000,
-        vec![ended(2, 0, AttemptOutcome::Disconnected, Some(FailureReason::Preempted))],
+        vec![ended(
+            2,
+            0,
+            AttemptOutcome::Disconnected,
+            Some(FailureReason::Preempted),
+        )],
         vec![],
     );
     tale.turn(4000, vec![], vec![]);
@@ -201,13 +246,20 @@
     let mut tale = Tale::default();
     tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
     tale.turn(100, vec![started(1, 0)], vec![]);
-    tale.turn(1000, vec![ended(1, 0, AttemptOutcome::Completed, None)], vec![]);
+    tale.turn(
+        1000,
+        vec![ended(1, 0, AttemptOutcome::Completed, None)],
+        vec![],
+    );
     tale.asks(
         1000,
         2,
         "b",
         1000,
-        vec![Action::Blocked(TaskId(2), BlockReason::WarmUpBudget)],
+        vec![Action::Blocked {
+            task: TaskId(2),
+            reason: BlockReason::WarmUpBudget,
+        }],
     );
     tale.turn(9000, vec![], vec![]);
     let counted = tale.counted();
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -3,9 +3,9 @@
 use std::io::Cursor;
 
 use maplethread::*;
-use maplethread_trace::merge::{Merge, MergeError};
+use maplethread_trace::merge::{MergeError, MergePlan};
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Header, Outcome, Part, Reader, Record, Stamped, Turn, Writer};
+use maplethread_trace::{Header, Outcome, Part, Reader, Record, TimedRecord, Turn, Writer};
 
 const S: u64 = 1_000_000;
 const START: u64 = 1_700_000_000 * S;
@@ -45,9 +45,9 @@
             cell: "c".into(),
             kind: "std".into(),
         };
-        writer.know(&Stamped { at: 0, record });
+        writer.register_name(&TimedRecord { at: 0, record });
     }
-    writer.know(&Stamped {
+    writer.register_name(&TimedRecord {
         at: 0,
         record: Record::Service {
             service: 5,
@@ -64,7 +64,7 @@
             cell: 0,
             kind: 0,
             state: MachineState::Ready,
-            started: Some(begin + n * S),
+            started_at: Some(begin + n * S),
             unallocated: None,
         };
         let task = Task {
@@ -76,14 +76,14 @@
             deadline: at + S,
             is_resubmission: false,
         };
-        let asked = Record::Asked {
+        let asked = Record::RequestReceived {
             task: task.id.0,
             service: 5,
             actor: format!("{placer}-{n}"),
             class: task.class as u32,
-            request: format!("{placer}-{part}-{n}"),
-            key: None,
-            read: at,
+            request_id: format!("{placer}-{part}-{n}"),
+            idempotency_key: None,
+            received_at: at,
         };
         let turn = Turn {
             now: at,
@@ -94,7 +94,11 @@
                 },
                 Event::PlacementRequested(task),
             ],
-            actions: vec![Action::Offer(task.id, MachineId(number(n % 10)), S)],
+            actions: vec![Action::Offer {
+                task: task.id,
+                machine: MachineId(number(n % 10)),
+                timeout: S,
+            }],
         };
         let outcome = Outcome::Placed {
             host: number(n % 10),
@@ -103,11 +107,11 @@
             task: task.id.0,
             outcome,
             attempts: 1,
-            after: 500,
+            elapsed: 500,
         };
         for (later, record) in [(0, asked), (1, Record::Turn(turn)), (500, answered)] {
             writer
-                .push(&Stamped {
+                .push(&TimedRecord {
                     at: at + later,
                     record,
                 })
@@ -126,7 +130,7 @@
         .iter()
         .map(|bytes| Reader::open(Cursor::new(*bytes)).expect("a file"))
         .collect();
-    let plan = Merge::plan(&mut readers)?;
+    let plan = MergePlan::new(&mut readers)?;
     let mut out = Vec::new();
     let mut writer = Writer::new(&mut out, plan.header())?;
     plan.write(|n| Reader::open(Cursor::new(inputs[n])), &mut writer)?;
@@ -134,7 +138,7 @@
     Ok(out)
 }
 
-fn records(bytes: &[u8]) -> Vec<Stamped> {
+fn records(bytes: &[u8]) -> Vec<TimedRecord> {
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
     let mut all = Vec::new();
     while let Some(part) = reader.next_part().expect("no fault") {
@@ -153,7 +157,7 @@
         let summary = summary.get_or_insert_with(|| Summary::new(&header));
         records(file).iter().for_each(|r| summary.feed(r));
     }
-    summary.expect("a file").json()
+    summary.expect("a file").to_json()
 }
 
 #[test]
@@ -193,7 +197,12 @@
             record => {
                 assert!(r.at >= last);
                 last = r.at;
-                if let Record::Asked { request, class, .. } = record {
+                if let Record::RequestReceived {
+                    request_id: request,
+                    class,
+                    ..
+                } = record
+                {
                     assert_eq!(header.classes[*class as usize], "web");
                     asked[source].push(request.clone());
                 }
@@ -280,10 +289,10 @@
         let record = Record::Gap {
             turns: 0,
             records: n as u64,
-            why: String::new(),
+            reason: String::new(),
         };
         writer
-            .push(&Stamped {
+            .push(&TimedRecord {
                 at: START + at * S,
                 record,
             })
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -14,31 +14,31 @@
 
 /// Cores and memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Load {
+pub struct ResourceAmounts {
     /// Cores.
     pub cores: f64,
     /// Memory, GiB.
-    pub memory: f64,
+    pub memory_gib: f64,
 }
 
 /// What a second start does, for the host that has to recognise copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Copies {
+pub enum DuplicatePolicy {
     /// No harm.
-    Safe,
+    Idempotent,
     /// The group lets one copy of the key stand.
-    Keyed(u64),
+    IdempotencyKey(u64),
     /// Harm.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A task as it is offered, and as a host names it again after a reconnect.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
     /// The attempt, unique over all lives of the placer that made it.
-    pub attempt: u64,
+    pub attempt_id: u64,
     /// How many attempts of this placing came before.
-    pub number: u32,
+    pub prior_attempts: u32,
     /// The service.
     pub service: String,
     /// The actor.
@@ -46,17 +46,17 @@
     /// The class, by name.
     pub class: String,
     /// The request id that follows the placing from the client on.
-    pub request: String,
+    pub request_id: String,
     /// What it asks for.
-    pub asks: Load,
+    pub requested: ResourceAmounts,
     /// Higher ones push out lower ones.
     pub priority: u32,
     /// What a second start does.
-    pub copies: Copies,
+    pub duplicate_policy: DuplicatePolicy,
     /// How long it should run, in ms; 0 if that is not known.
-    pub life_ms: u64,
+    pub expected_duration_ms: u64,
     /// How long the placer waits for the answer, in ms.
-    pub wait_ms: u32,
+    pub answer_timeout_ms: u32,
 }
 
 /// Why an attempt was refused or ended.
@@ -70,17 +70,17 @@
     /// Too little memory.
     Memory = 2,
     /// Too many offers wait.
-    Line = 3,
+    QueueFull = 3,
     /// Wrong kind, draining, too late, or a copy stands.
-    NotHere = 4,
+    Ineligible = 4,
     /// Evicted for memory.
     Evicted = 5,
     /// Pushed out by a higher priority.
-    PushedOut = 6,
+    Preempted = 6,
     /// Sent away by a draining host.
-    SentAway = 7,
+    Drained = 7,
     /// The task came to its end.
-    Done = 8,
+    Completed = 8,
     /// Stopped on the placer's word, or called off.
     Stopped = 9,
     /// The host failed it; it may have run.
@@ -92,24 +92,24 @@
     pub fn from_byte(byte: u8) -> Reason {
         use Reason::*;
         let all = [
-            Unknown, Cores, Memory, Line, NotHere, Evicted, PushedOut, SentAway, Done, Stopped,
-            Error,
+            Unknown, Cores, Memory, QueueFull, Ineligible, Evicted, Preempted, Drained, Completed,
+            Stopped, Error,
         ];
         all.get(usize::from(byte)).copied().unwrap_or(Unknown)
     }
 
     /// As it stands in logs and answers.
-    pub fn name(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Reason::Unknown => "unknown",
             Reason::Cores => "cores",
             Reason::Memory => "memory",
-            Reason::Line => "line",
-            Reason::NotHere => "not_here",
+            Reason::QueueFull => "line",
+            Reason::Ineligible => "not_here",
             Reason::Evicted => "evicted",
-            Reason::PushedOut => "pushed_out",
-            Reason::SentAway => "sent_away",
-            Reason::Done => "done",
+            Reason::Preempted => "pushed_out",
+            Reason::Drained => "sent_away",
+            Reason::Completed => "done",
             Reason::Stopped => "stopped",
             Reason::Error => "error",
         }
@@ -125,9 +125,9 @@
     /// Memory that it uses, GiB.
     Memory = 2,
     /// The share of full service that it gets.
-    Served = 3,
+    ServedShare = 3,
     /// The share of the host's memory in use.
-    HostMemory = 4,
+    HostMemoryShare = 4,
 }
 
 /// A message of the host protocol.
@@ -144,7 +144,7 @@
         /// When the sender's process started, Unix time in ms.
         started_ms: u64,
         /// The most offers that the sender lets wait on this connection (0 from a placer).
-        most_offers: u32,
+        max_offers: u32,
     },
     /// Placer: a task for this host.
     Offer(Offer),
@@ -161,15 +161,15 @@
     /// Host: the task is accepted; with the time since the offer was read, ms.
     Accepted(u64, u32),
     /// Host: the task is turned down and never ran.
-    Refused(u64, Reason, Option<Load>),
+    Refused(u64, Reason, Option<ResourceAmounts>),
     /// Host: the task runs; with the time since the offer was read, ms.
     Started(u64, u32),
     /// Host: an accepted task, or one that may have run, has ended; with whether it ever ran.
-    Ended(u64, Reason, bool, Option<Load>),
+    Ended(u64, Reason, bool, Option<ResourceAmounts>),
     /// Host: how a task fares.
     Note(u64, NoteKind, f64),
     /// Host: the answer to a probe.
-    Report(u32, Load),
+    Report(u32, ResourceAmounts),
     /// Host: nothing new from now on.
     Drain,
     /// Host, after its hello: a task of this placer that it holds, and whether it runs yet.
@@ -194,10 +194,10 @@
     Short(u8),
     /// A text that is not UTF-8.
     #[error("frame of type {0} holds a text that is not UTF-8")]
-    Text(u8),
+    InvalidText(u8),
     /// A number that is not finite, or a value that does not exist.
     #[error("frame of type {0} holds a bad value")]
-    Value(u8),
+    InvalidValue(u8),
     /// A hello without the protocol's mark.
     #[error("not the host protocol")]
     Magic,
@@ -240,29 +240,30 @@
         Ok(u64::from_le_bytes(self.array()?))
     }
 
-    fn number(&mut self) -> Result<f64, FrameError> {
+    fn f64(&mut self) -> Result<f64, FrameError> {
         let x = f64::from_le_bytes(self.array()?);
         if x.is_finite() {
             Ok(x)
         } else {
-            Err(FrameError::Value(self.kind))
+            Err(FrameError::InvalidValue(self.kind))
         }
     }
 
     fn text(&mut self) -> Result<String, FrameError> {
         let n = usize::from(self.u16()?);
-        let text = std::str::from_utf8(self.bytes(n)?).map_err(|_| FrameError::Text(self.kind))?;
+        let text =
+            std::str::from_utf8(self.bytes(n)?).map_err(|_| FrameError::InvalidText(self.kind))?;
         Ok(text.to_owned())
     }
 
-    fn load(&mut self) -> Result<Load, FrameError> {
-        Ok(Load {
-            cores: self.number()?,
-            memory: self.number()?,
+    fn load(&mut self) -> Result<ResourceAmounts, FrameError> {
+        Ok(ResourceAmounts {
+            cores: self.f64()?,
+            memory_gib: self.f64()?,
         })
     }
 
-    fn maybe_load(&mut self) -> Result<Option<Load>, FrameError> {
+    fn maybe_load(&mut self) -> Result<Option<ResourceAmounts>, FrameError> {
         if self.u8()? == 0 {
             Ok(None)
         } else {
@@ -272,22 +273,22 @@
 
     fn offer(&mut self) -> Result<Offer, FrameError> {
         Ok(Offer {
-            attempt: self.u64()?,
-            number: self.u32()?,
+            attempt_id: self.u64()?,
+            prior_attempts: self.u32()?,
             service: self.text()?,
             actor: self.text()?,
             class: self.text()?,
-            request: self.text()?,
-            asks: self.load()?,
+            request_id: self.text()?,
+            requested: self.load()?,
             priority: self.u32()?,
-            copies: match (self.u8()?, self.u64()?) {
-                (0, _) => Copies::Safe,
-                (1, key) => Copies::Keyed(key),
-                (2, _) => Copies::Unsafe,
-                _ => return Err(FrameError::Value(self.kind)),
+            duplicate_policy: match (self.u8()?, self.u64()?) {
+                (0, _) => DuplicatePolicy::Idempotent,
+                (1, key) => DuplicatePolicy::IdempotencyKey(key),
+                (2, _) => DuplicatePolicy::NonIdempotent,
+                _ => return Err(FrameError::InvalidValue(self.kind)),
             },
-            life_ms: self.u64()?,
-            wait_ms: self.u32()?,
+            expected_duration_ms: self.u64()?,
+            answer_timeout_ms: self.u32()?,
         })
     }
 }
@@ -333,7 +334,7 @@
                 minor: f.u16()?,
                 name: f.text()?,
                 started_ms: f.u64()?,
-                most_offers: f.u32()?,
+                max_offers: f.u32()?,
             }
         }
         2 => Frame::Offer(f.offer()?),
@@ -352,12 +353,12 @@
             f.maybe_load()?,
         ),
         12 => {
-            let (attempt, kind, x) = (f.u64()?, f.u8()?, f.number()?);
+            let (attempt, kind, x) = (f.u64()?, f.u8()?, f.f64()?);
             let kind = match kind {
                 1 => NoteKind::Cores,
                 2 => NoteKind::Memory,
-                3 => NoteKind::Served,
-                4 => NoteKind::HostMemory,
+                3 => NoteKind::ServedShare,
+                4 => NoteKind::HostMemoryShare,
                 // A newer peer's note.
                 _ => return Ok(None),
             };
@@ -382,12 +383,12 @@
     out.extend_from_slice(&text.as_bytes()[..n]);
 }
 
-fn put_load(out: &mut Vec<u8>, load: Load) {
+fn put_load(out: &mut Vec<u8>, load: ResourceAmounts) {
     out.extend_from_slice(&load.cores.to_le_bytes());
-    out.extend_from_slice(&load.memory.to_le_bytes());
+    out.extend_from_slice(&load.memory_gib.to_le_bytes());
 }
 
-fn put_maybe(out: &mut Vec<u8>, load: Option<Load>) {
+fn put_maybe(out: &mut Vec<u8>, load: Option<ResourceAmounts>) {
     out.push(u8::from(load.is_some()));
     if let Some(load) = load {
         put_load(out, load);
@@ -395,22 +396,27 @@
 }
 
 fn put_offer(out: &mut Vec<u8>, offer: &Offer) {
-    out.extend_from_slice(&offer.attempt.to_le_bytes());
-    out.extend_from_slice(&offer.number.to_le_bytes());
-    for text in [&offer.service, &offer.actor, &offer.class, &offer.request] {
+    out.extend_from_slice(&offer.attempt_id.to_le_bytes());
+    out.extend_from_slice(&offer.prior_attempts.to_le_bytes());
+    for text in [
+        &offer.service,
+        &offer.actor,
+        &offer.class,
+        &offer.request_id,
+    ] {
         put_text(out, text);
     }
-    put_load(out, offer.asks);
+    put_load(out, offer.requested);
     out.extend_from_slice(&offer.priority.to_le_bytes());
-    let (kind, key) = match offer.copies {
-        Copies::Safe => (0, 0),
-        Copies::Keyed(key) => (1, key),
-        Copies::Unsafe => (2, 0),
+    let (kind, key) = match offer.duplicate_policy {
+        DuplicatePolicy::Idempotent => (0, 0),
+        DuplicatePolicy::IdempotencyKey(key) => (1, key),
+        DuplicatePolicy::NonIdempotent => (2, 0),
     };
     out.push(kind);
     out.extend_from_slice(&key.to_le_bytes());
-    out.extend_from_slice(&offer.life_ms.to_le_bytes());
-    out.extend_from_slice(&offer.wait_ms.to_le_bytes());
+    out.extend_from_slice(&offer.expected_duration_ms.to_le_bytes());
+    out.extend_from_slice(&offer.answer_timeout_ms.to_le_bytes());
 }
 
 /// Adds a frame to `out`.
@@ -431,7 +437,7 @@
             minor,
             name,
             started_ms,
-            most_offers,
+            max_offers: most_offers,
         } => {
             out.push(1);
             out.extend_from_slice(&MAGIC.to_le_bytes());
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -10,22 +10,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of the start line.
-    pub line: usize,
+    pub max_line_bytes: usize,
     /// Bytes of the start line and all fields.
-    pub head: usize,
+    pub max_head_bytes: usize,
     /// Fields.
-    pub fields: usize,
+    pub max_fields: usize,
     /// Bytes of the body, after removing chunked framing.
-    pub body: usize,
+    pub max_body_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            line: 8 << 10,
-            head: 16 << 10,
-            fields: 64,
-            body: 256 << 10,
+            max_line_bytes: 8 << 10,
+            max_head_bytes: 16 << 10,
+            max_fields: 64,
+            max_body_bytes: 256 << 10,
         }
     }
 }
@@ -50,19 +50,19 @@
     Folded,
     /// A field that is not a name, a colon and a value.
     #[error("malformed field")]
-    Field,
+    MalformedField,
     /// The head is too large, or holds too many fields.
     #[error("head too large")]
     HeadTooLarge,
     /// No Host field in HTTP/1.1, or several.
     #[error("missing or repeated Host")]
-    Host,
+    InvalidHost,
     /// Both Content-Length and Transfer-Encoding.
     #[error("both Content-Length and Transfer-Encoding")]
     Conflict,
     /// A Content-Length that is not one number.
     #[error("bad Content-Length")]
-    Length,
+    InvalidContentLength,
     /// A transfer coding other than chunked.
     #[error("transfer coding not supported")]
     Coding,
@@ -104,10 +104,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     bytes: Vec<u8>,
-    first: Range<usize>,
-    second: Range<usize>,
+    first_part: Range<usize>,
+    second_part: Range<usize>,
     fields: Vec<(Range<usize>, Range<usize>)>,
-    minor: u8,
+    minor_version: u8,
 }
 
 impl Head {
@@ -117,22 +117,22 @@
 
     /// A request's method; empty for a response.
     pub fn method(&self) -> &str {
-        self.text(&self.first)
+        self.text(&self.first_part)
     }
 
     /// A request's target; the reason of a response.
     pub fn target(&self) -> &str {
-        self.text(&self.second)
+        self.text(&self.second_part)
     }
 
     /// A response's status; 0 for a request.
     pub fn status(&self) -> u16 {
-        self.text(&self.first).parse().unwrap_or(0)
+        self.text(&self.first_part).parse().unwrap_or(0)
     }
 
     /// The minor version: HTTP/1.0 or HTTP/1.1.
-    pub fn minor(&self) -> u8 {
-        self.minor
+    pub fn minor_version(&self) -> u8 {
+        self.minor_version
     }
 
     /// All fields in order: names as sent, values as bytes without blanks around them.
@@ -143,7 +143,7 @@
     }
 
     /// The first field of this name, if its value is UTF-8.
-    pub fn field(&self, name: &str) -> Option<&str> {
+    pub fn parse_field(&self, name: &str) -> Option<&str> {
         let (_, value) = self.fields().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(value).ok()
     }
@@ -165,8 +165,8 @@
     }
 
     /// Whether the connection may carry another message after this one.
-    pub fn keep_alive(&self) -> bool {
-        if self.minor == 0 {
+    pub fn is_keep_alive(&self) -> bool {
+        if self.minor_version == 0 {
             self.connection("keep-alive")
         } else {
             !self.connection("close")
@@ -175,7 +175,7 @@
 
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        self.field("expect")
+        self.parse_field("expect")
             .is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
     }
 }
@@ -184,25 +184,25 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// The head of a message.
     Head(Head),
     /// A part of its body.
     Data(Vec<u8>),
     /// The message is whole.
-    End,
+    MessageEnd,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     Head,
-    Length(usize),
+    FixedLength(usize),
     ChunkSize,
     ChunkData(usize),
     ChunkEnd,
     Trailers,
     UntilClose,
-    Done,
+    Complete,
 }
 
 /// Takes messages from the front of a byte stream.
@@ -214,7 +214,7 @@
     /// Bytes of the unread front that are known to hold no end of the head (or line).
     scanned: usize,
     /// Bytes of body and, after it, of trailers.
-    taken: usize,
+    body_bytes: usize,
     trailer: usize,
     /// The next response has no body whatever its fields say: it answers a HEAD.
     bodiless: bool,
@@ -228,7 +228,7 @@
             limits,
             state: State::Head,
             scanned: 0,
-            taken: 0,
+            body_bytes: 0,
             trailer: 0,
             bodiless: false,
         }
@@ -240,12 +240,12 @@
     }
 
     /// Whether a message has begun and not ended.
-    pub fn inside(&self) -> bool {
+    pub fn is_inside_message(&self) -> bool {
         self.state != State::Head
     }
 
     /// The connection ended with `unread` bytes left. A body that runs until then is whole.
-    pub fn end(&mut self, unread: &[u8]) -> Result<bool, HttpError> {
+    pub fn finish(&mut self, unread: &[u8]) -> Result<bool, HttpError> {
         match self.state {
             State::UntilClose => {
                 self.state = State::Head;
@@ -260,30 +260,30 @@
     pub fn step(&mut self, unread: &[u8]) -> Result<(Step, usize), HttpError> {
         match self.state {
             State::Head => self.head(unread),
-            State::Done => {
+            State::Complete => {
                 self.state = State::Head;
-                Ok((Step::End, 0))
+                Ok((Step::MessageEnd, 0))
             }
-            State::Length(left) => {
+            State::FixedLength(left) => {
                 let n = left.min(unread.len());
                 if n == 0 {
-                    return Ok((Step::More, 0));
+                    return Ok((Step::NeedMore, 0));
                 }
                 self.state = if n == left {
-                    State::Done
+                    State::Complete
                 } else {
-                    State::Length(left - n)
+                    State::FixedLength(left - n)
                 };
                 Ok((Step::Data(unread[..n].to_vec()), n))
             }
-            State::UntilClose if unread.is_empty() => Ok((Step::More, 0)),
+            State::UntilClose if unread.is_empty() => Ok((Step::NeedMore, 0)),
             State::UntilClose => {
                 self.count(unread.len())?;
                 Ok((Step::Data(unread.to_vec()), unread.len()))
             }
             State::ChunkSize => {
-                let Some(line) = self.line(unread, 256, HttpError::Chunk)? else {
-                    return Ok((Step::More, 0));
+                let Some(line) = self.find_line(unread, 256, HttpError::Chunk)? else {
+                    return Ok((Step::NeedMore, 0));
                 };
                 let size = chunk_size(&unread[..line])?;
                 if size == 0 {
@@ -298,7 +298,7 @@
             State::ChunkData(left) => {
                 let n = left.min(unread.len());
                 if n == 0 {
-                    return Ok((Step::More, 0));
+                    return Ok((Step::NeedMore, 0));
                 }
                 self.state = if n == left {
                     State::ChunkEnd
@@ -313,34 +313,36 @@
                     let (step, n) = self.step(rest)?;
                     Ok((step, n + 2))
                 }
-                [] | [b'\r'] => Ok((Step::More, 0)),
+                [] | [b'\r'] => Ok((Step::NeedMore, 0)),
                 _ => Err(HttpError::Chunk),
             },
             State::Trailers => {
                 let mut used = 0;
-                while let Some(line) =
-                    self.line(&unread[used..], self.limits.head, HttpError::Field)?
-                {
+                while let Some(line) = self.find_line(
+                    &unread[used..],
+                    self.limits.max_head_bytes,
+                    HttpError::MalformedField,
+                )? {
                     let text = &unread[used..used + line];
                     used += line + 2;
                     self.trailer += line + 2;
-                    if self.trailer > self.limits.head {
+                    if self.trailer > self.limits.max_head_bytes {
                         return Err(HttpError::HeadTooLarge);
                     }
                     if text.is_empty() {
                         self.state = State::Head;
-                        return Ok((Step::End, used));
+                        return Ok((Step::MessageEnd, used));
                     }
                     field(text, 0)?;
                 }
-                Ok((Step::More, used))
+                Ok((Step::NeedMore, used))
             }
         }
     }
 
     fn count(&mut self, bytes: usize) -> Result<(), HttpError> {
-        self.taken = self.taken.saturating_add(bytes);
-        if self.taken > self.limits.body {
+        self.body_bytes = self.body_bytes.saturating_add(bytes);
+        if self.body_bytes > self.limits.max_body_bytes {
             Err(HttpError::BodyTooLarge)
         } else {
             Ok(())
@@ -348,7 +350,7 @@
     }
 
     /// The length of the first line, without its CRLF, once it is there.
-    fn line(
+    fn find_line(
         &mut self,
         unread: &[u8],
         most: usize,
@@ -382,7 +384,7 @@
                 empty += 2;
             }
             if unread[empty..] == *b"\r" {
-                return Ok((Step::More, empty));
+                return Ok((Step::NeedMore, empty));
             }
         }
         let (step, n) = self.message_head(&unread[empty..])?;
@@ -406,16 +408,16 @@
         else {
             self.check_partial(unread)?;
             self.scanned = unread.len();
-            return Ok((Step::More, 0));
+            return Ok((Step::NeedMore, 0));
         };
         self.scanned = 0;
-        if end + 4 > self.limits.head {
+        if end + 4 > self.limits.max_head_bytes {
             return Err(HttpError::HeadTooLarge);
         }
         let head = self.parse(unread[..end + 2].to_vec())?;
         let informational = self.role == Role::Responses && (100..200).contains(&head.status());
         self.state = self.body_of(&head)?;
-        self.taken = 0;
+        self.body_bytes = 0;
         if !informational {
             self.bodiless = false;
         }
@@ -425,10 +427,10 @@
     /// Refuses early what can't become a head any more.
     fn check_partial(&self, unread: &[u8]) -> Result<(), HttpError> {
         let line = unread.iter().position(|&b| b == b'\n');
-        if line.unwrap_or(unread.len()) > self.limits.line {
+        if line.unwrap_or(unread.len()) > self.limits.max_line_bytes {
             return Err(HttpError::LineTooLong);
         }
-        if unread.len() > self.limits.head {
+        if unread.len() > self.limits.max_head_bytes {
             return Err(HttpError::HeadTooLarge);
         }
         let from = self.scanned.saturating_sub(1);
@@ -457,7 +459,7 @@
         }
         let mut lines = lines.into_iter();
         let first_line = lines.next().ok_or(HttpError::StartLine)?;
-        if first_line.len() > self.limits.line {
+        if first_line.len() > self.limits.max_line_bytes {
             return Err(HttpError::LineTooLong);
         }
         let (first, second, minor) = match self.role {
@@ -466,17 +468,17 @@
         };
         let mut fields = Vec::new();
         for line in lines {
-            if fields.len() == self.limits.fields {
+            if fields.len() == self.limits.max_fields {
                 return Err(HttpError::HeadTooLarge);
             }
             fields.push(field(&bytes[line.clone()], line.start)?);
         }
         Ok(Head {
             bytes,
-            first,
-            second,
+            first_part: first,
+            second_part: second,
             fields,
-            minor,
+            minor_version: minor,
         })
     }
 
@@ -484,13 +486,13 @@
     fn body_of(&self, head: &Head) -> Result<State, HttpError> {
         let mut length = None;
         for value in head.all("content-length") {
-            let text = std::str::from_utf8(value).map_err(|_| HttpError::Length)?;
+            let text = std::str::from_utf8(value).map_err(|_| HttpError::InvalidContentLength)?;
             if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(HttpError::Length);
+                return Err(HttpError::InvalidContentLength);
             }
-            let n: u64 = text.parse().map_err(|_| HttpError::Length)?;
+            let n: u64 = text.parse().map_err(|_| HttpError::InvalidContentLength)?;
             if length.is_some_and(|before| before != n) {
-                return Err(HttpError::Length);
+                return Err(HttpError::InvalidContentLength);
             }
             length = Some(n);
         }
@@ -503,27 +505,29 @@
         if chunked && length.is_some() {
             return Err(HttpError::Conflict);
         }
-        if chunked && head.minor == 0 {
+        if chunked && head.minor_version == 0 {
             return Err(HttpError::Coding);
         }
         if self.role == Role::Requests {
             let hosts = head.all("host").count();
-            if hosts > 1 || (hosts == 0 && head.minor == 1) {
-                return Err(HttpError::Host);
+            if hosts > 1 || (hosts == 0 && head.minor_version == 1) {
+                return Err(HttpError::InvalidHost);
             }
         } else {
             let status = head.status();
             if self.bodiless || (100..200).contains(&status) || status == 204 || status == 304 {
-                return Ok(State::Done);
+                return Ok(State::Complete);
             }
         }
         match (chunked, length) {
             (true, _) => Ok(State::ChunkSize),
-            (false, Some(0)) => Ok(State::Done),
-            (false, Some(n)) if n > self.limits.body as u64 => Err(HttpError::BodyTooLarge),
-            (false, Some(n)) => Ok(State::Length(n as usize)),
+            (false, Some(0)) => Ok(State::Complete),
+            (false, Some(n)) if n > self.limits.max_body_bytes as u64 => {
+                Err(HttpError::BodyTooLarge)
+            }
+            (false, Some(n)) => Ok(State::FixedLength(n as usize)),
             (false, None) if self.role == Role::Responses => Ok(State::UntilClose),
-            (false, None) => Ok(State::Done),
+            (false, None) => Ok(State::Complete),
         }
     }
 }
@@ -592,9 +596,9 @@
     let colon = line
         .iter()
         .position(|&b| b == b':')
-        .ok_or(HttpError::Field)?;
+        .ok_or(HttpError::MalformedField)?;
     if colon == 0 || !line[..colon].iter().all(|&b| is_token(b)) {
-        return Err(HttpError::Field);
+        return Err(HttpError::MalformedField);
     }
     let blank = |&b: &u8| b == b' ' || b == b'\t';
     let value = &line[colon + 1..];
@@ -602,7 +606,7 @@
         .iter()
         .all(|&b| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80)
     {
-        return Err(HttpError::Field);
+        return Err(HttpError::MalformedField);
     }
     let from = value.iter().position(|b| !blank(b)).unwrap_or(value.len());
     let to = value
@@ -639,47 +643,47 @@
 
 /// Gathers whole messages.
 #[derive(Debug)]
-pub struct Reader {
+pub struct MessageReader {
     decoder: Decoder,
     part: Option<Message>,
 }
 
 /// What a [`Reader`] found.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum ReadResult {
     /// More bytes are needed.
-    More,
+    NeedMore,
     /// The sender waits for `100 Continue` before it goes on.
-    Continue,
+    ExpectsContinue,
     /// A whole message.
     Message(Message),
 }
 
-impl Reader {
+impl MessageReader {
     /// A reader at the start of a connection.
-    pub fn new(role: Role, limits: Limits) -> Reader {
-        Reader {
+    pub fn new(role: Role, limits: Limits) -> MessageReader {
+        MessageReader {
             decoder: Decoder::new(role, limits),
             part: None,
         }
     }
 
     /// Takes bytes from the front of `unread`; returns what was found and how many were used.
-    pub fn read(&mut self, unread: &[u8]) -> Result<(Found, usize), HttpError> {
+    pub fn read(&mut self, unread: &[u8]) -> Result<(ReadResult, usize), HttpError> {
         let mut used = 0;
         loop {
             let (step, n) = self.decoder.step(&unread[used..])?;
             used += n;
             match step {
-                Step::More => return Ok((Found::More, used)),
+                Step::NeedMore => return Ok((ReadResult::NeedMore, used)),
                 Step::Head(head) => {
-                    let asks = head.expects_continue() && self.decoder.state != State::Done;
+                    let asks = head.expects_continue() && self.decoder.state != State::Complete;
                     self.part = Some(Message {
                         head,
                         body: Vec::new(),
                     });
                     if asks && used == unread.len() {
-                        return Ok((Found::Continue, used));
+                        return Ok((ReadResult::ExpectsContinue, used));
                     }
                 }
                 Step::Data(data) => {
@@ -687,9 +691,9 @@
                         part.body.extend_from_slice(&data);
                     }
                 }
-                Step::End => {
+                Step::MessageEnd => {
                     if let Some(whole) = self.part.take() {
-                        return Ok((Found::Message(whole), used));
+                        return Ok((ReadResult::Message(whole), used));
                     }
                 }
             }
@@ -697,13 +701,13 @@
     }
 
     /// Whether a message has begun and not ended.
-    pub fn inside(&self) -> bool {
-        self.decoder.inside()
+    pub fn is_inside_message(&self) -> bool {
+        self.decoder.is_inside_message()
     }
 }
 
 /// The usual phrase for a status.
-pub fn reason(status: u16) -> &'static str {
+pub fn reason_phrase(status: u16) -> &'static str {
     match status {
         100 => "Continue",
         200 => "OK",
@@ -737,7 +741,7 @@
     more: &[(&str, &str)],
     body: &[u8],
 ) {
-    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason(status)).as_bytes());
+    out.extend_from_slice(format!("HTTP/1.1 {status} {}\r\n", reason_phrase(status)).as_bytes());
     if status != 204 {
         out.extend_from_slice(
             format!("Content-Type: {kind}\r\nContent-Length: {}\r\n", body.len()).as_bytes(),
@@ -749,7 +753,7 @@
 
 /// Writes the head of a response whose body follows in chunks.
 pub fn write_chunked_head(out: &mut Vec<u8>, status: u16, kind: &str, more: &[(&str, &str)]) {
-    let reason = reason(status);
+    let reason = reason_phrase(status);
     let head = format!(
         "HTTP/1.1 {status} {reason}\r\nContent-Type: {kind}\r\nTransfer-Encoding: chunked\r\nCache-Control: no-store\r\n"
     );
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,19 +1,23 @@
 //! The host protocol's codec: round trips, bounds, and what a newer peer may send.
 
 use maplethread_wire::frame::{
-    Copies, Frame, FrameError, Load, MAX_FRAME, NoteKind, Offer, Reason, decode, encode,
+    DuplicatePolicy, Frame, FrameError, MAX_FRAME, NoteKind, Offer, Reason, ResourceAmounts,
+    decode, encode,
 };
 use proptest::prelude::*;
 
-fn load() -> impl Strategy<Value = Load> {
-    (-1e6..1e6, -1e6..1e6).prop_map(|(cores, memory)| Load { cores, memory })
+fn load() -> impl Strategy<Value = ResourceAmounts> {
+    (-1e6..1e6, -1e6..1e6).prop_map(|(cores, memory)| ResourceAmounts {
+        cores,
+        memory_gib: memory,
+    })
 }
 
 fn offer() -> impl Strategy<Value = Offer> {
     let copies = prop_oneof![
-        Just(Copies::Safe),
-        any::<u64>().prop_map(Copies::Keyed),
-        Just(Copies::Unsafe)
+        Just(DuplicatePolicy::Idempotent),
+        any::<u64>().prop_map(DuplicatePolicy::IdempotencyKey),
+        Just(DuplicatePolicy::NonIdempotent)
     ];
     let texts = (".{0,20}", ".{0,20}", "[a-z-]{0,20}", "[!-~]{0,40}");
     let numbers = (
@@ -25,17 +29,17 @@
     );
     (texts, numbers, load(), copies).prop_map(
         |((service, actor, class, request), n, asks, copies)| Offer {
-            attempt: n.0,
-            number: n.1,
+            attempt_id: n.0,
+            prior_attempts: n.1,
             service,
             actor,
             class,
-            request,
-            asks,
+            request_id: request,
+            requested: asks,
             priority: n.2,
-            copies,
-            life_ms: n.3,
-            wait_ms: n.4,
+            duplicate_policy: copies,
+            expected_duration_ms: n.3,
+            answer_timeout_ms: n.4,
         },
     )
 }
@@ -49,8 +53,8 @@
     let kind = prop_oneof![
         Just(NoteKind::Cores),
         Just(NoteKind::Memory),
-        Just(NoteKind::Served),
-        Just(NoteKind::HostMemory)
+        Just(NoteKind::ServedShare),
+        Just(NoteKind::HostMemoryShare)
     ];
     prop_oneof![
         (
@@ -61,12 +65,12 @@
             any::<u32>()
         )
             .prop_map(
-                |(major, minor, name, started_ms, most_offers)| Frame::Hello {
+                |(major, minor, name, started_ms, max_offers)| Frame::Hello {
                     major,
                     minor,
                     name,
                     started_ms,
-                    most_offers
+                    max_offers
                 }
             ),
         offer().prop_map(Frame::Offer),
@@ -164,16 +168,16 @@
         minor: 0,
         name: "h".into(),
         started_ms: 1,
-        most_offers: 0,
+        max_offers: 0,
     };
     encode(&frame, &mut hello);
     hello[5] ^= 1;
     assert_eq!(decode(&hello), Err(FrameError::Magic));
     let mut note = Vec::new();
-    encode(&Frame::Note(1, NoteKind::Served, 0.5), &mut note);
+    encode(&Frame::Note(1, NoteKind::ServedShare, 0.5), &mut note);
     let at = note.len() - 8;
     note[at..].copy_from_slice(&f64::NAN.to_le_bytes());
-    assert_eq!(decode(&note), Err(FrameError::Value(12)));
+    assert_eq!(decode(&note), Err(FrameError::InvalidValue(12)));
     note[13] = 99;
     note[at..].copy_from_slice(&1f64.to_le_bytes());
     assert_eq!(
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -1,7 +1,9 @@
 //! The HTTP parser: what is refused and with which status, the same result however the bytes are cut, and its
 //! agreement with `httparse`.
 
-use maplethread_wire::http::{Decoder, Found, HttpError, Limits, Message, Reader, Role, Step};
+use maplethread_wire::http::{
+    Decoder, HttpError, Limits, Message, MessageReader, ReadResult, Role, Step,
+};
 use proptest::prelude::*;
 
 /// Reads all messages of a stream that comes in pieces of these sizes.
@@ -11,7 +13,7 @@
     bytes: &[u8],
     pieces: &[usize],
 ) -> Result<Vec<Message>, HttpError> {
-    let mut reader = Reader::new(role, limits);
+    let mut reader = MessageReader::new(role, limits);
     let (mut messages, mut buffer, mut at, mut piece) = (Vec::new(), Vec::new(), 0, 0);
     while at < bytes.len() {
         let n = pieces
@@ -26,9 +28,9 @@
             assert!(used <= buffer.len());
             buffer.drain(..used);
             match found {
-                Found::Message(message) => messages.push(message),
-                Found::Continue => {}
-                Found::More => break,
+                ReadResult::Message(message) => messages.push(message),
+                ReadResult::ExpectsContinue => {}
+                ReadResult::NeedMore => break,
             }
         }
     }
@@ -49,11 +51,11 @@
             .expect("sound");
     let head = &get[0].head;
     assert_eq!(
-        (head.method(), head.target(), head.minor()),
+        (head.method(), head.target(), head.minor_version()),
         ("GET", "/v1/status?full", 1)
     );
     assert_eq!(
-        (head.field("x-empty"), head.field("x-pad")),
+        (head.parse_field("x-empty"), head.parse_field("x-pad")),
         (Some(""), Some("b c"))
     );
     let bytes = b"\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcPUT / HTTP/1.1\r\nhost: a\r\n\
@@ -67,7 +69,9 @@
         Ok(1)
     );
     assert_eq!(
-        all.iter().map(|m| m.head.keep_alive()).collect::<Vec<_>>(),
+        all.iter()
+            .map(|m| m.head.is_keep_alive())
+            .collect::<Vec<_>>(),
         [true, true, false]
     );
 }
@@ -81,22 +85,22 @@
             Conflict,
             400,
         ),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", Length, 400),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", Length, 400),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", Length, 400),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", Length, 400),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999\r\n\r\n", Length, 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", InvalidContentLength, 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3, 3\r\n\r\nabc", InvalidContentLength, 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: +3\r\n\r\nabc", InvalidContentLength, 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", InvalidContentLength, 400),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999\r\n\r\n", InvalidContentLength, 400),
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 999999999\r\n\r\n", BodyTooLarge, 413),
         (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Coding, 501),
         (b"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", Coding, 501),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: a\rb\r\n\r\n", BareLineEnd, 400),
         (b"GET / HTTP/1.1\nHost: a\n\n", BareLineEnd, 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n  folded\r\n\r\n", Folded, 400),
-        (b"GET / HTTP/1.1\r\nHost : a\r\n\r\n", Field, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", Field, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nX: \0\r\n\r\n", Field, 400),
-        (b"GET / HTTP/1.1\r\n\r\n", Host, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", Host, 400),
+        (b"GET / HTTP/1.1\r\nHost : a\r\n\r\n", MalformedField, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", MalformedField, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nX: \0\r\n\r\n", MalformedField, 400),
+        (b"GET / HTTP/1.1\r\n\r\n", InvalidHost, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", InvalidHost, 400),
         (b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", Version, 505),
         (b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", StartLine, 400),
         (b"G(T / HTTP/1.1\r\nHost: a\r\n\r\n", StartLine, 400),
@@ -120,10 +124,10 @@
 #[test]
 fn bounds_lines_heads_fields_and_bodies_before_they_are_whole() {
     let limits = Limits {
-        line: 64,
-        head: 256,
-        fields: 4,
-        body: 16,
+        max_line_bytes: 64,
+        max_head_bytes: 256,
+        max_fields: 4,
+        max_body_bytes: 16,
     };
     let read = |bytes: &[u8]| read(Role::Requests, limits, bytes, &[7]).expect_err("refused");
     assert_eq!(
@@ -174,12 +178,12 @@
         decoder.step(&bytes[used..]),
         Ok((Step::Data(b"all of it".to_vec()), 9))
     );
-    assert_eq!(decoder.end(b""), Ok(true));
+    assert_eq!(decoder.finish(b""), Ok(true));
     let mut decoder = Decoder::new(Role::Responses, Limits::default());
     decoder
         .step(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n")
         .expect("sound");
-    assert_eq!(decoder.end(b""), Err(HttpError::Truncated));
+    assert_eq!(decoder.finish(b""), Err(HttpError::Truncated));
 }
 
 /// A head as `httparse` reads it: its two texts and its fields.
--- a/drill/src/main.rs
+++ b/drill/src/main.rs
@@ -11,15 +11,15 @@
 use std::process::ExitCode;
 
 use maplethread::{Event, Micros, Placer, Settings};
-use maplethread_deployment::{Hosts, Reports, WireError};
+use maplethread_deployment::{CapacityReporting, FieldError, HostNames};
 use serde_json::Value;
 use wire::{Incoming, Row};
 
 /// One placer, the host names it has heard, and its events of the batch at hand.
 struct Instance {
     placer: Option<Placer>,
-    hosts: Hosts,
-    reports: Reports,
+    hosts: HostNames,
+    reports: CapacityReporting,
     events: Vec<Event>,
     fault: Option<String>,
 }
@@ -33,26 +33,26 @@
     batch: Option<(Micros, u64)>,
 }
 
-fn not_up(who: u32) -> WireError {
-    WireError::new("-", "who", format!("an instance that is up, not {who}"))
+fn not_up(who: u32) -> FieldError {
+    FieldError::new("-", "who", format!("an instance that is up, not {who}"))
 }
 
 impl Adapter {
     /// Takes in one line; returns the reply when the line ends a batch.
-    fn line(&mut self, text: &str) -> Result<Option<String>, WireError> {
+    fn line(&mut self, text: &str) -> Result<Option<String>, FieldError> {
         let value: Value = serde_json::from_str(text)
-            .map_err(|e| WireError::new("-", "-", format!("JSON ({e})")))?;
+            .map_err(|e| FieldError::new("-", "-", format!("JSON ({e})")))?;
         match (wire::decode(&value, self)?, self.batch) {
             (Incoming::Turn { now, batch }, None) => self.batch = Some((now, batch)),
             (Incoming::Turn { .. }, Some(_)) => {
-                return Err(WireError::new(
+                return Err(FieldError::new(
                     "TURN",
                     "-",
                     "EOB before the next batch".into(),
                 ));
             }
             (_, None) => {
-                return Err(WireError::new(
+                return Err(FieldError::new(
                     "-",
                     "-",
                     "TURN ahead of any other line".into(),
@@ -82,14 +82,14 @@
         Ok(None)
     }
 
-    fn launch(&mut self, who: u32, seed: u64, settings: Settings, reports: Reports) {
+    fn launch(&mut self, who: u32, seed: u64, settings: Settings, reports: CapacityReporting) {
         let (placer, fault) = match Placer::new(settings, seed) {
             Ok(placer) => (Some(placer), None),
             Err(error) => (None, Some(format!("settings: {error}"))),
         };
         let instance = Instance {
             placer,
-            hosts: Hosts::default(),
+            hosts: HostNames::default(),
             reports,
             events: Vec::new(),
             fault,
@@ -97,16 +97,16 @@
         self.instances.insert(who, instance);
     }
 
-    fn instance(&mut self, who: u32) -> Result<&mut Instance, WireError> {
+    fn instance(&mut self, who: u32) -> Result<&mut Instance, FieldError> {
         self.instances.get_mut(&who).ok_or_else(|| not_up(who))
     }
 
-    fn rosters_and_instance(&mut self, who: u32) -> Result<(&Rosters, &mut Instance), WireError> {
+    fn rosters_and_instance(&mut self, who: u32) -> Result<(&Rosters, &mut Instance), FieldError> {
         let instance = self.instances.get_mut(&who).ok_or_else(|| not_up(who))?;
         Ok((&self.rosters, instance))
     }
 
-    fn reports(&self, who: u32) -> Result<Reports, WireError> {
+    fn reports(&self, who: u32) -> Result<CapacityReporting, FieldError> {
         self.instances
             .get(&who)
             .map(|i| i.reports)
--- a/drill/src/wire.rs
+++ b/drill/src/wire.rs
@@ -1,11 +1,11 @@
 //! The lines of the wire, both ways.
 
 use maplethread::{
-    Action, AttemptId, AttemptResult, AttemptOutcome, Event, MachineEntry, MachineState, Micros, TaskReport, Resources, UpdateScope,
-    ServiceId, Settings, Task, TaskId, FailureReason,
+    Action, AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, MachineEntry,
+    MachineState, Micros, Resources, ServiceId, Settings, Task, TaskId, TaskReport, UpdateScope,
 };
-use maplethread_deployment::hosts::label;
-use maplethread_deployment::{Hosts, Reports, WireError, micros};
+use maplethread_deployment::host_names::stable_hash;
+use maplethread_deployment::{CapacityReporting, FieldError, HostNames, micros};
 use serde_json::{Value, json};
 
 use crate::Adapter;
@@ -21,7 +21,7 @@
         who: u32,
         seed: u64,
         settings: Box<Settings>,
-        reports: Reports,
+        reports: CapacityReporting,
     },
     Killed {
         who: u32,
@@ -54,74 +54,74 @@
 }
 
 impl<'a> Values<'a> {
-    pub(crate) fn error(&self, field: &str, expected: &str) -> WireError {
-        WireError::new(self.message, field, expected.to_owned())
+    pub(crate) fn error(&self, field: &str, expected: &str) -> FieldError {
+        FieldError::new(self.message, field, expected.to_owned())
     }
 
     fn get(&self, at: usize) -> Option<&'a Value> {
         self.values.get(at).filter(|v| !v.is_null())
     }
 
-    fn whole(&self, at: usize, field: &str) -> Result<u64, WireError> {
+    fn whole(&self, at: usize, field: &str) -> Result<u64, FieldError> {
         self.get(at)
             .and_then(Value::as_u64)
             .ok_or_else(|| self.error(field, "a whole number"))
     }
 
-    fn small(&self, at: usize, field: &str) -> Result<u32, WireError> {
+    fn small(&self, at: usize, field: &str) -> Result<u32, FieldError> {
         u32::try_from(self.whole(at, field)?).map_err(|_| self.error(field, "a number below 2^32"))
     }
 
     /// As `whole`, with 0 for an absent value.
-    fn whole_or_zero(&self, at: usize, field: &str) -> Result<u64, WireError> {
+    fn whole_or_zero(&self, at: usize, field: &str) -> Result<u64, FieldError> {
         self.get(at).map_or(Ok(0), |_| self.whole(at, field))
     }
 
-    fn number(&self, at: usize, field: &str) -> Result<f64, WireError> {
+    fn number(&self, at: usize, field: &str) -> Result<f64, FieldError> {
         self.get(at)
             .and_then(Value::as_f64)
             .ok_or_else(|| self.error(field, "a number"))
     }
 
-    fn time(&self, at: usize, field: &str) -> Result<Micros, WireError> {
+    fn time(&self, at: usize, field: &str) -> Result<Micros, FieldError> {
         Ok(micros(self.number(at, field)?))
     }
 
-    fn time_or_none(&self, at: usize, field: &str) -> Result<Option<Micros>, WireError> {
+    fn time_or_none(&self, at: usize, field: &str) -> Result<Option<Micros>, FieldError> {
         self.get(at).map(|_| self.time(at, field)).transpose()
     }
 
-    fn number_or_zero(&self, at: usize, field: &str) -> Result<f64, WireError> {
+    fn number_or_zero(&self, at: usize, field: &str) -> Result<f64, FieldError> {
         self.get(at).map_or(Ok(0.0), |_| self.number(at, field))
     }
 
-    fn text(&self, at: usize, field: &str) -> Result<&'a str, WireError> {
+    fn text(&self, at: usize, field: &str) -> Result<&'a str, FieldError> {
         self.get(at)
             .and_then(Value::as_str)
             .ok_or_else(|| self.error(field, "text"))
     }
 
-    fn array(&self, at: usize, field: &str) -> Result<&'a [Value], WireError> {
+    fn array(&self, at: usize, field: &str) -> Result<&'a [Value], FieldError> {
         let array = self.get(at).and_then(Value::as_array);
         array
             .map(Vec::as_slice)
             .ok_or_else(|| self.error(field, "an array"))
     }
 
-    fn bool(&self, at: usize, field: &str) -> Result<bool, WireError> {
+    fn bool(&self, at: usize, field: &str) -> Result<bool, FieldError> {
         self.get(at)
             .and_then(Value::as_bool)
             .ok_or_else(|| self.error(field, "true or false"))
     }
 
-    fn attempt(&self, at: usize) -> Result<AttemptId, WireError> {
+    fn attempt(&self, at: usize) -> Result<AttemptId, FieldError> {
         Ok(AttemptId {
             task: self.task_id(1)?,
             number: self.small(at, "leg")?,
         })
     }
 
-    fn task_id(&self, at: usize) -> Result<TaskId, WireError> {
+    fn task_id(&self, at: usize) -> Result<TaskId, FieldError> {
         Ok(TaskId(u64::from(self.small(at, "ticket")?)))
     }
 }
@@ -130,12 +130,12 @@
     span as f64 / 1000.0
 }
 
-pub(crate) fn decode(value: &Value, adapter: &mut Adapter) -> Result<Incoming, WireError> {
+pub(crate) fn decode(value: &Value, adapter: &mut Adapter) -> Result<Incoming, FieldError> {
     let line = value
         .as_array()
-        .ok_or_else(|| WireError::new("-", "-", "an array".into()))?;
+        .ok_or_else(|| FieldError::new("-", "-", "an array".into()))?;
     let Some(name) = line.first().and_then(Value::as_str) else {
-        return Err(WireError::new("-", "name", "a message name".into()));
+        return Err(FieldError::new("-", "name", "a message name".into()));
     };
     let v = Values {
         message: name,
@@ -150,7 +150,7 @@
         "EOB" => Incoming::EndOfBatch,
         "LAUNCH" => {
             let info = v.get(2).ok_or_else(|| v.error("bootInfo", "an object"))?;
-            let (settings, reports) = maplethread_deployment::decode(info)?;
+            let (settings, reports) = maplethread_deployment::decode_policy_settings(info)?;
             Incoming::Launch {
                 who: who(&v)?,
                 reports,
@@ -178,11 +178,11 @@
                 event: event(name, who, &v, adapter)?,
             }
         }
-        _ => return Err(WireError::new(name, "name", "a known message".into())),
+        _ => return Err(FieldError::new(name, "name", "a known message".into())),
     })
 }
 
-fn event(name: &str, who: u32, v: &Values, adapter: &mut Adapter) -> Result<Event, WireError> {
+fn event(name: &str, who: u32, v: &Values, adapter: &mut Adapter) -> Result<Event, FieldError> {
     Ok(match name {
         "ROSTER_CHANGE" => {
             let scope = match v.text(1, "scope")? {
@@ -193,7 +193,7 @@
                 _ => return Err(v.error("scope", "update, replace, restored or unavailable")),
             };
             let number = v.whole(3, "rosterId")?;
-            let view = adapter.reports(who)?.view;
+            let view = adapter.reports(who)?.in_endpoint_lists;
             let (rosters, instance) = adapter.rosters_and_instance(who)?;
             let rows = rosters
                 .get(&number)
@@ -207,9 +207,18 @@
         "REQUEST" => Event::PlacementRequested(task(v, [1, 2, 4, 5, 6, 8, 9, 10])?),
         "RUNNING" => {
             let task = task(v, [1, 10, 9, 11, 7, 4, 5, 3])?;
-            Event::TaskAdopted(task, adapter.instance(who)?.hosts.id(v.text(2, "host")?))
+            Event::TaskAdopted {
+                task,
+                machine: adapter
+                    .instance(who)?
+                    .hosts
+                    .id_or_assign(v.text(2, "host")?),
+            }
         }
-        "SEATED" => Event::AttemptAccepted(v.attempt(4)?, v.time_or_none(3, "elapsedMs")?),
+        "SEATED" => Event::AttemptAccepted {
+            attempt: v.attempt(4)?,
+            elapsed: v.time_or_none(3, "elapsedMs")?,
+        },
         "INTERIM" => {
             let x = v.number_or_zero(5, "x")?;
             let note = match v.whole(4, "kind")? {
@@ -220,7 +229,10 @@
                 5 => TaskReport::MachineMemory(x),
                 _ => return Err(v.error("kind", "1 to 5")),
             };
-            Event::TaskReported(v.attempt(2)?, note)
+            Event::TaskReported {
+                attempt: v.attempt(2)?,
+                report: note,
+            }
         }
         "FINISHED" => {
             let end = AttemptResult {
@@ -236,16 +248,24 @@
                     7 => Some(FailureReason::Drained),
                     _ => None,
                 },
-                closed: v.bool(4, "noMore")?,
+                closes_task: v.bool(4, "noMore")?,
                 load: room(adapter.reports(who)?, v, v.get(8))?,
             };
-            Event::AttemptFinished(v.attempt(6)?, end)
+            Event::AttemptFinished {
+                attempt: v.attempt(6)?,
+                result: end,
+            }
         }
         "HANGUP" => Event::ClientDisconnected(v.task_id(1)?),
-        "TIMER" => Event::TimerFired(v.whole(1, "label")?),
+        "TIMER" => Event::TimerFired {
+            label: v.whole(1, "label")?,
+        },
         "CHECK_RESULT" => Event::Probed {
-            machine: adapter.instance(who)?.hosts.id(v.text(3, "host")?),
-            ok: ending(v.whole(1, "ending")?) == Some(AttemptOutcome::Completed),
+            machine: adapter
+                .instance(who)?
+                .hosts
+                .id_or_assign(v.text(3, "host")?),
+            answered: ending(v.whole(1, "ending")?) == Some(AttemptOutcome::Completed),
             load: room(adapter.reports(who)?, v, v.get(4))?,
         },
         _ => {
@@ -274,7 +294,7 @@
 }
 
 /// A task, from the positions of its ticket, marks, cores, life, deadline, service, memory and class.
-fn task(v: &Values, at: [usize; 8]) -> Result<Task, WireError> {
+fn task(v: &Values, at: [usize; 8]) -> Result<Task, FieldError> {
     let marks = v.whole_or_zero(at[1], "marks")?;
     let life = v.time_or_none(at[3], "lifeMs")?;
     Ok(Task {
@@ -291,9 +311,9 @@
     })
 }
 
-fn row(value: &Value) -> Result<Row, WireError> {
+fn row(value: &Value) -> Result<Row, FieldError> {
     let values = value.as_array().map(Vec::as_slice);
-    let values = values.ok_or_else(|| WireError::new("ROSTER", "rows", "arrays".into()))?;
+    let values = values.ok_or_else(|| FieldError::new("ROSTER", "rows", "arrays".into()))?;
     let v = Values {
         message: "ROSTER",
         values,
@@ -317,22 +337,26 @@
     })
 }
 
-fn listing(row: &Row, view: bool, hosts: &mut Hosts) -> MachineEntry {
+fn listing(row: &Row, view: bool, hosts: &mut HostNames) -> MachineEntry {
     MachineEntry {
-        machine: hosts.id(&row.host),
-        stable_hash: label(&row.host),
+        machine: hosts.id_or_assign(&row.host),
+        stable_hash: stable_hash(&row.host),
         zone: row.zone,
         cell: row.cell,
         kind: row.kind,
         state: row.state,
-        started: row.started,
+        started_at: row.started,
         unallocated: view.then_some(row.unasked),
     }
 }
 
 /// Both room values of a load report, if it holds both.
-fn room(reports: Reports, v: &Values, load: Option<&Value>) -> Result<Option<Resources>, WireError> {
-    let Some(load) = load.filter(|_| reports.room) else {
+fn room(
+    reports: CapacityReporting,
+    v: &Values,
+    load: Option<&Value>,
+) -> Result<Option<Resources>, FieldError> {
+    let Some(load) = load.filter(|_| reports.in_load_reports) else {
         return Ok(None);
     };
     let load = load
@@ -362,19 +386,26 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-pub(crate) fn encode(out: &mut String, who: u32, action: &Action, hosts: &Hosts) {
+pub(crate) fn encode(out: &mut String, who: u32, action: &Action, hosts: &HostNames) {
     let name = |machine| hosts.name(machine).unwrap_or_default();
     let line = match action {
-        Action::Offer(task, machine, time_out) => {
+        Action::Offer {
+            task,
+            machine,
+            timeout: time_out,
+        } => {
             json!(["CLAIM_ROOM", who, task.0, name(*machine), ms(*time_out)])
         }
         Action::Cancel(id) => json!(["CANCEL", who, id.task.0, id.number]),
-        Action::Reject(task, come_back) => {
+        Action::Reject {
+            task,
+            retry_after: come_back,
+        } => {
             json!(["NOT_NOW", who, task.0, come_back.map_or(0.0, ms)])
         }
         Action::Fail(task) => json!(["DROP_REQUEST", who, task.0]),
         Action::Migrate(task) => json!(["RELOCATE", who, task.0]),
-        Action::SetTimer(after, label) => json!(["REMIND", who, ms(*after), label]),
+        Action::SetTimer { after, label } => json!(["REMIND", who, ms(*after), label]),
         Action::Probe(machine) => json!(["TEST", who, name(*machine)]),
         Action::CloseIdle(machine) => json!(["CLOSE_IDLE", who, name(*machine)]),
         Action::SendToPeer {
@@ -382,11 +413,11 @@
             bytes,
         } => json!(["PUBLISH", who, to, hex(bytes)]),
         Action::SendToPeer { to: None, bytes } => json!(["PUBLISH", who, "*", hex(bytes)]),
-        Action::WatchEndpoints(active) => json!(["LISTEN", who, active]),
+        Action::WatchEndpoints { enabled: active } => json!(["LISTEN", who, active]),
         Action::FetchEndpoints => json!(["LOOKUP", who]),
         Action::Log(text) => json!(["PRINT", who, text]),
         // The bench asks for no reasons.
-        Action::Blocked(..) => return,
+        Action::Blocked { .. } => return,
     };
     push_line(out, &line);
 }
@@ -410,26 +441,45 @@
 
     #[test]
     fn every_action_has_its_line() {
-        let mut hosts = Hosts::default();
-        let machine = hosts.id("a:1");
+        let mut hosts = HostNames::default();
+        let machine = hosts.id_or_assign("a:1");
         let id = AttemptId {
             task: TaskId(9),
             number: 2,
         };
         let cases = [
             (
-                Action::Offer(TaskId(9), machine, 80_500),
+                Action::Offer {
+                    task: TaskId(9),
+                    machine,
+                    timeout: 80_500,
+                },
                 r#"["CLAIM_ROOM",3,9,"a:1",80.5]"#,
             ),
             (Action::Cancel(id), r#"["CANCEL",3,9,2]"#),
-            (Action::Reject(TaskId(9), None), r#"["NOT_NOW",3,9,0.0]"#),
             (
-                Action::Reject(TaskId(9), Some(1_500)),
+                Action::Reject {
+                    task: TaskId(9),
+                    retry_after: None,
+                },
+                r#"["NOT_NOW",3,9,0.0]"#,
+            ),
+            (
+                Action::Reject {
+                    task: TaskId(9),
+                    retry_after: Some(1_500),
+                },
                 r#"["NOT_NOW",3,9,1.5]"#,
             ),
             (Action::Fail(TaskId(9)), r#"["DROP_REQUEST",3,9]"#),
             (Action::Migrate(TaskId(9)), r#"["RELOCATE",3,9]"#),
-            (Action::SetTimer(500_000, 77), r#"["REMIND",3,500.0,77]"#),
+            (
+                Action::SetTimer {
+                    after: 500_000,
+                    label: 77,
+                },
+                r#"["REMIND",3,500.0,77]"#,
+            ),
             (Action::Probe(machine), r#"["TEST",3,"a:1"]"#),
             (Action::CloseIdle(machine), r#"["CLOSE_IDLE",3,"a:1"]"#),
             (
@@ -446,13 +496,22 @@
                 },
                 r#"["PUBLISH",3,"*",""]"#,
             ),
-            (Action::WatchEndpoints(false), r#"["LISTEN",3,false]"#),
+            (
+                Action::WatchEndpoints { enabled: false },
+                r#"["LISTEN",3,false]"#,
+            ),
             (Action::FetchEndpoints, r#"["LOOKUP",3]"#),
             (
                 Action::Log("two \"known\"".into()),
                 r#"["PRINT",3,"two \"known\""]"#,
             ),
-            (Action::Blocked(TaskId(9), maplethread::BlockReason::NoCapacity), ""),
+            (
+                Action::Blocked {
+                    task: TaskId(9),
+                    reason: maplethread::BlockReason::NoCapacity,
+                },
+                "",
+            ),
         ];
         for (action, line) in cases {
             let mut out = String::new();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -70,7 +70,7 @@
 //!     let mut actions = Vec::new();
 //!     let listed = Event::Listed { scope: Scope::Full, machines: vec![machine] };
 //!     placer.turn(0, &[listed, Event::Asked(task)], &mut actions);
-//!     assert!(actions.iter().any(|a| matches!(a, Action::Offer(TaskId(1), MachineId(0), _))));
+//!     assert!(actions.iter().any(|a| matches!(a, Action::Offer { task: TaskId(1), machine: MachineId(0), .. })));
 //!
 //!     // A reminder that the placer asked for falls due; the offer is still out, so nothing is owed yet.
 //!     let label = actions.iter().find_map(|a| match a {
@@ -89,8 +89,8 @@
 //! }
 //! ```
 
-mod control;
 mod interface;
+mod policy;
 
-pub use control::Placer;
 pub use interface::*;
+pub use policy::Placer;
--- /dev/null
+++ b/src/policy/mod.rs
@@ -0,0 +1,228 @@
+//! All decisions of a placer, with their tables and tuned values.
+//!
+//! [`Placer::turn`] applies what has happened and then offers waiting tasks. Each module holds one decision:
+//! [`selection`] chooses among the machines that [`feasibility`] allows, by the rates of [`service_rate`] and the
+//! utilization of [`load`]; [`placing`] and [`attempts`] lead a task from its request to its answer ([`answers`]);
+//! [`slow_start`], [`outlier`], [`answer_times`], [`restart_throttle`] and [`migration`] are what guards against hosts,
+//! lists and placers that fail. What each departure from the paper is for stands in `docs/design.md`.
+
+mod answer_times;
+mod answers;
+mod attempts;
+mod endpoints;
+mod feasibility;
+mod load;
+mod machine;
+mod migration;
+mod outlier;
+mod placements;
+mod placing;
+mod random;
+mod restart_throttle;
+mod selection;
+mod service_rate;
+mod slow_start;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use self::answer_times::AnswerTimes;
+use self::answers::ANSWER_MARGIN;
+use self::attempts::{Attempt, PendingTask};
+use self::endpoints::DiscoverySubscription;
+use self::load::UsageShare;
+use self::machine::Machine;
+use self::placements::Placements;
+use self::random::UniformSource;
+use self::restart_throttle::{RestartThrottle, deferral_deadline};
+use self::service_rate::ServiceRates;
+use self::slow_start::SlowStart;
+use crate::interface::{
+    Action, AttemptId, DiscoveryMode, Event, MachineId, Micros, Settings, SettingsError, Task,
+    TaskId, TaskReport,
+};
+
+/// A blocked task, for which no machine is feasible now, is tried again after this.
+const BLOCKED_RETRY_INTERVAL: Micros = 200_000;
+/// This many blocked tasks are tried in one turn: what a placer's share of a core bears at any backlog.
+const MAX_BLOCKED_PER_TURN: usize = 64;
+/// Label of the general timer; a task's own is its number plus one.
+const TICK_LABEL: u64 = 0;
+
+/// Decides for one placer. Nothing is shared between placers.
+pub struct Placer {
+    settings: Settings,
+    random: UniformSource,
+    now: Micros,
+    /// Machines selected so far.
+    decisions: u64,
+    discovery: DiscoverySubscription,
+    machines: BTreeMap<MachineId, Machine>,
+    slow_start: SlowStart,
+    service_rates: ServiceRates,
+    answer_times: AnswerTimes,
+    usage_share: UsageShare,
+    pending: BTreeMap<TaskId, PendingTask>,
+    attempts: BTreeMap<AttemptId, Attempt>,
+    placements: Placements,
+    /// Tasks to be offered in this turn.
+    waiting: VecDeque<TaskId>,
+    /// Tasks for which no machine was feasible, tried again in turn.
+    blocked: VecDeque<TaskId>,
+    restart_throttle: RestartThrottle,
+    tick_at: Option<Micros>,
+}
+
+impl Placer {
+    /// A placer that knows nothing but its settings. Equal seeds and events give equal actions.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is missing or out of range.
+    pub fn new(settings: Settings, seed: u64) -> Result<Placer, SettingsError> {
+        settings.validate()?;
+        Ok(Placer {
+            slow_start: SlowStart::new(settings.replica_index),
+            answer_times: AnswerTimes::new(settings.acceptance_point),
+            settings,
+            random: UniformSource::new(seed),
+            now: 0,
+            decisions: 0,
+            discovery: DiscoverySubscription::default(),
+            machines: BTreeMap::new(),
+            service_rates: ServiceRates::default(),
+            usage_share: UsageShare::new(),
+            pending: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            placements: Placements::default(),
+            waiting: VecDeque::new(),
+            blocked: VecDeque::new(),
+            restart_throttle: RestartThrottle::default(),
+            tick_at: None,
+        })
+    }
+
+    /// Applies what has happened by `now` (µs) and appends to `actions` what is to be done, in this order. All events of
+    /// the turn are applied before anything is offered.
+    pub fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+        self.now = self.now.max(now);
+        // Rule 3: where discovery must be asked, it is from the first turn on.
+        if self.discovery.start(self.settings.discovery, actions) {
+            self.pause_slow_start();
+        }
+        for event in events {
+            self.handle_event(event, actions);
+        }
+        self.discovery.retry_if_due(self.now, actions);
+        if self.tick_at.is_none() {
+            let count = self.blocked.len().min(MAX_BLOCKED_PER_TURN);
+            self.waiting.extend(self.blocked.drain(..count));
+        }
+        while let Some(task) = self.waiting.pop_front() {
+            self.place(task, actions);
+        }
+        self.release_deferred(actions);
+        self.schedule_tick(actions);
+    }
+
+    fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EndpointsUpdated { scope, machines } => self.apply_endpoints(*scope, machines),
+            Event::ConnectionChanged {
+                machine,
+                is_connected,
+            } => self.set_connected(*machine, *is_connected),
+            Event::ReplicaIndexChanged(index) => {
+                let window = self.settings.rules.overload_window;
+                self.slow_start.set_replica_index(*index, self.now, window);
+            }
+            Event::DiscoveryUnavailable => {
+                if self.settings.discovery == DiscoveryMode::Poll {
+                    self.discovery.schedule_retry(self.now);
+                }
+            }
+            Event::PlacementRequested(task) => self.handle_request(*task, actions),
+            Event::TaskAdopted { task, machine } => self.adopt(*task, *machine),
+            Event::AttemptAccepted { attempt, elapsed } => self.handle_accepted(attempt, *elapsed),
+            Event::TaskReported { attempt, report } => match report {
+                TaskReport::Started => self.handle_started(attempt),
+                report => self.handle_task_report(attempt, *report, actions),
+            },
+            Event::AttemptFinished { attempt, result } => {
+                self.handle_finished(*attempt, *result, actions);
+            }
+            Event::ClientDisconnected(task) => {
+                self.pending.remove(task);
+            }
+            Event::TimerFired { label } => self.handle_timer(*label, actions),
+            Event::Probed { machine, load, .. } => self.record_load_report(*machine, *load),
+            Event::PeerMessage { .. } => {}
+        }
+    }
+
+    fn handle_request(&mut self, task: Task, actions: &mut Vec<Action>) {
+        if task.class >= self.settings.classes.len() {
+            actions.push(Action::Reject {
+                task: task.id,
+                retry_after: None,
+            });
+            return;
+        }
+        let pending = PendingTask::new(task, deferral_deadline(&task, self.now));
+        self.pending.entry(task.id).or_insert(pending);
+        let answer_at = task.deadline.saturating_sub(ANSWER_MARGIN);
+        actions.push(Action::SetTimer {
+            after: answer_at.saturating_sub(self.now),
+            label: task.id.0 + 1,
+        });
+        self.waiting.push_back(task.id);
+    }
+
+    /// Takes over a task that runs already.
+    fn adopt(&mut self, task: Task, machine: MachineId) {
+        if task.class < self.settings.classes.len() {
+            let attempt = AttemptId {
+                task: task.id,
+                number: 0,
+            };
+            self.track_attempt(attempt, Attempt::running(task, machine, self.now));
+        }
+    }
+
+    fn handle_timer(&mut self, label: u64, actions: &mut Vec<Action>) {
+        if label == TICK_LABEL {
+            self.tick_at = None;
+            return;
+        }
+        let id = TaskId(label - 1);
+        let pending = self.pending.get(&id);
+        if pending.is_some_and(|pending| self.is_past_answer_deadline(&pending.task)) {
+            self.send_final_answer(id, actions);
+        }
+    }
+
+    /// Rule 4, over a restart: nothing goes to warming machines for one window.
+    fn pause_slow_start(&mut self) {
+        let window = self.settings.rules.overload_window;
+        self.slow_start.pause(self.now, window);
+    }
+
+    /// Sets the one general timer, for blocked and deferred tasks and for discovery.
+    fn schedule_tick(&mut self, actions: &mut Vec<Action>) {
+        let has_tasks = !self.blocked.is_empty() || self.restart_throttle.has_deferred();
+        let retry_tasks_at = has_tasks.then_some(self.now + BLOCKED_RETRY_INTERVAL);
+        let next = retry_tasks_at
+            .into_iter()
+            .chain(self.discovery.retry_at)
+            .min();
+        let Some(next) = next else {
+            return;
+        };
+        if self.tick_at.is_none_or(|at| at > next) {
+            self.tick_at = Some(next);
+            actions.push(Action::SetTimer {
+                after: next.saturating_sub(self.now),
+                label: TICK_LABEL,
+            });
+        }
+    }
+}
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! A placer on a desk: settings, events and shorthand for what it does.
+//! A placer on a harness: settings, events and shorthand for what it does.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use maplethread::*;
 
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 
 pub fn class(effect: RetrySafety) -> Class {
     Class {
@@ -12,7 +12,7 @@
         priority_weight: 1.0,
         start_bonus_s: 10.0,
         priority: 0,
-        kind: None,
+        machine_kind: None,
         spread_limit: None,
     }
 }
@@ -28,21 +28,21 @@
         acceptance_point: AcceptancePoint::Accepted,
         admit_cores: 1.5,
         admit_memory: 1.5,
-        view: false,
-        report: LoadReport::Silent,
+        endpoints_report_capacity: false,
+        load_report: LoadReport::Silent,
         limits: Limits {
             max_attempts: 3,
-            cancel: true,
-            probes: false,
-            peers: false,
+            can_cancel: true,
+            can_probe: false,
+            can_message_peers: false,
             max_retry_after: None,
         },
         rules: Rules {
-            max_poll_interval: 10 * S,
+            max_poll_interval: 10 * SECOND,
             initial_capacity_share: 0.2,
-            warm_up_duration: 15 * S,
+            warm_up_duration: 15 * SECOND,
             overload_multiple: 4.0,
-            overload_window: 3 * S,
+            overload_window: 3 * SECOND,
             warm_up_offers: 20.0,
         },
         costs: Costs::default(),
@@ -57,7 +57,7 @@
         cell: 0,
         kind: 0,
         state: MachineState::Ready,
-        started: None,
+        started_at: None,
         unallocated: None,
     }
 }
@@ -74,38 +74,53 @@
     }
 }
 
-pub fn id(task: u64, number: u32) -> AttemptId {
+pub fn attempt_id(task: u64, number: u32) -> AttemptId {
     AttemptId {
         task: TaskId(task),
         number,
     }
 }
 
-pub fn end(task: u64, number: u32, ending: AttemptOutcome, why: Option<FailureReason>) -> Event {
+pub fn finished(
+    task: u64,
+    number: u32,
+    ending: AttemptOutcome,
+    why: Option<FailureReason>,
+) -> Event {
     let end = AttemptResult {
         outcome: ending,
         reason: why,
-        closed: false,
+        closes_task: false,
         load: None,
     };
-    Event::AttemptFinished(id(task, number), end)
+    Event::AttemptFinished {
+        attempt: attempt_id(task, number),
+        result: end,
+    }
 }
 
-pub struct Desk {
+pub struct Harness {
     pub placer: Placer,
     pub now: Micros,
 }
 
-impl Desk {
+impl Harness {
     /// A placer that has heard of so many machines, in a full list at time 1 s.
-    pub fn new(settings: Settings, machines: u32) -> Desk {
+    pub fn new(settings: Settings, machines: u32) -> Harness {
         let placer = Placer::new(settings, 11).expect("sound settings");
-        let mut desk = Desk { placer, now: S };
-        desk.list(UpdateScope::Full, (0..machines).map(machine).collect());
-        desk
+        let mut harness = Harness {
+            placer,
+            now: SECOND,
+        };
+        harness.update_endpoints(UpdateScope::Full, (0..machines).map(machine).collect());
+        harness
     }
 
-    pub fn list(&mut self, scope: UpdateScope, machines: Vec<MachineEntry>) -> Vec<Action> {
+    pub fn update_endpoints(
+        &mut self,
+        scope: UpdateScope,
+        machines: Vec<MachineEntry>,
+    ) -> Vec<Action> {
         self.turn(&[Event::EndpointsUpdated { scope, machines }])
     }
 
@@ -116,9 +131,12 @@
     }
 
     /// Turns without news until `at`, every 10 ms, waking the placer as it asked for.
-    pub fn wait(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
+    pub fn advance_until(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
         let mut all = Vec::new();
-        let wake: Vec<Event> = labels.iter().map(|&label| Event::TimerFired(label)).collect();
+        let wake: Vec<Event> = labels
+            .iter()
+            .map(|&label| Event::TimerFired { label })
+            .collect();
         while self.now < at {
             self.now += 10_000;
             all.extend(self.turn(&wake));
@@ -127,37 +145,45 @@
     }
 
     /// Asks, and returns where the task was offered.
-    pub fn ask(&mut self, task: Task) -> Option<u32> {
-        offer(&self.turn(&[Event::PlacementRequested(task)]))
+    pub fn request(&mut self, task: Task) -> Option<u32> {
+        offered_machine(&self.turn(&[Event::PlacementRequested(task)]))
     }
 
     /// Asks, has the offer accepted and started after `took`; returns the machine.
-    pub fn start(&mut self, task: Task, took: Micros) -> u32 {
-        let machine = self.ask(task).expect("an offer");
-        let id = id(task.id.0, 0);
-        self.turn(&[Event::AttemptAccepted(id, None)]);
+    pub fn request_and_start(&mut self, task: Task, took: Micros) -> u32 {
+        let machine = self.request(task).expect("an offer");
+        let id = attempt_id(task.id.0, 0);
+        self.turn(&[Event::AttemptAccepted {
+            attempt: id,
+            elapsed: None,
+        }]);
         self.now += took;
-        self.turn(&[Event::TaskReported(id, TaskReport::Started)]);
+        self.turn(&[Event::TaskReported {
+            attempt: id,
+            report: TaskReport::Started,
+        }]);
         machine
     }
 }
 
-pub fn offer(actions: &[Action]) -> Option<u32> {
+pub fn offered_machine(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|a| match a {
-        Action::Offer(_, machine, _) => Some(machine.0),
+        Action::Offer { machine, .. } => Some(machine.0),
         _ => None,
     })
 }
 
 /// How long the first offer's answer is waited for.
-pub fn time_out(actions: &[Action]) -> Option<Micros> {
+pub fn offer_timeout(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| match a {
-        Action::Offer(_, _, time_out) => Some(*time_out),
+        Action::Offer {
+            timeout: time_out, ..
+        } => Some(*time_out),
         _ => None,
     })
 }
 
-pub fn answers(actions: &[Action]) -> Vec<Action> {
-    let answer = |a: &&Action| matches!(a, Action::Reject(..) | Action::Fail(_));
+pub fn final_answers(actions: &[Action]) -> Vec<Action> {
+    let answer = |a: &&Action| matches!(a, Action::Reject { .. } | Action::Fail(_));
     actions.iter().filter(answer).cloned().collect()
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,103 +4,130 @@
 use common::*;
 use maplethread::*;
 
-/// How many of `n` asks, `every` apart, go to machine 0 of `desk`; what comes of them is up to `react`.
-fn drawn(desk: &mut Desk, n: u64, every: Micros, react: impl Fn(u64, u32) -> Vec<Event>) -> u64 {
+/// How many of `n` asks, `every` apart, go to machine 0 of `harness`; what comes of them is up to `react`.
+fn count_offers_to_first_machine(
+    harness: &mut Harness,
+    n: u64,
+    every: Micros,
+    react: impl Fn(u64, u32) -> Vec<Event>,
+) -> u64 {
     let mut to_zero = 0;
     for i in 0..n {
-        desk.now += every;
-        let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
+        harness.now += every;
+        let machine = harness
+            .request(task(i, 100 + i, harness.now + SECOND))
+            .expect("an offer");
         to_zero += u64::from(machine == 0);
         let mut events = react(i, machine);
         events.push(Event::ClientDisconnected(TaskId(i)));
-        desk.turn(&events);
+        harness.turn(&events);
     }
     to_zero
 }
 
-fn well(i: u64) -> Vec<Event> {
-    let start = Event::TaskReported(id(i, 0), TaskReport::Started);
+fn accepted_started_and_completed(i: u64) -> Vec<Event> {
+    let start = Event::TaskReported {
+        attempt: attempt_id(i, 0),
+        report: TaskReport::Started,
+    };
     vec![
-        Event::AttemptAccepted(id(i, 0), None),
+        Event::AttemptAccepted {
+            attempt: attempt_id(i, 0),
+            elapsed: None,
+        },
         start,
-        end(i, 0, AttemptOutcome::Completed, None),
+        finished(i, 0, AttemptOutcome::Completed, None),
     ]
 }
 
 #[test]
-fn a_machine_that_fails_fast_does_not_draw_ever_more() {
+fn fast_failures_do_not_attract_more_offers() {
     for ending in [
         AttemptOutcome::Error,
         AttemptOutcome::Disconnected,
         AttemptOutcome::ConnectFailed,
         AttemptOutcome::TimedOut,
     ] {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
-        let to_zero = drawn(&mut desk, 300, 40_000, |i, machine| match machine {
-            0 => vec![end(i, 0, ending, None)],
-            _ => well(i),
-        });
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
+        let to_zero =
+            count_offers_to_first_machine(&mut harness, 300, 40_000, |i, machine| match machine {
+                0 => vec![finished(i, 0, ending, None)],
+                _ => accepted_started_and_completed(i),
+            });
         assert!(to_zero <= 12, "{ending:?}: {to_zero} of 300");
         // It is tried again, and used once it works.
-        desk.now += 10 * S;
+        harness.now += 10 * SECOND;
         let mut works = 0;
         for i in 1_000..1_100u64 {
-            desk.now += 40_000;
-            works += u64::from(desk.ask(task(i, i, desk.now + S)) == Some(0));
-            desk.turn(&well(i));
+            harness.now += 40_000;
+            works += u64::from(harness.request(task(i, i, harness.now + SECOND)) == Some(0));
+            harness.turn(&accepted_started_and_completed(i));
         }
         assert!(works > 10, "{ending:?}: {works} of 100 once it is well");
     }
 }
 
 #[test]
-fn tasks_that_every_machine_answers_with_an_error_make_none_look_sick() {
+fn task_that_fails_on_every_machine_ejects_none() {
     // Some clients ask for what no machine can use: each such task goes round, and others must not suffer for it.
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     let mut to = [0; 3];
     for i in 0..200u64 {
-        desk.now += 20_000;
+        harness.now += 20_000;
         let odd = 1_000 + i;
-        let first = desk.ask(task(odd, odd, desk.now + S)).expect("an offer");
-        let second = offer(&desk.turn(&[end(odd, 0, AttemptOutcome::Error, None)])).expect("another offer");
+        let first = harness
+            .request(task(odd, odd, harness.now + SECOND))
+            .expect("an offer");
+        let second =
+            offered_machine(&harness.turn(&[finished(odd, 0, AttemptOutcome::Error, None)]))
+                .expect("another offer");
         assert_ne!(
             first, second,
             "the first error counts until another machine errs too"
         );
-        desk.turn(&[end(odd, 1, AttemptOutcome::Error, None)]);
-        desk.turn(&[end(odd, 2, AttemptOutcome::Error, None)]);
-        let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
+        harness.turn(&[finished(odd, 1, AttemptOutcome::Error, None)]);
+        harness.turn(&[finished(odd, 2, AttemptOutcome::Error, None)]);
+        let machine = harness
+            .request(task(i, 100 + i, harness.now + SECOND))
+            .expect("an offer");
         to[machine as usize] += 1;
-        desk.turn(&well(i));
+        harness.turn(&accepted_started_and_completed(i));
     }
     assert!(to.iter().all(|&n| n > 30), "{to:?} of 200");
 }
 
 #[test]
-fn an_answer_cut_off_or_lost_now_and_then_does_not_bar_a_machine_that_lives() {
+fn occasional_lost_answers_do_not_eject_a_live_machine() {
     // Connections break and answers are spoilt or lost on any machine; what stands there goes on telling of itself.
     let to_zero = |ending: AttemptOutcome, every: u64| {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         let mut standing = 1_000;
-        while desk.start(task(standing, standing, desk.now + S), 100_000) != 0 {
+        while harness.request_and_start(task(standing, standing, harness.now + SECOND), 100_000)
+            != 0
+        {
             standing += 1;
         }
         let (mut offers, mut to_zero) = (0, 0);
         for i in 0..300u64 {
-            desk.now += 40_000;
-            desk.turn(&[Event::TaskReported(id(standing, 0), TaskReport::Served(1.0))]);
-            let machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
+            harness.now += 40_000;
+            harness.turn(&[Event::TaskReported {
+                attempt: attempt_id(standing, 0),
+                report: TaskReport::Served(1.0),
+            }]);
+            let machine = harness
+                .request(task(i, 100 + i, harness.now + SECOND))
+                .expect("an offer");
             offers += u64::from(machine == 0);
             to_zero += u64::from(machine == 0);
-            desk.now += 1_000;
+            harness.now += 1_000;
             let spoilt = machine == 0 && offers % every == 0;
             let mut events = if spoilt {
-                vec![end(i, 0, ending, None)]
+                vec![finished(i, 0, ending, None)]
             } else {
-                well(i)
+                accepted_started_and_completed(i)
             };
             events.push(Event::ClientDisconnected(TaskId(i)));
-            desk.turn(&events);
+            harness.turn(&events);
         }
         to_zero
     };
@@ -119,54 +146,69 @@
 }
 
 #[test]
-fn a_machine_that_errs_is_not_acquitted_by_tasks_that_run_elsewhere() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
+fn failing_machine_stays_ejected_when_its_tasks_run_elsewhere() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     let mut to_zero = 0;
     for i in 0..200u64 {
-        desk.now += 20_000;
-        let mut machine = desk.ask(task(i, 100 + i, desk.now + S)).expect("an offer");
+        harness.now += 20_000;
+        let mut machine = harness
+            .request(task(i, 100 + i, harness.now + SECOND))
+            .expect("an offer");
         let mut number = 0;
         while machine == 0 {
             to_zero += 1;
             machine =
-                offer(&desk.turn(&[end(i, number, AttemptOutcome::Error, None)])).expect("another offer");
+                offered_machine(&harness.turn(&[finished(i, number, AttemptOutcome::Error, None)]))
+                    .expect("another offer");
             number += 1;
         }
-        let start = Event::TaskReported(id(i, number), TaskReport::Started);
-        desk.turn(&[
-            Event::AttemptAccepted(id(i, number), None),
+        let start = Event::TaskReported {
+            attempt: attempt_id(i, number),
+            report: TaskReport::Started,
+        };
+        harness.turn(&[
+            Event::AttemptAccepted {
+                attempt: attempt_id(i, number),
+                elapsed: None,
+            },
             start,
-            end(i, number, AttemptOutcome::Completed, None),
+            finished(i, number, AttemptOutcome::Completed, None),
         ]);
     }
     assert!(to_zero <= 6, "{to_zero}");
 }
 
 #[test]
-fn a_task_that_would_push_others_out_looks_for_comfort_on_all_machines() {
+fn preempting_task_looks_for_headroom_on_all_machines() {
     let to_empty = |priority: u32| {
         let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
             priority,
             ..class(RetrySafety::Idempotent)
         });
-        let mut desk = Desk::new(settings, 12);
+        let mut harness = Harness::new(settings, 12);
         let running = |n: u64| Task {
             requested: Resources::new(12.0, 24.0),
             ..task(n, n, 0)
         };
         let full: Vec<Event> = (1..12)
-            .map(|n| Event::TaskAdopted(running(n), MachineId(n as u32)))
+            .map(|n| Event::TaskAdopted {
+                task: running(n),
+                machine: MachineId(n as u32),
+            })
             .collect();
-        desk.turn(&full);
+        harness.turn(&full);
         let large = |n: u64| Task {
             class: 1,
             requested: Resources::new(22.0, 40.0),
-            ..task(n, n, 10 * S)
+            ..task(n, n, 10 * SECOND)
         };
         let ask = |n: u64| {
-            let machine = desk.ask(large(n));
-            desk.turn(&[end(n, 0, AttemptOutcome::Completed, None), Event::ClientDisconnected(TaskId(n))]);
+            let machine = harness.request(large(n));
+            harness.turn(&[
+                finished(n, 0, AttemptOutcome::Completed, None),
+                Event::ClientDisconnected(TaskId(n)),
+            ]);
             machine
         };
         (100..160).map(ask).filter(|m| *m == Some(0)).count()
@@ -180,7 +222,7 @@
 }
 
 #[test]
-fn a_task_that_starves_where_others_cannot_be_pushed_out_is_moved_once_there_is_a_better_place() {
+fn underserved_task_migrates_once_a_machine_has_headroom() {
     // Notes once a second on a task on machine 0; whether it is moved. Machine 1 holds a task that tells of it.
     let moved = |priority: u32, served: &[f64], other: f64| {
         let mut settings = settings(RetrySafety::Idempotent);
@@ -188,24 +230,36 @@
             priority,
             ..class(RetrySafety::Idempotent)
         });
-        let mut desk = Desk::new(settings, 2);
+        let mut harness = Harness::new(settings, 2);
         let large = Task {
             class: 1,
             requested: Resources::new(8.0, 16.0),
             ..task(7, 7, 0)
         };
-        desk.turn(&[
-            Event::TaskAdopted(large, MachineId(0)),
-            Event::TaskAdopted(task(8, 8, 0), MachineId(1)),
+        harness.turn(&[
+            Event::TaskAdopted {
+                task: large,
+                machine: MachineId(0),
+            },
+            Event::TaskAdopted {
+                task: task(8, 8, 0),
+                machine: MachineId(1),
+            },
         ]);
         let mut all = Vec::new();
         for &x in served {
-            desk.now += S;
+            harness.now += SECOND;
             let notes = [
-                Event::TaskReported(id(8, 0), TaskReport::Served(other)),
-                Event::TaskReported(id(7, 0), TaskReport::Served(x)),
+                Event::TaskReported {
+                    attempt: attempt_id(8, 0),
+                    report: TaskReport::Served(other),
+                },
+                Event::TaskReported {
+                    attempt: attempt_id(7, 0),
+                    report: TaskReport::Served(x),
+                },
             ];
-            all.extend(desk.turn(&notes));
+            all.extend(harness.turn(&notes));
         }
         all.contains(&Action::Migrate(TaskId(7)))
     };
@@ -220,143 +274,210 @@
 }
 
 #[test]
-fn a_new_process_starts_with_a_clean_record() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
+fn restarted_machine_has_no_recorded_failures() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     for i in 0..6 {
-        desk.ask(task(i, i, desk.now + S));
-        desk.turn(&[end(i, 0, AttemptOutcome::Error, None), Event::ClientDisconnected(TaskId(i))]);
+        harness.request(task(i, i, harness.now + SECOND));
+        harness.turn(&[
+            finished(i, 0, AttemptOutcome::Error, None),
+            Event::ClientDisconnected(TaskId(i)),
+        ]);
     }
     let mut two = vec![machine(0), machine(1)];
-    two[0].started = Some(desk.now);
-    desk.list(UpdateScope::Full, two);
-    let to_zero = drawn(&mut desk, 60, 200_000, |i, _| well(i));
+    two[0].started_at = Some(harness.now);
+    harness.update_endpoints(UpdateScope::Full, two);
+    let to_zero = count_offers_to_first_machine(&mut harness, 60, 200_000, |i, _| {
+        accepted_started_and_completed(i)
+    });
     assert!(to_zero > 10, "{to_zero} of 60");
 }
 
 #[test]
-fn when_no_machine_looks_healthy_the_fault_is_taken_to_be_elsewhere() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
+fn offers_continue_when_every_machine_is_ejected() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
     for i in 0..8 {
-        desk.ask(task(i, i, desk.now + S));
-        desk.turn(&[Event::ClientDisconnected(TaskId(i)), end(i, 0, AttemptOutcome::TimedOut, None)]);
+        harness.request(task(i, i, harness.now + SECOND));
+        harness.turn(&[
+            Event::ClientDisconnected(TaskId(i)),
+            finished(i, 0, AttemptOutcome::TimedOut, None),
+        ]);
     }
     assert!(
-        desk.ask(task(100, 100, desk.now + S)).is_some(),
+        harness
+            .request(task(100, 100, harness.now + SECOND))
+            .is_some(),
         "held for nothing"
     );
 }
 
 #[test]
-fn patience_grows_with_each_attempt_of_a_task_and_of_no_other() {
+fn attempt_timeout_grows_with_each_attempt_of_the_same_task_only() {
     // Slow answers everywhere must not make copy after copy; one silent class must not slow the others.
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
-    let give_up_at = desk.now + 60 * S;
-    let mut wait = |event| time_out(&desk.turn(&[event])).expect("an offer");
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
+    let give_up_at = harness.now + 60 * SECOND;
+    let mut wait = |event| offer_timeout(&harness.turn(&[event])).expect("an offer");
     let first = wait(Event::PlacementRequested(task(1, 1, give_up_at)));
-    assert!(first < 4 * S, "{first}");
-    let second = wait(end(1, 0, AttemptOutcome::TimedOut, None));
+    assert!(first < 4 * SECOND, "{first}");
+    let second = wait(finished(1, 0, AttemptOutcome::TimedOut, None));
     assert!(second > first + first / 2, "{first} then {second}");
-    assert_eq!(wait(Event::PlacementRequested(task(2, 2, give_up_at))), first);
+    assert_eq!(
+        wait(Event::PlacementRequested(task(2, 2, give_up_at))),
+        first
+    );
 }
 
 #[test]
-fn a_full_machine_is_passed_over_for_tasks_as_large_but_not_for_smaller_ones() {
-    let mut desk = Desk::new(settings(RetrySafety::NonIdempotent), 1);
+fn full_machine_is_skipped_for_tasks_as_large_but_not_for_smaller_ones() {
+    let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 1);
     let large = Task {
         requested: Resources::new(8.0, 8.0),
-        ..task(1, 1, 9 * S)
+        ..task(1, 1, 9 * SECOND)
     };
-    assert_eq!(desk.ask(large), Some(0));
-    let again = desk.turn(&[end(1, 0, AttemptOutcome::Rejected, Some(FailureReason::Cores))]);
-    assert_eq!(offer(&again), None, "not at once");
+    assert_eq!(harness.request(large), Some(0));
+    let again = harness.turn(&[finished(
+        1,
+        0,
+        AttemptOutcome::Rejected,
+        Some(FailureReason::Cores),
+    )]);
+    assert_eq!(offered_machine(&again), None, "not at once");
     assert_eq!(
-        desk.ask(task(2, 2, 9 * S)),
+        harness.request(task(2, 2, 9 * SECOND)),
         Some(0),
         "a smaller one may fit"
     );
-    let later = desk.wait(desk.now + 2 * S, &[0]);
-    assert_eq!(offer(&later), Some(0), "it is tried again");
+    let later = harness.advance_until(harness.now + 2 * SECOND, &[0]);
+    assert_eq!(offered_machine(&later), Some(0), "it is tried again");
 }
 
 #[test]
-fn refusals_on_end_keep_offers_away_ever_longer_until_one_is_taken() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
+fn consecutive_rejections_back_off_longer_until_one_is_accepted() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     let mut offered = 0;
     for n in 0..1_000u64 {
-        desk.now += 20_000;
-        if desk.ask(task(n, n, desk.now + S)).is_some() {
+        harness.now += 20_000;
+        if harness.request(task(n, n, harness.now + SECOND)).is_some() {
             offered += 1;
-            let refused = end(n, 0, AttemptOutcome::Rejected, Some(FailureReason::QueueFull));
-            desk.turn(&[Event::ClientDisconnected(TaskId(n)), refused]);
+            let refused = finished(
+                n,
+                0,
+                AttemptOutcome::Rejected,
+                Some(FailureReason::QueueFull),
+            );
+            harness.turn(&[Event::ClientDisconnected(TaskId(n)), refused]);
         }
     }
     assert!((10..30).contains(&offered), "{offered} offers in 20 s");
-    desk.now += 2 * S;
-    assert_eq!(desk.ask(task(5_000, 1, desk.now + S)), Some(0));
-    desk.turn(&well(5_000));
+    harness.now += 2 * SECOND;
+    assert_eq!(
+        harness.request(task(5_000, 1, harness.now + SECOND)),
+        Some(0)
+    );
+    harness.turn(&accepted_started_and_completed(5_000));
     assert_eq!(
-        desk.ask(task(5_001, 1, desk.now + S)),
+        harness.request(task(5_001, 1, harness.now + SECOND)),
         Some(0),
         "taken: all is well"
     );
 }
 
 #[test]
-fn machines_whose_tasks_are_served_poorly_are_passed_over_for_a_while() {
+fn contended_machines_are_skipped_for_a_while() {
     for note in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
-        desk.turn(&[Event::TaskAdopted(task(900, 900, 0), MachineId(0))]);
-        let react = |i: u64, _| [well(i), vec![Event::TaskReported(id(900, 0), note)]].concat();
-        desk.turn(&[Event::TaskReported(id(900, 0), note)]);
-        assert_eq!(drawn(&mut desk, 50, 100_000, react), 0, "{note:?}");
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
+        harness.turn(&[Event::TaskAdopted {
+            task: task(900, 900, 0),
+            machine: MachineId(0),
+        }]);
+        let react = |i: u64, _| {
+            [
+                accepted_started_and_completed(i),
+                vec![Event::TaskReported {
+                    attempt: attempt_id(900, 0),
+                    report: note,
+                }],
+            ]
+            .concat()
+        };
+        harness.turn(&[Event::TaskReported {
+            attempt: attempt_id(900, 0),
+            report: note,
+        }]);
+        assert_eq!(
+            count_offers_to_first_machine(&mut harness, 50, 100_000, react),
+            0,
+            "{note:?}"
+        );
         // Once no more is heard of it, and the other holds more, it is used again.
-        desk.now += 3 * S;
+        harness.now += 3 * SECOND;
         let large = Task {
             requested: Resources::new(16.0, 16.0),
             ..task(901, 901, 0)
         };
-        desk.turn(&[Event::TaskAdopted(large, MachineId(1))]);
+        harness.turn(&[Event::TaskAdopted {
+            task: large,
+            machine: MachineId(1),
+        }]);
         assert!(
-            drawn(&mut desk, 50, 100_000, |i, _| well(i)) > 40,
+            count_offers_to_first_machine(&mut harness, 50, 100_000, |i, _| {
+                accepted_started_and_completed(i)
+            }) > 40,
             "{note:?}"
         );
     }
 }
 
 #[test]
-fn a_process_started_anew_holds_no_program() {
+fn restarted_machine_holds_no_program() {
     // Ten services have tasks on machine 0, which is lost with them and comes back, or is not lost.
     let back_there = |lost: bool| {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
-        desk.now += 20 * S;
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
+        harness.now += 20 * SECOND;
         let small = |n| Task {
             requested: Resources::new(0.1, 0.1),
             ..task(n, n, 0)
         };
         let tasks: Vec<Event> = (0..10)
-            .map(|n| Event::TaskAdopted(small(n), MachineId(0)))
+            .map(|n| Event::TaskAdopted {
+                task: small(n),
+                machine: MachineId(0),
+            })
             .collect();
-        desk.turn(&tasks);
-        desk.now += S;
+        harness.turn(&tasks);
+        harness.now += SECOND;
         if lost {
             let listing = MachineEntry {
-                started: Some(desk.now),
+                started_at: Some(harness.now),
                 ..machine(0)
             };
-            desk.now += 100_000;
-            desk.list(UpdateScope::Delta, vec![listing]);
+            harness.now += 100_000;
+            harness.update_endpoints(UpdateScope::Delta, vec![listing]);
         }
-        let ending = if lost { AttemptOutcome::Disconnected } else { AttemptOutcome::Completed };
-        desk.turn(&(0..10).map(|n| end(n, 0, ending, None)).collect::<Vec<_>>());
+        let ending = if lost {
+            AttemptOutcome::Disconnected
+        } else {
+            AttemptOutcome::Completed
+        };
+        harness.turn(
+            &(0..10)
+                .map(|n| finished(n, 0, ending, None))
+                .collect::<Vec<_>>(),
+        );
         // Another task there tells that the machine lives.
-        desk.turn(&[
-            Event::TaskAdopted(small(50), MachineId(0)),
-            Event::TaskReported(id(50, 0), TaskReport::Served(1.0)),
+        harness.turn(&[
+            Event::TaskAdopted {
+                task: small(50),
+                machine: MachineId(0),
+            },
+            Event::TaskReported {
+                attempt: attempt_id(50, 0),
+                report: TaskReport::Served(1.0),
+            },
         ]);
         let again = (0..10).map(|n| {
-            desk.ask(Task {
+            harness.request(Task {
                 id: TaskId(100 + n),
-                deadline: desk.now + S,
+                deadline: harness.now + SECOND,
                 ..small(n)
             })
         });
@@ -367,36 +488,39 @@
 }
 
 #[test]
-fn a_service_stays_where_its_program_is_held() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 4);
+fn service_stays_where_its_program_is_loaded() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
     // A small task of each service runs on one machine; starts elsewhere take ten times as long.
     for service in 0..20u64 {
         let small = Task {
             requested: Resources::new(0.1, 0.1),
             ..task(5_000 + service, service, 0)
         };
-        desk.turn(&[Event::TaskAdopted(small, MachineId((service % 4) as u32))]);
+        harness.turn(&[Event::TaskAdopted {
+            task: small,
+            machine: MachineId((service % 4) as u32),
+        }]);
     }
     let mut local = 0;
     for n in 0..600u64 {
-        let machine = desk
-            .ask(task(n, n % 20, desk.now + 9 * S))
+        let machine = harness
+            .request(task(n, n % 20, harness.now + 9 * SECOND))
             .expect("an offer");
         let held = u64::from(machine) == n % 4;
         local += u64::from(held && n >= 400);
-        desk.now += if held { 100_000 } else { S };
-        desk.turn(&well(n));
-        desk.now += 9 * S;
+        harness.now += if held { 100_000 } else { SECOND };
+        harness.turn(&accepted_started_and_completed(n));
+        harness.now += 9 * SECOND;
     }
     assert!(local > 150, "{local} of 200; chance gives a quarter");
 }
 
 #[test]
-fn where_machines_in_use_are_priced_no_more_are_used_than_needed() {
+fn no_more_machines_are_used_than_needed_where_they_are_priced() {
     let used = |fleet: f64| {
         let mut priced = settings(RetrySafety::Idempotent);
-        (priced.view, priced.costs.fleet) = (true, fleet);
-        let mut desk = Desk::new(priced, 0);
+        (priced.endpoints_report_capacity, priced.costs.fleet) = (true, fleet);
+        let mut harness = Harness::new(priced, 0);
         let free = |n: u32| {
             Some(if n < 2 {
                 Resources::new(24.0, 72.0)
@@ -404,7 +528,7 @@
                 Resources::new(32.0, 96.0)
             })
         };
-        desk.list(
+        harness.update_endpoints(
             UpdateScope::Full,
             (0..8)
                 .map(|n| MachineEntry {
@@ -415,9 +539,11 @@
         );
         let mut used = [0; 8];
         for n in 0..300 {
-            let machine = desk.ask(task(n, n, desk.now + S)).expect("an offer");
+            let machine = harness
+                .request(task(n, n, harness.now + SECOND))
+                .expect("an offer");
             used[machine as usize] += 1;
-            desk.turn(&well(n));
+            harness.turn(&accepted_started_and_completed(n));
         }
         used.iter().filter(|&&n| n > 0).count()
     };
@@ -426,33 +552,52 @@
 }
 
 #[test]
-fn once_answers_are_known_to_be_quick_silence_is_noticed_soon_whatever_the_effect() {
+fn timeout_shortens_once_answers_are_quick_for_every_retry_safety() {
     // A machine that leaves one class unanswered would hold an unsafe task until its deadline; given back
     // early, its owner learns that it does not run and asks again.
     for effect in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
-        let mut desk = Desk::new(settings(effect), 3);
+        let mut harness = Harness::new(settings(effect), 3);
         for n in 0..30 {
-            desk.ask(task(n, 1, desk.now + 9 * S)).expect("an offer");
-            desk.now += 20_000;
-            desk.turn(&[Event::AttemptAccepted(id(n, 0), None), end(n, 0, AttemptOutcome::Completed, None)]);
+            harness
+                .request(task(n, 1, harness.now + 9 * SECOND))
+                .expect("an offer");
+            harness.now += 20_000;
+            harness.turn(&[
+                Event::AttemptAccepted {
+                    attempt: attempt_id(n, 0),
+                    elapsed: None,
+                },
+                finished(n, 0, AttemptOutcome::Completed, None),
+            ]);
         }
-        let actions = desk.turn(&[Event::PlacementRequested(task(99, 1, desk.now + 9 * S))]);
-        let wait = time_out(&actions);
+        let actions = harness.turn(&[Event::PlacementRequested(task(
+            99,
+            1,
+            harness.now + 9 * SECOND,
+        ))]);
+        let wait = offer_timeout(&actions);
         assert!(
-            wait.is_some_and(|wait| wait > 60_000 && wait < S),
+            wait.is_some_and(|wait| wait > 60_000 && wait < SECOND),
             "{effect:?}: {wait:?}"
         );
     }
 }
 
 #[test]
-fn placers_that_see_the_same_few_comfortable_machines_do_not_all_swarm_to_them() {
+fn placers_do_not_all_choose_the_same_few_machines_with_headroom() {
     let (mut swarmed, placers) = (0, 200);
     for number in 0..placers {
         let mut seen = settings(RetrySafety::Idempotent);
-        (seen.view, seen.replica_count, seen.replica_index) = (true, placers, number);
+        (
+            seen.endpoints_report_capacity,
+            seen.replica_count,
+            seen.replica_index,
+        ) = (true, placers, number);
         let placer = Placer::new(seen, u64::from(number)).expect("sound settings");
-        let mut desk = Desk { placer, now: S };
+        let mut harness = Harness {
+            placer,
+            now: SECOND,
+        };
         // Three of twenty have room to spare, the others are fuller than is comfortable.
         let unasked = |n: u32| {
             if n < 3 {
@@ -465,9 +610,10 @@
             unallocated: Some(unasked(n)),
             ..machine(n)
         };
-        desk.list(UpdateScope::Full, (0..20).map(listing).collect());
+        harness.update_endpoints(UpdateScope::Full, (0..20).map(listing).collect());
         swarmed += u32::from(
-            desk.ask(task(1, u64::from(number), 9 * S))
+            harness
+                .request(task(1, u64::from(number), 9 * SECOND))
                 .expect("an offer")
                 < 3,
         );
@@ -480,112 +626,144 @@
 }
 
 #[test]
-fn a_class_that_fails_on_a_machine_leaves_it_and_finds_it_again_while_the_others_stay() {
+fn failing_class_leaves_a_machine_and_returns_while_other_classes_stay() {
     let mut two = settings(RetrySafety::Idempotent);
     two.classes.push(class(RetrySafety::Idempotent));
-    let mut desk = Desk::new(two, 2);
+    let mut harness = Harness::new(two, 2);
     let of = |n: u64, class: usize| Task {
         class,
-        ..task(n, n, 900 * S)
+        ..task(n, n, 900 * SECOND)
     };
-    desk.turn(&[
-        Event::TaskAdopted(of(9_999, 1), MachineId(0)),
-        Event::TaskAdopted(of(9_998, 1), MachineId(1)),
+    harness.turn(&[
+        Event::TaskAdopted {
+            task: of(9_999, 1),
+            machine: MachineId(0),
+        },
+        Event::TaskAdopted {
+            task: of(9_998, 1),
+            machine: MachineId(1),
+        },
     ]);
     // Class 0 fails on machine 0 until both homes are known; class 1 goes on being served there.
     let mut n = 0;
-    let mut share = |desk: &mut Desk, class: usize, fails: bool| {
+    let mut share = |harness: &mut Harness, class: usize, fails: bool| {
         let mut there = 0;
         for _ in 0..40 {
             n += 1;
             // A task that runs there goes on telling what it uses.
-            desk.turn(&[Event::TaskReported(id(9_999, 0), TaskReport::CoresUsed(0.5))]);
-            let at = desk.ask(of(n, class)).expect("an offer");
+            harness.turn(&[Event::TaskReported {
+                attempt: attempt_id(9_999, 0),
+                report: TaskReport::CoresUsed(0.5),
+            }]);
+            let at = harness.request(of(n, class)).expect("an offer");
             there += u32::from(at == 0);
             if at == 0 && fails {
-                desk.turn(&[
-                    end(n, 0, AttemptOutcome::TimedOut, None),
+                harness.turn(&[
+                    finished(n, 0, AttemptOutcome::TimedOut, None),
                     Event::ClientDisconnected(TaskId(n)),
-                    end(n, 1, AttemptOutcome::Disconnected, None),
+                    finished(n, 1, AttemptOutcome::Disconnected, None),
                 ]);
             } else {
-                desk.turn(&[
-                    Event::AttemptAccepted(id(n, 0), None),
-                    Event::TaskReported(id(n, 0), TaskReport::Started),
+                harness.turn(&[
+                    Event::AttemptAccepted {
+                        attempt: attempt_id(n, 0),
+                        elapsed: None,
+                    },
+                    Event::TaskReported {
+                        attempt: attempt_id(n, 0),
+                        report: TaskReport::Started,
+                    },
                 ]);
-                desk.turn(&[end(n, 0, AttemptOutcome::Completed, None)]);
+                harness.turn(&[finished(n, 0, AttemptOutcome::Completed, None)]);
             }
-            desk.now += 20_000;
+            harness.now += 20_000;
         }
         there
     };
-    assert!(share(&mut desk, 1, false) > 5);
-    assert!(share(&mut desk, 0, true) < 5, "the failing class leaves");
-    assert!(share(&mut desk, 1, false) > 5, "the other stays");
+    assert!(share(&mut harness, 1, false) > 5);
+    assert!(share(&mut harness, 0, true) < 5, "the failing class leaves");
+    assert!(share(&mut harness, 1, false) > 5, "the other stays");
     assert!(
-        share(&mut desk, 0, true) < 5,
+        share(&mut harness, 0, true) < 5,
         "whose success clears nothing"
     );
-    desk.now += 60 * S;
-    assert!(share(&mut desk, 0, false) > 5, "and finds it again");
+    harness.now += 60 * SECOND;
+    assert!(share(&mut harness, 0, false) > 5, "and finds it again");
 }
 
 #[test]
-fn a_placer_that_stood_still_does_not_take_its_own_silence_for_the_machines() {
+fn stalled_placer_does_not_count_its_pause_as_answer_time() {
     // Answers that came while it stood still are taken in late; waits must follow what they took.
     let wait_after_stalls = |elapsed: Option<Micros>| {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         for n in 0..30 {
-            desk.ask(task(n, 1, desk.now + 9 * S)).expect("an offer");
-            desk.now += 1_500_000;
-            desk.turn(&[
-                Event::AttemptAccepted(id(n, 0), elapsed),
-                end(n, 0, AttemptOutcome::Completed, None),
+            harness
+                .request(task(n, 1, harness.now + 9 * SECOND))
+                .expect("an offer");
+            harness.now += 1_500_000;
+            harness.turn(&[
+                Event::AttemptAccepted {
+                    attempt: attempt_id(n, 0),
+                    elapsed,
+                },
+                finished(n, 0, AttemptOutcome::Completed, None),
             ]);
         }
-        let actions = desk.turn(&[Event::PlacementRequested(task(99, 1, desk.now + 9 * S))]);
-        time_out(&actions)
+        let actions = harness.turn(&[Event::PlacementRequested(task(
+            99,
+            1,
+            harness.now + 9 * SECOND,
+        ))]);
+        offer_timeout(&actions)
     };
-    assert!(wait_after_stalls(None) > Some(S));
-    assert!(wait_after_stalls(Some(20_000)).is_some_and(|wait| wait < S));
+    assert!(wait_after_stalls(None) > Some(SECOND));
+    assert!(wait_after_stalls(Some(20_000)).is_some_and(|wait| wait < SECOND));
 }
 
 #[test]
-fn what_came_while_it_stood_still_is_taken_in_before_any_offer() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
+fn events_that_arrived_during_a_stall_are_applied_before_any_offer() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
     let drained = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
     };
-    desk.now += 2 * S;
+    harness.now += 2 * SECOND;
     // The drain is last in the backlog, behind twenty asks.
     let mut backlog: Vec<Event> = (0..20)
-        .map(|n| Event::PlacementRequested(task(n, n, desk.now + 5 * S)))
+        .map(|n| Event::PlacementRequested(task(n, n, harness.now + 5 * SECOND)))
         .collect();
     backlog.push(Event::EndpointsUpdated {
         scope: UpdateScope::Delta,
         machines: vec![drained],
     });
-    let actions = desk.turn(&backlog);
+    let actions = harness.turn(&backlog);
     let offers = actions
         .iter()
-        .filter(|a| matches!(a, Action::Offer(..)))
+        .filter(|a| matches!(a, Action::Offer { .. }))
         .count();
     let to_other = actions
         .iter()
-        .filter(|a| matches!(a, Action::Offer(_, MachineId(1), _)))
+        .filter(|a| {
+            matches!(
+                a,
+                Action::Offer {
+                    machine: MachineId(1),
+                    ..
+                }
+            )
+        })
         .count();
     assert_eq!((offers, to_other), (20, 20));
 }
 
 #[test]
-fn crossing_zones_is_weighed_by_its_price() {
+fn cross_zone_offers_are_weighed_by_their_cost() {
     // The service runs on a machine of either zone, so nothing else tells them apart.
     let away = |price: f64| {
         let mut priced = settings(RetrySafety::Idempotent);
         priced.costs.cross_zone = price;
-        let mut desk = Desk::new(priced, 0);
-        desk.list(
+        let mut harness = Harness::new(priced, 0);
+        harness.update_endpoints(
             UpdateScope::Full,
             (0..2)
                 .map(|n| MachineEntry {
@@ -594,14 +772,22 @@
                 })
                 .collect(),
         );
-        desk.turn(&[
-            Event::TaskAdopted(task(998, 1, 0), MachineId(0)),
-            Event::TaskAdopted(task(999, 1, 0), MachineId(1)),
+        harness.turn(&[
+            Event::TaskAdopted {
+                task: task(998, 1, 0),
+                machine: MachineId(0),
+            },
+            Event::TaskAdopted {
+                task: task(999, 1, 0),
+                machine: MachineId(1),
+            },
         ]);
         let mut away = 0;
         for n in 0..200 {
-            away += desk.ask(task(n, 1, desk.now + S)).expect("an offer");
-            desk.turn(&well(n));
+            away += harness
+                .request(task(n, 1, harness.now + SECOND))
+                .expect("an offer");
+            harness.turn(&accepted_started_and_completed(n));
         }
         away
     };
@@ -610,68 +796,102 @@
 }
 
 #[test]
-fn a_restarted_placer_uses_its_old_list_and_believes_a_newer_one() {
+fn restarted_placer_uses_its_restored_list_until_a_newer_one() {
     let mut asks = settings(RetrySafety::Idempotent);
     asks.discovery = DiscoveryMode::Poll;
     let placer = Placer::new(asks, 3).expect("sound settings");
-    let mut desk = Desk { placer, now: S };
-    desk.list(UpdateScope::Restored, vec![machine(0), machine(1)]);
-    assert!(desk.ask(task(1, 1, desk.now + S)).is_some());
+    let mut harness = Harness {
+        placer,
+        now: SECOND,
+    };
+    harness.update_endpoints(UpdateScope::Restored, vec![machine(0), machine(1)]);
+    assert!(harness.request(task(1, 1, harness.now + SECOND)).is_some());
     let drained = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
     };
-    desk.list(UpdateScope::Delta, vec![drained]);
+    harness.update_endpoints(UpdateScope::Delta, vec![drained]);
     for n in 2..30 {
-        assert_eq!(desk.ask(task(n, n, desk.now + S)), Some(1));
+        assert_eq!(harness.request(task(n, n, harness.now + SECOND)), Some(1));
     }
 }
 
 #[test]
-fn a_machine_without_connection_gets_no_offers_and_costs_no_attempts() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
-    desk.turn(&[
-        Event::ConnectionChanged(MachineId(0), false),
-        Event::ConnectionChanged(MachineId(1), false),
+fn disconnected_machine_gets_no_offers_and_uses_no_attempts() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
+    harness.turn(&[
+        Event::ConnectionChanged {
+            machine: MachineId(0),
+            is_connected: false,
+        },
+        Event::ConnectionChanged {
+            machine: MachineId(1),
+            is_connected: false,
+        },
     ]);
     // Out of reach altogether: held, neither offered nor refused.
-    let actions = desk.turn(&[Event::PlacementRequested(task(1, 5, desk.now + 10 * S))]);
-    assert_eq!(offer(&actions), None);
-    assert!(answers(&desk.wait(desk.now + S, &[0])).is_empty());
+    let actions = harness.turn(&[Event::PlacementRequested(task(
+        1,
+        5,
+        harness.now + 10 * SECOND,
+    ))]);
+    assert_eq!(offered_machine(&actions), None);
+    assert!(final_answers(&harness.advance_until(harness.now + SECOND, &[0])).is_empty());
     // Back in reach: the one that is gets it, as its first attempt.
-    desk.turn(&[Event::ConnectionChanged(MachineId(1), true)]);
-    let actions = desk.wait(desk.now + S, &[0]);
-    assert_eq!(offer(&actions), Some(1));
+    harness.turn(&[Event::ConnectionChanged {
+        machine: MachineId(1),
+        is_connected: true,
+    }]);
+    let actions = harness.advance_until(harness.now + SECOND, &[0]);
+    assert_eq!(offered_machine(&actions), Some(1));
     // A loss of the connection takes effect in the turn in which it is told.
     let lost = [
-        end(1, 0, AttemptOutcome::Disconnected, None),
-        Event::ConnectionChanged(MachineId(1), false),
-        Event::ConnectionChanged(MachineId(0), true),
+        finished(1, 0, AttemptOutcome::Disconnected, None),
+        Event::ConnectionChanged {
+            machine: MachineId(1),
+            is_connected: false,
+        },
+        Event::ConnectionChanged {
+            machine: MachineId(0),
+            is_connected: true,
+        },
     ];
-    assert_eq!(offer(&desk.turn(&lost)), Some(0));
+    assert_eq!(offered_machine(&harness.turn(&lost)), Some(0));
     // Out of reach until the deadline: refused in time.
-    let mut desk = Desk::new(settings(RetrySafety::NonIdempotent), 1);
-    desk.turn(&[Event::ConnectionChanged(MachineId(0), false)]);
-    let give_up_at = desk.now + 2 * S;
-    desk.turn(&[Event::PlacementRequested(task(1, 5, give_up_at))]);
-    let actions = desk.wait(give_up_at, &[0, 2]);
-    assert_eq!(answers(&actions), [Action::Reject(TaskId(1), None)]);
-    assert_eq!(offer(&actions), None);
+    let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 1);
+    harness.turn(&[Event::ConnectionChanged {
+        machine: MachineId(0),
+        is_connected: false,
+    }]);
+    let give_up_at = harness.now + 2 * SECOND;
+    harness.turn(&[Event::PlacementRequested(task(1, 5, give_up_at))]);
+    let actions = harness.advance_until(give_up_at, &[0, 2]);
+    assert_eq!(
+        final_answers(&actions),
+        [Action::Reject {
+            task: TaskId(1),
+            retry_after: None
+        }]
+    );
+    assert_eq!(offered_machine(&actions), None);
 }
 
 /// One of four placers before four machines, with its part of twelve accepted starts under way.
-fn busy() -> (Desk, u64) {
+fn harness_with_starts_at_the_limit() -> (Harness, u64) {
     let mut own = settings(RetrySafety::Idempotent);
     own.replica_count = 4;
-    let mut desk = Desk::new(own, 4);
+    let mut harness = Harness::new(own, 4);
     for n in 0..3 {
-        desk.ask(task(n, n, 100 * S)).expect("an offer");
-        desk.turn(&[Event::AttemptAccepted(id(n, 0), None)]);
+        harness.request(task(n, n, 100 * SECOND)).expect("an offer");
+        harness.turn(&[Event::AttemptAccepted {
+            attempt: attempt_id(n, 0),
+            elapsed: None,
+        }]);
     }
-    (desk, 3)
+    (harness, 3)
 }
 
-fn again(n: u64, give_up_at: Micros) -> Task {
+fn resubmitted(n: u64, give_up_at: Micros) -> Task {
     Task {
         is_resubmission: true,
         ..task(n, n, give_up_at)
@@ -679,102 +899,142 @@
 }
 
 #[test]
-fn tasks_that_come_again_yield_to_first_starts() {
-    let (mut desk, next) = busy();
+fn resubmitted_tasks_are_deferred_behind_first_starts() {
+    let (mut harness, next) = harness_with_starts_at_the_limit();
     assert_eq!(
-        desk.ask(again(next, 100 * S)),
+        harness.request(resubmitted(next, 100 * SECOND)),
         None,
         "its part of the starts is under way"
     );
     assert!(
-        desk.ask(task(next + 1, 9, 100 * S)).is_some(),
+        harness.request(task(next + 1, 9, 100 * SECOND)).is_some(),
         "a first start is not kept waiting"
     );
     assert_eq!(
-        offer(&desk.turn(&[Event::AttemptAccepted(id(next + 1, 0), None)])),
+        offered_machine(&harness.turn(&[Event::AttemptAccepted {
+            attempt: attempt_id(next + 1, 0),
+            elapsed: None
+        }])),
         None
     );
     // Two of the four starts under way are done: the part is three, so one place is free.
-    desk.now += 50_000;
-    let started = |n| Event::TaskReported(id(n, 0), TaskReport::Started);
-    assert_eq!(offer(&desk.turn(&[started(0)])), None);
-    let offered = desk.turn(&[started(1)]);
+    harness.now += 50_000;
+    let started = |n| Event::TaskReported {
+        attempt: attempt_id(n, 0),
+        report: TaskReport::Started,
+    };
+    assert_eq!(offered_machine(&harness.turn(&[started(0)])), None);
+    let offered = harness.turn(&[started(1)]);
     assert!(
         offered
             .iter()
-            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+            .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next)),
         "{offered:?}"
     );
-    desk.turn(&[Event::AttemptAccepted(id(next, 0), None)]);
+    harness.turn(&[Event::AttemptAccepted {
+        attempt: attempt_id(next, 0),
+        elapsed: None,
+    }]);
     assert!(
-        desk.ask(again(next + 2, 100 * S)).is_none(),
+        harness
+            .request(resubmitted(next + 2, 100 * SECOND))
+            .is_none(),
         "that start counts too"
     );
 }
 
 #[test]
-fn yielding_ends_where_starts_are_never_told_of() {
-    let (mut desk, next) = busy();
-    let from = desk.now;
-    assert_eq!(desk.ask(again(next, from + 100 * S)), None);
-    assert_eq!(desk.ask(again(next + 1, from + S)), None);
+fn deferral_ends_when_starts_are_never_reported() {
+    let (mut harness, next) = harness_with_starts_at_the_limit();
+    let from = harness.now;
+    assert_eq!(
+        harness.request(resubmitted(next, from + 100 * SECOND)),
+        None
+    );
+    assert_eq!(harness.request(resubmitted(next + 1, from + SECOND)), None);
     // Half of its time is the most that a task waits so; a second for one with long to go.
-    assert!(offer(&desk.wait(from + 400_000, &[0])).is_none());
-    let early = desk.wait(from + 710_000, &[0]);
+    assert!(offered_machine(&harness.advance_until(from + 400_000, &[0])).is_none());
+    let early = harness.advance_until(from + 710_000, &[0]);
     assert!(
         early
             .iter()
-            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)),
+            .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next + 1)),
         "{early:?}"
     );
-    let late = desk.wait(from + 1_210_000, &[0]);
+    let late = harness.advance_until(from + 1_210_000, &[0]);
     assert!(
         late.iter()
-            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+            .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next)),
         "{late:?}"
     );
 }
 
 #[test]
-fn attempts_that_end_or_use_something_are_no_starts_under_way() {
-    let (mut desk, next) = busy();
-    assert_eq!(desk.ask(again(next, 100 * S)), None);
-    let used = desk.turn(&[Event::TaskReported(id(1, 0), TaskReport::CoresUsed(0.5))]);
+fn finished_or_running_attempts_do_not_count_as_starts_in_progress() {
+    let (mut harness, next) = harness_with_starts_at_the_limit();
+    assert_eq!(harness.request(resubmitted(next, 100 * SECOND)), None);
+    let used = harness.turn(&[Event::TaskReported {
+        attempt: attempt_id(1, 0),
+        report: TaskReport::CoresUsed(0.5),
+    }]);
     assert!(
         used.iter()
-            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next)),
+            .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next)),
         "{used:?}"
     );
-    desk.turn(&[Event::AttemptAccepted(id(next, 0), None)]);
-    assert_eq!(desk.ask(again(next + 1, 100 * S)), None);
-    let ended = desk.turn(&[end(0, 0, AttemptOutcome::Disconnected, None)]);
+    harness.turn(&[Event::AttemptAccepted {
+        attempt: attempt_id(next, 0),
+        elapsed: None,
+    }]);
+    assert_eq!(harness.request(resubmitted(next + 1, 100 * SECOND)), None);
+    let ended = harness.turn(&[finished(0, 0, AttemptOutcome::Disconnected, None)]);
     assert!(
         ended
             .iter()
-            .any(|a| matches!(a, Action::Offer(t, ..) if t.0 == next + 1)),
+            .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next + 1)),
         "{ended:?}"
     );
     // Said twice, or late, it counts once or not at all.
-    let twice = [Event::AttemptAccepted(id(2, 0), None), Event::AttemptAccepted(id(2, 0), None)];
-    desk.turn(&twice);
-    desk.turn(&[
-        Event::TaskReported(id(2, 0), TaskReport::Started),
-        Event::AttemptAccepted(id(2, 0), None),
+    let twice = [
+        Event::AttemptAccepted {
+            attempt: attempt_id(2, 0),
+            elapsed: None,
+        },
+        Event::AttemptAccepted {
+            attempt: attempt_id(2, 0),
+            elapsed: None,
+        },
+    ];
+    harness.turn(&twice);
+    harness.turn(&[
+        Event::TaskReported {
+            attempt: attempt_id(2, 0),
+            report: TaskReport::Started,
+        },
+        Event::AttemptAccepted {
+            attempt: attempt_id(2, 0),
+            elapsed: None,
+        },
     ]);
     assert!(
-        desk.ask(again(next + 2, 100 * S)).is_some(),
+        harness
+            .request(resubmitted(next + 2, 100 * SECOND))
+            .is_some(),
         "one start is under way, of a part of three"
     );
 }
 
 #[test]
-fn a_yielding_task_that_is_not_wanted_any_more_is_forgotten() {
-    let (mut desk, next) = busy();
-    assert_eq!(desk.ask(again(next, 100 * S)), None);
-    let its = |a: &Action| matches!(a, Action::Offer(t, ..) | Action::Reject(t, _) if t.0 == next);
-    desk.turn(&[Event::ClientDisconnected(TaskId(next))]);
-    let actions = desk.turn(&[Event::TaskReported(id(0, 0), TaskReport::Started)]);
+fn deferred_task_is_dropped_when_its_client_disconnects() {
+    let (mut harness, next) = harness_with_starts_at_the_limit();
+    assert_eq!(harness.request(resubmitted(next, 100 * SECOND)), None);
+    let its = |a: &Action| matches!(a, Action::Offer { task: t, .. } | Action::Reject { task: t, .. } if t.0 == next);
+    harness.turn(&[Event::ClientDisconnected(TaskId(next))]);
+    let actions = harness.turn(&[Event::TaskReported {
+        attempt: attempt_id(0, 0),
+        report: TaskReport::Started,
+    }]);
     assert!(!actions.iter().any(its), "{actions:?}");
-    let actions = desk.wait(110 * S, &[0, next + 1]);
+    let actions = harness.advance_until(110 * SECOND, &[0, next + 1]);
     assert!(!actions.iter().any(its), "{actions:?}");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -5,65 +5,83 @@
 use maplethread::*;
 
 /// Decisions made by tasks that are turned away at once, so that exploration is rare afterwards.
-fn settle(desk: &mut Desk) {
+fn end_exploration(harness: &mut Harness) {
     for n in 10_000..10_600 {
-        desk.ask(task(n, n, desk.now + S));
-        desk.turn(&[Event::ClientDisconnected(TaskId(n)), end(n, 0, AttemptOutcome::Cancelled, None)]);
+        harness.request(task(n, n, harness.now + SECOND));
+        harness.turn(&[
+            Event::ClientDisconnected(TaskId(n)),
+            finished(n, 0, AttemptOutcome::Cancelled, None),
+        ]);
     }
-    desk.now += 10 * S;
+    harness.now += 10 * SECOND;
 }
 
 /// How often each machine of three gets one of `n` tasks that leave again at once.
-fn shares(desk: &mut Desk, n: u64, service: impl Fn(u64) -> u64) -> [u64; 3] {
+fn offers_per_machine(harness: &mut Harness, n: u64, service: impl Fn(u64) -> u64) -> [u64; 3] {
     let mut got = [0; 3];
     for i in 0..n {
-        let machine = desk
-            .ask(task(i, service(i), desk.now + S))
+        let machine = harness
+            .request(task(i, service(i), harness.now + SECOND))
             .expect("an offer");
         got[machine as usize] += 1;
-        desk.turn(&[Event::ClientDisconnected(TaskId(i)), end(i, 0, AttemptOutcome::Cancelled, None)]);
-        desk.now += 20 * S;
+        harness.turn(&[
+            Event::ClientDisconnected(TaskId(i)),
+            finished(i, 0, AttemptOutcome::Cancelled, None),
+        ]);
+        harness.now += 20 * SECOND;
     }
     got
 }
 
 #[test]
-fn the_least_share_is_chosen() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
-    settle(&mut desk);
+fn least_allocated_machine_is_chosen() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
+    end_exploration(&mut harness);
     for (n, machine) in [(1, 0), (2, 0), (3, 1)] {
         let mut large = task(n, 500 + n, 0);
         large.requested = Resources::new(8.0, 16.0);
-        desk.turn(&[Event::TaskAdopted(large, MachineId(machine))]);
+        harness.turn(&[Event::TaskAdopted {
+            task: large,
+            machine: MachineId(machine),
+        }]);
     }
-    let got = shares(&mut desk, 200, |i| 1_000 + i);
+    let got = offers_per_machine(&mut harness, 200, |i| 1_000 + i);
     assert!(got[2] >= 195, "{got:?}");
 }
 
 #[test]
-fn an_emptier_machine_draws_no_start_from_one_with_the_program_while_that_is_easy() {
+fn emptier_machine_does_not_attract_starts_from_a_lightly_used_one_with_the_program() {
     // Machine 0 holds the program and so many cores of 32; the others are empty, one of them the service's home.
     let at_the_program = |cores: f64| {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
-        settle(&mut desk);
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
+        end_exploration(&mut harness);
         let large = Task {
             requested: Resources::new(cores, 1.0),
             ..task(1, 500, 0)
         };
-        desk.turn(&[Event::TaskAdopted(large, MachineId(0))]);
+        harness.turn(&[Event::TaskAdopted {
+            task: large,
+            machine: MachineId(0),
+        }]);
         let mut got = 0;
         for service in 0..100 {
             let small = Task {
                 requested: Resources::new(0.1, 0.1),
                 ..task(2_000 + service, 1_000 + service, 0)
             };
-            desk.turn(&[Event::TaskAdopted(small, MachineId(0))]);
-            let machine = desk
-                .ask(task(3_000 + service, 1_000 + service, desk.now + S))
+            harness.turn(&[Event::TaskAdopted {
+                task: small,
+                machine: MachineId(0),
+            }]);
+            let machine = harness
+                .request(task(3_000 + service, 1_000 + service, harness.now + SECOND))
                 .expect("an offer");
             got += u64::from(machine == 0);
             for n in [2_000 + service, 3_000 + service] {
-                desk.turn(&[Event::ClientDisconnected(TaskId(n)), end(n, 0, AttemptOutcome::Cancelled, None)]);
+                harness.turn(&[
+                    Event::ClientDisconnected(TaskId(n)),
+                    finished(n, 0, AttemptOutcome::Cancelled, None),
+                ]);
             }
         }
         got
@@ -73,16 +91,24 @@
 }
 
 #[test]
-fn a_quick_machine_outweighs_a_larger_share() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 2);
-    settle(&mut desk);
+fn faster_machine_outweighs_a_larger_allocation() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
+    end_exploration(&mut harness);
     // Machine 0 starts the service in 0.2 s, machine 1 in 2 s; both hold the program.
     let (mut n, mut seen) = (1, [0, 0]);
     while seen.iter().any(|&s| s < 8) {
-        let machine = desk.ask(task(n, 7, desk.now + 9 * S)).expect("an offer") as usize;
-        desk.turn(&[Event::AttemptAccepted(id(n, 0), None)]);
-        desk.now += if machine == 0 { 200_000 } else { 2 * S };
-        desk.turn(&[Event::TaskReported(id(n, 0), TaskReport::Started)]);
+        let machine = harness
+            .request(task(n, 7, harness.now + 9 * SECOND))
+            .expect("an offer") as usize;
+        harness.turn(&[Event::AttemptAccepted {
+            attempt: attempt_id(n, 0),
+            elapsed: None,
+        }]);
+        harness.now += if machine == 0 { 200_000 } else { 2 * SECOND };
+        harness.turn(&[Event::TaskReported {
+            attempt: attempt_id(n, 0),
+            report: TaskReport::Started,
+        }]);
         seen[machine] += 1;
         n += 1;
         assert!(n < 2_000, "{seen:?}");
@@ -91,49 +117,59 @@
 }
 
 /// Puts a small task of the service on each machine, so that its level is the same on all.
-fn held_everywhere(desk: &mut Desk, service: u64, machines: u32) {
+fn run_service_on_all_machines(harness: &mut Harness, service: u64, machines: u32) {
     for n in 0..machines {
         let small = Task {
             requested: Resources::new(0.01, 0.01),
             ..task(90_000 + u64::from(n), service, 0)
         };
-        desk.turn(&[Event::TaskAdopted(small, MachineId(n))]);
+        harness.turn(&[Event::TaskAdopted {
+            task: small,
+            machine: MachineId(n),
+        }]);
     }
 }
 
 #[test]
-fn near_ties_are_drawn_at_random() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 3);
-    settle(&mut desk);
+fn near_ties_are_broken_at_random() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
+    end_exploration(&mut harness);
     // No start was ever sampled, so all rates are one and all shares alike.
-    let got = shares(&mut desk, 300, |i| 1_000 + i);
+    let got = offers_per_machine(&mut harness, 300, |i| 1_000 + i);
     assert!(got.iter().all(|&g| g > 60), "{got:?}");
 }
 
 #[test]
-fn early_decisions_explore_and_later_ones_hardly_do() {
+fn exploration_decreases_with_the_number_of_decisions() {
     let explored = |skip: bool| {
         let mut away = 0;
         for seed in 0..60 {
-            let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
-            let mut desk = Desk { placer, now: S };
-            desk.list(UpdateScope::Full, (0..3).map(machine).collect());
+            let placer =
+                Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
+            let mut harness = Harness {
+                placer,
+                now: SECOND,
+            };
+            harness.update_endpoints(UpdateScope::Full, (0..3).map(machine).collect());
             if skip {
-                settle(&mut desk);
+                end_exploration(&mut harness);
             }
             let mut large = task(1, 1, 0);
             large.requested = Resources::new(16.0, 32.0);
-            desk.turn(&[
-                Event::TaskAdopted(large, MachineId(0)),
-                Event::TaskAdopted(
-                    Task {
+            harness.turn(&[
+                Event::TaskAdopted {
+                    task: large,
+                    machine: MachineId(0),
+                },
+                Event::TaskAdopted {
+                    task: Task {
                         id: TaskId(2),
                         ..large
                     },
-                    MachineId(1),
-                ),
+                    machine: MachineId(1),
+                },
             ]);
-            away += u32::from(desk.ask(task(3, 3, desk.now + S)) != Some(2));
+            away += u32::from(harness.request(task(3, 3, harness.now + SECOND)) != Some(2));
         }
         away
     };
@@ -142,10 +178,13 @@
 }
 
 #[test]
-fn exploration_and_ties_obey_the_filters() {
+fn exploration_and_ties_stay_within_feasible_machines() {
     for seed in 0..50 {
         let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
-        let mut desk = Desk { placer, now: S };
+        let mut harness = Harness {
+            placer,
+            now: SECOND,
+        };
         let state = |n: u32| {
             if n == 3 {
                 MachineState::Ready
@@ -153,7 +192,7 @@
                 MachineState::Draining
             }
         };
-        desk.list(
+        harness.update_endpoints(
             UpdateScope::Full,
             (0..6)
                 .map(|n| MachineEntry {
@@ -162,21 +201,21 @@
                 })
                 .collect(),
         );
-        assert_eq!(desk.ask(task(1, 1, 9 * S)), Some(3));
+        assert_eq!(harness.request(task(1, 1, 9 * SECOND)), Some(3));
     }
 }
 
 #[test]
-fn an_unreported_machine_takes_the_mean_of_the_others() {
+fn unreported_machine_counts_with_the_mean_allocation() {
     let mut view = settings(RetrySafety::Idempotent);
-    view.view = true;
-    let mut desk = Desk::new(view, 0);
+    view.endpoints_report_capacity = true;
+    let mut harness = Harness::new(view, 0);
     let unasked = |n| match n {
         0 => Some(Resources::new(28.0, 84.0)),
         1 => Some(Resources::new(4.0, 12.0)),
         _ => None,
     };
-    desk.list(
+    harness.update_endpoints(
         UpdateScope::Full,
         (0..3)
             .map(|n| MachineEntry {
@@ -185,19 +224,19 @@
             })
             .collect(),
     );
-    settle(&mut desk);
-    held_everywhere(&mut desk, 7, 3);
-    let got = shares(&mut desk, 200, |_| 7);
+    end_exploration(&mut harness);
+    run_service_on_all_machines(&mut harness, 7, 3);
+    let got = offers_per_machine(&mut harness, 200, |_| 7);
     assert!(got[0] >= 190, "the emptiest that is known: {got:?}");
 }
 
 #[test]
-fn own_binds_count_until_the_view_shows_them() {
+fn own_placements_count_until_the_endpoint_list_includes_them() {
     let mut view = settings(RetrySafety::Idempotent);
-    view.view = true;
-    let mut desk = Desk::new(view, 0);
+    view.endpoints_report_capacity = true;
+    let mut harness = Harness::new(view, 0);
     let free = Some(Resources::new(32.0, 96.0));
-    desk.list(
+    harness.update_endpoints(
         UpdateScope::Full,
         (0..2)
             .map(|n| MachineEntry {
@@ -206,11 +245,13 @@
             })
             .collect(),
     );
-    settle(&mut desk);
-    held_everywhere(&mut desk, 7, 2);
+    end_exploration(&mut harness);
+    run_service_on_all_machines(&mut harness, 7, 2);
     let mut got = [0; 2];
     for n in 1..=20 {
-        got[desk.ask(task(n, 7, desk.now + S)).expect("an offer") as usize] += 1;
+        got[harness
+            .request(task(n, 7, harness.now + SECOND))
+            .expect("an offer") as usize] += 1;
     }
     assert!(
         got.iter().all(|&g| (8..=12).contains(&g)),
@@ -221,17 +262,27 @@
 #[test]
 fn same_seed_and_events_give_the_same_actions() {
     let run = || {
-        let mut desk = Desk::new(settings(RetrySafety::Idempotent), 5);
+        let mut harness = Harness::new(settings(RetrySafety::Idempotent), 5);
         let mut all = Vec::new();
         for n in 0..300u64 {
-            desk.now += 7_000;
-            all.extend(desk.turn(&[Event::PlacementRequested(task(n, n % 9, desk.now + S))]));
-            all.extend(desk.turn(&[
-                Event::AttemptAccepted(id(n, 0), None),
-                Event::TaskReported(id(n, 0), TaskReport::Started),
+            harness.now += 7_000;
+            all.extend(harness.turn(&[Event::PlacementRequested(task(
+                n,
+                n % 9,
+                harness.now + SECOND,
+            ))]));
+            all.extend(harness.turn(&[
+                Event::AttemptAccepted {
+                    attempt: attempt_id(n, 0),
+                    elapsed: None,
+                },
+                Event::TaskReported {
+                    attempt: attempt_id(n, 0),
+                    report: TaskReport::Started,
+                },
             ]));
             if n % 3 == 0 {
-                all.extend(desk.turn(&[end(n, 0, AttemptOutcome::Completed, None)]));
+                all.extend(harness.turn(&[finished(n, 0, AttemptOutcome::Completed, None)]));
             }
         }
         all
@@ -240,18 +291,27 @@
 }
 
 #[test]
-fn late_repeated_and_unknown_events_are_ignored() {
-    let mut desk = Desk::new(settings(RetrySafety::Idempotent), 1);
+fn late_duplicate_and_unknown_events_are_ignored() {
+    let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     let unknown = [
-        Event::AttemptAccepted(id(5, 0), None),
-        Event::TaskReported(id(5, 0), TaskReport::Started),
-        Event::TaskReported(id(5, 3), TaskReport::Served(0.1)),
-        end(5, 0, AttemptOutcome::Completed, None),
+        Event::AttemptAccepted {
+            attempt: attempt_id(5, 0),
+            elapsed: None,
+        },
+        Event::TaskReported {
+            attempt: attempt_id(5, 0),
+            report: TaskReport::Started,
+        },
+        Event::TaskReported {
+            attempt: attempt_id(5, 3),
+            report: TaskReport::Served(0.1),
+        },
+        finished(5, 0, AttemptOutcome::Completed, None),
         Event::ClientDisconnected(TaskId(5)),
-        Event::TimerFired(77),
+        Event::TimerFired { label: 77 },
         Event::Probed {
             machine: MachineId(99),
-            ok: true,
+            answered: true,
             load: None,
         },
         Event::PeerMessage {
@@ -259,32 +319,42 @@
             bytes: vec![1],
         },
         Event::DiscoveryUnavailable,
-        Event::TaskAdopted(
-            Task {
+        Event::TaskAdopted {
+            task: Task {
                 class: 9,
                 ..task(6, 6, 0)
             },
-            MachineId(0),
-        ),
+            machine: MachineId(0),
+        },
     ];
-    assert!(desk.turn(&unknown).is_empty());
-    let refused = desk.turn(&[Event::PlacementRequested(Task {
+    assert!(harness.turn(&unknown).is_empty());
+    let refused = harness.turn(&[Event::PlacementRequested(Task {
         class: 9,
-        ..task(7, 7, 9 * S)
+        ..task(7, 7, 9 * SECOND)
     })]);
-    assert_eq!(answers(&refused), [Action::Reject(TaskId(7), None)]);
+    assert_eq!(
+        final_answers(&refused),
+        [Action::Reject {
+            task: TaskId(7),
+            retry_after: None
+        }]
+    );
     // Time that seems to run back is taken for standing still.
-    desk.now = 0;
-    desk.ask(task(8, 8, 9 * S));
+    harness.now = 0;
+    harness.request(task(8, 8, 9 * SECOND));
     assert!(
-        desk.turn(&[end(8, 0, AttemptOutcome::Completed, None), end(8, 0, AttemptOutcome::Completed, None)])
+        harness
+            .turn(&[
+                finished(8, 0, AttemptOutcome::Completed, None),
+                finished(8, 0, AttemptOutcome::Completed, None)
+            ])
             .len()
             < 3
     );
 }
 
 #[test]
-fn settings_that_make_no_sense_are_refused() {
+fn invalid_settings_are_rejected() {
     let error = |change: fn(&mut Settings)| {
         let mut settings = settings(RetrySafety::Idempotent);
         change(&mut settings);
@@ -300,8 +370,8 @@
         Some(SettingsError::Empty("kinds"))
     );
     assert_eq!(
-        error(|s| s.classes[0].kind = Some(4)),
-        Some(SettingsError::UnknownKind(4))
+        error(|s| s.classes[0].machine_kind = Some(4)),
+        Some(SettingsError::UnknownMachineKind(4))
     );
     let bad: [fn(&mut Settings); 5] = [
         |s| s.admit_cores = f64::NAN,
