--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,11 @@
-//! The decisions of a scheduler for tasks that ask for cores and memory, sans-I/O. Many placers share the same
-//! machines and tell each other nothing; each decides by Blind GB-PANDAS (Yekkehkhany and Nagi), with guards for what
-//! must hold when machines, lists and placers fail. `src/control.rs` is the module, with all decisions;
-//! `src/interface.rs` is what goes in and comes out.
+//! The decisions of a scheduler for tasks that request cores and memory, sans-I/O. Many placers share the same machines
+//! and exchange no messages; each decides by Blind GB-PANDAS (Yekkehkhany and Nagi), with guards for what must hold when
+//! machines, lists and placers fail. `src/policy` holds all decisions, `src/interface` what goes in and comes out.
 //!
-//! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`:
-//! give it the time and everything that has happened since the last call, then carry out the actions in
-//! order. It keeps no clock and does no I/O; equal seeds and events give equal actions. The example
-//! announces a machine, asks for a place and handles an outcome and a reminder.
+//! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`: give it the
+//! time and everything that has happened since the last call, then carry out the actions in order. It keeps no clock and
+//! does no I/O; equal seeds and events give equal actions. The example announces a machine, requests a placement and
+//! handles a timer and a rejection.
 //!
 //! As a program:
 //!
@@ -15,76 +14,89 @@
 //!
 //! fn main() -> Result<(), SettingsError> {
 //!     let settings = Settings {
-//!         placers: 1,
-//!         number: 0,
+//!         replica_count: 1,
+//!         replica_index: 0,
 //!         zone: 0,
 //!         classes: vec![Class {
-//!             effect: Effect::Safe,
-//!             aim: 600_000,
-//!             worth: 1.0,
+//!             retry_safety: RetrySafety::Idempotent,
+//!             latency_objective: 600_000,
+//!             priority_weight: 1.0,
 //!             start_bonus_s: 10.0,
 //!             priority: 0,
-//!             kind: None,
-//!             spread: None,
+//!             machine_kind: None,
+//!             spread_limit: None,
 //!         }],
-//!         kinds: vec![Room::new(16.0, 64.0)],
-//!         discovery: Discovery::Push,
-//!         seated: SeatedWhen::Running,
+//!         kinds: vec![Resources::new(16.0, 64.0)],
+//!         discovery: DiscoveryMode::Watch,
+//!         acceptance_point: AcceptancePoint::Running,
 //!         admit_cores: 1.0,
 //!         admit_memory: 1.0,
-//!         view: false,
-//!         report: LoadReport::Silent,
-//!         limits: Limits { max_attempts: 3, cancel: true, probes: false, peers: false, come_back: None },
+//!         endpoints_report_capacity: false,
+//!         load_report: LoadReport::Silent,
+//!         limits: Limits {
+//!             max_attempts: 3,
+//!             can_cancel: true,
+//!             can_probe: false,
+//!             can_message_peers: false,
+//!             max_retry_after: None,
+//!         },
 //!         rules: Rules {
-//!             ask_within: 10_000_000,
-//!             cold_from: 0.2,
-//!             cold_for: 15_000_000,
-//!             fall_multiple: 3.0,
-//!             fall_window: 2_000_000,
-//!             fresh_offers: 20.0,
+//!             max_poll_interval: 10_000_000,
+//!             initial_capacity_share: 0.2,
+//!             warm_up_duration: 15_000_000,
+//!             overload_multiple: 3.0,
+//!             overload_window: 2_000_000,
+//!             warm_up_offers: 20.0,
 //!         },
-//!         prices: Prices::default(),
+//!         costs: Costs::default(),
 //!     };
 //!     let mut placer = Placer::new(settings, 7)?;
-//!     let machine = Listing {
+//!     let machine = MachineEntry {
 //!         machine: MachineId(0),
-//!         label: 0x5eed,
+//!         stable_hash: 0x5eed,
 //!         zone: 0,
 //!         cell: 0,
 //!         kind: 0,
 //!         state: MachineState::Ready,
-//!         started: None,
-//!         unasked: None,
+//!         started_at: None,
+//!         unallocated: None,
 //!     };
 //!     let task = Task {
 //!         id: TaskId(1),
 //!         service: ServiceId(9),
 //!         class: 0,
-//!         asks: Room::new(1.0, 2.0),
-//!         life: None,
-//!         give_up_at: 5_000_000,
-//!         again: false,
+//!         requested: Resources::new(1.0, 2.0),
+//!         expected_duration: None,
+//!         deadline: 5_000_000,
+//!         is_resubmission: false,
 //!     };
 //!
-//!     // Announce a machine and ask for a place.
+//!     // Announce a machine and request a placement: the task is offered to it.
 //!     let mut actions = Vec::new();
-//!     let listed = Event::Listed { scope: Scope::Full, machines: vec![machine] };
-//!     placer.turn(0, &[listed, Event::Asked(task)], &mut actions);
-//!     assert!(actions.iter().any(|a| matches!(a, Action::Offer { task: TaskId(1), machine: MachineId(0), .. })));
+//!     let list = Event::EndpointsUpdated { scope: UpdateScope::Full, machines: vec![machine] };
+//!     placer.turn(0, &[list, Event::PlacementRequested(task)], &mut actions);
+//!     let is_offer = |a: &Action| matches!(a, Action::Offer { task: TaskId(1), machine: MachineId(0), .. });
+//!     assert!(actions.iter().any(is_offer));
 //!
-//!     // A reminder that the placer asked for falls due; the offer is still out, so nothing is owed yet.
+//!     // A timer that the placer set fires; the offer is in flight and the deadline far, so there is no answer yet.
 //!     let label = actions.iter().find_map(|a| match a {
-//!         Action::Wake(_, label) => Some(*label),
+//!         Action::SetTimer { label, .. } => Some(*label),
 //!         _ => None,
 //!     });
 //!     actions.clear();
-//!     placer.turn(20_000, &[Event::Woken(label.expect("a deadline is watched"))], &mut actions);
-//!     assert!(!actions.iter().any(|a| matches!(a, Action::Refuse(..) | Action::Fail(_))));
+//!     let timer = Event::TimerFired { label: label.expect("a timer for the deadline") };
+//!     placer.turn(20_000, &[timer], &mut actions);
+//!     assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
 //!
-//!     // The machine turns the offer down; it could be tried again, or another.
-//!     let end = End { ending: Ending::Refused, why: Some(Why::Line), closed: false, load: None };
-//!     let turned_down = Event::Ended(AttemptId { task: TaskId(1), number: 0 }, end);
-//!     placer.turn(40_000, &[turned_down], &mut actions);
+//!     // The machine rejects the offer; it could be offered again, there or elsewhere.
+//!     let result = AttemptResult {
+//!         outcome: AttemptOutcome::Rejected,
+//!         reason: Some(FailureReason::QueueFull),
+//!         closes_task: false,
+//!         load: None,
+//!     };
+//!     let attempt = AttemptId { task: TaskId(1), number: 0 };
+//!     placer.turn(40_000, &[Event::AttemptFinished { attempt, result }], &mut actions);
 //!     Ok(())
 //! }
 //! ```
