--- a/crates/judge/src/numbers.rs
+++ b/crates/checker/src/numbers.rs
@@ -121,7 +121,7 @@
                 numbers.unavailable.insert(placer.clone());
             }
             Observation::PlacerPaused { placer } => {
-                drop(numbers.unavailable.insert(placer.clone()))
+                numbers.unavailable.insert(placer.clone());
             }
             Observation::PlacerGoesOn { placer } => drop(numbers.unavailable.remove(placer)),
             _ => {}
--- a/crates/judge/tests/excuses.rs
+++ b/crates/checker/tests/excuses.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use maplethread_judge::{HistoryEntry, Location, Observation, Outcome, RuleParameters, check};
+use maplethread_checker::{HistoryEntry, Location, Observation, Outcome, RuleParameters, check};
 use maplethread_wire::frame::Frame;
 
 use support::{S, figures, name, offer};
--- a/crates/judge/tests/read_late.rs
+++ b/crates/checker/tests/read_late.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use maplethread_judge::{
+use maplethread_checker::{
     HistoryEntry, Location, Observation, Observer, Outcome, RuleParameters, check,
 };
 use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, ResourceAmounts};
--- a/crates/judge/tests/spreads.rs
+++ b/crates/checker/tests/spreads.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use maplethread_judge::{
+use maplethread_checker::{
     ClassRule, HistoryEntry, Location, Observation, Place, RuleParameters, check,
 };
 use maplethread_wire::frame::{Frame, Reason};
--- a/crates/judge/tests/support/mod.rs
+++ b/crates/checker/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use maplethread_judge::RuleParameters;
+use maplethread_checker::RuleParameters;
 use maplethread_wire::frame::{DuplicatePolicy, Offer, ResourceAmounts};
 
 pub const S: u64 = 1_000_000;
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/drill.rs
@@ -5,8 +5,8 @@
 
 use clap::Args;
 use maplethread_config::Document;
-use maplethread_fleet_drill::run::{self, FaultInjectionRun};
-use maplethread_fleet_drill::schedule::Schedule;
+use maplethread_fault_injection::run::{self, FaultInjectionRun};
+use maplethread_fault_injection::schedule::Schedule;
 
 #[derive(Args)]
 pub struct DrillArgs {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,13 +14,13 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use maplethread_config::{DampingMode, Document, PlacerConfig};
+use maplethread_emulator::mutant::MutantOutcome;
+use maplethread_emulator::random_choice::RandomChoice;
+use maplethread_emulator::recorded_scenario::{self, RecordedScenario};
+use maplethread_emulator::report::Report;
+use maplethread_emulator::scenario::Scenario;
+use maplethread_emulator::scenario_run;
 use maplethread_engine::Decide;
-use maplethread_standin::mutant::MutantOutcome;
-use maplethread_standin::random_choice::RandomChoice;
-use maplethread_standin::recorded_scenario::{self, RecordedScenario};
-use maplethread_standin::report::Report;
-use maplethread_standin::scenario::Scenario;
-use maplethread_standin::scenario_run;
 
 #[derive(Parser)]
 #[command(name = "maplethread", version, about, max_term_width = 100)]
@@ -475,7 +475,7 @@
     let program = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
     let trace = absolute(&args.trace)?;
     let measure = |rate: f64| {
-        let options = maplethread_standin::load_test::LoadOptions {
+        let options = maplethread_emulator::load_test::LoadOptions {
             program: program.clone(),
             requests_per_s: rate,
             seconds: args.seconds,
@@ -487,7 +487,7 @@
             trace_folder: trace.clone(),
         };
         let measured =
-            maplethread_standin::load_test::run(&options).map_err(|e| format!("load: {e}"))?;
+            maplethread_emulator::load_test::run(&options).map_err(|e| format!("load: {e}"))?;
         if args.json {
             println!("{}", measured.json());
         } else {
@@ -497,7 +497,7 @@
     };
     let first = measure(args.rate)?;
     if args.max {
-        let sustained = |m: &maplethread_standin::load_test::LoadResult| {
+        let sustained = |m: &maplethread_emulator::load_test::LoadResult| {
             m.answer_us[1] < 50_000 && m.placed == m.requests
         };
         let (mut low, mut high) = (0.0, args.rate);
@@ -524,12 +524,12 @@
         let port = if port == 0 { 0 } else { port.saturating_add(n) };
         std::net::SocketAddr::from(([127, 0, 0, 1], port))
     };
-    let settings = maplethread_consul_standin::EmulatorSettings {
+    let settings = maplethread_consul_emulator::EmulatorSettings {
         listen: (0..servers.max(1)).map(at).collect(),
         lag_us: lag_ms * 1000,
-        ..maplethread_consul_standin::EmulatorSettings::new(1)
+        ..maplethread_consul_emulator::EmulatorSettings::new(1)
     };
-    let servers = maplethread_consul_standin::Servers::start(settings)
+    let servers = maplethread_consul_emulator::Servers::start(settings)
         .map_err(|e| format!("servers: {e}"))?;
     for address in &servers.addresses {
         println!("stand-in for Consul listening on {address}");
--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use maplethread_consul_standin::{EmulatorSettings, Faults, Servers};
+use maplethread_consul_emulator::{EmulatorSettings, Faults, Servers};
 use maplethread_wire::frame::Frame;
 use rustix::process::Signal;
 use serde_json::{Value, json};
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -8,8 +8,8 @@
     Dimension, Direction, Fault, MessageCount, MessageKind, Phase, RESULT_FORMAT, SweepResult,
 };
 use maplethread_config::Document;
+use maplethread_emulator::traffic::Traffic;
 use maplethread_scale::{ClientPlan, Fleet, FleetSize, InterruptFlag, SweepFile};
-use maplethread_standin::traffic::Traffic;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_maplethread");
 /// A life after which tasks end by themselves within a test.
--- a/crates/consul-standin/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -1,5 +1,5 @@
 //! Measures readers of the stand-in: time from a change to the reader's news, cost of taking in whole answers, and
-//! what many readers cost the servers. `cargo run --release -p maplethread-consul-standin --example measure`.
+//! what many readers cost the servers. `cargo run --release -p maplethread-consul-emulator --example measure`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -8,7 +8,7 @@
 use maplethread_config::{Document, PlacerConfig};
 use maplethread_consul::catalogue::{KnownNames, read_host_list};
 use maplethread_consul::{ConsulSource, Output, Update};
-use maplethread_consul_standin::{EmulatorSettings, Servers};
+use maplethread_consul_emulator::{EmulatorSettings, Servers};
 use maplethread_placer::{Clock, ConsulClient};
 use maplethread_reactor::{Poller, Readiness};
 use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
--- a/crates/consul-standin/tests/bodies.rs
+++ b/crates/consul-emulator/tests/bodies.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use maplethread_consul_standin::{EmulatorSettings, Servers};
+use maplethread_consul_emulator::{EmulatorSettings, Servers};
 use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role};
 use serde_json::{Value, json};
 
--- a/crates/consul-standin/tests/client_library.rs
+++ b/crates/consul-emulator/tests/client_library.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use maplethread_consul_standin::{EmulatorSettings, Servers};
+use maplethread_consul_emulator::{EmulatorSettings, Servers};
 use rs_consul::types::{
     GetServiceNodesRequest, LockRequest, QueryOptions, ReadKeyRequest, RegisterEntityPayload,
     RegisterEntityService,
--- a/crates/standin/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -15,7 +15,7 @@
     CostSettings, DampingMode, HostEntry, HostKind, HostSettings, HostState, Identity, Inventory,
     PlacementSettings, PlacerConfig, RuleSettings,
 };
-use maplethread_consul_standin::{EmulatorSettings as ServerSettings, Servers};
+use maplethread_consul_emulator::{EmulatorSettings as ServerSettings, Servers};
 use maplethread_engine::Timers;
 use maplethread_placer::Clock;
 use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
--- a/crates/standin/src/looks.rs
+++ b/crates/emulator/src/looks.rs
@@ -1,6 +1,6 @@
 //! How late a thread of stand-ins reads what it records: when it last found nothing more to read.
 
-use maplethread_judge::{Observation, Observer};
+use maplethread_checker::{Observation, Observer};
 
 #[cfg(test)]
 mod tests;
--- a/crates/standin/src/looks/tests.rs
+++ b/crates/emulator/src/looks/tests.rs
@@ -1,6 +1,6 @@
 //! When a reader tells that it is late, and since when.
 
-use maplethread_judge::{Observation, Observer};
+use maplethread_checker::{Observation, Observer};
 
 use super::ReadTimes;
 
--- a/crates/standin/src/mutant.rs
+++ b/crates/emulator/src/mutant.rs
@@ -5,7 +5,7 @@
 use std::io::{self, BufRead, BufReader, Seek, SeekFrom};
 use std::path::Path;
 
-use maplethread_judge::Verdict;
+use maplethread_checker::Verdict;
 
 use crate::random_choice::MOVE_AGAINST_RULE;
 
--- a/crates/standin/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -8,8 +8,8 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
+use maplethread_checker::{Observation, Observer as RecordReader, Outcome};
 use maplethread_engine::Timers;
-use maplethread_judge::{Observation, Observer as RecordReader, Outcome};
 use maplethread_reactor::{MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::http::{self, Decoder, Limits, MessageReader, ReadResult, Role, Step};
 use serde_json::{Value, json};
--- a/crates/standin/src/plan.rs
+++ b/crates/emulator/src/plan.rs
@@ -1,7 +1,7 @@
 //! Troubles laid out: what each does to hosts, placers, inventory, catalogue and owners, and when.
 
 use maplethread_config::HostState;
-use maplethread_consul_standin::Faults as CatalogueFaults;
+use maplethread_consul_emulator::Faults as CatalogueFaults;
 
 use crate::rack::HostCommand;
 use crate::run_options::PlacerFault;
--- a/crates/standin/src/rack.rs
+++ b/crates/emulator/src/rack.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 
 use maplethread_admission::DeduplicationTable;
+use maplethread_checker::{Observation, Observer};
 use maplethread_engine::Timers;
-use maplethread_judge::{Observation, Observer};
 use maplethread_reactor::{MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 
--- a/crates/standin/src/rack/sending.rs
+++ b/crates/emulator/src/rack/sending.rs
@@ -1,7 +1,7 @@
 //! What the hosts write, what is counted of their traffic, and hosts that cannot be reached.
 
 use maplethread_capacity::Direction;
-use maplethread_judge::Observation;
+use maplethread_checker::Observation;
 use maplethread_wire::frame::{self, Frame};
 
 use super::HostThread;
--- a/crates/standin/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use maplethread_judge::{HistoryEntry, Observation, Outcome, Verdict, Violation};
+use maplethread_checker::{HistoryEntry, Observation, Outcome, Verdict, Violation};
 use maplethread_wire::frame::Frame;
 use serde_json::{Value, json};
 
--- a/crates/standin/src/scenario_run.rs
+++ b/crates/emulator/src/scenario_run.rs
@@ -8,11 +8,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
+use maplethread_checker::{Observation, Verdict, check};
 use maplethread_config::{HostState, Inventory};
-use maplethread_consul_standin::{
+use maplethread_consul_emulator::{
     EmulatorSettings as ServerSettings, Faults as CatalogueFaults, LockEvent, Servers,
 };
-use maplethread_judge::{Observation, Verdict, check};
 use rustix::process::Signal;
 
 use crate::calls::register;
--- a/crates/standin/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
+use maplethread_checker::{ClassRule, Group, Location, Place, RuleParameters};
 use maplethread_config::{
     ApiSettings, ConsulSettings, CostSettings, DampingMode, HostEntry, HostSettings, HostState,
     Identity, Inventory, PlacementSettings, PlacerConfig, ReadConsistency,
     RuleSettings as PlacerRules, SlotLeaseSettings, TraceSettings,
 };
-use maplethread_judge::{ClassRule, Group, Location, Place, RuleParameters};
 
 use crate::owners::SLACK;
 use crate::scenario::Scenario;
--- a/crates/standin/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-use maplethread_judge::{HistoryEntry, Observation};
+use maplethread_checker::{HistoryEntry, Observation};
 use maplethread_placer::Clock;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/standin/tests/rogue.rs
+++ b/crates/emulator/tests/rogue.rs
@@ -7,9 +7,9 @@
     TaskId, UpdateScope,
 };
 use maplethread_config::{Document, PlacerConfig};
+use maplethread_emulator::mutant::{MutantOutcome, MutantResult};
+use maplethread_emulator::random_choice::RandomChoice;
 use maplethread_engine::Decide;
-use maplethread_standin::mutant::{MutantOutcome, MutantResult};
-use maplethread_standin::random_choice::RandomChoice;
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
 /// The class that is spread over zones.
--- a/crates/fleet-drill/examples/drawn.rs
+++ b/crates/fault-injection/examples/drawn.rs
@@ -1,6 +1,6 @@
-//! Plays drawn schedules in the model: `cargo run --release -p maplethread-fleet-drill --example drawn -- FIRST COUNT`.
+//! Plays drawn schedules in the model: `cargo run --release -p maplethread-fault-injection --example drawn -- FIRST COUNT`.
 
-use maplethread_fleet_drill::random_schedule::run_random_schedule;
+use maplethread_fault_injection::random_schedule::run_random_schedule;
 
 fn main() {
     let mut args = std::env::args()
--- a/crates/fleet-drill/examples/measure.rs
+++ b/crates/fault-injection/examples/measure.rs
@@ -1,11 +1,11 @@
 //! Measures the fleet's view in the model: times to see joins, crashes and heals, what it costs, and false alarms, by size
 //! and loss, beside every member testing every other.
-//! `cargo run --release -p maplethread-fleet-drill --example measure -- SIZE [REPEATS]`, or `alarms LOSS HOURS`.
+//! `cargo run --release -p maplethread-fault-injection --example measure -- SIZE [REPEATS]`, or `alarms LOSS HOURS`.
 
 use std::time::Instant;
 
-use maplethread_fleet::MemberState;
-use maplethread_fleet_drill::model::{MS, Model, S, member_name};
+use maplethread_fault_injection::model::{MS, Model, S, member_name};
+use maplethread_membership::MemberState;
 
 fn median(mut all: Vec<u64>) -> (f64, f64) {
     all.sort_unstable();
--- a/crates/fleet-drill/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use maplethread_standin::run_options::{PlacerFault, RunEvent};
+use maplethread_emulator::run_options::{PlacerFault, RunEvent};
 use serde_json::{Value, json};
 
 use crate::observers::{Sample, Watched};
@@ -167,8 +167,8 @@
     let (mut without, mut with) = (0, 0);
     for (&by, told) in &watched.changes {
         for change in told {
-            let own =
-                change.event["to"] == "down" && change.event["by"] == maplethread_fleet::OWN_TEST;
+            let own = change.event["to"] == "down"
+                && change.event["by"] == maplethread_membership::OWN_TEST;
             let of = change.event["name"]
                 .as_str()
                 .and_then(|n| n.strip_prefix("placer-")?.parse().ok());
--- a/crates/fleet-drill/src/checker/tests.rs
+++ b/crates/fault-injection/src/checker/tests.rs
@@ -74,7 +74,7 @@
         at,
         event: json!({"name": name, "from": "suspect", "to": "down", "by": by}),
     };
-    let own = maplethread_fleet::OWN_TEST;
+    let own = maplethread_membership::OWN_TEST;
     // One that runs, by the teller's own test; the same by hearsay; and the one that was killed.
     let told = vec![
         down(19 * S, "placer-1", own),
--- a/crates/fleet-drill/src/model.rs
+++ b/crates/fault-injection/src/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use maplethread_fleet::{
+use maplethread_membership::{
     Change, Facts, KeyRing, LocalMember, MemberName, MemberState, Micros, Notice, OWN_TEST, Output,
     Settings, Timing,
 };
@@ -186,7 +186,7 @@
     }
 
     /// What the member at a place shows now.
-    pub fn view(&self, at: usize) -> maplethread_fleet::View {
+    pub fn view(&self, at: usize) -> maplethread_membership::View {
         self.local_member(at).view(self.local(at))
     }
 
--- a/crates/fleet-drill/src/model/fixtures.rs
+++ b/crates/fault-injection/src/model/fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use maplethread_fleet::{Facts, KeyRing};
+use maplethread_membership::{Facts, KeyRing};
 
 /// The fleet's key.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
--- a/crates/fleet-drill/src/model/settling.rs
+++ b/crates/fault-injection/src/model/settling.rs
@@ -1,6 +1,6 @@
 //! Whether members agree, how long that takes, and how they differ.
 
-use maplethread_fleet::{MemberState, Micros};
+use maplethread_membership::{MemberState, Micros};
 
 use super::{MS, Model, member_name};
 
--- a/crates/fleet-drill/src/random_schedule.rs
+++ b/crates/fault-injection/src/random_schedule.rs
@@ -1,6 +1,6 @@
 //! Schedules of faults drawn from a seed, for the model: which kinds exist at all is drawn too.
 
-use maplethread_fleet::MemberState;
+use maplethread_membership::MemberState;
 use maplethread_simnet::Link;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/fleet-drill/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use maplethread_config::FleetSettings;
+use maplethread_emulator::report::Report;
+use maplethread_emulator::run_options::{MembershipTest, RunEvent};
+use maplethread_emulator::scenario::Scenario;
+use maplethread_emulator::scenario_run;
 use maplethread_placer::Clock;
-use maplethread_standin::report::Report;
-use maplethread_standin::run_options::{MembershipTest, RunEvent};
-use maplethread_standin::scenario::Scenario;
-use maplethread_standin::scenario_run;
 use serde_json::{Value, json};
 
 use crate::checker::{Truth, Verdict, check};
--- a/crates/fleet-drill/src/schedule/steps.rs
+++ b/crates/fault-injection/src/schedule/steps.rs
@@ -1,7 +1,7 @@
 //! What a schedule does to the network and to placers, step by step.
 
+use maplethread_emulator::run_options::PlacerFault;
 use maplethread_simnet::{Link, Network};
-use maplethread_standin::run_options::PlacerFault;
 
 use super::{Kind, Schedule};
 
--- a/crates/fleet-drill/tests/drawn.rs
+++ b/crates/fault-injection/tests/drawn.rs
@@ -1,7 +1,7 @@
 //! Drawn schedules of faults in the model: once faults stop, all live members hold one view, and nobody who is gone is in
-//! it. `cargo run --release -p maplethread-fleet-drill --example drawn -- 0 1000` plays more.
+//! it. `cargo run --release -p maplethread-fault-injection --example drawn -- 0 1000` plays more.
 
-use maplethread_fleet_drill::random_schedule::run_random_schedule;
+use maplethread_fault_injection::random_schedule::run_random_schedule;
 
 fn all(seeds: impl Iterator<Item = u64>) {
     for seed in seeds {
--- a/crates/fleet-drill/tests/model/bounds.rs
+++ b/crates/fault-injection/tests/model/bounds.rs
@@ -1,6 +1,6 @@
 //! Keys, datagrams that are not sound, facts, and tables that do not grow.
 
-use maplethread_fleet_drill::model::{MS, Model, S};
+use maplethread_fault_injection::model::{MS, Model, S};
 
 use crate::settled;
 
@@ -8,11 +8,11 @@
 fn keys_are_changed_under_way_and_strangers_change_nothing() {
     let other = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
     let both = |first: &str, second: &str| {
-        maplethread_fleet_drill::model::keys(&format!(
+        maplethread_fault_injection::model::keys(&format!(
             "{first}\n# the one before or after\n{second}\n"
         ))
     };
-    let old = maplethread_fleet_drill::model::KEY;
+    let old = maplethread_fault_injection::model::KEY;
     let mut model = Model::new(15);
     model.is_recording = true;
     model.start_all(8);
@@ -22,7 +22,7 @@
     for step in [
         both(old, other),
         both(other, old),
-        maplethread_fleet_drill::model::keys(other),
+        maplethread_fault_injection::model::keys(other),
     ] {
         for place in model.places() {
             model.rekey(place, step.clone());
@@ -105,7 +105,7 @@
     model.network.default_link.loss = 0.1;
     model.start_all(10);
     settled(&mut model, 20 * S);
-    let mut facts = maplethread_fleet_drill::model::facts(1);
+    let mut facts = maplethread_fault_injection::model::facts(1);
     facts.version = "v".repeat(32).try_into().expect("it fits");
     facts.zone = "z".repeat(32).try_into().expect("it fits");
     (facts.is_draining, facts.replica_index, facts.load_percent) = (true, Some(u32::MAX), 255);
--- a/crates/fleet-drill/tests/model/faults.rs
+++ b/crates/fault-injection/tests/model/faults.rs
@@ -1,7 +1,7 @@
 //! Crashes, partitions, loss, pauses and one-way cuts: who is called down, and how soon all agree.
 
-use maplethread_fleet::{MemberState, Notice};
-use maplethread_fleet_drill::model::{MS, Model, S};
+use maplethread_fault_injection::model::{MS, Model, S};
+use maplethread_membership::{MemberState, Notice};
 
 use crate::settled;
 
--- a/crates/fleet-drill/tests/model/lives.rs
+++ b/crates/fault-injection/tests/model/lives.rs
@@ -1,7 +1,7 @@
 //! Lives of one name: restarts, clocks that are wrong, namesakes, departures and datagrams of lives that are over.
 
-use maplethread_fleet::{MemberState, Notice};
-use maplethread_fleet_drill::model::{MS, Model, S};
+use maplethread_fault_injection::model::{MS, Model, S};
+use maplethread_membership::{MemberState, Notice};
 
 use crate::settled;
 
--- a/crates/fleet-drill/tests/model/main.rs
+++ b/crates/fault-injection/tests/model/main.rs
@@ -4,7 +4,7 @@
 mod faults;
 mod lives;
 
-use maplethread_fleet_drill::model::Model;
+use maplethread_fault_injection::model::Model;
 
 /// How long the fleet takes until all running members hold one view.
 fn settled(model: &mut Model, within: u64) -> u64 {
--- a/crates/ownership/tests/model.rs
+++ b/crates/leadership/tests/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use maplethread_ownership::{Output, Saved, Settings, Voter};
+use maplethread_leadership::{Output, Saved, Settings, Voter};
 use maplethread_simnet::{Link, Network};
 use maplethread_timers::Timers;
 use rand_pcg::Pcg64Mcg;
@@ -427,7 +427,7 @@
 
 #[test]
 fn a_damaged_or_foreign_store_is_told() {
-    use maplethread_ownership::Write;
+    use maplethread_leadership::Write;
     let settings = Settings {
         id: 1,
         voters: vec![1],
@@ -523,7 +523,7 @@
     (10_000..10_150).for_each(drawn);
 }
 
-/// `cargo test --release -p maplethread-ownership --test model -- --ignored`
+/// `cargo test --release -p maplethread-leadership --test model -- --ignored`
 #[test]
 #[ignore = "thousands of schedules, for a sitting of its own"]
 fn thousands_of_drawn_schedules() {
--- a/crates/placer/src/fleet.rs
+++ b/crates/placer/src/fleet.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use maplethread_config::{FleetSettings as FleetConfig, PlacerConfig};
-use maplethread_fleet::{
+use maplethread_membership::{
     Facts, KeyRing, LocalMember, MAX_DATAGRAM_BYTES, MemberName, MemberState, Output, Settings,
     Timing,
 };
@@ -87,7 +87,7 @@
         poller
             .register(&watch, keys_token, false)
             .map_err(io_error("inotify"))?;
-        let bad = |e: maplethread_fleet::TextError| io_error("[fleet]")(io::Error::other(e));
+        let bad = |e: maplethread_membership::TextError| io_error("[fleet]")(io::Error::other(e));
         let settings = Settings {
             name: MemberName::try_from(config.identity.name.clone()).map_err(bad)?,
             advertised_address: fleet.advertise.unwrap_or(bound),
--- a/crates/platform/src/engine/host_table.rs
+++ b/crates/platform/src/engine/host_table.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use maplethread::{Event, MachineEntry, MachineId, MachineState, Micros, TaskId, UpdateScope};
-use maplethread_deployment::host_names::stable_hash;
-use maplethread_deployment::{HostNames, micros};
+use maplethread_platform_settings::host_names::stable_hash;
+use maplethread_platform_settings::{HostNames, micros};
 use maplethread_platform_wire::channel::{Endpoint, Nodes, Status};
 
 use super::LinkId;
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -18,8 +18,8 @@
     Action, AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, MachineId,
     MachineState, Micros, RetrySafety, Settings, TaskId,
 };
-use maplethread_deployment::PlatformSettings;
 use maplethread_engine::{Decide, Timers};
+use maplethread_platform_settings::PlatformSettings;
 use maplethread_platform_wire::channel::Batch;
 use maplethread_platform_wire::host::{self, ToHost};
 use maplethread_platform_wire::owner::ToOwner;
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -8,7 +8,7 @@
 use maplethread_platform_wire::owner::{Fault, FromOwner, SetUp, ToOwner};
 use maplethread_platform_wire::{Sid, cause};
 
-use maplethread_deployment::micros;
+use maplethread_platform_settings::micros;
 
 use super::early::EarlyResult;
 use super::tasks::{Stand, TaskEntry};
--- a/crates/platform/src/engine/tests.rs
+++ b/crates/platform/src/engine/tests.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use maplethread::*;
-use maplethread_deployment::{decode_policy_settings, terms};
+use maplethread_platform_settings::{decode_policy_settings, terms};
 use maplethread_platform_wire::channel::{self, Batch};
 use maplethread_platform_wire::host::{FromHost, Told};
 use maplethread_platform_wire::owner::{Fault, FromOwner, SetUp};
--- a/crates/platform/src/start.rs
+++ b/crates/platform/src/start.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use maplethread::{LoadReport, Micros, Settings};
-use maplethread_deployment::{FieldError, PlatformSettings};
+use maplethread_platform_settings::{FieldError, PlatformSettings};
 use maplethread_platform_wire::config::Config;
 use serde_json::Value;
 
@@ -37,8 +37,8 @@
 /// The decisions' settings and the platform's terms, from the settings object; the error names the first key that is
 /// missing or wrong.
 pub fn decode_settings(settings: &Value) -> Result<(Settings, PlatformSettings), FieldError> {
-    let (mut decisions, _) = maplethread_deployment::decode_policy_settings(settings)?;
-    let terms = maplethread_deployment::terms(settings)?;
+    let (mut decisions, _) = maplethread_platform_settings::decode_policy_settings(settings)?;
+    let terms = maplethread_platform_settings::terms(settings)?;
     // Offers wait for connections that are being made, and leave together: what is decided within a window and that time
     // may reach a host that came up cold within one window.
     decisions.rules.overload_window += terms.connect_within + ON_ITS_WAY;
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -6,15 +6,15 @@
 use std::time::{Duration, Instant};
 
 use maplethread_config::{HostState, Inventory};
-use maplethread_standin::clients::Clients;
-use maplethread_standin::hollow_placers::HollowPlacers;
-use maplethread_standin::placer_processes::Placers;
-use maplethread_standin::rack::{HostCommand, HostPool};
-use maplethread_standin::scenario::Scenario;
-use maplethread_standin::scenario_run::replace_file;
-use maplethread_standin::settings;
-use maplethread_standin::traffic::TrafficCounter;
-use maplethread_standin::world::RunContext;
+use maplethread_emulator::clients::Clients;
+use maplethread_emulator::hollow_placers::HollowPlacers;
+use maplethread_emulator::placer_processes::Placers;
+use maplethread_emulator::rack::{HostCommand, HostPool};
+use maplethread_emulator::scenario::Scenario;
+use maplethread_emulator::scenario_run::replace_file;
+use maplethread_emulator::settings;
+use maplethread_emulator::traffic::TrafficCounter;
+use maplethread_emulator::world::RunContext;
 use rustix::process::Signal;
 use tempfile::TempDir;
 
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use maplethread_standin::clients::{Clients, RequestLoad};
+use maplethread_emulator::clients::{Clients, RequestLoad};
 
 use crate::error::ScaleError;
 use crate::pause::InterruptFlag;
--- a/crates/scale/src/phases.rs
+++ b/crates/scale/src/phases.rs
@@ -4,7 +4,7 @@
 
 use hdrhistogram::Histogram;
 use maplethread_capacity::{Phase, PhaseSample, PointSettings};
-use maplethread_standin::clients::{AnswerTimes, Clients};
+use maplethread_emulator::clients::{AnswerTimes, Clients};
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use maplethread_capacity::{MessageCount, Phase, PhaseSample, ProcessSample};
-use maplethread_standin::traffic::Traffic;
-use maplethread_standin::usage::{process_holdings, process_usage};
+use maplethread_emulator::traffic::Traffic;
+use maplethread_emulator::usage::{process_holdings, process_usage};
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -2,8 +2,8 @@
 //! tasks, so that a measured size is limited by the placers and not by the hosts.
 
 use maplethread_config::AcceptancePoint;
-use maplethread_standin::scenario::{Class, Demand, Fleet, KindShare, Rules, Scenario};
-use maplethread_standin::settings::plain_class;
+use maplethread_emulator::scenario::{Class, Demand, Fleet, KindShare, Rules, Scenario};
+use maplethread_emulator::settings::plain_class;
 
 /// Hosts of a rack: what dies together in the smaller of the two faults of many hosts.
 pub(crate) const RACK: usize = 40;
--- a/drill/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -11,7 +11,7 @@
 use std::process::ExitCode;
 
 use maplethread::{Event, Micros, Placer, Settings};
-use maplethread_deployment::{CapacityReporting, FieldError, HostNames};
+use maplethread_platform_settings::{CapacityReporting, FieldError, HostNames};
 use serde_json::Value;
 use wire::{Incoming, Row};
 
--- a/drill/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -4,8 +4,8 @@
     Action, AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, MachineEntry,
     MachineState, Micros, Resources, ServiceId, Settings, Task, TaskId, TaskReport, UpdateScope,
 };
-use maplethread_deployment::host_names::stable_hash;
-use maplethread_deployment::{CapacityReporting, FieldError, HostNames, micros};
+use maplethread_platform_settings::host_names::stable_hash;
+use maplethread_platform_settings::{CapacityReporting, FieldError, HostNames, micros};
 use serde_json::{Value, json};
 
 use crate::Adapter;
@@ -150,7 +150,7 @@
         "EOB" => Incoming::EndOfBatch,
         "LAUNCH" => {
             let info = v.get(2).ok_or_else(|| v.error("bootInfo", "an object"))?;
-            let (settings, reports) = maplethread_deployment::decode_policy_settings(info)?;
+            let (settings, reports) = maplethread_platform_settings::decode_policy_settings(info)?;
             Incoming::Launch {
                 who: who(&v)?,
                 reports,
