--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -9,17 +9,17 @@
 use serde_json::{Value, json};
 use support::*;
 
-fn openapi() -> Value {
+fn openapi_document() -> Value {
     serde_json::from_str(include_str!("../../../docs/openapi.json")).expect("JSON")
 }
 
 /// What of a body does not fit a schema.
-fn misfit(doc: &Value, schema: &Value, body: &Value, at: &str) -> Option<String> {
+fn schema_mismatch(doc: &Value, schema: &Value, body: &Value, at: &str) -> Option<String> {
     if let Some(reference) = schema["$ref"].as_str() {
         let target = doc
             .pointer(reference.trim_start_matches('#'))
             .expect("a schema");
-        return misfit(doc, target, body, at);
+        return schema_mismatch(doc, target, body, at);
     }
     let fits = |kind: &str| match kind {
         "object" => body.is_object(),
@@ -59,19 +59,19 @@
             let Some(schema) = properties.get(name) else {
                 return Some(format!("{at}: {name} is not described"));
             };
-            if let Some(wrong) = misfit(doc, schema, value, &format!("{at}.{name}")) {
+            if let Some(wrong) = schema_mismatch(doc, schema, value, &format!("{at}.{name}")) {
                 return Some(wrong);
             }
         }
     }
     let items = body.as_array().into_iter().flatten();
     items
-        .filter_map(|item| misfit(doc, &schema["items"], item, at))
+        .filter_map(|item| schema_mismatch(doc, &schema["items"], item, at))
         .next()
 }
 
 /// Calls, and holds the answer to the description; `path` as it stands there.
-fn described(
+fn call_and_check_schema(
     doc: &Value,
     placer: &Placer,
     path: &str,
@@ -91,7 +91,7 @@
         .and_then(|c| c.values().next())
         .expect("a body");
     assert_eq!(
-        misfit(doc, &content["schema"], &answer, target),
+        schema_mismatch(doc, &content["schema"], &answer, target),
         None,
         "{answer}"
     );
@@ -99,13 +99,14 @@
 }
 
 #[test]
-fn what_is_served_is_what_is_described() {
-    let doc = openapi();
+fn responses_match_the_openapi_document() {
+    let doc = openapi_document();
     let text = include_str!("../../../docs/api.md");
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, mut links) = world(&[&host]);
     let link = &mut links[0];
-    let place = |body: &str| described(&doc, &placer, "/v1/actors", "POST", "/v1/actors", body);
+    let place =
+        |body: &str| call_and_check_schema(&doc, &placer, "/v1/actors", "POST", "/v1/actors", body);
     // Placing: all three outcomes, and what is turned down.
     let client = std::thread::scope(|scope| {
         let answer = scope.spawn(|| place(&ask("web-api", "s", "a1", 4000)));
@@ -156,11 +157,11 @@
     // Actors.
     let one = "/v1/actors/{service}/{actor}";
     assert_eq!(
-        described(&doc, &placer, one, "GET", "/v1/actors/s/a1", "").1["state"],
+        call_and_check_schema(&doc, &placer, one, "GET", "/v1/actors/s/a1", "").1["state"],
         "running"
     );
     assert_eq!(
-        described(&doc, &placer, one, "GET", "/v1/actors/s/a%31", "").0,
+        call_and_check_schema(&doc, &placer, one, "GET", "/v1/actors/s/a%31", "").0,
         200
     );
     for (method, target, status) in [
@@ -170,22 +171,23 @@
         ("DELETE", "/v1/actors/s/none", 404),
         ("DELETE", "/v1/actors/s/a1", 202),
     ] {
-        let (got, body) = described(&doc, &placer, one, method, target, "");
+        let (got, body) = call_and_check_schema(&doc, &placer, one, method, target, "");
         assert_eq!(got, status, "{target}");
         kinds.extend(body["type"].as_str().map(str::to_owned));
     }
     assert!(matches!(link.next(), Frame::Stop(_)));
-    let (_, page) = described(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=1", "");
+    let (_, page) =
+        call_and_check_schema(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=1", "");
     assert_eq!(
         (page["held"].as_u64(), page["actors"][0]["state"].as_str()),
         (Some(1), Some("stopping"))
     );
     assert_eq!(
-        described(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=x", "").0,
+        call_and_check_schema(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=x", "").0,
         400
     );
     assert_eq!(
-        described(
+        call_and_check_schema(
             &doc,
             &placer,
             "/v1/asks/{request}",
@@ -197,11 +199,11 @@
         404
     );
     assert_eq!(
-        described(&doc, &placer, "/v1/events", "GET", "/v1/events?life=1", "").0,
+        call_and_check_schema(&doc, &placer, "/v1/events", "GET", "/v1/events?life=1", "").0,
         410
     );
     assert_eq!(
-        described(
+        call_and_check_schema(
             &doc,
             &placer,
             "/v1/events",
@@ -213,18 +215,19 @@
         410
     );
     assert_eq!(
-        described(&doc, &placer, "/v1/status", "GET", "/v1/status", "").0,
+        call_and_check_schema(&doc, &placer, "/v1/status", "GET", "/v1/status", "").0,
         200
     );
     assert_eq!(
-        described(&doc, &placer, "/v1/status", "GET", "/v1/status?full=1", "").0,
+        call_and_check_schema(&doc, &placer, "/v1/status", "GET", "/v1/status?full=1", "").0,
         200
     );
-    let (status, problem) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
+    let (status, problem) =
+        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
     assert_eq!(status, 404);
     kinds.extend(problem["type"].as_str().map(str::to_owned));
     assert_eq!(
-        described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=x", "").0,
+        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=x", "").0,
         400
     );
     // Methods that are not described are refused, with those that are.
@@ -271,8 +274,8 @@
 }
 
 #[test]
-fn a_view_of_the_fleet_is_served_as_it_is_described() {
-    let doc = openapi();
+fn fleet_view_matches_the_openapi_document() {
+    let doc = openapi_document();
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = Placer::files(&[&host], "");
     let config = placer.folder().join("placer.toml");
@@ -283,7 +286,7 @@
     let ready = placer.start();
     let _link = host.greet(&[]);
     ready(&mut placer);
-    let (status, view) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
+    let (status, view) = call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
     assert_eq!(
         (
             status,
@@ -292,7 +295,8 @@
         ),
         (200, Some("p0"), Some(0))
     );
-    let (status, news) = described(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=0", "");
+    let (status, news) =
+        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=0", "");
     assert_eq!(
         (status, &news["digest"], news["live"].as_u64()),
         (200, &view["digest"], Some(1))
@@ -300,7 +304,7 @@
 }
 
 #[test]
-fn bad_messages_are_refused_and_the_connection_closed() {
+fn rejects_malformed_requests_and_closes_the_connection() {
     use std::io::Write;
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, _links) = world(&[&host]);
@@ -338,7 +342,7 @@
 }
 
 #[test]
-fn answers_are_given_again_to_their_key() {
+fn repeats_the_answer_for_the_same_idempotency_key() {
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, mut links) = world(&[&host]);
     let link = &mut links[0];
@@ -388,14 +392,14 @@
 }
 
 #[test]
-fn events_are_followed_and_resumed_and_a_follower_that_falls_behind_is_told() {
+fn event_stream_resumes_and_reports_to_a_slow_follower_what_it_lost() {
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = Placer::files(&[&host], "events_kept = 8");
     let ready = placer.start();
     let mut link = host.greet(&[]);
     ready(&mut placer);
     let life = placer.status()["life"].clone();
-    let mut follower = Follower::new(&placer, "/v1/events");
+    let mut follower = EventFollower::new(&placer, "/v1/events");
     let hello = follower.next().expect("a hello");
     assert_eq!(
         (
@@ -425,7 +429,7 @@
     drop(follower);
     place("a2");
     // Resumed after the second event: nothing is left out, nothing comes twice.
-    let mut follower = Follower::new(&placer, &format!("/v1/events?after=2&life={life}"));
+    let mut follower = EventFollower::new(&placer, &format!("/v1/events?after=2&life={life}"));
     assert_eq!(follower.next().expect("a hello")["next"], 3);
     let seqs: Vec<u64> = (0..4)
         .filter_map(|_| follower.next()?["seq"].as_u64())
@@ -442,15 +446,15 @@
 }
 
 /// A connection that follows events.
-struct Follower {
+struct EventFollower {
     client: Client,
     decoder: maplethread_wire::http::Decoder,
     buffer: Vec<u8>,
     lines: Vec<u8>,
 }
 
-impl Follower {
-    fn new(placer: &Placer, target: &str) -> Follower {
+impl EventFollower {
+    fn new(placer: &Placer, target: &str) -> EventFollower {
         use maplethread_wire::http::{Decoder, Limits, Role};
         let mut client = placer.client();
         client.write("GET", target, &[], "");
@@ -461,7 +465,7 @@
                 ..Limits::default()
             },
         );
-        Follower {
+        EventFollower {
             client,
             decoder,
             buffer: Vec::new(),
@@ -497,7 +501,7 @@
 }
 
 #[test]
-fn sigterm_answers_what_is_out_and_leaves() {
+fn sigterm_answers_pending_requests_and_exits() {
     let host = ScriptedHost::new("h1", "a", "1");
     let (mut placer, mut links) = world(&[&host]);
     let link = &mut links[0];
@@ -533,7 +537,7 @@
 }
 
 #[test]
-fn a_bad_inventory_keeps_the_last_good_list_and_limits_have_their_answers() {
+fn invalid_inventory_keeps_the_last_valid_one_and_limits_are_answered() {
     let (h1, h2) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -591,7 +595,7 @@
 }
 
 #[test]
-fn the_settings_to_try_by_hand_are_sound_and_bad_ones_are_told_with_line_and_key() {
+fn example_settings_are_valid_and_errors_name_line_and_key() {
     use std::process::Command;
     let run = |file: &std::path::Path| {
         let out = Command::new(env!("CARGO_BIN_EXE_maplethread"))
--- a/crates/cli/tests/hard_cases.rs
+++ b/crates/cli/tests/hard_cases.rs
@@ -10,10 +10,10 @@
 use rustix::process::Signal;
 use support::*;
 
-const MOMENT: Duration = Duration::from_millis(150);
+const SETTLE_TIME: Duration = Duration::from_millis(150);
 
 /// Waits until one of these hosts has an offer; returns which, and the offer.
-fn offered(links: &mut [Link]) -> (usize, maplethread_wire::frame::Offer) {
+fn wait_for_offer(links: &mut [Link]) -> (usize, maplethread_wire::frame::Offer) {
     let until = Instant::now() + PATIENCE;
     loop {
         for (i, link) in links.iter_mut().enumerate() {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn keyed_actor_leaves_its_group_only_if_no_attempt_may_have_run() {
+fn keyed_actor_leaves_its_group_only_if_no_attempt_possibly_started() {
     let hosts = [
         ScriptedHost::new("a1", "a", "1"),
         ScriptedHost::new("a2", "a", "2"),
@@ -40,7 +40,7 @@
             &ask("ledger-batch", "interest", &format!("run-{round}"), 2000),
             &format!("r{round}"),
         );
-        let (first, offer) = offered(&mut links);
+        let (first, offer) = wait_for_offer(&mut links);
         assert_eq!(offer.prior_attempts, 0);
         let silent = round % 2 == 0;
         if !silent {
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn hang_up_while_the_third_try_is_out_leaves_nothing_behind() {
+fn client_disconnect_during_third_attempt_leaves_no_state() {
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, mut links) = world(&[&host]);
     let link = &mut links[0];
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn acceptance_and_hang_up_that_cross_end_in_one_way() {
+fn acceptance_crossing_client_disconnect_has_one_result() {
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, mut links) = world(&[&host]);
     let link = &mut links[0];
@@ -161,7 +161,7 @@
             drop(client);
         }
         // Either it was placed and stays so, its answer lost on the way, or it was called off.
-        let called_off = matches!(link.next_within(MOMENT), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
+        let called_off = matches!(link.next_within(SETTLE_TIME), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
         if called_off {
             link.send(&Frame::Ended(
                 offer.attempt_id,
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn connection_that_breaks_inside_an_offer_ends_as_the_class_allows() {
+fn host_disconnect_inside_an_offer_ends_as_retry_safety_allows() {
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = Placer::files(&[&host], "");
     let ready = placer.start();
@@ -217,7 +217,7 @@
     // A safe one is simply tried again once the host is back.
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "safe", 8000), "safe");
-    break_inside_frame(link);
+    disconnect_inside_frame(link);
     let mut link = host.greet(&[]);
     let offer = link.offer();
     link.send(&Frame::Accepted(offer.attempt_id, 1));
@@ -225,7 +225,7 @@
     // One that must not run twice may have run, as far as the placer can know: it fails, and is not sent again.
     let mut client = placer.client();
     client.ask(&ask("statements", "s", "unsafe", 8000), "unsafe");
-    break_inside_frame(link);
+    disconnect_inside_frame(link);
     let (_, body) = client.json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempts"].as_u64()),
@@ -233,7 +233,7 @@
         "{body}"
     );
     let mut link = host.greet(&[]);
-    let rest = link.all_within(MOMENT);
+    let rest = link.all_within(SETTLE_TIME);
     assert!(
         !rest.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{rest:?}"
@@ -241,7 +241,7 @@
 }
 
 /// Reads the first bytes of an offer, and resets the connection.
-fn break_inside_frame(link: Link) {
+fn disconnect_inside_frame(link: Link) {
     let mut stream = link.into_stream();
     let mut bytes = [0; 10];
     stream.read_exact(&mut bytes).expect("the offer begins");
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_answer_after_the_time_out_is_called_off() {
+fn acceptance_after_the_attempt_timeout_is_cancelled() {
     let (slow, other) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -258,9 +258,9 @@
     let (placer, mut links) = world(&[&slow, &other]);
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "late", 5000), "late");
-    let (first, offer) = offered(&mut links);
+    let (first, offer) = wait_for_offer(&mut links);
     // No answer: after a while it is called off and offered anew.
-    let (second, again) = offered_or_cancel(&mut links, offer.attempt_id);
+    let (second, again) = wait_for_cancel_and_next_offer(&mut links, offer.attempt_id);
     assert_eq!(again.prior_attempts, 1);
     // Now both accept; only the second counts.
     links[first].send(&Frame::Accepted(offer.attempt_id, 1));
@@ -270,13 +270,16 @@
         (body["outcome"].as_str(), body["attempt"].as_u64()),
         (Some("placed"), Some(1))
     );
-    let mut told = links[first].all_within(MOMENT);
+    let mut told = links[first].all_within(SETTLE_TIME);
     told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt_id));
     assert_eq!(told.len(), 1, "the late acceptance is called off");
     assert_eq!(placer.status()["actors"], 1);
 }
 
-fn offered_or_cancel(links: &mut [Link], first: u64) -> (usize, maplethread_wire::frame::Offer) {
+fn wait_for_cancel_and_next_offer(
+    links: &mut [Link],
+    first: u64,
+) -> (usize, maplethread_wire::frame::Offer) {
     let mut cancelled = false;
     let until = Instant::now() + PATIENCE;
     let mut again = None;
@@ -296,7 +299,7 @@
 }
 
 #[test]
-fn a_drain_in_the_same_wake_up_as_a_hundred_asks_is_heeded() {
+fn drain_read_together_with_a_hundred_requests_applies_to_all_of_them() {
     let (draining, other) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -333,7 +336,7 @@
             );
         }
     }
-    let drained = links[0].all_within(MOMENT);
+    let drained = links[0].all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
@@ -352,7 +355,7 @@
         let (_, body) = clients[0].json();
         assert_eq!(body["outcome"], "refused", "{body}");
     }
-    let drained = links[1].all_within(MOMENT);
+    let drained = links[1].all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
@@ -360,7 +363,7 @@
 }
 
 #[test]
-fn a_killed_placer_finds_its_tasks_again_and_their_counts_hold() {
+fn restarted_placer_recovers_tasks_and_counts_them() {
     let host = ScriptedHost::new("h1", "a", "1");
     let (mut placer, mut links) = world(&[&host]);
     let mut held = Vec::new();
@@ -400,7 +403,7 @@
         (body["outcome"].as_str(), body["host"].as_str()),
         (Some("placed"), Some("h1"))
     );
-    let frames = link.all_within(MOMENT);
+    let frames = link.all_within(SETTLE_TIME);
     assert!(
         !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{frames:?}"
@@ -423,7 +426,7 @@
 }
 
 #[test]
-fn a_paused_placer_blames_no_host_and_gives_the_answers_it_still_can() {
+fn paused_placer_penalizes_no_host_and_answers_pending_requests() {
     let hosts = [
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -437,7 +440,7 @@
             &ask("statements", &format!("s{n}"), "a", 10_000),
             &format!("{n}"),
         );
-        let (host, offer) = offered(&mut links);
+        let (host, offer) = wait_for_offer(&mut links);
         offers.push((host, offer));
         clients.insert(n, client);
         if n == 9 {
@@ -468,7 +471,7 @@
             &ask("web-api", &format!("after{n}"), "a", 4000),
             &format!("after{n}"),
         );
-        let (host, offer) = offered(&mut links);
+        let (host, offer) = wait_for_offer(&mut links);
         seen[host] += 1;
         links[host].send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.json().1["outcome"], "placed");
@@ -477,7 +480,7 @@
 }
 
 #[test]
-fn five_hundred_slow_clients_take_nothing_from_the_others() {
+fn five_hundred_slow_clients_do_not_delay_others() {
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = Placer::files(
         &[&host],
--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -14,18 +14,18 @@
 const MAX_IDLE_PINGS_PER_S: f64 = 5.0;
 /// Longer than a host may be silent by default.
 const PAUSE: Duration = Duration::from_secs(4);
-const ASK: &str =
+const PLACEMENT_REQUEST: &str =
     r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}"#;
 
 /// Hosts that are there for one test.
-fn hosts() -> Vec<ScriptedHost> {
+fn scripted_hosts() -> Vec<ScriptedHost> {
     (0..HOSTS)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "c"))
         .collect()
 }
 
 /// A placer that pings its idle hosts at a low rate; nothing runs yet.
-fn placer(hosts: &[ScriptedHost]) -> Placer {
+fn placer_with_idle_ping_rate(hosts: &[ScriptedHost]) -> Placer {
     let placer = Placer::files(&hosts.iter().collect::<Vec<_>>(), "");
     let file = placer.folder().join("placer.toml");
     let config = std::fs::read_to_string(&file).expect("the settings");
@@ -36,12 +36,12 @@
 }
 
 /// Answers pings until the connection ends.
-fn answers_pings(mut link: Link) -> JoinHandle<()> {
+fn answer_pings(mut link: Link) -> JoinHandle<()> {
     spawn(move || while link.next_within(PATIENCE).is_some() {})
 }
 
 /// Answers pings and accepts offers until the connection ends.
-fn accepts_offers(mut link: Link) -> JoinHandle<()> {
+fn accept_offers(mut link: Link) -> JoinHandle<()> {
     spawn(move || {
         while let Some(frame) = link.next_within(PATIENCE) {
             if let Frame::Offer(offer) = frame {
@@ -57,7 +57,7 @@
 }
 
 /// Answers pings up to an offer, and nothing from then on: the offer, and what came after it.
-fn dies_at_an_offer(mut link: Link) -> JoinHandle<(Offer, Vec<Frame>)> {
+fn stop_answering_at_offer(mut link: Link) -> JoinHandle<(Offer, Vec<Frame>)> {
     spawn(move || {
         let offer = link.offer();
         let unanswered = std::iter::from_fn(|| link.next_silently()).collect();
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn idle_hosts_are_all_pinged_and_together_within_the_rate() {
-    let hosts = hosts();
-    let mut placer = placer(&hosts);
+fn pings_every_idle_host_within_the_total_rate() {
+    let hosts = scripted_hosts();
+    let mut placer = placer_with_idle_ping_rate(&hosts);
     let from = Instant::now();
     let serving = placer.start();
     let links: Vec<_> = hosts
         .iter()
-        .map(|host| answers_pings(host.greet(&[])))
+        .map(|host| answer_pings(host.greet(&[])))
         .collect();
     serving(&mut placer);
     // Two rounds: none was left out, or it would have been cut off.
@@ -95,9 +95,9 @@
 }
 
 #[test]
-fn a_dead_idle_host_is_pinged_and_cut_off_after_an_offer() {
-    let hosts = hosts();
-    let mut placer = placer(&hosts);
+fn disconnects_a_silent_host_after_an_offer() {
+    let hosts = scripted_hosts();
+    let mut placer = placer_with_idle_ping_rate(&hosts);
     // The others take nothing, so that it gets the offer.
     let states = hosts
         .iter()
@@ -106,8 +106,8 @@
     placer.inventory(&states.collect::<Vec<_>>());
     let serving = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|host| host.greet(&[])).collect();
-    let dead = dies_at_an_offer(links.remove(0));
-    let others: Vec<_> = links.into_iter().map(answers_pings).collect();
+    let dead = stop_answering_at_offer(links.remove(0));
+    let others: Vec<_> = links.into_iter().map(answer_pings).collect();
     serving(&mut placer);
     let asked =
         r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":300}"#;
@@ -139,16 +139,18 @@
 
 #[test]
 fn a_placer_that_stood_still_cuts_off_no_host_idle_or_in_use() {
-    let hosts = hosts();
-    let mut placer = placer(&hosts);
+    let hosts = scripted_hosts();
+    let mut placer = placer_with_idle_ping_rate(&hosts);
     let serving = placer.start();
     let links: Vec<_> = hosts
         .iter()
-        .map(|host| accepts_offers(host.greet(&[])))
+        .map(|host| accept_offers(host.greet(&[])))
         .collect();
     serving(&mut placer);
     // A task on one of them, so that it is in use; the others are idle.
-    let (status, answer) = placer.client().call("POST", "/v1/actors", ASK);
+    let (status, answer) = placer
+        .client()
+        .call("POST", "/v1/actors", PLACEMENT_REQUEST);
     assert_eq!(status, 200, "{answer}");
     for _ in 0..2 {
         let sent = heartbeats(&placer.status());
@@ -174,13 +176,16 @@
 }
 
 #[test]
-fn a_host_that_one_placer_does_not_reach_is_cut_off_by_that_one_alone() {
+fn disconnects_a_host_only_at_the_placer_it_does_not_answer() {
     let host = ScriptedHost::new("h0", "a", "c");
     let hosts = [host];
-    let (mut reached, mut cut_off) = (placer(&hosts), placer(&hosts));
+    let (mut reached, mut cut_off) = (
+        placer_with_idle_ping_rate(&hosts),
+        placer_with_idle_ping_rate(&hosts),
+    );
     // The connections come in the order in which the placers start.
     let serving = reached.start();
-    let answering = answers_pings(hosts[0].greet(&[]));
+    let answering = answer_pings(hosts[0].greet(&[]));
     serving(&mut reached);
     let serving = cut_off.start();
     let mut silent = hosts[0].greet(&[]);
--- a/crates/placer/src/catalogue.rs
+++ b/crates/placer/src/consul_client.rs
@@ -12,13 +12,13 @@
 use crate::start::{Error, io_error};
 
 /// Bytes of an answer that are read in one round.
-const READ_ROUND: usize = 256 << 10;
+const MAX_READ_BYTES_PER_ROUND: usize = 256 << 10;
 /// Bytes of one connection that may wait to be understood.
-const READ_MOST: usize = 512 << 10;
+const MAX_UNREAD_BYTES: usize = 512 << 10;
 /// Idle connections that are kept.
-const MOST_IDLE: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-struct Call {
+struct ServerConnection {
     connection: TcpConnection,
     server: usize,
     reader: MessageReader,
@@ -31,7 +31,7 @@
     /// What is asked and known.
     pub source: ConsulSource,
     config: ConsulSettings,
-    connections: HashMap<u64, Call>,
+    connections: HashMap<u64, ServerConnection>,
     idle_tokens: Vec<u64>,
 }
 
@@ -139,7 +139,7 @@
                 let reader = MessageReader::new(Role::Responses, limits);
                 self.connections.insert(
                     *next_token,
-                    Call {
+                    ServerConnection {
                         connection: conn,
                         server,
                         reader,
@@ -187,7 +187,9 @@
         if !r.is_readable {
             return;
         }
-        let outcome = c.connection.read_available(READ_ROUND, READ_MOST);
+        let outcome = c
+            .connection
+            .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
         let answer: Result<Option<Message>, String> = match c.reader.read(c.connection.unread()) {
             Ok((found, used)) => {
                 c.connection.consume(used);
@@ -207,7 +209,10 @@
                 if let Some((call, _)) = call {
                     self.source.handle_response(now, call, message);
                 }
-                if keep && outcome == ReadOutcome::Drained && self.idle_tokens.len() < MOST_IDLE {
+                if keep
+                    && outcome == ReadOutcome::Drained
+                    && self.idle_tokens.len() < MAX_IDLE_CONNECTIONS
+                {
                     self.idle_tokens.push(token);
                 } else {
                     self.connections.remove(&token);
--- a/crates/placer/src/daemon.rs
+++ b/crates/placer/src/daemon.rs
@@ -15,38 +15,38 @@
     Clock, FileWatch, MAX_EVENTS_PER_WAIT, Poller, ReadOutcome, Readiness, Signals, TcpConnection,
 };
 
-use crate::catalogue::ConsulClient;
-use crate::decide_time::{DecideTime, Span, Spent, Timed};
-use crate::dirty::Dirty;
-use crate::fleet::Member;
-use crate::recorder::Recorder;
-use crate::recording::{Item, Recorded};
+use crate::consul_client::ConsulClient;
+use crate::decision_time::{DecisionTimes, LoopTime, Phase, TimedDecider};
+use crate::membership::MembershipSocket;
+use crate::pending_writes::PendingWrites;
 use crate::start::{Error, Options, io_error, load_config};
+use crate::trace_queue::{RecordingDecider, TraceItem};
+use crate::trace_recorder::Recorder;
 
-const LISTENER: u64 = 0;
-const SIGNALS: u64 = 1;
-const INVENTORY: u64 = 2;
-const FLEET: u64 = 3;
-const FLEET_KEYS: u64 = 4;
-const FIRST: u64 = 16;
+const LISTENER_TOKEN: u64 = 0;
+const SIGNALS_TOKEN: u64 = 1;
+const INVENTORY_TOKEN: u64 = 2;
+const MEMBERSHIP_TOKEN: u64 = 3;
+const MEMBERSHIP_KEYS_TOKEN: u64 = 4;
+const FIRST_CONNECTION_TOKEN: u64 = 16;
 
 /// Bytes read from one connection in one round, so that a busy peer waits for the others.
-const READ_ROUND: usize = 64 << 10;
+const MAX_READ_BYTES_PER_ROUND: usize = 64 << 10;
 /// Bytes of one connection that may wait to be understood.
-const READ_MOST: usize = 128 << 10;
+const MAX_UNREAD_BYTES: usize = 128 << 10;
 /// Rounds of reading before a decision; so much more after a time in which the process stood still.
-const ROUNDS: usize = 4;
-const ROUNDS_STALLED: usize = 256;
+const MAX_READ_ROUNDS: usize = 4;
+const MAX_READ_ROUNDS_AFTER_STALL: usize = 256;
 /// Reading ends after this, so that deadlines are met also while much lies unread, µs.
-const READ_WITHIN: u64 = 100_000;
+const MAX_READ_DURATION_US: u64 = 100_000;
 /// A timer that falls due this late tells of a process that stood still, µs.
-const STALLED: u64 = 50_000;
+const MIN_STALL_US: u64 = 50_000;
 /// A connection that is closed gets this long to take what it was sent, µs.
-const LINGER: u64 = 1_000_000;
+const LINGER_DURATION_US: u64 = 1_000_000;
 /// Connections that linger at a time; beyond it they are cut.
-const MOST_LINGERING: usize = 1024;
+const MAX_LINGERING: usize = 1024;
 /// The longest inventory file.
-const INVENTORY_BYTES: u64 = 16 << 20;
+const MAX_INVENTORY_BYTES: u64 = 16 << 20;
 
 /// Runs a placer until it is told to stop. `decider` makes what decides from the settings and a seed.
 pub fn run<D: Decide>(
@@ -63,17 +63,17 @@
     let decider = decider(&config, seed).map_err(Error::Settings)?;
     let listener = maplethread_reactor::listen(config.api.listen)
         .map_err(io_error(format!("{}", config.api.listen)))?;
-    let deciding = Rc::new(Cell::new(Span::default()));
+    let deciding = Rc::new(Cell::new(Phase::default()));
     let recorder = Recorder::start(&config, seed, started_ms, decider.is_module())
         .map_err(io_error("thread of the trace"))?;
     // Recording is no part of the decision's time.
-    let timed = Timed {
+    let timed = TimedDecider {
         inner: decider,
         phase: deciding.clone(),
     };
-    let recording = Rc::new(Cell::new(Span::default()));
+    let recording = Rc::new(Cell::new(Phase::default()));
     let queue = recorder.as_ref().map(Recorder::queue);
-    let decider = Recorded {
+    let decider = RecordingDecider {
         inner: timed,
         queue,
         phase: recording.clone(),
@@ -91,16 +91,16 @@
         daemon.engine.enable_audit_log();
         daemon.recorder = recorder;
     }
-    daemon.read_inventory();
+    daemon.load_inventory();
     daemon.serve()
 }
 
-struct ClientConn {
+struct ClientConnection {
     conn: TcpConnection,
     id: ClientId,
 }
 
-struct HostConn {
+struct HostConnection {
     conn: TcpConnection,
     id: HostId,
 }
@@ -111,32 +111,32 @@
     poller: Poller,
     signals: Signals,
     listener: Option<TcpListener>,
-    accepting: bool,
+    is_accepting: bool,
     inventory_watch: Option<FileWatch>,
     consul: Option<ConsulClient>,
-    membership: Option<Member>,
+    membership: Option<MembershipSocket>,
     /// The placer's number, as the decisions know it.
     replica_index: Option<u32>,
     config: PlacerConfig,
-    next_token: u64,
-    clients: HashMap<u64, ClientConn>,
+    last_token: u64,
+    clients: HashMap<u64, ClientConnection>,
     client_tokens: HashMap<ClientId, u64>,
-    hosts: HashMap<u64, HostConn>,
+    hosts: HashMap<u64, HostConnection>,
     host_tokens: HashMap<HostId, u64>,
     /// Closed by the engine, with what is still to be written and until when that may take.
     lingering: HashMap<u64, (TcpConnection, u64)>,
     /// Clients with bytes that the engine did not take yet.
-    stuffed: BTreeSet<u64>,
+    backlogged_clients: BTreeSet<u64>,
     /// Some of those may get on.
     has_retriable_backlog: bool,
     /// Connections with something new to write.
-    pending_writes: Dirty,
-    decide_time: DecideTime,
-    loop_time: Spent,
+    pending_writes: PendingWrites,
+    decision_times: DecisionTimes,
+    loop_time: LoopTime,
     /// What deciding took, and recording.
-    decider_phases: [Rc<Cell<Span>>; 2],
-    gauges_at: u64,
-    stop_by: Option<u64>,
+    decider_phases: [Rc<Cell<Phase>>; 2],
+    next_gauges_at: u64,
+    stop_deadline: Option<u64>,
     recorder: Option<Recorder>,
 }
 
@@ -144,7 +144,7 @@
     fn new(
         config: PlacerConfig,
         decider: D,
-        deciding: [Rc<Cell<Span>>; 2],
+        deciding: [Rc<Cell<Phase>>; 2],
         boot: StartInfo,
         clock: Clock,
         listener: TcpListener,
@@ -153,14 +153,14 @@
         let signals = [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT];
         let signals = Signals::catch(&signals).map_err(io_error("signals"))?;
         signals
-            .register(&poller, SIGNALS)
+            .register(&poller, SIGNALS_TOKEN)
             .map_err(io_error("signals"))?;
         let watch = match &config.hosts.inventory {
             Some(path) => {
                 let watch = FileWatch::new(path)
                     .map_err(io_error(format!("watching {}", path.display())))?;
                 poller
-                    .register(&watch, INVENTORY, false)
+                    .register(&watch, INVENTORY_TOKEN, false)
                     .map_err(io_error("inotify"))?;
                 Some(watch)
             }
@@ -168,7 +168,12 @@
         };
         let catalogue = ConsulClient::new(&config, boot.seed)?;
         let boot_time = (boot.started_ms, boot.seed, clock.now());
-        let fleet = Member::new(&config, boot_time, &poller, (FLEET, FLEET_KEYS))?;
+        let fleet = MembershipSocket::new(
+            &config,
+            boot_time,
+            &poller,
+            (MEMBERSHIP_TOKEN, MEMBERSHIP_KEYS_TOKEN),
+        )?;
         listener
             .set_nonblocking(true)
             .map_err(io_error("listener"))?;
@@ -179,26 +184,26 @@
             poller,
             signals,
             listener: Some(listener),
-            accepting: false,
+            is_accepting: false,
             inventory_watch: watch,
             consul: catalogue,
             membership: fleet,
             replica_index: Some(config.identity.replica_index),
             config,
-            next_token: FIRST,
+            last_token: FIRST_CONNECTION_TOKEN,
             clients: HashMap::new(),
             client_tokens: HashMap::new(),
             hosts: HashMap::new(),
             host_tokens: HashMap::new(),
             lingering: HashMap::new(),
-            stuffed: BTreeSet::new(),
+            backlogged_clients: BTreeSet::new(),
             has_retriable_backlog: false,
-            pending_writes: Dirty::default(),
-            decide_time: DecideTime::new(),
-            loop_time: Spent::default(),
+            pending_writes: PendingWrites::default(),
+            decision_times: DecisionTimes::new(),
+            loop_time: LoopTime::default(),
             decider_phases: deciding,
-            gauges_at: 0,
-            stop_by: None,
+            next_gauges_at: 0,
+            stop_deadline: None,
             recorder: None,
         };
         if daemon
@@ -213,9 +218,9 @@
         Ok(daemon)
     }
 
-    fn token(&mut self) -> u64 {
-        self.next_token += 1;
-        self.next_token
+    fn allocate_token(&mut self) -> u64 {
+        self.last_token += 1;
+        self.last_token
     }
 
     fn serve(&mut self) -> Result<(), Error> {
@@ -223,7 +228,7 @@
         let mut last_read = self.clock.now();
         loop {
             let before = self.clock.now();
-            let due = self.next_due();
+            let due = self.next_timeout();
             let timeout = due.map(|at| Duration::from_micros(at.saturating_sub(before)));
             let timeout = if self.has_retriable_backlog {
                 Some(Duration::ZERO)
@@ -236,9 +241,9 @@
                 .map_err(io_error("epoll"))?;
             let woke = self.clock.now();
             // It stood still while it waited, or since it last read: what lies unread may lie there since then.
-            let overslept = due.is_some_and(|at| woke > at.max(before) + STALLED);
-            let stalled = overslept || before > last_read + STALLED;
-            let unread_since = if before > last_read + STALLED {
+            let overslept = due.is_some_and(|at| woke > at.max(before) + MIN_STALL_US);
+            let stalled = overslept || before > last_read + MIN_STALL_US;
+            let unread_since = if before > last_read + MIN_STALL_US {
                 last_read
             } else {
                 before
@@ -248,17 +253,19 @@
             }
             self.engine
                 .set_unread_since(if stalled { unread_since } else { woke });
-            last_read = self.read(&mut ready, woke, stalled)?.unwrap_or(last_read);
-            self.feed_stuffed();
+            last_read = self
+                .read_ready(&mut ready, woke, stalled)?
+                .unwrap_or(last_read);
+            self.retry_backlogged_clients();
             let read = self.clock.now();
             // It may have stood still while it read, too: what has come since then is not heard yet.
-            let stalled = stalled || read > woke + READ_WITHIN + STALLED;
-            self.look_up(stalled);
-            self.keep_notes(read);
+            let stalled = stalled || read > woke + MAX_READ_DURATION_US + MIN_STALL_US;
+            self.apply_consul_updates(stalled);
+            self.record_audit_entries(read);
             self.engine.turn(read, stalled);
-            self.keep_notes(read);
+            self.record_audit_entries(read);
             let decided = self.clock.now();
-            self.carry_out();
+            self.execute_outputs();
             if let Some(fleet) = &mut self.membership {
                 fleet.tick(self.clock.now());
             }
@@ -267,10 +274,10 @@
             let written = self.clock.now();
             self.loop_time.write.add_micros(written - decided);
             self.engine.record_round(woke, written);
-            if !self.accepting && self.stop_by.is_none() && self.engine.is_ready() {
-                self.accept_from_now()?;
+            if !self.is_accepting && self.stop_deadline.is_none() && self.engine.is_ready() {
+                self.start_accepting()?;
             }
-            if self.done() {
+            if self.is_done() {
                 return Ok(());
             }
         }
@@ -278,15 +285,19 @@
 
     /// Takes in what is ready, and what has come meanwhile; after a pause, all that came in it, so far as that is done soon.
     /// Returns the last time at which nothing was left unread.
-    fn read(
+    fn read_ready(
         &mut self,
         ready: &mut Vec<Readiness>,
         woke: u64,
         stalled: bool,
     ) -> Result<Option<u64>, Error> {
         let mut read_by = None;
-        self.take_in(ready);
-        for _ in 1..if stalled { ROUNDS_STALLED } else { ROUNDS } {
+        self.dispatch_readiness(ready);
+        for _ in 1..if stalled {
+            MAX_READ_ROUNDS_AFTER_STALL
+        } else {
+            MAX_READ_ROUNDS
+        } {
             let looked_at = self.clock.now();
             ready.clear();
             self.poller
@@ -295,8 +306,8 @@
             if ready.len() < MAX_EVENTS_PER_WAIT {
                 read_by = Some(looked_at);
             }
-            self.take_in(ready);
-            let enough = read_by.is_some() || looked_at > woke + READ_WITHIN;
+            self.dispatch_readiness(ready);
+            let enough = read_by.is_some() || looked_at > woke + MAX_READ_DURATION_US;
             if ready.is_empty() || (stalled && enough) {
                 break;
             }
@@ -305,7 +316,7 @@
     }
 
     /// Gives the recorder what the engine has noted.
-    fn keep_notes(&mut self, now: u64) {
+    fn record_audit_entries(&mut self, now: u64) {
         let Some(recorder) = &self.recorder else {
             return;
         };
@@ -314,14 +325,14 @@
         self.engine
             .take_audit_entries()
             .into_iter()
-            .for_each(|note| queue.push(now, Item::AuditEntry(note)));
+            .for_each(|note| queue.push(now, TraceItem::AuditEntry(note)));
         let mut spent = self.decider_phases[1].get();
         spent.add_nanos(from.elapsed().as_nanos() as u64);
         self.decider_phases[1].set(spent);
     }
 
     /// Lets the catalogue do what is due, and gives what is new to the engine.
-    fn look_up(&mut self, stalled: bool) {
+    fn apply_consul_updates(&mut self, stalled: bool) {
         let Some(catalogue) = &mut self.consul else {
             return;
         };
@@ -329,7 +340,7 @@
         if stalled {
             catalogue.source.catch_up(now);
         }
-        for update in catalogue.tick(now, &self.poller, &mut self.next_token) {
+        for update in catalogue.tick(now, &self.poller, &mut self.last_token) {
             match update {
                 Update::Hosts(hosts) => {
                     tracing::info!(hosts = hosts.len(), "news of the catalogue");
@@ -341,37 +352,40 @@
                 }
             }
         }
-        if self.accepting {
+        if self.is_accepting {
             self.loop_time.discovery.add_micros(self.clock.now() - now);
         }
     }
 
-    fn next_due(&self) -> Option<u64> {
+    fn next_timeout(&self) -> Option<u64> {
         let catalogue = self
             .consul
             .as_ref()
             .and_then(|c| c.next_timeout(self.clock.now()));
         let linger = self.lingering.values().map(|l| l.1).min();
-        let fleet = self.membership.as_ref().and_then(Member::next_timeout);
+        let fleet = self
+            .membership
+            .as_ref()
+            .and_then(MembershipSocket::next_timeout);
         [
             self.engine.next_timeout(),
             catalogue,
             linger,
             fleet,
-            self.stop_by,
+            self.stop_deadline,
         ]
         .into_iter()
         .flatten()
         .min()
     }
 
-    fn accept_from_now(&mut self) -> Result<(), Error> {
+    fn start_accepting(&mut self) -> Result<(), Error> {
         let Some(listener) = &self.listener else {
             return Ok(());
         };
-        self.accepting = true;
+        self.is_accepting = true;
         self.poller
-            .register(listener, LISTENER, false)
+            .register(listener, LISTENER_TOKEN, false)
             .map_err(io_error("listener"))?;
         let address = listener.local_addr().map_err(io_error("listener"))?;
         tracing::info!(placer = %self.config.identity.name, %address, "listening");
@@ -390,16 +404,18 @@
         Ok(())
     }
 
-    fn done(&self) -> bool {
-        let Some(by) = self.stop_by else { return false };
+    fn is_done(&self) -> bool {
+        let Some(by) = self.stop_deadline else {
+            return false;
+        };
         let written = self.clients.values().all(|c| c.conn.unwritten_bytes() == 0);
         (self.engine.pending_requests() == 0 && written) || self.clock.now() >= by
     }
 
-    fn stop(&mut self, signal: i32) {
-        if self.stop_by.is_some() {
+    fn begin_shutdown(&mut self, signal: i32) {
+        if self.stop_deadline.is_some() {
             tracing::warn!(signal, "told to stop again; leaving at once");
-            self.stop_by = Some(0);
+            self.stop_deadline = Some(0);
             return;
         }
         tracing::info!(
@@ -408,7 +424,7 @@
             "told to stop; answering what is out"
         );
         if let Some(listener) = self.listener.take()
-            && self.accepting
+            && self.is_accepting
         {
             let _ = self.poller.deregister(&listener);
         }
@@ -416,56 +432,56 @@
         if let Some(fleet) = &mut self.membership {
             fleet.leave(self.clock.now());
         }
-        self.stop_by = Some(self.clock.now() + self.config.api.stop_within_ms * 1000);
+        self.stop_deadline = Some(self.clock.now() + self.config.api.stop_within_ms * 1000);
     }
 
-    fn take_in(&mut self, ready: &[Readiness]) {
+    fn dispatch_readiness(&mut self, ready: &[Readiness]) {
         for r in ready {
             match r.token {
-                LISTENER => self.accept(),
-                SIGNALS => self
+                LISTENER_TOKEN => self.accept_clients(),
+                SIGNALS_TOKEN => self
                     .signals
                     .take_received()
                     .into_iter()
-                    .for_each(|signal| self.stop(signal)),
-                INVENTORY => {
+                    .for_each(|signal| self.begin_shutdown(signal)),
+                INVENTORY_TOKEN => {
                     if self
                         .inventory_watch
                         .as_mut()
                         .is_some_and(FileWatch::has_changed)
                     {
-                        self.read_inventory();
+                        self.load_inventory();
                     }
                 }
-                FLEET => {
+                MEMBERSHIP_TOKEN => {
                     if let Some(fleet) = &mut self.membership {
-                        fleet.read(self.clock.now());
+                        fleet.read_datagrams(self.clock.now());
                     }
                 }
-                FLEET_KEYS => {
+                MEMBERSHIP_KEYS_TOKEN => {
                     if let Some(fleet) = &mut self.membership {
-                        fleet.keys_changed();
+                        fleet.reload_keys();
                     }
                 }
-                token if self.hosts.contains_key(&token) => self.host_ready(token, r),
+                token if self.hosts.contains_key(&token) => self.on_host_ready(token, r),
                 token if self.consul.as_ref().is_some_and(|c| c.owns_token(token)) => {
                     let now = self.clock.now();
                     if let Some(catalogue) = &mut self.consul {
                         catalogue.on_ready(now, token, r, &self.poller);
                     }
                 }
-                token if self.clients.contains_key(&token) => self.client_ready(token, r),
-                token => self.linger_ready(token, r),
+                token if self.clients.contains_key(&token) => self.on_client_ready(token, r),
+                token => self.on_lingering_ready(token, r),
             }
         }
     }
 
-    fn read_inventory(&mut self) {
+    fn load_inventory(&mut self) {
         let Some(path) = self.inventory_watch.as_ref().map(|w| w.path().to_owned()) else {
             return;
         };
         let file = path.display().to_string();
-        let long = std::fs::metadata(&path).is_ok_and(|m| m.len() > INVENTORY_BYTES);
+        let long = std::fs::metadata(&path).is_ok_and(|m| m.len() > MAX_INVENTORY_BYTES);
         let text = if long {
             Err(io::Error::new(io::ErrorKind::FileTooLarge, "over 16 MiB"))
         } else {
@@ -493,18 +509,18 @@
         }
     }
 
-    fn accept(&mut self) {
+    fn accept_clients(&mut self) {
         for _ in 0..64 {
             let Some(listener) = &self.listener else {
                 return;
             };
             match listener.accept() {
                 Ok((stream, _)) => {
-                    let token = self.token();
+                    let token = self.allocate_token();
                     let id = ClientId(token);
                     match TcpConnection::from_accepted(stream, token, &self.poller) {
                         Ok(conn) => {
-                            self.clients.insert(token, ClientConn { conn, id });
+                            self.clients.insert(token, ClientConnection { conn, id });
                             self.client_tokens.insert(id, token);
                             self.engine.client_opened(self.clock.now(), id);
                         }
@@ -521,7 +537,7 @@
         }
     }
 
-    fn client_ready(&mut self, token: u64, r: &Readiness) {
+    fn on_client_ready(&mut self, token: u64, r: &Readiness) {
         let now = self.clock.now();
         let Some(client) = self.clients.get_mut(&token) else {
             return;
@@ -533,12 +549,14 @@
             return;
         }
         let id = client.id;
-        let outcome = client.conn.read_available(READ_ROUND, READ_MOST);
+        let outcome = client
+            .conn
+            .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
         let used = self.engine.client_bytes(now, id, client.conn.unread());
         client.conn.consume(used);
-        let full = client.conn.unread().len() >= READ_MOST;
+        let full = client.conn.unread().len() >= MAX_UNREAD_BYTES;
         if !client.conn.unread().is_empty() {
-            self.stuffed.insert(token);
+            self.backlogged_clients.insert(token);
             self.has_retriable_backlog |= used > 0;
         }
         if full {
@@ -548,17 +566,17 @@
             matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) || (full && r.is_closed);
         if gone {
             self.engine.client_closed(now, id);
-            self.drop_client(token);
+            self.remove_client(token);
         }
     }
 
     /// Bytes that the engine left, while a client had too many requests in hand, are offered to it again.
-    fn feed_stuffed(&mut self) {
+    fn retry_backlogged_clients(&mut self) {
         let now = self.clock.now();
         if !std::mem::take(&mut self.has_retriable_backlog) {
             return;
         }
-        for token in std::mem::take(&mut self.stuffed) {
+        for token in std::mem::take(&mut self.backlogged_clients) {
             let Some(client) = self.clients.get_mut(&token) else {
                 continue;
             };
@@ -568,22 +586,22 @@
             client.conn.consume(used);
             self.has_retriable_backlog |= used > 0;
             if !client.conn.unread().is_empty() {
-                self.stuffed.insert(token);
+                self.backlogged_clients.insert(token);
             }
-            if !client.conn.is_reading() && client.conn.unread().len() < READ_MOST {
+            if !client.conn.is_reading() && client.conn.unread().len() < MAX_UNREAD_BYTES {
                 let _ = client.conn.set_reading(true, &self.poller);
             }
         }
     }
 
-    fn drop_client(&mut self, token: u64) {
-        self.stuffed.remove(&token);
+    fn remove_client(&mut self, token: u64) {
+        self.backlogged_clients.remove(&token);
         if let Some(client) = self.clients.remove(&token) {
             self.client_tokens.remove(&client.id);
         }
     }
 
-    fn host_ready(&mut self, token: u64, r: &Readiness) {
+    fn on_host_ready(&mut self, token: u64, r: &Readiness) {
         let now = self.clock.now();
         let Some(host) = self.hosts.get_mut(&token) else {
             return;
@@ -595,7 +613,7 @@
             }
             if let Err(e) = host.conn.finish_connect() {
                 tracing::debug!(host = id.0, error = %e, "not connected");
-                self.lose_host(token);
+                self.remove_host(token);
                 return;
             }
             self.pending_writes.insert(token);
@@ -605,16 +623,18 @@
             self.pending_writes.insert(token);
         }
         if r.is_readable {
-            let outcome = host.conn.read_available(READ_ROUND, READ_MOST);
+            let outcome = host
+                .conn
+                .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
             let used = self.engine.host_bytes(now, id, host.conn.unread());
             host.conn.consume(used);
             if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-                self.lose_host(token);
+                self.remove_host(token);
             }
         }
     }
 
-    fn lose_host(&mut self, token: u64) {
+    fn remove_host(&mut self, token: u64) {
         if let Some(host) = self.hosts.remove(&token)
             && self.host_tokens.get(&host.id) == Some(&token)
         {
@@ -624,7 +644,7 @@
         }
     }
 
-    fn linger_ready(&mut self, token: u64, r: &Readiness) {
+    fn on_lingering_ready(&mut self, token: u64, r: &Readiness) {
         let Some((conn, _)) = self.lingering.get_mut(&token) else {
             return;
         };
@@ -636,48 +656,54 @@
             conn.shutdown_write();
         }
         if r.is_readable {
-            let outcome = conn.read_available(READ_ROUND, READ_MOST);
-            conn.consume(READ_MOST);
+            let outcome = conn.read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
+            conn.consume(MAX_UNREAD_BYTES);
             if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
                 self.lingering.remove(&token);
             }
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_outputs(&mut self) {
         // Carrying out may give rise to more, such as a connection that can't be made.
         for _ in 0..8 {
             let outputs = self.engine.take_outputs();
             if outputs.is_empty() {
                 break;
             }
-            outputs.into_iter().for_each(|output| self.output(output));
+            outputs
+                .into_iter()
+                .for_each(|output| self.execute_output(output));
         }
         for token in self.pending_writes.take() {
-            self.flush(token);
+            self.flush_connection(token);
         }
         let now = self.clock.now();
         for read in self.engine.take_decided_arrivals() {
-            self.decide_time.record(now.saturating_sub(read));
+            self.decision_times.record(now.saturating_sub(read));
         }
-        if now >= self.gauges_at {
-            self.gauges_at = now + 250_000;
+        if now >= self.next_gauges_at {
+            self.next_gauges_at = now + 250_000;
             (self.loop_time.decide, self.loop_time.record) =
                 (self.decider_phases[0].get(), self.decider_phases[1].get());
-            let mut gauges = self.decide_time.json_with(&self.loop_time);
+            let mut gauges = self.decision_times.to_json(&self.loop_time);
             if let Some(catalogue) = &self.consul {
                 gauges["catalogue"] = serde_json::json!(catalogue.source.report(now));
             }
             self.engine.set_gauges(gauges);
-            if let Some(fleet) = self.membership.as_mut().filter(|_| self.stop_by.is_none()) {
+            if let Some(fleet) = self
+                .membership
+                .as_mut()
+                .filter(|_| self.stop_deadline.is_none())
+            {
                 let load = self.engine.pending_requests() as f64 / self.config.api.max_asks as f64;
-                fleet.says(now, false, self.replica_index, load);
+                fleet.announce(now, false, self.replica_index, load);
             }
         }
         self.lingering.retain(|_, (_, until)| *until > now);
     }
 
-    fn output(&mut self, output: Output) {
+    fn execute_output(&mut self, output: Output) {
         match output {
             Output::ToClient(id, bytes) => {
                 if let Some(&token) = self.client_tokens.get(&id)
@@ -691,14 +717,14 @@
                 let Some(token) = self.client_tokens.get(&id).copied() else {
                     return;
                 };
-                self.stuffed.remove(&token);
+                self.backlogged_clients.remove(&token);
                 self.client_tokens.remove(&id);
                 let Some(mut client) = self.clients.remove(&token) else {
                     return;
                 };
                 let flushed = client.conn.flush(&self.poller);
                 let stuck = client.conn.unwritten_bytes() > self.config.api.max_unread_bytes;
-                if flushed.is_err() || stuck || self.lingering.len() >= MOST_LINGERING {
+                if flushed.is_err() || stuck || self.lingering.len() >= MAX_LINGERING {
                     client.conn.reset();
                     return;
                 }
@@ -707,7 +733,7 @@
                 }
                 let _ = client.conn.set_reading(true, &self.poller);
                 self.lingering
-                    .insert(token, (client.conn, self.clock.now() + LINGER));
+                    .insert(token, (client.conn, self.clock.now() + LINGER_DURATION_US));
             }
             Output::ToHost(id, bytes) => {
                 if let Some(&token) = self.host_tokens.get(&id)
@@ -718,10 +744,10 @@
                 }
             }
             Output::Connect(id, address) => {
-                let token = self.token();
+                let token = self.allocate_token();
                 match TcpConnection::connect(address, token, &self.poller) {
                     Ok(conn) => {
-                        self.hosts.insert(token, HostConn { conn, id });
+                        self.hosts.insert(token, HostConnection { conn, id });
                         self.host_tokens.insert(id, token);
                     }
                     Err(e) => {
@@ -735,7 +761,7 @@
                 let view = self
                     .membership
                     .as_ref()
-                    .map(|fleet| fleet.answer(now, after));
+                    .map(|fleet| fleet.view_json(now, after));
                 self.engine.answer_membership(id, slot, view.as_ref());
             }
             Output::CloseHost(id) => {
@@ -747,20 +773,20 @@
         }
     }
 
-    fn flush(&mut self, token: u64) {
+    fn flush_connection(&mut self, token: u64) {
         if let Some(host) = self.hosts.get_mut(&token) {
             let (id, result) = (host.id, host.conn.flush(&self.poller));
             self.engine.host_written(id, host.conn.written_bytes());
             if result.is_err() {
-                self.lose_host(token);
+                self.remove_host(token);
             }
         } else if let Some(client) = self.clients.get_mut(&token) {
             let (id, result) = (client.id, client.conn.flush(&self.poller));
             self.engine.client_unread(id, client.conn.unwritten_bytes());
-            self.has_retriable_backlog |= self.stuffed.contains(&token);
+            self.has_retriable_backlog |= self.backlogged_clients.contains(&token);
             if result.is_err() {
                 self.engine.client_closed(self.clock.now(), id);
-                self.drop_client(token);
+                self.remove_client(token);
             }
         }
     }
--- a/crates/placer/src/decide_time.rs
+++ b/crates/placer/src/decision_time.rs
@@ -10,13 +10,15 @@
 use serde_json::{Value, json};
 
 /// A histogram of decision times, µs, with three figures of precision.
-pub struct DecideTime(Histogram<u64>);
+pub struct DecisionTimes(Histogram<u64>);
 
-impl DecideTime {
-    pub fn new() -> DecideTime {
+impl DecisionTimes {
+    pub fn new() -> DecisionTimes {
         // Bounds in range by construction; the fallback has the same precision.
         let wide = Histogram::new_with_bounds(1, 60_000_000, 3);
-        DecideTime(wide.unwrap_or_else(|_| Histogram::new(3).expect("three figures are supported")))
+        DecisionTimes(
+            wide.unwrap_or_else(|_| Histogram::new(3).expect("three figures are supported")),
+        )
     }
 
     pub fn record(&mut self, micros: u64) {
@@ -24,14 +26,14 @@
     }
 
     /// The measurements, with what the loop's time was spent on.
-    pub fn json_with(&self, spent: &Spent) -> Value {
-        let mut json = self.json();
-        json["spent_us"] = spent.json();
+    pub fn to_json(&self, spent: &LoopTime) -> Value {
+        let mut json = self.quantiles_json();
+        json["spent_us"] = spent.to_json();
         json
     }
 
     /// Quantiles, and the counts themselves, so that those of several placers can be added up.
-    fn json(&self) -> Value {
+    fn quantiles_json(&self) -> Value {
         let counts: Vec<(u64, u64)> = self
             .0
             .iter_recorded()
@@ -51,24 +53,24 @@
 
 /// What the loop's time was spent on, µs in all and in the longest single turn.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    pub read: Span,
+pub struct LoopTime {
+    pub read: Phase,
     /// Of reading, the catalogue's news once clients are served.
-    pub discovery: Span,
-    pub turn: Span,
-    pub write: Span,
-    pub decide: Span,
-    pub record: Span,
+    pub discovery: Phase,
+    pub turn: Phase,
+    pub write: Phase,
+    pub decide: Phase,
+    pub record: Phase,
 }
 
 /// One kind of work, ns.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Span {
+pub struct Phase {
     total_ns: u64,
     max_ns: u64,
 }
 
-impl Span {
+impl Phase {
     pub fn add_micros(&mut self, micros: u64) {
         self.add_nanos(micros * 1000);
     }
@@ -79,9 +81,9 @@
     }
 }
 
-impl Spent {
-    fn json(&self) -> Value {
-        let span = |s: Span| json!({"all": s.total_ns / 1000, "longest": s.max_ns / 1000});
+impl LoopTime {
+    fn to_json(&self) -> Value {
+        let span = |s: Phase| json!({"all": s.total_ns / 1000, "longest": s.max_ns / 1000});
         json!({
         "reading": span(self.read), "lists": span(self.discovery), "turn": span(self.turn), "deciding": span(self.decide),
             "recording": span(self.record), "writing": span(self.write),
@@ -90,12 +92,12 @@
 }
 
 /// A decider whose time is measured.
-pub struct Timed<D> {
+pub struct TimedDecider<D> {
     pub inner: D,
-    pub phase: Rc<Cell<Span>>,
+    pub phase: Rc<Cell<Phase>>,
 }
 
-impl<D: Decide> Decide for Timed<D> {
+impl<D: Decide> Decide for TimedDecider<D> {
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         let from = Instant::now();
         self.inner.turn(now, events, actions);
--- a/crates/placer/src/fleet.rs
+++ b/crates/placer/src/membership.rs
@@ -17,14 +17,14 @@
 use crate::start::{Error, io_error};
 
 /// Datagrams read in one turn: a flood waits in the socket, and what finds no room there is lost.
-const READ_ROUND: usize = 64;
+const MAX_DATAGRAMS_PER_ROUND: usize = 64;
 /// Changes of the view that are kept for those who follow it.
-const KEPT: usize = 4096;
+const MAX_KEPT_CHANGES: usize = 4096;
 /// Changes in one answer.
-const ANSWERED: usize = 1024;
+const MAX_CHANGES_PER_ANSWER: usize = 1024;
 
 /// A member of a fleet on its socket.
-pub(crate) struct Member {
+pub(crate) struct MembershipSocket {
     member: LocalMember,
     socket: UdpSocket,
     key_watch: FileWatch,
@@ -34,7 +34,7 @@
     changes: VecDeque<(u64, u64, Value)>,
     next_change_number: u64,
     /// Datagrams that the socket did not take.
-    unsent: u64,
+    unsent_datagrams: u64,
 }
 
 fn load_keys(path: &Path, fleet: &str) -> Result<KeyRing, Error> {
@@ -44,7 +44,7 @@
         .map_err(|e| io_error(file)(io::Error::new(io::ErrorKind::InvalidData, e)))
 }
 
-fn pace(config: &FleetConfig) -> Timing {
+fn timing(config: &FleetConfig) -> Timing {
     let ms = Duration::from_millis;
     Timing {
         probe_interval: ms(config.probe_every_ms),
@@ -59,14 +59,14 @@
     }
 }
 
-impl Member {
+impl MembershipSocket {
     /// The member that the settings name, if they name one, registered under these tokens.
     pub(crate) fn new(
         config: &PlacerConfig,
         (started_ms, seed, now): (u64, u64, u64),
         poller: &Poller,
         (socket_token, keys_token): (u64, u64),
-    ) -> Result<Option<Member>, Error> {
+    ) -> Result<Option<MembershipSocket>, Error> {
         let Some(fleet) = &config.fleet else {
             return Ok(None);
         };
@@ -105,10 +105,10 @@
             },
             seeds: fleet.seeds.clone(),
             keys: loaded,
-            timing: pace(fleet),
+            timing: timing(fleet),
         };
         tracing::info!(listen = %bound, advertise = %settings.advertised_address, seeds = fleet.seeds.len(), "fleet: joining");
-        Ok(Some(Member {
+        Ok(Some(MembershipSocket {
             member: LocalMember::new(settings, seed, now),
             socket,
             key_watch: watch,
@@ -116,7 +116,7 @@
             fleet_name: fleet.name.clone(),
             changes: VecDeque::new(),
             next_change_number: 1,
-            unsent: 0,
+            unsent_datagrams: 0,
         }))
     }
 
@@ -125,9 +125,9 @@
     }
 
     /// Reads what waits on the socket, up to a turn's share.
-    pub(crate) fn read(&mut self, now: u64) {
+    pub(crate) fn read_datagrams(&mut self, now: u64) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..READ_ROUND {
+        for _ in 0..MAX_DATAGRAMS_PER_ROUND {
             match self.socket.recv_from(&mut bytes) {
                 Ok((n, _)) => self.member.handle_datagram(now, &bytes[..n]),
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -144,10 +144,13 @@
             match output {
                 Output::Send(to, bytes) => {
                     let sent = self.socket.send_to(&bytes, to);
-                    self.unsent += u64::from(sent.is_err());
+                    self.unsent_datagrams += u64::from(sent.is_err());
                 }
                 Output::Changed(change) => {
-                    let (from, to) = (told(change.previous_state), told(change.new_state));
+                    let (from, to) = (
+                        state_name(change.previous_state),
+                        state_name(change.new_state),
+                    );
                     let (member, address, life) = (&change.name, change.address, change.generation);
                     let by = &change.reported_by;
                     if matches!(
@@ -158,27 +161,27 @@
                     } else {
                         tracing::info!(%member, %address, life, from, to, %by, "fleet: a member has changed");
                     }
-                    self.keep(now, json!(change));
+                    self.keep_change(now, json!(change));
                 }
                 Output::Notice(notice) => {
                     tracing::warn!(?notice, "fleet: this member itself");
-                    self.keep(now, json!(notice));
+                    self.keep_change(now, json!(notice));
                 }
             }
         }
     }
 
-    fn keep(&mut self, now: u64, what: Value) {
+    fn keep_change(&mut self, now: u64, what: Value) {
         self.changes
             .push_back((self.next_change_number, now / 1000, what));
         self.next_change_number += 1;
-        if self.changes.len() > KEPT {
+        if self.changes.len() > MAX_KEPT_CHANGES {
             self.changes.pop_front();
         }
     }
 
     /// The key file may have changed. One that can't be used leaves the keys as they are.
-    pub(crate) fn keys_changed(&mut self) {
+    pub(crate) fn reload_keys(&mut self) {
         if !self.key_watch.has_changed() {
             return;
         }
@@ -194,7 +197,7 @@
     }
 
     /// What the member says of itself from now on; its load is told in quarters, so that the view settles under load.
-    pub(crate) fn says(&mut self, now: u64, draining: bool, number: Option<u32>, load: f64) {
+    pub(crate) fn announce(&mut self, now: u64, draining: bool, number: Option<u32>, load: f64) {
         let load = ((load.clamp(0.0, 1.0) * 4.0).floor() * 25.0) as u8;
         let mut facts = self.member.facts().clone();
         (facts.is_draining, facts.replica_index, facts.load_percent) = (draining, number, load);
@@ -208,10 +211,10 @@
     }
 
     /// The view; or what has changed since a number, with what the view comes to.
-    pub(crate) fn answer(&self, now: u64, after: Option<u64>) -> Value {
+    pub(crate) fn view_json(&self, now: u64, after: Option<u64>) -> Value {
         let Some(after) = after else {
             let mut view = json!(self.member.view(now));
-            view["unsent"] = json!(self.unsent);
+            view["unsent"] = json!(self.unsent_datagrams);
             view["next"] = json!(self.next_change_number);
             return view;
         };
@@ -219,7 +222,11 @@
             .changes
             .front()
             .map_or(self.next_change_number, |c| c.0);
-        let new = self.changes.iter().filter(|c| c.0 > after).take(ANSWERED);
+        let new = self
+            .changes
+            .iter()
+            .filter(|c| c.0 > after)
+            .take(MAX_CHANGES_PER_ANSWER);
         let changes: Vec<Value> = new
             .map(|(number, at_ms, what)| json!({"number": number, "at_ms": at_ms, "change": what}))
             .collect();
@@ -233,7 +240,7 @@
     }
 }
 
-fn told(state: Option<MemberState>) -> &'static str {
+fn state_name(state: Option<MemberState>) -> &'static str {
     match state {
         Some(MemberState::Alive) => "alive",
         Some(MemberState::Suspect) => "suspect",
--- a/crates/placer/src/dirty.rs
+++ b/crates/placer/src/pending_writes.rs
@@ -5,12 +5,12 @@
 
 /// Connections by their tokens, each once.
 #[derive(Default)]
-pub struct Dirty {
+pub struct PendingWrites {
     order: Vec<u64>,
     marked: HashSet<u64>,
 }
 
-impl Dirty {
+impl PendingWrites {
     /// A connection has something to write.
     pub fn insert(&mut self, token: u64) {
         if self.marked.insert(token) {
--- a/crates/placer/src/dirty/tests.rs
+++ b/crates/placer/src/pending_writes/tests.rs
@@ -1,10 +1,10 @@
 //! The order of writing.
 
-use super::Dirty;
+use super::PendingWrites;
 
 #[test]
-fn connections_are_written_once_and_in_the_order_in_which_they_got_something() {
-    let mut dirty = Dirty::default();
+fn returns_each_connection_once_in_order_of_first_insertion() {
+    let mut dirty = PendingWrites::default();
     for token in [30, 10, 20, 30, 40] {
         dirty.insert(token);
     }
--- a/crates/placer/src/recording.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -9,18 +9,18 @@
 use maplethread_engine::{AuditEntry, Decide};
 use maplethread_trace::Turn;
 
-use crate::decide_time::Span;
+use crate::decision_time::Phase;
 
 /// Something to be kept.
-pub(crate) enum Item {
+pub(crate) enum TraceItem {
     Turn(Turn),
     AuditEntry(AuditEntry),
 }
 
 /// What waits to be written.
 #[derive(Default)]
-pub(crate) struct Waiting {
-    pub items: Vec<(Micros, Item)>,
+pub(crate) struct TraceBuffer {
+    pub items: Vec<(Micros, TraceItem)>,
     /// What the items weigh: events, actions and notes.
     weight: usize,
     /// Turns and records that found no room since the items before.
@@ -29,33 +29,33 @@
 }
 
 /// The queue between the deciding thread and the writer.
-pub(crate) struct Queue {
-    buffer: Mutex<Waiting>,
+pub(crate) struct TraceQueue {
+    buffer: Mutex<TraceBuffer>,
     max_weight: usize,
 }
 
-impl Queue {
-    pub fn new(max_weight: usize) -> Queue {
-        Queue {
+impl TraceQueue {
+    pub fn new(max_weight: usize) -> TraceQueue {
+        TraceQueue {
             buffer: Mutex::default(),
             max_weight,
         }
     }
 
     /// The lock is held for a few instructions on either side.
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
+    fn lock(&self) -> MutexGuard<'_, TraceBuffer> {
         self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds an item; once one was lost, all are until the writer has taken what waits, so that there is one gap.
-    pub fn push(&self, at: Micros, item: Item) {
+    pub fn push(&self, at: Micros, item: TraceItem) {
         let weight = match &item {
-            Item::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
-            Item::AuditEntry(_) => 1,
+            TraceItem::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
+            TraceItem::AuditEntry(_) => 1,
         };
         let mut waiting = self.lock();
         if waiting.lost.1 > 0 || waiting.weight + weight > self.max_weight {
-            waiting.lost.0 += u64::from(matches!(item, Item::Turn(_)));
+            waiting.lost.0 += u64::from(matches!(item, TraceItem::Turn(_)));
             waiting.lost.1 += 1;
             return;
         }
@@ -64,14 +64,14 @@
     }
 
     /// Takes what waits.
-    pub fn take(&self) -> Waiting {
+    pub fn take(&self) -> TraceBuffer {
         let mut waiting = self.lock();
         let stop = waiting.is_stopping;
         std::mem::replace(
             &mut *waiting,
-            Waiting {
+            TraceBuffer {
                 is_stopping: stop,
-                ..Waiting::default()
+                ..TraceBuffer::default()
             },
         )
     }
@@ -82,14 +82,14 @@
 }
 
 /// A decider whose turns are kept, if anybody wants them.
-pub(crate) struct Recorded<D> {
+pub(crate) struct RecordingDecider<D> {
     pub inner: D,
-    pub queue: Option<Arc<Queue>>,
+    pub queue: Option<Arc<TraceQueue>>,
     /// What keeping them takes of the deciding thread.
-    pub phase: Rc<Cell<Span>>,
+    pub phase: Rc<Cell<Phase>>,
 }
 
-impl<D: Decide> Decide for Recorded<D> {
+impl<D: Decide> Decide for RecordingDecider<D> {
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         let before = actions.len();
         self.inner.turn(now, events, actions);
@@ -100,7 +100,7 @@
                 events: events.to_vec(),
                 actions: actions[before..].to_vec(),
             };
-            queue.push(now, Item::Turn(turn));
+            queue.push(now, TraceItem::Turn(turn));
             let mut spent = self.phase.get();
             spent.add_nanos(from.elapsed().as_nanos() as u64);
             self.phase.set(spent);
@@ -117,10 +117,10 @@
     use super::*;
 
     #[test]
-    fn what_finds_no_room_is_counted_and_nothing_waits() {
-        let queue = Queue::new(10);
+    fn counts_items_lost_when_the_queue_is_full() {
+        let queue = TraceQueue::new(10);
         let turn = || {
-            Item::Turn(Turn {
+            TraceItem::Turn(Turn {
                 now: 1,
                 events: vec![Event::TimerFired { label: 1 }; 3],
                 actions: Vec::new(),
--- a/crates/placer/src/recorder.rs
+++ b/crates/placer/src/trace_recorder.rs
@@ -15,18 +15,18 @@
 use maplethread_engine::{AuditEntry, RequestOutcome};
 use maplethread_trace::{Header, Outcome, Record, TimedRecord, TraceError, Writer, module_hash};
 
-use crate::recording::{Item, Queue, Waiting};
+use crate::trace_queue::{TraceBuffer, TraceItem, TraceQueue};
 
 /// How often the queue is emptied.
-const LOOK: Duration = Duration::from_millis(20);
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 /// How often what is written so far is made a block.
-const FLUSH: Duration = Duration::from_secs(1);
+const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 /// After a failure the next file is tried so much later.
-const AGAIN: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
 /// The writing side, joined when dropped.
 pub(crate) struct Recorder {
-    queue: Arc<Queue>,
+    queue: Arc<TraceQueue>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -54,15 +54,15 @@
             changed: Vec::new(),
             sources: Vec::new(),
         };
-        let queue = Arc::new(Queue::new(trace.queue_records));
+        let queue = Arc::new(TraceQueue::new(trace.queue_records));
         let (waiting, settings) = (queue.clone(), trace.clone());
         // Another run's files are never written to.
-        let open = |path: &Path| -> io::Result<Box<dyn Sink>> {
+        let open = |path: &Path| -> io::Result<Box<dyn TraceSink>> {
             Ok(Box::new(
                 OpenOptions::new().write(true).create_new(true).open(path)?,
             ))
         };
-        let run = move || Files::new(settings, header, open).run(&waiting);
+        let run = move || TraceFiles::new(settings, header, open).run(&waiting);
         let thread = std::thread::Builder::new()
             .name("trace".to_owned())
             .spawn(run)?;
@@ -73,7 +73,7 @@
     }
 
     /// Where the deciding thread puts what is to be kept.
-    pub fn queue(&self) -> Arc<Queue> {
+    pub fn queue(&self) -> Arc<TraceQueue> {
         self.queue.clone()
     }
 }
@@ -89,28 +89,28 @@
 }
 
 /// Where a trace file goes.
-trait Sink: Write + Send {
+trait TraceSink: Write + Send {
     /// Waits until all of it is on the disk.
     fn sync(&self) -> io::Result<()>;
 }
 
-impl Sink for File {
+impl TraceSink for File {
     fn sync(&self) -> io::Result<()> {
         self.sync_data()
     }
 }
 
-struct Files<O> {
+struct TraceFiles<O> {
     open_file: O,
     settings: TraceSettings,
     header: Header,
-    writer: Option<Writer<Box<dyn Sink>>>,
+    writer: Option<Writer<Box<dyn TraceSink>>>,
     path: PathBuf,
     opened_at: Instant,
-    flushed: Instant,
+    flushed_at: Instant,
     /// Not tried before.
-    not_before: Instant,
-    complained: bool,
+    retry_at: Instant,
+    is_failure_reported: bool,
     /// Turns and records lost since the last gap was written, and why.
     lost: (u64, u64),
     lost_reason: &'static str,
@@ -122,19 +122,19 @@
     last_record_at: Micros,
 }
 
-impl<O: FnMut(&Path) -> io::Result<Box<dyn Sink>>> Files<O> {
-    fn new(settings: TraceSettings, header: Header, open_file: O) -> Files<O> {
+impl<O: FnMut(&Path) -> io::Result<Box<dyn TraceSink>>> TraceFiles<O> {
+    fn new(settings: TraceSettings, header: Header, open_file: O) -> TraceFiles<O> {
         let now = Instant::now();
-        Files {
+        TraceFiles {
             open_file,
             settings,
             header,
             writer: None,
             path: PathBuf::new(),
             opened_at: now,
-            flushed: now,
-            not_before: now,
-            complained: false,
+            flushed_at: now,
+            retry_at: now,
+            is_failure_reported: false,
             lost: (0, 0),
             lost_reason: "",
             hosts: BTreeMap::new(),
@@ -144,7 +144,7 @@
         }
     }
 
-    fn run(mut self, queue: &Queue) {
+    fn run(mut self, queue: &TraceQueue) {
         loop {
             let waiting = queue.take();
             let stop = waiting.is_stopping;
@@ -154,19 +154,19 @@
                 self.close();
                 return;
             }
-            std::thread::park_timeout(LOOK);
+            std::thread::park_timeout(DRAIN_INTERVAL);
         }
     }
 
-    fn write(&mut self, waiting: Waiting, stop: bool) {
+    fn write(&mut self, waiting: TraceBuffer, stop: bool) {
         for (at, item) in waiting.items {
             self.last_record_at = at;
-            for record in self.records(item) {
+            for record in self.to_records(item) {
                 self.push(TimedRecord { at, record });
             }
         }
         if waiting.lost.1 > 0 {
-            self.lose(waiting.lost, "the writer could not keep up");
+            self.record_loss(waiting.lost, "the writer could not keep up");
         }
         if stop {
             self.push(TimedRecord {
@@ -175,11 +175,11 @@
             });
         }
         let now = Instant::now();
-        if self.flushed + FLUSH <= now {
-            self.flushed = now;
+        if self.flushed_at + FLUSH_INTERVAL <= now {
+            self.flushed_at = now;
             let result = self.writer.as_mut().map_or(Ok(()), Writer::flush);
-            self.check(result, (0, 0));
-            self.still_there();
+            self.check_write(result, (0, 0));
+            self.check_file_exists();
         }
         let full = self
             .writer
@@ -192,14 +192,14 @@
         }
     }
 
-    fn records(&mut self, item: Item) -> Vec<Record> {
+    fn to_records(&mut self, item: TraceItem) -> Vec<Record> {
         let service = |n: u64, name: &str| Record::Service {
             service: n,
             name: name.to_owned(),
         };
         match item {
-            Item::Turn(turn) => vec![Record::Turn(turn)],
-            Item::AuditEntry(AuditEntry::Host {
+            TraceItem::Turn(turn) => vec![Record::Turn(turn)],
+            TraceItem::AuditEntry(AuditEntry::Host {
                 machine,
                 name,
                 topology: [zone, cell, kind],
@@ -218,14 +218,14 @@
                 });
                 vec![record]
             }
-            Item::AuditEntry(AuditEntry::Service(number, name)) => {
+            TraceItem::AuditEntry(AuditEntry::Service(number, name)) => {
                 if self.named_services.insert(number.0) {
                     vec![service(number.0, &name)]
                 } else {
                     Vec::new()
                 }
             }
-            Item::AuditEntry(AuditEntry::RequestAccepted {
+            TraceItem::AuditEntry(AuditEntry::RequestAccepted {
                 task,
                 service: number,
                 key,
@@ -248,7 +248,7 @@
                 });
                 records
             }
-            Item::AuditEntry(AuditEntry::RequestFinished {
+            TraceItem::AuditEntry(AuditEntry::RequestFinished {
                 task,
                 outcome: ending,
                 attempts,
@@ -284,7 +284,7 @@
         }
         let cost = (u64::from(matches!(stamped.record, Record::Turn(_))), 1);
         if !self.ensure_open(stamped.at) {
-            self.lose(cost, "the file could not be written");
+            self.record_loss(cost, "the file could not be written");
             return;
         }
         let Some(writer) = &mut self.writer else {
@@ -306,29 +306,29 @@
         } else {
             writer.push(&stamped)
         };
-        if self.check(result, cost) && gap {
+        if self.check_write(result, cost) && gap {
             self.lost = (0, 0);
         }
     }
 
-    fn lose(&mut self, lost: (u64, u64), why: &'static str) {
+    fn record_loss(&mut self, lost: (u64, u64), why: &'static str) {
         self.lost = (self.lost.0 + lost.0, self.lost.1 + lost.1);
         self.lost_reason = why;
     }
 
     /// Whether a write went well; else the file is left as it is, and another one is tried later.
-    fn check(&mut self, result: Result<(), TraceError>, cost: (u64, u64)) -> bool {
+    fn check_write(&mut self, result: Result<(), TraceError>, cost: (u64, u64)) -> bool {
         let Err(e) = result else { return true };
-        if !std::mem::replace(&mut self.complained, true) {
+        if !std::mem::replace(&mut self.is_failure_reported, true) {
             tracing::error!(folder = %self.settings.folder.display(), error = %e, "trace can't be written; placing goes on");
         }
         // What the open block held is lost with it.
         let block = self.writer.take().map_or((0, 0), |w| w.unflushed());
-        self.lose(
+        self.record_loss(
             (cost.0 + block.0, cost.1 + block.1),
             "the file could not be written",
         );
-        self.not_before = Instant::now() + AGAIN;
+        self.retry_at = Instant::now() + RETRY_DELAY;
         false
     }
 
@@ -338,39 +338,39 @@
             return true;
         }
         let now = Instant::now();
-        if now < self.not_before {
+        if now < self.retry_at {
             return false;
         }
-        self.make_room();
-        let result = self.next_file(at);
+        self.remove_oldest_files();
+        let result = self.create_next_file(at);
         self.opened_at = now;
         match result {
             Ok(writer) => {
                 self.writer = Some(writer);
                 self.header.part += 1;
-                if std::mem::take(&mut self.complained) {
+                if std::mem::take(&mut self.is_failure_reported) {
                     tracing::info!(folder = %self.settings.folder.display(), "trace is written again");
                 }
                 true
             }
-            Err(e) => self.check(Err(e), (0, 0)),
+            Err(e) => self.check_write(Err(e), (0, 0)),
         }
     }
 
     /// A file that somebody has removed is no place to go on in: what it held is lost, and the next one is begun.
-    fn still_there(&mut self) {
+    fn check_file_exists(&mut self) {
         let Some(writer) = &self.writer else { return };
         if !self.path.exists() {
             let held = (writer.totals().turns, writer.totals().records);
             tracing::warn!(file = %self.path.display(), "trace file removed while it was written");
             self.writer = None;
-            self.lose(held, "the file was removed");
+            self.record_loss(held, "the file was removed");
         }
     }
 
-    fn next_file(&mut self, at: Micros) -> Result<Writer<Box<dyn Sink>>, TraceError> {
+    fn create_next_file(&mut self, at: Micros) -> Result<Writer<Box<dyn TraceSink>>, TraceError> {
         std::fs::create_dir_all(&self.settings.folder)?;
-        self.path = self.path(self.header.part);
+        self.path = self.file_path(self.header.part);
         let file = (self.open_file)(&self.path);
         let file = match file {
             Err(e) if e.kind() == io::ErrorKind::AlreadyExists => {
@@ -391,17 +391,17 @@
         Ok(writer)
     }
 
-    fn path(&self, part: u32) -> PathBuf {
+    fn file_path(&self, part: u32) -> PathBuf {
         let name = format!(
             "{}-{}-{part:05}.mtrace",
-            self.stem(),
+            self.file_stem(),
             self.header.started_ms
         );
         self.settings.folder.join(name)
     }
 
     /// The placer's name as a file may be called.
-    fn stem(&self) -> String {
+    fn file_stem(&self) -> String {
         let plain = |c: char| {
             if c.is_ascii_alphanumeric() || "-_.".contains(c) {
                 c
@@ -424,11 +424,11 @@
     }
 
     /// Removes this placer's oldest files until a whole new one fits under the ceiling.
-    fn make_room(&self) {
+    fn remove_oldest_files(&self) {
         let Ok(entries) = std::fs::read_dir(&self.settings.folder) else {
             return;
         };
-        let stem = format!("{}-", self.stem());
+        let stem = format!("{}-", self.file_stem());
         let mut files: Vec<(std::time::SystemTime, PathBuf, u64)> = entries
             .filter_map(|e| {
                 let e = e.ok()?;
@@ -491,10 +491,10 @@
         }
     }
 
-    fn turn(n: u64) -> (Micros, Item) {
+    fn turn(n: u64) -> (Micros, TraceItem) {
         (
             n,
-            Item::Turn(Turn {
+            TraceItem::Turn(Turn {
                 now: n,
                 events: vec![Event::TimerFired { label: n }],
                 actions: Vec::new(),
@@ -502,8 +502,8 @@
         )
     }
 
-    fn waiting(items: Vec<(Micros, Item)>) -> Waiting {
-        let queue = Queue::new(1 << 20);
+    fn buffer_of(items: Vec<(Micros, TraceItem)>) -> TraceBuffer {
+        let queue = TraceQueue::new(1 << 20);
         items
             .into_iter()
             .for_each(|(at, item)| queue.push(at, item));
@@ -511,7 +511,7 @@
     }
 
     /// The labels of all turns in a folder's files, in order, and what gaps tell: turns, and why.
-    fn written(folder: &Path) -> (Vec<u64>, Vec<(u64, String)>) {
+    fn read_back(folder: &Path) -> (Vec<u64>, Vec<(u64, String)>) {
         let mut paths: Vec<PathBuf> = std::fs::read_dir(folder)
             .expect("a folder")
             .map(|e| e.expect("an entry").path())
@@ -540,35 +540,35 @@
         (turns, gaps)
     }
 
-    fn plain(path: &Path) -> io::Result<Box<dyn Sink>> {
+    fn create_file(path: &Path) -> io::Result<Box<dyn TraceSink>> {
         Ok(Box::new(
             OpenOptions::new().write(true).create_new(true).open(path)?,
         ))
     }
 
     #[test]
-    fn files_rotate_by_size_and_the_oldest_go() {
+    fn rotates_by_size_and_removes_the_oldest_files() {
         let folder = tempfile::tempdir().expect("a folder");
         std::fs::write(folder.path().join("trace-p_0-x.mtrace"), vec![0; 9 << 20])
             .expect("a file of others");
-        let mut files = Files::new(settings(folder.path()), header(), plain);
+        let mut files = TraceFiles::new(settings(folder.path()), header(), create_file);
         for round in 0..30 {
             // Logs that can't be packed, some 300 KiB a round.
-            let noise = |n: u64| blake(round * 10_000 + n);
+            let noise = |n: u64| incompressible_text(round * 10_000 + n);
             let log = |n| maplethread::Action::Log(noise(n));
             let items = (0..5000).map(|n| {
                 (
                     n,
-                    Item::Turn(Turn {
+                    TraceItem::Turn(Turn {
                         now: round,
                         events: Vec::new(),
                         actions: vec![log(n)],
                     }),
                 )
             });
-            files.write(waiting(items.collect()), false);
+            files.write(buffer_of(items.collect()), false);
         }
-        files.write(waiting(Vec::new()), true);
+        files.write(buffer_of(Vec::new()), true);
         files.close();
         let sizes: Vec<(String, u64)> = std::fs::read_dir(folder.path())
             .expect("a folder")
@@ -598,7 +598,7 @@
         );
     }
 
-    fn blake(n: u64) -> String {
+    fn incompressible_text(n: u64) -> String {
         use std::hash::{DefaultHasher, Hash, Hasher};
         (0..8)
             .map(|i| {
@@ -610,7 +610,7 @@
     }
 
     #[test]
-    fn a_disk_that_is_full_costs_a_gap_that_counts() {
+    fn records_a_gap_with_counts_when_the_disk_is_full() {
         static FULL: AtomicBool = AtomicBool::new(false);
         struct Disk(File);
         impl Write for Disk {
@@ -627,62 +627,62 @@
                 self.0.flush()
             }
         }
-        impl Sink for Disk {
+        impl TraceSink for Disk {
             fn sync(&self) -> io::Result<()> {
                 self.0.sync_data()
             }
         }
         let folder = tempfile::tempdir().expect("a folder");
-        let open = |path: &Path| -> io::Result<Box<dyn Sink>> {
+        let open = |path: &Path| -> io::Result<Box<dyn TraceSink>> {
             Ok(Box::new(Disk(
                 OpenOptions::new().write(true).create_new(true).open(path)?,
             )))
         };
-        let mut files = Files::new(settings(folder.path()), header(), open);
-        let late = |files: &mut Files<_>| files.flushed = Instant::now() - FLUSH;
+        let mut files = TraceFiles::new(settings(folder.path()), header(), open);
+        let late = |files: &mut TraceFiles<_>| files.flushed_at = Instant::now() - FLUSH_INTERVAL;
         late(&mut files);
-        files.write(waiting((0..10).map(turn).collect()), false);
+        files.write(buffer_of((0..10).map(turn).collect()), false);
         FULL.store(true, Ordering::Relaxed);
         late(&mut files);
-        files.write(waiting((10..20).map(turn).collect()), false);
-        files.write(waiting((20..30).map(turn).collect()), false);
+        files.write(buffer_of((10..20).map(turn).collect()), false);
+        files.write(buffer_of((20..30).map(turn).collect()), false);
         FULL.store(false, Ordering::Relaxed);
-        files.not_before = Instant::now();
-        files.write(waiting((30..40).map(turn).collect()), true);
+        files.retry_at = Instant::now();
+        files.write(buffer_of((30..40).map(turn).collect()), true);
         files.close();
-        let (turns, gaps) = written(folder.path());
+        let (turns, gaps) = read_back(folder.path());
         assert_eq!(turns, (0..10).chain(30..40).collect::<Vec<u64>>());
         assert_eq!(gaps, [(20, "the file could not be written".to_owned())]);
     }
 
     #[test]
-    fn a_folder_that_can_not_be_written_or_vanishes_is_tried_again() {
+    fn retries_when_the_folder_is_unwritable_or_removed() {
         let place = tempfile::tempdir().expect("a folder");
         let folder = place.path().join("traces");
         // A file stands where the folder should be.
         std::fs::write(&folder, "x").expect("a file");
-        let mut files = Files::new(settings(&folder), header(), plain);
-        files.write(waiting((0..10).map(turn).collect()), false);
+        let mut files = TraceFiles::new(settings(&folder), header(), create_file);
+        files.write(buffer_of((0..10).map(turn).collect()), false);
         std::fs::remove_file(&folder).expect("gone");
-        files.not_before = Instant::now();
-        files.write(waiting((10..20).map(turn).collect()), false);
+        files.retry_at = Instant::now();
+        files.write(buffer_of((10..20).map(turn).collect()), false);
         // The folder vanishes while it is written to.
         std::fs::remove_dir_all(&folder).expect("gone");
-        files.flushed = Instant::now() - FLUSH;
-        files.write(waiting((20..30).map(turn).collect()), false);
-        files.write(waiting((30..40).map(turn).collect()), true);
+        files.flushed_at = Instant::now() - FLUSH_INTERVAL;
+        files.write(buffer_of((20..30).map(turn).collect()), false);
+        files.write(buffer_of((30..40).map(turn).collect()), true);
         files.close();
-        let (turns, gaps) = written(&folder);
+        let (turns, gaps) = read_back(&folder);
         assert_eq!(turns, (30..40).collect::<Vec<u64>>());
         // What the vanished file told of its own gap is lost with it.
         assert_eq!(gaps, [(20, "the file was removed".to_owned())]);
     }
 
     #[test]
-    fn what_the_queue_had_no_room_for_is_a_gap() {
+    fn records_a_gap_when_the_queue_overflows() {
         let folder = tempfile::tempdir().expect("a folder");
-        let mut files = Files::new(settings(folder.path()), header(), plain);
-        let queue = Queue::new(16);
+        let mut files = TraceFiles::new(settings(folder.path()), header(), create_file);
+        let queue = TraceQueue::new(16);
         for n in 0..20 {
             let (at, item) = turn(n);
             queue.push(at, item);
@@ -696,10 +696,10 @@
             request_id: "r".into(),
             idempotency_key: None,
         };
-        queue.push(30, Item::AuditEntry(asked));
+        queue.push(30, TraceItem::AuditEntry(asked));
         files.write(queue.take(), true);
         files.close();
-        let (turns, gaps) = written(folder.path());
+        let (turns, gaps) = read_back(folder.path());
         assert_eq!(turns, (0..8).collect::<Vec<u64>>());
         assert_eq!(gaps, [(12, "the writer could not keep up".to_owned())]);
     }
--- a/crates/reactor/src/conn.rs
+++ b/crates/reactor/src/connection.rs
@@ -5,7 +5,7 @@
 
 use rustix::net::{AddressFamily, SocketFlags, SocketType};
 
-use crate::poll::Poller;
+use crate::poller::Poller;
 
 /// How a read went.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/reactor/src/poll.rs
+++ b/crates/reactor/src/poller.rs
@@ -35,7 +35,7 @@
         Ok(Poller { epoll })
     }
 
-    fn flags(write: bool) -> epoll::EventFlags {
+    fn interest_flags(write: bool) -> epoll::EventFlags {
         let read = epoll::EventFlags::IN | epoll::EventFlags::RDHUP;
         if write {
             read | epoll::EventFlags::OUT
@@ -50,13 +50,13 @@
             &self.epoll,
             fd,
             epoll::EventData::new_u64(token),
-            Self::flags(write),
+            Self::interest_flags(write),
         )?)
     }
 
     /// Changes what a descriptor is watched for; with `read` off it is watched for writing and its end only.
     pub fn modify(&self, fd: impl AsFd, token: u64, read: bool, write: bool) -> io::Result<()> {
-        let mut flags = Self::flags(write);
+        let mut flags = Self::interest_flags(write);
         if !read {
             flags.remove(epoll::EventFlags::IN);
         }
