--- a/crates/reactor/src/clock.rs
+++ b/crates/reactor/src/clock.rs
@@ -22,7 +22,7 @@
         }
     }
 
-    /// The time, µs.
+    /// The time since the Unix epoch, µs.
     pub fn now(&self) -> u64 {
         self.started_unix_us + self.started.elapsed().as_micros() as u64
     }
--- a/crates/reactor/src/file_watch.rs
+++ b/crates/reactor/src/file_watch.rs
@@ -7,9 +7,12 @@
 use std::os::unix::ffi::OsStrExt;
 use std::path::{Path, PathBuf};
 
-use rustix::fs::inotify;
+use rustix::fs::inotify::{self, CreateFlags, ReadFlags, WatchFlags};
 
-/// A watch on one file.
+/// Bytes of inotify events read in one call.
+const EVENT_BUFFER_BYTES: usize = 4096;
+
+/// A watch on one file; a [`Poller`](crate::Poller) reports it readable when something in the file's folder changed.
 pub struct FileWatch {
     fd: OwnedFd,
     path: PathBuf,
@@ -18,45 +21,45 @@
 
 impl FileWatch {
     /// Watches the folder of `path` for changes of that file.
+    ///
+    /// # Errors
+    /// When `path` names no file in a folder, the folder does not exist, or the system has no inotify instance left.
     pub fn new(path: &Path) -> io::Result<FileWatch> {
         let path = std::path::absolute(path)?;
-        let (Some(folder), Some(name)) = (path.parent(), path.file_name()) else {
-            return Err(io::Error::new(
-                io::ErrorKind::InvalidInput,
-                "not a file's path",
-            ));
+        let (Some(folder), Some(file_name)) = (path.parent(), path.file_name()) else {
+            let error = "not a file's path";
+            return Err(io::Error::new(io::ErrorKind::InvalidInput, error));
         };
-        let fd = inotify::init(inotify::CreateFlags::NONBLOCK | inotify::CreateFlags::CLOEXEC)?;
-        let flags = inotify::WatchFlags::CLOSE_WRITE
-            | inotify::WatchFlags::MOVED_TO
-            | inotify::WatchFlags::CREATE;
+        let fd = inotify::init(CreateFlags::NONBLOCK | CreateFlags::CLOEXEC)?;
+        let flags = WatchFlags::CLOSE_WRITE | WatchFlags::MOVED_TO | WatchFlags::CREATE;
         inotify::add_watch(&fd, folder, flags)?;
-        let name = name.to_owned();
+        let file_name = file_name.to_owned();
         Ok(FileWatch {
             fd,
             path,
-            file_name: name,
+            file_name,
         })
     }
 
-    /// The file.
+    /// The file's absolute path.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Whether the file changed since the last call.
+    /// Whether the file may have changed since the last call.
     pub fn has_changed(&mut self) -> bool {
-        let mut buffer = [MaybeUninit::uninit(); 4096];
+        let mut buffer = [MaybeUninit::uninit(); EVENT_BUFFER_BYTES];
         let mut reader = inotify::Reader::new(&self.fd, &mut buffer);
-        let mut changed = false;
+        let mut has_changed = false;
         while let Ok(event) = reader.next() {
-            let overflow = event.events().contains(inotify::ReadFlags::QUEUE_OVERFLOW);
-            let named = event
+            // After an overflow events are missing, and one of them may have been about the file.
+            let overflowed = event.events().contains(ReadFlags::QUEUE_OVERFLOW);
+            let is_file = event
                 .file_name()
-                .is_some_and(|n| n.to_bytes() == self.file_name.as_bytes());
-            changed |= overflow || named;
+                .is_some_and(|name| name.to_bytes() == self.file_name.as_bytes());
+            has_changed |= overflowed || is_file;
         }
-        changed
+        has_changed
     }
 }
 
--- a/crates/reactor/src/poller.rs
+++ b/crates/reactor/src/poller.rs
@@ -1,15 +1,19 @@
-//! Readiness by epoll, and signals turned into readiness.
+//! Readiness by epoll.
 
-use std::io::{self, PipeReader};
+use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 use std::time::Duration;
 
-use rustix::event::epoll;
+use rustix::event::epoll::{self, EventFlags};
 use rustix::event::{EventfdFlags, Timespec, eventfd};
+use rustix::io::Errno;
 
-/// So many descriptors are told ready at once; with fewer, none that was ready is left out.
+/// One wait reports at most so many descriptors. With fewer reported, none that was ready is missing.
 pub const MAX_EVENTS_PER_WAIT: usize = 256;
 
+/// Longer timeouts are cut to this, so that they fit into every kernel's type.
+const MAX_TIMEOUT_S: u64 = 1 << 30;
+
 /// What a registered descriptor is ready for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Readiness {
@@ -23,43 +27,61 @@
     pub is_closed: bool,
 }
 
-/// An epoll instance. Level-triggered: what was left unread is told again.
+impl Readiness {
+    fn from_event(event: &epoll::Event) -> Readiness {
+        let flags = event.flags;
+        let closed = EventFlags::HUP | EventFlags::ERR | EventFlags::RDHUP;
+        Readiness {
+            token: event.data.u64(),
+            is_readable: flags.intersects(EventFlags::IN | closed),
+            is_writable: flags.intersects(EventFlags::OUT | EventFlags::ERR),
+            is_closed: flags.intersects(closed),
+        }
+    }
+}
+
+/// An epoll instance. It is level-triggered: what was left unread is reported again.
 pub struct Poller {
     epoll: OwnedFd,
 }
 
 impl Poller {
     /// A poller that watches nothing yet.
+    ///
+    /// # Errors
+    /// When the process or the system has no descriptor left.
     pub fn new() -> io::Result<Poller> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Poller { epoll })
     }
 
-    fn interest_flags(write: bool) -> epoll::EventFlags {
-        let read = epoll::EventFlags::IN | epoll::EventFlags::RDHUP;
-        if write {
-            read | epoll::EventFlags::OUT
-        } else {
-            read
-        }
+    fn interest_flags(read: bool, write: bool) -> EventFlags {
+        let mut flags = EventFlags::RDHUP;
+        flags.set(EventFlags::IN, read);
+        flags.set(EventFlags::OUT, write);
+        flags
     }
 
-    /// Watches a descriptor for reading, and for writing if asked.
+    /// Watches a descriptor for reading, and with `write` also for writing.
+    ///
+    /// # Errors
+    /// When the descriptor is already watched or can't be, or the system has no memory left.
     pub fn register(&self, fd: impl AsFd, token: u64, write: bool) -> io::Result<()> {
+        let flags = Self::interest_flags(true, write);
         Ok(epoll::add(
             &self.epoll,
             fd,
             epoll::EventData::new_u64(token),
-            Self::interest_flags(write),
+            flags,
         )?)
     }
 
     /// Changes what a descriptor is watched for; with `read` off it is watched for writing and its end only.
+    ///
+    /// # Errors
+    /// When the descriptor is not watched.
     pub fn modify(&self, fd: impl AsFd, token: u64, read: bool, write: bool) -> io::Result<()> {
-        let mut flags = Self::interest_flags(write);
-        if !read {
-            flags.remove(epoll::EventFlags::IN);
-        }
+        let flags = Self::interest_flags(read, write);
         Ok(epoll::modify(
             &self.epoll,
             fd,
@@ -69,90 +91,51 @@
     }
 
     /// Ends the watch.
+    ///
+    /// # Errors
+    /// When the descriptor is not watched.
     pub fn deregister(&self, fd: impl AsFd) -> io::Result<()> {
         Ok(epoll::delete(&self.epoll, fd)?)
     }
 
-    /// Waits until something is ready or the time is over, and adds it to `ready`.
+    /// Waits until something is ready or the timeout is over, and adds it to `ready`. Without a timeout it waits for as
+    /// long as nothing happens.
+    ///
+    /// # Errors
+    /// When the system refuses the wait. An interruption by a signal is no error: the wait ends early.
     pub fn wait(&self, timeout: Option<Duration>, ready: &mut Vec<Readiness>) -> io::Result<()> {
         let timeout = timeout.map(|t| Timespec {
-            tv_sec: t.as_secs().min(1 << 30) as i64,
+            tv_sec: t.as_secs().min(MAX_TIMEOUT_S) as i64,
             tv_nsec: i64::from(t.subsec_nanos()) as _,
         });
-        let mut room = [epoll::Event {
-            flags: epoll::EventFlags::empty(),
+        let mut events = [epoll::Event {
+            flags: EventFlags::empty(),
             data: epoll::EventData::new_u64(0),
         }; MAX_EVENTS_PER_WAIT];
-        let mut waited = epoll::wait(&self.epoll, &mut room, timeout.as_ref());
-        if waited == Err(rustix::io::Errno::INTR) {
+        let mut result = epoll::wait(&self.epoll, &mut events, timeout.as_ref());
+        if result == Err(Errno::INTR) {
             // A process that was stopped and goes on comes here, and much may be ready by now.
-            let now = Timespec {
+            let at_once = Timespec {
                 tv_sec: 0,
                 tv_nsec: 0,
             };
-            waited = epoll::wait(&self.epoll, &mut room, Some(&now));
+            result = epoll::wait(&self.epoll, &mut events, Some(&at_once));
         }
-        let events = match waited {
-            Ok(events) => events,
-            Err(rustix::io::Errno::INTR) => return Ok(()),
-            Err(e) => return Err(e.into()),
-        };
-        for event in &room[..events] {
-            let flags = event.flags;
-            let closed = epoll::EventFlags::HUP | epoll::EventFlags::ERR | epoll::EventFlags::RDHUP;
-            ready.push(Readiness {
-                token: event.data.u64(),
-                is_readable: flags.intersects(epoll::EventFlags::IN | closed),
-                is_writable: flags.intersects(epoll::EventFlags::OUT | epoll::EventFlags::ERR),
-                is_closed: flags.intersects(closed),
-            });
+        match result {
+            Ok(count) => {
+                ready.extend(events[..count].iter().map(Readiness::from_event));
+                Ok(())
+            }
+            Err(Errno::INTR) => Ok(()),
+            Err(error) => Err(error.into()),
         }
-        Ok(())
     }
 
     /// An eventfd by which another thread can wake the poller.
+    ///
+    /// # Errors
+    /// When the process or the system has no descriptor left.
     pub fn waker() -> io::Result<OwnedFd> {
         Ok(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?)
     }
 }
-
-/// Signals as readiness: each one writes a byte to a pipe of its own.
-pub struct Signals {
-    pipes: Vec<(i32, PipeReader)>,
-}
-
-impl Signals {
-    /// Catches these signals from now on.
-    pub fn catch(signals: &[i32]) -> io::Result<Signals> {
-        let mut pipes = Vec::new();
-        for &signal in signals {
-            let (read, write) = io::pipe()?;
-            rustix::io::ioctl_fionbio(&read, true)?;
-            signal_hook::low_level::pipe::register(signal, write)?;
-            pipes.push((signal, read));
-        }
-        Ok(Signals { pipes })
-    }
-
-    /// Registers all of them under one token.
-    pub fn register(&self, poller: &Poller, token: u64) -> io::Result<()> {
-        self.pipes
-            .iter()
-            .try_for_each(|(_, read)| poller.register(read, token, false))
-    }
-
-    /// How often each signal came since the last call.
-    pub fn take_received(&mut self) -> Vec<i32> {
-        let mut came = Vec::new();
-        for (signal, read) in &mut self.pipes {
-            let mut bytes = [0; 16];
-            while let Ok(n) = io::Read::read(read, &mut bytes) {
-                if n == 0 {
-                    break;
-                }
-                came.extend(std::iter::repeat_n(*signal, n));
-            }
-        }
-        came
-    }
-}
