--- a/crates/consul-emulator/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -9,7 +9,7 @@
 use maplethread_consul::catalogue::{KnownNames, read_host_list};
 use maplethread_consul::{ConsulSource, Output, Update};
 use maplethread_consul_emulator::{EmulatorSettings, Servers};
-use maplethread_placer::{Clock, ConsulClient};
+use maplethread_placer::{Clock, ConsulClient, TokenAllocator};
 use maplethread_reactor::{Poller, Readiness};
 use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
 use serde_json::json;
@@ -89,7 +89,7 @@
     poller: Poller,
     clock: Clock,
     all: Vec<ConsulClient>,
-    token: u64,
+    tokens: TokenAllocator,
 }
 
 impl Readers {
@@ -102,7 +102,7 @@
             poller: Poller::new()?,
             clock: Clock::start(),
             all,
-            token: 0,
+            tokens: TokenAllocator::default(),
         })
     }
 
@@ -114,7 +114,7 @@
             let now = self.clock.now();
             for (n, reader) in self.all.iter_mut().enumerate() {
                 if reader.next_timeout(now).is_some_and(|at| at <= now) || n == 0 {
-                    for update in reader.tick(now, &self.poller, &mut self.token) {
+                    for update in reader.tick(now, &self.poller, &mut self.tokens) {
                         if let (0, Update::Hosts(hosts), Some(wanted)) = (n, update, wanted)
                             && hosts.iter().any(|h| h.name == wanted)
                         {
@@ -129,7 +129,7 @@
             let now = self.clock.now();
             for r in &ready {
                 if let Some(reader) = self.all.iter_mut().find(|c| c.owns_token(r.token)) {
-                    reader.on_ready(now, r.token, r, &self.poller);
+                    reader.on_ready(now, r, &self.poller);
                 }
             }
         }
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -1,15 +1,16 @@
-//! Consul on sockets: carries the source's calls to its servers, one connection for each call in flight, and keeps
-//! idle ones for the next.
+//! Consul on sockets: carries the source's calls to its servers, one connection for each call in flight, and keeps idle
+//! ones for the next.
 
 use std::collections::HashMap;
-use std::net::SocketAddr;
+use std::io;
 
 use maplethread_config::{ConsulSettings, PlacerConfig};
 use maplethread_consul::{CallId, ConsulSource, Output, Update};
-use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
-use maplethread_wire::http::{Limits, Message, MessageReader, ReadResult, Role};
+use maplethread_reactor::{Poller, ReadOutcome, Readiness, ResourceError, TcpConnection};
+use maplethread_wire::http::{HttpError, Limits, Message, MessageReader, ReadResult, Role};
 
-use crate::start::{Error, io_error};
+use crate::error::Error;
+use crate::tokens::TokenAllocator;
 
 /// Bytes of an answer that are read in one round.
 const MAX_READ_BYTES_PER_ROUND: usize = 256 << 10;
@@ -17,42 +18,83 @@
 const MAX_UNREAD_BYTES: usize = 512 << 10;
 /// Idle connections that are kept.
 const MAX_IDLE_CONNECTIONS: usize = 4;
+/// A call that fails at once may lead to the next; so often that is made at once.
+const MAX_OUTPUT_ROUNDS: usize = 4;
 
+/// A call that waits for its answer.
+#[derive(Clone, Copy)]
+struct PendingCall {
+    id: CallId,
+    /// Its answer is waited for until then, µs.
+    deadline: u64,
+}
+
+/// A request on its way to a server.
+struct OutgoingCall<'a> {
+    call: PendingCall,
+    /// The server's place in the settings.
+    server: usize,
+    request: &'a [u8],
+}
+
+/// A connection to one of the servers.
 struct ServerConnection {
     connection: TcpConnection,
+    /// The server's place in the settings.
     server: usize,
     reader: MessageReader,
-    /// The call in flight and until when its answer is waited for; none on an idle connection.
-    in_flight: Option<(CallId, u64)>,
+    /// None on an idle connection.
+    in_flight: Option<PendingCall>,
+}
+
+impl ServerConnection {
+    /// Reads what has come; the whole answer, if it is there.
+    fn read_answer(&mut self) -> (ReadOutcome, Result<Option<Message>, HttpError>) {
+        let outcome = self
+            .connection
+            .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
+        let answer = self.reader.read(self.connection.unread());
+        let answer = answer.map(|(result, used)| {
+            self.connection.consume(used);
+            match result {
+                ReadResult::Message(message) => Some(message),
+                _ => None,
+            }
+        });
+        (outcome, answer)
+    }
 }
 
-/// A source on sockets.
+/// A Consul source on sockets.
 pub struct ConsulClient {
     /// What is asked and known.
     pub source: ConsulSource,
-    config: ConsulSettings,
+    settings: ConsulSettings,
+    /// By the tokens of the connections.
     connections: HashMap<u64, ServerConnection>,
     idle_tokens: Vec<u64>,
 }
 
 impl ConsulClient {
-    /// The source that the settings name, if they name one.
+    /// The client of the Consul that the settings name, if they name one. `seed` spreads its retries.
+    ///
+    /// # Errors
+    /// When the file with the token can't be read.
     pub fn new(config: &PlacerConfig, seed: u64) -> Result<Option<ConsulClient>, Error> {
-        let Some(consul) = &config.consul else {
+        let Some(settings) = &config.consul else {
             return Ok(None);
         };
-        let token = match &consul.token_file {
+        let token = match &settings.token_file {
             None => None,
             Some(path) => {
-                let text =
-                    std::fs::read_to_string(path).map_err(io_error(path.display().to_string()))?;
+                let text = std::fs::read_to_string(path)
+                    .map_err(ResourceError::of(path.display().to_string()))?;
                 Some(text.trim().to_owned())
             }
         };
-        let source = ConsulSource::new(config, consul, token, seed);
         Ok(Some(ConsulClient {
-            source,
-            config: consul.clone(),
+            source: ConsulSource::new(config, settings, token, seed),
+            settings: settings.clone(),
             connections: HashMap::new(),
             idle_tokens: Vec::new(),
         }))
@@ -63,165 +105,178 @@
         self.connections.contains_key(&token)
     }
 
-    /// When [`Catalogue::tick`] is to be called at the latest.
+    /// When [`ConsulClient::tick`] is to be called at the latest, µs.
     pub fn next_timeout(&self, now: u64) -> Option<u64> {
-        let waits = self
+        let next_deadline = self
             .connections
             .values()
-            .filter_map(|c| c.in_flight.map(|(_, until)| until))
+            .filter_map(|connection| connection.in_flight.map(|call| call.deadline))
             .min();
-        [self.source.next_timeout(now), waits]
+        [self.source.next_timeout(now), next_deadline]
             .into_iter()
             .flatten()
             .min()
     }
 
     /// Does what is due, and returns what is new.
-    pub fn tick(&mut self, now: u64, poller: &Poller, next_token: &mut u64) -> Vec<Update> {
-        let late: Vec<u64> = self
-            .connections
-            .iter()
-            .filter(|(_, c)| c.in_flight.is_some_and(|(_, until)| until <= now))
-            .map(|(&token, _)| token)
-            .collect();
-        late.into_iter()
-            .for_each(|token| self.fail(now, token, "no answer in time"));
+    pub fn tick(&mut self, now: u64, poller: &Poller, tokens: &mut TokenAllocator) -> Vec<Update> {
+        self.fail_late_calls(now);
         self.source.tick(now);
-        // A call that fails at once may lead to the next.
-        for _ in 0..4 {
+        for _ in 0..MAX_OUTPUT_ROUNDS {
             let outputs = self.source.outputs();
             if outputs.is_empty() {
                 break;
             }
-            for out in outputs {
-                match out {
-                    Output::Call {
-                        call,
-                        server,
-                        request,
-                        timeout: within,
-                    } => {
-                        let result =
-                            self.send(call, server, &request, now + within, poller, next_token);
-                        if let Err(e) = result {
-                            self.source.handle_failure(now, call, &e.to_string());
-                        }
-                    }
+            for Output::Call {
+                call: id,
+                server,
+                request,
+                timeout,
+            } in outputs
+            {
+                let outgoing = OutgoingCall {
+                    call: PendingCall {
+                        id,
+                        deadline: now + timeout,
+                    },
+                    server,
+                    request: &request,
+                };
+                if let Err(error) = self.send(&outgoing, poller, tokens) {
+                    self.source.handle_failure(now, id, &error.to_string());
                 }
             }
         }
         self.source.take_updates()
     }
 
+    fn fail_late_calls(&mut self, now: u64) {
+        let is_late = |connection: &ServerConnection| {
+            connection
+                .in_flight
+                .is_some_and(|call| call.deadline <= now)
+        };
+        let late: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_late(connection))
+            .map(|(&token, _)| token)
+            .collect();
+        for token in late {
+            self.fail_call(now, token, "no answer in time");
+        }
+    }
+
+    /// Sends a request on an idle connection to its server, or else on a new one.
     fn send(
         &mut self,
-        call: CallId,
-        server: usize,
-        request: &[u8],
-        until: u64,
+        outgoing: &OutgoingCall<'_>,
         poller: &Poller,
-        next_token: &mut u64,
-    ) -> std::io::Result<()> {
-        let at = self
-            .idle_tokens
-            .iter()
-            .position(|t| self.connections.get(t).is_some_and(|c| c.server == server));
-        let token = match at {
-            Some(at) => self.idle_tokens.swap_remove(at),
-            None => {
-                *next_token += 1;
-                let address: SocketAddr = self.config.servers[server];
-                let conn = TcpConnection::connect(address, *next_token, poller)?;
-                let limits = Limits {
-                    max_body_bytes: self.config.max_answer_bytes,
-                    ..Limits::default()
-                };
-                let reader = MessageReader::new(Role::Responses, limits);
-                self.connections.insert(
-                    *next_token,
-                    ServerConnection {
-                        connection: conn,
-                        server,
-                        reader,
-                        in_flight: None,
-                    },
-                );
-                *next_token
-            }
+        tokens: &mut TokenAllocator,
+    ) -> io::Result<()> {
+        let token = match self.take_idle(outgoing.server) {
+            Some(token) => token,
+            None => self.connect(outgoing.server, poller, tokens)?,
         };
-        if let Some(c) = self.connections.get_mut(&token) {
-            c.in_flight = Some((call, until));
-            c.connection.write_buffer().extend_from_slice(request);
-            c.connection.flush(poller)?;
+        if let Some(server) = self.connections.get_mut(&token) {
+            server.in_flight = Some(outgoing.call);
+            server
+                .connection
+                .write_buffer()
+                .extend_from_slice(outgoing.request);
+            server.connection.flush(poller)?;
         }
         Ok(())
     }
 
-    fn fail(&mut self, now: u64, token: u64, why: &str) {
-        self.idle_tokens.retain(|&t| t != token);
-        if let Some(c) = self.connections.remove(&token)
-            && let Some((call, _)) = c.in_flight
+    fn take_idle(&mut self, server: usize) -> Option<u64> {
+        let connections = &self.connections;
+        let is_to_server = |token| connections.get(token).is_some_and(|c| c.server == server);
+        let position = self.idle_tokens.iter().position(is_to_server)?;
+        Some(self.idle_tokens.swap_remove(position))
+    }
+
+    /// Opens a connection to a server; returns its token.
+    fn connect(
+        &mut self,
+        server: usize,
+        poller: &Poller,
+        tokens: &mut TokenAllocator,
+    ) -> io::Result<u64> {
+        let token = tokens.allocate();
+        let connection = TcpConnection::connect(self.settings.servers[server], token, poller)?;
+        let limits = Limits {
+            max_body_bytes: self.settings.max_answer_bytes,
+            ..Limits::default()
+        };
+        let connection = ServerConnection {
+            connection,
+            server,
+            reader: MessageReader::new(Role::Responses, limits),
+            in_flight: None,
+        };
+        self.connections.insert(token, connection);
+        Ok(token)
+    }
+
+    /// Gives up a connection, and the call on it if there is one.
+    fn fail_call(&mut self, now: u64, token: u64, reason: &str) {
+        self.idle_tokens.retain(|&idle| idle != token);
+        if let Some(connection) = self.connections.remove(&token)
+            && let Some(call) = connection.in_flight
         {
-            self.source.handle_failure(now, call, why);
+            self.source.handle_failure(now, call.id, reason);
         }
     }
 
     /// One of its connections is ready.
-    pub fn on_ready(&mut self, now: u64, token: u64, r: &Readiness, poller: &Poller) {
-        let Some(c) = self.connections.get_mut(&token) else {
+    pub fn on_ready(&mut self, now: u64, readiness: &Readiness, poller: &Poller) {
+        let token = readiness.token;
+        let Some(server) = self.connections.get_mut(&token) else {
             return;
         };
-        if c.connection.is_connecting() {
-            if !r.is_writable && !r.is_closed {
+        if server.connection.is_connecting() {
+            if !readiness.is_writable && !readiness.is_closed {
                 return;
             }
-            if let Err(e) = c.connection.finish_connect() {
-                self.fail(now, token, &e.to_string());
+            if let Err(error) = server.connection.finish_connect() {
+                self.fail_call(now, token, &error.to_string());
                 return;
             }
         }
-        if let Err(e) = c.connection.flush(poller) {
-            self.fail(now, token, &e.to_string());
+        if let Err(error) = server.connection.flush(poller) {
+            self.fail_call(now, token, &error.to_string());
             return;
         }
-        if !r.is_readable {
+        if !readiness.is_readable {
             return;
         }
-        let outcome = c
-            .connection
-            .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
-        let answer: Result<Option<Message>, String> = match c.reader.read(c.connection.unread()) {
-            Ok((found, used)) => {
-                c.connection.consume(used);
-                Ok(if let ReadResult::Message(message) = found {
-                    Some(message)
-                } else {
-                    None
-                })
-            }
-            Err(e) => Err(e.to_string()),
-        };
+        let (outcome, answer) = server.read_answer();
         match answer {
-            Err(why) => self.fail(now, token, &why),
-            Ok(Some(message)) => {
-                let call = c.in_flight.take();
-                let keep = message.head.is_keep_alive() && c.connection.unread().is_empty();
-                if let Some((call, _)) = call {
-                    self.source.handle_response(now, call, message);
-                }
-                if keep
-                    && outcome == ReadOutcome::Drained
-                    && self.idle_tokens.len() < MAX_IDLE_CONNECTIONS
-                {
-                    self.idle_tokens.push(token);
-                } else {
-                    self.connections.remove(&token);
-                }
-            }
+            Err(error) => self.fail_call(now, token, &error.to_string()),
+            Ok(Some(answer)) => self.finish_call(now, token, outcome, answer),
             Ok(None) if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) => {
-                self.fail(now, token, "the connection ended before the answer");
+                self.fail_call(now, token, "the connection ended before the answer");
             }
             Ok(None) => {}
         }
     }
+
+    /// The whole answer to a call is read. Its connection is kept for the next call if it can be.
+    fn finish_call(&mut self, now: u64, token: u64, outcome: ReadOutcome, answer: Message) {
+        let Some(server) = self.connections.get_mut(&token) else {
+            return;
+        };
+        let is_reusable = answer.head.is_keep_alive()
+            && server.connection.unread().is_empty()
+            && outcome == ReadOutcome::Drained;
+        if let Some(call) = server.in_flight.take() {
+            self.source.handle_response(now, call.id, answer);
+        }
+        if is_reusable && self.idle_tokens.len() < MAX_IDLE_CONNECTIONS {
+            self.idle_tokens.push(token);
+        } else {
+            self.connections.remove(&token);
+        }
+    }
 }
--- /dev/null
+++ b/crates/placer/src/daemon/outputs.rs
@@ -0,0 +1,58 @@
+//! Carries out what the engine wants done.
+
+use maplethread_engine::{Decide, Output};
+
+use super::Daemon;
+
+/// Carrying out may give rise to more, such as a connection that can't be made; so often that is carried out at once.
+const MAX_OUTPUT_ROUNDS: usize = 8;
+
+impl<D: Decide> Daemon<D> {
+    /// Carries out the outputs of a turn, and writes what they have for clients and hosts.
+    pub(super) fn execute_outputs(&mut self) {
+        for _ in 0..MAX_OUTPUT_ROUNDS {
+            let outputs = self.engine.take_outputs();
+            if outputs.is_empty() {
+                break;
+            }
+            for output in outputs {
+                self.execute_output(output);
+            }
+        }
+        for token in self.pending_writes.take() {
+            self.flush_connection(token);
+        }
+        let now = self.event_loop.now();
+        for arrived_at in self.engine.take_decided_arrivals() {
+            self.gauges
+                .decision_times
+                .record(now.saturating_sub(arrived_at));
+        }
+        self.publish_gauges(now);
+        self.lingering.close_expired(now);
+    }
+
+    fn execute_output(&mut self, output: Output) {
+        match output {
+            Output::ToClient(id, bytes) => self.write_to_client(id, &bytes),
+            Output::CloseClient(id) => self.close_client(id),
+            Output::ToHost(id, bytes) => self.write_to_host(id, &bytes),
+            Output::Connect(id, address) => self.connect_host(id, address),
+            Output::CloseHost(id) => self.close_host(id),
+            Output::FetchMembership(id, slot, after) => {
+                let now = self.event_loop.now();
+                let membership = self.membership.as_ref();
+                let view = membership.map(|membership| membership.view_json(now, after));
+                self.engine.answer_membership(id, slot, view.as_ref());
+            }
+        }
+    }
+
+    fn flush_connection(&mut self, token: u64) {
+        if self.hosts.owns_token(token) {
+            self.flush_host(token);
+        } else {
+            self.flush_client(token);
+        }
+    }
+}
--- a/crates/placer/src/trace_queue.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -1,30 +1,77 @@
-//! The deciding thread's side of a recording: turns and notes are put in a bounded queue, and nothing ever waits.
+//! The deciding thread's side of a recording: turns and audit entries are put in a bounded queue, and nothing ever waits.
 
-use std::cell::Cell;
-use std::rc::Rc;
+use std::ops::AddAssign;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
-use std::time::Instant;
 
 use maplethread::{Action, Event, Micros};
 use maplethread_engine::{AuditEntry, Decide};
 use maplethread_trace::Turn;
 
-use crate::decision_time::Phase;
+use crate::loop_time::SharedPhase;
 
-/// Something to be kept.
+/// Something to be recorded.
 pub(crate) enum TraceItem {
+    /// What a decider was told, and what it decided.
     Turn(Turn),
+    /// What turns do not tell.
     AuditEntry(AuditEntry),
 }
 
+impl TraceItem {
+    /// What the item counts against the queue's limit: events, actions and entries.
+    fn weight(&self) -> usize {
+        match self {
+            TraceItem::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
+            TraceItem::AuditEntry(_) => 1,
+        }
+    }
+
+    /// What is lost with the item.
+    fn loss(&self) -> Loss {
+        Loss {
+            turns: u64::from(matches!(self, TraceItem::Turn(_))),
+            records: 1,
+        }
+    }
+}
+
+/// How much of a recording was lost.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub(crate) struct Loss {
+    /// Turns.
+    pub turns: u64,
+    /// Records, turns among them.
+    pub records: u64,
+}
+
+impl Loss {
+    pub fn is_empty(&self) -> bool {
+        self.records == 0
+    }
+}
+
+impl AddAssign for Loss {
+    fn add_assign(&mut self, other: Loss) {
+        self.turns += other.turns;
+        self.records += other.records;
+    }
+}
+
+/// An item, and when it happened.
+pub(crate) struct TimedItem {
+    pub at: Micros,
+    pub item: TraceItem,
+}
+
 /// What waits to be written.
 #[derive(Default)]
 pub(crate) struct TraceBuffer {
-    pub items: Vec<(Micros, TraceItem)>,
-    /// What the items weigh: events, actions and notes.
+    pub items: Vec<TimedItem>,
+    /// What the items weigh.
     weight: usize,
-    /// Turns and records that found no room since the items before.
-    pub lost: (u64, u64),
+    /// What found no room after these items.
+    pub lost: Loss,
+    /// Nothing comes after this.
     pub is_stopping: bool,
 }
 
@@ -49,61 +96,53 @@
 
     /// Adds an item; once one was lost, all are until the writer has taken what waits, so that there is one gap.
     pub fn push(&self, at: Micros, item: TraceItem) {
-        let weight = match &item {
-            TraceItem::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
-            TraceItem::AuditEntry(_) => 1,
-        };
-        let mut waiting = self.lock();
-        if waiting.lost.1 > 0 || waiting.weight + weight > self.max_weight {
-            waiting.lost.0 += u64::from(matches!(item, TraceItem::Turn(_)));
-            waiting.lost.1 += 1;
+        let weight = item.weight();
+        let mut buffer = self.lock();
+        if !buffer.lost.is_empty() || buffer.weight + weight > self.max_weight {
+            buffer.lost += item.loss();
             return;
         }
-        waiting.weight += weight;
-        waiting.items.push((at, item));
+        buffer.weight += weight;
+        buffer.items.push(TimedItem { at, item });
     }
 
     /// Takes what waits.
     pub fn take(&self) -> TraceBuffer {
-        let mut waiting = self.lock();
-        let stop = waiting.is_stopping;
-        std::mem::replace(
-            &mut *waiting,
-            TraceBuffer {
-                is_stopping: stop,
-                ..TraceBuffer::default()
-            },
-        )
+        let mut buffer = self.lock();
+        let empty = TraceBuffer {
+            is_stopping: buffer.is_stopping,
+            ..TraceBuffer::default()
+        };
+        std::mem::replace(&mut *buffer, empty)
     }
 
+    /// Nothing is pushed any more.
     pub fn stop(&self) {
         self.lock().is_stopping = true;
     }
 }
 
-/// A decider whose turns are kept, if anybody wants them.
+/// A decider whose turns are recorded, if there is a queue for them.
 pub(crate) struct RecordingDecider<D> {
     pub inner: D,
     pub queue: Option<Arc<TraceQueue>>,
-    /// What keeping them takes of the deciding thread.
-    pub phase: Rc<Cell<Phase>>,
+    /// What recording takes of the deciding thread.
+    pub phase: SharedPhase,
 }
 
 impl<D: Decide> Decide for RecordingDecider<D> {
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        let before = actions.len();
+        let first_action = actions.len();
         self.inner.turn(now, events, actions);
         if let Some(queue) = &self.queue {
-            let from = Instant::now();
-            let turn = Turn {
-                now,
-                events: events.to_vec(),
-                actions: actions[before..].to_vec(),
-            };
-            queue.push(now, TraceItem::Turn(turn));
-            let mut spent = self.phase.get();
-            spent.add_nanos(from.elapsed().as_nanos() as u64);
-            self.phase.set(spent);
+            self.phase.measure(|| {
+                let turn = Turn {
+                    now,
+                    events: events.to_vec(),
+                    actions: actions[first_action..].to_vec(),
+                };
+                queue.push(now, TraceItem::Turn(turn));
+            });
         }
     }
 
@@ -113,26 +152,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn counts_items_lost_when_the_queue_is_full() {
-        let queue = TraceQueue::new(10);
-        let turn = || {
-            TraceItem::Turn(Turn {
-                now: 1,
-                events: vec![Event::TimerFired { label: 1 }; 3],
-                actions: Vec::new(),
-            })
-        };
-        for at in 0..5 {
-            queue.push(at, turn());
-        }
-        let waiting = queue.take();
-        // Two of weight four fit; the rest is one gap, also what would have fitted.
-        assert_eq!((waiting.items.len(), waiting.lost), (2, (3, 3)));
-        queue.push(9, turn());
-        assert_eq!((queue.take().items.len(), queue.take().lost), (1, (0, 0)));
-    }
-}
+mod tests;
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -22,6 +22,6 @@
 pub use error::ResourceError;
 pub use event_loop::EventLoop;
 pub use file_watch::FileWatch;
-pub use listener::{Backlog, Listener, is_resource_exhausted, listen};
+pub use listener::{Backlog, Listener, is_resource_exhausted};
 pub use poller::{MAX_EVENTS_PER_WAIT, Poller, Readiness};
 pub use signals::Signals;
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -87,16 +87,6 @@
     }
 }
 
-/// A listener with a large backlog.
-///
-/// # Errors
-/// When the address is in use, not one of this machine, or not permitted.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let listener = TcpListener::bind(address)?;
-    rustix::net::listen(&listener, MAX_BACKLOG)?;
-    Ok(listener)
-}
-
 /// Whether an error says that the process or the system has no descriptor or memory left for another socket, so that the
 /// same call fails again until something is closed.
 pub fn is_resource_exhausted(error: &io::Error) -> bool {
