--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -402,7 +402,7 @@
 }
 
 impl Decide for RandomChoice {
-    fn last_word(&self) -> bool {
+    fn allows_deadline_answers(&self) -> bool {
         !matches!(self.mutant, 1 | 6)
     }
 
--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -77,7 +77,7 @@
         self.by_key.get(key).map(|(_, known)| known)
     }
 
-    pub fn asking(&mut self, key: &Arc<str>, task: TaskId) {
+    pub fn insert_pending(&mut self, key: &Arc<str>, task: TaskId) {
         self.by_key
             .insert(key.clone(), (0, IdempotencyRecord::Pending(task)));
     }
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -30,7 +30,7 @@
         request: Option<String>,
         idempotency: Option<String>,
     },
-    CancelAsk(String),
+    CancelRequest(String),
     StopActor {
         service: String,
         actor: String,
@@ -39,11 +39,11 @@
         service: String,
         actor: String,
     },
-    List {
+    ListActors {
         after: Option<(String, String)>,
         limit: usize,
     },
-    Events {
+    FollowEvents {
         after: Option<u64>,
         life: Option<u64>,
     },
@@ -134,12 +134,12 @@
     out
 }
 
-fn bad(detail: impl Into<String>) -> Problem {
+fn bad_request(detail: impl Into<String>) -> Problem {
     Problem::new(400, "bad-request", "The request makes no sense", detail)
 }
 
 /// Decodes `%XX`; a bad escape is refused.
-fn unescape(text: &str) -> Result<String, Problem> {
+fn percent_decode(text: &str) -> Result<String, Problem> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&b, tail)) = rest.split_first() {
@@ -152,14 +152,14 @@
         let byte = digits
             .filter(|d| !d.starts_with('+'))
             .and_then(|d| u8::from_str_radix(d, 16).ok());
-        bytes.push(byte.ok_or_else(|| bad("bad escape in the path"))?);
+        bytes.push(byte.ok_or_else(|| bad_request("bad escape in the path"))?);
         rest = &tail[2..];
     }
-    String::from_utf8(bytes).map_err(|_| bad("the path is not UTF-8"))
+    String::from_utf8(bytes).map_err(|_| bad_request("the path is not UTF-8"))
 }
 
 /// Names of services, actors and requests: 1 to 200 bytes without control characters.
-fn name(what: &str, text: &str) -> Result<(), Problem> {
+fn check_name(what: &str, text: &str) -> Result<(), Problem> {
     if text.is_empty() || text.len() > 200 || text.chars().any(char::is_control) {
         let detail = format!("{what}: 1 to 200 bytes without control characters");
         return Err(Problem::new(
@@ -172,11 +172,11 @@
     Ok(())
 }
 
-fn header(message: &Message, field: &str) -> Result<Option<String>, Problem> {
+fn name_header(message: &Message, field: &str) -> Result<Option<String>, Problem> {
     let Some(value) = message.head.parse_field(field) else {
         return Ok(None);
     };
-    name(field, value)?;
+    check_name(field, value)?;
     Ok(Some(value.to_owned()))
 }
 
@@ -194,7 +194,7 @@
     let mut params = Vec::new();
     for pair in query.split('&').filter(|p| !p.is_empty()) {
         let (k, v) = pair.split_once('=').unwrap_or((pair, ""));
-        params.push((k, unescape(v)?));
+        params.push((k, percent_decode(v)?));
     }
     let param = |name: &str| {
         params
@@ -207,22 +207,22 @@
         Some(v) => v
             .parse::<u64>()
             .map(Some)
-            .map_err(|_| bad(format!("{name}: not a number"))),
+            .map_err(|_| bad_request(format!("{name}: not a number"))),
     };
     match (parts.as_slice(), method) {
-        (["v1", "actors"], "POST") => place(message),
+        (["v1", "actors"], "POST") => parse_place_request(message),
         (["v1", "actors"], "GET") => {
             let after = match (param("after_service"), param("after_actor")) {
                 (Some(service), Some(actor)) => Some((service.to_owned(), actor.to_owned())),
                 (None, None) => None,
-                _ => return Err(bad("after_service and after_actor belong together")),
+                _ => return Err(bad_request("after_service and after_actor belong together")),
             };
             let limit = number("limit")?.unwrap_or(100).clamp(1, 1000) as usize;
-            Ok(ApiRequest::List { after, limit })
+            Ok(ApiRequest::ListActors { after, limit })
         }
         (["v1", "actors"], _) => Err(wrong("GET, POST")),
         (["v1", "actors", service, actor], "GET" | "DELETE") => {
-            let (service, actor) = (unescape(service)?, unescape(actor)?);
+            let (service, actor) = (percent_decode(service)?, percent_decode(actor)?);
             if method == "GET" {
                 Ok(ApiRequest::GetActor { service, actor })
             } else {
@@ -230,9 +230,11 @@
             }
         }
         (["v1", "actors", _, _], _) => Err(wrong("GET, DELETE")),
-        (["v1", "asks", request], "DELETE") => Ok(ApiRequest::CancelAsk(unescape(request)?)),
+        (["v1", "asks", request], "DELETE") => {
+            Ok(ApiRequest::CancelRequest(percent_decode(request)?))
+        }
         (["v1", "asks", _], _) => Err(wrong("DELETE")),
-        (["v1", "events"], "GET") => Ok(ApiRequest::Events {
+        (["v1", "events"], "GET") => Ok(ApiRequest::FollowEvents {
             after: number("after")?,
             life: number("life")?,
         }),
@@ -254,7 +256,7 @@
     }
 }
 
-fn place(message: &Message) -> Result<ApiRequest, Problem> {
+fn parse_place_request(message: &Message) -> Result<ApiRequest, Problem> {
     if let Some(kind) = message.head.parse_field("content-type") {
         let kind = kind.split(';').next().unwrap_or("").trim();
         if !kind.eq_ignore_ascii_case("application/json") {
@@ -268,10 +270,10 @@
     }
     let body: Place = serde_json::from_slice(&message.body)
         .map_err(|e| Problem::new(400, "bad-body", "The body is not an ask", e.to_string()))?;
-    name("service", &body.service)?;
-    name("actor", &body.actor)?;
+    check_name("service", &body.service)?;
+    check_name("actor", &body.actor)?;
     if let Some(key) = &body.key {
-        name("key", key)?;
+        check_name("key", key)?;
     }
     let out = |detail: &str| Problem::new(422, "bad-value", "A value is out of its range", detail);
     let sound = |x: f64| x.is_finite() && (0.0..=1e6).contains(&x);
@@ -281,8 +283,8 @@
     if body.budget_ms < 20 {
         return Err(out("budget_ms: at least 20"));
     }
-    let request = header(message, "x-request-id")?;
-    let idempotency = header(message, "idempotency-key")?;
+    let request = name_header(message, "x-request-id")?;
+    let idempotency = name_header(message, "idempotency-key")?;
     Ok(ApiRequest::Place {
         body,
         request,
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -9,11 +9,11 @@
 use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
 
 use crate::engine::{ActorKey, ActorState, Attempt, Engine, Stage, Timer};
-use crate::sessions::why;
+use crate::sessions::failure_reason;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn offer(&mut self, task: TaskId, host: HostId, wait: Micros) {
+    pub(crate) fn send_offer(&mut self, task: TaskId, host: HostId, wait: Micros) {
         let Some(ask) = self.requests.get_mut(&task) else {
             tracing::warn!(task = task.0, "an offer for a task that is not asked for");
             return;
@@ -24,7 +24,7 @@
         };
         ask.attempts += 1;
         ask.block_reason = None;
-        let wire = self.mark | (self.next_attempt & ((1 << 40) - 1));
+        let wire = self.attempt_id_prefix | (self.next_attempt & ((1 << 40) - 1));
         self.next_attempt += 1;
         let class = &self.config.classes[ask.task.class];
         let offer = Offer {
@@ -54,12 +54,12 @@
             .get(&host)
             .map(|h| h.name.clone())
             .unwrap_or_default();
-        let cold = self.is_cold(host);
-        let meets_late_one = cold && self.cold_offers.meets_late_one(host, self.now);
+        let cold = self.is_warming_up(host);
+        let meets_late_one = cold && self.warm_up_offers.overlaps_late_offer(host, self.now);
         let sent = if meets_late_one {
             None
         } else {
-            self.send(host, &Frame::Offer(offer), true)
+            self.send_frame(host, &Frame::Offer(offer), true)
         };
         let Some(frame_end) = sent else {
             span.in_scope(
@@ -82,7 +82,7 @@
         });
         self.counters.offers += 1;
         if cold {
-            self.cold_offers.record(host, self.now);
+            self.warm_up_offers.record(host, self.now);
         }
         let (sent, until) = (self.now, self.now + wait);
         let (stage, runs, cancelled, stop, unwanted) = (Stage::Offered, false, false, None, false);
@@ -99,7 +99,7 @@
             is_running: runs,
             is_cancelled: cancelled,
             stop_reason: stop,
-            unwanted,
+            is_unwanted: unwanted,
         };
         self.attempts.insert(wire, attempt);
         if let Some(ask) = self.requests.get_mut(&task) {
@@ -116,17 +116,17 @@
         if let Some(host) = self.hosts.get_mut(&host) {
             host.attempts.insert(wire);
         }
-        self.use_changed(host);
+        self.update_host_use(host);
         self.timers.schedule(until, Timer::AttemptTimeout(wire));
     }
 
     /// Whether a host has come up so lately that the decider counts what it is sent.
-    fn is_cold(&self, host: HostId) -> bool {
+    fn is_warming_up(&self, host: HostId) -> bool {
         let started = self.hosts.get(&host).and_then(|h| h.entry.started_at);
         started.is_some_and(|started| started + self.settings.rules.warm_up_duration > self.now)
     }
 
-    pub(crate) fn attempt_due(&mut self, wire: u64) {
+    pub(crate) fn handle_attempt_timeout(&mut self, wire: u64) {
         let Some(attempt) = self.attempts.get(&wire) else {
             return;
         };
@@ -135,13 +135,13 @@
         }
         if !attempt.is_cancelled {
             let host = attempt.host;
-            self.send(host, &Frame::Cancel(wire), false);
+            self.send_frame(host, &Frame::Cancel(wire), false);
         }
-        self.end(wire, AttemptOutcome::TimedOut, None, None, false);
+        self.finish_attempt(wire, AttemptOutcome::TimedOut, None, None, false);
     }
 
     /// Nobody waits for this attempt any more.
-    pub(crate) fn call_off(&mut self, wire: u64) {
+    pub(crate) fn cancel_attempt(&mut self, wire: u64) {
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
@@ -150,23 +150,23 @@
         }
         self.counters.cancelled += 1;
         let (host, key, class) = (attempt.host, attempt.key.clone(), attempt.class);
-        self.unsettle(class, key, wire);
-        self.send(host, &Frame::Cancel(wire), false);
+        self.mark_unsettled(class, key, wire);
+        self.send_frame(host, &Frame::Cancel(wire), false);
     }
 
     /// An attempt of an actor that must not run twice may still come to run.
-    fn unsettle(&mut self, class: usize, key: ActorKey, wire: u64) {
+    fn mark_unsettled(&mut self, class: usize, key: ActorKey, wire: u64) {
         if self.config.classes[class].retry_safety != RetrySafety::Safe {
             let until = self.now + self.config.api.settle_ms * 1000;
-            self.timers.schedule(until, Timer::Settled);
+            self.timers.schedule(until, Timer::UnsettledExpiry);
             self.unsettled.insert(key.clone(), (until, wire));
-            self.late.insert(wire, key);
+            self.unsettled_attempts.insert(wire, key);
         }
     }
 
     /// It is now known that this attempt does not run.
-    pub(crate) fn settle(&mut self, wire: u64) {
-        if let Some(key) = self.late.remove(&wire)
+    pub(crate) fn clear_unsettled(&mut self, wire: u64) {
+        if let Some(key) = self.unsettled_attempts.remove(&wire)
             && self.unsettled.get(&key).is_some_and(|(_, w)| *w == wire)
         {
             self.unsettled.remove(&key);
@@ -180,11 +180,11 @@
         };
         attempt.stop_reason = Some(why);
         let host = attempt.host;
-        self.send(host, &Frame::Stop(wire), false);
+        self.send_frame(host, &Frame::Stop(wire), false);
     }
 
     /// An attempt has its outcome. `known_dead` tells that it surely does not run (any more).
-    pub(crate) fn end(
+    pub(crate) fn finish_attempt(
         &mut self,
         wire: u64,
         ending: AttemptOutcome,
@@ -195,25 +195,25 @@
         let Some(attempt) = self.attempts.remove(&wire) else {
             return;
         };
-        let why = refusal.and_then(why);
+        let why = refusal.and_then(failure_reason);
         let host_name = match self.hosts.get_mut(&attempt.host) {
             Some(host) => {
                 host.attempts.remove(&wire);
-                host.unnamed.remove(&wire);
+                host.unconfirmed.remove(&wire);
                 host.name.clone()
             }
             None => Arc::from(""),
         };
-        self.use_changed(attempt.host);
+        self.update_host_use(attempt.host);
         let seated = attempt.stage == Stage::Placed;
         let never_ran = matches!(
             ending,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed
         );
         if known_dead || never_ran {
-            self.settle(wire);
+            self.clear_unsettled(wire);
         } else if !seated {
-            self.unsettle(attempt.class, attempt.key.clone(), wire);
+            self.mark_unsettled(attempt.class, attempt.key.clone(), wire);
         }
         let mut closed = seated;
         match self.requests.get_mut(&attempt.id.task) {
@@ -242,7 +242,7 @@
             }
             None => closed = true,
         }
-        if seated && !attempt.unwanted {
+        if seated && !attempt.is_unwanted {
             if self.actors.get(&attempt.key) == Some(&ActorState::Placed(wire)) {
                 self.actors.remove(&attempt.key);
             }
@@ -255,7 +255,7 @@
                 (_, Some(FailureReason::Drained)) => ("evicted", Some("sent_away")),
                 _ => ("lost", None),
             };
-            self.tell(
+            self.publish_event(
                 event,
                 &attempt.key,
                 host_name,
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/batch.rs
@@ -13,9 +13,9 @@
     let mut later = Vec::new();
     for event in std::mem::take(waiting) {
         let task = task_of(&event);
-        let has_room = !is_placing(&event) || *placings_left > 0;
+        let has_room = !causes_placement(&event) || *placings_left > 0;
         if has_room && task.is_none_or(|task| !postponed.contains(&task)) {
-            *placings_left -= usize::from(is_placing(&event));
+            *placings_left -= usize::from(causes_placement(&event));
             given.push(event);
         } else {
             postponed.extend(task);
@@ -27,7 +27,7 @@
 }
 
 /// Whether the decider places a task because of an event.
-fn is_placing(event: &Event) -> bool {
+fn causes_placement(event: &Event) -> bool {
     match event {
         Event::PlacementRequested(_) => true,
         Event::AttemptFinished { result: end, .. } => !end.closes_task,
--- a/crates/engine/src/clients.rs
+++ b/crates/engine/src/clients.rs
@@ -34,7 +34,7 @@
 }
 
 /// What came out of a session's bytes.
-pub enum Came {
+pub enum ClientInput {
     /// Nothing more for now.
     Nothing,
     /// The client waits for leave to send its body.
@@ -42,7 +42,7 @@
     /// A whole request, to be answered under this number.
     Request(u64, Message),
     /// What can't be read; the connection is to be closed after the answer.
-    Bad(u64, HttpError),
+    Malformed(u64, HttpError),
 }
 
 impl ClientConnection {
@@ -68,16 +68,16 @@
     }
 
     /// Requests in hand.
-    pub fn in_hand(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         self.slots.len()
     }
 
     /// Whether a request has begun that is not whole.
-    pub fn inside(&self) -> bool {
+    pub fn is_mid_request(&self) -> bool {
         self.reader.is_inside_message()
     }
 
-    fn slot(&mut self, last: bool) -> u64 {
+    fn open_slot(&mut self, last: bool) -> u64 {
         self.next_slot += 1;
         self.slots.push_back(Slot {
             number: self.next_slot,
@@ -88,18 +88,21 @@
     }
 
     /// Takes the next request from the front of `unread`.
-    pub fn read(&mut self, unread: &[u8]) -> (Came, usize) {
+    pub fn read(&mut self, unread: &[u8]) -> (ClientInput, usize) {
         match self.reader.read(unread) {
-            Ok((ReadResult::NeedMore, n)) => (Came::Nothing, n),
-            Ok((ReadResult::ExpectsContinue, n)) => (Came::Continue, n),
+            Ok((ReadResult::NeedMore, n)) => (ClientInput::Nothing, n),
+            Ok((ReadResult::ExpectsContinue, n)) => (ClientInput::Continue, n),
             Ok((ReadResult::Message(message), n)) => {
                 let last = !message.head.is_keep_alive();
                 self.has_ended |= last;
-                (Came::Request(self.slot(last), message), n)
+                (ClientInput::Request(self.open_slot(last), message), n)
             }
             Err(e) => {
                 self.has_ended = true;
-                (Came::Bad(self.slot(true), e), unread.len())
+                (
+                    ClientInput::Malformed(self.open_slot(true), e),
+                    unread.len(),
+                )
             }
         }
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -16,15 +16,15 @@
 
 use crate::Timers;
 use crate::answers::{AnswerCache, FinalAnswer};
+use crate::audit_log::{AuditEntry, AuditLog};
 use crate::batch;
 use crate::clients::ClientConnection;
-use crate::cold::WarmUpOffers;
 use crate::hosts::{ConnectionState, Host};
-use crate::life::{LifeEvent, RecentEvents};
-use crate::names::{IdTable, stable_hash};
-use crate::notes::{AuditEntry, AuditLog};
-use crate::pace::TurnLatency;
+use crate::ids::{IdTable, stable_hash};
+use crate::lifecycle::{LifecycleEvent, RecentEvents};
 use crate::sessions::heartbeats;
+use crate::turn_latency::TurnLatency;
+use crate::warm_up_offers::WarmUpOffers;
 use crate::{ClientId, Decide, HostId};
 
 /// Service and actor.
@@ -87,7 +87,8 @@
     #[serde(rename = "called_off")]
     pub cancelled: u64,
     /// Answers too late to be given.
-    pub too_late: u64,
+    #[serde(rename = "too_late")]
+    pub past_deadline: u64,
     /// Actors found at hosts that an earlier life had placed.
     pub adopted: u64,
     /// Asks that the decider left open up to their deadline; the engine answered them in its stead.
@@ -108,7 +109,7 @@
     /// Connect to a host again.
     Reconnect(HostId, u64),
     /// A connection must be greeted by now.
-    Greet(HostId, u64),
+    GreetingTimeout(HostId, u64),
     /// Tasks of a host without connection are lost.
     TasksLost(HostId, u64),
     /// A probe's time is over.
@@ -116,7 +117,7 @@
     /// Look after a client's connection.
     ClientTimeout(ClientId),
     /// An actor counts as settled.
-    Settled,
+    UnsettledExpiry,
     /// Followers hear that the connection lives.
     FollowerHeartbeat,
 }
@@ -141,7 +142,7 @@
     pub last_failure: Option<&'static str>,
     /// What it is held for just now, and all that it was ever held for.
     pub block_reason: Option<BlockReason>,
-    pub lacked: BTreeSet<BlockReason>,
+    pub past_block_reasons: BTreeSet<BlockReason>,
     pub possibly_started_on: Option<Arc<str>>,
     pub span: tracing::Span,
 }
@@ -152,7 +153,7 @@
         match (self.block_reason, self.last_failure) {
             // A host that has said so knows better which.
             (Some(BlockReason::NoCapacity), Some(reason @ ("cores" | "memory" | "line"))) => reason,
-            (Some(lack), _) => lack_name(lack),
+            (Some(lack), _) => block_reason_name(lack),
             (None, _) if self.in_flight.is_some() => "no_answer",
             (None, Some(reason)) => reason,
             (None, None) => "unknown",
@@ -161,7 +162,7 @@
 }
 
 /// The API's word for what an ask is held for.
-pub(crate) fn lack_name(lack: BlockReason) -> &'static str {
+pub(crate) fn block_reason_name(lack: BlockReason) -> &'static str {
     match lack {
         BlockReason::NoKindFits => "too_large",
         BlockReason::NoReadyMachine => "no_host",
@@ -201,7 +202,7 @@
     /// It is to stop, because a client or the decider said so.
     pub stop_reason: Option<&'static str>,
     /// Its actor is told as ended or lost, or placed elsewhere: nobody hears of its end.
-    pub unwanted: bool,
+    pub is_unwanted: bool,
 }
 
 /// Where an actor stands.
@@ -219,49 +220,49 @@
     rng: Pcg64Mcg,
     pub(crate) started_ms: u64,
     /// The upper bits of all attempts of this life.
-    pub(crate) mark: u64,
+    pub(crate) attempt_id_prefix: u64,
     pub(crate) next_attempt: u64,
     pub(crate) next_task: u64,
     pub(crate) now: Micros,
-    pub(crate) turns: u64,
+    pub(crate) turn_count: u64,
     /// Requests taken in this turn.
-    pub(crate) taken: usize,
+    pub(crate) requests_this_turn: usize,
     /// This turn follows a time in which the caller stood still.
-    pub(crate) stalled: bool,
+    pub(crate) is_after_stall: bool,
     /// What is read now may have lain unread since then.
     pub(crate) unread_since: Option<Micros>,
     /// Open asks in the order of their deadlines.
     pub(crate) deadlines: BTreeSet<(Micros, TaskId)>,
-    pub(crate) pace: TurnLatency,
-    pub(crate) cold_offers: WarmUpOffers,
+    pub(crate) turn_latency: TurnLatency,
+    pub(crate) warm_up_offers: WarmUpOffers,
     pub(crate) events: Vec<Event>,
     pub(crate) outputs: Vec<Output>,
     pub(crate) timers: Timers<Timer>,
     pub(crate) hosts: BTreeMap<HostId, Host>,
     /// Their signs of life.
     pub(crate) liveness: Liveness<HostId>,
-    pub(crate) by_name: BTreeMap<Arc<str>, HostId>,
+    pub(crate) hosts_by_name: BTreeMap<Arc<str>, HostId>,
     /// Hosts that are gone: their number, connections so far, and since when. One that comes back is the same host:
     /// what it was sent a moment ago still counts.
-    pub(crate) gone: BTreeMap<Arc<str>, (HostId, u64, Micros)>,
-    pub(crate) cells: IdTable,
+    pub(crate) departed_hosts: BTreeMap<Arc<str>, (HostId, u64, Micros)>,
+    pub(crate) cell_ids: IdTable,
     pub(crate) next_host: u32,
-    pub(crate) listed: bool,
+    pub(crate) has_inventory: bool,
     pub(crate) clients: HashMap<ClientId, ClientConnection>,
     pub(crate) followers: BTreeSet<ClientId>,
     pub(crate) requests: HashMap<TaskId, PlacementRequest>,
-    pub(crate) by_request: HashMap<Arc<str>, TaskId>,
+    pub(crate) tasks_by_request_id: HashMap<Arc<str>, TaskId>,
     pub(crate) actors: BTreeMap<ActorKey, ActorState>,
     pub(crate) attempts: HashMap<u64, Attempt>,
     /// Actors of which an attempt may still come to run, until when that is waited for, and the attempt.
     pub(crate) unsettled: BTreeMap<ActorKey, (Micros, u64)>,
-    pub(crate) late: HashMap<u64, ActorKey>,
+    pub(crate) unsettled_attempts: HashMap<u64, ActorKey>,
     probes: BTreeMap<u32, HostId>,
     next_probe: u32,
-    pub(crate) answers: AnswerCache,
-    pub(crate) ring: RecentEvents,
+    pub(crate) answer_cache: AnswerCache,
+    pub(crate) recent_events: RecentEvents,
     pub(crate) counters: Counters,
-    pub(crate) stopping: bool,
+    pub(crate) is_stopping: bool,
     /// When the asks were read whose first offer this turn gave.
     pub(crate) decided_arrivals: Vec<Micros>,
     pub(crate) gauges: serde_json::Value,
@@ -269,60 +270,61 @@
 }
 
 /// Rounds of decisions in one turn: an offer that can't be sent is decided on anew at once, so often.
-const ROUNDS: usize = 8;
+const MAX_ROUNDS_PER_TURN: usize = 8;
 /// So many tasks are placed in one turn. What more has come waits for the next turn, once the offers of this one are
 /// written: an offer that leaves long after it was decided on may meet others in a cold host's window.
-const MAX_PLACINGS: usize = 64;
+const MAX_PLACEMENTS_PER_TURN: usize = 64;
 /// An ask that has no answer so long before its deadline gets one from the engine, µs. Deciders that keep rule 1
 /// are earlier.
-const LAST_WORD: Micros = 5_000;
+const DEADLINE_ANSWER_MARGIN: Micros = 5_000;
 
 impl<D: Decide> Engine<D> {
     /// An engine that knows no hosts yet.
     pub fn new(config: PlacerConfig, decider: D, boot: StartInfo, now: Micros) -> Engine<D> {
-        let mark = stable_hash(&format!("{}/{}", config.identity.name, boot.started_ms))
-            & !((1 << 40) - 1);
+        let attempt_id_prefix =
+            stable_hash(&format!("{}/{}", config.identity.name, boot.started_ms))
+                & !((1 << 40) - 1);
         let api = &config.api;
         Engine {
             settings: config.policy_settings(),
             decider,
             rng: Pcg64Mcg::seed_from_u64(boot.seed),
             started_ms: boot.started_ms,
-            mark,
+            attempt_id_prefix,
             next_attempt: 0,
             next_task: 0,
             now,
-            turns: 0,
-            taken: 0,
-            stalled: false,
+            turn_count: 0,
+            requests_this_turn: 0,
+            is_after_stall: false,
             unread_since: None,
             deadlines: BTreeSet::new(),
-            pace: TurnLatency::default(),
-            cold_offers: WarmUpOffers::new(config.policy_settings().rules.overload_window),
+            turn_latency: TurnLatency::default(),
+            warm_up_offers: WarmUpOffers::new(config.policy_settings().rules.overload_window),
             events: Vec::new(),
             outputs: Vec::new(),
             timers: Timers::default(),
             hosts: BTreeMap::new(),
-            liveness: heartbeats::liveness(&config.hosts),
-            by_name: BTreeMap::new(),
-            gone: BTreeMap::new(),
-            cells: IdTable::default(),
+            liveness: heartbeats::new_liveness(&config.hosts),
+            hosts_by_name: BTreeMap::new(),
+            departed_hosts: BTreeMap::new(),
+            cell_ids: IdTable::default(),
             next_host: 0,
-            listed: false,
+            has_inventory: false,
             clients: HashMap::new(),
             followers: BTreeSet::new(),
             requests: HashMap::new(),
-            by_request: HashMap::new(),
+            tasks_by_request_id: HashMap::new(),
             actors: BTreeMap::new(),
             attempts: HashMap::new(),
             unsettled: BTreeMap::new(),
-            late: HashMap::new(),
+            unsettled_attempts: HashMap::new(),
             probes: BTreeMap::new(),
             next_probe: 0,
-            answers: AnswerCache::new(api.answers_kept, api.answers_kept_ms * 1000),
-            ring: RecentEvents::new(api.events_kept),
+            answer_cache: AnswerCache::new(api.answers_kept, api.answers_kept_ms * 1000),
+            recent_events: RecentEvents::new(api.events_kept),
             counters: Counters::default(),
-            stopping: false,
+            is_stopping: false,
             decided_arrivals: Vec::new(),
             gauges: serde_json::Value::Null,
             audit_log: AuditLog::default(),
@@ -342,12 +344,12 @@
 
     /// Whether clients can be served: the inventory is read, and each host in it answered or failed to once.
     pub fn is_ready(&self) -> bool {
-        self.listed && self.hosts.values().all(|h| h.was_tried || !h.is_wanted())
+        self.has_inventory && self.hosts.values().all(|h| h.was_tried || !h.is_wanted())
     }
 
     /// Takes no asks from now on; those in hand are still answered.
     pub fn stop_accepting(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     /// When [`Engine::turn`] is to be called at the latest.
@@ -358,12 +360,12 @@
         let last_word = self
             .deadlines
             .first()
-            .map(|(deadline, _)| deadline.saturating_sub(LAST_WORD));
-        let last_word = last_word.filter(|_| self.decider.last_word());
+            .map(|(deadline, _)| deadline.saturating_sub(DEADLINE_ANSWER_MARGIN));
+        let last_word = last_word.filter(|_| self.decider.allows_deadline_answers());
         self.timers
             .next_due_at()
             .into_iter()
-            .chain(self.liveness.next())
+            .chain(self.liveness.next_due_at())
             .chain(last_word)
             .min()
     }
@@ -402,32 +404,32 @@
     /// The caller was busy with the last turn from reading for it until all was written. What comes meanwhile waits as
     /// long, and so do deadlines that fall due.
     pub fn record_round(&mut self, from: Micros, written: Micros) {
-        self.pace.record_round(written.saturating_sub(from));
-        self.cold_offers.mark_written(written);
+        self.turn_latency.record_round(written.saturating_sub(from));
+        self.warm_up_offers.mark_written(written);
     }
 
     /// Decides on all that was taken in, and carries the decisions out. `stalled` tells that the caller stood
     /// still before this turn, so that silence is its own and not the hosts'.
     pub fn turn(&mut self, now: Micros, stalled: bool) {
-        (self.now, self.stalled) = (self.now.max(now), stalled);
-        self.turns += 1;
-        self.taken = 0;
-        self.pace.record_turn(self.now, self.late_by());
+        (self.now, self.is_after_stall) = (self.now.max(now), stalled);
+        self.turn_count += 1;
+        self.requests_this_turn = 0;
+        self.turn_latency.record_turn(self.now, self.lateness());
         while let Some(due) = self.timers.pop_due(self.now) {
-            self.fall_due(due);
+            self.handle_timer(due);
         }
-        self.heartbeats_due();
+        self.send_due_heartbeats();
         self.decide();
-        if self.decider.last_word() {
-            self.last_words();
+        if self.decider.allows_deadline_answers() {
+            self.answer_expiring_requests();
         }
         self.unread_since = None;
-        self.answers.expire(self.now);
-        self.pump();
+        self.answer_cache.expire(self.now);
+        self.send_events_to_followers();
     }
 
     /// How long the earliest thing that waits for this turn has waited for it.
-    fn late_by(&self) -> Micros {
+    fn lateness(&self) -> Micros {
         let oldest_ask = self.events.iter().find_map(|event| match event {
             Event::PlacementRequested(task) => {
                 self.requests.get(&task.id).map(|ask| ask.received_at)
@@ -446,15 +448,15 @@
     /// Lets the decider take in what has happened, as far as this turn goes, and carries its actions out.
     fn decide(&mut self) {
         let (mut given, mut actions) = (Vec::new(), Vec::new());
-        let mut placings_left = MAX_PLACINGS;
-        for _ in 0..ROUNDS {
+        let mut placings_left = MAX_PLACEMENTS_PER_TURN;
+        for _ in 0..MAX_ROUNDS_PER_TURN {
             let events = batch::take(&mut self.events, &mut placings_left);
             if events.is_empty() {
                 break;
             }
             self.decider.turn(self.now, &events, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply_action(action);
             }
             given.extend(events.iter().filter_map(|event| match event {
                 Event::PlacementRequested(task) => Some(task.id),
@@ -469,9 +471,9 @@
     }
 
     /// Answers in the decider's stead the asks that it left open and that the next turn may be too late for.
-    fn last_words(&mut self) {
-        let margin = self.pace.answer_margin();
-        let by = self.now + LAST_WORD;
+    fn answer_expiring_requests(&mut self) {
+        let margin = self.turn_latency.answer_margin();
+        let by = self.now + DEADLINE_ANSWER_MARGIN;
         let near = self
             .deadlines
             .iter()
@@ -482,25 +484,26 @@
                     .requests
                     .get(task)
                     .map_or(*deadline, |ask| ask.received_at);
-                *deadline <= by + self.margin_within(deadline.saturating_sub(asked))
+                *deadline <= by + self.answer_margin_for(deadline.saturating_sub(asked))
             })
             .map(|&(_, task)| task)
             .collect();
-        due.into_iter().for_each(|task| self.last_word(task));
+        due.into_iter()
+            .for_each(|task| self.send_deadline_answer(task));
     }
 
     /// So long before its deadline an ask with this budget must be answered, as late as turns run.
-    pub(crate) fn margin_within(&self, budget: Micros) -> Micros {
-        self.pace.answer_margin().min(budget / 2)
+    pub(crate) fn answer_margin_for(&self, budget: Micros) -> Micros {
+        self.turn_latency.answer_margin().min(budget / 2)
     }
 
-    fn fall_due(&mut self, due: Timer) {
+    fn handle_timer(&mut self, due: Timer) {
         match due {
             Timer::Decider(label) => self.events.push(Event::TimerFired { label }),
-            Timer::AttemptTimeout(wire) => self.attempt_due(wire),
-            Timer::Reconnect(host, epoch) => self.connect_due(host, epoch),
-            Timer::Greet(host, epoch) => self.greet_due(host, epoch),
-            Timer::TasksLost(host, epoch) => self.lost_due(host, epoch),
+            Timer::AttemptTimeout(wire) => self.handle_attempt_timeout(wire),
+            Timer::Reconnect(host, epoch) => self.connect(host, epoch),
+            Timer::GreetingTimeout(host, epoch) => self.handle_greeting_timeout(host, epoch),
+            Timer::TasksLost(host, epoch) => self.handle_tasks_lost(host, epoch),
             Timer::ProbeTimeout(nonce) => {
                 if let Some(host) = self.probes.remove(&nonce) {
                     let machine = MachineId(host.0);
@@ -511,12 +514,12 @@
                     });
                 }
             }
-            Timer::ClientTimeout(client) => self.client_due(client),
-            Timer::Settled => {
+            Timer::ClientTimeout(client) => self.handle_client_timeout(client),
+            Timer::UnsettledExpiry => {
                 let now = self.now;
                 self.unsettled.retain(|_, (until, _)| *until > now);
                 let unsettled = &self.unsettled;
-                self.late
+                self.unsettled_attempts
                     .retain(|wire, key| unsettled.get(key).is_some_and(|(_, w)| w == wire));
             }
             Timer::FollowerHeartbeat => self.heartbeat_followers(),
@@ -529,18 +532,18 @@
         half + self.rng.next_u64() % (whole - half).max(1)
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Offer {
                 task,
                 machine,
                 timeout: wait,
-            } => self.offer(task, HostId(machine.0), wait),
+            } => self.send_offer(task, HostId(machine.0), wait),
             Action::Cancel(id) => {
                 let out = self.requests.get(&id.task).and_then(|a| a.in_flight);
                 if let Some(wire) = out.filter(|w| self.attempts.get(w).is_some_and(|a| a.id == id))
                 {
-                    self.call_off(wire);
+                    self.cancel_attempt(wire);
                 }
             }
             Action::Reject {
@@ -553,7 +556,7 @@
                 let reason = ask.rejection_reason();
                 let come_back_ms = come_back.unwrap_or(0) / 1000;
                 let (request, attempts) = (ask.request_id.clone(), ask.attempts);
-                self.answer(
+                self.finish_request(
                     task,
                     FinalAnswer::Refused {
                         request,
@@ -579,7 +582,7 @@
                     None => "whether it runs".to_owned(),
                 };
                 let (request, attempts) = (ask.request_id.clone(), ask.attempts);
-                self.answer(
+                self.finish_request(
                     task,
                     FinalAnswer::Failed {
                         request,
@@ -593,15 +596,15 @@
                     return;
                 };
                 ask.block_reason = Some(lack);
-                if ask.lacked.insert(lack) {
+                if ask.past_block_reasons.insert(lack) {
                     *self
                         .counters
                         .blocked_by_reason
-                        .entry(lack_name(lack))
+                        .entry(block_reason_name(lack))
                         .or_default() += 1;
                 }
                 ask.span
-                    .in_scope(|| tracing::debug!(held_for = lack_name(lack), "held"));
+                    .in_scope(|| tracing::debug!(held_for = block_reason_name(lack), "held"));
             }
             Action::Migrate(task) => {
                 let wire = self
@@ -619,7 +622,7 @@
                 let host = HostId(machine.0);
                 self.next_probe = self.next_probe.wrapping_add(1);
                 let nonce = self.next_probe;
-                if self.send(host, &Frame::Probe(nonce), true).is_some() {
+                if self.send_frame(host, &Frame::Probe(nonce), true).is_some() {
                     self.probes.insert(nonce, host);
                     let wait = self.config.hosts.connect_within_ms * 1000;
                     self.timers
@@ -641,7 +644,7 @@
         }
     }
 
-    pub(crate) fn probed(&mut self, nonce: u32, load: ResourceAmounts) {
+    pub(crate) fn handle_probe_report(&mut self, nonce: u32, load: ResourceAmounts) {
         if let Some(host) = self.probes.remove(&nonce) {
             let load = Some(Resources::new(load.cores, load.memory_gib));
             self.events.push(Event::Probed {
@@ -655,31 +658,31 @@
     /// Queues a frame for a host; where it ends in the bytes of this connection. Without a connection, or where
     /// too much waits to be written, it is not sent. What must not be lost may take twice the room; beyond it
     /// the connection is dropped, which ends what hangs on it by the rules.
-    pub(crate) fn send(&mut self, id: HostId, frame: &Frame, may_fail: bool) -> Option<u64> {
+    pub(crate) fn send_frame(&mut self, id: HostId, frame: &Frame, may_fail: bool) -> Option<u64> {
         let host = self.hosts.get_mut(&id)?;
         if host.connection == ConnectionState::Down
             || (may_fail && host.connection != ConnectionState::Up)
         {
             return None;
         }
-        let waiting = host.queued - host.written_bytes;
+        let waiting = host.queued_bytes - host.written_bytes;
         let most = self.config.hosts.max_unwritten_bytes as u64;
         if waiting > if may_fail { most } else { 2 * most } {
             if !may_fail {
                 tracing::warn!(host = %host.name, "too much waits to be written; connection dropped");
-                self.cut(id);
+                self.disconnect_host(id);
             }
             return None;
         }
         let mut bytes = Vec::with_capacity(160);
         frame::encode(frame, &mut bytes);
-        host.queued += bytes.len() as u64;
-        let end = host.queued;
+        host.queued_bytes += bytes.len() as u64;
+        let end = host.queued_bytes;
         self.outputs.push(Output::ToHost(id, bytes));
         Some(end)
     }
 
-    pub(crate) fn tell(
+    pub(crate) fn publish_event(
         &mut self,
         event: &'static str,
         key: &ActorKey,
@@ -690,7 +693,7 @@
         let (service, actor) = key.clone();
         let at_ms = self.now / 1000;
         tracing::debug!(request = %request, service = %service, actor = %actor, host = %host, reason, event);
-        self.ring.push(LifeEvent {
+        self.recent_events.push(LifecycleEvent {
             seq: 0,
             at_ms,
             event,
@@ -703,7 +706,7 @@
     }
 
     /// Whether a placing is done once a host has accepted.
-    pub(crate) fn placed_when_accepted(&self) -> bool {
+    pub(crate) fn is_placed_on_acceptance(&self) -> bool {
         self.config.placing.placed_when == AcceptancePoint::Accepted
     }
 }
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -8,9 +8,9 @@
 use crate::{ClientId, Decide};
 
 /// Bytes of events that may wait for a follower to read; more wait in the ring.
-const FOLLOWER_BYTES: usize = 64 << 10;
+const MAX_FOLLOWER_UNREAD_BYTES: usize = 64 << 10;
 /// Followers hear at least this often that the connection lives.
-const HEARTBEAT: u64 = 10_000_000;
+const FOLLOWER_HEARTBEAT_INTERVAL: u64 = 10_000_000;
 
 impl<D: Decide> Engine<D> {
     pub(crate) fn follow(
@@ -26,21 +26,23 @@
                 "this life is {}; list the actors and follow anew",
                 self.started_ms
             );
-            self.problem(
+            self.reply_problem(
                 id,
                 slot,
                 gone("other-life", "The events are of another life", detail),
             );
             return;
         }
-        let from = after.map_or(self.ring.next_seq(), |after| after.saturating_add(1));
-        if from < self.ring.oldest_seq() || from > self.ring.next_seq() {
+        let from = after.map_or(self.recent_events.next_seq(), |after| {
+            after.saturating_add(1)
+        });
+        if from < self.recent_events.oldest_seq() || from > self.recent_events.next_seq() {
             let detail = format!(
                 "kept are {} to {}; list the actors and follow anew",
-                self.ring.oldest_seq(),
-                self.ring.next_seq()
+                self.recent_events.oldest_seq(),
+                self.recent_events.next_seq()
             );
-            self.problem(
+            self.reply_problem(
                 id,
                 slot,
                 gone("fell-behind", "These events are not kept", detail),
@@ -50,9 +52,9 @@
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
-        if client.in_hand() > 1 {
+        if client.unanswered_requests() > 1 {
             let detail = "follow events on a connection of its own";
-            self.problem(
+            self.reply_problem(
                 id,
                 slot,
                 Problem::new(409, "busy-connection", "Other requests are in hand", detail),
@@ -67,14 +69,16 @@
         client.unread_bytes += out.len();
         self.outputs.push(Output::ToClient(id, out));
         if self.followers.is_empty() {
-            self.timers
-                .schedule(self.now + HEARTBEAT, Timer::FollowerHeartbeat);
+            self.timers.schedule(
+                self.now + FOLLOWER_HEARTBEAT_INTERVAL,
+                Timer::FollowerHeartbeat,
+            );
         }
         self.followers.insert(id);
     }
 
     /// Gives followers what is new, as far as they read.
-    pub(crate) fn pump(&mut self) {
+    pub(crate) fn send_events_to_followers(&mut self) {
         let mut ended = Vec::new();
         for &id in &self.followers {
             let Some(client) = self.clients.get_mut(&id) else {
@@ -84,13 +88,13 @@
                 continue;
             };
             let mut lines = Vec::new();
-            if next < self.ring.oldest_seq() {
-                let behind = json!({"event": "behind", "oldest": self.ring.oldest_seq()});
+            if next < self.recent_events.oldest_seq() {
+                let behind = json!({"event": "behind", "oldest": self.recent_events.oldest_seq()});
                 lines.extend(format!("{behind}\n").bytes());
                 ended.push(id);
             }
-            while client.unread_bytes + lines.len() < FOLLOWER_BYTES
-                && let Some(event) = self.ring.get(next)
+            while client.unread_bytes + lines.len() < MAX_FOLLOWER_UNREAD_BYTES
+                && let Some(event) = self.recent_events.get(next)
             {
                 lines.extend(serde_json::to_vec(event).unwrap_or_default());
                 lines.push(b'\n');
@@ -122,8 +126,10 @@
             }
         }
         if !self.followers.is_empty() {
-            self.timers
-                .schedule(self.now + HEARTBEAT, Timer::FollowerHeartbeat);
+            self.timers.schedule(
+                self.now + FOLLOWER_HEARTBEAT_INTERVAL,
+                Timer::FollowerHeartbeat,
+            );
         }
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -8,25 +8,25 @@
 
 mod answers;
 mod api;
-mod asks;
 mod attempts;
+mod audit_log;
 mod batch;
 mod clients;
-mod cold;
 mod engine;
 mod followers;
 mod hosts;
-mod life;
-mod names;
-mod notes;
-mod pace;
+mod ids;
+mod lifecycle;
+mod requests;
 mod serve;
 mod sessions;
+mod turn_latency;
+mod warm_up_offers;
 
+pub use audit_log::{AuditEntry, RequestOutcome};
 pub use engine::{Counters, Engine, Output, StartInfo};
+pub use ids::stable_hash;
 pub use maplethread_timers::Timers;
-pub use names::stable_hash;
-pub use notes::{AuditEntry, RequestOutcome};
 
 use maplethread::{Action, Event, Micros, Placer};
 
@@ -45,12 +45,12 @@
 
     /// Whether the engine answers in its stead what it leaves open up to a deadline. Only deciders that are to show a
     /// judge a broken rule 1 say no.
-    fn last_word(&self) -> bool {
+    fn allows_deadline_answers(&self) -> bool {
         true
     }
 
     /// Whether it is the module itself, so that a record of its turns can be replayed.
-    fn is_module(&self) -> bool {
+    fn is_replayable(&self) -> bool {
         false
     }
 }
@@ -60,7 +60,7 @@
         Placer::turn(self, now, events, actions);
     }
 
-    fn is_module(&self) -> bool {
+    fn is_replayable(&self) -> bool {
         true
     }
 }
@@ -70,11 +70,11 @@
         (**self).turn(now, events, actions);
     }
 
-    fn last_word(&self) -> bool {
-        (**self).last_word()
+    fn allows_deadline_answers(&self) -> bool {
+        (**self).allows_deadline_answers()
     }
 
-    fn is_module(&self) -> bool {
-        (**self).is_module()
+    fn is_replayable(&self) -> bool {
+        (**self).is_replayable()
     }
 }
--- a/crates/engine/src/life.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -7,7 +7,7 @@
 
 /// One event in the life of an actor.
 #[derive(Clone, Debug, Serialize)]
-pub struct LifeEvent {
+pub struct LifecycleEvent {
     /// Its number; one more than the event before.
     pub seq: u64,
     /// When, Unix time in ms.
@@ -29,7 +29,7 @@
 
 /// The latest events.
 pub struct RecentEvents {
-    events: VecDeque<LifeEvent>,
+    events: VecDeque<LifecycleEvent>,
     max_events: usize,
     next_seq: u64,
 }
@@ -55,7 +55,7 @@
     }
 
     /// Adds an event and gives it its number.
-    pub fn push(&mut self, mut event: LifeEvent) {
+    pub fn push(&mut self, mut event: LifecycleEvent) {
         event.seq = self.next_seq;
         self.next_seq += 1;
         if self.events.len() == self.max_events {
@@ -65,7 +65,7 @@
     }
 
     /// The event of this number, if it is kept.
-    pub fn get(&self, seq: u64) -> Option<&LifeEvent> {
+    pub fn get(&self, seq: u64) -> Option<&LifecycleEvent> {
         self.events
             .get(usize::try_from(seq.checked_sub(self.oldest_seq())?).ok()?)
     }
--- a/crates/engine/src/asks.rs
+++ b/crates/engine/src/requests.rs
@@ -7,15 +7,15 @@
 
 use crate::answers::{FinalAnswer, IdempotencyRecord};
 use crate::api::{self, Place, Problem};
+use crate::audit_log::{AuditEntry, RequestOutcome};
 use crate::engine::{ActorKey, ActorState, Engine, Output, PlacementRequest, Stage};
-use crate::names::stable_hash;
-use crate::notes::{AuditEntry, RequestOutcome};
-use crate::sessions::copies;
+use crate::ids::stable_hash;
+use crate::sessions::duplicate_policy;
 use crate::{ClientId, Decide};
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn hang_up(&mut self, task: TaskId) {
-        let Some(ask) = self.forget_ask(task) else {
+    pub(crate) fn disconnect_request(&mut self, task: TaskId) {
+        let Some(ask) = self.remove_request(task) else {
             return;
         };
         self.counters.disconnected += 1;
@@ -28,16 +28,16 @@
         });
         ask.span.in_scope(|| tracing::debug!("hung up"));
         if let Some(key) = &ask.idempotency_key {
-            self.answers.forget(key);
+            self.answer_cache.forget(key);
         }
         self.events.push(Event::ClientDisconnected(task));
         if let Some(wire) = ask.in_flight {
-            self.call_off(wire);
+            self.cancel_attempt(wire);
         }
     }
 
     /// Keeps track of what a client waits for.
-    pub(crate) fn waits(&mut self, client: ClientId, task: TaskId, begins: bool) {
+    pub(crate) fn track_waiting(&mut self, client: ClientId, task: TaskId, begins: bool) {
         if let Some(client) = self.clients.get_mut(&client) {
             if begins {
                 client.awaited_tasks.insert(task);
@@ -47,12 +47,12 @@
         }
     }
 
-    pub(crate) fn forget_ask(&mut self, task: TaskId) -> Option<PlacementRequest> {
+    pub(crate) fn remove_request(&mut self, task: TaskId) -> Option<PlacementRequest> {
         let ask = self.requests.remove(&task)?;
         self.deadlines.remove(&(ask.deadline, task));
         for id in ask.waiters.iter().map(|w| &w.2).chain([&ask.request_id]) {
-            if self.by_request.get(id) == Some(&task) {
-                self.by_request.remove(id);
+            if self.tasks_by_request_id.get(id) == Some(&task) {
+                self.tasks_by_request_id.remove(id);
             }
         }
         if self.actors.get(&ask.key) == Some(&ActorState::Pending(task)) {
@@ -61,7 +61,7 @@
         Some(ask)
     }
 
-    pub(crate) fn place(
+    pub(crate) fn accept_request(
         &mut self,
         client: ClientId,
         slot: u64,
@@ -84,7 +84,7 @@
         };
         let mut joins = None;
         if let Some(key) = &idempotency {
-            match self.answers.get(key) {
+            match self.answer_cache.get(key) {
                 Some(IdempotencyRecord::Answered(bytes)) => {
                     let bytes = bytes.to_vec();
                     self.reply(client, slot, bytes, false);
@@ -110,9 +110,9 @@
             }
             let id = request.map_or_else(|| ask.request_id.clone(), Arc::from);
             ask.waiters.push((client, slot, id.clone()));
-            self.by_request.entry(id).or_insert(ask.task.id);
+            self.tasks_by_request_id.entry(id).or_insert(ask.task.id);
             let task = ask.task.id;
-            self.waits(client, task, true);
+            self.track_waiting(client, task, true);
             return Ok(());
         }
         if let Some(ActorState::Placed(wire)) = actor
@@ -160,7 +160,7 @@
             problem.retry_after_s = Some((until - self.now).div_ceil(1_000_000));
             return Err(problem);
         }
-        if self.stopping {
+        if self.is_stopping {
             let mut problem =
                 Problem::unavailable("stopping", "This placer is stopping", "ask another");
             problem.close = true;
@@ -181,7 +181,7 @@
             ));
         }
         let budget = body.budget_ms.min(self.config.api.max_budget_ms) * 1000;
-        if self.pace.turns_away(self.now, budget) {
+        if self.turn_latency.should_reject(self.now, budget) {
             let detail = "the placer's turns run late; other placers may have time";
             return Err(Problem::unavailable(
                 "overloaded",
@@ -190,7 +190,7 @@
             ));
         }
         let deadline = self.unread_since.unwrap_or(self.now).min(self.now) + budget;
-        let give_up_at = deadline - self.margin_within(budget);
+        let give_up_at = deadline - self.answer_margin_for(budget);
         if give_up_at <= self.now {
             let detail = "the placer stood still, and the ask's budget may be over";
             return Err(Problem::unavailable(
@@ -203,7 +203,7 @@
         let id = TaskId(self.next_task);
         let request: Arc<str> = match request {
             Some(request) => request.into(),
-            None => format!("{:x}-{}", self.mark >> 40, id.0).into(),
+            None => format!("{:x}-{}", self.attempt_id_prefix >> 40, id.0).into(),
         };
         let task = Task {
             id,
@@ -215,7 +215,7 @@
             is_resubmission: body.again,
         };
         let name = body.key.as_deref().unwrap_or(&body.actor);
-        let copies = copies(
+        let copies = duplicate_policy(
             self.settings.classes[class].retry_safety,
             stable_hash(&format!("{}/{name}", body.service)),
         );
@@ -223,9 +223,9 @@
         span.in_scope(|| tracing::debug!(class = body.class, budget_ms = budget / 1000, "asked"));
         let idempotency: Option<Arc<str>> = idempotency.map(Into::into);
         if let Some(key) = &idempotency {
-            self.answers.asking(key, id);
+            self.answer_cache.insert_pending(key, id);
         }
-        self.by_request.insert(request.clone(), id);
+        self.tasks_by_request_id.insert(request.clone(), id);
         self.actors.insert(key.clone(), ActorState::Pending(id));
         self.audit_log.add(|| AuditEntry::RequestAccepted {
             task: id,
@@ -251,12 +251,12 @@
             attempts,
             last_failure: reason,
             block_reason: lack,
-            lacked: BTreeSet::new(),
+            past_block_reasons: BTreeSet::new(),
             possibly_started_on: may_run,
             span,
         };
         self.requests.insert(id, ask);
-        self.waits(client, id, true);
+        self.track_waiting(client, id, true);
         self.deadlines.insert((deadline, id));
         self.counters.requests += 1;
         self.events.push(Event::PlacementRequested(task));
@@ -264,7 +264,7 @@
     }
 
     /// The decider left an ask open up to its deadline: it is answered in its stead, with no more than is known.
-    pub(crate) fn last_word(&mut self, task: TaskId) {
+    pub(crate) fn send_deadline_answer(&mut self, task: TaskId) {
         let Some(ask) = self.requests.get(&task) else {
             return;
         };
@@ -287,12 +287,12 @@
             }
         };
         self.events.push(Event::ClientDisconnected(task));
-        self.answer(task, answer);
+        self.finish_request(task, answer);
     }
 
     /// The one final answer to an ask. What is still out is called off, unless it is what was placed.
-    pub(crate) fn answer(&mut self, task: TaskId, answer: FinalAnswer) {
-        let Some(ask) = self.forget_ask(task) else {
+    pub(crate) fn finish_request(&mut self, task: TaskId, answer: FinalAnswer) {
+        let Some(ask) = self.remove_request(task) else {
             return;
         };
         let name = match &answer {
@@ -315,12 +315,12 @@
                 .is_some_and(|a| a.stage != Stage::Placed)
         });
         if let Some(wire) = out {
-            self.call_off(wire);
+            self.cancel_attempt(wire);
         }
         let after = self.now.saturating_sub(ask.received_at);
         self.audit_log.add(|| AuditEntry::RequestFinished {
             task,
-            outcome: ending(&answer),
+            outcome: request_outcome(&answer),
             attempts: ask.attempts,
             elapsed: after,
         });
@@ -329,14 +329,14 @@
             .in_scope(|| tracing::debug!(attempts = ask.attempts, late, "{name}"));
         let bytes = api::json_response(200, &answer);
         if let Some(key) = &ask.idempotency_key {
-            self.answers
+            self.answer_cache
                 .insert_answer(key, self.now, bytes.clone().into());
         }
         for (client, slot, id) in ask.waiters {
-            self.waits(client, task, false);
+            self.track_waiting(client, task, false);
             if late {
                 // Its owner gave up: nothing is said after the deadline, and the silence is made plain.
-                self.counters.too_late += 1;
+                self.counters.past_deadline += 1;
                 self.outputs.push(Output::CloseClient(client));
                 self.client_closed(self.now, client);
             } else {
@@ -352,7 +352,7 @@
     }
 }
 
-fn ending(answer: &FinalAnswer) -> RequestOutcome {
+fn request_outcome(answer: &FinalAnswer) -> RequestOutcome {
     match answer {
         FinalAnswer::Placed { host, .. } => RequestOutcome::Placed(host.clone()),
         FinalAnswer::Refused {
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -5,12 +5,12 @@
 use serde_json::json;
 
 use crate::api::{self, ApiRequest, Problem};
-use crate::clients::{Came, ClientConnection};
+use crate::clients::{ClientConnection, ClientInput};
 use crate::engine::{ActorKey, ActorState, Engine, Output, Timer};
 use crate::{ClientId, Decide};
 
 /// So many requests are taken in one turn; then each client has one more, so that none waits for a crowd.
-const TURN_REQUESTS: usize = 128;
+const MAX_REQUESTS_PER_TURN: usize = 128;
 
 impl<D: Decide> Engine<D> {
     /// A client has connected.
@@ -46,7 +46,7 @@
     /// client has had an answer.
     pub fn client_bytes(&mut self, now: u64, id: ClientId, unread: &[u8]) -> usize {
         self.now = self.now.max(now);
-        let (most, turn) = (self.config.api.max_pipelined, self.turns);
+        let (most, turn) = (self.config.api.max_pipelined, self.turn_count);
         let unread_most = self.config.api.max_unread_bytes / 4;
         let mut used = 0;
         loop {
@@ -61,8 +61,12 @@
             if client.taken.0 != turn {
                 client.taken = (turn, 0);
             }
-            let share = if self.taken >= TURN_REQUESTS { 1 } else { most };
-            if client.in_hand() >= most
+            let share = if self.requests_this_turn >= MAX_REQUESTS_PER_TURN {
+                1
+            } else {
+                most
+            };
+            if client.unanswered_requests() >= most
                 || client.taken.1 >= share
                 || client.unread_bytes > unread_most
             {
@@ -71,8 +75,8 @@
             let (came, n) = client.read(&unread[used..]);
             used += n;
             match came {
-                Came::Nothing => {
-                    let begun = client.inside() || used < unread.len();
+                ClientInput::Nothing => {
+                    let begun = client.is_mid_request() || used < unread.len();
                     client.request_began_at = if begun {
                         client.request_began_at.or(Some(self.now))
                     } else {
@@ -80,23 +84,23 @@
                     };
                     return used;
                 }
-                Came::Continue => {
+                ClientInput::Continue => {
                     client.request_began_at = client.request_began_at.or(Some(self.now));
                     self.outputs.push(Output::ToClient(
                         id,
                         b"HTTP/1.1 100 Continue\r\n\r\n".to_vec(),
                     ));
                 }
-                Came::Request(slot, message) => {
+                ClientInput::Request(slot, message) => {
                     (client.request_began_at, client.last_used_at) = (None, self.now);
                     client.taken.1 += 1;
-                    self.taken += 1;
+                    self.requests_this_turn += 1;
                     match api::parse_request(&message) {
-                        Ok(call) => self.serve(id, slot, call),
-                        Err(problem) => self.problem(id, slot, problem),
+                        Ok(call) => self.handle_request(id, slot, call),
+                        Err(problem) => self.reply_problem(id, slot, problem),
                     }
                 }
-                Came::Bad(slot, error) => {
+                ClientInput::Malformed(slot, error) => {
                     let mut problem = Problem::new(
                         error.status(),
                         "bad-http",
@@ -104,7 +108,7 @@
                         error.to_string(),
                     );
                     problem.close = true;
-                    self.problem(id, slot, problem);
+                    self.reply_problem(id, slot, problem);
                     return unread.len();
                 }
             }
@@ -143,17 +147,17 @@
                     .into_iter()
                     .filter(|l| ask.waiters.iter().all(|w| w.2 != l.2))
                 {
-                    self.by_request.remove(&request);
+                    self.tasks_by_request_id.remove(&request);
                 }
             }
             if nobody {
-                self.hang_up(task);
+                self.disconnect_request(task);
             }
         }
     }
 
     /// Looks after a connection's times.
-    pub(crate) fn client_due(&mut self, id: ClientId) {
+    pub(crate) fn handle_client_timeout(&mut self, id: ClientId) {
         let (whole, idle) = (
             self.config.api.request_within_ms * 1000,
             self.config.api.idle_close_ms * 1000,
@@ -166,7 +170,7 @@
         }
         let due = match client.request_began_at {
             Some(begun) => begun + whole,
-            None if client.in_hand() > 0 => self.now + idle,
+            None if client.unanswered_requests() > 0 => self.now + idle,
             None => client.last_used_at + idle,
         };
         if due > self.now {
@@ -204,7 +208,7 @@
         }
     }
 
-    pub(crate) fn problem(&mut self, id: ClientId, slot: u64, problem: Problem) {
+    pub(crate) fn reply_problem(&mut self, id: ClientId, slot: u64, problem: Problem) {
         if problem.status == 503 {
             self.counters.unavailable += 1;
         }
@@ -223,24 +227,24 @@
                     "This placer keeps no view of a fleet",
                     "no [fleet] is set",
                 );
-                self.problem(id, slot, problem);
+                self.reply_problem(id, slot, problem);
             }
         }
     }
 
-    fn serve(&mut self, id: ClientId, slot: u64, call: ApiRequest) {
+    fn handle_request(&mut self, id: ClientId, slot: u64, call: ApiRequest) {
         match call {
             ApiRequest::Place {
                 body,
                 request,
                 idempotency,
             } => {
-                if let Err(problem) = self.place(id, slot, body, request, idempotency) {
-                    self.problem(id, slot, problem);
+                if let Err(problem) = self.accept_request(id, slot, body, request, idempotency) {
+                    self.reply_problem(id, slot, problem);
                 }
             }
-            ApiRequest::CancelAsk(request) => {
-                match self.by_request.get(request.as_str()).copied() {
+            ApiRequest::CancelRequest(request) => {
+                match self.tasks_by_request_id.get(request.as_str()).copied() {
                     Some(task) => {
                         // Others who ask for the same actor go on waiting.
                         let Some(ask) = self.requests.get_mut(&task) else {
@@ -249,19 +253,19 @@
                         let cancelled: Vec<_> =
                             ask.waiters.extract_if(.., |w| *w.2 == *request).collect();
                         let nobody = ask.waiters.is_empty();
-                        self.by_request.remove(request.as_str());
+                        self.tasks_by_request_id.remove(request.as_str());
                         if nobody {
-                            self.hang_up(task);
+                            self.disconnect_request(task);
                         }
                         for (client, waiting, _) in cancelled {
-                            self.waits(client, task, false);
+                            self.track_waiting(client, task, false);
                             let problem = Problem::new(
                                 410,
                                 "cancelled",
                                 "The ask was cancelled",
                                 "by DELETE /v1/asks",
                             );
-                            self.problem(client, waiting, problem);
+                            self.reply_problem(client, waiting, problem);
                         }
                         self.reply(
                             id,
@@ -274,7 +278,7 @@
                         let detail = "it has its answer, or was never asked";
                         let problem =
                             Problem::new(404, "no-such-ask", "No ask of this id is open", detail);
-                        self.problem(id, slot, problem);
+                        self.reply_problem(id, slot, problem);
                     }
                 }
             }
@@ -288,23 +292,23 @@
                     }
                     Some(ActorState::Pending(_)) => {
                         let detail = "cancel its ask, or wait for the answer";
-                        self.problem(
+                        self.reply_problem(
                             id,
                             slot,
                             Problem::new(409, "not-placed", "It is not placed yet", detail),
                         );
                     }
-                    None => self.problem(id, slot, unknown_actor()),
+                    None => self.reply_problem(id, slot, unknown_actor()),
                 }
             }
             ApiRequest::GetActor { service, actor } => {
                 let key: ActorKey = (service.as_str().into(), actor.as_str().into());
-                match self.look(&key) {
+                match self.describe_actor(&key) {
                     Some(body) => self.reply(id, slot, api::json_response(200, &body), false),
-                    None => self.problem(id, slot, unknown_actor()),
+                    None => self.reply_problem(id, slot, unknown_actor()),
                 }
             }
-            ApiRequest::List { after, limit } => {
+            ApiRequest::ListActors { after, limit } => {
                 let after = after.map(|(s, a)| (Arc::<str>::from(s), Arc::<str>::from(a)));
                 let from = match &after {
                     Some(key) => std::ops::Bound::Excluded(key),
@@ -317,7 +321,10 @@
                 let mut keys: Vec<ActorKey> = page.map(|(key, _)| key.clone()).collect();
                 let more = keys.len() > limit;
                 keys.truncate(limit);
-                let actors: Vec<_> = keys.iter().filter_map(|key| self.look(key)).collect();
+                let actors: Vec<_> = keys
+                    .iter()
+                    .filter_map(|key| self.describe_actor(key))
+                    .collect();
                 let next = keys.last().filter(|_| more);
                 let next = next.map(|(s, a)| json!({"after_service": s, "after_actor": a}));
                 let body = json!({"actors": actors, "held": self.actors.len(), "next": next});
@@ -326,7 +333,7 @@
             ApiRequest::Membership { after } => {
                 self.outputs.push(Output::FetchMembership(id, slot, after))
             }
-            ApiRequest::Events { after, life } => self.follow(id, slot, after, life),
+            ApiRequest::FollowEvents { after, life } => self.follow(id, slot, after, life),
             ApiRequest::Status { full } => {
                 let up = self
                     .hosts
@@ -336,7 +343,7 @@
                 let body = json!({
                     "placer": self.config.identity.name,
                     "life": self.started_ms,
-                    "state": if self.stopping { "stopping" } else { "serving" },
+                    "state": if self.is_stopping { "stopping" } else { "serving" },
                     "counters": self.counters,
                     "open_asks": self.requests.len(),
                     "actors": self.actors.len(),
@@ -346,14 +353,14 @@
                     "hosts": self.hosts.len(),
                     "hosts_connected": up,
                     "gauges": if full { &self.gauges } else { &serde_json::Value::Null },
-                    "events": {"oldest": self.ring.oldest_seq(), "next": self.ring.next_seq()},
+                    "events": {"oldest": self.recent_events.oldest_seq(), "next": self.recent_events.next_seq()},
                 });
                 self.reply(id, slot, api::json_response(200, &body), false);
             }
         }
     }
 
-    fn look(&self, key: &ActorKey) -> Option<serde_json::Value> {
+    fn describe_actor(&self, key: &ActorKey) -> Option<serde_json::Value> {
         let (service, actor) = key;
         Some(match *self.actors.get(key)? {
             ActorState::Pending(task) => {
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -10,7 +10,7 @@
 use maplethread::FailureReason;
 use maplethread_wire::frame::{DuplicatePolicy, Reason};
 
-pub(crate) fn why(reason: Reason) -> Option<FailureReason> {
+pub(crate) fn failure_reason(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
         Reason::Cores => FailureReason::Cores,
         Reason::Memory => FailureReason::Memory,
@@ -24,7 +24,7 @@
 }
 
 /// What stands on the wire for a class's effect.
-pub(crate) fn copies(effect: maplethread::RetrySafety, key: u64) -> DuplicatePolicy {
+pub(crate) fn duplicate_policy(effect: maplethread::RetrySafety, key: u64) -> DuplicatePolicy {
     match effect {
         maplethread::RetrySafety::Idempotent => DuplicatePolicy::Idempotent,
         maplethread::RetrySafety::IdempotencyKey { .. } => DuplicatePolicy::IdempotencyKey(key),
--- a/crates/engine/src/sessions/adoption.rs
+++ b/crates/engine/src/sessions/adoption.rs
@@ -6,14 +6,14 @@
 use maplethread_wire::frame::{Frame, Offer};
 
 use crate::answers::FinalAnswer;
+use crate::audit_log::AuditEntry;
 use crate::engine::{ActorState, Attempt, Engine, Stage};
-use crate::names::stable_hash;
-use crate::notes::AuditEntry;
+use crate::ids::stable_hash;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
     /// A task that a host holds of this placer, told after a new connection.
-    pub(super) fn held(&mut self, id: HostId, offer: Offer, runs: bool) {
+    pub(super) fn handle_held_task(&mut self, id: HostId, offer: Offer, runs: bool) {
         let wire = offer.attempt_id;
         if let Some(attempt) = self.attempts.get(&wire) {
             if attempt.stage != Stage::Placed || attempt.host != id {
@@ -21,13 +21,13 @@
             }
             let (stop, was) = (attempt.stop_reason.is_some(), attempt.is_running);
             if let Some(host) = self.hosts.get_mut(&id) {
-                host.unnamed.remove(&wire);
+                host.unconfirmed.remove(&wire);
             }
             if runs && !was {
-                self.started(wire, 0);
+                self.handle_started(wire, 0);
             }
             if stop {
-                self.send(id, &Frame::Stop(wire), false);
+                self.send_frame(id, &Frame::Stop(wire), false);
             }
             return;
         }
@@ -46,7 +46,7 @@
         };
         // An attempt of this life that ended or was told as lost, or another copy: it is not wanted. It runs until the
         // host has stopped it, and counts as long.
-        let own = wire & !((1 << 40) - 1) == self.mark;
+        let own = wire & !((1 << 40) - 1) == self.attempt_id_prefix;
         let unwanted = own || matches!(self.actors.get(&key), Some(ActorState::Placed(_)));
         self.next_task += 1;
         let task = Task {
@@ -78,7 +78,7 @@
             is_running: runs,
             is_cancelled: false,
             stop_reason: unwanted.then_some("unwanted"),
-            unwanted,
+            is_unwanted: unwanted,
         };
         self.attempts.insert(wire, attempt);
         if let Some(host) = self.hosts.get_mut(&id) {
@@ -89,13 +89,13 @@
             machine: MachineId(id.0),
         });
         if unwanted {
-            self.send(id, &Frame::Stop(wire), false);
+            self.send_frame(id, &Frame::Stop(wire), false);
             return;
         }
         self.counters.adopted += 1;
         let before = self.actors.insert(key.clone(), ActorState::Placed(wire));
         let name = self.host_name(id);
-        self.tell("adopted", &key, name.clone(), None, request);
+        self.publish_event("adopted", &key, name.clone(), None, request);
         // Somebody asks for it just now: here it is.
         if let Some(ActorState::Pending(asked)) = before {
             let address = self
@@ -110,7 +110,7 @@
                 .unwrap_or_default();
             let (service, actor) = key;
             self.events.push(Event::ClientDisconnected(asked));
-            self.answer(
+            self.finish_request(
                 asked,
                 FinalAnswer::Placed {
                     request,
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -8,7 +8,7 @@
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn connect_due(&mut self, id: HostId, epoch: u64) {
+    pub(crate) fn connect(&mut self, id: HostId, epoch: u64) {
         let within = self.config.hosts.connect_within_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
@@ -21,25 +21,25 @@
         }
         host.connection_epoch += 1;
         host.connection = ConnectionState::Greeting;
-        (host.queued, host.written_bytes) = (0, 0);
+        (host.queued_bytes, host.written_bytes) = (0, 0);
         let (address, epoch) = (host.address, host.connection_epoch);
         self.outputs.push(Output::Connect(id, address));
         self.timers
-            .schedule(self.now + within, Timer::Greet(id, epoch));
+            .schedule(self.now + within, Timer::GreetingTimeout(id, epoch));
     }
 
-    pub(crate) fn greet_due(&mut self, id: HostId, epoch: u64) {
+    pub(crate) fn handle_greeting_timeout(&mut self, id: HostId, epoch: u64) {
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
         if host.connection_epoch == epoch
             && matches!(
                 host.connection,
-                ConnectionState::Greeting | ConnectionState::Naming
+                ConnectionState::Greeting | ConnectionState::Syncing
             )
         {
             tracing::warn!(host = %host.name, "no greeting in time");
-            self.cut(id);
+            self.disconnect_host(id);
         }
     }
 
@@ -58,7 +58,7 @@
             .get(&id)
             .is_some_and(|h| h.connection == ConnectionState::Greeting)
         {
-            self.send(id, &hello, false);
+            self.send_frame(id, &hello, false);
         }
     }
 
@@ -85,7 +85,7 @@
             return;
         }
         let was = std::mem::replace(&mut host.connection, ConnectionState::Down);
-        self.liveness.removed(id);
+        self.liveness.remove(id);
         tracing::info!(host = %host.name, ?was, "connection lost");
         let attempts: Vec<u64> = host.attempts.iter().copied().collect();
         let (epoch, tries, wanted) = (
@@ -103,10 +103,10 @@
             match attempt.stage {
                 Stage::Placed => holds = true,
                 Stage::Offered if attempt.frame_end > written => {
-                    self.end(wire, AttemptOutcome::ConnectFailed, None, None, true);
+                    self.finish_attempt(wire, AttemptOutcome::ConnectFailed, None, None, true);
                 }
                 Stage::Offered | Stage::Accepted => {
-                    self.end(wire, AttemptOutcome::Disconnected, None, None, false)
+                    self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, false)
                 }
             }
         }
@@ -114,7 +114,7 @@
             self.timers
                 .schedule(self.now + lost, Timer::TasksLost(id, epoch));
         } else if holds {
-            self.lose_all(id);
+            self.fail_all_attempts(id);
         }
         if wanted {
             let whole = first.saturating_mul(1 << tries.min(16)).min(most) * 1000;
@@ -123,17 +123,17 @@
                 .schedule(self.now + wait, Timer::Reconnect(id, epoch));
         }
         if untold {
-            self.relist(id);
+            self.publish_host(id);
         }
         self.events.push(Event::ConnectionChanged {
             machine: MachineId(id.0),
             is_connected: false,
         });
-        self.forget_gone(id);
+        self.forget_departed(id);
     }
 
     /// Drops the connection to a host. What the kernel has not taken of it by now is never sent.
-    pub(crate) fn cut(&mut self, id: HostId) {
+    pub(crate) fn disconnect_host(&mut self, id: HostId) {
         let Some(written) = self.hosts.get(&id).map(|h| h.written_bytes) else {
             return;
         };
@@ -141,25 +141,26 @@
         self.host_closed(self.now, id, written);
     }
 
-    pub(crate) fn lost_due(&mut self, id: HostId, epoch: u64) {
+    pub(crate) fn handle_tasks_lost(&mut self, id: HostId, epoch: u64) {
         // A connection made since has its own say on what the host still holds.
-        let back = |h: &Host| matches!(h.connection, ConnectionState::Naming | ConnectionState::Up);
+        let back =
+            |h: &Host| matches!(h.connection, ConnectionState::Syncing | ConnectionState::Up);
         if self
             .hosts
             .get(&id)
-            .is_some_and(|h| epoch >= h.greeted_epoch && epoch > h.born && !back(h))
+            .is_some_and(|h| epoch >= h.greeted_epoch && epoch > h.epoch_at_return && !back(h))
         {
-            self.lose_all(id);
+            self.fail_all_attempts(id);
         }
     }
 
-    pub(super) fn lose_all(&mut self, id: HostId) {
+    pub(super) fn fail_all_attempts(&mut self, id: HostId) {
         let held = self
             .hosts
             .get(&id)
             .map(|h| h.attempts.iter().copied().collect::<Vec<_>>());
         for wire in held.unwrap_or_default() {
-            self.end(wire, AttemptOutcome::Disconnected, None, None, false);
+            self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, false);
         }
     }
 }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -24,30 +24,30 @@
                 Ok((frame, n)) => {
                     used += n;
                     let Some(frame) = frame else { return used };
-                    if let Err(why) = self.host_frame(id, frame) {
-                        self.drop_host(id, &why);
+                    if let Err(why) = self.handle_frame(id, frame) {
+                        self.reject_host(id, &why);
                         return unread.len();
                     }
                 }
                 Err(e) => {
-                    self.drop_host(id, &e.to_string());
+                    self.reject_host(id, &e.to_string());
                     return unread.len();
                 }
             }
         }
     }
 
-    pub(super) fn drop_host(&mut self, id: HostId, why: &str) {
+    pub(super) fn reject_host(&mut self, id: HostId, why: &str) {
         let Some(host) = self.hosts.get(&id) else {
             return;
         };
         tracing::warn!(host = %host.name, why, "breaks the protocol; connection dropped");
-        self.send(id, &Frame::Bye(why.to_owned()), false);
-        self.cut(id);
+        self.send_frame(id, &Frame::Bye(why.to_owned()), false);
+        self.disconnect_host(id);
     }
 
-    pub(super) fn host_frame(&mut self, id: HostId, frame: Frame) -> Result<(), String> {
-        self.sign_of_life(id, &frame);
+    pub(super) fn handle_frame(&mut self, id: HostId, frame: Frame) -> Result<(), String> {
+        self.record_sign_of_life(id, &frame);
         let Some(host) = self.hosts.get_mut(&id) else {
             return Ok(());
         };
@@ -65,60 +65,60 @@
                 if *name != *host.name {
                     return Err(format!("calls itself `{name}`"));
                 }
-                if host.told_start != Some(started_ms) {
+                if host.reported_started_ms != Some(started_ms) {
                     // A new process: what the old one said of itself is over.
-                    (host.told_start, host.is_draining) = (Some(started_ms), false);
+                    (host.reported_started_ms, host.is_draining) = (Some(started_ms), false);
                 }
                 (host.connection, host.greeted_epoch) =
-                    (ConnectionState::Naming, host.connection_epoch);
+                    (ConnectionState::Syncing, host.connection_epoch);
                 let seated = |w: &u64| {
                     self.attempts
                         .get(w)
                         .is_some_and(|a| a.stage == Stage::Placed)
                 };
-                host.unnamed = host.attempts.iter().copied().filter(seated).collect();
-                self.watch(id);
+                host.unconfirmed = host.attempts.iter().copied().filter(seated).collect();
+                self.watch_liveness(id);
                 Ok(())
             }
-            Frame::Held(offer, runs) if link == ConnectionState::Naming => {
-                self.held(id, offer, runs);
+            Frame::Held(offer, runs) if link == ConnectionState::Syncing => {
+                self.handle_held_task(id, offer, runs);
                 Ok(())
             }
             // Since 1.1: what has ended while there was no connection is no loss, and its end is known.
-            Frame::Ended(..) if link == ConnectionState::Naming => {
-                self.news(id, frame);
+            Frame::Ended(..) if link == ConnectionState::Syncing => {
+                self.handle_attempt_frame(id, frame);
                 Ok(())
             }
-            Frame::HeldEnd if link == ConnectionState::Naming => {
+            Frame::HeldEnd if link == ConnectionState::Syncing => {
                 (host.connection, host.failed_connects) = (ConnectionState::Up, 0);
                 tracing::info!(host = %host.name, "connected");
-                let missing: Vec<u64> = host.unnamed.iter().copied().collect();
+                let missing: Vec<u64> = host.unconfirmed.iter().copied().collect();
                 for wire in missing {
-                    self.end(wire, AttemptOutcome::Disconnected, None, None, true);
+                    self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, true);
                 }
-                self.use_changed(id);
-                self.relist(id);
+                self.update_host_use(id);
+                self.publish_host(id);
                 self.events.push(Event::ConnectionChanged {
                     machine: MachineId(id.0),
                     is_connected: true,
                 });
                 Ok(())
             }
-            Frame::Drain if matches!(link, ConnectionState::Naming | ConnectionState::Up) => {
+            Frame::Drain if matches!(link, ConnectionState::Syncing | ConnectionState::Up) => {
                 host.is_draining = true;
                 if link == ConnectionState::Up {
-                    self.relist(id);
+                    self.publish_host(id);
                 }
                 Ok(())
             }
             Frame::Ping(nonce) => {
-                self.send(id, &Frame::Pong(nonce), false);
+                self.send_frame(id, &Frame::Pong(nonce), false);
                 Ok(())
             }
             Frame::Pong(_) => Ok(()),
             Frame::Bye(why) => Err(format!("said goodbye: {why}")),
             frame if link == ConnectionState::Up => {
-                self.news(id, frame);
+                self.handle_attempt_frame(id, frame);
                 Ok(())
             }
             _ => Err("a frame out of turn".to_owned()),
@@ -126,18 +126,22 @@
     }
 
     /// What a greeted host says of attempts. Numbers that are not, or no longer, known are survived.
-    pub(super) fn news(&mut self, id: HostId, frame: Frame) {
+    pub(super) fn handle_attempt_frame(&mut self, id: HostId, frame: Frame) {
         let at_this_host =
             |engine: &Self, wire: &u64| engine.attempts.get(wire).is_some_and(|a| a.host == id);
         match frame {
-            Frame::Accepted(wire, took) if at_this_host(self, &wire) => self.accepted(wire, took),
+            Frame::Accepted(wire, took) if at_this_host(self, &wire) => {
+                self.handle_accepted(wire, took)
+            }
             // Its time was over, or the connection had broken in between: it was called off then; again does no harm.
             Frame::Accepted(wire, _) => {
-                self.send(id, &Frame::Stop(wire), false);
+                self.send_frame(id, &Frame::Stop(wire), false);
+            }
+            Frame::Started(wire, took) if at_this_host(self, &wire) => {
+                self.handle_started(wire, took)
             }
-            Frame::Started(wire, took) if at_this_host(self, &wire) => self.started(wire, took),
             Frame::Refused(wire, reason, load) if at_this_host(self, &wire) => {
-                self.end(wire, AttemptOutcome::Rejected, Some(reason), load, true);
+                self.finish_attempt(wire, AttemptOutcome::Rejected, Some(reason), load, true);
             }
             Frame::Ended(wire, reason, ran, load) if at_this_host(self, &wire) => {
                 let seated = self
@@ -152,10 +156,10 @@
                     _ if !ran && !seated => AttemptOutcome::Rejected,
                     _ => AttemptOutcome::Disconnected,
                 };
-                self.end(wire, ending, Some(reason), load, reason != Reason::Error);
+                self.finish_attempt(wire, ending, Some(reason), load, reason != Reason::Error);
             }
-            Frame::Refused(wire, ..) => self.settle(wire),
-            Frame::Ended(wire, reason, ..) if reason != Reason::Error => self.settle(wire),
+            Frame::Refused(wire, ..) => self.clear_unsettled(wire),
+            Frame::Ended(wire, reason, ..) if reason != Reason::Error => self.clear_unsettled(wire),
             Frame::Note(wire, kind, x) if at_this_host(self, &wire) => {
                 let note = match kind {
                     NoteKind::Cores => TaskReport::CoresUsed(x),
@@ -170,7 +174,7 @@
                     });
                 }
             }
-            Frame::Report(nonce, load) => self.probed(nonce, load),
+            Frame::Report(nonce, load) => self.handle_probe_report(nonce, load),
             _ => {}
         }
     }
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -5,17 +5,17 @@
 use maplethread::{Event, Resources, UpdateScope};
 use maplethread_config::{HostEntry, HostState, Inventory};
 
+use crate::audit_log::AuditEntry;
 use crate::engine::Engine;
 use crate::hosts::{ConnectionState, Host};
-use crate::names::stable_hash;
-use crate::notes::AuditEntry;
+use crate::ids::stable_hash;
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
     /// News of the whole list of hosts. Hosts that are not in it are gone.
     pub fn apply_inventory(&mut self, now: u64, inventory: &Inventory) {
         self.now = self.now.max(now);
-        self.listed = true;
+        self.has_inventory = true;
         let named: BTreeSet<&str> = inventory.host.iter().map(|e| e.name.as_str()).collect();
         for host in self
             .hosts
@@ -25,41 +25,43 @@
             host.inventory_state = HostState::Gone;
         }
         for entry in &inventory.host {
-            self.take_entry(entry);
+            self.apply_entry(entry);
         }
         let listings = self
             .hosts
             .values_mut()
             .filter(|h| h.was_tried || h.inventory_state == HostState::Gone);
-        let machines = listings.map(Host::refresh).collect();
+        let machines = listings.map(Host::refresh_entry).collect();
         self.events.push(Event::EndpointsUpdated {
             scope: UpdateScope::Full,
             machines,
         });
         for id in self.hosts.keys().copied().collect::<Vec<_>>() {
-            self.forget_gone(id);
+            self.forget_departed(id);
         }
     }
 
     /// News of some hosts, each as it now is; those that are gone have that state.
     pub fn apply_host_changes(&mut self, now: u64, entries: &[HostEntry]) {
         self.now = self.now.max(now);
-        self.listed = true;
+        self.has_inventory = true;
         let mut machines = Vec::new();
         for entry in entries {
-            if entry.state == HostState::Gone && !self.by_name.contains_key(entry.name.as_str()) {
+            if entry.state == HostState::Gone
+                && !self.hosts_by_name.contains_key(entry.name.as_str())
+            {
                 continue;
             }
-            let id = self.take_entry(entry);
+            let id = self.apply_entry(entry);
             let Some(host) = self.hosts.get_mut(&id) else {
                 continue;
             };
             let forgotten =
                 host.inventory_state == HostState::Gone && host.connection == ConnectionState::Down;
             if host.was_tried || forgotten {
-                machines.push(host.refresh());
+                machines.push(host.refresh_entry());
             }
-            self.forget_gone(id);
+            self.forget_departed(id);
         }
         if !machines.is_empty() {
             self.events.push(Event::EndpointsUpdated {
@@ -74,11 +76,11 @@
         self.events.push(Event::ReplicaIndexChanged(number));
     }
 
-    pub(super) fn take_entry(&mut self, entry: &HostEntry) -> HostId {
-        let id = match self.by_name.get(entry.name.as_str()) {
+    pub(super) fn apply_entry(&mut self, entry: &HostEntry) -> HostId {
+        let id = match self.hosts_by_name.get(entry.name.as_str()) {
             Some(&id) => id,
             None => {
-                let (id, epoch) = match self.gone.remove(entry.name.as_str()) {
+                let (id, epoch) = match self.departed_hosts.remove(entry.name.as_str()) {
                     Some((id, epoch, _)) => (id, epoch),
                     None => {
                         self.next_host += 1;
@@ -86,19 +88,21 @@
                     }
                 };
                 let mut host = Host::new(id, entry, stable_hash(&entry.name));
-                (host.connection_epoch, host.born) = (epoch, epoch);
+                (host.connection_epoch, host.epoch_at_return) = (epoch, epoch);
                 let place = [&entry.zone, &entry.cell, &entry.kind].map(|p| p.as_str().into());
                 self.audit_log.add(|| AuditEntry::Host {
                     machine: id.0,
                     name: host.name.clone(),
                     topology: place,
                 });
-                self.by_name.insert(host.name.clone(), id);
+                self.hosts_by_name.insert(host.name.clone(), id);
                 self.hosts.insert(id, host);
                 id
             }
         };
-        let cell = self.cells.id_of(&format!("{}/{}", entry.zone, entry.cell));
+        let cell = self
+            .cell_ids
+            .id_of(&format!("{}/{}", entry.zone, entry.cell));
         let zones = &self.config.identity.zones;
         let zone = zones.iter().position(|z| *z == entry.zone).unwrap_or(0) as u32;
         let kind = self
@@ -113,23 +117,23 @@
         (host.entry.zone, host.entry.cell, host.entry.kind) = (zone, cell, kind);
         let free = entry.unasked_cores.zip(entry.unasked_memory_gib);
         host.entry.unallocated = free.map(|(cores, memory)| Resources::new(cores, memory));
-        (host.inventory_state, host.listed_start) = (entry.state, entry.started_ms);
+        (host.inventory_state, host.inventory_started_ms) = (entry.state, entry.started_ms);
         let moved = host.address != entry.address;
         host.address = entry.address;
-        let (link, epoch, born) = (host.connection, host.connection_epoch, host.born);
+        let (link, epoch, born) = (host.connection, host.connection_epoch, host.epoch_at_return);
         if moved && link != ConnectionState::Down {
-            self.cut(id);
+            self.disconnect_host(id);
         } else if link == ConnectionState::Down && entry.state != HostState::Gone && epoch == born {
-            self.connect_due(id, epoch);
+            self.connect(id, epoch);
         }
         id
     }
 
     /// Tells the decider what is new of one host.
-    pub(super) fn relist(&mut self, id: HostId) {
+    pub(super) fn publish_host(&mut self, id: HostId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.was_tried = true;
-            let machines = vec![host.refresh()];
+            let machines = vec![host.refresh_entry()];
             self.events.push(Event::EndpointsUpdated {
                 scope: UpdateScope::Delta,
                 machines,
@@ -139,24 +143,24 @@
 
     /// A host that is gone and has no connection holds nothing any more. Its number is kept for its return, for as many
     /// hosts as there may be; beyond that the one that is gone for longest is forgotten.
-    pub(super) fn forget_gone(&mut self, id: HostId) {
+    pub(super) fn forget_departed(&mut self, id: HostId) {
         let over = |h: &Host| {
             h.inventory_state == HostState::Gone && h.connection == ConnectionState::Down
         };
         if self.hosts.get(&id).is_some_and(over) {
-            self.lose_all(id);
+            self.fail_all_attempts(id);
             if let Some(host) = self.hosts.remove(&id) {
-                self.by_name.remove(&host.name);
-                self.gone
+                self.hosts_by_name.remove(&host.name);
+                self.departed_hosts
                     .insert(host.name, (id, host.connection_epoch, self.now));
-                if self.gone.len() > self.config.hosts.max_hosts
+                if self.departed_hosts.len() > self.config.hosts.max_hosts
                     && let Some(oldest) = self
-                        .gone
+                        .departed_hosts
                         .iter()
                         .min_by_key(|(_, g)| g.2)
                         .map(|(name, _)| name.clone())
                 {
-                    self.gone.remove(&oldest);
+                    self.departed_hosts.remove(&oldest);
                 }
             }
         }
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -9,8 +9,8 @@
 use crate::{Decide, HostId};
 
 impl<D: Decide> Engine<D> {
-    pub(super) fn accepted(&mut self, wire: u64, took_ms: u32) {
-        let accepts = self.placed_when_accepted();
+    pub(super) fn handle_accepted(&mut self, wire: u64, took_ms: u32) {
+        let accepts = self.is_placed_on_acceptance();
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
@@ -19,11 +19,11 @@
         }
         attempt.stage = Stage::Accepted;
         if accepts {
-            self.seat(wire, took_ms);
+            self.confirm_placement(wire, took_ms);
         }
     }
 
-    pub(super) fn started(&mut self, wire: u64, took_ms: u32) {
+    pub(super) fn handle_started(&mut self, wire: u64, took_ms: u32) {
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
@@ -34,7 +34,7 @@
             return;
         }
         if attempt.stage != Stage::Placed {
-            self.seat(wire, took_ms);
+            self.confirm_placement(wire, took_ms);
         }
         let Some(attempt) = self
             .attempts
@@ -45,17 +45,17 @@
         };
         let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request_id.clone());
         let host = self.host_name(attempt.host);
-        if self.placed_when_accepted() {
+        if self.is_placed_on_acceptance() {
             self.events.push(Event::TaskReported {
                 attempt: id,
                 report: TaskReport::Started,
             });
         }
-        self.tell("started", &key, host, None, request);
+        self.publish_event("started", &key, host, None, request);
     }
 
     /// The attempt's answer is in: the ask is placed, if its time is not over.
-    pub(super) fn seat(&mut self, wire: u64, took_ms: u32) {
+    pub(super) fn confirm_placement(&mut self, wire: u64, took_ms: u32) {
         let Some(attempt) = self.attempts.get_mut(&wire) else {
             return;
         };
@@ -65,7 +65,7 @@
             .get(&task)
             .is_some_and(|ask| ask.deadline > self.now);
         if !in_time {
-            self.call_off(wire);
+            self.cancel_attempt(wire);
             return;
         }
         attempt.stage = Stage::Placed;
@@ -77,7 +77,7 @@
         );
         // A caller that stood still can't tell when the answer came; what the host measured stands for it.
         let elapsed = self
-            .stalled
+            .is_after_stall
             .then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
         self.events.push(Event::AttemptAccepted {
             attempt: id,
@@ -91,8 +91,8 @@
             .map(|h| h.address.to_string())
             .unwrap_or_default();
         let (service, actor) = key.clone();
-        self.tell("placed", &key, name.clone(), None, request.clone());
-        self.answer(
+        self.publish_event("placed", &key, name.clone(), None, request.clone());
+        self.finish_request(
             task,
             FinalAnswer::Placed {
                 request,
--- a/crates/engine/src/cold.rs
+++ b/crates/engine/src/warm_up_offers.rs
@@ -34,7 +34,7 @@
 
     /// Whether an offer at `now` would meet one that left so late that its window is not over, while the decider holds
     /// that it is: the caller was slow, or paused, between a decision and its writing.
-    pub fn meets_late_one(&self, host: HostId, now: Micros) -> bool {
+    pub fn overlaps_late_offer(&self, host: HostId, now: Micros) -> bool {
         let sent = self.sent.get(&host).map(Vec::as_slice).unwrap_or_default();
         sent.iter()
             .any(|sent| sent.decided_at + self.window < now && sent.written_at + self.window >= now)
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn an_offer_that_left_late_counts_in_its_window_from_then() {
+fn late_written_offer_counts_in_warm_up_window_from_its_writing() {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
--- a/crates/engine/tests/crowded_turns.rs
+++ b/crates/engine/tests/crowded_turns.rs
@@ -9,7 +9,7 @@
 const NOW: u64 = 1_700_000_000_000_000;
 const DRAINING: HostId = HostId(0);
 /// More than one turn places.
-const ASKS: u64 = 200;
+const REQUESTS: u64 = 200;
 
 fn inventory(config: &PlacerConfig) -> Inventory {
     let (kind, zone) = (&config.kinds[0].name, &config.identity.zones[0]);
@@ -54,14 +54,14 @@
             started_ms: 1,
             max_offers: 0,
         };
-        host_says(&mut engine, host, &[hello, Frame::HeldEnd]);
+        receive_frames(&mut engine, host, &[hello, Frame::HeldEnd]);
     }
     engine.turn(NOW, false);
     engine.take_outputs();
     engine
 }
 
-fn host_says(engine: &mut Engine<Placer>, host: HostId, frames: &[Frame]) {
+fn receive_frames(engine: &mut Engine<Placer>, host: HostId, frames: &[Frame]) {
     let mut bytes = Vec::new();
     frames
         .iter()
@@ -69,7 +69,7 @@
     assert_eq!(engine.host_bytes(NOW, host, &bytes), bytes.len());
 }
 
-fn ask(engine: &mut Engine<Placer>, number: u64) {
+fn send_request(engine: &mut Engine<Placer>, number: u64) {
     let body = format!(
         r#"{{"service":"s{number}","actor":"a","class":"web-api","cores":0.01,"memory_gib":0.01,"budget_ms":9000}}"#
     );
@@ -82,7 +82,7 @@
 }
 
 /// Offers to each of the two hosts, as told by the outputs of some turns.
-fn offers(engine: &mut Engine<Placer>) -> [usize; 2] {
+fn count_offers(engine: &mut Engine<Placer>) -> [usize; 2] {
     let mut offers = [0; 2];
     for turn in 1..=10 {
         engine.turn(NOW + turn, false);
@@ -99,29 +99,29 @@
 }
 
 #[test]
-fn a_drain_that_is_read_after_many_asks_is_heeded_by_all_of_them() {
+fn drain_read_after_many_requests_applies_to_all_of_them() {
     let mut engine = engine();
-    (1..=ASKS).for_each(|number| ask(&mut engine, number));
-    host_says(&mut engine, DRAINING, &[Frame::Drain]);
-    let [to_draining, to_other] = offers(&mut engine);
+    (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
+    receive_frames(&mut engine, DRAINING, &[Frame::Drain]);
+    let [to_draining, to_other] = count_offers(&mut engine);
     assert_eq!(to_draining, 0);
     assert!(to_other > 0);
 }
 
 #[test]
-fn without_a_drain_both_hosts_are_offered_tasks() {
+fn both_hosts_are_offered_tasks_without_drain() {
     let mut engine = engine();
-    (1..=ASKS).for_each(|number| ask(&mut engine, number));
-    let [to_first, to_other] = offers(&mut engine);
+    (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
+    let [to_first, to_other] = count_offers(&mut engine);
     assert!(to_first > 0 && to_other > 0, "{to_first} and {to_other}");
 }
 
 #[test]
-fn a_client_that_goes_before_its_ask_is_given_is_offered_nowhere() {
+fn request_of_client_that_disconnects_before_its_turn_is_not_offered() {
     let mut engine = engine();
-    (1..=ASKS).for_each(|number| ask(&mut engine, number));
-    (1..=ASKS).for_each(|number| engine.client_closed(NOW, ClientId(number)));
-    let [to_first, to_other] = offers(&mut engine);
+    (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
+    (1..=REQUESTS).for_each(|number| engine.client_closed(NOW, ClientId(number)));
+    let [to_first, to_other] = count_offers(&mut engine);
     // What is given in the first turn is given together with its client's end.
     assert_eq!(to_first + to_other, 0);
     assert_eq!(engine.pending_requests(), 0);
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -9,19 +9,19 @@
 const CLIENT: ClientId = ClientId(1);
 
 /// Never answers, and can refuse to let the engine do so.
-struct Silent {
-    last_word: bool,
+struct SilentDecider {
+    allows_deadline_answers: bool,
 }
 
-impl Decide for Silent {
+impl Decide for SilentDecider {
     fn turn(&mut self, _: Micros, _: &[Event], _: &mut Vec<Action>) {}
 
-    fn last_word(&self) -> bool {
-        self.last_word
+    fn allows_deadline_answers(&self) -> bool {
+        self.allows_deadline_answers
     }
 }
 
-fn engine(last_word: bool) -> Engine<Silent> {
+fn engine(last_word: bool) -> Engine<SilentDecider> {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
@@ -29,7 +29,9 @@
     .expect("sound");
     let mut engine = Engine::new(
         config,
-        Silent { last_word },
+        SilentDecider {
+            allows_deadline_answers: last_word,
+        },
         StartInfo {
             started_ms: NOW / 1000,
             seed: 1,
@@ -40,7 +42,7 @@
     engine
 }
 
-fn ask(budget_ms: u64) -> Vec<u8> {
+fn request_bytes(budget_ms: u64) -> Vec<u8> {
     let body = format!(
         r#"{{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":{budget_ms}}}"#
     );
@@ -52,13 +54,13 @@
 }
 
 /// The same, with a second to answer, under this id.
-fn ask_as(id: &str) -> Vec<u8> {
-    let text = String::from_utf8(ask(1000)).expect("text");
+fn request_bytes_with_id(id: &str) -> Vec<u8> {
+    let text = String::from_utf8(request_bytes(1000)).expect("text");
     text.replace("Host: p\r\n", &format!("Host: p\r\nX-Request-Id: {id}\r\n"))
         .into_bytes()
 }
 
-fn said(engine: &mut Engine<Silent>) -> String {
+fn take_client_text(engine: &mut Engine<SilentDecider>) -> String {
     let said = engine.take_outputs().into_iter().filter_map(|o| match o {
         Output::ToClient(_, bytes) => Some(String::from_utf8_lossy(&bytes).into_owned()),
         _ => None,
@@ -67,10 +69,10 @@
 }
 
 /// Runs all timers up to a time; when the client was told something, and what.
-fn run(engine: &mut Engine<Silent>, until: u64) -> Option<(u64, String)> {
+fn run_until_answer(engine: &mut Engine<SilentDecider>, until: u64) -> Option<(u64, String)> {
     while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
         engine.turn(at, false);
-        let text = said(engine);
+        let text = take_client_text(engine);
         if !text.is_empty() {
             return Some((at, text));
         }
@@ -79,11 +81,11 @@
 }
 
 #[test]
-fn what_the_decider_leaves_open_is_answered_before_the_deadline_and_counted() {
+fn request_left_open_by_decider_is_answered_before_deadline_and_counted() {
     let mut engine = engine(true);
-    engine.client_bytes(NOW, CLIENT, &ask(1000));
+    engine.client_bytes(NOW, CLIENT, &request_bytes(1000));
     engine.turn(NOW, false);
-    let (at, text) = run(&mut engine, NOW + 3_000_000).expect("an answer");
+    let (at, text) = run_until_answer(&mut engine, NOW + 3_000_000).expect("an answer");
     assert!(
         at < NOW + 1_000_000 && at > NOW + 900_000,
         "{} us after the ask",
@@ -103,39 +105,39 @@
     );
     // A decider that is to break the rule is let.
     let mut rogue = self::engine(false);
-    rogue.client_bytes(NOW, CLIENT, &ask(1000));
+    rogue.client_bytes(NOW, CLIENT, &request_bytes(1000));
     rogue.turn(NOW, false);
-    assert_eq!(run(&mut rogue, NOW + 3_000_000), None);
+    assert_eq!(run_until_answer(&mut rogue, NOW + 3_000_000), None);
 }
 
 #[test]
-fn a_budget_counts_from_when_the_ask_may_have_come() {
+fn budget_counts_from_earliest_possible_arrival() {
     // Read after a second of standing still, it may have been sent at the beginning of that second.
     let mut engine = engine(true);
     engine.set_unread_since(NOW);
-    engine.client_bytes(NOW + 1_000_000, CLIENT, &ask(1500));
+    engine.client_bytes(NOW + 1_000_000, CLIENT, &request_bytes(1500));
     engine.turn(NOW + 1_000_000, true);
-    let (at, text) = run(&mut engine, NOW + 5_000_000).expect("an answer");
+    let (at, text) = run_until_answer(&mut engine, NOW + 5_000_000).expect("an answer");
     assert!(
         at < NOW + 1_500_000,
         "{} us after it may have been sent: {text}",
         at - NOW
     );
     // The next turn's asks are fresh again.
-    engine.client_bytes(at, CLIENT, &ask(1500));
+    engine.client_bytes(at, CLIENT, &request_bytes(1500));
     engine.turn(at, false);
-    let (next, _) = run(&mut engine, at + 5_000_000).expect("an answer");
+    let (next, _) = run_until_answer(&mut engine, at + 5_000_000).expect("an answer");
     assert!(next > at + 1_400_000);
 }
 
 #[test]
-fn requests_that_join_an_ask_have_its_answer_under_their_own_ids() {
+fn joined_requests_get_the_answer_under_their_own_ids() {
     // An owner whose first ask lay unread in a stopped placer asks again; both are read in one turn.
     let mut engine = engine(true);
     let second = ClientId(2);
     engine.client_opened(NOW, second);
-    engine.client_bytes(NOW, CLIENT, &ask_as("first"));
-    engine.client_bytes(NOW, second, &ask_as("second"));
+    engine.client_bytes(NOW, CLIENT, &request_bytes_with_id("first"));
+    engine.client_bytes(NOW, second, &request_bytes_with_id("second"));
     engine.turn(NOW, false);
     let mut told = std::collections::BTreeMap::new();
     while let Some(at) = engine.next_timeout().filter(|&at| at < NOW + 2_000_000) {
@@ -152,18 +154,18 @@
 }
 
 #[test]
-fn one_of_two_requests_for_an_actor_is_cancelled_alone() {
+fn cancelling_one_of_two_joined_requests_keeps_the_other() {
     let mut engine = engine(true);
     let (second, third) = (ClientId(2), ClientId(3));
     engine.client_opened(NOW, second);
     engine.client_opened(NOW, third);
-    engine.client_bytes(NOW, CLIENT, &ask_as("first"));
-    engine.client_bytes(NOW, second, &ask_as("second"));
+    engine.client_bytes(NOW, CLIENT, &request_bytes_with_id("first"));
+    engine.client_bytes(NOW, second, &request_bytes_with_id("second"));
     let cancel =
         |id: &str| format!("DELETE /v1/asks/{id} HTTP/1.1\r\nHost: p\r\n\r\n").into_bytes();
     engine.client_bytes(NOW, third, &cancel("second"));
     engine.turn(NOW, false);
-    let text = said(&mut engine);
+    let text = take_client_text(&mut engine);
     assert!(text.contains("410") && text.contains("202"), "{text}");
     assert_eq!(engine.pending_requests(), 1, "the first one still waits");
     engine.client_bytes(NOW, third, &cancel("first"));
@@ -174,16 +176,16 @@
     );
     engine.client_bytes(NOW, third, &cancel("first"));
     engine.turn(NOW, false);
-    assert!(said(&mut engine).contains("404"));
+    assert!(take_client_text(&mut engine).contains("404"));
 }
 
 #[test]
-fn an_ask_whose_budget_is_over_is_not_taken() {
+fn request_with_exhausted_budget_is_rejected() {
     let mut engine = engine(true);
     engine.set_unread_since(NOW);
-    engine.client_bytes(NOW + 2_000_000, CLIENT, &ask(1500));
+    engine.client_bytes(NOW + 2_000_000, CLIENT, &request_bytes(1500));
     engine.turn(NOW + 2_000_000, true);
-    let text = said(&mut engine);
+    let text = take_client_text(&mut engine);
     assert!(
         text.starts_with("HTTP/1.1 503") && text.contains("stood-still"),
         "{text}"
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -11,16 +11,16 @@
 const START: u64 = 1_700_000_000_000_000;
 const SECOND: u64 = 1_000_000;
 /// The defaults: once a second, final after three, 40 a second to idle hosts (and two where a turn was late).
-const PING_EVERY: u64 = SECOND;
-const SILENT_AFTER: u64 = 3 * SECOND;
-const MOST_IDLE_IN_A_SECOND: usize = 42;
+const PING_INTERVAL: u64 = SECOND;
+const SILENCE_TIMEOUT: u64 = 3 * SECOND;
+const MAX_IDLE_PINGS_PER_SECOND: usize = 42;
 /// The host that gets all offers.
 const CHOSEN: HostId = HostId(0);
 
 /// Offers every ask to one host, for this long.
-struct ToChosen(Micros);
+struct OfferToChosen(Micros);
 
-impl Decide for ToChosen {
+impl Decide for OfferToChosen {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             if let Event::PlacementRequested(task) = event {
@@ -35,17 +35,17 @@
 }
 
 /// An engine and hosts that answer at once.
-struct Fleet {
-    engine: Engine<ToChosen>,
+struct SimulatedHosts {
+    engine: Engine<OfferToChosen>,
     now: u64,
     hosts: u32,
     silent: BTreeSet<HostId>,
     running: BTreeMap<HostId, Vec<u64>>,
     to_greet: Vec<HostId>,
     pings: Vec<(u64, HostId)>,
-    cut_off: Vec<(u64, HostId)>,
+    disconnected: Vec<(u64, HostId)>,
     offered: Vec<u64>,
-    asks: u64,
+    request_count: u64,
 }
 
 fn entry(n: u32) -> HostEntry {
@@ -62,9 +62,9 @@
     }
 }
 
-impl Fleet {
+impl SimulatedHosts {
     /// So many hosts that greet in one instant.
-    fn new(hosts: u32, offer_for: Micros) -> Fleet {
+    fn new(hosts: u32, offer_for: Micros) -> SimulatedHosts {
         let config = PlacerConfig::parse(Document {
             file: "placer.toml",
             text: CONFIG,
@@ -74,17 +74,17 @@
             started_ms: START / 1000,
             seed: 1,
         };
-        let mut fleet = Fleet {
-            engine: Engine::new(config, ToChosen(offer_for), boot, START),
+        let mut fleet = SimulatedHosts {
+            engine: Engine::new(config, OfferToChosen(offer_for), boot, START),
             now: START,
             hosts,
             silent: BTreeSet::new(),
             running: BTreeMap::new(),
             to_greet: Vec::new(),
             pings: Vec::new(),
-            cut_off: Vec::new(),
+            disconnected: Vec::new(),
             offered: Vec::new(),
-            asks: 0,
+            request_count: 0,
         };
         let entries: Vec<HostEntry> = (0..hosts).map(entry).collect();
         fleet.engine.apply_host_changes(START, &entries);
@@ -111,7 +111,7 @@
             }
             outputs
                 .into_iter()
-                .for_each(|output| self.carry_out(output));
+                .for_each(|output| self.apply_output(output));
             let connected: Vec<HostId> = self.to_greet.drain(..).collect();
             for id in connected {
                 self.engine.host_connected(self.now, id);
@@ -119,19 +119,19 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn apply_output(&mut self, output: Output) {
         match output {
             Output::Connect(id, _) if !self.silent.contains(&id) => self.to_greet.push(id),
             Output::ToHost(id, bytes) => {
                 let (frame, _) = frame::decode(&bytes).expect("sound");
-                self.host_reads(id, frame.expect("one whole frame"));
+                self.deliver_to_host(id, frame.expect("one whole frame"));
             }
-            Output::CloseHost(id) => self.cut_off.push((self.now, id)),
+            Output::CloseHost(id) => self.disconnected.push((self.now, id)),
             _ => {}
         }
     }
 
-    fn host_reads(&mut self, id: HostId, frame: Frame) {
+    fn deliver_to_host(&mut self, id: HostId, frame: Frame) {
         match &frame {
             Frame::Ping(_) => self.pings.push((self.now, id)),
             Frame::Offer(_) => self.offered.push(self.now),
@@ -144,7 +144,7 @@
             Frame::Hello { .. } => {
                 let name = format!("h{}", id.0);
                 let (major, minor, started_ms) = (frame::MAJOR, frame::MINOR, START / 1000);
-                self.says(
+                self.deliver_from_host(
                     id,
                     &Frame::Hello {
                         major,
@@ -154,32 +154,32 @@
                         max_offers: 0,
                     },
                 );
-                self.says(id, &Frame::HeldEnd);
+                self.deliver_from_host(id, &Frame::HeldEnd);
             }
-            Frame::Ping(nonce) => self.says(id, &Frame::Pong(nonce)),
+            Frame::Ping(nonce) => self.deliver_from_host(id, &Frame::Pong(nonce)),
             Frame::Offer(Offer {
                 attempt_id: attempt,
                 ..
             }) => {
                 self.running.entry(id).or_default().push(attempt);
-                self.says(id, &Frame::Accepted(attempt, 1));
-                self.says(id, &Frame::Started(attempt, 1));
+                self.deliver_from_host(id, &Frame::Accepted(attempt, 1));
+                self.deliver_from_host(id, &Frame::Started(attempt, 1));
             }
             _ => {}
         }
     }
 
-    fn says(&mut self, id: HostId, frame: &Frame) {
+    fn deliver_from_host(&mut self, id: HostId, frame: &Frame) {
         let mut bytes = Vec::new();
         frame::encode(frame, &mut bytes);
         assert_eq!(self.engine.host_bytes(self.now, id, &bytes), bytes.len());
     }
 
-    fn ask(&mut self) {
-        self.asks += 1;
+    fn send_request(&mut self) {
+        self.request_count += 1;
         let body = format!(
             r#"{{"service":"s","actor":"a{}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}}"#,
-            self.asks
+            self.request_count
         );
         let ask = format!(
             "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
@@ -192,9 +192,9 @@
     }
 
     /// Everything that runs at the chosen host ends.
-    fn all_ends(&mut self) {
+    fn finish_all_tasks(&mut self) {
         for attempt in self.running.remove(&CHOSEN).unwrap_or_default() {
-            self.says(
+            self.deliver_from_host(
                 CHOSEN,
                 &Frame::Ended(attempt, Reason::Completed, true, None),
             );
@@ -209,7 +209,7 @@
             .count()
     }
 
-    fn most_pings_in_a_second(&self, since: u64) -> usize {
+    fn max_pings_per_second(&self, since: u64) -> usize {
         let times: Vec<u64> = self
             .pings
             .iter()
@@ -223,41 +223,41 @@
 }
 
 #[test]
-fn idle_hosts_that_greet_in_one_instant_are_pinged_within_the_rate() {
+fn idle_ping_rate_is_bounded_when_many_hosts_greet_at_once() {
     for hosts in [130, 1300, 2600] {
-        let mut fleet = Fleet::new(hosts, SECOND);
+        let mut fleet = SimulatedHosts::new(hosts, SECOND);
         fleet.run_for(100 * SECOND);
-        let most = fleet.most_pings_in_a_second(START);
+        let most = fleet.max_pings_per_second(START);
         assert!(
-            most <= MOST_IDLE_IN_A_SECOND,
+            most <= MAX_IDLE_PINGS_PER_SECOND,
             "{hosts} hosts: {most} in a second"
         );
         let pinged: BTreeSet<HostId> = fleet.pings.iter().map(|(_, id)| *id).collect();
         assert_eq!(pinged.len() as u32, fleet.hosts);
-        assert_eq!(fleet.cut_off, []);
+        assert_eq!(fleet.disconnected, []);
         assert_eq!(fleet.engine.counters().heartbeats, fleet.pings.len() as u64);
     }
 }
 
 #[test]
-fn a_placer_that_stood_still_beside_1300_hosts_cuts_nobody_off_and_sends_no_burst() {
-    let mut fleet = Fleet::new(1300, SECOND);
-    fleet.ask();
+fn stall_with_1300_hosts_disconnects_none_and_sends_no_burst() {
+    let mut fleet = SimulatedHosts::new(1300, SECOND);
+    fleet.send_request();
     fleet.run_for(10 * SECOND);
     fleet.now += 10 * SECOND;
     fleet.turn(true);
     fleet.run_for(60 * SECOND);
-    assert_eq!(fleet.cut_off, []);
+    assert_eq!(fleet.disconnected, []);
     // Beside them the one host in use.
-    let most = fleet.most_pings_in_a_second(START);
-    assert!(most <= MOST_IDLE_IN_A_SECOND + 2, "{most} in a second");
+    let most = fleet.max_pings_per_second(START);
+    assert!(most <= MAX_IDLE_PINGS_PER_SECOND + 2, "{most} in a second");
 }
 
 #[test]
-fn a_host_with_a_task_is_pinged_every_period_and_cut_off_as_ever() {
-    let mut fleet = Fleet::new(1300, SECOND);
+fn host_with_task_is_pinged_every_interval_and_disconnected_after_silence() {
+    let mut fleet = SimulatedHosts::new(1300, SECOND);
     fleet.run_for(30 * SECOND);
-    fleet.ask();
+    fleet.send_request();
     assert_eq!(fleet.running[&CHOSEN].len(), 1);
     let placed = fleet.now;
     fleet.run_for(20 * SECOND);
@@ -265,25 +265,25 @@
     assert!((18..=20).contains(&pings), "{pings} in 20 s");
     fleet.silent.insert(CHOSEN);
     let silent_from = fleet.now;
-    fleet.run_for(SILENT_AFTER + PING_EVERY);
-    assert_eq!(fleet.cut_off.len(), 1);
-    let (at, id) = fleet.cut_off[0];
-    assert!(id == CHOSEN && at <= silent_from + SILENT_AFTER + PING_EVERY);
+    fleet.run_for(SILENCE_TIMEOUT + PING_INTERVAL);
+    assert_eq!(fleet.disconnected.len(), 1);
+    let (at, id) = fleet.disconnected[0];
+    assert!(id == CHOSEN && at <= silent_from + SILENCE_TIMEOUT + PING_INTERVAL);
 }
 
 #[test]
-fn an_idle_host_that_died_is_found_after_an_offer_even_if_that_is_given_up_before() {
+fn dead_idle_host_is_disconnected_after_offer_even_if_offer_is_abandoned() {
     for offer_for in [300_000, 10 * SECOND] {
-        let mut fleet = Fleet::new(1300, offer_for);
+        let mut fleet = SimulatedHosts::new(1300, offer_for);
         fleet.run_for(10 * SECOND);
         fleet.silent.insert(CHOSEN);
-        fleet.ask();
+        fleet.send_request();
         let offered = fleet.offered[0];
-        fleet.run_for(SILENT_AFTER + PING_EVERY);
-        assert_eq!(fleet.cut_off.len(), 1, "an offer for {offer_for} us");
-        let (at, id) = fleet.cut_off[0];
+        fleet.run_for(SILENCE_TIMEOUT + PING_INTERVAL);
+        assert_eq!(fleet.disconnected.len(), 1, "an offer for {offer_for} us");
+        let (at, id) = fleet.disconnected[0];
         assert!(
-            id == CHOSEN && at <= offered + SILENT_AFTER + PING_EVERY,
+            id == CHOSEN && at <= offered + SILENCE_TIMEOUT + PING_INTERVAL,
             "{} us after",
             at - offered
         );
@@ -292,29 +292,29 @@
 }
 
 #[test]
-fn a_host_whose_last_task_has_ended_is_pinged_seldom_again() {
-    let mut fleet = Fleet::new(1300, SECOND);
+fn host_is_pinged_less_often_after_its_last_task_ended() {
+    let mut fleet = SimulatedHosts::new(1300, SECOND);
     fleet.run_for(5 * SECOND);
     for _ in 0..2 {
-        fleet.ask();
+        fleet.send_request();
         fleet.run_for(10 * SECOND);
-        fleet.all_ends();
+        fleet.finish_all_tasks();
         let idle_from = fleet.now;
         fleet.run_for(64 * SECOND);
         let pings = fleet.pings_to(CHOSEN, idle_from);
         assert!((1..=3).contains(&pings), "{pings} in 64 s");
     }
-    assert_eq!(fleet.cut_off, []);
+    assert_eq!(fleet.disconnected, []);
 }
 
 #[test]
-fn a_silent_idle_host_is_found_in_its_turn() {
-    let mut fleet = Fleet::new(1300, SECOND);
+fn silent_idle_host_is_disconnected_after_its_turn() {
+    let mut fleet = SimulatedHosts::new(1300, SECOND);
     fleet.run_for(50 * SECOND);
     fleet.silent.insert(HostId(700));
     // A second, and 1,300 turns of 25 ms.
-    fleet.run_for(SECOND + 1300 * 25_000 + SILENT_AFTER);
+    fleet.run_for(SECOND + 1300 * 25_000 + SILENCE_TIMEOUT);
     // It greets no new connection either.
-    let cut_off: BTreeSet<HostId> = fleet.cut_off.iter().map(|(_, id)| *id).collect();
+    let cut_off: BTreeSet<HostId> = fleet.disconnected.iter().map(|(_, id)| *id).collect();
     assert_eq!(cut_off, BTreeSet::from([HostId(700)]));
 }
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -14,15 +14,15 @@
 
 /// Notes all machines that it is told of, and what runs; offers each ask to the first machine.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     machines: BTreeSet<MachineId>,
     running: i32,
-    endings: Vec<AttemptOutcome>,
+    outcomes: Vec<AttemptOutcome>,
 }
 
-struct Noting(Rc<RefCell<Seen>>);
+struct RecordingDecider(Rc<RefCell<Observations>>);
 
-impl Decide for Noting {
+impl Decide for RecordingDecider {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         let mut seen = self.0.borrow_mut();
         for event in events {
@@ -38,7 +38,7 @@
                 Event::AttemptAccepted { .. } | Event::TaskAdopted { .. } => seen.running += 1,
                 Event::AttemptFinished { result: end, .. } => {
                     seen.running -= 1;
-                    seen.endings.push(end.outcome);
+                    seen.outcomes.push(end.outcome);
                 }
                 _ => {}
             }
@@ -61,18 +61,18 @@
 }
 
 #[test]
-fn a_host_keeps_its_number_over_its_absence_and_is_connected_to_anew() {
+fn host_keeps_its_id_while_absent_and_is_connected_again() {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(Observations::default()));
     let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
-    let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
+    let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
     let mut now = NOW;
     for round in 0..5 {
         engine.apply_host_changes(now, &[entry(1, HostState::Ready)]);
@@ -113,7 +113,7 @@
 }
 
 /// The frames that the engine sends to hosts.
-fn frames(engine: &mut Engine<Noting>) -> Vec<Frame> {
+fn take_host_frames(engine: &mut Engine<RecordingDecider>) -> Vec<Frame> {
     let mut frames = Vec::new();
     for output in engine.take_outputs() {
         if let Output::ToHost(_, bytes) = output {
@@ -123,7 +123,7 @@
     frames
 }
 
-fn says(engine: &mut Engine<Noting>, now: u64, frames: &[Frame]) {
+fn receive_frames(engine: &mut Engine<RecordingDecider>, now: u64, frames: &[Frame]) {
     let mut bytes = Vec::new();
     frames.iter().for_each(|f| frame::encode(f, &mut bytes));
     assert_eq!(engine.host_bytes(now, HostId(0), &bytes), bytes.len());
@@ -141,21 +141,21 @@
 }
 
 /// An engine that has placed one task on the host, what its decider has seen, and the offer.
-fn placed() -> (Engine<Noting>, Rc<RefCell<Seen>>, Offer) {
+fn engine_with_placed_task() -> (Engine<RecordingDecider>, Rc<RefCell<Observations>>, Offer) {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: CONFIG,
     })
     .expect("sound");
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(Observations::default()));
     let boot = StartInfo {
         started_ms: NOW / 1000,
         seed: 1,
     };
-    let mut engine = Engine::new(config, Noting(seen.clone()), boot, NOW);
+    let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
     engine.apply_host_changes(NOW, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW, HostId(0));
-    says(&mut engine, NOW, &[hello(), Frame::HeldEnd]);
+    receive_frames(&mut engine, NOW, &[hello(), Frame::HeldEnd]);
     engine.turn(NOW, false);
     engine.client_opened(NOW, ClientId(1));
     let body = r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}"#;
@@ -165,7 +165,7 @@
     );
     engine.client_bytes(NOW, ClientId(1), ask.as_bytes());
     engine.turn(NOW, false);
-    let offer = frames(&mut engine).into_iter().find_map(|f| {
+    let offer = take_host_frames(&mut engine).into_iter().find_map(|f| {
         if let Frame::Offer(o) = f {
             Some(o)
         } else {
@@ -173,7 +173,7 @@
         }
     });
     let offer = offer.expect("an offer");
-    says(
+    receive_frames(
         &mut engine,
         NOW + 1000,
         &[
@@ -187,8 +187,8 @@
 }
 
 #[test]
-fn what_was_told_as_lost_counts_until_its_returning_host_has_stopped_it() {
-    let (mut engine, seen, offer) = placed();
+fn task_reported_lost_counts_until_returning_host_has_stopped_it() {
+    let (mut engine, seen, offer) = engine_with_placed_task();
     // Its connection is lost, and the inventory says that it is gone: the task is lost.
     engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
     engine.apply_host_changes(NOW + 3000, &[entry(1, HostState::Gone)]);
@@ -197,16 +197,16 @@
     // It is back, with the same process, and the task still runs there.
     engine.apply_host_changes(NOW + 4000, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW + 5000, HostId(0));
-    says(
+    receive_frames(
         &mut engine,
         NOW + 5000,
         &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd],
     );
     engine.turn(NOW + 5000, false);
-    let told = frames(&mut engine);
+    let told = take_host_frames(&mut engine);
     assert!(told.contains(&Frame::Stop(offer.attempt_id)), "{told:?}");
     assert_eq!(seen.borrow().running, 1, "it counts while it runs");
-    says(
+    receive_frames(
         &mut engine,
         NOW + 6000,
         &[Frame::Ended(offer.attempt_id, Reason::Stopped, true, None)],
@@ -216,8 +216,8 @@
 }
 
 #[test]
-fn an_older_loss_of_the_connection_does_not_shorten_a_later_one() {
-    let (mut engine, seen, offer) = placed();
+fn earlier_connection_loss_does_not_shorten_a_later_one() {
+    let (mut engine, seen, offer) = engine_with_placed_task();
     // Its connection is lost and made anew, and the host names the task; lost again 4 s after the first loss.
     engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
     let mut connected = false;
@@ -231,19 +231,19 @@
         {
             connected = true;
             engine.host_connected(at, HostId(0));
-            says(
+            receive_frames(
                 &mut engine,
                 at,
                 &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd],
             );
         }
         if connected {
-            says(&mut engine, at, &[Frame::Pong(0)]);
+            receive_frames(&mut engine, at, &[Frame::Pong(0)]);
         }
     }
     assert!(connected);
     engine.host_closed(NOW + 4_000_000, HostId(0), u64::MAX);
-    let until_lost = |engine: &mut Engine<Noting>, until: u64| {
+    let until_lost = |engine: &mut Engine<RecordingDecider>, until: u64| {
         while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
             engine.turn(at, false);
             engine.take_outputs();
@@ -257,9 +257,9 @@
 }
 
 #[test]
-fn what_ended_while_there_was_no_connection_is_no_loss_if_the_host_tells_its_end() {
+fn task_that_ended_while_disconnected_is_not_lost_if_host_reports_its_end() {
     for told in [true, false] {
-        let (mut engine, seen, offer) = placed();
+        let (mut engine, seen, offer) = engine_with_placed_task();
         engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
         // The first wait before it connects again is over.
         let back = NOW + 1_000_000;
@@ -277,14 +277,14 @@
         } else {
             vec![hello(), Frame::HeldEnd]
         };
-        says(&mut engine, back, &greeting);
+        receive_frames(&mut engine, back, &greeting);
         engine.turn(back, false);
         let ending = if told {
             AttemptOutcome::Completed
         } else {
             AttemptOutcome::Disconnected
         };
-        assert_eq!(seen.borrow().endings, [ending], "told: {told}");
+        assert_eq!(seen.borrow().outcomes, [ending], "told: {told}");
         assert_eq!(seen.borrow().running, 0);
     }
 }
--- a/crates/engine/tests/simulated.rs
+++ b/crates/engine/tests/simulated.rs
@@ -58,55 +58,55 @@
 const HOSTS: usize = 6;
 const START: u64 = 1_700_000_000_000_000;
 
-enum Ev {
+enum SimEvent {
     ToHost(HostId, u64, Vec<u8>),
     FromHost(HostId, u64, Vec<u8>),
     Connected(HostId, u64),
     Lost(HostId, u64),
     ToPlacer(ClientId, Vec<u8>),
     ToClient(ClientId, Vec<u8>),
-    Ask(u64),
-    HangUp(ClientId),
-    Ends(usize, u64, u64),
-    Trouble,
+    SendRequest(u64),
+    ClientDisconnects(ClientId),
+    TaskEnds(usize, u64, u64),
+    InjectFault,
 }
 
 #[derive(Default)]
-struct Host {
-    link: Option<u64>,
+struct SimulatedHost {
+    connection: Option<u64>,
     inbox: Vec<u8>,
     started: u64,
     silent: bool,
-    holds: BTreeMap<u64, Offer>,
+    running: BTreeMap<u64, Offer>,
 }
 
-struct Client {
+struct SimulatedClient {
     reader: MessageReader,
     inbox: Vec<u8>,
     answers: Vec<String>,
-    hung_up: bool,
-    closed: bool,
+    has_disconnected: bool,
+    is_closed: bool,
     deadline: u64,
 }
 
-struct Sim {
+struct Simulation {
     engine: Engine<maplethread::Placer>,
     rng: Pcg64Mcg,
     now: u64,
-    events: Timers<Ev>,
-    hosts: Vec<Host>,
-    links: u64,
+    events: Timers<SimEvent>,
+    hosts: Vec<SimulatedHost>,
+    connection_count: u64,
     written: BTreeMap<HostId, u64>,
-    clients: BTreeMap<ClientId, Client>,
+    clients: BTreeMap<ClientId, SimulatedClient>,
     trace: blake3::Hasher,
     /// Attempts out, by request, with their hosts; and requests of which an unsafe attempt reached a host.
-    out: BTreeMap<String, BTreeMap<u64, HostId>>,
-    may_run: BTreeSet<String>,
-    asks: u64,
+    running_attempts: BTreeMap<String, BTreeMap<u64, HostId>>,
+    possibly_started: BTreeSet<String>,
+    request_count: u64,
 }
 
-impl Sim {
-    fn new(seed: u64) -> Sim {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let config = PlacerConfig::parse(Document {
             file: "sim",
             text: CONFIG,
@@ -136,24 +136,24 @@
         .expect("sound");
         engine.apply_inventory(START, &inventory);
         let hosts = (0..HOSTS)
-            .map(|_| Host {
+            .map(|_| SimulatedHost {
                 started: START / 1000,
-                ..Host::default()
+                ..SimulatedHost::default()
             })
             .collect();
-        Sim {
+        Simulation {
             engine,
             rng: Pcg64Mcg::seed_from_u64(seed),
             now: START,
             events: Timers::default(),
             hosts,
-            links: 0,
+            connection_count: 0,
             written: BTreeMap::new(),
             clients: BTreeMap::new(),
             trace: blake3::Hasher::new(),
-            out: BTreeMap::new(),
-            may_run: BTreeSet::new(),
-            asks: 0,
+            running_attempts: BTreeMap::new(),
+            possibly_started: BTreeSet::new(),
+            request_count: 0,
         }
     }
 
@@ -161,7 +161,7 @@
         self.rng.next_u64() % n
     }
 
-    fn later(&mut self, ev: Ev) {
+    fn schedule(&mut self, ev: SimEvent) {
         let after = 200 + self.below(1500);
         self.events.schedule(self.now + after, ev);
     }
@@ -171,11 +171,12 @@
         let end = START + seconds * 1_000_000;
         for n in 0..seconds * 40 {
             let at = self.below(seconds * 1_000_000);
-            self.events.schedule(START + 100_000 + at, Ev::Ask(n));
+            self.events
+                .schedule(START + 100_000 + at, SimEvent::SendRequest(n));
         }
         for _ in 0..seconds * 3 {
             let at = self.below(seconds * 1_000_000);
-            self.events.schedule(START + at, Ev::Trouble);
+            self.events.schedule(START + at, SimEvent::InjectFault);
         }
         self.turn();
         let mut steps = 0;
@@ -187,7 +188,7 @@
             let Some(due) = due else { break };
             self.now = self.now.max(due);
             while let Some(ev) = self.events.pop_due(self.now) {
-                self.happen(ev);
+                self.handle_event(ev);
             }
             self.turn();
             steps += 1;
@@ -205,30 +206,32 @@
                 .update(format!("{} {output:?}", self.now).as_bytes());
             match output {
                 Output::Connect(id, _) => {
-                    self.links += 1;
-                    let link = self.links;
+                    self.connection_count += 1;
+                    let link = self.connection_count;
                     self.written.insert(id, 0);
-                    self.hosts[id.0 as usize].link = Some(link);
+                    self.hosts[id.0 as usize].connection = Some(link);
                     self.hosts[id.0 as usize].inbox.clear();
-                    self.later(Ev::Connected(id, link));
+                    self.schedule(SimEvent::Connected(id, link));
                 }
                 Output::ToHost(id, bytes) => {
                     let written = self.written.entry(id).or_default();
                     *written += bytes.len() as u64;
                     let written = *written;
                     self.engine.host_written(id, written);
-                    if let Some(link) = self.hosts[id.0 as usize].link {
-                        self.later_in_order(Ev::ToHost(id, link, bytes));
+                    if let Some(link) = self.hosts[id.0 as usize].connection {
+                        self.schedule_in_order(SimEvent::ToHost(id, link, bytes));
                     }
                 }
                 Output::FetchMembership(id, slot, _) => {
                     self.engine.answer_membership(id, slot, None)
                 }
-                Output::CloseHost(id) => self.unlink(id),
-                Output::ToClient(id, bytes) => self.later_in_order(Ev::ToClient(id, bytes)),
+                Output::CloseHost(id) => self.disconnect_host(id),
+                Output::ToClient(id, bytes) => {
+                    self.schedule_in_order(SimEvent::ToClient(id, bytes))
+                }
                 Output::CloseClient(id) => {
                     if let Some(client) = self.clients.get_mut(&id) {
-                        client.closed = true;
+                        client.is_closed = true;
                     }
                 }
             }
@@ -236,55 +239,55 @@
     }
 
     /// A fixed delay keeps the order of one connection's bytes.
-    fn later_in_order(&mut self, ev: Ev) {
+    fn schedule_in_order(&mut self, ev: SimEvent) {
         self.events.schedule(self.now + 300, ev);
     }
 
-    fn happen(&mut self, ev: Ev) {
+    fn handle_event(&mut self, ev: SimEvent) {
         match ev {
-            Ev::Connected(id, link) => {
-                if self.hosts[id.0 as usize].link == Some(link) {
+            SimEvent::Connected(id, link) => {
+                if self.hosts[id.0 as usize].connection == Some(link) {
                     self.engine.host_connected(self.now, id);
                 }
             }
-            Ev::ToHost(id, link, bytes) => {
+            SimEvent::ToHost(id, link, bytes) => {
                 let host = &mut self.hosts[id.0 as usize];
-                if host.link != Some(link) {
+                if host.connection != Some(link) {
                     return;
                 }
                 host.inbox.extend(bytes);
                 let mut inbox = std::mem::take(&mut host.inbox);
                 while let (Some(frame), used) = frame::decode(&inbox).expect("sound frames") {
                     inbox.drain(..used);
-                    self.host_frame(id, frame);
+                    self.handle_host_frame(id, frame);
                 }
                 self.hosts[id.0 as usize].inbox = inbox;
             }
-            Ev::FromHost(id, link, bytes) => {
-                if self.hosts[id.0 as usize].link == Some(link) {
+            SimEvent::FromHost(id, link, bytes) => {
+                if self.hosts[id.0 as usize].connection == Some(link) {
                     let used = self.engine.host_bytes(self.now, id, &bytes);
                     assert_eq!(used, bytes.len());
                 }
             }
-            Ev::Lost(id, link) => {
-                if self.hosts[id.0 as usize].link == Some(link) {
-                    self.unlink(id);
+            SimEvent::Lost(id, link) => {
+                if self.hosts[id.0 as usize].connection == Some(link) {
+                    self.disconnect_host(id);
                     let written = self.written.get(&id).copied().unwrap_or(0);
                     self.engine.host_closed(self.now, id, written);
                 }
             }
-            Ev::Ask(n) => self.ask(n),
-            Ev::ToPlacer(id, bytes) => {
+            SimEvent::SendRequest(n) => self.send_request(n),
+            SimEvent::ToPlacer(id, bytes) => {
                 if self
                     .clients
                     .get(&id)
-                    .is_some_and(|c| !c.closed && !c.hung_up)
+                    .is_some_and(|c| !c.is_closed && !c.has_disconnected)
                 {
                     let used = self.engine.client_bytes(self.now, id, &bytes);
                     assert_eq!(used, bytes.len());
                 }
             }
-            Ev::ToClient(id, bytes) => {
+            SimEvent::ToClient(id, bytes) => {
                 let now = self.now;
                 let Some(client) = self.clients.get_mut(&id) else {
                     return;
@@ -300,59 +303,62 @@
                         .push(String::from_utf8_lossy(&message.body).into_owned());
                 }
             }
-            Ev::HangUp(id) => {
+            SimEvent::ClientDisconnects(id) => {
                 if let Some(client) = self.clients.get_mut(&id)
-                    && !client.closed
+                    && !client.is_closed
                     && client.answers.is_empty()
                 {
-                    client.hung_up = true;
+                    client.has_disconnected = true;
                     self.engine.client_closed(self.now, id);
                 }
             }
-            Ev::Ends(host, attempt, started) => {
+            SimEvent::TaskEnds(host, attempt, started) => {
                 if self.hosts[host].started == started
-                    && self.hosts[host].holds.remove(&attempt).is_some()
+                    && self.hosts[host].running.remove(&attempt).is_some()
                 {
-                    self.say(
+                    self.send_from_host(
                         HostId(host as u32),
                         Frame::Ended(attempt, Reason::Completed, true, None),
                     );
                 }
             }
-            Ev::Trouble => self.trouble(),
+            SimEvent::InjectFault => self.inject_fault(),
         }
     }
 
-    fn say(&mut self, id: HostId, frame: Frame) {
-        let Some(link) = self.hosts[id.0 as usize].link else {
+    fn send_from_host(&mut self, id: HostId, frame: Frame) {
+        let Some(link) = self.hosts[id.0 as usize].connection else {
             return;
         };
         let mut bytes = Vec::new();
         frame::encode(&frame, &mut bytes);
-        self.later_in_order(Ev::FromHost(id, link, bytes));
+        self.schedule_in_order(SimEvent::FromHost(id, link, bytes));
     }
 
-    fn host_frame(&mut self, id: HostId, frame: Frame) {
+    fn handle_host_frame(&mut self, id: HostId, frame: Frame) {
         let number = id.0 as usize;
         match &frame {
             Frame::Offer(offer) => {
-                let out = self.out.entry(offer.request_id.clone()).or_default();
+                let out = self
+                    .running_attempts
+                    .entry(offer.request_id.clone())
+                    .or_default();
                 assert!(out.is_empty(), "{} has two attempts out", offer.request_id);
                 out.insert(offer.attempt_id, id);
                 if offer.class == "unsafe" {
                     assert!(
-                        !self.may_run.contains(&offer.request_id),
+                        !self.possibly_started.contains(&offer.request_id),
                         "{} may run twice",
                         offer.request_id
                     );
                 }
             }
-            Frame::Cancel(attempt) | Frame::Stop(attempt) => self.over(*attempt),
+            Frame::Cancel(attempt) | Frame::Stop(attempt) => self.forget_attempt(*attempt),
             _ => {}
         }
         if self.hosts[number].silent {
             if let Frame::Offer(offer) = &frame {
-                self.may_run.insert(offer.request_id.clone());
+                self.possibly_started.insert(offer.request_id.clone());
             }
             return;
         }
@@ -360,7 +366,7 @@
             Frame::Hello { .. } => {
                 let (major, minor, name) = (frame::MAJOR, frame::MINOR, format!("h{number}"));
                 let started_ms = self.hosts[number].started;
-                self.say(
+                self.send_from_host(
                     id,
                     Frame::Hello {
                         major,
@@ -371,65 +377,67 @@
                     },
                 );
                 for offer in self.hosts[number]
-                    .holds
+                    .running
                     .values()
                     .cloned()
                     .collect::<Vec<_>>()
                 {
-                    self.say(id, Frame::Held(offer, true));
+                    self.send_from_host(id, Frame::Held(offer, true));
                 }
-                self.say(id, Frame::HeldEnd);
+                self.send_from_host(id, Frame::HeldEnd);
             }
             Frame::Offer(offer) => {
                 let attempt = offer.attempt_id;
                 let draw = self.below(10);
                 if draw != 1 {
-                    self.may_run.insert(offer.request_id.clone());
+                    self.possibly_started.insert(offer.request_id.clone());
                 }
                 match draw {
                     0 => {}
                     1 => {
-                        self.over(attempt);
-                        self.say(id, Frame::Refused(attempt, Reason::Cores, None));
+                        self.forget_attempt(attempt);
+                        self.send_from_host(id, Frame::Refused(attempt, Reason::Cores, None));
                     }
                     2 => {
-                        self.over(attempt);
-                        self.say(id, Frame::Ended(attempt, Reason::Error, true, None));
+                        self.forget_attempt(attempt);
+                        self.send_from_host(id, Frame::Ended(attempt, Reason::Error, true, None));
                     }
                     _ => {
-                        self.hosts[number].holds.insert(attempt, offer);
-                        self.say(id, Frame::Accepted(attempt, 1));
-                        self.say(id, Frame::Started(attempt, 2));
+                        self.hosts[number].running.insert(attempt, offer);
+                        self.send_from_host(id, Frame::Accepted(attempt, 1));
+                        self.send_from_host(id, Frame::Started(attempt, 2));
                         let (life, started) = (self.below(3_000_000), self.hosts[number].started);
-                        self.events
-                            .schedule(self.now + 1000 + life, Ev::Ends(number, attempt, started));
+                        self.events.schedule(
+                            self.now + 1000 + life,
+                            SimEvent::TaskEnds(number, attempt, started),
+                        );
                     }
                 }
             }
             Frame::Cancel(attempt) | Frame::Stop(attempt) => {
-                let ran = self.hosts[number].holds.remove(&attempt).is_some();
-                self.say(id, Frame::Ended(attempt, Reason::Stopped, ran, None));
+                let ran = self.hosts[number].running.remove(&attempt).is_some();
+                self.send_from_host(id, Frame::Ended(attempt, Reason::Stopped, ran, None));
             }
-            Frame::Ping(nonce) => self.say(id, Frame::Pong(nonce)),
+            Frame::Ping(nonce) => self.send_from_host(id, Frame::Pong(nonce)),
             _ => {}
         }
     }
 
     /// Nobody waits for this attempt any more.
-    fn over(&mut self, attempt: u64) {
-        for out in self.out.values_mut() {
+    fn forget_attempt(&mut self, attempt: u64) {
+        for out in self.running_attempts.values_mut() {
             out.remove(&attempt);
         }
     }
 
-    fn unlink(&mut self, id: HostId) {
-        self.hosts[id.0 as usize].link = None;
-        self.out
+    fn disconnect_host(&mut self, id: HostId) {
+        self.hosts[id.0 as usize].connection = None;
+        self.running_attempts
             .values_mut()
             .for_each(|out| out.retain(|_, host| *host != id));
     }
 
-    fn ask(&mut self, n: u64) {
+    fn send_request(&mut self, n: u64) {
         let id = ClientId(n + 1);
         let class = ["safe", "keyed", "unsafe"][self.below(3) as usize];
         // Some actors are asked for twice.
@@ -448,26 +456,27 @@
             &[("Host", "p"), ("X-Request-Id", &request)],
             body.as_bytes(),
         );
-        let client = Client {
+        let client = SimulatedClient {
             reader: MessageReader::new(Role::Responses, Limits::default()),
             inbox: Vec::new(),
             answers: Vec::new(),
-            hung_up: false,
-            closed: false,
+            has_disconnected: false,
+            is_closed: false,
             // Its own time runs from before the placer reads the ask; the answer's way back takes 0.3 ms.
             deadline: self.now + budget * 1000 + 2000,
         };
         self.clients.insert(id, client);
         self.engine.client_opened(self.now, id);
-        self.later(Ev::ToPlacer(id, bytes));
+        self.schedule(SimEvent::ToPlacer(id, bytes));
         if self.below(6) == 0 {
             let after = self.below(budget * 1000);
-            self.events.schedule(self.now + after, Ev::HangUp(id));
+            self.events
+                .schedule(self.now + after, SimEvent::ClientDisconnects(id));
         }
-        self.asks += 1;
+        self.request_count += 1;
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let number = self.below(HOSTS as u64) as usize;
         let id = HostId(number as u32);
         let host = &mut self.hosts[number];
@@ -477,15 +486,15 @@
                 // A new process: all that it held is gone.
                 host.silent = false;
                 host.started = self.now / 1000;
-                host.holds.clear();
-                if let Some(link) = host.link {
-                    self.later(Ev::Lost(id, link));
+                host.running.clear();
+                if let Some(link) = host.connection {
+                    self.schedule(SimEvent::Lost(id, link));
                 }
             }
             2 => {
                 host.silent = false;
-                if let Some(link) = host.link {
-                    self.later(Ev::Lost(id, link));
+                if let Some(link) = host.connection {
+                    self.schedule(SimEvent::Lost(id, link));
                 }
             }
             _ => host.silent = false,
@@ -493,16 +502,23 @@
     }
 
     /// All troubles over, and all that runs has ended: nothing may be left.
-    fn settle(&mut self) {
+    fn run_until_settled(&mut self) {
         for number in 0..HOSTS {
             self.hosts[number].silent = false;
         }
         let end = self.now + 30_000_000;
         for number in 0..HOSTS {
-            for attempt in self.hosts[number].holds.keys().copied().collect::<Vec<_>>() {
+            for attempt in self.hosts[number]
+                .running
+                .keys()
+                .copied()
+                .collect::<Vec<_>>()
+            {
                 let started = self.hosts[number].started;
-                self.events
-                    .schedule(self.now + 1000, Ev::Ends(number, attempt, started));
+                self.events.schedule(
+                    self.now + 1000,
+                    SimEvent::TaskEnds(number, attempt, started),
+                );
             }
         }
         while let Some(due) = [self.events.next_due_at(), self.engine.next_timeout()]
@@ -515,7 +531,7 @@
             }
             self.now = self.now.max(due);
             while let Some(ev) = self.events.pop_due(self.now) {
-                self.happen(ev);
+                self.handle_event(ev);
             }
             self.turn();
         }
@@ -537,16 +553,16 @@
 }
 
 #[test]
-fn every_ask_has_one_answer_and_nothing_is_left_over() {
+fn every_request_gets_one_answer_and_no_state_is_left_over() {
     let mut placed = 0;
     for seed in 0..12 {
-        let mut sim = Sim::new(seed);
+        let mut sim = Simulation::new(seed);
         sim.run(6);
         for (id, client) in &sim.clients {
-            let wanted = usize::from(!client.hung_up && !client.closed);
+            let wanted = usize::from(!client.has_disconnected && !client.is_closed);
             let got = client.answers.len();
             assert!(
-                got == wanted || (got <= 1 && (client.hung_up || client.closed)),
+                got == wanted || (got <= 1 && (client.has_disconnected || client.is_closed)),
                 "seed {seed}, {id:?}: {got} answers"
             );
             placed += client
@@ -555,7 +571,7 @@
                 .filter(|a| a.contains("\"placed\""))
                 .count();
         }
-        sim.settle();
+        sim.run_until_settled();
         let status = sim.status();
         for gone in ["\"open_asks\":0", "\"attempts\":0", "\"actors\":0"] {
             assert!(status.contains(gone), "seed {seed}: {status}");
@@ -571,9 +587,9 @@
 }
 
 #[test]
-fn equal_seeds_give_equal_bytes() {
+fn equal_seeds_produce_equal_bytes() {
     let trace = |seed| {
-        let mut sim = Sim::new(seed);
+        let mut sim = Simulation::new(seed);
         sim.run(3);
         sim.trace.finalize()
     };
--- a/crates/liveness/src/host.rs
+++ b/crates/liveness/src/host.rs
@@ -1,6 +1,6 @@
 //! What is known of one host's signs of life.
 
-use crate::{Micros, Settings, Sign};
+use crate::{Micros, Settings, SignOfLife};
 
 /// In which order a host waits for its next heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,17 +16,17 @@
 pub(crate) struct Host {
     in_use: bool,
     /// The last sign of life.
-    heard: Micros,
+    last_sign_of_life: Micros,
     /// The last one that was not the answer to a heartbeat.
-    traffic: Micros,
+    last_traffic: Micros,
     /// Its silence counts from then on; not at all while it is idle and owes no answer.
     silent_since: Option<Micros>,
     /// The next tick, while its silence counts.
-    tick: Option<Micros>,
+    next_tick: Option<Micros>,
     /// Heartbeats without an answer.
-    unanswered: u32,
+    unanswered_heartbeats: u32,
     /// It came into use and was not heard since.
-    owes_sign: bool,
+    owes_sign_of_life: bool,
 }
 
 impl Host {
@@ -34,12 +34,12 @@
     pub fn greeted(now: Micros, first_tick: Micros) -> Host {
         Host {
             in_use: true,
-            heard: now,
-            traffic: now,
+            last_sign_of_life: now,
+            last_traffic: now,
             silent_since: Some(now),
-            tick: Some(first_tick),
-            unanswered: 0,
-            owes_sign: false,
+            next_tick: Some(first_tick),
+            unanswered_heartbeats: 0,
+            owes_sign_of_life: false,
         }
     }
 
@@ -48,79 +48,82 @@
     }
 
     pub fn queue(&self) -> Queue {
-        self.tick.map_or(Queue::Idle(self.heard), Queue::Tick)
+        self.next_tick
+            .map_or(Queue::Idle(self.last_sign_of_life), Queue::Tick)
     }
 
     /// Something is sent to it that it is to work on. What it owed before it still owes since then.
-    pub fn use_begins(&mut self, now: Micros, settings: &Settings) {
+    pub fn mark_in_use(&mut self, now: Micros, settings: &Settings) {
         if self.in_use {
             return;
         }
         self.in_use = true;
-        self.owes_sign = true;
+        self.owes_sign_of_life = true;
         self.silent_since.get_or_insert(now);
-        self.tick.get_or_insert(now + settings.ping_every);
+        self.next_tick.get_or_insert(now + settings.ping_interval);
     }
 
     /// Nothing is there any more.
-    pub fn use_ends(&mut self) {
+    pub fn mark_idle(&mut self) {
         self.in_use = false;
-        self.rest_if_nothing_owed();
+        self.stop_watch_if_nothing_owed();
     }
 
     /// A sign of life.
-    pub fn heard(&mut self, now: Micros, sign: Sign) {
-        self.heard = now;
-        self.owes_sign = false;
+    pub fn record_sign_of_life(&mut self, now: Micros, sign: SignOfLife) {
+        self.last_sign_of_life = now;
+        self.owes_sign_of_life = false;
         self.silent_since = self.silent_since.map(|_| now);
         match sign {
-            Sign::Answer => self.unanswered = self.unanswered.saturating_sub(1),
-            Sign::Traffic => self.traffic = now,
+            SignOfLife::Answer => {
+                self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_sub(1)
+            }
+            SignOfLife::Traffic => self.last_traffic = now,
         }
-        self.rest_if_nothing_owed();
+        self.stop_watch_if_nothing_owed();
     }
 
     /// Idle, and owing nothing: its silence does not count until its next heartbeat.
-    fn rest_if_nothing_owed(&mut self) {
-        if !self.in_use && !self.owes_sign && self.unanswered == 0 {
-            (self.silent_since, self.tick) = (None, None);
+    fn stop_watch_if_nothing_owed(&mut self) {
+        if !self.in_use && !self.owes_sign_of_life && self.unanswered_heartbeats == 0 {
+            (self.silent_since, self.next_tick) = (None, None);
         }
     }
 
     /// The silence up to now was the caller's own.
-    pub fn excuse(&mut self, now: Micros) {
-        self.heard = now;
+    pub fn forgive_silence(&mut self, now: Micros) {
+        self.last_sign_of_life = now;
         self.silent_since = self.silent_since.map(|_| now);
     }
 
     /// Whether its silence is final.
     pub fn is_silent(&self, now: Micros, settings: &Settings) -> bool {
         self.silent_since
-            .is_some_and(|since| since + settings.silent_after <= now)
+            .is_some_and(|since| since + settings.silence_timeout <= now)
     }
 
     /// Whether something other than an answer was heard within the period.
-    pub fn heard_lately(&self, now: Micros, settings: &Settings) -> bool {
-        self.traffic + settings.ping_every > now
+    pub fn had_recent_traffic(&self, now: Micros, settings: &Settings) -> bool {
+        self.last_traffic + settings.ping_interval > now
     }
 
     /// Moves a tick that has come to the first one after now, in the same phase.
-    pub fn tick_passed(&mut self, now: Micros, settings: &Settings) {
-        let every = settings.ping_every.max(1);
-        self.tick = self
-            .tick
+    pub fn advance_tick(&mut self, now: Micros, settings: &Settings) {
+        let every = settings.ping_interval.max(1);
+        self.next_tick = self
+            .next_tick
             .map(|tick| tick + every * (1 + now.saturating_sub(tick) / every));
     }
 
     /// A heartbeat is sent. The silence of an idle host counts from its first unanswered one.
-    pub fn heartbeat(&mut self, now: Micros, settings: &Settings) {
-        self.unanswered = self.unanswered.saturating_add(1);
+    pub fn record_heartbeat(&mut self, now: Micros, settings: &Settings) {
+        self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_add(1);
         self.silent_since.get_or_insert(now);
-        self.tick.get_or_insert(now + settings.ping_every);
+        self.next_tick.get_or_insert(now + settings.ping_interval);
     }
 
     /// The last heartbeat could not be sent, so that no answer comes. Its silence counts all the same.
-    pub fn heartbeat_not_sent(&mut self) {
-        self.unanswered = self.unanswered.saturating_sub(1);
+    pub fn record_unsent_heartbeat(&mut self) {
+        self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_sub(1);
     }
 }
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -21,7 +21,7 @@
 mod liveness;
 mod pacer;
 
-pub use liveness::{Due, Liveness};
+pub use liveness::{DueAction, Liveness};
 
 /// A point in time, or a span, in microseconds.
 pub type Micros = u64;
@@ -30,9 +30,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// Between two heartbeats to a host in use; no host is pinged more often.
-    pub ping_every: Micros,
+    pub ping_interval: Micros,
     /// A silence is final after this, at the next tick.
-    pub silent_after: Micros,
+    pub silence_timeout: Micros,
     /// Heartbeats a second to all idle hosts together, while they answer.
     pub max_idle_pings_per_s: u32,
     /// From the last sign of life of an idle host to its next heartbeat, at most, whatever the rate is then. Above
@@ -42,7 +42,7 @@
 
 /// What a host was heard to say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum SignOfLife {
     /// The answer to a heartbeat. The next heartbeat is due as if it had not come.
     Answer,
     /// Anything else; it stands for a heartbeat and its answer.
--- a/crates/liveness/src/liveness.rs
+++ b/crates/liveness/src/liveness.rs
@@ -4,15 +4,15 @@
 
 use crate::host::{Host, Queue};
 use crate::pacer::Pacer;
-use crate::{Micros, Settings, Sign};
+use crate::{Micros, Settings, SignOfLife};
 
 /// What falls due for a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Due<K> {
+pub enum DueAction<K> {
     /// It is to be sent a heartbeat.
-    Heartbeat(K),
+    SendHeartbeat(K),
     /// Its silence is final: it is cut off, and forgotten here.
-    Silent(K),
+    Disconnect(K),
 }
 
 /// The signs of life of all hosts to which there is a connection. `K` names a host.
@@ -21,7 +21,7 @@
     settings: Settings,
     hosts: BTreeMap<K, Host>,
     /// How many of them are in use.
-    in_use: usize,
+    in_use_count: usize,
     /// Hosts whose silence counts, by their next tick.
     ticks: BTreeSet<(Micros, K)>,
     /// The other hosts, all idle, by their last sign of life.
@@ -35,7 +35,7 @@
         Liveness {
             settings,
             hosts: BTreeMap::new(),
-            in_use: 0,
+            in_use_count: 0,
             ticks: BTreeSet::new(),
             idle: BTreeSet::new(),
             pacer: Pacer::new(settings),
@@ -44,115 +44,118 @@
 
     /// A host has greeted on a new connection. It counts as in use until it is told as idle. Its first tick comes after
     /// `first_tick_after`, at most a period; drawn, it spreads the ticks of hosts that greet in one instant.
-    pub fn greeted(&mut self, now: Micros, key: K, first_tick_after: Micros) {
-        self.removed(key);
-        let first_tick = now + first_tick_after.min(self.settings.ping_every);
+    pub fn host_greeted(&mut self, now: Micros, key: K, first_tick_after: Micros) {
+        self.remove(key);
+        let first_tick = now + first_tick_after.min(self.settings.ping_interval);
         let host = Host::greeted(now, first_tick);
         self.enqueue(key, host.queue());
-        self.in_use += 1;
+        self.in_use_count += 1;
         self.hosts.insert(key, host);
     }
 
     /// The connection to a host is no more.
-    pub fn removed(&mut self, key: K) {
+    pub fn remove(&mut self, key: K) {
         if let Some(host) = self.hosts.remove(&key) {
-            self.in_use -= usize::from(host.in_use());
+            self.in_use_count -= usize::from(host.in_use());
             self.dequeue(key, host.queue());
         }
     }
 
     /// A host was heard.
-    pub fn heard(&mut self, now: Micros, key: K, sign: Sign) {
-        self.change(key, |host, _| host.heard(now, sign));
+    pub fn record_sign_of_life(&mut self, now: Micros, key: K, sign: SignOfLife) {
+        self.update_host(key, |host, _| host.record_sign_of_life(now, sign));
     }
 
     /// Something is sent to a host that it is to work on. Changes nothing if it is in use.
-    pub fn use_begins(&mut self, now: Micros, key: K) {
-        self.change(key, |host, settings| host.use_begins(now, settings));
+    pub fn mark_in_use(&mut self, now: Micros, key: K) {
+        self.update_host(key, |host, settings| host.mark_in_use(now, settings));
     }
 
     /// Nothing is left at a host. Changes nothing if it is idle.
-    pub fn use_ends(&mut self, key: K) {
-        self.change(key, |host, _| host.use_ends());
+    pub fn mark_idle(&mut self, key: K) {
+        self.update_host(key, |host, _| host.mark_idle());
     }
 
     /// The heartbeat that just fell due could not be sent.
-    pub fn heartbeat_not_sent(&mut self, key: K) {
-        self.change(key, |host, _| host.heartbeat_not_sent());
+    pub fn record_unsent_heartbeat(&mut self, key: K) {
+        self.update_host(key, |host, _| host.record_unsent_heartbeat());
     }
 
     /// What has fallen due by now. `stalled` tells that the caller stood still, so that silence was its own.
-    pub fn due(&mut self, now: Micros, stalled: bool) -> Vec<Due<K>> {
+    pub fn take_due(&mut self, now: Micros, stalled: bool) -> Vec<DueAction<K>> {
         let mut due = Vec::new();
         while let Some(&(tick, key)) = self.ticks.first()
             && tick <= now
         {
-            due.extend(self.tick(now, key, stalled));
+            due.extend(self.handle_tick(now, key, stalled));
         }
         while let Some((turn, key)) = self.next_turn()
             && turn <= now
         {
-            self.pacer.given(now, turn, self.idle_hosts());
-            self.change(key, |host, settings| host.heartbeat(now, settings));
-            due.push(Due::Heartbeat(key));
+            self.pacer.record_turn(now, turn, self.idle_host_count());
+            self.update_host(key, |host, settings| host.record_heartbeat(now, settings));
+            due.push(DueAction::SendHeartbeat(key));
         }
         due
     }
 
     /// When something falls due next.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due_at(&self) -> Option<Micros> {
         let tick = self.ticks.first().map(|(tick, _)| *tick);
         let turn = self.next_turn().map(|(turn, _)| turn);
         tick.into_iter().chain(turn).min()
     }
 
     /// Hosts that are not in use.
-    pub fn idle_hosts(&self) -> usize {
-        self.hosts.len() - self.in_use
+    pub fn idle_host_count(&self) -> usize {
+        self.hosts.len() - self.in_use_count
     }
 
     /// From the last sign of life of an idle host to its next heartbeat, at most, as many as there now are.
-    pub fn idle_interval(&self) -> Micros {
-        self.pacer.interval(self.idle_hosts())
+    pub fn max_idle_interval(&self) -> Micros {
+        self.pacer.max_interval(self.idle_host_count())
     }
 
     /// The idle host whose turn is next, and when it is.
     fn next_turn(&self) -> Option<(Micros, K)> {
         let &(oldest_sign, key) = self.idle.first()?;
-        Some((self.pacer.next(self.idle_hosts(), oldest_sign), key))
+        Some((
+            self.pacer.next_turn_at(self.idle_host_count(), oldest_sign),
+            key,
+        ))
     }
 
     /// A host's tick has come.
-    fn tick(&mut self, now: Micros, key: K, stalled: bool) -> Option<Due<K>> {
+    fn handle_tick(&mut self, now: Micros, key: K, stalled: bool) -> Option<DueAction<K>> {
         let settings = self.settings;
         let mut due = None;
-        self.change(key, |host, _| {
+        self.update_host(key, |host, _| {
             if stalled {
-                host.excuse(now);
+                host.forgive_silence(now);
             }
-            host.tick_passed(now, &settings);
+            host.advance_tick(now, &settings);
             if host.is_silent(now, &settings) {
-                due = Some(Due::Silent(key));
-            } else if !host.heard_lately(now, &settings) {
-                host.heartbeat(now, &settings);
-                due = Some(Due::Heartbeat(key));
+                due = Some(DueAction::Disconnect(key));
+            } else if !host.had_recent_traffic(now, &settings) {
+                host.record_heartbeat(now, &settings);
+                due = Some(DueAction::SendHeartbeat(key));
             }
         });
-        if let Some(Due::Silent(key)) = due {
-            self.removed(key);
+        if let Some(DueAction::Disconnect(key)) = due {
+            self.remove(key);
         }
         due
     }
 
     /// Changes what is known of a host, and its place in the queues with it.
-    fn change(&mut self, key: K, change: impl FnOnce(&mut Host, &Settings)) {
+    fn update_host(&mut self, key: K, change: impl FnOnce(&mut Host, &Settings)) {
         let Some(host) = self.hosts.get_mut(&key) else {
             return;
         };
         let (queue_before, in_use_before) = (host.queue(), host.in_use());
         change(host, &self.settings);
         let (queue, in_use) = (host.queue(), host.in_use());
-        self.in_use = self.in_use + usize::from(in_use) - usize::from(in_use_before);
+        self.in_use_count = self.in_use_count + usize::from(in_use) - usize::from(in_use_before);
         if queue != queue_before {
             self.dequeue(key, queue_before);
             self.enqueue(key, queue);
--- a/crates/liveness/src/pacer.rs
+++ b/crates/liveness/src/pacer.rs
@@ -9,14 +9,14 @@
 pub(crate) struct Pacer {
     settings: Settings,
     /// The turn that was given last.
-    last: Option<Micros>,
+    last_turn: Option<Micros>,
 }
 
 impl Pacer {
     pub fn new(settings: Settings) -> Pacer {
         Pacer {
             settings,
-            last: None,
+            last_turn: None,
         }
     }
 
@@ -27,29 +27,29 @@
         let round = self
             .settings
             .max_idle_interval
-            .saturating_sub(self.settings.ping_every);
+            .saturating_sub(self.settings.ping_interval);
         by_rate.min(round / idle.max(1) as u64)
     }
 
     /// From the last sign of life of one of so many idle hosts to its next turn, at most. All of them may have been
     /// heard in one instant: after `ping_every` the first one has its turn, and after all others the last one.
-    pub fn interval(&self, idle: usize) -> Micros {
-        self.settings.ping_every + self.gap(idle) * idle as u64
+    pub fn max_interval(&self, idle: usize) -> Micros {
+        self.settings.ping_interval + self.gap(idle) * idle as u64
     }
 
     /// When the next turn comes, with the last sign of life of the idle host that was heard longest ago.
-    pub fn next(&self, idle: usize, oldest_sign: Micros) -> Micros {
-        let eligible = oldest_sign.saturating_add(self.settings.ping_every);
+    pub fn next_turn_at(&self, idle: usize, oldest_sign: Micros) -> Micros {
+        let eligible = oldest_sign.saturating_add(self.settings.ping_interval);
         let spaced = self
-            .last
+            .last_turn
             .map_or(0, |last| last.saturating_add(self.gap(idle)));
         eligible.max(spaced)
     }
 
     /// The turn that was due at `turn` is given now. A caller that is late by less than a gap does not slow the turns
     /// down; one that is later has missed some, and they are not made up for.
-    pub fn given(&mut self, now: Micros, turn: Micros, idle: usize) {
+    pub fn record_turn(&mut self, now: Micros, turn: Micros, idle: usize) {
         let missed = now.saturating_sub(turn) >= self.gap(idle);
-        self.last = Some(if missed { now } else { turn });
+        self.last_turn = Some(if missed { now } else { turn });
     }
 }
--- a/crates/liveness/tests/properties.rs
+++ b/crates/liveness/tests/properties.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use maplethread_liveness::{Due, Liveness, Micros, Settings, Sign};
+use maplethread_liveness::{DueAction, Liveness, Micros, Settings, SignOfLife};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use support::{MS, SECOND};
@@ -13,8 +13,8 @@
 const HOSTS: u32 = 12;
 
 const SETTINGS: Settings = Settings {
-    ping_every: SECOND,
-    silent_after: 3 * SECOND,
+    ping_interval: SECOND,
+    silence_timeout: 3 * SECOND,
     max_idle_pings_per_s: 3,
     max_idle_interval: 90 * SECOND,
 };
@@ -53,20 +53,20 @@
 
 /// What a test knows of one host.
 #[derive(Clone, Copy)]
-struct Known {
+struct HostModel {
     in_use: bool,
     /// The last sign of life.
-    sign: Micros,
+    last_sign_of_life: Micros,
     /// The same, or a later standstill of the caller.
-    excused: Micros,
+    forgiven_at: Micros,
     /// The last thing that it was heard to say other than answers.
-    traffic: Micros,
+    last_traffic: Micros,
     /// The first thing sent since the last sign of life that asks for one.
-    asked: Option<Micros>,
+    unanswered_since: Option<Micros>,
     /// That was a heartbeat, and it was idle and owed nothing.
-    in_its_turn: bool,
-    owed: u32,
-    prompt: bool,
+    is_paced: bool,
+    unanswered_heartbeats: u32,
+    answers_at_once: bool,
     last_heartbeat: Option<Micros>,
 }
 
@@ -74,9 +74,9 @@
     liveness: Liveness<u32>,
     now: Micros,
     stalled_at: Option<Micros>,
-    hosts: BTreeMap<u32, Known>,
+    hosts: BTreeMap<u32, HostModel>,
     /// Heartbeats to hosts that owed nothing, within the last second.
-    paced: VecDeque<Micros>,
+    paced_heartbeats: VecDeque<Micros>,
 }
 
 impl Model {
@@ -86,55 +86,59 @@
             now: 10 * SECOND,
             stalled_at: None,
             hosts: BTreeMap::new(),
-            paced: VecDeque::new(),
+            paced_heartbeats: VecDeque::new(),
         }
     }
 
-    fn play(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         let now = self.now;
         match step {
             Step::Greet(key) => {
                 self.liveness
-                    .greeted(now, key, SECOND / 2 + u64::from(key) * 40 * MS);
-                let host = Known {
+                    .host_greeted(now, key, SECOND / 2 + u64::from(key) * 40 * MS);
+                let host = HostModel {
                     in_use: true,
-                    sign: now,
-                    excused: now,
-                    traffic: now,
-                    asked: None,
-                    in_its_turn: false,
-                    owed: 0,
-                    prompt: true,
+                    last_sign_of_life: now,
+                    forgiven_at: now,
+                    last_traffic: now,
+                    unanswered_since: None,
+                    is_paced: false,
+                    unanswered_heartbeats: 0,
+                    answers_at_once: true,
                     last_heartbeat: None,
                 };
                 self.hosts.insert(key, host);
             }
             Step::Leave(key) => {
-                self.liveness.removed(key);
+                self.liveness.remove(key);
                 self.hosts.remove(&key);
             }
             Step::Use(key) => {
-                self.liveness.use_begins(now, key);
+                self.liveness.mark_in_use(now, key);
                 if let Some(host) = self.hosts.get_mut(&key).filter(|h| !h.in_use) {
                     host.in_use = true;
-                    host.asked.get_or_insert(now);
+                    host.unanswered_since.get_or_insert(now);
                 }
             }
             Step::Rest(key) => {
-                self.liveness.use_ends(key);
+                self.liveness.mark_idle(key);
                 if let Some(host) = self.hosts.get_mut(&key) {
                     host.in_use = false;
                 }
             }
-            Step::Traffic(key) => self.heard(key, Sign::Traffic),
+            Step::Traffic(key) => self.record_sign_of_life(key, SignOfLife::Traffic),
             Step::Answer(key) => {
-                if self.hosts.get(&key).is_some_and(|h| h.owed > 0) {
-                    self.heard(key, Sign::Answer);
+                if self
+                    .hosts
+                    .get(&key)
+                    .is_some_and(|h| h.unanswered_heartbeats > 0)
+                {
+                    self.record_sign_of_life(key, SignOfLife::Answer);
                 }
             }
             Step::Prompt(key, prompt) => {
                 if let Some(host) = self.hosts.get_mut(&key) {
-                    host.prompt = prompt;
+                    host.answers_at_once = prompt;
                 }
             }
             Step::Wait(span) => self.wait(span),
@@ -146,26 +150,26 @@
         }
     }
 
-    fn heard(&mut self, key: u32, sign: Sign) {
+    fn record_sign_of_life(&mut self, key: u32, sign: SignOfLife) {
         let now = self.now;
-        self.liveness.heard(now, key, sign);
+        self.liveness.record_sign_of_life(now, key, sign);
         let Some(host) = self.hosts.get_mut(&key) else {
             return;
         };
-        (host.sign, host.excused) = (now, now);
-        (host.asked, host.in_its_turn) = (None, false);
+        (host.last_sign_of_life, host.forgiven_at) = (now, now);
+        (host.unanswered_since, host.is_paced) = (None, false);
         match sign {
-            Sign::Answer => host.owed -= 1,
-            Sign::Traffic => host.traffic = now,
+            SignOfLife::Answer => host.unanswered_heartbeats -= 1,
+            SignOfLife::Traffic => host.last_traffic = now,
         }
-        if host.owed > 0 {
-            host.asked = Some(now);
+        if host.unanswered_heartbeats > 0 {
+            host.unanswered_since = Some(now);
         }
     }
 
     fn wait(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(next) = self.liveness.next().filter(|&next| next <= end) {
+        while let Some(next) = self.liveness.next_due_at().filter(|&next| next <= end) {
             self.now = self.now.max(next);
             self.turn(false);
         }
@@ -173,103 +177,103 @@
     }
 
     fn turn(&mut self, stalled: bool) {
-        for due in self.liveness.due(self.now, stalled) {
+        for due in self.liveness.take_due(self.now, stalled) {
             match due {
-                Due::Heartbeat(key) => self.heartbeat(key),
-                Due::Silent(key) => self.silent(key, stalled),
+                DueAction::SendHeartbeat(key) => self.check_heartbeat(key),
+                DueAction::Disconnect(key) => self.check_disconnect(key, stalled),
             }
         }
         if stalled {
             // A standstill excuses those whose tick had come, and may excuse nobody else.
             for host in self.hosts.values_mut() {
-                host.excused = self.now;
+                host.forgiven_at = self.now;
             }
         }
         let now = self.now;
         assert!(
-            self.liveness.next().is_none_or(|next| next > now),
+            self.liveness.next_due_at().is_none_or(|next| next > now),
             "it asks to be called at once again"
         );
-        self.nobody_is_overdue();
+        self.check_nothing_is_overdue();
     }
 
-    fn heartbeat(&mut self, key: u32) {
+    fn check_heartbeat(&mut self, key: u32) {
         let now = self.now;
         let host = self
             .hosts
             .get_mut(&key)
             .expect("only hosts that are there get heartbeats");
-        let settled = !host.in_use && host.asked.is_none();
+        let settled = !host.in_use && host.unanswered_since.is_none();
         if let Some(last) = host
             .last_heartbeat
             .filter(|&last| self.stalled_at.is_none_or(|at| last > at))
         {
             assert!(
-                now - last >= SETTINGS.ping_every,
+                now - last >= SETTINGS.ping_interval,
                 "{} us after the last one",
                 now - last
             );
         }
         assert!(
-            now - host.traffic >= SETTINGS.ping_every,
+            now - host.last_traffic >= SETTINGS.ping_interval,
             "it was heard within the period"
         );
         host.last_heartbeat = Some(now);
-        host.owed += 1;
-        host.asked.get_or_insert(now);
+        host.unanswered_heartbeats += 1;
+        host.unanswered_since.get_or_insert(now);
         if settled {
-            host.in_its_turn = true;
-            self.paced.push_back(now);
-            self.paced.retain(|&at| at + SECOND > now);
+            host.is_paced = true;
+            self.paced_heartbeats.push_back(now);
+            self.paced_heartbeats.retain(|&at| at + SECOND > now);
             let most = SETTINGS.max_idle_pings_per_s as usize + 2;
             assert!(
-                self.paced.len() <= most,
+                self.paced_heartbeats.len() <= most,
                 "{} heartbeats to idle hosts in a second",
-                self.paced.len()
+                self.paced_heartbeats.len()
             );
         }
-        if host.prompt {
-            self.heard(key, Sign::Answer);
+        if host.answers_at_once {
+            self.record_sign_of_life(key, SignOfLife::Answer);
         }
     }
 
-    fn silent(&mut self, key: u32, stalled: bool) {
+    fn check_disconnect(&mut self, key: u32, stalled: bool) {
         assert!(!stalled, "nobody is cut off for the caller's standstill");
         let host = self
             .hosts
             .remove(&key)
             .expect("only hosts that are there are cut off");
         // One that was idle owes nothing until its turn.
-        let since = if host.in_its_turn {
-            host.asked.expect("asked in its turn")
+        let since = if host.is_paced {
+            host.unanswered_since.expect("asked in its turn")
         } else {
-            host.sign
+            host.last_sign_of_life
         };
         assert!(
-            self.now >= since + SETTINGS.silent_after,
+            self.now >= since + SETTINGS.silence_timeout,
             "cut off {} us after",
             self.now - since
         );
         assert!(
-            host.in_use || host.asked.is_some(),
+            host.in_use || host.unanswered_since.is_some(),
             "an idle host is asked before it is cut off"
         );
     }
 
     /// Whoever is still there has been heard within what is promised.
-    fn nobody_is_overdue(&self) {
-        let most = SETTINGS.silent_after + SETTINGS.ping_every;
+    fn check_nothing_is_overdue(&self) {
+        let most = SETTINGS.silence_timeout + SETTINGS.ping_interval;
         // Hosts in use that come to rest may go before one that waits, each of them once.
         let turns = SECOND.div_ceil(u64::from(SETTINGS.max_idle_pings_per_s)) * u64::from(HOSTS);
         for (key, host) in &self.hosts {
-            let silent_for = self.now - host.excused.max(host.asked.unwrap_or(0));
-            if host.in_use || host.asked.is_some() {
+            let silent_for = self.now - host.forgiven_at.max(host.unanswered_since.unwrap_or(0));
+            if host.in_use || host.unanswered_since.is_some() {
                 assert!(
                     silent_for < most,
                     "host {key} is silent for {silent_for} us"
                 );
             } else {
-                let round = SETTINGS.ping_every + turns;
+                let round = SETTINGS.ping_interval + turns;
                 assert!(silent_for <= round, "host {key} waits for {silent_for} us");
             }
         }
@@ -285,12 +289,12 @@
     fn no_promise_is_broken(steps in vec(step(), 1..250)) {
         let mut model = Model::new();
         for step in steps {
-            model.play(step);
+            model.apply_step(step);
         }
         model.wait(20 * SECOND);
         let there: BTreeSet<u32> = model.hosts.keys().copied().collect();
         let idle = model.hosts.values().filter(|h| !h.in_use).count();
-        prop_assert_eq!(model.liveness.idle_hosts(), idle);
+        prop_assert_eq!(model.liveness.idle_host_count(), idle);
         prop_assert!(there.len() <= HOSTS as usize);
     }
 }
--- a/crates/liveness/tests/support/mod.rs
+++ b/crates/liveness/tests/support/mod.rs
@@ -4,54 +4,54 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use maplethread_liveness::{Due, Liveness, Micros, Settings, Sign};
+use maplethread_liveness::{DueAction, Liveness, Micros, Settings, SignOfLife};
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
 /// The defaults of a placer.
 pub const SETTINGS: Settings = Settings {
-    ping_every: SECOND,
-    silent_after: 3 * SECOND,
+    ping_interval: SECOND,
+    silence_timeout: 3 * SECOND,
     max_idle_pings_per_s: 40,
     max_idle_interval: 90 * SECOND,
 };
 
 /// How a host answers heartbeats.
 #[derive(Clone, Copy)]
-pub enum Answers {
+pub enum AnswerBehaviour {
     /// After this.
     After(Micros),
     Never,
 }
 
 /// When something happened to which host.
-pub type At = (Micros, u32);
+pub type HostEvent = (Micros, u32);
 
-pub struct Fleet {
+pub struct SimulatedHosts {
     pub liveness: Liveness<u32>,
     pub now: Micros,
-    pub hosts: BTreeMap<u32, Answers>,
-    on_the_way: BTreeSet<At>,
-    pub heartbeats: Vec<At>,
-    pub cut_off: Vec<At>,
+    pub hosts: BTreeMap<u32, AnswerBehaviour>,
+    answers_in_transit: BTreeSet<HostEvent>,
+    pub heartbeats: Vec<HostEvent>,
+    pub disconnected: Vec<HostEvent>,
 }
 
-impl Fleet {
-    pub fn new(settings: Settings) -> Fleet {
-        Fleet {
+impl SimulatedHosts {
+    pub fn new(settings: Settings) -> SimulatedHosts {
+        SimulatedHosts {
             liveness: Liveness::new(settings),
             now: 0,
             hosts: BTreeMap::new(),
-            on_the_way: BTreeSet::new(),
+            answers_in_transit: BTreeSet::new(),
             heartbeats: Vec::new(),
-            cut_off: Vec::new(),
+            disconnected: Vec::new(),
         }
     }
 
     /// So many hosts greet in one instant, and hold nothing.
-    pub fn all_idle(settings: Settings, hosts: u32) -> Fleet {
-        let mut fleet = Fleet::new(settings);
+    pub fn with_idle_hosts(settings: Settings, hosts: u32) -> SimulatedHosts {
+        let mut fleet = SimulatedHosts::new(settings);
         fleet.greet_idle(0..hosts);
         fleet
     }
@@ -59,86 +59,94 @@
     pub fn greet_idle(&mut self, hosts: std::ops::Range<u32>) {
         for host in hosts {
             self.greet(host);
-            self.liveness.use_ends(host);
+            self.liveness.mark_idle(host);
         }
     }
 
     /// A host greets, and is in use.
     pub fn greet(&mut self, host: u32) {
-        self.hosts.insert(host, Answers::After(5 * MS));
-        self.liveness.greeted(self.now, host, SETTINGS.ping_every);
+        self.hosts.insert(host, AnswerBehaviour::After(5 * MS));
+        self.liveness
+            .host_greeted(self.now, host, SETTINGS.ping_interval);
     }
 
-    pub fn leaves(&mut self, host: u32) {
+    pub fn remove(&mut self, host: u32) {
         self.hosts.remove(&host);
-        self.liveness.removed(host);
+        self.liveness.remove(host);
     }
 
-    pub fn answers(&mut self, hosts: std::ops::Range<u32>, how: Answers) {
+    pub fn set_answers(&mut self, hosts: std::ops::Range<u32>, how: AnswerBehaviour) {
         for host in hosts {
             self.hosts.insert(host, how);
         }
     }
 
-    pub fn traffic(&mut self, host: u32) {
-        self.liveness.heard(self.now, host, Sign::Traffic);
+    pub fn receive_traffic(&mut self, host: u32) {
+        self.liveness
+            .record_sign_of_life(self.now, host, SignOfLife::Traffic);
     }
 
     /// Time passes; whatever falls due does so in time.
     pub fn run_until(&mut self, end: Micros) {
         loop {
-            let answer = self.on_the_way.first().map(|(at, _)| *at);
-            let next = [answer, self.liveness.next()].into_iter().flatten().min();
+            let answer = self.answers_in_transit.first().map(|(at, _)| *at);
+            let next = [answer, self.liveness.next_due_at()]
+                .into_iter()
+                .flatten()
+                .min();
             let Some(next) = next.filter(|&at| at <= end) else {
                 break;
             };
             self.now = self.now.max(next);
-            self.take_answers();
+            self.deliver_answers();
             self.turn(false);
         }
         self.now = end;
     }
 
     /// The placer does nothing for a while, and then finds in one turn what has come meanwhile.
-    pub fn stands_still(&mut self, span: Micros) {
+    pub fn stall(&mut self, span: Micros) {
         self.now += span;
-        self.take_answers();
+        self.deliver_answers();
         self.turn(true);
     }
 
-    fn take_answers(&mut self) {
-        while let Some(&(at, host)) = self.on_the_way.first()
+    fn deliver_answers(&mut self) {
+        while let Some(&(at, host)) = self.answers_in_transit.first()
             && at <= self.now
         {
-            self.on_the_way.pop_first();
-            self.liveness.heard(self.now, host, Sign::Answer);
+            self.answers_in_transit.pop_first();
+            self.liveness
+                .record_sign_of_life(self.now, host, SignOfLife::Answer);
         }
     }
 
     fn turn(&mut self, stalled: bool) {
-        for due in self.liveness.due(self.now, stalled) {
+        for due in self.liveness.take_due(self.now, stalled) {
             match due {
-                Due::Heartbeat(host) => {
+                DueAction::SendHeartbeat(host) => {
                     self.heartbeats.push((self.now, host));
-                    if let Some(Answers::After(after)) = self.hosts.get(&host) {
-                        self.on_the_way.insert((self.now + after, host));
+                    if let Some(AnswerBehaviour::After(after)) = self.hosts.get(&host) {
+                        self.answers_in_transit.insert((self.now + after, host));
                     }
                 }
-                Due::Silent(host) => {
-                    self.cut_off.push((self.now, host));
+                DueAction::Disconnect(host) => {
+                    self.disconnected.push((self.now, host));
                     self.hosts.remove(&host);
                 }
             }
         }
         assert!(
-            self.liveness.next().is_none_or(|next| next > self.now),
+            self.liveness
+                .next_due_at()
+                .is_none_or(|next| next > self.now),
             "it asks to be called at once again"
         );
     }
 
     /// When a host was cut off.
-    pub fn cut_off_at(&self, host: u32) -> Option<Micros> {
-        self.cut_off
+    pub fn disconnected_at(&self, host: u32) -> Option<Micros> {
+        self.disconnected
             .iter()
             .find(|(_, cut)| *cut == host)
             .map(|(at, _)| *at)
@@ -154,7 +162,7 @@
     }
 
     /// The most heartbeats in any second, sliding, since then.
-    pub fn most_in_a_second(&self, since: Micros) -> usize {
+    pub fn max_heartbeats_per_second(&self, since: Micros) -> usize {
         let times: Vec<Micros> = self
             .heartbeats
             .iter()
@@ -168,24 +176,24 @@
 }
 
 /// Fixed heartbeats to one host, as before they were adaptive: at every tick it is cut off or gets one.
-pub struct Fixed {
-    heard: Micros,
-    tick: Micros,
+pub struct FixedHeartbeats {
+    last_sign_of_life: Micros,
+    next_tick: Micros,
     pub heartbeats: usize,
 }
 
-impl Fixed {
-    pub fn greeted(now: Micros) -> Fixed {
-        Fixed {
-            heard: now,
-            tick: now + SETTINGS.ping_every,
+impl FixedHeartbeats {
+    pub fn greeted(now: Micros) -> FixedHeartbeats {
+        FixedHeartbeats {
+            last_sign_of_life: now,
+            next_tick: now + SETTINGS.ping_interval,
             heartbeats: 0,
         }
     }
 
     /// When the host is cut off that is heard at these times, answers heartbeats after `answer_after`, and says nothing
     /// from `silent_from` on.
-    pub fn cut_off_at(
+    pub fn disconnected_at(
         &mut self,
         traffic: &[Micros],
         answer_after: Micros,
@@ -197,18 +205,18 @@
             .filter(|&at| at < silent_from)
             .peekable();
         loop {
-            let now = self.tick;
+            let now = self.next_tick;
             while let Some(at) = traffic.next_if(|&at| at <= now) {
-                self.heard = self.heard.max(at);
+                self.last_sign_of_life = self.last_sign_of_life.max(at);
             }
-            if self.heard + SETTINGS.silent_after <= now {
+            if self.last_sign_of_life + SETTINGS.silence_timeout <= now {
                 return now;
             }
             self.heartbeats += 1;
             if now < silent_from {
-                self.heard = self.heard.max(now + answer_after);
+                self.last_sign_of_life = self.last_sign_of_life.max(now + answer_after);
             }
-            self.tick = now + SETTINGS.ping_every;
+            self.next_tick = now + SETTINGS.ping_interval;
         }
     }
 }
--- a/crates/placer/src/daemon.rs
+++ b/crates/placer/src/daemon.rs
@@ -64,7 +64,7 @@
     let listener = maplethread_reactor::listen(config.api.listen)
         .map_err(io_error(format!("{}", config.api.listen)))?;
     let deciding = Rc::new(Cell::new(Span::default()));
-    let recorder = Recorder::start(&config, seed, started_ms, decider.is_module())
+    let recorder = Recorder::start(&config, seed, started_ms, decider.is_replayable())
         .map_err(io_error("thread of the trace"))?;
     // Recording is no part of the decision's time.
     let timed = Timed {
--- a/crates/placer/src/decide_time.rs
+++ b/crates/placer/src/decide_time.rs
@@ -104,7 +104,7 @@
         self.phase.set(spent);
     }
 
-    fn last_word(&self) -> bool {
-        self.inner.last_word()
+    fn allows_deadline_answers(&self) -> bool {
+        self.inner.allows_deadline_answers()
     }
 }
--- a/crates/placer/src/recording.rs
+++ b/crates/placer/src/recording.rs
@@ -107,8 +107,8 @@
         }
     }
 
-    fn last_word(&self) -> bool {
-        self.inner.last_word()
+    fn allows_deadline_answers(&self) -> bool {
+        self.inner.allows_deadline_answers()
     }
 }
 
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -5,25 +5,25 @@
 
 /// Due times with what they are for, in order; equal times in the order in which they were set.
 pub struct Timers<T> {
-    heap: BinaryHeap<Reverse<(u64, u64, Slot<T>)>>,
+    heap: BinaryHeap<Reverse<(u64, u64, Unordered<T>)>>,
     set_count: u64,
 }
 
 /// Keeps `T` out of the order.
-struct Slot<T>(T);
+struct Unordered<T>(T);
 
-impl<T> PartialEq for Slot<T> {
+impl<T> PartialEq for Unordered<T> {
     fn eq(&self, _: &Self) -> bool {
         true
     }
 }
-impl<T> Eq for Slot<T> {}
-impl<T> PartialOrd for Slot<T> {
+impl<T> Eq for Unordered<T> {}
+impl<T> PartialOrd for Unordered<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl<T> Ord for Slot<T> {
+impl<T> Ord for Unordered<T> {
     fn cmp(&self, _: &Self) -> std::cmp::Ordering {
         std::cmp::Ordering::Equal
     }
@@ -42,7 +42,8 @@
     /// Sets a timer.
     pub fn schedule(&mut self, at: u64, what: T) {
         self.set_count += 1;
-        self.heap.push(Reverse((at, self.set_count, Slot(what))));
+        self.heap
+            .push(Reverse((at, self.set_count, Unordered(what))));
     }
 
     /// When the next one falls due.
@@ -55,7 +56,7 @@
         if self.next_due_at()? > now {
             return None;
         }
-        self.heap.pop().map(|Reverse((_, _, Slot(what)))| what)
+        self.heap.pop().map(|Reverse((_, _, Unordered(what)))| what)
     }
 
     /// How many are set.
