--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -86,22 +86,22 @@
 /// The keys of which a copy stands, by group. Hosts of one group share one table.
 #[derive(Clone, Debug, Default)]
 pub struct DeduplicationTable {
-    standing: BTreeMap<(u64, u64), u64>,
+    holders: BTreeMap<(u64, u64), u64>,
 }
 
 impl DeduplicationTable {
     /// The attempt that stands for a key.
-    pub fn standing(&self, group: u64, key: u64) -> Option<u64> {
-        self.standing.get(&(group, key)).copied()
+    pub fn holder(&self, group: u64, key: u64) -> Option<u64> {
+        self.holders.get(&(group, key)).copied()
     }
 
-    fn stand(&mut self, group: u64, key: u64, attempt: u64) {
-        self.standing.insert((group, key), attempt);
+    fn claim(&mut self, group: u64, key: u64, attempt: u64) {
+        self.holders.insert((group, key), attempt);
     }
 
-    fn fall(&mut self, group: u64, key: u64, attempt: u64) {
-        if self.standing.get(&(group, key)) == Some(&attempt) {
-            self.standing.remove(&(group, key));
+    fn release(&mut self, group: u64, key: u64, attempt: u64) {
+        if self.holders.get(&(group, key)) == Some(&attempt) {
+            self.holders.remove(&(group, key));
         }
     }
 }
@@ -193,7 +193,7 @@
         keys: &mut DeduplicationTable,
     ) -> Option<(TaskRequest, AdmissionDecision)> {
         let ask = self.queue.pop_front()?;
-        let verdict = self.judge(&ask, keys);
+        let verdict = self.decide(&ask, keys);
         if let AdmissionDecision::Admitted {
             preempted: push_out,
         } = &verdict
@@ -202,7 +202,7 @@
                 self.remove(attempt, keys);
             }
             if let Deduplication::OnePerKey { group, key } = ask.deduplication {
-                keys.stand(group, key, ask.attempt_id);
+                keys.claim(group, key, ask.attempt_id);
             }
             self.admitted.insert(
                 ask.attempt_id,
@@ -216,12 +216,12 @@
         Some((ask, verdict))
     }
 
-    fn judge(&self, ask: &TaskRequest, keys: &DeduplicationTable) -> AdmissionDecision {
+    fn decide(&self, ask: &TaskRequest, keys: &DeduplicationTable) -> AdmissionDecision {
         if self.is_draining {
             return AdmissionDecision::Rejected(RejectionReason::Draining);
         }
         if let Deduplication::OnePerKey { group, key } = ask.deduplication
-            && keys.standing(group, key).is_some()
+            && keys.holder(group, key).is_some()
         {
             return AdmissionDecision::Rejected(RejectionReason::DuplicateKey);
         }
@@ -269,7 +269,7 @@
         }
     }
 
-    fn has(&self, program: u64) -> bool {
+    fn is_program_running(&self, program: u64) -> bool {
         self.admitted
             .values()
             .any(|t| t.request.program_id == program && t.stage == TaskStage::Running)
@@ -282,7 +282,7 @@
         }
         let attempt = self.waiting_for_start.pop_front()?;
         let program = self.admitted.get(&attempt)?.request.program_id;
-        let there = self.has(program) || self.warm_programs.contains(&program);
+        let there = self.is_program_running(program) || self.warm_programs.contains(&program);
         self.starting_count += 1;
         if let Some(taken) = self.admitted.get_mut(&attempt) {
             taken.stage = TaskStage::Starting;
@@ -293,7 +293,7 @@
     /// Takes up a task that an earlier life of the host had taken, as it then stood.
     pub fn restore(&mut self, ask: TaskRequest, stage: TaskStage, keys: &mut DeduplicationTable) {
         if let Deduplication::OnePerKey { group, key } = ask.deduplication {
-            keys.stand(group, key, ask.attempt_id);
+            keys.claim(group, key, ask.attempt_id);
         }
         match stage {
             TaskStage::Waiting => self.waiting_for_start.push_back(ask.attempt_id),
@@ -310,7 +310,7 @@
     }
 
     /// A task that was to start does not, and waits for a start again, before all others.
-    pub fn put_back(&mut self, attempt: u64) {
+    pub fn requeue_start(&mut self, attempt: u64) {
         if let Some(taken) = self
             .admitted
             .get_mut(&attempt)
@@ -344,14 +344,14 @@
         }
         let taken = self.admitted.remove(&attempt)?;
         if let Deduplication::OnePerKey { group, key } = taken.request.deduplication {
-            keys.fall(group, key, attempt);
+            keys.release(group, key, attempt);
         }
         match taken.stage {
             TaskStage::Waiting => self.waiting_for_start.retain(|&a| a != attempt),
             TaskStage::Starting => self.starting_count -= 1,
             TaskStage::Running => {
                 let program = taken.request.program_id;
-                if !self.has(program) {
+                if !self.is_program_running(program) {
                     self.warm_programs.retain(|&p| p != program);
                     self.warm_programs.push_back(program);
                     while self.warm_programs.len() > self.policy.max_warm_programs {
@@ -431,7 +431,7 @@
         }
     }
 
-    fn offer(
+    fn enqueue_and_decide(
         host: &mut Admission,
         keys: &mut DeduplicationTable,
         ask: TaskRequest,
@@ -441,14 +441,14 @@
     }
 
     #[test]
-    fn refuses_with_the_reason() {
+    fn rejects_with_the_reason_that_applies() {
         let (mut host, mut keys) = (Admission::new(policy()), DeduplicationTable::default());
         assert_eq!(
-            offer(&mut host, &mut keys, ask(1, 12.0, 0)),
+            enqueue_and_decide(&mut host, &mut keys, ask(1, 12.0, 0)),
             AdmissionDecision::Admitted { preempted: vec![] }
         );
         assert_eq!(
-            offer(&mut host, &mut keys, ask(2, 0.5, 0)),
+            enqueue_and_decide(&mut host, &mut keys, ask(2, 0.5, 0)),
             AdmissionDecision::Rejected(RejectionReason::InsufficientCores)
         );
         let large = TaskRequest {
@@ -456,7 +456,7 @@
             ..ask(3, 0.0, 0)
         };
         assert_eq!(
-            offer(&mut host, &mut keys, large),
+            enqueue_and_decide(&mut host, &mut keys, large),
             AdmissionDecision::Rejected(RejectionReason::InsufficientMemory)
         );
         for n in 4..7 {
@@ -475,24 +475,24 @@
     }
 
     #[test]
-    fn pushes_out_only_lower_priorities_and_only_as_many_as_needed() {
+    fn preempts_only_lower_priorities_and_only_as_many_as_needed() {
         let (mut host, mut keys) = (Admission::new(policy()), DeduplicationTable::default());
         for (n, cores) in [(1, 2.0), (2, 5.0), (3, 5.0)] {
-            offer(&mut host, &mut keys, ask(n, cores, 0));
+            enqueue_and_decide(&mut host, &mut keys, ask(n, cores, 0));
         }
         assert_eq!(
-            offer(&mut host, &mut keys, ask(4, 4.0, 1)),
+            enqueue_and_decide(&mut host, &mut keys, ask(4, 4.0, 1)),
             AdmissionDecision::Admitted { preempted: vec![2] }
         );
         assert_eq!(
-            offer(&mut host, &mut keys, ask(5, 11.0, 1)),
+            enqueue_and_decide(&mut host, &mut keys, ask(5, 11.0, 1)),
             AdmissionDecision::Rejected(RejectionReason::InsufficientCores)
         );
         assert_eq!(host.admitted_tasks().count(), 3);
     }
 
     #[test]
-    fn one_copy_of_a_key_stands_in_a_group() {
+    fn rejects_second_task_with_same_key_in_a_group() {
         let mut keys = DeduplicationTable::default();
         let (mut a, mut b) = (Admission::new(policy()), Admission::new(policy()));
         let mut other = Admission::new(policy());
@@ -505,29 +505,29 @@
             ..ask(3, 1.0, 0)
         };
         assert!(matches!(
-            offer(&mut a, &mut keys, keyed(1)),
+            enqueue_and_decide(&mut a, &mut keys, keyed(1)),
             AdmissionDecision::Admitted { .. }
         ));
         assert_eq!(
-            offer(&mut b, &mut keys, keyed(2)),
+            enqueue_and_decide(&mut b, &mut keys, keyed(2)),
             AdmissionDecision::Rejected(RejectionReason::DuplicateKey)
         );
         assert!(matches!(
-            offer(&mut other, &mut keys, elsewhere),
+            enqueue_and_decide(&mut other, &mut keys, elsewhere),
             AdmissionDecision::Admitted { .. }
         ));
         a.remove(1, &mut keys);
         assert!(matches!(
-            offer(&mut b, &mut keys, keyed(4)),
+            enqueue_and_decide(&mut b, &mut keys, keyed(4)),
             AdmissionDecision::Admitted { .. }
         ));
     }
 
     #[test]
-    fn starts_a_few_at_once_and_keeps_programs() {
+    fn limits_concurrent_starts_and_remembers_warm_programs() {
         let (mut host, mut keys) = (Admission::new(policy()), DeduplicationTable::default());
-        offer(&mut host, &mut keys, ask(1, 1.0, 0));
-        offer(&mut host, &mut keys, ask(11, 1.0, 0));
+        enqueue_and_decide(&mut host, &mut keys, ask(1, 1.0, 0));
+        enqueue_and_decide(&mut host, &mut keys, ask(11, 1.0, 0));
         assert_eq!(host.next_start(), Some((1, false)));
         assert_eq!(host.next_start(), None);
         host.mark_running(1);
@@ -535,15 +535,15 @@
         host.mark_running(11);
         host.remove(1, &mut keys);
         host.remove(11, &mut keys);
-        offer(&mut host, &mut keys, ask(21, 1.0, 0));
+        enqueue_and_decide(&mut host, &mut keys, ask(21, 1.0, 0));
         assert_eq!(host.next_start(), Some((21, true)), "the program is kept");
         host.mark_running(21);
         host.remove(21, &mut keys);
-        offer(&mut host, &mut keys, ask(2, 1.0, 0));
+        enqueue_and_decide(&mut host, &mut keys, ask(2, 1.0, 0));
         host.next_start();
         host.mark_running(2);
         host.remove(2, &mut keys);
-        offer(&mut host, &mut keys, ask(31, 1.0, 0));
+        enqueue_and_decide(&mut host, &mut keys, ask(31, 1.0, 0));
         assert_eq!(
             host.next_start(),
             Some((31, false)),
@@ -552,7 +552,7 @@
     }
 
     #[test]
-    fn what_was_taken_in_an_earlier_life_counts_and_a_start_can_be_put_back() {
+    fn counts_restored_tasks_and_restarts_a_requeued_start() {
         let (mut host, mut keys) = (Admission::new(policy()), DeduplicationTable::default());
         let keyed = |attempt| TaskRequest {
             deduplication: Deduplication::OnePerKey { group: 1, key: 7 },
@@ -562,23 +562,23 @@
         host.restore(ask(2, 1.0, 0), TaskStage::Waiting, &mut keys);
         assert_eq!(host.requested().0, 5.0);
         assert_eq!(
-            offer(&mut host, &mut keys, keyed(3)),
+            enqueue_and_decide(&mut host, &mut keys, keyed(3)),
             AdmissionDecision::Rejected(RejectionReason::DuplicateKey)
         );
         assert_eq!(host.next_start().map(|s| s.0), Some(2));
         assert_eq!(host.next_start(), None);
-        host.put_back(2);
+        host.requeue_start(2);
         assert_eq!(host.next_start().map(|s| s.0), Some(2), "it waits again");
         assert_eq!(host.remove(2, &mut keys), Some(TaskStage::Starting));
         assert_eq!(host.remove(1, &mut keys), Some(TaskStage::Running));
-        assert_eq!(keys.standing(1, 7), None);
+        assert_eq!(keys.holder(1, 7), None);
     }
 
     #[test]
-    fn evicts_the_lowest_priority_then_the_furthest_over() {
+    fn evicts_lowest_priority_first_then_largest_excess_over_request() {
         let (mut host, mut keys) = (Admission::new(policy()), DeduplicationTable::default());
         for (n, priority) in [(1, 1), (2, 0), (3, 0)] {
-            offer(&mut host, &mut keys, ask(n, 1.0, priority));
+            enqueue_and_decide(&mut host, &mut keys, ask(n, 1.0, priority));
         }
         let used = |attempt| if attempt == 3 { 8.0 } else { 5.0 };
         assert_eq!(host.select_evictions(16.0, used), vec![3]);
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -22,18 +22,18 @@
 use maplethread_wire::frame::{DuplicatePolicy, Frame, NoteKind, Offer, Reason, ResourceAmounts};
 
 /// Ends that no placer has heard of yet; beyond it the oldest attempt is forgotten, and its placer finds it missing.
-const MOST_UNTOLD: usize = 1 << 16;
+const MAX_UNREPORTED: usize = 1 << 16;
 
 /// A store that failed is tried again after this, µs.
-const TRY_STORE: u64 = 1_000_000;
+const STORE_RETRY_DELAY_US: u64 = 1_000_000;
 
 /// A process that can't be mistaken for a later one of the same pid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Identity {
+pub struct ProcessIdentity {
     /// Its pid, which is its process group's too.
     pub pid: u32,
     /// When it started, in the kernel's ticks since boot.
-    pub born: u64,
+    pub start_ticks: u64,
 }
 
 /// How far a task has come.
@@ -44,7 +44,7 @@
     /// About to be started: from here on it may have run.
     Starting,
     /// It runs as this process.
-    Running(Identity),
+    Running(ProcessIdentity),
     /// It has ended; with whether it ever ran, or may have.
     Finished(Reason, bool),
 }
@@ -62,11 +62,11 @@
 
 /// What is to be done later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Later {
+pub enum Timer {
     /// A task that was asked to end is ended by force.
-    Force(u64),
+    ForceStop(u64),
     /// The store is tried again.
-    TryStore,
+    RetryStore,
 }
 
 /// What is to be done.
@@ -75,17 +75,17 @@
     /// Keep this of an attempt.
     StoreTask(u64, StoredTask),
     /// Keep nothing of it any more.
-    Forget(u64),
+    RemoveTask(u64),
     /// Keep that the host drains.
-    KeepDrain,
+    StoreDraining,
     /// Send a frame to a placer, if it is connected.
     Send(Arc<str>, Frame),
     /// Start an attempt's program, and tell by [`Agent::spawned`].
-    Spawn(u64),
+    StartProcess(u64),
     /// Ask a process group to end, or make it.
-    Kill(Identity, bool),
+    StopProcess(ProcessIdentity, bool),
     /// Call [`Agent::due`] after so many µs.
-    After(u64, Later),
+    SetTimer(u64, Timer),
 }
 
 struct HeldTask {
@@ -100,44 +100,44 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryOutcome {
     /// It runs.
-    Alive(Identity),
+    Running(ProcessIdentity),
     /// There is none.
-    Gone,
+    NotFound,
 }
 
 /// The agent of one host.
 pub struct Agent {
     name: Arc<str>,
     started_ms: u64,
-    stop_grace: u64,
+    stop_grace_us: u64,
     admission: Admission,
     deduplication_table: DeduplicationTable,
     held: BTreeMap<u64, HeldTask>,
     /// Ends that their placers have not heard of.
-    untold: BTreeMap<u64, StoredTask>,
+    unreported: BTreeMap<u64, StoredTask>,
     /// Ends that were told just now.
     reported: Vec<u64>,
     /// The store takes nothing.
     is_store_unavailable: bool,
     /// Attempts that may still be in the store and have no place there.
-    doubtful: Vec<u64>,
+    unconfirmed_removals: Vec<u64>,
     now_us: u64,
 }
 
 impl Agent {
     /// An agent that holds nothing; `stop_grace` µs after it was asked to, a task is made to end.
-    pub fn new(name: &str, started_ms: u64, policy: AdmissionPolicy, stop_grace: u64) -> Agent {
+    pub fn new(name: &str, started_ms: u64, policy: AdmissionPolicy, stop_grace_us: u64) -> Agent {
         Agent {
             name: name.into(),
             started_ms,
-            stop_grace,
+            stop_grace_us,
             admission: Admission::new(policy),
             deduplication_table: DeduplicationTable::default(),
             held: BTreeMap::new(),
-            untold: BTreeMap::new(),
+            unreported: BTreeMap::new(),
             reported: Vec::new(),
             is_store_unavailable: false,
-            doubtful: Vec::new(),
+            unconfirmed_removals: Vec::new(),
             now_us: 0,
         }
     }
@@ -155,17 +155,17 @@
         for (attempt, mut kept) in kept {
             let stage = match kept.state {
                 TaskState::Finished(..) => {
-                    self.untold.insert(attempt, kept);
+                    self.unreported.insert(attempt, kept);
                     continue;
                 }
                 TaskState::Accepted => TaskStage::Waiting,
                 TaskState::Starting | TaskState::Running(_) => match found(attempt, &kept) {
-                    RecoveryOutcome::Alive(identity) => {
+                    RecoveryOutcome::Running(identity) => {
                         kept.state = TaskState::Running(identity);
                         out.push(Action::StoreTask(attempt, kept.clone()));
                         TaskStage::Running
                     }
-                    RecoveryOutcome::Gone => {
+                    RecoveryOutcome::NotFound => {
                         // How it ended, nobody saw; a start that was cut off may have run.
                         let reason = match kept.state {
                             TaskState::Starting => Reason::Error,
@@ -173,13 +173,16 @@
                         };
                         kept.state = TaskState::Finished(reason, true);
                         out.push(Action::StoreTask(attempt, kept.clone()));
-                        self.untold.insert(attempt, kept);
+                        self.unreported.insert(attempt, kept);
                         continue;
                     }
                 },
             };
-            self.admission
-                .restore(ask(&kept.offer), stage, &mut self.deduplication_table);
+            self.admission.restore(
+                task_request(&kept.offer),
+                stage,
+                &mut self.deduplication_table,
+            );
             self.held.insert(
                 attempt,
                 HeldTask {
@@ -192,7 +195,7 @@
         if drains {
             self.admission.drain();
         }
-        self.start_more(out);
+        self.start_waiting_tasks(out);
     }
 
     /// What was offered as an attempt.
@@ -201,7 +204,7 @@
     }
 
     /// All that is held, with its process if it has one.
-    pub fn running_processes(&self) -> impl Iterator<Item = (u64, Identity)> {
+    pub fn running_processes(&self) -> impl Iterator<Item = (u64, ProcessIdentity)> {
         self.held
             .iter()
             .filter_map(|(&attempt, t)| match t.record.state {
@@ -210,7 +213,7 @@
             })
     }
 
-    fn load(&self) -> ResourceAmounts {
+    fn unallocated(&self) -> ResourceAmounts {
         let (cores, memory) = self.admission.requested();
         let policy = self.admission.policy();
         ResourceAmounts {
@@ -253,27 +256,27 @@
     ) {
         self.now_us = self.now_us.max(now);
         match frame {
-            Frame::Offer(offer) => self.offered(placer, offer, out),
+            Frame::Offer(offer) => self.handle_offer(placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt)
                 if self
                     .held
                     .get(&attempt)
                     .is_some_and(|t| t.record.placer == *placer) =>
             {
-                self.stop(attempt, Reason::Stopped, out);
+                self.stop_task(attempt, Reason::Stopped, out);
             }
             Frame::Probe(nonce) => out.push(Action::Send(
                 placer.clone(),
-                Frame::Report(nonce, self.load()),
+                Frame::Report(nonce, self.unallocated()),
             )),
             Frame::Ping(nonce) => out.push(Action::Send(placer.clone(), Frame::Pong(nonce))),
             _ => {}
         }
     }
 
-    fn offered(&mut self, placer: &Arc<str>, offer: Offer, out: &mut Vec<Action>) {
+    fn handle_offer(&mut self, placer: &Arc<str>, offer: Offer, out: &mut Vec<Action>) {
         let attempt = offer.attempt_id;
-        if self.held.contains_key(&attempt) || self.untold.contains_key(&attempt) {
+        if self.held.contains_key(&attempt) || self.unreported.contains_key(&attempt) {
             // Attempt numbers are used once; a second one is a placer's error and starts nothing.
             tracing::warn!(%placer, attempt, "an attempt was offered twice");
             return;
@@ -282,11 +285,11 @@
             Action::Send(placer.clone(), Frame::Refused(attempt, reason, Some(load)))
         };
         if self.is_store_unavailable {
-            out.push(refuse(Reason::Ineligible, self.load()));
+            out.push(refuse(Reason::Ineligible, self.unallocated()));
             return;
         }
-        if let Err(refusal) = self.admission.enqueue(ask(&offer)) {
-            out.push(refuse(reason(refusal), self.load()));
+        if let Err(refusal) = self.admission.enqueue(task_request(&offer)) {
+            out.push(refuse(rejection_reason(refusal), self.unallocated()));
             return;
         }
         let task = HeldTask {
@@ -300,16 +303,20 @@
         };
         self.held.insert(attempt, task);
         while let Some((ask, verdict)) = self.admission.decide_next(&mut self.deduplication_table) {
-            self.verdict(ask.attempt_id, verdict, out);
+            self.apply_decision(ask.attempt_id, verdict, out);
         }
-        self.start_more(out);
+        self.start_waiting_tasks(out);
     }
 
-    fn verdict(&mut self, attempt: u64, verdict: AdmissionDecision, out: &mut Vec<Action>) {
+    fn apply_decision(&mut self, attempt: u64, verdict: AdmissionDecision, out: &mut Vec<Action>) {
         match verdict {
             AdmissionDecision::Rejected(refusal) => {
                 if let Some(task) = self.held.remove(&attempt) {
-                    let refused = Frame::Refused(attempt, reason(refusal), Some(self.load()));
+                    let refused = Frame::Refused(
+                        attempt,
+                        rejection_reason(refusal),
+                        Some(self.unallocated()),
+                    );
                     out.push(Action::Send(task.record.placer, refused));
                 }
             }
@@ -319,12 +326,12 @@
                 // Their room is another's already.
                 push_out
                     .into_iter()
-                    .for_each(|gone| self.stop(gone, Reason::Preempted, out));
+                    .for_each(|gone| self.stop_task(gone, Reason::Preempted, out));
                 let Some(task) = self.held.get(&attempt) else {
                     return;
                 };
                 out.push(Action::StoreTask(attempt, task.record.clone()));
-                let took = self.took(task);
+                let took = self.time_since_offer_ms(task);
                 out.push(Action::Send(
                     task.record.placer.clone(),
                     Frame::Accepted(attempt, took),
@@ -333,7 +340,7 @@
         }
     }
 
-    fn took(&self, task: &HeldTask) -> u32 {
+    fn time_since_offer_ms(&self, task: &HeldTask) -> u32 {
         if task.received_at_us == 0 {
             0
         } else {
@@ -341,23 +348,23 @@
         }
     }
 
-    fn start_more(&mut self, out: &mut Vec<Action>) {
+    fn start_waiting_tasks(&mut self, out: &mut Vec<Action>) {
         while let Some((attempt, _)) = self.admission.next_start() {
             let Some(task) = self.held.get_mut(&attempt) else {
                 continue;
             };
             task.record.state = TaskState::Starting;
             out.push(Action::StoreTask(attempt, task.record.clone()));
-            out.push(Action::Spawn(attempt));
+            out.push(Action::StartProcess(attempt));
         }
     }
 
     /// A program was started, or could not be.
-    pub fn spawned(
+    pub fn handle_start_result(
         &mut self,
         now: u64,
         attempt: u64,
-        process: Result<Identity, Reason>,
+        process: Result<ProcessIdentity, Reason>,
         out: &mut Vec<Action>,
     ) {
         self.now_us = self.now_us.max(now);
@@ -372,19 +379,25 @@
                 let task = &self.held[&attempt];
                 out.push(Action::Send(
                     task.record.placer.clone(),
-                    Frame::Started(attempt, self.took(task)),
+                    Frame::Started(attempt, self.time_since_offer_ms(task)),
                 ));
                 if let Some(reason) = task.stop_reason {
-                    self.stop(attempt, reason, out);
+                    self.stop_task(attempt, reason, out);
                 }
             }
-            Err(reason) => self.ended(attempt, reason, false, out),
+            Err(reason) => self.finish_task(attempt, reason, false, out),
         }
-        self.start_more(out);
+        self.start_waiting_tasks(out);
     }
 
     /// A process has ended; `well` tells whether it said that all went well, if that is known.
-    pub fn exited(&mut self, now: u64, attempt: u64, well: Option<bool>, out: &mut Vec<Action>) {
+    pub fn handle_process_exit(
+        &mut self,
+        now: u64,
+        attempt: u64,
+        well: Option<bool>,
+        out: &mut Vec<Action>,
+    ) {
         self.now_us = self.now_us.max(now);
         let stopping = self.held.get(&attempt).and_then(|t| t.stop_reason);
         let reason = stopping.unwrap_or(match well {
@@ -392,11 +405,11 @@
             Some(false) => Reason::Error,
             None => Reason::Unknown,
         });
-        self.ended(attempt, reason, true, out);
-        self.start_more(out);
+        self.finish_task(attempt, reason, true, out);
+        self.start_waiting_tasks(out);
     }
 
-    fn ended(&mut self, attempt: u64, reason: Reason, ran: bool, out: &mut Vec<Action>) {
+    fn finish_task(&mut self, attempt: u64, reason: Reason, ran: bool, out: &mut Vec<Action>) {
         self.admission
             .remove(attempt, &mut self.deduplication_table);
         let Some(mut task) = self.held.remove(&attempt) else {
@@ -404,30 +417,30 @@
         };
         task.record.state = TaskState::Finished(reason, ran);
         out.push(Action::StoreTask(attempt, task.record.clone()));
-        self.untold.insert(attempt, task.record);
-        while self.untold.len() > MOST_UNTOLD
-            && let Some((oldest, _)) = self.untold.pop_first()
+        self.unreported.insert(attempt, task.record);
+        while self.unreported.len() > MAX_UNREPORTED
+            && let Some((oldest, _)) = self.unreported.pop_first()
         {
-            out.push(Action::Forget(oldest));
+            out.push(Action::RemoveTask(oldest));
         }
     }
 
     /// Tells ends to the placers that are connected, and forgets in the next turn those told in this one: an end is in
     /// the store until it has left.
     pub fn report_finished(&mut self, connected: impl Fn(&str) -> bool, out: &mut Vec<Action>) {
-        out.extend(self.reported.drain(..).map(Action::Forget));
+        out.extend(self.reported.drain(..).map(Action::RemoveTask));
         let heard: Vec<u64> = self
-            .untold
+            .unreported
             .iter()
             .filter(|(_, k)| connected(&k.placer))
             .map(|(&attempt, _)| attempt)
             .collect();
         for attempt in heard {
-            let Some(kept) = self.untold.remove(&attempt) else {
+            let Some(kept) = self.unreported.remove(&attempt) else {
                 continue;
             };
             if let TaskState::Finished(reason, ran) = kept.state {
-                let ended = Frame::Ended(attempt, reason, ran, Some(self.load()));
+                let ended = Frame::Ended(attempt, reason, ran, Some(self.unallocated()));
                 out.push(Action::Send(kept.placer, ended));
             }
             self.reported.push(attempt);
@@ -435,7 +448,7 @@
     }
 
     /// A task is to end, and to be told so.
-    fn stop(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Action>) {
+    fn stop_task(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Action>) {
         let Some(task) = self.held.get_mut(&attempt) else {
             return;
         };
@@ -444,21 +457,24 @@
             TaskState::Starting => task.stop_reason = Some(reason),
             TaskState::Running(identity) => {
                 task.stop_reason = Some(reason);
-                out.push(Action::Kill(identity, false));
-                out.push(Action::After(self.stop_grace, Later::Force(attempt)));
+                out.push(Action::StopProcess(identity, false));
+                out.push(Action::SetTimer(
+                    self.stop_grace_us,
+                    Timer::ForceStop(attempt),
+                ));
             }
             TaskState::Accepted | TaskState::Finished(..) => {
-                self.ended(attempt, reason, false, out);
-                self.start_more(out);
+                self.finish_task(attempt, reason, false, out);
+                self.start_waiting_tasks(out);
             }
         }
     }
 
     /// Something falls due.
-    pub fn handle_timer(&mut self, now: u64, later: Later, out: &mut Vec<Action>) {
+    pub fn handle_timer(&mut self, now: u64, later: Timer, out: &mut Vec<Action>) {
         self.now_us = self.now_us.max(now);
         match later {
-            Later::Force(attempt) => {
+            Timer::ForceStop(attempt) => {
                 if let Some(HeldTask {
                     record:
                         StoredTask {
@@ -469,13 +485,13 @@
                     ..
                 }) = self.held.get(&attempt)
                 {
-                    out.push(Action::Kill(*identity, true));
+                    out.push(Action::StopProcess(*identity, true));
                 }
             }
-            Later::TryStore => {
+            Timer::RetryStore => {
                 self.is_store_unavailable = false;
-                out.extend(self.doubtful.drain(..).map(Action::Forget));
-                self.start_more(out);
+                out.extend(self.unconfirmed_removals.drain(..).map(Action::RemoveTask));
+                self.start_waiting_tasks(out);
             }
         }
     }
@@ -484,7 +500,7 @@
     pub fn drain(&mut self, placers: impl Iterator<Item = Arc<str>>, out: &mut Vec<Action>) {
         if !self.admission.is_draining() {
             self.admission.drain();
-            out.push(Action::KeepDrain);
+            out.push(Action::StoreDraining);
             out.extend(placers.map(|placer| Action::Send(placer, Frame::Drain)));
         }
     }
@@ -493,30 +509,31 @@
     /// the store all the same is not known, and a later life might start it: so it is answered that it may have run, and
     /// forgotten once the store takes it. Starts wait. All else is told as it is: a later life that reads the older
     /// fate finds the process, or finds it gone. Nothing new is taken until the store is tried again.
-    pub fn unkept(&mut self, turn: &[Action], out: &mut Vec<Action>) {
+    pub fn handle_store_failure(&mut self, turn: &[Action], out: &mut Vec<Action>) {
         for what in turn {
             match what {
-                Action::StoreTask(..) | Action::KeepDrain => {}
-                Action::Forget(attempt) => self.doubtful.push(*attempt),
+                Action::StoreTask(..) | Action::StoreDraining => {}
+                Action::RemoveTask(attempt) => self.unconfirmed_removals.push(*attempt),
                 Action::Send(placer, Frame::Accepted(attempt, _)) => {
                     self.admission
                         .remove(*attempt, &mut self.deduplication_table);
                     self.held.remove(attempt);
-                    self.doubtful.push(*attempt);
-                    let ended = Frame::Ended(*attempt, Reason::Error, true, Some(self.load()));
+                    self.unconfirmed_removals.push(*attempt);
+                    let ended =
+                        Frame::Ended(*attempt, Reason::Error, true, Some(self.unallocated()));
                     out.push(Action::Send(placer.clone(), ended));
                 }
-                Action::Spawn(attempt) => {
+                Action::StartProcess(attempt) => {
                     if let Some(task) = self.held.get_mut(attempt) {
                         task.record.state = TaskState::Accepted;
-                        self.admission.put_back(*attempt);
+                        self.admission.requeue_start(*attempt);
                     }
                 }
                 other => out.push(other.clone()),
             }
         }
         if !std::mem::replace(&mut self.is_store_unavailable, true) {
-            out.push(Action::After(TRY_STORE, Later::TryStore));
+            out.push(Action::SetTimer(STORE_RETRY_DELAY_US, Timer::RetryStore));
         }
     }
 
@@ -532,7 +549,7 @@
     }
 }
 
-fn ask(offer: &Offer) -> TaskRequest {
+fn task_request(offer: &Offer) -> TaskRequest {
     let copies = match offer.duplicate_policy {
         DuplicatePolicy::IdempotencyKey(key) => AskCopies::OnePerKey { group: 0, key },
         DuplicatePolicy::Idempotent | DuplicatePolicy::NonIdempotent => AskCopies::Disabled,
@@ -549,7 +566,7 @@
     }
 }
 
-fn reason(refusal: RejectionReason) -> Reason {
+fn rejection_reason(refusal: RejectionReason) -> Reason {
     match refusal {
         RejectionReason::InsufficientCores => Reason::Cores,
         RejectionReason::InsufficientMemory => Reason::Memory,
--- a/crates/agent/src/config.rs
+++ b/crates/agent/src/config.rs
@@ -123,7 +123,7 @@
         self.templates.iter().map(|a| a.render(offer)).collect()
     }
 
-    fn fits(&self, offer: &Offer) -> bool {
+    fn matches(&self, offer: &Offer) -> bool {
         self.program
             .class
             .as_ref()
@@ -141,7 +141,7 @@
     programs: &'a [PreparedProgram],
     offer: &Offer,
 ) -> Option<&'a PreparedProgram> {
-    programs.iter().find(|p| p.fits(offer))
+    programs.iter().find(|p| p.matches(offer))
 }
 
 impl AgentConfig {
@@ -264,7 +264,7 @@
     }
 
     /// What admission goes by.
-    pub fn policy(&self) -> AdmissionPolicy {
+    pub fn admission_policy(&self) -> AdmissionPolicy {
         AdmissionPolicy {
             cores: self.limits.cores,
             memory_gib: self.limits.memory_gib,
@@ -282,7 +282,7 @@
 mod tests {
     use super::*;
 
-    const SOUND: &str = r#"
+    const VALID_SETTINGS: &str = r#"
 name = "n"
 listen = "127.0.0.1:0"
 folder = "agent"
@@ -296,10 +296,10 @@
 "#;
 
     #[test]
-    fn all_faults_are_told_at_once() {
+    fn check_reports_all_faults_at_once() {
         let doc = Document {
             file: "a.toml",
-            text: SOUND,
+            text: VALID_SETTINGS,
         };
         let mut config: AgentConfig = parse_toml(doc).expect("sound");
         assert_eq!(config.check().expect("sound").len(), 1);
@@ -308,7 +308,7 @@
         config.programs[0].args = vec!["{who}".into()];
         let faults = config.check().expect_err("faults");
         assert_eq!(faults.len(), 3, "{faults:?}");
-        let unknown = SOUND.replace("cores = 4.0", "cores = 4.0\nmany = 1");
+        let unknown = VALID_SETTINGS.replace("cores = 4.0", "cores = 4.0\nmany = 1");
         let told = parse_toml::<AgentConfig>(Document {
             file: "a.toml",
             text: &unknown,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod store;
 pub mod template;
 
-pub use agent::{Action, Agent, Identity, StoredTask, TaskState};
+pub use agent::{Action, Agent, ProcessIdentity, StoredTask, TaskState};
 pub use config::AgentConfig;
--- a/crates/agent/src/process.rs
+++ b/crates/agent/src/process.rs
@@ -11,11 +11,11 @@
 use maplethread_wire::frame::Offer;
 use rustix::process::{Pid, Signal};
 
-use crate::agent::Identity;
+use crate::agent::ProcessIdentity;
 use crate::config::PreparedProgram;
 
 /// The variable that tells whose a process is.
-pub const MARKER: &str = "MAPLETHREAD_TASK";
+pub const MARKER_VARIABLE: &str = "MAPLETHREAD_TASK";
 
 /// What marks a task's processes.
 pub fn marker_value(agent: &str, attempt: u64) -> String {
@@ -37,11 +37,11 @@
     /// Its process group.
     pub group_id: u32,
     /// When it started, ticks since boot.
-    pub born: u64,
+    pub start_ticks: u64,
     /// Processor time that it used, ticks.
     pub cpu_ticks: u64,
     /// Resident pages.
-    pub pages: u64,
+    pub resident_pages: u64,
 }
 
 /// Reads a line of `/proc/PID/stat`; a program's name may hold anything, closing brackets too.
@@ -53,9 +53,9 @@
     Some(ProcessStat {
         state: fields.first()?.chars().next()?,
         group_id: u32::try_from(number(5)?).ok()?,
-        born: number(22)?,
+        start_ticks: number(22)?,
         cpu_ticks: number(14)? + number(15)?,
-        pages: number(24)?,
+        resident_pages: number(24)?,
     })
 }
 
@@ -67,21 +67,21 @@
 }
 
 /// Whether this very process still runs.
-pub fn is_alive(identity: Identity) -> bool {
+pub fn is_alive(identity: ProcessIdentity) -> bool {
     read_stat(identity.pid)
-        .is_some_and(|s| s.born == identity.born && s.state != 'Z' && s.state != 'X')
+        .is_some_and(|s| s.start_ticks == identity.start_ticks && s.state != 'Z' && s.state != 'X')
 }
 
-fn pids() -> impl Iterator<Item = u32> {
+fn all_pids() -> impl Iterator<Item = u32> {
     let entries = std::fs::read_dir("/proc").into_iter().flatten().flatten();
     entries.filter_map(|e| e.file_name().to_str()?.parse().ok())
 }
 
 /// The processes that carry this agent's marker, by attempt: those that lead their group first.
-pub fn marked(agent: &str) -> BTreeMap<u64, Vec<Identity>> {
-    let mut found: BTreeMap<u64, Vec<Identity>> = BTreeMap::new();
-    let prefix = format!("{MARKER}={agent}:");
-    for pid in pids() {
+pub fn find_marked(agent: &str) -> BTreeMap<u64, Vec<ProcessIdentity>> {
+    let mut found: BTreeMap<u64, Vec<ProcessIdentity>> = BTreeMap::new();
+    let prefix = format!("{MARKER_VARIABLE}={agent}:");
+    for pid in all_pids() {
         let Ok(environ) = std::fs::read(format!("/proc/{pid}/environ")) else {
             continue;
         };
@@ -98,9 +98,9 @@
             continue;
         }
         let all = found.entry(attempt).or_default();
-        let identity = Identity {
+        let identity = ProcessIdentity {
             pid,
-            born: stat.born,
+            start_ticks: stat.start_ticks,
         };
         if stat.group_id == pid {
             all.insert(0, identity)
@@ -117,7 +117,7 @@
     offer: &Offer,
     agent: &str,
     folder: &Path,
-) -> io::Result<(Child, Identity)> {
+) -> io::Result<(Child, ProcessIdentity)> {
     let bad = |e| io::Error::new(io::ErrorKind::InvalidInput, e);
     let program = &runnable.program;
     let output = OpenOptions::new()
@@ -135,7 +135,7 @@
                 .filter_map(|name| Some((name, std::env::var_os(name)?))),
         )
         .envs(&program.set)
-        .env(MARKER, marker_value(agent, offer.attempt_id))
+        .env(MARKER_VARIABLE, marker_value(agent, offer.attempt_id))
         .current_dir(program.folder.as_deref().unwrap_or(folder))
         .stdin(Stdio::null())
         .stdout(output.try_clone()?)
@@ -144,8 +144,14 @@
     let child = command.spawn()?;
     let pid = child.id();
     // It is not reaped before it is waited for, so its pid is its own until then.
-    let born = read_stat(pid).map_or(0, |s| s.born);
-    Ok((child, Identity { pid, born }))
+    let born = read_stat(pid).map_or(0, |s| s.start_ticks);
+    Ok((
+        child,
+        ProcessIdentity {
+            pid,
+            start_ticks: born,
+        },
+    ))
 }
 
 /// Where a task's output goes.
@@ -155,14 +161,14 @@
 
 /// Asks a task's processes to end, or makes them. Nothing is sent to a pid that is another's by now, unless it
 /// becomes so in the instant after the look.
-pub fn signal_group(identity: Identity, force: bool) {
+pub fn signal_group(identity: ProcessIdentity, force: bool) {
     let (signal, pid) = (
         if force { Signal::KILL } else { Signal::TERM },
         Pid::from_raw(identity.pid as i32),
     );
     // A leader that has ended and is not reaped still holds its pid, and others of its group may live.
     if let Some(pid) = pid
-        && read_stat(identity.pid).is_some_and(|s| s.born == identity.born)
+        && read_stat(identity.pid).is_some_and(|s| s.start_ticks == identity.start_ticks)
     {
         let _ = rustix::process::kill_process_group(pid, signal);
     }
@@ -181,16 +187,16 @@
 pub fn measure_groups() -> BTreeMap<u32, ResourceUsage> {
     let page = rustix::param::page_size() as u64;
     let mut groups: BTreeMap<u32, ResourceUsage> = BTreeMap::new();
-    for stat in pids().filter_map(read_stat) {
+    for stat in all_pids().filter_map(read_stat) {
         let group = groups.entry(stat.group_id).or_default();
         group.cpu_ticks += stat.cpu_ticks;
-        group.resident_bytes += stat.pages * page;
+        group.resident_bytes += stat.resident_pages * page;
     }
     groups
 }
 
 /// Ticks of processor time a second.
-pub fn ticks_a_second() -> u64 {
+pub fn ticks_per_second() -> u64 {
     rustix::param::clock_ticks_per_second()
 }
 
@@ -199,7 +205,7 @@
     use super::*;
 
     #[test]
-    fn a_programs_name_may_hold_anything() {
+    fn parses_stat_line_when_program_name_contains_parentheses() {
         let line = "12 (a) b) 3) S 1 77 0 0 -1 0 0 0 0 0 30 12 0 0 20 0 1 0 4242 9000 55 0";
         let stat = parse_stat(line).expect("a line");
         assert_eq!(
@@ -207,9 +213,9 @@
             ProcessStat {
                 state: 'S',
                 group_id: 77,
-                born: 4242,
+                start_ticks: 4242,
                 cpu_ticks: 42,
-                pages: 55
+                resident_pages: 55
             }
         );
         assert_eq!(parse_stat("12 (cut) S 1"), None);
@@ -217,13 +223,13 @@
     }
 
     #[test]
-    fn this_process_is_alive_and_a_later_one_of_its_pid_is_not_it() {
+    fn is_alive_only_for_matching_start_time() {
         let pid = std::process::id();
-        let born = read_stat(pid).expect("this process").born;
-        assert!(is_alive(Identity { pid, born }));
-        assert!(!is_alive(Identity {
+        let start_ticks = read_stat(pid).expect("this process").start_ticks;
+        assert!(is_alive(ProcessIdentity { pid, start_ticks }));
+        assert!(!is_alive(ProcessIdentity {
             pid,
-            born: born + 1
+            start_ticks: start_ticks + 1
         }));
     }
 }
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -14,28 +14,28 @@
 use maplethread_wire::frame::{self, Frame, Reason};
 use rustix::process::{Pid, PidfdFlags, pidfd_open};
 
-use crate::agent::{Action, Agent, Identity, Later, RecoveryOutcome, TaskState};
+use crate::agent::{Action, Agent, ProcessIdentity, RecoveryOutcome, TaskState, Timer};
 use crate::config::{AgentConfig, PreparedProgram, find_program};
 use crate::process::{self, ResourceUsage};
 use crate::store::{HostFacts, Store};
 
-const SIGNALS: u64 = 0;
-const LISTENER: u64 = 1;
-const FIRST: u64 = 2;
+const SIGNALS_TOKEN: u64 = 0;
+const LISTENER_TOKEN: u64 = 1;
+const FIRST_DYNAMIC_TOKEN: u64 = 2;
 /// Connections that are held at a time; more are closed at once.
-const MOST_CONNS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 /// A placer that lets so many octets wait is cut off.
-const MOST_UNWRITTEN: usize = 4 << 20;
+const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
-struct Link {
-    conn: TcpConnection,
+struct PlacerConnection {
+    connection: TcpConnection,
     placer: Option<Arc<str>>,
 }
 
 /// A process that is watched.
-struct Watched {
+struct WatchedProcess {
     attempt: u64,
-    identity: Identity,
+    identity: ProcessIdentity,
     /// Its end is told by this.
     pidfd: OwnedFd,
     /// None for one that an earlier life of the agent started.
@@ -45,17 +45,17 @@
 struct Shell {
     config: AgentConfig,
     programs: Vec<PreparedProgram>,
-    outputs: PathBuf,
+    output_folder: PathBuf,
     agent: Agent,
     store: Store,
     facts: HostFacts,
     poller: Poller,
     listener: TcpListener,
-    conns: HashMap<u64, Link>,
-    by_placer: BTreeMap<Arc<str>, u64>,
-    watched: HashMap<u64, Watched>,
+    connections: HashMap<u64, PlacerConnection>,
+    token_by_placer: BTreeMap<Arc<str>, u64>,
+    watched: HashMap<u64, WatchedProcess>,
     next_token: u64,
-    timers: Vec<(u64, Later)>,
+    timers: Vec<(u64, Timer)>,
     previous_cpu_ticks: BTreeMap<u64, u64>,
     started_at: Instant,
 }
@@ -97,32 +97,32 @@
             signal_hook::consts::SIGINT,
             signal_hook::consts::SIGUSR1,
         ])?;
-        signals.register(&poller, SIGNALS)?;
+        signals.register(&poller, SIGNALS_TOKEN)?;
         let listener = TcpListener::bind(config.listen)?;
         listener.set_nonblocking(true)?;
-        poller.register(&listener, LISTENER, false)?;
+        poller.register(&listener, LISTENER_TOKEN, false)?;
         let started_ms = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_millis() as u64);
         let agent = Agent::new(
             &config.name,
             started_ms,
-            config.policy(),
+            config.admission_policy(),
             config.stop_grace_ms * 1000,
         );
         let shell = Shell {
             config,
             programs,
-            outputs,
+            output_folder: outputs,
             agent,
             store,
             facts,
             poller,
             listener,
-            conns: HashMap::new(),
-            by_placer: BTreeMap::new(),
+            connections: HashMap::new(),
+            token_by_placer: BTreeMap::new(),
             watched: HashMap::new(),
-            next_token: FIRST,
+            next_token: FIRST_DYNAMIC_TOKEN,
             timers: Vec::new(),
             previous_cpu_ticks: BTreeMap::new(),
             started_at: Instant::now(),
@@ -131,31 +131,31 @@
     }
 
     /// µs since the agent began; 0 is never given.
-    fn now(&self) -> u64 {
+    fn now_us(&self) -> u64 {
         self.started_at.elapsed().as_micros() as u64 + 1
     }
 
     fn recover(&mut self, kept: Vec<(u64, crate::agent::StoredTask)>, same_boot: bool) {
-        let marked = process::marked(&self.config.name);
+        let marked = process::find_marked(&self.config.name);
         let found = |attempt: u64, kept: &crate::agent::StoredTask| {
             if !same_boot {
-                return RecoveryOutcome::Gone;
+                return RecoveryOutcome::NotFound;
             }
             let of_marker = || marked.get(&attempt).and_then(|all| all.first()).copied();
             match kept.state {
                 TaskState::Running(identity) if process::is_alive(identity) => {
-                    RecoveryOutcome::Alive(identity)
+                    RecoveryOutcome::Running(identity)
                 }
                 TaskState::Starting => {
-                    of_marker().map_or(RecoveryOutcome::Gone, RecoveryOutcome::Alive)
+                    of_marker().map_or(RecoveryOutcome::NotFound, RecoveryOutcome::Running)
                 }
-                _ => RecoveryOutcome::Gone,
+                _ => RecoveryOutcome::NotFound,
             }
         };
-        let (now, drains) = (self.now(), self.facts.is_draining);
+        let (now, drains) = (self.now_us(), self.facts.is_draining);
         let mut out = Vec::new();
         self.agent.recover(now, drains, kept, found, &mut out);
-        let adopted: Vec<(u64, Identity)> = self.agent.running_processes().collect();
+        let adopted: Vec<(u64, ProcessIdentity)> = self.agent.running_processes().collect();
         // What carries the marker and belongs to no task that runs is what an end left behind.
         for (attempt, all) in &marked {
             if !adopted.iter().any(|(a, _)| a == attempt) {
@@ -165,17 +165,22 @@
         }
         tracing::info!(adopted = adopted.len(), "recovered");
         for (attempt, identity) in adopted {
-            if let Err(e) = self.watch(attempt, identity, None) {
+            if let Err(e) = self.watch_process(attempt, identity, None) {
                 // It ended in between.
                 tracing::info!(attempt, error = %e, "its process is gone");
-                let now = self.now();
-                self.agent.exited(now, attempt, None, &mut out);
+                let now = self.now_us();
+                self.agent.handle_process_exit(now, attempt, None, &mut out);
             }
         }
-        self.carry_out(out);
+        self.execute(out);
     }
 
-    fn watch(&mut self, attempt: u64, identity: Identity, child: Option<Child>) -> io::Result<()> {
+    fn watch_process(
+        &mut self,
+        attempt: u64,
+        identity: ProcessIdentity,
+        child: Option<Child>,
+    ) -> io::Result<()> {
         let pid = Pid::from_raw(identity.pid as i32).ok_or(io::ErrorKind::NotFound)?;
         let pidfd = pidfd_open(pid, PidfdFlags::empty())?;
         // Only what still is that process now is what the descriptor stands for.
@@ -187,7 +192,7 @@
         self.poller.register(&pidfd, token, false)?;
         self.watched.insert(
             token,
-            Watched {
+            WatchedProcess {
                 attempt,
                 identity,
                 pidfd,
@@ -200,9 +205,9 @@
     fn serve(&mut self, signals: &mut Signals) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
         let measure = self.config.measure_ms * 1000;
-        let mut measured = self.now();
+        let mut measured = self.now_us();
         loop {
-            let now = self.now();
+            let now = self.now_us();
             let next = self
                 .timers
                 .iter()
@@ -218,25 +223,26 @@
             let mut out = Vec::new();
             for r in &ready {
                 match r.token {
-                    SIGNALS => {
+                    SIGNALS_TOKEN => {
                         for signal in signals.take_received() {
                             if signal != signal_hook::consts::SIGUSR1 {
                                 tracing::info!("told to end; tasks run on");
                                 return Ok(());
                             }
-                            let placers: Vec<Arc<str>> = self.by_placer.keys().cloned().collect();
+                            let placers: Vec<Arc<str>> =
+                                self.token_by_placer.keys().cloned().collect();
                             self.agent.drain(placers.into_iter(), &mut out);
                         }
                     }
-                    LISTENER => self.accept(),
+                    LISTENER_TOKEN => self.accept_connections(),
                     token if self.watched.contains_key(&token) => {
-                        self.process_ended(token, &mut out)
+                        self.handle_process_exit(token, &mut out)
                     }
-                    token => self.link_ready(token, r, &mut out),
+                    token => self.handle_connection_ready(token, r, &mut out),
                 }
             }
-            let now = self.now();
-            let due: Vec<Later> = self
+            let now = self.now_us();
+            let due: Vec<Timer> = self
                 .timers
                 .iter()
                 .filter(|t| t.0 <= now)
@@ -246,40 +252,42 @@
             due.into_iter()
                 .for_each(|later| self.agent.handle_timer(now, later, &mut out));
             if measured + measure <= now {
-                self.measure(now - measured, &mut out);
+                self.report_usage(now - measured, &mut out);
                 measured = now;
             }
-            self.carry_out(out);
+            self.execute(out);
         }
     }
 
     /// Makes durable what a turn wants kept, then does the rest, and what comes of it.
-    fn carry_out(&mut self, mut turn: Vec<Action>) {
+    fn execute(&mut self, mut turn: Vec<Action>) {
         loop {
-            self.agent
-                .report_finished(|placer| self.by_placer.contains_key(placer), &mut turn);
+            self.agent.report_finished(
+                |placer| self.token_by_placer.contains_key(placer),
+                &mut turn,
+            );
             if turn.is_empty() {
                 return;
             }
-            if turn.contains(&Action::KeepDrain) {
+            if turn.contains(&Action::StoreDraining) {
                 self.facts.is_draining = true;
             }
-            let facts = turn.contains(&Action::KeepDrain).then_some(&self.facts);
+            let facts = turn.contains(&Action::StoreDraining).then_some(&self.facts);
             if let Err(e) = self.store.commit(&turn, facts) {
                 tracing::error!(error = %e, "the store takes nothing; no new tasks until it does");
                 let mut instead = Vec::new();
-                self.agent.unkept(&turn, &mut instead);
+                self.agent.handle_store_failure(&turn, &mut instead);
                 turn = instead;
             }
             let mut next = Vec::new();
             for what in turn {
                 match what {
-                    Action::StoreTask(..) | Action::Forget(_) | Action::KeepDrain => {}
-                    Action::Send(placer, frame) => self.send(&placer, &frame),
-                    Action::Spawn(attempt) => self.spawn(attempt, &mut next),
-                    Action::Kill(identity, force) => process::signal_group(identity, force),
-                    Action::After(after, later) => {
-                        let at = self.now() + after;
+                    Action::StoreTask(..) | Action::RemoveTask(_) | Action::StoreDraining => {}
+                    Action::Send(placer, frame) => self.send_frame(&placer, &frame),
+                    Action::StartProcess(attempt) => self.start_process(attempt, &mut next),
+                    Action::StopProcess(identity, force) => process::signal_group(identity, force),
+                    Action::SetTimer(after, later) => {
+                        let at = self.now_us() + after;
                         self.timers.push((at, later));
                     }
                 }
@@ -288,16 +296,18 @@
         }
     }
 
-    fn spawn(&mut self, attempt: u64, next: &mut Vec<Action>) {
+    fn start_process(&mut self, attempt: u64, next: &mut Vec<Action>) {
         let Some(offer) = self.agent.offer(attempt) else {
             return;
         };
         let started = find_program(&self.programs, offer)
             .ok_or_else(|| io::Error::new(io::ErrorKind::NotFound, "no program for it"))
-            .and_then(|runnable| process::spawn(runnable, offer, &self.config.name, &self.outputs));
-        let now = self.now();
+            .and_then(|runnable| {
+                process::spawn(runnable, offer, &self.config.name, &self.output_folder)
+            });
+        let now = self.now_us();
         let result = match started {
-            Ok((child, identity)) => match self.watch(attempt, identity, Some(child)) {
+            Ok((child, identity)) => match self.watch_process(attempt, identity, Some(child)) {
                 Ok(()) => Ok(identity),
                 Err(e) => {
                     tracing::error!(attempt, error = %e, "its end could not be watched; it is ended");
@@ -310,10 +320,10 @@
                 Err(Reason::Error)
             }
         };
-        self.agent.spawned(now, attempt, result, next);
+        self.agent.handle_start_result(now, attempt, result, next);
     }
 
-    fn process_ended(&mut self, token: u64, out: &mut Vec<Action>) {
+    fn handle_process_exit(&mut self, token: u64, out: &mut Vec<Action>) {
         let Some(mut watched) = self.watched.remove(&token) else {
             return;
         };
@@ -326,16 +336,17 @@
             .and_then(|c| c.wait().ok())
             .map(|status| status.success());
         self.previous_cpu_ticks.remove(&watched.attempt);
-        let now = self.now();
-        self.agent.exited(now, watched.attempt, well, out);
+        let now = self.now_us();
+        self.agent
+            .handle_process_exit(now, watched.attempt, well, out);
     }
 
-    fn measure(&mut self, span: u64, out: &mut Vec<Action>) {
+    fn report_usage(&mut self, span: u64, out: &mut Vec<Action>) {
         let groups: BTreeMap<u32, ResourceUsage> = process::measure_groups();
-        let tick = 1.0 / process::ticks_a_second().max(1) as f64;
-        let running: Vec<(u64, Identity)> = self.agent.running_processes().collect();
+        let tick = 1.0 / process::ticks_per_second().max(1) as f64;
+        let running: Vec<(u64, ProcessIdentity)> = self.agent.running_processes().collect();
         for (attempt, identity) in running {
-            self.rotate(attempt);
+            self.rotate_output(attempt);
             let Some(used) = groups.get(&identity.pid) else {
                 continue;
             };
@@ -354,8 +365,8 @@
     }
 
     /// Puts a task's output aside once it is too long. Tasks append, so what they write next begins the file anew.
-    fn rotate(&self, attempt: u64) {
-        let file = process::output_path(&self.outputs, attempt);
+    fn rotate_output(&self, attempt: u64) {
+        let file = process::output_path(&self.output_folder, attempt);
         if std::fs::metadata(&file).is_ok_and(|m| m.len() > self.config.output_kib << 10) {
             let kept = std::fs::copy(&file, file.with_extension("log.1")).and_then(|_| {
                 std::fs::OpenOptions::new()
@@ -369,67 +380,73 @@
         }
     }
 
-    fn accept(&mut self) {
+    fn accept_connections(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
-            if self.conns.len() >= MOST_CONNS {
+            if self.connections.len() >= MAX_CONNECTIONS {
                 tracing::warn!("too many connections; one more was closed");
                 continue;
             }
             let token = self.next_token;
             self.next_token += 1;
             if let Ok(conn) = TcpConnection::from_accepted(stream, token, &self.poller) {
-                self.conns.insert(token, Link { conn, placer: None });
+                self.connections.insert(
+                    token,
+                    PlacerConnection {
+                        connection: conn,
+                        placer: None,
+                    },
+                );
             }
         }
     }
 
-    fn lose(&mut self, token: u64) {
-        if let Some(Link {
+    fn close_connection(&mut self, token: u64) {
+        if let Some(PlacerConnection {
             placer: Some(placer),
             ..
-        }) = self.conns.remove(&token)
-            && self.by_placer.get(&placer) == Some(&token)
+        }) = self.connections.remove(&token)
+            && self.token_by_placer.get(&placer) == Some(&token)
         {
-            self.by_placer.remove(&placer);
+            self.token_by_placer.remove(&placer);
         }
     }
 
-    fn link_ready(&mut self, token: u64, r: &Readiness, out: &mut Vec<Action>) {
-        let Some(link) = self.conns.get_mut(&token) else {
+    fn handle_connection_ready(&mut self, token: u64, r: &Readiness, out: &mut Vec<Action>) {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
-        if r.is_writable && link.conn.flush(&self.poller).is_err() {
-            return self.lose(token);
+        if r.is_writable && link.connection.flush(&self.poller).is_err() {
+            return self.close_connection(token);
         }
         if !r.is_readable {
             return;
         }
-        let outcome = link.conn.read_available(256 << 10, 512 << 10);
-        while let Some(link) = self.conns.get_mut(&token) {
-            match frame::decode(link.conn.unread()) {
+        let outcome = link.connection.read_available(256 << 10, 512 << 10);
+        while let Some(link) = self.connections.get_mut(&token) {
+            match frame::decode(link.connection.unread()) {
                 Ok((frame, used)) => {
-                    link.conn.consume(used);
+                    link.connection.consume(used);
                     let Some(frame) = frame else { break };
-                    self.frame(token, frame, out);
+                    self.handle_frame(token, frame, out);
                 }
                 Err(e) => {
                     tracing::warn!(error = %e, "a placer breaks the protocol; connection dropped");
-                    return self.lose(token);
+                    return self.close_connection(token);
                 }
             }
         }
         if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-            self.lose(token);
+            self.close_connection(token);
         }
     }
 
-    fn frame(&mut self, token: u64, frame: Frame, out: &mut Vec<Action>) {
-        let now = self.now();
-        let Some(link) = self.conns.get_mut(&token) else {
+    fn handle_frame(&mut self, token: u64, frame: Frame, out: &mut Vec<Action>) {
+        let now = self.now_us();
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
         match (&link.placer, frame) {
-            (_, Frame::Bye(_)) => self.lose(token),
+            (_, Frame::Bye(_)) => self.close_connection(token),
             (
                 None,
                 Frame::Hello {
@@ -438,18 +455,18 @@
             ) if major == frame::MAJOR => {
                 let placer: Arc<str> = name.into();
                 link.placer = Some(placer.clone());
-                if let Some(before) = self.by_placer.insert(placer.clone(), token) {
-                    self.conns.remove(&before);
+                if let Some(before) = self.token_by_placer.insert(placer.clone(), token) {
+                    self.connections.remove(&before);
                 }
                 self.agent.handle_greeting(&placer, minor, out);
             }
             (None, _) => {
                 frame::encode(
                     &Frame::Bye(format!("speaks version {}", frame::MAJOR)),
-                    link.conn.write_buffer(),
+                    link.connection.write_buffer(),
                 );
-                let _ = link.conn.flush(&self.poller);
-                self.lose(token);
+                let _ = link.connection.flush(&self.poller);
+                self.close_connection(token);
             }
             (Some(placer), Frame::Offer(offer))
                 if find_program(&self.programs, &offer).is_none() =>
@@ -464,16 +481,18 @@
         }
     }
 
-    fn send(&mut self, placer: &str, frame: &Frame) {
-        let Some(&token) = self.by_placer.get(placer) else {
+    fn send_frame(&mut self, placer: &str, frame: &Frame) {
+        let Some(&token) = self.token_by_placer.get(placer) else {
             return;
         };
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
-        frame::encode(frame, link.conn.write_buffer());
-        if link.conn.flush(&self.poller).is_err() || link.conn.unwritten_bytes() > MOST_UNWRITTEN {
-            self.lose(token);
+        frame::encode(frame, link.connection.write_buffer());
+        if link.connection.flush(&self.poller).is_err()
+            || link.connection.unwritten_bytes() > MAX_UNWRITTEN_BYTES
+        {
+            self.close_connection(token);
         }
     }
 }
--- a/crates/agent/src/store.rs
+++ b/crates/agent/src/store.rs
@@ -10,12 +10,12 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::agent::{Action, Identity, StoredTask, TaskState};
+use crate::agent::{Action, ProcessIdentity, StoredTask, TaskState};
 
-const TASKS: TableDefinition<u64, &[u8]> = TableDefinition::new("tasks");
-const FACTS: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
+const TASKS_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("tasks");
+const FACTS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
 /// The version of what stands in the tables.
-const VERSION: u32 = 1;
+const STORE_VERSION: u32 = 1;
 
 /// Why the store can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -24,8 +24,8 @@
     #[error("another process has it open")]
     Locked,
     /// A newer program wrote it.
-    #[error("it has version {0}, and this program knows {VERSION}; use the program that wrote it")]
-    Newer(u32),
+    #[error("it has version {0}, and this program knows {STORE_VERSION}; use the program that wrote it")]
+    NewerVersion(u32),
     /// It is damaged.
     #[error("it is damaged: {0}; put it aside and see what runs before starting without it")]
     Damaged(String),
@@ -39,13 +39,13 @@
         match e {
             redb::Error::DatabaseAlreadyOpen => StoreError::Locked,
             redb::Error::Corrupted(why) => StoreError::Damaged(why),
-            redb::Error::UpgradeRequired(version) => StoreError::Newer(u32::from(version)),
+            redb::Error::UpgradeRequired(version) => StoreError::NewerVersion(u32::from(version)),
             e => StoreError::Io(e.to_string()),
         }
     }
 }
 
-fn io(e: impl Into<redb::Error>) -> StoreError {
+fn storage_error(e: impl Into<redb::Error>) -> StoreError {
     e.into().into()
 }
 
@@ -74,13 +74,16 @@
     offer: Vec<u8>,
 }
 
-fn pack(kept: &StoredTask) -> Result<Vec<u8>, StoreError> {
+fn encode_task(kept: &StoredTask) -> Result<Vec<u8>, StoreError> {
     let mut offer = Vec::new();
     frame::encode(&Frame::Held(kept.offer.clone(), false), &mut offer);
     let fate = match kept.state {
         TaskState::Accepted => StoredState::Accepted,
         TaskState::Starting => StoredState::Starting,
-        TaskState::Running(Identity { pid, born }) => StoredState::Running { pid, born },
+        TaskState::Running(ProcessIdentity {
+            pid,
+            start_ticks: born,
+        }) => StoredState::Running { pid, born },
         TaskState::Finished(reason, ran) => StoredState::Finished {
             reason: reason as u8,
             ran,
@@ -94,7 +97,7 @@
     .map_err(|e| StoreError::Io(e.to_string()))
 }
 
-fn unpack(attempt: u64, bytes: &[u8]) -> Result<StoredTask, StoreError> {
+fn decode_task(attempt: u64, bytes: &[u8]) -> Result<StoredTask, StoreError> {
     let damaged = |why: &str| StoreError::Damaged(format!("task {attempt:016x}: {why}"));
     let row: TaskRow<'_> = postcard::from_bytes(bytes).map_err(|e| damaged(&e.to_string()))?;
     let Ok((Some(Frame::Held(offer, _)), _)) = frame::decode(&row.offer) else {
@@ -106,7 +109,10 @@
     let fate = match row.state {
         StoredState::Accepted => TaskState::Accepted,
         StoredState::Starting => TaskState::Starting,
-        StoredState::Running { pid, born } => TaskState::Running(Identity { pid, born }),
+        StoredState::Running { pid, born } => TaskState::Running(ProcessIdentity {
+            pid,
+            start_ticks: born,
+        }),
         StoredState::Finished { reason, ran } => {
             TaskState::Finished(Reason::from_byte(reason), ran)
         }
@@ -132,7 +138,7 @@
             {
                 StoreError::Damaged("it is no store".to_owned())
             }
-            e => io(e),
+            e => storage_error(e),
         })?;
         let store = Store { database: base };
         store.check_version()?;
@@ -140,48 +146,58 @@
     }
 
     fn check_version(&self) -> Result<(), StoreError> {
-        let mut write = self.database.begin_write().map_err(io)?;
-        write.set_durability(Durability::Immediate).map_err(io)?;
+        let mut write = self.database.begin_write().map_err(storage_error)?;
+        write
+            .set_durability(Durability::Immediate)
+            .map_err(storage_error)?;
         {
-            let mut facts = write.open_table(FACTS).map_err(io)?;
+            let mut facts = write.open_table(FACTS_TABLE).map_err(storage_error)?;
             let version = facts
                 .get("version")
-                .map_err(io)?
+                .map_err(storage_error)?
                 .map(|v| v.value().to_vec());
             match version {
                 None => drop(
                     facts
-                        .insert("version", &VERSION.to_le_bytes()[..])
-                        .map_err(io)?,
+                        .insert("version", &STORE_VERSION.to_le_bytes()[..])
+                        .map_err(storage_error)?,
                 ),
                 Some(bytes) => {
                     let bytes: [u8; 4] = bytes
                         .try_into()
                         .map_err(|_| StoreError::Damaged("its version is no number".to_owned()))?;
                     let version = u32::from_le_bytes(bytes);
-                    if version > VERSION {
-                        return Err(StoreError::Newer(version));
+                    if version > STORE_VERSION {
+                        return Err(StoreError::NewerVersion(version));
                     }
                 }
             }
-            write.open_table(TASKS).map_err(io)?;
+            write.open_table(TASKS_TABLE).map_err(storage_error)?;
         }
-        write.commit().map_err(io)
+        write.commit().map_err(storage_error)
     }
 
     /// All that is kept.
     pub fn load(&self) -> Result<(HostFacts, Vec<(u64, StoredTask)>), StoreError> {
-        let read = self.database.begin_read().map_err(io)?;
-        let facts = read.open_table(FACTS).map_err(io)?;
-        let facts = match facts.get("host").map_err(io)? {
+        let read = self.database.begin_read().map_err(storage_error)?;
+        let facts = read.open_table(FACTS_TABLE).map_err(storage_error)?;
+        let facts = match facts.get("host").map_err(storage_error)? {
             None => HostFacts::default(),
             Some(bytes) => postcard::from_bytes(bytes.value())
                 .map_err(|e| StoreError::Damaged(format!("facts of the host: {e}")))?,
         };
         let mut all = Vec::new();
-        for row in read.open_table(TASKS).map_err(io)?.iter().map_err(io)? {
-            let (attempt, bytes) = row.map_err(io)?;
-            all.push((attempt.value(), unpack(attempt.value(), bytes.value())?));
+        for row in read
+            .open_table(TASKS_TABLE)
+            .map_err(storage_error)?
+            .iter()
+            .map_err(storage_error)?
+        {
+            let (attempt, bytes) = row.map_err(storage_error)?;
+            all.push((
+                attempt.value(),
+                decode_task(attempt.value(), bytes.value())?,
+            ));
         }
         Ok((facts, all))
     }
@@ -191,23 +207,27 @@
         let any = turn.iter().any(|d| {
             matches!(
                 d,
-                Action::StoreTask(..) | Action::Forget(_) | Action::KeepDrain
+                Action::StoreTask(..) | Action::RemoveTask(_) | Action::StoreDraining
             )
         });
         if !any && facts.is_none() {
             return Ok(false);
         }
-        let mut write = self.database.begin_write().map_err(io)?;
-        write.set_durability(Durability::Immediate).map_err(io)?;
+        let mut write = self.database.begin_write().map_err(storage_error)?;
+        write
+            .set_durability(Durability::Immediate)
+            .map_err(storage_error)?;
         {
-            let mut tasks = write.open_table(TASKS).map_err(io)?;
+            let mut tasks = write.open_table(TASKS_TABLE).map_err(storage_error)?;
             for what in turn {
                 match what {
                     Action::StoreTask(attempt, kept) => {
-                        tasks.insert(attempt, &pack(kept)?[..]).map_err(io)?;
+                        tasks
+                            .insert(attempt, &encode_task(kept)?[..])
+                            .map_err(storage_error)?;
                     }
-                    Action::Forget(attempt) => {
-                        tasks.remove(attempt).map_err(io)?;
+                    Action::RemoveTask(attempt) => {
+                        tasks.remove(attempt).map_err(storage_error)?;
                     }
                     _ => {}
                 }
@@ -215,11 +235,11 @@
             if let Some(facts) = facts {
                 let bytes =
                     postcard::to_stdvec(facts).map_err(|e| StoreError::Io(e.to_string()))?;
-                let mut table = write.open_table(FACTS).map_err(io)?;
-                table.insert("host", &bytes[..]).map_err(io)?;
+                let mut table = write.open_table(FACTS_TABLE).map_err(storage_error)?;
+                table.insert("host", &bytes[..]).map_err(storage_error)?;
             }
         }
-        write.commit().map_err(io)?;
+        write.commit().map_err(storage_error)?;
         Ok(true)
     }
 }
@@ -230,7 +250,7 @@
 
     use super::*;
 
-    fn kept(attempt: u64, fate: TaskState) -> StoredTask {
+    fn stored_task(attempt: u64, fate: TaskState) -> StoredTask {
         let offer = Offer {
             attempt_id: attempt,
             prior_attempts: 1,
@@ -255,21 +275,21 @@
     }
 
     #[test]
-    fn what_is_kept_is_read_after_it_is_opened_again() {
+    fn loads_committed_tasks_after_reopening() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("agent.redb");
         let fates = [
             TaskState::Accepted,
             TaskState::Starting,
-            TaskState::Running(Identity {
+            TaskState::Running(ProcessIdentity {
                 pid: 7,
-                born: 1 << 40,
+                start_ticks: 1 << 40,
             }),
             TaskState::Finished(Reason::Preempted, true),
         ];
         let all: Vec<(u64, StoredTask)> = (1..)
             .zip(fates)
-            .map(|(n, fate)| (n, kept(n, fate)))
+            .map(|(n, fate)| (n, stored_task(n, fate)))
             .collect();
         let facts = HostFacts {
             boot_id: "b".into(),
@@ -281,12 +301,16 @@
                 .iter()
                 .map(|(n, kept)| Action::StoreTask(*n, kept.clone()))
                 .collect();
-            turn.push(Action::StoreTask(99, kept(99, TaskState::Accepted)));
+            turn.push(Action::StoreTask(99, stored_task(99, TaskState::Accepted)));
             assert!(store.commit(&turn, Some(&facts)).expect("a commit"));
-            assert!(store.commit(&[Action::Forget(99)], None).expect("a commit"));
+            assert!(
+                store
+                    .commit(&[Action::RemoveTask(99)], None)
+                    .expect("a commit")
+            );
             assert!(
                 !store
-                    .commit(&[Action::Spawn(1)], None)
+                    .commit(&[Action::StartProcess(1)], None)
                     .expect("nothing to do")
             );
             assert!(
@@ -299,7 +323,7 @@
     }
 
     #[test]
-    fn a_damaged_foreign_or_newer_store_is_told_as_such() {
+    fn rejects_damaged_foreign_or_newer_store_with_its_cause() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("agent.redb");
         std::fs::write(&path, vec![7; 100_000]).expect("a file");
@@ -312,18 +336,21 @@
             let store = Store::open(&path).expect("a store");
             let write = store.database.begin_write().expect("a write");
             write
-                .open_table(FACTS)
+                .open_table(FACTS_TABLE)
                 .expect("a table")
                 .insert("version", &9u32.to_le_bytes()[..])
                 .expect("a row");
             write.commit().expect("a commit");
         }
-        assert!(matches!(Store::open(&path), Err(StoreError::Newer(9))));
+        assert!(matches!(
+            Store::open(&path),
+            Err(StoreError::NewerVersion(9))
+        ));
         let path = folder.path().join("row.redb");
         let store = Store::open(&path).expect("a store");
         let write = store.database.begin_write().expect("a write");
         write
-            .open_table(TASKS)
+            .open_table(TASKS_TABLE)
             .expect("a table")
             .insert(5, &[1u8, 2, 3][..])
             .expect("a row");
--- a/crates/agent/src/template.rs
+++ b/crates/agent/src/template.rs
@@ -5,7 +5,7 @@
 
 /// What a placeholder stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Field {
+enum Placeholder {
     Service,
     Actor,
     Class,
@@ -16,33 +16,33 @@
     LifeMs,
 }
 
-const FIELDS: [(&str, Field); 8] = [
-    ("service", Field::Service),
-    ("actor", Field::Actor),
-    ("class", Field::Class),
-    ("request", Field::Request),
-    ("attempt", Field::Attempt),
-    ("cores", Field::Cores),
-    ("memory_mib", Field::MemoryMib),
-    ("life_ms", Field::LifeMs),
+const PLACEHOLDERS: [(&str, Placeholder); 8] = [
+    ("service", Placeholder::Service),
+    ("actor", Placeholder::Actor),
+    ("class", Placeholder::Class),
+    ("request", Placeholder::Request),
+    ("attempt", Placeholder::Attempt),
+    ("cores", Placeholder::Cores),
+    ("memory_mib", Placeholder::MemoryMib),
+    ("life_ms", Placeholder::LifeMs),
 ];
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Part {
+enum Segment {
     Text(String),
-    Field(Field),
+    Placeholder(Placeholder),
 }
 
 /// One argument.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ArgumentTemplate(Vec<Part>);
+pub struct ArgumentTemplate(Vec<Segment>);
 
 /// A name from the wire that may not be an argument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidName {
     /// It has an octet of zero.
     #[error("a name holds a zero octet")]
-    Zero,
+    ContainsNul,
     /// An argument that is a name alone would be read as an option.
     #[error("a name that is an argument of its own begins with `-`")]
     LooksLikeOption,
@@ -58,14 +58,20 @@
                 rest = &rest[2..];
             } else if c == '{' {
                 let (name, after) = rest[1..].split_once('}').ok_or("a `{` is not closed")?;
-                let known = FIELDS.iter().find(|(n, _)| *n == name);
-                let names = || FIELDS.iter().map(|f| f.0).collect::<Vec<_>>().join(", ");
+                let known = PLACEHOLDERS.iter().find(|(n, _)| *n == name);
+                let names = || {
+                    PLACEHOLDERS
+                        .iter()
+                        .map(|f| f.0)
+                        .collect::<Vec<_>>()
+                        .join(", ")
+                };
                 let (_, field) = known
                     .ok_or_else(|| format!("no placeholder `{{{name}}}`; there are {}", names()))?;
                 if !plain.is_empty() {
-                    parts.push(Part::Text(std::mem::take(&mut plain)));
+                    parts.push(Segment::Text(std::mem::take(&mut plain)));
                 }
-                parts.push(Part::Field(*field));
+                parts.push(Segment::Placeholder(*field));
                 rest = after;
             } else if c == '}' {
                 return Err("a `}` stands alone; write `}}`".to_owned());
@@ -75,7 +81,7 @@
             }
         }
         if !plain.is_empty() {
-            parts.push(Part::Text(plain));
+            parts.push(Segment::Text(plain));
         }
         Ok(ArgumentTemplate(parts))
     }
@@ -85,25 +91,31 @@
         let mut out = String::new();
         for part in &self.0 {
             match part {
-                Part::Text(text) => out.push_str(text),
-                Part::Field(Field::Service) => out.push_str(&offer.service),
-                Part::Field(Field::Actor) => out.push_str(&offer.actor),
-                Part::Field(Field::Class) => out.push_str(&offer.class),
-                Part::Field(Field::Request) => out.push_str(&offer.request_id),
-                Part::Field(Field::Attempt) => out.push_str(&format!("{:016x}", offer.attempt_id)),
-                Part::Field(Field::Cores) => out.push_str(&offer.requested.cores.to_string()),
-                Part::Field(Field::MemoryMib) => {
+                Segment::Text(text) => out.push_str(text),
+                Segment::Placeholder(Placeholder::Service) => out.push_str(&offer.service),
+                Segment::Placeholder(Placeholder::Actor) => out.push_str(&offer.actor),
+                Segment::Placeholder(Placeholder::Class) => out.push_str(&offer.class),
+                Segment::Placeholder(Placeholder::Request) => out.push_str(&offer.request_id),
+                Segment::Placeholder(Placeholder::Attempt) => {
+                    out.push_str(&format!("{:016x}", offer.attempt_id))
+                }
+                Segment::Placeholder(Placeholder::Cores) => {
+                    out.push_str(&offer.requested.cores.to_string())
+                }
+                Segment::Placeholder(Placeholder::MemoryMib) => {
                     out.push_str(
                         &((offer.requested.memory_gib * 1024.0).max(0.0) as u64).to_string(),
                     );
                 }
-                Part::Field(Field::LifeMs) => out.push_str(&offer.expected_duration_ms.to_string()),
+                Segment::Placeholder(Placeholder::LifeMs) => {
+                    out.push_str(&offer.expected_duration_ms.to_string())
+                }
             }
         }
         if out.contains('\0') {
-            return Err(InvalidName::Zero);
+            return Err(InvalidName::ContainsNul);
         }
-        if matches!(self.0.first(), Some(Part::Field(_))) && out.starts_with('-') {
+        if matches!(self.0.first(), Some(Segment::Placeholder(_))) && out.starts_with('-') {
             return Err(InvalidName::LooksLikeOption);
         }
         Ok(out)
@@ -136,7 +148,7 @@
     }
 
     #[test]
-    fn placeholders_are_filled_in() {
+    fn renders_placeholders_from_the_offer() {
         let argument =
             ArgumentTemplate::parse("--name={service}/{actor}:{attempt}").expect("a template");
         assert_eq!(
@@ -149,7 +161,7 @@
     }
 
     #[test]
-    fn what_is_no_template_is_told() {
+    fn rejects_malformed_template_with_its_cause() {
         for (text, why) in [
             ("{nobody}", "no placeholder"),
             ("{actor", "not closed"),
@@ -161,13 +173,13 @@
     }
 
     #[test]
-    fn a_name_from_the_wire_is_never_an_option() {
+    fn rejects_name_from_the_wire_that_would_be_an_option() {
         let alone = ArgumentTemplate::parse("{actor}").expect("a template");
         assert_eq!(
             alone.render(&offer("--force")),
             Err(InvalidName::LooksLikeOption)
         );
-        assert_eq!(alone.render(&offer("a\0b")), Err(InvalidName::Zero));
+        assert_eq!(alone.render(&offer("a\0b")), Err(InvalidName::ContainsNul));
         let after = ArgumentTemplate::parse("--actor={actor}").expect("a template");
         assert_eq!(
             after.render(&offer("--force")).expect("text"),
--- a/crates/agent/tests/recorded_stores.rs
+++ b/crates/agent/tests/recorded_stores.rs
@@ -9,7 +9,7 @@
 use maplethread_admission::AdmissionPolicy;
 use maplethread_agent::agent::RecoveryOutcome;
 use maplethread_agent::store::{HostFacts, Store};
-use maplethread_agent::{Action, Agent, Identity, StoredTask, TaskState};
+use maplethread_agent::{Action, Agent, ProcessIdentity, StoredTask, TaskState};
 use maplethread_wire::frame::{DuplicatePolicy, Reason, ResourceAmounts};
 
 /// All that stands in a recorded store; it is opened in a copy, since opening it may write.
@@ -75,7 +75,7 @@
 
     // Those that ran run on, and nothing is started again.
     let alive = |_: u64, task: &StoredTask| match task.state {
-        TaskState::Running(identity) => RecoveryOutcome::Alive(identity),
+        TaskState::Running(identity) => RecoveryOutcome::Running(identity),
         _ => panic!("asked for the process of a task that has ended"),
     };
     let (mut agent, mut actions) = (agent(), Vec::new());
@@ -100,9 +100,9 @@
         is_draining: true,
     };
     assert_eq!(facts, written);
-    let identity = Identity {
+    let identity = ProcessIdentity {
         pid: 4242,
-        born: 987_654,
+        start_ticks: 987_654,
     };
     let states = [
         TaskState::Accepted,
--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/turns.rs
@@ -4,8 +4,10 @@
 use std::sync::Arc;
 
 use maplethread_admission::AdmissionPolicy;
-use maplethread_agent::agent::Later;
-use maplethread_agent::{Action, Agent, Identity, StoredTask, TaskState, agent::RecoveryOutcome};
+use maplethread_agent::agent::Timer;
+use maplethread_agent::{
+    Action, Agent, ProcessIdentity, StoredTask, TaskState, agent::RecoveryOutcome,
+};
 use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, Reason, ResourceAmounts};
 
 fn policy() -> AdmissionPolicy {
@@ -48,27 +50,27 @@
     }
 }
 
-fn ask(agent: &mut Agent, offer: Offer) -> Vec<Action> {
+fn send_offer(agent: &mut Agent, offer: Offer) -> Vec<Action> {
     let mut out = Vec::new();
     agent.handle_frame(1, &placer(), Frame::Offer(offer), &mut out);
     out
 }
 
-fn spawned(agent: &mut Agent, attempt: u64) -> Vec<Action> {
+fn report_started(agent: &mut Agent, attempt: u64) -> Vec<Action> {
     let mut out = Vec::new();
-    agent.spawned(
+    agent.handle_start_result(
         2,
         attempt,
-        Ok(Identity {
+        Ok(ProcessIdentity {
             pid: attempt as u32,
-            born: 5,
+            start_ticks: 5,
         }),
         &mut out,
     );
     out
 }
 
-fn frames(out: &[Action]) -> Vec<&Frame> {
+fn sent_frames(out: &[Action]) -> Vec<&Frame> {
     out.iter()
         .filter_map(|d| match d {
             Action::Send(_, frame) => Some(frame),
@@ -77,7 +79,7 @@
         .collect()
 }
 
-fn fates(out: &[Action]) -> Vec<TaskState> {
+fn stored_states(out: &[Action]) -> Vec<TaskState> {
     out.iter()
         .filter_map(|d| match d {
             Action::StoreTask(_, kept) => Some(kept.state),
@@ -87,92 +89,98 @@
 }
 
 #[test]
-fn the_intent_to_start_is_kept_before_the_start_and_few_start_at_once() {
+fn stores_intent_before_start_and_limits_concurrent_starts() {
     let mut agent = agent();
-    let first = ask(&mut agent, offer(1, 1.0, 0));
-    assert_eq!(fates(&first), [TaskState::Accepted, TaskState::Starting]);
-    assert!(first.contains(&Action::Spawn(1)));
-    let second = ask(&mut agent, offer(2, 1.0, 0));
+    let first = send_offer(&mut agent, offer(1, 1.0, 0));
     assert_eq!(
-        fates(&second),
+        stored_states(&first),
+        [TaskState::Accepted, TaskState::Starting]
+    );
+    assert!(first.contains(&Action::StartProcess(1)));
+    let second = send_offer(&mut agent, offer(2, 1.0, 0));
+    assert_eq!(
+        stored_states(&second),
         [TaskState::Accepted],
         "one starts at a time"
     );
-    let out = spawned(&mut agent, 1);
-    assert!(out.contains(&Action::Spawn(2)), "{out:?}");
-    assert!(matches!(frames(&out)[..], [Frame::Started(1, _)]));
+    let out = report_started(&mut agent, 1);
+    assert!(out.contains(&Action::StartProcess(2)), "{out:?}");
+    assert!(matches!(sent_frames(&out)[..], [Frame::Started(1, _)]));
     // The same attempt again starts nothing.
-    assert!(ask(&mut agent, offer(1, 1.0, 0)).is_empty());
+    assert!(send_offer(&mut agent, offer(1, 1.0, 0)).is_empty());
 }
 
 #[test]
-fn a_turn_that_cant_be_kept_is_taken_back_and_nothing_new_is_taken_for_a_while() {
+fn undoes_turn_and_rejects_offers_after_a_store_failure() {
     let mut agent = agent();
-    let turn = ask(&mut agent, offer(1, 1.0, 0));
+    let turn = send_offer(&mut agent, offer(1, 1.0, 0));
     let mut instead = Vec::new();
-    agent.unkept(&turn, &mut instead);
+    agent.handle_store_failure(&turn, &mut instead);
     // It may be in the store all the same, and a later life might start it.
     assert!(
         matches!(
-            frames(&instead)[..],
+            sent_frames(&instead)[..],
             [Frame::Ended(1, Reason::Error, true, _)]
         ),
         "{instead:?}"
     );
-    assert!(!instead.contains(&Action::Spawn(1)) && agent.offer(1).is_none());
-    let refused = ask(&mut agent, offer(2, 1.0, 0));
+    assert!(!instead.contains(&Action::StartProcess(1)) && agent.offer(1).is_none());
+    let refused = send_offer(&mut agent, offer(2, 1.0, 0));
     assert!(matches!(
-        frames(&refused)[..],
+        sent_frames(&refused)[..],
         [Frame::Refused(2, Reason::Ineligible, _)]
     ));
     let mut out = Vec::new();
-    agent.handle_timer(3, Later::TryStore, &mut out);
-    assert_eq!(out, [Action::Forget(1)]);
+    agent.handle_timer(3, Timer::RetryStore, &mut out);
+    assert_eq!(out, [Action::RemoveTask(1)]);
     assert!(
-        ask(&mut agent, offer(3, 1.0, 0)).contains(&Action::Spawn(3)),
+        send_offer(&mut agent, offer(3, 1.0, 0)).contains(&Action::StartProcess(3)),
         "the room of the first is free"
     );
 }
 
 #[test]
-fn a_start_whose_intent_cant_be_kept_waits_and_is_tried_again() {
+fn retries_start_when_its_intent_could_not_be_stored() {
     let mut agent = agent();
-    ask(&mut agent, offer(1, 1.0, 0));
-    ask(&mut agent, offer(2, 1.0, 0));
-    let turn = spawned(&mut agent, 1);
+    send_offer(&mut agent, offer(1, 1.0, 0));
+    send_offer(&mut agent, offer(2, 1.0, 0));
+    let turn = report_started(&mut agent, 1);
     let mut instead = Vec::new();
-    agent.unkept(&turn, &mut instead);
+    agent.handle_store_failure(&turn, &mut instead);
     assert!(
-        matches!(frames(&instead)[..], [Frame::Started(1, _)]),
+        matches!(sent_frames(&instead)[..], [Frame::Started(1, _)]),
         "what runs is told: {instead:?}"
     );
-    assert!(!instead.contains(&Action::Spawn(2)));
+    assert!(!instead.contains(&Action::StartProcess(2)));
     let mut out = Vec::new();
-    agent.handle_timer(3, Later::TryStore, &mut out);
+    agent.handle_timer(3, Timer::RetryStore, &mut out);
     assert!(
-        out.contains(&Action::Spawn(2)) && fates(&out) == [TaskState::Starting],
+        out.contains(&Action::StartProcess(2)) && stored_states(&out) == [TaskState::Starting],
         "{out:?}"
     );
 }
 
 #[test]
-fn what_is_stopped_while_it_starts_is_ended_once_it_runs() {
+fn stops_task_once_running_when_cancelled_during_start() {
     let mut agent = agent();
-    ask(&mut agent, offer(1, 1.0, 0));
+    send_offer(&mut agent, offer(1, 1.0, 0));
     let mut out = Vec::new();
     agent.handle_frame(1, &placer(), Frame::Cancel(1), &mut out);
     assert!(out.is_empty(), "there is nothing to stop yet: {out:?}");
-    let identity = Identity { pid: 1, born: 5 };
-    assert!(spawned(&mut agent, 1).contains(&Action::Kill(identity, false)));
+    let identity = ProcessIdentity {
+        pid: 1,
+        start_ticks: 5,
+    };
+    assert!(report_started(&mut agent, 1).contains(&Action::StopProcess(identity, false)));
     let mut out = Vec::new();
-    agent.handle_timer(4, Later::Force(1), &mut out);
-    assert_eq!(out, [Action::Kill(identity, true)]);
+    agent.handle_timer(4, Timer::ForceStop(1), &mut out);
+    assert_eq!(out, [Action::StopProcess(identity, true)]);
     let mut out = Vec::new();
-    agent.exited(5, 1, Some(false), &mut out);
+    agent.handle_process_exit(5, 1, Some(false), &mut out);
     agent.report_finished(|_| true, &mut out);
     assert!(
         matches!(
-            frames(&out)[..],
+            sent_frames(&out)[..],
             [Frame::Ended(1, Reason::Stopped, true, _)]
         ),
         "{out:?}"
@@ -180,28 +188,31 @@
 }
 
 #[test]
-fn an_end_is_in_the_store_until_it_was_told() {
+fn keeps_result_in_store_until_it_was_reported() {
     let mut agent = agent();
-    ask(&mut agent, offer(1, 1.0, 0));
-    spawned(&mut agent, 1);
+    send_offer(&mut agent, offer(1, 1.0, 0));
+    report_started(&mut agent, 1);
     let mut out = Vec::new();
-    agent.exited(5, 1, Some(true), &mut out);
+    agent.handle_process_exit(5, 1, Some(true), &mut out);
     agent.report_finished(|_| false, &mut out);
-    assert_eq!(fates(&out), [TaskState::Finished(Reason::Completed, true)]);
-    assert!(frames(&out).is_empty(), "nobody is there to hear it");
+    assert_eq!(
+        stored_states(&out),
+        [TaskState::Finished(Reason::Completed, true)]
+    );
+    assert!(sent_frames(&out).is_empty(), "nobody is there to hear it");
     let mut out = Vec::new();
     agent.report_finished(|_| true, &mut out);
     assert!(matches!(
-        frames(&out)[..],
+        sent_frames(&out)[..],
         [Frame::Ended(1, Reason::Completed, true, _)]
     ));
     let mut out = Vec::new();
     agent.report_finished(|_| true, &mut out);
-    assert_eq!(out, [Action::Forget(1)]);
+    assert_eq!(out, [Action::RemoveTask(1)]);
 }
 
 #[test]
-fn a_later_life_finishes_what_an_earlier_one_began() {
+fn recovers_tasks_of_the_previous_process_in_every_state() {
     let kept = |fate| StoredTask {
         placer: placer(),
         offer: offer(0, 0.5, 0),
@@ -211,8 +222,20 @@
         (1, TaskState::Accepted),
         (2, TaskState::Starting),
         (3, TaskState::Starting),
-        (4, TaskState::Running(Identity { pid: 4, born: 4 })),
-        (5, TaskState::Running(Identity { pid: 5, born: 5 })),
+        (
+            4,
+            TaskState::Running(ProcessIdentity {
+                pid: 4,
+                start_ticks: 4,
+            }),
+        ),
+        (
+            5,
+            TaskState::Running(ProcessIdentity {
+                pid: 5,
+                start_ticks: 5,
+            }),
+        ),
         (6, TaskState::Finished(Reason::Completed, true)),
     ];
     let all: Vec<(u64, StoredTask)> = all
@@ -224,36 +247,36 @@
         })
         .collect();
     let found = |attempt: u64, _: &StoredTask| match attempt {
-        2 | 4 => RecoveryOutcome::Alive(Identity {
+        2 | 4 => RecoveryOutcome::Running(ProcessIdentity {
             pid: attempt as u32,
-            born: 9,
+            start_ticks: 9,
         }),
-        _ => RecoveryOutcome::Gone,
+        _ => RecoveryOutcome::NotFound,
     };
     let (mut agent, mut out) = (agent(), Vec::new());
     agent.recover(1, true, all, found, &mut out);
     let spawns: Vec<&Action> = out
         .iter()
-        .filter(|d| matches!(d, Action::Spawn(_)))
+        .filter(|d| matches!(d, Action::StartProcess(_)))
         .collect();
     assert_eq!(
         spawns,
-        [&Action::Spawn(1)],
+        [&Action::StartProcess(1)],
         "only what provably never started is started"
     );
     let mut greeting = Vec::new();
     agent.handle_greeting(&placer(), 1, &mut greeting);
-    assert_eq!(frames(&greeting).last(), Some(&&Frame::Drain));
-    let held_end = frames(&greeting)
+    assert_eq!(sent_frames(&greeting).last(), Some(&&Frame::Drain));
+    let held_end = sent_frames(&greeting)
         .iter()
         .position(|f| **f == Frame::HeldEnd)
         .expect("all is named");
-    let ends = frames(&greeting)[..held_end]
+    let ends = sent_frames(&greeting)[..held_end]
         .iter()
         .filter(|f| matches!(f, Frame::Ended(..)))
         .count();
     assert_eq!(ends, 3, "ends come before what is held is all named");
-    let told = frames(&greeting);
+    let told = sent_frames(&greeting);
     let held: Vec<(u64, bool)> = told
         .iter()
         .filter_map(|f| match f {
@@ -282,22 +305,28 @@
 }
 
 #[test]
-fn a_higher_priority_takes_the_room_of_a_lower_one() {
+fn preempts_lower_priority_for_a_higher_one() {
     let mut agent = agent();
-    ask(&mut agent, offer(1, 3.0, 0));
-    spawned(&mut agent, 1);
-    let out = ask(&mut agent, offer(2, 2.0, 1));
+    send_offer(&mut agent, offer(1, 3.0, 0));
+    report_started(&mut agent, 1);
+    let out = send_offer(&mut agent, offer(2, 2.0, 1));
     assert!(
-        out.contains(&Action::Kill(Identity { pid: 1, born: 5 }, false)),
+        out.contains(&Action::StopProcess(
+            ProcessIdentity {
+                pid: 1,
+                start_ticks: 5
+            },
+            false
+        )),
         "{out:?}"
     );
-    assert!(out.contains(&Action::Spawn(2)));
+    assert!(out.contains(&Action::StartProcess(2)));
     let mut out = Vec::new();
-    agent.exited(5, 1, None, &mut out);
+    agent.handle_process_exit(5, 1, None, &mut out);
     agent.report_finished(|_| true, &mut out);
     assert!(
         matches!(
-            frames(&out)[..],
+            sent_frames(&out)[..],
             [Frame::Ended(1, Reason::Preempted, true, _)]
         ),
         "{out:?}"
--- a/crates/capacity/src/budget_block.rs
+++ b/crates/capacity/src/budget_block.rs
@@ -1,12 +1,12 @@
 //! The generated blocks of the size and of the budgets there.
 
 use crate::markdown::Table;
-use crate::number::{figure, format_multiple};
+use crate::number::{format_figure, format_multiple};
 use crate::other_points::other_points;
-use crate::quantity::{Across, Quantity};
+use crate::quantity::{Aggregation, Quantity};
 use crate::result::{Phase, SweepResult};
 use crate::size::{Budget, DESIGN_SIZE};
-use crate::sweep::phase_of;
+use crate::sweep::find_sample;
 use crate::sweep_block::NOT_MEASURED;
 
 /// The highest figure measured at the size, and the sweep that it is from.
@@ -28,10 +28,10 @@
         let at_size = result
             .points
             .iter()
-            .filter(|point| DESIGN_SIZE.is_met_by(&point.settings, phase));
-        let samples = at_size.filter_map(|point| phase_of(point, phase));
+            .filter(|point| DESIGN_SIZE.matches(&point.settings, phase));
+        let samples = at_size.filter_map(|point| find_sample(point, phase));
         samples
-            .filter_map(|sample| quantity.measured(sample, Across::Highest))
+            .filter_map(|sample| quantity.measured(sample, Aggregation::Highest))
             .reduce(f64::max)
     };
     let of_sweeps = results.iter().filter_map(|result| {
@@ -52,15 +52,18 @@
 /// The block of the size.
 pub fn size_block() -> String {
     let mut table = Table::new(&["", "the size"]);
-    table.row(&["workers", &figure(f64::from(DESIGN_SIZE.workers))]);
-    table.row(&["tasks running", &figure(f64::from(DESIGN_SIZE.tasks))]);
+    table.row(&["workers", &format_figure(f64::from(DESIGN_SIZE.workers))]);
+    table.row(&[
+        "tasks running",
+        &format_figure(f64::from(DESIGN_SIZE.tasks)),
+    ]);
     table.row(&[
         "task starts a second",
-        &figure(DESIGN_SIZE.starts_per_second),
+        &format_figure(DESIGN_SIZE.starts_per_second),
     ]);
     table.row(&[
         "control machines, with a placer each",
-        &figure(f64::from(DESIGN_SIZE.control_machines)),
+        &format_figure(f64::from(DESIGN_SIZE.control_machines)),
     ]);
     table.into_text()
 }
@@ -72,7 +75,7 @@
     header.push("sweeps".to_owned());
     let mut table = Table::new(&header);
     let mut limits = vec!["**budget**".to_owned()];
-    limits.extend(Budget::ALL.map(|budget| format!("**{}**", figure(budget.limit()))));
+    limits.extend(Budget::ALL.map(|budget| format!("**{}**", format_figure(budget.limit()))));
     table.row(&limits);
     for phase in Phase::all() {
         table.row(&phase_row(results, phase));
@@ -102,10 +105,18 @@
 /// A measured figure with its headroom, bold where the budget is exceeded.
 pub fn budget_cell(budget: Budget, measured: f64) -> String {
     match budget.headroom(measured) {
-        None => figure(measured),
+        None => format_figure(measured),
         Some(headroom) if headroom < 1.0 => {
-            format!("**{} ({})**", figure(measured), format_multiple(headroom))
+            format!(
+                "**{} ({})**",
+                format_figure(measured),
+                format_multiple(headroom)
+            )
         }
-        Some(headroom) => format!("{} ({})", figure(measured), format_multiple(headroom)),
+        Some(headroom) => format!(
+            "{} ({})",
+            format_figure(measured),
+            format_multiple(headroom)
+        ),
     }
 }
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -37,7 +37,7 @@
     /// Measured at a size.
     Measured(f64),
     /// Foretold of a size.
-    Foretold(f64),
+    Predicted(f64),
     /// The error of what was foretold of a size.
     Error(f64),
     /// A coefficient of the law, by its name.
@@ -89,7 +89,7 @@
                 sweep,
                 phase,
                 quantity,
-                SweepAspect::Foretold(parse_size(size)?),
+                SweepAspect::Predicted(parse_size(size)?),
             ),
             [sweep, size, phase, quantity, "error"] => sweep_key(
                 sweep,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -55,14 +55,15 @@
 pub use page::{Contents, PageError, PartName, Regenerated, regenerate};
 pub use parse::{PointProblem, ResultError, parse_result};
 pub use plot::{PlotError, sweep_plot};
-pub use quantity::{Across, AnswerTime, Quantity, TrafficClass};
+pub use quantity::{Aggregation, AnswerTime, Quantity, TrafficClass};
 pub use report::{BUDGET_BLOCK, Plot, Report, SIZE_BLOCK};
 pub use result::{
     Dimension, Direction, Fault, Machine, MessageCount, MessageKind, MessagePurpose, Phase,
     PhaseSample, Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
 };
 pub use size::{
-    Budget, DESIGN_SIZE, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT, MAX_MEMORY_BYTES, Size,
+    Budget, DESIGN_SIZE, InstallationSize, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT,
+    MAX_MEMORY_BYTES,
 };
 pub use study::{FitVerdict, HeldOut, MAX_RELATIVE_ERROR, Study, Trial};
 pub use sweep_block::NOT_MEASURED;
--- a/crates/capacity/src/number.rs
+++ b/crates/capacity/src/number.rs
@@ -5,10 +5,10 @@
 /// The most digits behind the point.
 const MAX_DECIMALS: i32 = 9;
 /// Digits between separators.
-const GROUP: usize = 3;
+const DIGITS_PER_GROUP: usize = 3;
 
 /// A figure with four digits that count, or all digits before the point, and a comma between thousands.
-pub fn figure(value: f64) -> String {
+pub fn format_figure(value: f64) -> String {
     if !value.is_finite() {
         return "∞".to_owned();
     }
@@ -20,7 +20,7 @@
     let text = format!("{:.decimals$}", value.abs());
     let (whole, part) = text.split_once('.').unwrap_or((&text, ""));
     let part = part.trim_end_matches('0');
-    let mut written = grouped(whole);
+    let mut written = group_digits(whole);
     if !part.is_empty() {
         written = format!("{written}.{part}");
     }
@@ -50,14 +50,14 @@
 /// How often something goes into something else.
 pub fn format_multiple(factor: f64) -> String {
     if factor >= 100.0 {
-        format!("{}×", grouped(&format!("{factor:.0}")))
+        format!("{}×", group_digits(&format!("{factor:.0}")))
     } else {
         format!("{factor:.2}×")
     }
 }
 
-fn grouped(whole: &str) -> String {
-    let first = whole.len() % GROUP;
+fn group_digits(whole: &str) -> String {
+    let first = whole.len() % DIGITS_PER_GROUP;
     let (head, tail) = whole.split_at(first);
     let mut groups: Vec<&str> = Vec::new();
     if !head.is_empty() {
@@ -65,8 +65,8 @@
     }
     groups.extend(
         (0..tail.len())
-            .step_by(GROUP)
-            .map(|at| &tail[at..at + GROUP]),
+            .step_by(DIGITS_PER_GROUP)
+            .map(|at| &tail[at..at + DIGITS_PER_GROUP]),
     );
     groups.join(",")
 }
--- a/crates/capacity/src/other_points.rs
+++ b/crates/capacity/src/other_points.rs
@@ -2,11 +2,11 @@
 
 use crate::budget_block::budget_cell;
 use crate::markdown::{Table, folded};
-use crate::number::figure;
-use crate::quantity::Across;
+use crate::number::format_figure;
+use crate::quantity::Aggregation;
 use crate::result::{Dimension, Phase, PhaseSample, PointSettings, SweepResult};
 use crate::size::{Budget, DESIGN_SIZE};
-use crate::sweep::phase_of;
+use crate::sweep::find_sample;
 use crate::sweep_block::NOT_MEASURED;
 
 /// The table, folded; nothing without such points.
@@ -25,7 +25,7 @@
     for row in &rows {
         table.row(row);
     }
-    let workers = figure(f64::from(DESIGN_SIZE.workers));
+    let workers = format_figure(f64::from(DESIGN_SIZE.workers));
     let title = format!("Measured with {workers} workers, but not at the whole size");
     format!("\n{}", folded(&title, &table.into_text()))
 }
@@ -38,7 +38,7 @@
             .iter()
             .filter(|point| is_other(&point.settings, phase))
         {
-            let sample = phase_of(point, phase);
+            let sample = find_sample(point, phase);
             rows.extend(sample.map(|sample| row(&result.sweep, &point.settings, sample)));
         }
     }
@@ -46,7 +46,7 @@
 }
 
 fn is_other(settings: &PointSettings, phase: Phase) -> bool {
-    settings.workers == DESIGN_SIZE.workers && !DESIGN_SIZE.is_met_by(settings, phase)
+    settings.workers == DESIGN_SIZE.workers && !DESIGN_SIZE.matches(settings, phase)
 }
 
 fn row(sweep: &str, settings: &PointSettings, sample: &PhaseSample) -> Vec<String> {
@@ -61,9 +61,9 @@
         starts,
     ];
     let mut row = vec![sample.phase.title(), sweep.to_owned()];
-    row.extend(sizes.map(figure));
+    row.extend(sizes.map(format_figure));
     row.extend(Budget::ALL.map(|budget| {
-        let measured = budget.quantity().measured(sample, Across::Highest);
+        let measured = budget.quantity().measured(sample, Aggregation::Highest);
         measured.map_or(NOT_MEASURED.to_owned(), |value| budget_cell(budget, value))
     }));
     row
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 use crate::fit::Observation;
-use crate::number::figure;
+use crate::number::format_figure;
 use crate::quantity::{Quantity, TrafficClass};
 use crate::result::{Phase, SweepResult};
 use crate::study::Study;
@@ -84,8 +84,8 @@
         .configure_mesh()
         .light_line_style(WHITE)
         .x_desc(result.dimension.title())
-        .x_label_formatter(&|size| figure(*size))
-        .y_label_formatter(&|value| figure(*value))
+        .x_label_formatter(&|size| format_figure(*size))
+        .y_label_formatter(&|value| format_figure(*value))
         .draw()?;
     for ((phase, colour), observations) in SERIES.into_iter().zip(&observed) {
         let study = Study::of_dimension(result.dimension, observations);
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -117,7 +117,7 @@
 
 /// How a figure of several placer processes is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Across {
+pub enum Aggregation {
     /// The mean of the processes, for laws.
     Mean,
     /// The highest process, for budgets. Messages are counted for all placers together, so theirs stays the mean.
@@ -179,40 +179,46 @@
     }
 
     /// The quantity of one placer in a phase; nothing where no placer ran, the phase had no length, or nothing was asked.
-    pub fn measured(self, sample: &PhaseSample, across: Across) -> Option<f64> {
+    pub fn measured(self, sample: &PhaseSample, across: Aggregation) -> Option<f64> {
         match self {
-            Self::Cpu => of_processes(sample, across, |p| p.cpu_cores * 100.0),
-            Self::ResidentMemory => of_processes(sample, across, |p| p.resident_kib as f64),
-            Self::ProportionalMemory => of_processes(sample, across, |p| p.proportional_kib as f64),
-            Self::Descriptors => of_processes(sample, across, |p| f64::from(p.descriptors)),
+            Self::Cpu => aggregate_processes(sample, across, |p| p.cpu_cores * 100.0),
+            Self::ResidentMemory => aggregate_processes(sample, across, |p| p.resident_kib as f64),
+            Self::ProportionalMemory => {
+                aggregate_processes(sample, across, |p| p.proportional_kib as f64)
+            }
+            Self::Descriptors => aggregate_processes(sample, across, |p| f64::from(p.descriptors)),
             Self::HostConnections => {
-                of_processes(sample, across, |p| f64::from(p.host_connections))
+                aggregate_processes(sample, across, |p| f64::from(p.host_connections))
             }
             Self::Answer(time) => sample
                 .answer_us
                 .map(|times| times[time as usize] as f64 / US_PER_MS),
-            Self::Messages(traffic) => of_messages(sample, traffic, |m| m.count),
-            Self::PayloadBytes(traffic) => of_messages(sample, traffic, |m| m.payload_bytes),
-            Self::WireBytes(traffic) => of_messages(sample, traffic, |m| m.wire_bytes),
+            Self::Messages(traffic) => messages_per_placer_second(sample, traffic, |m| m.count),
+            Self::PayloadBytes(traffic) => {
+                messages_per_placer_second(sample, traffic, |m| m.payload_bytes)
+            }
+            Self::WireBytes(traffic) => {
+                messages_per_placer_second(sample, traffic, |m| m.wire_bytes)
+            }
         }
     }
 }
 
-fn of_processes(
+fn aggregate_processes(
     sample: &PhaseSample,
-    across: Across,
+    across: Aggregation,
     of: fn(&ProcessSample) -> f64,
 ) -> Option<f64> {
     let values = sample.placers.iter().map(of);
     match across {
-        Across::Mean => {
+        Aggregation::Mean => {
             (!sample.placers.is_empty()).then(|| values.sum::<f64>() / sample.placers.len() as f64)
         }
-        Across::Highest => values.reduce(f64::max),
+        Aggregation::Highest => values.reduce(f64::max),
     }
 }
 
-fn of_messages(
+fn messages_per_placer_second(
     sample: &PhaseSample,
     traffic: TrafficClass,
     of: fn(&MessageCount) -> u64,
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::budget_block::{budget_block, measured_at_size, size_block};
 use crate::figure::{FigureKey, KeyError, SweepAspect};
-use crate::number::{figure, format_multiple, format_percent};
+use crate::number::{format_figure, format_multiple, format_percent};
 use crate::page::Contents;
 use crate::plot::{PlotError, sweep_plot};
 use crate::quantity::Quantity;
@@ -65,7 +65,7 @@
     ) -> Option<String> {
         let result = self.result(sweep)?;
         if let SweepAspect::Measured(size) = aspect {
-            return result.measured(phase, quantity, *size).map(figure);
+            return result.measured(phase, quantity, *size).map(format_figure);
         }
         let study = result.study(phase, quantity)?;
         trial_figure(study.chosen(), aspect)
@@ -88,7 +88,7 @@
                 if *headroom {
                     budget.headroom(measured).map(format_multiple)
                 } else {
-                    Some(figure(measured))
+                    Some(format_figure(measured))
                 }
             }
         }
@@ -135,7 +135,7 @@
     };
     match aspect {
         SweepAspect::Measured(_) => None,
-        SweepAspect::Foretold(size) => held_out(*size).map(|h| figure(h.foretold.value)),
+        SweepAspect::Predicted(size) => held_out(*size).map(|h| format_figure(h.predicted.value)),
         SweepAspect::Error(size) => held_out(*size).map(|h| format_percent(h.relative_error())),
         SweepAspect::Coefficient(name) => {
             let position = trial
@@ -148,7 +148,7 @@
                 .fit
                 .coefficients()
                 .get(position)
-                .map(|c| figure(c.value))
+                .map(|c| format_figure(c.value))
         }
     }
 }
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -5,7 +5,7 @@
 
 /// A size of the whole installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Size {
+pub struct InstallationSize {
     /// Workers.
     pub workers: u32,
     /// Tasks that run.
@@ -17,7 +17,7 @@
 }
 
 /// The size that the design is made for.
-pub const DESIGN_SIZE: Size = Size {
+pub const DESIGN_SIZE: InstallationSize = InstallationSize {
     workers: 1_300,
     tasks: 24_000,
     starts_per_second: 190.0,
@@ -35,10 +35,10 @@
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
-impl Size {
+impl InstallationSize {
     /// Whether a phase of a point was measured at this size: real and hollow placers count alike, and nothing starts at
     /// rest.
-    pub fn is_met_by(&self, settings: &PointSettings, phase: Phase) -> bool {
+    pub fn matches(&self, settings: &PointSettings, phase: Phase) -> bool {
         let starts_as_often = settings.starts_per_second == self.starts_per_second;
         settings.workers == self.workers
             && settings.tasks == self.tasks
--- a/crates/capacity/src/study.rs
+++ b/crates/capacity/src/study.rs
@@ -8,7 +8,7 @@
 pub const MAX_RELATIVE_ERROR: f64 = 0.10;
 
 /// Costs below this are 0 but for rounding.
-const ZERO: f64 = 1e-9;
+const ZERO_TOLERANCE: f64 = 1e-9;
 
 /// A size that a law was not fitted to.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -16,14 +16,14 @@
     /// What was measured there.
     pub measured: Observation,
     /// What the law said.
-    pub foretold: Prediction,
+    pub predicted: Prediction,
 }
 
 impl HeldOut {
     /// Foretold less measured, as a part of the measured; infinite where something was foretold of a cost of 0.
     pub fn relative_error(&self) -> f64 {
-        let error = self.foretold.value - self.measured.value;
-        if error.abs() < ZERO {
+        let error = self.predicted.value - self.measured.value;
+        if error.abs() < ZERO_TOLERANCE {
             0.0
         } else {
             error / self.measured.value.abs()
@@ -31,8 +31,8 @@
     }
 
     /// Whether the measured cost lies in the interval of the prediction; nothing without an interval.
-    pub fn in_interval(&self) -> Option<bool> {
-        self.foretold
+    pub fn is_in_interval(&self) -> Option<bool> {
+        self.predicted
             .interval
             .map(|interval| interval.contains(self.measured.value))
     }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FitVerdict {
     /// It foretold every size held out, within [`MAX_RELATIVE_ERROR`].
-    Foretold,
+    Predicted,
     /// It missed one.
     Missed,
     /// No size was held out.
@@ -64,7 +64,7 @@
         let foretell = |&measured: &Observation| {
             Some(HeldOut {
                 measured,
-                foretold: fit.predict(measured.size)?,
+                predicted: fit.predict(measured.size)?,
             })
         };
         let held_out = held_out.iter().map(foretell).collect::<Option<Vec<_>>>()?;
@@ -83,7 +83,7 @@
     pub fn verdict(&self) -> FitVerdict {
         match self.worst_error() {
             None => FitVerdict::NotTested,
-            Some(error) if error <= MAX_RELATIVE_ERROR => FitVerdict::Foretold,
+            Some(error) if error <= MAX_RELATIVE_ERROR => FitVerdict::Predicted,
             Some(_) => FitVerdict::Missed,
         }
     }
--- a/crates/capacity/src/sweep.rs
+++ b/crates/capacity/src/sweep.rs
@@ -1,7 +1,7 @@
 //! A sweep as it is looked up: sizes, measured quantities and the laws of them.
 
 use crate::fit::{Observation, distinct_sizes};
-use crate::quantity::{Across, Quantity};
+use crate::quantity::{Aggregation, Quantity};
 use crate::result::{Phase, PhaseSample, Point, SweepResult};
 use crate::study::Study;
 
@@ -30,7 +30,7 @@
     /// The samples of a phase, in the order of the sweep.
     pub fn samples(&self, phase: Phase) -> Vec<SizedSample<'_>> {
         let sized = |point| {
-            let sample = phase_of(point, phase)?;
+            let sample = find_sample(point, phase)?;
             Some(SizedSample {
                 size: self.size_of(point),
                 sample,
@@ -42,7 +42,7 @@
     /// A quantity of a phase at each size, the mean of the placers.
     pub fn observations(&self, phase: Phase, quantity: Quantity) -> Vec<Observation> {
         let observed = |sized: SizedSample<'_>| {
-            let value = quantity.measured(sized.sample, Across::Mean)?;
+            let value = quantity.measured(sized.sample, Aggregation::Mean)?;
             Some(Observation {
                 size: sized.size,
                 value,
@@ -81,6 +81,6 @@
 }
 
 /// What was measured of a phase at a point.
-pub fn phase_of(point: &Point, phase: Phase) -> Option<&PhaseSample> {
+pub fn find_sample(point: &Point, phase: Phase) -> Option<&PhaseSample> {
     point.phases.iter().find(|sample| sample.phase == phase)
 }
--- a/crates/capacity/src/sweep_block.rs
+++ b/crates/capacity/src/sweep_block.rs
@@ -2,11 +2,11 @@
 
 use crate::fit::Interval;
 use crate::markdown::{Table, folded};
-use crate::number::{figure, format_percent};
-use crate::quantity::{Across, AnswerTime, Quantity, TrafficClass};
+use crate::number::{format_figure, format_percent};
+use crate::quantity::{Aggregation, AnswerTime, Quantity, TrafficClass};
 use crate::result::{Phase, PhaseSample, SweepResult};
 use crate::study::{FitVerdict, HeldOut, MAX_RELATIVE_ERROR, Study, Trial};
-use crate::sweep::phase_of;
+use crate::sweep::find_sample;
 
 /// What stands where nothing was measured.
 pub const NOT_MEASURED: &str = "not measured";
@@ -40,7 +40,7 @@
         )
     );
     text += &missing_phases(result);
-    text += &fits(result);
+    text += &law_tables(result);
     text
 }
 
@@ -58,12 +58,12 @@
 }
 
 /// One row a phase and point: phases in the order of the page, points in that of the sweep.
-fn rows(result: &SweepResult, mut row: impl FnMut(Vec<String>, Option<&PhaseSample>)) {
+fn for_each_row(result: &SweepResult, mut row: impl FnMut(Vec<String>, Option<&PhaseSample>)) {
     for phase in result.measured_phases() {
         for point in &result.points {
             row(
-                vec![phase.title(), figure(result.size_of(point))],
-                phase_of(point, phase),
+                vec![phase.title(), format_figure(result.size_of(point))],
+                find_sample(point, phase),
             );
         }
     }
@@ -83,10 +83,10 @@
     let mut header = header(result, &columns);
     header.push("loopback packets/s".to_owned());
     let mut table = Table::new(&header);
-    rows(result, |mut cells, sample| {
+    for_each_row(result, |mut cells, sample| {
         cells.extend(columns.map(|quantity| measured_cell(quantity, sample)));
         let packets = sample.and_then(|s| Some(s.loopback_packets? as f64 / s.seconds));
-        cells.push(packets.map_or(ABSENT.to_owned(), figure));
+        cells.push(packets.map_or(ABSENT.to_owned(), format_figure));
         table.row(&cells);
     });
     table.into_text()
@@ -109,7 +109,7 @@
         .flat_map(|count| SHOWN_TRAFFIC.map(count))
         .collect();
     let mut table = Table::new(&header(result, &columns));
-    rows(result, |mut cells, sample| {
+    for_each_row(result, |mut cells, sample| {
         cells.extend(
             columns
                 .iter()
@@ -125,8 +125,8 @@
         return NOT_MEASURED.to_owned();
     };
     quantity
-        .measured(sample, Across::Mean)
-        .map_or(ABSENT.to_owned(), figure)
+        .measured(sample, Aggregation::Mean)
+        .map_or(ABSENT.to_owned(), format_figure)
 }
 
 fn missing_phases(result: &SweepResult) -> String {
@@ -141,7 +141,7 @@
     }
 }
 
-fn fits(result: &SweepResult) -> String {
+fn law_tables(result: &SweepResult) -> String {
     let mut text = format!(
         "\nA law counts as foretold where each size held out was foretold within {:.0}%. Where the line was not, the law \
          with the smallest error at these sizes is shown; they chose it, so they are no test of it.\n",
@@ -155,7 +155,7 @@
         let title = format!(
             "Laws, {}: fitted to sizes up to {} {}",
             phase.title(),
-            figure(limit),
+            format_figure(limit),
             result.dimension.title()
         );
         text += &format!("\n{}", folded(&title, &fit_table(result, phase)));
@@ -206,7 +206,7 @@
     let mut cells = vec![
         quantity.title(),
         law_cell(study),
-        figure(trial.fit.residual_root_mean_square()),
+        format_figure(trial.fit.residual_root_mean_square()),
     ];
     if trial.held_out.is_empty() {
         cells.extend([ABSENT; 5].map(str::to_owned));
@@ -234,7 +234,11 @@
     let fit = &study.chosen().fit;
     let names = fit.law().coefficient_names();
     let coefficient = |(name, c): (&&str, crate::fit::Coefficient)| {
-        format!("{name} = {}{}", figure(c.value), interval_text(c.interval))
+        format!(
+            "{name} = {}{}",
+            format_figure(c.value),
+            interval_text(c.interval)
+        )
     };
     let coefficients: Vec<String> = names
         .iter()
@@ -259,19 +263,19 @@
 }
 
 fn held_out_cells(held_out: &HeldOut) -> Vec<String> {
-    let inside = match held_out.in_interval() {
+    let inside = match held_out.is_in_interval() {
         Some(true) => "yes",
         Some(false) => "no",
         None => ABSENT,
     };
     vec![
-        figure(held_out.measured.size),
+        format_figure(held_out.measured.size),
         format!(
             "{}{}",
-            figure(held_out.foretold.value),
-            interval_text(held_out.foretold.interval)
+            format_figure(held_out.predicted.value),
+            interval_text(held_out.predicted.interval)
         ),
-        figure(held_out.measured.value),
+        format_figure(held_out.measured.value),
         format_percent(held_out.relative_error()),
         inside.to_owned(),
     ]
@@ -279,13 +283,13 @@
 
 fn interval_text(interval: Option<Interval>) -> String {
     interval.map_or(String::new(), |i| {
-        format!(" ({} to {})", figure(i.low), figure(i.high))
+        format!(" ({} to {})", format_figure(i.low), format_figure(i.high))
     })
 }
 
 fn verdict_cell(trial: &Trial) -> String {
     match trial.verdict() {
-        FitVerdict::Foretold => "foretold".to_owned(),
+        FitVerdict::Predicted => "foretold".to_owned(),
         FitVerdict::Missed => format!("missed by more than {:.0}%", MAX_RELATIVE_ERROR * 100.0),
         FitVerdict::NotTested => "not tested".to_owned(),
     }
--- a/crates/capacity/tests/laws.rs
+++ b/crates/capacity/tests/laws.rs
@@ -7,56 +7,56 @@
 
 const LIMIT: f64 = 800.0;
 
-fn close(found: f64, expected: f64) -> bool {
+fn is_close(found: f64, expected: f64) -> bool {
     (found - expected).abs() <= 1e-6 * expected.abs().max(1.0)
 }
 
 #[test]
-fn a_perfect_line_foretells_what_it_was_not_fitted_to() {
+fn predicts_held_out_sizes_of_a_perfect_line() {
     let study = Study::new(LIMIT, &observations(&SIZES, |n| 7.0 + 0.25 * n)).expect("enough sizes");
     let trial = study.chosen();
     assert_eq!(trial.fit.law(), Law::Linear);
-    assert_eq!(trial.verdict(), FitVerdict::Foretold);
+    assert_eq!(trial.verdict(), FitVerdict::Predicted);
     let coefficients = trial.fit.coefficients();
     assert!(
-        close(coefficients[0].value, 7.0) && close(coefficients[1].value, 0.25),
+        is_close(coefficients[0].value, 7.0) && is_close(coefficients[1].value, 0.25),
         "{coefficients:?}"
     );
     assert!(trial.fit.residual_root_mean_square() < 1e-9);
     assert_eq!(trial.held_out.len(), 2);
     for held_out in &trial.held_out {
-        assert!(close(held_out.foretold.value, held_out.measured.value));
-        assert_eq!(held_out.in_interval(), Some(true));
+        assert!(is_close(held_out.predicted.value, held_out.measured.value));
+        assert_eq!(held_out.is_in_interval(), Some(true));
         assert!(held_out.relative_error().abs() < 1e-9);
     }
 }
 
 #[test]
-fn a_cost_of_n_log_n_is_found_where_the_line_misses() {
+fn chooses_n_log_n_law_when_the_line_misses() {
     let cost = |n: f64| 5.0 - 2.0 * n + 0.9 * n * n.ln();
     let study = Study::new(LIMIT, &observations(&SIZES, cost)).expect("enough sizes");
     assert_eq!(study.line().expect("a line").verdict(), FitVerdict::Missed);
     let trial = study.chosen();
     assert_eq!(trial.fit.law(), Law::LinearLogarithmic);
-    assert_eq!(trial.verdict(), FitVerdict::Foretold);
+    assert_eq!(trial.verdict(), FitVerdict::Predicted);
     let found: Vec<f64> = trial.fit.coefficients().iter().map(|c| c.value).collect();
     assert!(
-        close(found[0], 5.0) && close(found[1], -2.0) && close(found[2], 0.9),
+        is_close(found[0], 5.0) && is_close(found[1], -2.0) && is_close(found[2], 0.9),
         "{found:?}"
     );
 }
 
 #[test]
-fn a_square_is_found_as_a_power_law() {
+fn chooses_power_law_for_quadratic_cost() {
     let study = Study::new(LIMIT, &observations(&SIZES, |n| 0.01 * n * n)).expect("enough sizes");
     let trial = study.chosen();
     assert_eq!(trial.fit.law(), Law::Power);
     let coefficients = trial.fit.coefficients();
-    assert!(close(coefficients[0].value, 0.01_f64.ln()) && close(coefficients[1].value, 2.0));
+    assert!(is_close(coefficients[0].value, 0.01_f64.ln()) && is_close(coefficients[1].value, 2.0));
 }
 
 #[test]
-fn a_constant_is_found_where_noise_tilts_the_line() {
+fn chooses_constant_law_when_noise_tilts_the_line() {
     let costs = [100.0, 101.0, 102.0, 104.0, 104.0, 101.0, 102.0];
     let measure = |(&size, value): (&u32, f64)| Observation {
         size: f64::from(size),
@@ -68,13 +68,13 @@
     let trial = study.chosen();
     assert_eq!(
         (trial.fit.law(), trial.verdict()),
-        (Law::Constant, FitVerdict::Foretold)
+        (Law::Constant, FitVerdict::Predicted)
     );
-    assert!(close(trial.fit.value(5_000.0), 102.2));
+    assert!(is_close(trial.fit.value(5_000.0), 102.2));
 }
 
 #[test]
-fn a_step_above_the_fitted_sizes_is_foretold_by_no_law() {
+fn no_law_predicts_a_step_above_the_fitted_sizes() {
     let step = |n: f64| if n > 1_000.0 { 5_000.0 + n } else { 100.0 + n };
     let study = Study::new(LIMIT, &observations(&SIZES, step)).expect("enough sizes");
     assert!(
@@ -88,7 +88,7 @@
         trial
             .held_out
             .iter()
-            .all(|h| h.in_interval() == Some(false))
+            .all(|h| h.is_in_interval() == Some(false))
     );
     let error = trial.worst_error().expect("held out");
     assert!(
@@ -100,22 +100,22 @@
 }
 
 #[test]
-fn a_size_that_is_missed_is_told_with_its_error() {
+fn reports_relative_error_of_a_missed_size() {
     let mut measured = observations(&SIZES, |n| 10.0 + n);
     measured[5].value *= 0.5;
     let study = Study::new(LIMIT, &measured).expect("enough sizes");
     let line = study.line().expect("a line");
     assert_eq!(line.verdict(), FitVerdict::Missed);
     assert!(
-        close(line.held_out[0].relative_error(), 1.0),
+        is_close(line.held_out[0].relative_error(), 1.0),
         "twice the measured cost was foretold"
     );
-    assert_eq!(line.held_out[0].in_interval(), Some(false));
-    assert_eq!(line.held_out[1].in_interval(), Some(true));
+    assert_eq!(line.held_out[0].is_in_interval(), Some(false));
+    assert_eq!(line.held_out[1].is_in_interval(), Some(true));
 }
 
 #[test]
-fn intervals_are_those_of_the_textbook() {
+fn intervals_match_the_textbook_formula() {
     // y = 1 + 2x with residuals 0.1, -0.2, 0.1 of orthogonal shape: the slope stays 2.
     let points = [(1.0, 3.1), (2.0, 4.8), (3.0, 7.1)];
     let measured = points.map(|(size, value)| Observation { size, value });
@@ -127,24 +127,28 @@
     let Interval { low, high } = slope.interval.expect("an error");
     let half = t * deviation / 2.0_f64.sqrt();
     assert!(
-        close(slope.value, 2.0) && close(low, 2.0 - half) && close(high, 2.0 + half),
+        is_close(slope.value, 2.0) && is_close(low, 2.0 - half) && is_close(high, 2.0 + half),
         "{low} {high}"
     );
     let prediction = fit.predict(5.0).expect("defined");
     let Interval { low, high } = prediction.interval.expect("an error");
     let half = t * deviation * (1.0 + 1.0 / 3.0 + 9.0 / 2.0_f64).sqrt();
-    assert!(close(prediction.value, 11.0) && close(low, 11.0 - half) && close(high, 11.0 + half));
+    assert!(
+        is_close(prediction.value, 11.0)
+            && is_close(low, 11.0 - half)
+            && is_close(high, 11.0 + half)
+    );
 }
 
 #[test]
-fn two_sizes_make_a_line_without_an_interval() {
+fn fits_a_line_without_interval_to_two_sizes() {
     let fit = Fit::new(Law::Linear, &observations(&[1, 3], |n| n)).expect("a fit");
     assert!(fit.coefficients().iter().all(|c| c.interval.is_none()));
     assert_eq!(fit.predict(5.0).expect("defined").interval, None);
 }
 
 #[test]
-fn what_cannot_be_fitted_is_told() {
+fn rejects_observations_that_cannot_be_fitted() {
     let one_size = observations(&[5, 5], |n| n);
     let error = Fit::new(Law::Linear, &one_size).expect_err("one size");
     assert_eq!(
@@ -182,7 +186,7 @@
 }
 
 #[test]
-fn a_cost_of_0_that_was_foretold_has_no_error() {
+fn predicted_cost_of_zero_has_no_error() {
     let study = Study::new(LIMIT, &observations(&SIZES, |_| 0.0)).expect("enough sizes");
     assert_eq!(study.chosen().worst_error(), Some(0.0));
     let appears = |n: f64| if n > LIMIT { 0.0 } else { 1.0 };
@@ -191,7 +195,7 @@
 }
 
 #[test]
-fn noise_is_covered_by_the_interval() {
+fn interval_covers_the_noise() {
     // Alternating errors of 1% of the largest fitted cost.
     let noisy = |n: f64| {
         50.0 + n
@@ -205,7 +209,12 @@
     let trial = study.chosen();
     assert_eq!(
         (trial.fit.law(), trial.verdict()),
-        (Law::Linear, FitVerdict::Foretold)
+        (Law::Linear, FitVerdict::Predicted)
+    );
+    assert!(
+        trial
+            .held_out
+            .iter()
+            .all(|h| h.is_in_interval() == Some(true))
     );
-    assert!(trial.held_out.iter().all(|h| h.in_interval() == Some(true)));
 }
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn blocks_and_figures_are_written_and_the_rest_stays() {
+fn regenerates_blocks_and_figures_and_keeps_other_text() {
     let page = regenerate(PAGE, &report(&[Phase::Rest])).expect("a page");
     assert!(page.text.contains(
         "a figure: <!-- figure: workers/1300/rest/host_connections -->1,300<!-- /figure --> c"
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_parts_that_differ_are_named() {
+fn names_the_changed_parts() {
     let page = regenerate(PAGE, &report(&[Phase::Rest]))
         .expect("a page")
         .text;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_line_is_reported_with_what_it_foretold() {
+fn reports_a_line_with_its_predictions() {
     let page = regenerate(PAGE, &report(&[Phase::Rest]))
         .expect("a page")
         .text;
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn budgets_tell_headroom_and_what_was_not_measured() {
+fn budget_block_shows_headroom_and_missing_measurements() {
     let fault = Phase::WorstSecond(Fault::RackDies);
     let page = regenerate(PAGE, &report(&[Phase::Rest, fault]))
         .expect("a page")
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn points_short_of_the_size_are_told_apart_from_it() {
+fn lists_points_below_the_design_size_separately() {
     let mut result = sweep(&[800, 1_300], &[Phase::Peak]);
     result.points[1].settings.tasks = 12_000;
     let page = regenerate(PAGE, &Report::new(vec![result], "capacity"))
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_law_that_was_found_is_told_with_the_error_of_the_line() {
+fn reports_chosen_law_with_the_error_of_the_line() {
     let mut result = sweep(&SIZES, &[Phase::Rest]);
     for point in &mut result.points {
         let workers = u64::from(point.settings.workers);
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_phase_that_is_missing_at_some_sizes_is_told_there() {
+fn marks_phase_missing_at_some_sizes_as_not_measured() {
     let mut result = sweep(&SIZES, &[Phase::Rest]);
     result.points[1].phases.clear();
     let page = regenerate(PAGE, &Report::new(vec![result], "capacity"))
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn one_size_is_told_as_too_few_to_fit() {
+fn reports_too_few_sizes_to_fit_for_a_single_size() {
     let one = Report::new(vec![sweep(&[1_300], &[Phase::Peak])], "capacity");
     let page = regenerate(PAGE, &one).expect("a page").text;
     assert!(block(&page, "workers").contains("Laws, at the peak: too few sizes to fit."));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn figures_can_be_foretold_erring_coefficients_and_headroom() {
+fn figures_cover_predictions_errors_coefficients_and_headroom() {
     let line = |key: &str| format!("<!-- figure: {key} --><!-- /figure -->\n");
     let keys = [
         ("workers/2600/rest/cpu/foretold", "2.7"),
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_sweep_without_results_is_told_as_not_measured() {
+fn reports_sweep_without_results_as_not_measured() {
     let page = regenerate(PAGE, &Report::new(Vec::new(), "capacity"))
         .expect("a page")
         .text;
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn markers_that_are_wrong_are_told_with_their_line() {
+fn rejects_invalid_markers_with_their_line() {
     let error = |page: &str| regenerate(page, &report(&[Phase::Rest])).expect_err("a wrong page");
     let name = "workers".to_owned();
     assert_eq!(
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn the_largest_values_and_none_at_all_are_rendered() {
+fn renders_largest_values_and_missing_values() {
     let mut largest = sweep(&[1, 2, 3, 4, 1_000_000_000], &[Phase::Rest, Phase::Peak]);
     largest.dimension = Dimension::Placers;
     for point in &mut largest.points {
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn plots_show_points_and_laws_and_are_the_same_each_time() {
+fn plots_points_and_laws_deterministically() {
     let plots = report(&[Phase::Rest, Phase::Peak]).plots().expect("plots");
     assert_eq!(plots.len(), 1);
     assert_eq!(plots[0].file_name, "workers.svg");
--- a/crates/capacity/tests/quantities.rs
+++ b/crates/capacity/tests/quantities.rs
@@ -3,19 +3,19 @@
 mod support;
 
 use maplethread_capacity::{
-    Across, AnswerTime, Budget, DESIGN_SIZE, Dimension, Fault, FigureKey, KeyError, Phase,
+    Aggregation, AnswerTime, Budget, DESIGN_SIZE, Dimension, Fault, FigureKey, KeyError, Phase,
     Quantity, TrafficClass, measured_at_size,
 };
 use support::{PLACERS, point, sample, sweep};
 
 fn mean(quantity: Quantity) -> f64 {
     quantity
-        .measured(&sample(Phase::Rest, 100), Across::Mean)
+        .measured(&sample(Phase::Rest, 100), Aggregation::Mean)
         .expect("placers")
 }
 
 #[test]
-fn messages_are_those_of_one_placer_in_a_second() {
+fn messages_are_per_placer_and_second() {
     assert_eq!(mean(Quantity::Messages(TrafficClass::Control)), 200.0);
     assert_eq!(mean(Quantity::Messages(TrafficClass::Placing)), 1.0);
     assert_eq!(mean(Quantity::Messages(TrafficClass::Either)), 3.0);
@@ -36,24 +36,26 @@
 }
 
 #[test]
-fn processes_are_taken_as_mean_or_highest() {
+fn aggregates_processes_by_mean_or_highest() {
     let mut sample = sample(Phase::Rest, 100);
     sample.placers[1].host_connections = 200;
     assert_eq!(
-        Quantity::HostConnections.measured(&sample, Across::Mean),
+        Quantity::HostConnections.measured(&sample, Aggregation::Mean),
         Some(150.0)
     );
     assert_eq!(
-        Quantity::HostConnections.measured(&sample, Across::Highest),
+        Quantity::HostConnections.measured(&sample, Aggregation::Highest),
         Some(200.0)
     );
     sample.placers.clear();
     sample.answer_us = None;
-    assert!(Quantity::all().all(|quantity| quantity.measured(&sample, Across::Mean).is_none()));
+    assert!(
+        Quantity::all().all(|quantity| quantity.measured(&sample, Aggregation::Mean).is_none())
+    );
 }
 
 #[test]
-fn keys_name_one_quantity_and_one_phase_each() {
+fn keys_are_unique_per_quantity_and_phase() {
     for quantity in Quantity::all() {
         assert_eq!(Quantity::from_key(&quantity.key()), Some(quantity));
     }
@@ -67,7 +69,7 @@
 }
 
 #[test]
-fn keys_that_are_none_are_told() {
+fn rejects_invalid_keys() {
     let error = |key| FigureKey::parse(key).expect_err("no key");
     assert_eq!(error("workers"), KeyError::Form);
     assert_eq!(
@@ -93,25 +95,25 @@
 }
 
 #[test]
-fn the_size_is_that_of_the_design() {
+fn design_size_matches_the_design() {
     let at_size = point(1_300, &[]).settings;
     assert!(
-        DESIGN_SIZE.is_met_by(&at_size, Phase::Peak),
+        DESIGN_SIZE.matches(&at_size, Phase::Peak),
         "two real and four hollow placers"
     );
     let mut other = at_size;
     other.tasks -= 1;
-    assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
+    assert!(!DESIGN_SIZE.matches(&other, Phase::Peak));
     other = at_size;
     other.starts_per_second = 0.0;
-    assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
+    assert!(!DESIGN_SIZE.matches(&other, Phase::Peak));
     assert!(
-        DESIGN_SIZE.is_met_by(&other, Phase::Rest),
+        DESIGN_SIZE.matches(&other, Phase::Rest),
         "nothing starts at rest"
     );
     other = at_size;
     other.hollow_placers -= PLACERS;
-    assert!(!DESIGN_SIZE.is_met_by(&other, Phase::Peak));
+    assert!(!DESIGN_SIZE.matches(&other, Phase::Peak));
 }
 
 #[test]
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn the_highest_placer_of_all_sweeps_counts_at_the_size() {
+fn measured_at_size_is_the_highest_placer_of_all_sweeps() {
     let mut tasks = sweep(&[1_300], &[Phase::Rest]);
     tasks.sweep = "tasks".to_owned();
     tasks.points[0].phases[0].placers[1].resident_kib = 99_999;
--- a/crates/capacity/tests/results.rs
+++ b/crates/capacity/tests/results.rs
@@ -7,7 +7,7 @@
 
 const FILE: &str = "docs/capacity/workers.json";
 
-fn written(change: impl Fn(&mut serde_json::Value)) -> String {
+fn serialized_result(change: impl Fn(&mut serde_json::Value)) -> String {
     let mut json = serde_json::to_value(sweep(&[100, 200], &[Phase::Rest])).expect("JSON");
     change(&mut json);
     serde_json::to_string_pretty(&json).expect("JSON")
@@ -20,13 +20,13 @@
 }
 
 #[test]
-fn what_was_written_is_read_again() {
-    let read = parse_result(FILE, &written(|_| {})).expect("a result");
+fn parses_what_was_serialized() {
+    let read = parse_result(FILE, &serialized_result(|_| {})).expect("a result");
     assert_eq!(read, sweep(&[100, 200], &[Phase::Rest]));
 }
 
 #[test]
-fn text_that_is_no_json_is_told_with_file_and_place() {
+fn rejects_invalid_json_with_file_and_position() {
     let error = error_of("{\n  \"format\": 1,\n  \"sweep\": }");
     assert!(
         error.starts_with("docs/capacity/workers.json: line 3, column 12: "),
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn an_unknown_key_is_told_with_file_and_line() {
-    let text = written(|json| json["points"][1]["weather"] = "fine".into());
+fn rejects_unknown_key_with_file_and_line() {
+    let text = serialized_result(|json| json["points"][1]["weather"] = "fine".into());
     let line = 1 + text
         .lines()
         .position(|line| line.contains("weather"))
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn an_unknown_format_is_told_as_such_and_not_as_unknown_keys() {
-    let text = written(|json| {
+fn rejects_unknown_format_before_unknown_keys() {
+    let text = serialized_result(|json| {
         json["format"] = 2.into();
         json["new_key"] = 1.into();
     });
@@ -62,8 +62,8 @@
 }
 
 #[test]
-fn a_sweep_in_the_file_of_another_is_told() {
-    let text = written(|json| json["sweep"] = "tasks".into());
+fn rejects_sweep_name_that_differs_from_its_file() {
+    let text = serialized_result(|json| json["sweep"] = "tasks".into());
     assert_eq!(
         error_of(&text),
         format!("{FILE}: holds the sweep `tasks`; its file has to be named tasks.json")
@@ -71,23 +71,25 @@
 }
 
 #[test]
-fn values_that_cannot_be_are_told_with_their_point() {
-    let no_length = written(|json| json["points"][1]["phases"][0]["seconds"] = 0.into());
+fn rejects_impossible_values_with_their_point() {
+    let no_length = serialized_result(|json| json["points"][1]["phases"][0]["seconds"] = 0.into());
     let problem = "phase rest: seconds has to be a number from 0.001 to 1000000000";
     assert_eq!(
         error_of(&no_length),
         format!("{FILE}: points[1]: {problem}")
     );
-    let negative =
-        written(|json| json["points"][0]["phases"][0]["placers"][1]["cpu_cores"] = (-1).into());
+    let negative = serialized_result(|json| {
+        json["points"][0]["phases"][0]["placers"][1]["cpu_cores"] = (-1).into()
+    });
     let problem = "phase rest: cpu_cores has to be a number from 0 to 1000000000";
     assert_eq!(error_of(&negative), format!("{FILE}: points[0]: {problem}"));
-    let rate = written(|json| json["points"][0]["settings"]["starts_per_second"] = (-1).into());
+    let rate =
+        serialized_result(|json| json["points"][0]["settings"]["starts_per_second"] = (-1).into());
     assert_eq!(
         error_of(&rate),
         format!("{FILE}: points[0]: settings: rates have to be numbers from 0 to 1000000000")
     );
-    let twice = written(|json| {
+    let twice = serialized_result(|json| {
         let phase = json["points"][0]["phases"][0].clone();
         json["points"][0]["phases"]
             .as_array_mut()
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -56,18 +56,18 @@
 }
 
 /// A placer's side of a connection.
-struct Link {
+struct PlacerConnection {
     stream: TcpStream,
     unread: Vec<u8>,
 }
 
-impl Link {
-    fn greet(agent: &Agent) -> Link {
+impl PlacerConnection {
+    fn greet(agent: &Agent) -> PlacerConnection {
         let stream = TcpStream::connect(&agent.address).expect("a connection");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time-out");
-        let mut link = Link {
+        let mut link = PlacerConnection {
             stream,
             unread: Vec::new(),
         };
@@ -88,7 +88,7 @@
     }
 
     /// The next frame; none if the agent is gone.
-    fn next(&mut self) -> Option<Frame> {
+    fn receive(&mut self) -> Option<Frame> {
         loop {
             let (frame, used) = frame::decode(&self.unread).expect("frames");
             self.unread.drain(..used);
@@ -105,10 +105,10 @@
         }
     }
 
-    fn until(&mut self, wanted: impl Fn(&Frame) -> bool) -> Vec<Frame> {
+    fn receive_until(&mut self, wanted: impl Fn(&Frame) -> bool) -> Vec<Frame> {
         let mut all = Vec::new();
         loop {
-            let frame = self.next().expect("the agent lives");
+            let frame = self.receive().expect("the agent lives");
             let found = wanted(&frame);
             all.push(frame);
             if found {
@@ -137,14 +137,14 @@
     })
 }
 
-struct Home {
+struct AgentFolder {
     config: PathBuf,
     log: PathBuf,
     _folder: tempfile::TempDir,
     name: String,
 }
 
-fn home(name: &str) -> Home {
+fn agent_folder(name: &str) -> AgentFolder {
     let folder = tempfile::tempdir().expect("a folder");
     let (config, log) = (
         folder.path().join("agent.toml"),
@@ -179,7 +179,7 @@
         log = log.display()
     );
     std::fs::write(&config, text).expect("a file");
-    Home {
+    AgentFolder {
         config,
         log,
         _folder: folder,
@@ -187,9 +187,9 @@
     }
 }
 
-impl Home {
+impl AgentFolder {
     /// How often each task's worker said that it started.
-    fn starts(&self) -> BTreeMap<u64, u32> {
+    fn starts_by_attempt(&self) -> BTreeMap<u64, u32> {
         let mut starts = BTreeMap::new();
         for line in std::fs::read_to_string(&self.log)
             .unwrap_or_default()
@@ -207,9 +207,9 @@
     }
 }
 
-impl Drop for Home {
+impl Drop for AgentFolder {
     fn drop(&mut self) {
-        for identity in maplethread_agent::process::marked(&self.name)
+        for identity in maplethread_agent::process::find_marked(&self.name)
             .values()
             .flatten()
         {
@@ -219,7 +219,7 @@
 }
 
 /// The attempts that are named as held.
-fn held(frames: &[Frame]) -> impl Iterator<Item = u64> {
+fn held_attempts(frames: &[Frame]) -> impl Iterator<Item = u64> {
     frames.iter().filter_map(|f| match f {
         Frame::Held(offer, _) => Some(offer.attempt_id),
         _ => None,
@@ -227,29 +227,30 @@
 }
 
 /// The attempts whose end is told.
-fn ends(frames: &[Frame]) -> impl Iterator<Item = u64> {
+fn finished_attempts(frames: &[Frame]) -> impl Iterator<Item = u64> {
     frames.iter().filter_map(|f| match f {
         Frame::Ended(attempt, ..) => Some(*attempt),
         _ => None,
     })
 }
 
-fn is_ended(attempt: u64) -> impl Fn(&Frame) -> bool {
+fn is_end_of(attempt: u64) -> impl Fn(&Frame) -> bool {
     move |f| matches!(f, Frame::Ended(a, ..) if *a == attempt)
 }
 
 #[test]
-fn a_real_process_is_started_measured_and_stopped() {
-    let home = home("plain");
+fn starts_measures_and_stops_a_real_process() {
+    let home = agent_folder("plain");
     let agent = Agent::start(&home.config);
-    let mut link = Link::greet(&agent);
-    link.until(|f| matches!(f, Frame::HeldEnd));
+    let mut link = PlacerConnection::greet(&agent);
+    link.receive_until(|f| matches!(f, Frame::HeldEnd));
     link.send(&offer(1, "work", DuplicatePolicy::Idempotent));
-    let came = link.until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
+    let came =
+        link.receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
     let at = |wanted: fn(&Frame) -> bool| came.iter().position(wanted).expect("it came");
     assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
     link.send(&Frame::Stop(1));
-    let came = link.until(is_ended(1));
+    let came = link.receive_until(is_end_of(1));
     assert!(
         matches!(
             came.last(),
@@ -260,66 +261,67 @@
 
     // One that takes no notice of being asked is made to end; one that ends by itself is done.
     link.send(&offer(2, "stubborn", DuplicatePolicy::Idempotent));
-    link.until(|f| matches!(f, Frame::Started(2, _)));
+    link.receive_until(|f| matches!(f, Frame::Started(2, _)));
     link.send(&Frame::Stop(2));
     assert!(matches!(
-        link.until(is_ended(2)).last(),
+        link.receive_until(is_end_of(2)).last(),
         Some(Frame::Ended(2, Reason::Stopped, true, _))
     ));
     link.send(&offer(3, "brief", DuplicatePolicy::Idempotent));
     assert!(matches!(
-        link.until(is_ended(3)).last(),
+        link.receive_until(is_end_of(3)).last(),
         Some(Frame::Ended(3, Reason::Completed, true, _))
     ));
 
     // What can't be started says so and never ran; what there is no program for is turned down.
     link.send(&offer(4, "missing", DuplicatePolicy::Idempotent));
     assert!(matches!(
-        link.until(is_ended(4)).last(),
+        link.receive_until(is_end_of(4)).last(),
         Some(Frame::Ended(4, Reason::Error, false, _))
     ));
     link.send(&offer(5, "unknown", DuplicatePolicy::Idempotent));
-    let refused = link.until(|f| matches!(f, Frame::Refused(5, ..)));
+    let refused = link.receive_until(|f| matches!(f, Frame::Refused(5, ..)));
     assert!(matches!(
         refused.last(),
         Some(Frame::Refused(5, Reason::Ineligible, _))
     ));
     // A copy of a key that stands is turned down, and there is room for so much only.
     link.send(&offer(6, "work", DuplicatePolicy::IdempotencyKey(9)));
-    link.until(|f| matches!(f, Frame::Started(6, _)));
+    link.receive_until(|f| matches!(f, Frame::Started(6, _)));
     link.send(&offer(7, "work", DuplicatePolicy::IdempotencyKey(9)));
     assert!(matches!(
-        link.until(|f| matches!(f, Frame::Refused(7, ..))).last(),
+        link.receive_until(|f| matches!(f, Frame::Refused(7, ..)))
+            .last(),
         Some(Frame::Refused(7, Reason::Ineligible, _))
     ));
     for attempt in 10..26 {
         link.send(&offer(attempt, "work", DuplicatePolicy::Idempotent));
     }
-    let refused = link.until(|f| matches!(f, Frame::Refused(25, ..)));
+    let refused = link.receive_until(|f| matches!(f, Frame::Refused(25, ..)));
     assert!(
         matches!(refused.last(), Some(Frame::Refused(25, Reason::Cores, Some(load))) if load.cores < 0.25)
     );
 }
 
 #[test]
-fn killed_at_whatever_instant_it_loses_none_and_doubles_none() {
-    let home = home("killed");
+fn loses_and_doubles_no_task_when_killed_at_any_instant() {
+    let home = agent_folder("killed");
     let mut accepted: BTreeSet<u64> = BTreeSet::new();
     let mut over: BTreeSet<u64> = BTreeSet::new();
     for round in 0..8u64 {
         let mut agent = Agent::start(&home.config);
-        let mut link = Link::greet(&agent);
+        let mut link = PlacerConnection::greet(&agent);
         // What it accepted in all its lives, it names as held, or tells the end of.
-        let greeting = link.until(|f| matches!(f, Frame::HeldEnd));
-        let mut known: BTreeSet<u64> = held(&greeting).collect();
-        over.extend(ends(&greeting));
+        let greeting = link.receive_until(|f| matches!(f, Frame::HeldEnd));
+        let mut known: BTreeSet<u64> = held_attempts(&greeting).collect();
+        over.extend(finished_attempts(&greeting));
         let missing = |known: &BTreeSet<u64>, over: &BTreeSet<u64>| {
             accepted
                 .iter()
                 .any(|a| !known.contains(a) && !over.contains(a))
         };
         while missing(&known, &over) {
-            if let Some(Frame::Ended(attempt, ..)) = link.next() {
+            if let Some(Frame::Ended(attempt, ..)) = link.receive() {
                 over.insert(attempt);
                 known.remove(&attempt);
             }
@@ -341,7 +343,7 @@
         let frames = [1, 2, 4, 7, 9, 12, 3, 5][round as usize];
         let mut seen = 0;
         while seen < frames
-            && let Some(frame) = link.next()
+            && let Some(frame) = link.receive()
         {
             seen += u32::from(!matches!(frame, Frame::Note(..)));
             match frame {
@@ -352,7 +354,7 @@
         }
         agent.kill();
         // What was on its way when it was killed.
-        while let Some(frame) = link.next() {
+        while let Some(frame) = link.receive() {
             match frame {
                 Frame::Accepted(attempt, _) => drop(accepted.insert(attempt)),
                 Frame::Ended(attempt, ..) => drop(over.insert(attempt)),
@@ -362,19 +364,19 @@
     }
     // At the end all that is held is stopped, and then nothing of it runs.
     let agent = Agent::start(&home.config);
-    let mut link = Link::greet(&agent);
-    let greeting = link.until(|f| matches!(f, Frame::HeldEnd));
-    let mut held: BTreeSet<u64> = held(&greeting).collect();
-    over.extend(ends(&greeting));
+    let mut link = PlacerConnection::greet(&agent);
+    let greeting = link.receive_until(|f| matches!(f, Frame::HeldEnd));
+    let mut held: BTreeSet<u64> = held_attempts(&greeting).collect();
+    over.extend(finished_attempts(&greeting));
     held.iter()
         .for_each(|&attempt| link.send(&Frame::Stop(attempt)));
     while !held.is_empty() || accepted.iter().any(|a| !over.contains(a)) {
-        if let Some(Frame::Ended(attempt, ..)) = link.next() {
+        if let Some(Frame::Ended(attempt, ..)) = link.receive() {
             held.remove(&attempt);
             over.insert(attempt);
         }
     }
-    let starts = home.starts();
+    let starts = home.starts_by_attempt();
     assert!(
         starts.values().all(|&n| n == 1),
         "a task was started twice: {starts:?}"
@@ -384,7 +386,7 @@
         "it accepted {accepted:?}, and started {starts:?}"
     );
     assert!(
-        maplethread_agent::process::marked(&home.name).is_empty(),
+        maplethread_agent::process::find_marked(&home.name).is_empty(),
         "something runs on"
     );
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -20,7 +20,7 @@
         workers,
         placers,
         hollow_placers,
-        with_view: false,
+        has_membership: false,
         seed: 7,
     };
     Fleet::start(size, Path::new(PROGRAM), &InterruptFlag::default()).expect("a fleet")
@@ -50,7 +50,11 @@
     fleet.counter().snapshot().since(&before)
 }
 
-fn one(messages: &[MessageCount], kind: MessageKind, direction: Direction) -> MessageCount {
+fn single_count(
+    messages: &[MessageCount],
+    kind: MessageKind,
+    direction: Direction,
+) -> MessageCount {
     let found = messages
         .iter()
         .find(|m| m.kind == kind && m.direction == direction);
@@ -78,7 +82,7 @@
 }
 
 #[test]
-fn each_start_costs_one_offer_one_acceptance_one_start_and_one_end() {
+fn start_costs_one_offer_acceptance_start_and_end() {
     let mut payload = Vec::new();
     for workers in [2, 8] {
         let mut fleet = fleet(workers, 1, 0);
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn a_connection_costs_one_greeting_and_nothing_else() {
+fn connection_costs_one_greeting_and_nothing_else() {
     for (workers, placers) in [(3, 1), (9, 2)] {
         let fleet = fleet(workers, placers, 0);
         let traffic = fleet.counter().snapshot().since(&Traffic::default());
@@ -112,16 +116,16 @@
         let both = [Direction::FromPlacer, Direction::ToPlacer];
         for direction in both {
             assert_eq!(
-                one(&traffic, MessageKind::Hello, direction).count,
+                single_count(&traffic, MessageKind::Hello, direction).count,
                 connections
             );
             assert_eq!(
-                one(&traffic, MessageKind::Connection, direction).count,
+                single_count(&traffic, MessageKind::Connection, direction).count,
                 connections
             );
         }
         assert_eq!(
-            one(&traffic, MessageKind::HeldEnd, Direction::ToPlacer).count,
+            single_count(&traffic, MessageKind::HeldEnd, Direction::ToPlacer).count,
             connections
         );
         let known = |kind| {
@@ -139,7 +143,7 @@
 }
 
 #[test]
-fn heartbeats_grow_no_faster_than_hosts_and_each_is_answered() {
+fn heartbeats_grow_at_most_linearly_with_hosts_and_are_answered() {
     for workers in [4, 16] {
         let fleet = fleet(workers, 1, 0);
         let begun = std::time::Instant::now();
@@ -156,8 +160,8 @@
         }
         let messages = fleet.counter().snapshot().since(&before);
         let seconds = begun.elapsed().as_secs_f64();
-        let sent = one(&messages, MessageKind::Ping, Direction::FromPlacer);
-        let answered = one(&messages, MessageKind::Pong, Direction::ToPlacer);
+        let sent = single_count(&messages, MessageKind::Ping, Direction::FromPlacer);
+        let answered = single_count(&messages, MessageKind::Pong, Direction::ToPlacer);
         // One a second at most for each host, and one that was due before.
         let most = workers as f64 * (seconds + 1.0);
         assert!(
@@ -184,19 +188,19 @@
     let traffic = fleet.counter().snapshot().since(&Traffic::default());
     // The fleet waits until the hollow placers are connected too; what is counted is the real placer's alone.
     assert_eq!(
-        one(&traffic, MessageKind::Hello, Direction::FromPlacer).count,
+        single_count(&traffic, MessageKind::Hello, Direction::FromPlacer).count,
         3
     );
 }
 
 #[test]
-fn the_datagrams_of_a_view_are_among_the_messages_of_its_sweep() {
+fn counts_membership_datagrams_among_the_messages_of_a_sweep() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("view.toml");
     let text = "dimension = \"members\"\nvalues = [2]\n[base]\nworkers = 2\nplacers = 1\n\
                 [phases]\nsettle_s = 0\nrest_s = 3\n";
     std::fs::write(&file, text).expect("a file");
-    let (code, errors) = run(
+    let (code, errors) = run_scale(
         &["scale", "run", &file.display().to_string()],
         folder.path(),
     );
@@ -205,7 +209,7 @@
     let result: SweepResult = serde_json::from_str(&text).expect("the format of results");
     let rest = &result.points[0].phases[0];
     assert_eq!((rest.phase, rest.placers.len()), (Phase::Rest, 2));
-    let datagrams = one(
+    let datagrams = single_count(
         &rest.messages,
         MessageKind::FleetDatagram,
         Direction::FromPlacer,
@@ -217,7 +221,7 @@
     );
 }
 
-fn run(arguments: &[&str], output: &Path) -> (Option<i32>, String) {
+fn run_scale(arguments: &[&str], output: &Path) -> (Option<i32>, String) {
     let out = Command::new(PROGRAM)
         .args(arguments)
         .arg("--output")
@@ -230,15 +234,15 @@
     )
 }
 
-fn sweeps() -> PathBuf {
+fn sweeps_folder() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/scale")
 }
 
 #[test]
-fn the_small_sweep_measures_every_phase_of_every_size() {
+fn small_sweep_measures_every_phase_of_every_size() {
     let folder = tempfile::tempdir().expect("a folder");
-    let file = sweeps().join("small.toml");
-    let (code, errors) = run(
+    let file = sweeps_folder().join("small.toml");
+    let (code, errors) = run_scale(
         &["scale", "run", &file.display().to_string()],
         folder.path(),
     );
@@ -288,7 +292,7 @@
 }
 
 #[test]
-fn a_sweep_that_does_not_fit_or_can_not_be_measured_is_refused_by_name() {
+fn rejects_sweep_that_does_not_fit_or_cannot_be_measured() {
     let folder = tempfile::tempdir().expect("a folder");
     let base = "[base]\nworkers = 100\nplacers = 20\n";
     let cases = [
@@ -335,9 +339,9 @@
 }
 
 #[test]
-fn every_sweep_that_comes_with_the_project_is_sound() {
+fn accepts_every_sweep_file_of_the_project() {
     let mut files = 0;
-    for entry in std::fs::read_dir(sweeps()).expect("a folder") {
+    for entry in std::fs::read_dir(sweeps_folder()).expect("a folder") {
         let path = entry.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("a file");
         let file = path.display().to_string();
--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -31,7 +31,7 @@
     command.output().expect("the program")
 }
 
-fn complaint(output: &Output) -> String {
+fn error_text(output: &Output) -> String {
     assert!(!output.status.success(), "it passed");
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
@@ -42,7 +42,7 @@
     results: PathBuf,
 }
 
-fn folder(result: &str) -> Folder {
+fn report_folder(result: &str) -> Folder {
     let kept = tempfile::tempdir().expect("a folder");
     let (page, results) = (
         kept.path().join("CAPACITY.md"),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_committed_page_and_plots_are_what_the_results_say() {
+fn committed_page_and_plots_match_the_results() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
     let output = report(&docs.join("CAPACITY.md"), &docs.join("capacity"), true);
     assert!(
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn what_was_written_passes_the_check_until_it_is_changed() {
-    let folder = folder(RESULT);
-    let before = complaint(&report(&folder.page, &folder.results, true));
+fn check_passes_on_written_page_until_it_is_changed() {
+    let folder = report_folder(RESULT);
+    let before = error_text(&report(&folder.page, &folder.results, true));
     assert!(
         before.contains("CAPACITY.md: block `workers` differs"),
         "{before}"
@@ -97,7 +97,7 @@
     );
 
     fs::write(&folder.page, page.replace("24,000", "25,000")).expect("a page");
-    let changed = complaint(&report(&folder.page, &folder.results, true));
+    let changed = error_text(&report(&folder.page, &folder.results, true));
     assert!(
         changed.contains("CAPACITY.md: block `size` differs") && !changed.contains("workers"),
         "{changed}"
@@ -105,18 +105,18 @@
 }
 
 #[test]
-fn a_result_that_cannot_be_read_is_told_with_file_and_line() {
-    let folder = folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
-    let why = complaint(&report(&folder.page, &folder.results, false));
+fn rejects_unreadable_result_with_file_and_line() {
+    let folder = report_folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
+    let why = error_text(&report(&folder.page, &folder.results, false));
     assert!(why.contains("workers.json: line 7, column "), "{why}");
     assert_eq!(fs::read_to_string(&folder.page).expect("a page"), PAGE);
 }
 
 #[test]
-fn a_page_without_markers_is_told() {
-    let folder = folder(RESULT);
+fn rejects_page_without_markers() {
+    let folder = report_folder(RESULT);
     fs::write(&folder.page, "# Capacity\n").expect("a page");
-    let why = complaint(&report(&folder.page, &folder.results, false));
+    let why = error_text(&report(&folder.page, &folder.results, false));
     assert!(
         why.contains("CAPACITY.md: no block `size`: add the lines"),
         "{why}"
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -14,19 +14,19 @@
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
-use crate::phases::settle;
+use crate::phases::wait_settled;
 use crate::sampler::{Sampler, Snapshot, process_sample};
-use crate::scenario::{RACK, ZONES};
+use crate::scenario::{RACK_SIZE, ZONE_COUNT};
 use crate::sweep_file::Phases;
 
 /// A step of a fault is looked after this often, and has failed after this.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-const STEP_WITHIN: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Once all is connected the watch goes on for so many seconds.
-const QUIET_SECONDS: usize = 3;
+const SETTLED_SECONDS: usize = 3;
 
 /// Strikes the fleet with a fault and measures its worst second.
-pub(crate) fn strike(
+pub(crate) fn inject_and_measure(
     fleet: &mut Fleet,
     fault: Fault,
     point: &PointSettings,
@@ -35,7 +35,7 @@
 ) -> Result<PhaseSample, ScaleError> {
     // These two end the fault before them; every other one finds the fleet whole.
     if !matches!(fault, Fault::ZoneReturns | Fault::RegionHeals) {
-        make_whole(fleet, point, phases)?;
+        restore_fleet(fleet, point, phases)?;
     }
     let (owners, stop) = (fleet.owners().clone(), AtomicBool::new(false));
     let tasks = u64::from(point.tasks);
@@ -43,13 +43,13 @@
         // Where placers are restarted, no task is lost, and clients would lose their connections.
         let asks_again = fault != Fault::PlacerRestarts;
         let (owners, stop) = (&owners, &stop);
-        let replacing = asks_again.then(|| scope.spawn(move || owners.replace_lost(tasks, stop)));
-        let mut watch = Watch {
+        let replacing = asks_again.then(|| scope.spawn(move || owners.resubmit_lost(tasks, stop)));
+        let mut watch = FaultObserver {
             sampler,
             tasks,
-            moments: vec![sampler.moment(fleet)],
+            snapshots: vec![sampler.snapshot(fleet)],
         };
-        let watched = watch.through(fleet, fault, phases);
+        let watched = watch.observe(fleet, fault, phases);
         stop.store(true, Ordering::Relaxed);
         let replaced = replacing.map(|thread| thread.join());
         watched?;
@@ -63,24 +63,28 @@
 }
 
 /// Brings back what earlier faults took away.
-pub(crate) fn make_whole(
+pub(crate) fn restore_fleet(
     fleet: &mut Fleet,
     point: &PointSettings,
     phases: &Phases,
 ) -> Result<(), ScaleError> {
     fleet.start_dead_workers();
-    fleet.heal();
+    fleet.reconnect_workers();
     fleet.wait_connected()?;
     fleet.owners().run_tasks(u64::from(point.tasks))?;
-    settle(fleet, phases)
+    wait_settled(fleet, phases)
 }
 
 /// Workers that stand in one rack: cells are filled zone by zone.
-fn rack(workers: usize) -> impl Iterator<Item = usize> {
-    (0..workers).step_by(ZONES).take(RACK)
+fn rack_workers(workers: usize) -> impl Iterator<Item = usize> {
+    (0..workers).step_by(ZONE_COUNT).take(RACK_SIZE)
 }
 
-fn restart_workers(fleet: &Fleet, phases: &Phases, watch: &mut Watch) -> Result<(), ScaleError> {
+fn restart_workers(
+    fleet: &Fleet,
+    phases: &Phases,
+    watch: &mut FaultObserver,
+) -> Result<(), ScaleError> {
     let start = Instant::now();
     for n in 0..phases.worker_restarts as usize {
         let at = start + Duration::from_secs_f64(n as f64 * phases.worker_restart_every_s);
@@ -94,32 +98,32 @@
 fn restart_placers(
     fleet: &mut Fleet,
     phases: &Phases,
-    watch: &mut Watch,
+    watch: &mut FaultObserver,
 ) -> Result<(), ScaleError> {
     let start = Instant::now();
     for number in 0..fleet.size().placers {
         let at = start + Duration::from_secs_f64(number as f64 * phases.placer_restart_every_s);
         watch.sample_until(fleet, at)?;
         fleet.end_placer(number)?;
-        watch.wait(fleet, |fleet| fleet.placer_ended(number))?;
-        fleet.spawn(number)?;
-        watch.wait(fleet, Fleet::placer_serves)?;
-        watch.wait(fleet, |fleet| fleet.all_connected())?;
+        watch.wait(fleet, |fleet| fleet.has_placer_ended(number))?;
+        fleet.spawn_placer(number)?;
+        watch.wait(fleet, Fleet::poll_serving_placer)?;
+        watch.wait(fleet, |fleet| fleet.is_fully_connected())?;
     }
     Ok(())
 }
 
 /// The moments of one fault, a second apart.
-struct Watch {
+struct FaultObserver {
     sampler: Sampler,
     /// Tasks that are to run once the fleet has settled.
     tasks: u64,
-    moments: Vec<Snapshot>,
+    snapshots: Vec<Snapshot>,
 }
 
-impl Watch {
+impl FaultObserver {
     /// Strikes, and goes on until the fault is over.
-    fn through(
+    fn observe(
         &mut self,
         fleet: &mut Fleet,
         fault: Fault,
@@ -128,16 +132,16 @@
         let workers = fleet.size().workers;
         match fault {
             Fault::WorkerDies => fleet.kill_workers([0]),
-            Fault::RackDies => fleet.kill_workers(rack(workers)),
-            Fault::ZoneDies => fleet.kill_workers((0..workers).step_by(ZONES)),
+            Fault::RackDies => fleet.kill_workers(rack_workers(workers)),
+            Fault::ZoneDies => fleet.kill_workers((0..workers).step_by(ZONE_COUNT)),
             Fault::ZoneReturns => fleet.start_dead_workers(),
-            Fault::RegionCut => fleet.cut_off((0..workers).step_by(2)),
-            Fault::RegionHeals => fleet.heal(),
+            Fault::RegionCut => fleet.isolate_workers((0..workers).step_by(2)),
+            Fault::RegionHeals => fleet.reconnect_workers(),
             Fault::WorkerRestarts => restart_workers(fleet, phases, self)?,
             Fault::PlacerRestarts => restart_placers(fleet, phases, self)?,
         }
         match fault {
-            Fault::RegionCut => self.go_on(fleet, phases.region_cut_s, |_, _| Ok(false)),
+            Fault::RegionCut => self.sample_for(fleet, phases.region_cut_s, |_, _| Ok(false)),
             _ => self.until_settled(fleet, phases),
         }
     }
@@ -145,12 +149,12 @@
     /// Goes on until a time, with a moment each second.
     fn sample_until(&mut self, fleet: &Fleet, until: Instant) -> Result<(), ScaleError> {
         loop {
-            let next = self.moments.last().map_or(until, Snapshot::next_second);
+            let next = self.snapshots.last().map_or(until, Snapshot::next_second);
             if next > until {
                 return fleet.interrupted().sleep_until(until);
             }
             fleet.interrupted().sleep_until(next)?;
-            self.moments.push(self.sampler.moment(fleet));
+            self.snapshots.push(self.sampler.snapshot(fleet));
         }
     }
 
@@ -162,17 +166,17 @@
     ) -> Result<(), ScaleError> {
         let start = Instant::now();
         while !done(fleet)? {
-            if start.elapsed() > STEP_WITHIN {
-                let why = format!("a step of a fault took longer than {STEP_WITHIN:?}");
+            if start.elapsed() > STEP_TIMEOUT {
+                let why = format!("a step of a fault took longer than {STEP_TIMEOUT:?}");
                 return Err(ScaleError::NotSettled(why));
             }
-            self.sample_until(fleet, Instant::now() + LOOK_EVERY)?;
+            self.sample_until(fleet, Instant::now() + POLL_INTERVAL)?;
         }
         Ok(())
     }
 
     /// Goes on for at most so many seconds, until `done` says so of the fleet and the seconds so far.
-    fn go_on(
+    fn sample_for(
         &mut self,
         fleet: &Fleet,
         at_most: f64,
@@ -181,11 +185,11 @@
         let start = Instant::now();
         while start.elapsed().as_secs_f64() < at_most {
             let next = self
-                .moments
+                .snapshots
                 .last()
                 .map_or_else(Instant::now, Snapshot::next_second);
             fleet.interrupted().sleep_until(next)?;
-            self.moments.push(self.sampler.moment(fleet));
+            self.snapshots.push(self.sampler.snapshot(fleet));
             if done(fleet, start.elapsed().as_secs_f64())? {
                 break;
             }
@@ -195,20 +199,20 @@
 
     fn until_settled(&mut self, fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
         let (mut quiet, tasks) = (0, self.tasks);
-        self.go_on(fleet, phases.fault_s, |fleet, seconds| {
+        self.sample_for(fleet, phases.fault_s, |fleet, seconds| {
             let statuses = fleet.statuses()?;
-            let settled = fleet.connected_by(&statuses) && statuses.actors >= tasks;
+            let settled = fleet.is_fully_connected_in(&statuses) && statuses.actors >= tasks;
             quiet = if settled { quiet + 1 } else { 0 };
-            Ok(quiet >= QUIET_SECONDS && seconds >= phases.fault_at_least_s)
+            Ok(quiet >= SETTLED_SECONDS && seconds >= phases.fault_at_least_s)
         })
     }
 
     fn worst_second(&self, fleet: &Fleet, fault: Fault) -> Result<PhaseSample, ScaleError> {
-        let connected = fleet.statuses()?.connected;
+        let connected = fleet.statuses()?.connected_hosts;
         let mut placers = Vec::new();
         for (number, host_connections) in connected.into_iter().enumerate() {
             let cores = self
-                .pairs()
+                .consecutive_snapshots()
                 .map(|(before, after)| after.cores_since(before)[number]);
             placers.push(process_sample(
                 fleet,
@@ -219,7 +223,7 @@
         }
         let bytes = |messages: &[MessageCount]| messages.iter().map(|m| m.wire_bytes).sum::<u64>();
         let seconds = self
-            .pairs()
+            .consecutive_snapshots()
             .map(|(before, after)| after.messages_since(before));
         Ok(PhaseSample {
             phase: Phase::WorstSecond(fault),
@@ -229,14 +233,14 @@
                 .max_by_key(|messages| bytes(messages))
                 .unwrap_or_default(),
             loopback_packets: self
-                .pairs()
+                .consecutive_snapshots()
                 .filter_map(|(before, after)| after.packets_since(before))
                 .max(),
             answer_us: None,
         })
     }
 
-    fn pairs(&self) -> impl Iterator<Item = (&Snapshot, &Snapshot)> {
-        self.moments.iter().zip(self.moments.iter().skip(1))
+    fn consecutive_snapshots(&self) -> impl Iterator<Item = (&Snapshot, &Snapshot)> {
+        self.snapshots.iter().zip(self.snapshots.iter().skip(1))
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -19,19 +19,19 @@
 use tempfile::TempDir;
 
 use crate::error::ScaleError;
-use crate::owners::{ClientPlan, Owners, Statuses};
-use crate::pause::InterruptFlag;
+use crate::interrupt::InterruptFlag;
+use crate::membership::{self, DatagramCounters};
+use crate::owners::{ClientPlan, Owners, PlacerStatuses};
 use crate::scenario::scenario;
-use crate::view::{self, DatagramCounters};
 
 /// A fleet that has not come to its state after this has failed.
-const SETTLES_WITHIN: Duration = Duration::from_secs(120);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// How often the placers are asked for their state.
-const LOOK_EVERY_S: f64 = 0.2;
+const POLL_INTERVAL_S: f64 = 0.2;
 /// Hollow placers ping as placers do unless told otherwise, µs.
-const HOLLOW_PING_EVERY: u64 = 1_000_000;
+const HOLLOW_PING_INTERVAL_US: u64 = 1_000_000;
 /// The host list's file.
-const INVENTORY: &str = "hosts.toml";
+const INVENTORY_FILE: &str = "hosts.toml";
 
 /// How large a fleet is.
 #[derive(Clone, Copy, Debug)]
@@ -43,7 +43,7 @@
     /// Hollow placers.
     pub hollow_placers: usize,
     /// Whether the real placers keep a view of each other.
-    pub with_view: bool,
+    pub has_membership: bool,
     /// Seed of all that is drawn.
     pub seed: u64,
 }
@@ -55,7 +55,7 @@
     interrupted: InterruptFlag,
     folder: TempDir,
     scenario: Arc<Scenario>,
-    rack: HostPool,
+    host_pool: HostPool,
     placers: Placers,
     hollow_placers: Option<HollowPlacers>,
     owners: Owners,
@@ -84,7 +84,7 @@
             interrupted: interrupted.clone(),
             folder,
             scenario,
-            rack,
+            host_pool: rack,
             placers: Placers::new(),
             hollow_placers: None,
             owners: Owners::new(size.placers, interrupted),
@@ -96,7 +96,7 @@
         fleet.start_placers()?;
         fleet.start_hollow_placers()?;
         fleet.wait_connected()?;
-        fleet.wait_seen()?;
+        fleet.wait_membership_complete()?;
         Ok(fleet)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// What the placers tell of themselves.
-    pub(crate) fn statuses(&self) -> Result<Statuses, ScaleError> {
+    pub(crate) fn statuses(&self) -> Result<PlacerStatuses, ScaleError> {
         self.owners.statuses()
     }
 
@@ -136,12 +136,12 @@
     /// The host list with all workers ready.
     pub(crate) fn inventory(&self) -> Inventory {
         let listed = vec![(HostState::Ready, None); self.size.workers];
-        settings::inventory(&self.scenario, &self.rack.addresses, &listed)
+        settings::inventory(&self.scenario, &self.host_pool.addresses, &listed)
     }
 
     /// Where the placers read their host list.
     pub(crate) fn inventory_path(&self) -> PathBuf {
-        self.folder.path().join(INVENTORY)
+        self.folder.path().join(INVENTORY_FILE)
     }
 
     fn write_inventory(&self, inventory: &Inventory) -> Result<(), ScaleError> {
@@ -149,12 +149,13 @@
     }
 
     fn start_placers(&mut self) -> Result<(), ScaleError> {
-        let members = if self.size.with_view {
+        let members = if self.size.has_membership {
             self.size.placers
         } else {
             0
         };
-        let mut sections = view::sections(members, self.folder.path())?.into_iter();
+        let mut sections =
+            membership::membership_sections(members, self.folder.path())?.into_iter();
         for number in 0..self.size.placers {
             let mut config = settings::placer(&self.scenario, number, self.size.seed, None);
             config.fleet = sections.next();
@@ -166,13 +167,13 @@
                 .map_err(ScaleError::io("settings"))?;
             std::fs::write(&path, text).map_err(ScaleError::io(path.display().to_string()))?;
             self.placers.add(path, log);
-            self.spawn(number)?;
+            self.spawn_placer(number)?;
         }
         self.wait_serving(self.size.placers)
     }
 
     /// Starts a placer that does not run.
-    pub(crate) fn spawn(&mut self, number: usize) -> Result<(), ScaleError> {
+    pub(crate) fn spawn_placer(&mut self, number: usize) -> Result<(), ScaleError> {
         let arguments = ["--log", "warn"].map(str::to_owned);
         self.placers
             .spawn(number, &self.program, &arguments)
@@ -181,7 +182,7 @@
 
     /// Waits until so many more placers serve.
     fn wait_serving(&mut self, count: usize) -> Result<(), ScaleError> {
-        let until = Instant::now() + SETTLES_WITHIN;
+        let until = Instant::now() + SETTLE_TIMEOUT;
         let mut serving = 0;
         while serving < count {
             self.interrupted.check()?;
@@ -191,7 +192,7 @@
                 serving += 1;
             }
             if Instant::now() > until {
-                let why = format!("{serving} of {count} placers serve after {SETTLES_WITHIN:?}");
+                let why = format!("{serving} of {count} placers serve after {SETTLE_TIMEOUT:?}");
                 return Err(ScaleError::NotSettled(why));
             }
         }
@@ -202,8 +203,8 @@
         if self.size.hollow_placers > 0 {
             let started = HollowPlacers::start(
                 self.size.hollow_placers,
-                &self.rack.addresses,
-                HOLLOW_PING_EVERY,
+                &self.host_pool.addresses,
+                HOLLOW_PING_INTERVAL_US,
             );
             self.hollow_placers = Some(started.map_err(ScaleError::io("hollow placers"))?);
         }
@@ -211,61 +212,70 @@
     }
 
     /// Workers that placers can be connected to.
-    pub(crate) fn workers_there(&self) -> usize {
+    pub(crate) fn reachable_workers(&self) -> usize {
         self.size.workers - self.dead_workers.len() - self.unreachable_workers.len()
     }
 
     /// Whether each placer is connected to just the workers that are there.
-    pub(crate) fn all_connected(&self) -> Result<bool, ScaleError> {
-        Ok(self.connected_by(&self.statuses()?))
+    pub(crate) fn is_fully_connected(&self) -> Result<bool, ScaleError> {
+        Ok(self.is_fully_connected_in(&self.statuses()?))
     }
 
     /// The same, by what the placers told.
-    pub(crate) fn connected_by(&self, statuses: &Statuses) -> bool {
-        let there = self.workers_there();
+    pub(crate) fn is_fully_connected_in(&self, statuses: &PlacerStatuses) -> bool {
+        let there = self.reachable_workers();
         let hollow = self
             .hollow_placers
             .as_ref()
             .map_or(0, HollowPlacers::connected);
-        let real = statuses.connected.iter().all(|&n| n as usize == there);
+        let real = statuses
+            .connected_hosts
+            .iter()
+            .all(|&n| n as usize == there);
         real && hollow >= there * self.size.hollow_placers
     }
 
     /// Waits until each placer is connected to all workers that are there.
     pub fn wait_connected(&self) -> Result<(), ScaleError> {
-        let until = Instant::now() + SETTLES_WITHIN;
-        while !self.all_connected()? {
+        let until = Instant::now() + SETTLE_TIMEOUT;
+        while !self.is_fully_connected()? {
             if Instant::now() > until {
-                let connected = self.statuses()?.connected;
-                let there = self.workers_there();
+                let connected = self.statuses()?.connected_hosts;
+                let there = self.reachable_workers();
                 let why = format!("placers are connected to {connected:?} of {there} workers");
                 return Err(ScaleError::NotSettled(why));
             }
-            self.interrupted.sleep(LOOK_EVERY_S)?;
+            self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
         Ok(())
     }
 
     /// Waits until all placers that keep a view see each other.
-    fn wait_seen(&self) -> Result<(), ScaleError> {
-        let until = Instant::now() + SETTLES_WITHIN;
+    fn wait_membership_complete(&self) -> Result<(), ScaleError> {
+        let until = Instant::now() + SETTLE_TIMEOUT;
         loop {
-            let views: Result<Vec<view::Seen>, ScaleError> =
-                self.viewers().iter().map(|&at| view::look(at)).collect();
-            if views?.iter().all(|seen| seen.live == self.size.placers) {
+            let views: Result<Vec<membership::MembershipStatus>, ScaleError> = self
+                .members()
+                .iter()
+                .map(|&at| membership::fetch_membership(at))
+                .collect();
+            if views?
+                .iter()
+                .all(|seen| seen.live_members == self.size.placers)
+            {
                 return Ok(());
             }
             if Instant::now() > until {
-                let why = format!("placers do not see each other after {SETTLES_WITHIN:?}");
+                let why = format!("placers do not see each other after {SETTLE_TIMEOUT:?}");
                 return Err(ScaleError::NotSettled(why));
             }
-            self.interrupted.sleep(LOOK_EVERY_S)?;
+            self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
     /// Placers that keep a view of each other.
-    fn viewers(&self) -> &[SocketAddr] {
-        if self.size.with_view {
+    fn members(&self) -> &[SocketAddr] {
+        if self.size.has_membership {
             &self.owners.placers
         } else {
             &[]
@@ -273,16 +283,19 @@
     }
 
     /// Datagrams that each placer with a view has sent; none for one that is just being restarted.
-    pub(crate) fn datagrams(&self) -> Vec<DatagramCounters> {
-        self.viewers()
+    pub(crate) fn sent_datagrams(&self) -> Vec<DatagramCounters> {
+        self.members()
             .iter()
-            .map(|&at| view::look(at).map_or_else(|_| DatagramCounters::default(), |s| s.sent))
+            .map(|&at| {
+                membership::fetch_membership(at)
+                    .map_or_else(|_| DatagramCounters::default(), |s| s.sent)
+            })
             .collect()
     }
 
     /// Waits until the placers hold no more than so many actors.
     pub fn wait_actors_at_most(&self, most: u64) -> Result<(), ScaleError> {
-        let until = Instant::now() + SETTLES_WITHIN;
+        let until = Instant::now() + SETTLE_TIMEOUT;
         loop {
             let actors = self.statuses()?.actors;
             if actors <= most {
@@ -293,7 +306,7 @@
                     "{actors} actors are held, {most} were awaited"
                 )));
             }
-            self.interrupted.sleep(LOOK_EVERY_S)?;
+            self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
@@ -305,7 +318,7 @@
     /// Workers die: their connections are reset and their tasks are lost.
     pub(crate) fn kill_workers(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
-            self.rack.command(HostCommand::Crash(worker));
+            self.host_pool.command(HostCommand::Crash(worker));
             self.dead_workers.push(worker);
         }
     }
@@ -314,28 +327,30 @@
     pub(crate) fn start_dead_workers(&mut self) {
         self.dead_workers
             .drain(..)
-            .for_each(|worker| self.rack.command(HostCommand::Start(worker)));
+            .for_each(|worker| self.host_pool.command(HostCommand::Start(worker)));
     }
 
     /// A worker's process is replaced by a new one, cold.
     pub(crate) fn restart_worker(&self, worker: usize) {
-        self.rack.command(HostCommand::Crash(worker));
-        self.rack.command(HostCommand::Start(worker));
+        self.host_pool.command(HostCommand::Crash(worker));
+        self.host_pool.command(HostCommand::Start(worker));
     }
 
     /// Nothing gets to these workers or from them any more.
-    pub(crate) fn cut_off(&mut self, workers: impl IntoIterator<Item = usize>) {
+    pub(crate) fn isolate_workers(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
-            self.rack.command(HostCommand::SetReachable(worker, false));
+            self.host_pool
+                .command(HostCommand::SetReachable(worker, false));
             self.unreachable_workers.push(worker);
         }
     }
 
     /// All workers can be reached again.
-    pub(crate) fn heal(&mut self) {
-        self.unreachable_workers
-            .drain(..)
-            .for_each(|worker| self.rack.command(HostCommand::SetReachable(worker, true)));
+    pub(crate) fn reconnect_workers(&mut self) {
+        self.unreachable_workers.drain(..).for_each(|worker| {
+            self.host_pool
+                .command(HostCommand::SetReachable(worker, true))
+        });
     }
 
     /// Tells a placer to end in order.
@@ -346,7 +361,7 @@
     }
 
     /// Whether a placer that was told to end has ended.
-    pub(crate) fn placer_ended(&mut self, number: usize) -> Result<bool, ScaleError> {
+    pub(crate) fn has_placer_ended(&mut self, number: usize) -> Result<bool, ScaleError> {
         let Some(child) = &mut self.placers.all[number].child else {
             return Ok(true);
         };
@@ -361,7 +376,7 @@
     }
 
     /// Whether a placer that was started has begun to serve since the last call.
-    pub(crate) fn placer_serves(&mut self) -> Result<bool, ScaleError> {
+    pub(crate) fn poll_serving_placer(&mut self) -> Result<bool, ScaleError> {
         let serves = self
             .placers
             .next_serving(Duration::ZERO)
--- a/crates/scale/src/host_list.rs
+++ b/crates/scale/src/host_list.rs
@@ -7,7 +7,7 @@
 
 use crate::error::ScaleError;
 use crate::fleet::write_inventory;
-use crate::pause::InterruptFlag;
+use crate::interrupt::InterruptFlag;
 
 /// A prime, so that successive changes strike workers far from each other.
 const STRIDE: usize = 7;
--- a/crates/scale/src/pause.rs
+++ b/crates/scale/src/interrupt.rs
@@ -7,7 +7,7 @@
 use crate::error::ScaleError;
 
 /// A pause looks this often whether it is to end.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Told by a flag that the sweep is to end.
 #[derive(Clone, Debug, Default)]
@@ -31,7 +31,7 @@
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(LOOK_EVERY));
+            std::thread::sleep(left.min(POLL_INTERVAL));
         }
     }
 
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -5,8 +5,8 @@
 use maplethread_capacity::Machine;
 
 /// The machine, as `/proc` tells it.
-pub(crate) fn machine() -> Machine {
-    let cpus = read("/proc/cpuinfo");
+pub(crate) fn describe_machine() -> Machine {
+    let cpus = read_file("/proc/cpuinfo");
     let processor = cpus
         .lines()
         .find_map(|l| l.strip_prefix("model name"))
@@ -15,13 +15,13 @@
         processor: processor.trim_start_matches([' ', '\t', ':']).to_owned(),
         cores: std::thread::available_parallelism().map_or(1, |n| n.get() as u32),
         memory_mib: memory_kib("MemTotal:") / 1024,
-        kernel: read("/proc/sys/kernel/osrelease").trim().to_owned(),
+        kernel: read_file("/proc/sys/kernel/osrelease").trim().to_owned(),
     }
 }
 
 /// A line of `/proc/meminfo`, KiB.
 pub(crate) fn memory_kib(key: &str) -> u64 {
-    let text = read("/proc/meminfo");
+    let text = read_file("/proc/meminfo");
     let line = text.lines().find_map(|l| l.strip_prefix(key));
     line.and_then(|l| l.split_whitespace().next())
         .and_then(|k| k.parse().ok())
@@ -29,7 +29,7 @@
 }
 
 /// The commit of the working tree, as git names it.
-pub(crate) fn commit() -> String {
+pub(crate) fn current_commit() -> String {
     let output = Command::new("git")
         .args(["describe", "--always", "--dirty"])
         .output();
@@ -43,13 +43,13 @@
 
 /// Packets that the loopback interface has received so far; each is sent and received once.
 pub(crate) fn loopback_packets() -> Option<u64> {
-    let text = read("/proc/net/dev");
+    let text = read_file("/proc/net/dev");
     let line = text
         .lines()
         .find_map(|l| l.trim_start().strip_prefix("lo:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-fn read(path: &str) -> String {
+fn read_file(path: &str) -> String {
     std::fs::read_to_string(path).unwrap_or_default()
 }
--- a/crates/scale/src/view.rs
+++ b/crates/scale/src/membership.rs
@@ -13,9 +13,9 @@
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 const KEY_FILE: &str = "fleet.key";
 /// Members that the others look for when they start.
-const MOST_SEEDS: usize = 3;
+const MAX_SEEDS: usize = 3;
 /// Bytes of the IPv4 and UDP headers of a datagram.
-const HEADER: u64 = 28;
+const HEADER_BYTES: u64 = 28;
 
 /// Datagrams that a placer has sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -28,14 +28,17 @@
 
 /// What a placer's view shows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Seen {
+pub(crate) struct MembershipStatus {
     /// Live members, itself included.
-    pub(crate) live: usize,
+    pub(crate) live_members: usize,
     pub(crate) sent: DatagramCounters,
 }
 
 /// Sections for so many members on free ports, with a key in this folder; all else as it is by default.
-pub(crate) fn sections(members: usize, folder: &Path) -> Result<Vec<FleetSection>, ScaleError> {
+pub(crate) fn membership_sections(
+    members: usize,
+    folder: &Path,
+) -> Result<Vec<FleetSection>, ScaleError> {
     let failed = || ScaleError::io("ports of the fleet's view");
     std::fs::write(folder.join(KEY_FILE), KEY).map_err(failed())?;
     // All are held until all are known, so that no port is given twice.
@@ -50,7 +53,7 @@
     let addresses = addresses.map_err(failed())?;
     let seeds: Vec<String> = addresses
         .iter()
-        .take(MOST_SEEDS)
+        .take(MAX_SEEDS)
         .map(|address| format!("\"{address}\""))
         .collect();
     let seeds = seeds.join(", ");
@@ -65,7 +68,7 @@
 }
 
 /// What the placer at this address shows of the others.
-pub(crate) fn look(address: SocketAddr) -> Result<Seen, ScaleError> {
+pub(crate) fn fetch_membership(address: SocketAddr) -> Result<MembershipStatus, ScaleError> {
     let (_, view) = maplethread_placer::get_json(address, "/v1/fleet")
         .map_err(ScaleError::io(format!("view of the placer at {address}")))?;
     let members = view["members"].as_array().map_or(&[][..], Vec::as_slice);
@@ -76,8 +79,8 @@
     let number = |value: &serde_json::Value| value.as_u64().unwrap_or(0);
     let counters = &view["counters"];
     let (count, bytes) = (number(&counters["sent"]), number(&counters["sent_bytes"]));
-    Ok(Seen {
-        live,
+    Ok(MembershipStatus {
+        live_members: live,
         sent: DatagramCounters {
             incarnation: number(&view["life"]),
             count,
@@ -87,7 +90,7 @@
 }
 
 /// Datagrams of all placers between two moments; those of a process that ended in between are not known.
-pub(crate) fn sent_since(
+pub(crate) fn datagrams_since(
     now: &[DatagramCounters],
     before: &[DatagramCounters],
 ) -> Option<MessageCount> {
@@ -101,7 +104,7 @@
         count += now.count - before.count;
         bytes += now.bytes - before.bytes;
     }
-    let wire_bytes = bytes + count * HEADER;
+    let wire_bytes = bytes + count * HEADER_BYTES;
     let (kind, direction) = (MessageKind::FleetDatagram, Direction::FromPlacer);
     (count > 0).then_some(MessageCount {
         kind,
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -8,18 +8,18 @@
 use maplethread_emulator::clients::{Clients, RequestLoad};
 
 use crate::error::ScaleError;
-use crate::pause::InterruptFlag;
+use crate::interrupt::InterruptFlag;
 
 /// Tasks that are to run before the phases begin are asked for at this rate.
 const PRELOAD_RATE: f64 = 2_000.0;
 /// Tasks that do not run after this are not there to be had.
-const PRELOAD_WITHIN: Duration = Duration::from_secs(60);
+const PRELOAD_TIMEOUT: Duration = Duration::from_secs(60);
 /// Owners of tasks that were lost together ask again within this time, s...
-const ASK_AGAIN_WITHIN: f64 = 1.0;
+const RESUBMIT_WITHIN_S: f64 = 1.0;
 /// ...and look this often whether theirs still run, s.
-const LOOK_EVERY: f64 = 0.5;
+const POLL_INTERVAL_S: f64 = 0.5;
 /// Client connections to each placer.
-const CONNECTIONS_EACH: usize = 16;
+const CONNECTIONS_PER_PLACER: usize = 16;
 
 /// The owners of all tasks of a fleet.
 #[derive(Clone, Debug)]
@@ -28,7 +28,7 @@
     pub(crate) placers: Vec<SocketAddr>,
     interrupted: InterruptFlag,
     /// Loads so far, so that each asks for actors of its own.
-    loads: Arc<AtomicU64>,
+    load_count: Arc<AtomicU64>,
 }
 
 /// What clients ask for.
@@ -46,9 +46,9 @@
 
 /// What the placers tell of themselves.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Statuses {
+pub(crate) struct PlacerStatuses {
     /// Hosts that each is connected to.
-    pub(crate) connected: Vec<u32>,
+    pub(crate) connected_hosts: Vec<u32>,
     /// Actors over all of them.
     pub(crate) actors: u64,
 }
@@ -60,18 +60,18 @@
         Owners {
             placers: vec![nowhere; placers],
             interrupted: interrupted.clone(),
-            loads: Arc::default(),
+            load_count: Arc::default(),
         }
     }
 
     /// What the placers tell of themselves.
-    pub(crate) fn statuses(&self) -> Result<Statuses, ScaleError> {
-        let mut statuses = Statuses::default();
+    pub(crate) fn statuses(&self) -> Result<PlacerStatuses, ScaleError> {
+        let mut statuses = PlacerStatuses::default();
         for &address in &self.placers {
             let (_, status) = maplethread_placer::get_json(address, "/v1/status")
                 .map_err(ScaleError::io(format!("status of the placer at {address}")))?;
             statuses
-                .connected
+                .connected_hosts
                 .push(status["hosts_connected"].as_u64().unwrap_or(0) as u32);
             statuses.actors += status["actors"].as_u64().unwrap_or(0);
         }
@@ -84,18 +84,18 @@
             requests_per_s: plan.requests_per_second,
             seconds: plan.seconds,
             split_s: plan.split_s,
-            connections: CONNECTIONS_EACH * self.placers.len(),
+            connections: CONNECTIONS_PER_PLACER * self.placers.len(),
             task_duration_ms: plan.task_duration_ms,
-            name: format!("actor-{}", self.loads.fetch_add(1, Ordering::Relaxed)),
+            name: format!("actor-{}", self.load_count.fetch_add(1, Ordering::Relaxed)),
         };
         Clients::connect(load, &self.placers).map_err(ScaleError::io("clients"))
     }
 
     /// Asks for tasks that never end until so many run.
     pub(crate) fn run_tasks(&self, tasks: u64) -> Result<(), ScaleError> {
-        let until = Instant::now() + PRELOAD_WITHIN;
+        let until = Instant::now() + PRELOAD_TIMEOUT;
         loop {
-            let missing = self.missing(tasks)?;
+            let missing = self.missing_tasks(tasks)?;
             if missing == 0 {
                 return Ok(());
             }
@@ -105,29 +105,29 @@
                 );
                 return Err(ScaleError::NotSettled(why));
             }
-            self.ask(missing, PRELOAD_RATE)?;
-            self.interrupted.sleep(LOOK_EVERY)?;
+            self.submit(missing, PRELOAD_RATE)?;
+            self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
     /// Asks again for tasks that were lost, whenever some were, until told to stop.
-    pub(crate) fn replace_lost(&self, tasks: u64, stop: &AtomicBool) -> Result<(), ScaleError> {
+    pub(crate) fn resubmit_lost(&self, tasks: u64, stop: &AtomicBool) -> Result<(), ScaleError> {
         while !stop.load(Ordering::Relaxed) {
-            let missing = self.missing(tasks)?;
+            let missing = self.missing_tasks(tasks)?;
             if missing > 0 {
-                self.ask(missing, missing as f64 / ASK_AGAIN_WITHIN)?;
+                self.submit(missing, missing as f64 / RESUBMIT_WITHIN_S)?;
             } else {
-                self.interrupted.sleep(LOOK_EVERY)?;
+                self.interrupted.sleep(POLL_INTERVAL_S)?;
             }
         }
         Ok(())
     }
 
-    fn missing(&self, tasks: u64) -> Result<u64, ScaleError> {
+    fn missing_tasks(&self, tasks: u64) -> Result<u64, ScaleError> {
         Ok(tasks.saturating_sub(self.statuses()?.actors))
     }
 
-    fn ask(&self, tasks: u64, rate: f64) -> Result<(), ScaleError> {
+    fn submit(&self, tasks: u64, rate: f64) -> Result<(), ScaleError> {
         let plan = ClientPlan {
             requests_per_second: rate,
             seconds: tasks as f64 / rate,
