--- a/crates/scale/src/phases.rs
+++ b/crates/scale/src/phases.rs
@@ -14,31 +14,31 @@
 use crate::sweep_file::Phases;
 
 /// The peak is measured this long after the first of its tasks should have ended, s.
-const ENDS_WITHIN: f64 = 1.0;
+const END_MARGIN_S: f64 = 1.0;
 /// Clients and list changes go on this long after the measured peak, so that its end is like its middle, s.
-const TAIL: f64 = 0.5;
+const TAIL_S: f64 = 0.5;
 
 /// Measures the fleet at rest.
-pub(crate) fn rest(
+pub(crate) fn measure_rest(
     fleet: &Fleet,
     phases: &Phases,
     sampler: Sampler,
 ) -> Result<PhaseSample, ScaleError> {
-    settle(fleet, phases)?;
-    let before = sampler.moment(fleet);
+    wait_settled(fleet, phases)?;
+    let before = sampler.snapshot(fleet);
     fleet.interrupted().sleep(phases.rest_s)?;
-    let after = sampler.moment(fleet);
-    sampler.phase(fleet, Phase::Rest, (&before, &after))
+    let after = sampler.snapshot(fleet);
+    sampler.phase_between(fleet, Phase::Rest, (&before, &after))
 }
 
 /// Waits until all placers are connected to all workers, and for the quiet time after that.
-pub(crate) fn settle(fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
+pub(crate) fn wait_settled(fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
     fleet.wait_connected()?;
     fleet.interrupted().sleep(phases.settle_s)
 }
 
 /// Measures the fleet at the peak; nothing where the peak is no different from rest.
-pub(crate) fn peak(
+pub(crate) fn measure_peak(
     fleet: &Fleet,
     point: &PointSettings,
     phases: &Phases,
@@ -47,24 +47,26 @@
     if point.starts_per_second == 0.0 && point.list_changes_per_second == 0.0 {
         return Ok(None);
     }
-    settle(fleet, phases)?;
-    let warm_up = phases.task_life_s + ENDS_WITHIN;
-    let whole = warm_up + phases.peak_s + TAIL;
-    let clients = clients(fleet, point, phases, whole)?;
+    wait_settled(fleet, phases)?;
+    let warm_up = phases.task_life_s + END_MARGIN_S;
+    let whole = warm_up + phases.peak_s + TAIL_S;
+    let clients = connect_clients(fleet, point, phases, whole)?;
     let changes = list_changes(fleet, point, whole);
     thread::scope(|scope| {
         let asking = clients.map(|clients| scope.spawn(move || clients.run()));
         let changing = changes.map(|changes| scope.spawn(move || changes.run()));
         fleet.interrupted().sleep(warm_up)?;
-        let before = sampler.moment(fleet);
+        let before = sampler.snapshot(fleet);
         fleet.interrupted().sleep(phases.peak_s)?;
-        let after = sampler.moment(fleet);
-        let mut sample = sampler.phase(fleet, Phase::Peak, (&before, &after))?;
+        let after = sampler.snapshot(fleet);
+        let mut sample = sampler.phase_between(fleet, Phase::Peak, (&before, &after))?;
         if let Some(asking) = asking {
             let answers = asking
                 .join()
                 .map_err(|_| ScaleError::NotSettled("the clients failed".to_owned()))?;
-            sample.answer_us = Some(answered(&answers.map_err(ScaleError::io("clients"))?)?);
+            sample.answer_us = Some(answer_times_us(
+                &answers.map_err(ScaleError::io("clients"))?,
+            )?);
         }
         if let Some(changing) = changing {
             changing
@@ -75,7 +77,7 @@
     })
 }
 
-fn clients(
+fn connect_clients(
     fleet: &Fleet,
     point: &PointSettings,
     phases: &Phases,
@@ -87,7 +89,7 @@
     let plan = ClientPlan {
         requests_per_second: point.starts_per_second,
         seconds,
-        split_s: phases.task_life_s + ENDS_WITHIN,
+        split_s: phases.task_life_s + END_MARGIN_S,
         task_duration_ms: Some((phases.task_life_s * 1000.0) as u64),
     };
     fleet.clients(plan).map(Some)
@@ -105,7 +107,7 @@
 }
 
 /// Median, 99th percentile and longest time to an answer; an error if not every ask was placed.
-fn answered(answers: &AnswerTimes) -> Result<[u64; 3], ScaleError> {
+fn answer_times_us(answers: &AnswerTimes) -> Result<[u64; 3], ScaleError> {
     if answers.placed < answers.requests {
         let (placed, asked) = (answers.placed, answers.requests);
         return Err(ScaleError::NotSettled(format!(
--- a/crates/scale/src/needs.rs
+++ b/crates/scale/src/requirements.rs
@@ -18,9 +18,9 @@
 const TASK_KIB: u64 = 4;
 
 /// Complains if the machine can't hold a point.
-pub(crate) fn check(point: &PointSettings) -> Result<(), ScaleError> {
+pub(crate) fn check_machine(point: &PointSettings) -> Result<(), ScaleError> {
     let limit = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
-    let needed = descriptors(point);
+    let needed = needed_descriptors(point);
     if needed > limit {
         return Err(ScaleError::DoesNotFit {
             what: "open descriptors of one process",
@@ -29,7 +29,7 @@
             remedy: "raise the limit (ulimit -n) or sweep fewer workers or placers",
         });
     }
-    let (needed, available) = (memory(point), memory_kib("MemTotal:") / 2);
+    let (needed, available) = (needed_memory_kib(point), memory_kib("MemTotal:") / 2);
     if needed > available {
         return Err(ScaleError::DoesNotFit {
             what: "memory, KiB",
@@ -42,7 +42,7 @@
 }
 
 /// Descriptors of the process with the hollow hosts and the hollow placers, which has the most.
-fn descriptors(point: &PointSettings) -> u64 {
+fn needed_descriptors(point: &PointSettings) -> u64 {
     let (workers, placers) = (u64::from(point.workers), u64::from(point.placers));
     let hollow = u64::from(point.hollow_placers);
     let listeners = workers;
@@ -51,7 +51,7 @@
     listeners + host_ends + hollow_placer_ends + OWN_DESCRIPTORS
 }
 
-fn memory(point: &PointSettings) -> u64 {
+fn needed_memory_kib(point: &PointSettings) -> u64 {
     let (workers, placers) = (u64::from(point.workers), u64::from(point.placers));
     let tasks = u64::from(point.tasks);
     let connections = workers * (placers + 2 * u64::from(point.hollow_placers));
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -9,7 +9,7 @@
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
 use crate::machine::loopback_packets;
-use crate::view::{DatagramCounters, sent_since};
+use crate::membership::{DatagramCounters, datagrams_since};
 
 /// Processor time of one placer process so far.
 #[derive(Clone, Copy, Debug)]
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     taken_at: Instant,
-    processors: Vec<Option<ProcessorTime>>,
+    processor_times: Vec<Option<ProcessorTime>>,
     traffic: Traffic,
     datagrams: Vec<DatagramCounters>,
     loopback_packets: Option<u64>,
@@ -32,19 +32,23 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sampler {
     /// Nothing else uses the loopback interface, so its packets can be told.
-    pub(crate) alone: bool,
+    pub(crate) owns_loopback: bool,
 }
 
 impl Sampler {
     /// What was used so far.
-    pub(crate) fn moment(self, fleet: &Fleet) -> Snapshot {
+    pub(crate) fn snapshot(self, fleet: &Fleet) -> Snapshot {
         let pids = fleet.pids();
         let processors = pids.into_iter().map(|pid| processor_time(pid?)).collect();
-        let packets = if self.alone { loopback_packets() } else { None };
-        let datagrams = fleet.datagrams();
+        let packets = if self.owns_loopback {
+            loopback_packets()
+        } else {
+            None
+        };
+        let datagrams = fleet.sent_datagrams();
         Snapshot {
             taken_at: Instant::now(),
-            processors,
+            processor_times: processors,
             traffic: fleet.counter().snapshot(),
             datagrams,
             loopback_packets: packets,
@@ -52,7 +56,7 @@
     }
 
     /// A phase between two moments; memory, descriptors and connections are those of now.
-    pub(crate) fn phase(
+    pub(crate) fn phase_between(
         self,
         fleet: &Fleet,
         phase: Phase,
@@ -60,7 +64,7 @@
     ) -> Result<PhaseSample, ScaleError> {
         let (before, after) = span;
         let seconds = after.seconds_since(before);
-        let connected = fleet.statuses()?.connected;
+        let connected = fleet.statuses()?.connected_hosts;
         let mut placers = Vec::new();
         for (number, cpu_cores) in after.cores_since(before).into_iter().enumerate() {
             let host_connections = connected.get(number).copied().unwrap_or(0);
@@ -90,7 +94,7 @@
     /// Cores that each placer used since an earlier moment; one that was started since counts from its start.
     pub(crate) fn cores_since(&self, earlier: &Snapshot) -> Vec<f64> {
         let seconds = self.seconds_since(earlier).max(1e-9);
-        let pairs = self.processors.iter().zip(&earlier.processors);
+        let pairs = self.processor_times.iter().zip(&earlier.processor_times);
         let used = pairs.map(|(now, before)| match (now, before) {
             (Some(now), Some(before)) if now.pid == before.pid => now.cpu_s - before.cpu_s,
             (Some(now), _) => now.cpu_s,
@@ -102,7 +106,7 @@
     /// Messages since an earlier moment.
     pub(crate) fn messages_since(&self, earlier: &Snapshot) -> Vec<MessageCount> {
         let mut messages = self.traffic.since(&earlier.traffic);
-        messages.extend(sent_since(&self.datagrams, &earlier.datagrams));
+        messages.extend(datagrams_since(&self.datagrams, &earlier.datagrams));
         messages
     }
 
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -6,9 +6,9 @@
 use maplethread_emulator::settings::plain_class;
 
 /// Hosts of a rack: what dies together in the smaller of the two faults of many hosts.
-pub(crate) const RACK: usize = 40;
+pub(crate) const RACK_SIZE: usize = 40;
 /// Zones, so that one of them is a quarter of the hosts.
-pub(crate) const ZONES: usize = 4;
+pub(crate) const ZONE_COUNT: usize = 4;
 
 /// A fleet of so many hosts and placers.
 pub(crate) fn scenario(workers: usize, placers: u32) -> Scenario {
@@ -39,8 +39,8 @@
 fn fleet(hosts: usize) -> Fleet {
     Fleet {
         hosts,
-        zones: (0..ZONES).map(|zone| format!("zone-{zone}")).collect(),
-        cell_size: RACK,
+        zones: (0..ZONE_COUNT).map(|zone| format!("zone-{zone}")).collect(),
+        cell_size: RACK_SIZE,
         placed_when: AcceptancePoint::Accepted,
         cpu_overcommit: 1.0,
         memory_overcommit: 1.0,
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -6,12 +6,12 @@
 use maplethread_capacity::{Point, PointSettings, RESULT_FORMAT, SweepResult};
 
 use crate::error::ScaleError;
-use crate::faults::{make_whole, strike};
+use crate::faults::{inject_and_measure, restore_fleet};
 use crate::fleet::{Fleet, FleetSize};
-use crate::machine::{commit, machine};
-use crate::needs;
-use crate::pause::InterruptFlag;
-use crate::phases::{peak, rest};
+use crate::interrupt::InterruptFlag;
+use crate::machine::{current_commit, describe_machine};
+use crate::phases::{measure_peak, measure_rest};
+use crate::requirements;
 use crate::sampler::Sampler;
 use crate::sweep_file::SweepFile;
 
@@ -42,11 +42,11 @@
         .iter()
         .map(|&value| sweep.point(value))
         .collect();
-    sizes.iter().try_for_each(needs::check)?;
+    sizes.iter().try_for_each(requirements::check_machine)?;
     let mut points = Vec::new();
     for settings in sizes {
         for &seed in &sweep.seeds {
-            points.push(measure(options, settings, seed)?);
+            points.push(measure_point(options, settings, seed)?);
         }
     }
     Ok(SweepResult {
@@ -54,13 +54,13 @@
         sweep: options.name.clone(),
         dimension: sweep.dimension,
         command: options.command.clone(),
-        commit: commit(),
-        machine: machine(),
+        commit: current_commit(),
+        machine: describe_machine(),
         points,
     })
 }
 
-fn measure(
+fn measure_point(
     options: &SweepOptions,
     settings: PointSettings,
     seed: u64,
@@ -69,22 +69,24 @@
     let (phases, sampler) = (
         &options.sweep.phases,
         Sampler {
-            alone: options.owns_loopback,
+            owns_loopback: options.owns_loopback,
         },
     );
     let size = FleetSize {
         workers: settings.workers as usize,
         placers: settings.placers as usize,
         hollow_placers: settings.hollow_placers as usize,
-        with_view: settings.members > 0,
+        has_membership: settings.members > 0,
         seed,
     };
     let mut fleet = Fleet::start(size, &options.program, &options.interrupted)?;
-    make_whole(&mut fleet, &settings, phases)?;
-    let mut samples = vec![rest(&fleet, phases, sampler)?];
-    samples.extend(peak(&fleet, &settings, phases, sampler)?);
+    restore_fleet(&mut fleet, &settings, phases)?;
+    let mut samples = vec![measure_rest(&fleet, phases, sampler)?];
+    samples.extend(measure_peak(&fleet, &settings, phases, sampler)?);
     for &fault in &options.sweep.faults {
-        samples.push(strike(&mut fleet, fault, &settings, phases, sampler)?);
+        samples.push(inject_and_measure(
+            &mut fleet, fault, &settings, phases, sampler,
+        )?);
     }
     if options.shows_progress {
         let seconds = started.elapsed().as_secs_f64();
