--- a/crates/checker/src/record.rs
+++ b/crates/checker/src/history.rs
@@ -25,7 +25,7 @@
     /// Failed.
     Failed,
     /// Not taken: a problem of this status.
-    Turned(u16),
+    NotAccepted(u16),
 }
 
 /// One thing that was seen.
@@ -36,9 +36,9 @@
 )]
 pub enum Observation {
     /// A host's process is up, since this Unix time in ms.
-    HostUp { host: Arc<str>, started_ms: u64 },
+    HostStarted { host: Arc<str>, started_ms: u64 },
     /// A host's process is gone.
-    HostDown { host: Arc<str> },
+    HostStopped { host: Arc<str> },
     /// A placer has greeted a host over this connection.
     PlacerConnected {
         host: Arc<str>,
@@ -47,7 +47,7 @@
         incarnation: u64,
     },
     /// The connection is over.
-    LinkLost { host: Arc<str>, link: u64 },
+    ConnectionLost { host: Arc<str>, link: u64 },
     /// A frame from the placer on this connection.
     FrameFromPlacer {
         host: Arc<str>,
@@ -55,7 +55,7 @@
         frame: Frame,
     },
     /// A frame from the host on this connection.
-    FromHost {
+    FrameFromHost {
         host: Arc<str>,
         link: u64,
         frame: Frame,
@@ -72,41 +72,41 @@
     /// The connection ended without an answer.
     ClientConnectionLost { request: Arc<str> },
     /// A client gave up.
-    HungUp { request: Arc<str> },
+    ClientDisconnected { request: Arc<str> },
     /// A sound inventory was put in place: hosts that take tasks, with their start, and those that are gone.
-    Inventory {
+    InventoryReplaced {
         ready: Vec<(Arc<str>, Option<u64>)>,
         gone: Vec<Arc<str>>,
     },
     /// The inventory can't be read from now on, until a sound one is put in place.
     InventoryUnreadable,
     /// A catalogue's answer went out to a placer: its index, whether it was read consistently, and its bytes.
-    Catalogue {
+    CatalogueAnswered {
         placer: Arc<str>,
         index: u64,
         consistent: bool,
         body: Arc<[u8]>,
     },
     /// A placer's session has locked a number, as the catalogue's leader took it in.
-    NumberLocked { number: Arc<str>, placer: Arc<str> },
+    ReplicaIndexLocked { number: Arc<str>, placer: Arc<str> },
     /// A number is free; nobody may lock it before so long.
-    NumberFree { number: Arc<str>, after_us: u64 },
+    ReplicaIndexReleased { number: Arc<str>, after_us: u64 },
     /// The catalogue has no leader for so long.
-    NoLeader { for_us: u64 },
+    CatalogueLeaderLost { for_us: u64 },
     /// A placer's process is up and told its address.
-    PlacerUp { placer: Arc<str> },
+    PlacerStarted { placer: Arc<str> },
     /// It was killed.
-    PlacerDown { placer: Arc<str> },
+    PlacerStopped { placer: Arc<str> },
     /// It was made to stand still.
     PlacerPaused { placer: Arc<str> },
     /// A reader is late: what it reads from here on may have come at any time since this one, when it last found nothing
     /// more to read. Or it is in time again.
-    ReadLate {
+    ObserverDelayed {
         reader: Observer,
         since: Option<u64>,
     },
     /// It goes on.
-    PlacerGoesOn { placer: Arc<str> },
+    PlacerResumed { placer: Arc<str> },
 }
 
 /// Whose traffic a reader reads.
--- a/crates/checker/src/read_late.rs
+++ b/crates/checker/src/observer_delay.rs
@@ -1,7 +1,7 @@
 //! How late the readers of the record were: what was sent in time and read late is not its sender's fault.
 
-use crate::judge::Judge;
-use crate::record::{Observation, Observer};
+use crate::checker::Checker;
+use crate::history::{Observation, Observer};
 
 /// Since when each reader had not looked, where it told that it was late.
 #[derive(Default)]
@@ -14,7 +14,7 @@
 
 impl ObserverDelay {
     /// What this reader reads from here on may have come at any time since, if it is late.
-    pub(crate) fn note(&mut self, reader: Observer, since: Option<u64>) {
+    pub(crate) fn set_delay(&mut self, reader: Observer, since: Option<u64>) {
         match reader {
             Observer::Hosts => self.hosts_since = since,
             Observer::Clients => self.clients_since = since,
@@ -22,31 +22,32 @@
     }
 }
 
-impl Judge<'_> {
+impl Checker<'_> {
     /// All that was sent to hosts by this time has been read, as far as is known from the record up to here.
     pub(crate) fn hosts_read_through(&mut self, seen: &Observation) -> u64 {
         if matches!(seen, Observation::FrameFromPlacer { .. }) {
             let through = self.earliest_arrival(Observer::Hosts);
-            self.read_late.hosts_read_through = self.read_late.hosts_read_through.max(through);
+            self.observer_delay.hosts_read_through =
+                self.observer_delay.hosts_read_through.max(through);
         }
-        self.read_late.hosts_read_through
+        self.observer_delay.hosts_read_through
     }
 
     /// When what is read now at a host was sent: just now, or where the reader is late, as early as it can have been.
     pub(crate) fn sent_to_host(&self) -> u64 {
-        self.read_late
+        self.observer_delay
             .hosts_since
-            .map_or(self.at, |since| since.min(self.at))
+            .map_or(self.now, |since| since.min(self.now))
     }
 
     /// What is read now came no earlier than this: the slack before, or where the reader itself had not looked for longer,
     /// when it last found nothing more to read.
     pub(crate) fn earliest_arrival(&self, reader: Observer) -> u64 {
         let since = match reader {
-            Observer::Hosts => self.read_late.hosts_since,
-            Observer::Clients => self.read_late.clients_since,
+            Observer::Hosts => self.observer_delay.hosts_since,
+            Observer::Clients => self.observer_delay.clients_since,
         };
-        let usual = self.at.saturating_sub(self.figures.slack);
+        let usual = self.now.saturating_sub(self.parameters.timing_slack_us);
         since.map_or(usual, |since| since.min(usual))
     }
 }
--- a/crates/checker/src/numbers.rs
+++ b/crates/checker/src/replica_indexes.rs
@@ -4,8 +4,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::judge::{Judge, Name};
-use crate::record::Observation;
+use crate::checker::{Checker, Name};
+use crate::history::Observation;
 
 /// What a placer's present life has.
 #[derive(Clone, Copy)]
@@ -32,7 +32,7 @@
     unavailable: BTreeSet<Name>,
     locks: BTreeMap<Name, (Name, IndexLock)>,
     free: BTreeMap<Name, FreeIndex>,
-    no_leader_until: u64,
+    leaderless_until: u64,
     advanced_to: u64,
 }
 
@@ -60,7 +60,7 @@
                 let since = self
                     .advanced_to
                     .max(free.available_from)
-                    .max(self.no_leader_until);
+                    .max(self.leaderless_until);
                 free.waited_us += now.saturating_sub(since);
             }
         }
@@ -68,13 +68,13 @@
     }
 }
 
-impl Judge<'_> {
-    pub(crate) fn number_seen(&mut self, seen: &Observation) {
-        let at = self.at;
-        self.numbers.advance(at);
-        let numbers = &mut self.numbers;
+impl Checker<'_> {
+    pub(crate) fn observe_replica_index(&mut self, seen: &Observation) {
+        let at = self.now;
+        self.replica_indexes.advance(at);
+        let numbers = &mut self.replica_indexes;
         match seen {
-            Observation::NumberLocked { number, placer } => {
+            Observation::ReplicaIndexLocked { number, placer } => {
                 numbers.are_leased = true;
                 let other = numbers.locks.iter().find(|(p, (n, lock))| {
                     let out = match lock {
@@ -88,14 +88,14 @@
                     .locks
                     .insert(placer.clone(), (number.clone(), IndexLock::Held));
                 if let Some(free) = numbers.free.remove(number) {
-                    self.verdict.number_waits.push(free.waited_us);
+                    self.verdict.replica_index_waits_us.push(free.waited_us);
                 }
                 if let Some(other) = other {
                     let what = format!("{placer} locked number {number}, which {other} still held");
-                    self.broken(4, what, vec![self.number]);
+                    self.report_violation(4, what, vec![self.entry_index]);
                 }
             }
-            Observation::NumberFree { number, after_us } => {
+            Observation::ReplicaIndexReleased { number, after_us } => {
                 let until = at + after_us;
                 for (n, lock) in numbers.locks.values_mut() {
                     if n == number && matches!(lock, IndexLock::Held) {
@@ -110,12 +110,12 @@
                     },
                 );
             }
-            Observation::NoLeader { for_us } => numbers.no_leader_until = at + for_us,
-            Observation::PlacerUp { placer } => {
+            Observation::CatalogueLeaderLost { for_us } => numbers.leaderless_until = at + for_us,
+            Observation::PlacerStarted { placer } => {
                 numbers.placers.insert(placer.clone());
                 numbers.unavailable.remove(placer);
             }
-            Observation::PlacerDown { placer } => {
+            Observation::PlacerStopped { placer } => {
                 // Its next life has to lock a number of its own.
                 numbers.locks.remove(placer);
                 numbers.unavailable.insert(placer.clone());
@@ -123,41 +123,41 @@
             Observation::PlacerPaused { placer } => {
                 numbers.unavailable.insert(placer.clone());
             }
-            Observation::PlacerGoesOn { placer } => drop(numbers.unavailable.remove(placer)),
+            Observation::PlacerResumed { placer } => drop(numbers.unavailable.remove(placer)),
             _ => {}
         }
     }
 
     /// A cold host got an offer: only those who hold a number may send one.
-    pub(crate) fn number_needed(&mut self, placer: &Name, host: &Name) {
-        if !self.numbers.are_leased {
+    pub(crate) fn check_replica_index_held(&mut self, placer: &Name, host: &Name) {
+        if !self.replica_indexes.are_leased {
             return;
         }
-        let why = match self.numbers.locks.get(placer) {
+        let why = match self.replica_indexes.locks.get(placer) {
             Some((_, IndexLock::Held)) => return,
-            Some((_, IndexLock::ReleasedUntil(until))) if self.at < *until => return,
+            Some((_, IndexLock::ReleasedUntil(until))) if self.now < *until => return,
             Some((number, IndexLock::ReleasedUntil(_))) => {
                 format!("whose number {number} was let go of")
             }
             None => "which holds no number".to_owned(),
         };
-        self.broken(
+        self.report_violation(
             4,
             format!("cold {host} was offered a task by {placer}, {why}"),
-            vec![self.number],
+            vec![self.entry_index],
         );
     }
 
     /// The day is over: what is still free has waited at least so long.
-    pub(crate) fn close_numbers(&mut self, end: u64) {
-        self.numbers.advance(end);
+    pub(crate) fn finish_replica_indexes(&mut self, end: u64) {
+        self.replica_indexes.advance(end);
         let waited = self
-            .numbers
+            .replica_indexes
             .free
             .values()
             .map(|f| f.waited_us)
             .filter(|&w| w > 0);
-        self.verdict.number_waits.extend(waited);
-        self.verdict.number_waits.sort_unstable();
+        self.verdict.replica_index_waits_us.extend(waited);
+        self.verdict.replica_index_waits_us.sort_unstable();
     }
 }
--- a/crates/checker/src/rule_3.rs
+++ b/crates/checker/src/rule_3_drain.rs
@@ -2,26 +2,32 @@
 
 use std::collections::BTreeSet;
 
-use crate::judge::{Judge, Name};
-use crate::record::Observer;
+use crate::checker::{Checker, Name};
+use crate::history::Observer;
 
-impl Judge<'_> {
-    pub(crate) fn rule_3(&mut self, placer: &Name, host: &Name) {
-        let (at, grace) = (self.at, self.figures.drain_grace);
+impl Checker<'_> {
+    pub(crate) fn check_drained_host(&mut self, placer: &Name, host: &Name) {
+        let (at, grace) = (self.now, self.parameters.drain_grace_us);
         let arrived = self.earliest_arrival(Observer::Hosts);
-        let drained = self.barred.get(&(placer.clone(), host.clone())).copied();
+        let drained = self
+            .drain_announced
+            .get(&(placer.clone(), host.clone()))
+            .copied();
         let listed = self
-            .inventory
+            .missing_from_inventory
             .get(host)
-            .map(|&(told, shown)| (self.inventory_reached(placer, told), shown));
-        let catalogue = self.catalogue.get(&(placer.clone(), host.clone())).copied();
+            .map(|&(told, shown)| (self.inventory_reached_placer_at(placer, told), shown));
+        let catalogue = self
+            .missing_from_catalogue
+            .get(&(placer.clone(), host.clone()))
+            .copied();
         for (told, shown) in drained.into_iter().chain(listed).chain(catalogue) {
             if arrived > told.saturating_add(grace) {
                 let late = (at - told) / 1000;
                 let what = format!(
                     "{placer} offered to {host} {late} ms after it was told that it takes nothing new"
                 );
-                self.broken(3, what, vec![shown, self.number]);
+                self.report_violation(3, what, vec![shown, self.entry_index]);
                 return;
             }
         }
@@ -29,14 +35,17 @@
 
     /// What a catalogue's answer tells: a host with a critical check, or without an entry, takes nothing new. An
     /// answer older than another that was told is no news, unless a leader gave it that verified itself.
-    pub(crate) fn catalogue_told(
+    pub(crate) fn apply_catalogue_answer(
         &mut self,
         placer: &Name,
         index: u64,
         consistent: bool,
         body: &[u8],
     ) {
-        let highest = self.told_index.entry(placer.clone()).or_default();
+        let highest = self
+            .highest_catalogue_index
+            .entry(placer.clone())
+            .or_default();
         if index < *highest && !consistent {
             return;
         }
@@ -67,17 +76,19 @@
             let start = entry["Service"]["Meta"]["started_ms"]
                 .as_str()
                 .and_then(|s| s.parse().ok());
-            if let (Some((host, _)), Some(start)) = (self.places.get_key_value(name), start) {
-                self.listed_start.insert(host.clone(), start);
+            if let (Some((host, _)), Some(start)) = (self.locations.get_key_value(name), start) {
+                self.listed_start_ms.insert(host.clone(), start);
             }
         }
-        let told = self.reached(placer, self.at);
-        for host in self.places.keys() {
+        let told = self.reached_placer_at(placer, self.now);
+        for host in self.locations.keys() {
             let key = (placer.clone(), host.clone());
             if ready.contains(&**host) {
-                self.catalogue.remove(&key);
+                self.missing_from_catalogue.remove(&key);
             } else {
-                self.catalogue.entry(key).or_insert((told, self.number));
+                self.missing_from_catalogue
+                    .entry(key)
+                    .or_insert((told, self.entry_index));
             }
         }
     }
--- a/crates/checker/src/verdict.rs
+++ b/crates/checker/src/verdict.rs
@@ -12,7 +12,7 @@
     /// What, in a line.
     pub description: String,
     /// The records that show it, by number.
-    pub shown_by: Vec<usize>,
+    pub evidence: Vec<usize>,
 }
 
 /// What the traffic shows.
@@ -25,7 +25,7 @@
     /// Answered `refused`.
     pub rejected: u64,
     /// Those refused, by the reason told.
-    pub refused_by: BTreeMap<String, u64>,
+    pub rejected_by_reason: BTreeMap<String, u64>,
     /// Answered `failed`.
     pub failed: u64,
     /// Not taken: 503 and the like.
@@ -39,7 +39,7 @@
     pub offers: u64,
     /// How long each leased number that fell free waited for a holder, µs, in order: the time in which it could be
     /// locked, the catalogue had a leader, and as many placers wanted a number as were free.
-    pub number_waits: Vec<u64>,
+    pub replica_index_waits_us: Vec<u64>,
     /// Broken rules.
     pub violations: Vec<Violation>,
 }
--- a/crates/checker/tests/excuses.rs
+++ b/crates/checker/tests/excuses.rs
@@ -5,10 +5,10 @@
 use maplethread_checker::{HistoryEntry, Location, Observation, Outcome, RuleParameters, check};
 use maplethread_wire::frame::Frame;
 
-use support::{S, figures, name, offer};
+use support::{S, name, offer, parameters};
 
 /// An ask at 10 s with 3 s to answer, and what happened to its placer; unanswered and excused.
-fn verdict(happened: &[(u64, Observation)]) -> (u64, u64) {
+fn unanswered_and_excused(happened: &[(u64, Observation)]) -> (u64, u64) {
     let asked = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
@@ -25,47 +25,62 @@
     }));
     records.push(HistoryEntry {
         at_us: 30 * S,
-        observation: Observation::PlacerUp {
+        observation: Observation::PlacerStarted {
             placer: name("other"),
         },
     });
     records.sort_by_key(|r| r.at_us);
-    let verdict = check(&records, &figures());
+    let verdict = check(&records, &parameters());
     assert_eq!(verdict.violations.len() as u64, verdict.unanswered);
     (verdict.unanswered, verdict.excused)
 }
 
 #[test]
-fn silence_is_excused_only_where_no_answer_could_be_given() {
+fn excuses_missing_answer_only_when_placer_could_not_answer() {
     let paused = || Observation::PlacerPaused { placer: name("p") };
-    let goes_on = || Observation::PlacerGoesOn { placer: name("p") };
-    let down = || Observation::PlacerDown { placer: name("p") };
-    let up = || Observation::PlacerUp { placer: name("p") };
-    assert_eq!(verdict(&[]), (1, 0), "it ran all the time");
+    let goes_on = || Observation::PlacerResumed { placer: name("p") };
+    let down = || Observation::PlacerStopped { placer: name("p") };
+    let up = || Observation::PlacerStarted { placer: name("p") };
+    assert_eq!(unanswered_and_excused(&[]), (1, 0), "it ran all the time");
     // Half a second of three: the answer is owed.
     assert_eq!(
-        verdict(&[
+        unanswered_and_excused(&[
             (10 * S + S / 10, paused()),
             (10 * S + 6 * S / 10, goes_on())
         ]),
         (1, 0)
     );
-    assert_eq!(verdict(&[(9 * S, paused()), (11 * S, goes_on())]), (1, 0));
+    assert_eq!(
+        unanswered_and_excused(&[(9 * S, paused()), (11 * S, goes_on())]),
+        (1, 0)
+    );
     // Up to the deadline, or to less than the reprieve before it: excused.
-    assert_eq!(verdict(&[(12 * S, paused()), (14 * S, goes_on())]), (0, 1));
     assert_eq!(
-        verdict(&[(11 * S, paused()), (12 * S + 6 * S / 10, goes_on())]),
+        unanswered_and_excused(&[(12 * S, paused()), (14 * S, goes_on())]),
+        (0, 1)
+    );
+    assert_eq!(
+        unanswered_and_excused(&[(11 * S, paused()), (12 * S + 6 * S / 10, goes_on())]),
         (0, 1)
     );
     assert_eq!(
-        verdict(&[(11 * S, paused()), (12 * S + 4 * S / 10, goes_on())]),
+        unanswered_and_excused(&[(11 * S, paused()), (12 * S + 4 * S / 10, goes_on())]),
         (1, 0)
     );
     // The life that took it died: excused, even if the next one was up in time. One that died before owes nothing
     // of this, one that died after owed it.
-    assert_eq!(verdict(&[(11 * S, down()), (11 * S + S / 2, up())]), (0, 1));
-    assert_eq!(verdict(&[(5 * S, down()), (6 * S, up())]), (1, 0));
-    assert_eq!(verdict(&[(14 * S, down()), (15 * S, up())]), (1, 0));
+    assert_eq!(
+        unanswered_and_excused(&[(11 * S, down()), (11 * S + S / 2, up())]),
+        (0, 1)
+    );
+    assert_eq!(
+        unanswered_and_excused(&[(5 * S, down()), (6 * S, up())]),
+        (1, 0)
+    );
+    assert_eq!(
+        unanswered_and_excused(&[(14 * S, down()), (15 * S, up())]),
+        (1, 0)
+    );
     // A process that was stopped and continued while it was still starting had not come back by that.
     let starting = [
         (9 * S, down()),
@@ -73,16 +88,16 @@
         (11 * S + S / 10, goes_on()),
         (14 * S, up()),
     ];
-    assert_eq!(verdict(&starting), (0, 1));
+    assert_eq!(unanswered_and_excused(&starting), (0, 1));
 }
 
 #[test]
-fn an_answer_is_given_once_and_in_time() {
+fn reports_second_or_late_answer() {
     let placed = || Observation::Answered {
         request: name("r"),
         outcome: Outcome::Placed("h".to_owned()),
     };
-    assert_eq!(verdict(&[(12 * S, placed())]), (0, 0));
+    assert_eq!(unanswered_and_excused(&[(12 * S, placed())]), (0, 0));
     let ask = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
@@ -98,13 +113,13 @@
             at_us: at,
             observation: placed(),
         }));
-        let verdict = check(&records, &figures());
+        let verdict = check(&records, &parameters());
         assert_eq!(verdict.violations_by_rule().get(&1), Some(&1), "{times:?}");
     }
 }
 
 #[test]
-fn an_ask_that_lay_unread_beyond_its_deadline_is_turned_away() {
+fn accepts_refusal_of_request_unread_until_deadline() {
     let ask = Observation::PlacementRequested {
         request: name("r"),
         placer: name("p"),
@@ -126,7 +141,7 @@
             );
             records.push(HistoryEntry {
                 at_us: 13 * S,
-                observation: Observation::PlacerGoesOn { placer: name("p") },
+                observation: Observation::PlacerResumed { placer: name("p") },
             });
         }
         records.push(HistoryEntry {
@@ -136,20 +151,20 @@
                 outcome,
             },
         });
-        check(&records, &figures())
+        check(&records, &parameters())
             .violations_by_rule()
             .contains_key(&1)
     };
-    assert!(!late(true, Outcome::Turned(503)), "it never took it");
+    assert!(!late(true, Outcome::NotAccepted(503)), "it never took it");
     assert!(late(true, Outcome::Failed), "an answer after the deadline");
     assert!(
-        late(false, Outcome::Turned(503)),
+        late(false, Outcome::NotAccepted(503)),
         "it was there all the time"
     );
 }
 
 #[test]
-fn news_counts_from_when_it_could_be_read() {
+fn counts_inventory_update_from_when_placer_could_read_it() {
     let (host, placer) = (name("h"), name("p"));
     // Removed at 10 s, offered to at 14 s, with a grace of 2 s.
     let broken = |happened: &[(u64, Observation)]| {
@@ -167,14 +182,14 @@
             },
             HistoryEntry {
                 at_us: 2 * S,
-                observation: Observation::Inventory {
+                observation: Observation::InventoryReplaced {
                     ready: vec![(host.clone(), None)],
                     gone: vec![],
                 },
             },
             HistoryEntry {
                 at_us: 10 * S,
-                observation: Observation::Inventory {
+                observation: Observation::InventoryReplaced {
                     ready: vec![],
                     gone: vec![host.clone()],
                 },
@@ -202,7 +217,7 @@
             &records,
             &RuleParameters {
                 hosts: vec![there],
-                ..figures()
+                ..parameters()
             },
         );
         verdict.violations_by_rule().contains_key(&3)
@@ -218,7 +233,7 @@
     let goes_on = |at| {
         (
             at,
-            Observation::PlacerGoesOn {
+            Observation::PlacerResumed {
                 placer: placer.clone(),
             },
         )
@@ -227,7 +242,7 @@
     let sound = |at| {
         (
             at,
-            Observation::Inventory {
+            Observation::InventoryReplaced {
                 ready: vec![],
                 gone: vec![host.clone()],
             },
--- a/crates/checker/tests/numbers.rs
+++ b/crates/checker/tests/numbers.rs
@@ -5,24 +5,24 @@
 use maplethread_checker::{HistoryEntry, Location, Observation, RuleParameters, Verdict, check};
 use maplethread_wire::frame::Frame;
 
-use support::{S, figures, name, offer};
+use support::{S, name, offer, parameters};
 
-fn locked(number: &str, placer: &str) -> Observation {
-    Observation::NumberLocked {
+fn index_locked(number: &str, placer: &str) -> Observation {
+    Observation::ReplicaIndexLocked {
         number: name(number),
         placer: name(placer),
     }
 }
 
-fn free(number: &str) -> Observation {
-    Observation::NumberFree {
+fn index_released(number: &str) -> Observation {
+    Observation::ReplicaIndexReleased {
         number: name(number),
         after_us: S,
     }
 }
 
 /// Two placers and a host that is cold for all of the day.
-fn verdict(happened: Vec<(u64, Observation)>) -> Verdict {
+fn check_two_placers(happened: Vec<(u64, Observation)>) -> Verdict {
     let hosts = vec![Location {
         host: name("h"),
         zone: name("z"),
@@ -30,12 +30,12 @@
     }];
     let figures = RuleParameters {
         hosts,
-        cold_for: 1000 * S,
-        ..figures()
+        warm_up_us: 1000 * S,
+        ..parameters()
     };
     let mut records = vec![HistoryEntry {
         at_us: 0,
-        observation: Observation::HostUp {
+        observation: Observation::HostStarted {
             host: name("h"),
             started_ms: 0,
         },
@@ -44,7 +44,7 @@
         let placer = name(placer);
         records.push(HistoryEntry {
             at_us: 1,
-            observation: Observation::PlacerUp {
+            observation: Observation::PlacerStarted {
                 placer: placer.clone(),
             },
         });
@@ -65,7 +65,7 @@
     }));
     records.push(HistoryEntry {
         at_us: 60 * S,
-        observation: Observation::HostDown { host: name("h") },
+        observation: Observation::HostStopped { host: name("h") },
     });
     check(&records, &figures)
 }
@@ -79,8 +79,8 @@
     }
 }
 
-fn broken(happened: Vec<(u64, Observation)>) -> Vec<String> {
-    verdict(happened)
+fn violations(happened: Vec<(u64, Observation)>) -> Vec<String> {
+    check_two_placers(happened)
         .violations
         .into_iter()
         .map(|b| b.description)
@@ -88,15 +88,15 @@
 }
 
 #[test]
-fn only_who_holds_a_number_sends_to_cold_hosts() {
-    assert!(broken(vec![(S, locked("0", "p")), (2 * S, offered(0, 1))]).is_empty());
-    let why = broken(vec![(S, locked("0", "p")), (2 * S, offered(1, 1))]);
+fn reports_warm_up_offer_without_replica_index() {
+    assert!(violations(vec![(S, index_locked("0", "p")), (2 * S, offered(0, 1))]).is_empty());
+    let why = violations(vec![(S, index_locked("0", "p")), (2 * S, offered(1, 1))]);
     assert!(why[0].contains("holds no number"), "{why:?}");
     // Let go of: until somebody else could have it, what is still on its way does no harm.
     let ended = |at| {
-        broken(vec![
-            (S, locked("0", "p")),
-            (5 * S, free("0")),
+        violations(vec![
+            (S, index_locked("0", "p")),
+            (5 * S, index_released("0")),
             (at, offered(0, 1)),
         ])
     };
@@ -105,9 +105,9 @@
     // A new life holds nothing that it did not lock itself.
     let again = |more: Vec<(u64, Observation)>| {
         let mut all = vec![
-            (S, locked("0", "p")),
-            (5 * S, Observation::PlacerDown { placer: name("p") }),
-            (6 * S, Observation::PlacerUp { placer: name("p") }),
+            (S, index_locked("0", "p")),
+            (5 * S, Observation::PlacerStopped { placer: name("p") }),
+            (6 * S, Observation::PlacerStarted { placer: name("p") }),
             (
                 7 * S,
                 Observation::PlacerConnected {
@@ -119,23 +119,39 @@
             ),
         ];
         all.extend(more);
-        broken(all)
+        violations(all)
     };
     assert!(again(vec![(8 * S, offered(0, 1))])[0].contains("holds no number"));
-    assert!(again(vec![(8 * S, locked("1", "p")), (9 * S, offered(0, 1))]).is_empty());
+    assert!(
+        again(vec![
+            (8 * S, index_locked("1", "p")),
+            (9 * S, offered(0, 1))
+        ])
+        .is_empty()
+    );
 }
 
 #[test]
-fn no_two_hold_one_number() {
-    assert!(broken(vec![(S, locked("0", "p")), (2 * S, locked("1", "q"))]).is_empty());
+fn reports_replica_index_held_twice() {
     assert!(
-        broken(vec![(S, locked("0", "p")), (2 * S, locked("0", "q"))])[0].contains("p still held")
+        violations(vec![
+            (S, index_locked("0", "p")),
+            (2 * S, index_locked("1", "q"))
+        ])
+        .is_empty()
+    );
+    assert!(
+        violations(vec![
+            (S, index_locked("0", "p")),
+            (2 * S, index_locked("0", "q"))
+        ])[0]
+            .contains("p still held")
     );
     let after = |at| {
-        broken(vec![
-            (S, locked("0", "p")),
-            (5 * S, free("0")),
-            (at, locked("0", "q")),
+        violations(vec![
+            (S, index_locked("0", "p")),
+            (5 * S, index_released("0")),
+            (at, index_locked("0", "q")),
         ])
     };
     assert_eq!(after(5 * S + S / 2).len(), 1, "within the lock delay");
@@ -143,18 +159,21 @@
 }
 
 #[test]
-fn a_free_number_waits_while_it_could_be_taken() {
+fn counts_wait_only_while_replica_index_could_be_locked() {
     let waits = |more: Vec<(u64, Observation)>| {
-        let mut all = vec![(S, locked("0", "p")), (5 * S, free("0"))];
+        let mut all = vec![(S, index_locked("0", "p")), (5 * S, index_released("0"))];
         all.extend(more);
-        verdict(all).number_waits
+        check_two_placers(all).replica_index_waits_us
     };
     // From the lock delay on.
-    assert_eq!(waits(vec![(8 * S, locked("0", "q"))]), [2 * S]);
+    assert_eq!(waits(vec![(8 * S, index_locked("0", "q"))]), [2 * S]);
     // Nobody could take it while there was no leader, or nobody was there.
-    let no_leader = (7 * S, Observation::NoLeader { for_us: 2 * S });
-    assert_eq!(waits(vec![no_leader, (10 * S, locked("0", "q"))]), [2 * S]);
-    let down = |placer| Observation::PlacerDown {
+    let no_leader = (7 * S, Observation::CatalogueLeaderLost { for_us: 2 * S });
+    assert_eq!(
+        waits(vec![no_leader, (10 * S, index_locked("0", "q"))]),
+        [2 * S]
+    );
+    let down = |placer| Observation::PlacerStopped {
         placer: name(placer),
     };
     let paused = |placer| Observation::PlacerPaused {
@@ -163,8 +182,8 @@
     let away = vec![
         (7 * S, down("p")),
         (7 * S, paused("q")),
-        (9 * S, Observation::PlacerGoesOn { placer: name("q") }),
-        (10 * S, locked("0", "q")),
+        (9 * S, Observation::PlacerResumed { placer: name("q") }),
+        (10 * S, index_locked("0", "q")),
     ];
     assert_eq!(waits(away), [2 * S]);
     // Never taken: it has waited until the end.
--- a/crates/checker/tests/read_late.rs
+++ b/crates/checker/tests/read_late.rs
@@ -14,7 +14,7 @@
     text.into()
 }
 
-fn figures() -> RuleParameters {
+fn parameters() -> RuleParameters {
     RuleParameters {
         classes: Vec::new(),
         hosts: vec![Location {
@@ -23,35 +23,35 @@
             cell: name("c"),
         }],
         placer_count: 1,
-        drain_grace: 2 * S,
-        cold_for: 1000 * S,
-        fall_window: 2 * S,
+        drain_grace_us: 2 * S,
+        warm_up_us: 1000 * S,
+        overload_window_us: 2 * S,
         warm_up_offers: 16.0,
-        lost_after: 5 * S,
-        reprieve: S / 2,
-        slack: 150 * MS,
+        lost_after_us: 5 * S,
+        resume_grace_us: S / 2,
+        timing_slack_us: 150 * MS,
     }
 }
 
 /// How often a rule is broken by these records.
-fn broken(rule: u8, mut records: Vec<HistoryEntry>) -> u64 {
+fn violation_count(rule: u8, mut records: Vec<HistoryEntry>) -> u64 {
     records.sort_by_key(|r| r.at_us);
-    check(&records, &figures())
+    check(&records, &parameters())
         .violations_by_rule()
         .get(&rule)
         .copied()
         .unwrap_or(0)
 }
 
-fn late(reader: Observer, at: u64, since: Option<u64>) -> HistoryEntry {
+fn observer_delayed(reader: Observer, at: u64, since: Option<u64>) -> HistoryEntry {
     HistoryEntry {
         at_us: at,
-        observation: Observation::ReadLate { reader, since },
+        observation: Observation::ObserverDelayed { reader, since },
     }
 }
 
 #[test]
-fn an_answer_is_late_only_if_its_reader_looked_after_the_deadline() {
+fn reports_late_answer_only_if_observer_read_after_deadline() {
     let deadline = 13 * S;
     let answered_after = |span: u64, notes: Vec<HistoryEntry>| {
         let asked = Observation::PlacementRequested {
@@ -75,9 +75,9 @@
             },
         ];
         records.extend(notes);
-        broken(1, records)
+        violation_count(1, records)
     };
-    let clients = |since| late(Observer::Clients, deadline + 200 * MS, Some(since));
+    let clients = |since| observer_delayed(Observer::Clients, deadline + 200 * MS, Some(since));
     assert_eq!(answered_after(150 * MS, vec![]), 0, "within the slack");
     assert_eq!(answered_after(151 * MS, vec![]), 1);
     assert_eq!(
@@ -90,12 +90,12 @@
         1,
         "there was nothing after the deadline"
     );
-    let in_time_again = late(Observer::Clients, deadline + 250 * MS, None);
+    let in_time_again = observer_delayed(Observer::Clients, deadline + 250 * MS, None);
     assert_eq!(
         answered_after(300 * MS, vec![clients(deadline - MS), in_time_again]),
         1
     );
-    let hosts = late(Observer::Hosts, deadline + 200 * MS, Some(deadline - MS));
+    let hosts = observer_delayed(Observer::Hosts, deadline + 200 * MS, Some(deadline - MS));
     assert_eq!(answered_after(300 * MS, vec![hosts]), 1, "another reader");
 }
 
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn offers_that_were_read_late_count_from_the_earliest_time_at_which_they_came() {
+fn counts_delayed_offers_from_earliest_possible_arrival() {
     // As many as a cold host bears, read at 10 s, and one more after `gap`.
     let offered = |gap: u64, notes: Vec<HistoryEntry>| {
         let link = Observation::PlacerConnected {
@@ -139,7 +139,7 @@
         let mut records = vec![
             HistoryEntry {
                 at_us: 0,
-                observation: Observation::HostUp {
+                observation: Observation::HostStarted {
                     host: name("h"),
                     started_ms: 0,
                 },
@@ -152,12 +152,12 @@
         records.extend((0..16).map(|n| offer(10 * S, n)));
         records.push(offer(10 * S + gap, 16));
         records.extend(notes);
-        broken(4, records)
+        violation_count(4, records)
     };
-    let hosts = |since| late(Observer::Hosts, 10 * S - MS, Some(since));
+    let hosts = |since| observer_delayed(Observer::Hosts, 10 * S - MS, Some(since));
     assert_eq!(offered(1_900 * MS, vec![]), 0, "within the slack");
     assert_eq!(offered(1_500 * MS, vec![]), 1);
-    let again = || late(Observer::Hosts, 10 * S + MS, None);
+    let again = || observer_delayed(Observer::Hosts, 10 * S + MS, None);
     assert_eq!(
         offered(1_500 * MS, vec![hosts(9_400 * MS), again()]),
         0,
@@ -168,7 +168,7 @@
         1,
         "400 ms explain nothing"
     );
-    let second = late(Observer::Hosts, 11 * S, Some(10 * S + MS));
+    let second = observer_delayed(Observer::Hosts, 11 * S, Some(10 * S + MS));
     assert_eq!(
         offered(1_500 * MS, vec![second]),
         1,
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn news_that_a_host_drains_binds_whenever_offers_are_read() {
+fn reports_offer_after_drain_whenever_it_is_read() {
     let offered = |at: u64, notes: Vec<HistoryEntry>| {
         let link = Observation::PlacerConnected {
             host: name("h"),
@@ -185,7 +185,7 @@
             placer: name("p"),
             incarnation: 1,
         };
-        let drain = Observation::FromHost {
+        let drain = Observation::FrameFromHost {
             host: name("h"),
             link: 1,
             frame: Frame::Drain,
@@ -202,9 +202,9 @@
             offer(at, 1),
         ];
         records.extend(notes);
-        broken(3, records)
+        violation_count(3, records)
     };
-    let hosts = |since| late(Observer::Hosts, 12 * S, Some(since));
+    let hosts = |since| observer_delayed(Observer::Hosts, 12 * S, Some(since));
     assert_eq!(offered(12_100 * MS, vec![]), 0, "within the slack");
     assert_eq!(offered(12_500 * MS, vec![]), 1);
     assert_eq!(
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_earlier_attempt_was_over_if_that_was_sent_in_time_whenever_it_is_read() {
+fn accepts_second_attempt_if_first_was_ended_in_time() {
     // Two offers for one ask to two hosts, and the first called off: read after `gap`.
     let doubled = |gap: u64, notes: Vec<HistoryEntry>| {
         let second = second_attempt();
@@ -260,16 +260,16 @@
         // Time goes on at others while the reader is away.
         records.push(HistoryEntry {
             at_us: 10 * S + 200 * MS,
-            observation: Observation::PlacerUp { placer: name("q") },
+            observation: Observation::PlacerStarted { placer: name("q") },
         });
         records.push(offer(20 * S, 3));
         records.extend(notes);
-        broken(2, records)
+        violation_count(2, records)
     };
     let late_since = |since| {
         vec![
-            late(Observer::Hosts, 10 * S + 300 * MS, Some(since)),
-            late(Observer::Hosts, 11 * S, None),
+            observer_delayed(Observer::Hosts, 10 * S + 300 * MS, Some(since)),
+            observer_delayed(Observer::Hosts, 11 * S, None),
         ]
     };
     assert_eq!(doubled(140 * MS, vec![]), 0, "within the slack");
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn offers_of_one_ask_are_judged_in_the_order_in_which_they_were_sent() {
+fn checks_offers_of_one_request_in_order_of_sending() {
     // The second attempt is read first; the first, with its call-off, only then.
     let read_first = |cancelled: bool| {
         let second = second_attempt();
@@ -309,7 +309,7 @@
                 observation: cancel,
             });
         }
-        broken(2, records)
+        violation_count(2, records)
     };
     assert_eq!(
         read_first(true),
--- a/crates/checker/tests/support/mod.rs
+++ b/crates/checker/tests/support/mod.rs
@@ -13,18 +13,18 @@
 }
 
 /// Figures of one placer, without classes and hosts.
-pub fn figures() -> RuleParameters {
+pub fn parameters() -> RuleParameters {
     RuleParameters {
         classes: Vec::new(),
         hosts: Vec::new(),
         placer_count: 1,
-        drain_grace: 2 * S,
-        cold_for: 6 * S,
-        fall_window: 2 * S,
+        drain_grace_us: 2 * S,
+        warm_up_us: 6 * S,
+        overload_window_us: 2 * S,
         warm_up_offers: 16.0,
-        lost_after: 5 * S,
-        reprieve: S / 2,
-        slack: 150_000,
+        lost_after_us: 5 * S,
+        resume_grace_us: S / 2,
+        timing_slack_us: 150_000,
     }
 }
 
--- a/crates/emulator/src/calls.rs
+++ b/crates/emulator/src/catalogue_registration.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 /// Puts what is listed of a host in the catalogue.
-pub(crate) fn register(at: SocketAddr, host: &HostEntry) -> io::Result<()> {
+pub(crate) fn register_host(at: SocketAddr, host: &HostEntry) -> io::Result<()> {
     let node = format!("node-{}", host.name);
     if host.state == HostState::Gone {
         let body = json!({"Node": node, "ServiceID": host.name});
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -12,7 +12,7 @@
 use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
 
 /// Answers that are out this long after the last ask was due are not waited for, µs.
-const GIVE_UP: u64 = 30_000_000;
+const GIVE_UP_AFTER_US: u64 = 30_000_000;
 
 /// What is asked, and how often.
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
     pub fn run(mut self) -> io::Result<AnswerTimes> {
         let start = self.clock.now();
         let total = (self.load.requests_per_s * self.load.seconds).round() as u64;
-        let give_up = start + (self.load.seconds * 1e6) as u64 + GIVE_UP;
+        let give_up = start + (self.load.seconds * 1e6) as u64 + GIVE_UP_AFTER_US;
         let mut ready = Vec::new();
         let mut answered = 0;
         while answered < total {
@@ -103,7 +103,7 @@
             if now > give_up {
                 break;
             }
-            self.ask_due(start, now, total)?;
+            self.send_due_requests(start, now, total)?;
             let wait = match self.answers.requests < total {
                 true => self
                     .due_at(start, self.answers.requests)
@@ -125,7 +125,7 @@
         start + (n as f64 * 1e6 / self.load.requests_per_s) as u64
     }
 
-    fn ask_due(&mut self, start: u64, now: u64, total: u64) -> io::Result<()> {
+    fn send_due_requests(&mut self, start: u64, now: u64, total: u64) -> io::Result<()> {
         let mut touched = vec![false; self.connections.len()];
         while self.answers.requests < total && self.due_at(start, self.answers.requests) <= now {
             let n = self.answers.requests;
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use crate::scenario::{Scenario, TroubleKind};
+use crate::scenario::{FaultKind, Scenario};
 use crate::world::{SeededRng, TaskDemand};
 
 /// An owner, as it comes to the cluster.
@@ -18,7 +18,7 @@
     /// Its actor; no other has this name.
     pub actor: Arc<str>,
     /// Cores and memory (GiB) that it asks for.
-    pub shape: [f64; 2],
+    pub resources: [f64; 2],
     /// How long it wants to run from its arrival on, µs.
     pub wanted_for_us: u64,
     /// Its zone, by number.
@@ -32,7 +32,7 @@
     pub fn demand(&self, scenario: &Scenario, start: u64) -> TaskDemand {
         let c = &scenario.classes[self.class];
         let mean = |i: usize| c.shapes.iter().map(|s| s[i]).sum::<f64>() / c.shapes.len() as f64;
-        let size = 0.5 * (self.shape[0] / mean(0) + self.shape[1] / mean(1));
+        let size = 0.5 * (self.resources[0] / mean(0) + self.resources[1] / mean(1));
         let rate = c.rules.worth * size;
         let bonus = rate * c.rules.start_bonus_s;
         let from = start + self.at_us;
@@ -42,9 +42,9 @@
             from_us: from,
             until_us: from + self.wanted_for_us,
             objective_us: from + c.rules.latency_objective_ms * 1000,
-            bonus,
+            start_bonus: bonus,
             deadline_us: from + c.deadline_ms * 1000,
-            late_bonus: bonus * c.late_start_share,
+            late_start_bonus: bonus * c.late_start_share,
         }
     }
 }
@@ -56,8 +56,9 @@
     let end = scenario.seconds * 1e6;
     let (mut all, mut at) = (Vec::new(), 0.0);
     loop {
-        let rate = scenario.load_at(at / 1e6) * overload(scenario, at / 1e6) * scenario.cores()
-            / scenario.core_seconds();
+        let rate =
+            scenario.load_at(at / 1e6) * overload_factor(scenario, at / 1e6) * scenario.cores()
+                / scenario.core_seconds();
         at += dice.exp(1e6 / rate.max(0.01));
         if at >= end {
             return all;
@@ -74,7 +75,7 @@
             class,
             service: format!("{}-{:02}", c.rules.name, dice.index_below(c.service_count)).into(),
             actor: format!("{}-{}", c.rules.name, all.len()).into(),
-            shape: c.shapes[dice.index_below(c.shapes.len())],
+            resources: c.shapes[dice.index_below(c.shapes.len())],
             wanted_for_us: ((0.3 + 0.7 * dice.exp(1.0)).min(4.0) * c.mean_duration_s * 1e6) as u64,
             zone: dice.index_below(scenario.fleet.zones.len()),
             seed: dice.seed(),
@@ -83,11 +84,11 @@
 }
 
 /// How many times as much is wanted at a time, by the troubles.
-fn overload(scenario: &Scenario, s: f64) -> f64 {
+fn overload_factor(scenario: &Scenario, s: f64) -> f64 {
     let on = scenario
         .trouble
         .iter()
-        .filter(|t| t.kind == TroubleKind::Overload);
+        .filter(|t| t.kind == FaultKind::Overload);
     on.filter(|t| (t.at_s..t.at_s + t.for_s).contains(&s))
         .map(|t| t.size)
         .fold(1.0, f64::max)
@@ -98,14 +99,15 @@
     use super::*;
 
     #[test]
-    fn equal_seeds_give_equal_arrivals_and_others_do_not() {
+    fn arrivals_depend_only_on_seed() {
         let day = Scenario::standard();
         let first = arrivals(&day, 4);
         assert_eq!(first, arrivals(&day, 4));
         assert_ne!(first, arrivals(&day, 5));
         assert!(first.is_sorted_by_key(|a| a.at_us));
         // Their number is what the load calls for, within what chance does.
-        let rate = |s: f64| day.load_at(s) * overload(&day, s) * day.cores() / day.core_seconds();
+        let rate =
+            |s: f64| day.load_at(s) * overload_factor(&day, s) * day.cores() / day.core_seconds();
         let expected: f64 = (0..300).map(|i| rate(f64::from(i) / 10.0) / 10.0).sum();
         let share = first.len() as f64 / expected;
         assert!((0.9..1.1).contains(&share), "{} of {expected}", first.len());
--- a/crates/emulator/src/plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -5,22 +5,22 @@
 
 use crate::rack::HostCommand;
 use crate::run_options::PlacerFault;
-use crate::scenario::{Scenario, Trouble, TroubleKind};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault};
 use crate::world::SeededRng;
 
 /// Something that happens at a time of the day.
 #[derive(Clone, Debug)]
 pub(crate) enum ScheduledAction {
     Host(HostCommand),
-    HostListed(usize, HostState),
+    ListHost(usize, HostState),
     /// Changes a host's faults.
     SetHostFault(usize, HostFault, bool),
     PlacerFault(PlacerFault),
-    Garbage(&'static str),
+    ReplaceInventory(&'static str),
     SetHealth(usize, bool),
-    Catalogue(CatalogueFaults),
-    LoseLeader(u64),
-    HangUps(f64),
+    SetCatalogueFaults(CatalogueFaults),
+    LoseCatalogueLeader(u64),
+    SetDisconnectShare(f64),
     SetInventoryDelay(f64),
 }
 
@@ -40,7 +40,7 @@
 
 /// One wave of a host that is truly poor: what ails it begins a tenth of the period before its health shows it, and
 /// ends a quarter of the period after its health is back.
-fn sick_wave(
+fn failing_flap(
     acts: &mut Vec<(u64, ScheduledAction)>,
     n: usize,
     host: usize,
@@ -79,40 +79,44 @@
 
 /// What the troubles of a scenario do, in no order; who is struck is drawn.
 pub(crate) fn plan(scenario: &Scenario, dice: &mut SeededRng) -> Vec<(u64, ScheduledAction)> {
-    Plan { scenario, dice }.all()
+    Plan {
+        scenario,
+        rng: dice,
+    }
+    .actions()
 }
 
 struct Plan<'a> {
     scenario: &'a Scenario,
-    dice: &'a mut SeededRng,
+    rng: &'a mut SeededRng,
 }
 
 impl Plan<'_> {
     /// Draws the hosts that a trouble strikes.
-    fn struck(&mut self, trouble: &Trouble) -> Vec<usize> {
+    fn affected_hosts(&mut self, trouble: &ScheduledFault) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.scenario.fleet.hosts).collect();
         if let Some(zone) = &trouble.zone {
-            all.retain(|&h| self.scenario.place_of(h).0 == *zone);
+            all.retain(|&h| self.scenario.location_of(h).0 == *zone);
             if trouble.reach == 0.0 {
                 return all;
             }
         }
-        self.dice.shuffle(&mut all);
+        self.rng.shuffle(&mut all);
         let n = (all.len() as f64 * trouble.reach).round().max(1.0) as usize;
         all.truncate(n);
         all
     }
 
-    fn struck_placers(&mut self, trouble: &Trouble) -> Vec<usize> {
+    fn affected_placers(&mut self, trouble: &ScheduledFault) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.scenario.placers as usize).collect();
-        self.dice.shuffle(&mut all);
+        self.rng.shuffle(&mut all);
         let n = (all.len() as f64 * trouble.reach).round().max(1.0) as usize;
         all.truncate(n);
         all
     }
 
     /// What each trouble does, and when.
-    fn all(&mut self) -> Vec<(u64, ScheduledAction)> {
+    fn actions(&mut self) -> Vec<(u64, ScheduledAction)> {
         let scenario = self.scenario;
         let mut all = Vec::new();
         for trouble in &scenario.trouble {
@@ -125,19 +129,16 @@
                 acts.push((until, ScheduledAction::SetHostFault(host, fault, false)));
             };
             match trouble.kind {
-                TroubleKind::HostCrash | TroubleKind::ZoneLoss => {
-                    for host in self.struck(trouble) {
+                FaultKind::HostCrash | FaultKind::ZoneLoss => {
+                    for host in self.affected_hosts(trouble) {
                         acts.push((at, ScheduledAction::Host(HostCommand::Crash(host))));
-                        acts.push((at, ScheduledAction::HostListed(host, HostState::Gone)));
+                        acts.push((at, ScheduledAction::ListHost(host, HostState::Gone)));
                         acts.push((until, ScheduledAction::Host(HostCommand::Start(host))));
-                        acts.push((
-                            until + 1,
-                            ScheduledAction::HostListed(host, HostState::Ready),
-                        ));
+                        acts.push((until + 1, ScheduledAction::ListHost(host, HostState::Ready)));
                     }
                 }
-                TroubleKind::Silence => {
-                    for host in self.struck(trouble) {
+                FaultKind::Silence => {
+                    for host in self.affected_hosts(trouble) {
                         acts.push((
                             at,
                             ScheduledAction::SetHostFault(host, HostFault::Silent, true),
@@ -153,19 +154,19 @@
                         ));
                         acts.push((
                             until + 300_001,
-                            ScheduledAction::HostListed(host, HostState::Ready),
+                            ScheduledAction::ListHost(host, HostState::Ready),
                         ));
                     }
                 }
-                TroubleKind::RollingDeploy => {
-                    let hosts = self.struck(trouble);
+                FaultKind::RollingDeploy => {
+                    let hosts = self.affected_hosts(trouble);
                     let batch = ((scenario.fleet.hosts as f64 * size).round() as usize).max(1);
                     let batches = hosts.len().div_ceil(batch).max(1) as u64;
                     let step = (until - at) / batches;
                     for (i, host) in hosts.into_iter().enumerate() {
                         let at = at + (i / batch) as u64 * step;
                         acts.push((at, ScheduledAction::Host(HostCommand::Drain(host))));
-                        acts.push((at, ScheduledAction::HostListed(host, HostState::Draining)));
+                        acts.push((at, ScheduledAction::ListHost(host, HostState::Draining)));
                         acts.push((
                             at + step / 2,
                             ScheduledAction::Host(HostCommand::Crash(host)),
@@ -176,30 +177,30 @@
                         ));
                         acts.push((
                             at + step / 2 + 300_001,
-                            ScheduledAction::HostListed(host, HostState::Ready),
+                            ScheduledAction::ListHost(host, HostState::Ready),
                         ));
                     }
                 }
-                TroubleKind::Shrink => {
-                    for host in self.struck(trouble) {
+                FaultKind::Shrink => {
+                    for host in self.affected_hosts(trouble) {
                         acts.push((at, ScheduledAction::Host(HostCommand::Drain(host))));
-                        acts.push((at, ScheduledAction::HostListed(host, HostState::Draining)));
+                        acts.push((at, ScheduledAction::ListHost(host, HostState::Draining)));
                         acts.push((until, ScheduledAction::Host(HostCommand::Crash(host))));
-                        acts.push((until, ScheduledAction::HostListed(host, HostState::Gone)));
+                        acts.push((until, ScheduledAction::ListHost(host, HostState::Gone)));
                     }
                 }
-                TroubleKind::FastErrors => {
-                    for host in self.struck(trouble) {
+                FaultKind::FastErrors => {
+                    for host in self.affected_hosts(trouble) {
                         both(&mut acts, host, HostFault::Errors(size));
                     }
                 }
-                TroubleKind::ClassErrors | TroubleKind::ClassSilence => {
-                    let errors = trouble.kind == TroubleKind::ClassErrors;
+                FaultKind::ClassErrors | FaultKind::ClassSilence => {
+                    let errors = trouble.kind == FaultKind::ClassErrors;
                     let class = trouble
                         .class
                         .clone()
                         .unwrap_or_else(|| scenario.classes[0].rules.name.clone());
-                    for host in self.struck(trouble) {
+                    for host in self.affected_hosts(trouble) {
                         both(
                             &mut acts,
                             host,
@@ -207,24 +208,24 @@
                         );
                     }
                 }
-                TroubleKind::AnswersLost => {
-                    for host in self.struck(trouble) {
+                FaultKind::AnswersLost => {
+                    for host in self.affected_hosts(trouble) {
                         both(&mut acts, host, HostFault::AnswersLost(size));
                     }
                 }
-                TroubleKind::Neighbour => {
-                    for host in self.struck(trouble) {
+                FaultKind::Neighbour => {
+                    for host in self.affected_hosts(trouble) {
                         both(&mut acts, host, HostFault::Neighbour(size));
                     }
                 }
-                TroubleKind::SlowAnswers => {
-                    for host in self.struck(trouble) {
+                FaultKind::SlowAnswers => {
+                    for host in self.affected_hosts(trouble) {
                         both(&mut acts, host, HostFault::Slow(size));
                     }
                 }
-                TroubleKind::PlacerKill => {
+                FaultKind::PlacerKill => {
                     let notice = scenario.demand.failover_delay_ms * 1000;
-                    for placer in self.struck_placers(trouble) {
+                    for placer in self.affected_placers(trouble) {
                         acts.push((at, ScheduledAction::PlacerFault(PlacerFault::Kill(placer))));
                         acts.push((
                             (at + notice).min(until),
@@ -236,9 +237,9 @@
                         ));
                     }
                 }
-                TroubleKind::RollingRestart => {
+                FaultKind::RollingRestart => {
                     let mut placers: Vec<usize> = (0..scenario.placers as usize).collect();
-                    self.dice.shuffle(&mut placers);
+                    self.rng.shuffle(&mut placers);
                     let step = (until - at) / placers.len().max(1) as u64;
                     let notice = (scenario.demand.failover_delay_ms * 1000).min(step / 2);
                     for (i, placer) in placers.into_iter().enumerate() {
@@ -254,8 +255,8 @@
                         ));
                     }
                 }
-                TroubleKind::PlacerPause => {
-                    for placer in self.struck_placers(trouble) {
+                FaultKind::PlacerPause => {
+                    for placer in self.affected_placers(trouble) {
                         acts.push((at, ScheduledAction::PlacerFault(PlacerFault::Pause(placer))));
                         acts.push((
                             until,
@@ -263,11 +264,11 @@
                         ));
                     }
                 }
-                TroubleKind::PlacerStalls => {
+                FaultKind::PlacerStalls => {
                     let still = (size.max(0.05) * 1e6) as u64;
-                    for placer in self.struck_placers(trouble) {
+                    for placer in self.affected_placers(trouble) {
                         // Apart from one another; as long again and a second lie between two.
-                        let mut from = at + self.dice.index_below(still as usize) as u64;
+                        let mut from = at + self.rng.index_below(still as usize) as u64;
                         while from < until {
                             acts.push((
                                 from,
@@ -281,7 +282,7 @@
                         }
                     }
                 }
-                TroubleKind::HeavyTail => {
+                FaultKind::HeavyTail => {
                     let class = trouble
                         .class
                         .clone()
@@ -290,42 +291,42 @@
                         both(&mut acts, host, HostFault::HeavyTail(class.clone(), size));
                     }
                 }
-                TroubleKind::HotServices => {
+                FaultKind::HotServices => {
                     for host in 0..scenario.fleet.hosts {
                         both(&mut acts, host, HostFault::HotServices(size));
                     }
                 }
-                TroubleKind::ProgramsLost => {
-                    for host in self.struck(trouble) {
+                FaultKind::ProgramsLost => {
+                    for host in self.affected_hosts(trouble) {
                         both(&mut acts, host, HostFault::ProgramsLost);
                     }
                 }
-                TroubleKind::ResetMidFrame => {
-                    for host in self.struck(trouble) {
+                FaultKind::ResetMidFrame => {
+                    for host in self.affected_hosts(trouble) {
                         acts.push((at, ScheduledAction::Host(HostCommand::ResetMidFrame(host))));
                     }
                 }
-                TroubleKind::InventoryLate => {
+                FaultKind::InventoryLate => {
                     acts.push((at, ScheduledAction::SetInventoryDelay(size.max(1.0))));
                     acts.push((until, ScheduledAction::SetInventoryDelay(1.0)));
                 }
-                TroubleKind::InventoryEmpty => {
-                    acts.push((at, ScheduledAction::Garbage("")));
-                    acts.push((until, ScheduledAction::Garbage("sound")));
+                FaultKind::InventoryEmpty => {
+                    acts.push((at, ScheduledAction::ReplaceInventory("")));
+                    acts.push((until, ScheduledAction::ReplaceInventory("sound")));
                 }
-                TroubleKind::InventoryGarbage => {
+                FaultKind::InventoryGarbage => {
                     acts.push((
                         at,
-                        ScheduledAction::Garbage(
+                        ScheduledAction::ReplaceInventory(
                             "[[host]]\nname = \"host-00\"\nadress = \"?\u{0}\" [[",
                         ),
                     ));
-                    acts.push((until, ScheduledAction::Garbage("sound")));
+                    acts.push((until, ScheduledAction::ReplaceInventory("sound")));
                 }
-                TroubleKind::HealthFlaps => {
+                FaultKind::HealthFlaps => {
                     let period = ((size.max(0.05)) * 1e6) as u64;
-                    for host in self.struck(trouble) {
-                        let offset = self.dice.index_below(period as usize) as u64;
+                    for host in self.affected_hosts(trouble) {
+                        let offset = self.rng.index_below(period as usize) as u64;
                         let mut at = at + offset;
                         while at < until {
                             acts.push((at, ScheduledAction::SetHealth(host, false)));
@@ -337,37 +338,39 @@
                         }
                     }
                 }
-                TroubleKind::SickFlaps => {
+                FaultKind::SickFlaps => {
                     let period = (size.max(0.2) * 1e6) as u64;
-                    for (n, host) in self.struck(trouble).into_iter().enumerate() {
-                        let mut from = at + self.dice.index_below(period as usize) as u64;
+                    for (n, host) in self.affected_hosts(trouble).into_iter().enumerate() {
+                        let mut from = at + self.rng.index_below(period as usize) as u64;
                         while from < until {
-                            sick_wave(&mut acts, n, host, from, period);
+                            failing_flap(&mut acts, n, host, from, period);
                             from += period;
                         }
                     }
                 }
-                TroubleKind::LeaderLost => acts.push((at, ScheduledAction::LoseLeader(until - at))),
-                TroubleKind::CatalogueLate
-                | TroubleKind::CatalogueStorm
-                | TroubleKind::CatalogueCut
-                | TroubleKind::CataloguePartial
-                | TroubleKind::CatalogueStale => {
+                FaultKind::LeaderLost => {
+                    acts.push((at, ScheduledAction::LoseCatalogueLeader(until - at)))
+                }
+                FaultKind::CatalogueLate
+                | FaultKind::CatalogueStorm
+                | FaultKind::CatalogueCut
+                | FaultKind::CataloguePartial
+                | FaultKind::CatalogueStale => {
                     let none = CatalogueFaults::default;
                     let faults = match trouble.kind {
-                        TroubleKind::CatalogueLate => CatalogueFaults {
+                        FaultKind::CatalogueLate => CatalogueFaults {
                             delay_us: (size * 1e6) as u64,
                             ..none()
                         },
-                        TroubleKind::CatalogueStorm => CatalogueFaults {
+                        FaultKind::CatalogueStorm => CatalogueFaults {
                             error_status: Some((size as u16, 1.0)),
                             ..none()
                         },
-                        TroubleKind::CatalogueCut => CatalogueFaults {
+                        FaultKind::CatalogueCut => CatalogueFaults {
                             truncated_share: 0.7,
                             ..none()
                         },
-                        TroubleKind::CataloguePartial => CatalogueFaults {
+                        FaultKind::CataloguePartial => CatalogueFaults {
                             partial_share: size,
                             ..none()
                         },
@@ -376,14 +379,14 @@
                             ..none()
                         },
                     };
-                    acts.push((at, ScheduledAction::Catalogue(faults)));
-                    acts.push((until, ScheduledAction::Catalogue(none())));
+                    acts.push((at, ScheduledAction::SetCatalogueFaults(faults)));
+                    acts.push((until, ScheduledAction::SetCatalogueFaults(none())));
                 }
                 // It is in the arrivals, which are drawn ahead.
-                TroubleKind::Overload => {}
-                TroubleKind::HangUps => {
-                    acts.push((at, ScheduledAction::HangUps(size)));
-                    acts.push((until, ScheduledAction::HangUps(0.0)));
+                FaultKind::Overload => {}
+                FaultKind::HangUps => {
+                    acts.push((at, ScheduledAction::SetDisconnectShare(size)));
+                    acts.push((until, ScheduledAction::SetDisconnectShare(0.0)));
                 }
             }
             all.extend(acts);
--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -17,11 +17,11 @@
 /// Their names begin with this, so that traffic of real placers can be told from theirs.
 const PREFIX: &str = "hollow-placer-";
 /// A connection that could not be made or was lost is tried again after this, µs.
-const RECONNECT_EVERY: u64 = 1_000_000;
+const RECONNECT_INTERVAL_US: u64 = 1_000_000;
 /// The thread looks at least this often whether it is to end.
-const LOOK_EVERY: u64 = 100_000;
+const POLL_INTERVAL_US: u64 = 100_000;
 /// Connections of this many are begun at once; the others follow, so that backlogs of hosts suffice.
-const CONNECT_AT_ONCE: usize = 256;
+const MAX_CONNECTS_PER_TURN: usize = 256;
 
 /// Whether a placer of this name is hollow.
 pub fn is_hollow(name: &str) -> bool {
@@ -46,7 +46,7 @@
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let mut run = Run {
+        let mut run = HollowThread {
             poller: Poller::new()?,
             clock: Clock::start(),
             hosts: hosts.to_vec(),
@@ -84,35 +84,35 @@
 
 /// One placer's connection to one host; its number in the run is the connection's token.
 #[derive(Clone, Copy, Debug)]
-struct Link {
+struct PlacerHostPair {
     placer: usize,
     host: usize,
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Due {
-    Connect(Link),
-    Ping(Link),
+enum Timer {
+    Connect(PlacerHostPair),
+    Ping(PlacerHostPair),
 }
 
-struct Run {
+struct HollowThread {
     poller: Poller,
     clock: Clock,
     hosts: Vec<SocketAddr>,
     ping_every: u64,
-    conns: HashMap<u64, HollowConn>,
-    timers: Timers<Due>,
+    conns: HashMap<u64, HollowConnection>,
+    timers: Timers<Timer>,
     connected: Arc<AtomicUsize>,
 }
 
-struct HollowConn {
+struct HollowConnection {
     conn: TcpConnection,
-    link: Link,
-    named_all: bool,
+    link: PlacerHostPair,
+    has_listed_tasks: bool,
 }
 
-impl Run {
-    fn token(&self, link: Link) -> u64 {
+impl HollowThread {
+    fn token(&self, link: PlacerHostPair) -> u64 {
         (link.placer * self.hosts.len() + link.host) as u64
     }
 
@@ -120,13 +120,13 @@
     fn plan_connections(&mut self, placers: usize) {
         let now = self.clock.now();
         let links = (placers * self.hosts.len()).max(1) as u64;
-        let at_least = links / CONNECT_AT_ONCE as u64 * LOOK_EVERY;
+        let at_least = links / MAX_CONNECTS_PER_TURN as u64 * POLL_INTERVAL_US;
         let span = self.ping_every.max(at_least);
         for placer in 0..placers {
             for host in 0..self.hosts.len() {
-                let link = Link { placer, host };
+                let link = PlacerHostPair { placer, host };
                 let at = now + self.token(link) * span / links;
-                self.timers.schedule(at, Due::Connect(link));
+                self.timers.schedule(at, Timer::Connect(link));
             }
         }
     }
@@ -135,10 +135,9 @@
         let mut ready: Vec<Readiness> = Vec::new();
         while !ended.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            let wait = self
-                .timers
-                .next_due_at()
-                .map_or(LOOK_EVERY, |at| at.saturating_sub(now).min(LOOK_EVERY));
+            let wait = self.timers.next_due_at().map_or(POLL_INTERVAL_US, |at| {
+                at.saturating_sub(now).min(POLL_INTERVAL_US)
+            });
             ready.clear();
             self.poller
                 .wait(Some(Duration::from_micros(wait)), &mut ready)?;
@@ -146,39 +145,40 @@
             let now = self.clock.now();
             while let Some(due) = self.timers.pop_due(now) {
                 match due {
-                    Due::Connect(link) => self.connect(link),
-                    Due::Ping(link) => self.ping(link),
+                    Timer::Connect(link) => self.connect(link),
+                    Timer::Ping(link) => self.ping(link),
                 }
             }
         }
         Ok(())
     }
 
-    fn connect(&mut self, link: Link) {
+    fn connect(&mut self, link: PlacerHostPair) {
         let token = self.token(link);
         match TcpConnection::connect(self.hosts[link.host], token, &self.poller) {
             Ok(conn) => {
                 self.conns.insert(
                     token,
-                    HollowConn {
+                    HollowConnection {
                         conn,
                         link,
-                        named_all: false,
+                        has_listed_tasks: false,
                     },
                 );
             }
-            Err(_) => self
-                .timers
-                .schedule(self.clock.now() + RECONNECT_EVERY, Due::Connect(link)),
+            Err(_) => self.timers.schedule(
+                self.clock.now() + RECONNECT_INTERVAL_US,
+                Timer::Connect(link),
+            ),
         }
     }
 
-    fn ping(&mut self, link: Link) {
+    fn ping(&mut self, link: PlacerHostPair) {
         let token = self.token(link);
-        if self.conns.get(&token).is_some_and(|c| c.named_all) {
+        if self.conns.get(&token).is_some_and(|c| c.has_listed_tasks) {
             self.send(token, &Frame::Ping(token as u32));
             self.timers
-                .schedule(self.clock.now() + self.ping_every, Due::Ping(link));
+                .schedule(self.clock.now() + self.ping_every, Timer::Ping(link));
         }
     }
 
@@ -188,20 +188,20 @@
         };
         frame::encode(frame, hollow.conn.write_buffer());
         if hollow.conn.flush(&self.poller).is_err() {
-            self.lose(token);
+            self.close_connection(token);
         }
     }
 
-    fn lose(&mut self, token: u64) {
+    fn close_connection(&mut self, token: u64) {
         let Some(hollow) = self.conns.remove(&token) else {
             return;
         };
-        if hollow.named_all {
+        if hollow.has_listed_tasks {
             self.connected.fetch_sub(1, Ordering::Relaxed);
         }
         self.timers.schedule(
-            self.clock.now() + RECONNECT_EVERY,
-            Due::Connect(hollow.link),
+            self.clock.now() + RECONNECT_INTERVAL_US,
+            Timer::Connect(hollow.link),
         );
     }
 
@@ -212,7 +212,7 @@
         };
         if hollow.conn.is_connecting() {
             if hollow.conn.finish_connect().is_err() {
-                self.lose(token);
+                self.close_connection(token);
                 return;
             }
             let hello = hello(hollow.link);
@@ -222,7 +222,7 @@
             return;
         };
         if readiness.is_writable && hollow.conn.flush(&self.poller).is_err() {
-            self.lose(token);
+            self.close_connection(token);
             return;
         }
         if readiness.is_readable {
@@ -242,11 +242,11 @@
                     hollow.conn.consume(used);
                     match frame {
                         None => break,
-                        Some(Frame::HeldEnd) if !hollow.named_all => {
-                            hollow.named_all = true;
+                        Some(Frame::HeldEnd) if !hollow.has_listed_tasks => {
+                            hollow.has_listed_tasks = true;
                             self.connected.fetch_add(1, Ordering::Relaxed);
                             let first = self.clock.now() + self.ping_every;
-                            self.timers.schedule(first, Due::Ping(hollow.link));
+                            self.timers.schedule(first, Timer::Ping(hollow.link));
                         }
                         Some(Frame::Ping(nonce)) => {
                             frame::encode(&Frame::Pong(nonce), hollow.conn.write_buffer())
@@ -261,12 +261,12 @@
             }
         }
         if broken || hollow.conn.flush(&self.poller).is_err() {
-            self.lose(token);
+            self.close_connection(token);
         }
     }
 }
 
-fn hello(link: Link) -> Frame {
+fn hello(link: PlacerHostPair) -> Frame {
     Frame::Hello {
         major: frame::MAJOR,
         minor: frame::MINOR,
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -23,17 +23,17 @@
     /// Share of one class's asks that fail (true) or stay unanswered (false).
     pub class_fault: Option<(String, f64, bool)>,
     /// Share of the answers that are lost.
-    pub answers_lost: f64,
+    pub lost_answer_share: f64,
     /// Share of the cores that another program takes.
-    pub neighbour: f64,
+    pub neighbour_core_share: f64,
     /// Looking at an ask takes so many times as long; 0 for as long as ever.
     pub admission_slowdown: f64,
     /// Share of one class's new tasks that use three times the cores and twice the memory that they would.
-    pub heavy: Option<(String, f64)>,
+    pub heavy_tail: Option<(String, f64)>,
     /// Share of the services all of whose tasks use twice the cores that they asked for.
-    pub hot: f64,
+    pub hot_service_share: f64,
     /// The programs that were kept are gone.
-    pub programs_lost: bool,
+    pub has_lost_programs: bool,
 }
 
 /// What a host has to do later.
@@ -44,17 +44,17 @@
     /// A start is done.
     StartFinished(u64),
     /// A task's life is over.
-    Over(u64),
+    TaskFinished(u64),
 }
 
 /// What a host wants done.
-pub enum Do {
+pub enum HostAction {
     /// Send a frame to this placer, if it is connected.
     Send(Arc<str>, Frame),
     /// Call back after so long, µs.
-    After(u64, Timer),
+    SetTimer(u64, Timer),
     /// It has fallen over and stays down.
-    FallOver,
+    Crash,
 }
 
 struct HostedTask {
@@ -64,12 +64,12 @@
     /// What it uses once it runs, and its memory after growing.
     cores: f64,
     memory: f64,
-    runs_since: Option<u64>,
+    running_since: Option<u64>,
     reported_at: u64,
 }
 
 /// What a task uses while so large a share of the services is hot: all hosts see the same ones so.
-fn cores_of(task: &HostedTask, hot: f64) -> f64 {
+fn used_cores(task: &HostedTask, hot: f64) -> f64 {
     let place = task
         .offer
         .service
@@ -85,7 +85,7 @@
 
 /// The kind of a host and where it stands.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct HostSpec {
     pub name: Arc<str>,
     pub zone: String,
     pub cell: String,
@@ -96,7 +96,7 @@
 
 /// A host's process.
 pub struct EmulatedHost {
-    pub spec: Spec,
+    pub spec: HostSpec,
     pub started_us: u64,
     faults: HostFaults,
     scenario: Arc<Scenario>,
@@ -106,25 +106,25 @@
     /// Asks in the line, by attempt.
     queued: BTreeMap<u64, HostedTask>,
     is_admitting: bool,
-    dice: SeededRng,
+    rng: SeededRng,
     /// Offers while it is cold.
     recent_offers: Vec<u64>,
-    worst_told: BTreeMap<Arc<str>, u64>,
+    contention_reported_at: BTreeMap<Arc<str>, u64>,
     /// When it last measured all that runs, where it measures together.
     last_measured: u64,
 }
 
 /// What runs is measured, and told to its placers, this often, µs.
-const MEASURE_EVERY: u64 = 2_000_000;
+const MEASURE_INTERVAL_US: u64 = 2_000_000;
 /// Over this share of memory all tasks slow down, and placers are told.
-const TIGHT: f64 = 0.92;
+const MEMORY_PRESSURE: f64 = 0.92;
 
 impl EmulatedHost {
     pub fn new(
-        spec: Spec,
+        spec: HostSpec,
         scenario: Arc<Scenario>,
         world: RunContext,
-        mut dice: SeededRng,
+        mut rng: SeededRng,
         cold: bool,
     ) -> EmulatedHost {
         let fleet = &scenario.fleet;
@@ -143,7 +143,7 @@
         let started_us = if cold { now } else { now - 3_600_000_000 } / 1000 * 1000;
         // Hosts don't measure in step with each other.
         let ago = if fleet.measures_together {
-            dice.between([0.0, MEASURE_EVERY as f64]) as u64
+            rng.between([0.0, MEASURE_INTERVAL_US as f64]) as u64
         } else {
             0
         };
@@ -157,9 +157,9 @@
             tasks: BTreeMap::new(),
             queued: BTreeMap::new(),
             is_admitting: false,
-            dice,
+            rng,
             recent_offers: Vec::new(),
-            worst_told: BTreeMap::new(),
+            contention_reported_at: BTreeMap::new(),
             last_measured: now - ago,
         }
     }
@@ -167,7 +167,7 @@
     /// A new process in its place, cold.
     pub fn restart(&mut self) {
         self.stop();
-        let cold = self.dice.seed();
+        let cold = self.rng.seed();
         *self = EmulatedHost::new(
             self.spec.clone(),
             self.scenario.clone(),
@@ -179,7 +179,7 @@
 
     /// All that ran is lost.
     pub fn stop(&mut self) {
-        for task in self.tasks.values().filter(|t| t.runs_since.is_some()) {
+        for task in self.tasks.values().filter(|t| t.running_since.is_some()) {
             self.world
                 .service_accounting()
                 .record_end(&task.offer.actor);
@@ -189,8 +189,8 @@
     }
 
     /// What ails it from now on.
-    pub fn ail(&mut self, faults: HostFaults) {
-        if faults.programs_lost && !self.faults.programs_lost {
+    pub fn set_faults(&mut self, faults: HostFaults) {
+        if faults.has_lost_programs && !self.faults.has_lost_programs {
             self.admission.forget_warm_programs();
         }
         self.faults = faults;
@@ -202,7 +202,7 @@
     }
 
     /// Lets go of keys that it let stand.
-    pub fn forget_keys(&mut self, keys: &mut DeduplicationTable) {
+    pub fn release_keys(&mut self, keys: &mut DeduplicationTable) {
         for attempt in self.tasks.keys().copied().collect::<Vec<_>>() {
             self.admission.remove(attempt, keys);
         }
@@ -219,16 +219,16 @@
     /// What it holds of a placer.
     pub fn held_frames(&self, placer: &str) -> Vec<Frame> {
         let own = self.tasks.values().filter(|t| *t.placer == *placer);
-        own.map(|t| Frame::Held(t.offer.clone(), t.runs_since.is_some()))
+        own.map(|t| Frame::Held(t.offer.clone(), t.running_since.is_some()))
             .collect()
     }
 
     /// Its pace, less while it is cold.
-    fn pace(&self, now: u64) -> f64 {
+    fn speed_factor(&self, now: u64) -> f64 {
         let rules = &self.scenario.rules;
         let age = (now - self.started_us.min(now)) as f64 / 1000.0 / rules.warm_up_ms as f64;
         (rules.initial_capacity_share + (1.0 - rules.initial_capacity_share) * age).min(1.0)
-            * (1.0 - self.faults.neighbour)
+            * (1.0 - self.faults.neighbour_core_share)
             * self.spec.speed
     }
 
@@ -241,9 +241,9 @@
     }
 
     /// Answers of attempts may be lost on the way; other frames are not.
-    fn answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<Do>) {
-        if !self.faults.is_silent && !self.dice.random_bool(self.faults.answers_lost) {
-            out.push(Do::Send(placer.clone(), frame));
+    fn send_answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<HostAction>) {
+        if !self.faults.is_silent && !self.rng.random_bool(self.faults.lost_answer_share) {
+            out.push(HostAction::Send(placer.clone(), frame));
         }
     }
 
@@ -254,52 +254,58 @@
         placer: &Arc<str>,
         frame: Frame,
         keys: &mut DeduplicationTable,
-        out: &mut Vec<Do>,
+        out: &mut Vec<HostAction>,
     ) {
         match frame {
-            Frame::Offer(offer) => self.offer(now, placer, offer, out),
+            Frame::Offer(offer) => self.handle_offer(now, placer, offer, out),
             Frame::Cancel(attempt) | Frame::Stop(attempt) => {
                 let mine = |t: &HostedTask| *t.placer == **placer;
                 if self.tasks.get(&attempt).is_some_and(mine)
                     || self.queued.get(&attempt).is_some_and(mine)
                 {
-                    let ran = self.finish(attempt, keys);
+                    let ran = self.remove_task(attempt, keys);
                     let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.load());
-                    self.answer(placer, ended, out);
-                    self.start_more(now, out);
+                    self.send_answer(placer, ended, out);
+                    self.start_next(now, out);
                 }
             }
             Frame::Probe(nonce) if !self.faults.is_silent => {
                 let load = self.load().unwrap_or_default();
-                out.push(Do::Send(placer.clone(), Frame::Report(nonce, load)));
+                out.push(HostAction::Send(placer.clone(), Frame::Report(nonce, load)));
             }
             Frame::Ping(nonce) if !self.faults.is_silent => {
-                out.push(Do::Send(placer.clone(), Frame::Pong(nonce)))
+                out.push(HostAction::Send(placer.clone(), Frame::Pong(nonce)))
             }
             _ => {}
         }
     }
 
-    fn offer(&mut self, now: u64, placer: &Arc<str>, offer: Offer, out: &mut Vec<Do>) {
-        if self.falls_over(now) {
-            out.push(Do::FallOver);
+    fn handle_offer(
+        &mut self,
+        now: u64,
+        placer: &Arc<str>,
+        offer: Offer,
+        out: &mut Vec<HostAction>,
+    ) {
+        if self.is_overloaded(now) {
+            out.push(HostAction::Crash);
             return;
         }
         if self.faults.is_silent {
             return;
         }
         let attempt = offer.attempt_id;
-        if self.dice.random_bool(self.faults.error_share) {
-            let ran = self.dice.random_bool(0.5);
-            self.answer(placer, Frame::Ended(attempt, Reason::Error, ran, None), out);
+        if self.rng.random_bool(self.faults.error_share) {
+            let ran = self.rng.random_bool(0.5);
+            self.send_answer(placer, Frame::Ended(attempt, Reason::Error, ran, None), out);
             return;
         }
         if let Some((class, share, errors)) = self.faults.class_fault.clone()
             && class == offer.class
-            && self.dice.random_bool(share)
+            && self.rng.random_bool(share)
         {
             if errors {
-                self.answer(
+                self.send_answer(
                     placer,
                     Frame::Ended(attempt, Reason::Error, false, None),
                     out,
@@ -326,8 +332,8 @@
         };
         match self.admission.enqueue(ask) {
             Err(refusal) => {
-                let refused = Frame::Refused(attempt, reason(refusal), self.load());
-                self.answer(placer, refused, out);
+                let refused = Frame::Refused(attempt, rejection_reason(refusal), self.load());
+                self.send_answer(placer, refused, out);
             }
             Ok(()) => {
                 let uses = self
@@ -336,27 +342,25 @@
                     .iter()
                     .find(|c| c.rules.name == offer.class)
                     .map_or([1.0; 2], |c| c.used_share);
-                let swing = self.dice.between([0.6, 1.4]);
-                let heavy = match self.faults.heavy.clone() {
-                    Some((class, share))
-                        if class == offer.class && self.dice.random_bool(share) =>
-                    {
+                let swing = self.rng.between([0.6, 1.4]);
+                let heavy = match self.faults.heavy_tail.clone() {
+                    Some((class, share)) if class == offer.class && self.rng.random_bool(share) => {
                         [3.0, 2.0]
                     }
                     _ => [1.0, 1.0],
                 };
-                let memory = offer.requested.memory_gib * uses[1] * self.dice.between([0.8, 1.2]);
+                let memory = offer.requested.memory_gib * uses[1] * self.rng.between([0.8, 1.2]);
                 let task = HostedTask {
                     cores: (offer.requested.cores * uses[0] * swing * heavy[0]).max(0.0),
                     memory: (memory * heavy[1]).max(0.0),
                     offer,
                     placer: placer.clone(),
                     received_at: now,
-                    runs_since: None,
+                    running_since: None,
                     reported_at: now,
                 };
                 self.queued.insert(attempt, task);
-                self.look_later(out);
+                self.schedule_admission(out);
             }
         }
     }
@@ -376,7 +380,7 @@
     }
 
     /// A cold host that is sent too much falls over.
-    fn falls_over(&mut self, now: u64) -> bool {
+    fn is_overloaded(&mut self, now: u64) -> bool {
         let rules = &self.scenario.rules;
         if now >= self.started_us + rules.warm_up_ms * 1000 {
             self.recent_offers.clear();
@@ -386,17 +390,19 @@
         self.recent_offers.retain(|&at| at + window >= now);
         self.recent_offers.push(now);
         let work = self.scenario.classes.first().map_or(100.0, |c| c.work_ms) * 1000.0;
-        let can = self.pace(now) * self.scenario.fleet.max_concurrent_starts as f64 * window as f64
+        let can = self.speed_factor(now)
+            * self.scenario.fleet.max_concurrent_starts as f64
+            * window as f64
             / work;
         self.recent_offers.len() as f64 > rules.warm_up_offers.max(rules.overload_multiple * can)
     }
 
-    fn look_later(&mut self, out: &mut Vec<Do>) {
+    fn schedule_admission(&mut self, out: &mut Vec<HostAction>) {
         if !self.is_admitting && self.admission.queue_length() > 0 {
             self.is_admitting = true;
-            let ms = self.dice.between(self.scenario.fleet.admission_ms)
+            let ms = self.rng.between(self.scenario.fleet.admission_ms)
                 * self.faults.admission_slowdown.max(1.0);
-            out.push(Do::After((ms * 1000.0) as u64, Timer::AdmitNext));
+            out.push(HostAction::SetTimer((ms * 1000.0) as u64, Timer::AdmitNext));
         }
     }
 
@@ -406,44 +412,46 @@
         now: u64,
         later: Timer,
         keys: &mut DeduplicationTable,
-        out: &mut Vec<Do>,
+        out: &mut Vec<HostAction>,
     ) {
         match later {
             Timer::AdmitNext => {
                 self.is_admitting = false;
                 if let Some((ask, verdict)) = self.admission.decide_next(keys) {
-                    self.verdict(now, ask, verdict, out);
+                    self.apply_admission(now, ask, verdict, out);
                 }
-                self.look_later(out);
-                self.start_more(now, out);
+                self.schedule_admission(out);
+                self.start_next(now, out);
             }
             Timer::StartFinished(attempt) => {
                 self.admission.mark_running(attempt);
                 let Some(task) = self.tasks.get_mut(&attempt) else {
                     return;
                 };
-                task.runs_since = Some(now);
+                task.running_since = Some(now);
                 let took = ((now - task.received_at) / 1000) as u32;
                 let (placer, life) = (task.placer.clone(), task.offer.expected_duration_ms * 1000);
                 self.world
                     .service_accounting()
                     .record_start(&task.offer.actor, now);
-                self.answer(&placer, Frame::Started(attempt, took), out);
+                self.send_answer(&placer, Frame::Started(attempt, took), out);
                 if life > 0 {
-                    out.push(Do::After(life, Timer::Over(attempt)));
+                    out.push(HostAction::SetTimer(life, Timer::TaskFinished(attempt)));
                 }
-                self.start_more(now, out);
+                self.start_next(now, out);
+            }
+            Timer::TaskFinished(attempt) => {
+                self.end_task(now, attempt, Reason::Completed, keys, out)
             }
-            Timer::Over(attempt) => self.over(now, attempt, Reason::Completed, keys, out),
         }
     }
 
-    fn verdict(
+    fn apply_admission(
         &mut self,
         now: u64,
         ask: TaskRequest,
         verdict: AdmissionDecision,
-        out: &mut Vec<Do>,
+        out: &mut Vec<HostAction>,
     ) {
         let Some(task) = self.queued.remove(&ask.attempt_id) else {
             return;
@@ -451,26 +459,33 @@
         let placer = task.placer.clone();
         match verdict {
             AdmissionDecision::Rejected(refusal) => {
-                let refused = Frame::Refused(ask.attempt_id, reason(refusal), self.load());
-                self.answer(&placer, refused, out);
+                let refused =
+                    Frame::Refused(ask.attempt_id, rejection_reason(refusal), self.load());
+                self.send_answer(&placer, refused, out);
             }
             AdmissionDecision::Admitted {
                 preempted: push_out,
             } => {
                 for attempt in push_out {
                     if let Some(gone) = self.tasks.remove(&attempt) {
-                        self.gone(&gone, attempt, Reason::Preempted, out);
+                        self.report_task_end(&gone, attempt, Reason::Preempted, out);
                     }
                 }
                 let took = ((now - task.received_at) / 1000) as u32;
                 self.tasks.insert(ask.attempt_id, task);
-                self.answer(&placer, Frame::Accepted(ask.attempt_id, took), out);
+                self.send_answer(&placer, Frame::Accepted(ask.attempt_id, took), out);
             }
         }
     }
 
-    fn gone(&mut self, task: &HostedTask, attempt: u64, why: Reason, out: &mut Vec<Do>) {
-        let ran = task.runs_since.is_some();
+    fn report_task_end(
+        &mut self,
+        task: &HostedTask,
+        attempt: u64,
+        why: Reason,
+        out: &mut Vec<HostAction>,
+    ) {
+        let ran = task.running_since.is_some();
         if ran {
             self.world
                 .service_accounting()
@@ -478,34 +493,34 @@
         }
         // Losing a task is not an answer that gets lost on its way: the next greeting tells it at the latest.
         if !self.faults.is_silent {
-            out.push(Do::Send(
+            out.push(HostAction::Send(
                 task.placer.clone(),
                 Frame::Ended(attempt, why, ran, self.load()),
             ));
         }
     }
 
-    fn over(
+    fn end_task(
         &mut self,
         now: u64,
         attempt: u64,
         why: Reason,
         keys: &mut DeduplicationTable,
-        out: &mut Vec<Do>,
+        out: &mut Vec<HostAction>,
     ) {
         self.admission.remove(attempt, keys);
         if let Some(task) = self.tasks.remove(&attempt) {
-            self.gone(&task, attempt, why, out);
+            self.report_task_end(&task, attempt, why, out);
         }
-        self.start_more(now, out);
+        self.start_next(now, out);
     }
 
     /// Takes a task away without a word; whether it ever ran.
-    fn finish(&mut self, attempt: u64, keys: &mut DeduplicationTable) -> bool {
+    fn remove_task(&mut self, attempt: u64, keys: &mut DeduplicationTable) -> bool {
         let stage = self.admission.remove(attempt, keys);
         self.queued.remove(&attempt);
         if let Some(task) = self.tasks.remove(&attempt)
-            && task.runs_since.is_some()
+            && task.running_since.is_some()
         {
             self.world
                 .service_accounting()
@@ -514,7 +529,7 @@
         !matches!(stage, Some(TaskStage::Waiting) | None)
     }
 
-    fn start_more(&mut self, now: u64, out: &mut Vec<Do>) {
+    fn start_next(&mut self, now: u64, out: &mut Vec<HostAction>) {
         while let Some((attempt, there)) = self.admission.next_start() {
             let class = self
                 .tasks
@@ -528,8 +543,8 @@
                 } else {
                     self.scenario.fleet.cold_start_factor
                 };
-            let took = work * self.dice.between([0.7, 1.3]) / self.pace(now).max(0.02);
-            out.push(Do::After(
+            let took = work * self.rng.between([0.7, 1.3]) / self.speed_factor(now).max(0.02);
+            out.push(HostAction::SetTimer(
                 (took * 1000.0) as u64,
                 Timer::StartFinished(attempt),
             ));
@@ -547,12 +562,12 @@
         from: u64,
         now: u64,
         keys: &mut DeduplicationTable,
-        out: &mut Vec<Do>,
+        out: &mut Vec<HostAction>,
     ) {
         let grows = 4_000_000.0;
         let memory_of = |t: &HostedTask| {
             let part = t
-                .runs_since
+                .running_since
                 .map_or(0.3, |s| ((now - s.min(now)) as f64 / grows).clamp(0.3, 1.0));
             t.memory * part
         };
@@ -561,23 +576,28 @@
             let used = |a: u64| self.tasks.get(&a).map_or(0.0, memory_of);
             for attempt in self
                 .admission
-                .select_evictions(self.spec.memory * TIGHT, used)
+                .select_evictions(self.spec.memory * MEMORY_PRESSURE, used)
             {
-                self.over(now, attempt, Reason::Evicted, keys, out);
+                self.end_task(now, attempt, Reason::Evicted, keys, out);
             }
         }
-        let cores = self.spec.cores * (1.0 - self.faults.neighbour) * self.spec.speed;
+        let cores = self.spec.cores * (1.0 - self.faults.neighbour_core_share) * self.spec.speed;
         let share = memory / self.spec.memory;
-        let slow = if share > TIGHT {
-            1.0 - 0.7 * ((share - TIGHT) / (1.0 - TIGHT)).min(1.0)
+        let slow = if share > MEMORY_PRESSURE {
+            1.0 - 0.7 * ((share - MEMORY_PRESSURE) / (1.0 - MEMORY_PRESSURE)).min(1.0)
         } else {
             1.0
         };
         let running: Vec<(u32, f64)> = self
             .tasks
             .values()
-            .filter(|t| t.runs_since.is_some())
-            .map(|t| (t.offer.priority, cores_of(t, self.faults.hot)))
+            .filter(|t| t.running_since.is_some())
+            .map(|t| {
+                (
+                    t.offer.priority,
+                    used_cores(t, self.faults.hot_service_share),
+                )
+            })
             .collect();
         let starting: f64 = self
             .admission
@@ -586,15 +606,15 @@
             .map(|_| 0.5)
             .sum();
         let together = self.scenario.fleet.measures_together;
-        let periods = now.saturating_sub(self.last_measured) / MEASURE_EVERY;
+        let periods = now.saturating_sub(self.last_measured) / MEASURE_INTERVAL_US;
         let (measures, measured) = (together && periods > 0, self.last_measured);
         if measures {
-            self.last_measured += periods * MEASURE_EVERY;
+            self.last_measured += periods * MEASURE_INTERVAL_US;
         }
         let mut worst: BTreeMap<Arc<str>, (u64, f64)> = BTreeMap::new();
         let mut notes = Vec::new();
         for (&attempt, task) in &mut self.tasks {
-            let Some(since) = task.runs_since else {
+            let Some(since) = task.running_since else {
                 continue;
             };
             let class = self
@@ -629,13 +649,17 @@
             let due = if together {
                 measures && since <= measured
             } else {
-                task.reported_at + MEASURE_EVERY <= now
+                task.reported_at + MEASURE_INTERVAL_US <= now
             };
             if due {
                 task.reported_at = now;
                 notes.push((
                     task.placer.clone(),
-                    Frame::Note(attempt, NoteKind::Cores, cores_of(task, self.faults.hot)),
+                    Frame::Note(
+                        attempt,
+                        NoteKind::Cores,
+                        used_cores(task, self.faults.hot_service_share),
+                    ),
                 ));
                 notes.push((
                     task.placer.clone(),
@@ -646,13 +670,16 @@
         let mut tight = Vec::new();
         if share > 0.85 {
             for (&attempt, task) in &self.tasks {
-                if task.runs_since.is_some() && !worst.contains_key(&task.placer) {
+                if task.running_since.is_some() && !worst.contains_key(&task.placer) {
                     worst.insert(task.placer.clone(), (attempt, 1.0));
                 }
             }
         }
         for (placer, (attempt, served)) in worst {
-            let told = self.worst_told.entry(placer.clone()).or_default();
+            let told = self
+                .contention_reported_at
+                .entry(placer.clone())
+                .or_default();
             if *told + 1_000_000 > now {
                 continue;
             }
@@ -675,13 +702,13 @@
                 notes
                     .into_iter()
                     .chain(tight)
-                    .map(|(placer, frame)| Do::Send(placer, frame)),
+                    .map(|(placer, frame)| HostAction::Send(placer, frame)),
             );
         }
     }
 }
 
-fn reason(refusal: RejectionReason) -> Reason {
+fn rejection_reason(refusal: RejectionReason) -> Reason {
     match refusal {
         RejectionReason::InsufficientCores => Reason::Cores,
         RejectionReason::InsufficientMemory => Reason::Memory,
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -3,10 +3,10 @@
 //! which the traffic is judged. Also a load generator, and a random-choice decider to compare the module with,
 //! which can be made to break each rule on purpose.
 
-mod calls;
+mod catalogue_registration;
 pub mod clients;
 pub mod demand;
-mod drawn;
+mod fault_plan;
 pub mod hollow_placers;
 mod host;
 pub mod load_test;
@@ -14,9 +14,9 @@
 pub mod mutant;
 mod owners;
 pub mod placer_processes;
-mod plan;
 pub mod rack;
 pub mod random_choice;
+mod random_scenario;
 pub mod recorded_scenario;
 pub mod report;
 pub mod run_options;
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -22,7 +22,7 @@
 use maplethread_wire::frame::{self, Frame};
 use serde_json::{Value, json};
 
-use crate::calls::register;
+use crate::catalogue_registration::register_host;
 use crate::clients::{Clients, RequestLoad};
 use crate::settings::{api, consul, hosts, plain_class};
 use crate::usage::process_usage;
@@ -74,7 +74,7 @@
     pub actors: u64,
     /// What the placer's loop spent its time on: reading, turns, deciding within them, and writing, µs in all and in
     /// the longest turn.
-    pub spent: Value,
+    pub loop_time: Value,
     /// Share of one core that the placer used while idle and under load.
     pub cpu: [f64; 2],
 }
@@ -89,7 +89,7 @@
             "decide_us": {"p50": self.decide_us[0], "p99": self.decide_us[1]},
             "rss_kib": {"before": self.rss_kib[0], "after": self.rss_kib[1]},
             "actors": self.actors,
-            "spent_us": self.spent,
+            "spent_us": self.loop_time,
             "cpu": {"idle": self.cpu[0], "load": self.cpu[1]},
         })
     }
@@ -97,7 +97,7 @@
     /// For a person.
     pub fn text(&self) -> String {
         let spent = |part: &str| {
-            let of = |key: &str| self.spent[part][key].as_u64().unwrap_or(0);
+            let of = |key: &str| self.loop_time[part][key].as_u64().unwrap_or(0);
             format!(
                 "{:.1} us ({:.1} ms)",
                 of("all") as f64 / self.requests.max(1) as f64,
@@ -143,14 +143,14 @@
 }
 
 /// Hosts that accept all at once, in a thread of their own.
-struct NullHosts {
+struct MinimalHosts {
     addresses: Vec<SocketAddr>,
     end: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
-impl NullHosts {
-    fn start(count: usize, life_us: u64) -> io::Result<NullHosts> {
+impl MinimalHosts {
+    fn start(count: usize, life_us: u64) -> io::Result<MinimalHosts> {
         let poller = Poller::new()?;
         let mut listeners = Vec::new();
         let mut addresses = Vec::new();
@@ -163,11 +163,11 @@
         }
         let end = Arc::new(AtomicBool::new(false));
         let ended = end.clone();
-        let run = move || null_hosts(&poller, &listeners, life_us, &ended);
+        let run = move || run_minimal_hosts(&poller, &listeners, life_us, &ended);
         let thread = std::thread::Builder::new()
             .name("null-hosts".into())
             .spawn(run)?;
-        Ok(NullHosts {
+        Ok(MinimalHosts {
             addresses,
             end,
             thread: Some(thread),
@@ -175,7 +175,7 @@
     }
 }
 
-impl Drop for NullHosts {
+impl Drop for MinimalHosts {
     fn drop(&mut self) {
         self.end.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -184,7 +184,7 @@
     }
 }
 
-fn null_hosts(
+fn run_minimal_hosts(
     poller: &Poller,
     listeners: &[TcpListener],
     life_us: u64,
@@ -282,7 +282,7 @@
 /// Runs one placer under a load.
 pub fn run(options: &LoadOptions) -> io::Result<LoadResult> {
     let folder = tempfile::tempdir()?;
-    let hosts_up = NullHosts::start(options.host_count, options.task_duration_ms * 1000)?;
+    let hosts_up = MinimalHosts::start(options.host_count, options.task_duration_ms * 1000)?;
     let entry = |(number, address): (usize, &SocketAddr)| HostEntry {
         name: format!("host-{number}"),
         address: *address,
@@ -306,7 +306,7 @@
         Some(_) => {
             let servers = Servers::start(ServerSettings::new(3))?;
             for host in &inventory.host {
-                register(servers.addresses[0], host)?;
+                register_host(servers.addresses[0], host)?;
             }
             Some(servers)
         }
@@ -402,7 +402,7 @@
                     } else {
                         HostState::Ready
                     };
-                    let _ = register(at, &host);
+                    let _ = register_host(at, &host);
                     std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
                 }
             })
@@ -437,7 +437,7 @@
         decide_us: [decide("p50"), decide("p99")],
         rss_kib: [idle_to.resident_kib, process_usage(pid)?.resident_kib],
         actors: status["actors"].as_u64().unwrap_or(0),
-        spent: status["gauges"]["spent_us"].clone(),
+        loop_time: status["gauges"]["spent_us"].clone(),
         cpu: [
             idle_to.cpu_s - idle_from.cpu_s,
             (loaded.cpu_s - idle_to.cpu_s) / took,
--- a/crates/emulator/src/looks.rs
+++ b/crates/emulator/src/looks.rs
@@ -6,7 +6,7 @@
 mod tests;
 
 /// Reading later than this is told to the judge, µs; well under the slack that it grants anyway.
-const TOLD_FROM: u64 = 50_000;
+const REPORTED_DELAY_US: u64 = 50_000;
 
 /// The looks of one reader at its connections.
 pub struct ReadTimes {
@@ -40,13 +40,13 @@
     /// Something is read at `now` and will be recorded: what the judge must be told first, where that is late, or no
     /// more.
     pub fn delay_to_report(&mut self, now: u64) -> Option<Observation> {
-        let late = now.saturating_sub(self.read_since) > TOLD_FROM;
+        let late = now.saturating_sub(self.read_since) > REPORTED_DELAY_US;
         let since = late.then_some(self.read_since);
         if since == self.reported_since {
             return None;
         }
         self.reported_since = since;
-        Some(Observation::ReadLate {
+        Some(Observation::ObserverDelayed {
             reader: self.reader,
             since,
         })
--- a/crates/emulator/src/mutant.rs
+++ b/crates/emulator/src/mutant.rs
@@ -7,10 +7,10 @@
 
 use maplethread_checker::Verdict;
 
-use crate::random_choice::MOVE_AGAINST_RULE;
+use crate::random_choice::RULE_VIOLATION_LOG;
 
 /// The rogue that breaks rule 1 around pauses only.
-const QUIET_AROUND_PAUSES: u8 = 6;
+const PAUSE_MUTANT: u8 = 6;
 
 /// A placer that breaks a rule on purpose, at the end of its day.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     pub(crate) fn new(number: u8, violations_made: u64, verdict: &Verdict) -> MutantResult {
         let violations_found = verdict
             .violations_by_rule()
-            .get(&rule_of(number))
+            .get(&violated_rule(number))
             .copied()
             .unwrap_or(0);
         MutantResult {
@@ -65,7 +65,7 @@
             violations_made: moves,
             violations_found: caught,
         } = self;
-        let rule = rule_of(*number);
+        let rule = violated_rule(*number);
         match self.outcome() {
             MutantOutcome::Detected => {
                 format!(
@@ -87,21 +87,17 @@
 }
 
 /// The rule that a rogue breaks.
-fn rule_of(rogue: u8) -> u8 {
-    if rogue == QUIET_AROUND_PAUSES {
-        1
-    } else {
-        rogue
-    }
+fn violated_rule(rogue: u8) -> u8 {
+    if rogue == PAUSE_MUTANT { 1 } else { rogue }
 }
 
 /// The moves against its rule that a placer told its log from this offset on.
-pub(crate) fn moves_told(log: &Path, from: u64) -> io::Result<u64> {
+pub(crate) fn count_violations_in_log(log: &Path, from: u64) -> io::Result<u64> {
     let mut file = File::open(log)?;
     file.seek(SeekFrom::Start(from))?;
     let mut moves = 0;
     for line in BufReader::new(file).split(b'\n') {
-        moves += u64::from(String::from_utf8_lossy(&line?).contains(MOVE_AGAINST_RULE));
+        moves += u64::from(String::from_utf8_lossy(&line?).contains(RULE_VIOLATION_LOG));
     }
     Ok(moves)
 }
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -21,7 +21,7 @@
 
 /// An owner waits this much longer than its deadline before it holds that no answer came, µs: what the reading and
 /// recording may be late by.
-pub const SLACK: u64 = 150_000;
+pub const ANSWER_SLACK_US: u64 = 150_000;
 
 /// Owners have at least so many connections at a time, however few descriptors are left.
 const MIN_CONNECTIONS: usize = 64;
@@ -47,9 +47,9 @@
     /// The placers.
     pub placers: Vec<LoadBalancerEntry>,
     /// This share of asks is hung up on before the deadline.
-    pub hang_ups: f64,
+    pub disconnect_share: f64,
     /// No new tasks, and nobody comes again.
-    pub closing: bool,
+    pub is_closing: bool,
     /// All asks are over.
     pub is_closed: bool,
     /// Asks sent so far, and those answered `placed`.
@@ -60,7 +60,7 @@
 
 /// The thread of the owners.
 pub struct Owners {
-    mood: Arc<Mutex<OwnerBehaviour>>,
+    behaviour: Arc<Mutex<OwnerBehaviour>>,
     thread: Option<JoinHandle<io::Result<Vec<u64>>>>,
 }
 
@@ -84,11 +84,11 @@
             scenario,
             world,
             arrivals,
-            mood: mood.clone(),
+            behaviour: mood.clone(),
             start,
             owners: Vec::new(),
             by_actor: HashMap::new(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             idle: BTreeMap::new(),
             event_connections: BTreeMap::new(),
             last_token: 1,
@@ -98,28 +98,28 @@
             place_us: Vec::new(),
         };
         if let Some(first) = run.arrivals.as_slice().first() {
-            run.timers.schedule(start + first.at_us, Timer::Arrive);
+            run.timers.schedule(start + first.at_us, Timer::Arrival);
         }
-        run.timers.schedule(start, Timer::Follow);
+        run.timers.schedule(start, Timer::WatchEvents);
         let thread = std::thread::Builder::new()
             .name("owners".into())
             .spawn(move || run.run())?;
         Ok(Owners {
-            mood,
+            behaviour: mood,
             thread: Some(thread),
         })
     }
 
     /// What the day does to them.
-    pub fn mood(&self) -> MutexGuard<'_, OwnerBehaviour> {
-        self.mood
+    pub fn behaviour(&self) -> MutexGuard<'_, OwnerBehaviour> {
+        self.behaviour
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// Ends the thread; returns the times from asks to `placed`, µs.
     pub fn end(mut self) -> io::Result<Vec<u64>> {
-        self.mood().closing = true;
+        self.behaviour().is_closing = true;
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
             _ => Err(io::Error::other("the owners' thread panicked")),
@@ -144,11 +144,11 @@
     /// A timer leads to the next ask.
     BetweenRequests,
     /// It waits for an answer on this connection.
-    Asking(u64),
+    AwaitingAnswer(u64),
     /// It runs, placed by this placer in this life.
     Placed(usize, u64),
     /// It is over.
-    Over,
+    Finished,
 }
 
 struct Owner {
@@ -160,23 +160,23 @@
     zone: String,
     state: OwnerState,
     request_count: u32,
-    failures: u32,
+    failure_count: u32,
     request: Arc<str>,
     requested_at: u64,
     /// What it draws itself.
-    dice: SeededRng,
+    rng: SeededRng,
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Timer {
     /// The next new owner.
-    Arrive,
-    Ask(usize),
+    Arrival,
+    Request(usize),
     Deadline(usize, u32),
-    EarlyHangUp(usize, u32),
+    EarlyDisconnect(usize, u32),
     CheckPlacement(usize),
-    Follow,
-    Close(u64),
+    WatchEvents,
+    CloseConnection(u64),
 }
 
 enum ConnectionUse {
@@ -204,11 +204,11 @@
     max_connections: usize,
     /// Those to come.
     arrivals: std::vec::IntoIter<Arrival>,
-    mood: Arc<Mutex<OwnerBehaviour>>,
+    behaviour: Arc<Mutex<OwnerBehaviour>>,
     start: u64,
     owners: Vec<Owner>,
     by_actor: HashMap<Arc<str>, usize>,
-    conns: HashMap<u64, OwnerConnection>,
+    connections: HashMap<u64, OwnerConnection>,
     /// Connections without an ask, by placer and life.
     idle: BTreeMap<(usize, u64), Vec<u64>>,
     event_connections: BTreeMap<usize, u64>,
@@ -221,8 +221,8 @@
 }
 
 impl OwnerThread {
-    fn mood(&self) -> MutexGuard<'_, OwnerBehaviour> {
-        self.mood
+    fn behaviour(&self) -> MutexGuard<'_, OwnerBehaviour> {
+        self.behaviour
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
@@ -244,75 +244,78 @@
             self.read_times
                 .polled(now, ready.len() < MAX_EVENTS_PER_WAIT);
             for r in &ready {
-                self.link_ready(r);
+                self.handle_ready(r);
             }
             let due_by = self.world.clock.now();
             while let Some(due) = self.timers.pop_due(due_by) {
                 // Deadlines count from when their asks leave, and a thread that is late takes long over what is due.
-                self.due(self.world.clock.now(), due);
+                self.handle_timer(self.world.clock.now(), due);
             }
-            if self.mood().closing && self.unanswered == 0 {
-                self.mood().is_closed = true;
+            if self.behaviour().is_closing && self.unanswered == 0 {
+                self.behaviour().is_closed = true;
                 return Ok(std::mem::take(&mut self.place_us));
             }
         }
     }
 
-    fn due(&mut self, now: u64, due: Timer) {
+    fn handle_timer(&mut self, now: u64, due: Timer) {
         match due {
-            Timer::Arrive => self.arrive(now),
-            Timer::Ask(owner) => self.ask(now, owner),
+            Timer::Arrival => self.start_next_owner(now),
+            Timer::Request(owner) => self.send_request(now, owner),
             Timer::Deadline(owner, ask) => {
                 if self.owners[owner].request_count == ask {
-                    self.read_first(owner);
-                    self.hang_up(now, owner, false);
+                    self.read_pending_answer(owner);
+                    self.disconnect(now, owner, false);
                 }
             }
-            Timer::EarlyHangUp(owner, ask) => {
+            Timer::EarlyDisconnect(owner, ask) => {
                 if self.owners[owner].request_count == ask {
-                    self.hang_up(now, owner, true);
+                    self.disconnect(now, owner, true);
                 }
             }
-            Timer::CheckPlacement(owner) => self.check(now, owner),
-            Timer::Follow => self.follow_all(now),
-            Timer::Close(token) => self.drop_link(token),
+            Timer::CheckPlacement(owner) => self.check_placement(now, owner),
+            Timer::WatchEvents => self.watch_all_events(now),
+            Timer::CloseConnection(token) => self.drop_connection(token),
         }
     }
 
-    fn arrive(&mut self, now: u64) {
+    fn start_next_owner(&mut self, now: u64) {
         let Some(arrival) = self.arrivals.next() else {
             return;
         };
         if let Some(next) = self.arrivals.as_slice().first() {
-            self.timers.schedule(self.start + next.at_us, Timer::Arrive);
+            self.timers
+                .schedule(self.start + next.at_us, Timer::Arrival);
         }
-        if self.mood().closing {
+        if self.behaviour().is_closing {
             return;
         }
         let wanted = arrival.demand(&self.scenario, self.start);
-        self.world.service_accounting().want(&arrival.actor, wanted);
+        self.world
+            .service_accounting()
+            .add_demand(&arrival.actor, wanted);
         let number = self.owners.len();
         self.by_actor.insert(arrival.actor.clone(), number);
         self.owners.push(Owner {
             service: arrival.service,
             actor: arrival.actor,
             class: arrival.class,
-            shape: arrival.shape,
+            shape: arrival.resources,
             wanted_until: wanted.until_us,
             zone: self.scenario.fleet.zones[arrival.zone].clone(),
             state: OwnerState::BetweenRequests,
             request_count: 0,
-            failures: 0,
+            failure_count: 0,
             request: "".into(),
             requested_at: now,
-            dice: SeededRng::new(arrival.seed, 10),
+            rng: SeededRng::new(arrival.seed, 10),
         });
-        self.ask(now, number);
+        self.send_request(now, number);
     }
 
     /// The placer that the front sends an ask to.
-    fn choose(&mut self, owner: usize) -> Option<(usize, SocketAddr, u64)> {
-        let mood = self.mood.clone();
+    fn choose_placer(&mut self, owner: usize) -> Option<(usize, SocketAddr, u64)> {
+        let mood = self.behaviour.clone();
         let mood = mood
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -327,36 +330,37 @@
         if some.is_empty() {
             some = all.iter().filter(up).collect();
         }
-        let &&(number, front) = some.get(o.dice.index_below(some.len().max(1)))?;
+        let &&(number, front) = some.get(o.rng.index_below(some.len().max(1)))?;
         Some((number, front.address?, front.incarnation))
     }
 
-    fn again(&mut self, now: u64, owner: usize, after_ms: [f64; 2]) {
+    fn schedule_retry(&mut self, now: u64, owner: usize, after_ms: [f64; 2]) {
         let o = &mut self.owners[owner];
         o.state = OwnerState::BetweenRequests;
-        let factor = 1.0 + 0.5 * f64::from(o.failures.min(6).saturating_sub(2));
-        let wait = o.dice.between(after_ms) * factor * 1000.0;
-        self.timers.schedule(now + wait as u64, Timer::Ask(owner));
+        let factor = 1.0 + 0.5 * f64::from(o.failure_count.min(6).saturating_sub(2));
+        let wait = o.rng.between(after_ms) * factor * 1000.0;
+        self.timers
+            .schedule(now + wait as u64, Timer::Request(owner));
     }
 
-    fn ask(&mut self, now: u64, owner: usize) {
-        let closing = self.mood().closing;
+    fn send_request(&mut self, now: u64, owner: usize) {
+        let closing = self.behaviour().is_closing;
         let o = &self.owners[owner];
         if o.state != OwnerState::BetweenRequests {
             return;
         }
         if closing || now + 300_000 >= o.wanted_until {
-            self.owners[owner].state = OwnerState::Over;
+            self.owners[owner].state = OwnerState::Finished;
             return;
         }
-        let Some((placer, address, life)) = self.choose(owner) else {
-            self.again(now, owner, [100.0, 300.0]);
+        let Some((placer, address, life)) = self.choose_placer(owner) else {
+            self.schedule_retry(now, owner, [100.0, 300.0]);
             return;
         };
-        let token = match self.connection(placer, address, life) {
+        let token = match self.idle_or_new_connection(placer, address, life) {
             Ok(token) => token,
             Err(_) => {
-                self.again(now, owner, [100.0, 300.0]);
+                self.schedule_retry(now, owner, [100.0, 300.0]);
                 return;
             }
         };
@@ -364,7 +368,7 @@
         let deadline_ms = class.deadline_ms;
         let o = &mut self.owners[owner];
         o.request_count += 1;
-        o.state = OwnerState::Asking(token);
+        o.state = OwnerState::AwaitingAnswer(token);
         o.requested_at = now;
         o.request = format!("{}.{}", o.actor, o.request_count).into();
         let body = json!({
@@ -373,7 +377,7 @@
             "life_ms": (o.wanted_until - now) / 1000, "again": o.request_count > 1,
         });
         let (request, asks) = (o.request.clone(), o.request_count);
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
         link.conn.poll_connected();
@@ -390,7 +394,7 @@
             owner: Some(owner),
             hung_up: false,
         };
-        let name: Arc<str> = self.mood().placers[placer].name.as_str().into();
+        let name: Arc<str> = self.behaviour().placers[placer].name.as_str().into();
         self.world.record(Observation::PlacementRequested {
             request,
             placer: name,
@@ -398,36 +402,41 @@
             budget_us: deadline_ms * 1000,
         });
         self.unanswered += 1;
-        self.mood().request_count += 1;
+        self.behaviour().request_count += 1;
         self.timers.schedule(
-            now + deadline_ms * 1000 + SLACK,
+            now + deadline_ms * 1000 + ANSWER_SLACK_US,
             Timer::Deadline(owner, asks),
         );
-        let early = self.mood().hang_ups;
-        let dice = &mut self.owners[owner].dice;
+        let early = self.behaviour().disconnect_share;
+        let dice = &mut self.owners[owner].rng;
         if dice.random_bool(early) {
             let share = dice.between([0.02, 0.9]);
             self.timers.schedule(
                 now + (deadline_ms as f64 * 1000.0 * share) as u64,
-                Timer::EarlyHangUp(owner, asks),
+                Timer::EarlyDisconnect(owner, asks),
             );
         }
         let poller = &self.poller;
         let broken = self
-            .conns
+            .connections
             .get_mut(&token)
             .is_some_and(|l| l.conn.flush(poller).is_err());
         if broken {
-            self.broken(token);
+            self.handle_connection_failure(token);
         }
     }
 
     /// A connection without an ask. Where there are as many as may be, none: the owner tries again later.
-    fn connection(&mut self, placer: usize, address: SocketAddr, life: u64) -> io::Result<u64> {
+    fn idle_or_new_connection(
+        &mut self,
+        placer: usize,
+        address: SocketAddr,
+        life: u64,
+    ) -> io::Result<u64> {
         if let Some(token) = self.idle.get_mut(&(placer, life)).and_then(Vec::pop) {
             return Ok(token);
         }
-        if self.conns.len() >= self.max_connections {
+        if self.connections.len() >= self.max_connections {
             return Err(io::Error::other(
                 "as many connections as this process has descriptors for",
             ));
@@ -450,7 +459,7 @@
         let token = self.last_token;
         let conn = TcpConnection::connect(address, token, &self.poller)?;
         let made = made(MessageReader::new(Role::Responses, Limits::default()));
-        self.conns.insert(
+        self.connections.insert(
             token,
             OwnerConnection {
                 conn,
@@ -462,8 +471,8 @@
         Ok(token)
     }
 
-    fn drop_link(&mut self, token: u64) {
-        if let Some(link) = self.conns.remove(&token)
+    fn drop_connection(&mut self, token: u64) {
+        if let Some(link) = self.connections.remove(&token)
             && let Some(idle) = self.idle.get_mut(&(link.placer, link.incarnation))
         {
             idle.retain(|&t| t != token);
@@ -471,11 +480,11 @@
     }
 
     /// Reads what has come for an owner: an answer that lies unread, since this thread is late, has been given.
-    fn read_first(&mut self, owner: usize) {
-        let OwnerState::Asking(token) = self.owners[owner].state else {
+    fn read_pending_answer(&mut self, owner: usize) {
+        let OwnerState::AwaitingAnswer(token) = self.owners[owner].state else {
             return;
         };
-        self.link_ready(&Readiness {
+        self.handle_ready(&Readiness {
             token,
             is_readable: true,
             is_writable: false,
@@ -485,26 +494,27 @@
 
     /// Gives up on an ask: by closing the connection at once, by an explicit word, or a while later, to see that
     /// nothing is said after the deadline.
-    fn hang_up(&mut self, now: u64, owner: usize, early: bool) {
-        let OwnerState::Asking(token) = self.owners[owner].state else {
+    fn disconnect(&mut self, now: u64, owner: usize, early: bool) {
+        let OwnerState::AwaitingAnswer(token) = self.owners[owner].state else {
             return;
         };
         let request = self.owners[owner].request.clone();
-        self.world.record(Observation::HungUp {
+        self.world.record(Observation::ClientDisconnected {
             request: request.clone(),
         });
         self.unanswered -= 1;
         if let Some(OwnerConnection {
             purpose: ConnectionUse::Requests { owner, hung_up, .. },
             ..
-        }) = self.conns.get_mut(&token)
+        }) = self.connections.get_mut(&token)
         {
             (*owner, *hung_up) = (None, true);
         }
-        let odd = self.owners[owner].dice.random_bool(0.5);
+        let odd = self.owners[owner].rng.random_bool(0.5);
         if early && odd {
-            self.cancel(token, &request);
-            self.timers.schedule(now + 300_000, Timer::Close(token));
+            self.send_cancellation(token, &request);
+            self.timers
+                .schedule(now + 300_000, Timer::CloseConnection(token));
         } else if !early && odd {
             // Left open, to see whether something still comes.
             if let Some(OwnerConnection {
@@ -515,26 +525,31 @@
                         ..
                     },
                 ..
-            }) = self.conns.get_mut(&token)
+            }) = self.connections.get_mut(&token)
             {
                 (*waiting, *hung_up) = (Some(owner), true);
             }
-            self.timers.schedule(now + 300_000, Timer::Close(token));
+            self.timers
+                .schedule(now + 300_000, Timer::CloseConnection(token));
         } else {
-            self.drop_link(token);
+            self.drop_connection(token);
         }
-        self.unknown(now, owner);
+        self.handle_unknown_outcome(now, owner);
     }
 
-    fn cancel(&mut self, token: u64, request: &str) {
-        let Some((placer, life)) = self.conns.get(&token).map(|l| (l.placer, l.incarnation)) else {
+    fn send_cancellation(&mut self, token: u64, request: &str) {
+        let Some((placer, life)) = self
+            .connections
+            .get(&token)
+            .map(|l| (l.placer, l.incarnation))
+        else {
             return;
         };
-        let Some(address) = self.mood().placers[placer].address else {
+        let Some(address) = self.behaviour().placers[placer].address else {
             return;
         };
-        if let Ok(other) = self.connection(placer, address, life)
-            && let Some(link) = self.conns.get_mut(&other)
+        if let Ok(other) = self.idle_or_new_connection(placer, address, life)
+            && let Some(link) = self.connections.get_mut(&other)
         {
             let target = format!("/v1/asks/{request}");
             http::write_request(
@@ -549,29 +564,29 @@
     }
 
     /// An ask ended without a word that it did not run.
-    fn unknown(&mut self, now: u64, owner: usize) {
+    fn handle_unknown_outcome(&mut self, now: u64, owner: usize) {
         let o = &mut self.owners[owner];
-        o.failures += 1;
-        let careful = self.scenario.careful(o.class);
+        o.failure_count += 1;
+        let careful = self.scenario.must_not_run_twice(o.class);
         let settle = self.scenario.demand.settle_ms as f64;
         let again = self.scenario.demand.retry_after_ms;
         if careful {
-            self.again(now, owner, [settle, settle * 1.2])
+            self.schedule_retry(now, owner, [settle, settle * 1.2])
         } else {
-            self.again(now, owner, again)
+            self.schedule_retry(now, owner, again)
         }
     }
 
-    fn check(&mut self, now: u64, owner: usize) {
+    fn check_placement(&mut self, now: u64, owner: usize) {
         let OwnerState::Placed(placer, life) = self.owners[owner].state else {
             return;
         };
         if now >= self.owners[owner].wanted_until {
-            self.owners[owner].state = OwnerState::Over;
+            self.owners[owner].state = OwnerState::Finished;
             return;
         }
         let same = {
-            let mood = self.mood();
+            let mood = self.behaviour();
             mood.placers[placer].incarnation == life && !mood.placers[placer].is_down
         };
         if !same
@@ -582,16 +597,16 @@
         {
             // Its placer is not the one that it was, and the task runs nowhere.
             let again = self.scenario.demand.retry_after_ms;
-            self.again(now, owner, again);
+            self.schedule_retry(now, owner, again);
             return;
         }
         self.timers
             .schedule(now + 2_000_000, Timer::CheckPlacement(owner));
     }
 
-    fn broken(&mut self, token: u64) {
+    fn handle_connection_failure(&mut self, token: u64) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.remove(&token) else {
+        let Some(link) = self.connections.remove(&token) else {
             return;
         };
         match link.purpose {
@@ -604,7 +619,7 @@
                 self.world
                     .record(Observation::ClientConnectionLost { request });
                 self.unanswered -= 1;
-                self.unknown(now, owner);
+                self.handle_unknown_outcome(now, owner);
             }
             ConnectionUse::Requests { .. } => {
                 if let Some(idle) = self.idle.get_mut(&(link.placer, link.incarnation)) {
@@ -617,10 +632,10 @@
         }
     }
 
-    fn link_ready(&mut self, r: &Readiness) {
+    fn handle_ready(&mut self, r: &Readiness) {
         let token = r.token;
         let poller = &self.poller;
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
         if link.conn.is_connecting() {
@@ -628,12 +643,12 @@
                 return;
             }
             if link.conn.finish_connect().is_err() {
-                self.broken(token);
+                self.handle_connection_failure(token);
                 return;
             }
         }
         if link.conn.flush(poller).is_err() {
-            self.broken(token);
+            self.handle_connection_failure(token);
             return;
         }
         if !r.is_readable {
@@ -641,18 +656,18 @@
         }
         let outcome = link.conn.read_available(256 << 10, 512 << 10);
         let bad = match &link.purpose {
-            ConnectionUse::Requests { .. } => self.answers(token),
-            ConnectionUse::Events { .. } => self.events(token),
+            ConnectionUse::Requests { .. } => self.read_answers(token),
+            ConnectionUse::Events { .. } => self.read_events(token),
         };
         if bad || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-            self.broken(token);
+            self.handle_connection_failure(token);
         }
     }
 
     /// Reads answers; whether the connection is of no more use.
-    fn answers(&mut self, token: u64) -> bool {
+    fn read_answers(&mut self, token: u64) -> bool {
         loop {
-            let Some(link) = self.conns.get_mut(&token) else {
+            let Some(link) = self.connections.get_mut(&token) else {
                 return false;
             };
             let ConnectionUse::Requests {
@@ -678,7 +693,7 @@
             let keep = message.head.is_keep_alive() && !hung_up;
             let (placer, life) = (link.placer, link.incarnation);
             if let Some(owner) = owner {
-                self.answer(
+                self.handle_answer(
                     owner,
                     placer,
                     life,
@@ -688,14 +703,14 @@
                 );
             }
             if !keep {
-                self.drop_link(token);
+                self.drop_connection(token);
                 return false;
             }
             self.idle.entry((placer, life)).or_default().push(token);
         }
     }
 
-    fn answer(
+    fn handle_answer(
         &mut self,
         owner: usize,
         placer: usize,
@@ -716,7 +731,7 @@
             (200, "placed") => Outcome::Placed(text("host")),
             (200, "refused") => Outcome::Rejected(text("reason")),
             (200, "failed") => Outcome::Failed,
-            _ => Outcome::Turned(status),
+            _ => Outcome::NotAccepted(status),
         };
         let request: Arc<str> = match body.get("request").and_then(Value::as_str) {
             Some(request) => request.into(),
@@ -739,19 +754,19 @@
         match outcome {
             Outcome::Placed(_) => {
                 self.place_us.push(now - self.owners[owner].requested_at);
-                self.mood().placed_count += 1;
+                self.behaviour().placed_count += 1;
                 let o = &mut self.owners[owner];
-                (o.state, o.failures) = (OwnerState::Placed(placer, life), 0);
+                (o.state, o.failure_count) = (OwnerState::Placed(placer, life), 0);
                 self.timers
                     .schedule(now + 2_000_000, Timer::CheckPlacement(owner));
             }
             Outcome::Rejected(_) => {
-                self.owners[owner].failures += 1;
+                self.owners[owner].failure_count += 1;
                 let advice = body
                     .get("come_back_ms")
                     .and_then(Value::as_f64)
                     .unwrap_or(0.0);
-                self.again(
+                self.schedule_retry(
                     now,
                     owner,
                     [
@@ -760,18 +775,18 @@
                     ],
                 );
             }
-            Outcome::Failed => self.unknown(now, owner),
-            Outcome::Turned(_) => {
-                self.owners[owner].failures += 1;
-                self.again(now, owner, demand.retry_after_ms);
+            Outcome::Failed => self.handle_unknown_outcome(now, owner),
+            Outcome::NotAccepted(_) => {
+                self.owners[owner].failure_count += 1;
+                self.schedule_retry(now, owner, demand.retry_after_ms);
             }
         }
     }
 
     /// Follows the life-cycle events of each placer that it does not follow yet.
-    fn follow_all(&mut self, now: u64) {
-        self.timers.schedule(now + 200_000, Timer::Follow);
-        let placers = self.mood().placers.clone();
+    fn watch_all_events(&mut self, now: u64) {
+        self.timers.schedule(now + 200_000, Timer::WatchEvents);
+        let placers = self.behaviour().placers.clone();
         for (number, front) in placers.iter().enumerate() {
             let Some(address) = front.address.filter(|_| !front.is_down) else {
                 continue;
@@ -790,7 +805,7 @@
                 line: Vec::new(),
             };
             if let Ok(token) = self.connect(number, address, front.incarnation, made)
-                && let Some(link) = self.conns.get_mut(&token)
+                && let Some(link) = self.connections.get_mut(&token)
             {
                 http::write_request(
                     link.conn.write_buffer(),
@@ -804,9 +819,9 @@
         }
     }
 
-    fn events(&mut self, token: u64) -> bool {
+    fn read_events(&mut self, token: u64) -> bool {
         let mut lines: Vec<Value> = Vec::new();
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(link) = self.connections.get_mut(&token) else {
             return false;
         };
         let ConnectionUse::Events { decoder, line } = &mut link.purpose else {
@@ -837,12 +852,12 @@
         }
         let now = self.world.clock.now();
         for event in lines {
-            self.event(now, &event);
+            self.handle_event(now, &event);
         }
         false
     }
 
-    fn event(&mut self, now: u64, event: &Value) {
+    fn handle_event(&mut self, now: u64, event: &Value) {
         let text = |key: &str| event.get(key).and_then(Value::as_str).unwrap_or("");
         let Some(&owner) = self.by_actor.get(text("actor")) else {
             return;
@@ -852,16 +867,16 @@
         }
         let again = self.scenario.demand.retry_after_ms;
         match text("event") {
-            "ended" if text("reason").is_empty() => self.owners[owner].state = OwnerState::Over,
+            "ended" if text("reason").is_empty() => self.owners[owner].state = OwnerState::Finished,
             "ended" | "evicted" => {
-                self.owners[owner].failures += 1;
-                self.again(now, owner, again);
+                self.owners[owner].failure_count += 1;
+                self.schedule_retry(now, owner, again);
             }
-            "lost" if self.scenario.careful(self.owners[owner].class) => {
+            "lost" if self.scenario.must_not_run_twice(self.owners[owner].class) => {
                 let settle = self.scenario.demand.settle_ms as f64;
-                self.again(now, owner, [settle, settle * 1.1]);
+                self.schedule_retry(now, owner, [settle, settle * 1.1]);
             }
-            "lost" | "moved" | "stopped" => self.again(now, owner, [50.0, 300.0]),
+            "lost" | "moved" | "stopped" => self.schedule_retry(now, owner, [50.0, 300.0]),
             _ => {}
         }
     }
--- a/crates/emulator/src/placer_processes.rs
+++ b/crates/emulator/src/placer_processes.rs
@@ -14,10 +14,10 @@
     pub(crate) config: PathBuf,
     pub(crate) log: PathBuf,
     /// How long the log was before the day.
-    pub(crate) log_from: u64,
+    pub(crate) log_offset: u64,
     /// Its process while it runs.
     pub child: Option<Child>,
-    pub(crate) paused: bool,
+    pub(crate) is_paused: bool,
     /// Times that it was started.
     pub start_count: u64,
 }
@@ -26,12 +26,12 @@
 pub struct Placers {
     /// Each placer, by number.
     pub all: Vec<PlacerProcess>,
-    start_sender: mpsc::Sender<Start>,
-    start_receiver: mpsc::Receiver<Start>,
+    start_sender: mpsc::Sender<StartReport>,
+    start_receiver: mpsc::Receiver<StartReport>,
 }
 
 /// A placer, its start, and where it then listened, if it did.
-type Start = (usize, u64, Option<SocketAddr>);
+type StartReport = (usize, u64, Option<SocketAddr>);
 
 impl Placers {
     /// No placers yet.
@@ -51,9 +51,9 @@
         self.all.push(PlacerProcess {
             config,
             log,
-            log_from,
+            log_offset: log_from,
             child: None,
-            paused: false,
+            is_paused: false,
             start_count: 0,
         });
     }
@@ -131,7 +131,7 @@
     pub(crate) fn logs(&self) -> impl Iterator<Item = (&Path, u64)> {
         self.all
             .iter()
-            .map(|placer| (placer.log.as_path(), placer.log_from))
+            .map(|placer| (placer.log.as_path(), placer.log_offset))
     }
 
     /// Tells all to stop, and ends those that do not.
--- a/crates/emulator/src/rack.rs
+++ b/crates/emulator/src/rack.rs
@@ -18,17 +18,17 @@
 use maplethread_wire::frame::{self, Frame};
 
 use crate::hollow_placers;
-use crate::host::{Do, EmulatedHost, HostFaults, Spec, Timer};
+use crate::host::{EmulatedHost, HostAction, HostFaults, HostSpec, Timer};
 use crate::looks::ReadTimes;
 use crate::scenario::Scenario;
-use crate::traffic::{Counted, LinkTraffic, TrafficCounter, kind_of};
+use crate::traffic::{ConnectionTraffic, CountedFrame, TrafficCounter, message_kind};
 use crate::world::{RunContext, SeededRng};
 
-const WAKER: u64 = 0;
-const LISTENERS: u64 = 1 << 32;
-const CONNS: u64 = 1 << 33;
+const WAKER_TOKEN: u64 = 0;
+const FIRST_LISTENER_TOKEN: u64 = 1 << 32;
+const FIRST_CONNECTION_TOKEN: u64 = 1 << 33;
 /// Simulated service is reckoned this often, µs.
-const TICK: u64 = 100_000;
+const TICK_INTERVAL_US: u64 = 100_000;
 
 /// What is done to hosts.
 #[derive(Clone, Debug)]
@@ -83,13 +83,13 @@
         let mut slots = Vec::new();
         let poller = Poller::new()?;
         let waker = Poller::waker()?;
-        poller.register(&waker, WAKER, false)?;
+        poller.register(&waker, WAKER_TOKEN, false)?;
         let mut addresses = Vec::new();
         let net = 1 + std::process::id() % 200;
         for number in 0..scenario.fleet.hosts {
-            let (zone, cell) = scenario.place_of(number);
+            let (zone, cell) = scenario.location_of(number);
             let kind = scenario.kind_of(number);
-            let spec = Spec {
+            let spec = HostSpec {
                 name: format!("host-{number:02}").into(),
                 zone,
                 cell,
@@ -117,9 +117,9 @@
                 host,
                 address,
                 listener: None,
-                epoch: 0,
+                process_number: 0,
                 is_down: true,
-                reachable: true,
+                is_reachable: true,
                 first_listener: Some(listener),
             });
         }
@@ -130,9 +130,9 @@
             slots,
             world: world.clone(),
             keys: DeduplicationTable::default(),
-            conns: HashMap::new(),
+            connections: HashMap::new(),
             connection_of_placer: BTreeMap::new(),
-            last_token: CONNS,
+            last_token: FIRST_CONNECTION_TOKEN,
             timers: Timers::default(),
             read_times: ReadTimes::new(Observer::Hosts, world.clock.now()),
             commands: commands.clone(),
@@ -143,7 +143,7 @@
             pending_writes: BTreeSet::new(),
         };
         for slot in 0..run.slots.len() {
-            run.up(slot)?;
+            run.start_host(slot)?;
         }
         let thread = std::thread::Builder::new()
             .name("hosts".into())
@@ -190,9 +190,9 @@
     address: SocketAddr,
     listener: Option<TcpListener>,
     /// Counts processes, so that timers of an old one are known as such.
-    epoch: u64,
+    process_number: u64,
     is_down: bool,
-    reachable: bool,
+    is_reachable: bool,
     first_listener: Option<TcpListener>,
 }
 
@@ -201,13 +201,13 @@
     host_index: usize,
     placer: Option<Arc<str>>,
     /// Frames that wait to be written.
-    unwritten: Vec<Counted>,
-    traffic: LinkTraffic,
+    unwritten: Vec<CountedFrame>,
+    traffic: ConnectionTraffic,
 }
 
 impl PlacerConnection {
     /// Whether its traffic counts: that of hollow placers does not.
-    fn counts(&self) -> bool {
+    fn is_counted(&self) -> bool {
         self.placer
             .as_deref()
             .is_none_or(|name| !hollow_placers::is_hollow(name))
@@ -219,7 +219,7 @@
     slots: Vec<HostSlot>,
     world: RunContext,
     keys: DeduplicationTable,
-    conns: HashMap<u64, PlacerConnection>,
+    connections: HashMap<u64, PlacerConnection>,
     /// The connection of each placer to each host.
     connection_of_placer: BTreeMap<(usize, Arc<str>), u64>,
     last_token: u64,
@@ -245,7 +245,7 @@
                 .timers
                 .next_due_at()
                 .unwrap_or(u64::MAX)
-                .min(ticked + TICK);
+                .min(ticked + TICK_INTERVAL_US);
             ready.clear();
             self.poller.wait(
                 Some(Duration::from_micros(next.saturating_sub(now))),
@@ -255,41 +255,41 @@
                 .polled(now, ready.len() < MAX_EVENTS_PER_WAIT);
             for r in &ready {
                 match r.token {
-                    WAKER => self.commanded()?,
-                    token if token >= CONNS => self.link_ready(token, r),
-                    token => self.accept((token - LISTENERS) as usize),
+                    WAKER_TOKEN => self.handle_commands()?,
+                    token if token >= FIRST_CONNECTION_TOKEN => self.handle_ready(token, r),
+                    token => self.accept((token - FIRST_LISTENER_TOKEN) as usize),
                 }
-                self.flush_dirty();
+                self.flush_pending();
             }
             let now = self.world.clock.now();
             while let Some((slot, epoch, later)) = self.timers.pop_due(now) {
-                if self.slots[slot].epoch == epoch && !self.slots[slot].is_down {
+                if self.slots[slot].process_number == epoch && !self.slots[slot].is_down {
                     let mut out = Vec::new();
                     self.slots[slot]
                         .host
                         .handle_timer(now, later, &mut self.keys, &mut out);
-                    self.carry_out(slot, out);
-                    self.flush_dirty();
+                    self.apply_actions(slot, out);
+                    self.flush_pending();
                 }
             }
-            if ticked + TICK <= now {
+            if ticked + TICK_INTERVAL_US <= now {
                 for slot in 0..self.slots.len() {
                     if !self.slots[slot].is_down && self.slots[slot].host.has_tasks() {
                         let mut out = Vec::new();
                         self.slots[slot]
                             .host
                             .serve_interval(ticked, now, &mut self.keys, &mut out);
-                        self.carry_out(slot, out);
+                        self.apply_actions(slot, out);
                     }
                 }
-                self.flush_dirty();
+                self.flush_pending();
                 ticked = now;
             }
         }
         Ok(())
     }
 
-    fn commanded(&mut self) -> io::Result<()> {
+    fn handle_commands(&mut self) -> io::Result<()> {
         let _ = rustix::io::read(&self.waker, &mut [0u8; 8]);
         loop {
             let command = {
@@ -302,10 +302,10 @@
             match command {
                 None => return Ok(()),
                 Some(HostCommand::End) => self.is_ended = true,
-                Some(HostCommand::Crash(slot)) => self.crash(slot),
+                Some(HostCommand::Crash(slot)) => self.stop_host(slot),
                 Some(HostCommand::Start(slot)) if self.slots[slot].is_down => {
                     self.slots[slot].host.restart();
-                    self.up(slot)?;
+                    self.start_host(slot)?;
                 }
                 Some(HostCommand::Start(_)) => {}
                 Some(HostCommand::Drain(slot)) => {
@@ -320,31 +320,33 @@
                         .into_iter()
                         .for_each(|token| self.send(token, Frame::Drain));
                 }
-                Some(HostCommand::SetFaults(slot, faults)) => self.slots[slot].host.ail(faults),
+                Some(HostCommand::SetFaults(slot, faults)) => {
+                    self.slots[slot].host.set_faults(faults)
+                }
                 Some(HostCommand::SetReachable(slot, reachable)) => {
                     self.set_reachable(slot, reachable)
                 }
                 Some(HostCommand::ResetMidFrame(slot)) => {
                     let links: Vec<u64> = self
-                        .conns
+                        .connections
                         .iter()
                         .filter(|(_, l)| l.host_index == slot)
                         .map(|(&t, _)| t)
                         .collect();
                     for token in links {
                         self.flush(token);
-                        if let Some(link) = self.conns.get_mut(&token) {
+                        if let Some(link) = self.connections.get_mut(&token) {
                             link.conn.write_buffer().extend_from_slice(&[9, 0, 0, 0, 7]);
                             let _ = link.conn.flush(&self.poller);
                         }
-                        self.lose(token, true);
+                        self.close_connection(token, true);
                     }
                 }
             }
         }
     }
 
-    fn up(&mut self, number: usize) -> io::Result<()> {
+    fn start_host(&mut self, number: usize) -> io::Result<()> {
         let slot = &mut self.slots[number];
         let listener = match slot.first_listener.take() {
             Some(listener) => listener,
@@ -352,43 +354,45 @@
         };
         listener.set_nonblocking(true)?;
         self.poller
-            .register(&listener, LISTENERS + number as u64, false)?;
+            .register(&listener, FIRST_LISTENER_TOKEN + number as u64, false)?;
         slot.listener = Some(listener);
         slot.is_down = false;
-        slot.epoch += 1;
+        slot.process_number += 1;
         let started_ms = slot.host.started_us / 1000;
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = started_ms;
-        self.world.record(Observation::HostUp {
+        self.world.record(Observation::HostStarted {
             host: slot.host.spec.name.clone(),
             started_ms,
         });
         Ok(())
     }
 
-    fn crash(&mut self, number: usize) {
+    fn stop_host(&mut self, number: usize) {
         let slot = &mut self.slots[number];
         if slot.is_down {
             return;
         }
         slot.is_down = true;
         slot.listener = None;
-        slot.host.forget_keys(&mut self.keys);
+        slot.host.release_keys(&mut self.keys);
         slot.host.stop();
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = 0;
-        self.world.record(Observation::HostDown {
+        self.world.record(Observation::HostStopped {
             host: slot.host.spec.name.clone(),
         });
         let links: Vec<u64> = self
-            .conns
+            .connections
             .iter()
             .filter(|(_, l)| l.host_index == number)
             .map(|(&t, _)| t)
             .collect();
-        links.into_iter().for_each(|token| self.lose(token, true));
+        links
+            .into_iter()
+            .for_each(|token| self.close_connection(token, true));
     }
 
     fn accept(&mut self, number: usize) {
@@ -400,11 +404,11 @@
             let Ok(mut conn) = TcpConnection::from_accepted(stream, token, &self.poller) else {
                 continue;
             };
-            if !self.slots[number].reachable && conn.set_reading(false, &self.poller).is_err() {
+            if !self.slots[number].is_reachable && conn.set_reading(false, &self.poller).is_err() {
                 continue;
             }
-            let (unwritten, traffic) = (Vec::new(), LinkTraffic::default());
-            self.conns.insert(
+            let (unwritten, traffic) = (Vec::new(), ConnectionTraffic::default());
+            self.connections.insert(
                 token,
                 PlacerConnection {
                     conn,
@@ -417,12 +421,12 @@
         }
     }
 
-    fn lose(&mut self, token: u64, reset: bool) {
-        let Some(mut link) = self.conns.remove(&token) else {
+    fn close_connection(&mut self, token: u64, reset: bool) {
+        let Some(mut link) = self.connections.remove(&token) else {
             return;
         };
         self.pending_writes.remove(&token);
-        if let Some(counter) = self.counter.as_ref().filter(|_| link.counts()) {
+        if let Some(counter) = self.counter.as_ref().filter(|_| link.is_counted()) {
             counter.closed(&mut link.traffic, reset);
         }
         if let Some(late) = self.read_times.delay_to_report(self.world.clock.now()) {
@@ -431,7 +435,7 @@
         if let Some(placer) = link.placer {
             let host = self.slots[link.host_index].host.spec.name.clone();
             self.world
-                .record(Observation::LinkLost { host, link: token });
+                .record(Observation::ConnectionLost { host, link: token });
             let key = (link.host_index, placer);
             if self.connection_of_placer.get(&key) == Some(&token) {
                 self.connection_of_placer.remove(&key);
@@ -442,18 +446,18 @@
         }
     }
 
-    fn link_ready(&mut self, token: u64, r: &Readiness) {
-        let Some(link) = self.conns.get_mut(&token) else {
+    fn handle_ready(&mut self, token: u64, r: &Readiness) {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
-        if !self.slots[link.host_index].reachable {
+        if !self.slots[link.host_index].is_reachable {
             if r.is_closed {
-                self.lose(token, false);
+                self.close_connection(token, false);
             }
             return;
         }
         if r.is_writable && link.conn.flush(&self.poller).is_err() {
-            self.lose(token, false);
+            self.close_connection(token, false);
             return;
         }
         if !r.is_readable {
@@ -461,32 +465,32 @@
         }
         let outcome = link.conn.read_available(256 << 10, 512 << 10);
         let mut segment = Vec::new();
-        while let Some(link) = self.conns.get_mut(&token) {
+        while let Some(link) = self.connections.get_mut(&token) {
             match frame::decode(link.conn.unread()) {
                 Ok((frame, used)) => {
                     link.conn.consume(used);
                     let Some(frame) = frame else { break };
-                    segment.push(Counted {
-                        kind: kind_of(&frame),
+                    segment.push(CountedFrame {
+                        kind: message_kind(&frame),
                         bytes: used as u64,
                     });
-                    self.frame(token, frame);
+                    self.handle_frame(token, frame);
                 }
                 Err(_) => {
-                    self.lose(token, true);
+                    self.close_connection(token, true);
                     return;
                 }
             }
         }
-        self.count_read(token, &segment);
+        self.count_received(token, &segment);
         if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-            self.lose(token, false);
+            self.close_connection(token, false);
         }
     }
 
-    fn frame(&mut self, token: u64, frame: Frame) {
+    fn handle_frame(&mut self, token: u64, frame: Frame) {
         let now = self.world.clock.now();
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
         let number = link.host_index;
@@ -540,23 +544,23 @@
         self.slots[number]
             .host
             .handle_frame(now, &placer, frame, &mut self.keys, &mut out);
-        self.carry_out(number, out);
+        self.apply_actions(number, out);
     }
 
-    fn carry_out(&mut self, number: usize, out: Vec<Do>) {
+    fn apply_actions(&mut self, number: usize, out: Vec<HostAction>) {
         for what in out {
             match what {
-                Do::Send(placer, frame) => {
+                HostAction::Send(placer, frame) => {
                     if let Some(&token) = self.connection_of_placer.get(&(number, placer)) {
                         self.send(token, frame);
                     }
                 }
-                Do::After(after, later) => {
-                    let epoch = self.slots[number].epoch;
+                HostAction::SetTimer(after, later) => {
+                    let epoch = self.slots[number].process_number;
                     self.timers
                         .schedule(self.world.clock.now() + after, (number, epoch, later));
                 }
-                Do::FallOver => self.crash(number),
+                HostAction::Crash => self.stop_host(number),
             }
         }
     }
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -15,42 +15,42 @@
 use crate::world::SeededRng;
 
 /// Final answers are given this long before the deadline.
-const MARGIN: Micros = 15_000;
+const ANSWER_MARGIN_US: Micros = 15_000;
 /// What waits for a host is looked at this often.
-const HOLD: Micros = 100_000;
-const TICK: u64 = 0;
+const BLOCKED_RETRY_US: Micros = 100_000;
+const TICK_LABEL: u64 = 0;
 /// A rogue that keeps quiet around pauses takes this for one.
-const STOOD_STILL: Micros = 300_000;
+const PAUSE_THRESHOLD_US: Micros = 300_000;
 /// The `rogue` that breaks no rule.
-const KEEPS_ALL: u8 = 0;
+const NO_MUTATION: u8 = 0;
 /// Log line of a rogue for each of its moves that its own guard forbids.
-pub(crate) const MOVE_AGAINST_RULE: &str = "a move against the rule, on purpose";
+pub(crate) const RULE_VIOLATION_LOG: &str = "a move against the rule, on purpose";
 
 struct PendingTask {
     task: Task,
     attempts: u32,
     in_flight: bool,
-    may_run: Option<(Micros, MachineId)>,
+    possibly_started: Option<(Micros, MachineId)>,
     /// Machines that refused it; at most as many as attempts.
-    refused_by: Vec<MachineId>,
+    rejected_by: Vec<MachineId>,
 }
 
 /// Random choice among the hosts that the rules allow.
 pub struct RandomChoice {
     settings: Settings,
-    dice: SeededRng,
+    rng: SeededRng,
     now: Micros,
     machines: BTreeMap<MachineId, MachineEntry>,
-    unlinked: BTreeSet<MachineId>,
-    numbered: bool,
+    disconnected: BTreeSet<MachineId>,
+    has_replica_index: bool,
     recent_offers: BTreeMap<MachineId, VecDeque<Micros>>,
     /// Attempts and running tasks, by service and machine.
     placements: BTreeMap<ServiceId, BTreeMap<MachineId, u32>>,
     pending: BTreeMap<TaskId, PendingTask>,
     attempts: BTreeMap<AttemptId, (Task, MachineId, Micros)>,
-    todo: VecDeque<TaskId>,
-    on_hold: VecDeque<TaskId>,
-    ticking: bool,
+    ready: VecDeque<TaskId>,
+    blocked: VecDeque<TaskId>,
+    is_tick_set: bool,
     mutant: u8,
     request_count: u64,
 }
@@ -60,24 +60,24 @@
     pub fn new(settings: Settings, seed: u64, mutant: u8) -> RandomChoice {
         RandomChoice {
             settings,
-            dice: SeededRng::new(seed, 77),
+            rng: SeededRng::new(seed, 77),
             now: 0,
             machines: BTreeMap::new(),
-            unlinked: BTreeSet::new(),
-            numbered: true,
+            disconnected: BTreeSet::new(),
+            has_replica_index: true,
             recent_offers: BTreeMap::new(),
             placements: BTreeMap::new(),
             pending: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            todo: VecDeque::new(),
-            on_hold: VecDeque::new(),
-            ticking: false,
+            ready: VecDeque::new(),
+            blocked: VecDeque::new(),
+            is_tick_set: false,
             mutant,
             request_count: 0,
         }
     }
 
-    fn take(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointsUpdated { scope, machines } => {
                 if *scope != UpdateScope::Delta {
@@ -91,35 +91,35 @@
                 is_connected: up,
             } => {
                 if *up {
-                    self.unlinked.remove(machine);
+                    self.disconnected.remove(machine);
                 } else {
-                    self.unlinked.insert(*machine);
+                    self.disconnected.insert(*machine);
                 }
             }
-            Event::ReplicaIndexChanged(number) => self.numbered = number.is_some(),
+            Event::ReplicaIndexChanged(number) => self.has_replica_index = number.is_some(),
             Event::PlacementRequested(task) => {
                 self.request_count += 1;
                 if self.mutant == 1 && self.request_count.is_multiple_of(7) {
-                    self.log_move();
+                    self.log_violation();
                     return;
                 }
                 let open = PendingTask {
                     task: *task,
                     attempts: 0,
                     in_flight: false,
-                    may_run: None,
-                    refused_by: Vec::new(),
+                    possibly_started: None,
+                    rejected_by: Vec::new(),
                 };
                 self.pending.insert(task.id, open);
-                let last = task.deadline.saturating_sub(MARGIN);
+                let last = task.deadline.saturating_sub(ANSWER_MARGIN_US);
                 actions.push(Action::SetTimer {
                     after: last.saturating_sub(self.now),
                     label: task.id.0 + 1,
                 });
-                self.todo.push_back(task.id);
+                self.ready.push_back(task.id);
             }
             Event::TaskAdopted { task, machine } => {
-                self.bind(
+                self.record_attempt(
                     AttemptId {
                         task: task.id,
                         number: 0,
@@ -151,33 +151,33 @@
                         | AttemptOutcome::ConnectFailed
                         | AttemptOutcome::NeverSent
                 ) {
-                    open.may_run = open.may_run.or(Some((sent, machine)));
+                    open.possibly_started = open.possibly_started.or(Some((sent, machine)));
                 }
                 // What refused a moment ago is likely to do so again.
                 if end.outcome == AttemptOutcome::Rejected {
-                    open.refused_by.push(machine);
-                    self.on_hold.push_back(id.task)
+                    open.rejected_by.push(machine);
+                    self.blocked.push_back(id.task)
                 } else {
-                    self.todo.push_back(id.task)
+                    self.ready.push_back(id.task)
                 }
             }
             Event::ClientDisconnected(task) => drop(self.pending.remove(task)),
-            Event::TimerFired { label: TICK } => self.ticking = false,
+            Event::TimerFired { label: TICK_LABEL } => self.is_tick_set = false,
             Event::TimerFired { label } => {
                 let id = TaskId(label - 1);
                 if self
                     .pending
                     .get(&id)
-                    .is_some_and(|o| o.task.deadline <= self.now + MARGIN)
+                    .is_some_and(|o| o.task.deadline <= self.now + ANSWER_MARGIN_US)
                 {
-                    self.answer(id, actions);
+                    self.send_final_answer(id, actions);
                 }
             }
             _ => {}
         }
     }
 
-    fn bind(&mut self, id: AttemptId, task: Task, machine: MachineId) {
+    fn record_attempt(&mut self, id: AttemptId, task: Task, machine: MachineId) {
         if self
             .attempts
             .insert(id, (task, machine, self.now))
@@ -192,7 +192,7 @@
         }
     }
 
-    fn answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
+    fn send_final_answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
         let Some(open) = self.pending.remove(&id) else {
             return;
         };
@@ -202,7 +202,7 @@
                 group: DeduplicationScope::All,
                 ..
             } => true,
-            _ => !open.in_flight && open.may_run.is_none(),
+            _ => !open.in_flight && open.possibly_started.is_none(),
         };
         actions.push(if harmless {
             Action::Reject {
@@ -220,51 +220,53 @@
         };
         let task = open.task;
         let class = &self.settings.classes[task.class];
-        if open.in_flight || task.deadline <= self.now + MARGIN {
+        if open.in_flight || task.deadline <= self.now + ANSWER_MARGIN_US {
             return;
         }
-        if !self.may_send_again(open, self.mutant)
-            || open.attempts >= self.settings.limits.max_attempts
+        if !self.may_repeat(open, self.mutant) || open.attempts >= self.settings.limits.max_attempts
         {
-            self.answer(id, actions);
+            self.send_final_answer(id, actions);
             return;
         }
         let allowed: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| self.allowed(m, open, self.mutant))
+            .filter(|m| self.is_allowed(m, open, self.mutant))
             .map(|m| m.machine)
             .collect();
         if allowed.is_empty() {
-            self.on_hold.push_back(id);
+            self.blocked.push_back(id);
             return;
         }
         let machine = match self.mutant {
             // Cold hosts first.
-            4 if allowed.iter().any(|id| self.cold(id)) => {
-                let cold: Vec<MachineId> =
-                    allowed.iter().copied().filter(|id| self.cold(id)).collect();
-                cold[self.dice.index_below(cold.len())]
+            4 if allowed.iter().any(|id| self.is_warming_up(id)) => {
+                let cold: Vec<MachineId> = allowed
+                    .iter()
+                    .copied()
+                    .filter(|id| self.is_warming_up(id))
+                    .collect();
+                cold[self.rng.index_below(cold.len())]
             }
             // Where most of the service is, of those that may take it: one place is full as soon as can be.
             5 => {
                 let willing: Vec<MachineId> = allowed
                     .iter()
                     .copied()
-                    .filter(|id| !open.refused_by.contains(id))
+                    .filter(|id| !open.rejected_by.contains(id))
                     .collect();
                 let from = if willing.is_empty() {
                     &allowed
                 } else {
                     &willing
                 };
-                let crowded = self.most_crowded(from, class.spread_limit, task.service);
-                crowded[self.dice.index_below(crowded.len())]
+                let crowded = self.most_loaded(from, class.spread_limit, task.service);
+                crowded[self.rng.index_below(crowded.len())]
             }
-            _ => allowed[self.dice.index_below(allowed.len())],
+            _ => allowed[self.rng.index_below(allowed.len())],
         };
-        if !self.keeps_rules(machine, open) {
-            self.log_move();
+        if !self.is_allowed_by_all_rules(machine, open) {
+            self.log_violation();
         }
         let number = open.attempts;
         // Giving up before a host can have answered makes for attempts that may have run.
@@ -279,7 +281,7 @@
             machine,
             timeout: wait,
         });
-        self.bind(AttemptId { task: id, number }, task, machine);
+        self.record_attempt(AttemptId { task: id, number }, task, machine);
         if let Some(open) = self.pending.get_mut(&id) {
             (open.attempts, open.in_flight) = (number + 1, true);
         }
@@ -291,21 +293,21 @@
         }
     }
 
-    fn log_move(&self) {
-        tracing::info!(rogue = self.mutant, "{MOVE_AGAINST_RULE}");
+    fn log_violation(&self) {
+        tracing::info!(rogue = self.mutant, "{RULE_VIOLATION_LOG}");
     }
 
     /// Whether all guards allow an offer of this task to this machine.
-    fn keeps_rules(&self, machine: MachineId, open: &PendingTask) -> bool {
+    fn is_allowed_by_all_rules(&self, machine: MachineId, open: &PendingTask) -> bool {
         let allowed = self
             .machines
             .get(&machine)
-            .is_some_and(|m| self.allowed(m, open, KEEPS_ALL));
-        allowed && self.may_send_again(open, KEEPS_ALL)
+            .is_some_and(|m| self.is_allowed(m, open, NO_MUTATION));
+        allowed && self.may_repeat(open, NO_MUTATION)
     }
 
     /// The machines in whose place most of the service is.
-    fn most_crowded(
+    fn most_loaded(
         &self,
         machines: &[MachineId],
         spread: Option<(TopologyLevel, u32)>,
@@ -315,7 +317,7 @@
             let listing = self.machines.get(machine);
             spread
                 .zip(listing)
-                .map_or(0, |((place, _), at)| self.count(place, at, service))
+                .map_or(0, |((place, _), at)| self.task_count(place, at, service))
         };
         let counts: Vec<u32> = machines.iter().map(count).collect();
         let most = counts.iter().copied().max().unwrap_or(0);
@@ -328,29 +330,29 @@
     }
 
     /// Whether what may have run may be sent once more, for one that breaks the rule `rogue`.
-    fn may_send_again(&self, open: &PendingTask, rogue: u8) -> bool {
+    fn may_repeat(&self, open: &PendingTask, rogue: u8) -> bool {
         match (
-            open.may_run,
+            open.possibly_started,
             self.settings.classes[open.task.class].retry_safety,
         ) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
             (Some((sent, _)), RetrySafety::IdempotencyKey { window, .. }) => {
-                self.now + MARGIN < sent + window || rogue == 2
+                self.now + ANSWER_MARGIN_US < sent + window || rogue == 2
             }
             (Some(_), RetrySafety::NonIdempotent) => rogue == 2,
         }
     }
 
     /// Whether the guards of the host allow an offer, for one that breaks the rule `rogue`.
-    fn allowed(&self, machine: &MachineEntry, open: &PendingTask, rogue: u8) -> bool {
+    fn is_allowed(&self, machine: &MachineEntry, open: &PendingTask, rogue: u8) -> bool {
         let class = &self.settings.classes[open.task.class];
         let state = machine.state == MachineState::Ready || rogue == 3;
-        let state = state && !self.unlinked.contains(&machine.machine);
+        let state = state && !self.disconnected.contains(&machine.machine);
         if !state || class.machine_kind.is_some_and(|kind| kind != machine.kind) {
             return false;
         }
         if let (Some((_, first)), RetrySafety::IdempotencyKey { group, .. }, true) =
-            (open.may_run, class.retry_safety, rogue != 2)
+            (open.possibly_started, class.retry_safety, rogue != 2)
         {
             let first = self.machines.get(&first);
             let same = match group {
@@ -363,12 +365,13 @@
             }
         }
         let spread = class.spread_limit.filter(|_| rogue != 5);
-        if spread.is_some_and(|(place, most)| self.count(place, machine, open.task.service) >= most)
+        if spread
+            .is_some_and(|(place, most)| self.task_count(place, machine, open.task.service) >= most)
         {
             return false;
         }
         let rules = &self.settings.rules;
-        if self.cold(&machine.machine) && rogue != 4 {
+        if self.is_warming_up(&machine.machine) && rogue != 4 {
             let part =
                 (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
             let sends = self.recent_offers.get(&machine.machine);
@@ -377,17 +380,17 @@
                     .filter(|&&at| at + rules.overload_window >= self.now)
                     .count()
             });
-            return lately < part && self.numbered;
+            return lately < part && self.has_replica_index;
         }
         true
     }
 
-    fn cold(&self, id: &MachineId) -> bool {
+    fn is_warming_up(&self, id: &MachineId) -> bool {
         let started = self.machines.get(id).and_then(|m| m.started_at);
         started.is_some_and(|start| start + self.settings.rules.warm_up_duration > self.now)
     }
 
-    fn count(&self, place: TopologyLevel, at: &MachineEntry, service: ServiceId) -> u32 {
+    fn task_count(&self, place: TopologyLevel, at: &MachineEntry, service: ServiceId) -> u32 {
         let there = |id: &MachineId| {
             self.machines.get(id).is_some_and(|m| match place {
                 TopologyLevel::Machine => m.machine == at.machine,
@@ -407,28 +410,28 @@
     }
 
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        let quiet = self.mutant == 6 && now > self.now + STOOD_STILL;
+        let quiet = self.mutant == 6 && now > self.now + PAUSE_THRESHOLD_US;
         self.now = self.now.max(now);
         for event in events {
-            self.take(event, actions);
+            self.handle_event(event, actions);
         }
         if quiet {
             // What was open when it stood still, and what came meanwhile, is kept quiet about.
-            self.pending.values().for_each(|_| self.log_move());
+            self.pending.values().for_each(|_| self.log_violation());
             self.pending.clear();
         }
-        if !self.ticking {
-            self.todo.extend(self.on_hold.drain(..));
+        if !self.is_tick_set {
+            self.ready.extend(self.blocked.drain(..));
         }
-        while let Some(id) = self.todo.pop_front() {
+        while let Some(id) = self.ready.pop_front() {
             self.place(id, actions);
         }
         // One that takes long times without a turn for pauses needs turns all the time.
-        if (self.mutant == 6 || !self.on_hold.is_empty()) && !self.ticking {
-            self.ticking = true;
+        if (self.mutant == 6 || !self.blocked.is_empty()) && !self.is_tick_set {
+            self.is_tick_set = true;
             actions.push(Action::SetTimer {
-                after: HOLD,
-                label: TICK,
+                after: BLOCKED_RETRY_US,
+                label: TICK_LABEL,
             });
         }
     }
--- a/crates/emulator/src/drawn.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -1,11 +1,11 @@
 //! Days that nobody wrote: a fleet, demand and overlapping troubles drawn from a seed, for faults on no list.
 
-use crate::scenario::{Scenario, Trouble, TroubleKind};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault};
 use crate::world::SeededRng;
 
 /// Which troubles a day has, how many of each, and their spans as shares of the day.
 struct FaultRange {
-    kind: TroubleKind,
+    kind: FaultKind,
     max_count: usize,
     /// At least so many.
     min_count: usize,
@@ -14,8 +14,8 @@
     size: [f64; 2],
 }
 
-const fn kind(
-    kind: TroubleKind,
+const fn fault_range(
+    kind: FaultKind,
     [least, most]: [usize; 2],
     span: [f64; 2],
     reach: [f64; 2],
@@ -32,128 +32,128 @@
 }
 
 /// A restart, a lost zone and a deploy are on each day, since their overlaps have broken rules; the rest may be.
-const KINDS: [FaultRange; 18] = [
-    kind(
-        TroubleKind::PlacerKill,
+const FAULT_RANGES: [FaultRange; 18] = [
+    fault_range(
+        FaultKind::PlacerKill,
         [2, 4],
         [0.01, 0.09],
         [0.1, 0.6],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::PlacerPause,
+    fault_range(
+        FaultKind::PlacerPause,
         [1, 3],
         [0.005, 0.1],
         [0.1, 0.5],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::ZoneLoss,
+    fault_range(
+        FaultKind::ZoneLoss,
         [1, 2],
         [0.06, 0.15],
         [0.3, 1.0],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::RollingDeploy,
+    fault_range(
+        FaultKind::RollingDeploy,
         [1, 2],
         [0.2, 0.5],
         [0.3, 0.9],
         [0.05, 0.25],
     ),
-    kind(
-        TroubleKind::AnswersLost,
+    fault_range(
+        FaultKind::AnswersLost,
         [0, 2],
         [0.05, 0.15],
         [0.1, 0.5],
         [0.2, 0.9],
     ),
-    kind(
-        TroubleKind::InventoryGarbage,
+    fault_range(
+        FaultKind::InventoryGarbage,
         [0, 1],
         [0.03, 0.1],
         [0.0, 0.0],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::InventoryEmpty,
+    fault_range(
+        FaultKind::InventoryEmpty,
         [0, 1],
         [0.03, 0.1],
         [0.0, 0.0],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::InventoryLate,
+    fault_range(
+        FaultKind::InventoryLate,
         [0, 1],
         [0.1, 0.3],
         [0.0, 0.0],
         [2.0, 6.0],
     ),
-    kind(
-        TroubleKind::HostCrash,
+    fault_range(
+        FaultKind::HostCrash,
         [0, 2],
         [0.03, 0.15],
         [0.05, 0.3],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::Silence,
+    fault_range(
+        FaultKind::Silence,
         [0, 1],
         [0.05, 0.15],
         [0.05, 0.2],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::ResetMidFrame,
+    fault_range(
+        FaultKind::ResetMidFrame,
         [0, 2],
         [0.0, 0.0],
         [0.2, 0.9],
         [0.0, 0.0],
     ),
-    kind(
-        TroubleKind::FastErrors,
+    fault_range(
+        FaultKind::FastErrors,
         [0, 1],
         [0.1, 0.2],
         [0.1, 0.3],
         [0.4, 0.9],
     ),
-    kind(
-        TroubleKind::ClassErrors,
+    fault_range(
+        FaultKind::ClassErrors,
         [0, 1],
         [0.1, 0.2],
         [0.2, 0.5],
         [0.4, 0.9],
     ),
-    kind(
-        TroubleKind::ClassSilence,
+    fault_range(
+        FaultKind::ClassSilence,
         [0, 1],
         [0.1, 0.2],
         [0.2, 0.5],
         [0.4, 0.9],
     ),
-    kind(
-        TroubleKind::Neighbour,
+    fault_range(
+        FaultKind::Neighbour,
         [0, 1],
         [0.1, 0.3],
         [0.1, 0.4],
         [0.3, 0.7],
     ),
-    kind(
-        TroubleKind::SlowAnswers,
+    fault_range(
+        FaultKind::SlowAnswers,
         [0, 1],
         [0.05, 0.15],
         [0.1, 0.4],
         [3.0, 12.0],
     ),
-    kind(
-        TroubleKind::Overload,
+    fault_range(
+        FaultKind::Overload,
         [0, 1],
         [0.05, 0.2],
         [0.0, 0.0],
         [1.3, 2.2],
     ),
-    kind(
-        TroubleKind::HangUps,
+    fault_range(
+        FaultKind::HangUps,
         [0, 1],
         [0.05, 0.15],
         [0.0, 0.0],
@@ -175,7 +175,7 @@
             .map(|part| [round(part * length), round(dice.between([0.25, 0.5]))])
             .collect();
         scenario.trouble.clear();
-        for kind in &KINDS {
+        for kind in &FAULT_RANGES {
             let count = kind.min_count + dice.index_below(kind.max_count - kind.min_count + 1);
             for _ in 0..count {
                 let span = dice.between(kind.duration_share) * length;
@@ -184,20 +184,18 @@
                     round(dice.between(kind.reach)),
                     round(dice.between(kind.size)),
                 );
-                let struck_class = matches!(
-                    kind.kind,
-                    TroubleKind::ClassErrors | TroubleKind::ClassSilence
-                );
+                let struck_class =
+                    matches!(kind.kind, FaultKind::ClassErrors | FaultKind::ClassSilence);
                 let class = dice.index_below(scenario.classes.len());
                 let zone = dice.index_below(scenario.fleet.zones.len());
-                let trouble = Trouble {
+                let trouble = ScheduledFault {
                     kind: kind.kind,
                     at_s,
                     for_s: round(span),
                     reach,
                     size,
                     class: struck_class.then(|| scenario.classes[class].rules.name.clone()),
-                    zone: (kind.kind == TroubleKind::ZoneLoss)
+                    zone: (kind.kind == FaultKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
                 scenario.trouble.push(trouble);
@@ -214,7 +212,7 @@
     use maplethread_config::Document;
 
     #[test]
-    fn drawn_days_are_sound_differ_and_come_back_from_their_file() {
+    fn random_scenarios_are_valid_distinct_and_survive_round_trip() {
         let mut seen = std::collections::BTreeSet::new();
         for seed in 0..200 {
             let drawn = Scenario::random(seed);
@@ -229,16 +227,10 @@
             let kills = drawn
                 .trouble
                 .iter()
-                .filter(|t| t.kind == TroubleKind::PlacerKill)
+                .filter(|t| t.kind == FaultKind::PlacerKill)
                 .count();
-            assert!(
-                kills >= 2
-                    && drawn
-                        .trouble
-                        .iter()
-                        .any(|t| t.kind == TroubleKind::ZoneLoss)
-            );
-            let end = |t: &Trouble| t.at_s + t.for_s;
+            assert!(kills >= 2 && drawn.trouble.iter().any(|t| t.kind == FaultKind::ZoneLoss));
+            let end = |t: &ScheduledFault| t.at_s + t.for_s;
             assert!(
                 drawn.trouble.iter().all(|t| end(t) <= drawn.seconds),
                 "over with the day"
@@ -249,12 +241,12 @@
     }
 
     #[test]
-    fn a_sized_day_means_the_same_at_every_size() {
+    fn scaled_scenario_keeps_demand_per_service() {
         let small = Scenario::standard();
         let per_service = |s: &Scenario| s.cores() / s.classes[0].service_count as f64;
         let cells = |s: &Scenario| {
             let all: std::collections::BTreeSet<_> =
-                (0..s.fleet.hosts).map(|h| s.place_of(h)).collect();
+                (0..s.fleet.hosts).map(|h| s.location_of(h)).collect();
             all.len() as f64
         };
         for hosts in [15, 60, 130, 400] {
--- a/crates/emulator/src/recorded_scenario.rs
+++ b/crates/emulator/src/recorded_scenario.rs
@@ -15,19 +15,19 @@
 use serde_json::Value;
 
 use crate::demand::Arrival;
-use crate::scenario::{Scenario, Trouble, TroubleKind};
+use crate::scenario::{FaultKind, Scenario, ScheduledFault};
 use crate::world::SeededRng;
 
 /// How long a host is away before it starts anew, s.
-pub const AWAY_S: f64 = 1.5;
+pub const ASSUMED_DOWNTIME_S: f64 = 1.5;
 /// Starts within so long of one another are one trouble, µs.
-const TOGETHER: u64 = 1_000_000;
+const TOGETHER_US: u64 = 1_000_000;
 /// A zone is lost if so large a share of its hosts starts anew together, and so many of them.
 const ZONE_SHARE: f64 = 0.8;
 /// See [`ZONE_SHARE`].
-const ZONE_LEAST: usize = 3;
+const MIN_ZONE_STARTS: usize = 3;
 /// First asks that are taken of a recording.
-const MOST_ASKS: usize = 1 << 22;
+const MAX_REQUESTS: usize = 1 << 22;
 
 /// A recorded day.
 pub struct RecordedScenario {
@@ -75,7 +75,7 @@
         told.read(trace, summary)?;
     }
     let summary = summary.ok_or("no trace is given")?.to_json();
-    told.day(base, speed, seed)
+    told.to_scenario(base, speed, seed)
         .map(|(scenario, arrivals)| RecordedScenario {
             scenario,
             arrivals,
@@ -145,7 +145,7 @@
                                     else {
                                         continue;
                                     };
-                                    if task.is_resubmission || self.requests.len() >= MOST_ASKS {
+                                    if task.is_resubmission || self.requests.len() >= MAX_REQUESTS {
                                         continue;
                                     }
                                     let class = header.classes.get(class as usize).cloned();
@@ -182,7 +182,7 @@
         Ok(())
     }
 
-    fn day(
+    fn to_scenario(
         mut self,
         base: &Scenario,
         speed: f64,
@@ -197,7 +197,7 @@
         scenario.name = "recorded".to_owned();
         scenario.seconds = (after(end) / 1e6).max(1.0);
         scenario.placers = self.placer_runs.len().max(1) as u32;
-        scenario.trouble = self.troubles(begin, end, speed, scenario.placers, base);
+        scenario.trouble = self.scheduled_faults(begin, end, speed, scenario.placers, base);
         let zones = &scenario.fleet.zones;
         let placers: Vec<&String> = self.placer_runs.keys().collect();
         let mut dice = SeededRng::new(seed, 9);
@@ -226,7 +226,7 @@
                 class,
                 service: ask.service.as_str().into(),
                 actor: ask.actor.as_str().into(),
-                shape: ask.shape,
+                resources: ask.shape,
                 wanted_for_us: life,
                 // Owners ask a placer of their zone first, so that of the placer that was asked is theirs.
                 zone: placers.iter().position(|p| **p == ask.placer).unwrap_or(0) % zones.len(),
@@ -236,16 +236,16 @@
         Ok((scenario, arrivals))
     }
 
-    fn troubles(
+    fn scheduled_faults(
         &self,
         begin: u64,
         end: u64,
         speed: f64,
         placers: u32,
         base: &Scenario,
-    ) -> Vec<Trouble> {
+    ) -> Vec<ScheduledFault> {
         let at_s = |at: u64| at.saturating_sub(begin) as f64 / 1e6 / speed;
-        let trouble = |kind, at_s: f64, for_s, reach| Trouble {
+        let trouble = |kind, at_s: f64, for_s, reach| ScheduledFault {
             kind,
             at_s: at_s.max(0.0),
             for_s,
@@ -259,12 +259,12 @@
         let mut starts: Vec<&(u64, String)> = self
             .host_starts
             .iter()
-            .filter(|(at, _)| (begin + TOGETHER..end).contains(at))
+            .filter(|(at, _)| (begin + TOGETHER_US..end).contains(at))
             .collect();
         while let Some(&&(first, _)) = starts.first() {
             let count = starts
                 .iter()
-                .take_while(|(at, _)| *at < first + TOGETHER)
+                .take_while(|(at, _)| *at < first + TOGETHER_US)
                 .count();
             let mut together: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
             for (_, name) in starts.drain(..count) {
@@ -274,11 +274,16 @@
             let mut alone = 0;
             for (zone, hosts) in together {
                 let whole = self.hosts.values().filter(|z| *z == zone).count();
-                let lost =
-                    hosts.len() >= ZONE_LEAST && hosts.len() as f64 >= ZONE_SHARE * whole as f64;
+                let lost = hosts.len() >= MIN_ZONE_STARTS
+                    && hosts.len() as f64 >= ZONE_SHARE * whole as f64;
                 if lost && base.fleet.zones.iter().any(|z| z == zone) {
-                    let loss = trouble(TroubleKind::ZoneLoss, at_s(first) - AWAY_S, AWAY_S, 1.0);
-                    all.push(Trouble {
+                    let loss = trouble(
+                        FaultKind::ZoneLoss,
+                        at_s(first) - ASSUMED_DOWNTIME_S,
+                        ASSUMED_DOWNTIME_S,
+                        1.0,
+                    );
+                    all.push(ScheduledFault {
                         zone: Some(zone.to_owned()),
                         ..loss
                     });
@@ -289,9 +294,9 @@
             if alone > 0 {
                 let reach = alone as f64 / self.hosts.len().max(1) as f64;
                 all.push(trouble(
-                    TroubleKind::HostCrash,
-                    at_s(first) - AWAY_S,
-                    AWAY_S,
+                    FaultKind::HostCrash,
+                    at_s(first) - ASSUMED_DOWNTIME_S,
+                    ASSUMED_DOWNTIME_S,
                     reach,
                 ));
             }
@@ -302,7 +307,7 @@
                 if let Some(died) = earlier {
                     let for_s = began.saturating_sub(died) as f64 / 1e6;
                     let reach = 1.0 / f64::from(placers);
-                    all.push(trouble(TroubleKind::PlacerKill, at_s(died), for_s, reach));
+                    all.push(trouble(FaultKind::PlacerKill, at_s(died), for_s, reach));
                 }
                 earlier = Some(ended);
             }
@@ -441,7 +446,7 @@
     }
 
     #[test]
-    fn a_recorded_day_has_the_asks_and_the_troubles_that_were_seen() {
+    fn converts_trace_to_requests_and_faults() {
         // A zone of four comes back together, and a host alone; placer p0 has two runs.
         let zone: Vec<(u64, u32)> = (0..4).map(|n| (10, n * 3 + 1)).chain([(20, 0)]).collect();
         let first = run(
@@ -465,18 +470,17 @@
         );
         let one = &day.arrivals[0];
         assert_eq!(
-            (&*one.service, one.shape, one.wanted_for_us),
+            (&*one.service, one.resources, one.wanted_for_us),
             ("web-api-03", [0.5, 2.0], 7 * S)
         );
         assert_eq!(day.scenario.classes[one.class].rules.name, "web-api");
         let s = &day.scenario;
         assert_eq!((s.fleet.hosts, s.placers, s.seconds), (12, 2, 29.0));
-        let troubles: Vec<(TroubleKind, f64)> =
-            s.trouble.iter().map(|t| (t.kind, t.at_s)).collect();
+        let troubles: Vec<(FaultKind, f64)> = s.trouble.iter().map(|t| (t.kind, t.at_s)).collect();
         let expected = [
-            (TroubleKind::ZoneLoss, 9.0 - AWAY_S),
-            (TroubleKind::HostCrash, 19.0 - AWAY_S),
-            (TroubleKind::PlacerKill, 19.0),
+            (FaultKind::ZoneLoss, 9.0 - ASSUMED_DOWNTIME_S),
+            (FaultKind::HostCrash, 19.0 - ASSUMED_DOWNTIME_S),
+            (FaultKind::PlacerKill, 19.0),
         ];
         assert_eq!(troubles, expected);
         assert_eq!(s.trouble[0].zone.as_deref(), Some("hall-b"));
@@ -490,7 +494,7 @@
     }
 
     #[test]
-    fn what_can_not_be_played_is_named() {
+    fn names_what_cannot_be_replayed() {
         assert_eq!(
             read_all(&[&run("p0", 0, &[], &[])], 1.0).err().as_deref(),
             Some("no first ask is recorded")
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -9,10 +9,10 @@
 use serde_json::{Value, json};
 
 use crate::mutant::MutantResult;
-use crate::world::{Lost, ServiceShares};
+use crate::world::{ServiceLoss, ServiceShares};
 
 /// So many cases of a broken rule are shown.
-const SHOWN_OF_A_RULE: usize = 8;
+const MAX_SHOWN_PER_RULE: usize = 8;
 
 /// What a day came to.
 pub struct Report {
@@ -25,9 +25,9 @@
     /// The same by class.
     pub by_class: BTreeMap<String, f64>,
     /// What the rest was lost to.
-    pub service_loss: Lost,
+    pub service_loss: ServiceLoss,
     /// Seconds that second copies ran.
-    pub double_s: f64,
+    pub duplicate_run_s: f64,
     /// Times from an ask to `placed` at the owner, µs, sorted.
     pub place_us: Vec<u64>,
     /// Times of decisions, µs, with their counts, of all placers that were up at the end.
@@ -64,8 +64,8 @@
         quantile_ms(&self.place_us, q)
     }
 
-    fn number_wait(&self, q: f64) -> f64 {
-        quantile_ms(&self.verdict.number_waits, q)
+    fn replica_index_wait(&self, q: f64) -> f64 {
+        quantile_ms(&self.verdict.replica_index_waits_us, q)
     }
 
     /// The report as one object.
@@ -80,22 +80,22 @@
             "asks": v.requests, "placed": v.placed, "refused": v.rejected, "failed": v.failed,
             "turned_away": v.not_accepted, "unanswered": v.unanswered, "excused": v.excused,
             "first_asks": self.first_requests.requests, "first_placed": self.first_requests.placed,
-            "offers": v.offers, "refused_by": v.refused_by, "held_for": self.blocked_by_reason,
+            "offers": v.offers, "refused_by": v.rejected_by_reason, "held_for": self.blocked_by_reason,
             "service": self.service.overall,
             "service_worst_10_s": self.service.worst_10_s,
             "service_worst_class": self.service.worst_class,
             "service_by_class": self.by_class,
             "service_lost": {
                 "late_start": self.service_loss.late_start, "not_running": self.service_loss.not_running,
-                "crowded": self.service_loss.crowded,
+                "crowded": self.service_loss.contended,
             },
-            "double_s": self.double_s,
+            "double_s": self.duplicate_run_s,
             "rogue": self.mutant.map(|r| json!({"number": r.number, "moves": r.violations_made, "caught": r.violations_found})),
             "broken": broken,
-            "broken_shown": self.first_broken().map(|b| self.shown(b)).collect::<Vec<_>>(),
+            "broken_shown": self.first_violations().map(|b| self.violation_json(b)).collect::<Vec<_>>(),
             "numbers": {
-                "taken": v.number_waits.len(), "wait_ms": {
-                    "p50": self.number_wait(0.5), "p99": self.number_wait(0.99), "max": self.number_wait(1.0),
+                "taken": v.replica_index_waits_us.len(), "wait_ms": {
+                    "p50": self.replica_index_wait(0.5), "p99": self.replica_index_wait(0.99), "max": self.replica_index_wait(1.0),
                 },
             },
             "returns": {"count": self.health_returns.0, "offers_mean": self.health_returns.1, "offers_most": self.health_returns.2},
@@ -107,21 +107,21 @@
     }
 
     /// The first few of each rule.
-    fn first_broken(&self) -> impl Iterator<Item = &Violation> {
+    fn first_violations(&self) -> impl Iterator<Item = &Violation> {
         let of = |rule: u8| {
             self.verdict
                 .violations
                 .iter()
                 .filter(move |b| b.rule == rule)
-                .take(SHOWN_OF_A_RULE)
+                .take(MAX_SHOWN_PER_RULE)
         };
         (1..=5).flat_map(of)
     }
 
-    fn shown(&self, broken: &Violation) -> Value {
+    fn violation_json(&self, broken: &Violation) -> Value {
         let first = self.history.first().map_or(0, |r| r.at_us);
         let frames: Vec<String> = broken
-            .shown_by
+            .evidence
             .iter()
             .take(12)
             .filter_map(|&i| self.history.get(i))
@@ -162,7 +162,7 @@
             out,
             "what bound, in shares of all asks: held for {}; refused by {}",
             list(&self.blocked_by_reason, v.requests),
-            list(&v.refused_by, v.requests)
+            list(&v.rejected_by_reason, v.requests)
         );
         let s = &self.service;
         let _ = writeln!(
@@ -179,7 +179,7 @@
         let _ = writeln!(
             out,
             "lost of it: {:.3} to starts later than their aim, {:.3} while not running, {:.3} to crowded hosts",
-            lost.late_start, lost.not_running, lost.crowded
+            lost.late_start, lost.not_running, lost.contended
         );
         let _ = writeln!(
             out,
@@ -191,19 +191,19 @@
             self.decide_quantile(0.99),
             v.offers
         );
-        if !v.number_waits.is_empty() {
+        if !v.replica_index_waits_us.is_empty() {
             let _ = writeln!(
                 out,
                 "{} numbers fell free; until one was taken: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
-                v.number_waits.len(),
-                self.number_wait(0.5),
-                self.number_wait(0.99),
-                self.number_wait(1.0)
+                v.replica_index_waits_us.len(),
+                self.replica_index_wait(0.5),
+                self.replica_index_wait(0.99),
+                self.replica_index_wait(1.0)
             );
         }
         for broken in v.violations.iter().take(10) {
             let _ = writeln!(out, "rule {} broken: {}", broken.rule, broken.description);
-            if let Some(records) = self.shown(broken)["records"].as_array() {
+            if let Some(records) = self.violation_json(broken)["records"].as_array() {
                 for line in records.iter().filter_map(Value::as_str) {
                     let _ = writeln!(out, "    {line}");
                 }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -33,7 +33,7 @@
     pub classes: Vec<Class>,
     /// The troubles.
     #[serde(default)]
-    pub trouble: Vec<Trouble>,
+    pub trouble: Vec<ScheduledFault>,
 }
 
 /// Hosts and how they behave.
@@ -182,7 +182,7 @@
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// Hosts' processes die and come back cold.
     HostCrash,
     /// Hosts accept connections and never answer, then come back cold.
@@ -253,9 +253,9 @@
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// What.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// When, s.
     pub at_s: f64,
     /// How long, s.
@@ -296,7 +296,7 @@
     pub fn standard_with_catalogue() -> Scenario {
         #[derive(Deserialize)]
         struct More {
-            trouble: Vec<Trouble>,
+            trouble: Vec<ScheduledFault>,
         }
         let doc = Document {
             file: "scenarios/catalogue.toml",
@@ -385,7 +385,7 @@
     }
 
     /// The same day without troubles of a kind, to see what they cost.
-    pub fn without_fault(mut self, kind: TroubleKind) -> Scenario {
+    pub fn without_fault(mut self, kind: FaultKind) -> Scenario {
         self.trouble.retain(|t| t.kind != kind);
         self
     }
@@ -432,7 +432,7 @@
     }
 
     /// Zone and cell of the host of this number.
-    pub fn place_of(&self, host: usize) -> (String, String) {
+    pub fn location_of(&self, host: usize) -> (String, String) {
         let zones = &self.fleet.zones;
         let zone = host % zones.len();
         (
@@ -457,7 +457,7 @@
     }
 
     /// Whether a second start does harm.
-    pub fn careful(&self, class: usize) -> bool {
+    pub fn must_not_run_twice(&self, class: usize) -> bool {
         self.classes[class].rules.retry_safety != RetrySafety::Safe
     }
 }
@@ -467,7 +467,7 @@
     use super::*;
 
     #[test]
-    fn every_scenario_that_comes_with_the_project_is_sound() {
+    fn accepts_all_bundled_scenarios() {
         let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
         let (mut files, mut kinds) = (0, std::collections::BTreeSet::new());
         for entry in std::fs::read_dir(folder).expect("a folder") {
@@ -483,7 +483,7 @@
                 text: &text,
             })
             .expect("a sound scenario");
-            let over = |t: &Trouble| t.at_s + t.for_s <= day.seconds;
+            let over = |t: &ScheduledFault| t.at_s + t.for_s <= day.seconds;
             assert!(
                 day.trouble.iter().all(over),
                 "{file}: a trouble outlasts the day"
