--- a/crates/emulator/src/scenario_run.rs
+++ b/crates/emulator/src/scenario_run.rs
@@ -15,13 +15,13 @@
 };
 use rustix::process::Signal;
 
-use crate::calls::register;
+use crate::catalogue_registration::register_host;
 use crate::demand::arrivals;
+use crate::fault_plan::{HostFault, ScheduledAction, plan};
 use crate::host::HostFaults;
-use crate::mutant::{MutantResult, moves_told};
+use crate::mutant::{MutantResult, count_violations_in_log};
 use crate::owners::{LoadBalancerEntry, Owners};
 use crate::placer_processes::Placers;
-use crate::plan::{HostFault, ScheduledAction, plan};
 use crate::rack::{HostCommand, HostPool};
 use crate::report::{FirstRequests, Report, offers_after_health_return};
 pub use crate::run_options::RunOptions;
@@ -34,7 +34,7 @@
     options: &'a RunOptions,
     scenario: Arc<Scenario>,
     world: RunContext,
-    dice: SeededRng,
+    rng: SeededRng,
     host_pool: HostPool,
     folder: PathBuf,
     placers: Placers,
@@ -44,17 +44,17 @@
     listed: Vec<(HostState, Option<u64>)>,
     faults: Vec<HostFaults>,
     /// The hosts that the last sound inventory told as ready.
-    told_ready: Vec<(Arc<str>, Option<u64>)>,
+    listed_ready: Vec<(Arc<str>, Option<u64>)>,
     notice_us: u64,
-    garbled: bool,
+    is_inventory_unreadable: bool,
     /// When a host's health came back after a flap.
-    returned: Vec<(u64, Arc<str>)>,
+    health_returns: Vec<(u64, Arc<str>)>,
     /// Hosts that said that they drain.
     draining_hosts: BTreeSet<usize>,
     servers: Option<Servers>,
     /// The hosts as they stand in the catalogue, and whether it lacks something.
     in_catalogue: Inventory,
-    unregistered: bool,
+    has_unregistered_hosts: bool,
 }
 
 /// Plays a day and judges it.
@@ -77,7 +77,7 @@
                 |who: &str| -> Arc<str> { who.split(['(', ')']).nth(1).unwrap_or("").into() };
             let seen = world.clone();
             let watch = move |who: &str, index: u64, consistent: bool, body: &[u8]| {
-                seen.record(Observation::Catalogue {
+                seen.record(Observation::CatalogueAnswered {
                     placer: placer(who),
                     index,
                     consistent,
@@ -89,11 +89,11 @@
                 let number =
                     |key: &str| -> Arc<str> { key.rsplit('/').next().unwrap_or("").into() };
                 seen.record(match news {
-                    LockEvent::Locked(key, who) => Observation::NumberLocked {
+                    LockEvent::Locked(key, who) => Observation::ReplicaIndexLocked {
                         number: number(key),
                         placer: placer(who),
                     },
-                    LockEvent::Released(key, after_us) => Observation::NumberFree {
+                    LockEvent::Released(key, after_us) => Observation::ReplicaIndexReleased {
                         number: number(key),
                         after_us,
                     },
@@ -110,7 +110,7 @@
     };
     let mut day = ScenarioRun {
         options,
-        dice: SeededRng::new(options.seed, 1),
+        rng: SeededRng::new(options.seed, 1),
         host_pool: rack,
         folder,
         placers: Placers::new(),
@@ -118,14 +118,14 @@
         pending_listings: Vec::new(),
         listed: vec![(HostState::Ready, None); hosts],
         faults: vec![HostFaults::default(); hosts],
-        told_ready: Vec::new(),
+        listed_ready: Vec::new(),
         notice_us: scenario.fleet.inventory_delay_ms * 1000,
-        garbled: false,
-        returned: Vec::new(),
+        is_inventory_unreadable: false,
+        health_returns: Vec::new(),
         draining_hosts: BTreeSet::new(),
         servers,
         in_catalogue: Inventory::default(),
-        unregistered: false,
+        has_unregistered_hosts: false,
         world,
         scenario,
     };
@@ -135,7 +135,7 @@
 impl ScenarioRun<'_> {
     fn run(&mut self) -> io::Result<Report> {
         for number in 0..self.scenario.fleet.hosts {
-            self.listed[number] = (HostState::Ready, Some(self.started(number)));
+            self.listed[number] = (HostState::Ready, Some(self.host_started_ms(number)));
         }
         self.write_inventory()?;
         let mut fronts = Vec::new();
@@ -159,14 +159,14 @@
             });
         }
         for _ in 0..fronts.len() {
-            let (number, address) = self.first_serves()?;
+            let (number, address) = self.wait_for_placer()?;
             fronts[number].address = Some(address);
-            self.tell_serves(number, address);
-            self.world.record(Observation::PlacerUp {
+            self.notify_serving(number, address);
+            self.world.record(Observation::PlacerStarted {
                 placer: format!("placer-{number}").into(),
             });
         }
-        self.actions = plan(&self.scenario, &mut self.dice);
+        self.actions = plan(&self.scenario, &mut self.rng);
         if let Some(fleet) = &self.options.membership {
             self.actions.extend(
                 fleet
@@ -187,29 +187,30 @@
         let mut told = 0;
         let mut closing = None;
         loop {
-            self.go_on()?;
+            self.check_interrupted()?;
             let now = self.world.clock.now();
             self.actions.sort_by_key(|a| a.0);
             while self.actions.first().is_some_and(|a| start + a.0 <= now) {
                 let (_, act) = self.actions.remove(0);
-                self.act(act, &owners)?;
+                self.apply_action(act, &owners)?;
             }
             while let Some((number, address)) = self.placers.next_serving(Duration::ZERO)? {
-                self.world.record(Observation::PlacerUp {
+                self.world.record(Observation::PlacerStarted {
                     placer: format!("placer-{number}").into(),
                 });
-                self.tell_serves(number, address);
-                let mut mood = owners.mood();
+                self.notify_serving(number, address);
+                let mut mood = owners.behaviour();
                 let front = &mut mood.placers[number];
                 (front.address, front.is_down) = (Some(address), false);
                 front.incarnation += 1;
             }
-            self.tell_news(now)?;
+            self.publish_due_listings(now)?;
             if now >= end && closing.is_none() {
-                owners.mood().closing = true;
+                owners.behaviour().is_closing = true;
                 closing = Some(now);
             }
-            let over = owners.mood().is_closed || closing.is_some_and(|at| now > at + 30_000_000);
+            let over =
+                owners.behaviour().is_closed || closing.is_some_and(|at| now > at + 30_000_000);
             if over && self.actions.is_empty() {
                 break;
             }
@@ -217,7 +218,7 @@
             if self.options.show_progress && second > told {
                 told = second;
                 let (asked, placed) = {
-                    let mood = owners.mood();
+                    let mood = owners.behaviour();
                     (mood.request_count, mood.placed_count)
                 };
                 eprint!("\r{second:3} s: {asked} asks, {placed} placed ");
@@ -231,21 +232,21 @@
         let (service, lost, double_s, by_class) = {
             let ledger = self.world.service_accounting();
             let names = self.scenario.classes.iter().map(|c| c.rules.name.clone());
-            let by_class = names.zip(ledger.by_class(end)).collect();
+            let by_class = names.zip(ledger.service_by_class(end)).collect();
             (
                 ledger.service_shares(end),
                 ledger.loss(end),
-                ledger.double_s,
+                ledger.duplicate_run_s,
                 by_class,
             )
         };
-        let (decide_us, held) = statuses(&owners);
+        let (decide_us, held) = collect_statuses(&owners);
         let mut place_us = owners.end()?;
         place_us.sort_unstable();
         self.placers.stop();
-        let record = self.world.take_record();
-        let verdict = check(&record, &settings::figures(&self.scenario));
-        let returns = offers_after_health_return(&record, &self.returned);
+        let record = self.world.take_history();
+        let verdict = check(&record, &settings::rule_parameters(&self.scenario));
+        let returns = offers_after_health_return(&record, &self.health_returns);
         let first = FirstRequests::of(&record);
         let rogue = self.mutant_result(&verdict)?;
         Ok(Report {
@@ -254,7 +255,7 @@
             service,
             by_class,
             service_loss: lost,
-            double_s,
+            duplicate_run_s: double_s,
             place_us,
             decide_us,
             blocked_by_reason: held,
@@ -271,13 +272,13 @@
         }
         let mut moves = 0;
         for (log, from) in self.placers.logs() {
-            moves += moves_told(log, from)?;
+            moves += count_violations_in_log(log, from)?;
         }
         Ok(Some(MutantResult::new(self.options.mutant, moves, verdict)))
     }
 
     /// An error once the day is interrupted; its processes end with it.
-    fn go_on(&self) -> io::Result<()> {
+    fn check_interrupted(&self) -> io::Result<()> {
         if self.options.interrupted.load(Ordering::Relaxed) {
             return Err(io::Error::new(
                 io::ErrorKind::Interrupted,
@@ -288,9 +289,9 @@
     }
 
     /// The next placer of the first start that serves.
-    fn first_serves(&mut self) -> io::Result<(usize, SocketAddr)> {
+    fn wait_for_placer(&mut self) -> io::Result<(usize, SocketAddr)> {
         for _ in 0..300 {
-            self.go_on()?;
+            self.check_interrupted()?;
             if let Some(serves) = self.placers.next_serving(Duration::from_millis(100))? {
                 return Ok(serves);
             }
@@ -298,7 +299,7 @@
         Err(io::Error::other("a placer did not start in 30 s"))
     }
 
-    fn tell_serves(&self, number: usize, address: SocketAddr) {
+    fn notify_serving(&self, number: usize, address: SocketAddr) {
         if let Some(fleet) = &self.options.membership {
             let _ = fleet.events.send(RunEvent::PlacerServing(
                 self.world.clock.now(),
@@ -308,7 +309,7 @@
         }
     }
 
-    fn started(&self, host: usize) -> u64 {
+    fn host_started_ms(&self, host: usize) -> u64 {
         self.host_pool
             .started_ms
             .lock()
@@ -343,12 +344,14 @@
                 let known = self.in_catalogue.host.iter().find(|h| h.name == host.name);
                 match known {
                     Some(known) if known == host => told.push(host.clone()),
-                    _ if register(servers.addresses[0], host).is_ok() => told.push(host.clone()),
+                    _ if register_host(servers.addresses[0], host).is_ok() => {
+                        told.push(host.clone())
+                    }
                     // The catalogue has no leader: told with the next news.
                     _ => told.extend(known.cloned()),
                 }
             }
-            self.unregistered = told != now.host;
+            self.has_unregistered_hosts = told != now.host;
             self.in_catalogue.host = told;
             return Ok(());
         }
@@ -365,29 +368,30 @@
         // when the file was surely in place.
         let mut either = ready.clone();
         either.extend(
-            self.told_ready
+            self.listed_ready
                 .iter()
                 .filter(|(host, _)| !ready.iter().any(|(h, _)| h == host))
                 .cloned(),
         );
         let gone = inventory.host.iter().filter(|h| h.state == HostState::Gone);
         let gone: Vec<Arc<str>> = gone.map(|h| h.name.as_str().into()).collect();
-        self.world.record(Observation::Inventory {
+        self.world.record(Observation::InventoryReplaced {
             ready: either,
             gone: gone.clone(),
         });
         self.replace_inventory(&text)?;
-        self.world.record(Observation::Inventory {
+        self.world.record(Observation::InventoryReplaced {
             ready: ready.clone(),
             gone,
         });
-        self.told_ready = ready;
+        self.listed_ready = ready;
         Ok(())
     }
 
     /// The inventory tells what it has noticed.
-    fn tell_news(&mut self, now: u64) -> io::Result<()> {
-        if self.garbled || !(self.unregistered || self.pending_listings.iter().any(|n| n.0 <= now))
+    fn publish_due_listings(&mut self, now: u64) -> io::Result<()> {
+        if self.is_inventory_unreadable
+            || !(self.has_unregistered_hosts || self.pending_listings.iter().any(|n| n.0 <= now))
         {
             return Ok(());
         }
@@ -396,7 +400,7 @@
             .partition(|n| n.0 <= now);
         self.pending_listings = later;
         for (_, host, state) in due {
-            let started = self.started(host);
+            let started = self.host_started_ms(host);
             self.listed[host] = (
                 state,
                 (started > 0).then_some(started).or(self.listed[host].1),
@@ -405,7 +409,7 @@
         self.write_inventory()
     }
 
-    fn act(&mut self, act: ScheduledAction, owners: &Owners) -> io::Result<()> {
+    fn apply_action(&mut self, act: ScheduledAction, owners: &Owners) -> io::Result<()> {
         tracing::debug!(?act, "trouble");
         match act {
             ScheduledAction::Host(command) => {
@@ -416,7 +420,7 @@
                 }
                 self.host_pool.command(command);
             }
-            ScheduledAction::HostListed(host, state) => {
+            ScheduledAction::ListHost(host, state) => {
                 self.pending_listings
                     .push((self.world.clock.now() + self.notice_us, host, state));
             }
@@ -429,23 +433,27 @@
                         faults.class_fault = on.then_some((class, share, errors))
                     }
                     HostFault::AnswersLost(share) => {
-                        faults.answers_lost = if on { share } else { 0.0 }
+                        faults.lost_answer_share = if on { share } else { 0.0 }
+                    }
+                    HostFault::Neighbour(share) => {
+                        faults.neighbour_core_share = if on { share } else { 0.0 }
                     }
-                    HostFault::Neighbour(share) => faults.neighbour = if on { share } else { 0.0 },
                     HostFault::Slow(times) => {
                         faults.admission_slowdown = if on { times } else { 0.0 }
                     }
                     HostFault::HeavyTail(class, share) => {
-                        faults.heavy = on.then_some((class, share))
+                        faults.heavy_tail = on.then_some((class, share))
                     }
-                    HostFault::HotServices(share) => faults.hot = if on { share } else { 0.0 },
-                    HostFault::ProgramsLost => faults.programs_lost = on,
+                    HostFault::HotServices(share) => {
+                        faults.hot_service_share = if on { share } else { 0.0 }
+                    }
+                    HostFault::ProgramsLost => faults.has_lost_programs = on,
                 }
                 self.host_pool
                     .command(HostCommand::SetFaults(host, faults.clone()));
             }
             ScheduledAction::PlacerFault(act) => {
-                self.befall(act, owners)?;
+                self.apply_placer_fault(act, owners)?;
                 if let Some(fleet) = &self.options.membership {
                     let _ = fleet
                         .events
@@ -459,35 +467,36 @@
                 } else {
                     (HostState::Ready, HostState::Draining)
                 };
-                let up = self.started(host) > 0 && !self.draining_hosts.contains(&host);
+                let up = self.host_started_ms(host) > 0 && !self.draining_hosts.contains(&host);
                 if up
                     && self.listed[host].0 == from
                     && !self.pending_listings.iter().any(|n| n.1 == host)
                 {
                     self.listed[host].0 = to;
                     if good {
-                        self.returned
+                        self.health_returns
                             .push((self.world.clock.now(), format!("host-{host:02}").into()));
                     }
-                    if !self.garbled {
+                    if !self.is_inventory_unreadable {
                         self.write_inventory()?;
                     }
                 }
             }
-            ScheduledAction::Catalogue(faults) => {
+            ScheduledAction::SetCatalogueFaults(faults) => {
                 if let Some(servers) = &self.servers {
                     // Stale indexes are those of one server; the rest strikes all.
                     let server = (faults.index_offset > 0).then_some(1);
                     servers.set_faults(server, faults);
                 }
             }
-            ScheduledAction::LoseLeader(span) => {
+            ScheduledAction::LoseCatalogueLeader(span) => {
                 if let Some(servers) = &self.servers {
-                    self.world.record(Observation::NoLeader { for_us: span });
+                    self.world
+                        .record(Observation::CatalogueLeaderLost { for_us: span });
                     servers.lose_leader(span);
                 }
             }
-            ScheduledAction::Garbage(text) if self.servers.is_some() => {
+            ScheduledAction::ReplaceInventory(text) if self.servers.is_some() => {
                 // An empty or a garbled file is an empty or a cut answer here.
                 let faults = match text {
                     "" => CatalogueFaults {
@@ -504,16 +513,18 @@
                     servers.set_faults(None, faults);
                 }
             }
-            ScheduledAction::Garbage("sound") => {
-                self.garbled = false;
+            ScheduledAction::ReplaceInventory("sound") => {
+                self.is_inventory_unreadable = false;
                 self.write_inventory()?;
             }
-            ScheduledAction::Garbage(text) => {
-                self.garbled = true;
+            ScheduledAction::ReplaceInventory(text) => {
+                self.is_inventory_unreadable = true;
                 self.world.record(Observation::InventoryUnreadable);
                 self.replace_inventory(text)?;
             }
-            ScheduledAction::HangUps(share) => owners.mood().hang_ups = share,
+            ScheduledAction::SetDisconnectShare(share) => {
+                owners.behaviour().disconnect_share = share
+            }
             ScheduledAction::SetInventoryDelay(times) => {
                 self.notice_us =
                     (self.scenario.fleet.inventory_delay_ms as f64 * 1000.0 * times) as u64;
@@ -522,14 +533,14 @@
         Ok(())
     }
 
-    fn befall(&mut self, act: PlacerFault, owners: &Owners) -> io::Result<()> {
+    fn apply_placer_fault(&mut self, act: PlacerFault, owners: &Owners) -> io::Result<()> {
         match act {
             PlacerFault::Kill(number) => {
                 let placer: Arc<str> = format!("placer-{number}").into();
-                if self.placers.all[number].paused {
+                if self.placers.all[number].is_paused {
                     return Ok(());
                 }
-                self.world.record(Observation::PlacerDown { placer });
+                self.world.record(Observation::PlacerStopped { placer });
                 if let Some(mut child) = self.placers.all[number].child.take() {
                     child.kill()?;
                     child.wait()?;
@@ -537,7 +548,7 @@
             }
             PlacerFault::MarkDown(number) => {
                 if self.placers.all[number].child.is_none() {
-                    owners.mood().placers[number].is_down = true;
+                    owners.behaviour().placers[number].is_down = true;
                 }
             }
             PlacerFault::Restart(number) => {
@@ -555,24 +566,24 @@
                         placer: format!("placer-{number}").into(),
                     });
                     self.placers.signal(number, Signal::STOP)?;
-                    self.placers.all[number].paused = true;
+                    self.placers.all[number].is_paused = true;
                 }
             }
             PlacerFault::Resume(number) => {
-                if std::mem::take(&mut self.placers.all[number].paused) {
+                if std::mem::take(&mut self.placers.all[number].is_paused) {
                     self.placers.signal(number, Signal::CONT)?;
-                    self.world.record(Observation::PlacerGoesOn {
+                    self.world.record(Observation::PlacerResumed {
                         placer: format!("placer-{number}").into(),
                     });
                 }
             }
             PlacerFault::Terminate(number) => {
-                if self.placers.all[number].child.is_some() && !self.placers.all[number].paused {
+                if self.placers.all[number].child.is_some() && !self.placers.all[number].is_paused {
                     // What it does not answer while it ends is its end's matter; the front layer is told at once.
-                    self.world.record(Observation::PlacerDown {
+                    self.world.record(Observation::PlacerStopped {
                         placer: format!("placer-{number}").into(),
                     });
-                    owners.mood().placers[number].is_down = true;
+                    owners.behaviour().placers[number].is_down = true;
                     self.placers.signal(number, Signal::TERM)?;
                 }
             }
@@ -588,10 +599,10 @@
 }
 
 /// What all placers that are up tell of themselves: times of decisions with their counts, and asks held, by what for.
-fn statuses(owners: &Owners) -> (BTreeMap<u64, u64>, BTreeMap<String, u64>) {
+fn collect_statuses(owners: &Owners) -> (BTreeMap<u64, u64>, BTreeMap<String, u64>) {
     let (mut times, mut held) = (BTreeMap::new(), BTreeMap::new());
     let addresses: Vec<_> = owners
-        .mood()
+        .behaviour()
         .placers
         .iter()
         .filter_map(|p| p.address)
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use maplethread_checker::{ClassRule, Group, Location, Place, RuleParameters};
+use maplethread_checker::{ClassRule, DeduplicationScope, Location, RuleParameters, TopologyLevel};
 use maplethread_config::{
     ApiSettings, ConsulSettings, CostSettings, DampingMode, HostEntry, HostSettings, HostState,
     Identity, Inventory, PlacementSettings, PlacerConfig, ReadConsistency,
     RuleSettings as PlacerRules, SlotLeaseSettings, TraceSettings,
 };
 
-use crate::owners::SLACK;
+use crate::owners::ANSWER_SLACK_US;
 use crate::scenario::Scenario;
 
 /// Trace files of a day: all of it is kept.
@@ -79,16 +79,16 @@
 }
 
 /// Figures of the rules, as the judge takes them.
-pub(crate) fn figures(s: &Scenario) -> RuleParameters {
+pub(crate) fn rule_parameters(s: &Scenario) -> RuleParameters {
     let class = |c: &crate::scenario::Class| {
         use maplethread_config as mc;
         ClassRule {
             name: c.rules.name.clone(),
             deduplication: c.rules.group.zip(c.rules.window_ms).map(|(group, ms)| {
                 let group = match group {
-                    mc::DeduplicationScope::All => Group::All,
-                    mc::DeduplicationScope::Zone => Group::Zone,
-                    mc::DeduplicationScope::Cell => Group::Cell,
+                    mc::DeduplicationScope::All => DeduplicationScope::All,
+                    mc::DeduplicationScope::Zone => DeduplicationScope::Zone,
+                    mc::DeduplicationScope::Cell => DeduplicationScope::Cell,
                 };
                 (group, ms * 1000)
             }),
@@ -98,16 +98,16 @@
                 .zip(c.rules.spread_most)
                 .map(|(place, most)| {
                     let place = match place {
-                        mc::TopologyLevel::Host => Place::Host,
-                        mc::TopologyLevel::Cell => Place::Cell,
-                        mc::TopologyLevel::Zone => Place::Zone,
+                        mc::TopologyLevel::Host => TopologyLevel::Host,
+                        mc::TopologyLevel::Cell => TopologyLevel::Cell,
+                        mc::TopologyLevel::Zone => TopologyLevel::Zone,
                     };
                     (place, most)
                 }),
         }
     };
     let host = |number: usize| {
-        let (zone, cell) = s.place_of(number);
+        let (zone, cell) = s.location_of(number);
         Location {
             host: format!("host-{number:02}").into(),
             zone: zone.into(),
@@ -118,13 +118,13 @@
         classes: s.classes.iter().map(class).collect(),
         hosts: (0..s.fleet.hosts).map(host).collect(),
         placer_count: s.replica_index_count(),
-        drain_grace: s.rules.drain_grace_ms * 1000,
-        cold_for: s.rules.warm_up_ms * 1000,
-        fall_window: s.rules.overload_window_ms * 1000,
+        drain_grace_us: s.rules.drain_grace_ms * 1000,
+        warm_up_us: s.rules.warm_up_ms * 1000,
+        overload_window_us: s.rules.overload_window_ms * 1000,
         warm_up_offers: s.rules.warm_up_offers,
-        lost_after: hosts("").lost_after_ms * 1000,
-        reprieve: 500_000,
-        slack: SLACK,
+        lost_after_us: hosts("").lost_after_ms * 1000,
+        resume_grace_us: 500_000,
+        timing_slack_us: ANSWER_SLACK_US,
     }
 }
 
@@ -135,7 +135,7 @@
     listed: &[(HostState, Option<u64>)],
 ) -> Inventory {
     let entry = |number: usize| {
-        let (zone, cell) = scenario.place_of(number);
+        let (zone, cell) = scenario.location_of(number);
         let (state, started_ms) = listed[number];
         HostEntry {
             name: format!("host-{number:02}"),
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -21,13 +21,13 @@
 /// Bytes of the IPv4 and TCP headers of a segment with timestamps.
 pub const HEADER_BYTES: u64 = 52;
 /// Bytes of a segment that opens a connection, with its options.
-const SYN: u64 = 60;
+const SYN_BYTES: u64 = 60;
 /// Data this soon after a segment acknowledges it, µs: the delayed acknowledgement of Linux.
-const DELAYED_ACK: u64 = 40_000;
+const DELAYED_ACK_US: u64 = 40_000;
 
 /// A frame as it is counted.
 #[derive(Clone, Copy, Debug)]
-pub struct Counted {
+pub struct CountedFrame {
     /// Its kind.
     pub kind: MessageKind,
     /// Its bytes.
@@ -35,7 +35,7 @@
 }
 
 /// The kind under which a frame is counted.
-pub fn kind_of(frame: &Frame) -> MessageKind {
+pub fn message_kind(frame: &Frame) -> MessageKind {
     match frame {
         Frame::Hello { .. } => MessageKind::Hello,
         Frame::Offer(_) => MessageKind::Offer,
@@ -86,7 +86,7 @@
 
 /// What the counter remembers of one connection.
 #[derive(Debug, Default)]
-pub struct LinkTraffic {
+pub struct ConnectionTraffic {
     unacknowledged: Option<Unacknowledged>,
     opened: bool,
 }
@@ -98,7 +98,7 @@
     }
 
     /// A connection was set up; only the first call for a link counts.
-    pub fn opened(&self, link: &mut LinkTraffic) {
+    pub fn opened(&self, link: &mut ConnectionTraffic) {
         if std::mem::replace(&mut link.opened, true) {
             return;
         }
@@ -108,13 +108,19 @@
             Direction::FromPlacer,
             1,
             0,
-            SYN + HEADER_BYTES,
+            SYN_BYTES + HEADER_BYTES,
+        );
+        counts.add(
+            MessageKind::Connection,
+            Direction::ToPlacer,
+            1,
+            0,
+            SYN_BYTES,
         );
-        counts.add(MessageKind::Connection, Direction::ToPlacer, 1, 0, SYN);
     }
 
     /// A connection ended: in order, or by a reset.
-    pub fn closed(&self, link: &mut LinkTraffic, reset: bool) {
+    pub fn closed(&self, link: &mut ConnectionTraffic, reset: bool) {
         self.opened(link);
         let mut counts = self.counts();
         if let Some(segment) = link.unacknowledged.take() {
@@ -140,16 +146,16 @@
     /// A segment with these frames was read or written at a time, µs.
     pub fn segment(
         &self,
-        link: &mut LinkTraffic,
+        link: &mut ConnectionTraffic,
         now: u64,
         direction: Direction,
-        frames: &[Counted],
+        frames: &[CountedFrame],
     ) {
         let Some(last) = frames.last() else { return };
         self.opened(link);
         let mut counts = self.counts();
         if let Some(earlier) = link.unacknowledged.take()
-            && now > earlier.at + DELAYED_ACK
+            && now > earlier.at + DELAYED_ACK_US
         {
             counts.lone_acknowledgement(earlier);
         }
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -3,11 +3,11 @@
 use std::io;
 
 /// Clock ticks a second in `/proc`, on every Linux that matters here.
-const TICKS_A_SECOND: f64 = 100.0;
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
 /// What a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Usage {
+pub struct ProcessUsage {
     /// Processor time so far, user and system, s.
     pub cpu_s: f64,
     /// Resident memory, KiB.
@@ -16,7 +16,7 @@
 
 /// Memory and descriptors of a process, which take longer to count than [`usage`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Holdings {
+pub struct ProcessHoldings {
     /// Proportional memory, KiB: pages that processes share are parted among them.
     pub proportional_kib: u64,
     /// Open descriptors.
@@ -24,7 +24,7 @@
 }
 
 /// Processor time of a process so far and its memory.
-pub fn process_usage(pid: u32) -> io::Result<Usage> {
+pub fn process_usage(pid: u32) -> io::Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -39,17 +39,17 @@
             .unwrap_or(0.0)
     };
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
-    Ok(Usage {
-        cpu_s: (ticks(11) + ticks(12)) / TICKS_A_SECOND,
+    Ok(ProcessUsage {
+        cpu_s: (ticks(11) + ticks(12)) / CLOCK_TICKS_PER_S,
         resident_kib: kib(&status, "VmRSS:"),
     })
 }
 
 /// Proportional memory and open descriptors of a process.
-pub fn process_holdings(pid: u32) -> io::Result<Holdings> {
+pub fn process_holdings(pid: u32) -> io::Result<ProcessHoldings> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
-    Ok(Holdings {
+    Ok(ProcessHoldings {
         proportional_kib: kib(&rollup, "Pss:"),
         descriptors,
     })
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -59,7 +59,7 @@
     }
 
     /// The record.
-    pub fn take_record(&self) -> Vec<HistoryEntry> {
+    pub fn take_history(&self) -> Vec<HistoryEntry> {
         self.history
             .as_ref()
             .map(|record| std::mem::take(&mut *lock(record)))
@@ -86,11 +86,11 @@
     /// A first start by then is worth...
     pub objective_us: u64,
     /// ...so much...
-    pub bonus: f64,
+    pub start_bonus: f64,
     /// ...and later, by then, so much.
     pub deadline_us: u64,
     /// The bonus of a late start.
-    pub late_bonus: f64,
+    pub late_start_bonus: f64,
 }
 
 #[derive(Default)]
@@ -108,23 +108,23 @@
     tasks: HashMap<Arc<str>, (TaskDemand, ServedState)>,
     by_second: Vec<(f64, f64)>,
     /// The same of each class.
-    by_class: Vec<Vec<(f64, f64)>>,
+    class_seconds: Vec<Vec<(f64, f64)>>,
     /// Seconds that second copies ran, which earn nothing.
-    pub double_s: f64,
+    pub duplicate_run_s: f64,
     /// Worth of starts that came late or never, and of crowding while tasks ran.
     late_start_loss: f64,
-    crowded: f64,
+    contention_loss: f64,
 }
 
 /// What the worth that was not served was lost to, as shares of the worth that was asked for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lost {
+pub struct ServiceLoss {
     /// First starts later than their aim, or none at all.
     pub late_start: f64,
     /// Tasks that did not run while they were wanted.
     pub not_running: f64,
     /// Tasks that ran on crowded hosts.
-    pub crowded: f64,
+    pub contended: f64,
 }
 
 /// Service, as shares of the worth that was asked for.
@@ -140,22 +140,22 @@
 
 impl ServiceAccounting {
     fn new(start: u64, classes: usize) -> ServiceAccounting {
-        let by_class = vec![Vec::new(); classes];
+        let class_seconds = vec![Vec::new(); classes];
         ServiceAccounting {
             start,
             tasks: HashMap::new(),
             by_second: Vec::new(),
-            by_class,
-            double_s: 0.0,
+            class_seconds,
+            duplicate_run_s: 0.0,
             late_start_loss: 0.0,
-            crowded: 0.0,
+            contention_loss: 0.0,
         }
     }
 
     /// Adds worth of a class that was wanted and served at a time.
     fn add(&mut self, class: usize, at: u64, wanted: f64, served: f64) {
         let second = (at.saturating_sub(self.start) / 1_000_000) as usize;
-        for seconds in [&mut self.by_second, &mut self.by_class[class]] {
+        for seconds in [&mut self.by_second, &mut self.class_seconds[class]] {
             if seconds.len() <= second {
                 seconds.resize(second + 1, (0.0, 0.0));
             }
@@ -165,9 +165,9 @@
     }
 
     /// An owner wants a task.
-    pub fn want(&mut self, actor: &Arc<str>, wanted: TaskDemand) {
-        self.late_start_loss += wanted.bonus;
-        self.add(wanted.class, wanted.from_us, wanted.bonus, 0.0);
+    pub fn add_demand(&mut self, actor: &Arc<str>, wanted: TaskDemand) {
+        self.late_start_loss += wanted.start_bonus;
+        self.add(wanted.class, wanted.from_us, wanted.start_bonus, 0.0);
         let mut at = wanted.from_us;
         while at < wanted.until_us {
             let next = (at + 1_000_000).min(wanted.until_us);
@@ -195,9 +195,9 @@
         let (wanted, bonus) = (
             *wanted,
             if now <= wanted.objective_us {
-                wanted.bonus
+                wanted.start_bonus
             } else if now <= wanted.deadline_us {
-                wanted.late_bonus
+                wanted.late_start_bonus
             } else {
                 0.0
             },
@@ -225,9 +225,9 @@
         let span = to_wanted.saturating_sub(from) as f64 / 1e6;
         let (wanted, copies) = (*wanted, served.running_copies);
         if copies > 1 && span == 0.0 {
-            self.double_s += whole as f64 / 1e6;
+            self.duplicate_run_s += whole as f64 / 1e6;
         }
-        self.crowded += wanted.value_per_s * (1.0 - share) * span;
+        self.contention_loss += wanted.value_per_s * (1.0 - share) * span;
         self.add(
             wanted.class,
             to_wanted.max(wanted.from_us),
@@ -238,7 +238,7 @@
 
     /// The share of the worth asked for up to a time that each class was served, in the order of the classes; 1 where none
     /// was asked for.
-    pub fn by_class(&self, until: u64) -> Vec<f64> {
+    pub fn service_by_class(&self, until: u64) -> Vec<f64> {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let share = |all: &Vec<(f64, f64)>| {
             let (wanted, served) = all.iter().take(seconds).fold((0.0, 0.0), |sum, second| {
@@ -246,7 +246,7 @@
             });
             if wanted > 0.0 { served / wanted } else { 1.0 }
         };
-        self.by_class.iter().map(share).collect()
+        self.class_seconds.iter().map(share).collect()
     }
 
     /// Whether some copy runs.
@@ -257,18 +257,18 @@
     }
 
     /// What the worth that was not served up to a time was lost to.
-    pub fn loss(&self, until: u64) -> Lost {
+    pub fn loss(&self, until: u64) -> ServiceLoss {
         let seconds = (until.saturating_sub(self.start) / 1_000_000) as usize;
         let all = &self.by_second[..seconds.min(self.by_second.len())];
         let all = all
             .iter()
             .fold((0.0, 0.0), |sum, b| (sum.0 + b.0, sum.1 + b.1));
         let part = |worth: f64| worth / all.0.max(f64::MIN_POSITIVE);
-        let not_running = (all.0 - all.1 - self.late_start_loss - self.crowded).max(0.0);
-        Lost {
+        let not_running = (all.0 - all.1 - self.late_start_loss - self.contention_loss).max(0.0);
+        ServiceLoss {
             late_start: part(self.late_start_loss),
             not_running: part(not_running),
-            crowded: part(self.crowded),
+            contended: part(self.contention_loss),
         }
     }
 
@@ -284,7 +284,7 @@
         let worst_10_s = (0..=last)
             .map(|from| part(from, from + 10))
             .fold(1.0, f64::min);
-        let worst_class = self.by_class(until).into_iter().fold(1.0, f64::min);
+        let worst_class = self.service_by_class(until).into_iter().fold(1.0, f64::min);
         ServiceShares {
             overall: part(0, seconds),
             worst_10_s,
--- a/crates/emulator/src/world/tests.rs
+++ b/crates/emulator/src/world/tests.rs
@@ -7,7 +7,7 @@
 const S: u64 = 1_000_000;
 
 #[test]
-fn what_is_wanted_after_the_day_counts_for_no_class() {
+fn ignores_demand_after_end_of_run() {
     let mut ledger = ServiceAccounting::new(0, 2);
     // Both live for 120 s of a day of 20; one runs from the beginning, the other from the middle on.
     for (class, name, runs_from) in [(0, "a", 0), (1, "b", 10 * S)] {
@@ -18,17 +18,17 @@
             from_us: 0,
             until_us: 120 * S,
             objective_us: S,
-            bonus: 0.0,
+            start_bonus: 0.0,
             deadline_us: 2 * S,
-            late_bonus: 0.0,
+            late_start_bonus: 0.0,
         };
-        ledger.want(&actor, wanted);
+        ledger.add_demand(&actor, wanted);
         ledger.record_start(&actor, runs_from);
         for from in (runs_from..20 * S).step_by(S as usize / 2) {
             ledger.record_service(&actor, from, from + S / 2, 1.0);
         }
     }
-    let shares = ledger.by_class(20 * S);
+    let shares = ledger.service_by_class(20 * S);
     assert!(
         shares[0] > 0.97 && (0.47..=0.5).contains(&shares[1]),
         "{shares:?}"
--- a/crates/emulator/tests/rogue.rs
+++ b/crates/emulator/tests/rogue.rs
@@ -15,7 +15,7 @@
 /// The class that is spread over zones.
 const WEB_API: usize = 0;
 /// So many of a service may be in one zone.
-const MOST: u32 = 4;
+const ZONE_LIMIT: u32 = 4;
 const ZONES: u32 = 3;
 const MACHINES: u32 = 15;
 
@@ -32,7 +32,7 @@
     machine.0 % ZONES
 }
 
-fn listing(number: u32) -> MachineEntry {
+fn machine_entry(number: u32) -> MachineEntry {
     let machine = MachineId(number);
     MachineEntry {
         machine,
@@ -46,7 +46,7 @@
     }
 }
 
-fn ask(id: u64) -> Event {
+fn placement_requested(id: u64) -> Event {
     Event::PlacementRequested(Task {
         id: TaskId(id),
         service: ServiceId(9),
@@ -60,10 +60,10 @@
 
 /// Asks one more than a zone may have of one service, while connections to hosts come and go between any two asks, and
 /// tells the most offers that one zone was sent.
-fn most_in_a_zone(rogue: u8, seed: u64) -> u32 {
+fn max_offers_in_a_zone(rogue: u8, seed: u64) -> u32 {
     let mut placer = RandomChoice::new(settings(), seed, rogue);
     let mut actions = Vec::new();
-    let machines = (0..MACHINES).map(listing).collect();
+    let machines = (0..MACHINES).map(machine_entry).collect();
     placer.turn(
         0,
         &[Event::EndpointsUpdated {
@@ -72,12 +72,12 @@
         }],
         &mut actions,
     );
-    for id in 0..=u64::from(MOST) {
+    for id in 0..=u64::from(ZONE_LIMIT) {
         let lost = Event::ConnectionChanged {
             machine: MachineId(id as u32),
             is_connected: false,
         };
-        placer.turn(id + 1, &[lost, ask(id)], &mut actions);
+        placer.turn(id + 1, &[lost, placement_requested(id)], &mut actions);
     }
     let mut zones: BTreeMap<u32, u32> = BTreeMap::new();
     for action in &actions {
@@ -89,24 +89,24 @@
 }
 
 #[test]
-fn rogue_5_fills_one_place_up_however_the_list_of_hosts_changes() {
+fn mutant_5_exceeds_spread_limit_despite_connection_changes() {
     for seed in 0..50 {
-        assert_eq!(most_in_a_zone(5, seed), MOST + 1, "seed {seed}");
+        assert_eq!(max_offers_in_a_zone(5, seed), ZONE_LIMIT + 1, "seed {seed}");
     }
 }
 
 #[test]
-fn who_keeps_the_rules_stays_within_the_limit() {
+fn unmutated_placer_stays_within_spread_limit() {
     for seed in 0..50 {
-        assert!(most_in_a_zone(0, seed) <= MOST, "seed {seed}");
+        assert!(max_offers_in_a_zone(0, seed) <= ZONE_LIMIT, "seed {seed}");
     }
 }
 
 #[test]
-fn rogue_6_keeps_quiet_about_what_came_while_it_stood_still_and_about_nothing_else() {
+fn mutant_6_leaves_only_requests_during_pause_unanswered() {
     let mut placer = RandomChoice::new(settings(), 1, 6);
     let mut actions = Vec::new();
-    let machines = (0..MACHINES).map(listing).collect();
+    let machines = (0..MACHINES).map(machine_entry).collect();
     placer.turn(
         0,
         &[Event::EndpointsUpdated {
@@ -127,16 +127,16 @@
             .iter()
             .any(|a| matches!(a, Action::Offer { task: id, .. } if *id == TaskId(task)))
     };
-    placer.turn(100_000, &[ask(1)], &mut actions);
+    placer.turn(100_000, &[placement_requested(1)], &mut actions);
     assert!(offers(&actions, 1));
-    placer.turn(1_000_000, &[ask(2)], &mut actions);
+    placer.turn(1_000_000, &[placement_requested(2)], &mut actions);
     assert!(!offers(&actions, 2), "asked while it stood still");
-    placer.turn(1_100_000, &[ask(3)], &mut actions);
+    placer.turn(1_100_000, &[placement_requested(3)], &mut actions);
     assert!(offers(&actions, 3));
 }
 
 #[test]
-fn what_the_judge_did_not_catch_is_told_from_what_there_was_not_to_catch() {
+fn tells_missed_violation_from_no_opportunity() {
     let outcome = |moves, caught| {
         MutantResult {
             number: 5,
