--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -64,7 +64,7 @@
         .unwrap_or_else(|| event_loop.now() ^ (u64::from(std::process::id()) << 32));
     let decider = new_decider(&config, seed).map_err(Error::Settings)?;
     let listener = event_loop.listen(config.api.listen, Backlog::Large)?;
-    let recorder = Recorder::start(&config, seed, started_ms, decider.is_module())
+    let recorder = Recorder::start(&config, seed, started_ms, decider.is_replayable())
         .map_err(ResourceError::of("thread of the trace"))?;
     let start = StartInfo { started_ms, seed };
     let mut daemon = Daemon::new(config, decider, start, event_loop, listener, recorder)?;
--- a/crates/placer/src/loop_time.rs
+++ b/crates/placer/src/loop_time.rs
@@ -93,8 +93,8 @@
         self.phase.measure(|| inner.turn(now, events, actions));
     }
 
-    fn last_word(&self) -> bool {
-        self.inner.last_word()
+    fn allows_deadline_answers(&self) -> bool {
+        self.inner.allows_deadline_answers()
     }
 }
 
--- a/crates/placer/src/trace_queue.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -146,8 +146,8 @@
         }
     }
 
-    fn last_word(&self) -> bool {
-        self.inner.last_word()
+    fn allows_deadline_answers(&self) -> bool {
+        self.inner.allows_deadline_answers()
     }
 }
 
