--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -24,10 +24,17 @@
         replica_count: 16,
         replica_index: 3,
         classes: vec![
-            class(RetrySafety::Idempotent, Some((TopologyLevel::Zone, 4)), 0),
+            class(
+                RetrySafety::Idempotent,
+                Some(SpreadLimit {
+                    level: TopologyLevel::Zone,
+                    max_tasks: 4,
+                }),
+                0,
+            ),
             class(
                 RetrySafety::IdempotencyKey {
-                    group: DeduplicationScope::Zone,
+                    scope: DeduplicationScope::Zone,
                     window: 6_000_000,
                 },
                 None,
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -462,7 +462,7 @@
                 RetrySafety::Safe => mt::RetrySafety::Idempotent,
                 RetrySafety::Unsafe => mt::RetrySafety::NonIdempotent,
                 RetrySafety::Keyed => mt::RetrySafety::IdempotencyKey {
-                    group: match c.group {
+                    scope: match c.group {
                         Some(DeduplicationScope::Zone) => mt::DeduplicationScope::Zone,
                         Some(DeduplicationScope::Cell) => mt::DeduplicationScope::Cell,
                         _ => mt::DeduplicationScope::All,
@@ -478,14 +478,16 @@
                 .kind
                 .as_ref()
                 .and_then(|kind| self.kinds.iter().position(|k| &k.name == kind)),
-            spread_limit: c
-                .spread_over
-                .zip(c.spread_most)
-                .map(|(place, most)| match place {
-                    TopologyLevel::Host => (mt::TopologyLevel::Machine, most),
-                    TopologyLevel::Cell => (mt::TopologyLevel::Cell, most),
-                    TopologyLevel::Zone => (mt::TopologyLevel::Zone, most),
-                }),
+            spread_limit: c.spread_over.zip(c.spread_most).map(|(level, max_tasks)| {
+                mt::SpreadLimit {
+                    level: match level {
+                        TopologyLevel::Host => mt::TopologyLevel::Machine,
+                        TopologyLevel::Cell => mt::TopologyLevel::Cell,
+                        TopologyLevel::Zone => mt::TopologyLevel::Zone,
+                    },
+                    max_tasks,
+                }
+            }),
         };
         mt::Settings {
             replica_count: self.identity.replica_count,
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -7,8 +7,8 @@
 
 use maplethread::{
     Action, AttemptId, AttemptOutcome, DeduplicationScope, Event, MachineEntry, MachineId,
-    MachineState, Micros, RetrySafety, ServiceId, Settings, Task, TaskId, TopologyLevel,
-    UpdateScope,
+    MachineState, Micros, RetrySafety, ServiceId, Settings, SpreadLimit, Task, TaskId,
+    TopologyLevel, UpdateScope,
 };
 use maplethread_engine::Decide;
 
@@ -199,7 +199,7 @@
         let harmless = match self.settings.classes[open.task.class].retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
-                group: DeduplicationScope::All,
+                scope: DeduplicationScope::All,
                 ..
             } => true,
             _ => !open.in_flight && open.may_run.is_none(),
@@ -308,14 +308,14 @@
     fn most_crowded(
         &self,
         machines: &[MachineId],
-        spread: Option<(TopologyLevel, u32)>,
+        spread: Option<SpreadLimit>,
         service: ServiceId,
     ) -> Vec<MachineId> {
         let count = |machine: &MachineId| {
             let listing = self.machines.get(machine);
             spread
                 .zip(listing)
-                .map_or(0, |((place, _), at)| self.count(place, at, service))
+                .map_or(0, |(limit, at)| self.count(limit.level, at, service))
         };
         let counts: Vec<u32> = machines.iter().map(count).collect();
         let most = counts.iter().copied().max().unwrap_or(0);
@@ -349,7 +349,7 @@
         if !state || class.machine_kind.is_some_and(|kind| kind != machine.kind) {
             return false;
         }
-        if let (Some((_, first)), RetrySafety::IdempotencyKey { group, .. }, true) =
+        if let (Some((_, first)), RetrySafety::IdempotencyKey { scope: group, .. }, true) =
             (open.may_run, class.retry_safety, rogue != 2)
         {
             let first = self.machines.get(&first);
@@ -363,8 +363,9 @@
             }
         }
         let spread = class.spread_limit.filter(|_| rogue != 5);
-        if spread.is_some_and(|(place, most)| self.count(place, machine, open.task.service) >= most)
-        {
+        if spread.is_some_and(|limit| {
+            self.count(limit.level, machine, open.task.service) >= limit.max_tasks
+        }) {
             return false;
         }
         let rules = &self.settings.rules;
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -2,7 +2,7 @@
 
 use maplethread::{
     AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport, Micros,
-    Resources, RetrySafety, Rules, Settings, TopologyLevel,
+    Resources, RetrySafety, Rules, Settings, SpreadLimit, TopologyLevel,
 };
 use serde_json::Value;
 
@@ -233,7 +233,7 @@
         "pure" => RetrySafety::Idempotent,
         "side_effect" => RetrySafety::NonIdempotent,
         "token" => RetrySafety::IdempotencyKey {
-            group: match own.text("group")? {
+            scope: match own.text("group")? {
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
@@ -281,7 +281,10 @@
         start_bonus_s: at.nth("domain.startBonusS", index)?,
         priority: at.nth("domain.classPriority", index)? as u32,
         machine_kind: (kind >= 0.0).then_some(kind as usize),
-        spread_limit: place.map(|place| (place, most as u32)),
+        spread_limit: place.map(|level| SpreadLimit {
+            level,
+            max_tasks: most as u32,
+        }),
     })
 }
 
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -12,20 +12,20 @@
     pub number: u32,
 }
 
-/// How an attempt ended, with all that was told of it.
+/// How an attempt ended, with all that is known of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptResult {
-    /// How.
+    /// How it ended.
     #[cfg_attr(feature = "serde", serde(rename = "ending"))]
     pub outcome: AttemptOutcome,
-    /// Why, if told.
+    /// Why, if the machine said so.
     #[cfg_attr(feature = "serde", serde(rename = "why"))]
     pub reason: Option<FailureReason>,
-    /// The placing is over.
+    /// The request is over, whatever became of the task.
     #[cfg_attr(feature = "serde", serde(rename = "closed"))]
     pub closes_task: bool,
-    /// The machine's report, if one came.
+    /// The machine's load report, if one came.
     pub load: Option<Resources>,
 }
 
@@ -33,12 +33,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AttemptOutcome {
-    /// The task came to its end.
+    /// The task ran to its end.
     #[cfg_attr(feature = "serde", serde(rename = "Done"))]
     Completed,
     /// The machine answered with an error; the task may have run.
     Error,
-    /// Turned down, or handed back before it ran.
+    /// The machine rejected it, or handed it back before it ran.
     #[cfg_attr(feature = "serde", serde(rename = "Refused"))]
     Rejected,
     /// No answer in time; the task may run.
@@ -46,10 +46,10 @@
     /// No connection; it never ran.
     #[cfg_attr(feature = "serde", serde(rename = "Unreachable"))]
     ConnectFailed,
-    /// The connection or the machine was lost, or the task was evicted, pushed out or sent away.
+    /// The connection or the machine was lost, or the task was evicted, preempted or drained.
     #[cfg_attr(feature = "serde", serde(rename = "Reset"))]
     Disconnected,
-    /// Called off; before it was seated it may have run.
+    /// It was cancelled; if it had not been accepted it may have run.
     Cancelled,
     /// It was never sent.
     #[cfg_attr(feature = "serde", serde(rename = "NotSent"))]
@@ -64,31 +64,31 @@
     Cores,
     /// Too little memory.
     Memory,
-    /// Too many offers wait.
+    /// Too many offers are queued.
     #[cfg_attr(feature = "serde", serde(rename = "Line"))]
     QueueFull,
-    /// Wrong kind, draining, too late, or a copy stands there.
+    /// The wrong kind, draining, too late, or a copy of the task is there.
     #[cfg_attr(feature = "serde", serde(rename = "NotHere"))]
     Ineligible,
     /// Evicted for memory.
     Evicted,
-    /// Pushed out by a higher priority.
+    /// Preempted by a task of a higher priority.
     #[cfg_attr(feature = "serde", serde(rename = "PushedOut"))]
     Preempted,
-    /// Sent away by a draining machine.
+    /// Its machine is draining.
     #[cfg_attr(feature = "serde", serde(rename = "SentAway"))]
     Drained,
 }
 
-/// News of an attempt that is out.
+/// What a task that was accepted reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum TaskReport {
     /// The task runs.
     Started,
-    /// Cores that it uses.
+    /// The cores that it uses.
     CoresUsed(f64),
-    /// Memory that it uses.
+    /// The memory that it uses.
     MemoryUsed(f64),
     /// The share of full service that it gets.
     Served(f64),
--- a/src/interface/machine.rs
+++ b/src/interface/machine.rs
@@ -2,7 +2,7 @@
 
 use super::{Micros, Resources, TopologyLevel};
 
-/// A machine, numbered by the caller. The number means nothing and is kept for the placer's life.
+/// A machine, numbered by the caller. The number has no meaning and is kept for the life of the placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MachineId(pub u32);
@@ -13,7 +13,7 @@
 pub enum MachineState {
     /// It takes tasks.
     Ready,
-    /// It finishes its work and is to get nothing new.
+    /// It finishes its work and must get nothing new.
     Draining,
     /// It was removed.
     Gone,
@@ -25,29 +25,29 @@
 pub struct MachineEntry {
     /// The machine.
     pub machine: MachineId,
-    /// A number that every placer sees alike, such as a hash of its address.
+    /// A number that is the same at every placer, such as a hash of its address.
     #[cfg_attr(feature = "serde", serde(rename = "label"))]
     pub stable_hash: u64,
     /// Its zone.
     pub zone: u32,
     /// Its cell; unique over all zones.
     pub cell: u32,
-    /// Its kind, an index into [`Settings::kinds`].
+    /// Its kind, an index into [`Settings::kinds`](super::Settings::kinds).
     pub kind: usize,
     /// Its state.
     pub state: MachineState,
-    /// When it last started, if that was not long ago.
+    /// When its process started, if that was not long ago.
     #[cfg_attr(feature = "serde", serde(rename = "started"))]
     pub started_at: Option<Micros>,
-    /// What nobody had asked for, some time ago. Below zero where more was accepted.
+    /// What no task had requested, some time ago. Below zero where more was accepted.
     #[cfg_attr(feature = "serde", serde(rename = "unasked"))]
     pub unallocated: Option<Resources>,
 }
 
 impl MachineEntry {
-    /// The number of the place of this kind that the machine is in.
-    pub fn domain(&self, kind: TopologyLevel) -> u32 {
-        match kind {
+    /// The number of the domain of this level that the machine is in.
+    pub fn domain(&self, level: TopologyLevel) -> u32 {
+        match level {
             TopologyLevel::Machine => self.machine.0,
             TopologyLevel::Cell => self.cell,
             TopologyLevel::Zone => self.zone,
@@ -55,7 +55,7 @@
     }
 }
 
-/// How far a list reaches.
+/// How much a list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum UpdateScope {
@@ -64,6 +64,6 @@
     Delta,
     /// All machines; those not in it are gone.
     Full,
-    /// All machines as this placer last knew them before its restart; may be old.
+    /// All machines as this placer last knew them before its restart; may be out of date.
     Restored,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -20,7 +20,7 @@
 pub use resources::Resources;
 pub use settings::{
     AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport,
-    RetrySafety, Rules, Settings, SettingsError, TopologyLevel,
+    RetrySafety, Rules, Settings, SettingsError, SpreadLimit, TopologyLevel,
 };
 pub use task::{ServiceId, Task, TaskId};
 
--- a/src/interface/resources.rs
+++ b/src/interface/resources.rs
@@ -1,6 +1,6 @@
 //! Cores and memory.
 
-/// Cores and memory: a size, what is asked for, what is free, or shares of a size.
+/// Cores and memory: a size, what is requested, what is free, or shares of a size.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Resources {
@@ -11,22 +11,22 @@
 }
 
 impl Resources {
-    /// So many cores and so much memory.
+    /// This many cores and this much memory.
     pub const fn new(cores: f64, memory: f64) -> Resources {
         Resources { cores, memory }
     }
 
-    /// Both, `times` times `other` added.
-    pub fn add_scaled(self, other: Resources, times: f64) -> Resources {
+    /// Adds `factor` times `other`.
+    pub fn add_scaled(self, other: Resources, factor: f64) -> Resources {
         Resources::new(
-            self.cores + times * other.cores,
-            self.memory + times * other.memory,
+            self.cores + factor * other.cores,
+            self.memory + factor * other.memory,
         )
     }
 
-    /// Both, multiplied one by one.
-    pub fn scaled_by(self, by: Resources) -> Resources {
-        Resources::new(self.cores * by.cores, self.memory * by.memory)
+    /// Multiplies cores by cores and memory by memory.
+    pub fn scaled_by(self, factors: Resources) -> Resources {
+        Resources::new(self.cores * factors.cores, self.memory * factors.memory)
     }
 
     /// Both as shares of `size`.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,8 +1,8 @@
-//! What a placer is told at its start: classes of tasks, kinds of machines, rules and costs.
+//! The settings of a placer: classes of tasks, kinds of machines, rules and costs.
 
 use super::{Micros, Resources};
 
-/// All that a placer is told at its start.
+/// The settings of one placer, fixed for its life.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
@@ -18,32 +18,36 @@
     pub classes: Vec<Class>,
     /// The size of each kind of machine.
     pub kinds: Vec<Resources>,
-    /// How news of the machines is had.
+    /// How lists of machines arrive.
     pub discovery: DiscoveryMode,
-    /// When a task counts as seated.
+    /// When [`Event::AttemptAccepted`](super::Event::AttemptAccepted) arrives.
     #[cfg_attr(feature = "serde", serde(rename = "seated"))]
     pub acceptance_point: AcceptancePoint,
-    /// A machine accepts while asks stay within this multiple of its cores.
+    /// A machine accepts tasks while the cores they request stay within this multiple of its own.
     pub admit_cores: f64,
     /// The same for memory.
     pub admit_memory: f64,
-    /// Listings tell what nobody asked for.
+    /// Lists of machines say what is unallocated.
     #[cfg_attr(feature = "serde", serde(rename = "view"))]
     pub endpoints_report_capacity: bool,
-    /// What load reports tell.
+    /// What load reports say.
     #[cfg_attr(feature = "serde", serde(rename = "report"))]
     pub load_report: LoadReport,
-    /// What the caller can do.
+    /// What the caller can do for the placer.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// The figures of the rules.
     pub rules: Rules,
-    /// Prices.
+    /// The costs that count against what is served.
     #[cfg_attr(feature = "serde", serde(rename = "prices"))]
     pub costs: Costs,
 }
 
 impl Settings {
-    /// Whether the figures make sense; the error names the first that does not.
+    /// Checks that lists are not empty and figures are finite and in their range.
+    ///
+    /// # Errors
+    ///
+    /// The first setting that is not.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
@@ -51,7 +55,7 @@
         if self.kinds.is_empty() {
             return Err(SettingsError::Empty("kinds"));
         }
-        let (rules, prices) = (&self.rules, &self.costs);
+        let (rules, costs) = (&self.rules, &self.costs);
         let mut figures = vec![
             ("placers", f64::from(self.replica_count), 1.0),
             (
@@ -65,10 +69,10 @@
             ("fall multiple", rules.overload_multiple, f64::MIN_POSITIVE),
             ("cold share", rules.initial_capacity_share, 0.0),
             ("fresh offers", rules.warm_up_offers, 0.0),
-            ("price of a refusal", prices.rejection, 0.0),
-            ("price of crossing zones", prices.cross_zone, 0.0),
-            ("price of machines", prices.fleet, 0.0),
-            ("price of a move", prices.migration, 0.0),
+            ("price of a refusal", costs.rejection, 0.0),
+            ("price of crossing zones", costs.cross_zone, 0.0),
+            ("price of machines", costs.fleet, 0.0),
+            ("price of a move", costs.migration, 0.0),
         ];
         for kind in &self.kinds {
             figures.push(("cores of a kind", kind.cores, f64::MIN_POSITIVE));
@@ -83,7 +87,7 @@
         }
         match figures
             .iter()
-            .find(|&&(_, x, least)| !x.is_finite() || x < least)
+            .find(|&&(_, value, min)| !value.is_finite() || value < min)
         {
             Some(&(name, ..)) => Err(SettingsError::OutOfRange(name)),
             None => Ok(()),
@@ -91,52 +95,53 @@
     }
 }
 
-/// A class of tasks.
+/// A class of tasks, which share their rules.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// What a second start does.
+    /// What a second start of a task does.
     #[cfg_attr(feature = "serde", serde(rename = "effect"))]
     pub retry_safety: RetrySafety,
-    /// A start within this time earns all it can.
+    /// A start within this time earns all that it can, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Micros,
-    /// Worth of a second of service at mean size.
+    /// Worth of a second of service for a task of mean size.
     #[cfg_attr(feature = "serde", serde(rename = "worth"))]
     pub priority_weight: f64,
     /// Seconds of service that a timely start is worth.
     pub start_bonus_s: f64,
-    /// Tasks of higher priority push out those of lower.
+    /// Tasks of a higher priority preempt those of a lower one.
     pub priority: u32,
-    /// The only machine kind that takes it, if any.
+    /// The only kind of machine that takes it, an index into [`Settings::kinds`]; none for any kind.
     #[cfg_attr(feature = "serde", serde(rename = "kind"))]
     pub machine_kind: Option<usize>,
-    /// The most tasks of a service that this placer may have in one such place.
+    /// How many tasks of a service this placer may have in one domain.
     #[cfg_attr(feature = "serde", serde(rename = "spread"))]
-    pub spread_limit: Option<(TopologyLevel, u32)>,
+    pub spread_limit: Option<SpreadLimit>,
 }
 
-/// What a second start of a task would do.
+/// Whether a task may be started a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RetrySafety {
-    /// No harm.
+    /// A second start does no harm.
     #[cfg_attr(feature = "serde", serde(rename = "Safe"))]
     Idempotent,
-    /// Dropped by the machines of `group` that remember the first, for `window` from its send.
+    /// Machines that know the first start drop a second one.
     #[cfg_attr(feature = "serde", serde(rename = "Keyed"))]
     IdempotencyKey {
-        /// Where repeats are recognised.
-        group: DeduplicationScope,
-        /// How long they are.
+        /// The machines that recognise a repeat.
+        #[cfg_attr(feature = "serde", serde(rename = "group"))]
+        scope: DeduplicationScope,
+        /// For how long after the first was sent, in microseconds.
         window: Micros,
     },
-    /// Harm: it must never be started twice.
+    /// It must never be started twice.
     #[cfg_attr(feature = "serde", serde(rename = "Unsafe"))]
     NonIdempotent,
 }
 
-/// A set of machines that recognise one another's keys.
+/// The machines that recognise the same idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DeduplicationScope {
@@ -148,7 +153,33 @@
     Cell,
 }
 
-/// A place over which a service's tasks are to be spread.
+/// How many tasks of a service may be in one domain.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[cfg_attr(
+    feature = "serde",
+    derive(serde::Serialize, serde::Deserialize),
+    serde(from = "(TopologyLevel, u32)", into = "(TopologyLevel, u32)")
+)]
+pub struct SpreadLimit {
+    /// What a domain is.
+    pub level: TopologyLevel,
+    /// The most tasks in one.
+    pub max_tasks: u32,
+}
+
+impl From<(TopologyLevel, u32)> for SpreadLimit {
+    fn from((level, max_tasks): (TopologyLevel, u32)) -> SpreadLimit {
+        SpreadLimit { level, max_tasks }
+    }
+}
+
+impl From<SpreadLimit> for (TopologyLevel, u32) {
+    fn from(limit: SpreadLimit) -> (TopologyLevel, u32) {
+        (limit.level, limit.max_tasks)
+    }
+}
+
+/// A level of the topology over whose domains the tasks of a service are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum TopologyLevel {
@@ -160,35 +191,36 @@
     Zone,
 }
 
-/// How news of the machines is had.
+/// How lists of machines arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DiscoveryMode {
-    /// It comes unasked.
+    /// The caller delivers them.
     #[cfg_attr(feature = "serde", serde(rename = "Push"))]
     Watch,
-    /// Only after [`Action::Listen`] or [`Action::Lookup`].
+    /// Only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints) or
+    /// [`Action::FetchEndpoints`](super::Action::FetchEndpoints).
     #[cfg_attr(feature = "serde", serde(rename = "Ask"))]
     Poll,
 }
 
-/// When [`Event::Seated`] comes.
+/// When [`Event::AttemptAccepted`](super::Event::AttemptAccepted) arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AcceptancePoint {
-    /// Once the machine has accepted; [`Note::Started`] tells of the start.
+    /// Once the machine has accepted; [`TaskReport::Started`](super::TaskReport::Started) follows with the start.
     Accepted,
     /// Once the task runs.
     Running,
 }
 
-/// What the machines say of their load in answers or probes.
+/// What machines say of their load in answers and probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum LoadReport {
     /// Nothing that a placer could use.
     Silent,
-    /// Cores and memory that nobody asked for.
+    /// Cores and memory that no task has requested.
     #[cfg_attr(feature = "serde", serde(rename = "Unasked"))]
     Unallocated,
     /// Cores and memory that are not in use.
@@ -199,66 +231,66 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Limits {
-    /// Attempts for one placing.
+    /// The most attempts for one task.
     pub max_attempts: u32,
-    /// [`Action::Cancel`] is understood.
+    /// [`Action::Cancel`](super::Action::Cancel) is understood.
     #[cfg_attr(feature = "serde", serde(rename = "cancel"))]
     pub can_cancel: bool,
-    /// [`Action::Probe`] is understood.
+    /// [`Action::Probe`](super::Action::Probe) is understood.
     #[cfg_attr(feature = "serde", serde(rename = "probes"))]
     pub can_probe: bool,
-    /// [`Action::Tell`] is understood.
+    /// [`Action::SendToPeer`](super::Action::SendToPeer) is understood.
     #[cfg_attr(feature = "serde", serde(rename = "peers"))]
     pub can_message_peers: bool,
-    /// Owners hear the advice in [`Action::Refuse`], up to this long.
+    /// The longest advice in [`Action::Reject`](super::Action::Reject), in microseconds; none where owners take no advice.
     #[cfg_attr(feature = "serde", serde(rename = "come_back"))]
     pub max_retry_after: Option<Micros>,
 }
 
-/// Figures of the rules.
+/// The figures of the rules.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rules {
-    /// In [`Discovery::Ask`] mode, silence towards discovery for this long counts as being told.
+    /// Where discovery is polled ([`DiscoveryMode::Poll`]), a placer that has not asked for this long counts as notified.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
     pub max_poll_interval: Micros,
-    /// The least share of its pace that a machine has right after its start.
+    /// The share of its capacity that a machine has right after its start.
     #[cfg_attr(feature = "serde", serde(rename = "cold_from"))]
     pub initial_capacity_share: f64,
-    /// A machine is warm after this.
+    /// How long a machine warms up, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
     pub warm_up_duration: Micros,
-    /// A cold machine falls over when sent this many times what it can do...
+    /// A machine that is warming up is overloaded by this many times what it can do...
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_multiple: f64,
-    /// ...for this long.
+    /// ...over this long, in microseconds. Budgets hold in every such window.
     #[cfg_attr(feature = "serde", serde(rename = "fall_window"))]
     pub overload_window: Micros,
-    /// Offers within `fall_window`, from all placers, that a cold machine always bears.
+    /// Offers in such a window, from all placers together, that a machine always bears while it warms up.
     #[cfg_attr(feature = "serde", serde(rename = "fresh_offers"))]
     pub warm_up_offers: f64,
 }
 
-/// Prices, each in shares of the whole worth.
+/// Costs, each as a share of the whole worth.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Costs {
-    /// One refused offer for every task.
+    /// Of one rejected offer for every task.
     #[cfg_attr(feature = "serde", serde(rename = "refused"))]
     pub rejection: f64,
-    /// Every task running in another zone than its placer's.
+    /// Of every task running in another zone than its placer's.
     pub cross_zone: f64,
-    /// As many machines in use as there are, beyond those needed.
+    /// Of using all machines, beyond those needed.
     pub fleet: f64,
-    /// One move for every task.
+    /// Of one migration for every task.
     #[cfg_attr(feature = "serde", serde(rename = "moves"))]
     pub migration: f64,
 }
 
-/// Settings that make no sense.
+/// Why settings cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A list that must not be empty is.
+    /// A list is empty.
     Empty(&'static str),
     /// A figure is not finite, or out of its range.
     OutOfRange(&'static str),
--- a/src/interface/task.rs
+++ b/src/interface/task.rs
@@ -7,7 +7,7 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ServiceId(pub u64);
 
-/// One placing of a task. A task that comes again has a new one.
+/// One request to place a task. A task that is resubmitted has a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct TaskId(pub u64);
@@ -16,22 +16,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Task {
-    /// This placing of it.
+    /// This request for it.
     pub id: TaskId,
     /// Its service.
     pub service: ServiceId,
-    /// Its class, an index into [`Settings::classes`].
+    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// What it asks for.
+    /// The cores and memory it requests.
     #[cfg_attr(feature = "serde", serde(rename = "asks"))]
     pub requested: Resources,
-    /// How long it should still run, roughly.
+    /// Roughly how long it should run.
     #[cfg_attr(feature = "serde", serde(rename = "life"))]
     pub expected_duration: Option<Micros>,
-    /// When its owner gives up.
+    /// When its owner stops waiting for an answer.
     #[cfg_attr(feature = "serde", serde(rename = "give_up_at"))]
     pub deadline: Micros,
-    /// It came again after a refusal, failure, move or loss.
+    /// Its owner resubmitted it after a rejection, failure, migration or loss.
     #[cfg_attr(feature = "serde", serde(rename = "again"))]
     pub is_resubmission: bool,
 }
--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -58,7 +58,7 @@
     match safety {
         RetrySafety::Idempotent
         | RetrySafety::IdempotencyKey {
-            group: DeduplicationScope::All,
+            scope: DeduplicationScope::All,
             ..
         } => true,
         RetrySafety::IdempotencyKey { .. } | RetrySafety::NonIdempotent => {
--- a/src/policy/feasibility.rs
+++ b/src/policy/feasibility.rs
@@ -55,8 +55,8 @@
             return Some(BlockReason::OutsideDeduplicationScope);
         }
         // Rule 5: attempts and running tasks of the service in one domain.
-        if class.spread_limit.is_some_and(|(level, max)| {
-            max == 0 || saturated.contains(&machine.entry.domain(level))
+        if class.spread_limit.is_some_and(|limit| {
+            limit.max_tasks == 0 || saturated.contains(&machine.entry.domain(limit.level))
         }) {
             return Some(BlockReason::SpreadLimit);
         }
@@ -76,13 +76,13 @@
     /// key.
     fn is_in_deduplication_scope(&self, entry: &MachineEntry, pending: &PendingTask) -> bool {
         let safety = self.settings.classes[pending.task.class].retry_safety;
-        let (Some(first), RetrySafety::IdempotencyKey { group, .. }) =
+        let (Some(first), RetrySafety::IdempotencyKey { scope, .. }) =
             (pending.possibly_started, safety)
         else {
             return true;
         };
         let first = self.machines.get(&first.machine).map(|m| &m.entry);
-        match group {
+        match scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => first.is_some_and(|first| first.zone == entry.zone),
             DeduplicationScope::Cell => first.is_some_and(|first| first.cell == entry.cell),
@@ -102,16 +102,18 @@
 
     /// The domains that hold as many attempts and running tasks of the service as its class may have in one.
     fn saturated_domains(&self, task: &Task) -> Vec<u32> {
-        let Some((level, max)) = self.settings.classes[task.class].spread_limit else {
+        let Some(limit) = self.settings.classes[task.class].spread_limit else {
             return Vec::new();
         };
         let mut by_domain = BTreeMap::new();
         for (machine, attempts) in self.placements.of_service(task.service) {
             if let Some(machine) = self.machines.get(&machine) {
-                *by_domain.entry(machine.entry.domain(level)).or_insert(0) += attempts;
+                *by_domain
+                    .entry(machine.entry.domain(limit.level))
+                    .or_insert(0) += attempts;
             }
         }
-        by_domain.retain(|_, attempts| *attempts >= max);
+        by_domain.retain(|_, attempts| *attempts >= limit.max_tasks);
         by_domain.into_keys().collect()
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use maplethread::*;
 
 const IDEMPOTENCY_KEY: RetrySafety = RetrySafety::IdempotencyKey {
-    group: DeduplicationScope::Cell,
+    scope: DeduplicationScope::Cell,
     window: 4 * SECOND,
 };
 
@@ -320,7 +320,10 @@
         TopologyLevel::Zone,
     ] {
         let mut spread = settings(RetrySafety::Idempotent);
-        spread.classes[0].spread_limit = Some((place, 2));
+        spread.classes[0].spread_limit = Some(SpreadLimit {
+            level: place,
+            max_tasks: 2,
+        });
         let mut harness = Harness::new(spread, 1);
         // One that runs already counts, an offer without outcome too.
         harness.turn(&[Event::TaskAdopted {
@@ -459,7 +462,10 @@
     };
     let mut s = settings(RetrySafety::Idempotent);
     s.limits.max_retry_after = Some(60 * SECOND);
-    s.classes[0].spread_limit = Some((TopologyLevel::Zone, 1));
+    s.classes[0].spread_limit = Some(SpreadLimit {
+        level: TopologyLevel::Zone,
+        max_tasks: 1,
+    });
     let mut harness = Harness::new(s, 0);
     assert_eq!(ask(&mut harness, 1), [BlockReason::NoReadyMachine]);
     // Each machine comes nearer than the one before; a change is told, what stays is not told again.
