--- a/crates/platform/src/shell/hosts.rs
+++ b/crates/platform/src/shell/hosts.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn handle_host_ready(&mut self, id: ConnectionId, r: &Readiness) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
@@ -113,7 +113,7 @@
             return;
         };
         conn.write_buffer().extend_from_slice(bytes);
-        if conn.flush(&self.poller).is_err() || conn.unwritten_bytes() > 0 {
+        if conn.flush(self.event_loop.poller()).is_err() || conn.unwritten_bytes() > 0 {
             tracing::debug!(link = id.0, "a connection does not take an end");
             self.drop_host_connection(now, id, DisconnectReason::Broken);
         }
@@ -123,7 +123,9 @@
         let Some(conn) = self.host_connections.get_mut(&id) else {
             return;
         };
-        if conn.flush(&self.poller).is_err() || conn.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
+        if conn.flush(self.event_loop.poller()).is_err()
+            || conn.unwritten_bytes() > MAX_UNWRITTEN_BYTES
+        {
             self.drop_host_connection(now, id, DisconnectReason::Broken);
         }
     }
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -5,21 +5,20 @@
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
-use std::net::TcpListener;
 use std::path::{Path, PathBuf};
-use std::time::Duration;
 
 use maplethread::{Micros, Placer};
 use maplethread_platform_wire::MAX_MESSAGE_BYTES;
 use maplethread_reactor::{
-    Clock, Poller, ReadOutcome, Readiness, Signals, TcpConnection, is_resource_exhausted,
+    Backlog, EventLoop, Listener, ReadOutcome, Readiness, ResourceError, TcpConnection,
+    is_resource_exhausted,
 };
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
 use crate::channel_poll::{ChannelAction, ChannelPoll};
 use crate::engine::{ConnectionId, Engine, Output, OwnerId};
 use crate::shutdown::ShutdownSchedule;
-use crate::startup::{StartError, decode_settings, io_error, load_config};
+use crate::startup::{StartError, decode_settings, load_config};
 use owners::{LingeringConnection, OwnerConnection};
 
 const LISTENER_TOKEN: u64 = 0;
@@ -59,20 +58,15 @@
     let mut engine = Engine::new(terms, &decisions, placer);
     let memory = (settings.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
     engine.set_max_description_bytes(memory / MEMORY_DIVISOR);
-    let poller = Poller::new().map_err(io_error("epoll"))?;
     // Before anybody can connect: a signal is heeded from then on.
-    let signals = Signals::catch(&[SIGTERM, SIGINT, SIGHUP]).map_err(io_error("signals"))?;
-    signals
-        .register(&poller, SIGNALS_TOKEN)
-        .map_err(io_error("signals"))?;
-    let listener = TcpListener::bind(listen).map_err(io_error(listen.to_string()))?;
+    let event_loop = EventLoop::new(&[SIGTERM, SIGINT, SIGHUP], SIGNALS_TOKEN)?;
+    let mut listener = event_loop.listen(listen, Backlog::Standard)?;
+    let listen = listener
+        .local_address()
+        .map_err(ResourceError::of("listener"))?;
     listener
-        .set_nonblocking(true)
-        .map_err(io_error("listener"))?;
-    let listen = listener.local_addr().map_err(io_error("listener"))?;
-    poller
-        .register(&listener, LISTENER_TOKEN, false)
-        .map_err(io_error("listener"))?;
+        .start(event_loop.poller(), LISTENER_TOKEN)
+        .map_err(ResourceError::of("listener"))?;
     let sockets = settings
         .limits
         .max_descriptors
@@ -83,9 +77,7 @@
         channel: ChannelPoll::new(settings.channel_address),
         channel_connection: None,
         channel_connection_number: 0,
-        clock: Clock::start(),
-        poller,
-        signals,
+        event_loop,
         listener: Some(listener),
         is_accept_pending: false,
         accept_paused_until: None,
@@ -103,7 +95,7 @@
         shutdown,
         stop_requested_at: None,
     };
-    let now = shell.clock.now();
+    let now = shell.event_loop.now();
     shell.engine.apply_update(now, &settings.known_commands);
     tracing::info!(name = %settings.name, %listen, sockets = settings.limits.max_descriptors,
         cores = settings.limits.cores, memory_mb = settings.limits.memory_mb, "serving");
@@ -115,11 +107,9 @@
     channel: ChannelPoll,
     channel_connection: Option<TcpConnection>,
     channel_connection_number: u64,
-    clock: Clock,
-    poller: Poller,
-    signals: Signals,
+    event_loop: EventLoop,
     /// Nothing once the process leaves.
-    listener: Option<TcpListener>,
+    listener: Option<Listener>,
     /// Connections wait to be accepted.
     is_accept_pending: bool,
     /// Nothing is accepted until then, since there is no descriptor for it.
@@ -154,24 +144,17 @@
     fn serve(&mut self) -> Result<(), StartError> {
         let mut ready = Vec::new();
         loop {
-            let before = self.clock.now();
-            let timeout = self.next_timeout().saturating_sub(before);
-            ready.clear();
-            self.poller
-                .wait(Some(Duration::from_micros(timeout)), &mut ready)
-                .map_err(io_error("epoll"))?;
+            self.event_loop
+                .wait_until(Some(self.next_timeout()), &mut ready)?;
             self.turn_number += 1;
             for _ in 0..MAX_READ_ROUNDS {
                 if ready.is_empty() {
                     break;
                 }
                 self.dispatch_events(&ready);
-                ready.clear();
-                self.poller
-                    .wait(Some(Duration::ZERO), &mut ready)
-                    .map_err(io_error("epoll"))?;
+                self.event_loop.poll_now(&mut ready)?;
             }
-            let now = self.clock.now();
+            let now = self.event_loop.now();
             self.reload_config(now);
             self.channel.handle_timeout(now);
             self.perform_channel_actions(now);
@@ -207,7 +190,7 @@
             .min(lingering)
             .min(paused)
             .min(reload);
-        due.min(stop.max(self.clock.now() + 10_000))
+        due.min(stop.max(self.event_loop.now() + 10_000))
     }
 
     fn is_finished(&self, now: Micros) -> bool {
@@ -224,8 +207,8 @@
             match r.token {
                 LISTENER_TOKEN => self.is_accept_pending = true,
                 SIGNALS_TOKEN => self
-                    .signals
-                    .take_received()
+                    .event_loop
+                    .received_signals()
                     .into_iter()
                     .for_each(|signal| self.handle_signal(signal)),
                 token => match token & ((1 << KIND_BITS) - 1) {
@@ -238,7 +221,7 @@
     }
 
     fn handle_signal(&mut self, signal: i32) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         if signal == SIGHUP {
             self.reload = Some((now, MAX_RELOAD_RETRIES));
             self.reload_config(now);
@@ -275,7 +258,7 @@
     }
 
     fn handle_channel_ready(&mut self, number: u64, r: &Readiness) {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         if number != self.channel_connection_number {
             return;
         }
@@ -338,7 +321,7 @@
             }
         }
         if let Some(conn) = &mut self.channel_connection
-            && conn.flush(&self.poller).is_err()
+            && conn.flush(self.event_loop.poller()).is_err()
         {
             self.channel.connection_lost(now);
         }
@@ -346,9 +329,9 @@
 
     /// Opens a connection, for which an owner's that can be spared is closed if there is no descriptor for it.
     fn connect(&mut self, to: std::net::SocketAddr, token: u64) -> io::Result<TcpConnection> {
-        match TcpConnection::connect(to, token, &self.poller) {
+        match TcpConnection::connect(to, token, self.event_loop.poller()) {
             Err(error) if is_resource_exhausted(&error) && self.close_least_useful_owner() => {
-                TcpConnection::connect(to, token, &self.poller)
+                TcpConnection::connect(to, token, self.event_loop.poller())
             }
             result => result,
         }
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -1,15 +1,13 @@
 //! Owners' connections: accepted while there are descriptors, read a little at a time, and closed so that what was
 //! written to them arrives.
 
-use std::time::Duration;
-
 use maplethread::Micros;
 use maplethread_platform_wire::owner::{self, ToOwner};
 use maplethread_reactor::{ReadOutcome, Readiness, TcpConnection, is_resource_exhausted};
 
-use super::{KIND_BITS, LISTENER_TOKEN, MAX_UNREAD_BYTES, OWNER_KIND, Shell, token};
+use super::{KIND_BITS, MAX_UNREAD_BYTES, OWNER_KIND, Shell, token};
 use crate::engine::OwnerId;
-use crate::startup::{StartError, io_error};
+use crate::startup::StartError;
 
 /// Bytes read from one owner in one turn of the loop: however many send at once, the turn ends soon, and what an owner
 /// takes back is read in the next one.
@@ -77,8 +75,8 @@
                 return;
             };
             let stream = match listener.accept() {
-                Ok((stream, _)) => stream,
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => return,
+                Ok(Some(stream)) => stream,
+                Ok(None) => return,
                 Err(error) => {
                     tracing::warn!(%error, "accept");
                     if is_resource_exhausted(&error) && !self.close_least_useful_owner() {
@@ -89,7 +87,11 @@
             };
             self.last_owner_id += 1;
             let id = OwnerId(self.last_owner_id);
-            match TcpConnection::from_accepted(stream, token(OWNER_KIND, id.0), &self.poller) {
+            match TcpConnection::from_accepted(
+                stream,
+                token(OWNER_KIND, id.0),
+                self.event_loop.poller(),
+            ) {
                 Ok(conn) => {
                     self.owners.insert(
                         id,
@@ -99,7 +101,7 @@
                             last_read_turn: 0,
                         },
                     );
-                    self.engine.owner_connected(self.clock.now(), id);
+                    self.engine.owner_connected(self.event_loop.now(), id);
                 }
                 Err(error) => tracing::warn!(%error, "an owner's connection"),
             }
@@ -114,7 +116,7 @@
                 hosts = self.host_connections.len(),
                 "no descriptor is left"
             );
-            self.accept_paused_until = Some(self.clock.now() + ACCEPT_RETRY);
+            self.accept_paused_until = Some(self.event_loop.now() + ACCEPT_RETRY);
         }
     }
 
@@ -137,7 +139,7 @@
     fn set_accepting(&self, on: bool) -> bool {
         self.listener
             .as_ref()
-            .is_some_and(|l| self.poller.modify(l, LISTENER_TOKEN, on, false).is_ok())
+            .is_some_and(|l| l.set_accepting(on, self.event_loop.poller()).is_ok())
     }
 
     /// Closes the owner's connection that can be spared first; whether there was one. What it has said by now is read
@@ -199,7 +201,7 @@
 
     /// Reads up to so many bytes of an owner; whether it said anything.
     fn read_owner(&mut self, id: OwnerId, most: usize) -> bool {
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         let Some(owner) = self.owners.get_mut(&id) else {
             return false;
         };
@@ -228,7 +230,7 @@
 
     pub(super) fn flush_owner(&mut self, id: OwnerId) {
         if let Some(closing) = self.lingering.get_mut(&id) {
-            if closing.conn.flush(&self.poller).is_err() {
+            if closing.conn.flush(self.event_loop.poller()).is_err() {
                 self.lingering.remove(&id);
             } else if closing.conn.unwritten_bytes() == 0
                 && !std::mem::replace(&mut closing.is_write_closed, true)
@@ -240,7 +242,7 @@
         let Some(owner) = self.owners.get_mut(&id) else {
             return;
         };
-        let failed = owner.conn.flush(&self.poller).is_err();
+        let failed = owner.conn.flush(self.event_loop.poller()).is_err();
         let waits = owner.conn.unwritten_bytes();
         if failed || waits > MAX_UNWRITTEN_BYTES {
             return self.disconnect_owner(id);
@@ -252,7 +254,11 @@
             } else {
                 RESUME_BELOW_BYTES
             };
-        if owner.conn.set_reading(!throttled, &self.poller).is_err() {
+        if owner
+            .conn
+            .set_reading(!throttled, self.event_loop.poller())
+            .is_err()
+        {
             return self.disconnect_owner(id);
         }
         if !throttled {
@@ -285,7 +291,7 @@
 
     fn keep_lingering(&mut self, id: OwnerId, mut conn: TcpConnection, until: Micros) {
         // What it goes on to send is read and dropped.
-        if conn.set_reading(true, &self.poller).is_ok() {
+        if conn.set_reading(true, self.event_loop.poller()).is_ok() {
             let all = conn.unread().len();
             conn.consume(all);
             self.lingering.insert(
@@ -312,8 +318,11 @@
         let all = closing.conn.unread().len();
         closing.conn.consume(all);
         closing.remaining_bytes = closing.remaining_bytes.saturating_sub(all);
-        let throttled =
-            closing.remaining_bytes > 0 || closing.conn.set_reading(false, &self.poller).is_ok();
+        let throttled = closing.remaining_bytes > 0
+            || closing
+                .conn
+                .set_reading(false, self.event_loop.poller())
+                .is_ok();
         if !throttled || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.lingering.remove(&id);
             self.resume_accepting();
@@ -328,7 +337,7 @@
         for &id in &ids {
             self.read_owner(id, MAX_UNREAD_BYTES);
         }
-        let now = self.clock.now();
+        let now = self.event_loop.now();
         self.engine.turn(now);
         self.perform_outputs(now);
         self.flush_pending_writes(now);
@@ -342,7 +351,7 @@
         self.listener = None;
         let mut ready = Vec::new();
         while !self.lingering.is_empty() {
-            let now = self.clock.now();
+            let now = self.event_loop.now();
             self.lingering.retain(|_, l| l.until > now);
             let until = self
                 .lingering
@@ -350,11 +359,7 @@
                 .map(|l| l.until)
                 .max()
                 .unwrap_or(now);
-            ready.clear();
-            let wait = Duration::from_micros(until.saturating_sub(now));
-            self.poller
-                .wait(Some(wait), &mut ready)
-                .map_err(io_error("epoll"))?;
+            self.event_loop.wait_until(Some(until), &mut ready)?;
             for r in ready
                 .iter()
                 .filter(|r| r.token & ((1 << KIND_BITS) - 1) == OWNER_KIND)
--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -1,12 +1,12 @@
 //! What the placer is started with, and why it may not start.
 
-use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
 use maplethread::{LoadReport, Micros, Settings};
 use maplethread_platform_settings::{FieldError, PlatformSettings};
 use maplethread_platform_wire::config::Config;
+use maplethread_reactor::ResourceError;
 use serde_json::Value;
 
 /// Why the placer could not start, or not go on.
@@ -20,14 +20,9 @@
         /// What is wrong, and where.
         why: String,
     },
-    /// A file, socket or signal could not be had.
-    #[error("{0}: {1}")]
-    Io(String, io::Error),
-}
-
-pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
-    let what = what.into();
-    move |e| StartError::Io(what, e)
+    /// A file, socket or signal could not be opened or used.
+    #[error(transparent)]
+    Resource(#[from] ResourceError),
 }
 
 /// How far apart the decisions on two offers, and their arrival, may lie besides the time that a connection may take to
@@ -58,12 +53,13 @@
         why,
     };
     let length = std::fs::metadata(path)
-        .map_err(io_error(path.display().to_string()))?
+        .map_err(ResourceError::of(path.display().to_string()))?
         .len();
     if length > LONGEST {
         return Err(wrong(format!("{length} bytes; at most {LONGEST} are read")));
     }
-    let text = std::fs::read_to_string(path).map_err(io_error(path.display().to_string()))?;
+    let text =
+        std::fs::read_to_string(path).map_err(ResourceError::of(path.display().to_string()))?;
     let mut config = Config::parse(&text).map_err(wrong)?;
     if config.name.is_empty() {
         config.name = std::env::var("RELAY_NAME").unwrap_or_default();
