--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -15,7 +15,7 @@
 }
 
 /// Exit code, standard output and standard error for some lines of input.
-fn drill(lines: &[&str]) -> (i32, Vec<String>, String) {
+fn run_adapter(lines: &[&str]) -> (i32, Vec<String>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_maplethread-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_its_number_back() {
-    let (code, out, _) = drill(&[r#"["TURN",8412.25,1]"#, r#"["EOB"]"#]);
+fn empty_batch_is_answered_with_its_number() {
+    let (code, out, _) = run_adapter(&[r#"["TURN",8412.25,1]"#, r#"["EOB"]"#]);
     assert_eq!((code, out), (0, vec![r#"["DONE",1]"#.to_owned()]));
 }
 
 #[test]
-fn a_task_is_offered_seated_and_ended() {
-    let (code, out, err) = drill(&[
+fn task_is_offered_accepted_and_finished() {
+    let (code, out, err) = run_adapter(&[
         r#"["TURN",1000,1]"#,
         &launch(3),
         r#"["ROSTER",0,[["10.0.0.1:5003",0,0,0,"Running",12,1,null,3.5],["10.0.0.2:5003",0,0,0,"Stopping"]]]"#,
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn a_roster_number_used_again_within_a_batch_is_resolved_in_order() {
-    let (code, out, _) = drill(&[
+fn reused_roster_number_is_resolved_in_order_within_a_batch() {
+    let (code, out, _) = run_adapter(&[
         r#"["TURN",1000,1]"#,
         &launch(1),
         &launch(2),
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn a_restart_within_a_batch_forgets_everything() {
-    let (code, out, _) = drill(&[
+fn restart_within_a_batch_forgets_everything() {
+    let (code, out, _) = run_adapter(&[
         r#"["TURN",1000,1]"#,
         &launch(1),
         r#"["ROSTER",0,[["a:1",0,0,0,"Running"]]]"#,
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bad_input_ends_with_one_plain_line_and_no_reply() {
+fn malformed_input_ends_with_one_error_line_and_no_reply() {
     let cases: [(&[&str], &str); 6] = [
         (&[r#"["TURN",1,1]"#, "not json"], "line 2: "),
         (
@@ -145,7 +145,7 @@
         ),
     ];
     for (lines, expected) in cases {
-        let (code, out, err) = drill(lines);
+        let (code, out, err) = run_adapter(lines);
         assert_eq!((code, out.len()), (1, 0), "{lines:?}");
         assert!(err.contains(expected), "{err}");
         assert_eq!(err.lines().count(), 1, "{err}");
@@ -153,9 +153,9 @@
 }
 
 #[test]
-fn settings_that_make_no_sense_break_their_instance_alone() {
+fn invalid_settings_break_only_their_instance() {
     let launch = launch(1).replace(r#""peersTotal":3"#, r#""peersTotal":0"#);
-    let (code, out, _) = drill(&[r#"["TURN",1,1]"#, &launch, r#"["EOB"]"#]);
+    let (code, out, _) = run_adapter(&[r#"["TURN",1,1]"#, &launch, r#"["EOB"]"#]);
     assert_eq!(code, 0);
     assert!(
         out[0].starts_with(r#"["BROKEN",1,"settings: placers"#),
