--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! What one decision costs by the size of the fleet: `cargo bench --bench decide`. A sum over all decisions stands
-//! beside the time, so that a change that must not alter any can show it.
+//! The cost of one decision by the size of the fleet: `cargo bench --bench decide`. A checksum of all decisions is
+//! printed beside the time, so that a change that must not alter any can show it.
 
 use std::time::Instant;
 
@@ -10,7 +10,7 @@
 
 const SERVICES: u64 = 300;
 const REQUESTS: u64 = 20_000;
-/// Asks in one turn, as where a zone is lost.
+/// Requests in one turn, as after the loss of a zone.
 const REQUESTS_PER_TURN: u64 = 50;
 
 fn settings() -> Settings {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! A placer on a harness: settings, events and shorthand for what it does.
+//! A placer under test: settings, events, and shorthand for its actions.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use maplethread::*;
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(effect: RetrySafety) -> Class {
+pub fn class(retry_safety: RetrySafety) -> Class {
     Class {
-        retry_safety: effect,
+        retry_safety,
         latency_objective: 600_000,
         priority_weight: 1.0,
         start_bonus_s: 10.0,
@@ -17,12 +17,12 @@
     }
 }
 
-pub fn settings(effect: RetrySafety) -> Settings {
+pub fn settings(retry_safety: RetrySafety) -> Settings {
     Settings {
         replica_count: 1,
         replica_index: 0,
         zone: 0,
-        classes: vec![class(effect)],
+        classes: vec![class(retry_safety)],
         kinds: vec![Resources::new(32.0, 96.0)],
         discovery: DiscoveryMode::Watch,
         acceptance_point: AcceptancePoint::Accepted,
@@ -62,14 +62,14 @@
     }
 }
 
-pub fn task(n: u64, service: u64, give_up_at: Micros) -> Task {
+pub fn task(n: u64, service: u64, deadline: Micros) -> Task {
     Task {
         id: TaskId(n),
         service: ServiceId(service),
         class: 0,
         requested: Resources::new(1.0, 2.0),
         expected_duration: None,
-        deadline: give_up_at,
+        deadline,
         is_resubmission: false,
     }
 }
@@ -84,18 +84,18 @@
 pub fn finished(
     task: u64,
     number: u32,
-    ending: AttemptOutcome,
-    why: Option<FailureReason>,
+    outcome: AttemptOutcome,
+    reason: Option<FailureReason>,
 ) -> Event {
-    let end = AttemptResult {
-        outcome: ending,
-        reason: why,
+    let result = AttemptResult {
+        outcome,
+        reason,
         closes_task: false,
         load: None,
     };
     Event::AttemptFinished {
         attempt: attempt_id(task, number),
-        result: end,
+        result,
     }
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl Harness {
-    /// A placer that has heard of so many machines, in a full list at time 1 s.
+    /// A placer that knows this many machines, from a full list at time 1 s.
     pub fn new(settings: Settings, machines: u32) -> Harness {
         let placer = Placer::new(settings, 11).expect("sound settings");
         let mut harness = Harness {
@@ -130,7 +130,7 @@
         actions
     }
 
-    /// Turns without news until `at`, every 10 ms, waking the placer as it asked for.
+    /// Turns every 10 ms until `at`, with only the timers of these labels fired.
     pub fn advance_until(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
         let mut all = Vec::new();
         let wake: Vec<Event> = labels
@@ -144,12 +144,12 @@
         all
     }
 
-    /// Asks, and returns where the task was offered.
+    /// Requests a placement, and returns where the task was offered.
     pub fn request(&mut self, task: Task) -> Option<u32> {
         offered_machine(&self.turn(&[Event::PlacementRequested(task)]))
     }
 
-    /// Asks, has the offer accepted and started after `took`; returns the machine.
+    /// Requests a placement that is accepted, and started after `took`; returns the machine.
     pub fn request_and_start(&mut self, task: Task, took: Micros) -> u32 {
         let machine = self.request(task).expect("an offer");
         let id = attempt_id(task.id.0, 0);
@@ -173,7 +173,7 @@
     })
 }
 
-/// How long the first offer's answer is waited for.
+/// The timeout of the first offer.
 pub fn offer_timeout(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| match a {
         Action::Offer {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,10 +1,10 @@
-//! One test for each failure found, by its symptom.
+//! Regressions: one test for each failure that was found.
 
 mod common;
 use common::*;
 use maplethread::*;
 
-/// How many of `n` asks, `every` apart, go to machine 0 of `harness`; what comes of them is up to `react`.
+/// How many of `n` requests, `every` apart, are offered to machine 0; `react` returns what becomes of each offer.
 fn count_offers_to_first_machine(
     harness: &mut Harness,
     n: u64,
@@ -55,7 +55,7 @@
                 _ => accepted_started_and_completed(i),
             });
         assert!(to_zero <= 12, "{ending:?}: {to_zero} of 300");
-        // It is tried again, and used once it works.
+        // The machine is tried again, and used once it works.
         harness.now += 10 * SECOND;
         let mut works = 0;
         for i in 1_000..1_100u64 {
@@ -69,7 +69,7 @@
 
 #[test]
 fn task_that_fails_on_every_machine_ejects_none() {
-    // Some clients ask for what no machine can use: each such task goes round, and others must not suffer for it.
+    // Some requests fail on every machine: each such task is tried on several, and others must not suffer for it.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     let mut to = [0; 3];
     for i in 0..200u64 {
@@ -98,7 +98,7 @@
 
 #[test]
 fn occasional_lost_answers_do_not_eject_a_live_machine() {
-    // Connections break and answers are spoilt or lost on any machine; what stands there goes on telling of itself.
+    // Connections break and answers are lost on any machine; tasks that run there go on reporting.
     let to_zero = |ending: AttemptOutcome, every: u64| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         let mut standing = 1_000;
@@ -223,7 +223,7 @@
 
 #[test]
 fn underserved_task_migrates_once_a_machine_has_headroom() {
-    // Notes once a second on a task on machine 0; whether it is moved. Machine 1 holds a task that tells of it.
+    // Whether a task on machine 0 migrates, with a report every second. A task on machine 1 reports how full that is.
     let moved = |priority: u32, served: &[f64], other: f64| {
         let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
@@ -312,7 +312,7 @@
 
 #[test]
 fn attempt_timeout_grows_with_each_attempt_of_the_same_task_only() {
-    // Slow answers everywhere must not make copy after copy; one silent class must not slow the others.
+    // Slow answers everywhere must not cause one copy after the other; one silent class must not slow the others.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
     let give_up_at = harness.now + 60 * SECOND;
     let mut wait = |event| offer_timeout(&harness.turn(&[event])).expect("an offer");
@@ -408,7 +408,7 @@
             0,
             "{note:?}"
         );
-        // Once no more is heard of it, and the other holds more, it is used again.
+        // Once nothing more is reported of it, and the other machine is fuller, it is used again.
         harness.now += 3 * SECOND;
         let large = Task {
             requested: Resources::new(16.0, 16.0),
@@ -429,7 +429,7 @@
 
 #[test]
 fn restarted_machine_holds_no_program() {
-    // Ten services have tasks on machine 0, which is lost with them and comes back, or is not lost.
+    // Ten services have tasks on machine 0, which is lost with them and restarts, or is not lost.
     let back_there = |lost: bool| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
         harness.now += 20 * SECOND;
@@ -463,7 +463,7 @@
                 .map(|n| finished(n, 0, ending, None))
                 .collect::<Vec<_>>(),
         );
-        // Another task there tells that the machine lives.
+        // A report of another task there shows that the machine is alive.
         harness.turn(&[
             Event::TaskAdopted {
                 task: small(50),
@@ -553,8 +553,8 @@
 
 #[test]
 fn timeout_shortens_once_answers_are_quick_for_every_retry_safety() {
-    // A machine that leaves one class unanswered would hold an unsafe task until its deadline; given back
-    // early, its owner learns that it does not run and asks again.
+    // A machine that leaves one class unanswered would keep a non-idempotent task until its deadline; returned
+    // early, its owner learns that it does not run and resubmits it.
     for effect in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
         let mut harness = Harness::new(settings(effect), 3);
         for n in 0..30 {
@@ -598,7 +598,7 @@
             placer,
             now: SECOND,
         };
-        // Three of twenty have room to spare, the others are fuller than is comfortable.
+        // Three of twenty machines have headroom.
         let unasked = |n: u32| {
             if n < 3 {
                 Resources::new(8.0, 24.0)
@@ -644,13 +644,13 @@
             machine: MachineId(1),
         },
     ]);
-    // Class 0 fails on machine 0 until both homes are known; class 1 goes on being served there.
+    // Class 0 fails on machine 0 until both homes are known; class 1 is served there all the time.
     let mut n = 0;
     let mut share = |harness: &mut Harness, class: usize, fails: bool| {
         let mut there = 0;
         for _ in 0..40 {
             n += 1;
-            // A task that runs there goes on telling what it uses.
+            // A task that runs there goes on reporting what it uses.
             harness.turn(&[Event::TaskReported {
                 attempt: attempt_id(9_999, 0),
                 report: TaskReport::CoresUsed(0.5),
@@ -693,7 +693,7 @@
 
 #[test]
 fn stalled_placer_does_not_count_its_pause_as_answer_time() {
-    // Answers that came while it stood still are taken in late; waits must follow what they took.
+    // Answers that arrived during a stall are applied late; timeouts must follow the time that they took.
     let wait_after_stalls = |elapsed: Option<Micros>| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         for n in 0..30 {
@@ -728,7 +728,7 @@
         ..machine(0)
     };
     harness.now += 2 * SECOND;
-    // The drain is last in the backlog, behind twenty asks.
+    // The drain is last in the backlog, behind twenty requests.
     let mut backlog: Vec<Event> = (0..20)
         .map(|n| Event::PlacementRequested(task(n, n, harness.now + 5 * SECOND)))
         .collect();
@@ -758,7 +758,7 @@
 
 #[test]
 fn cross_zone_offers_are_weighed_by_their_cost() {
-    // The service runs on a machine of either zone, so nothing else tells them apart.
+    // The service runs on a machine of either zone, so the machines differ in nothing else.
     let away = |price: f64| {
         let mut priced = settings(RetrySafety::Idempotent);
         priced.costs.cross_zone = price;
@@ -829,7 +829,7 @@
             is_connected: false,
         },
     ]);
-    // Out of reach altogether: held, neither offered nor refused.
+    // No machine is connected: the task is blocked, neither offered nor rejected.
     let actions = harness.turn(&[Event::PlacementRequested(task(
         1,
         5,
@@ -837,14 +837,14 @@
     ))]);
     assert_eq!(offered_machine(&actions), None);
     assert!(final_answers(&harness.advance_until(harness.now + SECOND, &[0])).is_empty());
-    // Back in reach: the one that is gets it, as its first attempt.
+    // The first machine that is connected again gets it, as its first attempt.
     harness.turn(&[Event::ConnectionChanged {
         machine: MachineId(1),
         is_connected: true,
     }]);
     let actions = harness.advance_until(harness.now + SECOND, &[0]);
     assert_eq!(offered_machine(&actions), Some(1));
-    // A loss of the connection takes effect in the turn in which it is told.
+    // A lost connection takes effect in the turn in which it is reported.
     let lost = [
         finished(1, 0, AttemptOutcome::Disconnected, None),
         Event::ConnectionChanged {
@@ -857,7 +857,7 @@
         },
     ];
     assert_eq!(offered_machine(&harness.turn(&lost)), Some(0));
-    // Out of reach until the deadline: refused in time.
+    // No connection until the deadline: rejected in time.
     let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 1);
     harness.turn(&[Event::ConnectionChanged {
         machine: MachineId(0),
@@ -876,7 +876,7 @@
     assert_eq!(offered_machine(&actions), None);
 }
 
-/// One of four placers before four machines, with its part of twelve accepted starts under way.
+/// One of four placers with four machines, and its part of twelve accepted starts in progress.
 fn harness_with_starts_at_the_limit() -> (Harness, u64) {
     let mut own = settings(RetrySafety::Idempotent);
     own.replica_count = 4;
@@ -917,7 +917,7 @@
         }])),
         None
     );
-    // Two of the four starts under way are done: the part is three, so one place is free.
+    // Two of the four starts in progress are done: this placer's part is three, so one more may start.
     harness.now += 50_000;
     let started = |n| Event::TaskReported {
         attempt: attempt_id(n, 0),
@@ -952,7 +952,7 @@
         None
     );
     assert_eq!(harness.request(resubmitted(next + 1, from + SECOND)), None);
-    // Half of its time is the most that a task waits so; a second for one with long to go.
+    // A task is deferred for half of its time at most, and for no more than a second.
     assert!(offered_machine(&harness.advance_until(from + 400_000, &[0])).is_none());
     let early = harness.advance_until(from + 710_000, &[0]);
     assert!(
@@ -994,7 +994,7 @@
             .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next + 1)),
         "{ended:?}"
     );
-    // Said twice, or late, it counts once or not at all.
+    // A repeated or late report counts once or not at all.
     let twice = [
         Event::AttemptAccepted {
             attempt: attempt_id(2, 0),
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,10 +1,10 @@
-//! The mechanism on its ordinary path.
+//! Blind GB-PANDAS on its ordinary path.
 
 mod common;
 use common::*;
 use maplethread::*;
 
-/// Decisions made by tasks that are turned away at once, so that exploration is rare afterwards.
+/// Makes decisions for tasks whose clients disconnect at once, so that exploration is rare afterwards.
 fn end_exploration(harness: &mut Harness) {
     for n in 10_000..10_600 {
         harness.request(task(n, n, harness.now + SECOND));
@@ -16,7 +16,7 @@
     harness.now += 10 * SECOND;
 }
 
-/// How often each machine of three gets one of `n` tasks that leave again at once.
+/// How often each of three machines is offered one of `n` tasks whose clients disconnect at once.
 fn offers_per_machine(harness: &mut Harness, n: u64, service: impl Fn(u64) -> u64) -> [u64; 3] {
     let mut got = [0; 3];
     for i in 0..n {
@@ -51,7 +51,7 @@
 
 #[test]
 fn emptier_machine_does_not_attract_starts_from_a_lightly_used_one_with_the_program() {
-    // Machine 0 holds the program and so many cores of 32; the others are empty, one of them the service's home.
+    // Machine 0 has the program and this many of 32 cores allocated; the others are empty, one is the primary home.
     let at_the_program = |cores: f64| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         end_exploration(&mut harness);
@@ -94,7 +94,7 @@
 fn faster_machine_outweighs_a_larger_allocation() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
     end_exploration(&mut harness);
-    // Machine 0 starts the service in 0.2 s, machine 1 in 2 s; both hold the program.
+    // Machine 0 starts the service in 0.2 s, machine 1 in 2 s; both have the program.
     let (mut n, mut seen) = (1, [0, 0]);
     while seen.iter().any(|&s| s < 8) {
         let machine = harness
@@ -116,7 +116,7 @@
     assert!(seen[0] > 2 * seen[1], "{seen:?}");
 }
 
-/// Puts a small task of the service on each machine, so that its level is the same on all.
+/// Puts a small task of the service on each machine, so that all have the same locality.
 fn run_service_on_all_machines(harness: &mut Harness, service: u64, machines: u32) {
     for n in 0..machines {
         let small = Task {
@@ -134,7 +134,7 @@
 fn near_ties_are_broken_at_random() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     end_exploration(&mut harness);
-    // No start was ever sampled, so all rates are one and all shares alike.
+    // No start was sampled, so all rates are equal, and so are all utilizations.
     let got = offers_per_machine(&mut harness, 300, |i| 1_000 + i);
     assert!(got.iter().all(|&g| g > 60), "{got:?}");
 }
@@ -339,7 +339,7 @@
             retry_after: None
         }]
     );
-    // Time that seems to run back is taken for standing still.
+    // A clock that seems to run back counts as standing still.
     harness.now = 0;
     harness.request(task(8, 8, 9 * SECOND));
     assert!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,7 @@
             _ => Action::Fail(TaskId(1)),
         };
         assert_eq!(answers[0], expected);
-        // The late outcome brings nothing more.
+        // The late outcome leads to no further answer.
         assert!(
             harness
                 .turn(&[finished(1, 0, AttemptOutcome::TimedOut, None)])
@@ -63,7 +63,7 @@
 
 #[test]
 fn blocked_task_is_offered_once_a_machine_appears() {
-    // A held task must be looked at again well before its deadline.
+    // A blocked task must be tried again well before its deadline.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 0);
     assert_eq!(harness.request(task(1, 1, 9 * SECOND)), None);
     harness.update_endpoints(UpdateScope::Delta, vec![machine(4)]);
@@ -113,14 +113,14 @@
     let again = offered_machine(&actions).expect("the cell's other machine");
     assert_eq!(again / 2, first / 2);
     assert_ne!(again, first, "the one that failed is avoided");
-    // Near its end an offer is waited for no longer than the window lasts: it may wait for its connection as long.
+    // Near its end the timeout of an offer ends with the window: until then it may wait for its connection.
     harness.now += 3_900_000;
     let actions = harness.turn(&[finished(1, 1, AttemptOutcome::Disconnected, None)]);
     assert!(
         offer_timeout(&actions).is_some_and(|out| out <= 100_000),
         "{actions:?}"
     );
-    // Past the window nothing is sent, and a refusal would promise too much.
+    // Past the window nothing is sent, and a rejection would promise too much.
     harness.now += 100_000;
     let actions = harness.turn(&[finished(1, 2, AttemptOutcome::Disconnected, None)]);
     assert_eq!(offered_machine(&actions), None);
@@ -227,7 +227,7 @@
         harness.now += 20_000;
         if harness.request(task(n, n, harness.now + 100_000)).is_some() {
             sends.push(harness.now);
-            // Refused offers count too.
+            // Rejected offers count as well.
             harness.turn(&[finished(
                 n,
                 0,
@@ -253,7 +253,7 @@
 
 #[test]
 fn budget_holds_when_placers_outnumber_warm_up_offers() {
-    // Told of the same start at different times, each with more tasks than it may send: with one offer a
+    // Placers are notified of the same start at different times, each with more tasks than it may send: with one offer a
     // window for each of 400 placers, a machine that bears 20 would get 400.
     let started = 5 * SECOND;
     let mut sends = Vec::new();
@@ -290,7 +290,7 @@
             }
         }
         busy += u32::from(sends.len() > before);
-        // Once it is warm, everyone may.
+        // Once it is warm, every placer may.
         harness.now = started + 16 * SECOND;
         assert_eq!(
             harness.request(task(1000, 1000, harness.now + 6 * SECOND)),
@@ -325,7 +325,7 @@
             max_tasks: 2,
         });
         let mut harness = Harness::new(spread, 1);
-        // One that runs already counts, an offer without outcome too.
+        // A task that runs already counts, and so does an offer without outcome.
         harness.turn(&[Event::TaskAdopted {
             task: task(100, 7, 0),
             machine: MachineId(0),
@@ -353,20 +353,20 @@
         ..machine(0)
     };
     harness.update_endpoints(UpdateScope::Full, vec![cold]);
-    // Its number is lost, as when a lease ran out while it stood still: no budget is its own.
+    // Its replica index is lost, as when a lease expired during a stall: it has no part of any budget.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     assert_eq!(harness.request(task(1, 1, harness.now + 60 * SECOND)), None);
     assert_eq!(
         offered_machine(&harness.advance_until(harness.now + 2 * SECOND, &[0])),
         None
     );
-    // A number's last holder may have spent its part a moment ago: nothing for one window of 3 s.
+    // The last holder of the index may have spent its part a moment ago: nothing is sent for one window of 3 s.
     harness.turn(&[Event::ReplicaIndexChanged(Some(2))]);
     assert_eq!(
         offered_machine(&harness.advance_until(harness.now + 3 * SECOND, &[0])),
         None
     );
-    // Then the held task goes there, and no more than that number's part does.
+    // Then the blocked task is offered there, and no more than the part of that index.
     let mut sent = usize::from(
         offered_machine(&harness.advance_until(harness.now + SECOND / 2, &[0])).is_some(),
     );
@@ -379,7 +379,7 @@
         );
     }
     assert!(sent <= 5, "{sent} of 20 for one of four placers");
-    // Warm machines need no number.
+    // Warm machines need no index.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     harness.update_endpoints(UpdateScope::Full, vec![machine(0)]);
     assert!(
@@ -391,8 +391,8 @@
 
 #[test]
 fn restart_spends_no_warm_up_budget_twice() {
-    // Lives of one placer, each killed half a second after it began, with more tasks than it may send to one
-    // machine that stays cold: whatever a life does not know of the last one, no window may hold two parts.
+    // Processes of one placer, each killed half a second after its start, with more tasks than it may send to one
+    // machine that stays warming up: none knows what the last one sent, and yet no window may hold two parts.
     let mut shared = settings(RetrySafety::Idempotent);
     (shared.replica_count, shared.rules.warm_up_duration) = (4, 60 * SECOND);
     for life_span in [SECOND / 2, 2 * SECOND, 4 * SECOND, 7 * SECOND] {
@@ -468,7 +468,7 @@
     });
     let mut harness = Harness::new(s, 0);
     assert_eq!(ask(&mut harness, 1), [BlockReason::NoReadyMachine]);
-    // Each machine comes nearer than the one before; a change is told, what stays is not told again.
+    // Each machine comes nearer than the one before; a change is reported, what stays the same is not.
     let drains = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
@@ -507,13 +507,13 @@
         ..machine(4)
     };
     harness.update_endpoints(UpdateScope::Delta, vec![cold]);
-    // Within one window of the number the cold machine gets nothing.
+    // Within one window of the new index the warming machine gets nothing.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     assert_eq!(
         held(&harness.advance_until(harness.now + SECOND / 10, &[0])),
         [BlockReason::WarmUpBudget]
     );
-    // Refused in the end, it is told when to come back; two that were held alike are told different times.
+    // Rejected in the end, it has a retry-after; two tasks that were blocked alike have different ones.
     ask(&mut harness, 2);
     let at_last = harness.advance_until(harness.now + 10 * SECOND, &[2, 3]);
     let advice: Vec<Micros> = at_last
@@ -561,7 +561,7 @@
             retry_after: Some(60 * SECOND)
         }]
     );
-    // What one could take if it were empty is held.
+    // A task that a machine could take if it were empty is blocked.
     let full = Task {
         requested: Resources::new(40.0, 1.0),
         ..task(2, 1, 9 * SECOND)
@@ -597,7 +597,7 @@
             }));
         }
     }
-    // Without this they came back at once, all together.
+    // Without this they returned at once, all together.
     assert_eq!(advice.len(), 3, "each is refused, and told when");
     assert!(
         advice.windows(2).all(|w| w[0] != w[1])
