--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use maplethread_wire::frame::{Frame, Reason};
-use serde_json::{Value, json};
+use serde_json::Value;
 use support::*;
 
 fn openapi_document() -> Value {
@@ -73,7 +73,7 @@
 /// Calls, and holds the answer to the description; `path` as it stands there.
 fn call_and_check_schema(
     doc: &Value,
-    placer: &Placer,
+    placer: &PlacerProcess,
     path: &str,
     method: &str,
     target: &str,
@@ -103,14 +103,14 @@
     let doc = openapi_document();
     let text = include_str!("../../../docs/api.md");
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = world(&[&host]);
+    let (placer, mut links) = start_placer_with(&[&host]);
     let link = &mut links[0];
     let place =
         |body: &str| call_and_check_schema(&doc, &placer, "/v1/actors", "POST", "/v1/actors", body);
     // Placing: all three outcomes, and what is turned down.
     let client = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&ask("web-api", "s", "a1", 4000)));
-        let offer = link.offer();
+        let answer = scope.spawn(|| place(&placement_request("web-api", "s", "a1", 4000)));
+        let offer = link.receive_offer();
         link.send(&Frame::Accepted(offer.attempt_id, 1));
         link.send(&Frame::Started(offer.attempt_id, 1));
         answer.join().expect("answered")
@@ -120,8 +120,8 @@
         (200, Some("placed"))
     );
     let refused = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&ask("web-api", "s", "a2", 1000)));
-        let offer = link.offer();
+        let answer = scope.spawn(|| place(&placement_request("web-api", "s", "a2", 1000)));
+        let offer = link.receive_offer();
         link.send(&Frame::Refused(offer.attempt_id, Reason::Memory, None));
         answer.join().expect("answered")
     });
@@ -130,8 +130,8 @@
         (Some("refused"), Some("memory"))
     );
     let failed = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&ask("statements", "s", "a3", 4000)));
-        let offer = link.offer();
+        let answer = scope.spawn(|| place(&placement_request("statements", "s", "a3", 4000)));
+        let offer = link.receive_offer();
         link.send(&Frame::Ended(offer.attempt_id, Reason::Error, true, None));
         answer.join().expect("answered")
     });
@@ -141,12 +141,15 @@
     let bad = [
         (400, "{"),
         (400, r#"{"service":"s"}"#),
-        (422, &ask("nope", "s", "a", 100)),
-        (422, &ask("web-api", "", "a", 100)),
-        (422, &ask("web-api", "s", "a\\u0007", 100)),
-        (422, &ask("web-api", "s", "a", 5)),
-        (409, &ask("statements", "s", "a3", 1000)),
-        (400, &ask("web-api", "s", "a", 100).replace("cores", "core")),
+        (422, &placement_request("nope", "s", "a", 100)),
+        (422, &placement_request("web-api", "", "a", 100)),
+        (422, &placement_request("web-api", "s", "a\\u0007", 100)),
+        (422, &placement_request("web-api", "s", "a", 5)),
+        (409, &placement_request("statements", "s", "a3", 1000)),
+        (
+            400,
+            &placement_request("web-api", "s", "a", 100).replace("cores", "core"),
+        ),
     ];
     for (status, body) in bad {
         let (got, problem) = place(body);
@@ -175,7 +178,7 @@
         assert_eq!(got, status, "{target}");
         kinds.extend(body["type"].as_str().map(str::to_owned));
     }
-    assert!(matches!(link.next(), Frame::Stop(_)));
+    assert!(matches!(link.receive(), Frame::Stop(_)));
     let (_, page) =
         call_and_check_schema(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=1", "");
     assert_eq!(
@@ -238,8 +241,8 @@
         );
         let target = path.replace(['{', '}'], "");
         let mut client = placer.client();
-        client.write("PATCH", &target, &[], "");
-        let answer = client.answer().expect("an answer");
+        client.send("PATCH", &target, &[], "");
+        let answer = client.receive().expect("an answer");
         assert_eq!(answer.head.status(), 405, "{path}");
         let allowed: BTreeSet<String> = answer
             .head
@@ -277,14 +280,14 @@
 fn fleet_view_matches_the_openapi_document() {
     let doc = openapi_document();
     let host = ScriptedHost::new("h1", "a", "1");
-    let mut placer = Placer::files(&[&host], "");
+    let mut placer = PlacerProcess::with_files(&[&host], "");
     let config = placer.folder().join("placer.toml");
     let text = std::fs::read_to_string(&config).expect("text");
     let fleet = "[fleet]\nlisten = \"127.0.0.1:0\"\nkey_file = \"fleet.key\"\n";
     std::fs::write(&config, format!("{text}\n{fleet}")).expect("a file");
     std::fs::write(placer.folder().join("fleet.key"), "00".repeat(32)).expect("a file");
     let ready = placer.start();
-    let _link = host.greet(&[]);
+    let _link = host.accept_and_greet(&[]);
     ready(&mut placer);
     let (status, view) = call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
     assert_eq!(
@@ -307,7 +310,7 @@
 fn rejects_malformed_requests_and_closes_the_connection() {
     use std::io::Write;
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, _links) = world(&[&host]);
+    let (placer, _links) = start_placer_with(&[&host]);
     let cases: [(&[u8], u16); 6] = [
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nA: b\r\n c\r\n\r\n", 400),
@@ -320,45 +323,45 @@
         let mut client = placer.client();
         client.stream.write_all(bytes).expect("the placer reads");
         assert_eq!(
-            client.json().0,
+            client.receive_json().0,
             status,
             "{}",
             String::from_utf8_lossy(&bytes[..bytes.len().min(60)])
         );
-        assert!(client.answer().is_none(), "the connection goes on");
+        assert!(client.receive().is_none(), "the connection goes on");
     }
     // A request that never becomes whole.
-    let mut placer = Placer::files(&[&host], "request_within_ms = 100");
+    let mut placer = PlacerProcess::with_files(&[&host], "request_within_ms = 100");
     let ready = placer.start();
-    let _link = host.greet(&[]);
+    let _link = host.accept_and_greet(&[]);
     ready(&mut placer);
     let mut client = placer.client();
     client
         .stream
         .write_all(b"GET /v1/status HT")
         .expect("the placer reads");
-    assert_eq!(client.json().0, 408);
-    assert!(client.answer().is_none());
+    assert_eq!(client.receive_json().0, 408);
+    assert!(client.receive().is_none());
 }
 
 #[test]
 fn repeats_the_answer_for_the_same_idempotency_key() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = world(&[&host]);
+    let (placer, mut links) = start_placer_with(&[&host]);
     let link = &mut links[0];
-    let body = ask("web-api", "s", "a", 4000);
+    let body = placement_request("web-api", "s", "a", 4000);
     let key = [("Idempotency-Key", "k1")];
     let mut client = placer.client();
-    client.write("POST", "/v1/actors", &key, &body);
-    let offer = link.offer();
+    client.send("POST", "/v1/actors", &key, &body);
+    let offer = link.receive_offer();
     let mut other = placer.client();
-    other.write("POST", "/v1/actors", &[], &body);
-    placer.wait_for("both wait", |s| s["clients"].as_u64() >= Some(3));
+    other.send("POST", "/v1/actors", &[], &body);
+    placer.wait_for_status("both wait", |s| s["clients"].as_u64() >= Some(3));
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    let first = client.json();
+    let first = client.receive_json();
     assert_eq!(first.1["outcome"], "placed");
     assert_eq!(
-        other.json().1,
+        other.receive_json().1,
         first.1,
         "asked for twice at once: one placing, one answer"
     );
@@ -369,171 +372,66 @@
         true,
         None,
     ));
-    placer.wait_for("ended", |s| s["actors"] == 0);
+    placer.wait_for_status("ended", |s| s["actors"] == 0);
     let mut again = placer.client();
-    again.write("POST", "/v1/actors", &key, &body);
-    assert_eq!(again.json(), first);
-    let frames = link.all_within(Duration::from_millis(100));
+    again.send("POST", "/v1/actors", &key, &body);
+    assert_eq!(again.receive_json(), first);
+    let frames = link.receive_all_within(Duration::from_millis(100));
     assert!(
         !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{frames:?}"
     );
     // An explicit cancel is a hang-up.
     let mut client = placer.client();
-    client.ask(&ask("web-api", "s", "b", 4000), "cancel-me");
-    let offer = link.offer();
+    client.send_placement(&placement_request("web-api", "s", "b", 4000), "cancel-me");
+    let offer = link.receive_offer();
     assert_eq!(
         placer.client().call("DELETE", "/v1/asks/cancel-me", "").0,
         202
     );
-    assert_eq!(client.json().0, 410);
-    assert!(matches!(link.next(), Frame::Cancel(w) if w == offer.attempt_id));
+    assert_eq!(client.receive_json().0, 410);
+    assert!(matches!(link.receive(), Frame::Cancel(w) if w == offer.attempt_id));
     assert_eq!(placer.status()["counters"]["hung_up"], 1);
 }
 
-#[test]
-fn event_stream_resumes_and_reports_to_a_slow_follower_what_it_lost() {
-    let host = ScriptedHost::new("h1", "a", "1");
-    let mut placer = Placer::files(&[&host], "events_kept = 8");
-    let ready = placer.start();
-    let mut link = host.greet(&[]);
-    ready(&mut placer);
-    let life = placer.status()["life"].clone();
-    let mut follower = EventFollower::new(&placer, "/v1/events");
-    let hello = follower.next().expect("a hello");
-    assert_eq!(
-        (
-            hello["event"].as_str(),
-            &hello["life"],
-            hello["next"].as_u64()
-        ),
-        (Some("hello"), &life, Some(1))
-    );
-    let mut place = |actor: &str| {
-        let mut client = placer.client();
-        client.ask(&ask("web-api", "s", actor, 4000), actor);
-        let offer = link.offer();
-        link.send(&Frame::Accepted(offer.attempt_id, 1));
-        assert_eq!(client.json().1["outcome"], "placed");
-        link.send(&Frame::Started(offer.attempt_id, 1));
-        link.send(&Frame::Ended(offer.attempt_id, Reason::Evicted, true, None));
-    };
-    place("a1");
-    let told: Vec<Value> = (0..3).map(|_| follower.next().expect("an event")).collect();
-    let kinds: Vec<&str> = told.iter().filter_map(|e| e["event"].as_str()).collect();
-    assert_eq!(kinds, ["placed", "started", "evicted"]);
-    assert_eq!(
-        (&told[2]["reason"], &told[2]["seq"], &told[2]["request"]),
-        (&json!("memory"), &json!(3), &json!("a1"))
-    );
-    drop(follower);
-    place("a2");
-    // Resumed after the second event: nothing is left out, nothing comes twice.
-    let mut follower = EventFollower::new(&placer, &format!("/v1/events?after=2&life={life}"));
-    assert_eq!(follower.next().expect("a hello")["next"], 3);
-    let seqs: Vec<u64> = (0..4)
-        .filter_map(|_| follower.next()?["seq"].as_u64())
-        .collect();
-    assert_eq!(seqs, [3, 4, 5, 6]);
-    // Only eight are kept: after six more the first ones are gone.
-    (0..2).for_each(|n| place(&format!("b{n}")));
-    placer.wait_for("told", |s| s["events"]["next"] == 13);
-    let (status, problem) = placer.client().call("GET", "/v1/events?after=2", "");
-    assert_eq!(
-        (status, problem["type"].as_str()),
-        (410, Some("urn:maplethread:problem:fell-behind"))
-    );
-}
-
-/// A connection that follows events.
-struct EventFollower {
-    client: Client,
-    decoder: maplethread_wire::http::Decoder,
-    buffer: Vec<u8>,
-    lines: Vec<u8>,
-}
-
-impl EventFollower {
-    fn new(placer: &Placer, target: &str) -> EventFollower {
-        use maplethread_wire::http::{Decoder, Limits, Role};
-        let mut client = placer.client();
-        client.write("GET", target, &[], "");
-        let decoder = Decoder::new(
-            Role::Responses,
-            Limits {
-                max_body_bytes: usize::MAX,
-                ..Limits::default()
-            },
-        );
-        EventFollower {
-            client,
-            decoder,
-            buffer: Vec::new(),
-            lines: Vec::new(),
-        }
-    }
-
-    fn next(&mut self) -> Option<Value> {
-        use maplethread_wire::http::Step;
-        use std::io::Read;
-        loop {
-            if let Some(end) = self.lines.iter().position(|&b| b == b'\n') {
-                let line: Vec<u8> = self.lines.drain(..=end).collect();
-                return serde_json::from_slice(&line).ok();
-            }
-            let (step, used) = self.decoder.step(&self.buffer).expect("sound");
-            self.buffer.drain(..used);
-            match step {
-                Step::Head(head) => assert_eq!(head.status(), 200),
-                Step::Data(data) => self.lines.extend(data),
-                Step::MessageEnd => return None,
-                Step::NeedMore => {
-                    let mut bytes = [0; 4096];
-                    let n = self.client.stream.read(&mut bytes).expect("events");
-                    self.buffer.extend_from_slice(&bytes[..n]);
-                    if n == 0 {
-                        return None;
-                    }
-                }
-            }
-        }
-    }
-}
-
 #[test]
 fn sigterm_answers_pending_requests_and_exits() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (mut placer, mut links) = world(&[&host]);
+    let (mut placer, mut links) = start_placer_with(&[&host]);
     let link = &mut links[0];
     let mut client = placer.client();
     let mut other = placer.client();
     assert_eq!(other.call("GET", "/v1/status", "").0, 200);
-    client.ask(&ask("web-api", "s", "a", 4000), "last");
-    let offer = link.offer();
+    client.send_placement(&placement_request("web-api", "s", "a", 4000), "last");
+    let offer = link.receive_offer();
     placer.signal(rustix::process::Signal::TERM);
     // Nothing new is taken.
     while other.call("GET", "/v1/status", "").1["state"] != "stopping" {}
-    let (status, problem) = other.call("POST", "/v1/actors", &ask("web-api", "s", "b", 4000));
+    let (status, problem) = other.call(
+        "POST",
+        "/v1/actors",
+        &placement_request("web-api", "s", "b", 4000),
+    );
     assert_eq!(
         (status, problem["type"].as_str()),
         (503, Some("urn:maplethread:problem:stopping"))
     );
     // What is out is answered.
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["outcome"], "placed");
-    assert!(placer.left().success());
+    assert_eq!(client.receive_json().1["outcome"], "placed");
+    assert!(placer.wait_for_exit().success());
     // A second signal does not wait.
-    let (mut placer, mut links) = world(&[&host]);
+    let (mut placer, mut links) = start_placer_with(&[&host]);
     let mut client = placer.client();
-    client.ask(&ask("web-api", "s", "a", 60_000), "stuck");
-    links[0].offer();
+    client.send_placement(&placement_request("web-api", "s", "a", 60_000), "stuck");
+    links[0].receive_offer();
     let mut other = placer.client();
     assert_eq!(other.call("GET", "/v1/status", "").0, 200);
     placer.signal(rustix::process::Signal::TERM);
     while other.call("GET", "/v1/status", "").1["state"] != "stopping" {}
     placer.signal(rustix::process::Signal::TERM);
-    assert!(placer.left().success());
-    assert!(client.answer().is_none());
+    assert!(placer.wait_for_exit().success());
+    assert!(client.receive().is_none());
 }
 
 #[test]
@@ -542,9 +440,9 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    let mut placer = Placer::files(&[&h1], "max_asks = 2");
+    let mut placer = PlacerProcess::with_files(&[&h1], "max_asks = 2");
     let ready = placer.start();
-    let mut link = h1.greet(&[]);
+    let mut link = h1.accept_and_greet(&[]);
     ready(&mut placer);
     for bad in [
         "",
@@ -553,8 +451,8 @@
         "\u{0}",
         "[[host]]\nnom = 1\n",
     ] {
-        placer.raw_inventory(bad);
-        let log = placer.log();
+        placer.write_inventory_text(bad);
+        let log = placer.log_path();
         let told = move || {
             std::fs::read_to_string(&log)
                 .unwrap_or_default()
@@ -562,113 +460,39 @@
                 .count()
         };
         let before = told();
-        placer.wait_for("complaint", |_| told() > before || told() >= 1);
+        placer.wait_for_status("complaint", |_| told() > before || told() >= 1);
         assert_eq!(placer.status()["hosts"], 1);
     }
-    placer.inventory(&[(&h1, "ready"), (&h2, "ready")]);
-    let _second = h2.greet(&[]);
-    placer.wait_for("both connected", |s| s["hosts_connected"] == 2);
-    placer.inventory(&[(&h1, "ready")]);
+    placer.write_inventory(&[(&h1, "ready"), (&h2, "ready")]);
+    let _second = h2.accept_and_greet(&[]);
+    placer.wait_for_status("both connected", |s| s["hosts_connected"] == 2);
+    placer.write_inventory(&[(&h1, "ready")]);
     // Two asks are out; a third is turned away, and nothing of it is kept.
     let mut clients: Vec<Client> = (0..2).map(|_| placer.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask(
-            &ask("web-api", "s", &format!("{n}"), 10_000),
+        client.send_placement(
+            &placement_request("web-api", "s", &format!("{n}"), 10_000),
             &format!("{n}"),
         );
     }
-    placer.wait_for("two asks", |s| s["open_asks"] == 2);
+    placer.wait_for_status("two asks", |s| s["open_asks"] == 2);
     let mut third = placer.client();
-    third.write("POST", "/v1/actors", &[], &ask("web-api", "s", "x", 1000));
-    let answer = third.answer().expect("an answer");
+    third.send(
+        "POST",
+        "/v1/actors",
+        &[],
+        &placement_request("web-api", "s", "x", 1000),
+    );
+    let answer = third.receive().expect("an answer");
     assert_eq!(
         (answer.head.status(), answer.head.parse_field("retry-after")),
         (503, Some("1"))
     );
     for _ in 0..2 {
-        let offer = link.offer();
+        let offer = link.receive_offer();
         link.send(&Frame::Accepted(offer.attempt_id, 1));
     }
     clients
         .iter_mut()
-        .for_each(|c| assert_eq!(c.json().1["outcome"], "placed"));
-}
-
-#[test]
-fn example_settings_are_valid_and_errors_name_line_and_key() {
-    use std::process::Command;
-    let run = |file: &std::path::Path| {
-        let out = Command::new(env!("CARGO_BIN_EXE_maplethread"))
-            .arg("check-config")
-            .arg(file)
-            .output()
-            .expect("runs");
-        (
-            out.status.code(),
-            String::from_utf8_lossy(&out.stderr).into_owned(),
-        )
-    };
-    let sound = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/placer.toml");
-    assert_eq!(run(&sound).0, Some(0), "{}", run(&sound).1);
-    let text = std::fs::read_to_string(&sound).expect("a file");
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("p.toml");
-    for (from, to, complaint) in [
-        (
-            "max_attempts = 3",
-            "max_atempts = 3",
-            ":17: max_atempts: unknown field `max_atempts`",
-        ),
-        (
-            "max_attempts = 3",
-            "max_atempts = 3",
-            "did you mean `max_attempts`?",
-        ),
-        (
-            "number = 0 ",
-            "number = 1 ",
-            ":5: placer.number: 1 is given; below placer.placers",
-        ),
-        (
-            "zone = \"hall-a\"",
-            "zone = \"hall-x\"",
-            ":7: placer.zone: `hall-x` is given; one of placer.zones",
-        ),
-        (
-            "aim_ms = 1500",
-            "aim_ms = 0",
-            ": class[1].aim_ms: 0 is given; at least 1",
-        ),
-        (
-            "group = \"zone\"",
-            "",
-            ": class[1].group: belongs to keyed classes",
-        ),
-        (
-            "cores = 16.0",
-            "cores = -1.0",
-            ": kind[0].cores: -1 is given; above 0",
-        ),
-        (
-            "127.0.0.1:7400",
-            "0.0.0.0:7400",
-            ": api.listen: 0.0.0.0:7400 is given; a loopback address",
-        ),
-        ("[rules]", "[rules", ": "),
-        ("cold_from = 0.2", "cold_from = \"x\"", ": "),
-    ] {
-        assert!(text.contains(from), "{from}");
-        std::fs::write(&file, text.replacen(from, to, 1)).expect("a file");
-        let (code, told) = run(&file);
-        assert_eq!(code, Some(2), "{to}");
-        assert!(
-            told.contains(complaint) && told.contains("p.toml:"),
-            "{to}: {told}"
-        );
-    }
-    assert!(
-        run(&folder.path().join("none.toml"))
-            .1
-            .contains("none.toml")
-    );
+        .for_each(|c| assert_eq!(c.receive_json().1["outcome"], "placed"));
 }
--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -95,8 +95,8 @@
 }
 
 /// A placer that reads its hosts from these servers, with further settings of `[consul]`.
-fn placer(servers: &Servers, name: &str, placers: u32, more: &str) -> Placer {
-    let placer = Placer::files(&[], "");
+fn placer(servers: &Servers, name: &str, placers: u32, more: &str) -> PlacerProcess {
+    let placer = PlacerProcess::with_files(&[], "");
     let path = placer.folder().join("placer.toml");
     let text = std::fs::read_to_string(&path).expect("a file");
     let list: Vec<String> = servers
@@ -119,11 +119,11 @@
     placer
 }
 
-fn gauges(placer: &Placer) -> Value {
+fn gauges(placer: &PlacerProcess) -> Value {
     placer.client().call("GET", "/v1/status?full=1", "").1["gauges"]["catalogue"].clone()
 }
 
-fn wait_gauge(placer: &Placer, what: &str, shown: impl Fn(&Value) -> bool) -> Value {
+fn wait_gauge(placer: &PlacerProcess, what: &str, shown: impl Fn(&Value) -> bool) -> Value {
     let until = Instant::now() + PATIENCE;
     loop {
         let gauges = gauges(placer);
@@ -146,7 +146,7 @@
     register(&servers, &h2, "passing");
     let mut placer = placer(&servers, "p0", 1, "");
     let ready = placer.start();
-    let (mut l1, mut l2) = (h1.greet(&[]), h2.greet(&[]));
+    let (mut l1, mut l2) = (h1.accept_and_greet(&[]), h2.accept_and_greet(&[]));
     ready(&mut placer);
     assert_eq!(placer.status()["hosts_connected"], 2);
     // Critical: nothing new there, while its tasks run on.
@@ -154,24 +154,24 @@
     wait_gauge(&placer, "the drain", |g| g["index"].as_u64() > Some(5));
     let mut client = placer.client();
     for n in 0..20 {
-        client.ask(
-            &ask("web-api", &format!("s{n}"), "a", 4000),
+        client.send_placement(
+            &placement_request("web-api", &format!("s{n}"), "a", 4000),
             &format!("{n}"),
         );
-        let offer = l2.offer();
+        let offer = l2.receive_offer();
         l2.send(&Frame::Accepted(offer.attempt_id, 1));
-        assert_eq!(client.json().1["host"], "h2");
+        assert_eq!(client.receive_json().1["host"], "h2");
     }
-    assert!(l1.all_within(Duration::from_millis(100)).is_empty());
+    assert!(l1.receive_all_within(Duration::from_millis(100)).is_empty());
     // Passing again: it takes part again; the other one is gone altogether.
     register(&servers, &h1, "passing");
     deregister(&servers, &h2);
     drop(l2);
-    placer.wait_for("h2 is forgotten", |s| s["hosts"] == 1);
-    client.ask(&ask("web-api", "s", "b", 4000), "b");
-    let offer = l1.offer();
+    placer.wait_for_status("h2 is forgotten", |s| s["hosts"] == 1);
+    client.send_placement(&placement_request("web-api", "s", "b", 4000), "b");
+    let offer = l1.receive_offer();
     l1.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["host"], "h1");
+    assert_eq!(client.receive_json().1["host"], "h1");
 }
 
 #[test]
@@ -198,7 +198,7 @@
     register(&servers, &h2, "passing");
     let mut placer = placer(&servers, "p0", 1, "");
     let ready = placer.start();
-    let (mut l1, mut l2) = (h1.greet(&[]), h2.greet(&[]));
+    let (mut l1, mut l2) = (h1.accept_and_greet(&[]), h2.accept_and_greet(&[]));
     ready(&mut placer);
     // The watch of the list and the list itself are both as late.
     let late = Duration::from_secs(5);
@@ -215,7 +215,7 @@
     let until = Instant::now() + 2 * late + Duration::from_secs(3);
     let (mut last_there, mut n) = (None, 0);
     // Tasks end at once, so that room never runs out.
-    let over = |link: &mut Link, attempt: u64| {
+    let over = |link: &mut PlacerConnection, attempt: u64| {
         link.send(&Frame::Accepted(attempt, 1));
         link.send(&Frame::Ended(
             attempt,
@@ -226,22 +226,22 @@
     };
     while Instant::now() < until {
         n += 1;
-        client.ask(
-            &ask("web-api", &format!("s{n}"), "a", 2000),
+        client.send_placement(
+            &placement_request("web-api", &format!("s{n}"), "a", 2000),
             &format!("{n}"),
         );
         loop {
-            if let Some(Frame::Offer(offer)) = l1.next_within(Duration::from_millis(2)) {
+            if let Some(Frame::Offer(offer)) = l1.receive_within(Duration::from_millis(2)) {
                 last_there = Some(Instant::now());
                 over(&mut l1, offer.attempt_id);
                 break;
             }
-            if let Some(Frame::Offer(offer)) = l2.next_within(Duration::from_millis(2)) {
+            if let Some(Frame::Offer(offer)) = l2.receive_within(Duration::from_millis(2)) {
                 over(&mut l2, offer.attempt_id);
                 break;
             }
         }
-        assert_eq!(client.json().1["outcome"], "placed");
+        assert_eq!(client.receive_json().1["outcome"], "placed");
     }
     let written = told
         .lock()
@@ -272,7 +272,7 @@
     hosts.iter().for_each(|h| register(&servers, h, "passing"));
     let mut placer = placer(&servers, "p0", 1, "reads = \"stale\"");
     let ready = placer.start();
-    let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
+    let mut links: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
     ready(&mut placer);
     for faults in [
         Faults {
@@ -321,11 +321,11 @@
         wait_gauge(&placer, "some answers", |g| count(g) >= count(&before) + 3);
         assert_eq!(placer.status()["hosts"], 6, "{faults:?}");
         let mut client = placer.client();
-        client.ask(&ask("web-api", "s", "a", 2000), "x");
+        client.send_placement(&placement_request("web-api", "s", "a", 2000), "x");
         let until = Instant::now() + PATIENCE;
         'placed: while Instant::now() < until {
             for link in &mut links {
-                if let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(2)) {
+                if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(2)) {
                     link.send(&Frame::Accepted(offer.attempt_id, 1));
                     link.send(&Frame::Ended(
                         offer.attempt_id,
@@ -337,18 +337,18 @@
                 }
             }
         }
-        assert_eq!(client.json().1["outcome"], "placed", "{faults:?}");
+        assert_eq!(client.receive_json().1["outcome"], "placed", "{faults:?}");
         servers.set_faults(None, Faults::default());
         register(&servers, &hosts[0], "passing");
         wait_gauge(&placer, "sound answers", |g| {
             g["age_ms"].as_u64() < Some(300)
         });
-        placer.wait_for("settled", |s| s["actors"] == 0);
+        placer.wait_for_status("settled", |s| s["actors"] == 0);
     }
     // A follower that lags does not bring back a host that is known to be gone.
     let index = gauges(&placer)["index"].as_u64();
     deregister(&servers, &hosts[5]);
-    placer.wait_for("h5 drains", |_| gauges(&placer)["hosts"] == 5);
+    placer.wait_for_status("h5 drains", |_| gauges(&placer)["hosts"] == 5);
     assert!(gauges(&placer)["index"].as_u64() > index);
     servers.set_faults(
         None,
@@ -374,19 +374,19 @@
     let host = ScriptedHost::new("h1", "a", "1");
     register(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
-    let mut placers: Vec<Placer> = (0..3)
+    let mut placers: Vec<PlacerProcess> = (0..3)
         .map(|n| placer(&servers, &format!("p{n}"), 2, more))
         .collect();
     for placer in &mut placers {
         let ready = placer.start();
-        let link = host.greet(&[]);
+        let link = host.accept_and_greet(&[]);
         ready(placer);
         std::thread::spawn(move || {
             let mut link = link;
-            while link.next_within(Duration::from_secs(30)).is_some() {}
+            while link.receive_within(Duration::from_secs(30)).is_some() {}
         });
     }
-    let slots = |placers: &[Placer]| -> Vec<Option<u64>> {
+    let slots = |placers: &[PlacerProcess]| -> Vec<Option<u64>> {
         placers.iter().map(|p| gauges(p)["slot"].as_u64()).collect()
     };
     let until = Instant::now() + PATIENCE;
@@ -429,10 +429,10 @@
     });
     // ...and when the first goes on it knows at once that it has none. It never shows the number again.
     placers[one].signal(Signal::CONT);
-    let log = std::fs::read_to_string(placers[one].log()).expect("a log");
+    let log = placers[one].log_text();
     let before = log.matches("placer number").count();
     wait_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
-    let log = std::fs::read_to_string(placers[one].log()).expect("a log");
+    let log = placers[one].log_text();
     assert!(log.matches("placer number slot=None").count() > before.saturating_sub(2));
     assert_eq!(gauges(&placers[late])["slot"], json!(held[one]));
     // A placer that leaves for good makes room.
@@ -457,25 +457,25 @@
     hosts.iter().for_each(|h| register(&servers, h, "passing"));
     let mut placer = placer(&servers, "p0", 1, "");
     let ready = placer.start();
-    let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
+    let mut links: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
     ready(&mut placer);
     hosts.iter().for_each(|h| register(&servers, h, "critical"));
-    placer.wait_for("all drain", |_| {
+    placer.wait_for_status("all drain", |_| {
         gauges(&placer)["index"].as_u64() >= Some(12)
     });
     // Sixty asks while nobody takes any: all are held.
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
     for n in 0..60 {
-        clients[n % 4].ask(
-            &ask("web-api", &format!("s{n}"), "a", 15_000),
+        clients[n % 4].send_placement(
+            &placement_request("web-api", &format!("s{n}"), "a", 15_000),
             &format!("{n}"),
         );
     }
-    placer.wait_for("all are held", |s| s["open_asks"] == 60);
+    placer.wait_for_status("all are held", |s| s["open_asks"] == 60);
     assert!(
         links
             .iter_mut()
-            .all(|l| l.all_within(Duration::from_millis(30)).is_empty())
+            .all(|l| l.receive_all_within(Duration::from_millis(30)).is_empty())
     );
     // Two of them come back as they were, two as new processes, cold.
     for n in [2, 3] {
@@ -484,13 +484,13 @@
         drop(link.into_stream());
     }
     let started = hosts[2].started_ms;
-    links.extend(hosts[2..].iter().map(|h| h.greet(&[])));
+    links.extend(hosts[2..].iter().map(|h| h.accept_and_greet(&[])));
     hosts.iter().for_each(|h| register(&servers, h, "passing"));
     let mut offers: Vec<Vec<u64>> = vec![Vec::new(); 4];
     let until = Instant::now() + PATIENCE;
     while offers.iter().map(Vec::len).sum::<usize>() < 60 && Instant::now() < until {
         for (n, link) in links.iter_mut().enumerate() {
-            while let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(1)) {
+            while let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(1)) {
                 offers[n].push(now());
                 link.send(&Frame::Accepted(offer.attempt_id, 1));
             }
@@ -498,7 +498,7 @@
     }
     for client in &mut clients {
         for _ in 0..15 {
-            assert_eq!(client.json().1["outcome"], "placed");
+            assert_eq!(client.receive_json().1["outcome"], "placed");
         }
     }
     // A cold host bears ten offers a second; this placer is alone, so at most nine of them are its own.
@@ -570,15 +570,15 @@
     answers.join().expect("all registered");
     let mut placer = placer(&servers, "p0", 1, "");
     let ready = placer.start();
-    let mut link = host.greet(&[]);
+    let mut link = host.accept_and_greet(&[]);
     ready(&mut placer);
     wait_gauge(&placer, "the one sound host", |g| g["hosts"] == 1);
     let mut client = placer.client();
-    client.ask(&ask("web-api", "s", "a", 4000), "x");
-    let offer = link.offer();
+    client.send_placement(&placement_request("web-api", "s", "a", 4000), "x");
+    let offer = link.receive_offer();
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["host"], "h1");
-    let log = std::fs::read_to_string(placer.log()).expect("a log");
+    assert_eq!(client.receive_json().1["host"], "h1");
+    let log = placer.log_text();
     assert!(
         log.contains("catalogue entries that can't be used count=100"),
         "the count that is kept"
--- a/crates/cli/tests/hard_cases.rs
+++ b/crates/cli/tests/hard_cases.rs
@@ -13,11 +13,11 @@
 const SETTLE_TIME: Duration = Duration::from_millis(150);
 
 /// Waits until one of these hosts has an offer; returns which, and the offer.
-fn wait_for_offer(links: &mut [Link]) -> (usize, maplethread_wire::frame::Offer) {
+fn wait_for_offer(links: &mut [PlacerConnection]) -> (usize, maplethread_wire::frame::Offer) {
     let until = Instant::now() + PATIENCE;
     loop {
         for (i, link) in links.iter_mut().enumerate() {
-            if let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(5)) {
+            if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(5)) {
                 return (i, offer);
             }
         }
@@ -33,11 +33,11 @@
         ScriptedHost::new("b1", "b", "1"),
         ScriptedHost::new("b2", "b", "2"),
     ];
-    let (placer, mut links) = world(&hosts.iter().collect::<Vec<_>>());
+    let (placer, mut links) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
     for round in 0..4 {
         let mut client = placer.client();
-        client.ask(
-            &ask("ledger-batch", "interest", &format!("run-{round}"), 2000),
+        client.send_placement(
+            &placement_request("ledger-batch", "interest", &format!("run-{round}"), 2000),
             &format!("r{round}"),
         );
         let (first, offer) = wait_for_offer(&mut links);
@@ -53,7 +53,8 @@
             let until = Instant::now() + Duration::from_secs(3);
             while came.is_none() && Instant::now() < until && client.stream.peek_ready().is_none() {
                 for (i, link) in links.iter_mut().enumerate() {
-                    if let Some(Frame::Offer(offer)) = link.next_within(Duration::from_millis(5)) {
+                    if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(5))
+                    {
                         came = Some((i, offer));
                     }
                 }
@@ -69,7 +70,7 @@
                 links[next].send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
-        let (status, body) = client.json();
+        let (status, body) = client.receive_json();
         assert_eq!(status, 200);
         let outcome = if silent { "failed" } else { "placed" };
         assert_eq!(body["outcome"], outcome, "{body}");
@@ -97,21 +98,24 @@
 #[test]
 fn client_disconnect_during_third_attempt_leaves_no_state() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = world(&[&host]);
+    let (placer, mut links) = start_placer_with(&[&host]);
     let link = &mut links[0];
     let mut client = placer.client();
-    client.ask(&ask("statements", "nightly", "s1", 10_000), "third");
+    client.send_placement(
+        &placement_request("statements", "nightly", "s1", 10_000),
+        "third",
+    );
     for number in 0..2 {
-        let offer = link.offer();
+        let offer = link.receive_offer();
         assert_eq!(offer.prior_attempts, number);
         link.send(&Frame::Refused(offer.attempt_id, Reason::QueueFull, None));
     }
-    let third = link.offer();
+    let third = link.receive_offer();
     assert_eq!(third.prior_attempts, 2);
     drop(client);
     // The hang-up reaches the host as a call-off, though it has accepted meanwhile.
     link.send(&Frame::Accepted(third.attempt_id, 1));
-    let next = link.next();
+    let next = link.receive();
     assert!(
         matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt_id),
         "{next:?}"
@@ -120,14 +124,14 @@
     let (status, problem) = placer.client().call(
         "POST",
         "/v1/actors",
-        &ask("statements", "nightly", "s1", 1000),
+        &placement_request("statements", "nightly", "s1", 1000),
     );
     assert_eq!(
         (status, problem["type"].as_str()),
         (409, Some("urn:maplethread:problem:unsettled"))
     );
     link.send(&Frame::Ended(third.attempt_id, Reason::Stopped, true, None));
-    placer.wait_for("nothing is left", |s| {
+    placer.wait_for_status("nothing is left", |s| {
         s["attempts"] == 0 && s["actors"] == 0 && s["open_asks"] == 0
     });
     let (status, _) = placer.client().call("GET", "/v1/actors/nightly/s1", "");
@@ -137,22 +141,25 @@
     assert_eq!(status["counters"]["placed"], 0);
     // Now it may come again.
     let mut client = placer.client();
-    client.ask(&ask("statements", "nightly", "s1", 4000), "again");
-    let offer = link.offer();
+    client.send_placement(
+        &placement_request("statements", "nightly", "s1", 4000),
+        "again",
+    );
+    let offer = link.receive_offer();
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["outcome"], "placed");
+    assert_eq!(client.receive_json().1["outcome"], "placed");
 }
 
 #[test]
 fn acceptance_crossing_client_disconnect_has_one_result() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = world(&[&host]);
+    let (placer, mut links) = start_placer_with(&[&host]);
     let link = &mut links[0];
     for round in 0..20 {
         let actor = format!("x{round}");
         let mut client = placer.client();
-        client.ask(&ask("web-api", "cross", &actor, 3000), &actor);
-        let offer = link.offer();
+        client.send_placement(&placement_request("web-api", "cross", &actor, 3000), &actor);
+        let offer = link.receive_offer();
         if round % 2 == 0 {
             drop(client);
             link.send(&Frame::Accepted(offer.attempt_id, 1));
@@ -161,7 +168,7 @@
             drop(client);
         }
         // Either it was placed and stays so, its answer lost on the way, or it was called off.
-        let called_off = matches!(link.next_within(SETTLE_TIME), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
+        let called_off = matches!(link.receive_within(SETTLE_TIME), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
         if called_off {
             link.send(&Frame::Ended(
                 offer.attempt_id,
@@ -169,7 +176,7 @@
                 false,
                 None,
             ));
-            placer.wait_for("called off", |s| s["attempts"] == 0);
+            placer.wait_for_status("called off", |s| s["attempts"] == 0);
             assert_eq!(
                 placer
                     .client()
@@ -188,10 +195,11 @@
                 "{body}"
             );
             // Asked again, it gets the same placing, without another offer.
-            let (_, body) =
-                placer
-                    .client()
-                    .call("POST", "/v1/actors", &ask("web-api", "cross", &actor, 3000));
+            let (_, body) = placer.client().call(
+                "POST",
+                "/v1/actors",
+                &placement_request("web-api", "cross", &actor, 3000),
+            );
             assert_eq!(
                 (body["outcome"].as_str(), body["host"].as_str()),
                 (Some("placed"), Some("h1"))
@@ -202,7 +210,7 @@
                 true,
                 None,
             ));
-            placer.wait_for("ended", |s| s["attempts"] == 0);
+            placer.wait_for_status("ended", |s| s["attempts"] == 0);
         }
     }
 }
@@ -210,30 +218,33 @@
 #[test]
 fn host_disconnect_inside_an_offer_ends_as_retry_safety_allows() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let mut placer = Placer::files(&[&host], "");
+    let mut placer = PlacerProcess::with_files(&[&host], "");
     let ready = placer.start();
-    let link = host.greet(&[]);
+    let link = host.accept_and_greet(&[]);
     ready(&mut placer);
     // A safe one is simply tried again once the host is back.
     let mut client = placer.client();
-    client.ask(&ask("web-api", "s", "safe", 8000), "safe");
+    client.send_placement(&placement_request("web-api", "s", "safe", 8000), "safe");
     disconnect_inside_frame(link);
-    let mut link = host.greet(&[]);
-    let offer = link.offer();
+    let mut link = host.accept_and_greet(&[]);
+    let offer = link.receive_offer();
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["outcome"], "placed");
+    assert_eq!(client.receive_json().1["outcome"], "placed");
     // One that must not run twice may have run, as far as the placer can know: it fails, and is not sent again.
     let mut client = placer.client();
-    client.ask(&ask("statements", "s", "unsafe", 8000), "unsafe");
+    client.send_placement(
+        &placement_request("statements", "s", "unsafe", 8000),
+        "unsafe",
+    );
     disconnect_inside_frame(link);
-    let (_, body) = client.json();
+    let (_, body) = client.receive_json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempts"].as_u64()),
         (Some("failed"), Some(1)),
         "{body}"
     );
-    let mut link = host.greet(&[]);
-    let rest = link.all_within(SETTLE_TIME);
+    let mut link = host.accept_and_greet(&[]);
+    let rest = link.receive_all_within(SETTLE_TIME);
     assert!(
         !rest.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{rest:?}"
@@ -241,7 +252,7 @@
 }
 
 /// Reads the first bytes of an offer, and resets the connection.
-fn disconnect_inside_frame(link: Link) {
+fn disconnect_inside_frame(link: PlacerConnection) {
     let mut stream = link.into_stream();
     let mut bytes = [0; 10];
     stream.read_exact(&mut bytes).expect("the offer begins");
@@ -255,9 +266,9 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    let (placer, mut links) = world(&[&slow, &other]);
+    let (placer, mut links) = start_placer_with(&[&slow, &other]);
     let mut client = placer.client();
-    client.ask(&ask("web-api", "s", "late", 5000), "late");
+    client.send_placement(&placement_request("web-api", "s", "late", 5000), "late");
     let (first, offer) = wait_for_offer(&mut links);
     // No answer: after a while it is called off and offered anew.
     let (second, again) = wait_for_cancel_and_next_offer(&mut links, offer.attempt_id);
@@ -265,19 +276,19 @@
     // Now both accept; only the second counts.
     links[first].send(&Frame::Accepted(offer.attempt_id, 1));
     links[second].send(&Frame::Accepted(again.attempt_id, 1));
-    let (_, body) = client.json();
+    let (_, body) = client.receive_json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempt"].as_u64()),
         (Some("placed"), Some(1))
     );
-    let mut told = links[first].all_within(SETTLE_TIME);
+    let mut told = links[first].receive_all_within(SETTLE_TIME);
     told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt_id));
     assert_eq!(told.len(), 1, "the late acceptance is called off");
     assert_eq!(placer.status()["actors"], 1);
 }
 
 fn wait_for_cancel_and_next_offer(
-    links: &mut [Link],
+    links: &mut [PlacerConnection],
     first: u64,
 ) -> (usize, maplethread_wire::frame::Offer) {
     let mut cancelled = false;
@@ -285,7 +296,7 @@
     let mut again = None;
     while Instant::now() < until {
         for (i, link) in links.iter_mut().enumerate() {
-            match link.next_within(Duration::from_millis(5)) {
+            match link.receive_within(Duration::from_millis(5)) {
                 Some(Frame::Offer(offer)) => again = Some((i, offer)),
                 Some(Frame::Cancel(wire)) => cancelled |= wire == first,
                 _ => {}
@@ -304,7 +315,7 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    let (placer, mut links) = world(&[&draining, &other]);
+    let (placer, mut links) = start_placer_with(&[&draining, &other]);
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
     // All of them are known to the placer, so that nothing but asks is new.
     clients
@@ -313,8 +324,8 @@
     placer.signal(Signal::STOP);
     for (n, client) in clients.iter_mut().enumerate() {
         for k in 0..25 {
-            client.ask(
-                &ask("web-api", &format!("s{n}"), &format!("a{k}"), 5000),
+            client.send_placement(
+                &placement_request("web-api", &format!("s{n}"), &format!("a{k}"), 5000),
                 &format!("{n}.{k}"),
             );
         }
@@ -323,20 +334,20 @@
     placer.signal(Signal::CONT);
     let mut placed = 0;
     while placed < 100 {
-        let offer = links[1].offer();
+        let offer = links[1].receive_offer();
         links[1].send(&Frame::Accepted(offer.attempt_id, 1));
         placed += 1;
     }
     for client in &mut clients {
         for _ in 0..25 {
-            let (_, body) = client.json();
+            let (_, body) = client.receive_json();
             assert_eq!(
                 (body["outcome"].as_str(), body["host"].as_str()),
                 (Some("placed"), Some("h2"))
             );
         }
     }
-    let drained = links[0].all_within(SETTLE_TIME);
+    let drained = links[0].receive_all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
@@ -344,18 +355,18 @@
     // The inventory's word is heeded alike.
     placer.signal(Signal::STOP);
     for k in 0..50 {
-        clients[0].ask(
-            &ask("web-api", "late", &format!("b{k}"), 600),
+        clients[0].send_placement(
+            &placement_request("web-api", "late", &format!("b{k}"), 600),
             &format!("b.{k}"),
         );
     }
-    placer.inventory(&[(&draining, "ready"), (&other, "draining")]);
+    placer.write_inventory(&[(&draining, "ready"), (&other, "draining")]);
     placer.signal(Signal::CONT);
     for _ in 0..50 {
-        let (_, body) = clients[0].json();
+        let (_, body) = clients[0].receive_json();
         assert_eq!(body["outcome"], "refused", "{body}");
     }
-    let drained = links[1].all_within(SETTLE_TIME);
+    let drained = links[1].receive_all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
@@ -365,7 +376,7 @@
 #[test]
 fn restarted_placer_recovers_tasks_and_counts_them() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (mut placer, mut links) = world(&[&host]);
+    let (mut placer, mut links) = start_placer_with(&[&host]);
     let mut held = Vec::new();
     for (class, service, actor) in [
         ("spread", "web", "w1"),
@@ -373,37 +384,39 @@
         ("ledger-batch", "interest", "k1"),
     ] {
         let mut client = placer.client();
-        client.ask(&ask(class, service, actor, 4000), actor);
-        let offer = links[0].offer();
+        client.send_placement(&placement_request(class, service, actor, 4000), actor);
+        let offer = links[0].receive_offer();
         links[0].send(&Frame::Accepted(offer.attempt_id, 1));
         links[0].send(&Frame::Started(offer.attempt_id, 2));
-        assert_eq!(client.json().1["outcome"], "placed");
+        assert_eq!(client.receive_json().1["outcome"], "placed");
         held.push(Frame::Held(offer, true));
     }
-    let life = links[0].life;
+    let life = links[0].placer_started_ms;
     placer.kill();
     drop(links);
     let ready = placer.start();
-    let mut link = host.greet(&held);
+    let mut link = host.accept_and_greet(&held);
     ready(&mut placer);
-    assert_ne!(link.life, life);
+    assert_ne!(link.placer_started_ms, life);
     assert_eq!(placer.status()["counters"]["adopted"], 3);
     // The spread limit of two counts those that it finds: a third is not offered.
-    let (_, body) = placer
-        .client()
-        .call("POST", "/v1/actors", &ask("spread", "web", "w3", 500));
+    let (_, body) = placer.client().call(
+        "POST",
+        "/v1/actors",
+        &placement_request("spread", "web", "w3", 500),
+    );
     assert_eq!(body["outcome"], "refused", "{body}");
     // The keyed actor runs: asked again, it is where it was, and no second attempt goes out.
     let (_, body) = placer.client().call(
         "POST",
         "/v1/actors",
-        &ask("ledger-batch", "interest", "k1", 500),
+        &placement_request("ledger-batch", "interest", "k1", 500),
     );
     assert_eq!(
         (body["outcome"].as_str(), body["host"].as_str()),
         (Some("placed"), Some("h1"))
     );
-    let frames = link.all_within(SETTLE_TIME);
+    let frames = link.receive_all_within(SETTLE_TIME);
     assert!(
         !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{frames:?}"
@@ -419,10 +432,10 @@
         None,
     ));
     let mut client = placer.client();
-    client.ask(&ask("spread", "web", "w3", 4000), "w3");
-    let offer = link.offer();
+    client.send_placement(&placement_request("spread", "web", "w3", 4000), "w3");
+    let offer = link.receive_offer();
     link.send(&Frame::Accepted(offer.attempt_id, 1));
-    assert_eq!(client.json().1["outcome"], "placed");
+    assert_eq!(client.receive_json().1["outcome"], "placed");
 }
 
 #[test]
@@ -431,13 +444,13 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     ];
-    let (placer, mut links) = world(&hosts.iter().collect::<Vec<_>>());
+    let (placer, mut links) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
     let mut clients = BTreeMap::new();
     let mut offers = Vec::new();
     for n in 0..10 {
         let mut client = placer.client();
-        client.ask(
-            &ask("statements", &format!("s{n}"), "a", 10_000),
+        client.send_placement(
+            &placement_request("statements", &format!("s{n}"), "a", 10_000),
             &format!("{n}"),
         );
         let (host, offer) = wait_for_offer(&mut links);
@@ -454,7 +467,7 @@
     placer.signal(Signal::CONT);
     let mut placed = 0;
     for client in clients.values_mut() {
-        let (_, body) = client.json();
+        let (_, body) = client.receive_json();
         // The first ones may have timed out before the pause began.
         placed += u32::from(body["outcome"] == "placed");
     }
@@ -467,14 +480,14 @@
     let mut seen = [0; 2];
     for n in 0..40 {
         let mut client = placer.client();
-        client.ask(
-            &ask("web-api", &format!("after{n}"), "a", 4000),
+        client.send_placement(
+            &placement_request("web-api", &format!("after{n}"), "a", 4000),
             &format!("after{n}"),
         );
         let (host, offer) = wait_for_offer(&mut links);
         seen[host] += 1;
         links[host].send(&Frame::Accepted(offer.attempt_id, 1));
-        assert_eq!(client.json().1["outcome"], "placed");
+        assert_eq!(client.receive_json().1["outcome"], "placed");
     }
     assert!(seen.iter().all(|&n| n > 0), "{seen:?}");
 }
@@ -482,19 +495,19 @@
 #[test]
 fn five_hundred_slow_clients_do_not_delay_others() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let mut placer = Placer::files(
+    let mut placer = PlacerProcess::with_files(
         &[&host],
         "max_unread_bytes = 65536\nrequest_within_ms = 60000",
     );
     let ready = placer.start();
-    let mut link = host.greet(&[]);
+    let mut link = host.accept_and_greet(&[]);
     ready(&mut placer);
     let before = placer.rss_kib();
     // The host answers from the start: on a busy machine, the clients below take longer to come than it may be silent.
     let answerer = std::thread::spawn(move || {
         let mut answered = 0;
         while answered < 200 {
-            let offer = link.offer();
+            let offer = link.receive_offer();
             link.send(&Frame::Accepted(offer.attempt_id, 1));
             answered += 1;
         }
@@ -518,7 +531,7 @@
         let (_, body) = client.call(
             "POST",
             "/v1/actors",
-            &ask("web-api", "s", &format!("a{n}"), 60_000),
+            &placement_request("web-api", "s", &format!("a{n}"), 60_000),
         );
         assert_eq!(body["outcome"], "placed");
     }
--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -25,8 +25,8 @@
 }
 
 /// A placer that pings its idle hosts at a low rate; nothing runs yet.
-fn placer_with_idle_ping_rate(hosts: &[ScriptedHost]) -> Placer {
-    let placer = Placer::files(&hosts.iter().collect::<Vec<_>>(), "");
+fn placer_with_idle_ping_rate(hosts: &[ScriptedHost]) -> PlacerProcess {
+    let placer = PlacerProcess::with_files(&hosts.iter().collect::<Vec<_>>(), "");
     let file = placer.folder().join("placer.toml");
     let config = std::fs::read_to_string(&file).expect("the settings");
     let rate =
@@ -36,14 +36,14 @@
 }
 
 /// Answers pings until the connection ends.
-fn answer_pings(mut link: Link) -> JoinHandle<()> {
-    spawn(move || while link.next_within(PATIENCE).is_some() {})
+fn answer_pings(mut link: PlacerConnection) -> JoinHandle<()> {
+    spawn(move || while link.receive_within(PATIENCE).is_some() {})
 }
 
 /// Answers pings and accepts offers until the connection ends.
-fn accept_offers(mut link: Link) -> JoinHandle<()> {
+fn accept_offers(mut link: PlacerConnection) -> JoinHandle<()> {
     spawn(move || {
-        while let Some(frame) = link.next_within(PATIENCE) {
+        while let Some(frame) = link.receive_within(PATIENCE) {
             if let Frame::Offer(offer) = frame {
                 link.send(&Frame::Accepted(offer.attempt_id, 1));
             }
@@ -57,10 +57,10 @@
 }
 
 /// Answers pings up to an offer, and nothing from then on: the offer, and what came after it.
-fn stop_answering_at_offer(mut link: Link) -> JoinHandle<(Offer, Vec<Frame>)> {
+fn stop_answering_at_offer(mut link: PlacerConnection) -> JoinHandle<(Offer, Vec<Frame>)> {
     spawn(move || {
-        let offer = link.offer();
-        let unanswered = std::iter::from_fn(|| link.next_silently()).collect();
+        let offer = link.receive_offer();
+        let unanswered = std::iter::from_fn(|| link.receive_without_answering()).collect();
         (offer, unanswered)
     })
 }
@@ -73,12 +73,12 @@
     let serving = placer.start();
     let links: Vec<_> = hosts
         .iter()
-        .map(|host| answer_pings(host.greet(&[])))
+        .map(|host| answer_pings(host.accept_and_greet(&[])))
         .collect();
     serving(&mut placer);
     // Two rounds: none was left out, or it would have been cut off.
     let rounds = 2 * HOSTS as u64;
-    let status = placer.wait_for("two rounds of pings", |s| {
+    let status = placer.wait_for_status("two rounds of pings", |s| {
         s["counters"]["heartbeats"]
             .as_u64()
             .is_some_and(|n| n >= rounds)
@@ -103,9 +103,12 @@
         .iter()
         .enumerate()
         .map(|(n, host)| (host, if n == 0 { "ready" } else { "draining" }));
-    placer.inventory(&states.collect::<Vec<_>>());
+    placer.write_inventory(&states.collect::<Vec<_>>());
     let serving = placer.start();
-    let mut links: Vec<Link> = hosts.iter().map(|host| host.greet(&[])).collect();
+    let mut links: Vec<PlacerConnection> = hosts
+        .iter()
+        .map(|host| host.accept_and_greet(&[]))
+        .collect();
     let dead = stop_answering_at_offer(links.remove(0));
     let others: Vec<_> = links.into_iter().map(answer_pings).collect();
     serving(&mut placer);
@@ -122,7 +125,7 @@
         unanswered.contains(&Frame::Cancel(offer.attempt_id)),
         "{unanswered:?}"
     );
-    let log = std::fs::read_to_string(placer.log()).expect("a log");
+    let log = placer.log_text();
     assert!(log.contains("silent; connection dropped"), "{log}");
     placer.kill();
     others
@@ -131,7 +134,7 @@
 }
 
 /// Pauses a placer for so long, which is longer than a host may be silent.
-fn pause(placer: &Placer, span: Duration) {
+fn pause(placer: &PlacerProcess, span: Duration) {
     placer.signal(Signal::STOP);
     std::thread::sleep(span);
     placer.signal(Signal::CONT);
@@ -144,7 +147,7 @@
     let serving = placer.start();
     let links: Vec<_> = hosts
         .iter()
-        .map(|host| accept_offers(host.greet(&[])))
+        .map(|host| accept_offers(host.accept_and_greet(&[])))
         .collect();
     serving(&mut placer);
     // A task on one of them, so that it is in use; the others are idle.
@@ -155,7 +158,7 @@
     for _ in 0..2 {
         let sent = heartbeats(&placer.status());
         pause(&placer, PAUSE);
-        placer.wait_for("a round of pings after the pause", |s| {
+        placer.wait_for_status("a round of pings after the pause", |s| {
             heartbeats(s) >= sent + 2 * HOSTS as u64
         });
     }
@@ -167,7 +170,7 @@
         ),
         (Some(HOSTS as u64), Some(1))
     );
-    let log = std::fs::read_to_string(placer.log()).expect("a log");
+    let log = placer.log_text();
     assert!(!log.contains("connection dropped"), "{log}");
     placer.kill();
     links
@@ -185,19 +188,19 @@
     );
     // The connections come in the order in which the placers start.
     let serving = reached.start();
-    let answering = answer_pings(hosts[0].greet(&[]));
+    let answering = answer_pings(hosts[0].accept_and_greet(&[]));
     serving(&mut reached);
     let serving = cut_off.start();
-    let mut silent = hosts[0].greet(&[]);
+    let mut silent = hosts[0].accept_and_greet(&[]);
     serving(&mut cut_off);
     // Nothing that one of them sends is answered, until it has given the host up.
-    while silent.next_silently().is_some() {}
-    let log = std::fs::read_to_string(cut_off.log()).expect("a log");
+    while silent.receive_without_answering().is_some() {}
+    let log = cut_off.log_text();
     assert!(log.contains("silent; connection dropped"), "{log}");
     assert_eq!(reached.status()["hosts_connected"], 1);
     let sent = heartbeats(&reached.status());
-    reached.wait_for("pings to the host that is there", |s| heartbeats(s) > sent);
-    let log = std::fs::read_to_string(reached.log()).expect("a log");
+    reached.wait_for_status("pings to the host that is there", |s| heartbeats(s) > sent);
+    let log = reached.log_text();
     assert!(!log.contains("connection dropped"), "{log}");
     reached.kill();
     cut_off.kill();
