--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_placer_that_stood_still_cuts_off_no_host_idle_or_in_use() {
+fn paused_placer_disconnects_no_host_idle_or_in_use() {
     let hosts = scripted_hosts();
     let mut placer = placer_with_idle_ping_rate(&hosts);
     let serving = placer.start();
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -178,7 +178,7 @@
             self.retry_backlogged_clients();
             let read_at = self.event_loop.now();
             let is_stalled = wakeup.is_stalled_by(read_at);
-            self.apply_consul_updates(is_stalled);
+            self.apply_consul_updates(read_at, is_stalled);
             self.take_turn(read_at, is_stalled);
             let decided_at = self.event_loop.now();
             self.execute_outputs();
@@ -271,12 +271,12 @@
         });
     }
 
-    /// Lets the Consul client do what is due, and gives what is new to the engine.
-    fn apply_consul_updates(&mut self, is_stalled: bool) {
+    /// Lets the Consul client do what is due, and gives what is new to the engine. `now` is the time of the decision that
+    /// follows: a later one could lie after a pause that the decision does not know of.
+    fn apply_consul_updates(&mut self, now: u64, is_stalled: bool) {
         let Some(consul) = &mut self.consul else {
             return;
         };
-        let now = self.event_loop.now();
         if is_stalled {
             consul.source.catch_up(now);
         }
