--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,16 +1,24 @@
-//! One owner at a time for work on behalf of the fleet. Three, five or seven placers are voters; the owner is one of them,
-//! chosen by a majority, and each ownership has an epoch that only grows. Consensus is a library's ([`raft`]); here are its
-//! storage in terms of what has to be durable, the state that it agrees on, the lease that ends an owner's acts before
-//! another one's can begin, and the fence that proves it where the acts land.
+//! Leader election with leases, epochs and fencing, for work that exactly one placer of a fleet may do.
 //!
-//! There is no I/O, clock or thread: [`Voter`] takes messages and the time, and gives what is to be kept, what is to be
-//! sent once that is kept, and news. Equal seeds and inputs give equal outputs.
+//! Three, five or seven placers are voters. A majority elects one of them as leader; each [`Lease`] has an epoch that only
+//! grows. Consensus is the `raft` library's. This crate adds its storage in terms of what has to be durable, the replicated
+//! state, the time limit that ends a leader's actions before those of its successor can begin, and the [`Fence`] that
+//! rejects actions of earlier leaders where they take effect.
+//!
+//! [`Voter`] has no I/O, clock or thread: it takes messages and the current time, and returns what has to be made durable,
+//! the messages to send after that, and news. Equal seeds and inputs give equal outputs.
 
+mod durable;
+mod envelope;
 mod fence;
-mod log;
+mod lease_renewal;
+mod raft_log;
+mod settings;
 mod state;
 mod voter;
 
-pub use fence::{Fence, Refused};
-pub use state::{Command, Ownership, State};
-pub use voter::{Micros, Output, Saved, Settings, Unsound, Voter, Write};
+pub use durable::{DurableState, DurableWrite, StoreError};
+pub use fence::{Fence, StaleEpoch};
+pub use settings::{Micros, Settings};
+pub use state::{Command, LeadershipState, Lease};
+pub use voter::{Output, Voter};
--- a/crates/leadership/src/state.rs
+++ b/crates/leadership/src/state.rs
@@ -1,65 +1,72 @@
-//! What the voters agree on: who owns, in which epoch, and which store each voter votes with.
+//! The replicated state: the latest lease, and the store with which each voter votes.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// An ownership.
+/// The right of one voter to lead in one epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ownership {
-    /// The voter that owns.
-    pub owner: u64,
-    /// Higher than that of every ownership before.
+pub struct Lease {
+    /// The voter that leads.
+    pub leader: u64,
+    /// Higher than the epoch of every earlier lease; the fencing token of the leader's actions.
     pub epoch: u64,
 }
 
-/// What is agreed on, in order.
+/// An entry of the replicated log. Entries are encoded by postcard: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A voter that leads begins an ownership.
-    Own {
+    /// A newly elected voter begins a lease.
+    BeginLease {
         /// The voter.
-        owner: u64,
+        leader: u64,
     },
     /// A voter votes with this store, and with no other one.
-    Register {
+    RegisterStore {
         /// The voter.
         voter: u64,
-        /// Its store's identity.
+        /// The identity of its store.
         store: u64,
     },
 }
 
-/// The state that all commands so far come to.
+/// The replicated state after all commands so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct State {
-    /// The latest ownership; its epoch is the highest there was.
-    pub latest: Option<Ownership>,
-    /// The store with which each voter votes.
+pub struct LeadershipState {
+    /// The latest lease; its epoch is the highest so far.
+    pub latest_lease: Option<Lease>,
+    /// The identity of the store with which each voter votes, by the voter's number.
     pub stores: BTreeMap<u64, u64>,
-    /// Epochs begin above this: an operator who begins a fleet's ownership anew gives it.
-    pub base: u64,
+    /// The first epoch is one higher. An operator who starts over with new voters sets it above the epochs of the old ones.
+    pub base_epoch: u64,
 }
 
-impl State {
-    /// Takes a command in; what changed of the ownership.
-    pub fn apply(&mut self, command: &Command) -> Option<Ownership> {
+impl LeadershipState {
+    /// Applies a command, and returns the lease that it begins, if any.
+    pub fn apply(&mut self, command: &Command) -> Option<Lease> {
         match *command {
-            Command::Own { owner } => {
-                let epoch = self.latest.map_or(self.base, |l| l.epoch) + 1;
-                self.latest = Some(Ownership { owner, epoch });
-                self.latest
+            Command::BeginLease { leader } => {
+                let last_epoch = self
+                    .latest_lease
+                    .map_or(self.base_epoch, |lease| lease.epoch);
+                self.latest_lease = Some(Lease {
+                    leader,
+                    epoch: last_epoch + 1,
+                });
+                self.latest_lease
             }
-            Command::Register { voter, store } => {
-                // The first word holds: a voter whose store is lost comes back under another identity.
+            Command::RegisterStore { voter, store } => {
+                // The first store counts: a voter that lost it returns under another identity, and may have forgotten votes.
                 self.stores.entry(voter).or_insert(store);
                 None
             }
         }
     }
 
-    /// Whether a voter may vote with this store.
-    pub fn admits(&self, voter: u64, store: u64) -> bool {
-        self.stores.get(&voter).is_none_or(|&known| known == store)
+    /// Whether a voter may vote with this store: it is the registered one, or none is registered yet.
+    pub fn accepts_store(&self, voter: u64, store: u64) -> bool {
+        self.stores
+            .get(&voter)
+            .is_none_or(|&registered| registered == store)
     }
 }
--- a/crates/leadership/src/voter.rs
+++ b/crates/leadership/src/voter.rs
@@ -1,531 +1,417 @@
-//! A voter: the consensus library, what has to be durable before it speaks, and the lease.
+//! A voter: it drives the consensus library, and tells when it may act as the leader.
 
-use std::cell::RefCell;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 
 use protobuf::Message as _;
-use raft::eraftpb::{ConfState, Entry, EntryType, HardState, Message, MessageType, Snapshot};
-use raft::storage::MemStorage;
-use raft::{Config, RawNode, ReadOnlyOption, StateRole, Storage};
+use raft::eraftpb::{ConfState, Entry, EntryType, Message, MessageType, Snapshot};
+use raft::{Config, RawNode, ReadOnlyOption, ReadState, Ready, StateRole, Storage};
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
-use serde::{Deserialize, Serialize};
 
-use crate::log::Log;
-use crate::state::{Command, Ownership, State};
+use crate::durable::{DurableState, DurableWrite, RestoredState, StoreError};
+use crate::envelope::{self, ReceivedMessage};
+use crate::lease_renewal::LeaseRenewal;
+use crate::raft_log::{RETAINED_ENTRIES, RaftLog};
+use crate::settings::{Micros, Settings};
+use crate::state::{Command, LeadershipState, Lease};
 
-/// Time, µs, of a clock that runs on while the machine sleeps; where it starts is the caller's matter.
-pub type Micros = u64;
+/// The maximum size of the entries in one message, in bytes.
+const MAX_MESSAGE_ENTRIES_BYTES: u64 = 64 << 10;
+/// How many messages to one voter may wait for answers.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+/// The maximum size of entries that are proposed and not committed, in bytes.
+const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
-/// The longest message that is taken in, octets.
-const LONGEST: usize = 1 << 20;
-/// Entries that are kept behind a snapshot, so that a voter that is a little behind needs none.
-const KEPT: u64 = 256;
-/// Rounds by which a lease is renewed and that wait for their answers at a time.
-const MOST_ROUNDS: usize = 64;
-
-/// A voter's settings.
-#[derive(Clone, Debug)]
-pub struct Settings {
-    /// Which voter it is, from 1.
-    pub id: u64,
-    /// All voters, alike at each.
-    pub voters: Vec<u64>,
-    /// The period of its timers, µs.
-    pub tick: Micros,
-    /// A leader that is silent for so many periods is followed no longer.
-    pub election_ticks: u32,
-    /// A leader speaks each so many periods.
-    pub heartbeat_ticks: u32,
-    /// Clocks run at most this share too fast or too slow.
-    pub clock_error: f64,
-}
-
-/// What has to be durable, in order.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Write {
-    /// The identity of the store; written first, once.
-    Identity(u64),
-    /// The vote and the term.
-    Vote(Vec<u8>),
-    /// Entries from this place of the log on; what lay there and after it is void.
-    Entries(u64, Vec<Vec<u8>>),
-    /// A snapshot: entries up to its own place are void.
-    Snapshot(Vec<u8>),
-}
-
-/// What was durable when the voter started.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Saved {
-    /// The identity of the store; nothing where it is new.
-    pub identity: Option<u64>,
-    vote: Option<Vec<u8>>,
-    entries: BTreeMap<u64, Vec<u8>>,
-    snapshot: Option<(u64, Vec<u8>)>,
-}
-
-impl Saved {
-    /// Takes in what was written: a store is the sum of its writes.
-    pub fn take(&mut self, write: Write) -> Result<(), Unsound> {
-        match write {
-            Write::Identity(identity) => self.identity = Some(identity),
-            Write::Vote(vote) => self.vote = Some(vote),
-            Write::Entries(first, entries) => {
-                self.entries.split_off(&first);
-                self.entries.extend((first..).zip(entries));
-            }
-            Write::Snapshot(bytes) => {
-                let index = Snapshot::parse_from_bytes(&bytes)?.get_metadata().index;
-                self.entries = self.entries.split_off(&(index.saturating_sub(KEPT) + 1));
-                self.snapshot = Some((index, bytes));
-            }
-        }
-        Ok(())
-    }
-}
-
-/// Why a store can't be used.
-#[derive(Debug, thiserror::Error)]
-pub enum Unsound {
-    /// A part of it can't be read.
-    #[error("the voter's store is damaged: {0}")]
-    Damaged(#[from] protobuf::ProtobufError),
-    /// The state in it can't be read.
-    #[error("the voter's store holds a state that can't be read: {0}")]
-    State(#[from] postcard::Error),
-    /// The library does not take it.
-    #[error("the voter's store or settings can't be used: {0}")]
-    Refused(#[from] raft::Error),
-    /// It holds a vote or a log, and no identity.
-    #[error("the voter's store is no whole one: it holds a vote or a log, and no identity")]
-    NoIdentity,
-}
-
-/// What the caller is to do, in this order.
+/// What the caller has to do, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Make these durable before anything that follows.
-    Persist(Vec<Write>),
-    /// Send this to a voter.
+    /// Make these writes durable before anything that follows.
+    Persist(Vec<DurableWrite>),
+    /// Send this message to the voter with this number.
     Send(u64, Vec<u8>),
-    /// This ownership was agreed on.
-    Owned(Ownership),
-    /// A voter, or this one itself, speaks from a store that is not the one that it voted with: it is not listened to.
+    /// Take note that the voters have agreed on this lease.
+    LeaseBegun(Lease),
+    /// Take note that the voter with this number, possibly this one itself, uses another store than the one with which it
+    /// votes. Its messages are ignored.
     ForeignStore(u64),
 }
 
-/// What goes between voters.
-#[derive(Serialize, Deserialize)]
-struct Envelope {
-    from: u64,
-    store: u64,
-    /// The store with which the receiver votes, as far as the sender knows; 0 where it does not.
-    to_store: u64,
-    message: Vec<u8>,
-}
-
 /// A voter.
 pub struct Voter {
     settings: Settings,
-    node: RawNode<Log>,
-    state: State,
+    node: RawNode<RaftLog>,
+    state: LeadershipState,
+    /// The identity of the store.
     identity: u64,
     seed: u64,
-    /// The last period that was counted began then.
-    ticked: Micros,
-    /// No vote is given before this: what was promised before a restart may still hold.
-    mute_until: Micros,
-    /// Rounds of questions to the majority, and when each was asked.
-    rounds: BTreeMap<u64, Micros>,
-    round: u64,
-    /// Until when a majority holds to this voter, by its own clock.
-    lease_until: Micros,
-    /// The term in which it has asked for the ownership.
-    asked_in: u64,
-    applied: u64,
-    foreign: BTreeSet<u64>,
+    /// When the last interval of the timer began.
+    last_tick_at: Micros,
+    /// No vote is given before: what was promised before a restart may still hold.
+    no_votes_until: Micros,
+    renewal: LeaseRenewal,
+    /// The term in which the voter has proposed a lease.
+    lease_requested_in_term: u64,
+    applied_index: u64,
+    reported_foreign_stores: BTreeSet<u64>,
     outputs: Vec<Output>,
 }
 
-fn logger() -> slog::Logger {
-    slog::Logger::root(slog::Discard, slog::o!())
-}
-
 impl Voter {
-    /// A voter from what was durable. A new store gets its identity from the seed, as its first write.
-    pub fn new(settings: Settings, saved: Saved, seed: u64, now: Micros) -> Result<Voter, Unsound> {
+    /// Starts a voter from its durable state. A new store gets its identity from the seed, as its first write.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the durable state cannot be decoded or has no identity, or if the consensus library rejects it or the
+    /// settings.
+    pub fn new(
+        settings: Settings,
+        durable: DurableState,
+        seed: u64,
+        now: Micros,
+    ) -> Result<Voter, StoreError> {
         let mut outputs = Vec::new();
-        let begun = saved.vote.is_some() || saved.snapshot.is_some() || !saved.entries.is_empty();
-        let identity = match saved.identity {
+        let identity = match durable.identity {
             Some(identity) => identity,
-            None if begun => return Err(Unsound::NoIdentity),
+            None if durable.has_history() => return Err(StoreError::MissingIdentity),
             None => {
                 let identity = Pcg64Mcg::seed_from_u64(seed).next_u64();
-                outputs.push(Output::Persist(vec![Write::Identity(identity)]));
+                outputs.push(Output::Persist(vec![DurableWrite::Identity(identity)]));
                 identity
             }
         };
-        let conf = ConfState {
-            voters: settings.voters.clone(),
-            ..ConfState::default()
-        };
-        let memory = MemStorage::new_with_conf_state(conf);
-        let mut kept = None;
-        let mut state = State::default();
-        let mut applied = 0;
-        if let Some((index, bytes)) = &saved.snapshot {
-            let snapshot = Snapshot::parse_from_bytes(bytes)?;
-            state = postcard::from_bytes(snapshot.get_data())?;
-            kept = Some(snapshot.clone());
-            memory.wl().apply_snapshot(snapshot)?;
-            applied = *index;
-        }
-        let first = memory.first_index()?;
-        let entries: Result<Vec<Entry>, _> = saved
-            .entries
-            .range(first..)
-            .map(|(_, bytes)| Entry::parse_from_bytes(bytes))
-            .collect();
-        memory.wl().append(&entries?)?;
-        if let Some(vote) = &saved.vote {
-            memory
-                .wl()
-                .set_hardstate(HardState::parse_from_bytes(vote)?);
-        }
-        let election = settings.election_ticks as usize;
-        let config = Config {
-            id: settings.id,
-            election_tick: election,
-            heartbeat_tick: settings.heartbeat_ticks as usize,
-            applied,
-            max_size_per_msg: 64 << 10,
-            max_inflight_msgs: 64,
-            check_quorum: true,
-            pre_vote: true,
-            // The library draws from this range by random numbers of its own; see `settle`.
-            min_election_tick: election,
-            max_election_tick: 2 * election,
-            read_only_option: ReadOnlyOption::Safe,
-            max_uncommitted_size: 1 << 20,
-            ..Config::default()
-        };
-        let store = Log {
-            memory,
-            snapshot: RefCell::new(kept),
-        };
-        let node = RawNode::new(&config, store, &logger())?;
-        let promised = settings.tick as f64
-            * f64::from(settings.election_ticks)
-            * (1.0 + settings.clock_error);
+        let RestoredState {
+            log,
+            state,
+            applied_index,
+        } = durable.restore(&settings.voters)?;
+        let logger = slog::Logger::root(slog::Discard, slog::o!());
         let mut voter = Voter {
-            node,
+            node: RawNode::new(&raft_config(&settings, applied_index), log, &logger)?,
             state,
             identity,
             seed,
-            ticked: now,
-            mute_until: now + promised as Micros + settings.tick,
-            rounds: BTreeMap::new(),
-            round: 0,
-            lease_until: 0,
-            asked_in: 0,
-            applied,
-            foreign: BTreeSet::new(),
+            last_tick_at: now,
+            no_votes_until: now + settings.vote_delay_after_start(),
+            renewal: LeaseRenewal::default(),
+            lease_requested_in_term: 0,
+            applied_index,
+            reported_foreign_stores: BTreeSet::new(),
             outputs,
             settings,
         };
-        voter.settle(now);
+        voter.process_ready(now);
         Ok(voter)
     }
 
-    /// What is to be done, in order.
-    pub fn outputs(&mut self) -> Vec<Output> {
+    /// Takes what has to be done, in order.
+    pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`Voter::tick`] is to be called at the latest.
+    /// When [`Voter::tick`] has to be called at the latest.
     pub fn next_timeout(&self) -> Micros {
-        self.ticked + self.settings.tick
+        self.last_tick_at + self.settings.tick_interval
     }
 
-    /// Lets time pass. A voter that stood still counts one period, however long it was: what waits to be read may tell of
-    /// a leader.
+    /// Advances the timer. After a pause of the process, only one interval counts, however long it was: messages that wait
+    /// to be read may show that there is a leader.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_timeout() {
             return;
         }
-        let late = now - self.next_timeout();
-        self.ticked = if late > self.settings.tick {
+        let delay = now - self.next_timeout();
+        self.last_tick_at = if delay > self.settings.tick_interval {
             now
         } else {
             self.next_timeout()
         };
         self.node.tick();
-        if self.leads() {
-            self.renew(now);
+        if self.is_leader() {
+            self.start_renewal_round(now);
         }
-        self.settle(now);
+        self.process_ready(now);
     }
 
-    /// Takes in a message of another voter. What can't be read is left out.
-    pub fn message(&mut self, now: Micros, bytes: &[u8]) {
-        if bytes.len() > LONGEST {
-            return;
-        }
-        let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
-            return;
-        };
-        let Ok(message) = Message::parse_from_bytes(&envelope.message) else {
+    /// Handles a message of another voter. One that cannot be decoded is ignored.
+    pub fn handle_message(&mut self, now: Micros, bytes: &[u8]) {
+        let Some(received) = envelope::decode(bytes) else {
             return;
         };
-        if envelope.from != message.from || message.to != self.settings.id {
+        if received.message.to != self.settings.id {
             return;
         }
-        // One whose store is gone may have forgotten whom it voted for, and what it said that it holds.
-        let to_another = envelope.to_store != 0 && envelope.to_store != self.identity;
-        let foreign = if to_another {
-            Some(self.settings.id)
-        } else {
-            None
-        };
-        let from_another = !self.state.admits(envelope.from, envelope.store);
-        if let Some(voter) = foreign.or(from_another.then_some(envelope.from)) {
-            if self.foreign.insert(voter) {
+        if let Some(voter) = self.foreign_store(&received) {
+            if self.reported_foreign_stores.insert(voter) {
                 self.outputs.push(Output::ForeignStore(voter));
             }
             return;
         }
-        // The library ends the process over a leader that holds more for agreed on than this log has.
-        let last = self.node.store().last_index().unwrap_or(0);
-        if message.get_msg_type() == MessageType::MsgHeartbeat && message.commit > last {
-            return;
-        }
-        let asks_a_vote = matches!(
-            message.get_msg_type(),
-            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote
-        );
-        if asks_a_vote && now < self.mute_until {
+        if !self.may_step(now, &received.message) {
             return;
         }
-        let unknown = !self.state.stores.contains_key(&envelope.from);
-        // What the library does not take, it says so of, and is otherwise as if it had not come.
+        let ReceivedMessage {
+            from,
+            store,
+            message,
+            ..
+        } = received;
+        let is_unregistered = !self.state.stores.contains_key(&from);
+        // A message that the library rejects has no effect, as if it had been lost.
         let _ = self.node.step(message);
-        if unknown && self.leads() {
-            self.propose(&Command::Register {
-                voter: envelope.from,
-                store: envelope.store,
-            });
+        if is_unregistered && self.is_leader() {
+            self.propose(&Command::RegisterStore { voter: from, store });
+        }
+        self.process_ready(now);
+    }
+
+    /// The voter that uses another store than the one with which it votes, if a message shows one. That voter may have
+    /// forgotten for whom it voted, and which entries it has confirmed.
+    fn foreign_store(&self, received: &ReceivedMessage) -> Option<u64> {
+        let expects_another = received
+            .expected_store
+            .is_some_and(|expected| expected != self.identity);
+        if expects_another {
+            Some(self.settings.id)
+        } else if !self.state.accepts_store(received.from, received.store) {
+            Some(received.from)
+        } else {
+            None
+        }
+    }
+
+    /// Whether the library may see a message.
+    fn may_step(&self, now: Micros, message: &Message) -> bool {
+        match message.get_msg_type() {
+            // The library ends the process if a leader regards more entries as committed than this log has.
+            MessageType::MsgHeartbeat => {
+                message.commit <= self.node.store().last_index().unwrap_or(0)
+            }
+            MessageType::MsgRequestVote | MessageType::MsgRequestPreVote => {
+                now >= self.no_votes_until
+            }
+            _ => true,
         }
-        self.settle(now);
     }
 
-    /// The epoch in which this voter may act now. The lease counts from when the majority was asked, and ends, by clocks
-    /// of any allowed rate, before a majority can follow another voter.
-    pub fn may_act(&self, now: Micros) -> Option<u64> {
-        let own = self.state.latest.filter(|l| l.owner == self.settings.id)?;
-        (self.leads() && self.asked_in == self.node.raft.term && now < self.lease_until)
-            .then_some(own.epoch)
+    /// The epoch in which this voter may act as the leader now. The lease counts from when the majority was asked, and ends
+    /// before a majority can follow another voter, if all clocks keep to [`Settings::max_clock_error`].
+    pub fn acting_epoch(&self, now: Micros) -> Option<u64> {
+        let own_lease = self
+            .state
+            .latest_lease
+            .filter(|lease| lease.leader == self.settings.id)?;
+        let has_current_lease = self.is_leader()
+            && self.lease_requested_in_term == self.node.raft.term
+            && self.renewal.is_valid(now);
+        has_current_lease.then_some(own_lease.epoch)
     }
 
-    /// What was agreed on, as far as this voter knows.
-    pub fn state(&self) -> &State {
+    /// The replicated state, as far as this voter knows.
+    pub fn state(&self) -> &LeadershipState {
         &self.state
     }
 
-    /// Entries that this voter keeps.
-    pub fn kept(&self) -> u64 {
-        let store = self.node.store();
-        let first = store.first_index().unwrap_or(0);
-        (store.last_index().unwrap_or(0) + 1).saturating_sub(first)
+    /// The number of entries in this voter's log.
+    pub fn log_length(&self) -> u64 {
+        self.node.store().len()
     }
 
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
 
     fn propose(&mut self, command: &Command) {
         if let Ok(data) = postcard::to_allocvec(command) {
-            // Where it is not taken it is proposed again when its cause comes again.
+            // A proposal that the library rejects is repeated when its cause occurs again.
             let _ = self.node.propose(Vec::new(), data);
         }
     }
 
-    /// Asks the majority whether it still holds to this voter.
-    fn renew(&mut self, now: Micros) {
-        if self.rounds.len() >= MOST_ROUNDS {
-            self.rounds.pop_first();
-        }
-        self.round += 1;
-        self.rounds.insert(self.round, now);
-        self.node.read_index(self.round.to_be_bytes().to_vec());
+    /// Asks the majority whether it still follows this voter.
+    fn start_renewal_round(&mut self, now: Micros) {
+        let round = self.renewal.start_round(now);
+        self.node.read_index(round.to_be_bytes().to_vec());
     }
 
-    /// Carries out what the library wants, until it wants nothing more.
-    fn settle(&mut self, now: Micros) {
-        // The library draws the period of the next election anew by random numbers of its own. One that goes by seed and
-        // term takes its place, so that equal runs stay equal.
-        let ticks = self.settings.election_ticks as usize;
-        let drawn =
-            Pcg64Mcg::seed_from_u64(self.seed ^ self.node.raft.term.wrapping_mul(0x9e37_79b9))
-                .next_u64();
-        self.node
-            .raft
-            .set_randomized_election_timeout(ticks + drawn as usize % ticks.max(1));
-        if !self.leads() {
-            self.rounds.clear();
-            self.lease_until = 0;
-        } else if self.asked_in != self.node.raft.term {
-            self.asked_in = self.node.raft.term;
-            self.propose(&Command::Own {
-                owner: self.settings.id,
-            });
-            let (voter, store) = (self.settings.id, self.identity);
-            if !self.state.stores.contains_key(&voter) {
-                self.propose(&Command::Register { voter, store });
-            }
-            self.renew(now);
+    /// Carries out what the library asks for, until it asks for nothing more.
+    fn process_ready(&mut self, now: Micros) {
+        self.set_election_timeout();
+        if !self.is_leader() {
+            self.renewal.reset();
+        } else if self.lease_requested_in_term != self.node.raft.term {
+            self.request_lease(now);
         }
         while self.node.has_ready() {
-            let mut ready = self.node.ready();
-            self.read(&ready.take_read_states());
-            let mut writes = Vec::new();
-            if !ready.snapshot().is_empty() {
-                self.install(ready.snapshot().clone(), &mut writes);
-            }
-            if !ready.entries().is_empty() {
-                let entries = ready.take_entries();
-                let bytes = entries
-                    .iter()
-                    .filter_map(|e| e.write_to_bytes().ok())
-                    .collect();
-                writes.push(Write::Entries(entries[0].index, bytes));
-                let _ = self.node.store().memory.wl().append(&entries);
-            }
-            if let Some(vote) = ready.hs() {
-                writes.extend(vote.write_to_bytes().ok().map(Write::Vote));
-                self.node.store().memory.wl().set_hardstate(vote.clone());
-            }
-            if !writes.is_empty() {
-                self.outputs.push(Output::Persist(writes));
-            }
-            let messages = ready.take_messages();
-            let after = ready.take_persisted_messages();
-            self.send(messages);
-            self.send(after);
-            self.commit(ready.take_committed_entries());
-            let mut light = self.node.advance(ready);
-            if let Some(commit) = light.commit_index() {
-                self.node.store().memory.wl().mut_hard_state().commit = commit;
-            }
-            self.send(light.take_messages());
-            self.commit(light.take_committed_entries());
-            self.node.advance_apply();
+            let ready = self.node.ready();
+            self.handle_ready(ready);
         }
         self.compact();
     }
 
-    /// Rounds that a majority has answered: the lease counts from when they were asked.
-    fn read(&mut self, states: &[raft::ReadState]) {
-        let span = self.settings.tick as f64 * f64::from(self.settings.election_ticks);
-        // The voters' clocks may be fast while this one's is slow.
-        let span = (span * (1.0 - self.settings.clock_error) / (1.0 + self.settings.clock_error))
-            as Micros;
-        for state in states {
-            let Ok(number) = state
-                .request_ctx
-                .as_slice()
-                .try_into()
-                .map(u64::from_be_bytes)
-            else {
-                continue;
-            };
-            if let Some(asked) = self.rounds.remove(&number) {
-                self.lease_until = self
-                    .lease_until
-                    .max(asked + span.saturating_sub(self.settings.tick));
+    /// Replaces the timeout that the library draws from its own random numbers by one that depends on seed and term only, so
+    /// that equal inputs give equal outputs.
+    fn set_election_timeout(&mut self) {
+        let min_ticks = self.settings.election_ticks as usize;
+        let term = self.node.raft.term;
+        let random = Pcg64Mcg::seed_from_u64(self.seed ^ term.wrapping_mul(0x9e37_79b9)).next_u64();
+        let ticks = min_ticks + random as usize % min_ticks.max(1);
+        self.node.raft.set_randomized_election_timeout(ticks);
+    }
+
+    /// Proposes a lease, once in each term in which this voter was elected.
+    fn request_lease(&mut self, now: Micros) {
+        self.lease_requested_in_term = self.node.raft.term;
+        let voter = self.settings.id;
+        self.propose(&Command::BeginLease { leader: voter });
+        if !self.state.stores.contains_key(&voter) {
+            self.propose(&Command::RegisterStore {
+                voter,
+                store: self.identity,
+            });
+        }
+        self.start_renewal_round(now);
+    }
+
+    fn handle_ready(&mut self, mut ready: Ready) {
+        self.extend_lease(&ready.take_read_states());
+        let writes = self.store_ready(&mut ready);
+        if !writes.is_empty() {
+            self.outputs.push(Output::Persist(writes));
+        }
+        let messages = ready.take_messages();
+        let messages_after_persist = ready.take_persisted_messages();
+        self.send(messages);
+        self.send(messages_after_persist);
+        self.apply_committed(ready.take_committed_entries());
+        let mut light_ready = self.node.advance(ready);
+        if let Some(index) = light_ready.commit_index() {
+            self.node.store().set_commit_index(index);
+        }
+        self.send(light_ready.take_messages());
+        self.apply_committed(light_ready.take_committed_entries());
+        self.node.advance_apply();
+    }
+
+    /// Takes in what the library wants stored, and returns the writes that make it durable.
+    fn store_ready(&mut self, ready: &mut Ready) -> Vec<DurableWrite> {
+        let mut writes = Vec::new();
+        if !ready.snapshot().is_empty() {
+            writes.extend(self.install_snapshot(ready.snapshot().clone()));
+        }
+        let entries = ready.take_entries();
+        if let Some(first) = entries.first() {
+            let encoded = entries
+                .iter()
+                .filter_map(|entry| entry.write_to_bytes().ok())
+                .collect();
+            writes.push(DurableWrite::Entries {
+                first_index: first.index,
+                entries: encoded,
+            });
+            self.node.store().append(&entries);
+        }
+        if let Some(hard_state) = ready.hs() {
+            writes.extend(hard_state.write_to_bytes().ok().map(DurableWrite::Vote));
+            self.node.store().set_hard_state(hard_state.clone());
+        }
+        writes
+    }
+
+    /// Extends the lease by the rounds that a majority has answered.
+    fn extend_lease(&mut self, answered: &[ReadState]) {
+        let duration = self.settings.lease_duration();
+        for read_state in answered {
+            if let Ok(round) = read_state.request_ctx.as_slice().try_into() {
+                self.renewal
+                    .confirm_round(u64::from_be_bytes(round), duration);
             }
         }
     }
 
-    fn install(&mut self, snapshot: Snapshot, writes: &mut Vec<Write>) {
-        let Ok(state) = postcard::from_bytes(snapshot.get_data()) else {
-            return;
-        };
-        writes.extend(snapshot.write_to_bytes().ok().map(Write::Snapshot));
-        self.applied = snapshot.get_metadata().index;
-        self.state = state;
-        let _ = self
-            .node
-            .store()
-            .memory
-            .wl()
-            .apply_snapshot(snapshot.clone());
-        self.node.store().snapshot.replace(Some(snapshot));
+    /// Takes in a snapshot, and returns the write that makes it durable.
+    fn install_snapshot(&mut self, snapshot: Snapshot) -> Option<DurableWrite> {
+        self.state = postcard::from_bytes(snapshot.get_data()).ok()?;
+        self.applied_index = snapshot.get_metadata().index;
+        let write = snapshot.write_to_bytes().ok().map(DurableWrite::Snapshot);
+        self.node.store().install_snapshot(snapshot);
+        write
     }
 
-    fn commit(&mut self, entries: Vec<Entry>) {
+    fn apply_committed(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            self.applied = entry.index;
+            self.applied_index = entry.index;
             if entry.get_entry_type() != EntryType::EntryNormal || entry.data.is_empty() {
                 continue;
             }
             let Ok(command) = postcard::from_bytes::<Command>(&entry.data) else {
                 continue;
             };
-            if let Some(owned) = self.state.apply(&command) {
-                self.outputs.push(Output::Owned(owned));
+            if let Some(lease) = self.state.apply(&command) {
+                self.outputs.push(Output::LeaseBegun(lease));
             }
         }
     }
 
-    /// Keeps the log short: a snapshot takes the place of what is old.
+    /// Replaces old entries of a long log by a snapshot.
     fn compact(&mut self) {
-        if self.kept() <= 2 * KEPT {
+        if self.log_length() <= 2 * RETAINED_ENTRIES {
             return;
         }
-        let Ok(data) = postcard::to_allocvec(&self.state) else {
-            return;
-        };
-        let store = self.node.store();
-        let Ok(term) = store.term(self.applied) else {
+        let Some(snapshot) = self.make_snapshot() else {
             return;
         };
+        if let Ok(bytes) = snapshot.write_to_bytes() {
+            let write = DurableWrite::Snapshot(bytes);
+            self.outputs.push(Output::Persist(vec![write]));
+        }
+        self.node.store().compact(snapshot);
+    }
+
+    /// A snapshot of the replicated state; `None` if it cannot be made.
+    fn make_snapshot(&self) -> Option<Snapshot> {
+        let data = postcard::to_allocvec(&self.state).ok()?;
+        let term = self.node.store().term(self.applied_index).ok()?;
         let mut snapshot = Snapshot::default();
         snapshot.set_data(data.into());
         let metadata = snapshot.mut_metadata();
-        (metadata.index, metadata.term) = (self.applied, term);
+        metadata.index = self.applied_index;
+        metadata.term = term;
         metadata.set_conf_state(ConfState {
             voters: self.settings.voters.clone(),
             ..ConfState::default()
         });
-        if let Ok(bytes) = snapshot.write_to_bytes() {
-            self.outputs
-                .push(Output::Persist(vec![Write::Snapshot(bytes)]));
-        }
-        self.node.store().snapshot.replace(Some(snapshot));
-        let _ = self
-            .node
-            .store()
-            .memory
-            .wl()
-            .compact(self.applied.saturating_sub(KEPT));
+        Some(snapshot)
     }
 
     fn send(&mut self, messages: Vec<Message>) {
         for message in messages {
             let to = message.to;
-            let Ok(message) = message.write_to_bytes() else {
-                continue;
-            };
-            let to_store = self.state.stores.get(&to).copied().unwrap_or(0);
-            let envelope = Envelope {
-                from: self.settings.id,
-                store: self.identity,
-                to_store,
-                message,
-            };
-            if let Ok(bytes) = postcard::to_allocvec(&envelope) {
-                self.outputs.push(Output::Send(to, bytes));
-            }
+            let expected_store = self.state.stores.get(&to).copied();
+            let encoded =
+                envelope::encode(&message, self.settings.id, self.identity, expected_store);
+            self.outputs
+                .extend(encoded.map(|bytes| Output::Send(to, bytes)));
         }
     }
 }
+
+/// The configuration of the consensus library.
+fn raft_config(settings: &Settings, applied_index: u64) -> Config {
+    let election_ticks = settings.election_ticks as usize;
+    Config {
+        id: settings.id,
+        election_tick: election_ticks,
+        heartbeat_tick: settings.heartbeat_ticks as usize,
+        applied: applied_index,
+        max_size_per_msg: MAX_MESSAGE_ENTRIES_BYTES,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        // The library draws the timeout from this range; see `Voter::set_election_timeout`.
+        min_election_tick: election_ticks,
+        max_election_tick: 2 * election_ticks,
+        read_only_option: ReadOnlyOption::Safe,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
+    }
+}
--- /dev/null
+++ b/crates/leadership/tests/model/elections.rs
@@ -0,0 +1,167 @@
+//! Elections after crashes, partitions, pauses and restarts, and bounds of the log.
+
+use crate::cluster::{Cluster, MS, S};
+
+#[test]
+fn elects_one_stable_leader_in_clusters_of_one_to_seven() {
+    for (seed, voter_count) in [(1, 1), (2, 3), (3, 5), (4, 7)] {
+        let mut cluster = Cluster::new(seed, voter_count);
+        cluster.run_until_acting(8 * S);
+        let leader = cluster.acting_voter();
+        cluster.run(60 * S);
+        assert_eq!(
+            (cluster.acting_voter(), cluster.leader_by_epoch.len()),
+            (leader, 1),
+            "the leader changed without need"
+        );
+    }
+}
+
+#[test]
+fn elects_new_leader_in_higher_epoch_after_crash_partition_and_pause() {
+    for seed in 0..10 {
+        let mut cluster = Cluster::new(seed, 3);
+        cluster.run_until_acting(8 * S);
+        let first = cluster.acting_voter().expect("one acts");
+        cluster.crash(first, 30 * S);
+        cluster.run(S);
+        cluster.run_until_acting(8 * S);
+        let second = cluster.acting_voter().expect("one acts");
+        assert_ne!(first, second);
+        cluster.run(40 * S);
+        let isolated = cluster.acting_voter().expect("one acts");
+        let others: Vec<usize> = (1..=3).filter(|&id| id != isolated as usize).collect();
+        cluster
+            .network
+            .partition(&[others, vec![isolated as usize]]);
+        cluster.run(S);
+        cluster.run_until_acting(8 * S);
+        assert_ne!(cluster.acting_voter(), Some(isolated));
+        cluster.network.heal();
+        cluster.run(10 * S);
+        // After a long pause a leader finds that its lease is over before it acts.
+        let paused = cluster.acting_voter().expect("one acts");
+        cluster.pause(paused, 20 * S);
+        cluster.run(S);
+        cluster.run_until_acting(8 * S);
+        assert_ne!(cluster.acting_voter(), Some(paused));
+        cluster.run(30 * S);
+        assert!(
+            cluster.leader_by_epoch.len() >= 4,
+            "{:?}",
+            cluster.leader_by_epoch
+        );
+    }
+}
+
+#[test]
+fn restarted_voter_gives_no_vote_while_lease_may_hold() {
+    for offset in 0..300 {
+        let mut cluster = Cluster::new(100 + offset, 3);
+        cluster.run_until_acting(8 * S);
+        cluster.run(5 * S);
+        let leader = cluster.acting_voter().expect("one acts");
+        let (isolated, helper) = match leader {
+            1 => (2, 3),
+            2 => (1, 3),
+            _ => (1, 2),
+        };
+        // One voter hears nothing of the leader and asks for votes, which the other refuses, as it follows the leader.
+        cluster.network.cut(leader as usize, isolated);
+        cluster.network.cut(isolated, leader as usize);
+        cluster.run(4 * S + offset * 7 * MS);
+        assert_eq!(cluster.acting_voter(), Some(leader));
+        // After a quick restart it has forgotten that; the lease of the leader still counts on it.
+        cluster.crash(helper, MS);
+        cluster.run(3 * S);
+        assert_eq!(
+            (cluster.acting_voter(), cluster.leader_by_epoch.len()),
+            (Some(leader), 1),
+            "{offset}"
+        );
+    }
+}
+
+#[test]
+fn nobody_acts_without_majority_and_epoch_rises_after_all_voters_crash() {
+    let mut cluster = Cluster::new(5, 3);
+    cluster.run_until_acting(8 * S);
+    let epoch = cluster.last_actor.expect("one acted").epoch;
+    cluster.network.partition(&[vec![1], vec![2], vec![3]]);
+    cluster.run(3 * S);
+    let before = cluster.acting_checks;
+    cluster.run(3_600 * S);
+    assert_eq!(
+        cluster.acting_checks, before,
+        "a voter acted without a majority"
+    );
+    cluster.network.heal();
+    (1..=3).for_each(|id| cluster.crash(id, S));
+    cluster.run(2 * S);
+    cluster.run_until_acting(10 * S);
+    assert!(cluster.last_actor.expect("one acts").epoch > epoch);
+}
+
+#[test]
+fn voter_with_lost_store_gets_no_vote_under_its_old_id() {
+    let mut cluster = Cluster::new(6, 3);
+    cluster.run_until_acting(8 * S);
+    cluster.run(5 * S);
+    let leader = cluster.acting_voter().expect("one acts");
+    let other = (1..=3).find(|&id| id != leader).expect("another voter");
+    cluster.crash(other, S);
+    let process = cluster.processes.get_mut(&other).expect("a voter");
+    process.durable = Default::default();
+    cluster.run(5 * S);
+    assert!(
+        cluster.foreign_store_reports > 0,
+        "its new store is taken for the old one"
+    );
+    // The other two are still a majority without it; one of them alone is not.
+    cluster.run_until_acting(8 * S);
+    let third = (1..=3)
+        .find(|&id| id != leader && id != other)
+        .expect("a third voter");
+    cluster.crash(third, 60 * S);
+    cluster.run(4 * S);
+    let before = cluster.acting_checks;
+    cluster.run(20 * S);
+    assert_eq!(
+        cluster.acting_checks, before,
+        "a voter that may have forgotten a vote was counted"
+    );
+}
+
+#[test]
+fn log_stays_bounded_and_long_absent_voter_catches_up_by_snapshot() {
+    let mut cluster = Cluster::new(7, 3);
+    cluster.run_until_acting(8 * S);
+    cluster.crash(3, 4_000 * S);
+    // Hundreds of leases fill the log.
+    for round in 0..700 {
+        cluster.run(3 * S);
+        if let Some(actor) = cluster.acting_voter()
+            && round % 2 == 0
+        {
+            cluster.crash(actor, 100 * MS);
+        }
+    }
+    cluster.run(2_000 * S);
+    cluster.run_until_acting(10 * S);
+    cluster.run(10 * S);
+    let latest = cluster.last_actor.expect("one acted").epoch;
+    assert!(latest > 200, "{latest}");
+    for (id, process) in &cluster.processes {
+        let voter = process.voter().expect("it runs");
+        assert!(
+            voter.log_length() <= 600,
+            "{id} keeps {}",
+            voter.log_length()
+        );
+        assert_eq!(
+            voter.state().latest_lease.map(|lease| lease.epoch),
+            Some(latest),
+            "{id}"
+        );
+    }
+}
