--- /dev/null
+++ b/crates/placer/src/membership.rs
@@ -0,0 +1,274 @@
+//! The membership protocol on a socket: one UDP socket on the daemon's loop, with a bounded share of each round.
+
+mod change_log;
+
+use std::io;
+use std::net::UdpSocket;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use maplethread_config::{FleetSettings, PlacerConfig};
+use maplethread_membership::{
+    Facts, KeyRing, LocalMember, MAX_DATAGRAM_BYTES, MemberName, MemberState, MembershipChange,
+    Output, Settings, Timing,
+};
+use maplethread_reactor::{FileWatch, Poller, ResourceError};
+use serde_json::{Value, json};
+
+use crate::error::Error;
+use change_log::ChangeLog;
+
+/// Datagrams read in one round: a flood waits in the socket, and what finds no room there is lost.
+const MAX_DATAGRAMS_PER_ROUND: usize = 64;
+/// The load is announced in so many steps, so that the view settles under load.
+const LOAD_STEPS: f64 = 4.0;
+
+/// When a member started, and what its random numbers begin with.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct StartTime {
+    /// Unix time, ms.
+    pub unix_ms: u64,
+    pub seed: u64,
+    /// Time of the loop, µs.
+    pub now: u64,
+}
+
+/// Under which tokens a member's descriptors are registered.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct PollerTokens {
+    pub socket: u64,
+    /// The watch on the key file.
+    pub keys: u64,
+}
+
+/// This placer as a member, on its socket.
+pub(crate) struct MembershipSocket {
+    member: LocalMember,
+    socket: UdpSocket,
+    key_watch: FileWatch,
+    key_file: PathBuf,
+    fleet_name: String,
+    changes: ChangeLog,
+    /// Datagrams that the socket did not take.
+    unsent_datagrams: u64,
+}
+
+impl MembershipSocket {
+    /// The member that the settings name, if they name one.
+    ///
+    /// # Errors
+    /// When its socket or key file can't be used, or its name is too long.
+    pub fn new(
+        config: &PlacerConfig,
+        start: StartTime,
+        poller: &Poller,
+        tokens: PollerTokens,
+    ) -> Result<Option<MembershipSocket>, Error> {
+        let Some(fleet) = &config.fleet else {
+            return Ok(None);
+        };
+        let socket = bind(fleet)?;
+        poller
+            .register(&socket, tokens.socket, false)
+            .map_err(ResourceError::of("epoll"))?;
+        let keys = load_keys(&fleet.key_file, &fleet.name)?;
+        let key_watch = FileWatch::new(&fleet.key_file).map_err(ResourceError::of(format!(
+            "watching {}",
+            fleet.key_file.display()
+        )))?;
+        poller
+            .register(&key_watch, tokens.keys, false)
+            .map_err(ResourceError::of("inotify"))?;
+        let bound = socket
+            .local_addr()
+            .map_err(ResourceError::of("the fleet's socket"))?;
+        let settings = Settings {
+            name: MemberName::try_from(config.identity.name.clone()).map_err(bad_text)?,
+            advertised_address: fleet.advertise.unwrap_or(bound),
+            generation: start.unix_ms,
+            facts: facts(config, start)?,
+            seeds: fleet.seeds.clone(),
+            keys,
+            timing: timing(fleet),
+        };
+        tracing::info!(listen = %bound, advertise = %settings.advertised_address, seeds = fleet.seeds.len(), "fleet: joining");
+        Ok(Some(MembershipSocket {
+            member: LocalMember::new(settings, start.seed, start.now),
+            socket,
+            key_watch,
+            key_file: fleet.key_file.clone(),
+            fleet_name: fleet.name.clone(),
+            changes: ChangeLog::default(),
+            unsent_datagrams: 0,
+        }))
+    }
+
+    /// When [`MembershipSocket::tick`] is to be called at the latest, µs.
+    pub fn next_timeout(&self) -> Option<u64> {
+        self.member.next_timeout()
+    }
+
+    /// Reads what waits on the socket, up to a round's share.
+    pub fn read_datagrams(&mut self, now: u64) {
+        // One byte more than the longest, so that a longer one is not taken for a whole one.
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
+        for _ in 0..MAX_DATAGRAMS_PER_ROUND {
+            match self.socket.recv_from(&mut bytes) {
+                Ok((length, _)) => self.member.handle_datagram(now, &bytes[..length]),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                // What an earlier datagram met: nobody listened where it went.
+                Err(_) => {}
+            }
+        }
+    }
+
+    /// Does what is due, and sends what is to be sent.
+    pub fn tick(&mut self, now: u64) {
+        self.member.tick(now);
+        for output in self.member.take_outputs() {
+            match output {
+                Output::Send(to, bytes) => {
+                    let sent = self.socket.send_to(&bytes, to);
+                    self.unsent_datagrams += u64::from(sent.is_err());
+                }
+                Output::Changed(change) => {
+                    log_change(&change);
+                    self.changes.push(now, json!(change));
+                }
+                Output::Notice(notice) => {
+                    tracing::warn!(%notice, "fleet: this member itself");
+                    self.changes.push(now, json!(notice));
+                }
+            }
+        }
+    }
+
+    /// The key file may have changed. One that can't be used leaves the keys as they are.
+    pub fn reload_keys(&mut self) {
+        if !self.key_watch.has_changed() {
+            return;
+        }
+        match load_keys(&self.key_file, &self.fleet_name) {
+            Ok(keys) => {
+                tracing::info!(file = %self.key_file.display(), ?keys, "fleet: the keys are read again");
+                self.member.set_keys(keys);
+            }
+            Err(error) => {
+                tracing::error!(%error, "fleet: the key file can't be used; the keys are kept");
+            }
+        }
+    }
+
+    /// What the member says of itself from now on. `load` is a part of what it can take, from 0 to 1.
+    pub fn announce(&mut self, now: u64, replica_index: Option<u32>, load: f64) {
+        let step = (load.clamp(0.0, 1.0) * LOAD_STEPS).floor();
+        let facts = Facts {
+            is_draining: false,
+            replica_index,
+            load_percent: (step * 100.0 / LOAD_STEPS) as u8,
+            ..self.member.facts().clone()
+        };
+        self.member.set_facts(now, facts);
+    }
+
+    /// Tells the others that it leaves.
+    pub fn leave(&mut self, now: u64) {
+        self.member.leave(now);
+        self.tick(now);
+    }
+
+    /// The view; or with the number of a change what has changed since, and what the view comes to.
+    pub fn view_json(&self, now: u64, after: Option<u64>) -> Value {
+        let Some(after) = after else {
+            let mut view = json!(self.member.view(now));
+            view["unsent"] = json!(self.unsent_datagrams);
+            view["next"] = json!(self.changes.next_number());
+            return view;
+        };
+        json!({
+            "digest": format!("{:016x}", self.member.digest()),
+            "live": self.member.live_count(),
+            "now_ms": now / 1000,
+            "lost": self.changes.has_lost_after(after),
+            "changes": self.changes.after(after),
+        })
+    }
+}
+
+fn bind(fleet: &FleetSettings) -> Result<UdpSocket, Error> {
+    let resource = format!("fleet.listen {}", fleet.listen);
+    let socket = UdpSocket::bind(fleet.listen).map_err(ResourceError::of(resource))?;
+    socket
+        .set_nonblocking(true)
+        .map_err(ResourceError::of("the fleet's socket"))?;
+    Ok(socket)
+}
+
+fn load_keys(path: &Path, fleet_name: &str) -> Result<KeyRing, Error> {
+    let file = path.display().to_string();
+    let text = std::fs::read_to_string(path).map_err(ResourceError::of(file.clone()))?;
+    let keys = KeyRing::parse(&text, fleet_name)
+        .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
+        .map_err(ResourceError::of(file))?;
+    Ok(keys)
+}
+
+/// A text of the settings that the protocol does not carry.
+fn bad_text(error: maplethread_membership::TextError) -> Error {
+    ResourceError::of("[fleet]")(io::Error::other(error)).into()
+}
+
+fn facts(config: &PlacerConfig, start: StartTime) -> Result<Facts, Error> {
+    let version = env!("CARGO_PKG_VERSION").to_owned();
+    Ok(Facts {
+        version: version.try_into().map_err(bad_text)?,
+        zone: config.identity.zone.clone().try_into().map_err(bad_text)?,
+        started_ms: start.unix_ms,
+        is_draining: false,
+        replica_index: None,
+        load_percent: 0,
+    })
+}
+
+fn timing(fleet: &FleetSettings) -> Timing {
+    let ms = Duration::from_millis;
+    Timing {
+        probe_interval: ms(fleet.probe_every_ms),
+        probe_timeout: ms(fleet.probe_within_ms),
+        indirect_probes: fleet.helpers,
+        suspicion_multiplier: fleet.suspicion,
+        gossip_interval: ms(fleet.gossip_every_ms),
+        anti_entropy_interval: ms(fleet.sync_every_ms),
+        discovery_interval: ms(fleet.seek_every_ms),
+        forget_after: Duration::from_secs(fleet.forget_after_s),
+        max_members: fleet.max_members,
+    }
+}
+
+fn log_change(change: &MembershipChange) {
+    let (from, to) = (
+        state_name(change.previous_state),
+        state_name(change.new_state),
+    );
+    let (member, address, life) = (&change.name, change.address, change.generation);
+    let by = &change.reported_by;
+    if matches!(
+        change.new_state,
+        Some(MemberState::Down | MemberState::Suspect)
+    ) {
+        tracing::warn!(%member, %address, life, from, to, %by, "fleet: a member has changed");
+    } else {
+        tracing::info!(%member, %address, life, from, to, %by, "fleet: a member has changed");
+    }
+}
+
+/// A member's state as the log gives it.
+fn state_name(state: Option<MemberState>) -> &'static str {
+    match state {
+        Some(MemberState::Alive) => "alive",
+        Some(MemberState::Suspect) => "suspect",
+        Some(MemberState::Left) => "left",
+        Some(MemberState::Down) => "down",
+        None => "unknown",
+    }
+}
