--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -36,7 +36,7 @@
 
 pub fn run(args: &AgentArgs) -> Result<ExitCode, String> {
     match (&args.command, &args.config) {
-        (Some(AgentCommand::State { config }), _) => state(config),
+        (Some(AgentCommand::State { config }), _) => print_state(config),
         (Some(AgentCommand::Check { config }), _) => {
             let (_, programs) = AgentConfig::load(config)?;
             println!("{}: sound; {} programs", config.display(), programs.len());
@@ -50,7 +50,7 @@
     }
 }
 
-fn state(config: &std::path::Path) -> Result<ExitCode, String> {
+fn print_state(config: &std::path::Path) -> Result<ExitCode, String> {
     let (config, _) = AgentConfig::load(config)?;
     let path = config.folder.join("agent.redb");
     if !path.exists() {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -10,9 +10,9 @@
 use serde_json::Value;
 
 /// A placer that is followed is asked this often.
-const FOLLOW: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// One that does not answer for so many asks on end is given up.
-const SILENT: u32 = 50;
+const MAX_FAILED_POLLS: u32 = 50;
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
@@ -51,7 +51,7 @@
     }
 }
 
-fn ask(api: SocketAddr, target: &str) -> Result<Value, String> {
+fn get(api: SocketAddr, target: &str) -> Result<Value, String> {
     let (status, body) = get_json(api, target).map_err(|e| format!("{api}: {e}"))?;
     if status == 200 {
         Ok(body)
@@ -64,7 +64,7 @@
 }
 
 fn members(api: SocketAddr, json: bool) -> Result<ExitCode, String> {
-    let view = ask(api, "/v1/fleet")?;
+    let view = get(api, "/v1/fleet")?;
     if json {
         println!("{view}");
         return Ok(ExitCode::SUCCESS);
@@ -133,7 +133,7 @@
     let mut silent = 0;
     let mut out = std::io::stdout().lock();
     loop {
-        match ask(api, &format!("/v1/fleet?after={after}")) {
+        match get(api, &format!("/v1/fleet?after={after}")) {
             Ok(news) => {
                 silent = 0;
                 if news["lost"] == true && after > 0 {
@@ -152,11 +152,11 @@
             }
             Err(error) => {
                 silent += 1;
-                if after == 0 && silent == 1 || silent >= SILENT {
+                if after == 0 && silent == 1 || silent >= MAX_FAILED_POLLS {
                     return Err(error);
                 }
             }
         }
-        std::thread::sleep(FOLLOW);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -39,7 +39,7 @@
 }
 
 /// Addresses of so many hosts.
-pub fn addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
+pub fn listen_addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
     let port = |n: usize| {
         if config.first_port == 0 {
             0
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,9 +1,9 @@
 //! The maplethread program: a placer, stand-in hosts, and days on loopback that judge placers from their traffic.
 
 mod agent;
-mod drill;
 mod fleet;
 mod hosts;
+mod membership_test;
 mod scale;
 mod scale_report;
 mod trace;
@@ -69,7 +69,7 @@
         config: PathBuf,
     },
     /// Play a bad day on loopback: stand-in hosts and owners, real placers, troubles, and a verdict on the five rules
-    BadDay(BadDayArgs),
+    BadDay(FaultRunArgs),
     /// Run a stand-in for Consul servers: the endpoints that placers need, on loopback, without storage
     ConsulStandIn {
         /// Servers, on ports from this one on; 0 for free ones
@@ -93,7 +93,7 @@
     Fleet(fleet::FleetCommand),
     /// Play faults between real placers: a faulty network, kills, pauses, restarts; a verdict on the fleet's view and the
     /// five rules
-    FleetDrill(drill::DrillArgs),
+    FleetDrill(membership_test::MembershipTestArgs),
     /// Read, cut, sum up and replay the trace files of placers
     #[command(subcommand)]
     Trace(trace::TraceCommand),
@@ -122,7 +122,7 @@
 }
 
 #[derive(Args)]
-struct BadDayArgs {
+struct FaultRunArgs {
     /// A scenario file; the standard bad day without one
     #[arg(long, value_name = "FILE")]
     scenario: Option<PathBuf>,
@@ -236,11 +236,11 @@
             .map_err(|e| e.to_string()),
         Command::CheckConfig { file } => check_config(&file),
         Command::Host { config } => host(&config),
-        Command::BadDay(args) => bad_day(&args),
+        Command::BadDay(args) => fault_run(&args),
         Command::Load(args) => load(&args),
         Command::Agent(args) => agent::run(&args),
         Command::Worker(args) => worker::run(&args),
-        Command::FleetDrill(args) => drill::run(&args),
+        Command::FleetDrill(args) => membership_test::run(&args),
         Command::Fleet(command) => fleet::run(&command),
         Command::Trace(command) => trace::run(&command),
         Command::Scale(command) => scale::command(&command),
@@ -248,7 +248,7 @@
             port,
             servers,
             lag_ms,
-        } => consul_stand_in(port, servers, lag_ms),
+        } => consul_emulator(port, servers, lag_ms),
     };
     result.unwrap_or_else(fail)
 }
@@ -289,7 +289,7 @@
 }
 
 /// The folder of traces, for placers that run elsewhere.
-fn absolute(folder: &Option<PathBuf>) -> Result<Option<PathBuf>, String> {
+fn absolute_folder(folder: &Option<PathBuf>) -> Result<Option<PathBuf>, String> {
     folder
         .as_ref()
         .map(std::path::absolute)
@@ -310,13 +310,13 @@
 fn host(file: &Path) -> Result<ExitCode, String> {
     let config = hosts::load(file)?;
     let scenario = std::sync::Arc::new(read_scenario(&config.scenario)?);
-    let addresses = hosts::addresses(&config, scenario.fleet.hosts);
+    let addresses = hosts::listen_addresses(&config, scenario.fleet.hosts);
     scenario_run::run_hosts(&scenario, &addresses, config.seed, &config.inventory)
         .map_err(|e| format!("hosts: {e}"))?;
     Ok(ExitCode::SUCCESS)
 }
 
-fn bad_day(args: &BadDayArgs) -> Result<ExitCode, String> {
+fn fault_run(args: &FaultRunArgs) -> Result<ExitCode, String> {
     let mut scenario = match &args.scenario {
         None if args.drawn => Scenario::random(args.seed),
         None if args.consul => Scenario::standard_with_catalogue(),
@@ -366,7 +366,7 @@
         }),
         show_progress: !args.json,
         kept_folder: args.keep.clone(),
-        trace_folder: absolute(&args.trace)?,
+        trace_folder: absolute_folder(&args.trace)?,
         arrivals: recorded.as_ref().map(|r| r.arrivals.clone()),
         membership: None,
         interrupted: interrupted()?,
@@ -380,20 +380,23 @@
         println!("{json}");
     } else {
         if let Some(recorded) = &recorded {
-            print!("{}", beside(&recorded.summary, &report.json()));
+            print!(
+                "{}",
+                compare_with_recording(&recorded.summary, &report.json())
+            );
         }
         print!("{}", report.text());
     }
-    Ok(day_status(&report))
+    Ok(exit_code(&report))
 }
 
 /// The exit status of a day with a rogue that had no occasion to break its rule.
-const NO_OCCASION: u8 = 3;
+const EXIT_NO_OCCASION: u8 = 3;
 /// The exit status of a day with a rogue that broke its rule, which the judge missed.
-const MISSED: u8 = 4;
+const EXIT_MISSED: u8 = 4;
 
 /// A day with a rogue never succeeds: the judge caught it, or the day does not show that it can.
-fn day_status(report: &Report) -> ExitCode {
+fn exit_code(report: &Report) -> ExitCode {
     let Some(rogue) = report.mutant else {
         return if report.is_good() {
             ExitCode::SUCCESS
@@ -403,12 +406,12 @@
     };
     match rogue.outcome() {
         MutantOutcome::Detected => ExitCode::FAILURE,
-        MutantOutcome::NoOpportunity => not_caught(&rogue.text(), NO_OCCASION),
-        MutantOutcome::Missed => not_caught(&rogue.text(), MISSED),
+        MutantOutcome::NoOpportunity => exit_not_caught(&rogue.text(), EXIT_NO_OCCASION),
+        MutantOutcome::Missed => exit_not_caught(&rogue.text(), EXIT_MISSED),
     }
 }
 
-fn not_caught(why: &str, status: u8) -> ExitCode {
+fn exit_not_caught(why: &str, status: u8) -> ExitCode {
     eprintln!("maplethread: {why}");
     ExitCode::from(status)
 }
@@ -428,7 +431,7 @@
 fn read_traces(
     files: &[PathBuf],
     base: &Scenario,
-    args: &BadDayArgs,
+    args: &FaultRunArgs,
 ) -> Result<RecordedScenario, String> {
     if !(args.speed.is_finite() && (0.01..=1000.0).contains(&args.speed)) {
         return Err("--speed: 0.01 to 1000".to_owned());
@@ -442,7 +445,7 @@
 }
 
 /// Answers of the recorded day and of the one that was played.
-fn beside(recorded: &serde_json::Value, played: &serde_json::Value) -> String {
+fn compare_with_recording(recorded: &serde_json::Value, played: &serde_json::Value) -> String {
     let of_classes = |outcome: &str| -> u64 {
         let classes = recorded["classes"].as_object().into_iter().flatten();
         classes
@@ -473,7 +476,7 @@
         return Err("--rate, --seconds and --hosts: above 0".to_owned());
     }
     let program = std::env::current_exe().map_err(|e| format!("own program: {e}"))?;
-    let trace = absolute(&args.trace)?;
+    let trace = absolute_folder(&args.trace)?;
     let measure = |rate: f64| {
         let options = maplethread_emulator::load_test::LoadOptions {
             program: program.clone(),
@@ -519,7 +522,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn consul_stand_in(port: u16, servers: u16, lag_ms: u64) -> Result<ExitCode, String> {
+fn consul_emulator(port: u16, servers: u16, lag_ms: u64) -> Result<ExitCode, String> {
     let at = |n: u16| {
         let port = if port == 0 { 0 } else { port.saturating_add(n) };
         std::net::SocketAddr::from(([127, 0, 0, 1], port))
--- a/crates/cli/src/drill.rs
+++ b/crates/cli/src/membership_test.rs
@@ -9,7 +9,7 @@
 use maplethread_fault_injection::schedule::Schedule;
 
 #[derive(Args)]
-pub struct DrillArgs {
+pub struct MembershipTestArgs {
     /// A schedule of faults; drawn from the seed without one
     #[arg(long, value_name = "FILE")]
     schedule: Option<PathBuf>,
@@ -49,7 +49,7 @@
     keep: Option<PathBuf>,
 }
 
-pub fn run(args: &DrillArgs) -> Result<ExitCode, String> {
+pub fn run(args: &MembershipTestArgs) -> Result<ExitCode, String> {
     if !(1..=64).contains(&args.placers) || !(5.0..=3600.0).contains(&args.seconds) {
         return Err("--placers: 1 to 64; --seconds: 5 to 3600".to_owned());
     }
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -26,8 +26,8 @@
 pub fn run(args: &ReportArgs) -> Result<ExitCode, String> {
     let report = Report::new(read_results(&args.results)?, &plot_folder(args));
     let plots = report.plots().map_err(|e| e.to_string())?;
-    let before = fs::read_to_string(&args.page).map_err(|e| at(&args.page, e))?;
-    let page = regenerate(&before, &report).map_err(|e| at(&args.page, e))?;
+    let before = fs::read_to_string(&args.page).map_err(|e| in_file(&args.page, e))?;
+    let page = regenerate(&before, &report).map_err(|e| in_file(&args.page, e))?;
     if args.check {
         check(args, &before, &page, &plots)
     } else {
@@ -35,7 +35,7 @@
     }
 }
 
-fn at(file: &Path, problem: impl std::fmt::Display) -> String {
+fn in_file(file: &Path, problem: impl std::fmt::Display) -> String {
     format!("{}: {problem}", file.display())
 }
 
@@ -53,11 +53,11 @@
     let entries = match fs::read_dir(folder) {
         Ok(entries) => entries,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
-        Err(error) => return Err(at(folder, error)),
+        Err(error) => return Err(in_file(folder, error)),
     };
     let mut files = Vec::new();
     for entry in entries {
-        let file = entry.map_err(|e| at(folder, e))?.path();
+        let file = entry.map_err(|e| in_file(folder, e))?.path();
         if file
             .extension()
             .is_some_and(|extension| extension == "json")
@@ -70,16 +70,16 @@
 }
 
 fn read_result(file: &Path) -> Result<SweepResult, String> {
-    let text = fs::read_to_string(file).map_err(|e| at(file, e))?;
+    let text = fs::read_to_string(file).map_err(|e| in_file(file, e))?;
     parse_result(&file.display().to_string(), &text).map_err(|e| e.to_string())
 }
 
 fn write(args: &ReportArgs, page: &Regenerated, plots: &[Plot]) -> Result<ExitCode, String> {
     for plot in plots {
         let file = args.results.join(&plot.file_name);
-        fs::write(&file, &plot.svg).map_err(|e| at(&file, e))?;
+        fs::write(&file, &plot.svg).map_err(|e| in_file(&file, e))?;
     }
-    fs::write(&args.page, &page.text).map_err(|e| at(&args.page, e))?;
+    fs::write(&args.page, &page.text).map_err(|e| in_file(&args.page, e))?;
     println!(
         "{}: {} parts changed, {} plots",
         args.page.display(),
@@ -98,15 +98,15 @@
     let mut differing: Vec<String> = page
         .changed
         .iter()
-        .map(|part| at(&args.page, format!("{part} differs")))
+        .map(|part| in_file(&args.page, format!("{part} differs")))
         .collect();
     if differing.is_empty() && before != page.text {
-        differing.push(at(&args.page, "a marker is written in another way"));
+        differing.push(in_file(&args.page, "a marker is written in another way"));
     }
     for plot in plots {
         let file = args.results.join(&plot.file_name);
         if let Some(problem) = plot_problem(&file, plot)? {
-            differing.push(at(&file, problem));
+            differing.push(in_file(&file, problem));
         }
     }
     if differing.is_empty() {
@@ -123,6 +123,6 @@
     match fs::read_to_string(file) {
         Ok(svg) => Ok((svg != plot.svg).then_some("differs")),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(Some("is not there")),
-        Err(error) => Err(at(file, error)),
+        Err(error) => Err(in_file(file, error)),
     }
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,6 +1,6 @@
 //! The tools for trace files. All go through a file block by block, in memory that does not grow with it.
 
-mod hide;
+mod anonymise;
 mod replay;
 mod timeline;
 
@@ -10,14 +10,14 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use maplethread_trace::cut::{Chosen, Filter};
+use maplethread_trace::cut::{Filter, SelectedTasks};
 use maplethread_trace::losses::LossCollector;
 use maplethread_trace::merge::MergePlan;
 use maplethread_trace::summary::Summary;
 use maplethread_trace::{Part, Reader, Record, TimedRecord, TraceError, Writer, module_hash};
 use serde_json::json;
 
-pub type Trace = Reader<BufReader<File>>;
+pub type TraceFile = Reader<BufReader<File>>;
 
 #[derive(Subcommand)]
 pub enum TraceCommand {
@@ -88,7 +88,7 @@
         files: Vec<PathBuf>,
     },
     /// Copy with all names, ids, keys and free text replaced by keyed hashes, and look for any of them in the copy
-    Anonymise(hide::AnonymiseArgs),
+    Anonymise(anonymise::AnonymiseArgs),
     /// Compare two traces record by record; exit code 1 at a difference
     Diff {
         /// One
@@ -139,19 +139,19 @@
             settings,
         } => replay::replay(files, *build_differs, settings.as_deref()),
         TraceCommand::Merge { out, files } => merge(out, files),
-        TraceCommand::Anonymise(args) => hide::anonymise(args),
+        TraceCommand::Anonymise(args) => anonymise::anonymise(args),
         TraceCommand::Diff { a, b } => diff(a, b),
     }
 }
 
-fn named(file: &Path) -> impl Fn(TraceError) -> String {
+fn in_file(file: &Path) -> impl Fn(TraceError) -> String {
     move |e| format!("{}: {e}", file.display())
 }
 
-pub fn open(file: &Path) -> Result<Trace, String> {
+pub fn open(file: &Path) -> Result<TraceFile, String> {
     let opened = File::open(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let trace = Reader::open(BufReader::new(opened)).map_err(named(file))?;
-    if trace.newer() {
+    let trace = Reader::open(BufReader::new(opened)).map_err(in_file(file))?;
+    if trace.is_newer_minor_version() {
         eprintln!(
             "{}: a newer program wrote it; records of kinds unknown here are passed over",
             file.display()
@@ -161,15 +161,15 @@
 }
 
 /// Goes through all parts of a file, telling how far it is where a person looks on.
-fn each(
+fn for_each_part(
     file: &Path,
-    trace: &mut Trace,
+    trace: &mut TraceFile,
     mut part: impl FnMut(Part) -> Result<(), String>,
 ) -> Result<(), String> {
     let (length, _) = trace.progress();
     let shown = length > 64 << 20 && io::stderr().is_terminal();
     let (mut told, from) = (0, trace.progress().1);
-    while let Some(next) = trace.next_part().map_err(named(file))? {
+    while let Some(next) = trace.next_part().map_err(in_file(file))? {
         part(next)?;
         let percent = (trace.progress().1 - from) * 100 / length.max(1);
         if shown && percent > told {
@@ -183,13 +183,13 @@
     Ok(())
 }
 
-fn create(out: &Path) -> Result<File, String> {
+fn create_new(out: &Path) -> Result<File, String> {
     File::create_new(out).map_err(|e| format!("{}: {e}", out.display()))
 }
 
 fn info(file: &Path) -> Result<ExitCode, String> {
     let mut trace = open(file)?;
-    let index = trace.read_index().map_err(named(file))?;
+    let index = trace.read_index().map_err(in_file(file))?;
     let header = trace.header.clone();
     let (length, _) = trace.progress();
     let (mut blocks, mut records, mut first, mut last) = (0, 0u64, u64::MAX, 0);
@@ -199,7 +199,7 @@
             (first, last) = (first.min(entry.first_us), last.max(entry.last_us));
         }
     } else {
-        each(file, &mut trace, |part| {
+        for_each_part(file, &mut trace, |part| {
             if let Part::Block { info, .. } = part {
                 (blocks, records) = (blocks + 1, records + u64::from(info.record_count));
                 (first, last) = (first.min(info.first_us), last.max(info.last_us));
@@ -222,7 +222,7 @@
     let mut out = BufWriter::new(io::stdout().lock());
     for file in files {
         let mut trace = open(file)?;
-        each(file, &mut trace, |part| {
+        for_each_part(file, &mut trace, |part| {
             let result = match part {
                 Part::Block { records, .. } => records.iter().try_for_each(|r| {
                     serde_json::to_writer(&mut out, r)?;
@@ -255,13 +255,13 @@
 }
 
 /// The numbers of a service and a host by their names, looked for in the names that blocks say.
-fn numbers(
+fn find_ids(
     file: &Path,
-    trace: &mut Trace,
+    trace: &mut TraceFile,
     args: &CutArgs,
 ) -> Result<(Option<u64>, Option<u32>, u64), String> {
     let (mut service, mut machine, mut first) = (None, None, None);
-    while let Some(part) = trace.next_part().map_err(named(file))? {
+    while let Some(part) = trace.next_part().map_err(in_file(file))? {
         let Part::Block { info, records, .. } = part else {
             continue;
         };
@@ -297,7 +297,7 @@
 fn cut(args: &CutArgs) -> Result<ExitCode, String> {
     let file = args.file.as_path();
     let mut trace = open(file)?;
-    let (service, machine, first) = numbers(file, &mut trace, args)?;
+    let (service, machine, first) = find_ids(file, &mut trace, args)?;
     let time = |s: Option<f64>| s.map(|s| first + (s.max(0.0) * 1e6) as u64);
     let wanted = Filter {
         from: time(args.from_s),
@@ -308,10 +308,10 @@
         outcome: args.outcome.clone(),
     };
     // With an index only blocks that may hold something of it are read; a service's number says which.
-    let index = trace.read_index().map_err(named(file))?;
+    let index = trace.read_index().map_err(in_file(file))?;
     let blocks: Option<Vec<u64>> = index.map(|all| {
         all.iter()
-            .filter(|e| wanted.may_be_in(e))
+            .filter(|e| wanted.may_match_block(e))
             .map(|e| e.offset)
             .collect()
     });
@@ -320,7 +320,7 @@
             Some(blocks) => {
                 for &at in blocks {
                     if let Part::Block { records, .. } =
-                        trace.read_block(at).map_err(named(file))?
+                        trace.read_block(at).map_err(in_file(file))?
                     {
                         records.iter().try_for_each(&mut *visit)?;
                     }
@@ -329,15 +329,15 @@
             }
             None => {
                 trace.rewind();
-                each(file, &mut trace, |part| match part {
+                for_each_part(file, &mut trace, |part| match part {
                     Part::Block { records, .. } => records.iter().try_for_each(&mut *visit),
                     Part::Damaged { .. } => Ok(()),
                 })
             }
         }
     };
-    let mut chosen = Chosen::default();
-    if wanted.chooses() {
+    let mut chosen = SelectedTasks::default();
+    if wanted.selects_tasks() {
         go(&mut |r| {
             chosen.scan(&wanted, r);
             Ok(())
@@ -347,17 +347,17 @@
     header.changed.push("cut".to_owned());
     // What is left of the turns is not what the module was given.
     header.settings = None;
-    let out = BufWriter::new(create(&args.out)?);
-    let mut writer = Writer::new(out, &header).map_err(named(&args.out))?;
+    let out = BufWriter::new(create_new(&args.out)?);
+    let mut writer = Writer::new(out, &header).map_err(in_file(&args.out))?;
     go(&mut |r| match chosen.filter_record(&wanted, r) {
         Some(kept) if matches!(kept.record, Record::Host { .. } | Record::Service { .. }) => {
             writer.register_name(&kept);
             Ok(())
         }
-        Some(kept) => writer.push(&kept).map_err(named(&args.out)),
+        Some(kept) => writer.push(&kept).map_err(in_file(&args.out)),
         None => Ok(()),
     })?;
-    let totals = writer.finish().map_err(named(&args.out))?;
+    let totals = writer.finish().map_err(in_file(&args.out))?;
     let (length, read) = trace.progress();
     println!(
         "{} records kept; {read} of {length} octets read",
@@ -374,10 +374,10 @@
     let plan = MergePlan::new(&mut inputs).map_err(|e| e.to_string())?;
     drop(inputs);
     let mut writer =
-        Writer::new(BufWriter::new(create(out)?), plan.header()).map_err(named(out))?;
+        Writer::new(BufWriter::new(create_new(out)?), plan.header()).map_err(in_file(out))?;
     let again = |n: usize| Reader::open(BufReader::new(File::open(&files[n])?));
     plan.write(again, &mut writer).map_err(|e| e.to_string())?;
-    let totals = writer.finish().map_err(named(out))?;
+    let totals = writer.finish().map_err(in_file(out))?;
     println!(
         "{} records of {} runs",
         totals.records,
@@ -401,7 +401,7 @@
     for file in files {
         let mut trace = open(file)?;
         let summary = summary.get_or_insert_with(|| Summary::new(&trace.header));
-        each(file, &mut trace, |part| {
+        for_each_part(file, &mut trace, |part| {
             match part {
                 Part::Block {
                     records,
@@ -413,7 +413,7 @@
                 }
                 Part::Damaged {
                     byte_count: octets, ..
-                } => summary.damaged(octets),
+                } => summary.add_damaged_bytes(octets),
             }
             Ok(())
         })?;
@@ -445,7 +445,7 @@
                 file.display()
             ));
         }
-        each(file, &mut trace, |part| {
+        for_each_part(file, &mut trace, |part| {
             if let Part::Block { records, .. } = part {
                 records.iter().for_each(|r| losses.feed(r));
             }
@@ -466,9 +466,9 @@
 
 fn verify(file: &Path) -> Result<ExitCode, String> {
     let mut trace = open(file)?;
-    let finished = trace.read_index().map_err(named(file))?.is_some();
+    let finished = trace.read_index().map_err(in_file(file))?.is_some();
     let (mut blocks, mut records, mut damaged, mut unknown, mut gaps) = (0, 0, 0, 0, 0);
-    each(file, &mut trace, |part| {
+    for_each_part(file, &mut trace, |part| {
         match part {
             Part::Block {
                 records: all,
@@ -509,14 +509,15 @@
     let mut trace = open(file)?;
     let mut header = trace.header.clone();
     header.changed.push("repair".to_owned());
-    let mut writer = Writer::new(BufWriter::new(create(out)?), &header).map_err(named(out))?;
+    let mut writer =
+        Writer::new(BufWriter::new(create_new(out)?), &header).map_err(in_file(out))?;
     let (mut lost, mut last) = (0, 0);
-    each(file, &mut trace, |part| {
+    for_each_part(file, &mut trace, |part| {
         match part {
             Part::Block { records, .. } => {
                 for record in records {
                     last = record.at;
-                    writer.push(&record).map_err(named(out))?;
+                    writer.push(&record).map_err(in_file(out))?;
                 }
             }
             Part::Damaged {
@@ -533,12 +534,12 @@
                 };
                 writer
                     .push(&TimedRecord { at: last, record })
-                    .map_err(named(out))?;
+                    .map_err(in_file(out))?;
             }
         }
         Ok(())
     })?;
-    let totals = writer.finish().map_err(named(out))?;
+    let totals = writer.finish().map_err(in_file(out))?;
     println!(
         "{} records copied; {lost} octets were no sound blocks",
         totals.records
@@ -549,7 +550,7 @@
 /// The records of a file one by one.
 struct Records {
     file: PathBuf,
-    trace: Trace,
+    trace: TraceFile,
     block: std::vec::IntoIter<TimedRecord>,
 }
 
@@ -562,7 +563,7 @@
             if let Some(record) = self.block.find(|r| !named(r)) {
                 return Ok(Some(record));
             }
-            match self.trace.next_part().map_err(self::named(&self.file))? {
+            match self.trace.next_part().map_err(self::in_file(&self.file))? {
                 Some(Part::Block { records, .. }) => self.block = records.into_iter(),
                 Some(Part::Damaged { .. }) => {}
                 None => return Ok(None),
--- a/crates/cli/src/trace/hide.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -9,10 +9,10 @@
 use maplethread_trace::anonymise::{Anonymiser, Identifiers};
 use maplethread_trace::{Part, Record, TimedRecord, Writer};
 
-use super::{create, each, named, open};
+use super::{create_new, for_each_part, in_file, open};
 
 /// Identifiers of which the copy is searched in one pass; with more, it is searched again.
-const AT_ONCE: usize = 1 << 18;
+const MAX_IDENTIFIERS_PER_PASS: usize = 1 << 18;
 
 #[derive(Args)]
 pub struct AnonymiseArgs {
@@ -42,19 +42,19 @@
     if let Some(file) = &args.keep_key {
         let hex: String = key.iter().map(|b| format!("{b:02x}")).collect();
         use std::io::Write;
-        writeln!(create(file)?, "{hex}").map_err(|e| format!("{}: {e}", file.display()))?;
+        writeln!(create_new(file)?, "{hex}").map_err(|e| format!("{}: {e}", file.display()))?;
     }
     let shift = (args.shift_s * 1e6) as i64 as u64;
     let hide = Anonymiser::new(key, shift, args.round);
     let mut trace = open(&args.file)?;
-    let out = BufWriter::new(create(&args.out)?);
+    let out = BufWriter::new(create_new(&args.out)?);
     let mut writer =
-        Writer::new(out, &hide.anonymise_header(&trace.header)).map_err(named(&args.out))?;
-    each(&args.file, &mut trace, |part| match part {
+        Writer::new(out, &hide.anonymise_header(&trace.header)).map_err(in_file(&args.out))?;
+    for_each_part(&args.file, &mut trace, |part| match part {
         Part::Block { records, .. } => records.iter().try_for_each(|r| {
             writer
                 .push(&hide.anonymise_record(r))
-                .map_err(named(&args.out))
+                .map_err(in_file(&args.out))
         }),
         Part::Damaged {
             byte_count: octets, ..
@@ -67,12 +67,12 @@
             eprintln!("{octets} damaged octets left out");
             writer
                 .push(&TimedRecord { at: 0, record })
-                .map_err(named(&args.out))
+                .map_err(in_file(&args.out))
         }
     })?;
-    let totals = writer.finish().map_err(named(&args.out))?;
+    let totals = writer.finish().map_err(in_file(&args.out))?;
     drop(writer);
-    let (looked, found) = search(&args.file, &args.out)?;
+    let (looked, found) = find_leaks(&args.file, &args.out)?;
     println!(
         "{} records copied; looked for {looked} identifiers of the original: {} found",
         totals.records,
@@ -90,28 +90,28 @@
 
 /// Looks in the copy for what the original names: as values of their own, and anywhere in the unpacked octets. Returns
 /// how many identifiers were looked for, and those found.
-fn search(original: &Path, copy: &Path) -> Result<(usize, Vec<String>), String> {
+fn find_leaks(original: &Path, copy: &Path) -> Result<(usize, Vec<String>), String> {
     let (mut looked, mut found) = (0, Vec::new());
     let mut identifiers = Identifiers::default();
-    identifiers.of_header(&open(original)?.header);
+    identifiers.add_header(&open(original)?.header);
     let mut trace = open(original)?;
-    each(original, &mut trace, |part| {
+    for_each_part(original, &mut trace, |part| {
         if let Part::Block { records, .. } = part {
-            records.iter().for_each(|r| identifiers.of_record(r));
-            if identifiers.len() >= AT_ONCE {
+            records.iter().for_each(|r| identifiers.add_record(r));
+            if identifiers.len() >= MAX_IDENTIFIERS_PER_PASS {
                 let all = std::mem::take(&mut identifiers);
                 looked += all.len();
-                found.extend(pass(&all, copy)?);
+                found.extend(find_in_copy(&all, copy)?);
             }
         }
         Ok(())
     })?;
     looked += identifiers.len();
-    found.extend(pass(&identifiers, copy)?);
+    found.extend(find_in_copy(&identifiers, copy)?);
     Ok((looked, found))
 }
 
-fn pass(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, String> {
+fn find_in_copy(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, String> {
     let long: Vec<&str> = identifiers.searchable_texts().collect();
     let any = AhoCorasick::new(&long).map_err(|e| e.to_string())?;
     let mut trace = open(copy)?;
@@ -124,20 +124,20 @@
         .map(|m| long[m.pattern().as_usize()].to_owned())
         .collect();
     let mut blocks = Vec::new();
-    each(copy, &mut trace, |part| {
+    for_each_part(copy, &mut trace, |part| {
         if let Part::Block {
             offset: at,
             records,
             ..
         } = part
         {
-            found.extend(records.iter().filter_map(|r| identifiers.found_in(r)));
+            found.extend(records.iter().filter_map(|r| identifiers.find_in(r)));
             blocks.push(at);
         }
         Ok(())
     })?;
     for at in blocks {
-        let octets = trace.read_block_bytes(at).map_err(named(copy))?;
+        let octets = trace.read_block_bytes(at).map_err(in_file(copy))?;
         found.extend(
             any.find_iter(&octets)
                 .map(|m| long[m.pattern().as_usize()].to_owned()),
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -7,7 +7,7 @@
 use maplethread_trace::replay::Replay;
 use maplethread_trace::{Part, Record, module_hash};
 
-use super::{each, open};
+use super::{for_each_part, open};
 
 pub fn replay(
     files: &[PathBuf],
@@ -58,7 +58,7 @@
                 run.2
             ));
         }
-        each(file, &mut trace, |part| {
+        for_each_part(file, &mut trace, |part| {
             match part {
                 Part::Block { info, records, .. } => {
                     (from, until) = (from.min(info.first_us), until.max(info.last_us));
@@ -69,7 +69,7 @@
                         replay.feed(record);
                     }
                 }
-                Part::Damaged { .. } => replay.damaged(),
+                Part::Damaged { .. } => replay.mark_gap(),
             }
             Ok(())
         })?;
@@ -81,7 +81,7 @@
     );
     println!(
         "{} turns, {} actions compared, {} turns differ, {} turns after a gap not compared; {span:.1} s in {took:.2} s",
-        found.turns, found.compared_actions, found.differing, found.after_gap
+        found.turns, found.compared_actions, found.differing_turns, found.turns_after_gap
     );
     if build_differs || settings.is_some() {
         println!("on the recorded events: recorded, replayed");
@@ -90,7 +90,7 @@
         }
         println!(
             "{:.1}% of the offers would go to other hosts; the largest changes:",
-            100.0 * found.elsewhere()
+            100.0 * found.moved_offer_share()
         );
         let mut hosts: Vec<(u32, [u64; 2])> = found
             .offers_by_host
@@ -111,7 +111,7 @@
         println!("  recorded: {:?}", first.recorded);
         println!("  replayed: {:?}", first.replayed);
     }
-    Ok(if found.differing == 0 {
+    Ok(if found.differing_turns == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -8,17 +8,17 @@
 
 const SIZE: (u32, u32) = (1200, 640);
 /// Points of a line; longer traces are drawn in steps of several seconds, each with its mean.
-const MOST_POINTS: usize = 1200;
+const MAX_POINTS: usize = 1200;
 
 /// Colours that stay apart for people who see few of them (Okabe and Ito).
-const ASKED: RGBColor = RGBColor(120, 120, 120);
-const PLACED: RGBColor = RGBColor(0, 158, 115);
-const REFUSED: RGBColor = RGBColor(230, 159, 0);
-const FAILED: RGBColor = RGBColor(213, 94, 0);
-const OFFERS: RGBColor = RGBColor(0, 114, 178);
-const DRAINS: RGBColor = RGBColor(204, 121, 167);
+const REQUESTS_COLOR: RGBColor = RGBColor(120, 120, 120);
+const PLACED_COLOR: RGBColor = RGBColor(0, 158, 115);
+const REJECTED_COLOR: RGBColor = RGBColor(230, 159, 0);
+const FAILED_COLOR: RGBColor = RGBColor(213, 94, 0);
+const OFFERS_COLOR: RGBColor = RGBColor(0, 114, 178);
+const DRAINS_COLOR: RGBColor = RGBColor(204, 121, 167);
 
-type Line = (&'static str, RGBColor, fn(&SecondCounts) -> u32);
+type Series = (&'static str, RGBColor, fn(&SecondCounts) -> u32);
 
 pub fn draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), String> {
     try_draw(file, seconds).map_err(|e| format!("{}: {e}", file.display()))
@@ -28,33 +28,33 @@
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let (above, below) = area.split_vertically(SIZE.1 as i32 * 3 / 5);
-    let answers: [Line; 4] = [
-        ("asked", ASKED, |s| s.requests),
-        ("placed", PLACED, |s| s.placed),
-        ("refused", REFUSED, |s| s.rejected),
-        ("failed", FAILED, |s| s.failed),
+    let answers: [Series; 4] = [
+        ("asked", REQUESTS_COLOR, |s| s.requests),
+        ("placed", PLACED_COLOR, |s| s.placed),
+        ("refused", REJECTED_COLOR, |s| s.rejected),
+        ("failed", FAILED_COLOR, |s| s.failed),
     ];
-    panel(&above, "asks and answers a second", seconds, &answers)?;
-    panel(
+    draw_panel(&above, "asks and answers a second", seconds, &answers)?;
+    draw_panel(
         &below,
         "offers a second, and hosts that began to drain",
         seconds,
         &[
-            ("offers", OFFERS, |s| s.offers),
-            ("drains", DRAINS, |s| s.drains),
+            ("offers", OFFERS_COLOR, |s| s.offers),
+            ("drains", DRAINS_COLOR, |s| s.drains),
         ],
     )?;
     area.present()?;
     Ok(())
 }
 
-fn panel(
+fn draw_panel(
     area: &DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     title: &str,
     seconds: &[SecondCounts],
-    lines: &[Line],
+    lines: &[Series],
 ) -> Result<(), Box<dyn Error>> {
-    let step = seconds.len().div_ceil(MOST_POINTS).max(1);
+    let step = seconds.len().div_ceil(MAX_POINTS).max(1);
     let points = |of: fn(&SecondCounts) -> u32| -> Vec<(f64, f64)> {
         let mean = |(n, chunk): (usize, &[SecondCounts])| {
             let sum: u32 = chunk.iter().map(of).sum();
@@ -87,7 +87,7 @@
     chart
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
-        .border_style(ASKED)
+        .border_style(REQUESTS_COLOR)
         .draw()?;
     Ok(())
 }
@@ -97,7 +97,7 @@
     use super::*;
 
     #[test]
-    fn a_long_day_and_an_empty_one_are_drawn() {
+    fn draws_long_and_empty_timelines() {
         let folder =
             std::env::temp_dir().join(format!("maplethread-timeline-{}", std::process::id()));
         let file = folder.with_extension("svg");
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -36,7 +36,7 @@
 }
 
 /// One line, in one write, so that lines of several workers do not mix.
-fn note(args: &WorkerArgs, event: &str) -> Result<(), String> {
+fn append_to_log(args: &WorkerArgs, event: &str) -> Result<(), String> {
     let Some(file) = &args.life_log else {
         return Ok(());
     };
@@ -61,7 +61,7 @@
         signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored)
             .map_err(|e| e.to_string())?;
     }
-    note(args, "start")?;
+    append_to_log(args, "start")?;
     // Touched, so that it is resident.
     let mut held = vec![0u8; args.memory_mib << 20];
     held.iter_mut().step_by(4096).for_each(|octet| *octet = 1);
@@ -94,6 +94,6 @@
         let _ = thread.join();
     }
     std::hint::black_box(&held);
-    note(args, "end")?;
+    append_to_log(args, "end")?;
     Ok(ExitCode::from(args.exit_code))
 }
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -6,10 +6,12 @@
 use serde_json::Value;
 
 /// Days run one at a time: on two slow cores two of them would be late together.
-static ONE: Mutex<()> = Mutex::new(());
+static ONE_RUN_AT_A_TIME: Mutex<()> = Mutex::new(());
 
-fn bad_day(args: &[&str]) -> (Option<i32>, Value) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn fault_run(args: &[&str]) -> (Option<i32>, Value) {
+    let _one = ONE_RUN_AT_A_TIME
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner);
     let out = Command::new(env!("CARGO_BIN_EXE_maplethread"))
         .args(["--log", "error", "bad-day", "--json"])
         .args(args)
@@ -26,7 +28,7 @@
 }
 
 #[test]
-fn a_short_bad_day_breaks_no_rule_and_its_traces_replay() {
+fn short_run_breaks_no_rule_and_its_traces_replay() {
     let traces = tempfile::tempdir().expect("a folder");
     let folder = traces.path().to_str().expect("a name");
     let day = [
@@ -41,7 +43,7 @@
         "--trace",
         folder,
     ];
-    let (code, report) = bad_day(&day);
+    let (code, report) = fault_run(&day);
     assert_eq!(report["broken"], serde_json::json!({}), "{report:#}");
     assert_eq!(report["unanswered"], 0, "{report:#}");
     assert_eq!(code, Some(0));
@@ -109,14 +111,21 @@
     );
 }
 
-const ROGUE_DAY: &str = concat!(
+const MUTANT_SCENARIO: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
     "/../standin/scenarios/rogue.toml"
 );
 
-fn rogue(rule: u8) {
+fn checker_catches_mutant(rule: u8) {
     let number = rule.to_string();
-    let (code, report) = bad_day(&["--scenario", ROGUE_DAY, "--seed", "2", "--rogue", &number]);
+    let (code, report) = fault_run(&[
+        "--scenario",
+        MUTANT_SCENARIO,
+        "--seed",
+        "2",
+        "--rogue",
+        &number,
+    ]);
     assert_eq!(code, Some(1), "{report:#}");
     let broken = report["broken"].as_object().expect("an object");
     assert!(
@@ -133,44 +142,44 @@
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_leaves_asks_unanswered() {
-    rogue(1);
+fn checker_catches_placer_that_leaves_requests_unanswered() {
+    checker_catches_mutant(1);
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_keeps_quiet_around_pauses() {
+fn checker_catches_placer_that_leaves_requests_unanswered_after_a_pause() {
     // Rogue 6 answers all that it is asked, but for what was open when it stood still for half a second.
-    let (code, report) = bad_day(&["--scenario", ROGUE_DAY, "--seed", "2", "--rogue", "6"]);
+    let (code, report) = fault_run(&["--scenario", MUTANT_SCENARIO, "--seed", "2", "--rogue", "6"]);
     assert_eq!(code, Some(1), "{report:#}");
     assert!(report["unanswered"].as_u64() > Some(0), "{report:#}");
     assert!(report["broken"]["1"].as_u64() > Some(0), "{report:#}");
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_repeats_what_may_have_run() {
-    rogue(2);
+fn checker_catches_placer_that_retries_possibly_started_tasks() {
+    checker_catches_mutant(2);
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_ignores_drains() {
-    rogue(3);
+fn checker_catches_placer_that_ignores_drains() {
+    checker_catches_mutant(3);
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_pushes_cold_hosts_over() {
-    rogue(4);
+fn checker_catches_placer_that_overloads_warming_hosts() {
+    checker_catches_mutant(4);
 }
 
 #[test]
-fn the_judge_catches_a_placer_that_ignores_spread_limits() {
-    rogue(5);
+fn checker_catches_placer_that_ignores_spread_limits() {
+    checker_catches_mutant(5);
 }
 
 /// The exit status of a day on which a rogue had no occasion to break its rule.
-const NO_OCCASION: i32 = 3;
+const EXIT_NO_OCCASION: i32 = 3;
 
 #[test]
-fn a_rogue_without_an_occasion_does_not_pass_for_a_day_that_kept_the_rules() {
+fn mutant_without_an_occasion_does_not_count_as_success() {
     // No host drains and none is gone, so there is nothing for rogue 3 to ignore.
     let quiet = [
         "--without",
@@ -181,12 +190,12 @@
         "3",
     ];
     let day = [
-        &["--scenario", ROGUE_DAY, "--seed", "2", "--rogue", "3"][..],
+        &["--scenario", MUTANT_SCENARIO, "--seed", "2", "--rogue", "3"][..],
         &quiet,
     ]
     .concat();
-    let (code, report) = bad_day(&day);
-    assert_eq!(code, Some(NO_OCCASION), "{report:#}");
+    let (code, report) = fault_run(&day);
+    assert_eq!(code, Some(EXIT_NO_OCCASION), "{report:#}");
     assert_eq!(
         report["rogue"],
         serde_json::json!({"number": 3, "moves": 0, "caught": 0}),
@@ -195,8 +204,8 @@
 }
 
 /// A rogue on a short standard day, where nothing was arranged for it.
-fn rogue_on_a_short_standard_day(rogue: u8, rule: &str) {
-    let (code, report) = bad_day(&[
+fn mutant_is_caught_in_short_standard_run(rogue: u8, rule: &str) {
+    let (code, report) = fault_run(&[
         "--seconds",
         "12",
         "--seed",
@@ -220,18 +229,18 @@
 }
 
 #[test]
-fn rogue_5_has_its_occasion_on_a_short_standard_day() {
-    rogue_on_a_short_standard_day(5, "5");
+fn mutant_5_is_caught_in_short_standard_run() {
+    mutant_is_caught_in_short_standard_run(5, "5");
 }
 
 #[test]
-fn rogue_6_has_its_occasion_on_a_short_standard_day() {
-    rogue_on_a_short_standard_day(6, "1");
+fn mutant_6_is_caught_in_short_standard_run() {
+    mutant_is_caught_in_short_standard_run(6, "1");
 }
 
 #[test]
-fn a_placer_that_keeps_the_rules_keeps_them_on_the_rogues_day_too() {
-    let (code, report) = bad_day(&["--scenario", ROGUE_DAY, "--seed", "2"]);
+fn correct_placer_breaks_no_rule_in_mutant_scenario() {
+    let (code, report) = fault_run(&["--scenario", MUTANT_SCENARIO, "--seed", "2"]);
     assert_eq!(
         (code, &report["broken"]),
         (Some(0), &serde_json::json!({})),
@@ -240,13 +249,13 @@
 }
 
 #[test]
-fn placers_that_restart_over_cold_hosts_keep_the_rules() {
+fn restarting_placers_break_no_rule_over_warming_hosts() {
     // With a fresh account after each start this day broke rule 4 every time.
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../standin/scenarios/restarts.toml"
     );
-    let (code, report) = bad_day(&["--scenario", day, "--seed", "5"]);
+    let (code, report) = fault_run(&["--scenario", day, "--seed", "5"]);
     assert_eq!(
         (code, &report["broken"]),
         (Some(0), &serde_json::json!({})),
@@ -256,7 +265,7 @@
 }
 
 #[test]
-fn a_drawn_day_breaks_no_rule_and_is_written_as_it_is_played() {
+fn random_scenario_breaks_no_rule_and_is_written_as_run() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("drawn.toml");
     let file = file.to_str().expect("a name");
@@ -271,21 +280,21 @@
         "--hosts",
         "15",
     ];
-    let (code, report) = bad_day(&[&args[..], &["--write-scenario", file]].concat());
+    let (code, report) = fault_run(&[&args[..], &["--write-scenario", file]].concat());
     assert_eq!(
         (code, &report["broken"]),
         (Some(0), &serde_json::json!({})),
         "{report:#}"
     );
     // Played from its file it has the same first asks, though another decides.
-    let (_, again) = bad_day(&["--scenario", file, "--seed", "3", "--random"]);
+    let (_, again) = fault_run(&["--scenario", file, "--seed", "3", "--random"]);
     assert_eq!(again["first_asks"], report["first_asks"], "{again:#}");
     assert!(report["first_asks"].as_u64() > Some(200), "{report:#}");
 }
 
 #[test]
-fn a_short_bad_day_with_a_catalogue_breaks_no_rule() {
-    let (code, report) = bad_day(&[
+fn short_run_with_catalogue_breaks_no_rule() {
+    let (code, report) = fault_run(&[
         "--consul",
         "--seconds",
         "14",
@@ -305,12 +314,12 @@
 }
 
 #[test]
-fn a_leader_lost_during_a_rolling_deploy_breaks_no_rule() {
+fn leader_loss_during_rolling_deploy_breaks_no_rule() {
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../standin/scenarios/leader-lost.toml"
     );
-    let (code, report) = bad_day(&["--consul", "--scenario", day, "--seed", "4"]);
+    let (code, report) = fault_run(&["--consul", "--scenario", day, "--seed", "4"]);
     assert_eq!(
         (code, &report["broken"]),
         (Some(0), &serde_json::json!({})),
@@ -320,7 +329,7 @@
 }
 
 #[test]
-fn numbers_under_fire_have_one_holder_and_are_taken_when_they_fall_free() {
+fn replica_indexes_have_one_holder_and_are_taken_over_under_faults() {
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../standin/scenarios/membership.toml"
@@ -333,7 +342,7 @@
     let file = folder.path().join("membership.toml");
     std::fs::write(&file, day.to_string()).expect("a file");
     let file = file.to_str().expect("a name");
-    let (code, report) = bad_day(&[
+    let (code, report) = fault_run(&[
         "--consul",
         "--scenario",
         file,
--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-const PAGE: &str = "<!-- begin generated: size -->\n<!-- end generated: size -->\n\
+const PAGE_WITH_MARKERS: &str = "<!-- begin generated: size -->\n<!-- end generated: size -->\n\
     <!-- begin generated: workers -->\n<!-- end generated: workers -->\n\
     <!-- begin generated: budgets -->\n<!-- end generated: budgets -->\n";
 
@@ -18,7 +18,7 @@
   "points": []
 }"#;
 
-fn report(page: &Path, results: &Path, check: bool) -> Output {
+fn run_report(page: &Path, results: &Path, check: bool) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_maplethread"));
     command
         .args(["scale", "report", "--page"])
@@ -31,27 +31,27 @@
     command.output().expect("the program")
 }
 
-fn complaint(output: &Output) -> String {
+fn error_text(output: &Output) -> String {
     assert!(!output.status.success(), "it passed");
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-struct Folder {
+struct ReportFolder {
     _kept: tempfile::TempDir,
     page: PathBuf,
     results: PathBuf,
 }
 
-fn folder(result: &str) -> Folder {
+fn report_folder(result: &str) -> ReportFolder {
     let kept = tempfile::tempdir().expect("a folder");
     let (page, results) = (
         kept.path().join("CAPACITY.md"),
         kept.path().join("capacity"),
     );
     fs::create_dir(&results).expect("a folder");
-    fs::write(&page, PAGE).expect("a page");
+    fs::write(&page, PAGE_WITH_MARKERS).expect("a page");
     fs::write(results.join("workers.json"), result).expect("a result");
-    Folder {
+    ReportFolder {
         _kept: kept,
         page,
         results,
@@ -59,9 +59,9 @@
 }
 
 #[test]
-fn the_committed_page_and_plots_are_what_the_results_say() {
+fn committed_page_and_plots_match_the_results() {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
-    let output = report(&docs.join("CAPACITY.md"), &docs.join("capacity"), true);
+    let output = run_report(&docs.join("CAPACITY.md"), &docs.join("capacity"), true);
     assert!(
         output.status.success(),
         "{}",
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn what_was_written_passes_the_check_until_it_is_changed() {
-    let folder = folder(RESULT);
-    let before = complaint(&report(&folder.page, &folder.results, true));
+fn written_report_passes_the_check_until_it_is_changed() {
+    let folder = report_folder(RESULT);
+    let before = error_text(&run_report(&folder.page, &folder.results, true));
     assert!(
         before.contains("CAPACITY.md: block `workers` differs"),
         "{before}"
@@ -80,16 +80,20 @@
     assert!(before.contains("workers.svg: is not there"), "{before}");
     assert_eq!(
         fs::read_to_string(&folder.page).expect("a page"),
-        PAGE,
+        PAGE_WITH_MARKERS,
         "a check writes nothing"
     );
 
     assert!(
-        report(&folder.page, &folder.results, false)
+        run_report(&folder.page, &folder.results, false)
+            .status
+            .success()
+    );
+    assert!(
+        run_report(&folder.page, &folder.results, true)
             .status
             .success()
     );
-    assert!(report(&folder.page, &folder.results, true).status.success());
     let page = fs::read_to_string(&folder.page).expect("a page");
     assert!(
         page.contains("](capacity/workers.svg)"),
@@ -97,7 +101,7 @@
     );
 
     fs::write(&folder.page, page.replace("24,000", "25,000")).expect("a page");
-    let changed = complaint(&report(&folder.page, &folder.results, true));
+    let changed = error_text(&run_report(&folder.page, &folder.results, true));
     assert!(
         changed.contains("CAPACITY.md: block `size` differs") && !changed.contains("workers"),
         "{changed}"
@@ -105,18 +109,21 @@
 }
 
 #[test]
-fn a_result_that_cannot_be_read_is_told_with_file_and_line() {
-    let folder = folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
-    let why = complaint(&report(&folder.page, &folder.results, false));
+fn unreadable_result_is_reported_with_file_and_line() {
+    let folder = report_folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
+    let why = error_text(&run_report(&folder.page, &folder.results, false));
     assert!(why.contains("workers.json: line 7, column "), "{why}");
-    assert_eq!(fs::read_to_string(&folder.page).expect("a page"), PAGE);
+    assert_eq!(
+        fs::read_to_string(&folder.page).expect("a page"),
+        PAGE_WITH_MARKERS
+    );
 }
 
 #[test]
-fn a_page_without_markers_is_told() {
-    let folder = folder(RESULT);
+fn page_without_markers_is_reported() {
+    let folder = report_folder(RESULT);
     fs::write(&folder.page, "# Capacity\n").expect("a page");
-    let why = complaint(&report(&folder.page, &folder.results, false));
+    let why = error_text(&run_report(&folder.page, &folder.results, false));
     assert!(
         why.contains("CAPACITY.md: no block `size`: add the lines"),
         "{why}"
--- a/crates/trace/examples/measure.rs
+++ b/crates/trace/examples/measure.rs
@@ -87,7 +87,7 @@
     );
     println!(
         "replay: {} turns, {} differ",
-        replay.result.turns, replay.result.differing
+        replay.result.turns, replay.result.differing_turns
     );
     Ok(())
 }
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -14,7 +14,7 @@
 use crate::record::{Outcome, Record, TimedRecord, Turn};
 
 /// Reasons of refusals that say nothing of whom they concern.
-const REASONS: [&str; 20] = [
+const KNOWN_REJECTION_REASONS: [&str; 20] = [
     "cold",
     "connection_lost",
     "cores",
@@ -37,7 +37,7 @@
     "moved",
 ];
 /// Reasons of gaps.
-const GAPS: [&str; 3] = [
+const KNOWN_GAP_REASONS: [&str; 3] = [
     "the writer could not keep up",
     "the file could not be written",
     "the file was removed",
@@ -47,18 +47,18 @@
 pub struct Anonymiser {
     key: [u8; 32],
     /// Added to each time, µs, wrapping.
-    shift: u64,
+    time_shift: u64,
     /// Asked cores and memory are rounded to multiples of this; as they are with 0.
-    grain: f64,
+    resource_step: f64,
 }
 
 impl Anonymiser {
     /// With a key that must not be used for another file; times shifted by so much, asks rounded up to this grain.
-    pub fn new(key: [u8; 32], shift: u64, grain: f64) -> Anonymiser {
+    pub fn new(key: [u8; 32], time_shift: u64, grain: f64) -> Anonymiser {
         Anonymiser {
             key,
-            shift,
-            grain: if grain.is_finite() && grain > 0.0 {
+            time_shift,
+            resource_step: if grain.is_finite() && grain > 0.0 {
                 grain
             } else {
                 0.0
@@ -66,7 +66,7 @@
         }
     }
 
-    fn number(&self, kind: &str, bytes: &[u8]) -> u64 {
+    fn hash_number(&self, kind: &str, bytes: &[u8]) -> u64 {
         let mut hash = blake3::Hasher::new_keyed(&self.key);
         hash.update(kind.as_bytes()).update(&[0]).update(bytes);
         let mut first = [0; 8];
@@ -74,18 +74,18 @@
         u64::from_le_bytes(first)
     }
 
-    fn name(&self, kind: &str, name: &str) -> String {
-        format!("{kind}~{:016x}", self.number(kind, name.as_bytes()))
+    fn hash_name(&self, kind: &str, name: &str) -> String {
+        format!("{kind}~{:016x}", self.hash_number(kind, name.as_bytes()))
     }
 
-    fn time(&self, at: Micros) -> Micros {
-        at.wrapping_add(self.shift)
+    fn shift_time(&self, at: Micros) -> Micros {
+        at.wrapping_add(self.time_shift)
     }
 
-    fn asks(&self, asks: Resources) -> Resources {
+    fn round_resources(&self, asks: Resources) -> Resources {
         let up = |x: f64| {
-            if self.grain > 0.0 {
-                (x / self.grain).ceil() * self.grain
+            if self.resource_step > 0.0 {
+                (x / self.resource_step).ceil() * self.resource_step
             } else {
                 x
             }
@@ -115,18 +115,18 @@
         Header {
             writer: if known { writer.clone() } else { String::new() },
             module: if hex { module.clone() } else { String::new() },
-            placer: self.name("placer", placer),
-            started_ms: self.time(started_ms.wrapping_mul(1000)) / 1000,
+            placer: self.hash_name("placer", placer),
+            started_ms: self.shift_time(started_ms.wrapping_mul(1000)) / 1000,
             seed: 0,
             settings: None,
-            classes: classes.iter().map(|c| self.name("class", c)).collect(),
+            classes: classes.iter().map(|c| self.hash_name("class", c)).collect(),
             part: *part,
             changed: vec!["anonymise".to_owned()],
-            sources: sources.iter().map(|s| self.source(s)).collect(),
+            sources: sources.iter().map(|s| self.anonymise_source(s)).collect(),
         }
     }
 
-    fn source(&self, source: &Source) -> Source {
+    fn anonymise_source(&self, source: &Source) -> Source {
         let Source {
             placer,
             started_ms,
@@ -136,8 +136,8 @@
             error_us,
         } = source;
         Source {
-            placer: self.name("placer", placer),
-            started_ms: self.time(started_ms.wrapping_mul(1000)) / 1000,
+            placer: self.hash_name("placer", placer),
+            started_ms: self.shift_time(started_ms.wrapping_mul(1000)) / 1000,
             module: String::new(),
             parts: parts.clone(),
             offset_us: *offset_us,
@@ -154,9 +154,9 @@
                 events,
                 actions,
             }) => Record::Turn(Turn {
-                now: self.time(*now),
-                events: events.iter().map(|e| self.event(e)).collect(),
-                actions: actions.iter().map(|a| self.action(a)).collect(),
+                now: self.shift_time(*now),
+                events: events.iter().map(|e| self.anonymise_event(e)).collect(),
+                actions: actions.iter().map(|a| self.anonymise_action(a)).collect(),
             }),
             Record::Host {
                 machine,
@@ -166,14 +166,14 @@
                 kind,
             } => Record::Host {
                 machine: *machine,
-                name: self.name("host", name),
-                zone: self.name("zone", zone),
-                cell: self.name("cell", cell),
-                kind: self.name("kind", kind),
+                name: self.hash_name("host", name),
+                zone: self.hash_name("zone", zone),
+                cell: self.hash_name("cell", cell),
+                kind: self.hash_name("kind", kind),
             },
             Record::Service { service, name } => Record::Service {
                 service: self.service(*service),
-                name: self.name("service", name),
+                name: self.hash_name("service", name),
             },
             Record::RequestReceived {
                 task,
@@ -186,11 +186,11 @@
             } => Record::RequestReceived {
                 task: *task,
                 service: self.service(*service),
-                actor: self.name("actor", actor),
+                actor: self.hash_name("actor", actor),
                 class: *class,
-                request_id: self.name("request", request),
-                idempotency_key: key.as_ref().map(|k| self.name("key", k)),
-                received_at: self.time(*read),
+                request_id: self.hash_name("request", request),
+                idempotency_key: key.as_ref().map(|k| self.hash_name("key", k)),
+                received_at: self.shift_time(*read),
             },
             Record::Answered {
                 task,
@@ -205,7 +205,7 @@
                         reason,
                         retry_after_ms: come_back_ms,
                     } => {
-                        let known = REASONS.contains(&reason.as_str());
+                        let known = KNOWN_REJECTION_REASONS.contains(&reason.as_str());
                         let reason = if known {
                             reason.clone()
                         } else {
@@ -227,7 +227,7 @@
                 records,
                 reason: why,
             } => {
-                let known = GAPS.contains(&why.as_str());
+                let known = KNOWN_GAP_REASONS.contains(&why.as_str());
                 let why = if known {
                     why.clone()
                 } else {
@@ -243,14 +243,14 @@
             Record::Source(source) => Record::Source(*source),
         };
         TimedRecord {
-            at: self.time(*at),
+            at: self.shift_time(*at),
             record,
         }
     }
 
     /// A service's number is a hash of its name that anybody can make.
     fn service(&self, number: u64) -> u64 {
-        self.number("number", &number.to_le_bytes())
+        self.hash_number("number", &number.to_le_bytes())
     }
 
     fn task(&self, task: &Task) -> Task {
@@ -267,14 +267,14 @@
             id,
             service: ServiceId(self.service(service.0)),
             class,
-            requested: self.asks(asks),
+            requested: self.round_resources(asks),
             expected_duration: life,
-            deadline: self.time(give_up_at),
+            deadline: self.shift_time(give_up_at),
             is_resubmission: again,
         }
     }
 
-    fn listing(&self, listing: &MachineEntry) -> MachineEntry {
+    fn anonymise_machine(&self, listing: &MachineEntry) -> MachineEntry {
         let MachineEntry {
             machine,
             stable_hash: label,
@@ -287,21 +287,21 @@
         } = *listing;
         MachineEntry {
             machine,
-            stable_hash: self.number("label", &label.to_le_bytes()),
+            stable_hash: self.hash_number("label", &label.to_le_bytes()),
             zone,
             cell,
             kind,
             state,
-            started_at: started.map(|at| self.time(at)),
+            started_at: started.map(|at| self.shift_time(at)),
             unallocated: unasked,
         }
     }
 
-    fn event(&self, event: &Event) -> Event {
+    fn anonymise_event(&self, event: &Event) -> Event {
         match event {
             Event::EndpointsUpdated { scope, machines } => Event::EndpointsUpdated {
                 scope: *scope,
-                machines: machines.iter().map(|m| self.listing(m)).collect(),
+                machines: machines.iter().map(|m| self.anonymise_machine(m)).collect(),
             },
             Event::ReplicaIndexChanged(number) => Event::ReplicaIndexChanged(*number),
             Event::ConnectionChanged {
@@ -391,7 +391,7 @@
         }
     }
 
-    fn action(&self, action: &Action) -> Action {
+    fn anonymise_action(&self, action: &Action) -> Action {
         match action {
             Action::Offer {
                 task: TaskId(task),
@@ -447,28 +447,31 @@
 }
 
 /// Words that the anonymiser itself writes, and that are allowed to stand.
-fn allowed(text: &str) -> bool {
-    text.is_empty() || REASONS.contains(&text) || GAPS.contains(&text) || text == "other"
+fn is_allowed(text: &str) -> bool {
+    text.is_empty()
+        || KNOWN_REJECTION_REASONS.contains(&text)
+        || KNOWN_GAP_REASONS.contains(&text)
+        || text == "other"
 }
 
 impl Identifiers {
     /// Takes in what a header names.
-    pub fn of_header(&mut self, header: &Header) {
+    pub fn add_header(&mut self, header: &Header) {
         self.add(&header.placer);
         header.sources.iter().for_each(|s| self.add(&s.placer));
         header.classes.iter().for_each(|c| self.add(c));
     }
 
     /// Takes in what a record names.
-    pub fn of_record(&mut self, stamped: &TimedRecord) {
-        texts(&stamped.record, &mut |text| self.add(text));
-        numbers(&stamped.record, &mut |n| {
+    pub fn add_record(&mut self, stamped: &TimedRecord) {
+        visit_texts(&stamped.record, &mut |text| self.add(text));
+        visit_numbers(&stamped.record, &mut |n| {
             self.numbers.insert(n);
         });
     }
 
     fn add(&mut self, text: &str) {
-        if !allowed(text) {
+        if !is_allowed(text) {
             self.texts.insert(text.to_owned());
         }
     }
@@ -484,14 +487,14 @@
     }
 
     /// The first of them that stands as a text or a number of its own in a record.
-    pub fn found_in(&self, stamped: &TimedRecord) -> Option<String> {
+    pub fn find_in(&self, stamped: &TimedRecord) -> Option<String> {
         let mut found = None;
-        texts(&stamped.record, &mut |text| {
+        visit_texts(&stamped.record, &mut |text| {
             if self.texts.contains(text) {
                 found = Some(text.to_owned());
             }
         });
-        numbers(&stamped.record, &mut |n| {
+        visit_numbers(&stamped.record, &mut |n| {
             if self.numbers.contains(&n) {
                 found = Some(n.to_string());
             }
@@ -513,7 +516,7 @@
     }
 }
 
-fn texts(record: &Record, see: &mut dyn FnMut(&str)) {
+fn visit_texts(record: &Record, see: &mut dyn FnMut(&str)) {
     match record {
         Record::Turn(turn) => {
             for action in &turn.actions {
@@ -549,7 +552,7 @@
     }
 }
 
-fn numbers(record: &Record, see: &mut dyn FnMut(u64)) {
+fn visit_numbers(record: &Record, see: &mut dyn FnMut(u64)) {
     match record {
         Record::Turn(turn) => {
             for event in &turn.events {
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -11,11 +11,11 @@
 use crate::record::{Record, TimedRecord};
 
 /// How each block begins.
-pub const MAGIC: &[u8; 4] = b"MTB1";
+pub const BLOCK_MAGIC: &[u8; 4] = b"MTB1";
 /// Octets before the payload.
-pub const HEAD: usize = 48;
+pub const HEAD_BYTES: usize = 48;
 /// The most that a block may hold, unpacked.
-pub const MOST_RAW: usize = 32 << 20;
+pub const MAX_UNPACKED_BYTES: usize = 32 << 20;
 
 /// What a block's head tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,7 +23,7 @@
     /// Octets of the payload.
     pub packed_bytes: u32,
     /// Octets of its records.
-    pub raw: u32,
+    pub unpacked_bytes: u32,
     /// Records.
     pub record_count: u32,
     /// The earliest time, µs.
@@ -33,11 +33,11 @@
 }
 
 impl BlockInfo {
-    fn bytes(&self) -> [u8; 32] {
+    fn to_bytes(&self) -> [u8; 32] {
         let mut bytes = [0; 32];
-        bytes[..4].copy_from_slice(MAGIC);
+        bytes[..4].copy_from_slice(BLOCK_MAGIC);
         bytes[4..8].copy_from_slice(&self.packed_bytes.to_le_bytes());
-        bytes[8..12].copy_from_slice(&self.raw.to_le_bytes());
+        bytes[8..12].copy_from_slice(&self.unpacked_bytes.to_le_bytes());
         bytes[12..16].copy_from_slice(&self.record_count.to_le_bytes());
         bytes[16..24].copy_from_slice(&self.first_us.to_le_bytes());
         bytes[24..32].copy_from_slice(&self.last_us.to_le_bytes());
@@ -45,8 +45,8 @@
     }
 
     /// Reads a head; with the checksum that follows it.
-    pub fn parse(head: &[u8; HEAD]) -> Result<(BlockInfo, [u8; 16]), &'static str> {
-        if &head[..4] != MAGIC {
+    pub fn parse(head: &[u8; HEAD_BYTES]) -> Result<(BlockInfo, [u8; 16]), &'static str> {
+        if &head[..4] != BLOCK_MAGIC {
             return Err("no block begins here");
         }
         let four =
@@ -54,13 +54,13 @@
         let eight = |at: usize| u64::from(four(at)) | u64::from(four(at + 4)) << 32;
         let info = BlockInfo {
             packed_bytes: four(4),
-            raw: four(8),
+            unpacked_bytes: four(8),
             record_count: four(12),
             first_us: eight(16),
             last_us: eight(24),
         };
-        if info.raw as usize > MOST_RAW
-            || info.packed_bytes as usize > MOST_RAW + (MOST_RAW >> 7) + 1024
+        if info.unpacked_bytes as usize > MAX_UNPACKED_BYTES
+            || info.packed_bytes as usize > MAX_UNPACKED_BYTES + (MAX_UNPACKED_BYTES >> 7) + 1024
         {
             return Err("a block's length is out of range");
         }
@@ -72,7 +72,7 @@
     /// The checksum over the head and the payload.
     pub fn checksum(&self, payload: &[u8]) -> [u8; 16] {
         let mut hash = blake3::Hasher::new();
-        hash.update(&self.bytes()).update(payload);
+        hash.update(&self.to_bytes()).update(payload);
         let mut check = [0; 16];
         check.copy_from_slice(&hash.finalize().as_bytes()[..16]);
         check
@@ -82,7 +82,7 @@
 /// Records on their way into a block.
 #[derive(Debug, Default)]
 pub struct Packer {
-    raw: Vec<u8>,
+    unpacked: Vec<u8>,
     record_count: u32,
     /// The time of its first record.
     first_record_us: u64,
@@ -99,23 +99,23 @@
 
     /// Octets of its records.
     pub fn len(&self) -> usize {
-        self.raw.len()
+        self.unpacked.len()
     }
 
     /// Adds a record.
     pub fn add(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
         let record = postcard::to_stdvec(&stamped.record).map_err(std::io::Error::other)?;
-        if self.raw.len() + record.len() + 32 > MOST_RAW {
-            return Err(TraceError::TooLarge(record.len()));
+        if self.unpacked.len() + record.len() + 32 > MAX_UNPACKED_BYTES {
+            return Err(TraceError::RecordTooLarge(record.len()));
         }
         if self.record_count == 0 {
             (self.first_record_us, self.previous_us) = (stamped.at, stamped.at);
             (self.earliest_us, self.latest_us) = (stamped.at, stamped.at);
         }
         let since = stamped.at.wrapping_sub(self.previous_us) as i64;
-        write_varint(&mut self.raw, record.len() as u64);
-        write_varint(&mut self.raw, ((since << 1) ^ (since >> 63)) as u64);
-        self.raw.extend_from_slice(&record);
+        write_varint(&mut self.unpacked, record.len() as u64);
+        write_varint(&mut self.unpacked, ((since << 1) ^ (since >> 63)) as u64);
+        self.unpacked.extend_from_slice(&record);
         self.previous_us = stamped.at;
         (self.earliest_us, self.latest_us) = (
             self.earliest_us.min(stamped.at),
@@ -128,19 +128,19 @@
     /// The block, and what its head tells; what follows begins a new one.
     pub fn pack(&mut self, level: i32) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         // The first record's time stands against the earliest, which may be another's.
-        let mut raw = Vec::with_capacity(self.raw.len() + 16);
+        let mut raw = Vec::with_capacity(self.unpacked.len() + 16);
         write_varint(&mut raw, self.first_record_us - self.earliest_us);
-        raw.extend_from_slice(&self.raw);
+        raw.extend_from_slice(&self.unpacked);
         let payload = zstd::bulk::compress(&raw, level)?;
         let info = BlockInfo {
             packed_bytes: payload.len() as u32,
-            raw: raw.len() as u32,
+            unpacked_bytes: raw.len() as u32,
             record_count: self.record_count,
             first_us: self.earliest_us,
             last_us: self.latest_us,
         };
-        let mut block = Vec::with_capacity(HEAD + payload.len());
-        block.extend_from_slice(&info.bytes());
+        let mut block = Vec::with_capacity(HEAD_BYTES + payload.len());
+        block.extend_from_slice(&info.to_bytes());
         block.extend_from_slice(&info.checksum(&payload));
         block.extend_from_slice(&payload);
         *self = Packer::default();
@@ -150,9 +150,9 @@
 
 /// The octets of a payload, unpacked.
 pub fn unpack_bytes(info: &BlockInfo, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
-    let raw = zstd::bulk::decompress(payload, info.raw as usize)
+    let raw = zstd::bulk::decompress(payload, info.unpacked_bytes as usize)
         .map_err(|_| "a block can't be unpacked")?;
-    if raw.len() == info.raw as usize {
+    if raw.len() == info.unpacked_bytes as usize {
         Ok(raw)
     } else {
         Err("a block is shorter than its head tells")
@@ -160,19 +160,22 @@
 }
 
 /// Records out of a payload; kinds that are not known are counted, not given.
-pub fn unpack(info: &BlockInfo, payload: &[u8]) -> Result<(Vec<TimedRecord>, u32), &'static str> {
+pub fn unpack_records(
+    info: &BlockInfo,
+    payload: &[u8],
+) -> Result<(Vec<TimedRecord>, u32), &'static str> {
     let raw = unpack_bytes(info, payload)?;
     let mut at = 0;
     let mut time = info
         .first_us
-        .wrapping_add(get(&raw, &mut at).ok_or("a block is cut off")?);
+        .wrapping_add(read_varint(&raw, &mut at).ok_or("a block is cut off")?);
     let (mut records, mut unknown) = (
         Vec::with_capacity((info.record_count as usize).min(raw.len())),
         0,
     );
     for _ in 0..info.record_count {
-        let length = get(&raw, &mut at).ok_or("a block is cut off")?;
-        let since = get(&raw, &mut at).ok_or("a block is cut off")?;
+        let length = read_varint(&raw, &mut at).ok_or("a block is cut off")?;
+        let since = read_varint(&raw, &mut at).ok_or("a block is cut off")?;
         time = time.wrapping_add(unzigzag(since) as u64);
         let end = at
             .checked_add(length as usize)
@@ -202,7 +205,7 @@
     out.push(n as u8);
 }
 
-fn get(bytes: &[u8], at: &mut usize) -> Option<u64> {
+fn read_varint(bytes: &[u8], at: &mut usize) -> Option<u64> {
     let mut n = 0;
     for shift in (0..64).step_by(7) {
         let byte = *bytes.get(*at)?;
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -26,7 +26,7 @@
 
 impl Filter {
     /// Whether single asks are chosen, so that turns keep only what concerns them.
-    pub fn chooses(&self) -> bool {
+    pub fn selects_tasks(&self) -> bool {
         self.service.is_some()
             || self.machine.is_some()
             || self.request.is_some()
@@ -34,36 +34,36 @@
     }
 
     /// Whether a block may hold something of it.
-    pub fn may_be_in(&self, entry: &IndexEntry) -> bool {
+    pub fn may_match_block(&self, entry: &IndexEntry) -> bool {
         // An ask and its answer may lie in different blocks, so an outcome rules out none.
         self.from.is_none_or(|from| entry.last_us >= from)
             && self.until.is_none_or(|until| entry.first_us < until)
-            && self
-                .service
-                .is_none_or(|s| entry.any_service || entry.services.binary_search(&s).is_ok())
+            && self.service.is_none_or(|s| {
+                entry.may_name_any_service || entry.services.binary_search(&s).is_ok()
+            })
             && self
                 .machine
                 .is_none_or(|m| entry.machines.binary_search(&m).is_ok())
     }
 
-    fn in_time(&self, at: u64) -> bool {
+    fn contains_time(&self, at: u64) -> bool {
         self.from.is_none_or(|from| at >= from) && self.until.is_none_or(|until| at < until)
     }
 }
 
 /// The asks that are wanted, found in a first pass.
 #[derive(Clone, Debug, Default)]
-pub struct Chosen {
-    of_service: BTreeSet<u64>,
-    of_machine: BTreeSet<u64>,
-    of_request: BTreeSet<u64>,
-    of_outcome: BTreeSet<u64>,
+pub struct SelectedTasks {
+    by_service: BTreeSet<u64>,
+    by_machine: BTreeSet<u64>,
+    by_request: BTreeSet<u64>,
+    by_outcome: BTreeSet<u64>,
 }
 
-impl Chosen {
+impl SelectedTasks {
     /// First pass: takes in a record.
     pub fn scan(&mut self, wanted: &Filter, stamped: &TimedRecord) {
-        if !wanted.in_time(stamped.at) {
+        if !wanted.contains_time(stamped.at) {
             return;
         }
         match &stamped.record {
@@ -74,25 +74,25 @@
                 ..
             } => {
                 if wanted.service == Some(*service) {
-                    self.of_service.insert(*task);
+                    self.by_service.insert(*task);
                 }
                 if wanted.request.as_deref() == Some(request) {
-                    self.of_request.insert(*task);
+                    self.by_request.insert(*task);
                 }
             }
             Record::Answered { task, outcome, .. }
                 if wanted.outcome.as_deref() == Some(outcome.api_name()) =>
             {
-                self.of_outcome.insert(*task);
+                self.by_outcome.insert(*task);
             }
             Record::Turn(turn) => {
                 for event in &turn.events {
                     if let Event::TaskAdopted { task, machine } = event {
                         if wanted.machine == Some(machine.0) {
-                            self.of_machine.insert(task.id.0);
+                            self.by_machine.insert(task.id.0);
                         }
                         if wanted.service == Some(task.service.0) {
-                            self.of_service.insert(task.id.0);
+                            self.by_service.insert(task.id.0);
                         }
                     }
                 }
@@ -100,7 +100,7 @@
                     if let Action::Offer { task, machine, .. } = action
                         && wanted.machine == Some(machine.0)
                     {
-                        self.of_machine.insert(task.0);
+                        self.by_machine.insert(task.0);
                     }
                 }
             }
@@ -108,19 +108,19 @@
         }
     }
 
-    fn has(&self, wanted: &Filter, task: u64) -> bool {
-        (wanted.service.is_none() || self.of_service.contains(&task))
-            && (wanted.machine.is_none() || self.of_machine.contains(&task))
-            && (wanted.request.is_none() || self.of_request.contains(&task))
-            && (wanted.outcome.is_none() || self.of_outcome.contains(&task))
+    fn contains(&self, wanted: &Filter, task: u64) -> bool {
+        (wanted.service.is_none() || self.by_service.contains(&task))
+            && (wanted.machine.is_none() || self.by_machine.contains(&task))
+            && (wanted.request.is_none() || self.by_request.contains(&task))
+            && (wanted.outcome.is_none() || self.by_outcome.contains(&task))
     }
 
     /// Second pass: the record as it belongs to the part, if it does.
     pub fn filter_record(&self, wanted: &Filter, stamped: &TimedRecord) -> Option<TimedRecord> {
-        if !wanted.in_time(stamped.at) {
+        if !wanted.contains_time(stamped.at) {
             return None;
         }
-        if !wanted.chooses() {
+        if !wanted.selects_tasks() {
             return Some(stamped.clone());
         }
         let record = match &stamped.record {
@@ -128,12 +128,12 @@
                 let events: Vec<Event> = turn
                     .events
                     .iter()
-                    .filter_map(|e| self.event(wanted, e))
+                    .filter_map(|e| self.filter_event(wanted, e))
                     .collect();
                 let actions: Vec<Action> = turn
                     .actions
                     .iter()
-                    .filter(|a| self.action(wanted, a))
+                    .filter(|a| self.matches_action(wanted, a))
                     .cloned()
                     .collect();
                 if events.is_empty() && actions.is_empty() {
@@ -146,7 +146,7 @@
                 })
             }
             Record::RequestReceived { task, .. } | Record::Answered { task, .. } => {
-                return self.has(wanted, *task).then(|| stamped.clone());
+                return self.contains(wanted, *task).then(|| stamped.clone());
             }
             // Names come again with what names them; gaps concern all.
             Record::Host { .. }
@@ -161,7 +161,7 @@
         })
     }
 
-    fn event(&self, wanted: &Filter, event: &Event) -> Option<Event> {
+    fn filter_event(&self, wanted: &Filter, event: &Event) -> Option<Event> {
         let task = match event {
             Event::EndpointsUpdated { scope, machines } => {
                 let machines: Vec<_> = machines
@@ -187,17 +187,17 @@
             }
             Event::TimerFired { .. } | Event::PeerMessage { .. } => return None,
         };
-        self.has(wanted, task).then(|| event.clone())
+        self.contains(wanted, task).then(|| event.clone())
     }
 
-    fn action(&self, wanted: &Filter, action: &Action) -> bool {
+    fn matches_action(&self, wanted: &Filter, action: &Action) -> bool {
         match action {
             Action::Offer { task, .. }
             | Action::Reject { task, .. }
             | Action::Fail(task)
             | Action::Blocked { task, .. }
-            | Action::Migrate(task) => self.has(wanted, task.0),
-            Action::Cancel(id) => self.has(wanted, id.task.0),
+            | Action::Migrate(task) => self.contains(wanted, task.0),
+            Action::Cancel(id) => self.contains(wanted, id.task.0),
             Action::Probe(machine) | Action::CloseIdle(machine) => {
                 wanted.machine == Some(machine.0)
             }
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -8,10 +8,10 @@
     Io(#[from] std::io::Error),
     /// It does not begin as a trace does.
     #[error("this is no trace file: {0}")]
-    NoTrace(&'static str),
+    NotATrace(&'static str),
     /// It is of a version that this program can't read.
     #[error("format version {0}.{1}, this program reads {MAJOR}.x", MAJOR = crate::header::MAJOR)]
-    TooNew(u16, u16),
+    UnsupportedVersion(u16, u16),
     /// A block is damaged.
     #[error("octet {at}: {why}")]
     Damaged {
@@ -22,5 +22,5 @@
     },
     /// A record is larger than a block may be.
     #[error("a record of {0} octets is too large")]
-    TooLarge(usize),
+    RecordTooLarge(usize),
 }
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -11,10 +11,10 @@
 pub const MAJOR: u16 = 1;
 /// Files of a newer minor version hold kinds of records that this one passes over.
 pub const MINOR: u16 = 1;
-const MAGIC: &[u8; 8] = b"MAPLETRC";
+const FILE_MAGIC: &[u8; 8] = b"MAPLETRC";
 /// The longest header.
-const MOST: u32 = 16 << 20;
-const CHECK: usize = 16;
+const MAX_HEADER_BYTES: u32 = 16 << 20;
+const CHECKSUM_BYTES: usize = 16;
 
 /// The header: JSON, so that other programs read it without this one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -147,13 +147,13 @@
     pub fn write(&self, out: &mut impl Write) -> Result<u64, TraceError> {
         let json = serde_json::to_vec(self).map_err(std::io::Error::other)?;
         let mut bytes = Vec::with_capacity(json.len() + 32);
-        bytes.extend_from_slice(MAGIC);
+        bytes.extend_from_slice(FILE_MAGIC);
         bytes.extend_from_slice(&MAJOR.to_le_bytes());
         bytes.extend_from_slice(&MINOR.to_le_bytes());
         bytes.extend_from_slice(&(json.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&json);
         let check = blake3::hash(&bytes);
-        bytes.extend_from_slice(&check.as_bytes()[..CHECK]);
+        bytes.extend_from_slice(&check.as_bytes()[..CHECKSUM_BYTES]);
         out.write_all(&bytes)?;
         Ok(bytes.len() as u64)
     }
@@ -162,33 +162,33 @@
     pub fn read(from: &mut impl Read) -> Result<(Header, u64, u16), TraceError> {
         let mut start = [0; 16];
         from.read_exact(&mut start)
-            .map_err(|_| TraceError::NoTrace("it is too short"))?;
-        if &start[..8] != MAGIC {
-            return Err(TraceError::NoTrace("it does not begin with MAPLETRC"));
+            .map_err(|_| TraceError::NotATrace("it is too short"))?;
+        if &start[..8] != FILE_MAGIC {
+            return Err(TraceError::NotATrace("it does not begin with MAPLETRC"));
         }
         let two = |at: usize| u16::from_le_bytes([start[at], start[at + 1]]);
         let (major, minor) = (two(8), two(10));
         if major != MAJOR {
-            return Err(TraceError::TooNew(major, minor));
+            return Err(TraceError::UnsupportedVersion(major, minor));
         }
         let length = u32::from_le_bytes([start[12], start[13], start[14], start[15]]);
-        if length > MOST {
-            return Err(TraceError::NoTrace("its header is too long"));
+        if length > MAX_HEADER_BYTES {
+            return Err(TraceError::NotATrace("its header is too long"));
         }
         let mut rest = Vec::new();
-        from.take(u64::from(length) + CHECK as u64)
+        from.take(u64::from(length) + CHECKSUM_BYTES as u64)
             .read_to_end(&mut rest)?;
-        if rest.len() != length as usize + CHECK {
-            return Err(TraceError::NoTrace("its header is cut off"));
+        if rest.len() != length as usize + CHECKSUM_BYTES {
+            return Err(TraceError::NotATrace("its header is cut off"));
         }
         let (json, check) = rest.split_at(length as usize);
         let mut hash = blake3::Hasher::new();
         hash.update(&start).update(json);
-        if &hash.finalize().as_bytes()[..CHECK] != check {
-            return Err(TraceError::NoTrace("its header is damaged"));
+        if &hash.finalize().as_bytes()[..CHECKSUM_BYTES] != check {
+            return Err(TraceError::NotATrace("its header is damaged"));
         }
         let header = serde_json::from_slice(json)
-            .map_err(|_| TraceError::NoTrace("its header is not understood"))?;
+            .map_err(|_| TraceError::NotATrace("its header is not understood"))?;
         Ok((header, 16 + rest.len() as u64, minor))
     }
 }
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -15,9 +15,9 @@
 use crate::report_names;
 
 /// Actors that are followed at a time; when as many are wanted, new ones are counted as not followed.
-const MOST_ACTORS: usize = 1 << 18;
+const MAX_ACTORS: usize = 1 << 18;
 /// Times beyond it count as this long, µs.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 
 /// A time without a running copy, on its way.
 struct Outage {
@@ -41,7 +41,7 @@
 
 impl Actor {
     /// Ends the phase that a gap is in, and begins the next.
-    fn phase(&mut self, now: Micros, phase: impl Into<String>, host: Option<u32>) {
+    fn begin_phase(&mut self, now: Micros, phase: impl Into<String>, host: Option<u32>) {
         let until = self.required_until.unwrap_or(now);
         let Some(gap) = &mut self.outage else { return };
         let spent = now.min(until).saturating_sub(gap.phase_started.min(until));
@@ -60,7 +60,7 @@
     never_started: u64,
     required_time: Micros,
     outages: BTreeMap<String, (u64, BTreeMap<String, Micros>)>,
-    first_start: Histogram<u64>,
+    first_start_times: Histogram<u64>,
 }
 
 /// Losses on their way. Records are to come in the order of a merged trace, or of one run of a placer.
@@ -72,8 +72,8 @@
     /// Hosts of attempts that have not ended, and whether they run.
     attempts: HashMap<(u64, u32), (u32, bool)>,
     host_names: BTreeMap<u32, String>,
-    at_hosts: BTreeMap<u32, BTreeMap<String, Micros>>,
-    not_followed: u64,
+    host_phase_times: BTreeMap<u32, BTreeMap<String, Micros>>,
+    untracked_actors: u64,
     now: Micros,
 }
 
@@ -86,7 +86,8 @@
             never_started: 0,
             required_time: 0,
             outages: BTreeMap::new(),
-            first_start: Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in range"),
+            first_start_times: Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
+                .expect("bounds in range"),
         };
         LossCollector {
             classes: classes.iter().map(class).collect(),
@@ -94,8 +95,8 @@
             tasks: HashMap::new(),
             attempts: HashMap::new(),
             host_names: BTreeMap::new(),
-            at_hosts: BTreeMap::new(),
-            not_followed: 0,
+            host_phase_times: BTreeMap::new(),
+            untracked_actors: 0,
             now: 0,
         }
     }
@@ -116,8 +117,10 @@
             } => {
                 self.handle_request(stamped.at, *task, actor, *class as usize, *read);
             }
-            Record::Answered { task, outcome, .. } => self.answered(stamped.at, *task, outcome),
-            Record::Turn(turn) => self.turn(stamped.at, turn),
+            Record::Answered { task, outcome, .. } => {
+                self.handle_answer(stamped.at, *task, outcome)
+            }
+            Record::Turn(turn) => self.handle_turn(stamped.at, turn),
             _ => {}
         }
     }
@@ -127,13 +130,13 @@
             return;
         }
         if let Some(actor) = self.actors.get_mut(name) {
-            actor.phase(now, "asked", None);
+            actor.begin_phase(now, "asked", None);
         } else {
-            if self.actors.len() >= MOST_ACTORS {
-                self.forget();
+            if self.actors.len() >= MAX_ACTORS {
+                self.forget_finished_actors();
             }
-            if self.actors.len() >= MOST_ACTORS {
-                self.not_followed += 1;
+            if self.actors.len() >= MAX_ACTORS {
+                self.untracked_actors += 1;
                 return;
             }
             let gap = Outage {
@@ -158,7 +161,7 @@
     }
 
     /// Lets go of actors that are not wanted any more.
-    fn forget(&mut self) {
+    fn forget_finished_actors(&mut self) {
         let now = self.now;
         let over: Vec<String> = self
             .actors
@@ -168,7 +171,7 @@
             .collect();
         for name in over {
             if let Some(actor) = self.actors.remove(&name) {
-                self.over(actor);
+                self.finish_actor(actor);
             }
         }
         let actors = &self.actors;
@@ -179,26 +182,26 @@
     }
 
     /// An actor's last gap ends with its time, or with the trace.
-    fn over(&mut self, mut actor: Actor) {
+    fn finish_actor(&mut self, mut actor: Actor) {
         let now = self.now;
-        actor.phase(now, "", None);
+        actor.begin_phase(now, "", None);
         let class = &mut self.classes[actor.class];
         class.never_started += u64::from(!actor.has_started);
         let until = actor.required_until.unwrap_or(now).min(now);
         class.required_time += until.saturating_sub(actor.requested_at);
         if let Some(gap) = actor.outage {
-            self.count(actor.class, gap);
+            self.count_outage(actor.class, gap);
         }
     }
 
-    fn count(&mut self, class: usize, gap: Outage) {
+    fn count_outage(&mut self, class: usize, gap: Outage) {
         let (gaps, phases) = self.classes[class].outages.entry(gap.cause).or_default();
         *gaps += 1;
         for (phase, host, spent) in gap.phase_times {
             *phases.entry(phase.clone()).or_default() += spent;
             if let Some(host) = host {
                 *self
-                    .at_hosts
+                    .host_phase_times
                     .entry(host)
                     .or_default()
                     .entry(phase)
@@ -212,7 +215,7 @@
         self.actors.get_mut(name)
     }
 
-    fn answered(&mut self, now: Micros, task: u64, outcome: &Outcome) {
+    fn handle_answer(&mut self, now: Micros, task: u64, outcome: &Outcome) {
         let phase = match outcome {
             Outcome::Placed { .. } => return,
             Outcome::Rejected { reason, .. } => format!("with its owner, refused for {reason}"),
@@ -220,11 +223,11 @@
             Outcome::ClientDisconnected => "with its owner, who hung up".to_owned(),
         };
         if let Some(actor) = self.actor(task) {
-            actor.phase(now, phase, None);
+            actor.begin_phase(now, phase, None);
         }
     }
 
-    fn turn(&mut self, now: Micros, turn: &Turn) {
+    fn handle_turn(&mut self, now: Micros, turn: &Turn) {
         for event in &turn.events {
             match event {
                 Event::PlacementRequested(task) => {
@@ -237,9 +240,9 @@
                     }
                 }
                 Event::AttemptAccepted { attempt: id, .. } => {
-                    let host = self.attempts.get(&key(id)).map(|a| a.0);
+                    let host = self.attempts.get(&attempt_key(id)).map(|a| a.0);
                     if let Some(actor) = self.actor(id.task.0) {
-                        actor.phase(now, "accepted, starting", host);
+                        actor.begin_phase(now, "accepted, starting", host);
                     }
                 }
                 Event::TaskReported {
@@ -249,7 +252,7 @@
                 Event::AttemptFinished {
                     attempt: id,
                     result: end,
-                } => self.ended(now, id, *end),
+                } => self.handle_finished(now, id, *end),
                 _ => {}
             }
         }
@@ -263,12 +266,16 @@
                     *made += 1;
                     self.attempts.insert((task.0, number), (machine.0, false));
                     if let Some(actor) = self.actor(task.0) {
-                        actor.phase(now, "offered", Some(machine.0));
+                        actor.begin_phase(now, "offered", Some(machine.0));
                     }
                 }
                 Action::Blocked { task, reason: lack } => {
                     if let Some(actor) = self.actor(task.0) {
-                        actor.phase(now, format!("held for {}", report_names::lack(*lack)), None);
+                        actor.begin_phase(
+                            now,
+                            format!("held for {}", report_names::block_reason(*lack)),
+                            None,
+                        );
                     }
                 }
                 _ => {}
@@ -277,7 +284,7 @@
     }
 
     fn handle_started(&mut self, now: Micros, id: &AttemptId) {
-        match self.attempts.get_mut(&key(id)) {
+        match self.attempts.get_mut(&attempt_key(id)) {
             Some((_, runs)) if !*runs => *runs = true,
             _ => return,
         }
@@ -285,7 +292,7 @@
             return;
         };
         actor.running_copies += 1;
-        actor.phase(now, "", None);
+        actor.begin_phase(now, "", None);
         let (class, first, after) = (
             actor.class,
             !actor.has_started,
@@ -295,19 +302,19 @@
         let gap = actor.outage.take();
         if first {
             self.classes[class]
-                .first_start
+                .first_start_times
                 .saturating_record(after.max(1));
         }
         if let Some(gap) = gap {
-            self.count(class, gap);
+            self.count_outage(class, gap);
         }
     }
 
-    fn ended(&mut self, now: Micros, id: &AttemptId, end: AttemptResult) {
-        let Some((host, ran)) = self.attempts.remove(&key(id)) else {
+    fn handle_finished(&mut self, now: Micros, id: &AttemptId, end: AttemptResult) {
+        let Some((host, ran)) = self.attempts.remove(&attempt_key(id)) else {
             return;
         };
-        let why = report_names::end(&end);
+        let why = report_names::attempt_result(&end);
         let Some(actor) = self.actor(id.task.0) else {
             return;
         };
@@ -329,20 +336,20 @@
             // What was waited for in vain is told apart from what came.
             gap.phase = format!("{}, in vain: {why}", gap.phase);
             gap.host = Some(host);
-            actor.phase(now, "between attempts", None);
+            actor.begin_phase(now, "between attempts", None);
         }
     }
 
     /// The end of the trace: all counts.
     pub fn finish(mut self) -> LossReport {
         for (_, actor) in std::mem::take(&mut self.actors) {
-            self.over(actor);
+            self.finish_actor(actor);
         }
         LossReport(self)
     }
 }
 
-fn key(id: &AttemptId) -> (u64, u32) {
+fn attempt_key(id: &AttemptId) -> (u64, u32) {
     (id.task.0, id.number)
 }
 
@@ -350,21 +357,21 @@
 pub struct LossReport(LossCollector);
 
 /// Names with their times, the longest first.
-fn longest<K: Clone + Ord>(times: impl Iterator<Item = (K, Micros)>) -> Vec<(K, Micros)> {
+fn sorted_by_time<K: Clone + Ord>(times: impl Iterator<Item = (K, Micros)>) -> Vec<(K, Micros)> {
     let mut all: Vec<(K, Micros)> = times.collect();
     all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
     all
 }
 
-fn seconds(time: Micros) -> f64 {
+fn to_seconds(time: Micros) -> f64 {
     time as f64 / 1e6
 }
 
 impl LossReport {
     fn hosts_by_lost_time(&self) -> Vec<(String, &BTreeMap<String, Micros>)> {
-        let all = longest(
+        let all = sorted_by_time(
             self.0
-                .at_hosts
+                .host_phase_times
                 .iter()
                 .map(|(&n, phases)| (n, phases.values().sum())),
         );
@@ -376,7 +383,7 @@
                 .unwrap_or_else(|| format!("#{n}"))
         };
         all.into_iter()
-            .map(|(n, _)| (name(&n), &self.0.at_hosts[&n]))
+            .map(|(n, _)| (name(&n), &self.0.host_phase_times[&n]))
             .collect()
     }
 
@@ -385,11 +392,11 @@
         let in_seconds = |phases: &BTreeMap<String, Micros>| -> BTreeMap<String, f64> {
             phases
                 .iter()
-                .map(|(phase, &time)| (phase.clone(), seconds(time)))
+                .map(|(phase, &time)| (phase.clone(), to_seconds(time)))
                 .collect()
         };
         let class = |c: &ClassLosses| {
-            let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
+            let q = |q: f64| c.first_start_times.value_at_quantile(q) as f64 / 1000.0;
             let gaps: BTreeMap<&String, Value> = c
                 .outages
                 .iter()
@@ -398,7 +405,7 @@
                 })
                 .collect();
             let value = json!({
-                "actors": c.actors, "never_started": c.never_started, "wanted_s": seconds(c.required_time), "gaps": gaps,
+                "actors": c.actors, "never_started": c.never_started, "wanted_s": to_seconds(c.required_time), "gaps": gaps,
                 "first_start_ms": {"p50": q(0.5), "p90": q(0.9), "p99": q(0.99), "max": q(1.0)},
             });
             (c.name.clone(), value)
@@ -410,7 +417,7 @@
             .collect();
         json!({
             "classes": self.0.classes.iter().map(class).collect::<BTreeMap<String, Value>>(),
-            "hosts": hosts, "not_followed": self.0.not_followed,
+            "hosts": hosts, "not_followed": self.0.untracked_actors,
         })
     }
 
@@ -425,14 +432,14 @@
                 .flat_map(|(_, phases)| phases.values())
                 .sum();
             let share = |time: Micros| 100.0 * time as f64 / c.required_time.max(1) as f64;
-            let q = |q: f64| c.first_start.value_at_quantile(q) as f64 / 1000.0;
+            let q = |q: f64| c.first_start_times.value_at_quantile(q) as f64 / 1000.0;
             let _ = writeln!(
                 out,
                 "{}: {} actors wanted for {:.0} s, not running {:.1}% of it; {} never started; first start p50 {:.0} ms, \
                  p90 {:.0} ms, p99 {:.0} ms",
                 c.name,
                 c.actors,
-                seconds(c.required_time),
+                to_seconds(c.required_time),
                 share(lost),
                 c.never_started,
                 q(0.5),
@@ -442,10 +449,10 @@
             let whole = |(began, (_, phases)): (&String, &(u64, BTreeMap<String, Micros>))| {
                 (began.clone(), phases.values().sum())
             };
-            for (began, time) in longest(c.outages.iter().map(whole)) {
+            for (began, time) in sorted_by_time(c.outages.iter().map(whole)) {
                 let (n, phases) = &c.outages[&began];
                 let _ = writeln!(out, "  {:.2}% in {n} gaps after {began}:", share(time));
-                for (phase, time) in longest(phases.iter().map(|(p, &t)| (p, t)))
+                for (phase, time) in sorted_by_time(phases.iter().map(|(p, &t)| (p, t)))
                     .into_iter()
                     .take(5)
                 {
@@ -454,15 +461,19 @@
             }
         }
         for (name, phases) in self.hosts_by_lost_time().into_iter().take(5) {
-            let phases: Vec<String> = longest(phases.iter().map(|(p, &t)| (p, t)))
+            let phases: Vec<String> = sorted_by_time(phases.iter().map(|(p, &t)| (p, t)))
                 .into_iter()
                 .take(3)
-                .map(|(phase, time)| format!("{phase} {:.1} s", seconds(time)))
+                .map(|(phase, time)| format!("{phase} {:.1} s", to_seconds(time)))
                 .collect();
             let _ = writeln!(out, "{name}: {}", phases.join(", "));
         }
-        if self.0.not_followed > 0 {
-            let _ = writeln!(out, "{} actors more were not followed", self.0.not_followed);
+        if self.0.untracked_actors > 0 {
+            let _ = writeln!(
+                out,
+                "{} actors more were not followed",
+                self.0.untracked_actors
+            );
         }
         out
     }
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -16,7 +16,7 @@
 use crate::{TraceError, Writer};
 
 /// Starts of hosts that are compared.
-const MOST_WITNESSED: usize = 1 << 17;
+const MAX_OBSERVED_STARTS: usize = 1 << 17;
 /// The bits of a merged task's number that are its number in its source.
 const TASK_BITS: u32 = 40;
 
@@ -28,13 +28,13 @@
     Trace(#[from] TraceError),
     /// Inputs overlap in a way that does not tell which records are the same.
     #[error("{0} is in two inputs, each with parts that the other lacks and some that both have")]
-    Overlap(String),
+    OverlappingInputs(String),
     /// More sources or tasks than numbers.
     #[error("a source's numbers are too large to be merged")]
-    Numbers,
+    IdOutOfRange,
     /// A file whose names were hidden can't be told to be of the same hosts as another.
     #[error("anonymised traces can't be merged; merge first")]
-    Hidden,
+    Anonymised,
 }
 
 /// A source as one input has it.
@@ -48,12 +48,12 @@
 
 /// What an input names, by its own numbers.
 #[derive(Default)]
-struct Named {
+struct InputHosts {
     hosts: BTreeMap<u32, [String; 4]>,
 }
 
 /// The sources of a file: itself, if it was never merged.
-fn sources(header: &Header) -> Vec<Source> {
+fn sources_of(header: &Header) -> Vec<Source> {
     if header.sources.is_empty() {
         return vec![Source {
             placer: header.placer.clone(),
@@ -69,21 +69,21 @@
 
 /// A plan of a merge: which pieces make up which source, what things are called, and how clocks differ.
 pub struct MergePlan {
-    pieces: Vec<Vec<SourceSlice>>,
+    slices_by_source: Vec<Vec<SourceSlice>>,
     header: Header,
     /// For each input, its classes' and hosts' numbers in the merged trace.
     classes: Vec<Vec<u32>>,
     hosts: Vec<BTreeMap<u32, u32>>,
     names: Vec<Record>,
     /// Inputs that are merged traces themselves.
-    merged: Vec<bool>,
+    is_merged: Vec<bool>,
 }
 
 impl MergePlan {
     /// Reads all inputs once.
     pub fn new<R: Read + Seek>(inputs: &mut [Reader<R>]) -> Result<MergePlan, MergeError> {
         let pieces = pieces(inputs)?;
-        let mut named: Vec<Named> = inputs.iter().map(|_| Named::default()).collect();
+        let mut named: Vec<InputHosts> = inputs.iter().map(|_| InputHosts::default()).collect();
         let mut services: BTreeMap<u64, String> = BTreeMap::new();
         // First sight of each host's start, by source; and when each source begins, for what was there before it was
         // seen by it late.
@@ -99,7 +99,10 @@
                         .map(move |p| (p.source_index, s))
                 })
                 .collect();
-            let offsets: Vec<i64> = sources(&input.header).iter().map(|s| s.offset_us).collect();
+            let offsets: Vec<i64> = sources_of(&input.header)
+                .iter()
+                .map(|s| s.offset_us)
+                .collect();
             let mut now = 0;
             input.rewind();
             while let Some(part) = input.next_part()? {
@@ -125,7 +128,7 @@
                             if let Some(&source) = of.get(&now) {
                                 let begin = begins.entry(source).or_insert(at);
                                 *begin = at.min(*begin);
-                                witness(&turn, at, source, &named[n], &mut seen);
+                                record_observed_starts(&turn, at, source, &named[n], &mut seen);
                             }
                         }
                         _ => {}
@@ -136,7 +139,7 @@
         for ((_, started), times) in &mut seen {
             times.retain(|source, _| begins[source] <= *started);
         }
-        let offsets = offsets(&seen, pieces.len());
+        let offsets = estimate_offsets(&seen, pieces.len());
         let mut all_hosts: BTreeMap<&String, [&String; 3]> = BTreeMap::new();
         for [name, zone, cell, kind] in named.iter().flat_map(|n| n.hosts.values()) {
             all_hosts.insert(name, [zone, cell, kind]);
@@ -216,12 +219,12 @@
             .map(|i| !i.header.sources.is_empty())
             .collect();
         Ok(MergePlan {
-            pieces,
+            slices_by_source: pieces,
             header,
             classes,
             hosts,
             names,
-            merged,
+            is_merged: merged,
         })
     }
 
@@ -243,7 +246,7 @@
             });
         }
         let mut streams = Vec::new();
-        for (n, pieces) in self.pieces.iter().enumerate() {
+        for (n, pieces) in self.slices_by_source.iter().enumerate() {
             let mut inputs = Vec::new();
             for piece in pieces {
                 inputs.push((open(piece.input)?, piece.clone()));
@@ -251,7 +254,7 @@
             inputs.reverse();
             let offset = self.header.sources[n].offset_us;
             let mut stream = SourceStream {
-                inputs,
+                remaining: inputs,
                 records: Vec::new().into_iter(),
                 current_source: 0,
                 offset_us: offset,
@@ -288,13 +291,13 @@
     /// A record by the merged trace's numbers.
     fn renumber(&self, input: usize, source: usize, record: Record) -> Result<Record, MergeError> {
         let task = |id: u64| -> Result<u64, MergeError> {
-            let own = if self.merged[input] {
+            let own = if self.is_merged[input] {
                 id & ((1 << TASK_BITS) - 1)
             } else {
                 id
             };
             if own >> TASK_BITS != 0 || source >= 1 << (63 - TASK_BITS) {
-                return Err(MergeError::Numbers);
+                return Err(MergeError::IdOutOfRange);
             }
             Ok((source as u64) << TASK_BITS | own)
         };
@@ -477,7 +480,7 @@
 /// One source's records in its own order.
 struct SourceStream<R> {
     /// What is left of its pieces, the next one last.
-    inputs: Vec<(Reader<R>, SourceSlice)>,
+    remaining: Vec<(Reader<R>, SourceSlice)>,
     records: std::vec::IntoIter<TimedRecord>,
     /// The source that the piece's records are of just now.
     current_source: u32,
@@ -490,7 +493,7 @@
 impl<R: Read + Seek> SourceStream<R> {
     fn advance(&mut self, merge: &MergePlan, source: usize) -> Result<(), MergeError> {
         loop {
-            let Some((reader, piece)) = self.inputs.last_mut() else {
+            let Some((reader, piece)) = self.remaining.last_mut() else {
                 return Ok(());
             };
             let Some(TimedRecord { at, record }) = self.records.next() else {
@@ -512,7 +515,7 @@
                         .into_iter();
                     }
                     None => {
-                        self.inputs.pop();
+                        self.remaining.pop();
                         self.current_source = 0;
                     }
                 }
@@ -542,9 +545,9 @@
     let mut all: BTreeMap<(String, u64), Vec<SourceSlice>> = BTreeMap::new();
     for (input, reader) in inputs.iter().enumerate() {
         if reader.header.changed.iter().any(|c| c == "anonymise") {
-            return Err(MergeError::Hidden);
+            return Err(MergeError::Anonymised);
         }
-        for (index, source) in sources(&reader.header).into_iter().enumerate() {
+        for (index, source) in sources_of(&reader.header).into_iter().enumerate() {
             let run = (source.placer.clone(), source.started_ms);
             all.entry(run).or_default().push(SourceSlice {
                 input,
@@ -575,7 +578,7 @@
                 .iter()
                 .any(|k| piece.source.parts.iter().any(|part| has(k, part)))
             {
-                return Err(MergeError::Overlap(format!(
+                return Err(MergeError::OverlappingInputs(format!(
                     "{placer}, started at {started_ms}"
                 )));
             }
@@ -587,11 +590,11 @@
     Ok(chosen)
 }
 
-fn witness(
+fn record_observed_starts(
     turn: &Turn,
     at: u64,
     source: usize,
-    named: &Named,
+    named: &InputHosts,
     seen: &mut BTreeMap<(String, u64), BTreeMap<usize, u64>>,
 ) {
     for event in &turn.events {
@@ -604,7 +607,7 @@
             else {
                 continue;
             };
-            if seen.len() < MOST_WITNESSED {
+            if seen.len() < MAX_OBSERVED_STARTS {
                 let times = seen.entry((host[0].clone(), started)).or_default();
                 let first = times.entry(source).or_insert(at);
                 *first = at.min(*first);
@@ -615,7 +618,7 @@
 
 /// For each source: what to add to its times, and how far what it witnessed then still lies from what others did at
 /// the median of nine in ten; none if nobody shared a sight with it.
-fn offsets(
+fn estimate_offsets(
     seen: &BTreeMap<(String, u64), BTreeMap<usize, u64>>,
     sources: usize,
 ) -> Vec<(i64, Option<u64>)> {
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -3,10 +3,10 @@
 use std::io::{Read, Seek, SeekFrom};
 
 use crate::TraceError;
-use crate::block::{self, BlockInfo, HEAD, MAGIC, MOST_RAW, unpack};
+use crate::block::{self, BLOCK_MAGIC, BlockInfo, HEAD_BYTES, MAX_UNPACKED_BYTES, unpack_records};
 use crate::header::{Header, MINOR};
 use crate::record::TimedRecord;
-use crate::writer::{END, INDEX, IndexEntry};
+use crate::writer::{END_MAGIC, INDEX_MAGIC, IndexEntry};
 
 /// A part of a file.
 #[derive(Clone, Debug, PartialEq)]
@@ -65,7 +65,7 @@
     }
 
     /// Whether a newer program wrote it, whose kinds of records may be passed over.
-    pub fn newer(&self) -> bool {
+    pub fn is_newer_minor_version(&self) -> bool {
         self.minor_version > MINOR
     }
 
@@ -76,17 +76,17 @@
 
     /// The index, if the file was finished and it is sound.
     pub fn read_index(&mut self) -> Result<Option<Vec<IndexEntry>>, TraceError> {
-        let Some(at) = self.index_at()? else {
+        let Some(at) = self.find_index()? else {
             return Ok(None);
         };
-        let head = self.take(at, 28)?;
+        let head = self.read_at(at, 28)?;
         let four =
             |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
         let (packed, raw) = (u64::from(four(4)), four(8) as usize);
-        if at + 28 + packed + 16 != self.file_bytes || raw > 4 * MOST_RAW {
+        if at + 28 + packed + 16 != self.file_bytes || raw > 4 * MAX_UNPACKED_BYTES {
             return Ok(None);
         }
-        let bytes = self.take(at + 28, packed as usize)?;
+        let bytes = self.read_at(at + 28, packed as usize)?;
         if blake3::hash(&bytes).as_bytes()[..16] != head[12..28] {
             return Ok(None);
         }
@@ -95,24 +95,25 @@
     }
 
     /// Where the index begins, by the end of the file.
-    fn index_at(&mut self) -> Result<Option<u64>, TraceError> {
+    fn find_index(&mut self) -> Result<Option<u64>, TraceError> {
         if self.file_bytes < self.first_block + 44 {
             return Ok(None);
         }
-        let end = self.take(self.file_bytes - 16, 16)?;
-        if end[8..] != *END {
+        let end = self.read_at(self.file_bytes - 16, 16)?;
+        if end[8..] != *END_MAGIC {
             return Ok(None);
         }
         let at = u64::from_le_bytes([
             end[0], end[1], end[2], end[3], end[4], end[5], end[6], end[7],
         ]);
-        if at < self.first_block || at + 44 > self.file_bytes || self.take(at, 4)? != INDEX {
+        if at < self.first_block || at + 44 > self.file_bytes || self.read_at(at, 4)? != INDEX_MAGIC
+        {
             return Ok(None);
         }
         Ok(Some(at))
     }
 
-    fn take(&mut self, at: u64, octets: usize) -> Result<Vec<u8>, TraceError> {
+    fn read_at(&mut self, at: u64, octets: usize) -> Result<Vec<u8>, TraceError> {
         self.input.seek(SeekFrom::Start(at))?;
         let mut bytes = Vec::new();
         (&mut self.input)
@@ -130,9 +131,9 @@
 
     /// The block that begins at this octet.
     pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
-        let (info, payload) = self.payload(at)?;
+        let (info, payload) = self.read_payload(at)?;
         let (records, unknown) =
-            unpack(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
+            unpack_records(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
         Ok(Part::Block {
             offset: at,
             info,
@@ -143,22 +144,22 @@
 
     /// The octets of the block that begins at this octet, unpacked.
     pub fn read_block_bytes(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
-        let (info, payload) = self.payload(at)?;
+        let (info, payload) = self.read_payload(at)?;
         block::unpack_bytes(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
     }
 
-    fn payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
+    fn read_payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         let damaged = |why| TraceError::Damaged { at, why };
-        if at + HEAD as u64 > self.file_bytes {
+        if at + HEAD_BYTES as u64 > self.file_bytes {
             return Err(damaged("the file ends in a block's head"));
         }
-        let mut head = [0; HEAD];
-        head.copy_from_slice(&self.take(at, HEAD)?);
+        let mut head = [0; HEAD_BYTES];
+        head.copy_from_slice(&self.read_at(at, HEAD_BYTES)?);
         let (info, check) = BlockInfo::parse(&head).map_err(damaged)?;
-        if at + HEAD as u64 + u64::from(info.packed_bytes) > self.file_bytes {
+        if at + HEAD_BYTES as u64 + u64::from(info.packed_bytes) > self.file_bytes {
             return Err(damaged("the file ends in a block"));
         }
-        let payload = self.take(at + HEAD as u64, info.packed_bytes as usize)?;
+        let payload = self.read_at(at + HEAD_BYTES as u64, info.packed_bytes as usize)?;
         if info.checksum(&payload) != check {
             return Err(damaged("a block's checksum does not fit"));
         }
@@ -173,7 +174,7 @@
     /// The next part; none at the end.
     pub fn next_part(&mut self) -> Result<Option<Part>, TraceError> {
         let (from, mut why) = (self.position, None);
-        let end = self.index_at().ok().flatten().unwrap_or(self.file_bytes);
+        let end = self.find_index().ok().flatten().unwrap_or(self.file_bytes);
         while self.position < end {
             match self.read_block(self.position) {
                 Ok(part) => {
@@ -185,13 +186,13 @@
                         }));
                     }
                     if let Part::Block { info, .. } = &part {
-                        self.position += HEAD as u64 + u64::from(info.packed_bytes);
+                        self.position += HEAD_BYTES as u64 + u64::from(info.packed_bytes);
                     }
                     return Ok(Some(part));
                 }
                 Err(TraceError::Damaged { why: wrong, .. }) => {
                     why.get_or_insert(wrong);
-                    self.position = self.next_magic(self.position + 1, end)?;
+                    self.position = self.find_magic(self.position + 1, end)?;
                 }
                 Err(e) => return Err(e),
             }
@@ -204,12 +205,12 @@
     }
 
     /// Where a block may begin, from this octet on; else the end.
-    fn next_magic(&mut self, from: u64, end: u64) -> Result<u64, TraceError> {
+    fn find_magic(&mut self, from: u64, end: u64) -> Result<u64, TraceError> {
         const ROUND: u64 = 64 << 10;
         let mut at = from;
         while at + 4 <= end {
-            let part = self.take(at, ROUND.min(end - at) as usize)?;
-            if let Some(found) = part.windows(4).position(|w| w == MAGIC) {
+            let part = self.read_at(at, ROUND.min(end - at) as usize)?;
+            if let Some(found) = part.windows(4).position(|w| w == BLOCK_MAGIC) {
                 return Ok(at + found as u64);
             }
             // The magic may lie over the edge.
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -137,7 +137,7 @@
 
 /// Hosts, services and tasks that a record names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Names {
+pub struct ReferencedIds {
     /// Hosts.
     pub machines: BTreeSet<u32>,
     /// Services.
@@ -148,12 +148,12 @@
 
 impl Record {
     /// What it names.
-    pub fn referenced_ids(&self) -> Names {
-        let mut names = Names::default();
+    pub fn referenced_ids(&self) -> ReferencedIds {
+        let mut names = ReferencedIds::default();
         match self {
             Record::Turn(turn) => {
-                turn.events.iter().for_each(|e| names.of_event(e));
-                turn.actions.iter().for_each(|a| names.of_action(a));
+                turn.events.iter().for_each(|e| names.add_event(e));
+                turn.actions.iter().for_each(|a| names.add_action(a));
             }
             Record::Host { machine, .. } => drop(names.machines.insert(*machine)),
             Record::Service { service, .. } => drop(names.services.insert(*service)),
@@ -173,8 +173,8 @@
     }
 }
 
-impl Names {
-    fn of_event(&mut self, event: &Event) {
+impl ReferencedIds {
+    fn add_event(&mut self, event: &Event) {
         match event {
             Event::EndpointsUpdated { machines, .. } => {
                 self.machines.extend(machines.iter().map(|m| m.machine.0))
@@ -204,7 +204,7 @@
         }
     }
 
-    fn of_action(&mut self, action: &Action) {
+    fn add_action(&mut self, action: &Action) {
         match action {
             Action::Offer { task, machine, .. } => {
                 self.tasks.insert(task.0);
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -28,7 +28,7 @@
     /// Actions compared.
     pub compared_actions: u64,
     /// Turns in which some action differed.
-    pub differing: u64,
+    pub differing_turns: u64,
     /// The first of them.
     pub first_difference: Option<Difference>,
     /// Actions by what they are: recorded, and replayed. What the module would do on the recorded events; events that
@@ -37,12 +37,12 @@
     /// Offers by host's number: recorded, and replayed.
     pub offers_by_host: BTreeMap<u32, [u64; 2]>,
     /// Turns that could not be compared, since the trace has a gap before them.
-    pub after_gap: u64,
+    pub turns_after_gap: u64,
 }
 
 /// A replay on its way.
 pub struct Replay {
-    module: Placer,
+    placer: Placer,
     actions: Vec<Action>,
     is_after_gap: bool,
     /// What was found so far.
@@ -70,7 +70,7 @@
         let settings = settings.unwrap_or(recorded);
         let module = Placer::new(settings, header.seed).map_err(|e| e.to_string())?;
         Ok(Replay {
-            module,
+            placer: module,
             actions: Vec::new(),
             is_after_gap: false,
             result: ReplayResult::default(),
@@ -80,7 +80,7 @@
     /// Takes in a record.
     pub fn feed(&mut self, stamped: &TimedRecord) {
         match &stamped.record {
-            Record::Turn(_) if self.is_after_gap => self.result.after_gap += 1,
+            Record::Turn(_) if self.is_after_gap => self.result.turns_after_gap += 1,
             Record::Turn(turn) => self.replay_turn(stamped.at, turn),
             Record::Gap { turns, .. } if *turns > 0 => self.is_after_gap = true,
             _ => {}
@@ -88,16 +88,19 @@
     }
 
     /// Blocks are missing here: what follows can't be compared.
-    pub fn damaged(&mut self) {
+    pub fn mark_gap(&mut self) {
         self.is_after_gap = true;
     }
 
     fn replay_turn(&mut self, at: u64, turn: &Turn) {
         self.actions.clear();
-        self.module.turn(turn.now, &turn.events, &mut self.actions);
+        self.placer.turn(turn.now, &turn.events, &mut self.actions);
         for (which, actions) in [&turn.actions, &self.actions].into_iter().enumerate() {
             for action in actions {
-                self.result.actions_by_kind.entry(kind(action)).or_default()[which] += 1;
+                self.result
+                    .actions_by_kind
+                    .entry(action_kind(action))
+                    .or_default()[which] += 1;
                 if let Action::Offer { machine, .. } = action {
                     self.result.offers_by_host.entry(machine.0).or_default()[which] += 1;
                 }
@@ -113,7 +116,7 @@
         self.result.turns += 1;
         self.result.compared_actions += turn.actions.len() as u64;
         if same < turn.actions.len().max(self.actions.len()) {
-            self.result.differing += 1;
+            self.result.differing_turns += 1;
             self.result
                 .first_difference
                 .get_or_insert_with(|| Difference {
@@ -128,7 +131,7 @@
 
 impl ReplayResult {
     /// The share of the recorded offers that would go to other hosts, as far as counts by host tell.
-    pub fn elsewhere(&self) -> f64 {
+    pub fn moved_offer_share(&self) -> f64 {
         let [recorded, replayed] = self
             .actions_by_kind
             .get("offer")
@@ -140,7 +143,7 @@
     }
 }
 
-fn kind(action: &Action) -> &'static str {
+fn action_kind(action: &Action) -> &'static str {
     match action {
         Action::Offer { .. } => "offer",
         Action::Cancel(_) => "cancel",
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -4,7 +4,7 @@
 use maplethread::{AttemptOutcome, AttemptResult, BlockReason, FailureReason};
 
 /// The name in reports of how an attempt ended.
-pub(crate) fn ending(ending: AttemptOutcome) -> &'static str {
+pub(crate) fn attempt_outcome(ending: AttemptOutcome) -> &'static str {
     match ending {
         AttemptOutcome::Completed => "Done",
         AttemptOutcome::Error => "Error",
@@ -18,7 +18,7 @@
 }
 
 /// The name in reports of why an attempt ended.
-pub(crate) fn why(why: FailureReason) -> &'static str {
+pub(crate) fn failure_reason(why: FailureReason) -> &'static str {
     match why {
         FailureReason::Cores => "Cores",
         FailureReason::Memory => "Memory",
@@ -31,7 +31,7 @@
 }
 
 /// The name in reports of what a held task waits for.
-pub(crate) fn lack(lack: BlockReason) -> &'static str {
+pub(crate) fn block_reason(lack: BlockReason) -> &'static str {
     match lack {
         BlockReason::NoKindFits => "Size",
         BlockReason::NoReadyMachine => "Ready",
@@ -44,9 +44,13 @@
 }
 
 /// How an attempt ended, with the reason in brackets if one is known: `Refused (Cores)`.
-pub(crate) fn end(end: &AttemptResult) -> String {
+pub(crate) fn attempt_result(end: &AttemptResult) -> String {
     match end.reason {
-        Some(reason) => format!("{} ({})", ending(end.outcome), why(reason)),
-        None => ending(end.outcome).to_owned(),
+        Some(reason) => format!(
+            "{} ({})",
+            attempt_outcome(end.outcome),
+            failure_reason(reason)
+        ),
+        None => attempt_outcome(end.outcome).to_owned(),
     }
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -12,23 +12,23 @@
 use crate::report_names;
 
 /// Asks that are open at a time; beyond it the oldest count as without an answer.
-const MOST_OPEN: usize = 1 << 18;
+const MAX_OPEN_REQUESTS: usize = 1 << 18;
 /// Seconds of which counts are kept, a day and a half; what comes later counts in the last.
-const MOST_SECONDS: usize = 1 << 17;
+const MAX_SECONDS: usize = 1 << 17;
 
 /// Times beyond it count as this long, µs.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_RECORDED_US: u64 = 3_600_000_000;
 /// Refusals of a host are counted for steps of so many seconds...
-const STEP_S: u64 = 10;
+const REJECTION_STEP_S: u64 = 10;
 /// ...and of so many steps, hosts and reasons in all; those that come later count in their host's last step.
-const MOST_STEPS: usize = 1 << 18;
+const MAX_REJECTION_STEPS: usize = 1 << 18;
 
 /// Counts of one class.
 #[derive(Clone, Debug, Default)]
 struct ClassCounts {
     requests: u64,
     outcomes: BTreeMap<&'static str, u64>,
-    reasons: BTreeMap<String, u64>,
+    rejection_reasons: BTreeMap<String, u64>,
     attempts: u64,
 }
 
@@ -36,16 +36,16 @@
 #[derive(Clone, Debug, Default)]
 struct HostCounts {
     offers: u64,
-    seated: u64,
+    accepted: u64,
     attempts_by_outcome: BTreeMap<String, u64>,
     drains: u64,
-    after_drain: u64,
-    latest_after_drain: u64,
+    offers_after_drain: u64,
+    latest_offer_after_drain: u64,
     /// Refusals by reason and by steps since the first record.
     rejections: BTreeMap<String, BTreeMap<u64, u64>>,
     /// Offers while it was cold, and the most of one placer's in a budget window.
-    cold_offers: u64,
-    cold_most: u64,
+    warm_up_offers: u64,
+    max_warm_up_offers: u64,
 }
 
 /// What one run of a placer was last told of one host.
@@ -83,7 +83,7 @@
     warm_up_windows: BTreeMap<(u32, u32), VecDeque<u64>>,
     /// The rules and the number of placers that the file's settings tell; a merged trace has none.
     rules: Option<(Rules, u32)>,
-    steps: usize,
+    rejection_steps: usize,
     current_source: u32,
     host_names: BTreeMap<u32, String>,
     open_requests: HashMap<u64, usize>,
@@ -97,7 +97,7 @@
     turns: u64,
     records: u64,
     lost_in_gaps: (u64, u64),
-    damaged: u64,
+    damaged_bytes: u64,
     unknown_records: u64,
 }
 
@@ -115,7 +115,7 @@
             known_hosts: BTreeMap::new(),
             warm_up_windows: BTreeMap::new(),
             rules: header.settings.as_ref().map(|s| (s.rules, s.replica_count)),
-            steps: 0,
+            rejection_steps: 0,
             current_source: 0,
             host_names: BTreeMap::new(),
             open_requests: HashMap::new(),
@@ -124,19 +124,20 @@
             seconds: Vec::new(),
             begin: None,
             end: 0,
-            place_times: Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds in range"),
+            place_times: Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
+                .expect("bounds in range"),
             blocked: BTreeMap::new(),
             turns: 0,
             records: 0,
             lost_in_gaps: (0, 0),
-            damaged: 0,
+            damaged_bytes: 0,
             unknown_records: 0,
         }
     }
 
     /// Octets that could not be read.
-    pub fn damaged(&mut self, octets: u64) {
-        self.damaged += octets;
+    pub fn add_damaged_bytes(&mut self, octets: u64) {
+        self.damaged_bytes += octets;
     }
 
     /// Records of kinds that are not known.
@@ -144,9 +145,9 @@
         self.unknown_records += u64::from(records);
     }
 
-    fn second(&mut self, at: u64) -> &mut SecondCounts {
+    fn second_at(&mut self, at: u64) -> &mut SecondCounts {
         let begin = *self.begin.get_or_insert(at);
-        let n = ((at.saturating_sub(begin) / 1_000_000) as usize).min(MOST_SECONDS - 1);
+        let n = ((at.saturating_sub(begin) / 1_000_000) as usize).min(MAX_SECONDS - 1);
         if self.seconds.len() <= n {
             self.seconds.resize(n + 1, SecondCounts::default());
         }
@@ -163,14 +164,14 @@
                 drop(self.host_names.insert(*machine, name.clone()))
             }
             Record::RequestReceived { task, class, .. } => {
-                if self.open_requests.len() >= MOST_OPEN {
+                if self.open_requests.len() >= MAX_OPEN_REQUESTS {
                     self.open_requests.clear();
                 }
                 self.open_requests.insert(*task, *class as usize);
                 if let Some((_, class)) = self.classes.get_mut(*class as usize) {
                     class.requests += 1;
                 }
-                self.second(stamped.at).requests += 1;
+                self.second_at(stamped.at).requests += 1;
             }
             Record::Answered {
                 task,
@@ -178,9 +179,9 @@
                 attempts,
                 elapsed: after,
             } => {
-                self.answered(stamped.at, *task, outcome, *attempts, *after);
+                self.handle_answer(stamped.at, *task, outcome, *attempts, *after);
             }
-            Record::Turn(turn) => self.turn(stamped.at, turn),
+            Record::Turn(turn) => self.handle_turn(stamped.at, turn),
             Record::Gap { turns, records, .. } => {
                 self.lost_in_gaps = (self.lost_in_gaps.0 + turns, self.lost_in_gaps.1 + records);
             }
@@ -189,16 +190,16 @@
         }
     }
 
-    fn answered(&mut self, at: u64, task: u64, outcome: &Outcome, attempts: u32, after: u64) {
+    fn handle_answer(&mut self, at: u64, task: u64, outcome: &Outcome, attempts: u32, after: u64) {
         let class = self.open_requests.remove(&task);
         if let Some((_, class)) = class.and_then(|c| self.classes.get_mut(c)) {
             *class.outcomes.entry(outcome.api_name()).or_default() += 1;
             class.attempts += u64::from(attempts);
             if let Outcome::Rejected { reason, .. } = outcome {
-                *class.reasons.entry(reason.clone()).or_default() += 1;
+                *class.rejection_reasons.entry(reason.clone()).or_default() += 1;
             }
         }
-        let second = self.second(at);
+        let second = self.second_at(at);
         match outcome {
             Outcome::Placed { .. } => second.placed += 1,
             Outcome::Rejected { .. } => second.rejected += 1,
@@ -210,7 +211,7 @@
         }
     }
 
-    fn turn(&mut self, at: u64, turn: &Turn) {
+    fn handle_turn(&mut self, at: u64, turn: &Turn) {
         self.turns += 1;
         let mut drained = 0;
         for event in &turn.events {
@@ -235,7 +236,7 @@
                 }
                 Event::AttemptAccepted { attempt: id, .. } => {
                     if let Some(host) = self.open_offers.get(&(id.task.0, id.number)) {
-                        self.hosts.entry(*host).or_default().seated += 1;
+                        self.hosts.entry(*host).or_default().accepted += 1;
                     }
                 }
                 Event::AttemptFinished {
@@ -243,7 +244,7 @@
                     result: end,
                 } => {
                     if let Some(host) = self.open_offers.remove(&(id.task.0, id.number)) {
-                        let why = report_names::end(end);
+                        let why = report_names::attempt_result(end);
                         *self
                             .hosts
                             .entry(host)
@@ -261,12 +262,12 @@
             }
         }
         if drained > 0 {
-            self.second(at).drains += drained;
+            self.second_at(at).drains += drained;
         }
         for action in &turn.actions {
             match action {
                 Action::Offer { task, machine, .. } => {
-                    if self.open_offers.len() >= MOST_OPEN {
+                    if self.open_offers.len() >= MAX_OPEN_REQUESTS {
                         self.open_offers.clear();
                         self.attempt_counts.clear();
                     }
@@ -277,14 +278,15 @@
                     host.offers += 1;
                     let told = self.known_hosts.get(&(self.current_source, machine.0));
                     if let Some(since) = told.and_then(|t| t.draining_since) {
-                        host.after_drain += 1;
-                        host.latest_after_drain = host.latest_after_drain.max(at - since);
+                        host.offers_after_drain += 1;
+                        host.latest_offer_after_drain =
+                            host.latest_offer_after_drain.max(at - since);
                     }
                     self.record_warm_up_offer(at, machine.0);
-                    self.second(at).offers += 1;
+                    self.second_at(at).offers += 1;
                 }
                 Action::Blocked { reason: lack, .. } => {
-                    let name = report_names::lack(*lack).to_owned();
+                    let name = report_names::block_reason(*lack).to_owned();
                     *self.blocked.entry(name).or_default() += 1;
                 }
                 _ => {}
@@ -296,8 +298,12 @@
         if end.outcome != AttemptOutcome::Rejected {
             return;
         }
-        let reason = end.reason.map_or("not told", report_names::why).to_owned();
-        let step = at.saturating_sub(self.begin.unwrap_or(at)) / 1_000_000 / STEP_S * STEP_S;
+        let reason = end
+            .reason
+            .map_or("not told", report_names::failure_reason)
+            .to_owned();
+        let step = at.saturating_sub(self.begin.unwrap_or(at)) / 1_000_000 / REJECTION_STEP_S
+            * REJECTION_STEP_S;
         let steps = self
             .hosts
             .entry(host)
@@ -306,10 +312,10 @@
             .entry(reason)
             .or_default();
         let step = match steps.last_key_value() {
-            Some((&last, _)) if self.steps >= MOST_STEPS => last,
+            Some((&last, _)) if self.rejection_steps >= MAX_REJECTION_STEPS => last,
             _ => step,
         };
-        self.steps += usize::from(!steps.contains_key(&step));
+        self.rejection_steps += usize::from(!steps.contains_key(&step));
         *steps.entry(step).or_default() += 1;
     }
 
@@ -327,12 +333,13 @@
         window.push_back(at);
         let most = window.len() as u64;
         let host = self.hosts.entry(host).or_default();
-        (host.cold_offers, host.cold_most) = (host.cold_offers + 1, host.cold_most.max(most));
+        (host.warm_up_offers, host.max_warm_up_offers) =
+            (host.warm_up_offers + 1, host.max_warm_up_offers.max(most));
     }
 
     /// The ten seconds in which the smallest share of answers was `placed`, among those with at least one for each
     /// second: where they begin (s), and the share.
-    fn worst(&self) -> Option<(usize, f64)> {
+    fn worst_ten_seconds(&self) -> Option<(usize, f64)> {
         let windows = self
             .seconds
             .windows(10.min(self.seconds.len().max(1)))
@@ -363,7 +370,7 @@
                 let answered: u64 = c.outcomes.values().sum();
                 let each = c.attempts as f64 / answered.max(1) as f64;
                 let value = json!({
-                    "asked": c.requests, "outcomes": c.outcomes, "refused_for": c.reasons, "attempts_each": each,
+                    "asked": c.requests, "outcomes": c.outcomes, "refused_for": c.rejection_reasons, "attempts_each": each,
                 });
                 (name.as_str(), value)
             })
@@ -374,9 +381,9 @@
             .map(|(n, h)| {
                 let name = self.host_names.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
                 let value = json!({
-                    "offers": h.offers, "seated": h.seated, "ended": h.attempts_by_outcome, "drains": h.drains,
-                    "offers_after_drain": h.after_drain, "latest_after_drain_ms": h.latest_after_drain / 1000,
-                    "refused_from_s": h.rejections, "cold_offers": h.cold_offers, "cold_most_in_window": h.cold_most,
+                    "offers": h.offers, "seated": h.accepted, "ended": h.attempts_by_outcome, "drains": h.drains,
+                    "offers_after_drain": h.offers_after_drain, "latest_after_drain_ms": h.latest_offer_after_drain / 1000,
+                    "refused_from_s": h.rejections, "cold_offers": h.warm_up_offers, "cold_most_in_window": h.max_warm_up_offers,
                 });
                 (name, value)
             })
@@ -405,12 +412,12 @@
         json!({
             "seconds": self.end.saturating_sub(self.begin.unwrap_or(self.end)) as f64 / 1e6,
             "records": self.records, "turns": self.turns,
-            "lost": {"turns": self.lost_in_gaps.0, "records": self.lost_in_gaps.1, "octets": self.damaged, "unknown": self.unknown_records},
+            "lost": {"turns": self.lost_in_gaps.0, "records": self.lost_in_gaps.1, "octets": self.damaged_bytes, "unknown": self.unknown_records},
             "classes": classes, "hosts": hosts, "held_for": self.blocked, "unanswered": self.open_requests.len(),
             "ask_to_placed_ms": {"p50": q(0.5), "p99": q(0.99), "max": q(1.0)},
             "ask_to_placed_histogram": {"columns": ["up_to_ms", "asks"], "rows": bars},
             "cold_budget": cold_budget,
-            "worst_10_s": self.worst().map(|(at, share)| json!({"from_s": at, "placed_share": share})),
+            "worst_10_s": self.worst_ten_seconds().map(|(at, share)| json!({"from_s": at, "placed_share": share})),
             "by_second": {"columns": ["asked", "placed", "refused", "failed", "offers", "drains"], "rows": seconds},
         })
     }
@@ -427,7 +434,7 @@
             self.turns,
             self.records,
             self.lost_in_gaps.0,
-            self.damaged
+            self.damaged_bytes
         );
         for (name, class) in &self.classes {
             let list = |counts: Vec<(String, u64)>| {
@@ -444,7 +451,13 @@
                     .map(|(k, n)| ((*k).to_owned(), *n))
                     .collect(),
             );
-            let reasons = list(class.reasons.iter().map(|(k, n)| (k.clone(), *n)).collect());
+            let reasons = list(
+                class
+                    .rejection_reasons
+                    .iter()
+                    .map(|(k, n)| (k.clone(), *n))
+                    .collect(),
+            );
             let _ = write!(out, "{name}: asked {}; {outcomes}", class.requests);
             let _ = if reasons.is_empty() {
                 writeln!(out)
@@ -458,7 +471,7 @@
             "ask to placed: p50 {} ms, p99 {} ms, max {} ms",
             ms["p50"], ms["p99"], ms["max"]
         );
-        if let Some((at, share)) = self.worst() {
+        if let Some((at, share)) = self.worst_ten_seconds() {
             let _ = writeln!(
                 out,
                 "worst ten seconds: from {at} s, {:.1}% of answers were placed",
@@ -468,7 +481,7 @@
         let mut worst: Vec<(&u32, u64)> = self
             .hosts
             .iter()
-            .map(|(n, h)| (n, h.offers.saturating_sub(h.seated)))
+            .map(|(n, h)| (n, h.offers.saturating_sub(h.accepted)))
             .collect();
         worst.sort_by_key(|&(n, lost)| (std::cmp::Reverse(lost), *n));
         for (n, lost) in worst.into_iter().take(5).filter(|&(_, lost)| lost > 0) {
@@ -491,8 +504,13 @@
             );
         }
         if let Some((rules, placers)) = self.rules {
-            let cold: u64 = self.hosts.values().map(|h| h.cold_offers).sum();
-            let most = self.hosts.values().map(|h| h.cold_most).max().unwrap_or(0);
+            let cold: u64 = self.hosts.values().map(|h| h.warm_up_offers).sum();
+            let most = self
+                .hosts
+                .values()
+                .map(|h| h.max_warm_up_offers)
+                .max()
+                .unwrap_or(0);
             let _ = writeln!(
                 out,
                 "cold hosts: {cold} offers, at most {most} to one in {:.1} s, of {} for all {placers} placers",
@@ -501,11 +519,11 @@
             );
         }
         let drains: u64 = self.hosts.values().map(|h| h.drains).sum();
-        let after: u64 = self.hosts.values().map(|h| h.after_drain).sum();
+        let after: u64 = self.hosts.values().map(|h| h.offers_after_drain).sum();
         let latest = self
             .hosts
             .values()
-            .map(|h| h.latest_after_drain)
+            .map(|h| h.latest_offer_after_drain)
             .max()
             .unwrap_or(0);
         let _ = writeln!(
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -8,16 +8,16 @@
 
 use crate::block::{BlockInfo, Packer};
 use crate::header::Header;
-use crate::record::{Names, Record, TimedRecord};
+use crate::record::{Record, ReferencedIds, TimedRecord};
 use crate::{Outcome, TraceError};
 
 /// A block is closed once its records have so many octets.
-const FULL: usize = 256 << 10;
+const BLOCK_BYTES: usize = 256 << 10;
 /// Tasks whose service is remembered for the index; with more, blocks count as naming every service.
-const MOST_TASKS: usize = 1 << 20;
+const MAX_REMEMBERED_TASKS: usize = 1 << 20;
 /// How each index begins, and how a file with an index ends.
-pub(crate) const INDEX: &[u8; 4] = b"MTIX";
-pub(crate) const END: &[u8; 8] = b"MTRCEND1";
+pub(crate) const INDEX_MAGIC: &[u8; 4] = b"MTIX";
+pub(crate) const END_MAGIC: &[u8; 8] = b"MTRCEND1";
 
 /// What the index tells of a block.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
     /// The services that it names, or whose tasks it names.
     pub services: Vec<u64>,
     /// Some of its tasks could not be told the service of: it may be any.
-    pub any_service: bool,
+    pub may_name_any_service: bool,
     /// Answers in it: placed, refused, failed, hung up.
     pub outcomes: [u32; 4],
 }
@@ -50,7 +50,7 @@
     /// Turns among them.
     pub turns: u64,
     /// Octets, unpacked.
-    pub raw: u64,
+    pub unpacked_bytes: u64,
     /// Octets on disk.
     pub bytes_written: u64,
 }
@@ -59,16 +59,16 @@
 pub struct Writer<W> {
     out: W,
     position: u64,
-    level: i32,
+    compression_level: i32,
     packer: Packer,
     index: Vec<IndexEntry>,
     host_names: BTreeMap<u32, Record>,
     service_names: BTreeMap<u64, Record>,
     task_services: HashMap<u64, u64>,
     /// What the present block has said and named.
-    ids_in_block: Names,
-    services_named: BTreeSet<u64>,
-    any_service: bool,
+    ids_in_block: ReferencedIds,
+    services_in_block: BTreeSet<u64>,
+    may_name_any_service: bool,
     outcomes: [u32; 4],
     /// Of which source a merged trace's records are just now.
     current_source: Option<u32>,
@@ -84,15 +84,15 @@
         Ok(Writer {
             out,
             position: at,
-            level: 3,
+            compression_level: 3,
             packer: Packer::default(),
             index: Vec::new(),
             host_names: BTreeMap::new(),
             service_names: BTreeMap::new(),
             task_services: HashMap::new(),
-            ids_in_block: Names::default(),
-            services_named: BTreeSet::new(),
-            any_service: false,
+            ids_in_block: ReferencedIds::default(),
+            services_in_block: BTreeSet::new(),
+            may_name_any_service: false,
             outcomes: [0; 4],
             current_source: None,
             totals: Totals {
@@ -111,7 +111,7 @@
             }
             Record::Service { service, .. } => {
                 // Names of services are as many as services: those of blocks long past are forgotten.
-                if self.service_names.len() >= MOST_TASKS {
+                if self.service_names.len() >= MAX_REMEMBERED_TASKS {
                     self.service_names.clear();
                 }
                 self.service_names.insert(*service, name.record.clone());
@@ -138,19 +138,19 @@
         match &stamped.record {
             Record::Host { .. } | Record::Service { .. } => self.register_name(stamped),
             Record::RequestReceived { task, service, .. } => {
-                if self.task_services.len() >= MOST_TASKS {
+                if self.task_services.len() >= MAX_REMEMBERED_TASKS {
                     self.task_services.clear();
                 }
                 self.task_services.insert(*task, *service);
             }
-            Record::Answered { outcome, .. } => self.outcomes[place(outcome)] += 1,
+            Record::Answered { outcome, .. } => self.outcomes[outcome_index(outcome)] += 1,
             Record::Source(source) => self.current_source = Some(*source),
             _ => {}
         }
         if let Some(source) = self.current_source.filter(|_| self.packer.is_empty())
             && !matches!(stamped.record, Record::Source(_))
         {
-            self.add(&TimedRecord {
+            self.append(&TimedRecord {
                 at: stamped.at,
                 record: Record::Source(source),
             })?;
@@ -162,19 +162,19 @@
                 && let Some(record) = self.host_names.get(&machine)
             {
                 let record = record.clone();
-                self.add(&TimedRecord {
+                self.append(&TimedRecord {
                     at: stamped.at,
                     record,
                 })?;
             }
         }
         for &service in &names.services {
-            self.say_service(service, stamped)?;
+            self.write_service_name(service, stamped)?;
         }
         for task in &names.tasks {
             match self.task_services.get(task) {
-                Some(&service) => self.say_service(service, stamped)?,
-                None => self.any_service = true,
+                Some(&service) => self.write_service_name(service, stamped)?,
+                None => self.may_name_any_service = true,
             }
         }
         if let Record::Turn(turn) = &stamped.record {
@@ -194,22 +194,26 @@
                 }
             }
         }
-        self.add(stamped)?;
-        if self.packer.len() >= FULL {
+        self.append(stamped)?;
+        if self.packer.len() >= BLOCK_BYTES {
             self.flush()
         } else {
             Ok(())
         }
     }
 
-    fn say_service(&mut self, service: u64, stamped: &TimedRecord) -> Result<(), TraceError> {
-        self.services_named.insert(service);
+    fn write_service_name(
+        &mut self,
+        service: u64,
+        stamped: &TimedRecord,
+    ) -> Result<(), TraceError> {
+        self.services_in_block.insert(service);
         if self.ids_in_block.services.insert(service)
             && !matches!(stamped.record, Record::Service { .. })
             && let Some(record) = self.service_names.get(&service)
         {
             let record = record.clone();
-            self.add(&TimedRecord {
+            self.append(&TimedRecord {
                 at: stamped.at,
                 record,
             })?;
@@ -217,7 +221,7 @@
         Ok(())
     }
 
-    fn add(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
+    fn append(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
         self.totals.records += 1;
         self.packer.add(stamped)
     }
@@ -227,7 +231,7 @@
         if self.packer.is_empty() {
             return Ok(());
         }
-        let (info, block) = self.packer.pack(self.level)?;
+        let (info, block) = self.packer.pack(self.compression_level)?;
         let entry = IndexEntry {
             offset: self.position,
             byte_count: block.len() as u64,
@@ -237,24 +241,24 @@
             machines: std::mem::take(&mut self.ids_in_block.machines)
                 .into_iter()
                 .collect(),
-            services: std::mem::take(&mut self.services_named)
+            services: std::mem::take(&mut self.services_in_block)
                 .into_iter()
                 .collect(),
-            any_service: std::mem::take(&mut self.any_service),
+            may_name_any_service: std::mem::take(&mut self.may_name_any_service),
             outcomes: std::mem::take(&mut self.outcomes),
         };
-        self.ids_in_block = Names::default();
+        self.ids_in_block = ReferencedIds::default();
         self.out.write_all(&block)?;
         self.out.flush()?;
-        self.written(&info, block.len());
+        self.count_block(&info, block.len());
         self.index.push(entry);
         Ok(())
     }
 
-    fn written(&mut self, info: &BlockInfo, octets: usize) {
+    fn count_block(&mut self, info: &BlockInfo, octets: usize) {
         self.position += octets as u64;
         self.totals.bytes_written = self.position;
-        self.totals.raw += u64::from(info.raw);
+        self.totals.unpacked_bytes += u64::from(info.unpacked_bytes);
         self.flushed_totals = self.totals;
     }
 
@@ -262,15 +266,15 @@
     pub fn finish(&mut self) -> Result<Totals, TraceError> {
         self.flush()?;
         let entries = postcard::to_stdvec(&self.index).map_err(std::io::Error::other)?;
-        let packed = zstd::bulk::compress(&entries, self.level)?;
+        let packed = zstd::bulk::compress(&entries, self.compression_level)?;
         let mut bytes = Vec::with_capacity(packed.len() + 48);
-        bytes.extend_from_slice(INDEX);
+        bytes.extend_from_slice(INDEX_MAGIC);
         bytes.extend_from_slice(&(packed.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&(entries.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&blake3::hash(&packed).as_bytes()[..16]);
         bytes.extend_from_slice(&packed);
         bytes.extend_from_slice(&self.position.to_le_bytes());
-        bytes.extend_from_slice(END);
+        bytes.extend_from_slice(END_MAGIC);
         self.out.write_all(&bytes)?;
         self.out.flush()?;
         self.position += bytes.len() as u64;
@@ -285,7 +289,7 @@
 }
 
 /// An outcome's place in the index's counts.
-pub(crate) fn place(outcome: &Outcome) -> usize {
+pub(crate) fn outcome_index(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Placed { .. } => 0,
         Outcome::Rejected { .. } => 1,
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -4,7 +4,7 @@
 use std::io::Cursor;
 
 use maplethread::*;
-use maplethread_trace::cut::{Chosen, Filter};
+use maplethread_trace::cut::{Filter, SelectedTasks};
 use maplethread_trace::replay::Replay;
 use maplethread_trace::summary::Summary;
 use maplethread_trace::{
@@ -71,7 +71,7 @@
 }
 
 /// A run of a real module: asks by turns for each of some services, every hundredth attempt refused.
-fn run(asks: u64, services: u64) -> Vec<TimedRecord> {
+fn recorded_run(asks: u64, services: u64) -> Vec<TimedRecord> {
     let mut module = Placer::new(settings(), 7).expect("settings");
     let mut now = 1_700_000_000 * S;
     let mut records = Vec::new();
@@ -195,7 +195,7 @@
     records
 }
 
-fn write(records: &[TimedRecord]) -> Vec<u8> {
+fn write_trace(records: &[TimedRecord]) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header()).expect("a header");
     for (n, record) in records.iter().enumerate() {
@@ -224,7 +224,7 @@
 }
 
 /// Without the names that are said again.
-fn plain(records: &[TimedRecord]) -> Vec<&TimedRecord> {
+fn without_names(records: &[TimedRecord]) -> Vec<&TimedRecord> {
     records
         .iter()
         .filter(|r| !matches!(r.record, Record::Host { .. } | Record::Service { .. }))
@@ -232,19 +232,19 @@
 }
 
 #[test]
-fn what_was_written_is_read_and_replayed_to_the_bit() {
-    let records = run(300, 5);
-    let bytes = write(&records);
+fn written_trace_is_read_back_and_replays_without_a_difference() {
+    let records = recorded_run(300, 5);
+    let bytes = write_trace(&records);
     let (got, lost) = read(&bytes).expect("a file");
-    assert_eq!((plain(&got), lost), (plain(&records), 0));
+    assert_eq!((without_names(&got), lost), (without_names(&records), 0));
     let mut replay = Replay::new(&header()).expect("a module");
     got.iter().for_each(|r| replay.feed(r));
     let found = &replay.result;
     assert!(
-        found.turns == 900 && found.compared_actions > 300 && found.differing == 0,
+        found.turns == 900 && found.compared_actions > 300 && found.differing_turns == 0,
         "{found:?}"
     );
-    assert!(found.elsewhere().abs() < 1e-9, "{found:?}");
+    assert!(found.moved_offer_share().abs() < 1e-9, "{found:?}");
     // With another seed, or one event less, it is not the same run.
     let mut replay = Replay::new(&Header {
         seed: 8,
@@ -252,7 +252,7 @@
     })
     .expect("a module");
     got.iter().for_each(|r| replay.feed(r));
-    assert!(replay.result.differing > 0);
+    assert!(replay.result.differing_turns > 0);
     let first = replay.result.first_difference.expect("a difference");
     assert!(first.recorded != first.replayed && first.time_us >= records[0].at);
     // What if: machines too small for any of it.
@@ -269,7 +269,7 @@
         .copied()
         .unwrap_or_default();
     assert!(
-        replay.result.differing > 0 && refused == [0, 300],
+        replay.result.differing_turns > 0 && refused == [0, 300],
         "{:?}",
         replay.result.actions_by_kind
     );
@@ -281,7 +281,7 @@
             .all(|[recorded, replayed]| *recorded > 0 && *replayed == 0)
     );
     assert_eq!(
-        replay.result.elsewhere(),
+        replay.result.moved_offer_share(),
         1.0,
         "all of them would go nowhere"
     );
@@ -297,13 +297,16 @@
     let mut replay = Replay::new(&header()).expect("a module");
     replay.feed(&gap);
     got.iter().for_each(|r| replay.feed(r));
-    assert_eq!((replay.result.turns, replay.result.after_gap), (0, 900));
+    assert_eq!(
+        (replay.result.turns, replay.result.turns_after_gap),
+        (0, 900)
+    );
 }
 
 #[test]
-fn cut_off_anywhere_it_opens_up_to_its_last_whole_block() {
-    let records = run(60, 3);
-    let bytes = write(&records);
+fn truncated_file_opens_up_to_its_last_whole_block() {
+    let records = recorded_run(60, 3);
+    let bytes = write_trace(&records);
     let whole = read(&bytes).expect("a file").0;
     let mut seen = 0;
     for length in 0..bytes.len() {
@@ -313,7 +316,7 @@
                 assert!(got.len() >= seen, "a longer piece holds no less");
                 seen = got.len();
             }
-            Err(TraceError::NoTrace(_)) => assert_eq!(seen, 0),
+            Err(TraceError::NotATrace(_)) => assert_eq!(seen, 0),
             Err(e) => panic!("cut at {length}: {e}"),
         }
     }
@@ -321,9 +324,9 @@
 }
 
 #[test]
-fn a_flipped_bit_costs_its_block_only() {
-    let records = run(40, 3);
-    let bytes = write(&records);
+fn flipped_bit_loses_only_its_block() {
+    let records = recorded_run(40, 3);
+    let bytes = write_trace(&records);
     let whole = read(&bytes).expect("a file").0;
     let header = {
         let mut out = Vec::new();
@@ -348,15 +351,17 @@
                     whole.len()
                 );
             }
-            Err(TraceError::NoTrace(_) | TraceError::TooNew(..)) => assert!(at < header, "{at}"),
+            Err(TraceError::NotATrace(_) | TraceError::UnsupportedVersion(..)) => {
+                assert!(at < header, "{at}")
+            }
             Err(e) => panic!("flipped at {at}: {e}"),
         }
     }
 }
 
 #[test]
-fn versions_are_told() {
-    let mut bytes = write(&run(1, 1));
+fn rejects_newer_major_version_and_counts_unknown_records_of_newer_minor_version() {
+    let mut bytes = write_trace(&recorded_run(1, 1));
     bytes[8] = 2;
     let error = Reader::open(Cursor::new(&bytes)).err().expect("too new");
     assert_eq!(
@@ -386,7 +391,7 @@
     let check = blake3::hash(&[&head[..], &payload].concat());
     bytes.extend([&head[..], &check.as_bytes()[..16], &payload].concat());
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file of a newer minor version");
-    assert!(reader.newer());
+    assert!(reader.is_newer_minor_version());
     match reader.next_part().expect("no fault") {
         Some(Part::Block {
             records,
@@ -398,15 +403,15 @@
 }
 
 #[test]
-fn files_of_all_versions_stay_readable() {
+fn reads_fixture_of_every_format_version() {
     let mut versions = 0;
     for entry in std::fs::read_dir(FIXTURES).expect("a folder") {
         let path = entry.expect("an entry").path();
         let bytes = std::fs::read(&path).expect("a file");
         let (got, lost) = read(&bytes).expect("a trace");
         assert_eq!(
-            (plain(&got).len(), lost),
-            (plain(&run(20, 2)).len(), 0),
+            (without_names(&got).len(), lost),
+            (without_names(&recorded_run(20, 2)).len(), 0),
             "{}",
             path.display()
         );
@@ -421,9 +426,9 @@
 }
 
 #[test]
-fn one_service_is_cut_out_by_the_index() {
-    let records = run(2000, 400);
-    let bytes = write(&records);
+fn cuts_one_service_by_reading_only_its_blocks() {
+    let records = recorded_run(2000, 400);
+    let bytes = write_trace(&records);
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file");
     let index = reader.read_index().expect("no fault").expect("an index");
     let wanted = Filter {
@@ -432,7 +437,7 @@
     };
     let at: Vec<u64> = index
         .iter()
-        .filter(|e| wanted.may_be_in(e))
+        .filter(|e| wanted.may_match_block(e))
         .map(|e| e.offset)
         .collect();
     assert!(
@@ -447,7 +452,7 @@
             found.extend(records);
         }
     }
-    let mut chosen = Chosen::default();
+    let mut chosen = SelectedTasks::default();
     found.iter().for_each(|r| chosen.scan(&wanted, r));
     let kept: Vec<TimedRecord> = found
         .iter()
@@ -462,19 +467,19 @@
         .filter(|r| matches!(r.record, Record::RequestReceived { service, .. } if service != 17));
     assert_eq!((asked, others.count()), (5, 0));
     // The same from the whole file, without the index.
-    let mut all = Chosen::default();
+    let mut all = SelectedTasks::default();
     records.iter().for_each(|r| all.scan(&wanted, r));
     let slow: Vec<TimedRecord> = records
         .iter()
         .filter_map(|r| all.filter_record(&wanted, r))
         .collect();
-    assert_eq!(plain(&kept), plain(&slow));
+    assert_eq!(without_names(&kept), without_names(&slow));
 }
 
 #[test]
-fn a_summary_counts_what_happened() {
+fn summary_counts_requests_outcomes_and_offers() {
     let mut summary = Summary::new(&header());
-    run(300, 5).iter().for_each(|r| summary.feed(r));
+    recorded_run(300, 5).iter().for_each(|r| summary.feed(r));
     let json = summary.to_json();
     let web = &json["classes"]["web"];
     let outcomes = &web["outcomes"];
@@ -496,7 +501,7 @@
 }
 
 #[test]
-fn a_summary_tells_refusals_over_time_cold_offers_and_how_long_asks_took() {
+fn summary_shows_rejections_over_time_warm_up_offers_and_placement_times() {
     let begin = 1_700_000_000 * S;
     let mut summary = Summary::new(&header());
     let mut turn = |at: u64, events: Vec<Event>, actions: Vec<Action>| {
@@ -600,7 +605,7 @@
     );
 }
 
-fn any_record() -> impl Strategy<Value = Record> {
+fn arbitrary_record() -> impl Strategy<Value = Record> {
     let event = prop_oneof![
         any::<Option<u32>>().prop_map(Event::ReplicaIndexChanged),
         (any::<u32>(), any::<bool>()).prop_map(|(m, on)| Event::ConnectionChanged {
@@ -681,11 +686,11 @@
 
 proptest! {
     #[test]
-    fn any_records_come_back(all in prop::collection::vec((any::<u64>(), any_record()), 0..40)) {
+    fn any_records_come_back(all in prop::collection::vec((any::<u64>(), arbitrary_record()), 0..40)) {
         let all: Vec<TimedRecord> = all.into_iter().map(|(at, record)| TimedRecord { at, record }).collect();
-        let (got, lost) = read(&write(&all)).expect("a file");
+        let (got, lost) = read(&write_trace(&all)).expect("a file");
         prop_assert_eq!(lost, 0);
-        prop_assert_eq!(plain(&got), plain(&all));
+        prop_assert_eq!(without_names(&got), without_names(&all));
     }
 
     #[test]
@@ -701,15 +706,15 @@
 /// Writes the fixture; run by hand once for each version of the format.
 #[test]
 #[ignore = "writes the fixture of a new version"]
-fn write_fixture() {
+fn writes_fixture_of_current_format_version() {
     use maplethread_trace::header::{MAJOR, MINOR};
     let path = format!("{FIXTURES}/v{MAJOR}.{MINOR}.mtrace");
     let mut file = std::fs::File::create_new(path).expect("a version without a fixture");
-    std::io::Write::write_all(&mut file, &write(&run(20, 2))).expect("a file");
+    std::io::Write::write_all(&mut file, &write_trace(&recorded_run(20, 2))).expect("a file");
 }
 
 #[test]
-fn hostile_names_are_hidden_alike_within_a_file_and_apart_across_files() {
+fn anonymised_names_are_equal_within_a_file_and_differ_between_files() {
     use maplethread_trace::anonymise::{Anonymiser, Identifiers};
     let long = "n".repeat(5000);
     let names = [
@@ -724,7 +729,7 @@
         "Überweisung",
         "host~",
     ];
-    let mut records = run(20, 3);
+    let mut records = recorded_run(20, 3);
     let at = records[0].at;
     for (n, name) in names.iter().enumerate() {
         let n = n as u64;
@@ -770,8 +775,8 @@
         });
     }
     let mut identifiers = Identifiers::default();
-    identifiers.of_header(&header());
-    records.iter().for_each(|r| identifiers.of_record(r));
+    identifiers.add_header(&header());
+    records.iter().for_each(|r| identifiers.add_record(r));
     let copies = [[1; 32], [2; 32]].map(|key| {
         let hide = Anonymiser::new(key, 7 * S, 0.5);
         let head = hide.anonymise_header(&header());
@@ -783,11 +788,11 @@
     });
     for copy in &copies {
         for (old, new) in records.iter().zip(copy) {
-            assert_eq!(identifiers.found_in(new), None, "{new:?}");
+            assert_eq!(identifiers.find_in(new), None, "{new:?}");
             assert_eq!(new.at, old.at + 7 * S);
         }
         let octets = {
-            let bytes = write(copy);
+            let bytes = write_trace(copy);
             let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
             let index = reader.read_index().expect("no fault").expect("an index");
             index
@@ -825,5 +830,5 @@
         "each file has a key of its own"
     );
     // The search finds what was not hidden.
-    assert!(records.iter().any(|r| identifiers.found_in(r).is_some()));
+    assert!(records.iter().any(|r| identifiers.find_in(r).is_some()));
 }
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -8,10 +8,10 @@
 
 use maplethread_trace::{Header, Part, Reader, Record, TimedRecord, Writer, module_hash};
 
-const OUT: &str = "MAPLETHREAD_TRACE_KILLED";
+const OUTPUT_VARIABLE: &str = "MAPLETHREAD_TRACE_KILLED";
 
 /// The n-th record: all of them differ, and pack badly, so that writes are long.
-fn record(n: u64) -> TimedRecord {
+fn nth_record(n: u64) -> TimedRecord {
     let noise = |k: u64| {
         (n * 7 + k)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -37,7 +37,9 @@
 /// Not a test of its own: what the killed process runs. Without the variable it does nothing.
 #[test]
 fn writes_until_it_is_killed() {
-    let Ok(out) = std::env::var(OUT) else { return };
+    let Ok(out) = std::env::var(OUTPUT_VARIABLE) else {
+        return;
+    };
     let header = Header {
         writer: "test".into(),
         module: module_hash(),
@@ -60,13 +62,13 @@
         record: service,
     });
     for n in 0..20_000_000 {
-        writer.push(&record(n)).expect("a write");
+        writer.push(&nth_record(n)).expect("a write");
     }
 }
 
-struct Killed(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -96,7 +98,7 @@
 }
 
 #[test]
-fn a_killed_writers_file_is_a_true_beginning() {
+fn file_of_killed_writer_is_a_prefix_of_what_it_wrote() {
     let folder = tempfile::tempdir().expect("a folder");
     let program = std::env::current_exe().expect("this program");
     let mut cut_within_a_block = 0;
@@ -104,12 +106,12 @@
         let file = folder.path().join(format!("{round}.mtrace"));
         let child = Command::new(&program)
             .args(["--exact", "writes_until_it_is_killed"])
-            .env(OUT, &file)
+            .env(OUTPUT_VARIABLE, &file)
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
             .expect("a process");
-        let mut killed = Killed(child);
+        let mut killed = KillOnDrop(child);
         // Killed once the file is so long, which it passes within a write as well as between two.
         let enough = 4_000 + round * 61_803;
         while std::fs::metadata(&file).map_or(0, |m| m.len()) < enough {
@@ -122,7 +124,7 @@
         drop(killed);
         let (asks, lost) = read(&file);
         for (n, ask) in asks.iter().enumerate() {
-            assert_eq!(*ask, record(n as u64), "round {round}");
+            assert_eq!(*ask, nth_record(n as u64), "round {round}");
         }
         cut_within_a_block += u32::from(lost > 0);
         assert!(
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -9,9 +9,9 @@
 
 /// A trace told line by line, in ms.
 #[derive(Default)]
-struct Tale(Vec<TimedRecord>);
+struct TraceBuilder(Vec<TimedRecord>);
 
-impl Tale {
+impl TraceBuilder {
     fn record(&mut self, at: u64, record: Record) {
         self.0.push(TimedRecord {
             at: at * MS,
@@ -31,7 +31,7 @@
     }
 
     /// An ask whose module answers with these actions at once.
-    fn asks(&mut self, at: u64, task: u64, actor: &str, life: u64, actions: Vec<Action>) {
+    fn request(&mut self, at: u64, task: u64, actor: &str, life: u64, actions: Vec<Action>) {
         let (actor, request) = (actor.to_owned(), format!("{actor}.{task}"));
         let asked = Record::RequestReceived {
             task,
@@ -55,7 +55,7 @@
         self.turn(at, vec![Event::PlacementRequested(asked)], actions);
     }
 
-    fn counted(&self) -> Value {
+    fn report(&self) -> Value {
         let mut losses = LossCollector::new(&["web".to_owned()]);
         self.0.iter().for_each(|r| losses.feed(r));
         let counted = losses.finish();
@@ -83,14 +83,19 @@
     }
 }
 
-fn started(task: u64, number: u32) -> Event {
+fn task_started(task: u64, number: u32) -> Event {
     Event::TaskReported {
         attempt: attempt(task, number),
         report: TaskReport::Started,
     }
 }
 
-fn ended(task: u64, number: u32, ending: AttemptOutcome, why: Option<FailureReason>) -> Event {
+fn attempt_finished(
+    task: u64,
+    number: u32,
+    ending: AttemptOutcome,
+    why: Option<FailureReason>,
+) -> Event {
     Event::AttemptFinished {
         attempt: attempt(task, number),
         result: AttemptResult {
@@ -102,13 +107,13 @@
     }
 }
 
-fn seconds(counted: &Value, began: &str) -> Value {
+fn outages_after(counted: &Value, began: &str) -> Value {
     counted["classes"]["web"]["gaps"][began].clone()
 }
 
 #[test]
-fn a_gap_goes_to_what_took_its_time() {
-    let mut tale = Tale::default();
+fn outage_time_is_split_by_phase_and_host() {
+    let mut tale = TraceBuilder::default();
     let host = |machine| Record::Host {
         machine,
         name: format!("host-{machine}"),
@@ -118,7 +123,7 @@
     };
     tale.record(0, host(3));
     // Held for 200 ms, refused by one host after 50, accepted by another after 10, started after 300 more.
-    tale.asks(
+    tale.request(
         0,
         1,
         "a",
@@ -131,7 +136,7 @@
     tale.turn(200, vec![], vec![offer(1, 2)]);
     tale.turn(
         250,
-        vec![ended(
+        vec![attempt_finished(
             1,
             0,
             AttemptOutcome::Rejected,
@@ -156,14 +161,14 @@
             elapsed: 260 * MS,
         },
     );
-    tale.turn(560, vec![started(1, 1)], vec![]);
+    tale.turn(560, vec![task_started(1, 1)], vec![]);
     // Lost at 2 s; its owner comes after 700 ms, is refused, and comes again 300 ms before the end of its time.
     tale.turn(
         2000,
-        vec![ended(1, 1, AttemptOutcome::Disconnected, None)],
+        vec![attempt_finished(1, 1, AttemptOutcome::Disconnected, None)],
         vec![],
     );
-    tale.asks(2700, 2, "a", 7_300, vec![]);
+    tale.request(2700, 2, "a", 7_300, vec![]);
     let refused = Outcome::Rejected {
         reason: "cores".into(),
         retry_after_ms: 1000,
@@ -177,10 +182,10 @@
             elapsed: 100 * MS,
         },
     );
-    tale.asks(9700, 3, "a", 300, vec![offer(3, 3)]);
+    tale.request(9700, 3, "a", 300, vec![offer(3, 3)]);
     tale.turn(20_000, vec![], vec![]);
-    let counted = tale.counted();
-    let first = seconds(&counted, "first start");
+    let counted = tale.report();
+    let first = outages_after(&counted, "first start");
     assert_eq!(first["count"], 1);
     assert_eq!(
         first["seconds"],
@@ -189,7 +194,7 @@
             "accepted, starting": 0.3,
         })
     );
-    let lost = seconds(&counted, "Reset");
+    let lost = outages_after(&counted, "Reset");
     assert_eq!(
         lost["seconds"],
         json!({
@@ -207,19 +212,19 @@
 }
 
 #[test]
-fn a_second_copy_hides_the_loss_of_the_first() {
-    let mut tale = Tale::default();
-    tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
-    tale.asks(100, 2, "a", 4900, vec![offer(2, 2)]);
-    tale.turn(200, vec![started(1, 0), started(2, 0)], vec![]);
+fn loss_of_one_copy_is_no_outage_while_another_runs() {
+    let mut tale = TraceBuilder::default();
+    tale.request(0, 1, "a", 5000, vec![offer(1, 1)]);
+    tale.request(100, 2, "a", 4900, vec![offer(2, 2)]);
+    tale.turn(200, vec![task_started(1, 0), task_started(2, 0)], vec![]);
     tale.turn(
         1000,
-        vec![ended(1, 0, AttemptOutcome::TimedOut, None)],
+        vec![attempt_finished(1, 0, AttemptOutcome::TimedOut, None)],
         vec![],
     );
     tale.turn(
         2000,
-        vec![ended(
+        vec![attempt_finished(
             2,
             0,
             AttemptOutcome::Disconnected,
@@ -228,9 +233,9 @@
         vec![],
     );
     tale.turn(4000, vec![], vec![]);
-    let counted = tale.counted();
-    assert_eq!(seconds(&counted, "TimedOut"), Value::Null);
-    let lost = seconds(&counted, "Reset (PushedOut)");
+    let counted = tale.report();
+    assert_eq!(outages_after(&counted, "TimedOut"), Value::Null);
+    let lost = outages_after(&counted, "Reset (PushedOut)");
     assert_eq!(
         lost["seconds"],
         json!({"with its owner, told of the loss": 2.0})
@@ -242,16 +247,16 @@
 }
 
 #[test]
-fn what_is_done_is_not_wanted_any_more_and_what_never_ran_is_told() {
-    let mut tale = Tale::default();
-    tale.asks(0, 1, "a", 5000, vec![offer(1, 1)]);
-    tale.turn(100, vec![started(1, 0)], vec![]);
+fn completed_actor_is_not_required_any_more_and_unstarted_actor_is_counted() {
+    let mut tale = TraceBuilder::default();
+    tale.request(0, 1, "a", 5000, vec![offer(1, 1)]);
+    tale.turn(100, vec![task_started(1, 0)], vec![]);
     tale.turn(
         1000,
-        vec![ended(1, 0, AttemptOutcome::Completed, None)],
+        vec![attempt_finished(1, 0, AttemptOutcome::Completed, None)],
         vec![],
     );
-    tale.asks(
+    tale.request(
         1000,
         2,
         "b",
@@ -262,10 +267,10 @@
         }],
     );
     tale.turn(9000, vec![], vec![]);
-    let counted = tale.counted();
+    let counted = tale.report();
     assert_eq!(counted["classes"]["web"]["never_started"], 1);
     assert_eq!(counted["classes"]["web"]["wanted_s"], 2.0);
-    let gaps = seconds(&counted, "first start");
+    let gaps = outages_after(&counted, "first start");
     assert_eq!(gaps["count"], 2);
     assert_eq!(
         gaps["seconds"],
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -32,7 +32,7 @@
 
 /// A part of the file of a placer whose clock is ahead by `skew`, and that hears of things `lag` late. Hosts have other
 /// numbers at each placer.
-fn file(placer: &str, part: u32, skew: i64, lag: u64) -> Vec<u8> {
+fn trace_file(placer: &str, part: u32, skew: i64, lag: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header(placer, part)).expect("a header");
     let hash = placer.bytes().map(u64::from).sum::<u64>();
@@ -161,11 +161,11 @@
 }
 
 #[test]
-fn clocks_that_differ_are_brought_together_and_the_rest_is_told() {
+fn differing_clocks_are_aligned_and_residual_error_is_reported() {
     let (a, b, c) = (
-        file("p1", 0, 0, 3000),
-        file("p2", 0, 7 * S as i64, 9000),
-        file("p3", 0, -3 * S as i64, 5000),
+        trace_file("p1", 0, 0, 3000),
+        trace_file("p2", 0, 7 * S as i64, 9000),
+        trace_file("p3", 0, -3 * S as i64, 5000),
     );
     let merged = merge(&[&a, &b, &c]).expect("a merge");
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
@@ -233,12 +233,12 @@
 }
 
 #[test]
-fn neither_order_nor_grouping_makes_a_difference() {
+fn merge_result_is_independent_of_order_and_grouping_of_inputs() {
     let files = [
-        file("p1", 0, 0, 3000),
-        file("p1", 1, 0, 3000),
-        file("p2", 0, 70_000, 900),
-        file("p3", 0, -50_000, 5000),
+        trace_file("p1", 0, 0, 3000),
+        trace_file("p1", 1, 0, 3000),
+        trace_file("p2", 0, 70_000, 900),
+        trace_file("p3", 0, -50_000, 5000),
     ];
     let [a, b, c, d] = files.each_ref().map(Vec::as_slice);
     let whole = merge(&[a, b, c, d]).expect("a merge");
@@ -270,19 +270,19 @@
         assert_eq!(of_parts[key], of_run[key], "{key}");
     }
     // What overlaps without one holding the other can't be told apart.
-    let third = file("p1", 2, 0, 3000);
+    let third = trace_file("p1", 2, 0, 3000);
     let (one, other) = (
         merge(&[a, b]).expect("a merge"),
         merge(&[b, &third]).expect("a merge"),
     );
     assert!(matches!(
         merge(&[&one, &other]),
-        Err(MergeError::Overlap(_))
+        Err(MergeError::OverlappingInputs(_))
     ));
 }
 
 #[test]
-fn a_clock_that_steps_back_keeps_its_own_order() {
+fn source_with_clock_stepping_back_keeps_its_record_order() {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header("p9", 0)).expect("a header");
     for (n, at) in [10, 20, 5, 6, 30].into_iter().enumerate() {
@@ -299,7 +299,7 @@
             .expect("a record");
     }
     writer.finish().expect("an index");
-    let other = file("p1", 0, 0, 0);
+    let other = trace_file("p1", 0, 0, 0);
     let merged = merge(&[&bytes, &other]).expect("a merge");
     let gaps: Vec<u64> = records(&merged)
         .iter()
