--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn written_report_passes_the_check_until_it_is_changed() {
+fn check_passes_on_written_page_until_it_is_changed() {
     let folder = report_folder(RESULT);
     let before = error_text(&run_report(&folder.page, &folder.results, true));
     assert!(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn unreadable_result_is_reported_with_file_and_line() {
+fn rejects_unreadable_result_with_file_and_line() {
     let folder = report_folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
     let why = error_text(&run_report(&folder.page, &folder.results, false));
     assert!(why.contains("workers.json: line 7, column "), "{why}");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn page_without_markers_is_reported() {
+fn rejects_page_without_markers() {
     let folder = report_folder(RESULT);
     fs::write(&folder.page, "# Capacity\n").expect("a page");
     let why = error_text(&run_report(&folder.page, &folder.results, false));
