--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -1,34 +1,41 @@
-//! Final answers, and those kept to be given again.
+//! Final answers, and those kept for repeated requests.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use maplethread::TaskId;
+use maplethread::{Micros, TaskId};
 use serde::Serialize;
 
-/// The one final answer to an ask.
+use crate::audit_log::RequestOutcome;
+
+/// The one final answer to a placement request. The API keeps the names in the `rename` attributes.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
-pub enum FinalAnswer {
+pub(crate) enum FinalAnswer {
     /// The actor is placed.
     Placed {
-        request: Arc<str>,
+        #[serde(rename = "request")]
+        request_id: Arc<str>,
         service: Arc<str>,
         actor: Arc<str>,
         host: Arc<str>,
         address: String,
         attempt: u32,
     },
-    /// It is not, and asking again does no harm.
-    Refused {
-        request: Arc<str>,
+    /// It is not placed, and repeating the request is safe.
+    #[serde(rename = "refused")]
+    Rejected {
+        #[serde(rename = "request")]
+        request_id: Arc<str>,
         reason: &'static str,
-        come_back_ms: u64,
+        #[serde(rename = "come_back_ms")]
+        retry_after_ms: u64,
         attempts: u32,
     },
-    /// It is not, as far as is known; an attempt may have run.
+    /// It is not placed as far as is known; an attempt may have run.
     Failed {
-        request: Arc<str>,
+        #[serde(rename = "request")]
+        request_id: Arc<str>,
         unknown: String,
         attempts: u32,
     },
@@ -37,34 +44,49 @@
 impl FinalAnswer {
     /// The same answer to another request.
     pub fn for_request(&self, id: Arc<str>) -> FinalAnswer {
-        let mut named = self.clone();
-        let (FinalAnswer::Placed { request, .. }
-        | FinalAnswer::Refused { request, .. }
-        | FinalAnswer::Failed { request, .. }) = &mut named;
-        *request = id;
-        named
+        let mut answer = self.clone();
+        let (FinalAnswer::Placed { request_id, .. }
+        | FinalAnswer::Rejected { request_id, .. }
+        | FinalAnswer::Failed { request_id, .. }) = &mut answer;
+        *request_id = id;
+        answer
+    }
+}
+
+impl From<&FinalAnswer> for RequestOutcome {
+    fn from(answer: &FinalAnswer) -> RequestOutcome {
+        match answer {
+            FinalAnswer::Placed { host, .. } => RequestOutcome::Placed(host.clone()),
+            FinalAnswer::Rejected {
+                reason,
+                retry_after_ms,
+                ..
+            } => RequestOutcome::Rejected(reason, *retry_after_ms),
+            FinalAnswer::Failed { .. } => RequestOutcome::Failed,
+        }
     }
 }
 
-/// What an Idempotency-Key stands for.
+/// What is known of an idempotency key.
 #[derive(Clone, Debug)]
-pub enum IdempotencyRecord {
-    /// An ask that has no answer yet.
+pub(crate) enum IdempotencyRecord {
+    /// Its request has no answer yet.
     Pending(TaskId),
     /// Its answer, as bytes.
     Answered(Arc<[u8]>),
 }
 
-/// Answers by Idempotency-Key, for a stated time and up to a stated number.
-pub struct AnswerCache {
-    by_key: BTreeMap<Arc<str>, (u64, IdempotencyRecord)>,
-    expiry_order: VecDeque<(u64, Arc<str>)>,
+/// Answers by idempotency key, for a limited time and up to a limited number.
+pub(crate) struct AnswerCache {
+    /// Records with the time at which they expire; 0 while they are pending.
+    by_key: BTreeMap<Arc<str>, (Micros, IdempotencyRecord)>,
+    expiry_order: VecDeque<(Micros, Arc<str>)>,
     max_answers: usize,
-    retention: u64,
+    retention: Micros,
 }
 
 impl AnswerCache {
-    pub fn new(max_answers: usize, retention: u64) -> AnswerCache {
+    pub fn new(max_answers: usize, retention: Micros) -> AnswerCache {
         AnswerCache {
             by_key: BTreeMap::new(),
             expiry_order: VecDeque::new(),
@@ -74,7 +96,7 @@
     }
 
     pub fn get(&self, key: &str) -> Option<&IdempotencyRecord> {
-        self.by_key.get(key).map(|(_, known)| known)
+        self.by_key.get(key).map(|(_, record)| record)
     }
 
     pub fn insert_pending(&mut self, key: &Arc<str>, task: TaskId) {
@@ -82,11 +104,13 @@
             .insert(key.clone(), (0, IdempotencyRecord::Pending(task)));
     }
 
-    pub fn insert_answer(&mut self, key: &Arc<str>, now: u64, bytes: Arc<[u8]>) {
-        let until = now + self.retention;
-        self.by_key
-            .insert(key.clone(), (until, IdempotencyRecord::Answered(bytes)));
-        self.expiry_order.push_back((until, key.clone()));
+    pub fn insert_answer(&mut self, key: &Arc<str>, now: Micros, bytes: Arc<[u8]>) {
+        let expires_at = now + self.retention;
+        self.by_key.insert(
+            key.clone(),
+            (expires_at, IdempotencyRecord::Answered(bytes)),
+        );
+        self.expiry_order.push_back((expires_at, key.clone()));
         self.expire(now);
     }
 
@@ -94,13 +118,14 @@
         self.by_key.remove(key);
     }
 
-    pub fn expire(&mut self, now: u64) {
-        while let Some((until, key)) = self.expiry_order.front() {
-            if *until > now && self.expiry_order.len() <= self.max_answers {
+    /// Forgets answers whose time is over, and the oldest ones beyond the limit.
+    pub fn expire(&mut self, now: Micros) {
+        while let Some((expires_at, key)) = self.expiry_order.front() {
+            if *expires_at > now && self.expiry_order.len() <= self.max_answers {
                 return;
             }
-            // The key may have been asked anew since.
-            if self.by_key.get(key).is_some_and(|(at, _)| at == until) {
+            // The key may have been used again since.
+            if self.by_key.get(key).is_some_and(|(at, _)| at == expires_at) {
                 self.by_key.remove(key);
             }
             self.expiry_order.pop_front();
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -1,173 +1,151 @@
-//! The actor-placement API: what requests mean and how answers read. Described in `docs/api.md`.
+//! Requests of the actor-placement API: how HTTP messages are parsed. Described in `docs/api.md`.
 
-use maplethread_wire::http::{self, Message};
-use serde::{Deserialize, Serialize};
-use serde_json::json;
+use maplethread::{Micros, Resources};
+use maplethread_wire::http::Message;
+use serde::Deserialize;
 
-/// A request to place an actor.
-#[derive(Clone, Debug, Deserialize)]
+use crate::ids::ActorKey;
+use crate::problem::Problem;
+
+/// Actors of a page where the client names no limit.
+const DEFAULT_PAGE_SIZE: u64 = 100;
+const MAX_PAGE_SIZE: u64 = 1000;
+/// Names of services, actors and requests are no longer.
+const MAX_NAME_BYTES: usize = 200;
+/// No budget is shorter, ms.
+const MIN_BUDGET_MS: u64 = 20;
+/// No request may be for more cores or GiB.
+const MAX_AMOUNT: f64 = 1e6;
+
+/// The body of a placement request. The parser's error messages, which clients see, name this type and its fields.
+#[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Place {
-    pub service: String,
-    pub actor: String,
-    pub class: String,
-    pub cores: f64,
-    pub memory_gib: f64,
-    pub budget_ms: u64,
+struct Place {
+    service: String,
+    actor: String,
+    class: String,
+    cores: f64,
+    memory_gib: f64,
+    budget_ms: u64,
     #[serde(default)]
-    pub key: Option<String>,
+    key: Option<String>,
     #[serde(default)]
-    pub life_ms: Option<u64>,
+    life_ms: Option<u64>,
     #[serde(default)]
-    pub again: bool,
+    again: bool,
 }
 
-/// What a client wants.
+/// A request to place an actor.
 #[derive(Debug)]
-pub enum ApiRequest {
-    Place {
-        body: Place,
-        request: Option<String>,
-        idempotency: Option<String>,
-    },
+pub(crate) struct PlaceRequest {
+    pub key: ActorKey,
+    /// The name of its class.
+    pub class: String,
+    pub requested: Resources,
+    /// How long the client waits for the answer, ms.
+    pub budget_ms: u64,
+    /// What identifies copies of one task, where that is not the actor's name.
+    pub deduplication_key: Option<String>,
+    pub expected_duration: Option<Micros>,
+    pub is_resubmission: bool,
+    /// The client's id of the request (`X-Request-Id`).
+    pub request_id: Option<String>,
+    pub idempotency_key: Option<String>,
+}
+
+/// Where a page of actors begins, and how long it is.
+#[derive(Debug)]
+pub(crate) struct PageRequest {
+    /// The last actor of the page before.
+    pub after: Option<ActorKey>,
+    pub limit: usize,
+}
+
+/// From where events are to be sent.
+#[derive(Debug)]
+pub(crate) struct EventCursor {
+    /// The last event that the client has.
+    pub after_seq: Option<u64>,
+    /// The placer's incarnation that the client had it from: its start, Unix time in ms.
+    pub started_ms: Option<u64>,
+}
+
+/// What a client requests.
+#[derive(Debug)]
+pub(crate) enum ApiRequest {
+    Place(PlaceRequest),
+    /// Cancel the placement request of this id.
     CancelRequest(String),
-    StopActor {
-        service: String,
-        actor: String,
-    },
-    GetActor {
-        service: String,
-        actor: String,
-    },
-    ListActors {
-        after: Option<(String, String)>,
-        limit: usize,
-    },
-    FollowEvents {
-        after: Option<u64>,
-        life: Option<u64>,
-    },
+    StopActor(ActorKey),
+    GetActor(ActorKey),
+    ListActors(PageRequest),
+    FollowEvents(EventCursor),
     Status {
-        full: bool,
+        /// With measurements.
+        is_full: bool,
     },
     Membership {
+        /// Only changes after this one.
         after: Option<u64>,
     },
 }
 
-/// An error answer (RFC 9457).
-#[derive(Clone, Debug)]
-pub struct Problem {
-    pub status: u16,
-    /// The last part of the problem's type, such as `bad-body`.
-    pub kind: &'static str,
-    pub title: &'static str,
-    pub detail: String,
-    pub retry_after_s: Option<u64>,
-    pub allow: Option<&'static str>,
-    pub close: bool,
-}
+/// The parameters of a request's target.
+struct Query<'a>(Vec<(&'a str, String)>);
 
-impl Problem {
-    pub fn new(
-        status: u16,
-        kind: &'static str,
-        title: &'static str,
-        detail: impl Into<String>,
-    ) -> Problem {
-        let detail = detail.into();
-        Problem {
-            status,
-            kind,
-            title,
-            detail,
-            retry_after_s: None,
-            allow: None,
-            close: false,
-        }
+impl<'a> Query<'a> {
+    fn parse(text: &'a str) -> Result<Query<'a>, Problem> {
+        text.split('&')
+            .filter(|pair| !pair.is_empty())
+            .map(|pair| {
+                let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
+                Ok((name, percent_decode(value)?))
+            })
+            .collect::<Result<_, _>>()
+            .map(Query)
     }
 
-    pub fn unavailable(
-        kind: &'static str,
-        title: &'static str,
-        detail: impl Into<String>,
-    ) -> Problem {
-        Problem {
-            retry_after_s: Some(1),
-            ..Problem::new(503, kind, title, detail)
-        }
+    fn text(&self, name: &str) -> Option<&str> {
+        self.0
+            .iter()
+            .find(|(key, _)| *key == name)
+            .map(|(_, value)| value.as_str())
     }
 
-    pub fn to_bytes(&self, request: Option<&str>) -> Vec<u8> {
-        let mut body = json!({
-            "type": format!("urn:maplethread:problem:{}", self.kind),
-            "title": self.title,
-            "status": self.status,
-            "detail": self.detail,
-        });
-        if let Some(request) = request {
-            body["request"] = json!(request);
-        }
-        let retry = self.retry_after_s.map(|s| s.to_string());
-        let mut fields = Vec::new();
-        fields.extend(retry.as_deref().map(|s| ("Retry-After", s)));
-        fields.extend(self.allow.map(|a| ("Allow", a)));
-        fields.extend(self.close.then_some(("Connection", "close")));
-        let mut out = Vec::new();
-        let body = body.to_string();
-        http::write_response(
-            &mut out,
-            self.status,
-            "application/problem+json",
-            &fields,
-            body.as_bytes(),
-        );
-        out
+    fn number(&self, name: &str) -> Result<Option<u64>, Problem> {
+        let not_a_number = |_| Problem::bad_request(format!("{name}: not a number"));
+        self.text(name)
+            .map(|value| value.parse().map_err(not_a_number))
+            .transpose()
     }
 }
 
-/// A plain answer.
-pub fn json_response(status: u16, body: &impl Serialize) -> Vec<u8> {
-    let body = serde_json::to_vec(body).unwrap_or_default();
-    let mut out = Vec::with_capacity(body.len() + 96);
-    http::write_response(&mut out, status, "application/json", &[], &body);
-    out
-}
-
-fn bad_request(detail: impl Into<String>) -> Problem {
-    Problem::new(400, "bad-request", "The request makes no sense", detail)
-}
-
-/// Decodes `%XX`; a bad escape is refused.
+/// Decodes `%XX`; a malformed escape is a bad request.
 fn percent_decode(text: &str) -> Result<String, Problem> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
-    while let Some((&b, tail)) = rest.split_first() {
-        if b != b'%' {
-            bytes.push(b);
+    while let Some((&byte, tail)) = rest.split_first() {
+        if byte != b'%' {
+            bytes.push(byte);
             rest = tail;
             continue;
         }
         let digits = tail.get(..2).and_then(|d| std::str::from_utf8(d).ok());
-        let byte = digits
+        let decoded = digits
             .filter(|d| !d.starts_with('+'))
             .and_then(|d| u8::from_str_radix(d, 16).ok());
-        bytes.push(byte.ok_or_else(|| bad_request("bad escape in the path"))?);
+        bytes.push(decoded.ok_or_else(|| Problem::bad_request("bad escape in the path"))?);
         rest = &tail[2..];
     }
-    String::from_utf8(bytes).map_err(|_| bad_request("the path is not UTF-8"))
+    String::from_utf8(bytes).map_err(|_| Problem::bad_request("the path is not UTF-8"))
 }
 
-/// Names of services, actors and requests: 1 to 200 bytes without control characters.
+/// Checks the name of a service, actor or request: 1 to 200 bytes without control characters.
 fn check_name(what: &str, text: &str) -> Result<(), Problem> {
-    if text.is_empty() || text.len() > 200 || text.chars().any(char::is_control) {
-        let detail = format!("{what}: 1 to 200 bytes without control characters");
-        return Err(Problem::new(
-            422,
-            "bad-value",
-            "A value is out of its range",
-            detail,
-        ));
+    if text.is_empty() || text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
+        return Err(Problem::bad_value(format!(
+            "{what}: 1 to 200 bytes without control characters"
+        )));
     }
     Ok(())
 }
@@ -180,73 +158,44 @@
     Ok(Some(value.to_owned()))
 }
 
-/// What a message asks for.
-pub fn parse_request(message: &Message) -> Result<ApiRequest, Problem> {
+/// What a message requests.
+pub(crate) fn parse_request(message: &Message) -> Result<ApiRequest, Problem> {
     let target = message.head.target();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     let method = message.head.method();
-    let wrong = |allow: &'static str| {
-        let mut problem = Problem::new(405, "method", "This method is not served here", method);
-        problem.allow = Some(allow);
-        problem
-    };
-    let mut params = Vec::new();
-    for pair in query.split('&').filter(|p| !p.is_empty()) {
-        let (k, v) = pair.split_once('=').unwrap_or((pair, ""));
-        params.push((k, percent_decode(v)?));
-    }
-    let param = |name: &str| {
-        params
-            .iter()
-            .find(|(k, _)| *k == name)
-            .map(|(_, v)| v.as_str())
-    };
-    let number = |name: &str| match param(name) {
-        None => Ok(None),
-        Some(v) => v
-            .parse::<u64>()
-            .map(Some)
-            .map_err(|_| bad_request(format!("{name}: not a number"))),
-    };
+    let query = Query::parse(query)?;
+    let not_allowed = |allow| Err(Problem::method_not_allowed(method, allow));
     match (parts.as_slice(), method) {
-        (["v1", "actors"], "POST") => parse_place_request(message),
-        (["v1", "actors"], "GET") => {
-            let after = match (param("after_service"), param("after_actor")) {
-                (Some(service), Some(actor)) => Some((service.to_owned(), actor.to_owned())),
-                (None, None) => None,
-                _ => return Err(bad_request("after_service and after_actor belong together")),
-            };
-            let limit = number("limit")?.unwrap_or(100).clamp(1, 1000) as usize;
-            Ok(ApiRequest::ListActors { after, limit })
-        }
-        (["v1", "actors"], _) => Err(wrong("GET, POST")),
+        (["v1", "actors"], "POST") => parse_place_request(message).map(ApiRequest::Place),
+        (["v1", "actors"], "GET") => parse_page_request(&query).map(ApiRequest::ListActors),
+        (["v1", "actors"], _) => not_allowed("GET, POST"),
         (["v1", "actors", service, actor], "GET" | "DELETE") => {
-            let (service, actor) = (percent_decode(service)?, percent_decode(actor)?);
-            if method == "GET" {
-                Ok(ApiRequest::GetActor { service, actor })
+            let key = ActorKey::new(&percent_decode(service)?, &percent_decode(actor)?);
+            Ok(if method == "GET" {
+                ApiRequest::GetActor(key)
             } else {
-                Ok(ApiRequest::StopActor { service, actor })
-            }
+                ApiRequest::StopActor(key)
+            })
         }
-        (["v1", "actors", _, _], _) => Err(wrong("GET, DELETE")),
+        (["v1", "actors", _, _], _) => not_allowed("GET, DELETE"),
         (["v1", "asks", request], "DELETE") => {
             Ok(ApiRequest::CancelRequest(percent_decode(request)?))
         }
-        (["v1", "asks", _], _) => Err(wrong("DELETE")),
-        (["v1", "events"], "GET") => Ok(ApiRequest::FollowEvents {
-            after: number("after")?,
-            life: number("life")?,
-        }),
-        (["v1", "events"], _) => Err(wrong("GET")),
+        (["v1", "asks", _], _) => not_allowed("DELETE"),
+        (["v1", "events"], "GET") => Ok(ApiRequest::FollowEvents(EventCursor {
+            after_seq: query.number("after")?,
+            started_ms: query.number("life")?,
+        })),
+        (["v1", "events"], _) => not_allowed("GET"),
         (["v1", "status"], "GET") => Ok(ApiRequest::Status {
-            full: param("full").is_some(),
+            is_full: query.text("full").is_some(),
         }),
+        (["v1", "status"], _) => not_allowed("GET"),
         (["v1", "fleet"], "GET") => Ok(ApiRequest::Membership {
-            after: number("after")?,
+            after: query.number("after")?,
         }),
-        (["v1", "fleet"], _) => Err(wrong("GET")),
-        (["v1", "status"], _) => Err(wrong("GET")),
+        (["v1", "fleet"], _) => not_allowed("GET"),
         _ => Err(Problem::new(
             404,
             "no-such-path",
@@ -256,15 +205,32 @@
     }
 }
 
-fn parse_place_request(message: &Message) -> Result<ApiRequest, Problem> {
-    if let Some(kind) = message.head.parse_field("content-type") {
-        let kind = kind.split(';').next().unwrap_or("").trim();
-        if !kind.eq_ignore_ascii_case("application/json") {
+fn parse_page_request(query: &Query) -> Result<PageRequest, Problem> {
+    let after = match (query.text("after_service"), query.text("after_actor")) {
+        (Some(service), Some(actor)) => Some(ActorKey::new(service, actor)),
+        (None, None) => None,
+        _ => {
+            return Err(Problem::bad_request(
+                "after_service and after_actor belong together",
+            ));
+        }
+    };
+    let limit = query
+        .number("limit")?
+        .unwrap_or(DEFAULT_PAGE_SIZE)
+        .clamp(1, MAX_PAGE_SIZE) as usize;
+    Ok(PageRequest { after, limit })
+}
+
+fn parse_place_request(message: &Message) -> Result<PlaceRequest, Problem> {
+    if let Some(media_type) = message.head.parse_field("content-type") {
+        let media_type = media_type.split(';').next().unwrap_or("").trim();
+        if !media_type.eq_ignore_ascii_case("application/json") {
             return Err(Problem::new(
                 415,
                 "not-json",
                 "Bodies are application/json",
-                kind,
+                media_type,
             ));
         }
     }
@@ -275,19 +241,22 @@
     if let Some(key) = &body.key {
         check_name("key", key)?;
     }
-    let out = |detail: &str| Problem::new(422, "bad-value", "A value is out of its range", detail);
-    let sound = |x: f64| x.is_finite() && (0.0..=1e6).contains(&x);
-    if !sound(body.cores) || !sound(body.memory_gib) {
-        return Err(out("cores and memory_gib: 0 to 1000000"));
+    let is_amount = |x: f64| x.is_finite() && (0.0..=MAX_AMOUNT).contains(&x);
+    if !is_amount(body.cores) || !is_amount(body.memory_gib) {
+        return Err(Problem::bad_value("cores and memory_gib: 0 to 1000000"));
     }
-    if body.budget_ms < 20 {
-        return Err(out("budget_ms: at least 20"));
+    if body.budget_ms < MIN_BUDGET_MS {
+        return Err(Problem::bad_value("budget_ms: at least 20"));
     }
-    let request = name_header(message, "x-request-id")?;
-    let idempotency = name_header(message, "idempotency-key")?;
-    Ok(ApiRequest::Place {
-        body,
-        request,
-        idempotency,
+    Ok(PlaceRequest {
+        key: ActorKey::new(&body.service, &body.actor),
+        class: body.class,
+        requested: Resources::new(body.cores, body.memory_gib),
+        budget_ms: body.budget_ms,
+        deduplication_key: body.key,
+        expected_duration: body.life_ms.map(|ms| ms.saturating_mul(1000)),
+        is_resubmission: body.again,
+        request_id: name_header(message, "x-request-id")?,
+        idempotency_key: name_header(message, "idempotency-key")?,
     })
 }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,133 +1,131 @@
-//! Attempts: offered, called off, stopped, ended, and when an actor of theirs counts as settled.
+//! Attempts: offered, cancelled, stopped and finished, and when an actor of theirs counts as settled.
 
-use std::sync::Arc;
-
-use maplethread::{
-    AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, Micros, Resources, TaskId,
-};
+use maplethread::{AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, Micros, TaskId};
 use maplethread_config::RetrySafety;
 use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
 
-use crate::engine::{ActorKey, ActorState, Attempt, Engine, Stage, Timer};
-use crate::sessions::failure_reason;
-use crate::{Decide, HostId};
+use crate::attempt::{ActorState, Attempt, AttemptEnd, Stage, UnsettledAttempt};
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::{ActorKey, AttemptKey, HostId};
+use crate::placement_request::PlacementRequest;
+use crate::sessions::{Delivery, failure_reason, resources};
+use crate::timers::Timer;
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn send_offer(&mut self, task: TaskId, host: HostId, wait: Micros) {
-        let Some(ask) = self.requests.get_mut(&task) else {
-            tracing::warn!(task = task.0, "an offer for a task that is not asked for");
+    /// Offers a task to a host, which is to answer within `timeout`.
+    pub(crate) fn send_offer(&mut self, task: TaskId, host: HostId, timeout: Micros) {
+        let key = AttemptKey::new(self.attempt_id_prefix, self.next_attempt);
+        let Some(request) = self.requests.get_mut(&task) else {
+            tracing::warn!(task = task.0, "an offer for a task without a request");
             return;
         };
+        self.next_attempt += 1;
         let id = AttemptId {
             task,
-            number: ask.attempts,
+            number: request.attempts,
         };
-        ask.attempts += 1;
-        ask.block_reason = None;
-        let wire = self.attempt_id_prefix | (self.next_attempt & ((1 << 40) - 1));
-        self.next_attempt += 1;
-        let class = &self.config.classes[ask.task.class];
-        let offer = Offer {
-            attempt_id: wire,
+        request.attempts += 1;
+        request.block_reason = None;
+        let class = &self.config.classes[request.task.class];
+        let offer = Frame::Offer(Offer {
+            attempt_id: key.0,
             prior_attempts: id.number,
-            service: ask.key.0.to_string(),
-            actor: ask.key.1.to_string(),
+            service: request.key.service.to_string(),
+            actor: request.key.actor.to_string(),
             class: class.name.clone(),
-            request_id: ask.request_id.to_string(),
+            request_id: request.request_id.to_string(),
             requested: ResourceAmounts {
-                cores: ask.task.requested.cores,
-                memory_gib: ask.task.requested.memory,
+                cores: request.task.requested.cores,
+                memory_gib: request.task.requested.memory,
             },
             priority: class.priority,
-            duplicate_policy: ask.duplicate_policy,
-            expected_duration_ms: ask.task.expected_duration.unwrap_or(0) / 1000,
-            answer_timeout_ms: (wait / 1000).min(u64::from(u32::MAX)) as u32,
+            duplicate_policy: request.duplicate_policy,
+            expected_duration_ms: request.task.expected_duration.unwrap_or(0) / 1000,
+            answer_timeout_ms: (timeout / 1000).min(u64::from(u32::MAX)) as u32,
+        });
+        let mut attempt = Attempt {
+            id,
+            host,
+            key: request.key.clone(),
+            request_id: request.request_id.clone(),
+            class: request.task.class,
+            sent_at: self.now,
+            expires_at: self.now + timeout,
+            frame_end: 0,
+            stage: Stage::Offered,
+            is_running: false,
+            is_cancelled: false,
+            stop_reason: None,
+            is_unwanted: false,
         };
-        let (key, request, class, span) = (
-            ask.key.clone(),
-            ask.request_id.clone(),
-            ask.task.class,
-            ask.span.clone(),
-        );
-        let name = self
-            .hosts
-            .get(&host)
-            .map(|h| h.name.clone())
-            .unwrap_or_default();
-        let cold = self.is_warming_up(host);
-        let meets_late_one = cold && self.warm_up_offers.overlaps_late_offer(host, self.now);
-        let sent = if meets_late_one {
+        let span = request.span.clone();
+        let host_name = self.host_name(host);
+        let is_warming_up = self.is_warming_up(host);
+        let overlaps_late_offer =
+            is_warming_up && self.warm_up_offers.overlaps_late_offer(host, self.now);
+        let sent = if overlaps_late_offer {
             None
         } else {
-            self.send_frame(host, &Frame::Offer(offer), true)
+            self.send_frame(host, &offer, Delivery::BestEffort)
         };
         let Some(frame_end) = sent else {
-            span.in_scope(
-                || tracing::debug!(host = %name, attempt = id.number, meets_late_one, "not sent"),
-            );
-            let end = AttemptResult {
-                outcome: AttemptOutcome::ConnectFailed,
-                reason: None,
-                closes_task: false,
-                load: None,
-            };
+            span.in_scope(|| {
+                tracing::debug!(host = %host_name, attempt = id.number, overlaps_late_offer, "offer not sent");
+            });
             self.events.push(Event::AttemptFinished {
                 attempt: id,
-                result: end,
+                result: AttemptResult {
+                    outcome: AttemptOutcome::ConnectFailed,
+                    reason: None,
+                    closes_task: false,
+                    load: None,
+                },
             });
             return;
         };
         span.in_scope(|| {
-            tracing::debug!(host = %name, attempt = id.number, wait_ms = wait / 1000, "offered");
+            tracing::debug!(host = %host_name, attempt = id.number, wait_ms = timeout / 1000, "offered");
         });
         self.counters.offers += 1;
-        if cold {
+        if is_warming_up {
             self.warm_up_offers.record(host, self.now);
         }
-        let (sent, until) = (self.now, self.now + wait);
-        let (stage, runs, cancelled, stop, unwanted) = (Stage::Offered, false, false, None, false);
-        let attempt = Attempt {
-            id,
-            host,
-            key,
-            request_id: request,
-            class,
-            sent_at: sent,
-            expires_at: until,
-            frame_end,
-            stage,
-            is_running: runs,
-            is_cancelled: cancelled,
-            stop_reason: stop,
-            is_unwanted: unwanted,
-        };
-        self.attempts.insert(wire, attempt);
-        if let Some(ask) = self.requests.get_mut(&task) {
-            ask.in_flight = Some(wire);
-            if id.number == 0 {
-                // What is held for want of a host is waited for, not decided on slowly.
-                if ask.awaits_first_turn {
-                    self.decided_arrivals.push(ask.received_at);
-                } else {
-                    self.counters.blocked += 1;
-                }
-            }
-        }
+        attempt.frame_end = frame_end;
+        let expires_at = attempt.expires_at;
+        self.attempts.insert(key, attempt);
+        self.record_offer(task, key, id.number == 0);
         if let Some(host) = self.hosts.get_mut(&host) {
-            host.attempts.insert(wire);
+            host.attempts.insert(key);
         }
         self.update_host_use(host);
-        self.timers.schedule(until, Timer::AttemptTimeout(wire));
+        self.timers.schedule(expires_at, Timer::AttemptTimeout(key));
+    }
+
+    /// Records the attempt of a request that is in flight.
+    fn record_offer(&mut self, task: TaskId, key: AttemptKey, is_first: bool) {
+        let Some(request) = self.requests.get_mut(&task) else {
+            return;
+        };
+        request.in_flight = Some(key);
+        if is_first {
+            // The time of a decision does not include the time for which a request was blocked.
+            if request.awaits_first_turn {
+                self.decided_arrivals.push(request.received_at);
+            } else {
+                self.counters.blocked += 1;
+            }
+        }
     }
 
-    /// Whether a host has come up so lately that the decider counts what it is sent.
+    /// Whether a host has started so recently that the decider limits what it is sent.
     fn is_warming_up(&self, host: HostId) -> bool {
-        let started = self.hosts.get(&host).and_then(|h| h.entry.started_at);
-        started.is_some_and(|started| started + self.settings.rules.warm_up_duration > self.now)
+        let started_at = self.hosts.get(&host).and_then(|h| h.entry.started_at);
+        started_at.is_some_and(|at| at + self.settings.rules.warm_up_duration > self.now)
     }
 
-    pub(crate) fn handle_attempt_timeout(&mut self, wire: u64) {
-        let Some(attempt) = self.attempts.get(&wire) else {
+    pub(crate) fn handle_attempt_timeout(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.attempts.get(&key) else {
             return;
         };
         if attempt.stage == Stage::Placed || attempt.expires_at > self.now {
@@ -135,143 +133,169 @@
         }
         if !attempt.is_cancelled {
             let host = attempt.host;
-            self.send_frame(host, &Frame::Cancel(wire), false);
+            self.send_frame(host, &Frame::Cancel(key.0), Delivery::Required);
         }
-        self.finish_attempt(wire, AttemptOutcome::TimedOut, None, None, false);
+        self.finish_attempt(key, AttemptEnd::uncertain(AttemptOutcome::TimedOut));
     }
 
-    /// Nobody waits for this attempt any more.
-    pub(crate) fn cancel_attempt(&mut self, wire: u64) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else {
+    /// Cancels an attempt that no request waits for any more.
+    pub(crate) fn cancel_attempt(&mut self, key: AttemptKey) {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
         if std::mem::replace(&mut attempt.is_cancelled, true) {
             return;
         }
         self.counters.cancelled += 1;
-        let (host, key, class) = (attempt.host, attempt.key.clone(), attempt.class);
-        self.mark_unsettled(class, key, wire);
-        self.send_frame(host, &Frame::Cancel(wire), false);
+        let (host, actor, class) = (attempt.host, attempt.key.clone(), attempt.class);
+        self.mark_unsettled(class, actor, key);
+        self.send_frame(host, &Frame::Cancel(key.0), Delivery::Required);
     }
 
-    /// An attempt of an actor that must not run twice may still come to run.
-    fn mark_unsettled(&mut self, class: usize, key: ActorKey, wire: u64) {
+    /// Records that an attempt may still start, if its actor must not run twice.
+    fn mark_unsettled(&mut self, class: usize, actor: ActorKey, attempt: AttemptKey) {
         if self.config.classes[class].retry_safety != RetrySafety::Safe {
             let until = self.now + self.config.api.settle_ms * 1000;
             self.timers.schedule(until, Timer::UnsettledExpiry);
-            self.unsettled.insert(key.clone(), (until, wire));
-            self.unsettled_attempts.insert(wire, key);
+            self.unsettled
+                .insert(actor.clone(), UnsettledAttempt { attempt, until });
+            self.unsettled_attempts.insert(attempt, actor);
         }
     }
 
-    /// It is now known that this attempt does not run.
-    pub(crate) fn clear_unsettled(&mut self, wire: u64) {
-        if let Some(key) = self.unsettled_attempts.remove(&wire)
-            && self.unsettled.get(&key).is_some_and(|(_, w)| *w == wire)
+    /// Records that an attempt certainly does not run.
+    pub(crate) fn clear_unsettled(&mut self, attempt: AttemptKey) {
+        if let Some(actor) = self.unsettled_attempts.remove(&attempt)
+            && self.is_last_unsettled(&actor, attempt)
         {
-            self.unsettled.remove(&key);
+            self.unsettled.remove(&actor);
         }
     }
 
-    /// Tells a host to stop a placed task; if it has no connection, once it has.
-    pub(crate) fn stop_attempt(&mut self, wire: u64, why: &'static str) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else {
+    /// Whether an attempt is the latest unsettled one of an actor.
+    fn is_last_unsettled(&self, actor: &ActorKey, attempt: AttemptKey) -> bool {
+        self.unsettled
+            .get(actor)
+            .is_some_and(|unsettled| unsettled.attempt == attempt)
+    }
+
+    /// Forgets unsettled attempts that have been waited for long enough.
+    pub(crate) fn expire_unsettled(&mut self) {
+        let now = self.now;
+        self.unsettled.retain(|_, unsettled| unsettled.until > now);
+        let unsettled = &self.unsettled;
+        self.unsettled_attempts.retain(|attempt, actor| {
+            unsettled
+                .get(actor)
+                .is_some_and(|unsettled| unsettled.attempt == *attempt)
+        });
+    }
+
+    /// Tells a host to stop a placed task; if it has no connection, once it has one.
+    pub(crate) fn stop_attempt(&mut self, key: AttemptKey, reason: &'static str) {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
-        attempt.stop_reason = Some(why);
+        attempt.stop_reason = Some(reason);
         let host = attempt.host;
-        self.send_frame(host, &Frame::Stop(wire), false);
+        self.send_frame(host, &Frame::Stop(key.0), Delivery::Required);
     }
 
-    /// An attempt has its outcome. `known_dead` tells that it surely does not run (any more).
-    pub(crate) fn finish_attempt(
-        &mut self,
-        wire: u64,
-        ending: AttemptOutcome,
-        refusal: Option<Reason>,
-        load: Option<ResourceAmounts>,
-        known_dead: bool,
-    ) {
-        let Some(attempt) = self.attempts.remove(&wire) else {
+    /// Records the outcome of an attempt, and tells the decider and followers of it.
+    pub(crate) fn finish_attempt(&mut self, key: AttemptKey, end: AttemptEnd) {
+        let Some(attempt) = self.attempts.remove(&key) else {
             return;
         };
-        let why = refusal.and_then(failure_reason);
-        let host_name = match self.hosts.get_mut(&attempt.host) {
-            Some(host) => {
-                host.attempts.remove(&wire);
-                host.unconfirmed.remove(&wire);
-                host.name.clone()
-            }
-            None => Arc::from(""),
-        };
+        let reason = end.reason.and_then(failure_reason);
+        if let Some(host) = self.hosts.get_mut(&attempt.host) {
+            host.attempts.remove(&key);
+            host.unconfirmed.remove(&key);
+        }
         self.update_host_use(attempt.host);
-        let seated = attempt.stage == Stage::Placed;
+        let is_placed = attempt.stage == Stage::Placed;
         let never_ran = matches!(
-            ending,
+            end.outcome,
             AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed
         );
-        if known_dead || never_ran {
-            self.clear_unsettled(wire);
-        } else if !seated {
-            self.mark_unsettled(attempt.class, attempt.key.clone(), wire);
+        if end.is_known_dead || never_ran {
+            self.clear_unsettled(key);
+        } else if !is_placed {
+            self.mark_unsettled(attempt.class, attempt.key.clone(), key);
         }
-        let mut closed = seated;
-        match self.requests.get_mut(&attempt.id.task) {
-            Some(ask) => {
-                ask.in_flight = ask.in_flight.filter(|&w| w != wire);
-                if !seated {
-                    ask.last_failure = Some(match ending {
-                        AttemptOutcome::Rejected => refusal.map_or("unknown", Reason::as_str),
-                        AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => {
-                            "no_connection"
-                        }
-                        AttemptOutcome::Disconnected => "connection_lost",
-                        AttemptOutcome::Error => "error",
-                        AttemptOutcome::TimedOut
-                        | AttemptOutcome::Cancelled
-                        | AttemptOutcome::Completed => "no_answer",
-                    });
-                }
-                if !never_ran {
-                    ask.possibly_started_on
-                        .get_or_insert_with(|| host_name.clone());
-                }
-                ask.span.in_scope(|| {
-                    tracing::debug!(host = %host_name, attempt = attempt.id.number, ?ending, ?why, "ended");
-                });
+        let host_name = self.host_name(attempt.host);
+        let request = self.requests.get_mut(&attempt.id.task);
+        let closes_task = is_placed || request.is_none();
+        if let Some(request) = request {
+            record_failure(request, key, &end, is_placed);
+            if !never_ran {
+                request
+                    .possibly_started_on
+                    .get_or_insert_with(|| host_name.clone());
             }
-            None => closed = true,
+            request.span.in_scope(|| {
+                tracing::debug!(
+                    host = %host_name,
+                    attempt = attempt.id.number,
+                    outcome = ?end.outcome,
+                    ?reason,
+                    "attempt finished"
+                );
+            });
         }
-        if seated && !attempt.is_unwanted {
-            if self.actors.get(&attempt.key) == Some(&ActorState::Placed(wire)) {
+        if is_placed && !attempt.is_unwanted {
+            if self.actors.get(&attempt.key) == Some(&ActorState::Placed(key)) {
                 self.actors.remove(&attempt.key);
             }
-            let (event, reason) = match (ending, why) {
-                (AttemptOutcome::Completed, _) => ("ended", None),
-                (AttemptOutcome::Cancelled, _) => (attempt.stop_reason.unwrap_or("stopped"), None),
-                (AttemptOutcome::Error, _) => ("ended", Some("error")),
-                (_, Some(FailureReason::Evicted)) => ("evicted", Some("memory")),
-                (_, Some(FailureReason::Preempted)) => ("evicted", Some("pushed_out")),
-                (_, Some(FailureReason::Drained)) => ("evicted", Some("sent_away")),
-                _ => ("lost", None),
-            };
-            self.publish_event(
-                event,
-                &attempt.key,
-                host_name,
-                reason,
-                attempt.request_id.clone(),
-            );
+            let (event, event_reason) = end_event(&attempt, end.outcome, reason);
+            let subject = self.subject_of(&attempt);
+            self.publish_event(event, event_reason, &subject);
         }
-        let load = load.map(|l| Resources::new(l.cores, l.memory_gib));
         self.events.push(Event::AttemptFinished {
             attempt: attempt.id,
             result: AttemptResult {
-                outcome: ending,
-                reason: why,
-                closes_task: closed,
-                load,
+                outcome: end.outcome,
+                reason,
+                closes_task,
+                load: end.load.map(resources),
             },
         });
     }
 }
+
+/// Records how the attempt of a request ended, unless it was placed.
+fn record_failure(
+    request: &mut PlacementRequest,
+    key: AttemptKey,
+    end: &AttemptEnd,
+    is_placed: bool,
+) {
+    request.in_flight = request.in_flight.filter(|&in_flight| in_flight != key);
+    if !is_placed {
+        request.last_failure = Some(match end.outcome {
+            AttemptOutcome::Rejected => end.reason.map_or("unknown", Reason::as_str),
+            AttemptOutcome::ConnectFailed | AttemptOutcome::NeverSent => "no_connection",
+            AttemptOutcome::Disconnected => "connection_lost",
+            AttemptOutcome::Error => "error",
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::Completed => {
+                "no_answer"
+            }
+        });
+    }
+}
+
+/// The event of the end of a placed actor, and its reason, as the API names them.
+fn end_event(
+    attempt: &Attempt,
+    outcome: AttemptOutcome,
+    reason: Option<FailureReason>,
+) -> (&'static str, Option<&'static str>) {
+    match (outcome, reason) {
+        (AttemptOutcome::Completed, _) => ("ended", None),
+        (AttemptOutcome::Cancelled, _) => (attempt.stop_reason.unwrap_or("stopped"), None),
+        (AttemptOutcome::Error, _) => ("ended", Some("error")),
+        (_, Some(FailureReason::Evicted)) => ("evicted", Some("memory")),
+        (_, Some(FailureReason::Preempted)) => ("evicted", Some("pushed_out")),
+        (_, Some(FailureReason::Drained)) => ("evicted", Some("sent_away")),
+        _ => ("lost", None),
+    }
+}
--- a/crates/engine/src/audit_log.rs
+++ b/crates/engine/src/audit_log.rs
@@ -1,65 +1,67 @@
-//! What a recorder keeps of asks and names, beside the turns of the decider.
+//! Entries on requests and names that a recorder keeps beside the turns of the decider.
 
 use std::sync::Arc;
 
 use maplethread::{Micros, ServiceId, TaskId};
 
-/// How an ask ended.
+use crate::ids::ActorKey;
+
+/// How a placement request ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// Placed on this host.
     Placed(Arc<str>),
-    /// Refused, for this reason and with this advice, ms.
+    /// Rejected, for this reason, and with the time in ms after which it may be repeated.
     Rejected(&'static str, u64),
-    /// Failed.
+    /// Failed: an attempt may have run.
     Failed,
-    /// Its clients hung up.
+    /// Its clients disconnected or cancelled it.
     ClientDisconnected,
 }
 
-/// Something that turns do not tell.
+/// Something that the events of turns do not tell.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuditEntry {
     /// A host has this number from now on.
     Host {
-        /// The number.
+        /// The number of the host.
         machine: u32,
-        /// The name.
+        /// The name of the host.
         name: Arc<str>,
         /// Its zone, cell and kind.
         topology: [Arc<str>; 3],
     },
     /// A service has this number.
     Service(ServiceId, Arc<str>),
-    /// An ask was taken.
+    /// A placement request was accepted.
     RequestAccepted {
-        /// Its number.
+        /// The number of the task.
         task: TaskId,
-        /// The service's number.
+        /// The number of the service.
         service: ServiceId,
         /// The service and the actor.
-        key: (Arc<str>, Arc<str>),
-        /// The class's place in the settings.
+        key: ActorKey,
+        /// The index of the class in the settings.
         class: usize,
-        /// The client's id of the request.
+        /// The client's id of the request, or a generated one.
         request_id: Arc<str>,
-        /// The client's key.
+        /// The client's idempotency key.
         idempotency_key: Option<Arc<str>>,
     },
-    /// An ask ended.
+    /// A placement request ended.
     RequestFinished {
-        /// Its number.
+        /// The number of the task.
         task: TaskId,
-        /// How.
+        /// How it ended.
         outcome: RequestOutcome,
         /// Attempts made.
         attempts: u32,
-        /// Since it was read, µs.
+        /// Time since it was read, µs.
         elapsed: Micros,
     },
 }
 
-/// Notes since they were last taken, if anybody wants them.
+/// Entries since they were last taken; none are kept before it is enabled.
 #[derive(Debug, Default)]
 pub(crate) struct AuditLog(Option<Vec<AuditEntry>>);
 
@@ -68,9 +70,9 @@
         self.0.get_or_insert_default();
     }
 
-    pub fn add(&mut self, note: impl FnOnce() -> AuditEntry) {
-        if let Some(notes) = &mut self.0 {
-            notes.push(note());
+    pub fn add(&mut self, entry: impl FnOnce() -> AuditEntry) {
+        if let Some(entries) = &mut self.0 {
+            entries.push(entry());
         }
     }
 
--- /dev/null
+++ b/crates/engine/src/decide.rs
@@ -0,0 +1,44 @@
+//! The interface between the engine and whatever makes its placement decisions.
+
+use maplethread::{Action, Event, Micros, Placer};
+
+/// Makes placement decisions: the placement policy, or a baseline to compare it with.
+pub trait Decide {
+    /// Takes in what has happened by `now` and adds to `actions` what is to be done.
+    fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>);
+
+    /// Whether the engine answers requests that the decider leaves open up to their deadlines. Only deciders that are
+    /// to show the checker a violation of rule 1 return false.
+    fn allows_deadline_answers(&self) -> bool {
+        true
+    }
+
+    /// Whether it is the placement policy itself, so that a recorded trace of its turns can be replayed.
+    fn is_replayable(&self) -> bool {
+        false
+    }
+}
+
+impl Decide for Placer {
+    fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+        Placer::turn(self, now, events, actions);
+    }
+
+    fn is_replayable(&self) -> bool {
+        true
+    }
+}
+
+impl<D: Decide + ?Sized> Decide for Box<D> {
+    fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+        (**self).turn(now, events, actions);
+    }
+
+    fn allows_deadline_answers(&self) -> bool {
+        (**self).allows_deadline_answers()
+    }
+
+    fn is_replayable(&self) -> bool {
+        (**self).is_replayable()
+    }
+}
--- a/crates/engine/src/batch.rs
+++ b/crates/engine/src/event_batch.rs
@@ -1,21 +1,21 @@
-//! How much of what has happened the decider is given in one turn.
+//! Which of the waiting events the decider gets in one turn.
 
 use std::collections::BTreeSet;
 
 use maplethread::{Event, TaskId};
 
-/// Takes the events of this turn from all that wait. Those that would have the decider place more tasks than are left
-/// for the turn wait for the next one, and so does what concerns the same tasks. All else is given at once, whatever
-/// waits before it: a host that drains must be known before the next task is placed.
-pub(crate) fn take(waiting: &mut Vec<Event>, placings_left: &mut usize) -> Vec<Event> {
+/// Takes the events of this turn from all that wait. Those that would place more tasks than are left for the turn wait
+/// for the next one, and so do later events of the same tasks. All other events are given at once, even before events
+/// that came first: a host that drains must be known before the next task is placed.
+pub(crate) fn take(waiting: &mut Vec<Event>, placements_left: &mut usize) -> Vec<Event> {
     let mut postponed: BTreeSet<TaskId> = BTreeSet::new();
     let mut given = Vec::new();
     let mut later = Vec::new();
     for event in std::mem::take(waiting) {
         let task = task_of(&event);
-        let has_room = !causes_placement(&event) || *placings_left > 0;
-        if has_room && task.is_none_or(|task| !postponed.contains(&task)) {
-            *placings_left -= usize::from(causes_placement(&event));
+        let fits = !causes_placement(&event) || *placements_left > 0;
+        if fits && task.is_none_or(|task| !postponed.contains(&task)) {
+            *placements_left -= usize::from(causes_placement(&event));
             given.push(event);
         } else {
             postponed.extend(task);
@@ -30,7 +30,7 @@
 fn causes_placement(event: &Event) -> bool {
     match event {
         Event::PlacementRequested(_) => true,
-        Event::AttemptFinished { result: end, .. } => !end.closes_task,
+        Event::AttemptFinished { result, .. } => !result.closes_task,
         _ => false,
     }
 }
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -1,83 +1,93 @@
-//! Followers of life-cycle events: each reads the ring at its own pace.
+//! Clients that follow life-cycle events: each reads the recent events as fast as it can.
 
+use std::sync::Arc;
+
+use maplethread::Micros;
 use maplethread_wire::http;
 use serde_json::json;
 
-use crate::api::Problem;
-use crate::engine::{Engine, Output, Timer};
-use crate::{ClientId, Decide};
+use crate::api::EventCursor;
+use crate::attempt::Attempt;
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::{ActorKey, ClientId, RequestSlot};
+use crate::lifecycle::LifecycleEvent;
+use crate::output::Output;
+use crate::problem::Problem;
+use crate::timers::Timer;
 
-/// Bytes of events that may wait for a follower to read; more wait in the ring.
+/// Bytes of events that may wait for a follower to read; further events wait in the buffer.
 const MAX_FOLLOWER_UNREAD_BYTES: usize = 64 << 10;
-/// Followers hear at least this often that the connection lives.
-const FOLLOWER_HEARTBEAT_INTERVAL: u64 = 10_000_000;
+/// How often followers get an empty line that shows that the connection is alive.
+const FOLLOWER_HEARTBEAT_INTERVAL: Micros = 10_000_000;
+/// The end of a chunked body.
+const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 impl<D: Decide> Engine<D> {
+    /// Begins to send events to a client, from the cursor on.
     pub(crate) fn follow(
         &mut self,
         id: ClientId,
-        slot: u64,
-        after: Option<u64>,
-        life: Option<u64>,
-    ) {
-        let gone = |kind, title, detail: String| Problem::new(410, kind, title, detail);
-        if life.is_some_and(|life| life != self.started_ms) {
-            let detail = format!(
-                "this life is {}; list the actors and follow anew",
-                self.started_ms
-            );
-            self.reply_problem(
-                id,
-                slot,
-                gone("other-life", "The events are of another life", detail),
-            );
-            return;
-        }
-        let from = after.map_or(self.recent_events.next_seq(), |after| {
-            after.saturating_add(1)
-        });
-        if from < self.recent_events.oldest_seq() || from > self.recent_events.next_seq() {
-            let detail = format!(
-                "kept are {} to {}; list the actors and follow anew",
-                self.recent_events.oldest_seq(),
-                self.recent_events.next_seq()
-            );
-            self.reply_problem(
-                id,
-                slot,
-                gone("fell-behind", "These events are not kept", detail),
-            );
-            return;
-        }
+        slot: RequestSlot,
+        cursor: &EventCursor,
+    ) -> Result<(), Problem> {
+        let first = self.first_event(cursor)?;
         let Some(client) = self.clients.get_mut(&id) else {
-            return;
+            return Ok(());
         };
         if client.unanswered_requests() > 1 {
-            let detail = "follow events on a connection of its own";
-            self.reply_problem(
-                id,
-                slot,
-                Problem::new(409, "busy-connection", "Other requests are in hand", detail),
-            );
-            return;
+            return Err(Problem::new(
+                409,
+                "busy-connection",
+                "Other requests are in hand",
+                "follow events on a connection of its own",
+            ));
         }
-        client.next_event = Some(from);
+        tracing::debug!(client = id.0, slot = slot.0, first, "follows events");
+        client.next_event = Some(first);
         let mut out = Vec::new();
         http::write_chunked_head(&mut out, 200, "application/x-ndjson", &[]);
-        let hello = json!({"event": "hello", "life": self.started_ms, "next": from});
+        let hello = json!({"event": "hello", "life": self.started_ms, "next": first});
         http::write_chunk(&mut out, format!("{hello}\n").as_bytes());
         client.unread_bytes += out.len();
         self.outputs.push(Output::ToClient(id, out));
         if self.followers.is_empty() {
-            self.timers.schedule(
-                self.now + FOLLOWER_HEARTBEAT_INTERVAL,
-                Timer::FollowerHeartbeat,
-            );
+            self.schedule_follower_heartbeat();
         }
         self.followers.insert(id);
+        Ok(())
     }
 
-    /// Gives followers what is new, as far as they read.
+    /// The first event that a cursor asks for.
+    fn first_event(&self, cursor: &EventCursor) -> Result<u64, Problem> {
+        if cursor.started_ms.is_some_and(|ms| ms != self.started_ms) {
+            return Err(Problem::new(
+                410,
+                "other-life",
+                "The events are of another life",
+                format!(
+                    "this life is {}; list the actors and follow anew",
+                    self.started_ms
+                ),
+            ));
+        }
+        let (oldest, next) = (
+            self.recent_events.oldest_seq(),
+            self.recent_events.next_seq(),
+        );
+        let first = cursor.after_seq.map_or(next, |seq| seq.saturating_add(1));
+        if !(oldest..=next).contains(&first) {
+            return Err(Problem::new(
+                410,
+                "fell-behind",
+                "These events are not kept",
+                format!("kept are {oldest} to {next}; list the actors and follow anew"),
+            ));
+        }
+        Ok(first)
+    }
+
+    /// Sends new events to followers, as far as they read.
     pub(crate) fn send_events_to_followers(&mut self) {
         let mut ended = Vec::new();
         for &id in &self.followers {
@@ -102,20 +112,20 @@
             }
             client.next_event = Some(next);
             if !lines.is_empty() {
-                let mut out = Vec::with_capacity(lines.len() + 16);
+                let mut out = Vec::new();
                 http::write_chunk(&mut out, &lines);
                 client.unread_bytes += out.len();
                 self.outputs.push(Output::ToClient(id, out));
             }
         }
         for id in ended {
-            self.outputs
-                .push(Output::ToClient(id, b"0\r\n\r\n".to_vec()));
+            self.outputs.push(Output::ToClient(id, LAST_CHUNK.to_vec()));
             self.outputs.push(Output::CloseClient(id));
             self.client_closed(self.now, id);
         }
     }
 
+    /// Sends an empty line to followers that have read everything.
     pub(crate) fn heartbeat_followers(&mut self) {
         for &id in &self.followers {
             if let Some(client) = self.clients.get_mut(&id).filter(|c| c.unread_bytes == 0) {
@@ -126,10 +136,56 @@
             }
         }
         if !self.followers.is_empty() {
-            self.timers.schedule(
-                self.now + FOLLOWER_HEARTBEAT_INTERVAL,
-                Timer::FollowerHeartbeat,
-            );
+            self.schedule_follower_heartbeat();
+        }
+    }
+
+    fn schedule_follower_heartbeat(&mut self) {
+        self.timers.schedule(
+            self.now + FOLLOWER_HEARTBEAT_INTERVAL,
+            Timer::FollowerHeartbeat,
+        );
+    }
+
+    /// Records an event of a placed actor, which followers get at the end of the turn.
+    pub(crate) fn publish_event(
+        &mut self,
+        event: &'static str,
+        reason: Option<&'static str>,
+        attempt: &AttemptSubject,
+    ) {
+        let AttemptSubject {
+            key: ActorKey { service, actor },
+            host,
+            request_id,
+        } = attempt.clone();
+        tracing::debug!(request = %request_id, %service, %actor, %host, reason, event);
+        self.recent_events.push(LifecycleEvent {
+            seq: 0,
+            at_ms: self.now / 1000,
+            event,
+            service,
+            actor,
+            host,
+            reason,
+            request_id,
+        });
+    }
+
+    /// What an event about an attempt says of it.
+    pub(crate) fn subject_of(&self, attempt: &Attempt) -> AttemptSubject {
+        AttemptSubject {
+            key: attempt.key.clone(),
+            host: self.host_name(attempt.host),
+            request_id: attempt.request_id.clone(),
         }
     }
 }
+
+/// What an event is about.
+#[derive(Clone, Debug)]
+pub(crate) struct AttemptSubject {
+    pub key: ActorKey,
+    pub host: Arc<str>,
+    pub request_id: Arc<str>,
+}
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,170 +1,160 @@
-//! Asks: taken, joined, hung up on, and answered once.
+//! Placement requests: accepted, joined, given up by their clients, and answered once.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use maplethread::{Event, Resources, ServiceId, Task, TaskId};
+use maplethread::{Event, Micros, ServiceId, Task, TaskId};
 
 use crate::answers::{FinalAnswer, IdempotencyRecord};
-use crate::api::{self, Place, Problem};
+use crate::api::PlaceRequest;
+use crate::attempt::{ActorState, Stage};
 use crate::audit_log::{AuditEntry, RequestOutcome};
-use crate::engine::{ActorKey, ActorState, Engine, Output, PlacementRequest, Stage};
-use crate::ids::stable_hash;
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::{ActorKey, AttemptKey, ClientId, RequestSlot, stable_hash};
+use crate::output::Output;
+use crate::placement_request::{PlacementRequest, Waiter};
+use crate::problem::{Problem, json_response};
 use crate::sessions::duplicate_policy;
-use crate::{ClientId, Decide};
+
+/// Requests that may wait for the answer to one placement request.
+const MAX_WAITERS: usize = 64;
 
 impl<D: Decide> Engine<D> {
-    pub(crate) fn disconnect_request(&mut self, task: TaskId) {
-        let Some(ask) = self.remove_request(task) else {
-            return;
-        };
-        self.counters.disconnected += 1;
-        let after = self.now.saturating_sub(ask.received_at);
-        self.audit_log.add(|| AuditEntry::RequestFinished {
-            task,
-            outcome: RequestOutcome::ClientDisconnected,
-            attempts: ask.attempts,
-            elapsed: after,
-        });
-        ask.span.in_scope(|| tracing::debug!("hung up"));
-        if let Some(key) = &ask.idempotency_key {
-            self.answer_cache.forget(key);
+    /// Accepts a placement request, joins it to another one for the same actor, or answers it at once.
+    pub(crate) fn accept_request(
+        &mut self,
+        client: ClientId,
+        slot: RequestSlot,
+        place: PlaceRequest,
+    ) -> Result<(), Problem> {
+        let class = self.class_index(&place.class)?;
+        let known = place
+            .idempotency_key
+            .as_deref()
+            .and_then(|key| self.answer_cache.get(key));
+        let mut joined = None;
+        match known {
+            Some(IdempotencyRecord::Answered(bytes)) => {
+                let bytes = bytes.to_vec();
+                self.reply(client, slot, bytes);
+                return Ok(());
+            }
+            Some(IdempotencyRecord::Pending(task)) => joined = Some(*task),
+            None => {}
         }
-        self.events.push(Event::ClientDisconnected(task));
-        if let Some(wire) = ask.in_flight {
-            self.cancel_attempt(wire);
+        let actor = self.actors.get(&place.key).copied();
+        if let Some(ActorState::Pending(task)) = actor {
+            joined = joined.or(Some(task));
         }
-    }
-
-    /// Keeps track of what a client waits for.
-    pub(crate) fn track_waiting(&mut self, client: ClientId, task: TaskId, begins: bool) {
-        if let Some(client) = self.clients.get_mut(&client) {
-            if begins {
-                client.awaited_tasks.insert(task);
-            } else {
-                client.awaited_tasks.remove(&task);
-            }
+        if let Some(task) = joined.filter(|task| self.requests.contains_key(task)) {
+            return self.join_request(client, slot, task, place.request_id);
         }
+        if let Some(ActorState::Placed(attempt)) = actor
+            && self.attempts.contains_key(&attempt)
+        {
+            return self.answer_placed(client, slot, attempt, place);
+        }
+        self.check_settled(&place.key)?;
+        self.check_limits()?;
+        let budget = place.budget_ms.min(self.config.api.max_budget_ms) * 1000;
+        self.check_time_left(budget)?;
+        self.start_request(client, slot, class, budget, place);
+        Ok(())
     }
 
-    pub(crate) fn remove_request(&mut self, task: TaskId) -> Option<PlacementRequest> {
-        let ask = self.requests.remove(&task)?;
-        self.deadlines.remove(&(ask.deadline, task));
-        for id in ask.waiters.iter().map(|w| &w.2).chain([&ask.request_id]) {
-            if self.tasks_by_request_id.get(id) == Some(&task) {
-                self.tasks_by_request_id.remove(id);
-            }
-        }
-        if self.actors.get(&ask.key) == Some(&ActorState::Pending(task)) {
-            self.actors.remove(&ask.key);
-        }
-        Some(ask)
+    fn class_index(&self, name: &str) -> Result<usize, Problem> {
+        self.config
+            .classes
+            .iter()
+            .position(|class| class.name == name)
+            .ok_or_else(|| Problem::new(422, "no-such-class", "No class of this name", name))
     }
 
-    pub(crate) fn accept_request(
+    /// Lets a request wait for the answer to a pending one.
+    fn join_request(
         &mut self,
         client: ClientId,
-        slot: u64,
-        body: Place,
-        request: Option<String>,
-        idempotency: Option<String>,
+        slot: RequestSlot,
+        task: TaskId,
+        request_id: Option<String>,
     ) -> Result<(), Problem> {
-        let Some(class) = self
-            .config
-            .classes
-            .iter()
-            .position(|c| c.name == body.class)
-        else {
-            return Err(Problem::new(
-                422,
-                "no-such-class",
-                "No class of this name",
-                body.class,
-            ));
-        };
-        let mut joins = None;
-        if let Some(key) = &idempotency {
-            match self.answer_cache.get(key) {
-                Some(IdempotencyRecord::Answered(bytes)) => {
-                    let bytes = bytes.to_vec();
-                    self.reply(client, slot, bytes, false);
-                    return Ok(());
-                }
-                Some(IdempotencyRecord::Pending(task)) => joins = Some(*task),
-                None => {}
-            }
-        }
-        let key: ActorKey = (body.service.as_str().into(), body.actor.as_str().into());
-        let actor = self.actors.get(&key).copied();
-        if let Some(ActorState::Pending(task)) = actor {
-            joins = joins.or(Some(task));
-        }
-        if let Some(ask) = joins.and_then(|task| self.requests.get_mut(&task)) {
-            if ask.waiters.len() >= 64 {
-                let detail = "64 requests wait for this ask already";
-                return Err(Problem::unavailable(
-                    "too-many-waiters",
-                    "Too many requests for one ask",
-                    detail,
-                ));
-            }
-            let id = request.map_or_else(|| ask.request_id.clone(), Arc::from);
-            ask.waiters.push((client, slot, id.clone()));
-            self.tasks_by_request_id.entry(id).or_insert(ask.task.id);
-            let task = ask.task.id;
-            self.track_waiting(client, task, true);
+        let Some(request) = self.requests.get_mut(&task) else {
             return Ok(());
+        };
+        if request.waiters.len() >= MAX_WAITERS {
+            return Err(Problem::unavailable(
+                "too-many-waiters",
+                "Too many requests for one ask",
+                "64 requests wait for this ask already",
+            ));
         }
-        if let Some(ActorState::Placed(wire)) = actor
-            && let Some(attempt) = self.attempts.get(&wire)
-        {
-            if attempt.stop_reason.is_some() {
-                let mut problem = Problem::new(
-                    409,
-                    "stopping",
-                    "The actor is being stopped",
-                    "ask again once it has ended",
-                );
-                problem.retry_after_s = Some(1);
-                return Err(problem);
-            }
-            // It is placed already: one placing, one answer.
-            let (host, number) = (attempt.host, attempt.id.number);
-            let request = request.map_or_else(|| attempt.request_id.clone(), Arc::from);
-            let address = self
-                .hosts
-                .get(&host)
-                .map(|h| h.address.to_string())
-                .unwrap_or_default();
-            let (host, (service, actor)) = (self.host_name(host), key);
-            let answer = FinalAnswer::Placed {
-                request,
-                service,
-                actor,
-                host,
-                address,
-                attempt: number,
-            };
-            self.reply(client, slot, api::json_response(200, &answer), false);
+        let request_id = request_id.map_or_else(|| request.request_id.clone(), Arc::from);
+        request.waiters.push(Waiter {
+            client,
+            slot,
+            request_id: request_id.clone(),
+        });
+        self.tasks_by_request_id.entry(request_id).or_insert(task);
+        self.add_awaited_task(client, task);
+        Ok(())
+    }
+
+    /// Answers a request for an actor that is placed already: one placement has one answer.
+    fn answer_placed(
+        &mut self,
+        client: ClientId,
+        slot: RequestSlot,
+        placed: AttemptKey,
+        place: PlaceRequest,
+    ) -> Result<(), Problem> {
+        let Some(attempt) = self.attempts.get(&placed) else {
             return Ok(());
+        };
+        if attempt.stop_reason.is_some() {
+            return Err(Problem::new(
+                409,
+                "stopping",
+                "The actor is being stopped",
+                "ask again once it has ended",
+            )
+            .retry_after(1));
         }
-        let until = self.unsettled.get(&key).map(|(until, _)| *until);
-        if let Some(until) = until.filter(|&until| until > self.now) {
-            let detail = "an earlier attempt may have run and is being called off";
-            let mut problem = Problem::new(
+        let answer = FinalAnswer::Placed {
+            request_id: place
+                .request_id
+                .map_or_else(|| attempt.request_id.clone(), Arc::from),
+            service: place.key.service,
+            actor: place.key.actor,
+            host: self.host_name(attempt.host),
+            address: self.host_address(attempt.host),
+            attempt: attempt.id.number,
+        };
+        self.reply(client, slot, json_response(200, &answer));
+        Ok(())
+    }
+
+    /// Rejects requests for an actor of which an attempt may still start.
+    fn check_settled(&self, key: &ActorKey) -> Result<(), Problem> {
+        let until = self.unsettled.get(key).map(|unsettled| unsettled.until);
+        match until.filter(|&until| until > self.now) {
+            Some(until) => Err(Problem::new(
                 409,
                 "unsettled",
                 "The actor's last attempt is not settled",
-                detail,
-            );
-            problem.retry_after_s = Some((until - self.now).div_ceil(1_000_000));
-            return Err(problem);
+                "an earlier attempt may have run and is being called off",
+            )
+            .retry_after((until - self.now).div_ceil(1_000_000))),
+            None => Ok(()),
         }
+    }
+
+    fn check_limits(&self) -> Result<(), Problem> {
         if self.is_stopping {
-            let mut problem =
-                Problem::unavailable("stopping", "This placer is stopping", "ask another");
-            problem.close = true;
-            return Err(problem);
+            return Err(
+                Problem::unavailable("stopping", "This placer is stopping", "ask another")
+                    .closing(),
+            );
         }
         if self.requests.len() >= self.config.api.max_asks {
             return Err(Problem::unavailable(
@@ -180,108 +170,199 @@
                 "api.max_actors are held",
             ));
         }
-        let budget = body.budget_ms.min(self.config.api.max_budget_ms) * 1000;
+        Ok(())
+    }
+
+    /// Rejects a request that could not be decided on in time.
+    fn check_time_left(&self, budget: Micros) -> Result<(), Problem> {
         if self.turn_latency.should_reject(self.now, budget) {
-            let detail = "the placer's turns run late; other placers may have time";
             return Err(Problem::unavailable(
                 "overloaded",
                 "This placer is overloaded",
-                detail,
+                "the placer's turns run late; other placers may have time",
             ));
         }
-        let deadline = self.unread_since.unwrap_or(self.now).min(self.now) + budget;
-        let give_up_at = deadline - self.answer_margin_for(budget);
-        if give_up_at <= self.now {
-            let detail = "the placer stood still, and the ask's budget may be over";
+        if self.decision_deadline(budget) <= self.now {
             return Err(Problem::unavailable(
                 "stood-still",
                 "The ask lay unread for too long",
-                detail,
+                "the placer stood still, and the ask's budget may be over",
             ));
         }
+        Ok(())
+    }
+
+    /// When the client of a request that is read now stops waiting. The budget counts from when it may have arrived.
+    fn client_deadline(&self, budget: Micros) -> Micros {
+        self.unread_since.unwrap_or(self.now).min(self.now) + budget
+    }
+
+    /// The deadline that the decider gets for a request that is read now.
+    fn decision_deadline(&self, budget: Micros) -> Micros {
+        self.client_deadline(budget) - self.answer_margin_for(budget)
+    }
+
+    fn start_request(
+        &mut self,
+        client: ClientId,
+        slot: RequestSlot,
+        class: usize,
+        budget: Micros,
+        place: PlaceRequest,
+    ) {
         self.next_task += 1;
         let id = TaskId(self.next_task);
-        let request: Arc<str> = match request {
-            Some(request) => request.into(),
-            None => format!("{:x}-{}", self.attempt_id_prefix >> 40, id.0).into(),
+        let key = place.key;
+        let request_id: Arc<str> = match place.request_id {
+            Some(request_id) => request_id.into(),
+            None => {
+                let prefix = AttemptKey::short_prefix(self.attempt_id_prefix);
+                format!("{prefix:x}-{}", id.0).into()
+            }
         };
         let task = Task {
             id,
-            service: ServiceId(stable_hash(&body.service)),
+            service: ServiceId(stable_hash(&key.service)),
             class,
-            requested: Resources::new(body.cores, body.memory_gib),
-            expected_duration: body.life_ms.map(|ms| ms.saturating_mul(1000)),
-            deadline: give_up_at,
-            is_resubmission: body.again,
+            requested: place.requested,
+            expected_duration: place.expected_duration,
+            deadline: self.decision_deadline(budget),
+            is_resubmission: place.is_resubmission,
         };
-        let name = body.key.as_deref().unwrap_or(&body.actor);
-        let copies = duplicate_policy(
+        let copy_name = place.deduplication_key.as_deref().unwrap_or(&key.actor);
+        let duplicate_policy = duplicate_policy(
             self.settings.classes[class].retry_safety,
-            stable_hash(&format!("{}/{name}", body.service)),
+            stable_hash(&format!("{}/{copy_name}", key.service)),
+        );
+        let span = tracing::info_span!(
+            "placement",
+            request = %request_id,
+            service = %key.service,
+            actor = %key.actor
         );
-        let span = tracing::info_span!("ask", request = %request, service = %key.0, actor = %key.1);
-        span.in_scope(|| tracing::debug!(class = body.class, budget_ms = budget / 1000, "asked"));
-        let idempotency: Option<Arc<str>> = idempotency.map(Into::into);
-        if let Some(key) = &idempotency {
-            self.answer_cache.insert_pending(key, id);
+        span.in_scope(|| {
+            tracing::debug!(class = place.class, budget_ms = budget / 1000, "accepted");
+        });
+        let idempotency_key: Option<Arc<str>> = place.idempotency_key.map(Into::into);
+        if let Some(idempotency_key) = &idempotency_key {
+            self.answer_cache.insert_pending(idempotency_key, id);
         }
-        self.tasks_by_request_id.insert(request.clone(), id);
+        self.tasks_by_request_id.insert(request_id.clone(), id);
         self.actors.insert(key.clone(), ActorState::Pending(id));
         self.audit_log.add(|| AuditEntry::RequestAccepted {
             task: id,
             service: task.service,
             key: key.clone(),
             class,
-            request_id: request.clone(),
-            idempotency_key: idempotency.clone(),
+            request_id: request_id.clone(),
+            idempotency_key: idempotency_key.clone(),
         });
-        let waiters = vec![(client, slot, request.clone())];
-        let (asked, out, attempts, reason, lack, may_run) = (self.now, None, 0, None, None, None);
-        let ask = PlacementRequest {
+        let deadline = self.client_deadline(budget);
+        let waiter = Waiter {
+            client,
+            slot,
+            request_id: request_id.clone(),
+        };
+        let request = PlacementRequest {
             task,
-            received_at: asked,
+            received_at: self.now,
             deadline,
             awaits_first_turn: true,
             key,
-            request_id: request,
-            idempotency_key: idempotency,
-            waiters,
-            duplicate_policy: copies,
-            in_flight: out,
-            attempts,
-            last_failure: reason,
-            block_reason: lack,
+            request_id,
+            idempotency_key,
+            waiters: vec![waiter],
+            duplicate_policy,
+            in_flight: None,
+            attempts: 0,
+            last_failure: None,
+            block_reason: None,
             past_block_reasons: BTreeSet::new(),
-            possibly_started_on: may_run,
+            possibly_started_on: None,
             span,
         };
-        self.requests.insert(id, ask);
-        self.track_waiting(client, id, true);
+        self.requests.insert(id, request);
+        self.add_awaited_task(client, id);
         self.deadlines.insert((deadline, id));
         self.counters.requests += 1;
         self.events.push(Event::PlacementRequested(task));
-        Ok(())
     }
 
-    /// The decider left an ask open up to its deadline: it is answered in its stead, with no more than is known.
+    /// Records that a client waits for the answer to a request.
+    fn add_awaited_task(&mut self, client: ClientId, task: TaskId) {
+        if let Some(client) = self.clients.get_mut(&client) {
+            client.awaited_tasks.insert(task);
+        }
+    }
+
+    /// Records that a client no longer waits for the answer to a request.
+    pub(crate) fn remove_awaited_task(&mut self, client: ClientId, task: TaskId) {
+        if let Some(client) = self.clients.get_mut(&client) {
+            client.awaited_tasks.remove(&task);
+        }
+    }
+
+    /// Ends a request for which no client waits any more.
+    pub(crate) fn disconnect_request(&mut self, task: TaskId) {
+        let Some(request) = self.remove_request(task) else {
+            return;
+        };
+        self.counters.disconnected += 1;
+        let elapsed = self.now.saturating_sub(request.received_at);
+        self.audit_log.add(|| AuditEntry::RequestFinished {
+            task,
+            outcome: RequestOutcome::ClientDisconnected,
+            attempts: request.attempts,
+            elapsed,
+        });
+        request
+            .span
+            .in_scope(|| tracing::debug!("client disconnected"));
+        if let Some(key) = &request.idempotency_key {
+            self.answer_cache.forget(key);
+        }
+        self.events.push(Event::ClientDisconnected(task));
+        if let Some(attempt) = request.in_flight {
+            self.cancel_attempt(attempt);
+        }
+    }
+
+    fn remove_request(&mut self, task: TaskId) -> Option<PlacementRequest> {
+        let request = self.requests.remove(&task)?;
+        self.deadlines.remove(&(request.deadline, task));
+        let waiters = request.waiters.iter().map(|waiter| &waiter.request_id);
+        for id in waiters.chain([&request.request_id]) {
+            if self.tasks_by_request_id.get(id) == Some(&task) {
+                self.tasks_by_request_id.remove(id);
+            }
+        }
+        if self.actors.get(&request.key) == Some(&ActorState::Pending(task)) {
+            self.actors.remove(&request.key);
+        }
+        Some(request)
+    }
+
+    /// Answers a request that the decider left open up to its deadline, with no more than is known.
     pub(crate) fn send_deadline_answer(&mut self, task: TaskId) {
-        let Some(ask) = self.requests.get(&task) else {
+        let Some(request) = self.requests.get(&task) else {
             return;
         };
-        let (request, attempts) = (ask.request_id.clone(), ask.attempts);
-        ask.span
+        let attempts = request.attempts;
+        request
+            .span
             .in_scope(|| tracing::warn!(attempts, "left open up to its deadline"));
         self.counters.deadline_answers += 1;
+        let request_id = request.request_id.clone();
         let answer = if attempts == 0 {
-            FinalAnswer::Refused {
-                request,
-                reason: ask.rejection_reason(),
-                come_back_ms: 0,
+            FinalAnswer::Rejected {
+                request_id,
+                reason: request.rejection_reason(),
+                retry_after_ms: 0,
                 attempts,
             }
         } else {
             FinalAnswer::Failed {
-                request,
+                request_id,
                 unknown: "whether it runs".to_owned(),
                 attempts,
             }
@@ -290,9 +371,9 @@
         self.finish_request(task, answer);
     }
 
-    /// The one final answer to an ask. What is still out is called off, unless it is what was placed.
+    /// Gives the one final answer to a request. Its attempt in flight is cancelled, unless that is what was placed.
     pub(crate) fn finish_request(&mut self, task: TaskId, answer: FinalAnswer) {
-        let Some(ask) = self.remove_request(task) else {
+        let Some(request) = self.remove_request(task) else {
             return;
         };
         let name = match &answer {
@@ -300,7 +381,7 @@
                 self.counters.placed += 1;
                 "placed"
             }
-            FinalAnswer::Refused { .. } => {
+            FinalAnswer::Rejected { .. } => {
                 self.counters.rejected += 1;
                 "refused"
             }
@@ -309,57 +390,44 @@
                 "failed"
             }
         };
-        let out = ask.in_flight.filter(|w| {
+        let unplaced = request.in_flight.filter(|key| {
             self.attempts
-                .get(w)
-                .is_some_and(|a| a.stage != Stage::Placed)
+                .get(key)
+                .is_some_and(|attempt| attempt.stage != Stage::Placed)
         });
-        if let Some(wire) = out {
-            self.cancel_attempt(wire);
+        if let Some(attempt) = unplaced {
+            self.cancel_attempt(attempt);
         }
-        let after = self.now.saturating_sub(ask.received_at);
+        let elapsed = self.now.saturating_sub(request.received_at);
         self.audit_log.add(|| AuditEntry::RequestFinished {
             task,
-            outcome: request_outcome(&answer),
-            attempts: ask.attempts,
-            elapsed: after,
+            outcome: RequestOutcome::from(&answer),
+            attempts: request.attempts,
+            elapsed,
         });
-        let late = ask.deadline <= self.now;
-        ask.span
-            .in_scope(|| tracing::debug!(attempts = ask.attempts, late, "{name}"));
-        let bytes = api::json_response(200, &answer);
-        if let Some(key) = &ask.idempotency_key {
+        let is_late = request.deadline <= self.now;
+        request
+            .span
+            .in_scope(|| tracing::debug!(attempts = request.attempts, late = is_late, "{name}"));
+        let bytes = json_response(200, &answer);
+        if let Some(key) = &request.idempotency_key {
             self.answer_cache
                 .insert_answer(key, self.now, bytes.clone().into());
         }
-        for (client, slot, id) in ask.waiters {
-            self.track_waiting(client, task, false);
-            if late {
-                // Its owner gave up: nothing is said after the deadline, and the silence is made plain.
+        for waiter in request.waiters {
+            self.remove_awaited_task(waiter.client, task);
+            if is_late {
+                // The client no longer waits: no answer is sent after the deadline, and closing shows that none comes.
                 self.counters.past_deadline += 1;
-                self.outputs.push(Output::CloseClient(client));
-                self.client_closed(self.now, client);
+                self.outputs.push(Output::CloseClient(waiter.client));
+                self.client_closed(self.now, waiter.client);
+            } else if waiter.request_id == request.request_id {
+                self.reply(waiter.client, waiter.slot, bytes.clone());
             } else {
                 // Each request that waited has the answer under its own id.
-                let own = if id == ask.request_id {
-                    bytes.clone()
-                } else {
-                    api::json_response(200, &answer.for_request(id))
-                };
-                self.reply(client, slot, own, false);
+                let answer = answer.for_request(waiter.request_id);
+                self.reply(waiter.client, waiter.slot, json_response(200, &answer));
             }
         }
     }
 }
-
-fn request_outcome(answer: &FinalAnswer) -> RequestOutcome {
-    match answer {
-        FinalAnswer::Placed { host, .. } => RequestOutcome::Placed(host.clone()),
-        FinalAnswer::Refused {
-            reason,
-            come_back_ms,
-            ..
-        } => RequestOutcome::Rejected(reason, *come_back_ms),
-        FinalAnswer::Failed { .. } => RequestOutcome::Failed,
-    }
-}
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -1,15 +1,26 @@
-//! The host side: the list of hosts, connections, heartbeats, and the frames that hosts send.
+//! Sessions with hosts: the inventory, connections, heartbeats, and the frames that are exchanged.
 
 mod adoption;
 mod connections;
 mod frames;
-pub(crate) mod heartbeats;
+mod heartbeats;
 mod inventory;
+mod outgoing;
+mod probes;
 mod starts;
 
-use maplethread::FailureReason;
-use maplethread_wire::frame::{DuplicatePolicy, Reason};
+use std::sync::Arc;
 
+use maplethread::{FailureReason, Resources, RetrySafety};
+use maplethread_wire::frame::{DuplicatePolicy, Reason, ResourceAmounts};
+
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::HostId;
+
+pub(crate) use outgoing::Delivery;
+
+/// The decider's name of the reason that a host gave, where it has one.
 pub(crate) fn failure_reason(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
         Reason::Cores => FailureReason::Cores,
@@ -23,11 +34,34 @@
     })
 }
 
-/// What stands on the wire for a class's effect.
-pub(crate) fn duplicate_policy(effect: maplethread::RetrySafety, key: u64) -> DuplicatePolicy {
-    match effect {
-        maplethread::RetrySafety::Idempotent => DuplicatePolicy::Idempotent,
-        maplethread::RetrySafety::IdempotencyKey { .. } => DuplicatePolicy::IdempotencyKey(key),
-        maplethread::RetrySafety::NonIdempotent => DuplicatePolicy::NonIdempotent,
+/// What a host is told about copies of a task: `key` identifies them, where the class has idempotency keys.
+pub(crate) fn duplicate_policy(retry_safety: RetrySafety, key: u64) -> DuplicatePolicy {
+    match retry_safety {
+        RetrySafety::Idempotent => DuplicatePolicy::Idempotent,
+        RetrySafety::IdempotencyKey { .. } => DuplicatePolicy::IdempotencyKey(key),
+        RetrySafety::NonIdempotent => DuplicatePolicy::NonIdempotent,
+    }
+}
+
+/// Resources as the decider names them.
+pub(crate) fn resources(amounts: ResourceAmounts) -> Resources {
+    Resources::new(amounts.cores, amounts.memory_gib)
+}
+
+impl<D: Decide> Engine<D> {
+    /// The name of a host; empty if it is not known any more.
+    pub(crate) fn host_name(&self, id: HostId) -> Arc<str> {
+        self.hosts
+            .get(&id)
+            .map(|host| host.name.clone())
+            .unwrap_or_default()
+    }
+
+    /// The address of a host as the API shows it; empty if it is not known any more.
+    pub(crate) fn host_address(&self, id: HostId) -> String {
+        self.hosts
+            .get(&id)
+            .map(|host| host.address.to_string())
+            .unwrap_or_default()
     }
 }
--- a/crates/engine/src/sessions/adoption.rs
+++ b/crates/engine/src/sessions/adoption.rs
@@ -1,67 +1,76 @@
-//! Tasks that a host names after a new connection: kept, stopped, or taken over from an earlier life.
+//! Tasks that a host names after it has greeted: kept, stopped, or adopted from an earlier incarnation of this placer.
 
 use std::sync::Arc;
 
-use maplethread::{AttemptId, Event, MachineId, Resources, Task, TaskId};
+use maplethread::{AttemptId, Event, MachineId, ServiceId, Task, TaskId};
 use maplethread_wire::frame::{Frame, Offer};
 
+use super::{Delivery, resources};
 use crate::answers::FinalAnswer;
+use crate::attempt::{ActorState, Attempt, Stage};
 use crate::audit_log::AuditEntry;
-use crate::engine::{ActorState, Attempt, Engine, Stage};
-use crate::ids::stable_hash;
-use crate::{Decide, HostId};
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::{ActorKey, AttemptKey, HostId, stable_hash};
 
 impl<D: Decide> Engine<D> {
-    /// A task that a host holds of this placer, told after a new connection.
-    pub(super) fn handle_held_task(&mut self, id: HostId, offer: Offer, runs: bool) {
-        let wire = offer.attempt_id;
-        if let Some(attempt) = self.attempts.get(&wire) {
-            if attempt.stage != Stage::Placed || attempt.host != id {
-                return;
-            }
-            let (stop, was) = (attempt.stop_reason.is_some(), attempt.is_running);
-            if let Some(host) = self.hosts.get_mut(&id) {
-                host.unconfirmed.remove(&wire);
-            }
-            if runs && !was {
-                self.handle_started(wire, 0);
-            }
-            if stop {
-                self.send_frame(id, &Frame::Stop(wire), false);
-            }
-            return;
+    /// Takes a task that a host holds of this placer.
+    pub(super) fn handle_held_task(&mut self, id: HostId, offer: &Offer, is_running: bool) {
+        let attempt = AttemptKey(offer.attempt_id);
+        if self.attempts.contains_key(&attempt) {
+            self.confirm_task(id, attempt, is_running);
+        } else {
+            self.adopt_task(id, offer, is_running);
         }
-        let key = (
-            Arc::<str>::from(offer.service.as_str()),
-            Arc::<str>::from(offer.actor.as_str()),
-        );
-        let Some(class) = self
-            .config
-            .classes
-            .iter()
-            .position(|c| c.name == offer.class)
+    }
+
+    /// A host still holds a task that this engine has placed there.
+    fn confirm_task(&mut self, id: HostId, key: AttemptKey, is_running: bool) {
+        let Some(attempt) = self
+            .attempts
+            .get(&key)
+            .filter(|attempt| attempt.stage == Stage::Placed && attempt.host == id)
         else {
+            return;
+        };
+        let (is_to_stop, was_running) = (attempt.stop_reason.is_some(), attempt.is_running);
+        if let Some(host) = self.hosts.get_mut(&id) {
+            host.unconfirmed.remove(&key);
+        }
+        if is_running && !was_running {
+            self.handle_started(key, 0);
+        }
+        if is_to_stop {
+            self.send_frame(id, &Frame::Stop(key.0), Delivery::Required);
+        }
+    }
+
+    /// A host holds a task that this engine does not know.
+    fn adopt_task(&mut self, id: HostId, offer: &Offer, is_running: bool) {
+        let attempt_key = AttemptKey(offer.attempt_id);
+        let key = ActorKey::new(&offer.service, &offer.actor);
+        let classes = &self.config.classes;
+        let Some(class) = classes.iter().position(|c| c.name == offer.class) else {
             tracing::warn!(host = %self.host_name(id), class = offer.class, "holds a task of no known class");
             return;
         };
-        // An attempt of this life that ended or was told as lost, or another copy: it is not wanted. It runs until the
-        // host has stopped it, and counts as long.
-        let own = wire & !((1 << 40) - 1) == self.attempt_id_prefix;
-        let unwanted = own || matches!(self.actors.get(&key), Some(ActorState::Placed(_)));
+        // An attempt of this incarnation that ended or was reported lost, or another copy, is not wanted. It runs, and
+        // counts, until the host has stopped it.
+        let is_own = attempt_key.has_prefix(self.attempt_id_prefix);
+        let is_unwanted = is_own || matches!(self.actors.get(&key), Some(ActorState::Placed(_)));
         self.next_task += 1;
         let task = Task {
             id: TaskId(self.next_task),
-            service: maplethread::ServiceId(stable_hash(&offer.service)),
+            service: ServiceId(stable_hash(&offer.service)),
             class,
-            requested: Resources::new(offer.requested.cores, offer.requested.memory_gib),
+            requested: resources(offer.requested),
             expected_duration: (offer.expected_duration_ms > 0)
                 .then_some(offer.expected_duration_ms * 1000),
             deadline: self.now,
             is_resubmission: false,
         };
         self.audit_log
-            .add(|| AuditEntry::Service(task.service, key.0.clone()));
-        let request: Arc<str> = offer.request_id.as_str().into();
+            .add(|| AuditEntry::Service(task.service, key.service.clone()));
         let attempt = Attempt {
             id: AttemptId {
                 task: task.id,
@@ -69,58 +78,56 @@
             },
             host: id,
             key: key.clone(),
-            request_id: request.clone(),
+            request_id: Arc::from(offer.request_id.as_str()),
             class,
             sent_at: self.now,
             expires_at: self.now,
             frame_end: 0,
             stage: Stage::Placed,
-            is_running: runs,
+            is_running,
             is_cancelled: false,
-            stop_reason: unwanted.then_some("unwanted"),
-            is_unwanted: unwanted,
+            stop_reason: is_unwanted.then_some("unwanted"),
+            is_unwanted,
         };
-        self.attempts.insert(wire, attempt);
+        let subject = self.subject_of(&attempt);
+        self.attempts.insert(attempt_key, attempt);
         if let Some(host) = self.hosts.get_mut(&id) {
-            host.attempts.insert(wire);
+            host.attempts.insert(attempt_key);
         }
         self.events.push(Event::TaskAdopted {
             task,
             machine: MachineId(id.0),
         });
-        if unwanted {
-            self.send_frame(id, &Frame::Stop(wire), false);
+        if is_unwanted {
+            self.send_frame(id, &Frame::Stop(attempt_key.0), Delivery::Required);
             return;
         }
         self.counters.adopted += 1;
-        let before = self.actors.insert(key.clone(), ActorState::Placed(wire));
-        let name = self.host_name(id);
-        self.publish_event("adopted", &key, name.clone(), None, request);
-        // Somebody asks for it just now: here it is.
-        if let Some(ActorState::Pending(asked)) = before {
-            let address = self
-                .hosts
-                .get(&id)
-                .map(|h| h.address.to_string())
-                .unwrap_or_default();
-            let request = self
-                .requests
-                .get(&asked)
-                .map(|a| a.request_id.clone())
-                .unwrap_or_default();
-            let (service, actor) = key;
-            self.events.push(Event::ClientDisconnected(asked));
-            self.finish_request(
-                asked,
-                FinalAnswer::Placed {
-                    request,
-                    service,
-                    actor,
-                    host: name,
-                    address,
-                    attempt: 0,
-                },
-            );
+        let before = self
+            .actors
+            .insert(key.clone(), ActorState::Placed(attempt_key));
+        self.publish_event("adopted", None, &subject);
+        if let Some(ActorState::Pending(task)) = before {
+            self.answer_with_adopted(task, key, id);
         }
     }
+
+    /// Answers a pending request for an actor that was just found at a host.
+    fn answer_with_adopted(&mut self, task: TaskId, key: ActorKey, host: HostId) {
+        let request_id = self
+            .requests
+            .get(&task)
+            .map(|request| request.request_id.clone())
+            .unwrap_or_default();
+        let answer = FinalAnswer::Placed {
+            request_id,
+            service: key.service,
+            actor: key.actor,
+            host: self.host_name(host),
+            address: self.host_address(host),
+            attempt: 0,
+        };
+        self.events.push(Event::ClientDisconnected(task));
+        self.finish_request(task, answer);
+    }
 }
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -1,15 +1,24 @@
 //! Connections to hosts: made, greeted in time, lost and made again.
 
-use maplethread::{AttemptOutcome, Event, MachineId};
+use maplethread::{AttemptOutcome, Event, MachineId, Micros};
 use maplethread_wire::frame::{self, Frame};
 
-use crate::engine::{Engine, Output, Stage, Timer};
-use crate::hosts::{ConnectionState, Host};
-use crate::{Decide, HostId};
+use super::Delivery;
+use crate::attempt::{AttemptEnd, Stage};
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::host::ConnectionState;
+use crate::ids::{AttemptKey, HostId};
+use crate::output::Output;
+use crate::timers::Timer;
+
+/// The wait before a reconnect is doubled at most this many times.
+const MAX_RECONNECT_DOUBLINGS: u32 = 16;
 
 impl<D: Decide> Engine<D> {
+    /// Connects to a host, unless that was done since `epoch`.
     pub(crate) fn connect(&mut self, id: HostId, epoch: u64) {
-        let within = self.config.hosts.connect_within_ms * 1000;
+        let timeout = self.config.hosts.connect_within_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
@@ -22,30 +31,40 @@
         host.connection_epoch += 1;
         host.connection = ConnectionState::Greeting;
         (host.queued_bytes, host.written_bytes) = (0, 0);
-        let (address, epoch) = (host.address, host.connection_epoch);
-        self.outputs.push(Output::Connect(id, address));
-        self.timers
-            .schedule(self.now + within, Timer::GreetingTimeout(id, epoch));
+        self.outputs.push(Output::Connect(id, host.address));
+        let epoch = host.connection_epoch;
+        self.timers.schedule(
+            self.now + timeout,
+            Timer::GreetingTimeout { host: id, epoch },
+        );
     }
 
+    /// Drops a connection that is not in use by now.
     pub(crate) fn handle_greeting_timeout(&mut self, id: HostId, epoch: u64) {
-        let Some(host) = self.hosts.get_mut(&id) else {
+        let Some(host) = self.hosts.get(&id) else {
             return;
         };
-        if host.connection_epoch == epoch
-            && matches!(
-                host.connection,
-                ConnectionState::Greeting | ConnectionState::Syncing
-            )
-        {
+        let is_awaited = matches!(
+            host.connection,
+            ConnectionState::Greeting | ConnectionState::Syncing
+        );
+        if host.connection_epoch == epoch && is_awaited {
             tracing::warn!(host = %host.name, "no greeting in time");
             self.disconnect_host(id);
         }
     }
 
-    /// The connection to a host is made.
-    pub fn host_connected(&mut self, now: u64, id: HostId) {
+    /// The connection to a host is made. `now` is in µs.
+    pub fn host_connected(&mut self, now: Micros, id: HostId) {
         self.now = self.now.max(now);
+        let is_greeting = |state| state == ConnectionState::Greeting;
+        if !self
+            .hosts
+            .get(&id)
+            .is_some_and(|host| is_greeting(host.connection))
+        {
+            return;
+        }
         let hello = Frame::Hello {
             major: frame::MAJOR,
             minor: frame::MINOR,
@@ -53,31 +72,20 @@
             started_ms: self.started_ms,
             max_offers: 0,
         };
-        if self
-            .hosts
-            .get(&id)
-            .is_some_and(|h| h.connection == ConnectionState::Greeting)
-        {
-            self.send_frame(id, &hello, false);
-        }
+        self.send_frame(id, &hello, Delivery::Required);
     }
 
-    /// The kernel has taken so many bytes of this connection, ever.
+    /// The kernel has taken `written` bytes of this connection in all.
     pub fn host_written(&mut self, id: HostId, written: u64) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.written_bytes = written;
         }
     }
 
-    /// A connection to a host could not be made, or is lost; the kernel had taken `written` bytes of it. An offer
-    /// of which it had not taken all never reached the host whole, so it never ran.
-    pub fn host_closed(&mut self, now: u64, id: HostId, written: u64) {
+    /// A connection to a host could not be made, or is lost; the kernel had taken `written` bytes of it. An offer that
+    /// it had not taken whole never reached the host whole, so it never ran. `now` is in µs.
+    pub fn host_closed(&mut self, now: Micros, id: HostId, written: u64) {
         self.now = self.now.max(now);
-        let (first, most) = (
-            self.config.hosts.reconnect_first_ms,
-            self.config.hosts.reconnect_most_ms,
-        );
-        let lost = self.config.hosts.lost_after_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
@@ -87,42 +95,24 @@
         let was = std::mem::replace(&mut host.connection, ConnectionState::Down);
         self.liveness.remove(id);
         tracing::info!(host = %host.name, ?was, "connection lost");
-        let attempts: Vec<u64> = host.attempts.iter().copied().collect();
-        let (epoch, tries, wanted) = (
-            host.connection_epoch,
-            host.failed_connects,
-            host.is_wanted(),
-        );
-        host.failed_connects = tries.saturating_add(1);
-        let untold = !host.was_tried;
-        let mut holds = false;
-        for wire in attempts {
-            let Some(attempt) = self.attempts.get(&wire) else {
-                continue;
-            };
-            match attempt.stage {
-                Stage::Placed => holds = true,
-                Stage::Offered if attempt.frame_end > written => {
-                    self.finish_attempt(wire, AttemptOutcome::ConnectFailed, None, None, true);
-                }
-                Stage::Offered | Stage::Accepted => {
-                    self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, false)
-                }
-            }
-        }
-        if holds && wanted {
+        let (epoch, is_wanted, was_tried) =
+            (host.connection_epoch, host.is_wanted(), host.was_tried);
+        let earlier_failures = host.failed_connects;
+        host.failed_connects = earlier_failures.saturating_add(1);
+        let holds_tasks = self.finish_unplaced_attempts(id, written);
+        if holds_tasks && is_wanted {
+            let lost_at = self.now + self.config.hosts.lost_after_ms * 1000;
             self.timers
-                .schedule(self.now + lost, Timer::TasksLost(id, epoch));
-        } else if holds {
+                .schedule(lost_at, Timer::TasksLost { host: id, epoch });
+        } else if holds_tasks {
             self.fail_all_attempts(id);
         }
-        if wanted {
-            let whole = first.saturating_mul(1 << tries.min(16)).min(most) * 1000;
-            let wait = self.jitter(whole);
+        if is_wanted {
+            let wait = self.reconnect_wait(earlier_failures);
             self.timers
-                .schedule(self.now + wait, Timer::Reconnect(id, epoch));
+                .schedule(self.now + wait, Timer::Reconnect { host: id, epoch });
         }
-        if untold {
+        if !was_tried {
             self.publish_host(id);
         }
         self.events.push(Event::ConnectionChanged {
@@ -132,35 +122,71 @@
         self.forget_departed(id);
     }
 
+    /// Finishes the attempts at a host that are not placed. Returns whether there are placed ones.
+    fn finish_unplaced_attempts(&mut self, id: HostId, written: u64) -> bool {
+        let mut holds_tasks = false;
+        for key in self.attempts_at(id) {
+            let Some(attempt) = self.attempts.get(&key) else {
+                continue;
+            };
+            match attempt.stage {
+                Stage::Placed => holds_tasks = true,
+                Stage::Offered if attempt.frame_end > written => {
+                    let end = AttemptEnd::known_dead(AttemptOutcome::ConnectFailed);
+                    self.finish_attempt(key, end);
+                }
+                Stage::Offered | Stage::Accepted => {
+                    let end = AttemptEnd::uncertain(AttemptOutcome::Disconnected);
+                    self.finish_attempt(key, end);
+                }
+            }
+        }
+        holds_tasks
+    }
+
+    /// How long to wait before the next try to connect, after so many failures in a row.
+    fn reconnect_wait(&mut self, earlier_failures: u32) -> Micros {
+        let hosts = &self.config.hosts;
+        let wait_ms = hosts
+            .reconnect_first_ms
+            .saturating_mul(1 << earlier_failures.min(MAX_RECONNECT_DOUBLINGS))
+            .min(hosts.reconnect_most_ms);
+        self.jitter(wait_ms * 1000)
+    }
+
     /// Drops the connection to a host. What the kernel has not taken of it by now is never sent.
     pub(crate) fn disconnect_host(&mut self, id: HostId) {
-        let Some(written) = self.hosts.get(&id).map(|h| h.written_bytes) else {
+        let Some(written) = self.hosts.get(&id).map(|host| host.written_bytes) else {
             return;
         };
         self.outputs.push(Output::CloseHost(id));
         self.host_closed(self.now, id, written);
     }
 
+    /// Gives up the tasks of a host whose connection was lost long ago. On a connection made since, the host itself
+    /// names the tasks that it still holds.
     pub(crate) fn handle_tasks_lost(&mut self, id: HostId, epoch: u64) {
-        // A connection made since has its own say on what the host still holds.
-        let back =
-            |h: &Host| matches!(h.connection, ConnectionState::Syncing | ConnectionState::Up);
-        if self
-            .hosts
-            .get(&id)
-            .is_some_and(|h| epoch >= h.greeted_epoch && epoch > h.epoch_at_return && !back(h))
-        {
+        let is_lost = self.hosts.get(&id).is_some_and(|host| {
+            epoch >= host.greeted_epoch
+                && epoch > host.epoch_at_return
+                && !host.connection.is_greeted()
+        });
+        if is_lost {
             self.fail_all_attempts(id);
         }
     }
 
     pub(super) fn fail_all_attempts(&mut self, id: HostId) {
-        let held = self
-            .hosts
-            .get(&id)
-            .map(|h| h.attempts.iter().copied().collect::<Vec<_>>());
-        for wire in held.unwrap_or_default() {
-            self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, false);
+        for key in self.attempts_at(id) {
+            let end = AttemptEnd::uncertain(AttemptOutcome::Disconnected);
+            self.finish_attempt(key, end);
         }
     }
+
+    fn attempts_at(&self, id: HostId) -> Vec<AttemptKey> {
+        self.hosts
+            .get(&id)
+            .map(|host| host.attempts.iter().copied().collect())
+            .unwrap_or_default()
+    }
 }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -1,181 +1,246 @@
-//! Frames that hosts send: the greeting, and news of attempts.
+//! Frames that hosts send: the greeting, and reports of attempts.
 
-use maplethread::{AttemptOutcome, Event, MachineId, TaskReport};
-use maplethread_wire::frame::{self, Frame, NoteKind, Reason};
+use maplethread::{AttemptOutcome, Event, MachineId, Micros, TaskReport};
+use maplethread_wire::frame::{self, Frame, NoteKind, Reason, ResourceAmounts};
 
-use crate::engine::{Engine, Stage};
-use crate::hosts::ConnectionState;
-use crate::{Decide, HostId};
+use super::Delivery;
+use crate::attempt::{AttemptEnd, Stage};
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::host::ConnectionState;
+use crate::ids::{AttemptKey, HostId};
+
+/// How a host breaks the protocol, so that its connection is dropped. The host is told this text.
+#[derive(Debug, thiserror::Error)]
+enum ProtocolError {
+    #[error("speaks version {0}, not {expected}", expected = frame::MAJOR)]
+    Version(u16),
+    #[error("calls itself `{0}`")]
+    Name(String),
+    #[error("said goodbye: {0}")]
+    Goodbye(String),
+    #[error("a frame out of turn")]
+    OutOfTurn,
+}
 
 impl<D: Decide> Engine<D> {
-    /// Bytes from a host; returns how many were used. The rest is to be given again, with more.
-    pub fn host_bytes(&mut self, now: u64, id: HostId, unread: &[u8]) -> usize {
+    /// Takes bytes from a host; returns how many were used. The rest is to be given again, with more. `now` is in µs.
+    pub fn host_bytes(&mut self, now: Micros, id: HostId, unread: &[u8]) -> usize {
         self.now = self.now.max(now);
         let mut used = 0;
-        loop {
-            if self
-                .hosts
-                .get(&id)
-                .is_none_or(|h| h.connection == ConnectionState::Down)
-            {
-                return unread.len();
-            }
-            match frame::decode(&unread[used..]) {
-                Ok((frame, n)) => {
-                    used += n;
-                    let Some(frame) = frame else { return used };
-                    if let Err(why) = self.handle_frame(id, frame) {
-                        self.reject_host(id, &why);
-                        return unread.len();
-                    }
-                }
-                Err(e) => {
-                    self.reject_host(id, &e.to_string());
-                    return unread.len();
+        while self
+            .hosts
+            .get(&id)
+            .is_some_and(|host| host.connection != ConnectionState::Down)
+        {
+            let violation = match frame::decode(&unread[used..]) {
+                Ok((None, bytes)) => return used + bytes,
+                Ok((Some(frame), bytes)) => {
+                    used += bytes;
+                    self.handle_frame(id, frame).err().map(|e| e.to_string())
                 }
+                Err(error) => Some(error.to_string()),
+            };
+            if let Some(violation) = violation {
+                self.reject_host(id, &violation);
             }
         }
+        unread.len()
     }
 
-    pub(super) fn reject_host(&mut self, id: HostId, why: &str) {
+    fn reject_host(&mut self, id: HostId, reason: &str) {
         let Some(host) = self.hosts.get(&id) else {
             return;
         };
-        tracing::warn!(host = %host.name, why, "breaks the protocol; connection dropped");
-        self.send_frame(id, &Frame::Bye(why.to_owned()), false);
+        tracing::warn!(host = %host.name, reason, "breaks the protocol; connection dropped");
+        self.send_frame(id, &Frame::Bye(reason.to_owned()), Delivery::Required);
         self.disconnect_host(id);
     }
 
-    pub(super) fn handle_frame(&mut self, id: HostId, frame: Frame) -> Result<(), String> {
+    fn handle_frame(&mut self, id: HostId, frame: Frame) -> Result<(), ProtocolError> {
         self.record_sign_of_life(id, &frame);
         let Some(host) = self.hosts.get_mut(&id) else {
             return Ok(());
         };
-        let link = host.connection;
-        match frame {
-            Frame::Hello {
-                major,
-                name,
-                started_ms,
-                ..
-            } if link == ConnectionState::Greeting => {
-                if major != frame::MAJOR {
-                    return Err(format!("speaks version {major}, not {}", frame::MAJOR));
-                }
-                if *name != *host.name {
-                    return Err(format!("calls itself `{name}`"));
-                }
-                if host.reported_started_ms != Some(started_ms) {
-                    // A new process: what the old one said of itself is over.
-                    (host.reported_started_ms, host.is_draining) = (Some(started_ms), false);
-                }
-                (host.connection, host.greeted_epoch) =
-                    (ConnectionState::Syncing, host.connection_epoch);
-                let seated = |w: &u64| {
-                    self.attempts
-                        .get(w)
-                        .is_some_and(|a| a.stage == Stage::Placed)
-                };
-                host.unconfirmed = host.attempts.iter().copied().filter(seated).collect();
-                self.watch_liveness(id);
-                Ok(())
-            }
-            Frame::Held(offer, runs) if link == ConnectionState::Syncing => {
-                self.handle_held_task(id, offer, runs);
-                Ok(())
+        match (host.connection, frame) {
+            (
+                ConnectionState::Greeting,
+                Frame::Hello {
+                    major,
+                    name,
+                    started_ms,
+                    ..
+                },
+            ) => return self.handle_greeting(id, major, name, started_ms),
+            (ConnectionState::Syncing, Frame::Held(offer, is_running)) => {
+                self.handle_held_task(id, &offer, is_running);
             }
-            // Since 1.1: what has ended while there was no connection is no loss, and its end is known.
-            Frame::Ended(..) if link == ConnectionState::Syncing => {
+            // Since 1.1: a task that ended while there was no connection is not lost, as the host reports its end.
+            (ConnectionState::Syncing, frame @ Frame::Ended(..)) => {
                 self.handle_attempt_frame(id, frame);
-                Ok(())
             }
-            Frame::HeldEnd if link == ConnectionState::Syncing => {
-                (host.connection, host.failed_connects) = (ConnectionState::Up, 0);
-                tracing::info!(host = %host.name, "connected");
-                let missing: Vec<u64> = host.unconfirmed.iter().copied().collect();
-                for wire in missing {
-                    self.finish_attempt(wire, AttemptOutcome::Disconnected, None, None, true);
-                }
-                self.update_host_use(id);
-                self.publish_host(id);
-                self.events.push(Event::ConnectionChanged {
-                    machine: MachineId(id.0),
-                    is_connected: true,
-                });
-                Ok(())
-            }
-            Frame::Drain if matches!(link, ConnectionState::Syncing | ConnectionState::Up) => {
+            (ConnectionState::Syncing, Frame::HeldEnd) => self.finish_sync(id),
+            (ConnectionState::Syncing | ConnectionState::Up, Frame::Drain) => {
                 host.is_draining = true;
-                if link == ConnectionState::Up {
+                if host.connection == ConnectionState::Up {
                     self.publish_host(id);
                 }
-                Ok(())
             }
-            Frame::Ping(nonce) => {
-                self.send_frame(id, &Frame::Pong(nonce), false);
-                Ok(())
+            (_, Frame::Ping(nonce)) => {
+                self.send_frame(id, &Frame::Pong(nonce), Delivery::Required);
             }
-            Frame::Pong(_) => Ok(()),
-            Frame::Bye(why) => Err(format!("said goodbye: {why}")),
-            frame if link == ConnectionState::Up => {
-                self.handle_attempt_frame(id, frame);
-                Ok(())
-            }
-            _ => Err("a frame out of turn".to_owned()),
+            (_, Frame::Pong(_)) => {}
+            (_, Frame::Bye(reason)) => return Err(ProtocolError::Goodbye(reason)),
+            (ConnectionState::Up, frame) => self.handle_attempt_frame(id, frame),
+            _ => return Err(ProtocolError::OutOfTurn),
         }
+        Ok(())
     }
 
-    /// What a greeted host says of attempts. Numbers that are not, or no longer, known are survived.
-    pub(super) fn handle_attempt_frame(&mut self, id: HostId, frame: Frame) {
-        let at_this_host =
-            |engine: &Self, wire: &u64| engine.attempts.get(wire).is_some_and(|a| a.host == id);
+    /// A host has greeted: it goes on to name the tasks that it holds.
+    fn handle_greeting(
+        &mut self,
+        id: HostId,
+        major: u16,
+        name: String,
+        started_ms: u64,
+    ) -> Result<(), ProtocolError> {
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return Ok(());
+        };
+        if major != frame::MAJOR {
+            return Err(ProtocolError::Version(major));
+        }
+        if *name != *host.name {
+            return Err(ProtocolError::Name(name));
+        }
+        if host.reported_started_ms != Some(started_ms) {
+            // A new process: what the old one reported of itself no longer holds.
+            (host.reported_started_ms, host.is_draining) = (Some(started_ms), false);
+        }
+        host.connection = ConnectionState::Syncing;
+        host.greeted_epoch = host.connection_epoch;
+        let attempts = &self.attempts;
+        let is_placed = |key: &AttemptKey| {
+            attempts
+                .get(key)
+                .is_some_and(|attempt| attempt.stage == Stage::Placed)
+        };
+        host.unconfirmed = host.attempts.iter().copied().filter(is_placed).collect();
+        self.watch_liveness(id);
+        Ok(())
+    }
+
+    /// A host has named all tasks that it holds: the others are lost.
+    fn finish_sync(&mut self, id: HostId) {
+        let Some(host) = self.hosts.get_mut(&id) else {
+            return;
+        };
+        (host.connection, host.failed_connects) = (ConnectionState::Up, 0);
+        tracing::info!(host = %host.name, "connected");
+        let missing: Vec<AttemptKey> = host.unconfirmed.iter().copied().collect();
+        for key in missing {
+            let end = AttemptEnd::known_dead(AttemptOutcome::Disconnected);
+            self.finish_attempt(key, end);
+        }
+        self.update_host_use(id);
+        self.publish_host(id);
+        self.events.push(Event::ConnectionChanged {
+            machine: MachineId(id.0),
+            is_connected: true,
+        });
+    }
+
+    /// What a host that has greeted reports of attempts. Attempts that are not known, or no longer, are tolerated.
+    fn handle_attempt_frame(&mut self, id: HostId, frame: Frame) {
         match frame {
-            Frame::Accepted(wire, took) if at_this_host(self, &wire) => {
-                self.handle_accepted(wire, took)
-            }
-            // Its time was over, or the connection had broken in between: it was called off then; again does no harm.
-            Frame::Accepted(wire, _) => {
-                self.send_frame(id, &Frame::Stop(wire), false);
-            }
-            Frame::Started(wire, took) if at_this_host(self, &wire) => {
-                self.handle_started(wire, took)
-            }
-            Frame::Refused(wire, reason, load) if at_this_host(self, &wire) => {
-                self.finish_attempt(wire, AttemptOutcome::Rejected, Some(reason), load, true);
-            }
-            Frame::Ended(wire, reason, ran, load) if at_this_host(self, &wire) => {
-                let seated = self
-                    .attempts
-                    .get(&wire)
-                    .is_some_and(|a| a.stage == Stage::Placed);
-                let ending = match reason {
-                    Reason::Completed => AttemptOutcome::Completed,
-                    Reason::Error => AttemptOutcome::Error,
-                    Reason::Stopped => AttemptOutcome::Cancelled,
-                    // Handed back before it ran and before it was placed.
-                    _ if !ran && !seated => AttemptOutcome::Rejected,
-                    _ => AttemptOutcome::Disconnected,
-                };
-                self.finish_attempt(wire, ending, Some(reason), load, reason != Reason::Error);
+            Frame::Accepted(attempt, took_ms) => match self.attempt_at(id, attempt) {
+                Some(key) => self.handle_accepted(key, took_ms),
+                // It had timed out, or the connection had been lost, and it was cancelled then; stopping it again is
+                // harmless.
+                None => {
+                    self.send_frame(id, &Frame::Stop(attempt), Delivery::Required);
+                }
+            },
+            Frame::Started(attempt, took_ms) => {
+                if let Some(key) = self.attempt_at(id, attempt) {
+                    self.handle_started(key, took_ms);
+                }
             }
-            Frame::Refused(wire, ..) => self.clear_unsettled(wire),
-            Frame::Ended(wire, reason, ..) if reason != Reason::Error => self.clear_unsettled(wire),
-            Frame::Note(wire, kind, x) if at_this_host(self, &wire) => {
-                let note = match kind {
-                    NoteKind::Cores => TaskReport::CoresUsed(x),
-                    NoteKind::Memory => TaskReport::MemoryUsed(x),
-                    NoteKind::ServedShare => TaskReport::Served(x),
-                    NoteKind::HostMemoryShare => TaskReport::MachineMemory(x),
-                };
-                if let Some(attempt) = self.attempts.get(&wire) {
-                    self.events.push(Event::TaskReported {
-                        attempt: attempt.id,
-                        report: note,
-                    });
+            Frame::Refused(attempt, reason, load) => match self.attempt_at(id, attempt) {
+                Some(key) => {
+                    let end = AttemptEnd {
+                        outcome: AttemptOutcome::Rejected,
+                        reason: Some(reason),
+                        load,
+                        is_known_dead: true,
+                    };
+                    self.finish_attempt(key, end);
+                }
+                None => self.clear_unsettled(AttemptKey(attempt)),
+            },
+            Frame::Ended(attempt, reason, has_run, load) => match self.attempt_at(id, attempt) {
+                Some(key) => self.handle_ended(key, reason, has_run, load),
+                None if reason != Reason::Error => self.clear_unsettled(AttemptKey(attempt)),
+                None => {}
+            },
+            Frame::Note(attempt, kind, value) => {
+                if let Some(key) = self.attempt_at(id, attempt) {
+                    self.handle_note(key, kind, value);
                 }
             }
             Frame::Report(nonce, load) => self.handle_probe_report(nonce, load),
             _ => {}
         }
     }
+
+    /// The attempt that a host names, if it is known to be there.
+    fn attempt_at(&self, host: HostId, attempt: u64) -> Option<AttemptKey> {
+        let key = AttemptKey(attempt);
+        let is_there = self.attempts.get(&key).is_some_and(|a| a.host == host);
+        is_there.then_some(key)
+    }
+
+    fn handle_ended(
+        &mut self,
+        key: AttemptKey,
+        reason: Reason,
+        has_run: bool,
+        load: Option<ResourceAmounts>,
+    ) {
+        let is_placed = self
+            .attempts
+            .get(&key)
+            .is_some_and(|attempt| attempt.stage == Stage::Placed);
+        let outcome = match reason {
+            Reason::Completed => AttemptOutcome::Completed,
+            Reason::Error => AttemptOutcome::Error,
+            Reason::Stopped => AttemptOutcome::Cancelled,
+            // Handed back before it ran and before it was placed.
+            _ if !has_run && !is_placed => AttemptOutcome::Rejected,
+            _ => AttemptOutcome::Disconnected,
+        };
+        let end = AttemptEnd {
+            outcome,
+            reason: Some(reason),
+            load,
+            is_known_dead: reason != Reason::Error,
+        };
+        self.finish_attempt(key, end);
+    }
+
+    fn handle_note(&mut self, key: AttemptKey, kind: NoteKind, value: f64) {
+        let report = match kind {
+            NoteKind::Cores => TaskReport::CoresUsed(value),
+            NoteKind::Memory => TaskReport::MemoryUsed(value),
+            NoteKind::ServedShare => TaskReport::Served(value),
+            NoteKind::HostMemoryShare => TaskReport::MachineMemory(value),
+        };
+        if let Some(attempt) = self.attempts.get(&key) {
+            self.events.push(Event::TaskReported {
+                attempt: attempt.id,
+                report,
+            });
+        }
+    }
 }
--- /dev/null
+++ b/crates/engine/src/sessions/outgoing.rs
@@ -0,0 +1,55 @@
+//! Frames to hosts, bounded by what waits to be written.
+
+use maplethread_wire::frame::{self, Frame};
+
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::host::ConnectionState;
+use crate::ids::HostId;
+use crate::output::Output;
+
+/// Bytes that are enough for nearly every frame.
+const TYPICAL_FRAME_BYTES: usize = 160;
+
+/// What is done about a frame where too much waits to be written already.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Delivery {
+    /// It is not sent. It is also not sent before the host has named the tasks that it holds.
+    BestEffort,
+    /// It must not be lost: it may take twice the room, and beyond that the connection is dropped, which ends what
+    /// depends on it.
+    Required,
+}
+
+impl<D: Decide> Engine<D> {
+    /// Queues a frame for a host. Returns where it ends in the bytes of this connection, or nothing if it is not sent.
+    pub(crate) fn send_frame(
+        &mut self,
+        id: HostId,
+        frame: &Frame,
+        delivery: Delivery,
+    ) -> Option<u64> {
+        let host = self.hosts.get_mut(&id)?;
+        let limit = self.config.hosts.max_unwritten_bytes as u64;
+        let (is_open, max_unwritten) = match delivery {
+            Delivery::BestEffort => (host.connection == ConnectionState::Up, limit),
+            Delivery::Required => (host.connection != ConnectionState::Down, 2 * limit),
+        };
+        if !is_open {
+            return None;
+        }
+        if host.queued_bytes - host.written_bytes > max_unwritten {
+            if delivery == Delivery::Required {
+                tracing::warn!(host = %host.name, "too much waits to be written; connection dropped");
+                self.disconnect_host(id);
+            }
+            return None;
+        }
+        let mut bytes = Vec::with_capacity(TYPICAL_FRAME_BYTES);
+        frame::encode(frame, &mut bytes);
+        host.queued_bytes += bytes.len() as u64;
+        let end = host.queued_bytes;
+        self.outputs.push(Output::ToHost(id, bytes));
+        Some(end)
+    }
+}
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -1,30 +1,32 @@
-//! Attempts that hosts accept and start: the ask's answer.
-
-use std::sync::Arc;
+//! Attempts that hosts accept and start, which answers their requests.
 
 use maplethread::{Event, TaskReport};
 
 use crate::answers::FinalAnswer;
-use crate::engine::{ActorState, Engine, Stage};
-use crate::{Decide, HostId};
+use crate::attempt::{ActorState, Stage};
+use crate::decide::Decide;
+use crate::engine::Engine;
+use crate::ids::AttemptKey;
 
 impl<D: Decide> Engine<D> {
-    pub(super) fn handle_accepted(&mut self, wire: u64, took_ms: u32) {
-        let accepts = self.is_placed_on_acceptance();
-        let Some(attempt) = self.attempts.get_mut(&wire) else {
+    /// A host has accepted an attempt, after `took_ms` by its own clock.
+    pub(super) fn handle_accepted(&mut self, key: AttemptKey, took_ms: u32) {
+        let is_placed_on_acceptance = self.is_placed_on_acceptance();
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
         if attempt.is_cancelled || attempt.stage != Stage::Offered {
             return;
         }
         attempt.stage = Stage::Accepted;
-        if accepts {
-            self.confirm_placement(wire, took_ms);
+        if is_placed_on_acceptance {
+            self.confirm_placement(key, took_ms);
         }
     }
 
-    pub(super) fn handle_started(&mut self, wire: u64, took_ms: u32) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else {
+    /// A host has started an attempt, after `took_ms` by its own clock.
+    pub(super) fn handle_started(&mut self, key: AttemptKey, took_ms: u32) {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
         if attempt.is_cancelled
@@ -34,81 +36,63 @@
             return;
         }
         if attempt.stage != Stage::Placed {
-            self.confirm_placement(wire, took_ms);
+            self.confirm_placement(key, took_ms);
         }
         let Some(attempt) = self
             .attempts
-            .get(&wire)
-            .filter(|a| a.stage == Stage::Placed)
+            .get(&key)
+            .filter(|attempt| attempt.stage == Stage::Placed)
         else {
             return;
         };
-        let (id, key, request) = (attempt.id, attempt.key.clone(), attempt.request_id.clone());
-        let host = self.host_name(attempt.host);
+        let (id, subject) = (attempt.id, self.subject_of(attempt));
         if self.is_placed_on_acceptance() {
             self.events.push(Event::TaskReported {
                 attempt: id,
                 report: TaskReport::Started,
             });
         }
-        self.publish_event("started", &key, host, None, request);
+        self.publish_event("started", None, &subject);
     }
 
-    /// The attempt's answer is in: the ask is placed, if its time is not over.
-    pub(super) fn confirm_placement(&mut self, wire: u64, took_ms: u32) {
-        let Some(attempt) = self.attempts.get_mut(&wire) else {
+    /// Places the task of an attempt and answers its request, if the deadline is not over.
+    fn confirm_placement(&mut self, key: AttemptKey, took_ms: u32) {
+        let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
         };
         let task = attempt.id.task;
-        let in_time = self
+        let is_in_time = self
             .requests
             .get(&task)
-            .is_some_and(|ask| ask.deadline > self.now);
-        if !in_time {
-            self.cancel_attempt(wire);
+            .is_some_and(|request| request.deadline > self.now);
+        if !is_in_time {
+            self.cancel_attempt(key);
             return;
         }
         attempt.stage = Stage::Placed;
-        let (id, host, key) = (attempt.id, attempt.host, attempt.key.clone());
-        let (request, number, sent) = (
-            attempt.request_id.clone(),
-            attempt.id.number,
-            attempt.sent_at,
-        );
-        // A caller that stood still can't tell when the answer came; what the host measured stands for it.
+        let (id, host, sent_at) = (attempt.id, attempt.host, attempt.sent_at);
+        // A caller that was stalled can't tell when the answer came, so what the host measured counts.
         let elapsed = self
             .is_after_stall
-            .then(|| (self.now - sent).min(u64::from(took_ms) * 1000));
+            .then(|| (self.now - sent_at).min(u64::from(took_ms) * 1000));
         self.events.push(Event::AttemptAccepted {
             attempt: id,
             elapsed,
         });
-        self.actors.insert(key.clone(), ActorState::Placed(wire));
-        let name = self.host_name(host);
-        let address = self
-            .hosts
-            .get(&host)
-            .map(|h| h.address.to_string())
-            .unwrap_or_default();
-        let (service, actor) = key.clone();
-        self.publish_event("placed", &key, name.clone(), None, request.clone());
-        self.finish_request(
-            task,
-            FinalAnswer::Placed {
-                request,
-                service,
-                actor,
-                host: name,
-                address,
-                attempt: number,
-            },
-        );
-    }
-
-    pub(crate) fn host_name(&self, id: HostId) -> Arc<str> {
-        self.hosts
-            .get(&id)
-            .map(|h| h.name.clone())
-            .unwrap_or_default()
+        let Some(subject) = self.attempts.get(&key).map(|a| self.subject_of(a)) else {
+            return;
+        };
+        self.actors
+            .insert(subject.key.clone(), ActorState::Placed(key));
+        self.publish_event("placed", None, &subject);
+        let answer = FinalAnswer::Placed {
+            request_id: subject.request_id,
+            service: subject.key.service,
+            actor: subject.key.actor,
+            host: subject.host,
+            address: self.host_address(host),
+            attempt: id.number,
+        };
+        self.finish_request(task, answer);
     }
 }
--- a/crates/engine/src/warm_up_offers.rs
+++ b/crates/engine/src/warm_up_offers.rs
@@ -4,7 +4,7 @@
 
 use maplethread::Micros;
 
-use crate::HostId;
+use crate::ids::HostId;
 
 /// One offer.
 #[derive(Clone, Copy, Debug)]
