--- a/crates/engine/tests/simulated.rs
+++ b/crates/engine/tests/simulated.rs
@@ -222,9 +222,9 @@
                         self.schedule_in_order(SimEvent::ToHost(id, link, bytes));
                     }
                 }
-                Output::FetchMembership(id, slot, _) => {
-                    self.engine.answer_membership(id, slot, None)
-                }
+                Output::FetchMembership {
+                    client: id, slot, ..
+                } => self.engine.answer_membership(id, slot, None),
                 Output::CloseHost(id) => self.disconnect_host(id),
                 Output::ToClient(id, bytes) => {
                     self.schedule_in_order(SimEvent::ToClient(id, bytes))
--- a/crates/placer/src/daemon/outputs.rs
+++ b/crates/placer/src/daemon/outputs.rs
@@ -39,11 +39,15 @@
             Output::ToHost(id, bytes) => self.write_to_host(id, &bytes),
             Output::Connect(id, address) => self.connect_host(id, address),
             Output::CloseHost(id) => self.close_host(id),
-            Output::FetchMembership(id, slot, after) => {
+            Output::FetchMembership {
+                client,
+                slot,
+                after,
+            } => {
                 let now = self.event_loop.now();
                 let membership = self.membership.as_ref();
                 let view = membership.map(|membership| membership.view_json(now, after));
-                self.engine.answer_membership(id, slot, view.as_ref());
+                self.engine.answer_membership(client, slot, view.as_ref());
             }
         }
     }
--- a/crates/placer/src/trace_recorder/records.rs
+++ b/crates/placer/src/trace_recorder/records.rs
@@ -65,7 +65,7 @@
             AuditEntry::RequestAccepted {
                 task,
                 service,
-                key: (service_name, actor),
+                key,
                 class,
                 request_id,
                 idempotency_key,
@@ -73,13 +73,13 @@
                 let request = Record::RequestReceived {
                     task: task.0,
                     service: service.0,
-                    actor: actor.to_string(),
+                    actor: key.actor.to_string(),
                     class: class as u32,
                     request_id: request_id.to_string(),
                     idempotency_key: idempotency_key.map(|key| key.to_string()),
                     received_at: at,
                 };
-                let service = self.service_record(service, &service_name);
+                let service = self.service_record(service, &key.service);
                 service.into_iter().chain([request]).collect()
             }
             AuditEntry::RequestFinished {
--- a/crates/placer/src/trace_recorder/tests.rs
+++ b/crates/placer/src/trace_recorder/tests.rs
@@ -8,7 +8,7 @@
 
 use maplethread::{Action, Event, Micros, ServiceId, TaskId};
 use maplethread_config::TraceSettings;
-use maplethread_engine::AuditEntry;
+use maplethread_engine::{ActorKey, AuditEntry};
 use maplethread_trace::{Header, Part, Reader, Record, Turn, module_hash};
 
 use super::create_file;
@@ -250,7 +250,7 @@
     let accepted = AuditEntry::RequestAccepted {
         task: TaskId(1),
         service: ServiceId(5),
-        key: ("s".into(), "a".into()),
+        key: ActorKey::new("s", "a"),
         class: 0,
         request_id: "r".into(),
         idempotency_key: None,
