--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -9,135 +9,71 @@
 use serde_json::Value;
 use support::*;
 
-fn openapi_document() -> Value {
-    serde_json::from_str(include_str!("../../../docs/openapi.json")).expect("JSON")
-}
+/// The page that describes the API in words.
+const API_PAGE: &str = include_str!("../../../docs/api.md");
 
-/// What of a body does not fit a schema.
-fn schema_mismatch(doc: &Value, schema: &Value, body: &Value, at: &str) -> Option<String> {
-    if let Some(reference) = schema["$ref"].as_str() {
-        let target = doc
-            .pointer(reference.trim_start_matches('#'))
-            .expect("a schema");
-        return schema_mismatch(doc, target, body, at);
-    }
-    let fits = |kind: &str| match kind {
-        "object" => body.is_object(),
-        "array" => body.is_array(),
-        "string" => body.is_string(),
-        "integer" => body.is_u64() || body.is_i64(),
-        "number" => body.is_number(),
-        "boolean" => body.is_boolean(),
-        "null" => body.is_null(),
-        other => panic!("schema type {other}"),
-    };
-    let fine = match &schema["type"] {
-        Value::String(kind) => fits(kind),
-        Value::Array(kinds) => kinds.iter().filter_map(Value::as_str).any(fits),
-        _ => true,
-    };
-    if !fine {
-        return Some(format!("{at}: {body} is no {}", schema["type"]));
-    }
-    if let Some(allowed) = schema["enum"].as_array()
-        && !allowed.contains(body)
-    {
-        return Some(format!("{at}: {body} is not listed"));
-    }
-    for field in schema["required"]
-        .as_array()
-        .into_iter()
-        .flatten()
-        .filter_map(Value::as_str)
-    {
-        if body.get(field).is_none() {
-            return Some(format!("{at}: no {field}"));
-        }
-    }
-    if let (Some(properties), Some(fields)) = (schema["properties"].as_object(), body.as_object()) {
-        for (name, value) in fields {
-            let Some(schema) = properties.get(name) else {
-                return Some(format!("{at}: {name} is not described"));
-            };
-            if let Some(wrong) = schema_mismatch(doc, schema, value, &format!("{at}.{name}")) {
-                return Some(wrong);
-            }
-        }
-    }
-    let items = body.as_array().into_iter().flatten();
-    items
-        .filter_map(|item| schema_mismatch(doc, &schema["items"], item, at))
-        .next()
-}
+/// The types of the problems that a placer has answered with.
+type ProblemTypes = BTreeSet<String>;
 
-/// Calls, and holds the answer to the description; `path` as it stands there.
-fn call_and_check_schema(
-    doc: &Value,
-    placer: &PlacerProcess,
-    path: &str,
-    method: &str,
-    target: &str,
-    body: &str,
-) -> (u16, Value) {
-    let (status, answer) = placer.client().call(method, target, body);
-    let responses = &doc["paths"][path][method.to_lowercase()]["responses"];
-    let response = &responses[status.to_string()];
-    assert!(
-        response.is_object(),
-        "{method} {target}: {status} is not described: {answer}"
-    );
-    let content = response["content"]
-        .as_object()
-        .and_then(|c| c.values().next())
-        .expect("a body");
-    assert_eq!(
-        schema_mismatch(doc, &content["schema"], &answer, target),
-        None,
-        "{answer}"
-    );
-    (status, answer)
+/// Adds the type of a problem, if the answer is one.
+fn note_problem(problems: &mut ProblemTypes, answer: &Value) {
+    problems.extend(answer["type"].as_str().map(str::to_owned));
 }
 
 #[test]
 fn responses_match_the_openapi_document() {
-    let doc = openapi_document();
-    let text = include_str!("../../../docs/api.md");
     let host = ScriptedHost::new("h1", "a", "1");
     let (placer, mut links) = start_placer_with(&[&host]);
-    let link = &mut links[0];
-    let place =
-        |body: &str| call_and_check_schema(&doc, &placer, "/v1/actors", "POST", "/v1/actors", body);
-    // Placing: all three outcomes, and what is turned down.
-    let client = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&placement_request("web-api", "s", "a1", 4000)));
+    let api = DocumentedApi::of(&placer);
+    let mut problems = ProblemTypes::new();
+    check_placement_outcomes(&api, &mut links[0]);
+    check_rejected_placements(&api, &mut problems);
+    check_actors(&api, &mut links[0], &mut problems);
+    check_other_resources(&api, &mut problems);
+    check_refused_methods(&api);
+    let (status, problem) = placer.client().call("GET", "/v2", "");
+    assert_eq!(status, 404);
+    note_problem(&mut problems, &problem);
+    for problem in problems {
+        let name = problem
+            .strip_prefix("urn:maplethread:problem:")
+            .expect("the project's own");
+        assert!(
+            API_PAGE.contains(&format!("`{name}`")),
+            "docs/api.md does not tell of {name}"
+        );
+    }
+}
+
+/// All three outcomes of a placement. The actor a1 runs afterwards.
+fn check_placement_outcomes(api: &DocumentedApi<'_>, link: &mut PlacerConnection) {
+    let placed = api.place_while(&placement_request("web-api", "s", "a1", 4000), || {
         let offer = link.receive_offer();
         link.send(&Frame::Accepted(offer.attempt_id, 1));
         link.send(&Frame::Started(offer.attempt_id, 1));
-        answer.join().expect("answered")
     });
     assert_eq!(
-        (client.0, client.1["outcome"].as_str()),
+        (placed.0, placed.1["outcome"].as_str()),
         (200, Some("placed"))
     );
-    let refused = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&placement_request("web-api", "s", "a2", 1000)));
+    let refused = api.place_while(&placement_request("web-api", "s", "a2", 1000), || {
         let offer = link.receive_offer();
         link.send(&Frame::Refused(offer.attempt_id, Reason::Memory, None));
-        answer.join().expect("answered")
     });
     assert_eq!(
         (refused.1["outcome"].as_str(), refused.1["reason"].as_str()),
         (Some("refused"), Some("memory"))
     );
-    let failed = std::thread::scope(|scope| {
-        let answer = scope.spawn(|| place(&placement_request("statements", "s", "a3", 4000)));
+    let failed = api.place_while(&placement_request("statements", "s", "a3", 4000), || {
         let offer = link.receive_offer();
         link.send(&Frame::Ended(offer.attempt_id, Reason::Error, true, None));
-        answer.join().expect("answered")
     });
     assert_eq!(failed.1["outcome"], "failed");
     assert_eq!(failed.1["unknown"], "whether it runs on h1");
-    let mut kinds = BTreeSet::new();
+}
+
+/// Requests for a placement that are turned down.
+fn check_rejected_placements(api: &DocumentedApi<'_>, problems: &mut ProblemTypes) {
     let bad = [
         (400, "{"),
         (400, r#"{"service":"s"}"#),
@@ -152,21 +88,17 @@
         ),
     ];
     for (status, body) in bad {
-        let (got, problem) = place(body);
+        let (got, problem) = api.place(body);
         assert_eq!(got, status, "{body}: {problem}");
         assert_eq!(problem["status"], status);
-        kinds.insert(problem["type"].as_str().expect("a type").to_owned());
+        problems.insert(problem["type"].as_str().expect("a type").to_owned());
     }
-    // Actors.
+}
+
+fn check_actors(api: &DocumentedApi<'_>, link: &mut PlacerConnection, problems: &mut ProblemTypes) {
     let one = "/v1/actors/{service}/{actor}";
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, one, "GET", "/v1/actors/s/a1", "").1["state"],
-        "running"
-    );
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, one, "GET", "/v1/actors/s/a%31", "").0,
-        200
-    );
+    assert_eq!(api.get(one, "/v1/actors/s/a1").1["state"], "running");
+    assert_eq!(api.get(one, "/v1/actors/s/a%31").0, 200);
     for (method, target, status) in [
         ("GET", "/v1/actors/s/none", 404),
         ("GET", "/v1/actors/s/%zz", 400),
@@ -174,73 +106,45 @@
         ("DELETE", "/v1/actors/s/none", 404),
         ("DELETE", "/v1/actors/s/a1", 202),
     ] {
-        let (got, body) = call_and_check_schema(&doc, &placer, one, method, target, "");
+        let (got, body) = api.call(one, method, target, "");
         assert_eq!(got, status, "{target}");
-        kinds.extend(body["type"].as_str().map(str::to_owned));
+        note_problem(problems, &body);
     }
     assert!(matches!(link.receive(), Frame::Stop(_)));
-    let (_, page) =
-        call_and_check_schema(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=1", "");
+    let (_, page) = api.get("/v1/actors", "/v1/actors?limit=1");
     assert_eq!(
         (page["held"].as_u64(), page["actors"][0]["state"].as_str()),
         (Some(1), Some("stopping"))
     );
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, "/v1/actors", "GET", "/v1/actors?limit=x", "").0,
-        400
-    );
-    assert_eq!(
-        call_and_check_schema(
-            &doc,
-            &placer,
-            "/v1/asks/{request}",
-            "DELETE",
-            "/v1/asks/none",
-            ""
-        )
-        .0,
-        404
-    );
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, "/v1/events", "GET", "/v1/events?life=1", "").0,
-        410
-    );
-    assert_eq!(
-        call_and_check_schema(
-            &doc,
-            &placer,
-            "/v1/events",
-            "GET",
-            "/v1/events?after=99",
-            ""
-        )
-        .0,
-        410
-    );
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, "/v1/status", "GET", "/v1/status", "").0,
-        200
-    );
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, "/v1/status", "GET", "/v1/status?full=1", "").0,
-        200
-    );
-    let (status, problem) =
-        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
+    assert_eq!(api.get("/v1/actors", "/v1/actors?limit=x").0, 400);
+}
+
+fn check_other_resources(api: &DocumentedApi<'_>, problems: &mut ProblemTypes) {
+    let cancelled = api.call("/v1/asks/{request}", "DELETE", "/v1/asks/none", "");
+    assert_eq!(cancelled.0, 404);
+    for (path, target, status) in [
+        ("/v1/events", "/v1/events?life=1", 410),
+        ("/v1/events", "/v1/events?after=99", 410),
+        ("/v1/status", "/v1/status", 200),
+        ("/v1/status", "/v1/status?full=1", 200),
+    ] {
+        assert_eq!(api.get(path, target).0, status, "{target}");
+    }
+    let (status, problem) = api.get("/v1/fleet", "/v1/fleet");
     assert_eq!(status, 404);
-    kinds.extend(problem["type"].as_str().map(str::to_owned));
-    assert_eq!(
-        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=x", "").0,
-        400
-    );
-    // Methods that are not described are refused, with those that are.
-    for (path, methods) in doc["paths"].as_object().expect("paths") {
+    note_problem(problems, &problem);
+    assert_eq!(api.get("/v1/fleet", "/v1/fleet?after=x").0, 400);
+}
+
+/// Methods that are not described are refused, with those that are.
+fn check_refused_methods(api: &DocumentedApi<'_>) {
+    for (path, methods) in api.document["paths"].as_object().expect("paths") {
         assert!(
-            text.contains(path.split('{').next().expect("a part")),
+            API_PAGE.contains(path.split('{').next().expect("a part")),
             "docs/api.md does not tell of {path}"
         );
         let target = path.replace(['{', '}'], "");
-        let mut client = placer.client();
+        let mut client = api.placer.client();
         client.send("PATCH", &target, &[], "");
         let answer = client.receive().expect("an answer");
         assert_eq!(answer.head.status(), 405, "{path}");
@@ -262,23 +166,10 @@
             "{path}"
         );
     }
-    let (status, problem) = placer.client().call("GET", "/v2", "");
-    assert_eq!(status, 404);
-    kinds.extend(problem["type"].as_str().map(str::to_owned));
-    for kind in kinds {
-        let name = kind
-            .strip_prefix("urn:maplethread:problem:")
-            .expect("the project's own");
-        assert!(
-            text.contains(&format!("`{name}`")),
-            "docs/api.md does not tell of {name}"
-        );
-    }
 }
 
 #[test]
 fn fleet_view_matches_the_openapi_document() {
-    let doc = openapi_document();
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = PlacerProcess::with_files(&[&host], "");
     let config = placer.folder().join("placer.toml");
@@ -289,7 +180,8 @@
     let ready = placer.start();
     let _link = host.accept_and_greet(&[]);
     ready(&mut placer);
-    let (status, view) = call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet", "");
+    let api = DocumentedApi::of(&placer);
+    let (status, view) = api.get("/v1/fleet", "/v1/fleet");
     assert_eq!(
         (
             status,
@@ -298,8 +190,7 @@
         ),
         (200, Some("p0"), Some(0))
     );
-    let (status, news) =
-        call_and_check_schema(&doc, &placer, "/v1/fleet", "GET", "/v1/fleet?after=0", "");
+    let (status, news) = api.get("/v1/fleet", "/v1/fleet?after=0");
     assert_eq!(
         (status, &news["digest"], news["live"].as_u64()),
         (200, &view["digest"], Some(1))
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -2,12 +2,14 @@
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 mod client;
+mod documented_api;
 mod host;
 mod placer;
 
 use std::time::Duration;
 
 pub use client::{Client, placement_request};
+pub use documented_api::DocumentedApi;
 pub use host::{PlacerConnection, ScriptedHost};
 pub use placer::{CLASSES, PlacerProcess};
 
