--- a/crates/engine/tests/api_responses.rs
+++ b/crates/engine/tests/api_responses.rs
@@ -1,14 +1,14 @@
 //! Responses of the API, byte for byte as an earlier build gave them: all requests of a fixed list, and the output.
 
+mod support;
+
 use maplethread::{Action, BlockReason, Event, MachineId, Micros};
-use maplethread_config::{Document, Inventory, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame, Reason};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
 /// What a build before the engine's files were split gave.
 const RECORDED: &str = include_str!("fixtures/api_responses.txt");
-const NOW: u64 = 1_700_000_000_000_000;
 const HOST: HostId = HostId(0);
 
 /// Does what the number of cores of a task says.
@@ -56,27 +56,9 @@
 
 impl Session {
     fn new() -> Session {
-        let config = PlacerConfig::parse(Document {
-            file: "placer.toml",
-            text: CONFIG,
-        })
-        .expect("sound");
-        let (kind, zone) = (&config.kinds[0].name, &config.identity.zones[0]);
-        let text = format!(
-            "[[host]]\nname = \"h\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"c\"\nkind = \"{kind}\"\n"
-        );
-        let inventory = Inventory::parse(
-            Document {
-                file: "hosts",
-                text: &text,
-            },
-            &config,
-        )
-        .expect("sound");
-        let start = StartInfo {
-            started_ms: NOW / 1000,
-            seed: 1,
-        };
+        let config = support::config();
+        let inventory = support::inventory(&config, &["h"]);
+        let start = support::start_info();
         let mut engine = Engine::new(config, ByCores, start, NOW);
         engine.apply_inventory(NOW, &inventory);
         engine.host_connected(NOW, HOST);
@@ -86,20 +68,13 @@
             client: 0,
             log: String::new(),
         };
-        let hello = Frame::Hello {
-            major: frame::MAJOR,
-            minor: frame::MINOR,
-            name: "h".to_owned(),
-            started_ms: 1,
-            max_offers: 0,
-        };
+        let hello = support::hello("h", 1);
         session.host_sends(&[hello, Frame::HeldEnd]);
         session
     }
 
     fn host_sends(&mut self, frames: &[Frame]) {
-        let mut bytes = Vec::new();
-        frames.iter().for_each(|f| frame::encode(f, &mut bytes));
+        let bytes = support::encode(frames);
         self.engine.host_bytes(self.now, HOST, &bytes);
         self.turn();
     }
@@ -148,10 +123,7 @@
     }
 
     fn posts(&mut self, headers: &str, body: &str) -> Vec<u64> {
-        self.sends(&format!(
-            "POST /v1/actors HTTP/1.1\r\nHost: p\r\n{headers}Content-Length: {}\r\n\r\n{body}",
-            body.len()
-        ))
+        self.sends(&support::post_actor(headers, body))
     }
 
     fn places(&mut self, headers: &str, actor: &str, class: &str, cores: u32) -> Vec<u64> {
@@ -283,11 +255,7 @@
 
 /// The names of the classes of the settings.
 fn session_classes() -> Vec<String> {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     config
         .classes
         .iter()
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -1,12 +1,13 @@
 //! Rule 4 where a caller pauses between a decision and its writing: what a cold host is sent counts from when it leaves.
 
+mod support;
+
 use maplethread::{Action, Event, MachineId, Micros};
-use maplethread_config::{Document, Inventory, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
+use maplethread_config::PlacerConfig;
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const NOW: u64 = 1_700_000_000_000_000;
 const HOST: HostId = HostId(0);
 const S: u64 = 1_000_000;
 
@@ -29,33 +30,12 @@
 
 /// An engine that is connected to one host, which has just come up.
 fn engine(config: &PlacerConfig) -> Engine<Eager> {
-    let boot = StartInfo {
-        started_ms: NOW / 1000,
-        seed: 1,
-    };
+    let boot = support::start_info();
     let mut engine = Engine::new(config.clone(), Eager, boot, NOW);
-    let kind = &config.kinds[0].name;
-    let zone = &config.identity.zones[0];
-    let text = format!(
-        "[[host]]\nname = \"h\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"c\"\nkind = \"{kind}\"\n"
-    );
-    let inventory = Inventory::parse(
-        Document {
-            file: "hosts",
-            text: &text,
-        },
-        config,
-    )
-    .expect("sound");
+    let inventory = support::inventory(config, &["h"]);
     engine.apply_inventory(NOW, &inventory);
     engine.host_connected(NOW, HOST);
-    let hello = Frame::Hello {
-        major: frame::MAJOR,
-        minor: frame::MINOR,
-        name: "h".to_owned(),
-        started_ms: NOW / 1000,
-        max_offers: 0,
-    };
+    let hello = support::hello("h", NOW / 1000);
     let mut bytes = Vec::new();
     frame::encode(&hello, &mut bytes);
     frame::encode(&Frame::HeldEnd, &mut bytes);
@@ -70,16 +50,13 @@
     let body = format!(
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}}"#
     );
-    let head = format!(
-        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n",
-        body.len()
-    );
+    let request = support::post_actor("", &body);
     // The host is there all the time.
     let mut pong = Vec::new();
     frame::encode(&Frame::Pong(0), &mut pong);
     engine.host_bytes(now, HOST, &pong);
     engine.client_opened(now, ClientId(number));
-    engine.client_bytes(now, ClientId(number), (head + &body).as_bytes());
+    engine.client_bytes(now, ClientId(number), request.as_bytes());
     engine.turn(now, false);
     engine.record_round(now, written);
     let offer = |output: &Output| match output {
@@ -93,11 +70,7 @@
 
 #[test]
 fn late_written_offer_counts_in_warm_up_window_from_its_writing() {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     let window = config.rules.overload_window_ms * 1000;
     let mut engine = engine(&config);
     // Decided now, and written after a pause of a second.
--- a/crates/engine/tests/crowded_turns.rs
+++ b/crates/engine/tests/crowded_turns.rs
@@ -1,59 +1,27 @@
 //! More asks in one turn than it places: what else has happened is known before any of them is placed.
 
+mod support;
+
 use maplethread::Placer;
-use maplethread_config::{Document, Inventory, PlacerConfig};
-use maplethread_engine::{ClientId, Engine, HostId, Output, StartInfo};
+use maplethread_engine::{ClientId, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const NOW: u64 = 1_700_000_000_000_000;
 const DRAINING: HostId = HostId(0);
 /// More than one turn places.
 const REQUESTS: u64 = 200;
 
-fn inventory(config: &PlacerConfig) -> Inventory {
-    let (kind, zone) = (&config.kinds[0].name, &config.identity.zones[0]);
-    let host = |name: &str| {
-        format!(
-            "[[host]]\nname = \"{name}\"\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\ncell = \"{name}\"\nkind = \"{kind}\"\n"
-        )
-    };
-    let text = host("draining") + &host("other");
-    Inventory::parse(
-        Document {
-            file: "hosts",
-            text: &text,
-        },
-        config,
-    )
-    .expect("sound")
-}
-
 /// An engine that is connected to two warm hosts.
 fn engine() -> Engine<Placer> {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     let placer = Placer::new(config.policy_settings(), 1).expect("sound");
-    let boot = StartInfo {
-        started_ms: NOW / 1000,
-        seed: 1,
-    };
+    let boot = support::start_info();
     let mut engine = Engine::new(config.clone(), placer, boot, NOW);
-    engine.apply_inventory(NOW, &inventory(&config));
+    engine.apply_inventory(NOW, &support::inventory(&config, &["draining", "other"]));
     for (number, name) in ["draining", "other"].into_iter().enumerate() {
         let host = HostId(number as u32);
         engine.host_connected(NOW, host);
-        let (major, minor) = (frame::MAJOR, frame::MINOR);
-        let hello = Frame::Hello {
-            major,
-            minor,
-            name: name.to_owned(),
-            started_ms: 1,
-            max_offers: 0,
-        };
+        let hello = support::hello(name, 1);
         receive_frames(&mut engine, host, &[hello, Frame::HeldEnd]);
     }
     engine.turn(NOW, false);
@@ -62,10 +30,7 @@
 }
 
 fn receive_frames(engine: &mut Engine<Placer>, host: HostId, frames: &[Frame]) {
-    let mut bytes = Vec::new();
-    frames
-        .iter()
-        .for_each(|frame| frame::encode(frame, &mut bytes));
+    let bytes = support::encode(frames);
     assert_eq!(engine.host_bytes(NOW, host, &bytes), bytes.len());
 }
 
@@ -73,12 +38,9 @@
     let body = format!(
         r#"{{"service":"s{number}","actor":"a","class":"web-api","cores":0.01,"memory_gib":0.01,"budget_ms":9000}}"#
     );
-    let head = format!(
-        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n",
-        body.len()
-    );
+    let request = support::post_actor("", &body);
     engine.client_opened(NOW, ClientId(number));
-    engine.client_bytes(NOW, ClientId(number), (head + &body).as_bytes());
+    engine.client_bytes(NOW, ClientId(number), request.as_bytes());
 }
 
 /// Offers to each of the two hosts, as told by the outputs of some turns.
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -1,11 +1,11 @@
 //! Deadlines that hold whatever the decider does, and however long the caller stood still.
 
+mod support;
+
 use maplethread::{Action, Event, Micros};
-use maplethread_config::{Document, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, Output, StartInfo};
+use maplethread_engine::{ClientId, Decide, Engine, Output};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const NOW: u64 = 1_700_000_000_000_000;
 const CLIENT: ClientId = ClientId(1);
 
 /// Never answers, and can refuse to let the engine do so.
@@ -22,20 +22,13 @@
 }
 
 fn engine(last_word: bool) -> Engine<SilentDecider> {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     let mut engine = Engine::new(
         config,
         SilentDecider {
             allows_deadline_answers: last_word,
         },
-        StartInfo {
-            started_ms: NOW / 1000,
-            seed: 1,
-        },
+        support::start_info(),
         NOW,
     );
     engine.client_opened(NOW, CLIENT);
@@ -46,11 +39,7 @@
     let body = format!(
         r#"{{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":{budget_ms}}}"#
     );
-    format!(
-        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-    .into_bytes()
+    support::post_actor("", &body).into_bytes()
 }
 
 /// The same, with a second to answer, under this id.
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -1,14 +1,15 @@
 //! Heartbeats of the engine in simulated time: hosts with work as often as set, idle ones within the rate.
 
+mod support;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use maplethread::{Action, Event, MachineId, Micros};
-use maplethread_config::{Document, HostEntry, HostState, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
+use maplethread_config::{HostEntry, HostState};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const START: u64 = 1_700_000_000_000_000;
 const SECOND: u64 = 1_000_000;
 /// The defaults: once a second, final after three, 40 a second to idle hosts (and two where a turn was late).
 const PING_INTERVAL: u64 = SECOND;
@@ -56,7 +57,7 @@
         cell: "c".to_owned(),
         kind: "std-16".to_owned(),
         state: HostState::Ready,
-        started_ms: Some(START / 1000),
+        started_ms: Some(NOW / 1000),
         unasked_cores: None,
         unasked_memory_gib: None,
     }
@@ -65,18 +66,11 @@
 impl SimulatedHosts {
     /// So many hosts that greet in one instant.
     fn new(hosts: u32, offer_for: Micros) -> SimulatedHosts {
-        let config = PlacerConfig::parse(Document {
-            file: "placer.toml",
-            text: CONFIG,
-        })
-        .expect("sound");
-        let boot = StartInfo {
-            started_ms: START / 1000,
-            seed: 1,
-        };
+        let config = support::config();
+        let boot = support::start_info();
         let mut fleet = SimulatedHosts {
-            engine: Engine::new(config, OfferToChosen(offer_for), boot, START),
-            now: START,
+            engine: Engine::new(config, OfferToChosen(offer_for), boot, NOW),
+            now: NOW,
             hosts,
             silent: BTreeSet::new(),
             running: BTreeMap::new(),
@@ -87,8 +81,8 @@
             request_count: 0,
         };
         let entries: Vec<HostEntry> = (0..hosts).map(entry).collect();
-        fleet.engine.apply_host_changes(START, &entries);
-        fleet.engine.client_opened(START, ClientId(1));
+        fleet.engine.apply_host_changes(NOW, &entries);
+        fleet.engine.client_opened(NOW, ClientId(1));
         fleet
     }
 
@@ -143,7 +137,7 @@
         match frame {
             Frame::Hello { .. } => {
                 let name = format!("h{}", id.0);
-                let (major, minor, started_ms) = (frame::MAJOR, frame::MINOR, START / 1000);
+                let (major, minor, started_ms) = (frame::MAJOR, frame::MINOR, NOW / 1000);
                 self.deliver_from_host(
                     id,
                     &Frame::Hello {
@@ -181,10 +175,7 @@
             r#"{{"service":"s","actor":"a{}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}}"#,
             self.request_count
         );
-        let ask = format!(
-            "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
-            body.len()
-        );
+        let ask = support::post_actor("", &body);
         self.engine
             .client_bytes(self.now, ClientId(1), ask.as_bytes());
         self.turn(false);
@@ -227,7 +218,7 @@
     for hosts in [130, 1300, 2600] {
         let mut fleet = SimulatedHosts::new(hosts, SECOND);
         fleet.run_for(100 * SECOND);
-        let most = fleet.max_pings_per_second(START);
+        let most = fleet.max_pings_per_second(NOW);
         assert!(
             most <= MAX_IDLE_PINGS_PER_SECOND,
             "{hosts} hosts: {most} in a second"
@@ -249,7 +240,7 @@
     fleet.run_for(60 * SECOND);
     assert_eq!(fleet.disconnected, []);
     // Beside them the one host in use.
-    let most = fleet.max_pings_per_second(START);
+    let most = fleet.max_pings_per_second(NOW);
     assert!(most <= MAX_IDLE_PINGS_PER_SECOND + 2, "{most} in a second");
 }
 
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -1,24 +1,21 @@
 //! An engine whose turns take long: what it takes it still answers in time, and what it can't bear it turns away.
 
+mod support;
+
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
 use maplethread::{Action, Event, Micros, Placer, TaskId};
-use maplethread_config::{Document, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, Output, StartInfo};
+use maplethread_config::PlacerConfig;
+use maplethread_engine::{ClientId, Decide, Engine, Output};
+use support::NOW;
 
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const NOW: u64 = 1_700_000_000_000_000;
 const BUDGET_MS: u64 = 2000;
 const LONG_BUDGET_MS: u64 = 60_000;
 
 fn config() -> PlacerConfig {
-    PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound")
+    support::config()
 }
 
 fn request_bytes(number: u64) -> Vec<u8> {
@@ -29,11 +26,7 @@
     let body = format!(
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":{budget_ms}}}"#
     );
-    format!(
-        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    )
-    .into_bytes()
+    support::post_actor("", &body).into_bytes()
 }
 
 /// How an ask ended at its client.
@@ -57,15 +50,7 @@
     fn new() -> SlowPlacer {
         let config = config();
         let placer = Placer::new(config.policy_settings(), 1).expect("sound");
-        let engine = Engine::new(
-            config,
-            placer,
-            StartInfo {
-                started_ms: NOW / 1000,
-                seed: 1,
-            },
-            NOW,
-        );
+        let engine = Engine::new(config, placer, support::start_info(), NOW);
         SlowPlacer {
             engine,
             now: NOW,
@@ -243,10 +228,7 @@
 #[test]
 fn turn_places_at_most_its_limit_and_leaves_the_rest_in_order() {
     let turns = Rc::new(RefCell::new(Vec::new()));
-    let boot = StartInfo {
-        started_ms: NOW / 1000,
-        seed: 1,
-    };
+    let boot = support::start_info();
     let mut engine = Engine::new(config(), RecordingDecider(turns.clone()), boot, NOW);
     for client in 1..=500 {
         engine.client_opened(NOW, ClientId(client));
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -1,16 +1,16 @@
 //! A host that is gone and comes back is the same host to the decider: what it was sent a moment ago still counts.
 
+mod support;
+
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 use maplethread::{Action, AttemptOutcome, Event, MachineId, Micros};
-use maplethread_config::{Document, HostEntry, HostState, PlacerConfig};
-use maplethread_engine::{ClientId, Decide, Engine, HostId, Output, StartInfo};
+use maplethread_config::{HostEntry, HostState};
+use maplethread_engine::{ClientId, Decide, Engine, HostId, Output};
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
-
-const CONFIG: &str = include_str!("../../../config/placer.toml");
-const NOW: u64 = 1_700_000_000_000_000;
+use support::NOW;
 
 /// Notes all machines that it is told of, and what runs; offers each ask to the first machine.
 #[derive(Default)]
@@ -62,16 +62,9 @@
 
 #[test]
 fn host_keeps_its_id_while_absent_and_is_connected_again() {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     let seen = Rc::new(RefCell::new(Observations::default()));
-    let boot = StartInfo {
-        started_ms: NOW / 1000,
-        seed: 1,
-    };
+    let boot = support::start_info();
     let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
     let mut now = NOW;
     for round in 0..5 {
@@ -124,34 +117,20 @@
 }
 
 fn receive_frames(engine: &mut Engine<RecordingDecider>, now: u64, frames: &[Frame]) {
-    let mut bytes = Vec::new();
-    frames.iter().for_each(|f| frame::encode(f, &mut bytes));
+    let bytes = support::encode(frames);
     assert_eq!(engine.host_bytes(now, HostId(0), &bytes), bytes.len());
 }
 
 /// The host's greeting, always of one process.
 fn hello() -> Frame {
-    Frame::Hello {
-        major: frame::MAJOR,
-        minor: frame::MINOR,
-        name: "h1".into(),
-        started_ms: NOW / 1000,
-        max_offers: 0,
-    }
+    support::hello("h1", NOW / 1000)
 }
 
 /// An engine that has placed one task on the host, what its decider has seen, and the offer.
 fn engine_with_placed_task() -> (Engine<RecordingDecider>, Rc<RefCell<Observations>>, Offer) {
-    let config = PlacerConfig::parse(Document {
-        file: "placer.toml",
-        text: CONFIG,
-    })
-    .expect("sound");
+    let config = support::config();
     let seen = Rc::new(RefCell::new(Observations::default()));
-    let boot = StartInfo {
-        started_ms: NOW / 1000,
-        seed: 1,
-    };
+    let boot = support::start_info();
     let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
     engine.apply_host_changes(NOW, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW, HostId(0));
@@ -159,10 +138,7 @@
     engine.turn(NOW, false);
     engine.client_opened(NOW, ClientId(1));
     let body = r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}"#;
-    let ask = format!(
-        "POST /v1/actors HTTP/1.1\r\nHost: p\r\nContent-Length: {}\r\n\r\n{body}",
-        body.len()
-    );
+    let ask = support::post_actor("", body);
     engine.client_bytes(NOW, ClientId(1), ask.as_bytes());
     engine.turn(NOW, false);
     let offer = take_host_frames(&mut engine).into_iter().find_map(|f| {
