--- a/crates/engine/src/warm_up_offers.rs
+++ b/crates/engine/src/warm_up_offers.rs
@@ -1,4 +1,4 @@
-//! Offers to hosts that have just come up, by when they left: the decider counts them from when it decided.
+//! Offers to hosts that are warming up, by when they were written; the decider counts them from when it decided.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug)]
 struct SentOffer {
     decided_at: Micros,
-    /// When it was surely written.
+    /// When it was certainly written.
     written_at: Micros,
 }
 
-/// Offers to cold hosts that count in a window.
+/// Offers to hosts that are warming up, as long as they count in the window of the limit.
 #[derive(Debug)]
 pub(crate) struct WarmUpOffers {
     window: Micros,
     sent: BTreeMap<HostId, Vec<SentOffer>>,
-    /// Hosts with offers of the present turn.
+    /// Hosts with offers that may not be written yet.
     unwritten: Vec<HostId>,
 }
 
@@ -32,15 +32,15 @@
         }
     }
 
-    /// Whether an offer at `now` would meet one that left so late that its window is not over, while the decider holds
-    /// that it is: the caller was slow, or paused, between a decision and its writing.
+    /// Whether an offer at `now` would fall into the window of one that was written late, while for the decider that
+    /// window is over: the caller was slow or paused between a decision and its writing.
     pub fn overlaps_late_offer(&self, host: HostId, now: Micros) -> bool {
         let sent = self.sent.get(&host).map(Vec::as_slice).unwrap_or_default();
         sent.iter()
             .any(|sent| sent.decided_at + self.window < now && sent.written_at + self.window >= now)
     }
 
-    /// An offer is decided on.
+    /// Records an offer that is decided on.
     pub fn record(&mut self, host: HostId, now: Micros) {
         let sent = self.sent.entry(host).or_default();
         sent.retain(|sent| sent.written_at + self.window >= now);
@@ -51,7 +51,7 @@
         self.unwritten.push(host);
     }
 
-    /// All offers so far are written.
+    /// Records that all offers so far are written.
     pub fn mark_written(&mut self, at: Micros) {
         for host in std::mem::take(&mut self.unwritten) {
             let last = self.sent.get_mut(&host).into_iter().flatten().rev();
--- a/crates/liveness/src/host.rs
+++ b/crates/liveness/src/host.rs
@@ -1,4 +1,4 @@
-//! What is known of one host's signs of life.
+//! The signs of life of one host.
 
 use crate::{Micros, Settings, SignOfLife};
 
@@ -25,12 +25,12 @@
     next_tick: Option<Micros>,
     /// Heartbeats without an answer.
     unanswered_heartbeats: u32,
-    /// It came into use and was not heard since.
+    /// It came into use and has given no sign of life since.
     owes_sign_of_life: bool,
 }
 
 impl Host {
-    /// A host that has just greeted. It counts as in use while it tells what it holds.
+    /// A host that has just greeted. It counts as in use until the caller says otherwise.
     pub fn greeted(now: Micros, first_tick: Micros) -> Host {
         Host {
             in_use: true,
@@ -52,7 +52,7 @@
             .map_or(Queue::Idle(self.last_sign_of_life), Queue::Tick)
     }
 
-    /// Something is sent to it that it is to work on. What it owed before it still owes since then.
+    /// It is sent something to work on. If it owed a sign of life before, its silence still counts from then.
     pub fn mark_in_use(&mut self, now: Micros, settings: &Settings) {
         if self.in_use {
             return;
@@ -63,7 +63,7 @@
         self.next_tick.get_or_insert(now + settings.ping_interval);
     }
 
-    /// Nothing is there any more.
+    /// It has nothing to work on any more.
     pub fn mark_idle(&mut self) {
         self.in_use = false;
         self.stop_watch_if_nothing_owed();
@@ -83,14 +83,14 @@
         self.stop_watch_if_nothing_owed();
     }
 
-    /// Idle, and owing nothing: its silence does not count until its next heartbeat.
+    /// While it is idle and owes no answer, its silence does not count until its next heartbeat.
     fn stop_watch_if_nothing_owed(&mut self) {
         if !self.in_use && !self.owes_sign_of_life && self.unanswered_heartbeats == 0 {
             (self.silent_since, self.next_tick) = (None, None);
         }
     }
 
-    /// The silence up to now was the caller's own.
+    /// The silence up to now was the caller's own and does not count.
     pub fn forgive_silence(&mut self, now: Micros) {
         self.last_sign_of_life = now;
         self.silent_since = self.silent_since.map(|_| now);
@@ -102,7 +102,7 @@
             .is_some_and(|since| since + settings.silence_timeout <= now)
     }
 
-    /// Whether something other than an answer was heard within the period.
+    /// Whether something other than an answer was received within the interval.
     pub fn had_recent_traffic(&self, now: Micros, settings: &Settings) -> bool {
         self.last_traffic + settings.ping_interval > now
     }
--- a/crates/liveness/src/liveness.rs
+++ b/crates/liveness/src/liveness.rs
@@ -1,4 +1,4 @@
-//! All hosts, in the order in which something falls due.
+//! The liveness of all hosts, in the order in which something is due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,12 +6,12 @@
 use crate::pacer::Pacer;
 use crate::{Micros, Settings, SignOfLife};
 
-/// What falls due for a host.
+/// What is due for a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DueAction<K> {
     /// It is to be sent a heartbeat.
     SendHeartbeat(K),
-    /// Its silence is final: it is cut off, and forgotten here.
+    /// Its silence is final: its connection is to be dropped. It is no longer known here.
     Disconnect(K),
 }
 
@@ -42,8 +42,9 @@
         }
     }
 
-    /// A host has greeted on a new connection. It counts as in use until it is told as idle. Its first tick comes after
-    /// `first_tick_after`, at most a period; drawn, it spreads the ticks of hosts that greet in one instant.
+    /// A host has greeted on a new connection. It counts as in use until [`Liveness::mark_idle`]. Its first tick comes
+    /// after `first_tick_after`, at most an interval; where that is random, it spreads the ticks of hosts that greet at
+    /// once.
     pub fn host_greeted(&mut self, now: Micros, key: K, first_tick_after: Micros) {
         self.remove(key);
         let first_tick = now + first_tick_after.min(self.settings.ping_interval);
@@ -53,7 +54,7 @@
         self.hosts.insert(key, host);
     }
 
-    /// The connection to a host is no more.
+    /// The connection to a host has ended.
     pub fn remove(&mut self, key: K) {
         if let Some(host) = self.hosts.remove(&key) {
             self.in_use_count -= usize::from(host.in_use());
@@ -61,27 +62,27 @@
         }
     }
 
-    /// A host was heard.
+    /// Something was received from a host.
     pub fn record_sign_of_life(&mut self, now: Micros, key: K, sign: SignOfLife) {
         self.update_host(key, |host, _| host.record_sign_of_life(now, sign));
     }
 
-    /// Something is sent to a host that it is to work on. Changes nothing if it is in use.
+    /// A host is sent something to work on. Changes nothing if it is in use.
     pub fn mark_in_use(&mut self, now: Micros, key: K) {
         self.update_host(key, |host, settings| host.mark_in_use(now, settings));
     }
 
-    /// Nothing is left at a host. Changes nothing if it is idle.
+    /// A host has nothing to work on any more. Changes nothing if it is idle.
     pub fn mark_idle(&mut self, key: K) {
         self.update_host(key, |host, _| host.mark_idle());
     }
 
-    /// The heartbeat that just fell due could not be sent.
+    /// The heartbeat that was just due could not be sent.
     pub fn record_unsent_heartbeat(&mut self, key: K) {
         self.update_host(key, |host, _| host.record_unsent_heartbeat());
     }
 
-    /// What has fallen due by now. `stalled` tells that the caller stood still, so that silence was its own.
+    /// Takes what is due by now. `stalled` tells that the caller was stalled, so that the silence was its own.
     pub fn take_due(&mut self, now: Micros, stalled: bool) -> Vec<DueAction<K>> {
         let mut due = Vec::new();
         while let Some(&(tick, key)) = self.ticks.first()
@@ -99,19 +100,20 @@
         due
     }
 
-    /// When something falls due next.
+    /// When something is due next, µs.
     pub fn next_due_at(&self) -> Option<Micros> {
         let tick = self.ticks.first().map(|(tick, _)| *tick);
         let turn = self.next_turn().map(|(turn, _)| turn);
         tick.into_iter().chain(turn).min()
     }
 
-    /// Hosts that are not in use.
+    /// How many hosts are not in use.
     pub fn idle_host_count(&self) -> usize {
         self.hosts.len() - self.in_use_count
     }
 
-    /// From the last sign of life of an idle host to its next heartbeat, at most, as many as there now are.
+    /// The longest time from the last sign of life of an idle host to its next heartbeat, for the present number of
+    /// idle hosts, µs.
     pub fn max_idle_interval(&self) -> Micros {
         self.pacer.max_interval(self.idle_host_count())
     }
--- a/crates/liveness/src/pacer.rs
+++ b/crates/liveness/src/pacer.rs
@@ -1,4 +1,4 @@
-//! The turns of idle hosts: evenly spaced in time, never made up for in a burst.
+//! The turns of idle hosts: evenly spaced in time; missed turns are not made up for by a burst.
 
 use crate::{Micros, Settings};
 
@@ -8,7 +8,7 @@
 #[derive(Debug)]
 pub(crate) struct Pacer {
     settings: Settings,
-    /// The turn that was given last.
+    /// The last turn that was given.
     last_turn: Option<Micros>,
 }
 
@@ -20,8 +20,8 @@
         }
     }
 
-    /// Between two turns, of whichever of so many idle hosts: as the rate allows, or less where it takes less for all
-    /// of them to have one within the longest interval.
+    /// The time between two turns among `idle` idle hosts: as the rate allows, or less where all of them could not have
+    /// one within the longest interval otherwise.
     fn gap(&self, idle: usize) -> Micros {
         let by_rate = SECOND.div_ceil(u64::from(self.settings.max_idle_pings_per_s.max(1)));
         let round = self
@@ -31,13 +31,13 @@
         by_rate.min(round / idle.max(1) as u64)
     }
 
-    /// From the last sign of life of one of so many idle hosts to its next turn, at most. All of them may have been
-    /// heard in one instant: after `ping_every` the first one has its turn, and after all others the last one.
+    /// The longest time from the last sign of life of one of `idle` idle hosts to its next turn. All of them may have
+    /// given one at once: after `ping_interval` the first one has its turn, and after all others the last one.
     pub fn max_interval(&self, idle: usize) -> Micros {
         self.settings.ping_interval + self.gap(idle) * idle as u64
     }
 
-    /// When the next turn comes, with the last sign of life of the idle host that was heard longest ago.
+    /// When the next turn comes, given the oldest last sign of life of an idle host.
     pub fn next_turn_at(&self, idle: usize, oldest_sign: Micros) -> Micros {
         let eligible = oldest_sign.saturating_add(self.settings.ping_interval);
         let spaced = self
--- a/crates/timers/src/lib.rs
+++ b/crates/timers/src/lib.rs
@@ -1,15 +1,16 @@
-//! Timers without a clock: a heap of due times. A timer that is no longer wanted is left to fall due and be ignored.
+//! Timers without a clock: a heap of due times. Timers are not cancelled: the owner ignores those it no longer needs.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Due times with what they are for, in order; equal times in the order in which they were set.
+/// Timers in the order of their due times, those of equal times in the order in which they were scheduled. Times are on
+/// any scale that the owner chooses.
 pub struct Timers<T> {
     heap: BinaryHeap<Reverse<(u64, u64, Unordered<T>)>>,
-    set_count: u64,
+    scheduled_count: u64,
 }
 
-/// Keeps `T` out of the order.
+/// A value that takes no part in the order.
 struct Unordered<T>(T);
 
 impl<T> PartialEq for Unordered<T> {
@@ -33,25 +34,25 @@
     fn default() -> Self {
         Timers {
             heap: BinaryHeap::new(),
-            set_count: 0,
+            scheduled_count: 0,
         }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer.
+    /// Schedules a timer that is due at `at`.
     pub fn schedule(&mut self, at: u64, what: T) {
-        self.set_count += 1;
+        self.scheduled_count += 1;
         self.heap
-            .push(Reverse((at, self.set_count, Unordered(what))));
+            .push(Reverse((at, self.scheduled_count, Unordered(what))));
     }
 
-    /// When the next one falls due.
+    /// When the next timer is due.
     pub fn next_due_at(&self) -> Option<u64> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// The next one that is due.
+    /// Removes and returns the next timer that is due by `now`, if there is one.
     pub fn pop_due(&mut self, now: u64) -> Option<T> {
         if self.next_due_at()? > now {
             return None;
@@ -59,12 +60,12 @@
         self.heap.pop().map(|Reverse((_, _, Unordered(what)))| what)
     }
 
-    /// How many are set.
+    /// How many timers are scheduled.
     pub fn len(&self) -> usize {
         self.heap.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is scheduled.
     pub fn is_empty(&self) -> bool {
         self.heap.is_empty()
     }
