--- /dev/null
+++ b/crates/admission/src/preemption.rs
@@ -0,0 +1,93 @@
+//! Which tasks make room: preempted for a task of higher priority, or evicted because the host runs out of memory.
+
+use maplethread_wire::frame::ResourceAmounts;
+
+use crate::admission::{Admission, AdmittedTask};
+use crate::request::{RejectionReason, TaskRequest};
+
+/// Sums of requests may exceed the limit by this much, as they carry rounding errors; cores or GiB.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+
+/// What is missing for a request, where tasks have requested this much of the limit already.
+fn shortage(
+    request: &TaskRequest,
+    requested: ResourceAmounts,
+    limit: ResourceAmounts,
+) -> Option<RejectionReason> {
+    if requested.cores + request.cores > limit.cores + ROUNDING_TOLERANCE {
+        Some(RejectionReason::InsufficientCores)
+    } else if requested.memory_gib + request.memory_gib > limit.memory_gib + ROUNDING_TOLERANCE {
+        Some(RejectionReason::InsufficientMemory)
+    } else {
+        None
+    }
+}
+
+impl Admission {
+    /// The attempts to preempt so that a request fits, as few as possible.
+    ///
+    /// # Errors
+    /// What is missing even if all tasks that may be preempted were.
+    pub(crate) fn make_room(&self, request: &TaskRequest) -> Result<Vec<u64>, RejectionReason> {
+        let limit = self.policy().requestable();
+        let mut requested = self.requested();
+        let mut preempted = Vec::new();
+        let Some(mut missing) = shortage(request, requested, limit) else {
+            return Ok(preempted);
+        };
+        if !self.policy().allows_preemption {
+            return Err(missing);
+        }
+        for candidate in self.preemption_candidates(request.priority, limit) {
+            requested.cores -= candidate.request.cores;
+            requested.memory_gib -= candidate.request.memory_gib;
+            preempted.push(candidate.request.attempt_id);
+            match shortage(request, requested, limit) {
+                Some(still_missing) => missing = still_missing,
+                None => return Ok(preempted),
+            }
+        }
+        Err(missing)
+    }
+
+    /// Tasks of lower priority: the lowest priority first, and of one priority the largest first, so that few are
+    /// preempted.
+    fn preemption_candidates(&self, priority: u32, limit: ResourceAmounts) -> Vec<&AdmittedTask> {
+        let size = |task: &AdmittedTask| {
+            task.request.cores / limit.cores + task.request.memory_gib / limit.memory_gib
+        };
+        let mut lower: Vec<&AdmittedTask> = self
+            .admitted()
+            .filter(|task| task.request.priority < priority)
+            .collect();
+        lower.sort_by(|a, b| {
+            (a.request.priority.cmp(&b.request.priority)).then(size(b).total_cmp(&size(a)))
+        });
+        lower
+    }
+
+    /// The attempts to evict so that the memory in use falls below `limit_gib`: the lowest priority first, and of one
+    /// priority those that exceed their request most. `used_gib` gives the memory that an attempt uses.
+    pub fn select_evictions(&self, limit_gib: f64, used_gib: impl Fn(u64) -> f64) -> Vec<u64> {
+        let mut candidates: Vec<(&TaskRequest, f64)> = self
+            .admitted()
+            .map(|task| (&task.request, used_gib(task.request.attempt_id)))
+            .collect();
+        let mut in_use: f64 = candidates.iter().map(|(_, used)| used).sum();
+        let excess = |(request, used): &(&TaskRequest, f64)| used - request.memory_gib;
+        candidates.sort_by(|a, b| {
+            (a.0.priority.cmp(&b.0.priority)).then(excess(b).total_cmp(&excess(a)))
+        });
+        let mut evicted = Vec::new();
+        for (request, used) in candidates {
+            if in_use < limit_gib {
+                break;
+            }
+            if used > 0.0 {
+                in_use -= used;
+                evicted.push(request.attempt_id);
+            }
+        }
+        evicted
+    }
+}
--- /dev/null
+++ b/crates/agent/src/agent/task_control.rs
@@ -0,0 +1,148 @@
+//! Starting, stopping and ending tasks, and reporting their ends.
+
+use maplethread_wire::frame::{Frame, Reason};
+
+use super::{Action, Agent, ProcessIdentity, StopMode, TaskState, Timer};
+
+/// Ends that may wait to be reported. Beyond it the oldest attempt is forgotten, and its placer finds it missing.
+const MAX_UNREPORTED: usize = 1 << 16;
+
+impl Agent {
+    /// Starts as many of the waiting tasks as may start at the same time.
+    pub(super) fn start_waiting_tasks(&mut self, out: &mut Vec<Action>) {
+        while let Some(start) = self.admission.next_start() {
+            let attempt = start.attempt_id;
+            let Some(task) = self.held.get_mut(&attempt) else {
+                continue;
+            };
+            task.record.state = TaskState::Starting;
+            out.push(Action::StoreTask(attempt, task.record.clone()));
+            out.push(Action::StartProcess(attempt));
+        }
+    }
+
+    /// The program of an attempt was started, or could not be.
+    pub fn handle_start_result(
+        &mut self,
+        now_us: u64,
+        attempt: u64,
+        result: Result<ProcessIdentity, Reason>,
+        out: &mut Vec<Action>,
+    ) {
+        self.advance_clock(now_us);
+        match result {
+            Ok(identity) => {
+                self.admission.mark_running(attempt);
+                let Some(task) = self.held.get_mut(&attempt) else {
+                    return;
+                };
+                task.record.state = TaskState::Running(identity);
+                out.push(Action::StoreTask(attempt, task.record.clone()));
+                let started = Frame::Started(attempt, task.time_since_offer_ms(self.now_us));
+                out.push(Action::Send(task.record.placer.clone(), started));
+                if let Some(reason) = task.stop_reason {
+                    self.stop_task(attempt, reason, out);
+                }
+            }
+            Err(reason) => self.finish_task(attempt, reason, false, out),
+        }
+        self.start_waiting_tasks(out);
+    }
+
+    /// The process of an attempt has ended. `is_success` is whether it reported success, if that is known.
+    pub fn handle_process_exit(
+        &mut self,
+        now_us: u64,
+        attempt: u64,
+        is_success: Option<bool>,
+        out: &mut Vec<Action>,
+    ) {
+        self.advance_clock(now_us);
+        let stop_reason = self.held.get(&attempt).and_then(|task| task.stop_reason);
+        let reason = stop_reason.unwrap_or(match is_success {
+            Some(true) => Reason::Completed,
+            Some(false) => Reason::Error,
+            None => Reason::Unknown,
+        });
+        self.finish_task(attempt, reason, true, out);
+        self.start_waiting_tasks(out);
+    }
+
+    /// Stops a task; its end is reported with `reason`.
+    pub(super) fn stop_task(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Action>) {
+        let Some(task) = self.held.get_mut(&attempt) else {
+            return;
+        };
+        match task.record.state {
+            // Its process is being created, and is stopped as soon as it runs.
+            TaskState::Starting => task.stop_reason = Some(reason),
+            TaskState::Running(identity) => {
+                task.stop_reason = Some(reason);
+                out.push(Action::StopProcess(identity, StopMode::Graceful));
+                let timer = Timer::ForceStop(attempt);
+                out.push(Action::SetTimer(self.stop_grace_us, timer));
+            }
+            TaskState::Accepted | TaskState::Finished { .. } => {
+                self.finish_task(attempt, reason, false, out);
+                self.start_waiting_tasks(out);
+            }
+        }
+    }
+
+    /// Kills the process of a task that is being stopped.
+    pub(super) fn force_stop(&self, attempt: u64, out: &mut Vec<Action>) {
+        if let Some(task) = self.held.get(&attempt)
+            && let TaskState::Running(identity) = task.record.state
+            && task.stop_reason.is_some()
+        {
+            out.push(Action::StopProcess(identity, StopMode::Forced));
+        }
+    }
+
+    /// A task has ended: it is stored as finished until its end was reported.
+    fn finish_task(
+        &mut self,
+        attempt: u64,
+        reason: Reason,
+        possibly_started: bool,
+        out: &mut Vec<Action>,
+    ) {
+        self.admission
+            .remove(attempt, &mut self.deduplication_table);
+        let Some(task) = self.held.remove(&attempt) else {
+            return;
+        };
+        let mut record = task.record;
+        record.state = TaskState::Finished {
+            reason,
+            possibly_started,
+        };
+        out.push(Action::StoreTask(attempt, record.clone()));
+        self.unreported.insert(attempt, record);
+        while self.unreported.len() > MAX_UNREPORTED
+            && let Some((oldest, _)) = self.unreported.pop_first()
+        {
+            out.push(Action::RemoveTask(oldest));
+        }
+    }
+
+    /// Reports ends to the placers that are connected. What is reported in one turn is removed from the store in the
+    /// next one, so that an end is stored until it has left.
+    pub fn report_finished(&mut self, is_connected: impl Fn(&str) -> bool, out: &mut Vec<Action>) {
+        out.extend(self.reported.drain(..).map(Action::RemoveTask));
+        let reportable = self
+            .unreported
+            .extract_if(.., |_, record| is_connected(&record.placer));
+        for (attempt, record) in reportable {
+            if let TaskState::Finished {
+                reason,
+                possibly_started,
+            } = record.state
+            {
+                let end = self.admission.end_frame(attempt, reason, possibly_started);
+                out.push(Action::Send(record.placer, end));
+            }
+            self.reported.push(attempt);
+        }
+    }
+}
--- /dev/null
+++ b/crates/agent/src/config/defaults.rs
@@ -0,0 +1,26 @@
+//! Settings that may be left out.
+
+pub(super) fn stop_grace_ms() -> u64 {
+    5000
+}
+
+pub(super) fn max_output_kib() -> u64 {
+    1024
+}
+
+pub(super) fn measure_interval_ms() -> u64 {
+    2000
+}
+
+/// No overcommitment.
+pub(super) fn overcommit() -> f64 {
+    1.0
+}
+
+pub(super) fn max_queue_length() -> usize {
+    64
+}
+
+pub(super) fn max_concurrent_starts() -> usize {
+    4
+}
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,13 @@
-//! The node agent: the host side of the host protocol with real processes. [`agent`] decides without I/O: frames of
-//! placers, ends of processes and timers go in; what is to be kept, sent, started and killed comes out, in an order
-//! in which nothing leaves before it is durable. [`store`] keeps it, [`process`] starts processes and tells them
-//! apart by pid and start time, [`template`] makes command lines, [`config`] is what operators write, and [`run`] is
-//! the shell on sockets. Which asks are taken is decided by `maplethread-admission`, as on stand-in hosts.
+//! The node agent: the host side of the host protocol with real processes.
+//!
+//! - [`agent`] holds the state and decides, without I/O. Frames of placers, ends of processes and timers go in, a list
+//!   of [`Action`]s comes out, ordered so that nothing leaves the host before it is durable.
+//! - [`store`] keeps accepted tasks in an embedded database.
+//! - [`process`] starts, finds, measures and stops processes; a process is identified by pid and start time.
+//! - [`config`] is the settings file that operators write, [`template`] makes command lines from it.
+//! - [`run`] connects all of it to sockets, processes and signals.
+//!
+//! Which offers are accepted is decided by `maplethread-admission`, as on emulated hosts.
 
 pub mod agent;
 pub mod config;
@@ -11,5 +16,7 @@
 pub mod store;
 pub mod template;
 
-pub use agent::{Action, Agent, ProcessIdentity, StoredTask, TaskState};
-pub use config::AgentConfig;
+pub use agent::{
+    Action, Agent, ProcessIdentity, RecoveryOutcome, StopMode, StoredTask, TaskState, Timer,
+};
+pub use config::{AgentConfig, SettingsError};
--- a/crates/agent/tests/recorded_stores.rs
+++ b/crates/agent/tests/recorded_stores.rs
@@ -7,12 +7,11 @@
 use std::path::Path;
 
 use maplethread_admission::AdmissionPolicy;
-use maplethread_agent::agent::RecoveryOutcome;
-use maplethread_agent::store::{HostFacts, Store};
-use maplethread_agent::{Action, Agent, ProcessIdentity, StoredTask, TaskState};
+use maplethread_agent::store::{HostFacts, Store, StoredState};
+use maplethread_agent::{Action, Agent, ProcessIdentity, RecoveryOutcome, StoredTask, TaskState};
 use maplethread_wire::frame::{DuplicatePolicy, Reason, ResourceAmounts};
 
-/// All that stands in a recorded store; it is opened in a copy, since opening it may write.
+/// Everything in a recorded store; it is opened in a copy, since opening it may write.
 fn read(name: &str) -> (HostFacts, Vec<(u64, StoredTask)>) {
     let packed = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
@@ -22,7 +21,8 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("agent.redb");
     std::fs::write(&path, bytes).expect("a copy");
-    Store::open(&path).expect("a store").load().expect("tasks")
+    let StoredState { facts, tasks } = Store::open(&path).expect("a store").load().expect("tasks");
+    (facts, tasks)
 }
 
 fn agent() -> Agent {
@@ -66,7 +66,10 @@
                 assert_eq!(task.offer.duplicate_policy, DuplicatePolicy::Idempotent);
                 assert!(matches!(
                     task.state,
-                    TaskState::Finished(Reason::Completed, true)
+                    TaskState::Finished {
+                        reason: Reason::Completed,
+                        possibly_started: true
+                    }
                 ));
             }
             other => panic!("class {other}"),
@@ -108,9 +111,18 @@
         TaskState::Accepted,
         TaskState::Starting,
         TaskState::Running(identity),
-        TaskState::Finished(Reason::Completed, true),
-        TaskState::Finished(Reason::Error, false),
-        TaskState::Finished(Reason::Evicted, true),
+        TaskState::Finished {
+            reason: Reason::Completed,
+            possibly_started: true,
+        },
+        TaskState::Finished {
+            reason: Reason::Error,
+            possibly_started: false,
+        },
+        TaskState::Finished {
+            reason: Reason::Evicted,
+            possibly_started: true,
+        },
     ];
     let copies = [
         DuplicatePolicy::Idempotent,
--- /dev/null
+++ b/crates/agent/tests/support/mod.rs
@@ -0,0 +1,23 @@
+//! Offers for the tests of the agent.
+
+use maplethread_wire::frame::{DuplicatePolicy, Offer, ResourceAmounts};
+
+/// An offer of a small task.
+pub fn offer(attempt: u64) -> Offer {
+    Offer {
+        attempt_id: attempt,
+        prior_attempts: 0,
+        service: "s".into(),
+        actor: "a".into(),
+        class: "c".into(),
+        request_id: "r".into(),
+        requested: ResourceAmounts {
+            cores: 0.5,
+            memory_gib: 0.5,
+        },
+        priority: 0,
+        duplicate_policy: DuplicatePolicy::NonIdempotent,
+        expected_duration_ms: 0,
+        answer_timeout_ms: 100,
+    }
+}
--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/turns.rs
@@ -1,14 +1,15 @@
-//! Turns of an agent without processes: what is kept before what leaves, what becomes of a turn that can't be kept, and
-//! what a later life makes of what an earlier one kept.
+//! Turns of an agent without processes: what is stored before what leaves, what becomes of a turn that can't be stored,
+//! and what a later process of the agent makes of what an earlier one stored.
+
+mod support;
 
 use std::sync::Arc;
 
 use maplethread_admission::AdmissionPolicy;
-use maplethread_agent::agent::Timer;
 use maplethread_agent::{
-    Action, Agent, ProcessIdentity, StoredTask, TaskState, agent::RecoveryOutcome,
+    Action, Agent, ProcessIdentity, RecoveryOutcome, StopMode, StoredTask, TaskState, Timer,
 };
-use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, Reason, ResourceAmounts};
+use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
 
 fn policy() -> AdmissionPolicy {
     AdmissionPolicy {
@@ -33,20 +34,12 @@
 
 fn offer(attempt: u64, cores: f64, priority: u32) -> Offer {
     Offer {
-        attempt_id: attempt,
-        prior_attempts: 0,
-        service: "s".into(),
-        actor: "a".into(),
-        class: "c".into(),
-        request_id: "r".into(),
         requested: ResourceAmounts {
             cores,
             memory_gib: 0.5,
         },
         priority,
-        duplicate_policy: DuplicatePolicy::NonIdempotent,
-        expected_duration_ms: 0,
-        answer_timeout_ms: 100,
+        ..support::offer(attempt)
     }
 }
 
@@ -171,10 +164,12 @@
         pid: 1,
         start_ticks: 5,
     };
-    assert!(report_started(&mut agent, 1).contains(&Action::StopProcess(identity, false)));
+    assert!(
+        report_started(&mut agent, 1).contains(&Action::StopProcess(identity, StopMode::Graceful))
+    );
     let mut out = Vec::new();
     agent.handle_timer(4, Timer::ForceStop(1), &mut out);
-    assert_eq!(out, [Action::StopProcess(identity, true)]);
+    assert_eq!(out, [Action::StopProcess(identity, StopMode::Forced)]);
     let mut out = Vec::new();
     agent.handle_process_exit(5, 1, Some(false), &mut out);
     agent.report_finished(|_| true, &mut out);
@@ -197,7 +192,10 @@
     agent.report_finished(|_| false, &mut out);
     assert_eq!(
         stored_states(&out),
-        [TaskState::Finished(Reason::Completed, true)]
+        [TaskState::Finished {
+            reason: Reason::Completed,
+            possibly_started: true
+        }]
     );
     assert!(sent_frames(&out).is_empty(), "nobody is there to hear it");
     let mut out = Vec::new();
@@ -236,7 +234,13 @@
                 start_ticks: 5,
             }),
         ),
-        (6, TaskState::Finished(Reason::Completed, true)),
+        (
+            6,
+            TaskState::Finished {
+                reason: Reason::Completed,
+                possibly_started: true,
+            },
+        ),
     ];
     let all: Vec<(u64, StoredTask)> = all
         .into_iter()
@@ -316,7 +320,7 @@
                 pid: 1,
                 start_ticks: 5
             },
-            false
+            StopMode::Graceful
         )),
         "{out:?}"
     );
--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use maplethread_agent::store::Store;
+use maplethread_agent::store::{Store, StoredState};
 use maplethread_agent::{AgentConfig, TaskState, process, run};
 use serde_json::json;
 
@@ -38,12 +38,12 @@
     match (&args.command, &args.config) {
         (Some(AgentCommand::State { config }), _) => state(config),
         (Some(AgentCommand::Check { config }), _) => {
-            let (_, programs) = AgentConfig::load(config)?;
+            let (_, programs) = AgentConfig::load(config).map_err(|e| e.to_string())?;
             println!("{}: sound; {} programs", config.display(), programs.len());
             Ok(ExitCode::SUCCESS)
         }
         (None, Some(config)) => {
-            run::run(config, |_| {})?;
+            run::run(config, |_| {}).map_err(|e| e.to_string())?;
             Ok(ExitCode::SUCCESS)
         }
         (None, None) => Err("--config is missing".to_owned()),
@@ -51,13 +51,13 @@
 }
 
 fn state(config: &std::path::Path) -> Result<ExitCode, String> {
-    let (config, _) = AgentConfig::load(config)?;
-    let path = config.folder.join("agent.redb");
+    let (config, _) = AgentConfig::load(config).map_err(|e| e.to_string())?;
+    let path = config.store_path();
     if !path.exists() {
         return Err(format!("{}: there is no store", path.display()));
     }
     let told = |e: maplethread_agent::store::StoreError| format!("{}: {e}", path.display());
-    let (facts, tasks) = Store::open(&path).map_err(told)?.load().map_err(told)?;
+    let StoredState { facts, tasks } = Store::open(&path).map_err(told)?.load().map_err(told)?;
     println!(
         "{}",
         json!({"agent": config.name, "boot": facts.boot_id, "drains": facts.is_draining, "tasks": tasks.len()})
@@ -69,8 +69,11 @@
             TaskState::Running(identity) => {
                 json!({"running": {"pid": identity.pid, "alive": process::is_alive(identity)}})
             }
-            TaskState::Finished(reason, ran) => {
-                json!({"ended": {"reason": reason.as_str(), "ran": ran}})
+            TaskState::Finished {
+                reason,
+                possibly_started,
+            } => {
+                json!({"ended": {"reason": reason.as_str(), "ran": possibly_started}})
             }
         };
         let offer = &kept.offer;
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -213,7 +213,10 @@
             .values()
             .flatten()
         {
-            maplethread_agent::process::signal_group(*identity, true);
+            maplethread_agent::process::signal_group(
+                *identity,
+                maplethread_agent::StopMode::Forced,
+            );
         }
     }
 }
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -5,10 +5,9 @@
 use std::sync::Arc;
 
 use maplethread_admission::{
-    Admission, AdmissionDecision, AdmissionPolicy, Deduplication as AskCopies, DeduplicationTable,
-    RejectionReason, TaskRequest, TaskStage,
+    Admission, AdmissionDecision, AdmissionPolicy, DeduplicationTable, TaskRequest, TaskStage,
 };
-use maplethread_wire::frame::{DuplicatePolicy, Frame, NoteKind, Offer, Reason, ResourceAmounts};
+use maplethread_wire::frame::{Frame, NoteKind, Offer, Reason};
 
 use crate::scenario::Scenario;
 use crate::world::{RunContext, SeededRng};
@@ -232,14 +231,6 @@
             * self.spec.speed
     }
 
-    fn load(&self) -> Option<ResourceAmounts> {
-        let (cores, memory) = self.admission.requested();
-        Some(ResourceAmounts {
-            cores: self.spec.cores - cores,
-            memory_gib: self.spec.memory - memory,
-        })
-    }
-
     /// Answers of attempts may be lost on the way; other frames are not.
     fn send_answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<HostAction>) {
         if !self.faults.is_silent && !self.rng.random_bool(self.faults.lost_answer_share) {
@@ -264,14 +255,14 @@
                     || self.queued.get(&attempt).is_some_and(mine)
                 {
                     let ran = self.remove_task(attempt, keys);
-                    let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.load());
+                    let ended = self.admission.end_frame(attempt, Reason::Stopped, ran);
                     self.send_answer(placer, ended, out);
                     self.start_next(now, out);
                 }
             }
             Frame::Probe(nonce) if !self.faults.is_silent => {
-                let load = self.load().unwrap_or_default();
-                out.push(HostAction::Send(placer.clone(), Frame::Report(nonce, load)));
+                let report = Frame::Report(nonce, self.admission.unallocated());
+                out.push(HostAction::Send(placer.clone(), report));
             }
             Frame::Ping(nonce) if !self.faults.is_silent => {
                 out.push(HostAction::Send(placer.clone(), Frame::Pong(nonce)))
@@ -313,26 +304,11 @@
             }
             return;
         }
-        let copies = match offer.duplicate_policy {
-            DuplicatePolicy::IdempotencyKey(key) => AskCopies::OnePerKey {
-                group: self.group(&offer.class),
-                key,
-            },
-            DuplicatePolicy::Idempotent | DuplicatePolicy::NonIdempotent => AskCopies::Disabled,
-        };
-        let ask = TaskRequest {
-            attempt_id: attempt,
-            program_id: offer.service.bytes().fold(7, |h: u64, b| {
-                h.wrapping_mul(131).wrapping_add(u64::from(b))
-            }),
-            cores: offer.requested.cores,
-            memory_gib: offer.requested.memory_gib,
-            priority: offer.priority,
-            deduplication: copies,
-        };
-        match self.admission.enqueue(ask) {
+        let group = self.group(&offer.class);
+        let request = TaskRequest::from_offer(&offer, group);
+        match self.admission.enqueue(request) {
             Err(refusal) => {
-                let refused = Frame::Refused(attempt, rejection_reason(refusal), self.load());
+                let refused = self.admission.rejection_frame(attempt, refusal);
                 self.send_answer(placer, refused, out);
             }
             Ok(()) => {
@@ -459,8 +435,7 @@
         let placer = task.placer.clone();
         match verdict {
             AdmissionDecision::Rejected(refusal) => {
-                let refused =
-                    Frame::Refused(ask.attempt_id, rejection_reason(refusal), self.load());
+                let refused = self.admission.rejection_frame(ask.attempt_id, refusal);
                 self.send_answer(&placer, refused, out);
             }
             AdmissionDecision::Admitted {
@@ -493,10 +468,8 @@
         }
         // Losing a task is not an answer that gets lost on its way: the next greeting tells it at the latest.
         if !self.faults.is_silent {
-            out.push(HostAction::Send(
-                task.placer.clone(),
-                Frame::Ended(attempt, why, ran, self.load()),
-            ));
+            let ended = self.admission.end_frame(attempt, why, ran);
+            out.push(HostAction::Send(task.placer.clone(), ended));
         }
     }
 
@@ -526,11 +499,12 @@
                 .service_accounting()
                 .record_end(&task.offer.actor);
         }
-        !matches!(stage, Some(TaskStage::Waiting) | None)
+        stage.is_some_and(TaskStage::is_possibly_started)
     }
 
     fn start_next(&mut self, now: u64, out: &mut Vec<HostAction>) {
-        while let Some((attempt, there)) = self.admission.next_start() {
+        while let Some(start) = self.admission.next_start() {
+            let attempt = start.attempt_id;
             let class = self
                 .tasks
                 .get(&attempt)
@@ -538,7 +512,7 @@
                 .unwrap_or_default();
             let class = self.scenario.classes.iter().find(|c| c.rules.name == class);
             let work = class.map_or(50.0, |c| c.work_ms)
-                * if there {
+                * if start.is_program_warm {
                     1.0
                 } else {
                     self.scenario.fleet.cold_start_factor
@@ -707,12 +681,3 @@
         }
     }
 }
-
-fn rejection_reason(refusal: RejectionReason) -> Reason {
-    match refusal {
-        RejectionReason::InsufficientCores => Reason::Cores,
-        RejectionReason::InsufficientMemory => Reason::Memory,
-        RejectionReason::QueueFull => Reason::QueueFull,
-        RejectionReason::Draining | RejectionReason::DuplicateKey => Reason::Ineligible,
-    }
-}
