--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -104,7 +104,10 @@
         reader: std::io::BufReader::new(connect_with_small_buffers(served.placer.address)),
         stream: connect_with_small_buffers(served.placer.address),
     };
-    first.stream.write_all(&probe_lines(1, 1)).expect("it is read");
+    first
+        .stream
+        .write_all(&probe_lines(1, 1))
+        .expect("it is read");
     wait_until("all are accepted", || {
         socket_queues(&served.placer, &first.stream).is_some_and(|(_, unread)| unread == 0)
     });
@@ -131,7 +134,8 @@
     let mut owner = connect_with_small_buffers(placer.address);
     owner.write_all(&probe_lines(1, 500)).expect("it is read");
     wait_until("all tests are answered", || {
-        socket_queues(&placer, &owner).is_some_and(|(answers, unread)| answers > 20_000 && unread == 0)
+        socket_queues(&placer, &owner)
+            .is_some_and(|(answers, unread)| answers > 20_000 && unread == 0)
     });
     placer.signal(Signal::TERM);
     // It has heard that by the time it answers what is said later.
