--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/turns.rs
@@ -65,7 +65,7 @@
 
 fn sent_frames(out: &[Action]) -> Vec<&Frame> {
     out.iter()
-        .filter_map(|d| match d {
+        .filter_map(|action| match action {
             Action::Send(_, frame) => Some(frame),
             _ => None,
         })
@@ -74,8 +74,8 @@
 
 fn stored_states(out: &[Action]) -> Vec<TaskState> {
     out.iter()
-        .filter_map(|d| match d {
-            Action::StoreTask(_, kept) => Some(kept.state),
+        .filter_map(|action| match action {
+            Action::StoreTask(_, task) => Some(task.state),
             _ => None,
         })
         .collect()
@@ -99,7 +99,7 @@
     let out = report_started(&mut agent, 1);
     assert!(out.contains(&Action::StartProcess(2)), "{out:?}");
     assert!(matches!(sent_frames(&out)[..], [Frame::Started(1, _)]));
-    // The same attempt again starts nothing.
+    // The same attempt offered again starts nothing.
     assert!(send_offer(&mut agent, offer(1, 1.0, 0)).is_empty());
 }
 
@@ -109,7 +109,7 @@
     let turn = send_offer(&mut agent, offer(1, 1.0, 0));
     let mut instead = Vec::new();
     agent.handle_store_failure(&turn, &mut instead);
-    // It may be in the store all the same, and a later life might start it.
+    // It may be in the store all the same, and a later process of the agent might start it.
     assert!(
         matches!(
             sent_frames(&instead)[..],
@@ -128,7 +128,7 @@
     assert_eq!(out, [Action::RemoveTask(1)]);
     assert!(
         send_offer(&mut agent, offer(3, 1.0, 0)).contains(&Action::StartProcess(3)),
-        "the room of the first is free"
+        "the resources of the first are free"
     );
 }
 
@@ -142,7 +142,7 @@
     agent.handle_store_failure(&turn, &mut instead);
     assert!(
         matches!(sent_frames(&instead)[..], [Frame::Started(1, _)]),
-        "what runs is told: {instead:?}"
+        "what runs is reported: {instead:?}"
     );
     assert!(!instead.contains(&Action::StartProcess(2)));
     let mut out = Vec::new();
@@ -197,7 +197,7 @@
             possibly_started: true
         }]
     );
-    assert!(sent_frames(&out).is_empty(), "nobody is there to hear it");
+    assert!(sent_frames(&out).is_empty(), "no placer is connected");
     let mut out = Vec::new();
     agent.report_finished(|_| true, &mut out);
     assert!(matches!(
@@ -211,62 +211,43 @@
 
 #[test]
 fn recovers_tasks_of_the_previous_process_in_every_state() {
-    let kept = |fate| StoredTask {
-        placer: placer(),
-        offer: offer(0, 0.5, 0),
-        state: fate,
-    };
-    let all = [
-        (1, TaskState::Accepted),
-        (2, TaskState::Starting),
-        (3, TaskState::Starting),
-        (
-            4,
-            TaskState::Running(ProcessIdentity {
-                pid: 4,
-                start_ticks: 4,
-            }),
-        ),
-        (
-            5,
-            TaskState::Running(ProcessIdentity {
-                pid: 5,
-                start_ticks: 5,
-            }),
-        ),
-        (
-            6,
-            TaskState::Finished {
-                reason: Reason::Completed,
-                possibly_started: true,
-            },
-        ),
+    let process = |pid, start_ticks| ProcessIdentity { pid, start_ticks };
+    let states = [
+        TaskState::Accepted,
+        TaskState::Starting,
+        TaskState::Starting,
+        TaskState::Running(process(4, 4)),
+        TaskState::Running(process(5, 5)),
+        TaskState::Finished {
+            reason: Reason::Completed,
+            possibly_started: true,
+        },
     ];
-    let all: Vec<(u64, StoredTask)> = all
-        .into_iter()
-        .map(|(attempt, fate)| {
-            let mut kept = kept(fate);
-            kept.offer.attempt_id = attempt;
-            (attempt, kept)
+    let stored: Vec<(u64, StoredTask)> = (1..)
+        .zip(states)
+        .map(|(attempt, state)| {
+            let task = StoredTask {
+                placer: placer(),
+                offer: offer(attempt, 0.5, 0),
+                state,
+            };
+            (attempt, task)
         })
         .collect();
-    let found = |attempt: u64, _: &StoredTask| match attempt {
-        2 | 4 => RecoveryOutcome::Running(ProcessIdentity {
-            pid: attempt as u32,
-            start_ticks: 9,
-        }),
+    let find_process = |attempt: u64, _: &StoredTask| match attempt {
+        2 | 4 => RecoveryOutcome::Running(process(attempt as u32, 9)),
         _ => RecoveryOutcome::NotFound,
     };
     let (mut agent, mut out) = (agent(), Vec::new());
-    agent.recover(1, true, all, found, &mut out);
-    let spawns: Vec<&Action> = out
+    agent.recover(1, true, stored, find_process, &mut out);
+    let started: Vec<&Action> = out
         .iter()
-        .filter(|d| matches!(d, Action::StartProcess(_)))
+        .filter(|action| matches!(action, Action::StartProcess(_)))
         .collect();
     assert_eq!(
-        spawns,
+        started,
         [&Action::StartProcess(1)],
-        "only what provably never started is started"
+        "only a task that certainly never started is started"
     );
     let mut greeting = Vec::new();
     agent.handle_greeting(&placer(), 1, &mut greeting);
@@ -274,30 +255,30 @@
     let held_end = sent_frames(&greeting)
         .iter()
         .position(|f| **f == Frame::HeldEnd)
-        .expect("all is named");
+        .expect("the list of held tasks ends");
     let ends = sent_frames(&greeting)[..held_end]
         .iter()
         .filter(|f| matches!(f, Frame::Ended(..)))
         .count();
-    assert_eq!(ends, 3, "ends come before what is held is all named");
-    let told = sent_frames(&greeting);
-    let held: Vec<(u64, bool)> = told
+    assert_eq!(ends, 3, "ends come before the list of held tasks ends");
+    let frames = sent_frames(&greeting);
+    let held: Vec<(u64, bool)> = frames
         .iter()
         .filter_map(|f| match f {
-            Frame::Held(offer, runs) => Some((offer.attempt_id, *runs)),
+            Frame::Held(offer, is_running) => Some((offer.attempt_id, *is_running)),
             _ => None,
         })
         .collect();
     assert_eq!(held, [(1, false), (2, true), (4, true)]);
-    assert!(told.contains(&&Frame::Drain), "it drained, and still does");
-    let ended: Vec<(u64, Reason, bool)> = told
+    assert!(frames.contains(&&Frame::Drain), "it is still draining");
+    let ended: Vec<(u64, Reason, bool)> = frames
         .iter()
         .filter_map(|f| match f {
             Frame::Ended(attempt, reason, ran, _) => Some((*attempt, *reason, *ran)),
             _ => None,
         })
         .collect();
-    // A start that was cut off may have run; how the other one ended nobody saw.
+    // An interrupted start may have run; how the running task ended was not observed.
     assert_eq!(
         ended,
         [
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -1,4 +1,4 @@
-//! The node agent as a process, with real workers, spoken to in frames as a placer does. What really ran is counted
+//! The node agent as a process with real workers, driven by frames as a placer sends them. What really ran is counted
 //! from the workers' own log.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,18 +67,18 @@
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("a time-out");
-        let mut link = PlacerConnection {
+        let mut placer = PlacerConnection {
             stream,
             unread: Vec::new(),
         };
-        link.send(&Frame::Hello {
+        placer.send(&Frame::Hello {
             major: frame::MAJOR,
             minor: frame::MINOR,
             name: "p".into(),
             started_ms: 1,
             max_offers: 0,
         });
-        link
+        placer
     }
 
     fn send(&mut self, frame: &Frame) {
@@ -100,7 +100,7 @@
                 Ok(0) => return None,
                 Ok(n) => self.unread.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("nothing came: {e}"),
+                Err(e) => panic!("no frame received: {e}"),
             }
         }
     }
@@ -108,7 +108,7 @@
     fn receive_until(&mut self, wanted: impl Fn(&Frame) -> bool) -> Vec<Frame> {
         let mut all = Vec::new();
         loop {
-            let frame = self.receive().expect("the agent lives");
+            let frame = self.receive().expect("the agent runs");
             let found = wanted(&frame);
             all.push(frame);
             if found {
@@ -229,7 +229,7 @@
     })
 }
 
-/// The attempts whose end is told.
+/// The attempts whose end is reported.
 fn finished_attempts(frames: &[Frame]) -> impl Iterator<Item = u64> {
     frames.iter().filter_map(|f| match f {
         Frame::Ended(attempt, ..) => Some(*attempt),
@@ -245,62 +245,62 @@
 fn starts_measures_and_stops_a_real_process() {
     let home = agent_folder("plain");
     let agent = Agent::start(&home.config);
-    let mut link = PlacerConnection::greet(&agent);
-    link.receive_until(|f| matches!(f, Frame::HeldEnd));
-    link.send(&offer(1, "work", DuplicatePolicy::Idempotent));
-    let came =
-        link.receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
-    let at = |wanted: fn(&Frame) -> bool| came.iter().position(wanted).expect("it came");
+    let mut placer = PlacerConnection::greet(&agent);
+    placer.receive_until(|f| matches!(f, Frame::HeldEnd));
+    placer.send(&offer(1, "work", DuplicatePolicy::Idempotent));
+    let frames =
+        placer.receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
+    let at = |wanted: fn(&Frame) -> bool| frames.iter().position(wanted).expect("the frame was received");
     assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
-    link.send(&Frame::Stop(1));
-    let came = link.receive_until(is_end_of(1));
+    placer.send(&Frame::Stop(1));
+    let frames = placer.receive_until(is_end_of(1));
     assert!(
         matches!(
-            came.last(),
+            frames.last(),
             Some(Frame::Ended(1, Reason::Stopped, true, Some(_)))
         ),
-        "{came:?}"
+        "{frames:?}"
     );
 
-    // One that takes no notice of being asked is made to end; one that ends by itself is done.
-    link.send(&offer(2, "stubborn", DuplicatePolicy::Idempotent));
-    link.receive_until(|f| matches!(f, Frame::Started(2, _)));
-    link.send(&Frame::Stop(2));
+    // A process that ignores SIGTERM is killed; one that exits by itself has completed.
+    placer.send(&offer(2, "stubborn", DuplicatePolicy::Idempotent));
+    placer.receive_until(|f| matches!(f, Frame::Started(2, _)));
+    placer.send(&Frame::Stop(2));
     assert!(matches!(
-        link.receive_until(is_end_of(2)).last(),
+        placer.receive_until(is_end_of(2)).last(),
         Some(Frame::Ended(2, Reason::Stopped, true, _))
     ));
-    link.send(&offer(3, "brief", DuplicatePolicy::Idempotent));
+    placer.send(&offer(3, "brief", DuplicatePolicy::Idempotent));
     assert!(matches!(
-        link.receive_until(is_end_of(3)).last(),
+        placer.receive_until(is_end_of(3)).last(),
         Some(Frame::Ended(3, Reason::Completed, true, _))
     ));
 
-    // What can't be started says so and never ran; what there is no program for is turned down.
-    link.send(&offer(4, "missing", DuplicatePolicy::Idempotent));
+    // A program that can't be started is reported as never run; a task without a program is rejected.
+    placer.send(&offer(4, "missing", DuplicatePolicy::Idempotent));
     assert!(matches!(
-        link.receive_until(is_end_of(4)).last(),
+        placer.receive_until(is_end_of(4)).last(),
         Some(Frame::Ended(4, Reason::Error, false, _))
     ));
-    link.send(&offer(5, "unknown", DuplicatePolicy::Idempotent));
-    let refused = link.receive_until(|f| matches!(f, Frame::Refused(5, ..)));
+    placer.send(&offer(5, "unknown", DuplicatePolicy::Idempotent));
+    let refused = placer.receive_until(|f| matches!(f, Frame::Refused(5, ..)));
     assert!(matches!(
         refused.last(),
         Some(Frame::Refused(5, Reason::Ineligible, _))
     ));
-    // A copy of a key that stands is turned down, and there is room for so much only.
-    link.send(&offer(6, "work", DuplicatePolicy::IdempotencyKey(9)));
-    link.receive_until(|f| matches!(f, Frame::Started(6, _)));
-    link.send(&offer(7, "work", DuplicatePolicy::IdempotencyKey(9)));
+    // A second task with a held key is rejected, and so is what exceeds the cores.
+    placer.send(&offer(6, "work", DuplicatePolicy::IdempotencyKey(9)));
+    placer.receive_until(|f| matches!(f, Frame::Started(6, _)));
+    placer.send(&offer(7, "work", DuplicatePolicy::IdempotencyKey(9)));
     assert!(matches!(
-        link.receive_until(|f| matches!(f, Frame::Refused(7, ..)))
+        placer.receive_until(|f| matches!(f, Frame::Refused(7, ..)))
             .last(),
         Some(Frame::Refused(7, Reason::Ineligible, _))
     ));
     for attempt in 10..26 {
-        link.send(&offer(attempt, "work", DuplicatePolicy::Idempotent));
+        placer.send(&offer(attempt, "work", DuplicatePolicy::Idempotent));
     }
-    let refused = link.receive_until(|f| matches!(f, Frame::Refused(25, ..)));
+    let refused = placer.receive_until(|f| matches!(f, Frame::Refused(25, ..)));
     assert!(
         matches!(refused.last(), Some(Frame::Refused(25, Reason::Cores, Some(load))) if load.cores < 0.25)
     );
@@ -310,34 +310,34 @@
 fn loses_and_doubles_no_task_when_killed_at_any_instant() {
     let home = agent_folder("killed");
     let mut accepted: BTreeSet<u64> = BTreeSet::new();
-    let mut over: BTreeSet<u64> = BTreeSet::new();
+    let mut finished: BTreeSet<u64> = BTreeSet::new();
     for round in 0..8u64 {
         let mut agent = Agent::start(&home.config);
-        let mut link = PlacerConnection::greet(&agent);
-        // What it accepted in all its lives, it names as held, or tells the end of.
-        let greeting = link.receive_until(|f| matches!(f, Frame::HeldEnd));
+        let mut placer = PlacerConnection::greet(&agent);
+        // What it accepted before any kill, it lists as held, or reports the end of.
+        let greeting = placer.receive_until(|f| matches!(f, Frame::HeldEnd));
         let mut known: BTreeSet<u64> = held_attempts(&greeting).collect();
-        over.extend(finished_attempts(&greeting));
-        let missing = |known: &BTreeSet<u64>, over: &BTreeSet<u64>| {
+        finished.extend(finished_attempts(&greeting));
+        let missing = |known: &BTreeSet<u64>, finished: &BTreeSet<u64>| {
             accepted
                 .iter()
-                .any(|a| !known.contains(a) && !over.contains(a))
+                .any(|a| !known.contains(a) && !finished.contains(a))
         };
-        while missing(&known, &over) {
-            if let Some(Frame::Ended(attempt, ..)) = link.receive() {
-                over.insert(attempt);
+        while missing(&known, &finished) {
+            if let Some(Frame::Ended(attempt, ..)) = placer.receive() {
+                finished.insert(attempt);
                 known.remove(&attempt);
             }
         }
-        // Half of those that run are stopped, and new ones offered; the agent is killed after some frames of that.
+        // Half of the running tasks are stopped and new ones offered; the agent is killed after some frames of that.
         for (n, &attempt) in known.iter().enumerate() {
             if n % 2 == 0 {
-                link.send(&Frame::Stop(attempt));
+                placer.send(&Frame::Stop(attempt));
             }
         }
         for n in 0..6 {
             let class = if n % 3 == 2 { "brief" } else { "work" };
-            link.send(&offer(
+            placer.send(&offer(
                 100 * (round + 1) + n,
                 class,
                 DuplicatePolicy::NonIdempotent,
@@ -346,37 +346,37 @@
         let frames = [1, 2, 4, 7, 9, 12, 3, 5][round as usize];
         let mut seen = 0;
         while seen < frames
-            && let Some(frame) = link.receive()
+            && let Some(frame) = placer.receive()
         {
             seen += u32::from(!matches!(frame, Frame::Note(..)));
             match frame {
                 Frame::Accepted(attempt, _) => drop(accepted.insert(attempt)),
-                Frame::Ended(attempt, ..) => drop(over.insert(attempt)),
+                Frame::Ended(attempt, ..) => drop(finished.insert(attempt)),
                 _ => {}
             }
         }
         agent.kill();
-        // What was on its way when it was killed.
-        while let Some(frame) = link.receive() {
+        // Frames that were in flight when it was killed.
+        while let Some(frame) = placer.receive() {
             match frame {
                 Frame::Accepted(attempt, _) => drop(accepted.insert(attempt)),
-                Frame::Ended(attempt, ..) => drop(over.insert(attempt)),
+                Frame::Ended(attempt, ..) => drop(finished.insert(attempt)),
                 _ => {}
             }
         }
     }
-    // At the end all that is held is stopped, and then nothing of it runs.
+    // At the end all held tasks are stopped, and then no process is left.
     let agent = Agent::start(&home.config);
-    let mut link = PlacerConnection::greet(&agent);
-    let greeting = link.receive_until(|f| matches!(f, Frame::HeldEnd));
+    let mut placer = PlacerConnection::greet(&agent);
+    let greeting = placer.receive_until(|f| matches!(f, Frame::HeldEnd));
     let mut held: BTreeSet<u64> = held_attempts(&greeting).collect();
-    over.extend(finished_attempts(&greeting));
+    finished.extend(finished_attempts(&greeting));
     held.iter()
-        .for_each(|&attempt| link.send(&Frame::Stop(attempt)));
-    while !held.is_empty() || accepted.iter().any(|a| !over.contains(a)) {
-        if let Some(Frame::Ended(attempt, ..)) = link.receive() {
+        .for_each(|&attempt| placer.send(&Frame::Stop(attempt)));
+    while !held.is_empty() || accepted.iter().any(|a| !finished.contains(a)) {
+        if let Some(Frame::Ended(attempt, ..)) = placer.receive() {
             held.remove(&attempt);
-            over.insert(attempt);
+            finished.insert(attempt);
         }
     }
     let starts = home.starts_by_attempt();
@@ -390,6 +390,6 @@
     );
     assert!(
         maplethread_agent::process::find_marked(&home.name).is_empty(),
-        "something runs on"
+        "a process is left"
     );
 }
