--- a/crates/platform-settings/src/field_error.rs
+++ b/crates/platform-settings/src/field_error.rs
@@ -1,11 +1,8 @@
-//! What can be wrong with a line, and its times, for all that read a part of one.
+//! The error of a message or settings object with a missing or invalid field.
 
-use std::fmt;
-
-use maplethread::Micros;
-
-/// What was wrong with a line.
-#[derive(Debug)]
+/// A field that is missing, of the wrong type or out of range.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("message {message}, field {field}: expected {expected}")]
 pub struct FieldError {
     message: String,
     field: String,
@@ -13,7 +10,7 @@
 }
 
 impl FieldError {
-    /// In this message, this field is not what was expected.
+    /// In the message of this name, this field is not what was expected.
     pub fn new(message: &str, field: &str, expected: String) -> Self {
         FieldError {
             message: message.to_owned(),
@@ -22,18 +19,3 @@
         }
     }
 }
-
-impl fmt::Display for FieldError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "message {}, field {}: expected {}",
-            self.message, self.field, self.expected
-        )
-    }
-}
-
-/// Milliseconds to microseconds.
-pub fn micros(ms: f64) -> Micros {
-    (ms * 1000.0).round().max(0.0) as Micros
-}
--- a/crates/platform-settings/src/host_names.rs
+++ b/crates/platform-settings/src/host_names.rs
@@ -1,10 +1,10 @@
-//! Hosts by name: numbered for one placer, labelled alike for all.
+//! Hosts by name: a number that one placer assigns, and a hash that is the same at every placer.
 
 use std::collections::BTreeMap;
 
 use maplethread::MachineId;
 
-/// Host names, numbered by one placer in the order in which its own lists named them.
+/// Host names and the ids that one placer has assigned to them, in the order in which it first learned of them.
 #[derive(Debug, Default)]
 pub struct HostNames {
     names: BTreeMap<MachineId, String>,
@@ -13,7 +13,7 @@
 }
 
 impl HostNames {
-    /// The number of a host, a new one for a name not heard before.
+    /// The id of a host; an unknown name gets a new one.
     pub fn id_or_assign(&mut self, name: &str) -> MachineId {
         if let Some(&id) = self.ids.get(name) {
             return id;
@@ -25,35 +25,35 @@
         id
     }
 
-    /// The number of a host that has one.
+    /// The id of a host, if it has one.
     pub fn id_of(&self, name: &str) -> Option<MachineId> {
         self.ids.get(name).copied()
     }
 
-    /// The name of a number.
+    /// The name of the host with this id.
     pub fn name(&self, id: MachineId) -> Option<&str> {
         self.names.get(&id).map(String::as_str)
     }
 
-    /// Forgets a host that is gone for good. Its number is not given again.
+    /// Forgets a host that was removed. Its id is never assigned again.
     pub fn forget(&mut self, id: MachineId) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
         }
     }
 
-    /// How many have a number.
+    /// How many hosts have an id.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether none has.
+    /// Whether no host has an id.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 }
 
-/// FNV-1a of a host's name: the same at every placer, whichever hosts it has heard of.
+/// The FNV-1a hash of a host's name: the same at every placer, whichever hosts that placer knows.
 pub fn stable_hash(name: &str) -> u64 {
     name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- /dev/null
+++ b/crates/platform-settings/src/units.rs
@@ -0,0 +1,8 @@
+//! Units of the protocol's figures.
+
+use maplethread::Micros;
+
+/// Converts milliseconds to microseconds, rounded to the nearest; negative times become zero.
+pub fn micros(ms: f64) -> Micros {
+    (ms * 1000.0).round().max(0.0) as Micros
+}
