--- a/crates/cli/tests/platform_acceptance.rs
+++ b/crates/cli/tests/platform_acceptance.rs
@@ -213,7 +213,10 @@
     );
     assert_eq!(told, (Some("close"), Some("00000000000000a1"), Some(41)));
     // Another host serves what is asked next, and hears nothing of the task that has ended.
-    commands.tell(poll, &list_update(2, true, &[("s-2", other.address, "active")]));
+    commands.tell(
+        poll,
+        &list_update(2, true, &[("s-2", other.address, "active")]),
+    );
     let _poll = poll_after(&commands, 2);
     owner.send(&set_up("00000000000000a2", 60_000));
     let (mut stream, message) = other.next(1);
@@ -227,7 +230,12 @@
 }
 
 /// A configuration for an address that a killed process listened on.
-fn start_at_address(folder: &Path, listen: SocketAddr, channel: SocketAddr, known: &Value) -> Placer {
+fn start_at_address(
+    folder: &Path,
+    listen: SocketAddr,
+    channel: SocketAddr,
+    known: &Value,
+) -> Placer {
     Placer::start(&changed(folder, channel, known, |config| {
         config["listen"] = json!(listen)
     }))
--- a/crates/cli/tests/platform_many.rs
+++ b/crates/cli/tests/platform_many.rs
@@ -85,7 +85,12 @@
     let endpoints: Vec<Value> = hosts.iter().enumerate().map(entry).collect();
     let nodes = json!({"index": 1, "snapshot": true, "endpoints": endpoints});
     let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
-    let processes = start_all(configs_sharing_cold_hosts(folder.path(), commands.address, &known, placers));
+    let processes = start_all(configs_sharing_cold_hosts(
+        folder.path(),
+        commands.address,
+        &known,
+        placers,
+    ));
     let reached: Vec<_> = hosts
         .into_iter()
         .map(|host| accept_all(host, Duration::ZERO))
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -2,7 +2,7 @@
 
 use maplethread::{
     AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport, Micros,
-    Resources, RetrySafety, Rules, Settings, TopologyLevel,
+    Resources, RetrySafety, Rules, Settings, SpreadLimit, TopologyLevel,
 };
 use serde_json::Value;
 
@@ -120,7 +120,7 @@
     let class = Node::root(&root.array("classes")?[index]);
     let retry_safety = decode_retry_safety(class)?;
     let spread_level = decode_spread_level(root, index)?;
-    let max_per_domain = root.number_at("domain.spreadMost", index)?;
+    let max_tasks = root.number_at("domain.spreadMost", index)?;
     let machine_kind = root.number_at("domain.kindByClass", index)?;
     Ok(Class {
         retry_safety,
@@ -129,7 +129,10 @@
         start_bonus_s: root.number_at("domain.startBonusS", index)?,
         priority: root.number_at("domain.classPriority", index)? as u32,
         machine_kind: (machine_kind >= 0.0).then_some(machine_kind as usize),
-        spread_limit: spread_level.map(|level| (level, max_per_domain as u32)),
+        spread_limit: spread_level.map(|level| SpreadLimit {
+            level,
+            max_tasks: max_tasks as u32,
+        }),
     })
 }
 
@@ -138,7 +141,7 @@
         "pure" => Ok(RetrySafety::Idempotent),
         "side_effect" => Ok(RetrySafety::NonIdempotent),
         "token" => Ok(RetrySafety::IdempotencyKey {
-            group: decode_deduplication_scope(class)?,
+            scope: decode_deduplication_scope(class)?,
             window: class.duration("windowMs")?,
         }),
         _ => Err(Node::error("classes.effect", "pure, token or side_effect")),
