--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -9,8 +9,8 @@
 
 use maplethread_config::{FleetSettings, PlacerConfig};
 use maplethread_membership::{
-    Change, Facts, KeyRing, LocalMember, MAX_DATAGRAM_BYTES, MemberName, MemberState, Output,
-    Settings, Timing,
+    Facts, KeyRing, LocalMember, MAX_DATAGRAM_BYTES, MemberName, MemberState, MembershipChange,
+    Output, Settings, Timing,
 };
 use maplethread_reactor::{FileWatch, Poller, ResourceError};
 use serde_json::{Value, json};
@@ -125,7 +125,7 @@
     /// Does what is due, and sends what is to be sent.
     pub fn tick(&mut self, now: u64) {
         self.member.tick(now);
-        for output in self.member.outputs() {
+        for output in self.member.take_outputs() {
             match output {
                 Output::Send(to, bytes) => {
                     let sent = self.socket.send_to(&bytes, to);
@@ -136,7 +136,7 @@
                     self.changes.push(now, json!(change));
                 }
                 Output::Notice(notice) => {
-                    tracing::warn!(?notice, "fleet: this member itself");
+                    tracing::warn!(%notice, "fleet: this member itself");
                     self.changes.push(now, json!(notice));
                 }
             }
@@ -245,7 +245,7 @@
     }
 }
 
-fn log_change(change: &Change) {
+fn log_change(change: &MembershipChange) {
     let (from, to) = (
         state_name(change.previous_state),
         state_name(change.new_state),
