--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,9 @@
-//! The placer in service on the operators' platform. The [`engine`] is sans-I/O: messages of owners and hosts, news of
-//! the command channel and the time go in; what the decisions are told and want becomes messages, connections wanted
-//! or closed, and timers. [`channel`] keeps a poll of the command channel out, sans-I/O too. The shell carries
-//! bytes between sockets and both. Nothing here decides where a task goes, how long an answer is waited for, or when
-//! a task is given up: that is the module's.
+//! The placer in service on the operators' platform.
+//!
+//! The [`engine`] takes messages of owners and hosts, events of the command channel and the time; it returns messages,
+//! connections to open or close, and timers. [`channel_poll`] keeps one poll of the command channel in flight. Both
+//! perform no I/O; the shell carries bytes between them and the sockets. Nothing here decides where a task is placed, how
+//! long an answer is waited for or when a task is given up: the decisions do.
 
 pub mod channel_poll;
 pub mod engine;
@@ -11,4 +12,4 @@
 mod startup;
 
 pub use shell::run;
-pub use startup::{StartError, decode_settings};
+pub use startup::{ConfigError, StartError, decode_settings};
