--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -14,7 +14,7 @@
 use support::*;
 
 /// One request to a server; its status and body.
-fn http(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
+fn http_call(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(address).expect("the server listens");
     let length = body.len();
     write!(
@@ -59,7 +59,7 @@
     )
 }
 
-fn register(servers: &Servers, host: &ScriptedHost, status: &str) {
+fn register_host(servers: &Servers, host: &ScriptedHost, status: &str) {
     let body = json!({
         "Node": format!("node-{}", host.name), "Address": "127.0.0.1",
         "Service": {
@@ -69,7 +69,7 @@
         "Checks": [{"CheckID": format!("service:{}", host.name), "Name": "host", "Status": status, "ServiceID": host.name}],
     });
     assert_eq!(
-        http(
+        http_call(
             servers.addresses[0],
             "PUT",
             "/v1/catalog/register",
@@ -80,10 +80,10 @@
     );
 }
 
-fn deregister(servers: &Servers, host: &ScriptedHost) {
+fn deregister_host(servers: &Servers, host: &ScriptedHost) {
     let body = json!({"Node": format!("node-{}", host.name), "ServiceID": host.name});
     assert_eq!(
-        http(
+        http_call(
             servers.addresses[0],
             "PUT",
             "/v1/catalog/deregister",
@@ -95,7 +95,7 @@
 }
 
 /// A placer that reads its hosts from these servers, with further settings of `[consul]`.
-fn placer(servers: &Servers, name: &str, placers: u32, more: &str) -> Placer {
+fn placer_with_catalogue(servers: &Servers, name: &str, placers: u32, more: &str) -> Placer {
     let placer = Placer::files(&[], "");
     let path = placer.folder().join("placer.toml");
     let text = std::fs::read_to_string(&path).expect("a file");
@@ -119,14 +119,14 @@
     placer
 }
 
-fn gauges(placer: &Placer) -> Value {
+fn catalogue_gauges(placer: &Placer) -> Value {
     placer.client().call("GET", "/v1/status?full=1", "").1["gauges"]["catalogue"].clone()
 }
 
-fn wait_gauge(placer: &Placer, what: &str, shown: impl Fn(&Value) -> bool) -> Value {
+fn wait_for_gauge(placer: &Placer, what: &str, shown: impl Fn(&Value) -> bool) -> Value {
     let until = Instant::now() + PATIENCE;
     loop {
-        let gauges = gauges(placer);
+        let gauges = catalogue_gauges(placer);
         if shown(&gauges) {
             return gauges;
         }
@@ -136,22 +136,22 @@
 }
 
 #[test]
-fn hosts_come_and_go_by_the_catalogue() {
+fn hosts_follow_the_catalogue() {
     let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let (h1, h2) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    register(&servers, &h1, "passing");
-    register(&servers, &h2, "passing");
-    let mut placer = placer(&servers, "p0", 1, "");
+    register_host(&servers, &h1, "passing");
+    register_host(&servers, &h2, "passing");
+    let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
     let ready = placer.start();
     let (mut l1, mut l2) = (h1.greet(&[]), h2.greet(&[]));
     ready(&mut placer);
     assert_eq!(placer.status()["hosts_connected"], 2);
     // Critical: nothing new there, while its tasks run on.
-    register(&servers, &h1, "critical");
-    wait_gauge(&placer, "the drain", |g| g["index"].as_u64() > Some(5));
+    register_host(&servers, &h1, "critical");
+    wait_for_gauge(&placer, "the drain", |g| g["index"].as_u64() > Some(5));
     let mut client = placer.client();
     for n in 0..20 {
         client.ask(
@@ -164,8 +164,8 @@
     }
     assert!(l1.all_within(Duration::from_millis(100)).is_empty());
     // Passing again: it takes part again; the other one is gone altogether.
-    register(&servers, &h1, "passing");
-    deregister(&servers, &h2);
+    register_host(&servers, &h1, "passing");
+    deregister_host(&servers, &h2);
     drop(l2);
     placer.wait_for("h2 is forgotten", |s| s["hosts"] == 1);
     client.ask(&ask("web-api", "s", "b", 4000), "b");
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_late_answer_that_holds_a_drain_is_heeded_as_soon_as_it_is_read() {
+fn applies_drain_of_a_late_answer_as_soon_as_it_is_read() {
     // What the placer is told, and when: the moment at which the server wrote the answer.
     let told: Arc<Mutex<Vec<(Instant, bool)>>> = Arc::default();
     let seen = told.clone();
@@ -194,9 +194,9 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    register(&servers, &h1, "passing");
-    register(&servers, &h2, "passing");
-    let mut placer = placer(&servers, "p0", 1, "");
+    register_host(&servers, &h1, "passing");
+    register_host(&servers, &h2, "passing");
+    let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
     let ready = placer.start();
     let (mut l1, mut l2) = (h1.greet(&[]), h2.greet(&[]));
     ready(&mut placer);
@@ -209,7 +209,7 @@
             ..Faults::default()
         },
     );
-    register(&servers, &h1, "critical");
+    register_host(&servers, &h1, "critical");
     // Asks go on all the while; the last offer to the draining host is noted.
     let mut client = placer.client();
     let until = Instant::now() + 2 * late + Duration::from_secs(3);
@@ -264,13 +264,15 @@
 }
 
 #[test]
-fn lagging_empty_partial_and_foreign_lists_do_not_lose_hosts() {
+fn keeps_hosts_when_lists_lag_are_empty_partial_or_foreign() {
     let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let hosts: Vec<ScriptedHost> = (0..6)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
         .collect();
-    hosts.iter().for_each(|h| register(&servers, h, "passing"));
-    let mut placer = placer(&servers, "p0", 1, "reads = \"stale\"");
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "passing"));
+    let mut placer = placer_with_catalogue(&servers, "p0", 1, "reads = \"stale\"");
     let ready = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
     ready(&mut placer);
@@ -308,7 +310,7 @@
             ..Faults::default()
         },
     ] {
-        let before = gauges(&placer);
+        let before = catalogue_gauges(&placer);
         let count = |g: &Value| {
             ["taken", "unchanged", "rejected", "failed"]
                 .iter()
@@ -317,8 +319,8 @@
         };
         servers.set_faults(None, faults.clone());
         // Something changes, so that the faulty answers come.
-        register(&servers, &hosts[0], "warning");
-        wait_gauge(&placer, "some answers", |g| count(g) >= count(&before) + 3);
+        register_host(&servers, &hosts[0], "warning");
+        wait_for_gauge(&placer, "some answers", |g| count(g) >= count(&before) + 3);
         assert_eq!(placer.status()["hosts"], 6, "{faults:?}");
         let mut client = placer.client();
         client.ask(&ask("web-api", "s", "a", 2000), "x");
@@ -339,17 +341,17 @@
         }
         assert_eq!(client.json().1["outcome"], "placed", "{faults:?}");
         servers.set_faults(None, Faults::default());
-        register(&servers, &hosts[0], "passing");
-        wait_gauge(&placer, "sound answers", |g| {
+        register_host(&servers, &hosts[0], "passing");
+        wait_for_gauge(&placer, "sound answers", |g| {
             g["age_ms"].as_u64() < Some(300)
         });
         placer.wait_for("settled", |s| s["actors"] == 0);
     }
     // A follower that lags does not bring back a host that is known to be gone.
-    let index = gauges(&placer)["index"].as_u64();
-    deregister(&servers, &hosts[5]);
-    placer.wait_for("h5 drains", |_| gauges(&placer)["hosts"] == 5);
-    assert!(gauges(&placer)["index"].as_u64() > index);
+    let index = catalogue_gauges(&placer)["index"].as_u64();
+    deregister_host(&servers, &hosts[5]);
+    placer.wait_for("h5 drains", |_| catalogue_gauges(&placer)["hosts"] == 5);
+    assert!(catalogue_gauges(&placer)["index"].as_u64() > index);
     servers.set_faults(
         None,
         Faults {
@@ -357,25 +359,25 @@
             ..Faults::default()
         },
     );
-    register(&servers, &hosts[0], "warning");
-    wait_gauge(&placer, "rejections", |g| g["rejected"].as_u64() > Some(2));
-    assert_eq!(gauges(&placer)["hosts"], 5);
+    register_host(&servers, &hosts[0], "warning");
+    wait_for_gauge(&placer, "rejections", |g| g["rejected"].as_u64() > Some(2));
+    assert_eq!(catalogue_gauges(&placer)["hosts"], 5);
     // A loss that nobody denies counts, though nobody confirms it either: the rules win.
     servers.set_faults(None, Faults::default());
     for host in &hosts[1..] {
-        deregister(&servers, host);
+        deregister_host(&servers, host);
     }
-    wait_gauge(&placer, "the loss", |g| g["hosts"] == 1);
+    wait_for_gauge(&placer, "the loss", |g| g["hosts"] == 1);
 }
 
 #[test]
-fn no_two_live_placers_hold_a_number_and_a_stopped_one_fences_itself() {
+fn no_two_running_placers_share_a_slot_and_a_paused_one_gives_it_up() {
     let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let host = ScriptedHost::new("h1", "a", "1");
-    register(&servers, &host, "passing");
+    register_host(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
     let mut placers: Vec<Placer> = (0..3)
-        .map(|n| placer(&servers, &format!("p{n}"), 2, more))
+        .map(|n| placer_with_catalogue(&servers, &format!("p{n}"), 2, more))
         .collect();
     for placer in &mut placers {
         let ready = placer.start();
@@ -387,7 +389,10 @@
         });
     }
     let slots = |placers: &[Placer]| -> Vec<Option<u64>> {
-        placers.iter().map(|p| gauges(p)["slot"].as_u64()).collect()
+        placers
+            .iter()
+            .map(|p| catalogue_gauges(p)["slot"].as_u64())
+            .collect()
     };
     let until = Instant::now() + PATIENCE;
     let held = loop {
@@ -408,7 +413,7 @@
         "two placers hold one number"
     );
     // The placers are found where they registered, and their checks pass.
-    let (_, list) = http(
+    let (_, list) = http_call(
         servers.addresses[1],
         "GET",
         "/v1/health/service/maplethread-placer?passing",
@@ -424,26 +429,26 @@
     );
     // One is stopped beyond its session: the late one takes its number after the lock delay...
     placers[one].signal(Signal::STOP);
-    wait_gauge(&placers[late], "the number of the stopped one", |g| {
+    wait_for_gauge(&placers[late], "the number of the stopped one", |g| {
         g["slot"] == json!(held[one])
     });
     // ...and when the first goes on it knows at once that it has none. It never shows the number again.
     placers[one].signal(Signal::CONT);
     let log = std::fs::read_to_string(placers[one].log()).expect("a log");
     let before = log.matches("placer number").count();
-    wait_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
+    wait_for_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
     let log = std::fs::read_to_string(placers[one].log()).expect("a log");
     assert!(log.matches("placer number slot=None").count() > before.saturating_sub(2));
-    assert_eq!(gauges(&placers[late])["slot"], json!(held[one]));
+    assert_eq!(catalogue_gauges(&placers[late])["slot"], json!(held[one]));
     // A placer that leaves for good makes room.
     placers[late].kill();
-    wait_gauge(&placers[one], "the number is free again", |g| {
+    wait_for_gauge(&placers[one], "the number is free again", |g| {
         !g["slot"].is_null()
     });
 }
 
 #[test]
-fn all_hosts_critical_and_back_get_held_tasks_within_the_cold_budgets() {
+fn blocked_tasks_start_within_warm_up_budgets_when_critical_hosts_return() {
     let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
     let now = || {
         std::time::SystemTime::now()
@@ -454,14 +459,18 @@
     let mut hosts: Vec<ScriptedHost> = (0..4)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
         .collect();
-    hosts.iter().for_each(|h| register(&servers, h, "passing"));
-    let mut placer = placer(&servers, "p0", 1, "");
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "passing"));
+    let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
     let ready = placer.start();
     let mut links: Vec<Link> = hosts.iter().map(|h| h.greet(&[])).collect();
     ready(&mut placer);
-    hosts.iter().for_each(|h| register(&servers, h, "critical"));
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "critical"));
     placer.wait_for("all drain", |_| {
-        gauges(&placer)["index"].as_u64() >= Some(12)
+        catalogue_gauges(&placer)["index"].as_u64() >= Some(12)
     });
     // Sixty asks while nobody takes any: all are held.
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
@@ -485,7 +494,9 @@
     }
     let started = hosts[2].started_ms;
     links.extend(hosts[2..].iter().map(|h| h.greet(&[])));
-    hosts.iter().for_each(|h| register(&servers, h, "passing"));
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "passing"));
     let mut offers: Vec<Vec<u64>> = vec![Vec::new(); 4];
     let until = Instant::now() + PATIENCE;
     while offers.iter().map(Vec::len).sum::<usize>() < 60 && Instant::now() < until {
@@ -516,10 +527,10 @@
 }
 
 #[test]
-fn a_hostile_catalogue_of_five_thousand_entries_loses_nothing_sound() {
+fn finds_the_valid_host_among_five_thousand_invalid_entries() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let host = ScriptedHost::new("h1", "a", "1");
-    register(&servers, &host, "passing");
+    register_host(&servers, &host, "passing");
     let mut stream = TcpStream::connect(servers.addresses[0]).expect("the server listens");
     let answers = std::thread::spawn({
         let mut stream = stream.try_clone().expect("a socket");
@@ -568,11 +579,11 @@
         .expect("the server reads");
     }
     answers.join().expect("all registered");
-    let mut placer = placer(&servers, "p0", 1, "");
+    let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
     let ready = placer.start();
     let mut link = host.greet(&[]);
     ready(&mut placer);
-    wait_gauge(&placer, "the one sound host", |g| g["hosts"] == 1);
+    wait_for_gauge(&placer, "the one sound host", |g| g["hosts"] == 1);
     let mut client = placer.client();
     client.ask(&ask("web-api", "s", "a", 4000), "x");
     let offer = link.offer();
--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -23,40 +23,40 @@
     }
 
     /// A fault that names what was given, unless `fine`.
-    fn given(&mut self, fine: bool, key: &str, given: impl Display, allowed: impl Display) {
+    fn check_value(&mut self, fine: bool, key: &str, given: impl Display, allowed: impl Display) {
         self.check(fine, key, format!("{given} is given; {allowed}"));
     }
 
-    fn least(&mut self, key: &str, given: u64, least: u64) {
-        self.given(given >= least, key, given, format_args!("at least {least}"));
+    fn check_min(&mut self, key: &str, given: u64, least: u64) {
+        self.check_value(given >= least, key, given, format_args!("at least {least}"));
     }
 
-    fn positive(&mut self, key: &str, given: f64) {
-        self.given(given.is_finite() && given > 0.0, key, given, "above 0");
+    fn check_positive(&mut self, key: &str, given: f64) {
+        self.check_value(given.is_finite() && given > 0.0, key, given, "above 0");
     }
 
-    fn not_negative(&mut self, key: &str, given: f64) {
-        self.given(given.is_finite() && given >= 0.0, key, given, "0 or above");
+    fn check_not_negative(&mut self, key: &str, given: f64) {
+        self.check_value(given.is_finite() && given >= 0.0, key, given, "0 or above");
     }
 }
 
 impl PlacerConfig {
-    pub(crate) fn check(&self, doc: Document<'_>) -> Result<(), ConfigErrors> {
+    pub(crate) fn validate(&self, doc: Document<'_>) -> Result<(), ConfigErrors> {
         let mut faults = FaultCollector {
             doc,
             errors: ConfigErrors(Vec::new()),
         };
-        self.identity(&mut faults);
-        self.limits(&mut faults);
+        self.check_identity(&mut faults);
+        self.check_limits(&mut faults);
         if let Some(trace) = &self.trace {
             trace.faults(&mut faults);
         }
         if let Some(consul) = &self.consul {
-            consul.faults(self.rules.ask_within_ms, &mut faults);
+            consul.faults(self.rules.max_poll_interval_ms, &mut faults);
         }
         if let Some(fleet) = &self.fleet {
             let name = &self.identity.name;
-            faults.given(
+            faults.check_value(
                 name.len() <= 64,
                 "placer.name",
                 format_args!("`{name}`"),
@@ -64,7 +64,7 @@
             );
             let zone = &self.identity.zone;
             let allowed = "with [fleet] a zone has 1 to 32 bytes";
-            faults.given(
+            faults.check_value(
                 (1..=32).contains(&zone.len()),
                 "placer.zone",
                 format_args!("`{zone}`"),
@@ -72,11 +72,11 @@
             );
             fleet.faults(&mut faults);
         }
-        self.figures(&mut faults);
-        self.kinds(&mut faults);
+        self.check_numbers(&mut faults);
+        self.check_kinds(&mut faults);
         faults.check(!self.classes.is_empty(), "class", "at least one is needed");
         for (i, class) in self.classes.iter().enumerate() {
-            self.class(i, class, &mut faults);
+            self.check_class(i, class, &mut faults);
         }
         if faults.errors.0.is_empty() {
             // What the module would refuse has been found above; this is its own word on it.
@@ -94,18 +94,18 @@
         }
     }
 
-    fn identity(&self, faults: &mut FaultCollector<'_>) {
+    fn check_identity(&self, faults: &mut FaultCollector<'_>) {
         let who = &self.identity;
         let named = !who.name.is_empty() && who.name.len() <= 200;
-        faults.given(
+        faults.check_value(
             named,
             "placer.name",
             format_args!("`{}`", who.name),
             "a name has 1 to 200 bytes",
         );
-        faults.least("placer.placers", who.replica_count.into(), 1);
+        faults.check_min("placer.placers", who.replica_count.into(), 1);
         let below = who.replica_index < who.replica_count;
-        faults.given(
+        faults.check_value(
             below,
             "placer.number",
             who.replica_index,
@@ -117,7 +117,7 @@
             "at least one is needed",
         );
         let known = who.zones.contains(&who.zone);
-        faults.given(
+        faults.check_value(
             known,
             "placer.zone",
             format_args!("`{}`", who.zone),
@@ -125,10 +125,10 @@
         );
     }
 
-    fn limits(&self, faults: &mut FaultCollector<'_>) {
+    fn check_limits(&self, faults: &mut FaultCollector<'_>) {
         let (api, hosts) = (&self.api, &self.hosts);
         let loopback = api.listen.ip().is_loopback();
-        faults.given(
+        faults.check_value(
             loopback,
             "api.listen",
             api.listen,
@@ -136,19 +136,19 @@
         );
         let least: [(&str, u64, u64); 17] = [
             ("api.max_clients", api.max_clients as u64, 1),
-            ("api.max_asks", api.max_asks as u64, 1),
+            ("api.max_asks", api.max_pending_requests as u64, 1),
             ("api.max_actors", api.max_actors as u64, 1),
             ("api.max_body_bytes", api.max_body_bytes as u64, 256),
-            ("api.max_unread_bytes", api.max_unread_bytes as u64, 4096),
+            ("api.max_unread_bytes", api.max_unsent_bytes as u64, 4096),
             ("api.max_pipelined", api.max_pipelined as u64, 1),
             ("api.max_budget_ms", api.max_budget_ms, 20),
-            ("api.request_within_ms", api.request_within_ms, 10),
-            ("api.idle_close_ms", api.idle_close_ms, 10),
-            ("api.events_kept", api.events_kept as u64, 1),
+            ("api.request_within_ms", api.request_timeout_ms, 10),
+            ("api.idle_close_ms", api.idle_timeout_ms, 10),
+            ("api.events_kept", api.max_kept_events as u64, 1),
             ("hosts.max_hosts", hosts.max_hosts as u64, 1),
-            ("hosts.connect_within_ms", hosts.connect_within_ms, 1),
-            ("hosts.reconnect_first_ms", hosts.reconnect_first_ms, 1),
-            ("hosts.ping_every_ms", hosts.ping_every_ms, 10),
+            ("hosts.connect_within_ms", hosts.connect_timeout_ms, 1),
+            ("hosts.reconnect_first_ms", hosts.min_reconnect_delay_ms, 1),
+            ("hosts.ping_every_ms", hosts.ping_interval_ms, 10),
             (
                 "hosts.max_idle_pings_per_s",
                 hosts.max_idle_pings_per_s.into(),
@@ -159,30 +159,34 @@
                 hosts.max_unwritten_bytes as u64,
                 4096,
             ),
-            ("placing.max_attempts", self.placing.max_attempts.into(), 1),
+            (
+                "placing.max_attempts",
+                self.placement.max_attempts.into(),
+                1,
+            ),
         ];
         for (key, value, floor) in least {
-            faults.least(key, value, floor);
+            faults.check_min(key, value, floor);
         }
-        let rising = hosts.reconnect_most_ms >= hosts.reconnect_first_ms;
-        let most = hosts.reconnect_most_ms;
-        faults.given(
+        let rising = hosts.max_reconnect_delay_ms >= hosts.min_reconnect_delay_ms;
+        let most = hosts.max_reconnect_delay_ms;
+        faults.check_value(
             rising,
             "hosts.reconnect_most_ms",
             most,
             "at least hosts.reconnect_first_ms",
         );
-        let longer = hosts.silent_after_ms > hosts.ping_every_ms;
-        faults.given(
+        let longer = hosts.silence_timeout_ms > hosts.ping_interval_ms;
+        faults.check_value(
             longer,
             "hosts.silent_after_ms",
-            hosts.silent_after_ms,
+            hosts.silence_timeout_ms,
             "above hosts.ping_every_ms",
         );
         let interval = hosts.max_idle_ping_interval_ms;
         let allowed = "above hosts.ping_every_ms";
-        faults.given(
-            interval > hosts.ping_every_ms,
+        faults.check_value(
+            interval > hosts.ping_interval_ms,
             "hosts.max_idle_ping_interval_ms",
             interval,
             allowed,
@@ -195,20 +199,20 @@
         );
     }
 
-    fn figures(&self, faults: &mut FaultCollector<'_>) {
-        let (rules, prices, placing) = (&self.rules, &self.prices, &self.placing);
-        faults.positive("placing.admit_cores", placing.admit_cores);
-        faults.positive("placing.admit_memory", placing.admit_memory);
-        faults.not_negative("rules.cold_from", rules.initial_capacity_share);
-        faults.positive("rules.fall_multiple", rules.overload_multiple);
-        faults.not_negative("rules.fresh_offers", rules.warm_up_offers);
-        faults.not_negative("prices.refused", prices.refused);
-        faults.not_negative("prices.cross_zone", prices.cross_zone);
-        faults.not_negative("prices.fleet", prices.fleet);
-        faults.not_negative("prices.moves", prices.moves);
+    fn check_numbers(&self, faults: &mut FaultCollector<'_>) {
+        let (rules, prices, placing) = (&self.rules, &self.costs, &self.placement);
+        faults.check_positive("placing.admit_cores", placing.admit_cores);
+        faults.check_positive("placing.admit_memory", placing.admit_memory);
+        faults.check_not_negative("rules.cold_from", rules.initial_capacity_share);
+        faults.check_positive("rules.fall_multiple", rules.overload_multiple);
+        faults.check_not_negative("rules.fresh_offers", rules.warm_up_offers);
+        faults.check_not_negative("prices.refused", prices.rejection);
+        faults.check_not_negative("prices.cross_zone", prices.cross_zone);
+        faults.check_not_negative("prices.fleet", prices.hosts_in_use);
+        faults.check_not_negative("prices.moves", prices.migration);
     }
 
-    fn kinds(&self, faults: &mut FaultCollector<'_>) {
+    fn check_kinds(&self, faults: &mut FaultCollector<'_>) {
         faults.check(!self.kinds.is_empty(), "kind", "at least one is needed");
         for (i, kind) in self.kinds.iter().enumerate() {
             let twice = self.kinds[..i].iter().any(|k| k.name == kind.name);
@@ -217,12 +221,12 @@
                 &format!("kind[{i}].name"),
                 format!("`{}` stands twice", kind.name),
             );
-            faults.positive(&format!("kind[{i}].cores"), kind.cores);
-            faults.positive(&format!("kind[{i}].memory_gib"), kind.memory_gib);
+            faults.check_positive(&format!("kind[{i}].cores"), kind.cores);
+            faults.check_positive(&format!("kind[{i}].memory_gib"), kind.memory_gib);
         }
     }
 
-    fn class(&self, i: usize, class: &TaskClass, faults: &mut FaultCollector<'_>) {
+    fn check_class(&self, i: usize, class: &TaskClass, faults: &mut FaultCollector<'_>) {
         let key = |field: &str| format!("class[{i}].{field}");
         let twice = self.classes[..i].iter().any(|c| c.name == class.name);
         faults.check(
@@ -230,26 +234,30 @@
             &key("name"),
             format!("`{}` stands twice", class.name),
         );
-        let keyed = class.retry_safety == RetrySafety::Keyed;
+        let keyed = class.retry_safety == RetrySafety::IdempotencyKey;
         let belongs = "belongs to keyed classes, and to all of them";
-        faults.check(class.group.is_some() == keyed, &key("group"), belongs);
         faults.check(
-            class.window_ms.is_some() == keyed,
+            class.deduplication_scope.is_some() == keyed,
+            &key("group"),
+            belongs,
+        );
+        faults.check(
+            class.deduplication_window_ms.is_some() == keyed,
             &key("window_ms"),
             belongs,
         );
-        faults.least(&key("aim_ms"), class.latency_objective_ms, 1);
-        faults.not_negative(&key("worth"), class.worth);
-        faults.not_negative(&key("start_bonus_s"), class.start_bonus_s);
-        let both = class.spread_over.is_some() == class.spread_most.is_some();
+        faults.check_min(&key("aim_ms"), class.latency_objective_ms, 1);
+        faults.check_not_negative(&key("worth"), class.priority_weight);
+        faults.check_not_negative(&key("start_bonus_s"), class.start_bonus_s);
+        let both = class.spread_level.is_some() == class.max_per_domain.is_some();
         faults.check(
             both,
             &key("spread_most"),
             "spread_over and spread_most belong together",
         );
-        faults.least(
+        faults.check_min(
             &key("spread_most"),
-            class.spread_most.unwrap_or(1).into(),
+            class.max_per_domain.unwrap_or(1).into(),
             1,
         );
         if let Some(kind) = &class.kind {
@@ -262,7 +270,7 @@
 impl FleetSettings {
     fn faults(&self, faults: &mut FaultCollector<'_>) {
         let named = !self.name.is_empty() && self.name.len() <= 64;
-        faults.given(
+        faults.check_value(
             named,
             "fleet.name",
             format_args!("`{}`", self.name),
@@ -276,7 +284,7 @@
         let reached = |a: &SocketAddr| !a.ip().is_unspecified() && a.port() > 0;
         match self.advertise {
             Some(to) => {
-                faults.given(
+                faults.check_value(
                     reached(&to),
                     "fleet.advertise",
                     to,
@@ -285,7 +293,7 @@
             }
             None => {
                 let any = self.listen.ip().is_unspecified();
-                faults.given(
+                faults.check_value(
                     !any,
                     "fleet.listen",
                     self.listen,
@@ -294,7 +302,7 @@
             }
         }
         for seed in self.seeds.iter().filter(|s| !reached(s)) {
-            faults.given(
+            faults.check_value(
                 false,
                 "fleet.seeds",
                 seed,
@@ -302,39 +310,39 @@
             );
         }
         let many = self.seeds.len();
-        faults.given(
+        faults.check_value(
             many <= 32,
             "fleet.seeds",
             format_args!("{many} seeds"),
             "at most 32",
         );
-        faults.least("fleet.probe_every_ms", self.probe_every_ms, 20);
-        let within = (1..self.probe_every_ms).contains(&self.probe_within_ms);
+        faults.check_min("fleet.probe_every_ms", self.probe_interval_ms, 20);
+        let within = (1..self.probe_interval_ms).contains(&self.probe_timeout_ms);
         let allowed = "1 to less than fleet.probe_every_ms";
-        faults.given(
+        faults.check_value(
             within,
             "fleet.probe_within_ms",
-            self.probe_within_ms,
+            self.probe_timeout_ms,
             allowed,
         );
-        faults.given(
-            (1..=16).contains(&self.helpers),
+        faults.check_value(
+            (1..=16).contains(&self.indirect_probes),
             "fleet.helpers",
-            self.helpers,
+            self.indirect_probes,
             "1 to 16",
         );
-        faults.given(
-            (1..=100).contains(&self.suspicion),
+        faults.check_value(
+            (1..=100).contains(&self.suspicion_multiplier),
             "fleet.suspicion",
-            self.suspicion,
+            self.suspicion_multiplier,
             "1 to 100",
         );
-        faults.least("fleet.gossip_every_ms", self.gossip_every_ms, 10);
-        faults.least("fleet.sync_every_ms", self.sync_every_ms, 50);
-        faults.least("fleet.seek_every_ms", self.seek_every_ms, 50);
+        faults.check_min("fleet.gossip_every_ms", self.gossip_interval_ms, 10);
+        faults.check_min("fleet.sync_every_ms", self.sync_interval_ms, 50);
+        faults.check_min("fleet.seek_every_ms", self.discovery_interval_ms, 50);
         // Shorter, an answer of a life that is over could be sent again after it is forgotten.
-        faults.least("fleet.forget_after_s", self.forget_after_s, 15);
-        faults.given(
+        faults.check_min("fleet.forget_after_s", self.retention_s, 15);
+        faults.check_value(
             (2..=16_384).contains(&self.max_members),
             "fleet.max_members",
             self.max_members,
@@ -350,16 +358,16 @@
             "trace.folder",
             "a folder is needed",
         );
-        faults.least("trace.rotate_mib", self.rotate_mib, 1);
-        faults.least("trace.rotate_s", self.rotate_s, 1);
+        faults.check_min("trace.rotate_mib", self.rotate_mib, 1);
+        faults.check_min("trace.rotate_s", self.rotate_s, 1);
         let allowed = "at least trace.rotate_mib";
-        faults.given(
+        faults.check_value(
             self.keep_mib >= self.rotate_mib,
             "trace.keep_mib",
             self.keep_mib,
             allowed,
         );
-        faults.least("trace.queue_records", self.queue_records as u64, 64);
+        faults.check_min("trace.queue_records", self.queue_records as u64, 64);
     }
 }
 
@@ -372,29 +380,29 @@
         );
         for server in self.servers.iter().filter(|s| !s.ip().is_loopback()) {
             let allowed = "loopback addresses, as plain text is spoken on these only";
-            faults.given(false, "consul.servers", server, allowed);
+            faults.check_value(false, "consul.servers", server, allowed);
         }
         faults.check(
             !self.service.is_empty(),
             "consul.service",
             "a name is needed",
         );
-        let within = self.wait_ms >= 1 && self.wait_ms <= ask_within_ms / 2;
+        let within = self.max_wait_ms >= 1 && self.max_wait_ms <= ask_within_ms / 2;
         let allowed = format!(
             "1 to half of rules.ask_within_ms, which is {}",
             ask_within_ms / 2
         );
-        faults.given(within, "consul.wait_ms", self.wait_ms, allowed);
-        faults.least("consul.members_every_ms", self.members_every_ms, 100);
-        faults.least(
+        faults.check_value(within, "consul.wait_ms", self.max_wait_ms, allowed);
+        faults.check_min("consul.members_every_ms", self.member_read_interval_ms, 100);
+        faults.check_min(
             "consul.max_answer_bytes",
-            self.max_answer_bytes as u64,
+            self.max_response_bytes as u64,
             1024,
         );
         if let Some(m) = &self.membership {
-            faults.least("consul.membership.ttl_ms", m.ttl_ms, 1_000);
+            faults.check_min("consul.membership.ttl_ms", m.ttl_ms, 1_000);
             faults.check(
-                !m.prefix.is_empty(),
+                !m.key_prefix.is_empty(),
                 "consul.membership.prefix",
                 "a key's prefix is needed",
             );
@@ -406,13 +414,13 @@
 mod tests {
     use super::*;
 
-    const FAULTY: &str = include_str!("../../../config/placer.toml");
+    const SAMPLE: &str = include_str!("../../../config/placer.toml");
 
     #[test]
-    fn all_faults_are_told_at_once_with_line_key_what_was_given_and_what_is_allowed() {
+    fn reports_every_fault_with_line_key_given_value_and_allowed_values() {
         let sound = PlacerConfig::parse(Document {
             file: "placer.toml",
-            text: FAULTY,
+            text: SAMPLE,
         });
         let text = sound
             .expect("the settings to try are sound")
--- a/crates/config/src/defaults.rs
+++ b/crates/config/src/defaults.rs
@@ -1,6 +1,6 @@
 //! What counts where a setting is left out.
 
-pub(crate) fn yes() -> bool {
+pub(crate) fn enabled() -> bool {
     true
 }
 pub(crate) fn fleet_name() -> String {
@@ -33,7 +33,7 @@
 pub(crate) fn max_members() -> usize {
     4096
 }
-pub(crate) fn one() -> f64 {
+pub(crate) fn one_by_default() -> f64 {
     1.0
 }
 pub(crate) fn max_clients() -> usize {
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    fn at(&self, offset: usize) -> usize {
+    fn line_at(&self, offset: usize) -> usize {
         self.text.as_bytes()[..offset.min(self.text.len())]
             .iter()
             .filter(|&&b| b == b'\n')
@@ -113,13 +113,13 @@
             let Some((found, value)) = table.iter().find(|(k, _)| k.get_ref() == name) else {
                 return line;
             };
-            line = Some(self.at(found.span().start));
+            line = Some(self.line_at(found.span().start));
             let mut value = value;
             if let (Some(index), DeValue::Array(items)) = (index, value.get_ref()) {
                 let Some(item) = items.get(index) else {
                     return line;
                 };
-                line = Some(self.at(item.span().start));
+                line = Some(self.line_at(item.span().start));
                 value = item;
             }
             match value.get_ref() {
@@ -134,7 +134,7 @@
 /// Parses a TOML text; unknown keys come with a suggestion.
 pub fn parse_toml<T: DeserializeOwned>(doc: Document<'_>) -> Result<T, ConfigError> {
     toml::from_str(doc.text).map_err(|e| {
-        let line = e.span().map(|span| doc.at(span.start));
+        let line = e.span().map(|span| doc.line_at(span.start));
         let message = e.message().trim().to_owned();
         let quoted: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
         let mut key = String::new();
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -9,7 +9,7 @@
 
 /// The placers' own view of their fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Fleet")]
 pub struct FleetSettings {
     /// The fleet's name, the same at all its members; another fleet's datagrams are not taken, with one key too.
     #[serde(default = "d::fleet_name")]
@@ -27,28 +27,36 @@
     pub key_file: PathBuf,
     /// A member is tested this often.
     #[serde(default = "d::probe_every")]
-    pub probe_every_ms: u64,
+    #[serde(rename = "probe_every_ms")]
+    pub probe_interval_ms: u64,
     /// It has so long to answer before others are asked to test it.
     #[serde(default = "d::probe_within")]
-    pub probe_within_ms: u64,
+    #[serde(rename = "probe_within_ms")]
+    pub probe_timeout_ms: u64,
     /// So many others are asked.
     #[serde(default = "d::helpers")]
-    pub helpers: usize,
+    #[serde(rename = "helpers")]
+    pub indirect_probes: usize,
     /// A suspect has so many periods of tests to refute, times the decimal logarithm of the fleet, at least so many.
     #[serde(default = "d::suspicion")]
-    pub suspicion: u32,
+    #[serde(rename = "suspicion")]
+    pub suspicion_multiplier: u32,
     /// News are passed on this often.
     #[serde(default = "d::gossip_every")]
-    pub gossip_every_ms: u64,
+    #[serde(rename = "gossip_every_ms")]
+    pub gossip_interval_ms: u64,
     /// A member is asked this often whether it sees the same fleet.
     #[serde(default = "d::sync_every")]
-    pub sync_every_ms: u64,
+    #[serde(rename = "sync_every_ms")]
+    pub sync_interval_ms: u64,
     /// Seeds, and members thought down, are tried again this often.
     #[serde(default = "d::seek_every")]
-    pub seek_every_ms: u64,
+    #[serde(rename = "seek_every_ms")]
+    pub discovery_interval_ms: u64,
     /// Members that are gone are forgotten after this.
     #[serde(default = "d::forget_after")]
-    pub forget_after_s: u64,
+    #[serde(rename = "forget_after_s")]
+    pub retention_s: u64,
     /// Members at a time, those that are gone included; further ones are not taken in.
     #[serde(default = "d::max_members")]
     pub max_members: usize,
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -43,10 +43,12 @@
     pub started_ms: Option<u64>,
     /// Cores that nobody asked for, some time ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub unasked_cores: Option<f64>,
+    #[serde(rename = "unasked_cores")]
+    pub unallocated_cores: Option<f64>,
     /// Memory that nobody asked for, some time ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub unasked_memory_gib: Option<f64>,
+    #[serde(rename = "unasked_memory_gib")]
+    pub unallocated_memory_gib: Option<f64>,
 }
 
 /// All hosts.
@@ -55,7 +57,8 @@
 pub struct Inventory {
     /// The hosts.
     #[serde(default)]
-    pub host: Vec<HostEntry>,
+    #[serde(rename = "host")]
+    pub hosts: Vec<HostEntry>,
 }
 
 impl Inventory {
@@ -64,18 +67,18 @@
     pub fn parse(doc: Document<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
         let inventory: Inventory = parse_toml(doc)?;
         doc.ensure(
-            !inventory.host.is_empty(),
+            !inventory.hosts.is_empty(),
             "host",
             "no hosts; list removed ones with state = \"gone\"",
         )?;
         let most = config.hosts.max_hosts;
         doc.ensure(
-            inventory.host.len() <= most,
+            inventory.hosts.len() <= most,
             "host",
             format!("more than hosts.max_hosts = {most}"),
         )?;
         let mut names = BTreeMap::new();
-        for (i, host) in inventory.host.iter().enumerate() {
+        for (i, host) in inventory.hosts.iter().enumerate() {
             let key = |field: &str| format!("host[{i}].{field}");
             let plain = !host.name.chars().any(char::is_control);
             let named = !host.name.is_empty() && host.name.len() <= 200 && plain;
@@ -96,12 +99,12 @@
             doc.ensure(known, &key("kind"), format!("unknown kind `{}`", host.kind))?;
             let finite = |x: Option<f64>| x.is_none_or(f64::is_finite);
             doc.ensure(
-                finite(host.unasked_cores),
+                finite(host.unallocated_cores),
                 &key("unasked_cores"),
                 "not a finite number",
             )?;
             doc.ensure(
-                finite(host.unasked_memory_gib),
+                finite(host.unallocated_memory_gib),
                 &key("unasked_memory_gib"),
                 "not a finite number",
             )?;
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -33,12 +33,14 @@
     pub trace: Option<TraceSettings>,
     /// What hosts admit and tell.
     #[serde(default)]
-    pub placing: PlacementSettings,
+    #[serde(rename = "placing")]
+    pub placement: PlacementSettings,
     /// Figures of the rules.
     pub rules: RuleSettings,
     /// What things cost.
     #[serde(default)]
-    pub prices: CostSettings,
+    #[serde(rename = "prices")]
+    pub costs: CostSettings,
     /// The kinds of hosts.
     #[serde(rename = "kind")]
     pub kinds: Vec<HostKind>,
@@ -70,7 +72,7 @@
 
 /// The interface for runtimes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Api")]
 pub struct ApiSettings {
     /// Where it listens; port 0 takes a free one.
     pub listen: SocketAddr,
@@ -79,7 +81,8 @@
     pub max_clients: usize,
     /// Asks without an answer at a time; one more gets 503.
     #[serde(default = "d::max_asks")]
-    pub max_asks: usize,
+    #[serde(rename = "max_asks")]
+    pub max_pending_requests: usize,
     /// Actors held at a time; an ask beyond gets 503.
     #[serde(default = "d::max_actors")]
     pub max_actors: usize,
@@ -88,7 +91,8 @@
     pub max_body_bytes: usize,
     /// Bytes of answers that may wait for a client to read; beyond it is cut off.
     #[serde(default = "d::max_unread")]
-    pub max_unread_bytes: usize,
+    #[serde(rename = "max_unread_bytes")]
+    pub max_unsent_bytes: usize,
     /// Requests in hand on one connection; further ones wait in the socket.
     #[serde(default = "d::max_pipelined")]
     pub max_pipelined: usize,
@@ -97,30 +101,37 @@
     pub max_budget_ms: u64,
     /// A request must be whole this long after its first byte.
     #[serde(default = "d::request_within")]
-    pub request_within_ms: u64,
+    #[serde(rename = "request_within_ms")]
+    pub request_timeout_ms: u64,
     /// A connection without requests is closed after this.
     #[serde(default = "d::idle")]
-    pub idle_close_ms: u64,
+    #[serde(rename = "idle_close_ms")]
+    pub idle_timeout_ms: u64,
     /// An answer is given again to its Idempotency-Key for this long...
     #[serde(default = "d::answers_kept_ms")]
-    pub answers_kept_ms: u64,
+    #[serde(rename = "answers_kept_ms")]
+    pub answer_retention_ms: u64,
     /// ...and so many are kept; beyond it the oldest go first.
     #[serde(default = "d::answers_kept")]
-    pub answers_kept: usize,
+    #[serde(rename = "answers_kept")]
+    pub max_kept_answers: usize,
     /// Life-cycle events kept for followers.
     #[serde(default = "d::events_kept")]
-    pub events_kept: usize,
+    #[serde(rename = "events_kept")]
+    pub max_kept_events: usize,
     /// After an attempt of a keyed or unsafe actor that may have run, the actor is not taken again for this long.
     #[serde(default = "d::settle")]
-    pub settle_ms: u64,
+    #[serde(rename = "settle_ms")]
+    pub resubmission_hold_ms: u64,
     /// After the word to stop, asks in hand get this long to be answered.
     #[serde(default = "d::stop_within")]
-    pub stop_within_ms: u64,
+    #[serde(rename = "stop_within_ms")]
+    pub shutdown_grace_ms: u64,
 }
 
 /// The hosts and the connections to them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Hosts")]
 pub struct HostSettings {
     /// The inventory file; relative to the settings file. Not with `[consul]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -130,19 +141,24 @@
     pub max_hosts: usize,
     /// A connection must be made and greeted within this.
     #[serde(default = "d::connect_within")]
-    pub connect_within_ms: u64,
+    #[serde(rename = "connect_within_ms")]
+    pub connect_timeout_ms: u64,
     /// The first wait before a new try to connect; it doubles...
     #[serde(default = "d::reconnect_first")]
-    pub reconnect_first_ms: u64,
+    #[serde(rename = "reconnect_first_ms")]
+    pub min_reconnect_delay_ms: u64,
     /// ...up to this, and each is drawn between half and the whole.
     #[serde(default = "d::reconnect_most")]
-    pub reconnect_most_ms: u64,
+    #[serde(rename = "reconnect_most_ms")]
+    pub max_reconnect_delay_ms: u64,
     /// A host with attempts or tasks of this placer is pinged this often, unless it is heard anyway...
     #[serde(default = "d::ping_every")]
-    pub ping_every_ms: u64,
+    #[serde(rename = "ping_every_ms")]
+    pub ping_interval_ms: u64,
     /// ...and cut off when it is silent for so long.
     #[serde(default = "d::silent_after")]
-    pub silent_after_ms: u64,
+    #[serde(rename = "silent_after_ms")]
+    pub silence_timeout_ms: u64,
     /// Pings a second to all other hosts together, so that each of them is pinged the less often the more they are...
     #[serde(default = "d::max_idle_pings_per_s")]
     pub max_idle_pings_per_s: u32,
@@ -151,7 +167,8 @@
     pub max_idle_ping_interval_ms: u64,
     /// Tasks of a host without a connection for this long are told as lost.
     #[serde(default = "d::lost_after")]
-    pub lost_after_ms: u64,
+    #[serde(rename = "lost_after_ms")]
+    pub loss_timeout_ms: u64,
     /// Bytes that may wait to be written to a host; offers beyond are not sent.
     #[serde(default = "d::max_unwritten")]
     pub max_unwritten_bytes: usize,
@@ -159,7 +176,7 @@
 
 /// Consul as the source of hosts.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Consul")]
 pub struct ConsulSettings {
     /// Servers or agents that speak the HTTP API; one after the other is tried.
     pub servers: Vec<SocketAddr>,
@@ -174,22 +191,26 @@
     pub token_file: Option<PathBuf>,
     /// How consistent reads are.
     #[serde(default)]
-    pub reads: ReadConsistency,
+    #[serde(rename = "reads")]
+    pub consistency: ReadConsistency,
     /// A filter expression for the hosts' entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub filter: Option<String>,
     /// Between reads of the whole list, wait for its index alone to move.
-    #[serde(default = "d::yes")]
+    #[serde(default = "d::enabled")]
     pub watch: bool,
     /// A blocking query waits so long for news; at most half of `rules.ask_within_ms`.
     #[serde(default = "d::wait")]
-    pub wait_ms: u64,
+    #[serde(rename = "wait_ms")]
+    pub max_wait_ms: u64,
     /// The members of the gossip pool are read this often.
     #[serde(default = "d::members_every")]
-    pub members_every_ms: u64,
+    #[serde(rename = "members_every_ms")]
+    pub member_read_interval_ms: u64,
     /// A longer answer is refused.
     #[serde(default = "d::max_answer")]
-    pub max_answer_bytes: usize,
+    #[serde(rename = "max_answer_bytes")]
+    pub max_response_bytes: usize,
     /// How good news after repeated changes is held back.
     #[serde(default)]
     pub damping: DampingMode,
@@ -200,7 +221,7 @@
 
 /// How consistent reads are.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum Reads")]
 pub enum ReadConsistency {
     /// By the leader.
     #[default]
@@ -213,7 +234,7 @@
 
 /// How good news after repeated changes is held back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum Damping")]
 pub enum DampingMode {
     /// By a penalty that decays.
     Penalty,
@@ -226,14 +247,15 @@
 
 /// The placers' own membership.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Membership")]
 pub struct SlotLeaseSettings {
     /// The service under which placers register.
     #[serde(default = "d::placer_service")]
     pub service: String,
     /// Keys of the slots lie under this prefix; `placer.placers` is their number.
     #[serde(default = "d::slots_prefix")]
-    pub prefix: String,
+    #[serde(rename = "prefix")]
+    pub key_prefix: String,
     /// TTL of the session and of the check, at least 10 s as Consul has it.
     #[serde(default = "d::ttl")]
     pub ttl_ms: u64,
@@ -244,26 +266,28 @@
 
 /// What hosts admit and tell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Placing")]
 pub struct PlacementSettings {
     /// When an actor counts as placed.
     #[serde(default)]
-    pub placed_when: AcceptancePoint,
+    #[serde(rename = "placed_when")]
+    pub acceptance_point: AcceptancePoint,
     /// Attempts for one ask.
     #[serde(default = "d::max_attempts")]
     pub max_attempts: u32,
     /// Hosts admit while asks stay within this multiple of their cores.
-    #[serde(default = "d::one")]
+    #[serde(default = "d::one_by_default")]
     pub admit_cores: f64,
     /// The same for memory.
-    #[serde(default = "d::one")]
+    #[serde(default = "d::one_by_default")]
     pub admit_memory: f64,
     /// What the load that comes with answers tells.
     #[serde(default)]
     pub load_report: LoadReport,
     /// The inventory tells what nobody asked for.
     #[serde(default)]
-    pub inventory_tells_room: bool,
+    #[serde(rename = "inventory_tells_room")]
+    pub inventory_reports_unallocated: bool,
 }
 
 impl Default for PlacementSettings {
@@ -271,19 +295,19 @@
         let (placed_when, load_report) = (AcceptancePoint::default(), LoadReport::default());
         let inventory_tells_room = false;
         PlacementSettings {
-            placed_when,
+            acceptance_point: placed_when,
             max_attempts: 3,
             admit_cores: 1.0,
             admit_memory: 1.0,
             load_report,
-            inventory_tells_room,
+            inventory_reports_unallocated: inventory_tells_room,
         }
     }
 }
 
 /// When an actor counts as placed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum PlacedWhen")]
 pub enum AcceptancePoint {
     /// Once a host has accepted it.
     #[default]
@@ -300,18 +324,20 @@
     #[default]
     Silent,
     /// Cores and memory that nobody asked for.
-    Unasked,
+    #[serde(rename = "unasked")]
+    Unallocated,
     /// Cores and memory not in use.
     Unused,
 }
 
 /// Figures of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Rules")]
 pub struct RuleSettings {
     /// Silence towards discovery for this long counts as being told.
     #[serde(default = "d::ask_within")]
-    pub ask_within_ms: u64,
+    #[serde(rename = "ask_within_ms")]
+    pub max_poll_interval_ms: u64,
     /// The least share of its pace that a host has right after its start.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
@@ -331,25 +357,28 @@
 
 /// What things cost, in shares of the whole worth.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Prices")]
 pub struct CostSettings {
     /// One refused offer for every task.
     #[serde(default)]
-    pub refused: f64,
+    #[serde(rename = "refused")]
+    pub rejection: f64,
     /// Every task in another zone than its placer's.
     #[serde(default)]
     pub cross_zone: f64,
     /// As many hosts in use as there are, beyond those needed.
     #[serde(default)]
-    pub fleet: f64,
+    #[serde(rename = "fleet")]
+    pub hosts_in_use: f64,
     /// One move for every task.
     #[serde(default)]
-    pub moves: f64,
+    #[serde(rename = "moves")]
+    pub migration: f64,
 }
 
 /// A kind of host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Kind")]
 pub struct HostKind {
     /// Its name.
     pub name: String,
@@ -361,19 +390,22 @@
 
 /// What a second start does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum Effect")]
 pub enum RetrySafety {
     /// No harm.
-    Safe,
+    #[serde(rename = "safe")]
+    Idempotent,
     /// The hosts of a group let one copy stand.
-    Keyed,
+    #[serde(rename = "keyed")]
+    IdempotencyKey,
     /// It must never happen.
-    Unsafe,
+    #[serde(rename = "unsafe")]
+    NonIdempotent,
 }
 
 /// A set of hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum Group")]
 pub enum DeduplicationScope {
     /// All of them.
     All,
@@ -385,7 +417,7 @@
 
 /// A place over which a service is spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case")]
+#[serde(rename_all = "snake_case", expecting = "enum Place")]
 pub enum TopologyLevel {
     /// One host.
     Host,
@@ -397,7 +429,7 @@
 
 /// A class of tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Class")]
 pub struct TaskClass {
     /// Its name.
     pub name: String,
@@ -406,16 +438,19 @@
     pub retry_safety: RetrySafety,
     /// For keyed ones: where copies are recognised...
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub group: Option<DeduplicationScope>,
+    #[serde(rename = "group")]
+    pub deduplication_scope: Option<DeduplicationScope>,
     /// ...and how long, from the first send on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub window_ms: Option<u64>,
+    #[serde(rename = "window_ms")]
+    pub deduplication_window_ms: Option<u64>,
     /// A start within this earns all it can.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
     /// Worth of a second at mean size.
-    #[serde(default = "d::one")]
-    pub worth: f64,
+    #[serde(default = "d::one_by_default")]
+    #[serde(rename = "worth")]
+    pub priority_weight: f64,
     /// Seconds of service that a timely start is worth.
     #[serde(default)]
     pub start_bonus_s: f64,
@@ -427,19 +462,21 @@
     pub kind: Option<String>,
     /// Where tasks of one service are limited...
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spread_over: Option<TopologyLevel>,
+    #[serde(rename = "spread_over")]
+    pub spread_level: Option<TopologyLevel>,
     /// ...to so many of one placer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spread_most: Option<u32>,
+    #[serde(rename = "spread_most")]
+    pub max_per_domain: Option<u32>,
 }
 
-const MS: u64 = 1000;
+const MICROS_PER_MS: u64 = 1000;
 
 impl PlacerConfig {
     /// Parses and checks a settings file; all that is wrong is told at once.
     pub fn parse(doc: Document<'_>) -> Result<PlacerConfig, ConfigErrors> {
         let config: PlacerConfig = parse_toml(doc)?;
-        config.check(doc)?;
+        config.validate(doc)?;
         Ok(config)
     }
 
@@ -459,19 +496,19 @@
         };
         let class = |c: &TaskClass| mt::Class {
             retry_safety: match c.retry_safety {
-                RetrySafety::Safe => mt::RetrySafety::Idempotent,
-                RetrySafety::Unsafe => mt::RetrySafety::NonIdempotent,
-                RetrySafety::Keyed => mt::RetrySafety::IdempotencyKey {
-                    group: match c.group {
+                RetrySafety::Idempotent => mt::RetrySafety::Idempotent,
+                RetrySafety::NonIdempotent => mt::RetrySafety::NonIdempotent,
+                RetrySafety::IdempotencyKey => mt::RetrySafety::IdempotencyKey {
+                    group: match c.deduplication_scope {
                         Some(DeduplicationScope::Zone) => mt::DeduplicationScope::Zone,
                         Some(DeduplicationScope::Cell) => mt::DeduplicationScope::Cell,
                         _ => mt::DeduplicationScope::All,
                     },
-                    window: c.window_ms.unwrap_or(0) * MS,
+                    window: c.deduplication_window_ms.unwrap_or(0) * MICROS_PER_MS,
                 },
             },
-            latency_objective: c.latency_objective_ms * MS,
-            priority_weight: c.worth,
+            latency_objective: c.latency_objective_ms * MICROS_PER_MS,
+            priority_weight: c.priority_weight,
             start_bonus_s: c.start_bonus_s,
             priority: c.priority,
             machine_kind: c
@@ -479,8 +516,8 @@
                 .as_ref()
                 .and_then(|kind| self.kinds.iter().position(|k| &k.name == kind)),
             spread_limit: c
-                .spread_over
-                .zip(c.spread_most)
+                .spread_level
+                .zip(c.max_per_domain)
                 .map(|(place, most)| match place {
                     TopologyLevel::Host => (mt::TopologyLevel::Machine, most),
                     TopologyLevel::Cell => (mt::TopologyLevel::Cell, most),
@@ -498,38 +535,38 @@
                 .map(|k| mt::Resources::new(k.cores, k.memory_gib))
                 .collect(),
             discovery: mt::DiscoveryMode::Watch,
-            acceptance_point: match self.placing.placed_when {
+            acceptance_point: match self.placement.acceptance_point {
                 AcceptancePoint::Accepted => mt::AcceptancePoint::Accepted,
                 AcceptancePoint::Running => mt::AcceptancePoint::Running,
             },
-            admit_cores: self.placing.admit_cores,
-            admit_memory: self.placing.admit_memory,
-            endpoints_report_capacity: self.placing.inventory_tells_room,
-            load_report: match self.placing.load_report {
+            admit_cores: self.placement.admit_cores,
+            admit_memory: self.placement.admit_memory,
+            endpoints_report_capacity: self.placement.inventory_reports_unallocated,
+            load_report: match self.placement.load_report {
                 LoadReport::Silent => mt::LoadReport::Silent,
-                LoadReport::Unasked => mt::LoadReport::Unallocated,
+                LoadReport::Unallocated => mt::LoadReport::Unallocated,
                 LoadReport::Unused => mt::LoadReport::Unused,
             },
             limits: mt::Limits {
-                max_attempts: self.placing.max_attempts,
+                max_attempts: self.placement.max_attempts,
                 can_cancel: true,
                 can_probe: true,
                 can_message_peers: false,
-                max_retry_after: Some(60_000 * MS),
+                max_retry_after: Some(60_000 * MICROS_PER_MS),
             },
             rules: mt::Rules {
-                max_poll_interval: self.rules.ask_within_ms * MS,
+                max_poll_interval: self.rules.max_poll_interval_ms * MICROS_PER_MS,
                 initial_capacity_share: self.rules.initial_capacity_share,
-                warm_up_duration: self.rules.warm_up_duration_ms * MS,
+                warm_up_duration: self.rules.warm_up_duration_ms * MICROS_PER_MS,
                 overload_multiple: self.rules.overload_multiple,
-                overload_window: self.rules.overload_window_ms * MS,
+                overload_window: self.rules.overload_window_ms * MICROS_PER_MS,
                 warm_up_offers: self.rules.warm_up_offers,
             },
             costs: mt::Costs {
-                rejection: self.prices.refused,
-                cross_zone: self.prices.cross_zone,
-                fleet: self.prices.fleet,
-                migration: self.prices.moves,
+                rejection: self.costs.rejection,
+                cross_zone: self.costs.cross_zone,
+                fleet: self.costs.hosts_in_use,
+                migration: self.costs.migration,
             },
         }
     }
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -8,7 +8,7 @@
 
 /// Trace files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Trace")]
 pub struct TraceSettings {
     /// Where they are put; made if it is not there.
     pub folder: PathBuf,
--- a/crates/config/tests/heartbeat_settings.rs
+++ b/crates/config/tests/heartbeat_settings.rs
@@ -2,23 +2,23 @@
 
 use maplethread_config::{Document, PlacerConfig};
 
-const SOUND: &str = include_str!("../../../config/placer.toml");
+const SAMPLE: &str = include_str!("../../../config/placer.toml");
 
 /// The settings to try, written out whole.
-fn written_out() -> String {
+fn sample_with_all_keys() -> String {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
-        text: SOUND,
+        text: SAMPLE,
     })
     .expect("sound");
     config.to_toml().expect("TOML")
 }
 
 #[test]
-fn idle_hosts_have_a_rate_and_a_longest_interval_where_nothing_is_set() {
+fn idle_ping_settings_default_when_left_out() {
     let config = PlacerConfig::parse(Document {
         file: "placer.toml",
-        text: SOUND,
+        text: SAMPLE,
     })
     .expect("sound");
     assert_eq!(
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_faulty_figure_is_told_with_line_key_what_was_given_and_what_is_allowed() {
+fn reports_faulty_heartbeat_setting_with_line_key_given_and_allowed_value() {
     for (key, value, message) in [
         ("max_idle_pings_per_s", "0", "0 is given; at least 1"),
         (
@@ -45,7 +45,7 @@
             "900 is given; above hosts.ping_every_ms",
         ),
     ] {
-        let text = written_out();
+        let text = sample_with_all_keys();
         let given = text
             .lines()
             .position(|l| l.starts_with(&format!("{key} = ")))
--- a/crates/consul-emulator/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -16,21 +16,21 @@
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
-struct Http {
+struct HttpClient {
     stream: TcpStream,
     reader: MessageReader,
     buffer: Vec<u8>,
 }
 
-impl Http {
-    fn new(at: SocketAddr) -> Result<Http> {
+impl HttpClient {
+    fn new(at: SocketAddr) -> Result<HttpClient> {
         let stream = TcpStream::connect(at)?;
         stream.set_nodelay(true)?;
         let limits = Limits {
             max_body_bytes: 64 << 20,
             ..Limits::default()
         };
-        Ok(Http {
+        Ok(HttpClient {
             stream,
             reader: MessageReader::new(Role::Responses, limits),
             buffer: Vec::new(),
@@ -54,7 +54,7 @@
     }
 }
 
-fn register(http: &mut Http, n: usize, status: &str) -> Result<()> {
+fn register(http: &mut HttpClient, n: usize, status: &str) -> Result<()> {
     let name = format!("host-{n}");
     let body = json!({
         "Node": format!("node-{n}"), "Address": "127.0.0.1",
@@ -221,7 +221,7 @@
     let all = std::env::args().nth(1).is_none_or(|what| what != "rest");
     for hosts in [130, 5000].into_iter().filter(|_| all) {
         let servers = Servers::start(EmulatorSettings::new(3))?;
-        let mut http = Http::new(servers.addresses[0])?;
+        let mut http = HttpClient::new(servers.addresses[0])?;
         for n in 0..hosts {
             register(&mut http, n, "passing")?;
         }
@@ -273,7 +273,7 @@
     }
     for watch in [false, true] {
         let servers = Servers::start(EmulatorSettings::new(3))?;
-        let mut http = Http::new(servers.addresses[0])?;
+        let mut http = HttpClient::new(servers.addresses[0])?;
         for n in 0..130 {
             register(&mut http, n, "passing")?;
         }
--- a/crates/consul-emulator/src/api.rs
+++ b/crates/consul-emulator/src/api.rs
@@ -15,7 +15,7 @@
     /// A write.
     Write(WriteRequest),
     /// An answer that needs no state.
-    Answer(u16, Value),
+    Response(u16, Value),
 }
 
 /// A read.
@@ -62,7 +62,7 @@
         lock: LockChange,
         cas: Option<u64>,
     },
-    Renew(String),
+    RenewSession(String),
     /// A TTL check's word: node, check, status, output.
     UpdateCheck(String, String, String),
     /// Deregisters a service of the agent, or puts it aside.
@@ -75,7 +75,7 @@
     DestroySession(String),
 }
 
-fn unescape(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let bytes = text.as_bytes();
     let (mut out, mut i) = (Vec::new(), 0);
     while i < bytes.len() {
@@ -125,7 +125,7 @@
 }
 
 /// A field of an object, whatever the case of its key: documented servers decode bodies so. The exact key wins.
-fn field<'a>(object: &'a Value, key: &str) -> &'a Value {
+fn field_ignoring_case<'a>(object: &'a Value, key: &str) -> &'a Value {
     let Some(fields) = object.as_object() else {
         return &Value::Null;
     };
@@ -139,44 +139,44 @@
 }
 
 /// A text field; empty where it is missing. A value of another type can't be decoded.
-fn text(object: &Value, key: &str) -> Result<String, Undecoded> {
-    match field(object, key) {
+fn text_field(object: &Value, key: &str) -> Result<String, UndecodableField> {
+    match field_ignoring_case(object, key) {
         Value::Null => Ok(String::new()),
         Value::String(s) => Ok(s.clone()),
-        _ => Err(Undecoded(key.to_owned())),
+        _ => Err(UndecodableField(key.to_owned())),
     }
 }
 
 /// A span: a text with units, or a number of nanoseconds.
-fn span_field(object: &Value, key: &str) -> Result<Option<u64>, Undecoded> {
-    match field(object, key) {
+fn duration_field_us(object: &Value, key: &str) -> Result<Option<u64>, UndecodableField> {
+    match field_ignoring_case(object, key) {
         Value::Null => Ok(None),
         Value::String(s) if s.is_empty() => Ok(None),
         Value::String(s) => parse_duration_us(s)
             .map(Some)
-            .ok_or_else(|| Undecoded(key.to_owned())),
+            .ok_or_else(|| UndecodableField(key.to_owned())),
         Value::Number(n) => n
             .as_u64()
             .map(|ns| Some(ns / 1000))
-            .ok_or_else(|| Undecoded(key.to_owned())),
-        _ => Err(Undecoded(key.to_owned())),
+            .ok_or_else(|| UndecodableField(key.to_owned())),
+        _ => Err(UndecodableField(key.to_owned())),
     }
 }
 
 /// The first of two keys that stands there: older and newer names of one field.
-fn either<'a>(object: &'a Value, first: &str, second: &str) -> &'a Value {
-    match field(object, first) {
-        Value::Null => field(object, second),
+fn first_present_field<'a>(object: &'a Value, first: &str, second: &str) -> &'a Value {
+    match field_ignoring_case(object, first) {
+        Value::Null => field_ignoring_case(object, second),
         found => found,
     }
 }
 
 /// A field that can't be decoded.
-struct Undecoded(String);
+struct UndecodableField(String);
 
-impl From<Undecoded> for Request {
-    fn from(Undecoded(key): Undecoded) -> Request {
-        Request::Answer(400, json!(format!("Request decode failed: {key}")))
+impl From<UndecodableField> for Request {
+    fn from(UndecodableField(key): UndecodableField) -> Request {
+        Request::Response(400, json!(format!("Request decode failed: {key}")))
     }
 }
 
@@ -188,7 +188,7 @@
         .split('&')
         .filter(|p| !p.is_empty())
         .map(|p| p.split_once('=').unwrap_or((p, "")))
-        .map(|(k, v)| (k.to_owned(), unescape(v)))
+        .map(|(k, v)| (k.to_owned(), percent_decode(v)))
         .collect();
     let param = |name: &str| {
         params
@@ -196,9 +196,9 @@
             .find(|(k, _)| k == name)
             .map(|(_, v)| v.as_str())
     };
-    let bad = |why: &str| Request::Answer(400, json!(why));
+    let bad = |why: &str| Request::Response(400, json!(why));
     let path: String = path.trim_start_matches("/v1/").to_owned();
-    let parts: Vec<String> = path.split('/').map(unescape).collect();
+    let parts: Vec<String> = path.split('/').map(percent_decode).collect();
     let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
     let body = || serde_json::from_slice::<Value>(&message.body).unwrap_or(Value::Null);
     let get = message.head.method() == "GET";
@@ -260,7 +260,7 @@
             })
         }
         (["kv", ..], false) if message.head.method() == "DELETE" => {
-            let command = Command::Delete {
+            let command = Command::DeleteKeys {
                 key: parts[1..].join("/"),
                 recurse: param("recurse").is_some(),
             };
@@ -289,13 +289,15 @@
                 cas,
             })
         }
-        (["catalog", "register"], false) => catalog_register(&body()).unwrap_or_else(Request::from),
+        (["catalog", "register"], false) => {
+            parse_catalog_registration(&body()).unwrap_or_else(Request::from)
+        }
         (["catalog", "deregister"], false) => {
             let body = body();
-            let Some(node) = field(&body, "Node").as_str() else {
+            let Some(node) = field_ignoring_case(&body, "Node").as_str() else {
                 return bad("Must provide node");
             };
-            let service = field(&body, "ServiceID")
+            let service = field_ignoring_case(&body, "ServiceID")
                 .as_str()
                 .filter(|s| !s.is_empty())
                 .map(str::to_owned);
@@ -306,7 +308,7 @@
             Request::Write(WriteRequest::Commands(vec![command], json!(true)))
         }
         (["agent", "service", "register"], false) => {
-            agent_register(&body(), node).unwrap_or_else(Request::from)
+            parse_agent_registration(&body(), node).unwrap_or_else(Request::from)
         }
         (["agent", "service", "deregister", id], false) => {
             Request::Write(WriteRequest::UpdateService {
@@ -336,10 +338,10 @@
             _ => bad("Missing value for enable"),
         },
         (["agent", "check", "register"], false) => {
-            check_register(&body(), node).unwrap_or_else(Request::from)
+            parse_check_registration(&body(), node).unwrap_or_else(Request::from)
         }
         (["agent", "check", "deregister", id], false) => {
-            let command = Command::DropCheck {
+            let command = Command::DeregisterCheck {
                 node: node.to_owned(),
                 check: (*id).to_owned(),
             };
@@ -359,11 +361,14 @@
         }
         (["agent", "check", "update", id], false) => {
             let body = body();
-            let status = field(&body, "Status").as_str().unwrap_or("");
+            let status = field_ignoring_case(&body, "Status").as_str().unwrap_or("");
             if !matches!(status, "passing" | "warning" | "critical") {
                 return bad("Invalid check status");
             }
-            let output = field(&body, "Output").as_str().unwrap_or("").to_owned();
+            let output = field_ignoring_case(&body, "Output")
+                .as_str()
+                .unwrap_or("")
+                .to_owned();
             Request::Write(WriteRequest::UpdateCheck(
                 (*id).to_owned(),
                 status.to_owned(),
@@ -371,14 +376,16 @@
             ))
         }
         (["session", "create"], false) => {
-            create_session(&body(), node, id).unwrap_or_else(Request::from)
+            parse_session(&body(), node, id).unwrap_or_else(Request::from)
+        }
+        (["session", "renew", id], false) => {
+            Request::Write(WriteRequest::RenewSession((*id).to_owned()))
         }
-        (["session", "renew", id], false) => Request::Write(WriteRequest::Renew((*id).to_owned())),
         (["session", "destroy", id], false) => {
             Request::Write(WriteRequest::DestroySession((*id).to_owned()))
         }
-        (["status", "leader"], true) => Request::Answer(200, json!("127.0.0.1:8300")),
-        _ => Request::Answer(404, json!("no such path")),
+        (["status", "leader"], true) => Request::Response(200, json!("127.0.0.1:8300")),
+        _ => Request::Response(404, json!("no such path")),
     }
 }
 
@@ -403,34 +410,34 @@
     ))
 }
 
-fn create_session(body: &Value, node: &str, id: u64) -> Result<Request, Undecoded> {
-    let ttl = span_field(body, "TTL")?.unwrap_or(0);
+fn parse_session(body: &Value, node: &str, id: u64) -> Result<Request, UndecodableField> {
+    let ttl = duration_field_us(body, "TTL")?.unwrap_or(0);
     // Of the documented range of TTLs, 10 s to 24 h, only the upper bound is kept: tests are short.
     if ttl > 86_400_000_000 {
-        return Ok(Request::Answer(400, json!("Invalid Session TTL")));
+        return Ok(Request::Response(400, json!("Invalid Session TTL")));
     }
-    let behavior = if text(body, "Behavior")? == "delete" {
+    let behavior = if text_field(body, "Behavior")? == "delete" {
         "delete"
     } else {
         "release"
     };
     Ok(Request::Write(WriteRequest::CreateSession(Session {
         id: uuid(&format!("session {id}")),
-        name: text(body, "Name")?,
+        name: text_field(body, "Name")?,
         node: node.to_owned(),
         ttl,
-        lock_delay: span_field(body, "LockDelay")?.unwrap_or(15_000_000),
+        lock_delay: duration_field_us(body, "LockDelay")?.unwrap_or(15_000_000),
         behavior: behavior.to_owned(),
     })))
 }
 
 /// A service of a body; none without a name, which stands under one of these keys.
-fn service(body: &Value, name: &str) -> Result<Option<Service>, Undecoded> {
-    let name = text(body, name)?;
+fn parse_service(body: &Value, name: &str) -> Result<Option<Service>, UndecodableField> {
+    let name = text_field(body, name)?;
     if name.is_empty() {
         return Ok(None);
     }
-    let id = text(body, "ID")?;
+    let id = text_field(body, "ID")?;
     let or = |value: &Value, default: Value| {
         if value.is_null() {
             default
@@ -438,45 +445,48 @@
             value.clone()
         }
     };
-    let port = match field(body, "Port") {
+    let port = match field_ignoring_case(body, "Port") {
         Value::Null => 0,
-        port => port.as_i64().ok_or_else(|| Undecoded("Port".to_owned()))?,
+        port => port
+            .as_i64()
+            .ok_or_else(|| UndecodableField("Port".to_owned()))?,
     };
-    let override_tags = match either(body, "EnableTagOverride", "enable_tag_override") {
+    let override_tags = match first_present_field(body, "EnableTagOverride", "enable_tag_override")
+    {
         Value::Null => false,
         Value::Bool(b) => *b,
-        _ => return Err(Undecoded("EnableTagOverride".to_owned())),
+        _ => return Err(UndecodableField("EnableTagOverride".to_owned())),
     };
     Ok(Some(Service {
         id: if id.is_empty() { name.clone() } else { id },
         name,
-        address: text(body, "Address")?,
+        address: text_field(body, "Address")?,
         port,
-        tags: or(field(body, "Tags"), json!([])),
-        meta: or(field(body, "Meta"), json!({})),
+        tags: or(field_ignoring_case(body, "Tags"), json!([])),
+        meta: or(field_ignoring_case(body, "Meta"), json!({})),
         override_tags,
     }))
 }
 
 /// `Check` and all of `Checks`.
-fn checks_of(body: &Value) -> impl Iterator<Item = &Value> {
-    let listed = field(body, "Checks")
+fn check_objects(body: &Value) -> impl Iterator<Item = &Value> {
+    let listed = field_ignoring_case(body, "Checks")
         .as_array()
         .map(Vec::as_slice)
         .unwrap_or_default();
-    std::iter::once(field(body, "Check"))
+    std::iter::once(field_ignoring_case(body, "Check"))
         .chain(listed)
         .filter(|c| c.is_object())
 }
 
 /// An agent's check: one with a TTL is kept by its word; others are taken and stay as their `Status` says.
-fn agent_check(
+fn parse_agent_check(
     body: &Value,
     id: String,
     name: String,
     service: (&str, &str),
-) -> Result<Check, Undecoded> {
-    let status = text(body, "Status")?;
+) -> Result<Check, UndecodableField> {
+    let status = text_field(body, "Status")?;
     Ok(Check {
         id,
         name,
@@ -488,29 +498,34 @@
         output: String::new(),
         service_id: service.0.to_owned(),
         service_name: service.1.to_owned(),
-        ttl: span_field(body, "TTL")?.filter(|&ttl| ttl > 0),
+        ttl: duration_field_us(body, "TTL")?.filter(|&ttl| ttl > 0),
     })
 }
 
-fn agent_register(body: &Value, node: &str) -> Result<Request, Undecoded> {
-    let Some(service) = service(body, "Name")? else {
-        return Ok(Request::Answer(400, json!("Missing service name")));
+fn parse_agent_registration(body: &Value, node: &str) -> Result<Request, UndecodableField> {
+    let Some(service) = parse_service(body, "Name")? else {
+        return Ok(Request::Response(400, json!("Missing service name")));
     };
     let mut checks = Vec::new();
-    for (n, check) in checks_of(body).enumerate() {
+    for (n, check) in check_objects(body).enumerate() {
         let own = format!("service:{}", service.id);
-        let id = match text(check, "CheckID")? {
+        let id = match text_field(check, "CheckID")? {
             id if !id.is_empty() => id,
             _ if n == 0 => own,
             _ => format!("{own}:{}", n + 1),
         };
-        let name = text(check, "Name")?;
+        let name = text_field(check, "Name")?;
         let name = if name.is_empty() {
             format!("Service '{}' check", service.name)
         } else {
             name
         };
-        checks.push(agent_check(check, id, name, (&service.id, &service.name))?);
+        checks.push(parse_agent_check(
+            check,
+            id,
+            name,
+            (&service.id, &service.name),
+        )?);
     }
     Ok(register(
         node,
@@ -522,25 +537,25 @@
     ))
 }
 
-fn check_register(body: &Value, node: &str) -> Result<Request, Undecoded> {
-    let (name, id) = (text(body, "Name")?, text(body, "ID")?);
+fn parse_check_registration(body: &Value, node: &str) -> Result<Request, UndecodableField> {
+    let (name, id) = (text_field(body, "Name")?, text_field(body, "ID")?);
     let id = if id.is_empty() {
-        text(body, "CheckID")?
+        text_field(body, "CheckID")?
     } else {
         id
     };
     if name.is_empty() {
-        return Ok(Request::Answer(400, json!("Missing check name")));
+        return Ok(Request::Response(400, json!("Missing check name")));
     }
-    let service = text(body, "ServiceID")?;
-    let check = agent_check(
+    let service = text_field(body, "ServiceID")?;
+    let check = parse_agent_check(
         body,
         if id.is_empty() { name.clone() } else { id },
         name,
         (&service, &service),
     )?;
     if check.ttl.is_none() {
-        return Ok(Request::Answer(
+        return Ok(Request::Response(
             400,
             json!("a TTL is needed; other checks are not run here"),
         ));
@@ -555,20 +570,27 @@
     ))
 }
 
-fn catalog_register(body: &Value) -> Result<Request, Undecoded> {
-    let (node, address) = (text(body, "Node")?, text(body, "Address")?);
+fn parse_catalog_registration(body: &Value) -> Result<Request, UndecodableField> {
+    let (node, address) = (text_field(body, "Node")?, text_field(body, "Address")?);
     if node.is_empty() || address.is_empty() {
-        return Ok(Request::Answer(400, json!("Must provide node and address")));
+        return Ok(Request::Response(
+            400,
+            json!("Must provide node and address"),
+        ));
     }
-    let service = service(field(body, "Service"), "Service")?;
+    let service = parse_service(field_ignoring_case(body, "Service"), "Service")?;
     let mut checks = Vec::new();
-    for c in checks_of(body) {
-        let (name, id, service_id) = (text(c, "Name")?, text(c, "CheckID")?, text(c, "ServiceID")?);
+    for c in check_objects(body) {
+        let (name, id, service_id) = (
+            text_field(c, "Name")?,
+            text_field(c, "CheckID")?,
+            text_field(c, "ServiceID")?,
+        );
         let service_name = match &service {
             Some(s) if s.id == service_id => s.name.clone(),
             _ => String::new(),
         };
-        let status = text(c, "Status")?;
+        let status = text_field(c, "Status")?;
         checks.push(Check {
             id: if id.is_empty() { name.clone() } else { id },
             name,
@@ -577,13 +599,13 @@
             } else {
                 status
             },
-            output: text(c, "Output")?,
+            output: text_field(c, "Output")?,
             service_id,
             service_name,
             ttl: None,
         });
     }
-    let meta = match field(body, "NodeMeta") {
+    let meta = match field_ignoring_case(body, "NodeMeta") {
         Value::Null => json!({}),
         meta => meta.clone(),
     };
@@ -599,7 +621,7 @@
 
 impl ReadRequest {
     /// The index that this read blocks on.
-    pub fn index_in(&self, state: &State) -> u64 {
+    pub fn blocking_index(&self, state: &State) -> u64 {
         match &self.resource {
             Resource::HealthService(name, _) | Resource::CatalogService(name) => {
                 state.service_index(name)
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -22,7 +22,7 @@
 
 const WAKER: u64 = 0;
 const LISTENERS: u64 = 1 << 32;
-const CONNS: u64 = 1 << 33;
+const CONNECTIONS: u64 = 1 << 33;
 
 /// What goes wrong with a server just now.
 #[derive(Clone, Debug, Default)]
@@ -44,7 +44,7 @@
     /// Indexes are told so much lower.
     pub index_offset: u64,
     /// No further command is taken in.
-    pub frozen: bool,
+    pub is_frozen: bool,
 }
 
 /// Told of an answer: who asked, its index, whether it was read consistently, its body.
@@ -135,12 +135,12 @@
         }
         let controls = Arc::new(Mutex::new(VecDeque::new()));
         let counts: Arc<[AtomicU64; 2]> = Arc::default();
-        let server = |_| Server {
+        let server = |_| Replica {
             state: State::default(),
             applied: 0,
             faults: Faults::default(),
         };
-        let mut run = Run {
+        let mut run = ServerLoop {
             poller,
             listeners,
             clock: Clock::start(),
@@ -148,7 +148,7 @@
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             settings,
             conns: HashMap::new(),
-            next: CONNS,
+            next: CONNECTIONS,
             log: VecDeque::new(),
             log_start: 0,
             leader: Some(0),
@@ -245,14 +245,14 @@
     format!("server-{server}")
 }
 
-struct Server {
+struct Replica {
     state: State,
     /// Commands taken in.
     applied: u64,
     faults: Faults,
 }
 
-struct Link {
+struct ClientConnection {
     conn: TcpConnection,
     server: usize,
     reader: MessageReader,
@@ -260,16 +260,16 @@
 }
 
 /// Who read it, its index, whether it was read consistently, and the body.
-type Watched = (String, u64, bool, Vec<u8>);
+type ObservedRead = (String, u64, bool, Vec<u8>);
 
-struct Answer {
+struct Response {
     token: u64,
     bytes: Vec<u8>,
     cut: bool,
-    watched: Option<Watched>,
+    watched: Option<ObservedRead>,
 }
 
-struct Parked {
+struct BlockedQuery {
     token: u64,
     server: usize,
     read: ReadRequest,
@@ -277,22 +277,22 @@
     who: String,
 }
 
-struct Run {
+struct ServerLoop {
     poller: Poller,
     listeners: Vec<TcpListener>,
     clock: Clock,
     settings: EmulatorSettings,
-    servers: Vec<Server>,
+    servers: Vec<Replica>,
     rng: Pcg64Mcg,
-    conns: HashMap<u64, Link>,
+    conns: HashMap<u64, ClientConnection>,
     next: u64,
     log: VecDeque<(u64, Command)>,
     log_start: u64,
     leader: Option<usize>,
     next_leader: usize,
     leader_back: u64,
-    parked: Vec<Parked>,
-    delayed: Timers<Answer>,
+    parked: Vec<BlockedQuery>,
+    delayed: Timers<Response>,
     /// When sessions and TTL checks were last renewed.
     renewed: HashMap<String, u64>,
     requests: u64,
@@ -302,7 +302,7 @@
     ended: bool,
 }
 
-impl Run {
+impl ServerLoop {
     fn run(&mut self) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
         while !self.ended {
@@ -319,8 +319,8 @@
             )?;
             for r in &ready {
                 match r.token {
-                    WAKER => self.controlled(),
-                    token if token >= CONNS => self.link_ready(token, r),
+                    WAKER => self.handle_control(),
+                    token if token >= CONNECTIONS => self.handle_connection(token, r),
                     token => self.accept((token - LISTENERS) as usize),
                 }
             }
@@ -329,7 +329,7 @@
         Ok(())
     }
 
-    fn controlled(&mut self) {
+    fn handle_control(&mut self) {
         let _ = rustix::io::read(&self.waker, &mut [0u8; 8]);
         let controls = std::mem::take(&mut *lock(&self.controls));
         for control in controls {
@@ -353,7 +353,7 @@
         }
     }
 
-    fn rand(&mut self) -> f64 {
+    fn uniform(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
@@ -362,7 +362,9 @@
         let now = self.clock.now();
         let leader = self.leader.unwrap_or(0);
         if let Some(locks) = &self.settings.lock_observer {
-            self.servers[leader].state.lock_news(&command, &**locks);
+            self.servers[leader]
+                .state
+                .notify_lock_events(&command, &**locks);
         }
         self.log.push_back((now, command));
         self.catch_up(leader, u64::MAX);
@@ -388,7 +390,7 @@
             self.renewed.values_mut().for_each(|at| *at = now);
         }
         for server in 0..self.servers.len() {
-            if Some(server) != self.leader && !self.servers[server].faults.frozen {
+            if Some(server) != self.leader && !self.servers[server].faults.is_frozen {
                 self.catch_up(server, now.saturating_sub(self.settings.lag_us));
             }
         }
@@ -403,9 +405,10 @@
         }
         let mut still = Vec::new();
         for parked in std::mem::take(&mut self.parked) {
-            let state = self.state_for(parked.server, &parked.read);
-            let moved = state
-                .is_none_or(|s| parked.read.index_in(&self.servers[s].state) > parked.read.index);
+            let state = self.replica_for(parked.server, &parked.read);
+            let moved = state.is_none_or(|s| {
+                parked.read.blocking_index(&self.servers[s].state) > parked.read.index
+            });
             if moved || parked.until <= now {
                 self.answer_read(parked.token, parked.server, &parked.read, &parked.who);
             } else {
@@ -465,7 +468,7 @@
                 );
                 self.conns.insert(
                     self.next,
-                    Link {
+                    ClientConnection {
                         conn,
                         server,
                         reader,
@@ -476,19 +479,19 @@
         }
     }
 
-    fn drop_link(&mut self, token: u64) {
+    fn drop_connection(&mut self, token: u64) {
         self.conns.remove(&token);
         self.parked.retain(|p| p.token != token);
     }
 
-    fn link_ready(&mut self, token: u64, r: &Readiness) {
+    fn handle_connection(&mut self, token: u64, r: &Readiness) {
         let Some(link) = self.conns.get_mut(&token) else {
             return;
         };
         if link.conn.flush(&self.poller).is_err()
             || (link.closing && link.conn.unwritten_bytes() == 0)
         {
-            self.drop_link(token);
+            self.drop_connection(token);
             return;
         }
         if !r.is_readable {
@@ -500,7 +503,7 @@
                 Ok((ReadResult::Message(message), used)) => {
                     link.conn.consume(used);
                     let server = link.server;
-                    self.request(token, server, &message);
+                    self.handle_request(token, server, &message);
                 }
                 Ok((ReadResult::ExpectsContinue, used)) => {
                     link.conn.consume(used);
@@ -514,17 +517,17 @@
                     break;
                 }
                 Err(_) => {
-                    self.drop_link(token);
+                    self.drop_connection(token);
                     return;
                 }
             }
         }
         if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-            self.drop_link(token);
+            self.drop_connection(token);
         }
     }
 
-    fn request(&mut self, token: u64, server: usize, message: &Message) {
+    fn handle_request(&mut self, token: u64, server: usize, message: &Message) {
         self.requests += 1;
         self.counts[0].fetch_add(1, Ordering::Relaxed);
         let what = parse_request(message, &node_name(server), self.requests);
@@ -532,7 +535,7 @@
             self.servers[server].faults.affects_writes || matches!(what, Request::Read(_));
         if let Some((status, share)) = self.servers[server].faults.error_status
             && suffers
-            && self.rand() < share
+            && self.uniform() < share
         {
             let text = if status == 429 {
                 "Your IP is issuing too many concurrent connections"
@@ -565,7 +568,7 @@
             }
         }
         match what {
-            Request::Answer(status, body) => {
+            Request::Response(status, body) => {
                 let text = body
                     .as_str()
                     .map_or_else(|| body.to_string(), str::to_owned);
@@ -582,14 +585,15 @@
                     .parse_field("user-agent")
                     .unwrap_or("")
                     .to_owned();
-                let state = self.state_for(server, &read);
+                let state = self.replica_for(server, &read);
                 let blocks = read.index > 0
-                    && state.is_some_and(|s| read.index_in(&self.servers[s].state) <= read.index);
+                    && state
+                        .is_some_and(|s| read.blocking_index(&self.servers[s].state) <= read.index);
                 if blocks {
                     // Up to a sixteenth of the wait is added, so that not all come back at once.
-                    let jitter = (self.rand() * (read.wait_us / 16) as f64) as u64;
+                    let jitter = (self.uniform() * (read.wait_us / 16) as f64) as u64;
                     let until = self.clock.now() + read.wait_us + jitter;
-                    self.parked.push(Parked {
+                    self.parked.push(BlockedQuery {
                         token,
                         server,
                         read,
@@ -605,14 +609,14 @@
                     self.answer(token, server, 500, b"No cluster leader", None);
                     return;
                 }
-                let (status, body) = self.write_asked(write, &node_name(server));
+                let (status, body) = self.execute_write(write, &node_name(server));
                 self.answer(token, server, status, &body, None);
             }
         }
     }
 
     /// The server whose state answers a read; none without a leader where one is needed.
-    fn state_for(&self, server: usize, read: &ReadRequest) -> Option<usize> {
+    fn replica_for(&self, server: usize, read: &ReadRequest) -> Option<usize> {
         if read.stale || matches!(read.resource, Resource::Members) {
             Some(server)
         } else {
@@ -621,7 +625,7 @@
     }
 
     fn answer_read(&mut self, token: u64, server: usize, read: &ReadRequest, who: &str) {
-        let Some(from) = self.state_for(server, read) else {
+        let Some(from) = self.replica_for(server, read) else {
             self.answer(token, server, 500, b"No cluster leader", None);
             return;
         };
@@ -632,7 +636,9 @@
             &self.settings.datacentre
         };
         let state = &self.servers[from].state;
-        let index = read.index_in(state).saturating_sub(faults.index_offset);
+        let index = read
+            .blocking_index(state)
+            .saturating_sub(faults.index_offset);
         let (status, mut body) = read.answer(state, dc);
         if faults.empty_lists && !read.consistent {
             body = b"[]".to_vec();
@@ -648,21 +654,21 @@
             && read.filter.is_empty()
             && self.settings.answer_observer.is_some();
         let watched = watched.then(|| (who.to_owned(), index, read.consistent, body.clone()));
-        self.answer_with(token, server, status, &body, Some(index), watched);
+        self.respond_observed(token, server, status, &body, Some(index), watched);
     }
 
     fn answer(&mut self, token: u64, server: usize, status: u16, body: &[u8], index: Option<u64>) {
-        self.answer_with(token, server, status, body, index, None);
+        self.respond_observed(token, server, status, body, index, None);
     }
 
-    fn answer_with(
+    fn respond_observed(
         &mut self,
         token: u64,
         server: usize,
         status: u16,
         body: &[u8],
         index: Option<u64>,
-        watched: Option<Watched>,
+        watched: Option<ObservedRead>,
     ) {
         let known = if self.leader.is_some() {
             "true"
@@ -701,11 +707,11 @@
         } else {
             (0, 0.0)
         };
-        let cut = self.rand() < cut;
+        let cut = self.uniform() < cut;
         if cut {
             bytes.truncate(bytes.len() - body.len() / 2 - 1);
         }
-        let answer = Answer {
+        let answer = Response {
             token,
             bytes,
             cut,
@@ -718,7 +724,7 @@
         }
     }
 
-    fn write(&mut self, answer: Answer) {
+    fn write(&mut self, answer: Response) {
         let token = answer.token;
         self.counts[1].fetch_add(answer.bytes.len() as u64, Ordering::Relaxed);
         let Some(link) = self.conns.get_mut(&token) else {
@@ -733,7 +739,7 @@
         }
         let broken = link.conn.flush(&self.poller).is_err();
         if broken || (link.closing && link.conn.unwritten_bytes() == 0) {
-            self.drop_link(token);
+            self.drop_connection(token);
         }
     }
 
@@ -741,7 +747,7 @@
         &self.servers[self.leader.unwrap_or(0)].state
     }
 
-    fn write_asked(&mut self, write: WriteRequest, node: &str) -> (u16, Vec<u8>) {
+    fn execute_write(&mut self, write: WriteRequest, node: &str) -> (u16, Vec<u8>) {
         let now = self.clock.now();
         let json = |value: Value| {
             if value.is_null() {
@@ -779,10 +785,10 @@
                 if session_gone {
                     return (500, b"invalid session".to_vec());
                 }
-                let fine = cas.is_none_or(|cas| state.modified(&key) == cas)
+                let fine = cas.is_none_or(|cas| state.modify_index(&key) == cas)
                     && match &lock {
                         LockChange::Unchanged => true,
-                        LockChange::Acquire(session) => state.may_lock(&key, session, now),
+                        LockChange::Acquire(session) => state.can_lock(&key, session, now),
                         LockChange::Release(session) => state.holds_lock(&key, session),
                     };
                 if fine {
@@ -798,10 +804,10 @@
             WriteRequest::CreateSession(session) => {
                 let id = session.id.clone();
                 self.renewed.insert(id.clone(), now);
-                self.commit(Command::Begin(session));
+                self.commit(Command::CreateSession(session));
                 json(json!({"ID": id}))
             }
-            WriteRequest::Renew(id) => match self.leader_state().session(&id) {
+            WriteRequest::RenewSession(id) => match self.leader_state().session(&id) {
                 Some(session) => {
                     self.renewed.insert(id, now);
                     json(json!([session]))
@@ -844,8 +850,8 @@
                             service: Some(id),
                         });
                     }
-                    Some((true, why)) => self.set_aside(node, check, id, name, why),
-                    Some((false, _)) => self.commit(Command::DropCheck {
+                    Some((true, why)) => self.enter_maintenance(node, check, id, name, why),
+                    Some((false, _)) => self.commit(Command::DeregisterCheck {
                         node: node.to_owned(),
                         check,
                     }),
@@ -855,9 +861,9 @@
             WriteRequest::NodeMaintenance(on, why) => {
                 let check = "_node_maintenance".to_owned();
                 if on {
-                    self.set_aside(node, check, String::new(), String::new(), why);
+                    self.enter_maintenance(node, check, String::new(), String::new(), why);
                 } else {
-                    self.commit(Command::DropCheck {
+                    self.commit(Command::DeregisterCheck {
                         node: node.to_owned(),
                         check,
                     });
@@ -867,7 +873,7 @@
         }
     }
 
-    fn set_aside(
+    fn enter_maintenance(
         &mut self,
         node: &str,
         id: String,
--- a/crates/consul-emulator/src/state.rs
+++ b/crates/consul-emulator/src/state.rs
@@ -30,9 +30,9 @@
         output: String,
     },
     /// A check is gone.
-    DropCheck { node: String, check: String },
+    DeregisterCheck { node: String, check: String },
     /// A session begins.
-    Begin(Session),
+    CreateSession(Session),
     /// A session ends, and lets go of its locks.
     EndSession { session: String, at: u64 },
     /// A key's value; with what becomes of its lock.
@@ -43,7 +43,7 @@
         lock: LockChange,
     },
     /// A key is gone, or all under a prefix.
-    Delete { key: String, recurse: bool },
+    DeleteKeys { key: String, recurse: bool },
     /// An agent's status in the gossip pool.
     SetMember {
         name: String,
@@ -108,21 +108,21 @@
 }
 
 #[derive(Clone, Debug)]
-struct Instance {
+struct ServiceInstance {
     service: Service,
     created: u64,
     modified: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Probe {
+struct RegisteredCheck {
     check: Check,
     created: u64,
     modified: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Key {
+struct KeyEntry {
     value: String,
     flags: u64,
     session: Option<String>,
@@ -137,12 +137,12 @@
     /// The index of the last command.
     pub index: u64,
     nodes: BTreeMap<String, Node>,
-    instances: BTreeMap<(String, String), Instance>,
-    checks_by_id: BTreeMap<(String, String), Probe>,
+    instances: BTreeMap<(String, String), ServiceInstance>,
+    checks_by_id: BTreeMap<(String, String), RegisteredCheck>,
     pub sessions: BTreeMap<String, (Session, u64)>,
-    keys: BTreeMap<String, Key>,
+    keys: BTreeMap<String, KeyEntry>,
     /// Until when nobody may lock a key, µs.
-    delays: BTreeMap<String, u64>,
+    lock_delays: BTreeMap<String, u64>,
     members: BTreeMap<String, (String, i64)>,
     service_index: BTreeMap<String, u64>,
     nodes_index: u64,
@@ -183,10 +183,10 @@
                 if let Some(service) = service {
                     let key = (node.clone(), service.id.clone());
                     let created = self.instances.get(&key).map_or(index, |i| i.created);
-                    self.touch(&service.name);
+                    self.touch_service(&service.name);
                     self.instances.insert(
                         key,
-                        Instance {
+                        ServiceInstance {
                             service: service.clone(),
                             created,
                             modified: index,
@@ -198,7 +198,7 @@
                     let created = self.checks_by_id.get(&key).map_or(index, |p| p.created);
                     self.checks_by_id.insert(
                         key,
-                        Probe {
+                        RegisteredCheck {
                             check: check.clone(),
                             created,
                             modified: index,
@@ -212,7 +212,7 @@
                 service: Some(id),
             } => {
                 if let Some(gone) = self.instances.remove(&(node.clone(), id.clone())) {
-                    self.touch(&gone.service.name);
+                    self.touch_service(&gone.service.name);
                 }
                 self.checks_by_id
                     .retain(|(n, _), p| n != node || p.check.service_id != *id);
@@ -246,12 +246,12 @@
                     self.touch_check(node, &service);
                 }
             }
-            Command::DropCheck { node, check } => {
+            Command::DeregisterCheck { node, check } => {
                 if let Some(gone) = self.checks_by_id.remove(&(node.clone(), check.clone())) {
                     self.touch_check(node, &gone.check.service_name);
                 }
             }
-            Command::Begin(session) => {
+            Command::CreateSession(session) => {
                 self.sessions
                     .insert(session.id.clone(), (session.clone(), index));
                 self.sessions_index = index;
@@ -267,7 +267,7 @@
                         key.session = None;
                         key.modified = index;
                         self.keys_index = index;
-                        self.delays.insert(name.clone(), at + gone.lock_delay);
+                        self.lock_delays.insert(name.clone(), at + gone.lock_delay);
                         if gone.behavior == "delete" {
                             dropped.push(name.clone());
                         }
@@ -281,7 +281,7 @@
                 flags,
                 lock,
             } => {
-                let entry = self.keys.entry(key.clone()).or_insert(Key {
+                let entry = self.keys.entry(key.clone()).or_insert(KeyEntry {
                     value: String::new(),
                     flags: 0,
                     session: None,
@@ -300,7 +300,7 @@
                 }
                 self.keys_index = index;
             }
-            Command::Delete { key, recurse } => {
+            Command::DeleteKeys { key, recurse } => {
                 self.keys.retain(|name, _| {
                     if *recurse {
                         !name.starts_with(key.as_str())
@@ -322,7 +322,7 @@
     }
 
     /// Tells what a command that is about to be applied does to locks.
-    pub fn lock_news(&self, command: &Command, tell: &dyn Fn(LockEvent<'_>)) {
+    pub fn notify_lock_events(&self, command: &Command, tell: &dyn Fn(LockEvent<'_>)) {
         match command {
             Command::PutKey {
                 key,
@@ -348,7 +348,7 @@
         }
     }
 
-    fn touch(&mut self, service: &str) {
+    fn touch_service(&mut self, service: &str) {
         self.service_index.insert(service.to_owned(), self.index);
     }
 
@@ -359,7 +359,7 @@
             .filter(|((n, _), _)| n == node)
             .map(|(_, i)| i.service.name.clone())
             .collect();
-        names.iter().for_each(|name| self.touch(name));
+        names.iter().for_each(|name| self.touch_service(name));
     }
 
     /// A check of a service, or of a node with all its services, has changed.
@@ -368,13 +368,13 @@
         if service.is_empty() {
             self.touch_node(node)
         } else {
-            self.touch(service)
+            self.touch_service(service)
         }
     }
 
     /// Whether a session may lock a key now.
-    pub fn may_lock(&self, key: &str, session: &str, now: u64) -> bool {
-        let delayed = self.delays.get(key).is_some_and(|&until| until > now);
+    pub fn can_lock(&self, key: &str, session: &str, now: u64) -> bool {
+        let delayed = self.lock_delays.get(key).is_some_and(|&until| until > now);
         let holder = self.keys.get(key).and_then(|k| k.session.as_deref());
         self.sessions.contains_key(session)
             && (holder == Some(session) || (holder.is_none() && !delayed))
@@ -388,7 +388,7 @@
     }
 
     /// A key's modify index; 0 if there is none.
-    pub fn modified(&self, key: &str) -> u64 {
+    pub fn modify_index(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.modified)
     }
 
@@ -446,7 +446,7 @@
         })
     }
 
-    fn check_json(node: &str, probe: &Probe) -> Value {
+    fn check_json(node: &str, probe: &RegisteredCheck) -> Value {
         let c = &probe.check;
         json!({
             "Node": node, "CheckID": c.id, "Name": c.name, "Status": c.status, "Notes": "", "Output": c.output,
@@ -458,7 +458,7 @@
 
     /// Entries of `/v1/health/service/:name`.
     pub fn health_service(&self, service: &str, dc: &str, passing: bool) -> Vec<Value> {
-        let of = |(node, id): &(String, String), instance: &Instance| {
+        let of = |(node, id): &(String, String), instance: &ServiceInstance| {
             let s = &instance.service;
             let checks = self.checks_by_id.range((node.clone(), String::new())..);
             let checks = checks.take_while(|((n, _), _)| n == node);
@@ -488,7 +488,7 @@
 
     /// Entries of `/v1/catalog/service/:name`.
     pub fn catalog_service(&self, service: &str, dc: &str) -> Vec<Value> {
-        let of = |(node, _): &(String, String), i: &Instance| {
+        let of = |(node, _): &(String, String), i: &ServiceInstance| {
             let s = &i.service;
             let n = self.node_json(node, dc);
             json!({
@@ -516,7 +516,7 @@
 
     /// Entries of `/v1/health/node/:node`, or of `/v1/health/state/:state`.
     pub fn checks(&self, node: Option<&str>, state: Option<&str>) -> Vec<Value> {
-        let wanted = |(n, _): &(String, String), p: &Probe| {
+        let wanted = |(n, _): &(String, String), p: &RegisteredCheck| {
             node.is_none_or(|node| node == n)
                 && state.is_none_or(|s| s == "any" || s == p.check.status)
         };
@@ -557,7 +557,7 @@
                 name == key
             }
         };
-        let of = |(name, k): (&String, &Key)| {
+        let of = |(name, k): (&String, &KeyEntry)| {
             let mut entry = Map::new();
             entry.insert("LockIndex".into(), json!(k.locks));
             entry.insert("Key".into(), json!(name));
--- a/crates/consul-emulator/tests/bodies.rs
+++ b/crates/consul-emulator/tests/bodies.rs
@@ -9,7 +9,7 @@
 use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role};
 use serde_json::{Value, json};
 
-fn call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
+fn http_call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
     let mut stream = TcpStream::connect(at).expect("the stand-in listens");
     let body = if body.is_null() {
         String::new()
@@ -42,24 +42,28 @@
 }
 
 /// The same body with all keys in lower case, but those of maps that users fill.
-fn lower(value: &Value) -> Value {
+fn with_lower_case_keys(value: &Value) -> Value {
     match value {
         Value::Object(fields) => {
             let one = |(key, value): (&String, &Value)| {
                 let user = key == "Meta" || key == "NodeMeta";
                 (
                     key.to_lowercase(),
-                    if user { value.clone() } else { lower(value) },
+                    if user {
+                        value.clone()
+                    } else {
+                        with_lower_case_keys(value)
+                    },
                 )
             };
             Value::Object(fields.iter().map(one).collect())
         }
-        Value::Array(items) => items.iter().map(lower).collect(),
+        Value::Array(items) => items.iter().map(with_lower_case_keys).collect(),
         other => other.clone(),
     }
 }
 
-fn keys(value: &Value) -> Vec<String> {
+fn field_names(value: &Value) -> Vec<String> {
     value
         .as_object()
         .map(|o| o.keys().cloned().collect())
@@ -67,19 +71,19 @@
 }
 
 #[test]
-fn bodies_mean_the_same_whatever_the_case_of_their_keys() {
+fn accepts_bodies_whatever_the_case_of_their_keys() {
     let service = json!({
         "Name": "web", "ID": "web-1", "Port": 8000, "Tags": ["a"], "Meta": {"Zone": "A"}, "EnableTagOverride": true,
         "Check": {"TTL": "10s", "Status": "passing"},
         "Checks": [{"CheckID": "disk", "Name": "disk", "TTL": "500ms"}, {"Name": "third", "TTL": "1m30s"}],
     });
     let mut read = Vec::new();
-    for body in [service.clone(), lower(&service)] {
+    for body in [service.clone(), with_lower_case_keys(&service)] {
         let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
         let at = servers.addresses[0];
-        let (status, answer) = call(at, "PUT", "/v1/agent/service/register", &body);
+        let (status, answer) = http_call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 200, "{answer}");
-        let (_, mut list) = call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+        let (_, mut list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
         for check in list[0]["Checks"].as_array_mut().expect("checks") {
             check["Output"] = json!("");
         }
@@ -104,7 +108,7 @@
 }
 
 #[test]
-fn registrations_sessions_and_checks_take_lower_case_and_all_spans() {
+fn accepts_lower_case_keys_and_every_duration_format() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let at = servers.addresses[0];
     let node = json!({
@@ -112,8 +116,8 @@
         "service": {"id": "h1", "service": "hosts", "port": 9},
         "check": {"checkid": "c1", "name": "c", "status": "passing", "serviceid": "h1"},
     });
-    assert_eq!(call(at, "PUT", "/v1/catalog/register", &node).0, 200);
-    let (_, list) = call(
+    assert_eq!(http_call(at, "PUT", "/v1/catalog/register", &node).0, 200);
+    let (_, list) = http_call(
         at,
         "GET",
         "/v1/health/service/hosts?consistent",
@@ -131,11 +135,11 @@
         (json!([1]), false),
     ] {
         let body = json!({"name": "s", "ttl": ttl, "lockdelay": "1s", "behavior": "delete"});
-        let (status, answer) = call(at, "PUT", "/v1/session/create", &body);
+        let (status, answer) = http_call(at, "PUT", "/v1/session/create", &body);
         assert_eq!(status == 200, fine, "{ttl}: {status} {answer}");
         if fine {
             let id = answer["ID"].as_str().expect("an id").to_owned();
-            let (_, info) = call(
+            let (_, info) = http_call(
                 at,
                 "GET",
                 &format!("/v1/session/info/{id}?consistent"),
@@ -145,13 +149,16 @@
         }
     }
     let check = json!({"name": "own", "checkid": "own", "ttl": "30s", "status": "warning"});
-    assert_eq!(call(at, "PUT", "/v1/agent/check/register", &check).0, 200);
+    assert_eq!(
+        http_call(at, "PUT", "/v1/agent/check/register", &check).0,
+        200
+    );
     let update = json!({"status": "passing", "output": "well"});
     assert_eq!(
-        call(at, "PUT", "/v1/agent/check/update/own", &update).0,
+        http_call(at, "PUT", "/v1/agent/check/update/own", &update).0,
         200
     );
-    let (_, passing) = call(
+    let (_, passing) = http_call(
         at,
         "GET",
         "/v1/health/state/passing?consistent",
@@ -168,8 +175,8 @@
         (Some("well"), Some("ttl"))
     );
     let gone = json!({"node": "n1", "serviceid": "h1"});
-    assert_eq!(call(at, "PUT", "/v1/catalog/deregister", &gone).0, 200);
-    let (_, list) = call(
+    assert_eq!(http_call(at, "PUT", "/v1/catalog/deregister", &gone).0, 200);
+    let (_, list) = http_call(
         at,
         "GET",
         "/v1/health/service/hosts?consistent",
@@ -179,7 +186,7 @@
 }
 
 #[test]
-fn what_can_not_be_decoded_is_named() {
+fn names_the_field_that_cannot_be_decoded() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
     let at = servers.addresses[0];
     for (body, key) in [
@@ -192,14 +199,14 @@
         ),
         (json!({"Name": "web", "Check": {"TTL": "soon"}}), "TTL"),
     ] {
-        let (status, why) = call(at, "PUT", "/v1/agent/service/register", &body);
+        let (status, why) = http_call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 400, "{body}");
         assert!(
             why.as_str().is_some_and(|w| w.contains(key)),
             "{body}: {why}"
         );
     }
-    let (_, list) = call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+    let (_, list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
     assert_eq!(list, json!([]), "nothing of it was taken");
 }
 
@@ -209,18 +216,18 @@
     let at = servers.addresses[0];
     let service = json!({"Name": "web", "Port": 80, "Check": {"TTL": "10s", "Status": "passing"}});
     assert_eq!(
-        call(at, "PUT", "/v1/agent/service/register", &service).0,
+        http_call(at, "PUT", "/v1/agent/service/register", &service).0,
         200
     );
     let has = |value: &Value, wanted: &[&str]| {
-        let found = keys(value);
+        let found = field_names(value);
         let missing: Vec<&&str> = wanted
             .iter()
             .filter(|w| !found.iter().any(|f| f == *w))
             .collect();
         assert!(missing.is_empty(), "{missing:?} missing in {found:?}");
     };
-    let (_, health) = call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+    let (_, health) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
     has(&health[0], &["Node", "Service", "Checks"]);
     has(
         &health[0]["Node"],
@@ -261,7 +268,7 @@
         "ServiceTags",
     ];
     has(&health[0]["Checks"][0], &wanted);
-    let (_, catalog) = call(
+    let (_, catalog) = http_call(
         at,
         "GET",
         "/v1/catalog/service/web?consistent",
@@ -286,7 +293,7 @@
         "ServiceEnableTagOverride",
     ];
     has(&catalog[0], &wanted);
-    let (_, nodes) = call(at, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
+    let (_, nodes) = http_call(at, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
     has(
         &nodes[0],
         &[
@@ -298,7 +305,7 @@
             "Meta",
         ],
     );
-    let (_, members) = call(at, "GET", "/v1/agent/members", &Value::Null);
+    let (_, members) = http_call(at, "GET", "/v1/agent/members", &Value::Null);
     has(
         &members[0],
         &[
--- a/crates/consul-emulator/tests/client_library.rs
+++ b/crates/consul-emulator/tests/client_library.rs
@@ -34,7 +34,7 @@
     }
 }
 
-async fn drive(address: String, token: Option<String>) {
+async fn exercise_client(address: String, token: Option<String>) {
     let mut config = Config {
         address,
         token,
@@ -108,13 +108,16 @@
 }
 
 #[test]
-fn a_public_client_library_works_against_it() {
+fn public_client_library_works_against_the_emulator() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
-    runtime.block_on(drive(format!("http://{}", servers.addresses[0]), None));
+    runtime.block_on(exercise_client(
+        format!("http://{}", servers.addresses[0]),
+        None,
+    ));
     // With tokens: only those that may.
     let tokens = vec![("writer".to_owned(), true), ("reader".to_owned(), false)];
     let servers = Servers::start(EmulatorSettings {
@@ -123,7 +126,7 @@
     })
     .expect("servers");
     let address = format!("http://{}", servers.addresses[0]);
-    runtime.block_on(drive(address.clone(), Some("writer".to_owned())));
+    runtime.block_on(exercise_client(address.clone(), Some("writer".to_owned())));
     for token in [None, Some("reader".to_owned())] {
         let consul = Consul::new(Config {
             address: address.clone(),
--- a/crates/consul/src/catalogue.rs
+++ b/crates/consul/src/catalogue.rs
@@ -8,7 +8,7 @@
 use maplethread_config::{HostEntry, HostState};
 use serde::Deserialize;
 
-use crate::rows::{RowReader, Rows};
+use crate::json_rows::{RowReader, Rows};
 
 /// The status of a check, best first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,7 +48,7 @@
 
 impl MemberStatus {
     /// By Serf's number.
-    pub fn from_number(number: i64) -> MemberStatus {
+    pub fn from_serf_status(number: i64) -> MemberStatus {
         match number {
             2 => MemberStatus::Leaving,
             3 => MemberStatus::Left,
@@ -71,7 +71,7 @@
 
 /// A host as the catalogue has it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct CatalogueEntry {
     /// The host; its state is that of its checks.
     pub host: HostEntry,
     /// The node that it runs on.
@@ -93,13 +93,13 @@
 }
 
 /// Hosts by name. An entry that stands as it did in the last answer is the same one.
-pub type Entries = BTreeMap<String, Arc<Entry>>;
+pub type EntriesByHost = BTreeMap<String, Arc<CatalogueEntry>>;
 
 /// What an answer holds.
 #[derive(Clone, Debug, Default)]
 pub struct HostList {
     /// Hosts by name.
-    pub entries: Entries,
+    pub entries: EntriesByHost,
     /// What could not be used.
     pub invalid_entries: Vec<InvalidEntry>,
     /// The datacentres that entries name.
@@ -174,67 +174,67 @@
 }
 
 /// The longest name or metadata value that is taken in.
-const MOST_TEXT: usize = 200;
+const MAX_TEXT_LENGTH: usize = 200;
 /// Bad entries that are told one by one.
-const MOST_BAD: usize = 100;
+const MAX_INVALID_ENTRIES: usize = 100;
 /// A start later than this is a mistake (the year 2100, Unix time in ms).
-const LATEST_START: u64 = 4_102_444_800_000;
+const MAX_START_MS: u64 = 4_102_444_800_000;
 
 /// What a row of an answer came to.
 #[derive(Debug)]
-pub struct Parsed {
+pub struct ParsedRow {
     datacentre: String,
     /// The entry, or its service id, as far as it can be read, and what is wrong.
-    entry: Result<Arc<Entry>, (String, String)>,
+    entry: Result<Arc<CatalogueEntry>, (String, String)>,
 }
 
 /// The rows of the last answer.
-pub type Answer = Rows<Arc<Parsed>>;
+pub type HostRows = Rows<Arc<ParsedRow>>;
 
 /// The body of `/v1/health/service/:name` on its way in.
 #[derive(Debug)]
-pub struct Listing {
-    rows: RowReader<Arc<Parsed>>,
-    listed: HostList,
+pub struct HostListReader {
+    rows: RowReader<Arc<ParsedRow>>,
+    list: HostList,
 }
 
-impl Listing {
+impl HostListReader {
     /// Begins to read an answer; rows that stand as they did in the last one are not parsed again.
-    pub fn new(body: Vec<u8>, last: Answer, known: &KnownNames) -> Listing {
-        Listing {
+    pub fn new(body: Vec<u8>, last: HostRows, known: &KnownNames) -> HostListReader {
+        HostListReader {
             rows: RowReader::new(body, last, known.max_entries),
-            listed: HostList::default(),
+            list: HostList::default(),
         }
     }
 
     /// Reads on for as much work as is left, and tells whether that was all. An error means that the body as a whole
     /// is no list.
     pub fn step(&mut self, work: &mut usize, known: &KnownNames) -> Result<bool, String> {
-        let listed = &mut self.listed;
+        let listed = &mut self.list;
         self.rows.step(
             work,
-            |raw| Arc::new(parsed(raw, known)),
+            |raw| Arc::new(parse_row(raw, known)),
             |number, row| listed.add(number, row),
         )
     }
 
     /// What the answer holds, and its rows for the next one to be compared with. Of an answer that was no list, the
     /// rows are those of the one before.
-    pub fn finish(self) -> (HostList, Answer) {
-        (self.listed, self.rows.into_rows())
+    pub fn finish(self) -> (HostList, HostRows) {
+        (self.list, self.rows.into_rows())
     }
 }
 
 /// Reads the body of `/v1/health/service/:name` at once.
 pub fn read_host_list(body: &[u8], known: &KnownNames) -> Result<HostList, String> {
-    let mut listing = Listing::new(body.to_vec(), Answer::default(), known);
+    let mut listing = HostListReader::new(body.to_vec(), HostRows::default(), known);
     let mut work = usize::MAX;
     while !listing.step(&mut work, known)? {}
     Ok(listing.finish().0)
 }
 
 impl HostList {
-    fn add(&mut self, number: usize, row: &Parsed) {
+    fn add(&mut self, number: usize, row: &ParsedRow) {
         if !row.datacentre.is_empty()
             && self.datacentres.len() < 16
             && !self.datacentres.contains(&row.datacentre)
@@ -258,7 +258,7 @@
             },
             Err((name, why)) => (name, why.clone()),
         };
-        if self.invalid_entries.len() < MOST_BAD {
+        if self.invalid_entries.len() < MAX_INVALID_ENTRIES {
             self.invalid_entries.push(InvalidEntry {
                 position: number,
                 name: name.clone(),
@@ -268,21 +268,21 @@
     }
 }
 
-fn parsed(raw: &str, known: &KnownNames) -> Parsed {
+fn parse_row(raw: &str, known: &KnownNames) -> ParsedRow {
     let mut datacentre = String::new();
     let entry = serde_json::from_str::<RawEntry>(raw)
         .map_err(|e| e.to_string())
         .and_then(|entry| {
             datacentre.clone_from(&entry.node.datacenter);
-            host(entry, known)
+            parse_host(entry, known)
         });
-    let short = |text: &str| text.chars().take(MOST_TEXT).collect();
+    let short = |text: &str| text.chars().take(MAX_TEXT_LENGTH).collect();
     let entry = entry.map(Arc::new).map_err(|why| {
         let name =
             serde_json::from_str::<NameOnly>(raw).map_or_else(|_| "?".to_owned(), |n| n.service.id);
         (short(&name), short(&why))
     });
-    Parsed {
+    ParsedRow {
         datacentre: short(&datacentre),
         entry,
     }
@@ -292,7 +292,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListDifferences {
     /// Hosts that are gone, or changed and now get nothing new.
-    pub worse: Vec<String>,
+    pub degraded: Vec<String>,
     /// Others that are new or changed.
     pub other: Vec<String>,
     /// How many are gone.
@@ -301,8 +301,8 @@
 
 impl ListDifferences {
     /// Walks through both lists.
-    pub fn between(before: &Entries, after: &Entries) -> ListDifferences {
-        let same = |a: &Arc<Entry>, b: &Arc<Entry>| Arc::ptr_eq(a, b) || a == b;
+    pub fn between(before: &EntriesByHost, after: &EntriesByHost) -> ListDifferences {
+        let same = |a: &Arc<CatalogueEntry>, b: &Arc<CatalogueEntry>| Arc::ptr_eq(a, b) || a == b;
         let (mut before, mut after) = (before.iter().peekable(), after.iter().peekable());
         let mut found = ListDifferences::default();
         loop {
@@ -327,9 +327,9 @@
                 (_, Some((name, new))) if new.host.state == HostState::Ready => {
                     found.other.push(name.clone());
                 }
-                (_, Some((name, _))) => found.worse.push(name.clone()),
+                (_, Some((name, _))) => found.degraded.push(name.clone()),
                 (Some((name, _)), None) => {
-                    found.worse.push(name.clone());
+                    found.degraded.push(name.clone());
                     found.removed_count += 1;
                 }
                 (None, None) => {}
@@ -339,19 +339,20 @@
 
     /// Whether the lists say the same.
     pub fn is_empty(&self) -> bool {
-        self.worse.is_empty() && self.other.is_empty()
+        self.degraded.is_empty() && self.other.is_empty()
     }
 }
 
-fn host(raw: RawEntry, known: &KnownNames) -> Result<Entry, String> {
+fn parse_host(raw: RawEntry, known: &KnownNames) -> Result<CatalogueEntry, String> {
     let named = |what: &str, text: &str| {
-        let fine =
-            !text.is_empty() && text.len() <= MOST_TEXT && !text.chars().any(char::is_control);
+        let fine = !text.is_empty()
+            && text.len() <= MAX_TEXT_LENGTH
+            && !text.chars().any(char::is_control);
         if fine {
             Ok(())
         } else {
             Err(format!(
-                "{what}: 1 to {MOST_TEXT} bytes without control characters"
+                "{what}: 1 to {MAX_TEXT_LENGTH} bytes without control characters"
             ))
         }
     };
@@ -382,7 +383,7 @@
             let ms = text
                 .parse::<u64>()
                 .ok()
-                .filter(|&ms| ms > 0 && ms < LATEST_START);
+                .filter(|&ms| ms > 0 && ms < MAX_START_MS);
             Some(ms.ok_or_else(|| "started_ms: not a time in ms since 1970".to_owned())?)
         }
     };
@@ -396,7 +397,7 @@
         .map_err(|_| "address: not an IP address".to_owned())?;
     let port = u16::try_from(raw.service.port).ok().filter(|&p| p > 0);
     let port = port.ok_or_else(|| format!("port {}: out of range", raw.service.port))?;
-    let status = worst(&raw.checks);
+    let status = worst_status(&raw.checks);
     let host = HostEntry {
         name: raw.service.id,
         address: SocketAddr::new(ip, port),
@@ -405,10 +406,10 @@
         kind,
         state: status.host_state(),
         started_ms,
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     };
-    Ok(Entry {
+    Ok(CatalogueEntry {
         host,
         node: raw.node.node,
         status,
@@ -417,7 +418,7 @@
 
 /// The worst of node-level and service-level checks, as Consul merges them. A status that is not known is taken for
 /// critical.
-fn worst(checks: &[RawCheck]) -> CheckStatus {
+fn worst_status(checks: &[RawCheck]) -> CheckStatus {
     let of = |check: &RawCheck| match check.status.as_str() {
         "passing" => CheckStatus::Passing,
         "warning" => CheckStatus::Warning,
@@ -443,15 +444,15 @@
 
 /// The body of `/v1/agent/members` on its way in.
 #[derive(Debug)]
-pub struct Members {
+pub struct MemberListReader {
     rows: RowReader<Option<Arc<(String, MemberStatus)>>>,
     members: BTreeMap<String, MemberStatus>,
 }
 
-impl Members {
+impl MemberListReader {
     /// Begins to read an answer of at most so many members.
-    pub fn new(body: Vec<u8>, last: MemberRows, most: usize) -> Members {
-        Members {
+    pub fn new(body: Vec<u8>, last: MemberRows, most: usize) -> MemberListReader {
+        MemberListReader {
             rows: RowReader::new(body, last, most),
             members: BTreeMap::new(),
         }
@@ -461,7 +462,7 @@
     pub fn step(&mut self, work: &mut usize) -> Result<bool, String> {
         let parse = |raw: &str| {
             let member = serde_json::from_str::<RawMember>(raw).ok()?;
-            let state = MemberStatus::from_number(member.status);
+            let state = MemberStatus::from_serf_status(member.status);
             (state != MemberStatus::Alive).then(|| Arc::new((member.name, state)))
         };
         let members = &mut self.members;
@@ -503,7 +504,7 @@
     }
 
     #[test]
-    fn statuses_mean_what_the_table_says() {
+    fn maps_check_and_member_statuses_to_host_states() {
         let cases = [
             (vec![], CheckStatus::Passing, HostState::Ready),
             (
@@ -541,17 +542,20 @@
                 (status, state)
             );
         }
-        assert_eq!(MemberStatus::from_number(1).host_state(), HostState::Ready);
+        assert_eq!(
+            MemberStatus::from_serf_status(1).host_state(),
+            HostState::Ready
+        );
         for number in 2..=4 {
             assert_eq!(
-                MemberStatus::from_number(number).host_state(),
+                MemberStatus::from_serf_status(number).host_state(),
                 HostState::Draining
             );
         }
     }
 
     #[test]
-    fn one_bad_entry_never_loses_the_rest() {
+    fn keeps_valid_entries_when_another_is_invalid() {
         let good = entry("good", "");
         let long = "x".repeat(1 << 20);
         let deep = format!("{}{}", "[".repeat(100_000), "]".repeat(100_000));
@@ -600,7 +604,7 @@
     }
 
     #[test]
-    fn a_name_that_two_claim_gets_nothing_new() {
+    fn drains_host_whose_id_is_registered_twice() {
         let body = format!(
             "[{},{}]",
             entry("h", ""),
@@ -615,7 +619,7 @@
     }
 
     #[test]
-    fn lists_differ_where_entries_came_changed_or_went() {
+    fn differences_name_added_changed_and_removed_hosts() {
         let list = |rows: &[String]| {
             read_host_list(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list")
         };
@@ -633,20 +637,20 @@
         ]);
         let differences = ListDifferences::between(&old.entries, &new.entries);
         assert_eq!(
-            (&differences.worse[..], &differences.other[..]),
+            (&differences.degraded[..], &differences.other[..]),
             (&["a", "c"].map(String::from)[..], &["e".into()][..])
         );
         assert_eq!(differences.removed_count, 1);
         let back = ListDifferences::between(&new.entries, &old.entries);
         assert_eq!(
-            (&back.worse[..], &back.other[..]),
+            (&back.degraded[..], &back.other[..]),
             (&["e".into()][..], &["a", "c"].map(String::from)[..])
         );
         assert!(ListDifferences::between(&old.entries, &old.entries).is_empty());
     }
 
     #[test]
-    fn bodies_that_are_no_list_are_refused() {
+    fn rejects_body_that_is_not_a_list() {
         for body in ["", "{}", "[", "\u{0}", "[1,]", "null"] {
             assert!(read_host_list(body.as_bytes(), &known()).is_err(), "{body}");
         }
@@ -658,7 +662,7 @@
         );
         let members =
             br#"[{"Name":"n1","Status":1},{"Name":"n2","Status":4},{"Name":3},{"Name":"n3","Status":3}]"#;
-        let mut reading = Members::new(members.to_vec(), MemberRows::default(), 10);
+        let mut reading = MemberListReader::new(members.to_vec(), MemberRows::default(), 10);
         while !reading.step(&mut 1).expect("a list") {}
         let (members, _) = reading.finish();
         assert_eq!(
--- a/crates/consul/src/trust.rs
+++ b/crates/consul/src/confidence.rs
@@ -8,20 +8,20 @@
 
 use crate::Micros;
 use crate::catalogue::HostList;
-use crate::query::Meta;
+use crate::query::ResponseMeta;
 
 /// A loss waits so long to be confirmed, well within any grace of rule 3.
-pub const CONFIRM_WITHIN: Micros = 500_000;
+pub const CONFIRMATION_TIMEOUT: Micros = 500_000;
 /// A list with fewer than this share of the hosts that were listed is confirmed first...
-const LOST_SHARE: f64 = 0.5;
+const MIN_REMAINING_SHARE: f64 = 0.5;
 /// ...if at least so many are missing.
-const LOST_LEAST: usize = 3;
+const MIN_LOST_HOSTS: usize = 3;
 
 /// What to do with an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Belief {
+pub enum Assessment {
     /// It counts as a whole.
-    Take,
+    Accept,
     /// It counts for what it lists, if that is bad news; the rest waits for a confirming read.
     Confirm,
     /// It does not count, for this reason.
@@ -30,72 +30,74 @@
 
 /// Counts and knowledge on which beliefs rest.
 #[derive(Debug, Default)]
-pub struct Trust {
+pub struct Confidence {
     datacentre: Option<String>,
     /// The highest index of an answer that was taken.
-    highest: u64,
+    highest_index: u64,
     /// When a loss began to wait.
-    doubt: Option<Micros>,
+    unconfirmed_since: Option<Micros>,
 }
 
-impl Trust {
+impl Confidence {
     /// Trusts answers of this datacentre, or of any that first answers.
-    pub fn new(datacentre: Option<String>) -> Trust {
-        Trust {
+    pub fn new(datacentre: Option<String>) -> Confidence {
+        Confidence {
             datacentre,
-            highest: 0,
-            doubt: None,
+            highest_index: 0,
+            unconfirmed_since: None,
         }
     }
 
     /// The highest index taken.
-    pub fn highest(&self) -> u64 {
-        self.highest
+    pub fn highest_index(&self) -> u64 {
+        self.highest_index
     }
 
     /// When a waiting loss counts at the latest.
     pub fn confirmation_deadline(&self) -> Option<Micros> {
-        self.doubt.map(|since| since + CONFIRM_WITHIN)
+        self.unconfirmed_since
+            .map(|since| since + CONFIRMATION_TIMEOUT)
     }
 
     /// Judges an answer; `consistent` tells that it was read in that mode. Of `had` hosts before, so many are `gone`.
-    pub fn judge(
+    pub fn assess(
         &mut self,
         now: Micros,
-        meta: Meta,
+        meta: ResponseMeta,
         consistent: bool,
         listed: &HostList,
         had: usize,
         gone: usize,
-    ) -> Belief {
+    ) -> Assessment {
         if let Some(own) = &self.datacentre
             && listed.datacentres.iter().any(|dc| dc != own)
         {
-            return Belief::Reject("it is of another datacentre");
+            return Assessment::Reject("it is of another datacentre");
         }
         if consistent && meta.known_leader == Some(false) {
-            return Belief::Reject("a consistent read without a leader");
+            return Assessment::Reject("a consistent read without a leader");
         }
-        if meta.index < self.highest && !consistent {
-            return Belief::Reject("its server lags");
+        if meta.index < self.highest_index && !consistent {
+            return Assessment::Reject("its server lags");
         }
         if self.datacentre.is_none() {
             self.datacentre = listed.datacentres.first().cloned();
         }
-        let much = gone >= LOST_LEAST && ((had - gone) as f64) < LOST_SHARE * had as f64;
+        let much =
+            gone >= MIN_LOST_HOSTS && ((had - gone) as f64) < MIN_REMAINING_SHARE * had as f64;
         let overdue = self.confirmation_deadline().is_some_and(|due| due <= now);
         if much && !consistent && !overdue {
-            self.doubt.get_or_insert(now);
-            return Belief::Confirm;
+            self.unconfirmed_since.get_or_insert(now);
+            return Assessment::Confirm;
         }
-        self.doubt = None;
+        self.unconfirmed_since = None;
         // Read consistently the index may have gone back: a cluster restored from a snapshot.
-        self.highest = if consistent {
+        self.highest_index = if consistent {
             meta.index
         } else {
-            self.highest.max(meta.index)
+            self.highest_index.max(meta.index)
         };
-        Belief::Take
+        Assessment::Accept
     }
 }
 
@@ -127,21 +129,21 @@
     }
 
     /// Judges a list of these hosts, by one that had others.
-    fn judge(
-        trust: &mut Trust,
+    fn assess_list(
+        trust: &mut Confidence,
         now: Micros,
-        meta: Meta,
+        meta: ResponseMeta,
         consistent: bool,
         (names, dc): (&[&str], &str),
         had: &[&str],
-    ) -> Belief {
+    ) -> Assessment {
         let listed = list(names, dc);
         let gone = ListDifferences::between(&list(had, dc).entries, &listed.entries).removed_count;
-        trust.judge(now, meta, consistent, &listed, had.len(), gone)
+        trust.assess(now, meta, consistent, &listed, had.len(), gone)
     }
 
-    fn meta(index: u64) -> Meta {
-        Meta {
+    fn meta(index: u64) -> ResponseMeta {
+        ResponseMeta {
             index,
             known_leader: Some(true),
             last_contact_ms: 0,
@@ -151,101 +153,104 @@
     const ALL: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
     #[test]
-    fn lagging_servers_and_other_datacentres_do_not_count() {
-        let mut trust = Trust::new(Some("dc1".into()));
+    fn rejects_lagging_servers_and_other_datacentres() {
+        let mut trust = Confidence::new(Some("dc1".into()));
         assert_eq!(
-            judge(&mut trust, 0, meta(50), false, (&ALL[..], "dc1"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 0, meta(50), false, (&ALL[..], "dc1"), &ALL),
+            Assessment::Accept
         );
         assert!(matches!(
-            judge(&mut trust, 1, meta(49), false, (&ALL[..], "dc1"), &ALL),
-            Belief::Reject(_)
+            assess_list(&mut trust, 1, meta(49), false, (&ALL[..], "dc1"), &ALL),
+            Assessment::Reject(_)
         ));
         assert!(matches!(
-            judge(&mut trust, 1, meta(60), false, (&ALL[..], "dc2"), &ALL),
-            Belief::Reject(_)
+            assess_list(&mut trust, 1, meta(60), false, (&ALL[..], "dc2"), &ALL),
+            Assessment::Reject(_)
         ));
         assert!(matches!(
-            judge(&mut trust, 1, meta(60), true, (&ALL[..], "dc2"), &ALL),
-            Belief::Reject(_)
+            assess_list(&mut trust, 1, meta(60), true, (&ALL[..], "dc2"), &ALL),
+            Assessment::Reject(_)
         ));
         assert_eq!(
-            judge(&mut trust, 2, meta(50), false, (&ALL[1..], "dc1"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 2, meta(50), false, (&ALL[1..], "dc1"), &ALL),
+            Assessment::Accept
         );
         // A cluster restored from a snapshot: its leader says so, and from then on its indexes count.
         assert_eq!(
-            judge(&mut trust, 3, meta(7), true, (&ALL[..], "dc1"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 3, meta(7), true, (&ALL[..], "dc1"), &ALL),
+            Assessment::Accept
         );
         assert_eq!(
-            judge(&mut trust, 4, meta(8), false, (&ALL[..], "dc1"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 4, meta(8), false, (&ALL[..], "dc1"), &ALL),
+            Assessment::Accept
         );
         // Without a name in the settings the first answer gives it.
-        let mut trust = Trust::new(None);
+        let mut trust = Confidence::new(None);
         assert_eq!(
-            judge(&mut trust, 0, meta(1), false, (&ALL[..], "dc9"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 0, meta(1), false, (&ALL[..], "dc9"), &ALL),
+            Assessment::Accept
         );
         assert!(matches!(
-            judge(&mut trust, 0, meta(2), false, (&ALL[..], "dc1"), &ALL),
-            Belief::Reject(_)
+            assess_list(&mut trust, 0, meta(2), false, (&ALL[..], "dc1"), &ALL),
+            Assessment::Reject(_)
         ));
     }
 
     #[test]
-    fn a_great_loss_is_confirmed_or_counts_in_time() {
+    fn confirms_large_loss_or_accepts_it_after_timeout() {
         for less in [&ALL[..0], &ALL[..2]] {
-            let mut trust = Trust::new(None);
+            let mut trust = Confidence::new(None);
             assert_eq!(
-                judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
-                Belief::Confirm
+                assess_list(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
+                Assessment::Confirm
+            );
+            assert_eq!(
+                trust.confirmation_deadline(),
+                Some(100 + CONFIRMATION_TIMEOUT)
             );
-            assert_eq!(trust.confirmation_deadline(), Some(100 + CONFIRM_WITHIN));
             // The same again does not begin the wait anew, and when it is over the loss counts.
             assert_eq!(
-                judge(&mut trust, 200, meta(6), false, (less, "dc1"), &ALL),
-                Belief::Confirm
+                assess_list(&mut trust, 200, meta(6), false, (less, "dc1"), &ALL),
+                Assessment::Confirm
             );
             assert_eq!(
-                judge(
+                assess_list(
                     &mut trust,
-                    100 + CONFIRM_WITHIN,
+                    100 + CONFIRMATION_TIMEOUT,
                     meta(6),
                     false,
                     (less, "dc1"),
                     &ALL
                 ),
-                Belief::Take
+                Assessment::Accept
             );
             // Confirmed by a leader it counts at once.
-            let mut trust = Trust::new(None);
+            let mut trust = Confidence::new(None);
             assert_eq!(
-                judge(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
-                Belief::Confirm
+                assess_list(&mut trust, 100, meta(5), false, (less, "dc1"), &ALL),
+                Assessment::Confirm
             );
             assert_eq!(
-                judge(&mut trust, 101, meta(5), true, (less, "dc1"), &ALL),
-                Belief::Take
+                assess_list(&mut trust, 101, meta(5), true, (less, "dc1"), &ALL),
+                Assessment::Accept
             );
             assert_eq!(trust.confirmation_deadline(), None);
             // A consistent answer without a leader confirms nothing.
-            let mut trust = Trust::new(None);
-            let none = Meta {
+            let mut trust = Confidence::new(None);
+            let none = ResponseMeta {
                 known_leader: Some(false),
                 ..meta(5)
             };
             assert!(matches!(
-                judge(&mut trust, 1, none, true, (less, "dc1"), &ALL),
-                Belief::Reject(_)
+                assess_list(&mut trust, 1, none, true, (less, "dc1"), &ALL),
+                Assessment::Reject(_)
             ));
         }
         // Few lost hosts are plain news.
-        let mut trust = Trust::new(None);
+        let mut trust = Confidence::new(None);
         assert_eq!(
-            judge(&mut trust, 0, meta(5), false, (&ALL[..4], "dc1"), &ALL),
-            Belief::Take
+            assess_list(&mut trust, 0, meta(5), false, (&ALL[..4], "dc1"), &ALL),
+            Assessment::Accept
         );
     }
 }
--- a/crates/consul/src/rows.rs
+++ b/crates/consul/src/json_rows.rs
@@ -5,13 +5,13 @@
 
 /// What one step may cost, in units of what an unchanged row costs. On the machine of `docs/measurements.md` a step
 /// takes about half a millisecond.
-pub const STEP: usize = 2_000;
+pub const STEP_BUDGET: usize = 2_000;
 /// A parsed row costs so many units, and one more for so many bytes.
-const PARSED: usize = 8;
+const PARSE_COST: usize = 8;
 /// See [`PARSED`].
-const PARSED_BYTES: usize = 40;
+const PARSED_BYTES_PER_UNIT: usize = 40;
 /// How many rows of the last list are looked at for one that is the same, from the place reached there.
-const WINDOW: usize = 64;
+const MAX_LOOKAHEAD_ROWS: usize = 64;
 
 /// A row's place in the body, and what it came to.
 #[derive(Clone, Copy, Debug)]
@@ -40,15 +40,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
     /// Before the opening bracket.
-    Start,
+    BeforeArray,
     /// After it: a row or the end.
-    Opened,
+    AfterOpeningBracket,
     /// After a row: a comma or the end.
     AfterRow,
     /// After a comma: a row.
-    Row,
+    AfterComma,
     /// After the closing bracket.
-    End,
+    AfterArray,
 }
 
 /// A list on its way in.
@@ -72,7 +72,7 @@
             previous,
             cursor: 0,
             offset: 0,
-            position: Position::Start,
+            position: Position::BeforeArray,
             max_rows,
         }
     }
@@ -94,16 +94,18 @@
                 .count();
             let octet = body.get(self.offset);
             self.position = match (self.position, octet) {
-                (Position::End, None) => return Ok(true),
-                (Position::Start, Some(b'[')) => Position::Opened,
-                (Position::Opened | Position::AfterRow, Some(b']')) => Position::End,
-                (Position::AfterRow, Some(b',')) => Position::Row,
-                (Position::Opened | Position::Row, Some(_)) => {
+                (Position::AfterArray, None) => return Ok(true),
+                (Position::BeforeArray, Some(b'[')) => Position::AfterOpeningBracket,
+                (Position::AfterOpeningBracket | Position::AfterRow, Some(b']')) => {
+                    Position::AfterArray
+                }
+                (Position::AfterRow, Some(b',')) => Position::AfterComma,
+                (Position::AfterOpeningBracket | Position::AfterComma, Some(_)) => {
                     let number = self.current.rows.len();
                     if number == self.max_rows {
                         return Err(format!("more than {} entries", self.max_rows));
                     }
-                    let (row, cost) = self.row(number, &mut parse)?;
+                    let (row, cost) = self.read_row(number, &mut parse)?;
                     take(number, &row.value);
                     self.offset = row.end;
                     self.current.rows.push(row);
@@ -126,7 +128,7 @@
         Ok(false)
     }
 
-    fn row(
+    fn read_row(
         &mut self,
         number: usize,
         parse: &mut impl FnMut(&str) -> T,
@@ -138,7 +140,7 @@
             .iter()
             .enumerate()
             .skip(self.cursor)
-            .take(WINDOW);
+            .take(MAX_LOOKAHEAD_ROWS);
         // An object tells its own end, so what begins with the same object is that object.
         let same = |old: &Row<T>| {
             rest.first() == Some(&b'{') && rest.starts_with(&self.previous.body[old.start..old.end])
@@ -168,7 +170,7 @@
         if window
             .clone()
             .next()
-            .is_some_and(|(_, old)| self.replaces(old, rest))
+            .is_some_and(|(_, old)| self.is_replacement_of(old, rest))
         {
             self.cursor += 1;
         }
@@ -178,12 +180,12 @@
                 end: from + length,
                 value,
             },
-            PARSED + length / PARSED_BYTES,
+            PARSE_COST + length / PARSED_BYTES_PER_UNIT,
         ))
     }
 
     /// Whether a row begins as an old one did for as long as two rows of different things hardly do.
-    fn replaces(&self, old: &Row<T>, rest: &[u8]) -> bool {
+    fn is_replacement_of(&self, old: &Row<T>, rest: &[u8]) -> bool {
         let old = &self.previous.body[old.start..old.end];
         let alike = old.iter().zip(rest).take_while(|(a, b)| a == b).count();
         alike * 4 >= old.len()
@@ -191,7 +193,7 @@
 
     /// The list with which the next one is compared: this one if it came to its end, else the last.
     pub fn into_rows(self) -> Rows<T> {
-        if self.position == Position::End {
+        if self.position == Position::AfterArray {
             self.current
         } else {
             self.previous
@@ -240,7 +242,7 @@
     }
 
     #[test]
-    fn unchanged_rows_are_not_parsed_and_long_lists_take_steps() {
+    fn parses_only_changed_rows_and_reads_long_list_in_steps() {
         let mut rows: Vec<(u32, u32)> = (0..500).map(|id| (id, 0)).collect();
         let (first, parsed, steps, last) = read(&body(&rows), Rows::default(), 100);
         assert_eq!((first.expect("a list").len(), parsed), (500, 500));
@@ -261,7 +263,7 @@
     }
 
     #[test]
-    fn numbers_do_not_pass_for_their_beginnings() {
+    fn parses_number_again_when_it_begins_with_an_earlier_one() {
         let (_, _, _, last) = read("[1, 2]", Rows::default(), 9);
         assert_eq!(read("[12, 2]", last, 9).0.expect("a list"), ["12", "2"]);
         let many = format!("[{}1]", "1,".repeat(1000));
@@ -273,7 +275,7 @@
 
     proptest! {
         #[test]
-        fn it_takes_what_a_public_parser_takes(text in "[ \\[\\],{}\"a1:]{0,12}", step in 1usize..4) {
+        fn accepts_the_arrays_that_serde_json_accepts(text in "[ \\[\\],{}\"a1:]{0,12}", step in 1usize..4) {
             let well = serde_json::from_str::<Vec<Value>>(&text).ok().map(|rows| rows.len());
             let got = read(&text, Rows::default(), step).0.ok().map(|rows| rows.len());
             // The rows' own contents are only checked for their shape here.
@@ -281,7 +283,7 @@
         }
 
         #[test]
-        fn whatever_came_before_it_reads_the_same(
+        fn result_does_not_depend_on_previous_list(
             a in prop::collection::vec((0u32..40, 0u32..3), 0..60),
             b in prop::collection::vec((0u32..40, 0u32..3), 0..60),
         ) {
--- a/crates/consul/src/lease.rs
+++ b/crates/consul/src/lease.rs
@@ -11,34 +11,34 @@
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
 use crate::Micros;
-use crate::query::BackOff;
+use crate::query::Backoff;
 
 /// What to ask for next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum LeaseRequest {
     /// Make a session.
-    Create,
+    CreateSession,
     /// Renew this session.
-    Renew(String),
+    RenewSession(String),
     /// See which slots are held.
-    List,
+    ListSlots,
     /// Lock a slot.
-    Acquire(u32, String),
+    AcquireSlot(u32, String),
 }
 
 /// How an ask went.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum LeaseResponse {
     /// A session was made.
-    Created(String),
+    SessionCreated(String),
     /// It was renewed.
-    Renewed,
+    SessionRenewed,
     /// It does not exist any more.
-    Gone,
+    SessionGone,
     /// These slots are held by other sessions, and perhaps one by this placer's.
-    Held(BTreeSet<u32>, Option<u32>),
+    SlotsListed(BTreeSet<u32>, Option<u32>),
     /// Whether the slot is this placer's now.
-    Acquired(bool),
+    SlotAcquired(bool),
     /// No answer, or one that tells nothing.
     Failed,
 }
@@ -55,18 +55,18 @@
     slot: Option<u32>,
     /// Slots that were found held since they were last listed.
     occupied_slots: Option<BTreeSet<u32>>,
-    asking: Option<(Ask, Micros)>,
+    in_flight: Option<(LeaseRequest, Micros)>,
     /// Nothing is asked before.
     next_request_at: Micros,
-    back_off: BackOff,
+    backoff: Backoff,
     /// All slots are held by others.
     all_slots_taken: bool,
 }
 
 /// A lease ends so much early, as a share of the TTL: clocks may run at slightly different rates.
-const MARGIN: f64 = 0.1;
+const EXPIRY_MARGIN: f64 = 0.1;
 /// With all slots held, the next look is after this.
-const LOOK_AGAIN: Micros = 1_000_000;
+const RELIST_INTERVAL: Micros = 1_000_000;
 
 impl SlotLease {
     /// A placer that wants one of so many slots, by sessions of this TTL.
@@ -79,9 +79,9 @@
             valid_until: 0,
             slot: None,
             occupied_slots: None,
-            asking: None,
+            in_flight: None,
             next_request_at: 0,
-            back_off: BackOff::default(),
+            backoff: Backoff::default(),
             all_slots_taken: false,
         }
     }
@@ -108,7 +108,7 @@
 
     /// When [`Lease::next`] has something to say at the latest.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        if self.asking.is_some() {
+        if self.in_flight.is_some() {
             return self.valid_until().filter(|&until| until > now);
         }
         let renew = self.renew_at();
@@ -122,57 +122,57 @@
 
     /// Renewed when a third of it is used up, so that two may fail.
     fn renew_at(&self) -> Micros {
-        let whole = (self.ttl as f64 * (1.0 - MARGIN)) as Micros;
+        let whole = (self.ttl as f64 * (1.0 - EXPIRY_MARGIN)) as Micros;
         self.valid_until.saturating_sub(whole - whole / 3)
     }
 
     /// What to ask now, if anything.
-    pub fn next_request(&mut self, now: Micros) -> Option<Ask> {
-        if self.asking.is_some() || now < self.next_request_at {
+    pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
+        if self.in_flight.is_some() || now < self.next_request_at {
             return None;
         }
         let ask = match &self.session {
-            None => Ask::Create,
-            Some(session) if now >= self.renew_at() => Ask::Renew(session.clone()),
+            None => LeaseRequest::CreateSession,
+            Some(session) if now >= self.renew_at() => LeaseRequest::RenewSession(session.clone()),
             Some(_) if self.slot.is_some() => return None,
             Some(session) => match &self.occupied_slots {
-                None => Ask::List,
+                None => LeaseRequest::ListSlots,
                 Some(held) => {
                     let free: Vec<u32> = (0..self.slots).filter(|n| !held.contains(n)).collect();
                     if free.is_empty() {
                         (self.all_slots_taken, self.occupied_slots) = (true, None);
                         self.next_request_at =
-                            now + LOOK_AGAIN / 2 + self.rng.next_u64() % LOOK_AGAIN;
+                            now + RELIST_INTERVAL / 2 + self.rng.next_u64() % RELIST_INTERVAL;
                         return None;
                     }
-                    Ask::Acquire(
+                    LeaseRequest::AcquireSlot(
                         free[(self.rng.next_u64() % free.len() as u64) as usize],
                         session.clone(),
                     )
                 }
             },
         };
-        self.asking = Some((ask.clone(), now));
+        self.in_flight = Some((ask.clone(), now));
         Some(ask)
     }
 
     /// How the last ask went.
-    pub fn handle_response(&mut self, now: Micros, told: Told) {
-        let Some((ask, sent)) = self.asking.take() else {
+    pub fn handle_response(&mut self, now: Micros, told: LeaseResponse) {
+        let Some((ask, sent)) = self.in_flight.take() else {
             return;
         };
-        let lease = (self.ttl as f64 * (1.0 - MARGIN)) as Micros;
+        let lease = (self.ttl as f64 * (1.0 - EXPIRY_MARGIN)) as Micros;
         match (ask, told) {
-            (Ask::Create, Told::Created(session)) => {
+            (LeaseRequest::CreateSession, LeaseResponse::SessionCreated(session)) => {
                 (self.session, self.slot, self.occupied_slots) = (Some(session), None, None);
                 self.valid_until = sent + lease;
-                self.back_off.reset();
+                self.backoff.reset();
             }
-            (Ask::Renew(_), Told::Renewed) => {
+            (LeaseRequest::RenewSession(_), LeaseResponse::SessionRenewed) => {
                 self.valid_until = sent + lease;
-                self.back_off.reset();
+                self.backoff.reset();
             }
-            (Ask::Renew(_), Told::Gone) => {
+            (LeaseRequest::RenewSession(_), LeaseResponse::SessionGone) => {
                 // The slot is lost with it, whatever the own clock says.
                 (
                     self.session,
@@ -182,25 +182,27 @@
                 ) = (None, None, None, 0);
             }
             // Locked by an ask whose answer was lost: without this, one placer would keep two slots from others.
-            (Ask::List, Told::Held(_, Some(own))) if own < self.slots => {
+            (LeaseRequest::ListSlots, LeaseResponse::SlotsListed(_, Some(own)))
+                if own < self.slots =>
+            {
                 (self.slot, self.occupied_slots, self.all_slots_taken) = (Some(own), None, false);
-                self.back_off.reset();
+                self.backoff.reset();
             }
-            (Ask::List, Told::Held(held, _)) => {
+            (LeaseRequest::ListSlots, LeaseResponse::SlotsListed(held, _)) => {
                 (self.occupied_slots, self.all_slots_taken) = (Some(held), false);
-                self.back_off.reset();
+                self.backoff.reset();
             }
-            (Ask::Acquire(slot, _), Told::Acquired(true)) => {
+            (LeaseRequest::AcquireSlot(slot, _), LeaseResponse::SlotAcquired(true)) => {
                 (self.slot, self.occupied_slots, self.all_slots_taken) = (Some(slot), None, false);
-                self.back_off.reset();
+                self.backoff.reset();
             }
-            (Ask::Acquire(slot, _), Told::Acquired(false)) => {
+            (LeaseRequest::AcquireSlot(slot, _), LeaseResponse::SlotAcquired(false)) => {
                 // Somebody was quicker, or the lock delay is not over.
                 self.occupied_slots.get_or_insert_default().insert(slot);
             }
             (ask, _) => {
-                self.next_request_at = now + self.back_off.next_wait(&mut self.rng);
-                if matches!(ask, Ask::List | Ask::Acquire(..)) {
+                self.next_request_at = now + self.backoff.next_wait(&mut self.rng);
+                if matches!(ask, LeaseRequest::ListSlots | LeaseRequest::AcquireSlot(..)) {
                     self.occupied_slots = None;
                 }
                 // A session that can't be renewed any more is given up for a new one.
@@ -232,34 +234,40 @@
 
     const S: Micros = 1_000_000;
 
-    fn leased() -> (SlotLease, u32) {
+    fn lease_with_slot_2() -> (SlotLease, u32) {
         let mut lease = SlotLease::new(4, 10 * S, 7);
-        assert_eq!(lease.next_request(0), Some(Ask::Create));
-        lease.handle_response(0, Told::Created("s".into()));
-        assert_eq!(lease.next_request(0), Some(Ask::List));
-        lease.handle_response(0, Told::Held([0, 1, 3].into(), None));
-        assert_eq!(lease.next_request(0), Some(Ask::Acquire(2, "s".into())));
-        lease.handle_response(0, Told::Acquired(true));
+        assert_eq!(lease.next_request(0), Some(LeaseRequest::CreateSession));
+        lease.handle_response(0, LeaseResponse::SessionCreated("s".into()));
+        assert_eq!(lease.next_request(0), Some(LeaseRequest::ListSlots));
+        lease.handle_response(0, LeaseResponse::SlotsListed([0, 1, 3].into(), None));
+        assert_eq!(
+            lease.next_request(0),
+            Some(LeaseRequest::AcquireSlot(2, "s".into()))
+        );
+        lease.handle_response(0, LeaseResponse::SlotAcquired(true));
         (lease, 2)
     }
 
     #[test]
-    fn a_free_slot_is_taken_and_renewed_in_time() {
-        let (mut lease, slot) = leased();
+    fn acquires_free_slot_and_renews_it_in_time() {
+        let (mut lease, slot) = lease_with_slot_2();
         let mut now = 0;
         for _ in 0..50 {
             assert_eq!(lease.next_request(now), None);
             now = lease.next_due(now).expect("a renewal");
             assert_eq!(lease.slot(now), Some(slot), "renewed too late");
-            assert!(matches!(lease.next_request(now), Some(Ask::Renew(_))));
-            lease.handle_response(now + S / 100, Told::Renewed);
+            assert!(matches!(
+                lease.next_request(now),
+                Some(LeaseRequest::RenewSession(_))
+            ));
+            lease.handle_response(now + S / 100, LeaseResponse::SessionRenewed);
         }
         assert!(now >= 140 * S, "renewed too often: {now}");
     }
 
     #[test]
-    fn a_placer_that_was_stopped_knows_by_its_own_clock_that_the_slot_is_lost() {
-        let (mut lease, slot) = leased();
+    fn slot_expires_by_own_clock_after_a_pause() {
+        let (mut lease, slot) = lease_with_slot_2();
         assert_eq!(lease.slot(8 * S), Some(slot));
         assert_eq!(
             lease.slot(9 * S),
@@ -268,32 +276,32 @@
         );
         // A renewal sent before the stop and answered after it counts from when it was sent.
         assert!(lease.next_request(4 * S).is_some());
-        lease.handle_response(60 * S, Told::Renewed);
+        lease.handle_response(60 * S, LeaseResponse::SessionRenewed);
         assert_eq!(lease.slot(60 * S), None);
         assert_eq!(
             lease.next_request(60 * S),
-            Some(Ask::Create),
+            Some(LeaseRequest::CreateSession),
             "it begins anew"
         );
     }
 
     #[test]
-    fn a_lost_session_loses_the_slot_at_once() {
-        let (mut lease, _) = leased();
+    fn loses_slot_when_session_is_gone() {
+        let (mut lease, _) = lease_with_slot_2();
         lease.next_request(4 * S);
-        lease.handle_response(4 * S, Told::Gone);
+        lease.handle_response(4 * S, LeaseResponse::SessionGone);
         assert_eq!(lease.slot(4 * S), None);
-        assert_eq!(lease.next_request(4 * S), Some(Ask::Create));
+        assert_eq!(lease.next_request(4 * S), Some(LeaseRequest::CreateSession));
     }
 
     #[test]
-    fn failures_back_off_and_the_slot_is_kept_as_long_as_it_surely_is() {
-        let (mut lease, slot) = leased();
+    fn keeps_slot_until_expiry_while_renewals_fail() {
+        let (mut lease, slot) = lease_with_slot_2();
         let mut now = lease.next_due(0).expect("a renewal");
         let mut tries = 0;
         while lease.slot(now).is_some() {
             if lease.next_request(now).is_some() {
-                lease.handle_response(now, Told::Failed);
+                lease.handle_response(now, LeaseResponse::Failed);
                 tries += 1;
             }
             now += S / 20;
@@ -305,46 +313,52 @@
         assert_eq!(slot, 2);
         // It gives up the session and begins anew.
         let until = now + 10 * S;
-        while lease.next_request(now) != Some(Ask::Create) {
-            lease.handle_response(now, Told::Failed);
+        while lease.next_request(now) != Some(LeaseRequest::CreateSession) {
+            lease.handle_response(now, LeaseResponse::Failed);
             now += S / 20;
             assert!(now < until);
         }
     }
 
     #[test]
-    fn a_slot_whose_answer_was_lost_is_found_again() {
+    fn finds_own_slot_again_when_the_answer_was_lost() {
         let mut lease = SlotLease::new(4, 10 * S, 7);
         lease.next_request(0);
-        lease.handle_response(0, Told::Created("s".into()));
+        lease.handle_response(0, LeaseResponse::SessionCreated("s".into()));
         lease.next_request(0);
-        lease.handle_response(0, Told::Held([0, 1, 3].into(), None));
-        assert_eq!(lease.next_request(0), Some(Ask::Acquire(2, "s".into())));
-        lease.handle_response(0, Told::Failed);
+        lease.handle_response(0, LeaseResponse::SlotsListed([0, 1, 3].into(), None));
+        assert_eq!(
+            lease.next_request(0),
+            Some(LeaseRequest::AcquireSlot(2, "s".into()))
+        );
+        lease.handle_response(0, LeaseResponse::Failed);
         assert_eq!(lease.slot(0), None, "not known to be its own");
         let again = lease.next_due(0).expect("another look");
-        assert_eq!(lease.next_request(again), Some(Ask::List));
-        lease.handle_response(again, Told::Held([0, 1, 3].into(), Some(2)));
+        assert_eq!(lease.next_request(again), Some(LeaseRequest::ListSlots));
+        lease.handle_response(again, LeaseResponse::SlotsListed([0, 1, 3].into(), Some(2)));
         assert_eq!(lease.slot(again), Some(2));
         assert_eq!(lease.next_request(again), None, "one is enough");
     }
 
     #[test]
-    fn with_all_slots_held_it_waits_and_looks_again() {
+    fn lists_slots_again_when_all_are_taken() {
         let mut lease = SlotLease::new(2, 10 * S, 7);
         lease.next_request(0);
-        lease.handle_response(0, Told::Created("s".into()));
+        lease.handle_response(0, LeaseResponse::SessionCreated("s".into()));
         lease.next_request(0);
-        lease.handle_response(0, Told::Held([0, 1].into(), None));
+        lease.handle_response(0, LeaseResponse::SlotsListed([0, 1].into(), None));
         assert_eq!(lease.next_request(0), None);
         assert!(lease.are_all_slots_taken() && lease.slot(0).is_none());
         let again = lease.next_due(0).expect("another look");
         assert!((S / 2..=2 * S).contains(&again));
-        assert_eq!(lease.next_request(again), Some(Ask::List));
-        lease.handle_response(again, Told::Held([0].into(), None));
-        assert_eq!(lease.next_request(again), Some(Ask::Acquire(1, "s".into())));
+        assert_eq!(lease.next_request(again), Some(LeaseRequest::ListSlots));
+        lease.handle_response(again, LeaseResponse::SlotsListed([0].into(), None));
+        assert_eq!(
+            lease.next_request(again),
+            Some(LeaseRequest::AcquireSlot(1, "s".into()))
+        );
         // Somebody was quicker: not tried again until listed anew.
-        lease.handle_response(again, Told::Acquired(false));
+        lease.handle_response(again, LeaseResponse::SlotAcquired(false));
         assert_eq!(lease.next_request(again), None);
         assert!(lease.are_all_slots_taken());
     }
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -6,12 +6,12 @@
 //! flaps is a crate of its own. Written from Consul's published HTTP API documentation.
 
 pub mod catalogue;
+pub mod confidence;
+mod index_watch;
+pub mod json_rows;
 pub mod lease;
 pub mod query;
-pub mod rows;
 mod source;
-pub mod trust;
-mod watch;
 
 pub use source::{CallId, CatalogueReport, ConsulSource, Output, Update};
 
--- a/crates/consul/src/query.rs
+++ b/crates/consul/src/query.rs
@@ -8,7 +8,7 @@
 
 /// How consistent a read is to be.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mode {
+pub enum Consistency {
     /// Answered by the leader, without a check that it still is.
     #[default]
     Default,
@@ -40,13 +40,13 @@
         self.text += name;
         if !value.is_empty() {
             self.text.push('=');
-            self.text += &escape(value);
+            self.text += &percent_encode(value);
         }
         self
     }
 
     /// Adds a parameter if there is a value.
-    pub fn maybe(self, name: &str, value: Option<&str>) -> RequestTarget {
+    pub fn with_optional_param(self, name: &str, value: Option<&str>) -> RequestTarget {
         match value {
             Some(value) => self.with_param(name, value),
             None => self,
@@ -54,11 +54,11 @@
     }
 
     /// Adds the consistency mode.
-    pub fn mode(self, mode: Mode) -> RequestTarget {
+    pub fn with_consistency(self, mode: Consistency) -> RequestTarget {
         match mode {
-            Mode::Default => self,
-            Mode::Stale => self.with_param("stale", ""),
-            Mode::Consistent => self.with_param("consistent", ""),
+            Consistency::Default => self,
+            Consistency::Stale => self.with_param("stale", ""),
+            Consistency::Consistent => self.with_param("consistent", ""),
         }
     }
 
@@ -73,7 +73,7 @@
 }
 
 /// Escapes a value for a path or query.
-pub fn escape(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     let mut out = String::new();
     for b in text.bytes() {
         if b.is_ascii_alphanumeric() || b"-._~/".contains(&b) {
@@ -87,7 +87,7 @@
 
 /// What the headers of an answer say.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Meta {
+pub struct ResponseMeta {
     /// `X-Consul-Index`; 0 if it is missing or no number.
     pub index: u64,
     /// `X-Consul-KnownLeader`, where it is told.
@@ -96,16 +96,16 @@
     pub last_contact_ms: u64,
 }
 
-impl Meta {
+impl ResponseMeta {
     /// Reads the headers.
-    pub fn from_message(message: &Message) -> Meta {
+    pub fn from_message(message: &Message) -> ResponseMeta {
         let number = |name: &str| {
             message
                 .head
                 .parse_field(name)
                 .and_then(|v| v.trim().parse().ok())
         };
-        Meta {
+        ResponseMeta {
             index: number("x-consul-index").unwrap_or(0),
             known_leader: message
                 .head
@@ -118,23 +118,23 @@
 
 /// The index to block on next, as the documentation asks for: from the beginning when it goes back, and never 0,
 /// so that the next query surely blocks.
-pub fn next_index(last: u64, answered: u64) -> u64 {
+pub fn next_blocking_index(last: u64, answered: u64) -> u64 {
     if answered < last { 0 } else { answered.max(1) }
 }
 
 /// Waits between failed calls: doubling, and each drawn between half and the whole.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct BackOff {
+pub struct Backoff {
     failures: u32,
 }
 
-impl BackOff {
-    const FIRST: Micros = 100_000;
-    const MOST: Micros = 3_000_000;
+impl Backoff {
+    const FIRST_WAIT: Micros = 100_000;
+    const MAX_WAIT: Micros = 3_000_000;
 
     /// The wait after another failure.
     pub fn next_wait(&mut self, rng: &mut Pcg64Mcg) -> Micros {
-        let whole = (Self::FIRST << self.failures.min(10)).min(Self::MOST);
+        let whole = (Self::FIRST_WAIT << self.failures.min(10)).min(Self::MAX_WAIT);
         self.failures = self.failures.saturating_add(1);
         whole / 2 + rng.next_u64() % (whole / 2)
     }
@@ -156,11 +156,11 @@
     use rand_pcg::rand_core::SeedableRng;
 
     #[test]
-    fn targets_are_escaped() {
+    fn escapes_target_and_header_values() {
         let target = RequestTarget::new("/v1/kv/a")
             .with_param("filter", "Meta.zone == \"a b\"")
-            .mode(Mode::Stale)
-            .maybe("dc", None);
+            .with_consistency(Consistency::Stale)
+            .with_optional_param("dc", None);
         let text = String::from_utf8(target.to_request("GET", "me", Some("t\r\nX: y"), b""))
             .expect("text");
         assert!(
@@ -176,20 +176,24 @@
     }
 
     #[test]
-    fn indexes_never_go_back_to_zero_or_stand_there() {
-        assert_eq!(next_index(5, 9), 9);
-        assert_eq!(next_index(9, 5), 0, "it went back: from the beginning");
+    fn blocking_index_restarts_when_it_goes_back_and_is_never_zero_twice() {
+        assert_eq!(next_blocking_index(5, 9), 9);
         assert_eq!(
-            next_index(0, 0),
+            next_blocking_index(9, 5),
+            0,
+            "it went back: from the beginning"
+        );
+        assert_eq!(
+            next_blocking_index(0, 0),
             1,
             "missing or zero: still one that blocks"
         );
     }
 
     #[test]
-    fn back_off_doubles_to_a_bound_with_jitter() {
+    fn backoff_doubles_up_to_its_bound_with_jitter() {
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let mut off = BackOff::default();
+        let mut off = Backoff::default();
         let waits: Vec<Micros> = (0..10).map(|_| off.next_wait(&mut rng)).collect();
         assert!((50_000..100_000).contains(&waits[0]));
         assert!(
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -5,21 +5,21 @@
 use maplethread_config::{
     ConsulSettings, DampingMode as DampingKind, HostEntry, PlacerConfig, ReadConsistency,
 };
-use maplethread_damping::{Damping, Policy};
+use maplethread_damping::{DampingPolicy, FlapDamping};
 use maplethread_wire::http::Message;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
 use serde_json::{Value, json};
 
-use self::lists::{ActiveRead, Unread};
+use self::lists::{ActiveRead, PendingResponse};
 use crate::Micros;
-use crate::catalogue::{Answer, Entries, HostList, KnownNames, MemberRows, MemberStatus};
-use crate::lease::{Ask, SlotLease, Told};
+use crate::catalogue::{EntriesByHost, HostList, HostRows, KnownNames, MemberRows, MemberStatus};
+use crate::lease::{LeaseRequest, LeaseResponse, SlotLease};
 
-use crate::query::{BackOff, Meta, Mode, RequestTarget, escape};
-use crate::trust::Trust;
-use crate::watch::{IndexWatch, NextRead, match_nothing_filter};
+use crate::confidence::Confidence;
+use crate::index_watch::{IndexWatch, NextRead, match_nothing_filter};
+use crate::query::{Backoff, Consistency, RequestTarget, ResponseMeta, percent_encode};
 
 mod lists;
 mod slots;
@@ -59,21 +59,25 @@
     /// Since the last answer that was taken, ms; none if there was none.
     pub age_ms: Option<u64>,
     /// The highest index taken.
-    pub index: u64,
+    #[serde(rename = "index")]
+    pub highest_index: u64,
     /// Hosts listed.
     #[serde(rename = "hosts")]
     pub listed_hosts: usize,
     /// Those whose good news waits.
-    pub damped: usize,
+    #[serde(rename = "damped")]
+    pub damped_hosts: usize,
     /// Entries of the last answer that could not be used.
     pub bad_entries: usize,
     /// Answers taken, rejected, and calls that failed.
     #[serde(rename = "taken")]
     pub accepted_answers: u64,
     /// Answers that told that nothing had changed, without the list.
-    pub unchanged: u64,
+    #[serde(rename = "unchanged")]
+    pub unchanged_answers: u64,
     /// See `taken`.
-    pub rejected: u64,
+    #[serde(rename = "rejected")]
+    pub rejected_answers: u64,
     /// See `taken`.
     #[serde(rename = "failed")]
     pub failed_calls: u64,
@@ -84,13 +88,13 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Purpose {
+enum QueryKind {
     Health,
     Confirm,
     Members,
     Lease,
     Register,
-    Pass,
+    PassCheck,
 }
 
 /// A query that is repeated.
@@ -98,7 +102,7 @@
 struct RepeatedQuery {
     in_flight: Option<CallId>,
     next_at: Micros,
-    back_off: BackOff,
+    backoff: Backoff,
     server: usize,
 }
 
@@ -110,36 +114,36 @@
     token: Option<String>,
     rng: Pcg64Mcg,
     next_call: u64,
-    pending_calls: BTreeMap<CallId, Purpose>,
-    loops: BTreeMap<Purpose, RepeatedQuery>,
+    pending_calls: BTreeMap<CallId, QueryKind>,
+    queries: BTreeMap<QueryKind, RepeatedQuery>,
     index: u64,
     index_watch: IndexWatch,
     /// The query of the list that is out asks for nothing but the index.
     is_index_only: bool,
     /// How late an answer about the list may be.
     list_timeout: Micros,
-    trust: Trust,
+    confidence: Confidence,
     /// Answers that wait to be read, one of each kind at most.
-    unread_responses: VecDeque<Unread>,
+    unread_responses: VecDeque<PendingResponse>,
     active_read: Option<ActiveRead>,
     /// The last answers as they were read.
-    last_host_rows: Answer,
-    member_rows: MemberRows,
+    last_host_rows: HostRows,
+    last_member_rows: MemberRows,
     /// Hosts of which there is news that was not yet told.
-    untold: VecDeque<String>,
+    unpublished: VecDeque<String>,
     /// What was last taken, by name.
-    entries: Entries,
+    entries: EntriesByHost,
     /// Hosts as they were last told.
     published: BTreeMap<String, HostEntry>,
     members: BTreeMap<String, MemberStatus>,
-    damping: Damping<String>,
+    damping: FlapDamping<String>,
     lease: Option<SlotLease>,
-    lease_ask: Option<(CallId, Ask)>,
+    lease_request: Option<(CallId, LeaseRequest)>,
     slot: Option<u32>,
     lock_delay_ms: u64,
     /// The answer that waits to be confirmed.
-    doubted: Option<HostList>,
-    began: bool,
+    unconfirmed_list: Option<HostList>,
+    has_list: bool,
     /// What placers register: name, address and port of the API.
     registration: Option<(String, std::net::SocketAddr)>,
     take_outputs: Vec<Output>,
@@ -149,13 +153,13 @@
 }
 
 /// Every successful read is followed by the next no sooner than this, so that a storm of changes is read in steps.
-const LEAST_BETWEEN: Micros = 30_000;
+const MIN_READ_INTERVAL: Micros = 30_000;
 /// Calls that do not block are waited for so long.
-const SHORT: Micros = 2_000_000;
+const SHORT_CALL_TIMEOUT: Micros = 2_000_000;
 /// An answer about the list that comes so late is still news, where `ask_within` leaves as much.
-const LATE: Micros = 6_000_000;
+const MAX_LIST_LATENESS: Micros = 6_000_000;
 /// Left of `ask_within` when a late answer is given up.
-const LATE_MARGIN: Micros = 500_000;
+const LIST_LATENESS_MARGIN: Micros = 500_000;
 
 impl ConsulSource {
     /// A source by a placer's settings.
@@ -166,9 +170,9 @@
         seed: u64,
     ) -> ConsulSource {
         let policy = match consul.damping {
-            DampingKind::Penalty => Policy::Penalty,
-            DampingKind::Off => Policy::Off,
-            DampingKind::Hold => Policy::Hold(3_000_000),
+            DampingKind::Penalty => DampingPolicy::Penalty,
+            DampingKind::Off => DampingPolicy::Off,
+            DampingKind::Hold => DampingPolicy::Hold(3_000_000),
         };
         let most = placer.hosts.max_hosts;
         let known = KnownNames {
@@ -180,10 +184,10 @@
             .membership
             .as_ref()
             .map(|m| SlotLease::new(placer.identity.replica_count, m.ttl_ms * 1000, seed ^ 1));
-        let wait = consul.wait_ms * 1000;
-        let left =
-            (placer.rules.ask_within_ms * 1000).saturating_sub(wait + wait / 16 + LATE_MARGIN);
-        let late = left.min(LATE);
+        let wait = consul.max_wait_ms * 1000;
+        let left = (placer.rules.max_poll_interval_ms * 1000)
+            .saturating_sub(wait + wait / 16 + LIST_LATENESS_MARGIN);
+        let late = left.min(MAX_LIST_LATENESS);
         let mut source = ConsulSource {
             known_names: known,
             user_agent: format!("maplethread ({})", placer.identity.name),
@@ -191,27 +195,27 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             next_call: 0,
             pending_calls: BTreeMap::new(),
-            loops: BTreeMap::new(),
+            queries: BTreeMap::new(),
             index: 0,
             index_watch: IndexWatch::new(consul.watch),
             is_index_only: false,
-            list_timeout: late.max(SHORT),
-            trust: Trust::new(consul.datacentre.clone()),
+            list_timeout: late.max(SHORT_CALL_TIMEOUT),
+            confidence: Confidence::new(consul.datacentre.clone()),
             unread_responses: VecDeque::new(),
             active_read: None,
-            last_host_rows: Answer::default(),
-            member_rows: MemberRows::default(),
-            untold: VecDeque::new(),
-            entries: Entries::new(),
+            last_host_rows: HostRows::default(),
+            last_member_rows: MemberRows::default(),
+            unpublished: VecDeque::new(),
+            entries: EntriesByHost::new(),
             published: BTreeMap::new(),
             members: BTreeMap::new(),
-            damping: Damping::new(policy, most, seed ^ 2),
+            damping: FlapDamping::new(policy, most, seed ^ 2),
             lease,
-            lease_ask: None,
+            lease_request: None,
             slot: None,
             lock_delay_ms: consul.membership.as_ref().map_or(0, |m| m.lock_delay_ms),
-            doubted: None,
-            began: false,
+            unconfirmed_list: None,
+            has_list: false,
             registration: None,
             take_outputs: Vec::new(),
             updates: Vec::new(),
@@ -221,8 +225,8 @@
         };
         // Placers begin at different servers, so that none gets all of them.
         let first = source.rng.next_u64() as usize % source.config.servers.len();
-        for purpose in [Purpose::Health, Purpose::Members] {
-            source.loops.insert(
+        for purpose in [QueryKind::Health, QueryKind::Members] {
+            source.queries.insert(
                 purpose,
                 RepeatedQuery {
                     server: first,
@@ -231,8 +235,8 @@
             );
         }
         if source.lease.is_some() {
-            source.loops.insert(
-                Purpose::Lease,
+            source.queries.insert(
+                QueryKind::Lease,
                 RepeatedQuery {
                     server: first,
                     ..RepeatedQuery::default()
@@ -246,9 +250,9 @@
     pub fn set_registration(&mut self, name: &str, address: std::net::SocketAddr) {
         if self.lease.is_some() {
             self.registration = Some((name.to_owned(), address));
-            let server = self.loops.get(&Purpose::Health).map_or(0, |l| l.server);
-            self.loops.insert(
-                Purpose::Register,
+            let server = self.queries.get(&QueryKind::Health).map_or(0, |l| l.server);
+            self.queries.insert(
+                QueryKind::Register,
                 RepeatedQuery {
                     server,
                     ..RepeatedQuery::default()
@@ -258,8 +262,8 @@
     }
 
     /// Whether a list was taken.
-    pub fn listed(&self) -> bool {
-        self.began
+    pub fn has_list(&self) -> bool {
+        self.has_list
     }
 
     /// What is known and how old it is.
@@ -270,9 +274,9 @@
             .is_some_and(SlotLease::are_all_slots_taken);
         CatalogueReport {
             age_ms: self.last_answer_at.map(|at| now.saturating_sub(at) / 1000),
-            index: self.trust.highest(),
+            highest_index: self.confidence.highest_index(),
             listed_hosts: self.entries.len(),
-            damped: self.damping.waiting(),
+            damped_hosts: self.damping.held_count(),
             slot: self.slot,
             slots_full,
             ..self.report.clone()
@@ -292,9 +296,9 @@
     /// When [`Source::tick`] is to be called at the latest.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
         let loops = self
-            .loops
+            .queries
             .iter()
-            .filter(|(p, l)| l.in_flight.is_none() && **p != Purpose::Lease)
+            .filter(|(p, l)| l.in_flight.is_none() && **p != QueryKind::Lease)
             .map(|(_, l)| l.next_at);
         let lease = self.lease.as_ref().and_then(|l| l.next_due(now));
         let own = self
@@ -307,8 +311,8 @@
             .chain(loops)
             .chain(lease)
             .chain(own)
-            .chain(self.damping.next())
-            .chain(self.trust.confirmation_deadline())
+            .chain(self.damping.next_release())
+            .chain(self.confidence.confirmation_deadline())
             .min()
     }
 
@@ -316,46 +320,51 @@
     pub fn tick(&mut self, now: Micros) {
         self.fence(now);
         if self
-            .trust
+            .confidence
             .confirmation_deadline()
             .is_some_and(|due| due <= now)
-            && let Some(listed) = self.doubted.take()
+            && let Some(listed) = self.unconfirmed_list.take()
         {
             // No leader has contradicted it in time: the rules win.
-            self.take(now, listed);
+            self.accept_list(now, listed);
         }
-        self.digest(now);
-        let released = self.damping.due(now);
-        self.tell(now, released);
+        self.process_lists(now);
+        let released = self.damping.release_due(now);
+        self.publish_hosts(now, released);
         for purpose in [
-            Purpose::Health,
-            Purpose::Members,
-            Purpose::Register,
-            Purpose::Pass,
+            QueryKind::Health,
+            QueryKind::Members,
+            QueryKind::Register,
+            QueryKind::PassCheck,
         ] {
             if self
-                .loops
+                .queries
                 .get(&purpose)
                 .is_some_and(|l| l.in_flight.is_none() && l.next_at <= now)
             {
                 self.start_query(now, purpose);
             }
         }
-        self.lease_step(now);
+        self.advance_lease(now);
     }
 
-    fn target(&self, path: String) -> RequestTarget {
-        RequestTarget::new(path).maybe("dc", self.config.datacentre.as_deref())
+    fn target_in_datacentre(&self, path: String) -> RequestTarget {
+        RequestTarget::new(path).with_optional_param("dc", self.config.datacentre.as_deref())
     }
 
-    fn health(&self, mode: Mode, filter: Option<&str>) -> RequestTarget {
-        let path = format!("/v1/health/service/{}", escape(&self.config.service));
-        self.target(path).maybe("filter", filter).mode(mode)
+    fn health_target(&self, mode: Consistency, filter: Option<&str>) -> RequestTarget {
+        let path = format!(
+            "/v1/health/service/{}",
+            percent_encode(&self.config.service)
+        );
+        self.target_in_datacentre(path)
+            .with_optional_param("filter", filter)
+            .with_consistency(mode)
     }
 
     fn send(
         &mut self,
-        purpose: Purpose,
+        purpose: QueryKind,
         server: usize,
         request: Vec<u8>,
         within: Micros,
@@ -372,28 +381,28 @@
         call
     }
 
-    fn start_query(&mut self, now: Micros, purpose: Purpose) {
-        let wait = self.config.wait_ms;
-        let mode = match self.config.reads {
-            ReadConsistency::Default => Mode::Default,
-            ReadConsistency::Stale => Mode::Stale,
-            ReadConsistency::Consistent => Mode::Consistent,
+    fn start_query(&mut self, now: Micros, purpose: QueryKind) {
+        let wait = self.config.max_wait_ms;
+        let mode = match self.config.consistency {
+            ReadConsistency::Default => Consistency::Default,
+            ReadConsistency::Stale => Consistency::Stale,
+            ReadConsistency::Consistent => Consistency::Consistent,
         };
         let (target, method, body, within) = match purpose {
-            Purpose::Health => {
+            QueryKind::Health => {
                 let next = if self.index > 0 {
                     self.index_watch.next_read(now)
                 } else {
-                    NextRead::Whole
+                    NextRead::Full
                 };
                 self.is_index_only = next == NextRead::IndexOnly;
                 let empty = self
                     .is_index_only
                     .then(|| match_nothing_filter(self.config.filter.as_deref()));
                 let mut target =
-                    self.health(mode, empty.as_deref().or(self.config.filter.as_deref()));
+                    self.health_target(mode, empty.as_deref().or(self.config.filter.as_deref()));
                 let mut within = self.list_timeout;
-                if next != NextRead::Whole {
+                if next != NextRead::Full {
                     target = target
                         .with_param("index", &self.index.to_string())
                         .with_param("wait", &format!("{wait}ms"));
@@ -402,19 +411,19 @@
                 }
                 (target, "GET", Value::Null, within)
             }
-            Purpose::Confirm => (
-                self.health(Mode::Consistent, self.config.filter.as_deref()),
+            QueryKind::Confirm => (
+                self.health_target(Consistency::Consistent, self.config.filter.as_deref()),
                 "GET",
                 Value::Null,
-                SHORT,
+                SHORT_CALL_TIMEOUT,
             ),
-            Purpose::Members => (
+            QueryKind::Members => (
                 RequestTarget::new("/v1/agent/members"),
                 "GET",
                 Value::Null,
-                SHORT,
+                SHORT_CALL_TIMEOUT,
             ),
-            Purpose::Register => {
+            QueryKind::Register => {
                 let Some((name, address)) = &self.registration else {
                     return;
                 };
@@ -432,17 +441,22 @@
                     RequestTarget::new("/v1/agent/service/register"),
                     "PUT",
                     body,
-                    SHORT,
+                    SHORT_CALL_TIMEOUT,
                 )
             }
-            Purpose::Pass => {
+            QueryKind::PassCheck => {
                 let Some((name, _)) = &self.registration else {
                     return;
                 };
-                let path = format!("/v1/agent/check/pass/service:{}", escape(name));
-                (RequestTarget::new(path), "PUT", Value::Null, SHORT)
+                let path = format!("/v1/agent/check/pass/service:{}", percent_encode(name));
+                (
+                    RequestTarget::new(path),
+                    "PUT",
+                    Value::Null,
+                    SHORT_CALL_TIMEOUT,
+                )
             }
-            Purpose::Lease => return,
+            QueryKind::Lease => return,
         };
         let body = if body.is_null() {
             Vec::new()
@@ -450,9 +464,9 @@
             body.to_string().into_bytes()
         };
         let request = target.to_request(method, &self.user_agent, self.token.as_deref(), &body);
-        let server = self.loops.get(&purpose).map_or(0, |l| l.server);
+        let server = self.queries.get(&purpose).map_or(0, |l| l.server);
         let call = self.send(purpose, server, request, within);
-        self.loops.entry(purpose).or_default().in_flight = Some(call);
+        self.queries.entry(purpose).or_default().in_flight = Some(call);
     }
 
     /// A call's answer.
@@ -461,52 +475,52 @@
             return;
         };
         let status = message.head.status();
-        if purpose == Purpose::Lease {
-            let told = self.lease_told(call, status, &message.body);
-            if told == Told::Failed {
-                self.fail_over(Purpose::Lease);
+        if purpose == QueryKind::Lease {
+            let told = self.parse_lease_response(call, status, &message.body);
+            if told == LeaseResponse::Failed {
+                self.fail_over(QueryKind::Lease);
             }
-            self.lease_done(now, told);
+            self.complete_lease_request(now, told);
             return;
         }
         if self
-            .loops
+            .queries
             .get(&purpose)
             .is_none_or(|l| l.in_flight != Some(call))
         {
             return;
         }
-        if purpose == Purpose::Health && self.is_index_only && status == 400 {
-            self.index_watch.refused();
+        if purpose == QueryKind::Health && self.is_index_only && status == 400 {
+            self.index_watch.disable();
         }
         if status != 200 {
             let why =
                 String::from_utf8_lossy(&message.body[..message.body.len().min(120)]).into_owned();
-            self.fail(now, purpose, &format!("status {status}: {why}"));
+            self.record_failure(now, purpose, &format!("status {status}: {why}"));
             return;
         }
-        if let Some(l) = self.loops.get_mut(&purpose) {
+        if let Some(l) = self.queries.get_mut(&purpose) {
             l.in_flight = None;
         }
-        let meta = Meta::from_message(&message);
+        let meta = ResponseMeta::from_message(&message);
         match purpose {
-            Purpose::Health if self.is_index_only && message.body.trim_ascii() == b"[]" => {
-                self.at_rest(now, meta);
+            QueryKind::Health if self.is_index_only && message.body.trim_ascii() == b"[]" => {
+                self.handle_index_response(now, meta);
             }
-            Purpose::Health | Purpose::Confirm | Purpose::Members => {
+            QueryKind::Health | QueryKind::Confirm | QueryKind::Members => {
                 // The next one is asked for when this one is read.
-                self.again(purpose, Micros::MAX);
-                self.unread_responses.push_back(Unread {
+                self.schedule(purpose, Micros::MAX);
+                self.unread_responses.push_back(PendingResponse {
                     purpose,
                     meta,
                     body: message.body,
                 });
                 return;
             }
-            Purpose::Register => {
-                let server = self.loops.remove(&purpose).map_or(0, |l| l.server);
-                self.loops.insert(
-                    Purpose::Pass,
+            QueryKind::Register => {
+                let server = self.queries.remove(&purpose).map_or(0, |l| l.server);
+                self.queries.insert(
+                    QueryKind::PassCheck,
                     RepeatedQuery {
                         server,
                         next_at: now,
@@ -514,18 +528,18 @@
                     },
                 );
             }
-            Purpose::Pass => {
+            QueryKind::PassCheck => {
                 let ttl = self.config.membership.as_ref().map_or(10_000, |m| m.ttl_ms) * 1000;
-                self.again(purpose, now + ttl / 3);
+                self.schedule(purpose, now + ttl / 3);
             }
-            Purpose::Lease => {}
+            QueryKind::Lease => {}
         }
-        self.well(purpose);
+        self.record_success(purpose);
     }
 
-    fn well(&mut self, purpose: Purpose) {
-        if let Some(l) = self.loops.get_mut(&purpose) {
-            l.back_off.reset();
+    fn record_success(&mut self, purpose: QueryKind) {
+        if let Some(l) = self.queries.get_mut(&purpose) {
+            l.backoff.reset();
         }
     }
 
@@ -534,51 +548,51 @@
         let Some(purpose) = self.pending_calls.remove(&call) else {
             return;
         };
-        if purpose == Purpose::Lease {
-            self.fail_over(Purpose::Lease);
-            self.lease_done(now, Told::Failed);
+        if purpose == QueryKind::Lease {
+            self.fail_over(QueryKind::Lease);
+            self.complete_lease_request(now, LeaseResponse::Failed);
         } else if self
-            .loops
+            .queries
             .get(&purpose)
             .is_some_and(|l| l.in_flight == Some(call))
         {
-            self.fail(now, purpose, why);
+            self.record_failure(now, purpose, why);
         }
     }
 
-    fn again(&mut self, purpose: Purpose, at: Micros) {
-        if let Some(l) = self.loops.get_mut(&purpose) {
+    fn schedule(&mut self, purpose: QueryKind, at: Micros) {
+        if let Some(l) = self.queries.get_mut(&purpose) {
             l.next_at = at;
         }
     }
 
-    fn fail_over(&mut self, purpose: Purpose) {
+    fn fail_over(&mut self, purpose: QueryKind) {
         let servers = self.config.servers.len();
-        if let Some(l) = self.loops.get_mut(&purpose) {
+        if let Some(l) = self.queries.get_mut(&purpose) {
             l.server = (l.server + 1) % servers;
         }
     }
 
-    fn fail(&mut self, now: Micros, purpose: Purpose, why: &str) {
+    fn record_failure(&mut self, now: Micros, purpose: QueryKind, why: &str) {
         self.report.failed_calls += 1;
-        let Some(l) = self.loops.get_mut(&purpose) else {
+        let Some(l) = self.queries.get_mut(&purpose) else {
             return;
         };
         l.in_flight = None;
-        let first = l.back_off.failures() == 0;
-        l.next_at = now + l.back_off.next_wait(&mut self.rng);
+        let first = l.backoff.failures() == 0;
+        l.next_at = now + l.backoff.next_wait(&mut self.rng);
         let server = self.config.servers[l.server];
         if first {
             tracing::warn!(%server, why, age_ms = self.last_answer_at.map(|h| (now - h) / 1000), "{purpose:?} query failed");
         }
         // A check that a restarted agent does not know: register anew.
-        if purpose == Purpose::Pass
+        if purpose == QueryKind::PassCheck
             && (why.starts_with("status 404") || why.contains("nknown check"))
         {
             let server = l.server;
-            self.loops.remove(&Purpose::Pass);
-            self.loops.insert(
-                Purpose::Register,
+            self.queries.remove(&QueryKind::PassCheck);
+            self.queries.insert(
+                QueryKind::Register,
                 RepeatedQuery {
                     server,
                     next_at: now,
