--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -4,10 +4,10 @@
 
 use serde_json::{Value, json};
 
-use super::{CallId, ConsulSource, Purpose, SHORT, Update};
+use super::{CallId, ConsulSource, QueryKind, SHORT_CALL_TIMEOUT, Update};
 use crate::Micros;
-use crate::lease::{Ask, SlotLease, Told};
-use crate::query::{Mode, escape};
+use crate::lease::{LeaseRequest, LeaseResponse, SlotLease};
+use crate::query::{Consistency, percent_encode};
 
 impl ConsulSource {
     /// The slot is lost by the own clock: told before anything else happens.
@@ -20,7 +20,7 @@
         }
     }
 
-    pub(super) fn lease_step(&mut self, now: Micros) {
+    pub(super) fn advance_lease(&mut self, now: Micros) {
         let Some(lease) = &mut self.lease else { return };
         let Some(ask) = lease.next_request(now) else {
             return;
@@ -28,9 +28,9 @@
         let Some(m) = &self.config.membership else {
             return;
         };
-        let key = |slot: u32| format!("/v1/kv/{}/{slot}", escape(&m.prefix));
+        let key = |slot: u32| format!("/v1/kv/{}/{slot}", percent_encode(&m.key_prefix));
         let (target, method, body) = match &ask {
-            Ask::Create => {
+            LeaseRequest::CreateSession => {
                 let body = json!({
                     "Name": self.user_agent, "TTL": format!("{}ms", m.ttl_ms),
                     "LockDelay": format!("{}ms", self.lock_delay_ms), "Behavior": "release",
@@ -38,28 +38,29 @@
                     "NodeChecks": [], "ServiceChecks": [],
                 });
                 (
-                    self.target("/v1/session/create".to_owned()),
+                    self.target_in_datacentre("/v1/session/create".to_owned()),
                     "PUT",
                     body.to_string(),
                 )
             }
-            Ask::Renew(id) => (
-                self.target(format!("/v1/session/renew/{}", escape(id))),
+            LeaseRequest::RenewSession(id) => (
+                self.target_in_datacentre(format!("/v1/session/renew/{}", percent_encode(id))),
                 "PUT",
                 String::new(),
             ),
-            Ask::List => {
-                let path = format!("/v1/kv/{}/", escape(&m.prefix));
+            LeaseRequest::ListSlots => {
+                let path = format!("/v1/kv/{}/", percent_encode(&m.key_prefix));
                 (
-                    self.target(path)
+                    self.target_in_datacentre(path)
                         .with_param("recurse", "")
-                        .mode(Mode::Consistent),
+                        .with_consistency(Consistency::Consistent),
                     "GET",
                     String::new(),
                 )
             }
-            Ask::Acquire(slot, id) => (
-                self.target(key(*slot)).with_param("acquire", id),
+            LeaseRequest::AcquireSlot(slot, id) => (
+                self.target_in_datacentre(key(*slot))
+                    .with_param("acquire", id),
                 "PUT",
                 self.user_agent.clone(),
             ),
@@ -70,31 +71,36 @@
             self.token.as_deref(),
             body.as_bytes(),
         );
-        let server = self.loops.get(&Purpose::Lease).map_or(0, |l| l.server);
-        let call = self.send(Purpose::Lease, server, request, SHORT);
-        self.lease_ask = Some((call, ask));
+        let server = self.queries.get(&QueryKind::Lease).map_or(0, |l| l.server);
+        let call = self.send(QueryKind::Lease, server, request, SHORT_CALL_TIMEOUT);
+        self.lease_request = Some((call, ask));
     }
 
-    pub(super) fn lease_told(&self, call: CallId, status: u16, body: &[u8]) -> Told {
-        let Some((asked, ask)) = &self.lease_ask else {
-            return Told::Failed;
+    pub(super) fn parse_lease_response(
+        &self,
+        call: CallId,
+        status: u16,
+        body: &[u8],
+    ) -> LeaseResponse {
+        let Some((asked, ask)) = &self.lease_request else {
+            return LeaseResponse::Failed;
         };
         if *asked != call {
-            return Told::Failed;
+            return LeaseResponse::Failed;
         }
         let json: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         match (ask, status) {
-            (Ask::Create, 200) => match json["ID"].as_str() {
-                Some(id) => Told::Created(id.to_owned()),
-                None => Told::Failed,
+            (LeaseRequest::CreateSession, 200) => match json["ID"].as_str() {
+                Some(id) => LeaseResponse::SessionCreated(id.to_owned()),
+                None => LeaseResponse::Failed,
             },
-            (Ask::Renew(_), 200) => Told::Renewed,
-            (Ask::Renew(_), 404) => Told::Gone,
+            (LeaseRequest::RenewSession(_), 200) => LeaseResponse::SessionRenewed,
+            (LeaseRequest::RenewSession(_), 404) => LeaseResponse::SessionGone,
             // No key was ever locked.
-            (Ask::List, 404) => Told::Held(BTreeSet::new(), None),
-            (Ask::List, 200) => {
+            (LeaseRequest::ListSlots, 404) => LeaseResponse::SlotsListed(BTreeSet::new(), None),
+            (LeaseRequest::ListSlots, 200) => {
                 let Some(all) = json.as_array() else {
-                    return Told::Failed;
+                    return LeaseResponse::Failed;
                 };
                 let own = self.lease.as_ref().and_then(SlotLease::session);
                 let (mut held, mut mine) = (BTreeSet::new(), None);
@@ -112,22 +118,22 @@
                         _ => {}
                     }
                 }
-                Told::Held(held, mine)
+                LeaseResponse::SlotsListed(held, mine)
             }
-            (Ask::Acquire(..), 200) => match json.as_bool() {
-                Some(acquired) => Told::Acquired(acquired),
-                None => Told::Failed,
+            (LeaseRequest::AcquireSlot(..), 200) => match json.as_bool() {
+                Some(acquired) => LeaseResponse::SlotAcquired(acquired),
+                None => LeaseResponse::Failed,
             },
-            _ => Told::Failed,
+            _ => LeaseResponse::Failed,
         }
     }
 
-    pub(super) fn lease_done(&mut self, now: Micros, told: Told) {
-        self.lease_ask = None;
+    pub(super) fn complete_lease_request(&mut self, now: Micros, told: LeaseResponse) {
+        self.lease_request = None;
         if let Some(lease) = &mut self.lease {
             lease.handle_response(now, told);
         }
         self.fence(now);
-        self.lease_step(now);
+        self.advance_lease(now);
     }
 }
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -9,7 +9,7 @@
 
 const HOSTS: usize = 3000;
 
-fn source() -> ConsulSource {
+fn source_from_test_settings() -> ConsulSource {
     let text = "[placer]\nname = \"p\"\nnumber = 0\nplacers = 1\nzone = \"a\"\nzones = [\"a\"]\n[api]\nlisten = \"127.0.0.1:0\"\n\
          [hosts]\n[consul]\nservers = [\"127.0.0.1:8500\"]\nwatch = false\n[rules]\ncold_from = 0.2\ncold_for_ms = 1\n\
          fall_multiple = 4.0\nfall_window_ms = 1\nfresh_offers = 1.0\n[[kind]]\nname = \"std\"\ncores = 1.0\n\
@@ -20,7 +20,7 @@
 }
 
 /// A list of these hosts; those told as critical are.
-fn list(hosts: impl Iterator<Item = usize>, critical: impl Fn(usize) -> bool) -> String {
+fn health_body(hosts: impl Iterator<Item = usize>, critical: impl Fn(usize) -> bool) -> String {
     let mut body = String::from("[");
     for n in hosts {
         let comma = if body.len() > 1 { "," } else { "" };
@@ -35,7 +35,7 @@
     body + "]"
 }
 
-fn message(body: &str, index: u64) -> Message {
+fn health_response(body: &str, index: u64) -> Message {
     let head = format!(
         "HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -55,7 +55,7 @@
 }
 
 /// Answers the query of the list that is out, and returns what each turn tells until all is told.
-fn answer(
+fn answer_health_query(
     source: &mut ConsulSource,
     now: u64,
     body: &str,
@@ -74,7 +74,7 @@
     let [(call, _)] = &lists(source)[..] else {
         panic!("one query of the list")
     };
-    source.handle_response(now, *call, message(body, index));
+    source.handle_response(now, *call, health_response(body, index));
     let mut turns = Vec::new();
     while source.has_pending_work() {
         assert_eq!(
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn a_long_list_takes_many_turns_and_bad_news_comes_first() {
-    let mut source = source();
-    let turns = answer(&mut source, 0, &list(0..HOSTS, |_| false), 5);
+fn reads_long_list_over_many_turns_and_publishes_losses_first() {
+    let mut source = source_from_test_settings();
+    let turns = answer_health_query(&mut source, 0, &health_body(0..HOSTS, |_| false), 5);
     assert!(turns.len() > 10, "{} turns", turns.len());
     let (first, last) = (&turns[..turns.len() - 1], &turns[turns.len() - 1]);
     assert!(
@@ -110,7 +110,7 @@
         "the first list is told as a whole"
     );
 
-    let turns = answer(&mut source, 1_000_000, &list(0..HOSTS, |_| false), 6);
+    let turns = answer_health_query(&mut source, 1_000_000, &health_body(0..HOSTS, |_| false), 6);
     assert!(
         turns.len() <= 5 && turns.iter().all(Vec::is_empty),
         "unchanged: {} turns",
@@ -118,8 +118,8 @@
     );
 
     // A hundred are gone, every third one drains, and new ones come.
-    let now = list(100..HOSTS + 500, |n| n % 3 == 0 && n < HOSTS);
-    let turns = answer(&mut source, 2_000_000, &now, 7);
+    let now = health_body(100..HOSTS + 500, |n| n % 3 == 0 && n < HOSTS);
+    let turns = answer_health_query(&mut source, 2_000_000, &now, 7);
     let most = turns.iter().map(Vec::len).max().expect("turns");
     assert!(most <= 400, "{most} told in one turn");
     let told: Vec<&(String, HostState)> = turns.iter().flatten().collect();
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn a_caller_that_stood_still_catches_up_at_once() {
-    let mut source = source();
-    answer(&mut source, 0, &list(0..HOSTS, |_| false), 5);
+fn catch_up_reads_and_publishes_everything_at_once() {
+    let mut source = source_from_test_settings();
+    answer_health_query(&mut source, 0, &health_body(0..HOSTS, |_| false), 5);
     source.tick(1_000_000);
     let mut calls = source
         .outputs()
@@ -154,7 +154,11 @@
     let (call, _) = calls
         .find(|(_, request)| request.starts_with(b"GET /v1/health"))
         .expect("a query");
-    source.handle_response(1_000_000, call, message(&list(0..HOSTS, |n| n >= 1000), 6));
+    source.handle_response(
+        1_000_000,
+        call,
+        health_response(&health_body(0..HOSTS, |n| n >= 1000), 6),
+    );
     source.catch_up(1_000_000);
     let updates = source.take_updates();
     let hosts = updates.iter().map(|u| {
@@ -169,19 +173,25 @@
 }
 
 #[test]
-fn what_breaks_off_or_comes_in_any_order_ends_in_the_same_list() {
-    let mut source = source();
-    let whole = list(0..HOSTS, |_| false);
-    answer(&mut source, 0, &whole, 5);
+fn truncated_and_reordered_answers_end_in_the_same_list() {
+    let mut source = source_from_test_settings();
+    let whole = health_body(0..HOSTS, |_| false);
+    answer_health_query(&mut source, 0, &whole, 5);
     // No list: nothing is told, and the next answer is compared with the last good one.
-    let turns = answer(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
+    let turns = answer_health_query(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
     assert!(turns.iter().all(Vec::is_empty));
     assert_eq!(source.report(1_000_000).failed_calls, 1);
     let mut state: BTreeMap<String, HostState> = (0..HOSTS)
         .map(|n| (format!("host-{n:04}"), HostState::Ready))
         .collect();
     let shuffled = (0..HOSTS).map(|n| n * 7 % HOSTS).filter(|n| n % 5 != 1);
-    for (name, told) in answer(&mut source, 5_000_000, &list(shuffled, |n| n % 5 == 2), 7).concat()
+    for (name, told) in answer_health_query(
+        &mut source,
+        5_000_000,
+        &health_body(shuffled, |n| n % 5 == 2),
+        7,
+    )
+    .concat()
     {
         state.insert(name, told);
     }
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -33,7 +33,7 @@
         let c = &scenario.classes[self.class];
         let mean = |i: usize| c.shapes.iter().map(|s| s[i]).sum::<f64>() / c.shapes.len() as f64;
         let size = 0.5 * (self.shape[0] / mean(0) + self.shape[1] / mean(1));
-        let rate = c.rules.worth * size;
+        let rate = c.rules.priority_weight * size;
         let bonus = rate * c.rules.start_bonus_s;
         let from = start + self.at_us;
         TaskDemand {
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -365,7 +365,7 @@
     fn group(&self, class: &str) -> u64 {
         use maplethread_config::DeduplicationScope;
         let rules = self.scenario.classes.iter().find(|c| c.rules.name == class);
-        let place = match rules.and_then(|c| c.rules.group) {
+        let place = match rules.and_then(|c| c.rules.deduplication_scope) {
             Some(DeduplicationScope::Zone) => self.spec.zone.clone(),
             Some(DeduplicationScope::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -291,11 +291,11 @@
         kind: "std".to_owned(),
         state: HostState::Ready,
         started_ms: None,
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     };
     let inventory = Inventory {
-        host: hosts_up.addresses.iter().enumerate().map(entry).collect(),
+        hosts: hosts_up.addresses.iter().enumerate().map(entry).collect(),
     };
     std::fs::write(
         folder.path().join("hosts.toml"),
@@ -305,7 +305,7 @@
         None => None,
         Some(_) => {
             let servers = Servers::start(ServerSettings::new(3))?;
-            for host in &inventory.host {
+            for host in &inventory.hosts {
                 register(servers.addresses[0], host)?;
             }
             Some(servers)
@@ -329,20 +329,20 @@
         consul: servers
             .as_ref()
             .map(|s| consul(s.addresses.clone(), DampingMode::Off, None)),
-        placing: PlacementSettings {
+        placement: PlacementSettings {
             admit_cores: 1.0,
             admit_memory: 1.0,
             ..PlacementSettings::default()
         },
         rules: RuleSettings {
-            ask_within_ms: 10_000,
+            max_poll_interval_ms: 10_000,
             initial_capacity_share: 0.2,
             warm_up_duration_ms: 5_000,
             overload_multiple: 4.0,
             overload_window_ms: 2_000,
             warm_up_offers: 20.0,
         },
-        prices: CostSettings::default(),
+        costs: CostSettings::default(),
         trace: options.trace_folder.clone().map(crate::settings::trace),
         kinds: vec![HostKind {
             name: "std".to_owned(),
@@ -391,7 +391,7 @@
         .as_ref()
         .zip(options.health_changes_per_s)
         .map(|(servers, rate)| {
-            let (at, hosts) = (servers.addresses[0], inventory.host.clone());
+            let (at, hosts) = (servers.addresses[0], inventory.hosts.clone());
             let (half, rate) = (options.seconds / 2.0, rate.max(0.1));
             std::thread::spawn(move || {
                 std::thread::sleep(Duration::from_secs_f64(half));
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -458,7 +458,7 @@
 
     /// Whether a second start does harm.
     pub fn careful(&self, class: usize) -> bool {
-        self.classes[class].rules.retry_safety != RetrySafety::Safe
+        self.classes[class].rules.retry_safety != RetrySafety::Idempotent
     }
 }
 
--- a/crates/emulator/src/scenario_run.rs
+++ b/crates/emulator/src/scenario_run.rs
@@ -339,8 +339,8 @@
         if let Some(servers) = &self.servers {
             let now = inventory(&self.scenario, &self.host_pool.addresses, &self.listed);
             let mut told = Vec::new();
-            for host in &now.host {
-                let known = self.in_catalogue.host.iter().find(|h| h.name == host.name);
+            for host in &now.hosts {
+                let known = self.in_catalogue.hosts.iter().find(|h| h.name == host.name);
                 match known {
                     Some(known) if known == host => told.push(host.clone()),
                     _ if register(servers.addresses[0], host).is_ok() => told.push(host.clone()),
@@ -348,13 +348,13 @@
                     _ => told.extend(known.cloned()),
                 }
             }
-            self.unregistered = told != now.host;
-            self.in_catalogue.host = told;
+            self.unregistered = told != now.hosts;
+            self.in_catalogue.hosts = told;
             return Ok(());
         }
         let inventory = inventory(&self.scenario, &self.host_pool.addresses, &self.listed);
         let ready = inventory
-            .host
+            .hosts
             .iter()
             .filter(|h| h.state == HostState::Ready);
         let ready: Vec<_> = ready
@@ -370,7 +370,10 @@
                 .filter(|(host, _)| !ready.iter().any(|(h, _)| h == host))
                 .cloned(),
         );
-        let gone = inventory.host.iter().filter(|h| h.state == HostState::Gone);
+        let gone = inventory
+            .hosts
+            .iter()
+            .filter(|h| h.state == HostState::Gone);
         let gone: Vec<Arc<str>> = gone.map(|h| h.name.as_str().into()).collect();
         self.world.record(Observation::Inventory {
             ready: either,
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -50,27 +50,27 @@
         consul: servers.map(|(servers, damping)| {
             let membership = SlotLeaseSettings {
                 service: "maplethread-placer".to_owned(),
-                prefix: "maplethread/slots".to_owned(),
+                key_prefix: "maplethread/slots".to_owned(),
                 ttl_ms: 2_000,
                 lock_delay_ms: 1_000,
             };
             consul(servers.to_vec(), damping, Some(membership))
         }),
-        placing: PlacementSettings {
-            placed_when: s.fleet.placed_when,
+        placement: PlacementSettings {
+            acceptance_point: s.fleet.placed_when,
             admit_cores: s.fleet.cpu_overcommit,
             admit_memory: s.fleet.memory_overcommit,
             ..PlacementSettings::default()
         },
         rules: PlacerRules {
-            ask_within_ms: 10_000,
+            max_poll_interval_ms: 10_000,
             initial_capacity_share: s.rules.initial_capacity_share,
             warm_up_duration_ms: s.rules.warm_up_ms,
             overload_multiple: s.rules.overload_multiple,
             overload_window_ms: s.rules.overload_window_ms,
             warm_up_offers: s.rules.warm_up_offers,
         },
-        prices: CostSettings::default(),
+        costs: CostSettings::default(),
         fleet: None,
         trace: None,
         kinds: s.kinds.iter().map(|k| k.kind()).collect(),
@@ -80,32 +80,35 @@
 
 /// Figures of the rules, as the judge takes them.
 pub(crate) fn figures(s: &Scenario) -> RuleParameters {
-    let class = |c: &crate::scenario::Class| {
-        use maplethread_config as mc;
-        ClassRule {
-            name: c.rules.name.clone(),
-            deduplication: c.rules.group.zip(c.rules.window_ms).map(|(group, ms)| {
-                let group = match group {
-                    mc::DeduplicationScope::All => Group::All,
-                    mc::DeduplicationScope::Zone => Group::Zone,
-                    mc::DeduplicationScope::Cell => Group::Cell,
-                };
-                (group, ms * 1000)
-            }),
-            spread_limit: c
-                .rules
-                .spread_over
-                .zip(c.rules.spread_most)
-                .map(|(place, most)| {
-                    let place = match place {
-                        mc::TopologyLevel::Host => Place::Host,
-                        mc::TopologyLevel::Cell => Place::Cell,
-                        mc::TopologyLevel::Zone => Place::Zone,
-                    };
-                    (place, most)
-                }),
-        }
-    };
+    let class =
+        |c: &crate::scenario::Class| {
+            use maplethread_config as mc;
+            ClassRule {
+                name: c.rules.name.clone(),
+                deduplication: c
+                    .rules
+                    .deduplication_scope
+                    .zip(c.rules.deduplication_window_ms)
+                    .map(|(group, ms)| {
+                        let group = match group {
+                            mc::DeduplicationScope::All => Group::All,
+                            mc::DeduplicationScope::Zone => Group::Zone,
+                            mc::DeduplicationScope::Cell => Group::Cell,
+                        };
+                        (group, ms * 1000)
+                    }),
+                spread_limit: c.rules.spread_level.zip(c.rules.max_per_domain).map(
+                    |(place, most)| {
+                        let place = match place {
+                            mc::TopologyLevel::Host => Place::Host,
+                            mc::TopologyLevel::Cell => Place::Cell,
+                            mc::TopologyLevel::Zone => Place::Zone,
+                        };
+                        (place, most)
+                    },
+                ),
+            }
+        };
     let host = |number: usize| {
         let (zone, cell) = s.place_of(number);
         Location {
@@ -122,7 +125,7 @@
         cold_for: s.rules.warm_up_ms * 1000,
         fall_window: s.rules.overload_window_ms * 1000,
         warm_up_offers: s.rules.warm_up_offers,
-        lost_after: hosts("").lost_after_ms * 1000,
+        lost_after: hosts("").loss_timeout_ms * 1000,
         reprieve: 500_000,
         slack: SLACK,
     }
@@ -145,12 +148,12 @@
             kind: scenario.kind_of(number).name.clone(),
             state,
             started_ms,
-            unasked_cores: None,
-            unasked_memory_gib: None,
+            unallocated_cores: None,
+            unallocated_memory_gib: None,
         }
     };
     Inventory {
-        host: (0..scenario.fleet.hosts).map(entry).collect(),
+        hosts: (0..scenario.fleet.hosts).map(entry).collect(),
     }
 }
 
@@ -158,16 +161,16 @@
 pub fn plain_class() -> maplethread_config::TaskClass {
     maplethread_config::TaskClass {
         name: "web-api".to_owned(),
-        retry_safety: maplethread_config::RetrySafety::Safe,
-        group: None,
-        window_ms: None,
+        retry_safety: maplethread_config::RetrySafety::Idempotent,
+        deduplication_scope: None,
+        deduplication_window_ms: None,
         latency_objective_ms: 600,
-        worth: 1.0,
+        priority_weight: 1.0,
         start_bonus_s: 10.0,
         priority: 0,
         kind: None,
-        spread_over: None,
-        spread_most: None,
+        spread_level: None,
+        max_per_domain: None,
     }
 }
 
@@ -175,19 +178,19 @@
     ApiSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         max_clients: 10_000,
-        max_asks: 20_000,
+        max_pending_requests: 20_000,
         max_actors: 200_000,
         max_body_bytes: 16 << 10,
-        max_unread_bytes: 1 << 20,
+        max_unsent_bytes: 1 << 20,
         max_pipelined: 32,
         max_budget_ms: 600_000,
-        request_within_ms: 10_000,
-        idle_close_ms: 60_000,
-        answers_kept_ms: 30_000,
-        answers_kept: 50_000,
-        events_kept: 50_000,
-        settle_ms: 3_000,
-        stop_within_ms: 10_000,
+        request_timeout_ms: 10_000,
+        idle_timeout_ms: 60_000,
+        answer_retention_ms: 30_000,
+        max_kept_answers: 50_000,
+        max_kept_events: 50_000,
+        resubmission_hold_ms: 3_000,
+        shutdown_grace_ms: 10_000,
     }
 }
 
@@ -195,14 +198,14 @@
     HostSettings {
         inventory: Some(inventory.as_ref().to_owned()),
         max_hosts: 8192,
-        connect_within_ms: 1000,
-        reconnect_first_ms: 100,
-        reconnect_most_ms: 2000,
-        ping_every_ms: 1000,
-        silent_after_ms: 3000,
+        connect_timeout_ms: 1000,
+        min_reconnect_delay_ms: 100,
+        max_reconnect_delay_ms: 2000,
+        ping_interval_ms: 1000,
+        silence_timeout_ms: 3000,
         max_idle_pings_per_s: 40,
         max_idle_ping_interval_ms: 90_000,
-        lost_after_ms: 5000,
+        loss_timeout_ms: 5000,
         max_unwritten_bytes: 256 << 10,
     }
 }
@@ -218,12 +221,12 @@
         service: "maplethread-host".to_owned(),
         datacentre: Some("dc1".to_owned()),
         token_file: None,
-        reads: ReadConsistency::Stale,
+        consistency: ReadConsistency::Stale,
         filter: None,
         watch: true,
-        wait_ms: 2_000,
-        members_every_ms: 1_000,
-        max_answer_bytes: 32 << 20,
+        max_wait_ms: 2_000,
+        member_read_interval_ms: 1_000,
+        max_response_bytes: 32 << 20,
         damping,
         membership,
     }
--- a/crates/engine/src/asks.rs
+++ b/crates/engine/src/asks.rs
@@ -166,7 +166,7 @@
             problem.close = true;
             return Err(problem);
         }
-        if self.requests.len() >= self.config.api.max_asks {
+        if self.requests.len() >= self.config.api.max_pending_requests {
             return Err(Problem::unavailable(
                 "too-many-asks",
                 "Too many asks are open",
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -156,8 +156,8 @@
 
     /// An attempt of an actor that must not run twice may still come to run.
     fn unsettle(&mut self, class: usize, key: ActorKey, wire: u64) {
-        if self.config.classes[class].retry_safety != RetrySafety::Safe {
-            let until = self.now + self.config.api.settle_ms * 1000;
+        if self.config.classes[class].retry_safety != RetrySafety::Idempotent {
+            let until = self.now + self.config.api.resubmission_hold_ms * 1000;
             self.timers.schedule(until, Timer::Settled);
             self.unsettled.insert(key.clone(), (until, wire));
             self.late.insert(wire, key);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -319,8 +319,8 @@
             late: HashMap::new(),
             probes: BTreeMap::new(),
             next_probe: 0,
-            answers: AnswerCache::new(api.answers_kept, api.answers_kept_ms * 1000),
-            ring: RecentEvents::new(api.events_kept),
+            answers: AnswerCache::new(api.max_kept_answers, api.answer_retention_ms * 1000),
+            ring: RecentEvents::new(api.max_kept_events),
             counters: Counters::default(),
             stopping: false,
             decided_arrivals: Vec::new(),
@@ -621,7 +621,7 @@
                 let nonce = self.next_probe;
                 if self.send(host, &Frame::Probe(nonce), true).is_some() {
                     self.probes.insert(nonce, host);
-                    let wait = self.config.hosts.connect_within_ms * 1000;
+                    let wait = self.config.hosts.connect_timeout_ms * 1000;
                     self.timers
                         .schedule(self.now + wait, Timer::ProbeTimeout(nonce));
                 } else {
@@ -704,6 +704,6 @@
 
     /// Whether a placing is done once a host has accepted.
     pub(crate) fn placed_when_accepted(&self) -> bool {
-        self.config.placing.placed_when == AcceptancePoint::Accepted
+        self.config.placement.acceptance_point == AcceptancePoint::Accepted
     }
 }
--- a/crates/engine/src/serve.rs
+++ b/crates/engine/src/serve.rs
@@ -35,8 +35,8 @@
         let first = self
             .config
             .api
-            .request_within_ms
-            .min(self.config.api.idle_close_ms)
+            .request_timeout_ms
+            .min(self.config.api.idle_timeout_ms)
             * 1000;
         self.timers
             .schedule(self.now + first, Timer::ClientTimeout(id));
@@ -47,7 +47,7 @@
     pub fn client_bytes(&mut self, now: u64, id: ClientId, unread: &[u8]) -> usize {
         self.now = self.now.max(now);
         let (most, turn) = (self.config.api.max_pipelined, self.turns);
-        let unread_most = self.config.api.max_unread_bytes / 4;
+        let unread_most = self.config.api.max_unsent_bytes / 4;
         let mut used = 0;
         loop {
             let Some(client) = self.clients.get_mut(&id) else {
@@ -117,7 +117,7 @@
             return;
         };
         client.unread_bytes = bytes;
-        if bytes > self.config.api.max_unread_bytes {
+        if bytes > self.config.api.max_unsent_bytes {
             tracing::warn!(client = id.0, bytes, "does not read its answers; cut off");
             self.outputs.push(Output::CloseClient(id));
             self.client_closed(self.now, id);
@@ -155,8 +155,8 @@
     /// Looks after a connection's times.
     pub(crate) fn client_due(&mut self, id: ClientId) {
         let (whole, idle) = (
-            self.config.api.request_within_ms * 1000,
-            self.config.api.idle_close_ms * 1000,
+            self.config.api.request_timeout_ms * 1000,
+            self.config.api.idle_timeout_ms * 1000,
         );
         let Some(client) = self.clients.get_mut(&id) else {
             return;
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -9,7 +9,7 @@
 
 impl<D: Decide> Engine<D> {
     pub(crate) fn connect_due(&mut self, id: HostId, epoch: u64) {
-        let within = self.config.hosts.connect_within_ms * 1000;
+        let within = self.config.hosts.connect_timeout_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
@@ -74,10 +74,10 @@
     pub fn host_closed(&mut self, now: u64, id: HostId, written: u64) {
         self.now = self.now.max(now);
         let (first, most) = (
-            self.config.hosts.reconnect_first_ms,
-            self.config.hosts.reconnect_most_ms,
+            self.config.hosts.min_reconnect_delay_ms,
+            self.config.hosts.max_reconnect_delay_ms,
         );
-        let lost = self.config.hosts.lost_after_ms * 1000;
+        let lost = self.config.hosts.loss_timeout_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -11,8 +11,8 @@
 /// No hosts yet; how often they are pinged is set.
 pub(crate) fn liveness(hosts: &HostSettings) -> Liveness<HostId> {
     Liveness::new(Settings {
-        ping_every: hosts.ping_every_ms * 1000,
-        silent_after: hosts.silent_after_ms * 1000,
+        ping_every: hosts.ping_interval_ms * 1000,
+        silent_after: hosts.silence_timeout_ms * 1000,
         max_idle_pings_per_s: hosts.max_idle_pings_per_s,
         max_idle_interval: hosts.max_idle_ping_interval_ms * 1000,
     })
@@ -42,7 +42,7 @@
 
     /// A host has greeted: its silence counts from now on.
     pub(super) fn watch(&mut self, id: HostId) {
-        let first_tick_after = self.jitter(self.config.hosts.ping_every_ms * 1000);
+        let first_tick_after = self.jitter(self.config.hosts.ping_interval_ms * 1000);
         self.liveness.greeted(self.now, id, first_tick_after);
     }
 
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -16,7 +16,7 @@
     pub fn apply_inventory(&mut self, now: u64, inventory: &Inventory) {
         self.now = self.now.max(now);
         self.listed = true;
-        let named: BTreeSet<&str> = inventory.host.iter().map(|e| e.name.as_str()).collect();
+        let named: BTreeSet<&str> = inventory.hosts.iter().map(|e| e.name.as_str()).collect();
         for host in self
             .hosts
             .values_mut()
@@ -24,7 +24,7 @@
         {
             host.inventory_state = HostState::Gone;
         }
-        for entry in &inventory.host {
+        for entry in &inventory.hosts {
             self.take_entry(entry);
         }
         let listings = self
@@ -111,7 +111,7 @@
             return id;
         };
         (host.entry.zone, host.entry.cell, host.entry.kind) = (zone, cell, kind);
-        let free = entry.unasked_cores.zip(entry.unasked_memory_gib);
+        let free = entry.unallocated_cores.zip(entry.unallocated_memory_gib);
         host.entry.unallocated = free.map(|(cores, memory)| Resources::new(cores, memory));
         (host.inventory_state, host.listed_start) = (entry.state, entry.started_ms);
         let moved = host.address != entry.address;
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -57,8 +57,8 @@
         kind: "std-16".to_owned(),
         state: HostState::Ready,
         started_ms: Some(START / 1000),
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     }
 }
 
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -55,8 +55,8 @@
         kind: "std-16".to_owned(),
         state,
         started_ms: Some(NOW / 1000),
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     }
 }
 
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -90,14 +90,14 @@
             .map(|p| proxy.advertise(p))
             .collect(),
         key_file: key_file.clone(),
-        probe_every_ms: 1000 / faster,
-        probe_within_ms: 300 / faster,
-        helpers: 3,
-        suspicion: 5,
-        gossip_every_ms: 200 / faster,
-        sync_every_ms: 2000 / faster,
-        seek_every_ms: 5000 / faster,
-        forget_after_s: schedule.forget_after_s,
+        probe_interval_ms: 1000 / faster,
+        probe_timeout_ms: 300 / faster,
+        indirect_probes: 3,
+        suspicion_multiplier: 5,
+        gossip_interval_ms: 200 / faster,
+        sync_interval_ms: 2000 / faster,
+        discovery_interval_ms: 5000 / faster,
+        retention_s: schedule.forget_after_s,
         max_members: 4096,
     };
     let (news, heard) = channel();
--- a/crates/placer/src/catalogue.rs
+++ b/crates/placer/src/catalogue.rs
@@ -133,7 +133,7 @@
                 let address: SocketAddr = self.config.servers[server];
                 let conn = TcpConnection::connect(address, *next_token, poller)?;
                 let limits = Limits {
-                    max_body_bytes: self.config.max_answer_bytes,
+                    max_body_bytes: self.config.max_response_bytes,
                     ..Limits::default()
                 };
                 let reader = MessageReader::new(Role::Responses, limits);
--- a/crates/placer/src/daemon.rs
+++ b/crates/placer/src/daemon.rs
@@ -416,7 +416,7 @@
         if let Some(fleet) = &mut self.membership {
             fleet.leave(self.clock.now());
         }
-        self.stop_by = Some(self.clock.now() + self.config.api.stop_within_ms * 1000);
+        self.stop_by = Some(self.clock.now() + self.config.api.shutdown_grace_ms * 1000);
     }
 
     fn take_in(&mut self, ready: &[Readiness]) {
@@ -486,7 +486,7 @@
             &self.config,
         ) {
             Ok(inventory) => {
-                tracing::info!(%file, hosts = inventory.host.len(), "inventory read");
+                tracing::info!(%file, hosts = inventory.hosts.len(), "inventory read");
                 self.engine.apply_inventory(self.clock.now(), &inventory);
             }
             Err(e) => tracing::error!(error = %e, "bad inventory; the last good list is kept"),
@@ -670,7 +670,8 @@
             }
             self.engine.set_gauges(gauges);
             if let Some(fleet) = self.membership.as_mut().filter(|_| self.stop_by.is_none()) {
-                let load = self.engine.pending_requests() as f64 / self.config.api.max_asks as f64;
+                let load = self.engine.pending_requests() as f64
+                    / self.config.api.max_pending_requests as f64;
                 fleet.says(now, false, self.replica_index, load);
             }
         }
@@ -697,7 +698,7 @@
                     return;
                 };
                 let flushed = client.conn.flush(&self.poller);
-                let stuck = client.conn.unwritten_bytes() > self.config.api.max_unread_bytes;
+                let stuck = client.conn.unwritten_bytes() > self.config.api.max_unsent_bytes;
                 if flushed.is_err() || stuck || self.lingering.len() >= MOST_LINGERING {
                     client.conn.reset();
                     return;
--- a/crates/placer/src/fleet.rs
+++ b/crates/placer/src/fleet.rs
@@ -47,14 +47,14 @@
 fn pace(config: &FleetConfig) -> Timing {
     let ms = Duration::from_millis;
     Timing {
-        probe_interval: ms(config.probe_every_ms),
-        probe_timeout: ms(config.probe_within_ms),
-        indirect_probes: config.helpers,
-        suspicion_multiplier: config.suspicion,
-        gossip_interval: ms(config.gossip_every_ms),
-        anti_entropy_interval: ms(config.sync_every_ms),
-        discovery_interval: ms(config.seek_every_ms),
-        forget_after: Duration::from_secs(config.forget_after_s),
+        probe_interval: ms(config.probe_interval_ms),
+        probe_timeout: ms(config.probe_timeout_ms),
+        indirect_probes: config.indirect_probes,
+        suspicion_multiplier: config.suspicion_multiplier,
+        gossip_interval: ms(config.gossip_interval_ms),
+        anti_entropy_interval: ms(config.sync_interval_ms),
+        discovery_interval: ms(config.discovery_interval_ms),
+        forget_after: Duration::from_secs(config.retention_s),
         max_members: config.max_members,
     }
 }
--- a/crates/scale/src/host_list.rs
+++ b/crates/scale/src/host_list.rs
@@ -31,17 +31,17 @@
         for n in 0..changes {
             self.interrupted
                 .sleep_until(start + Duration::from_secs_f64(n as f64 / self.rate))?;
-            let worker = n / 2 * STRIDE % self.inventory.host.len();
+            let worker = n / 2 * STRIDE % self.inventory.hosts.len();
             let state = if n % 2 == 0 {
                 HostState::Draining
             } else {
                 HostState::Ready
             };
-            self.inventory.host[worker].state = state;
+            self.inventory.hosts[worker].state = state;
             write_inventory(&self.path, &self.inventory)?;
         }
         self.inventory
-            .host
+            .hosts
             .iter_mut()
             .for_each(|host| host.state = HostState::Ready);
         write_inventory(&self.path, &self.inventory)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -9,7 +9,7 @@
 /// The minor version: later ones add frames and fields at the end.
 pub const MINOR: u16 = 1;
 /// The longest frame, with its type and without its length.
-pub const MAX_FRAME: usize = 64 << 10;
+pub const MAX_FRAME_BYTES: usize = 64 << 10;
 const MAGIC: u32 = 0x4854_504d;
 
 /// Cores and memory.
@@ -191,7 +191,7 @@
     Empty,
     /// A frame that ends before its last field.
     #[error("frame of type {0} is cut short")]
-    Short(u8),
+    Truncated(u8),
     /// A text that is not UTF-8.
     #[error("frame of type {0} holds a text that is not UTF-8")]
     InvalidText(u8),
@@ -200,20 +200,20 @@
     InvalidValue(u8),
     /// A hello without the protocol's mark.
     #[error("not the host protocol")]
-    Magic,
+    NotHostProtocol,
 }
 
-struct Fields<'a> {
+struct FieldReader<'a> {
     kind: u8,
     rest: &'a [u8],
 }
 
-impl<'a> Fields<'a> {
+impl<'a> FieldReader<'a> {
     fn bytes(&mut self, n: usize) -> Result<&'a [u8], FrameError> {
         let (part, rest) = self
             .rest
             .split_at_checked(n)
-            .ok_or(FrameError::Short(self.kind))?;
+            .ok_or(FrameError::Truncated(self.kind))?;
         self.rest = rest;
         Ok(part)
     }
@@ -249,25 +249,25 @@
         }
     }
 
-    fn text(&mut self) -> Result<String, FrameError> {
+    fn string(&mut self) -> Result<String, FrameError> {
         let n = usize::from(self.u16()?);
         let text =
             std::str::from_utf8(self.bytes(n)?).map_err(|_| FrameError::InvalidText(self.kind))?;
         Ok(text.to_owned())
     }
 
-    fn load(&mut self) -> Result<ResourceAmounts, FrameError> {
+    fn resources(&mut self) -> Result<ResourceAmounts, FrameError> {
         Ok(ResourceAmounts {
             cores: self.f64()?,
             memory_gib: self.f64()?,
         })
     }
 
-    fn maybe_load(&mut self) -> Result<Option<ResourceAmounts>, FrameError> {
+    fn optional_resources(&mut self) -> Result<Option<ResourceAmounts>, FrameError> {
         if self.u8()? == 0 {
             Ok(None)
         } else {
-            self.load().map(Some)
+            self.resources().map(Some)
         }
     }
 
@@ -275,11 +275,11 @@
         Ok(Offer {
             attempt_id: self.u64()?,
             prior_attempts: self.u32()?,
-            service: self.text()?,
-            actor: self.text()?,
-            class: self.text()?,
-            request_id: self.text()?,
-            requested: self.load()?,
+            service: self.string()?,
+            actor: self.string()?,
+            class: self.string()?,
+            request_id: self.string()?,
+            requested: self.resources()?,
             priority: self.u32()?,
             duplicate_policy: match (self.u8()?, self.u64()?) {
                 (0, _) => DuplicatePolicy::Idempotent,
@@ -303,7 +303,7 @@
             return Ok((None, used));
         };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > MAX_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong(length));
         }
         if length == 0 {
@@ -313,26 +313,26 @@
             return Ok((None, used));
         };
         used += 4 + length;
-        if let Some(frame) = body_of(body)? {
+        if let Some(frame) = decode_body(body)? {
             return Ok((Some(frame), used));
         }
     }
 }
 
-fn body_of(body: &[u8]) -> Result<Option<Frame>, FrameError> {
-    let mut f = Fields {
+fn decode_body(body: &[u8]) -> Result<Option<Frame>, FrameError> {
+    let mut f = FieldReader {
         kind: body[0],
         rest: &body[1..],
     };
     Ok(Some(match f.kind {
         1 => {
             if f.u32()? != MAGIC {
-                return Err(FrameError::Magic);
+                return Err(FrameError::NotHostProtocol);
             }
             Frame::Hello {
                 major: f.u16()?,
                 minor: f.u16()?,
-                name: f.text()?,
+                name: f.string()?,
                 started_ms: f.u64()?,
                 max_offers: f.u32()?,
             }
@@ -344,13 +344,17 @@
         6 => Frame::Ping(f.u32()?),
         7 => Frame::Pong(f.u32()?),
         8 => Frame::Accepted(f.u64()?, f.u32()?),
-        9 => Frame::Refused(f.u64()?, Reason::from_byte(f.u8()?), f.maybe_load()?),
+        9 => Frame::Refused(
+            f.u64()?,
+            Reason::from_byte(f.u8()?),
+            f.optional_resources()?,
+        ),
         10 => Frame::Started(f.u64()?, f.u32()?),
         11 => Frame::Ended(
             f.u64()?,
             Reason::from_byte(f.u8()?),
             f.u8()? != 0,
-            f.maybe_load()?,
+            f.optional_resources()?,
         ),
         12 => {
             let (attempt, kind, x) = (f.u64()?, f.u8()?, f.f64()?);
@@ -364,11 +368,11 @@
             };
             Frame::Note(attempt, kind, x)
         }
-        13 => Frame::Report(f.u32()?, f.load()?),
+        13 => Frame::Report(f.u32()?, f.resources()?),
         14 => Frame::Drain,
         15 => Frame::Held(f.offer()?, f.u8()? != 0),
         16 => Frame::HeldEnd,
-        17 => Frame::Bye(f.text()?),
+        17 => Frame::Bye(f.string()?),
         _ => return Ok(None),
     }))
 }
@@ -383,15 +387,15 @@
     out.extend_from_slice(&text.as_bytes()[..n]);
 }
 
-fn put_load(out: &mut Vec<u8>, load: ResourceAmounts) {
+fn put_resources(out: &mut Vec<u8>, load: ResourceAmounts) {
     out.extend_from_slice(&load.cores.to_le_bytes());
     out.extend_from_slice(&load.memory_gib.to_le_bytes());
 }
 
-fn put_maybe(out: &mut Vec<u8>, load: Option<ResourceAmounts>) {
+fn put_optional_resources(out: &mut Vec<u8>, load: Option<ResourceAmounts>) {
     out.push(u8::from(load.is_some()));
     if let Some(load) = load {
-        put_load(out, load);
+        put_resources(out, load);
     }
 }
 
@@ -406,7 +410,7 @@
     ] {
         put_text(out, text);
     }
-    put_load(out, offer.requested);
+    put_resources(out, offer.requested);
     out.extend_from_slice(&offer.priority.to_le_bytes());
     let (kind, key) = match offer.duplicate_policy {
         DuplicatePolicy::Idempotent => (0, 0),
@@ -463,7 +467,7 @@
         Frame::Refused(attempt, reason, load) => {
             numbered(out, 9, attempt);
             out.push(*reason as u8);
-            put_maybe(out, *load);
+            put_optional_resources(out, *load);
         }
         Frame::Started(attempt, took) => {
             numbered(out, 10, attempt);
@@ -472,7 +476,7 @@
         Frame::Ended(attempt, reason, ran, load) => {
             numbered(out, 11, attempt);
             out.extend_from_slice(&[*reason as u8, u8::from(*ran)]);
-            put_maybe(out, *load);
+            put_optional_resources(out, *load);
         }
         Frame::Note(attempt, kind, x) => {
             numbered(out, 12, attempt);
@@ -481,7 +485,7 @@
         }
         Frame::Report(nonce, load) => {
             counted(out, 13, nonce);
-            put_load(out, *load);
+            put_resources(out, *load);
         }
         Frame::Drain => out.push(14),
         Frame::Held(offer, runs) => {
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -35,19 +35,19 @@
 pub enum HttpError {
     /// The start line is not one.
     #[error("malformed start line")]
-    StartLine,
+    MalformedStartLine,
     /// The start line is longer than allowed.
     #[error("start line too long")]
     LineTooLong,
     /// A version other than HTTP/1.0 and HTTP/1.1.
     #[error("HTTP version not supported")]
-    Version,
+    UnsupportedVersion,
     /// A CR without LF, or an LF without CR.
     #[error("bare CR or LF in the head")]
     BareLineEnd,
     /// A field line that continues the one before (obs-fold).
     #[error("folded field line")]
-    Folded,
+    FoldedField,
     /// A field that is not a name, a colon and a value.
     #[error("malformed field")]
     MalformedField,
@@ -59,16 +59,16 @@
     InvalidHost,
     /// Both Content-Length and Transfer-Encoding.
     #[error("both Content-Length and Transfer-Encoding")]
-    Conflict,
+    ConflictingLengths,
     /// A Content-Length that is not one number.
     #[error("bad Content-Length")]
     InvalidContentLength,
     /// A transfer coding other than chunked.
     #[error("transfer coding not supported")]
-    Coding,
+    UnsupportedCoding,
     /// A chunk that is not framed as it should be.
     #[error("malformed chunk")]
-    Chunk,
+    MalformedChunk,
     /// The body is larger than allowed.
     #[error("body too large")]
     BodyTooLarge,
@@ -84,8 +84,8 @@
             HttpError::LineTooLong => 414,
             HttpError::HeadTooLarge => 431,
             HttpError::BodyTooLarge => 413,
-            HttpError::Coding => 501,
-            HttpError::Version => 505,
+            HttpError::UnsupportedCoding => 501,
+            HttpError::UnsupportedVersion => 505,
             _ => 400,
         }
     }
@@ -148,28 +148,28 @@
         std::str::from_utf8(value).ok()
     }
 
-    fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
+    fn field_values<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> {
         self.fields()
             .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
             .map(|(_, v)| v)
     }
 
     /// Whether `option` stands in the Connection field.
-    fn connection(&self, option: &str) -> bool {
+    fn has_connection_option(&self, option: &str) -> bool {
         let listed = |v: &[u8]| {
             let text = std::str::from_utf8(v).unwrap_or("");
             text.split(',')
                 .any(|t| t.trim().eq_ignore_ascii_case(option))
         };
-        self.all("connection").any(listed)
+        self.field_values("connection").any(listed)
     }
 
     /// Whether the connection may carry another message after this one.
     pub fn is_keep_alive(&self) -> bool {
         if self.minor_version == 0 {
-            self.connection("keep-alive")
+            self.has_connection_option("keep-alive")
         } else {
-            !self.connection("close")
+            !self.has_connection_option("close")
         }
     }
 
@@ -215,9 +215,9 @@
     scanned: usize,
     /// Bytes of body and, after it, of trailers.
     body_bytes: usize,
-    trailer: usize,
+    trailer_bytes: usize,
     /// The next response has no body whatever its fields say: it answers a HEAD.
-    bodiless: bool,
+    is_next_bodiless: bool,
 }
 
 impl Decoder {
@@ -229,14 +229,14 @@
             state: State::Head,
             scanned: 0,
             body_bytes: 0,
-            trailer: 0,
-            bodiless: false,
+            trailer_bytes: 0,
+            is_next_bodiless: false,
         }
     }
 
     /// Tells that the next response answers a HEAD request.
-    pub fn next_is_bodiless(&mut self) {
-        self.bodiless = true;
+    pub fn expect_bodiless_response(&mut self) {
+        self.is_next_bodiless = true;
     }
 
     /// Whether a message has begun and not ended.
@@ -278,18 +278,18 @@
             }
             State::UntilClose if unread.is_empty() => Ok((Step::NeedMore, 0)),
             State::UntilClose => {
-                self.count(unread.len())?;
+                self.count_body_bytes(unread.len())?;
                 Ok((Step::Data(unread.to_vec()), unread.len()))
             }
             State::ChunkSize => {
-                let Some(line) = self.find_line(unread, 256, HttpError::Chunk)? else {
+                let Some(line) = self.find_line(unread, 256, HttpError::MalformedChunk)? else {
                     return Ok((Step::NeedMore, 0));
                 };
-                let size = chunk_size(&unread[..line])?;
+                let size = parse_chunk_size(&unread[..line])?;
                 if size == 0 {
-                    (self.state, self.trailer) = (State::Trailers, 0);
+                    (self.state, self.trailer_bytes) = (State::Trailers, 0);
                 } else {
-                    self.count(size)?;
+                    self.count_body_bytes(size)?;
                     self.state = State::ChunkData(size);
                 }
                 let (step, n) = self.step(&unread[line + 2..])?;
@@ -314,7 +314,7 @@
                     Ok((step, n + 2))
                 }
                 [] | [b'\r'] => Ok((Step::NeedMore, 0)),
-                _ => Err(HttpError::Chunk),
+                _ => Err(HttpError::MalformedChunk),
             },
             State::Trailers => {
                 let mut used = 0;
@@ -325,8 +325,8 @@
                 )? {
                     let text = &unread[used..used + line];
                     used += line + 2;
-                    self.trailer += line + 2;
-                    if self.trailer > self.limits.max_head_bytes {
+                    self.trailer_bytes += line + 2;
+                    if self.trailer_bytes > self.limits.max_head_bytes {
                         return Err(HttpError::HeadTooLarge);
                     }
                     if text.is_empty() {
@@ -340,7 +340,7 @@
         }
     }
 
-    fn count(&mut self, bytes: usize) -> Result<(), HttpError> {
+    fn count_body_bytes(&mut self, bytes: usize) -> Result<(), HttpError> {
         self.body_bytes = self.body_bytes.saturating_add(bytes);
         if self.body_bytes > self.limits.max_body_bytes {
             Err(HttpError::BodyTooLarge)
@@ -398,7 +398,7 @@
             Role::Responses => b == b'H',
         };
         if !unread.first().is_none_or(begins) {
-            return Err(HttpError::StartLine);
+            return Err(HttpError::MalformedStartLine);
         }
         let from = self.scanned.saturating_sub(3);
         let Some(end) = unread[from..]
@@ -414,12 +414,12 @@
         if end + 4 > self.limits.max_head_bytes {
             return Err(HttpError::HeadTooLarge);
         }
-        let head = self.parse(unread[..end + 2].to_vec())?;
+        let head = self.parse_head(unread[..end + 2].to_vec())?;
         let informational = self.role == Role::Responses && (100..200).contains(&head.status());
-        self.state = self.body_of(&head)?;
+        self.state = self.body_framing(&head)?;
         self.body_bytes = 0;
         if !informational {
-            self.bodiless = false;
+            self.is_next_bodiless = false;
         }
         Ok((Step::Head(head), end + 4))
     }
@@ -441,7 +441,7 @@
         Ok(())
     }
 
-    fn parse(&self, bytes: Vec<u8>) -> Result<Head, HttpError> {
+    fn parse_head(&self, bytes: Vec<u8>) -> Result<Head, HttpError> {
         let mut lines = Vec::new();
         let mut start = 0;
         while start < bytes.len() {
@@ -458,13 +458,13 @@
             start += at + 2;
         }
         let mut lines = lines.into_iter();
-        let first_line = lines.next().ok_or(HttpError::StartLine)?;
+        let first_line = lines.next().ok_or(HttpError::MalformedStartLine)?;
         if first_line.len() > self.limits.max_line_bytes {
             return Err(HttpError::LineTooLong);
         }
         let (first, second, minor) = match self.role {
-            Role::Requests => request_line(&bytes, first_line)?,
-            Role::Responses => status_line(&bytes, first_line)?,
+            Role::Requests => parse_request_line(&bytes, first_line)?,
+            Role::Responses => parse_status_line(&bytes, first_line)?,
         };
         let mut fields = Vec::new();
         for line in lines {
@@ -483,9 +483,9 @@
     }
 
     /// How the body that follows a head is framed (RFC 9112, 6.3).
-    fn body_of(&self, head: &Head) -> Result<State, HttpError> {
+    fn body_framing(&self, head: &Head) -> Result<State, HttpError> {
         let mut length = None;
-        for value in head.all("content-length") {
+        for value in head.field_values("content-length") {
             let text = std::str::from_utf8(value).map_err(|_| HttpError::InvalidContentLength)?;
             if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(HttpError::InvalidContentLength);
@@ -496,26 +496,30 @@
             }
             length = Some(n);
         }
-        let mut codings = head.all("transfer-encoding");
+        let mut codings = head.field_values("transfer-encoding");
         let chunked = match (codings.next(), codings.next()) {
             (None, _) => false,
             (Some(one), None) if one.eq_ignore_ascii_case(b"chunked") => true,
-            _ => return Err(HttpError::Coding),
+            _ => return Err(HttpError::UnsupportedCoding),
         };
         if chunked && length.is_some() {
-            return Err(HttpError::Conflict);
+            return Err(HttpError::ConflictingLengths);
         }
         if chunked && head.minor_version == 0 {
-            return Err(HttpError::Coding);
+            return Err(HttpError::UnsupportedCoding);
         }
         if self.role == Role::Requests {
-            let hosts = head.all("host").count();
+            let hosts = head.field_values("host").count();
             if hosts > 1 || (hosts == 0 && head.minor_version == 1) {
                 return Err(HttpError::InvalidHost);
             }
         } else {
             let status = head.status();
-            if self.bodiless || (100..200).contains(&status) || status == 204 || status == 304 {
+            if self.is_next_bodiless
+                || (100..200).contains(&status)
+                || status == 204
+                || status == 304
+            {
                 return Ok(State::Complete);
             }
         }
@@ -536,54 +540,54 @@
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
 
-fn version(bytes: &[u8]) -> Result<u8, HttpError> {
+fn parse_version(bytes: &[u8]) -> Result<u8, HttpError> {
     match bytes {
         b"HTTP/1.1" => Ok(1),
         b"HTTP/1.0" => Ok(0),
-        _ if bytes.starts_with(b"HTTP/") => Err(HttpError::Version),
-        _ => Err(HttpError::StartLine),
+        _ if bytes.starts_with(b"HTTP/") => Err(HttpError::UnsupportedVersion),
+        _ => Err(HttpError::MalformedStartLine),
     }
 }
 
-type Line = (Range<usize>, Range<usize>, u8);
+type StartLine = (Range<usize>, Range<usize>, u8);
 
-fn request_line(bytes: &[u8], line: Range<usize>) -> Result<Line, HttpError> {
+fn parse_request_line(bytes: &[u8], line: Range<usize>) -> Result<StartLine, HttpError> {
     let text = &bytes[line.clone()];
     let mut parts = text.split(|&b| b == b' ');
     let (Some(method), Some(target), Some(ver), None) =
         (parts.next(), parts.next(), parts.next(), parts.next())
     else {
-        return Err(HttpError::StartLine);
+        return Err(HttpError::MalformedStartLine);
     };
     let fine = |b: &u8| b.is_ascii_graphic();
     if method.is_empty() || !method.iter().all(|&b| is_token(b)) {
-        return Err(HttpError::StartLine);
+        return Err(HttpError::MalformedStartLine);
     }
     if target.is_empty() || !target.iter().all(fine) {
-        return Err(HttpError::StartLine);
+        return Err(HttpError::MalformedStartLine);
     }
-    let minor = version(ver)?;
+    let minor = parse_version(ver)?;
     let at = line.start + method.len();
     Ok((line.start..at, at + 1..at + 1 + target.len(), minor))
 }
 
-fn status_line(bytes: &[u8], line: Range<usize>) -> Result<Line, HttpError> {
+fn parse_status_line(bytes: &[u8], line: Range<usize>) -> Result<StartLine, HttpError> {
     let text = &bytes[line.clone()];
     if text.len() < 12 || text[8] != b' ' {
-        return Err(HttpError::StartLine);
+        return Err(HttpError::MalformedStartLine);
     }
-    let minor = version(&text[..8])?;
+    let minor = parse_version(&text[..8])?;
     let reason = match &text[12..] {
         [] => line.start + 12..line.end,
         [b' ', ..] => line.start + 13..line.end,
-        _ => return Err(HttpError::StartLine),
+        _ => return Err(HttpError::MalformedStartLine),
     };
     let fine = |&b: &u8| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80;
     if !text[9..12].iter().all(u8::is_ascii_digit)
         || text[9] == b'0'
         || !bytes[reason.clone()].iter().all(fine)
     {
-        return Err(HttpError::StartLine);
+        return Err(HttpError::MalformedStartLine);
     }
     Ok((line.start + 9..line.start + 12, reason, minor))
 }
@@ -591,7 +595,7 @@
 /// Name and value of a field line that begins at `base`.
 fn field(line: &[u8], base: usize) -> Result<(Range<usize>, Range<usize>), HttpError> {
     if matches!(line.first(), Some(b' ' | b'\t')) {
-        return Err(HttpError::Folded);
+        return Err(HttpError::FoldedField);
     }
     let colon = line
         .iter()
@@ -618,7 +622,7 @@
 }
 
 /// The size in a chunk's first line; extensions are passed over.
-fn chunk_size(line: &[u8]) -> Result<usize, HttpError> {
+fn parse_chunk_size(line: &[u8]) -> Result<usize, HttpError> {
     let digits = line
         .iter()
         .position(|b| !b.is_ascii_hexdigit())
@@ -626,10 +630,10 @@
     let rest = line[digits..].iter().find(|b| !matches!(b, b' ' | b'\t'));
     let plain = |&b: &u8| b == b'\t' || (0x20..0x7f).contains(&b) || b >= 0x80;
     if digits == 0 || digits > 8 || !matches!(rest, None | Some(b';')) || !line.iter().all(plain) {
-        return Err(HttpError::Chunk);
+        return Err(HttpError::MalformedChunk);
     }
-    let text = std::str::from_utf8(&line[..digits]).map_err(|_| HttpError::Chunk)?;
-    usize::from_str_radix(text, 16).map_err(|_| HttpError::Chunk)
+    let text = std::str::from_utf8(&line[..digits]).map_err(|_| HttpError::MalformedChunk)?;
+    usize::from_str_radix(text, 16).map_err(|_| HttpError::MalformedChunk)
 }
 
 /// A whole message.
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,19 +1,19 @@
 //! The host protocol's codec: round trips, bounds, and what a newer peer may send.
 
 use maplethread_wire::frame::{
-    DuplicatePolicy, Frame, FrameError, MAX_FRAME, NoteKind, Offer, Reason, ResourceAmounts,
+    DuplicatePolicy, Frame, FrameError, MAX_FRAME_BYTES, NoteKind, Offer, Reason, ResourceAmounts,
     decode, encode,
 };
 use proptest::prelude::*;
 
-fn load() -> impl Strategy<Value = ResourceAmounts> {
+fn any_resources() -> impl Strategy<Value = ResourceAmounts> {
     (-1e6..1e6, -1e6..1e6).prop_map(|(cores, memory)| ResourceAmounts {
         cores,
         memory_gib: memory,
     })
 }
 
-fn offer() -> impl Strategy<Value = Offer> {
+fn any_offer() -> impl Strategy<Value = Offer> {
     let copies = prop_oneof![
         Just(DuplicatePolicy::Idempotent),
         any::<u64>().prop_map(DuplicatePolicy::IdempotencyKey),
@@ -27,7 +27,7 @@
         any::<u64>(),
         any::<u32>(),
     );
-    (texts, numbers, load(), copies).prop_map(
+    (texts, numbers, any_resources(), copies).prop_map(
         |((service, actor, class, request), n, asks, copies)| Offer {
             attempt_id: n.0,
             prior_attempts: n.1,
@@ -44,12 +44,12 @@
     )
 }
 
-fn reason() -> impl Strategy<Value = Reason> {
+fn any_reason() -> impl Strategy<Value = Reason> {
     (0u8..=10).prop_map(Reason::from_byte)
 }
 
 fn any_frame() -> impl Strategy<Value = Frame> {
-    let maybe = || proptest::option::of(load());
+    let maybe = || proptest::option::of(any_resources());
     let kind = prop_oneof![
         Just(NoteKind::Cores),
         Just(NoteKind::Memory),
@@ -73,21 +73,21 @@
                     max_offers
                 }
             ),
-        offer().prop_map(Frame::Offer),
+        any_offer().prop_map(Frame::Offer),
         any::<u64>().prop_map(Frame::Cancel),
         any::<u64>().prop_map(Frame::Stop),
         any::<u32>().prop_map(Frame::Probe),
         any::<u32>().prop_map(Frame::Ping),
         any::<u32>().prop_map(Frame::Pong),
         (any::<u64>(), any::<u32>()).prop_map(|(a, t)| Frame::Accepted(a, t)),
-        (any::<u64>(), reason(), maybe()).prop_map(|(a, r, l)| Frame::Refused(a, r, l)),
+        (any::<u64>(), any_reason(), maybe()).prop_map(|(a, r, l)| Frame::Refused(a, r, l)),
         (any::<u64>(), any::<u32>()).prop_map(|(a, t)| Frame::Started(a, t)),
-        (any::<u64>(), reason(), any::<bool>(), maybe())
+        (any::<u64>(), any_reason(), any::<bool>(), maybe())
             .prop_map(|(a, r, ran, l)| Frame::Ended(a, r, ran, l)),
         (any::<u64>(), kind, -1e9..1e9).prop_map(|(a, k, x)| Frame::Note(a, k, x)),
-        (any::<u32>(), load()).prop_map(|(n, l)| Frame::Report(n, l)),
+        (any::<u32>(), any_resources()).prop_map(|(n, l)| Frame::Report(n, l)),
         Just(Frame::Drain),
-        (offer(), any::<bool>()).prop_map(|(o, runs)| Frame::Held(o, runs)),
+        (any_offer(), any::<bool>()).prop_map(|(o, runs)| Frame::Held(o, runs)),
         Just(Frame::HeldEnd),
         ".{0,40}".prop_map(Frame::Bye),
     ]
@@ -97,7 +97,7 @@
     #![proptest_config(ProptestConfig { cases: 1000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn frames_come_back_as_they_went(frames in proptest::collection::vec(any_frame(), 1..6)) {
+    fn decodes_what_it_encodes(frames in proptest::collection::vec(any_frame(), 1..6)) {
         let mut bytes = Vec::new();
         frames.iter().for_each(|frame| encode(frame, &mut bytes));
         let (mut got, mut at) = (Vec::new(), 0);
@@ -113,7 +113,7 @@
     }
 
     #[test]
-    fn survives_anything(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut at = 0;
         while let Ok((Some(_), used)) = decode(&bytes[at..]) {
             prop_assert!(used > 0 && at + used <= bytes.len());
@@ -123,7 +123,7 @@
 
     /// A newer minor version may add fields at the end and frames of types that are not known here.
     #[test]
-    fn survives_a_newer_peer(frame in any_frame(), more in proptest::collection::vec(any::<u8>(), 0..20), kind in 18u8..=255) {
+    fn skips_unknown_frames_and_trailing_fields(frame in any_frame(), more in proptest::collection::vec(any::<u8>(), 0..20), kind in 18u8..=255) {
         let mut bytes = Vec::new();
         let unknown = [&[kind][..], &more].concat();
         bytes.extend_from_slice(&(unknown.len() as u32).to_le_bytes());
@@ -138,7 +138,7 @@
 
     /// A frame cut short is an error, and not another frame.
     #[test]
-    fn refuses_frames_cut_short(frame in any_frame(), cut in 0usize..30) {
+    fn rejects_truncated_frames(frame in any_frame(), cut in 0usize..30) {
         let mut bytes = Vec::new();
         encode(&frame, &mut bytes);
         let whole = bytes.len();
@@ -153,10 +153,10 @@
 }
 
 #[test]
-fn refuses_what_is_no_frame() {
+fn rejects_malformed_frames() {
     assert_eq!(decode(&[0, 0, 0, 0]), Err(FrameError::Empty));
-    let long = (MAX_FRAME as u32 + 1).to_le_bytes();
-    assert_eq!(decode(&long), Err(FrameError::TooLong(MAX_FRAME + 1)));
+    let long = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
+    assert_eq!(decode(&long), Err(FrameError::TooLong(MAX_FRAME_BYTES + 1)));
     // HTTP on this port is found out by its first four bytes.
     assert!(matches!(
         decode(b"GET / HTTP/1.1\r\n"),
@@ -172,7 +172,7 @@
     };
     encode(&frame, &mut hello);
     hello[5] ^= 1;
-    assert_eq!(decode(&hello), Err(FrameError::Magic));
+    assert_eq!(decode(&hello), Err(FrameError::NotHostProtocol));
     let mut note = Vec::new();
     encode(&Frame::Note(1, NoteKind::ServedShare, 0.5), &mut note);
     let at = note.len() - 8;
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 
 /// Reads all messages of a stream that comes in pieces of these sizes.
-fn read(
+fn read_in_pieces(
     role: Role,
     limits: Limits,
     bytes: &[u8],
@@ -37,18 +37,19 @@
     Ok(messages)
 }
 
-fn request(bytes: &[u8]) -> Result<Vec<Message>, HttpError> {
-    let whole = read(Role::Requests, Limits::default(), bytes, &[bytes.len()]);
-    let dripped = read(Role::Requests, Limits::default(), bytes, &[1]);
+fn read_requests(bytes: &[u8]) -> Result<Vec<Message>, HttpError> {
+    let whole = read_in_pieces(Role::Requests, Limits::default(), bytes, &[bytes.len()]);
+    let dripped = read_in_pieces(Role::Requests, Limits::default(), bytes, &[1]);
     assert_eq!(whole, dripped, "cutting the bytes changes the result");
     whole
 }
 
 #[test]
-fn takes_requests_with_all_framings() {
-    let get =
-        request(b"GET /v1/status?full HTTP/1.1\r\nHost: a\r\nX-Empty:\r\nX-Pad: \t b c \t\r\n\r\n")
-            .expect("sound");
+fn reads_requests_with_every_framing() {
+    let get = read_requests(
+        b"GET /v1/status?full HTTP/1.1\r\nHost: a\r\nX-Empty:\r\nX-Pad: \t b c \t\r\n\r\n",
+    )
+    .expect("sound");
     let head = &get[0].head;
     assert_eq!(
         (head.method(), head.target(), head.minor_version()),
@@ -60,12 +61,12 @@
     );
     let bytes = b"\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcPUT / HTTP/1.1\r\nhost: a\r\n\
         Transfer-Encoding: Chunked\r\n\r\n3;x=\"y\"\r\nabc\r\n0a \r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nGET / HTTP/1.0\r\n\r\n";
-    let all = request(bytes).expect("sound");
+    let all = read_requests(bytes).expect("sound");
     let bodies: Vec<&[u8]> = all.iter().map(|m| m.body.as_slice()).collect();
     assert_eq!(bodies, [&b"abc"[..], b"abc0123456789", b""]);
     // Found by fuzzing: empty lines before a request are passed over however many come together.
     assert_eq!(
-        request(b"\r\n\r\n\r\nGET / HTTP/1.0\r\n\r\n").map(|all| all.len()),
+        read_requests(b"\r\n\r\n\r\nGET / HTTP/1.0\r\n\r\n").map(|all| all.len()),
         Ok(1)
     );
     assert_eq!(
@@ -77,12 +78,12 @@
 }
 
 #[test]
-fn refuses_what_could_be_read_in_two_ways() {
+fn rejects_ambiguous_messages() {
     use HttpError::*;
     let cases: &[(&[u8], HttpError, u16)] = &[
         (
             b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
-            Conflict,
+            ConflictingLengths,
             400,
         ),
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nabc", InvalidContentLength, 400),
@@ -91,27 +92,27 @@
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n", InvalidContentLength, 400),
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999999999999999999\r\n\r\n", InvalidContentLength, 400),
         (b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 999999999\r\n\r\n", BodyTooLarge, 413),
-        (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", Coding, 501),
-        (b"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", Coding, 501),
+        (b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", UnsupportedCoding, 501),
+        (b"POST / HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", UnsupportedCoding, 501),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: a\rb\r\n\r\n", BareLineEnd, 400),
         (b"GET / HTTP/1.1\nHost: a\n\n", BareLineEnd, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n  folded\r\n\r\n", Folded, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nX: a\r\n  folded\r\n\r\n", FoldedField, 400),
         (b"GET / HTTP/1.1\r\nHost : a\r\n\r\n", MalformedField, 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\n: b\r\n\r\n", MalformedField, 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nX: \0\r\n\r\n", MalformedField, 400),
         (b"GET / HTTP/1.1\r\n\r\n", InvalidHost, 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", InvalidHost, 400),
-        (b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", Version, 505),
-        (b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", StartLine, 400),
-        (b"G(T / HTTP/1.1\r\nHost: a\r\n\r\n", StartLine, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", Chunk, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd", Chunk, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", Chunk, 400),
-        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n", Chunk, 400),
+        (b"GET / HTTP/2.0\r\nHost: a\r\n\r\n", UnsupportedVersion, 505),
+        (b"GET  / HTTP/1.1\r\nHost: a\r\n\r\n", MalformedStartLine, 400),
+        (b"G(T / HTTP/1.1\r\nHost: a\r\n\r\n", MalformedStartLine, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n", MalformedChunk, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd", MalformedChunk, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", MalformedChunk, 400),
+        (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffffff\r\n", MalformedChunk, 400),
         (b"GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n", BodyTooLarge, 413),
     ];
     for (bytes, error, status) in cases {
-        let got = request(bytes).expect_err("refused");
+        let got = read_requests(bytes).expect_err("refused");
         assert_eq!(
             (got, got.status()),
             (*error, *status),
@@ -122,14 +123,15 @@
 }
 
 #[test]
-fn bounds_lines_heads_fields_and_bodies_before_they_are_whole() {
+fn enforces_limits_before_a_message_is_complete() {
     let limits = Limits {
         max_line_bytes: 64,
         max_head_bytes: 256,
         max_fields: 4,
         max_body_bytes: 16,
     };
-    let read = |bytes: &[u8]| read(Role::Requests, limits, bytes, &[7]).expect_err("refused");
+    let read =
+        |bytes: &[u8]| read_in_pieces(Role::Requests, limits, bytes, &[7]).expect_err("refused");
     assert_eq!(
         read(format!("GET /{}", "x".repeat(100)).as_bytes()),
         HttpError::LineTooLong
@@ -147,14 +149,14 @@
         "GET / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{}",
         "x".repeat(300)
     );
-    assert_eq!(read(long_size.as_bytes()), HttpError::Chunk);
+    assert_eq!(read(long_size.as_bytes()), HttpError::MalformedChunk);
 }
 
 #[test]
-fn takes_responses_with_all_framings() {
+fn reads_responses_with_every_framing() {
     let bytes = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 204 \r\n\r\n\
         HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n";
-    let all = read(Role::Responses, Limits::default(), bytes, &[3]).expect("sound");
+    let all = read_in_pieces(Role::Responses, Limits::default(), bytes, &[3]).expect("sound");
     let got: Vec<(u16, &[u8])> = all
         .iter()
         .map(|m| (m.head.status(), m.body.as_slice()))
@@ -237,7 +239,7 @@
 
     /// What is taken, `httparse` takes too, and reads the same.
     #[test]
-    fn agrees_with_httparse(bytes in near_request()) {
+    fn agrees_with_httparse_on_near_valid_requests(bytes in near_request()) {
         let mut decoder = Decoder::new(Role::Requests, Limits::default());
         if let Ok((Step::Head(head), _)) = decoder.step(&bytes) {
             let fields = head.fields().map(|(n, v)| (n.to_owned(), v.to_vec())).collect();
@@ -248,7 +250,7 @@
 
     /// And what `httparse` takes of plain requests is taken here: strictness is in the stated points only.
     #[test]
-    fn takes_plain_requests(target in "/[a-z0-9/._-]{0,30}", fields in proptest::collection::vec(("X-[a-z]{1,10}", "[!-~]([ -~]{0,30}[!-~])?"), 0..10)) {
+    fn reads_plain_requests(target in "/[a-z0-9/._-]{0,30}", fields in proptest::collection::vec(("X-[a-z]{1,10}", "[!-~]([ -~]{0,30}[!-~])?"), 0..10)) {
         let mut text = format!("GET {target} HTTP/1.1\r\nHost: a\r\n");
         fields.iter().for_each(|(n, v)| text += &format!("{n}: {v}\r\n"));
         text += "\r\n";
@@ -261,11 +263,11 @@
 
     /// Pieces of any size give what the whole gives, errors too.
     #[test]
-    fn cutting_changes_nothing(bytes in near_request(), body in "[ -~]{0,40}", pieces in proptest::collection::vec(1usize..20, 1..10)) {
+    fn result_does_not_depend_on_how_bytes_are_split(bytes in near_request(), body in "[ -~]{0,40}", pieces in proptest::collection::vec(1usize..20, 1..10)) {
         let mut all = bytes;
         all.extend_from_slice(format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
-        let whole = read(Role::Requests, Limits::default(), &all, &[all.len()]);
-        let cut = read(Role::Requests, Limits::default(), &all, &pieces);
+        let whole = read_in_pieces(Role::Requests, Limits::default(), &all, &[all.len()]);
+        let cut = read_in_pieces(Role::Requests, Limits::default(), &all, &pieces);
         // A prefix may be refused sooner for another reason; that it is refused must not depend on the cut.
         prop_assert_eq!(whole.is_ok(), cut.is_ok());
         if let (Ok(whole), Ok(cut)) = (whole, cut) {
@@ -275,22 +277,22 @@
 
     /// Any bytes end in messages, a wish for more, or an error; never in a panic or a loop.
     #[test]
-    fn survives_anything(bytes in proptest::collection::vec(any::<u8>(), 0..400), pieces in proptest::collection::vec(1usize..50, 1..5)) {
-        let _ = read(Role::Requests, Limits::default(), &bytes, &pieces);
-        let _ = read(Role::Responses, Limits::default(), &bytes, &pieces);
+    fn reading_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..400), pieces in proptest::collection::vec(1usize..50, 1..5)) {
+        let _ = read_in_pieces(Role::Requests, Limits::default(), &bytes, &pieces);
+        let _ = read_in_pieces(Role::Responses, Limits::default(), &bytes, &pieces);
     }
 
     /// What is written is read back.
     #[test]
-    fn reads_what_it_writes(body in proptest::collection::vec(any::<u8>(), 1..200), value in "[ -~\\r\\n]{0,30}") {
+    fn reads_back_what_it_writes(body in proptest::collection::vec(any::<u8>(), 1..200), value in "[ -~\\r\\n]{0,30}") {
         let mut out = Vec::new();
         maplethread_wire::http::write_request(&mut out, "POST", "/x", &[("Host", "a"), ("X-Value", &value)], &body);
         maplethread_wire::http::write_request(&mut out, "GET", "/y", &[("Host", "a")], b"");
-        let all = read(Role::Requests, Limits::default(), &out, &[9]).expect("sound");
+        let all = read_in_pieces(Role::Requests, Limits::default(), &out, &[9]).expect("sound");
         prop_assert_eq!(all.len(), 2);
         prop_assert_eq!(&all[0].body, &body);
         let mut out = Vec::new();
         maplethread_wire::http::write_response(&mut out, 200, "text/plain", &[], &body);
-        prop_assert_eq!(&read(Role::Responses, Limits::default(), &out, &[9]).expect("sound")[0].body, &body);
+        prop_assert_eq!(&read_in_pieces(Role::Responses, Limits::default(), &out, &[9]).expect("sound")[0].body, &body);
     }
 }
--- a/fuzz/fuzz_targets/http.rs
+++ b/fuzz/fuzz_targets/http.rs
@@ -3,16 +3,16 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use maplethread_wire::http::{Decoder, Found, Limits, Message, Reader, Role, Step};
+use maplethread_wire::http::{Decoder, Limits, Message, MessageReader, ReadResult, Role, Step};
 
 fn read(role: Role, bytes: &[u8], piece: usize) -> Option<Vec<Message>> {
-    let mut reader = Reader::new(
+    let mut reader = MessageReader::new(
         role,
         Limits {
-            line: 128,
-            head: 512,
-            fields: 8,
-            body: 256,
+            max_line_bytes: 128,
+            max_head_bytes: 512,
+            max_fields: 8,
+            max_body_bytes: 256,
         },
     );
     let (mut messages, mut buffer) = (Vec::new(), Vec::new());
@@ -22,9 +22,9 @@
             let (found, used) = reader.read(&buffer).ok()?;
             buffer.drain(..used);
             match found {
-                Found::Message(message) => messages.push(message),
-                Found::Continue => {}
-                Found::More => break,
+                ReadResult::Message(message) => messages.push(message),
+                ReadResult::ExpectsContinue => {}
+                ReadResult::NeedMore => break,
             }
         }
     }
