--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -499,7 +499,7 @@
                 RetrySafety::Idempotent => mt::RetrySafety::Idempotent,
                 RetrySafety::NonIdempotent => mt::RetrySafety::NonIdempotent,
                 RetrySafety::IdempotencyKey => mt::RetrySafety::IdempotencyKey {
-                    group: match c.deduplication_scope {
+                    scope: match c.deduplication_scope {
                         Some(DeduplicationScope::Zone) => mt::DeduplicationScope::Zone,
                         Some(DeduplicationScope::Cell) => mt::DeduplicationScope::Cell,
                         _ => mt::DeduplicationScope::All,
@@ -518,10 +518,13 @@
             spread_limit: c
                 .spread_level
                 .zip(c.max_per_domain)
-                .map(|(place, most)| match place {
-                    TopologyLevel::Host => (mt::TopologyLevel::Machine, most),
-                    TopologyLevel::Cell => (mt::TopologyLevel::Cell, most),
-                    TopologyLevel::Zone => (mt::TopologyLevel::Zone, most),
+                .map(|(level, max_tasks)| mt::SpreadLimit {
+                    level: match level {
+                        TopologyLevel::Host => mt::TopologyLevel::Machine,
+                        TopologyLevel::Cell => mt::TopologyLevel::Cell,
+                        TopologyLevel::Zone => mt::TopologyLevel::Zone,
+                    },
+                    max_tasks,
                 }),
         };
         mt::Settings {
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -2,7 +2,7 @@
 
 use maplethread::{
     AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport, Micros,
-    Resources, RetrySafety, Rules, Settings, TopologyLevel,
+    Resources, RetrySafety, Rules, Settings, SpreadLimit, TopologyLevel,
 };
 use serde_json::Value;
 
@@ -233,7 +233,7 @@
         "pure" => RetrySafety::Idempotent,
         "side_effect" => RetrySafety::NonIdempotent,
         "token" => RetrySafety::IdempotencyKey {
-            group: match own.string("group")? {
+            scope: match own.string("group")? {
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
                 "cell" => DeduplicationScope::Cell,
@@ -281,7 +281,10 @@
         start_bonus_s: at.number_at("domain.startBonusS", index)?,
         priority: at.number_at("domain.classPriority", index)? as u32,
         machine_kind: (kind >= 0.0).then_some(kind as usize),
-        spread_limit: place.map(|place| (place, most as u32)),
+        spread_limit: place.map(|level| SpreadLimit {
+            level,
+            max_tasks: most as u32,
+        }),
     })
 }
 
