--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -235,8 +235,8 @@
     Timing {
         probe_interval: ms(fleet.probe_interval_ms),
         probe_timeout: ms(fleet.probe_timeout_ms),
-        indirect_probes: fleet.helpers,
-        suspicion_multiplier: fleet.suspicion,
+        indirect_probes: fleet.indirect_probes,
+        suspicion_multiplier: fleet.suspicion_multiplier,
         gossip_interval: ms(fleet.gossip_interval_ms),
         anti_entropy_interval: ms(fleet.sync_interval_ms),
         discovery_interval: ms(fleet.discovery_interval_ms),
