--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -73,7 +73,7 @@
             consul(servers.to_vec(), damping, Some(membership))
         }),
         placement: PlacementSettings {
-            acceptance_point: s.fleet.acceptance_point,
+            acceptance_point: s.fleet.placed_when,
             admit_cores: s.fleet.cpu_overcommit,
             admit_memory: s.fleet.memory_overcommit,
             ..PlacementSettings::default()
@@ -128,13 +128,13 @@
     let spread = class.spread_level.zip(class.max_per_domain);
     ClassRule {
         name: class.name.clone(),
-        deduplication: deduplication.map(|(scope, deduplication_window_ms)| Deduplication {
+        deduplication: deduplication.map(|(scope, window_ms)| Deduplication {
             scope: match scope {
                 config::DeduplicationScope::All => DeduplicationScope::All,
                 config::DeduplicationScope::Zone => DeduplicationScope::Zone,
                 config::DeduplicationScope::Cell => DeduplicationScope::Cell,
             },
-            window_us: deduplication_window_ms * 1000,
+            window_us: window_ms * 1000,
         }),
         spread_limit: spread.map(|(level, max_tasks)| SpreadLimit {
             level: match level {
