--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -348,10 +348,10 @@
         placer.wait_for_status("settled", |s| s["actors"] == 0);
     }
     // A follower that lags does not bring back a host that is known to be gone.
-    let index = gauges(&placer)["index"].as_u64();
-    deregister(&servers, &hosts[5]);
-    placer.wait_for_status("h5 drains", |_| gauges(&placer)["hosts"] == 5);
-    assert!(gauges(&placer)["index"].as_u64() > index);
+    let index = catalogue_gauges(&placer)["index"].as_u64();
+    deregister_host(&servers, &hosts[5]);
+    placer.wait_for_status("h5 drains", |_| catalogue_gauges(&placer)["hosts"] == 5);
+    assert!(catalogue_gauges(&placer)["index"].as_u64() > index);
     servers.set_faults(
         None,
         Faults {
@@ -377,7 +377,7 @@
     register_host(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
     let mut placers: Vec<PlacerProcess> = (0..3)
-        .map(|n| placer(&servers, &format!("p{n}"), 2, more))
+        .map(|n| placer_with_catalogue(&servers, &format!("p{n}"), 2, more))
         .collect();
     for placer in &mut placers {
         let ready = placer.start();
@@ -389,7 +389,10 @@
         });
     }
     let slots = |placers: &[PlacerProcess]| -> Vec<Option<u64>> {
-        placers.iter().map(|p| gauges(p)["slot"].as_u64()).collect()
+        placers
+            .iter()
+            .map(|p| catalogue_gauges(p)["slot"].as_u64())
+            .collect()
     };
     let until = Instant::now() + PATIENCE;
     let held = loop {
@@ -433,7 +436,7 @@
     placers[one].signal(Signal::CONT);
     let log = placers[one].log_text();
     let before = log.matches("placer number").count();
-    wait_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
+    wait_for_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
     let log = placers[one].log_text();
     assert!(log.matches("placer number slot=None").count() > before.saturating_sub(2));
     assert_eq!(catalogue_gauges(&placers[late])["slot"], json!(held[one]));
@@ -463,9 +466,11 @@
     let ready = placer.start();
     let mut links: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
     ready(&mut placer);
-    hosts.iter().for_each(|h| register(&servers, h, "critical"));
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "critical"));
     placer.wait_for_status("all drain", |_| {
-        gauges(&placer)["index"].as_u64() >= Some(12)
+        catalogue_gauges(&placer)["index"].as_u64() >= Some(12)
     });
     // Sixty asks while nobody takes any: all are held.
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
@@ -489,7 +494,9 @@
     }
     let started = hosts[2].started_ms;
     links.extend(hosts[2..].iter().map(|h| h.accept_and_greet(&[])));
-    hosts.iter().for_each(|h| register(&servers, h, "passing"));
+    hosts
+        .iter()
+        .for_each(|h| register_host(&servers, h, "passing"));
     let mut offers: Vec<Vec<u64>> = vec![Vec::new(); 4];
     let until = Instant::now() + PATIENCE;
     while offers.iter().map(Vec::len).sum::<usize>() < 60 && Instant::now() < until {
