--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -66,27 +66,27 @@
         consul: servers.map(|(servers, damping)| {
             let membership = SlotLeaseSettings {
                 service: "maplethread-placer".to_owned(),
-                prefix: "maplethread/slots".to_owned(),
+                key_prefix: "maplethread/slots".to_owned(),
                 ttl_ms: 2_000,
                 lock_delay_ms: 1_000,
             };
             consul(servers.to_vec(), damping, Some(membership))
         }),
-        placing: PlacementSettings {
-            placed_when: s.fleet.placed_when,
+        placement: PlacementSettings {
+            acceptance_point: s.fleet.placed_when,
             admit_cores: s.fleet.cpu_overcommit,
             admit_memory: s.fleet.memory_overcommit,
             ..PlacementSettings::default()
         },
         rules: PlacerRules {
-            ask_within_ms: 10_000,
+            max_poll_interval_ms: 10_000,
             initial_capacity_share: s.rules.initial_capacity_share,
             warm_up_duration_ms: s.rules.warm_up_ms,
             overload_multiple: s.rules.overload_multiple,
             overload_window_ms: s.rules.overload_window_ms,
             warm_up_offers: s.rules.warm_up_offers,
         },
-        prices: CostSettings::default(),
+        costs: CostSettings::default(),
         fleet: None,
         trace: None,
         kinds: s.kinds.iter().map(|k| k.kind()).collect(),
@@ -117,15 +117,15 @@
         warm_up_us: rules.warm_up_ms * 1000,
         overload_window_us: rules.overload_window_ms * 1000,
         warm_up_offers: rules.warm_up_offers,
-        lost_after_us: hosts("").lost_after_ms * 1000,
+        lost_after_us: hosts("").loss_timeout_ms * 1000,
         resume_grace_us: RESUME_GRACE_US,
         timing_slack_us: ANSWER_SLACK_US,
     }
 }
 
 fn class_rule(class: &TaskClass) -> ClassRule {
-    let deduplication = class.group.zip(class.window_ms);
-    let spread = class.spread_over.zip(class.spread_most);
+    let deduplication = class.deduplication_scope.zip(class.deduplication_window_ms);
+    let spread = class.spread_level.zip(class.max_per_domain);
     ClassRule {
         name: class.name.clone(),
         deduplication: deduplication.map(|(scope, window_ms)| Deduplication {
@@ -164,12 +164,12 @@
             kind: scenario.kind_of(number).name.clone(),
             state,
             started_ms,
-            unasked_cores: None,
-            unasked_memory_gib: None,
+            unallocated_cores: None,
+            unallocated_memory_gib: None,
         }
     };
     Inventory {
-        host: (0..scenario.fleet.hosts).map(entry).collect(),
+        hosts: (0..scenario.fleet.hosts).map(entry).collect(),
     }
 }
 
@@ -177,16 +177,16 @@
 pub fn plain_class() -> TaskClass {
     TaskClass {
         name: "web-api".to_owned(),
-        retry_safety: config::RetrySafety::Safe,
-        group: None,
-        window_ms: None,
+        retry_safety: config::RetrySafety::Idempotent,
+        deduplication_scope: None,
+        deduplication_window_ms: None,
         latency_objective_ms: 600,
-        worth: 1.0,
+        priority_weight: 1.0,
         start_bonus_s: 10.0,
         priority: 0,
         kind: None,
-        spread_over: None,
-        spread_most: None,
+        spread_level: None,
+        max_per_domain: None,
     }
 }
 
@@ -194,19 +194,19 @@
     ApiSettings {
         listen: SocketAddr::from(([127, 0, 0, 1], 0)),
         max_clients: 10_000,
-        max_asks: 20_000,
+        max_pending_requests: 20_000,
         max_actors: 200_000,
         max_body_bytes: 16 << 10,
-        max_unread_bytes: 1 << 20,
+        max_unsent_bytes: 1 << 20,
         max_pipelined: 32,
         max_budget_ms: 600_000,
-        request_within_ms: 10_000,
-        idle_close_ms: 60_000,
-        answers_kept_ms: 30_000,
-        answers_kept: 50_000,
-        events_kept: 50_000,
-        settle_ms: 3_000,
-        stop_within_ms: 10_000,
+        request_timeout_ms: 10_000,
+        idle_timeout_ms: 60_000,
+        answer_retention_ms: 30_000,
+        max_kept_answers: 50_000,
+        max_kept_events: 50_000,
+        resubmission_hold_ms: 3_000,
+        shutdown_grace_ms: 10_000,
     }
 }
 
@@ -214,14 +214,14 @@
     HostSettings {
         inventory: Some(inventory.as_ref().to_owned()),
         max_hosts: 8192,
-        connect_within_ms: 1000,
-        reconnect_first_ms: 100,
-        reconnect_most_ms: 2000,
-        ping_every_ms: 1000,
-        silent_after_ms: 3000,
+        connect_timeout_ms: 1000,
+        min_reconnect_delay_ms: 100,
+        max_reconnect_delay_ms: 2000,
+        ping_interval_ms: 1000,
+        silence_timeout_ms: 3000,
         max_idle_pings_per_s: 40,
         max_idle_ping_interval_ms: 90_000,
-        lost_after_ms: 5000,
+        loss_timeout_ms: 5000,
         max_unwritten_bytes: 256 << 10,
     }
 }
@@ -237,12 +237,12 @@
         service: "maplethread-host".to_owned(),
         datacentre: Some("dc1".to_owned()),
         token_file: None,
-        reads: ReadConsistency::Stale,
+        consistency: ReadConsistency::Stale,
         filter: None,
         watch: true,
-        wait_ms: 2_000,
-        members_every_ms: 1_000,
-        max_answer_bytes: 32 << 20,
+        max_wait_ms: 2_000,
+        member_read_interval_ms: 1_000,
+        max_response_bytes: 32 << 20,
         damping,
         membership,
     }
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -134,8 +134,8 @@
 /// How often hosts are pinged, as the settings say.
 pub(crate) fn liveness_settings(hosts: &HostSettings) -> maplethread_liveness::Settings {
     maplethread_liveness::Settings {
-        ping_interval: hosts.ping_every_ms * 1000,
-        silence_timeout: hosts.silent_after_ms * 1000,
+        ping_interval: hosts.ping_interval_ms * 1000,
+        silence_timeout: hosts.silence_timeout_ms * 1000,
         max_idle_pings_per_s: hosts.max_idle_pings_per_s,
         max_idle_interval: hosts.max_idle_ping_interval_ms * 1000,
     }
