--- a/crates/cli/tests/support/host.rs
+++ b/crates/cli/tests/support/host.rs
@@ -158,3 +158,16 @@
         self.listener.accept().expect("the placer connects").0
     }
 }
+
+/// Waits until one of these hosts has an offer; returns which, and the offer.
+pub fn wait_for_offer(links: &mut [PlacerConnection]) -> (usize, Offer) {
+    let until = Instant::now() + PATIENCE;
+    loop {
+        for (i, link) in links.iter_mut().enumerate() {
+            if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(5)) {
+                return (i, offer);
+            }
+        }
+        assert!(Instant::now() < until, "no offer came");
+    }
+}
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 pub use client::{Client, placement_request};
 pub use documented_api::DocumentedApi;
-pub use host::{PlacerConnection, ScriptedHost};
+pub use host::{PlacerConnection, ScriptedHost, wait_for_offer};
 pub use placer::{CLASSES, PlacerProcess};
 
 /// Long enough for a slow machine; nothing waits so long when all is well.
