--- a/crates/placer/src/daemon/clients.rs
+++ b/crates/placer/src/daemon/clients.rs
@@ -54,7 +54,7 @@
                 Ok(None) => return,
                 Err(error) => {
                     // Too many open files, most likely: those waiting stay in the kernel's queue.
-                    tracing::warn!(%error, "accept");
+                    tracing::warn!(%error, "accepting a connection failed");
                     return;
                 }
             };
@@ -65,7 +65,7 @@
                     self.engine
                         .client_opened(self.event_loop.now(), ClientId(token));
                 }
-                Err(error) => tracing::warn!(%error, "a connection could not be taken"),
+                Err(error) => tracing::warn!(%error, "connection not accepted"),
             }
         }
     }
--- a/crates/placer/src/daemon/hosts.rs
+++ b/crates/placer/src/daemon/hosts.rs
@@ -48,7 +48,7 @@
         match TcpConnection::connect(address, token, self.event_loop.poller()) {
             Ok(connection) => self.hosts.insert(token, id, connection),
             Err(error) => {
-                tracing::debug!(host = id.0, %address, %error, "not connected");
+                tracing::debug!(host = id.0, %address, %error, "connect failed");
                 self.engine.host_closed(self.event_loop.now(), id, 0);
             }
         }
@@ -66,7 +66,7 @@
                 return;
             }
             if let Err(error) = host.connection.finish_connect() {
-                tracing::debug!(host = id.0, %error, "not connected");
+                tracing::debug!(host = id.0, %error, "connect failed");
                 self.disconnect_host(token);
                 return;
             }
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -283,7 +283,7 @@
         for update in consul.tick(now, self.event_loop.poller(), &mut self.tokens) {
             match update {
                 Update::Hosts(hosts) => {
-                    tracing::info!(hosts = hosts.len(), "news of the catalogue");
+                    tracing::info!(hosts = hosts.len(), "catalogue updated");
                     self.engine.apply_host_changes(now, &hosts);
                 }
                 Update::Slot(replica_index) => {
@@ -347,12 +347,12 @@
     /// Stops accepting clients and answers what is pending; a second signal ends the process at once.
     fn begin_shutdown(&mut self, signal: i32) {
         if self.stop_deadline.is_some() {
-            tracing::warn!(signal, "told to stop again; leaving at once");
+            tracing::warn!(signal, "second signal: exiting at once");
             self.stop_deadline = Some(0);
             return;
         }
-        let open = self.engine.pending_requests();
-        tracing::info!(signal, open, "told to stop; answering what is out");
+        let pending = self.engine.pending_requests();
+        tracing::info!(signal, pending, "shutting down: answering pending requests");
         self.listener = None;
         self.engine.stop_accepting();
         if let Some(membership) = &mut self.membership {
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -136,7 +136,7 @@
                     self.changes.push(now, json!(change));
                 }
                 Output::Notice(notice) => {
-                    tracing::warn!(%notice, "fleet: this member itself");
+                    tracing::warn!(%notice, "fleet: notice about this member");
                     self.changes.push(now, json!(notice));
                 }
             }
@@ -154,7 +154,7 @@
                 self.member.set_keys(keys);
             }
             Err(error) => {
-                tracing::error!(%error, "fleet: the key file can't be used; the keys are kept");
+                tracing::error!(%error, "fleet: key file not usable; the old keys are kept");
             }
         }
     }
