--- a/crates/platform/src/channel_poll.rs
+++ b/crates/platform/src/channel_poll.rs
@@ -1,5 +1,5 @@
-//! The poll of the command channel: one is always out, or about to be. Sans-I/O: the caller opens and closes the one
-//! connection at a time that this asks for, and gives it what came.
+//! The poll of the command channel: one is always in flight, or about to be. It performs no I/O: the caller opens and
+//! closes the one connection that this asks for, and passes on the bytes that arrive.
 
 use std::net::SocketAddr;
 
@@ -7,47 +7,48 @@
 use maplethread_platform_wire::command_channel::{self, CommandBatch};
 use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role, write_request};
 
-/// How long the channel is asked to wait for something new. Silence is noticed soon after.
+/// How long the channel is asked to wait for new events before it answers, in microseconds.
 const LONG_POLL_WAIT: Micros = 1_000_000;
-/// An answer that is so much later than the wait that was asked for does not come any more.
+/// An answer that is later than the wait by more than this is not expected any more, in microseconds.
 const RESPONSE_SLACK: Micros = 400_000;
-/// A connection is made, and a first answer begun, within this.
+/// How long the channel has to accept a connection, in microseconds.
 const CONNECT_TIMEOUT: Micros = 400_000;
-/// Where that does not do several times on end, the channel may be slow rather than silent: twice and then four times as
-/// long is given, which still is within 2 s of the wait's end (PROTOCOL's days).
+/// After consecutive timeouts the channel may be slow rather than silent: the times above are doubled, this often at most,
+/// which still is within 2 s of the wait's end (PROTOCOL's days).
 const MAX_DOUBLINGS: u32 = 2;
-/// The next try after one that failed at once: a channel that refuses is not asked in a loop.
+/// How long after a failed connection the next one is opened, in microseconds: a channel that refuses connections is not
+/// polled in a busy loop.
 const RETRY_DELAY: Micros = 100_000;
-/// The longest answer.
+/// The longest body of an answer.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// What the caller is to do.
+/// An action for the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChannelAction {
-    /// Close the connection, if there is one, and make a new one.
+    /// Close the connection, if there is one, and open a new one.
     Connect(SocketAddr),
     /// Close the connection.
     Close,
-    /// Send this.
+    /// Send these bytes on the connection.
     Send(Vec<u8>),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Nothing is out; the next try is due then.
+    /// No poll is in flight; the next one is due at this time.
     Idle(Micros),
-    /// A connection is being made, until then.
+    /// A connection is being opened, until this time.
     Connecting(Micros),
-    /// A poll is out, and answered by then or not at all.
+    /// A poll is in flight; its answer is expected until this time.
     Polling(Micros),
 }
 
-/// The poll.
+/// The poll of the command channel. Times are in microseconds.
 pub struct ChannelPoll {
     address: SocketAddr,
     state: State,
     reader: MessageReader,
-    /// How often on end it was too slow, up to `MAX_DOUBLINGS`.
+    /// How many consecutive polls timed out, up to `MAX_DOUBLINGS`.
     consecutive_timeouts: u32,
     pub(crate) actions: Vec<ChannelAction>,
 }
@@ -63,7 +64,7 @@
 }
 
 impl ChannelPoll {
-    /// A poll of the channel at this address, due at once.
+    /// A poll of the channel at this address, which is due at once.
     pub fn new(address: SocketAddr) -> ChannelPoll {
         ChannelPoll {
             address,
@@ -74,7 +75,7 @@
         }
     }
 
-    /// The channel is elsewhere from now on.
+    /// Sets the address of the channel; a new one is polled at once.
     pub fn set_address(&mut self, address: SocketAddr) {
         if address != self.address {
             self.address = address;
@@ -83,14 +84,14 @@
         }
     }
 
-    /// When something is due.
+    /// When [`ChannelPoll::handle_timeout`] is due.
     pub fn next_timeout(&self) -> Micros {
         match self.state {
             State::Idle(at) | State::Connecting(at) | State::Polling(at) => at,
         }
     }
 
-    /// Does what is due.
+    /// Handles a timeout if it is due: opens a connection, after closing one that did not answer.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout() > now {
             return;
@@ -105,7 +106,7 @@
         self.actions.push(ChannelAction::Connect(self.address));
     }
 
-    /// The connection is made.
+    /// The connection was established: a poll for the events after `cursor` is sent.
     pub fn connection_established(&mut self, now: Micros, cursor: u64) {
         if matches!(self.state, State::Connecting(_)) {
             self.send_poll(now, cursor);
@@ -127,8 +128,8 @@
         self.actions.push(ChannelAction::Send(bytes));
     }
 
-    /// Takes bytes that came; returns how many were used, and what they told. After whole answers the caller takes
-    /// in what was told and calls [`Channel::next`]. An answer that can't be read breaks the connection off.
+    /// Decodes received bytes. Returns how many were used, and the events of a complete answer, which the caller applies
+    /// before it calls [`ChannelPoll::poll_again`]. An answer that can't be decoded ends the connection.
     pub fn read_response(&mut self, now: Micros, unread: &[u8]) -> (usize, Option<CommandBatch>) {
         match self.reader.read(unread) {
             Ok((ReadResult::Message(message), used)) => {
@@ -160,14 +161,14 @@
         }
     }
 
-    /// The next poll, on the connection that is up.
+    /// Sends the next poll on the same connection.
     pub fn poll_again(&mut self, now: Micros, cursor: u64) {
         if matches!(self.state, State::Polling(_)) {
             self.send_poll(now, cursor);
         }
     }
 
-    /// The connection broke, or could not be made.
+    /// The connection was lost, or could not be established.
     pub fn connection_lost(&mut self, now: Micros) {
         self.actions.push(ChannelAction::Close);
         self.reader = response_reader();
--- a/crates/platform/src/shell/hosts.rs
+++ b/crates/platform/src/shell/hosts.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts.
+//! The sockets of connections to hosts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,12 +11,12 @@
 use super::{HOST_KIND, MAX_UNREAD_BYTES, Shell, token};
 use crate::engine::{ConnectionId, DisconnectReason};
 
-/// Bytes read from one host in one round, so that a busy one waits for the others.
+/// How many bytes are read from one host in one round, so that a busy one does not delay the others.
 const HOST_READ_BYTES: usize = 16 << 10;
-/// Bytes that may wait for a host; one that reads too little is cut off from this placer.
+/// How many bytes may wait for a host; the connection to one that reads too slowly is closed.
 const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
 
-/// What an error while connecting tells of the host.
+/// What an error of connecting says about the host.
 fn disconnect_reason(error: &io::Error) -> DisconnectReason {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         DisconnectReason::Refused
@@ -30,34 +30,34 @@
         if self.connection_count() >= self.max_connections {
             self.close_least_useful_owner();
         }
-        // Nor do hosts take all, however many there are: owners have to be heard.
-        let most = self.max_connections * MAX_PEER_SHARE.0 / MAX_PEER_SHARE.1;
+        // However many hosts there are, some connections are left for owners.
+        let max_hosts = MAX_PEER_SHARE.of(self.max_connections);
         let result = match self.connection_count() < self.max_connections
-            && self.host_connections.len() < most
+            && self.host_connections.len() < max_hosts
         {
             true => self.connect(address, token(HOST_KIND, id.0)),
             false => Err(io::Error::other("all descriptors are in use")),
         };
         match result {
-            Ok(conn) => drop(self.host_connections.insert(id, conn)),
+            Ok(connection) => drop(self.host_connections.insert(id, connection)),
             Err(error) => {
-                tracing::debug!(%address, %error, "connect");
+                tracing::debug!(%address, %error, "connecting to host failed");
                 self.engine
                     .connection_lost(now, id, disconnect_reason(&error));
             }
         }
     }
 
-    pub(super) fn handle_host_ready(&mut self, id: ConnectionId, r: &Readiness) {
+    pub(super) fn handle_host_ready(&mut self, id: ConnectionId, readiness: &Readiness) {
         let now = self.event_loop.now();
-        let Some(conn) = self.host_connections.get_mut(&id) else {
+        let Some(connection) = self.host_connections.get_mut(&id) else {
             return;
         };
-        if conn.is_connecting() {
-            if !r.is_writable && !r.is_closed {
+        if connection.is_connecting() {
+            if !readiness.is_writable && !readiness.is_closed {
                 return;
             }
-            match conn.finish_connect() {
+            match connection.finish_connect() {
                 Ok(()) => {
                     self.engine.connection_established(now, id);
                     self.pending_writes.insert(token(HOST_KIND, id.0));
@@ -67,25 +67,25 @@
                     return;
                 }
             }
-        } else if r.is_writable {
+        } else if readiness.is_writable {
             self.pending_writes.insert(token(HOST_KIND, id.0));
         }
-        if !r.is_readable {
+        if !readiness.is_readable {
             return;
         }
-        let Some(conn) = self.host_connections.get_mut(&id) else {
+        let Some(connection) = self.host_connections.get_mut(&id) else {
             return;
         };
-        let outcome = conn.read_available(HOST_READ_BYTES, MAX_UNREAD_BYTES);
+        let outcome = connection.read_available(HOST_READ_BYTES, MAX_UNREAD_BYTES);
         loop {
-            match host::decode(conn.unread()) {
-                Ok(Some((says, n))) => {
-                    conn.consume(n);
-                    self.engine.handle_host_message(now, id, says);
+            match host::decode(connection.unread()) {
+                Ok(Some((message, length))) => {
+                    connection.consume(length);
+                    self.engine.handle_host_message(now, id, message);
                 }
                 Ok(None) => break,
-                Err(fault) => {
-                    tracing::debug!(link = id.0, %fault, "a host sent what can't be read");
+                Err(error) => {
+                    tracing::debug!(connection = id.0, %error, "invalid message from host");
                     self.drop_host_connection(now, id, DisconnectReason::Broken);
                     return;
                 }
@@ -100,31 +100,31 @@
         &mut self,
         now: Micros,
         id: ConnectionId,
-        loss: DisconnectReason,
+        reason: DisconnectReason,
     ) {
         self.host_connections.remove(&id);
         self.resume_accepting();
-        self.engine.connection_lost(now, id, loss);
+        self.engine.connection_lost(now, id, reason);
     }
 
-    /// Has an end written now: what it ends is out until then.
+    /// Writes bytes that end an attempt or a task at once: until then the attempt counts as in flight.
     pub(super) fn send_to_host_immediately(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
-        let Some(conn) = self.host_connections.get_mut(&id) else {
+        let Some(connection) = self.host_connections.get_mut(&id) else {
             return;
         };
-        conn.write_buffer().extend_from_slice(bytes);
-        if conn.flush(self.event_loop.poller()).is_err() || conn.unwritten_bytes() > 0 {
-            tracing::debug!(link = id.0, "a connection does not take an end");
+        connection.write_buffer().extend_from_slice(bytes);
+        if connection.flush(self.event_loop.poller()).is_err() || connection.unwritten_bytes() > 0 {
+            tracing::debug!(connection = id.0, "connection does not take a close");
             self.drop_host_connection(now, id, DisconnectReason::Broken);
         }
     }
 
     pub(super) fn flush_host(&mut self, now: Micros, id: ConnectionId) {
-        let Some(conn) = self.host_connections.get_mut(&id) else {
+        let Some(connection) = self.host_connections.get_mut(&id) else {
             return;
         };
-        if conn.flush(self.event_loop.poller()).is_err()
-            || conn.unwritten_bytes() > MAX_UNWRITTEN_BYTES
+        if connection.flush(self.event_loop.poller()).is_err()
+            || connection.unwritten_bytes() > MAX_UNWRITTEN_BYTES
         {
             self.drop_host_connection(now, id, DisconnectReason::Broken);
         }
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -1,50 +1,52 @@
-//! The loop: sockets and signals in; what the engine and the channel want carried out.
+//! The loop of the process: events of sockets and signals go to the engine and to the poll of the command channel, and
+//! their outputs are carried out.
 
+mod channel;
 mod hosts;
+mod outputs;
 mod owners;
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::io;
 use std::path::{Path, PathBuf};
 
 use maplethread::{Micros, Placer};
 use maplethread_platform_wire::MAX_MESSAGE_BYTES;
-use maplethread_reactor::{
-    Backlog, EventLoop, Listener, ReadOutcome, Readiness, ResourceError, TcpConnection,
-    is_resource_exhausted,
-};
+use maplethread_reactor::{Backlog, EventLoop, Listener, Readiness, ResourceError, TcpConnection};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 
-use crate::channel_poll::{ChannelAction, ChannelPoll};
-use crate::engine::{ConnectionId, Engine, Output, OwnerId};
+use crate::channel_poll::ChannelPoll;
+use crate::engine::{ConnectionId, Engine, OwnerId};
 use crate::shutdown::ShutdownSchedule;
 use crate::startup::{ConfigError, StartError, decode_settings, load_config};
 use owners::{LingeringConnection, OwnerConnection};
 
 const LISTENER_TOKEN: u64 = 0;
 const SIGNALS_TOKEN: u64 = 1;
-/// The lowest bits of a token tell what it belongs to, the others which one.
+/// The lowest bits of a token are the kind of a connection, the others its number.
 const OWNER_KIND: u64 = 2;
 const HOST_KIND: u64 = 3;
 const CHANNEL_KIND: u64 = 1;
 const KIND_BITS: u32 = 2;
 
-/// Bytes of one connection that may wait to be understood.
+/// How many bytes of one connection may wait to be decoded.
 const MAX_UNREAD_BYTES: usize = 64 << 10;
-/// Bytes of the channel read in one round: a list of all hosts is long.
-const CHANNEL_READ_BYTES: usize = 256 << 10;
-/// Rounds of reading before a decision.
+/// How many rounds of reading come before a turn of the decisions.
 const MAX_READ_ROUNDS: usize = 4;
-/// A new configuration that can't be read is read again after this, so often: the old channel is kept for 1.5 s after
-/// SIGHUP (PROTOCOL's days).
+/// After how long a new configuration that can't be used is read again, in microseconds. The old channel is kept for 1.5 s
+/// after SIGHUP (PROTOCOL's days).
 const RELOAD_RETRY_DELAY: Micros = 100_000;
+/// How often it is read again.
 const MAX_RELOAD_RETRIES: u32 = 10;
-/// Descriptors that are not for owners or hosts: standard ones, listener, epoll, signals, channel, files.
+/// Descriptors that are not for owners or hosts: standard streams, listener, epoll, signals, channel, files.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Descriptions that are held at a time may take this part of the memory.
+/// Descriptions may take one in this many bytes of the memory, and so may what waits for throttled owners.
 const MEMORY_DIVISOR: usize = 8;
 
-/// Runs the placer that `config` describes until it is told to end.
+/// Runs the placer that `config` describes until it is stopped by a signal.
+///
+/// # Errors
+///
+/// Returns an error if the configuration can't be used, or a file, socket or signal can't be opened or used.
 pub fn run(config: &Path) -> Result<(), StartError> {
     let (settings, listen) = load_config(config)?;
     let (decisions, terms) = decode_settings(&settings.settings)
@@ -55,7 +57,7 @@
     let mut engine = Engine::new(terms, &decisions, placer);
     let memory = (settings.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
     engine.set_max_description_bytes(memory / MEMORY_DIVISOR);
-    // Before anybody can connect: a signal is heeded from then on.
+    // Signals are handled before anybody can connect.
     let event_loop = EventLoop::new(&[SIGTERM, SIGINT, SIGHUP], SIGNALS_TOKEN)?;
     let mut listener = event_loop.listen(listen, Backlog::Standard)?;
     let listen = listener
@@ -99,34 +101,41 @@
     shell.serve()
 }
 
+/// A configuration that is to be read.
+#[derive(Clone, Copy)]
+struct Reload {
+    due_at: Micros,
+    retries_left: u32,
+}
+
 struct Shell {
     engine: Engine<Placer>,
     channel: ChannelPoll,
     channel_connection: Option<TcpConnection>,
     channel_connection_number: u64,
     event_loop: EventLoop,
-    /// Nothing once the process leaves.
+    /// None once the process ends.
     listener: Option<Listener>,
     /// Connections wait to be accepted.
     is_accept_pending: bool,
-    /// Nothing is accepted until then, since there is no descriptor for it.
+    /// Nothing is accepted until then, for lack of descriptors.
     accept_paused_until: Option<Micros>,
     config_path: PathBuf,
-    /// When a new configuration is read, and how often once more.
-    reload: Option<(Micros, u32)>,
-    /// Turns of the loop: an owner's connection is read once in each.
+    /// A new configuration is to be read.
+    reload: Option<Reload>,
+    /// Counts the turns of the loop; an owner's connection is read once in each.
     turn_number: u64,
     owners: HashMap<OwnerId, OwnerConnection>,
-    /// Connections that are being closed.
+    /// Owners' connections that are being closed.
     lingering: BTreeMap<OwnerId, LingeringConnection>,
-    /// Owners that are not read, since they don't read.
+    /// Owners that are not read because they don't read.
     throttled_owners: BTreeSet<OwnerId>,
     max_throttled_owners: usize,
     host_connections: HashMap<ConnectionId, TcpConnection>,
     last_owner_id: u64,
-    /// Descriptors for owners and hosts.
+    /// The most connections of owners and hosts together.
     max_connections: usize,
-    /// Connections with something to write.
+    /// The tokens of connections with unwritten bytes.
     pending_writes: BTreeSet<u64>,
     shutdown: ShutdownSchedule,
     stop_requested_at: Option<Micros>,
@@ -181,7 +190,7 @@
             .min()
             .unwrap_or(Micros::MAX);
         let paused = self.accept_paused_until.unwrap_or(Micros::MAX);
-        let reload = self.reload.map_or(Micros::MAX, |(at, _)| at);
+        let reload = self.reload.map_or(Micros::MAX, |reload| reload.due_at);
         let due = engine
             .min(self.channel.next_timeout())
             .min(lingering)
@@ -220,163 +229,42 @@
     fn handle_signal(&mut self, signal: i32) {
         let now = self.event_loop.now();
         if signal == SIGHUP {
-            self.reload = Some((now, MAX_RELOAD_RETRIES));
+            self.reload = Some(Reload {
+                due_at: now,
+                retries_left: MAX_RELOAD_RETRIES,
+            });
             self.reload_config(now);
         } else if self.stop_requested_at.is_none() {
             tracing::info!(
                 signal,
-                open = self.engine.pending_request_count(),
-                "told to end"
+                pending_requests = self.engine.pending_request_count(),
+                "stopping"
             );
             self.stop_requested_at = Some(now);
             self.engine.drain_until(self.shutdown.answer_deadline(now));
         }
     }
 
-    /// Takes in a new configuration. One that can't be read may still be on its way into its file.
+    /// Applies a new configuration. One that can't be used may not be completely written yet.
     fn reload_config(&mut self, now: Micros) {
-        let Some((_, left)) = self.reload.take_if(|(at, _)| *at <= now) else {
+        let Some(reload) = self.reload.take_if(|reload| reload.due_at <= now) else {
             return;
         };
         match load_config(&self.config_path) {
             Ok((config, _)) => {
-                tracing::info!(channel = %config.channel_address, "new configuration");
+                tracing::info!(channel = %config.channel_address, "configuration reloaded");
                 self.channel.set_address(config.channel_address);
                 self.engine.apply_update(now, &config.known_commands);
             }
-            Err(error) if left == 0 => {
+            Err(error) if reload.retries_left == 0 => {
                 tracing::error!(%error, "the new configuration can't be used; the old one is kept")
             }
             Err(error) => {
                 tracing::debug!(%error, "the new configuration can't be used yet");
-                self.reload = Some((now + RELOAD_RETRY_DELAY, left - 1));
-            }
-        }
-    }
-
-    fn handle_channel_ready(&mut self, number: u64, r: &Readiness) {
-        let now = self.event_loop.now();
-        if number != self.channel_connection_number {
-            return;
-        }
-        let Some(conn) = &mut self.channel_connection else {
-            return;
-        };
-        if conn.is_connecting() {
-            if !r.is_writable && !r.is_closed {
-                return;
-            }
-            match conn.finish_connect() {
-                Ok(()) => self
-                    .channel
-                    .connection_established(now, self.engine.cursor()),
-                Err(error) => {
-                    tracing::warn!(%error, "the command channel");
-                    self.channel.connection_lost(now);
-                }
-            }
-        } else if r.is_readable {
-            let outcome = conn.read_available(CHANNEL_READ_BYTES, MAX_UNREAD_BYTES);
-            loop {
-                let (used, batch) = self.channel.read_response(now, conn.unread());
-                conn.consume(used);
-                if let Some(batch) = &batch {
-                    self.engine.apply_update(now, batch);
-                    self.channel.poll_again(now, self.engine.cursor());
-                }
-                if batch.is_none() || used == 0 {
-                    break;
-                }
-            }
-            if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-                self.channel.connection_lost(now);
-            }
-        }
-        self.perform_channel_actions(now);
-    }
-
-    fn perform_channel_actions(&mut self, now: Micros) {
-        for want in std::mem::take(&mut self.channel.actions) {
-            match want {
-                ChannelAction::Close => self.channel_connection = None,
-                ChannelAction::Connect(address) => {
-                    self.channel_connection_number += 1;
-                    let token = token(CHANNEL_KIND, self.channel_connection_number);
-                    match self.connect(address, token) {
-                        Ok(conn) => self.channel_connection = Some(conn),
-                        Err(error) => {
-                            tracing::warn!(%error, "the command channel");
-                            self.channel.connection_lost(now);
-                        }
-                    }
-                }
-                ChannelAction::Send(bytes) => {
-                    if let Some(conn) = &mut self.channel_connection {
-                        conn.write_buffer().extend_from_slice(&bytes);
-                    }
-                }
-            }
-        }
-        if let Some(conn) = &mut self.channel_connection
-            && conn.flush(self.event_loop.poller()).is_err()
-        {
-            self.channel.connection_lost(now);
-        }
-    }
-
-    /// Opens a connection, for which an owner's that can be spared is closed if there is no descriptor for it.
-    fn connect(&mut self, to: std::net::SocketAddr, token: u64) -> io::Result<TcpConnection> {
-        match TcpConnection::connect(to, token, self.event_loop.poller()) {
-            Err(error) if is_resource_exhausted(&error) && self.close_least_useful_owner() => {
-                TcpConnection::connect(to, token, self.event_loop.poller())
-            }
-            result => result,
-        }
-    }
-
-    fn perform_outputs(&mut self, now: Micros) {
-        loop {
-            let mut outputs = self.engine.take_outputs();
-            if outputs.is_empty() {
-                return;
-            }
-            // What owners are told comes first: to reach a host, an owner's connection may have to be closed. The rest
-            // keeps its order.
-            outputs.sort_by_key(|o| !matches!(o, Output::SendToOwner(..)));
-            for output in outputs {
-                self.perform_output(now, output);
-            }
-        }
-    }
-
-    fn perform_output(&mut self, now: Micros, output: Output) {
-        match output {
-            Output::SendToOwner(id, message) => self.send_to_owner(id, &message),
-            Output::CloseOwner(id) => self.start_lingering(now, id),
-            Output::Connect(id, address) => self.connect_host(now, id, address),
-            Output::SendToHost(id, bytes) => {
-                if let Some(conn) = self.host_connections.get_mut(&id) {
-                    conn.write_buffer().extend_from_slice(&bytes);
-                    self.pending_writes.insert(token(HOST_KIND, id.0));
-                }
-            }
-            Output::SendToHostImmediately(id, bytes) => {
-                self.send_to_host_immediately(now, id, &bytes)
-            }
-            Output::CloseConnection(id) => {
-                self.host_connections.remove(&id);
-                self.resume_accepting();
-            }
-        }
-    }
-
-    fn flush_pending_writes(&mut self, now: Micros) {
-        for token in std::mem::take(&mut self.pending_writes) {
-            let number = token >> KIND_BITS;
-            if token & ((1 << KIND_BITS) - 1) == OWNER_KIND {
-                self.flush_owner(OwnerId(number));
-            } else {
-                self.flush_host(now, ConnectionId(number));
+                self.reload = Some(Reload {
+                    due_at: now + RELOAD_RETRY_DELAY,
+                    retries_left: reload.retries_left - 1,
+                });
             }
         }
     }
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -1,5 +1,5 @@
-//! Owners' connections: accepted while there are descriptors, read a little at a time, and closed so that what was
-//! written to them arrives.
+//! The sockets of owners' connections: accepted while there are descriptors, read a little at a time, and closed so that
+//! what was written to them arrives.
 
 use maplethread::Micros;
 use maplethread_platform_wire::owner::{self, ToOwner};
@@ -9,34 +9,58 @@
 use crate::engine::OwnerId;
 use crate::startup::StartError;
 
-/// Bytes read from one owner in one turn of the loop: however many send at once, the turn ends soon, and what an owner
-/// takes back is read in the next one.
+/// How many bytes are read from one owner in one turn of the loop. However many owners send at once, the turn ends soon,
+/// and what they cancel is read in the next one.
 const OWNER_READ_BYTES: usize = 4 << 10;
-/// Bytes that may wait for an owner; one that reads too little is cut.
+/// How many bytes may wait for an owner; one that reads too slowly is disconnected.
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
-/// An owner for which more than this waits is not read...
+/// An owner for which more bytes than this wait is throttled: it is not read...
 const THROTTLE_ABOVE_BYTES: usize = 32 << 10;
-/// ...until it is less than this.
+/// ...until fewer bytes than this wait.
 const RESUME_BELOW_BYTES: usize = 8 << 10;
-/// Connections accepted in one round.
+/// How many connections are accepted in one turn.
 const MAX_ACCEPTS_PER_TURN: usize = 256;
-/// Where nothing can be accepted, it is tried again after this, or once a connection is closed.
+/// How long accepting is paused when there is no descriptor, in microseconds, unless a connection is closed before.
 const ACCEPT_RETRY: Micros = 100_000;
-/// Owners hold at most half of the descriptors (the platform's own keep to a third, PROTOCOL), and a few more while each
-/// of them is owed an answer; beyond three quarters new ones wait in the backlog, so that hosts can be reached.
-const USUAL_OWNER_SHARE: (usize, usize) = (1, 2);
-pub(super) const MAX_PEER_SHARE: (usize, usize) = (3, 4);
-/// A connection that is being closed is kept for so long at most, for its owner to read what was written to it...
+/// The share of the connections that owners hold (the platform's own keep to a third, PROTOCOL), unless all of them have
+/// pending requests.
+const USUAL_OWNER_SHARE: Share = Share {
+    numerator: 1,
+    denominator: 2,
+};
+/// The largest share that owners hold, and that hosts hold: each leaves room for the other. Beyond it new owners wait in
+/// the backlog.
+pub(super) const MAX_PEER_SHARE: Share = Share {
+    numerator: 3,
+    denominator: 4,
+};
+/// How long a connection that is being closed is kept at most, in microseconds, so that its owner can read what was written
+/// to it.
 const LINGER_TIMEOUT: Micros = 5_000_000;
-/// ...while so much more that it sends is read and dropped: a close with bytes unread is a reset, which may destroy what
-/// was written. One that sends on is held up by its own socket. So many are kept.
+/// How many bytes that the owner sends meanwhile are read and dropped: closing with bytes unread is a reset, which may
+/// destroy what was written. An owner that sends more is held up by its own socket.
 const MAX_LINGER_BYTES: usize = 1 << 20;
+/// How many connections are kept that are being closed.
 const MAX_LINGERING: usize = 64;
-/// The end of the process waits so long for owners to read what was written to them; `Shutdown` leaves time for it.
+/// How long the end of the process waits for owners to read what was written to them, in microseconds;
+/// `ShutdownSchedule` leaves time for it.
 const SHUTDOWN_LINGER_TIMEOUT: Micros = 250_000;
-/// Connections looked at to find one that can be spared.
+/// How many connections are examined to find one that can be closed.
 const MAX_CLOSE_CANDIDATES: usize = 8;
 
+/// A part of a whole.
+pub(super) struct Share {
+    numerator: usize,
+    denominator: usize,
+}
+
+impl Share {
+    /// This part of a number, rounded down.
+    pub(super) const fn of(&self, whole: usize) -> usize {
+        whole * self.numerator / self.denominator
+    }
+}
+
 pub(super) struct OwnerConnection {
     pub(super) conn: TcpConnection,
     scanned_bytes: usize,
@@ -48,25 +72,25 @@
 pub(super) struct LingeringConnection {
     conn: TcpConnection,
     pub(super) until: Micros,
-    /// So much more is read.
+    /// How many bytes are still read.
     remaining_bytes: usize,
-    /// The own side is closed.
+    /// This side is closed.
     is_write_closed: bool,
 }
 
 impl Shell {
-    /// Descriptors that owners and hosts hold.
+    /// How many connections owners and hosts hold.
     pub(super) fn connection_count(&self) -> usize {
         self.owners.len() + self.lingering.len() + self.host_connections.len()
     }
 
     pub(super) fn accept_owners(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            let most = self.max_connections * USUAL_OWNER_SHARE.0 / USUAL_OWNER_SHARE.1;
-            while self.owners.len() + self.lingering.len() >= most
+            let usual_owners = USUAL_OWNER_SHARE.of(self.max_connections);
+            while self.owners.len() + self.lingering.len() >= usual_owners
                 && self.close_least_useful_owner()
             {}
-            if self.owners.len() >= self.max_connections * MAX_PEER_SHARE.0 / MAX_PEER_SHARE.1
+            if self.owners.len() >= MAX_PEER_SHARE.of(self.max_connections)
                 || self.connection_count() >= self.max_connections
             {
                 return self.pause_accepting();
@@ -78,7 +102,7 @@
                 Ok(Some(stream)) => stream,
                 Ok(None) => return,
                 Err(error) => {
-                    tracing::warn!(%error, "accept");
+                    tracing::warn!(%error, "accepting a connection failed");
                     if is_resource_exhausted(&error) && !self.close_least_useful_owner() {
                         return self.pause_accepting();
                     }
@@ -103,31 +127,31 @@
                     );
                     self.engine.owner_connected(self.event_loop.now(), id);
                 }
-                Err(error) => tracing::warn!(%error, "an owner's connection"),
+                Err(error) => tracing::warn!(%error, "owner connection failed"),
             }
         }
     }
 
-    /// Accepts nothing for a while: a listener that is ready and can't be served would be told of in each turn.
+    /// Accepts nothing for a while: a listener that is ready and can't be served would be reported in each turn.
     fn pause_accepting(&mut self) {
         if self.accept_paused_until.is_none() && self.set_accepting(false) {
             tracing::debug!(
                 owners = self.owners.len(),
                 hosts = self.host_connections.len(),
-                "no descriptor is left"
+                "accepting paused: no descriptor left"
             );
             self.accept_paused_until = Some(self.event_loop.now() + ACCEPT_RETRY);
         }
     }
 
-    /// A descriptor is free again: what waits in the backlog is accepted.
+    /// A descriptor is free again: connections of the backlog are accepted.
     pub(super) fn resume_accepting(&mut self) {
         if let Some(at) = &mut self.accept_paused_until {
             *at = 0;
         }
     }
 
-    /// What is due for owners' connections.
+    /// Drops connections that have lingered long enough, and accepts again when a pause is over.
     pub(super) fn expire_owner_timers(&mut self, now: Micros) {
         self.lingering.retain(|_, l| l.until > now);
         if self.accept_paused_until.is_some_and(|at| at <= now) && self.set_accepting(true) {
@@ -135,15 +159,15 @@
         }
     }
 
-    /// Has the poller tell of new connections, or not; whether it does as asked.
+    /// Turns the report of new connections on or off. Returns whether that worked.
     fn set_accepting(&self, on: bool) -> bool {
         self.listener
             .as_ref()
             .is_some_and(|l| l.set_accepting(on, self.event_loop.poller()).is_ok())
     }
 
-    /// Closes the owner's connection that can be spared first; whether there was one. What it has said by now is read
-    /// before: it may just have asked.
+    /// Closes the least useful owner's connection. Returns whether there was one. What it has sent by now is read first, as
+    /// that may be a request.
     pub(super) fn close_least_useful_owner(&mut self) -> bool {
         if self.lingering.pop_first().is_some() {
             return true;
@@ -177,11 +201,11 @@
         self.resume_accepting();
     }
 
-    pub(super) fn handle_owner_ready(&mut self, id: OwnerId, r: &Readiness) {
-        if r.is_writable {
+    pub(super) fn handle_owner_ready(&mut self, id: OwnerId, readiness: &Readiness) {
+        if readiness.is_writable {
             self.pending_writes.insert(token(OWNER_KIND, id.0));
         }
-        if !r.is_readable {
+        if !readiness.is_readable {
             return;
         }
         if self.lingering.contains_key(&id) {
@@ -190,8 +214,8 @@
         let Some(owner) = self.owners.get_mut(&id) else {
             return;
         };
-        if r.is_closed {
-            // More of what it said may lie unread, such as the ends of tasks that stand; it waits for nothing any more.
+        if readiness.is_closed {
+            // Bytes that it sent may be unread, such as closes of running tasks, but it waits for no answer any more.
             self.engine.owner_half_closed(id);
         }
         if std::mem::replace(&mut owner.last_read_turn, self.turn_number) != self.turn_number {
@@ -199,7 +223,7 @@
         }
     }
 
-    /// Reads up to so many bytes of an owner; whether it said anything.
+    /// Reads at most this many bytes of an owner. Returns whether it sent anything.
     fn read_owner(&mut self, id: OwnerId, most: usize) -> bool {
         let now = self.event_loop.now();
         let Some(owner) = self.owners.get_mut(&id) else {
@@ -208,10 +232,12 @@
         let before = owner.conn.unread().len();
         let outcome = owner.conn.read_available(most, MAX_UNREAD_BYTES);
         let mut said = owner.conn.unread().len() > before;
-        while let Some((says, n)) = owner::decode(owner.conn.unread(), &mut owner.scanned_bytes) {
-            owner.conn.consume(n);
-            tracing::trace!(owner = id.0, ?says, "owner");
-            self.engine.handle_owner_message(now, id, says);
+        while let Some((message, length)) =
+            owner::decode(owner.conn.unread(), &mut owner.scanned_bytes)
+        {
+            owner.conn.consume(length);
+            tracing::trace!(owner = id.0, ?message, "message from owner");
+            self.engine.handle_owner_message(now, id, message);
             said = true;
         }
         if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
@@ -221,7 +247,7 @@
     }
 
     pub(super) fn send_to_owner(&mut self, id: OwnerId, message: &ToOwner) {
-        tracing::trace!(owner = id.0, ?message, "to owner");
+        tracing::trace!(owner = id.0, ?message, "message to owner");
         if let Some(owner) = self.owners.get_mut(&id) {
             owner::encode(owner.conn.write_buffer(), message);
             self.pending_writes.insert(token(OWNER_KIND, id.0));
@@ -247,7 +273,7 @@
         if failed || waits > MAX_UNWRITTEN_BYTES {
             return self.disconnect_owner(id);
         }
-        // One that does not read is not read either, so that what it is owed does not grow; its end is still seen.
+        // An owner that does not read is not read either, so that what waits for it does not grow; its end is still seen.
         let throttled = waits
             > if owner.conn.is_reading() {
                 THROTTLE_ABOVE_BYTES
@@ -273,7 +299,7 @@
         }
     }
 
-    /// Closes an owner's connection once what was written to it can have been read. The engine knows it no more.
+    /// Closes an owner's connection, which the engine knows no more, once the owner can have read what was written to it.
     pub(super) fn start_lingering(&mut self, now: Micros, id: OwnerId) {
         let Some(OwnerConnection { conn, .. }) = self.owners.remove(&id) else {
             return;
@@ -290,7 +316,7 @@
     }
 
     fn keep_lingering(&mut self, id: OwnerId, mut conn: TcpConnection, until: Micros) {
-        // What it goes on to send is read and dropped.
+        // What the owner still sends is read and dropped.
         if conn.set_reading(true, self.event_loop.poller()).is_ok() {
             let all = conn.unread().len();
             conn.consume(all);
@@ -307,7 +333,7 @@
         }
     }
 
-    /// Reads and drops what comes on a connection that is being closed.
+    /// Reads and drops what arrives on a connection that is being closed.
     fn discard_input(&mut self, id: OwnerId) {
         let Some(closing) = self.lingering.get_mut(&id) else {
             return;
@@ -329,8 +355,8 @@
         }
     }
 
-    /// The end of the process. What has come by now is answered, with a refusal where it is a new ask; then each owner's
-    /// connection is half-closed and read on until its owner has closed it too, or time is up.
+    /// Ends the service. What has arrived by now is answered, new requests with a rejection; then each owner's connection is
+    /// half-closed and read until its owner has closed it too, or time is up.
     pub(super) fn shut_down(&mut self) -> Result<(), StartError> {
         self.engine.reject_new_requests();
         let ids: Vec<OwnerId> = self.owners.keys().copied().collect();
@@ -347,7 +373,7 @@
             self.keep_lingering(id, owner.conn, now + SHUTDOWN_LINGER_TIMEOUT);
         }
         self.flush_pending_writes(now);
-        // Who connects now is refused at once, and goes elsewhere.
+        // Who connects now is refused at once, and can go elsewhere.
         self.listener = None;
         let mut ready = Vec::new();
         while !self.lingering.is_empty() {
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,55 +1,64 @@
-//! When a placer that was told to end does so. Free of I/O.
+//! When a placer ends that was asked to stop. Performs no I/O.
 
 use maplethread::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// After SIGTERM, connections and requests keep coming for so long (PROTOCOL: up to 0.4 s, and 0.2 s more).
+/// For how long connections and requests still arrive after SIGTERM, in microseconds (PROTOCOL: up to 0.4 s, and 0.2 s
+/// more).
 const ARRIVAL_GRACE: Micros = 800_000;
-/// PROTOCOL counts a longer deadline as this.
+/// PROTOCOL counts longer deadlines as this, in microseconds.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// SIGKILL comes so long after the longest deadline at the earliest (PROTOCOL).
+/// How long after the longest deadline SIGKILL comes at the earliest, in microseconds (PROTOCOL).
 const KILL_GRACE: Micros = 700_000;
-/// Of that, time to write the last answers...
+/// The part of that in which the last answers are written and read, in microseconds...
 const WRITE_MARGIN: Micros = 500_000;
-/// ...and time for owners to read them, before the process is gone (`CLOSE_WITHIN` of the shell).
+/// ...and the part in which owners can still read them before the process ends, in microseconds
+/// (`SHUTDOWN_LINGER_TIMEOUT` of the shell).
 const READ_MARGIN: Micros = 300_000;
 
-/// The last part of a placer's shutdown.
+/// The schedule of a placer's shutdown. Times are in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShutdownSchedule {
     kill_after: Micros,
 }
 
 impl ShutdownSchedule {
-    /// Under classes whose longest deadline this is.
+    /// The schedule under classes of which this is the longest deadline.
     pub(crate) fn new(longest_deadline: Micros) -> ShutdownSchedule {
         ShutdownSchedule {
             kill_after: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE,
         }
     }
 
-    /// When everything has its answer, if the process was told to end at `told`.
-    pub(crate) fn answer_deadline(self, told: Micros) -> Micros {
-        told + self.kill_after - WRITE_MARGIN
+    /// When all pending requests are answered, if the stop was requested at this time.
+    pub(crate) fn answer_deadline(self, stop_requested_at: Micros) -> Micros {
+        stop_requested_at + self.kill_after - WRITE_MARGIN
     }
 
-    /// The earliest end.
-    pub(crate) fn earliest_exit(told: Micros) -> Micros {
-        told + ARRIVAL_GRACE
+    /// When the process ends at the earliest.
+    pub(crate) fn earliest_exit(stop_requested_at: Micros) -> Micros {
+        stop_requested_at + ARRIVAL_GRACE
     }
 
-    /// Whether no more is read now: nothing more comes, no ask is `owed` an answer and all is `written`, or time is up.
-    /// Tasks that stand are no reason to stay: they run on, and the next start is handed them, sooner if this one ends
-    /// sooner.
-    pub(crate) fn is_finished(self, told: Micros, now: Micros, owed: usize, written: bool) -> bool {
-        now >= self.latest_exit(told)
-            || (now >= ShutdownSchedule::earliest_exit(told) && owed == 0 && written)
+    /// Whether the process stops reading now: nothing more arrives, no request is pending and all answers are written, or
+    /// time is up. Running tasks are no reason to stay: they run on, and are handed over to the next process, the sooner
+    /// the sooner this one ends.
+    pub(crate) fn is_finished(
+        self,
+        stop_requested_at: Micros,
+        now: Micros,
+        pending_requests: usize,
+        is_all_written: bool,
+    ) -> bool {
+        let has_answered_all = pending_requests == 0 && is_all_written;
+        now >= self.latest_exit(stop_requested_at)
+            || (now >= ShutdownSchedule::earliest_exit(stop_requested_at) && has_answered_all)
     }
 
-    /// When the process ends, whoever still reads.
-    pub(crate) fn latest_exit(self, told: Micros) -> Micros {
-        told + self.kill_after - READ_MARGIN
+    /// When the process ends at the latest.
+    pub(crate) fn latest_exit(self, stop_requested_at: Micros) -> Micros {
+        stop_requested_at + self.kill_after - READ_MARGIN
     }
 }
