--- a/crates/cli/tests/api.rs
+++ b/crates/cli/tests/api.rs
@@ -246,7 +246,7 @@
         assert_eq!(answer.head.status(), 405, "{path}");
         let allowed: BTreeSet<String> = answer
             .head
-            .parse_field("allow")
+            .field("allow")
             .expect("Allow")
             .split(", ")
             .map(str::to_lowercase)
@@ -485,7 +485,7 @@
     );
     let answer = third.receive().expect("an answer");
     assert_eq!(
-        (answer.head.status(), answer.head.parse_field("retry-after")),
+        (answer.head.status(), answer.head.field("retry-after")),
         (503, Some("1"))
     );
     for _ in 0..2 {
--- a/crates/consul-emulator/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -174,7 +174,7 @@
     for (index, (what, list)) in lists.iter().enumerate() {
         now += 300_000_000;
         source.tick(now);
-        for Output::Call { call, request, .. } in source.outputs() {
+        for Output::Call { call, request, .. } in source.take_outputs() {
             if request.starts_with(b"GET /v1/health") {
                 source.handle_response(now, call, answer(list.as_bytes(), index as u64 + 5)?);
             } else {
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -546,7 +546,7 @@
             return;
         }
         if !self.settings.tokens.is_empty() {
-            let given = message.head.parse_field("x-consul-token").unwrap_or("");
+            let given = message.head.field("x-consul-token").unwrap_or("");
             let may = self
                 .settings
                 .tokens
@@ -580,11 +580,7 @@
                 self.answer(token, server, status, text.as_bytes(), None);
             }
             Request::Read(read) => {
-                let who = message
-                    .head
-                    .parse_field("user-agent")
-                    .unwrap_or("")
-                    .to_owned();
+                let who = message.head.field("user-agent").unwrap_or("").to_owned();
                 let state = self.replica_for(server, &read);
                 let blocks = read.index > 0
                     && state
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -1,19 +1,26 @@
-//! Consul's catalogue and health API as a source of hosts, and its sessions and keys as a source of placer numbers.
+//! Hosts and placer slots from Consul's HTTP API.
 //!
-//! All of it is sans-I/O: [`Source`] gives calls to be made (server, bytes, how long to wait), takes answers and
-//! failures with the time, and gives changes of the list of hosts and of the placer's slot. [`rows`] takes in
-//! long lists in steps, [`catalogue`] turns their entries into hosts, [`trust`] decides which answers to believe, [`lease`] holds the slot, and the damping of
-//! flaps is a crate of its own. Written from Consul's published HTTP API documentation.
+//! The crate does no I/O. [`ConsulSource`] says which HTTP calls to make (server, bytes, timeout), is given responses
+//! and failures together with the time, and returns changes of the host list and of the placer's slot.
+//!
+//! - [`json_rows`] reads long lists in steps, [`catalogue`] turns their entries into hosts.
+//! - [`confidence`] decides which lists to accept.
+//! - [`lease`] holds the placer's slot by a session and a locked key.
+//! - [`request`], [`response`] and [`backoff`] are what all calls share.
+//!
+//! Flap damping is a crate of its own. Written from Consul's published HTTP API documentation.
 
+pub mod backoff;
 pub mod catalogue;
 pub mod confidence;
 mod index_watch;
 pub mod json_rows;
 pub mod lease;
-pub mod query;
+pub mod request;
+pub mod response;
 mod source;
 
 pub use source::{CallId, CatalogueReport, ConsulSource, Output, Update};
 
-/// A point in time, or a span, in microseconds.
+/// A point in time, or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,606 +1,436 @@
-//! The source of hosts and slots: what is to be asked of Consul, and what its answers come to.
+//! The source of hosts and of the placer's slot: which calls to make to Consul, and what the responses lead to.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::VecDeque;
+use std::net::SocketAddr;
 
-use maplethread_config::{
-    ConsulSettings, DampingMode as DampingKind, HostEntry, PlacerConfig, ReadConsistency,
-};
-use maplethread_damping::{DampingPolicy, FlapDamping};
+use maplethread_config::{ConsulSettings, HostEntry, PlacerConfig, ReadConsistency};
 use maplethread_wire::http::Message;
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 use serde::Serialize;
-use serde_json::{Value, json};
 
+use self::calls::{Calls, QueryKind};
+use self::failure::CallFailure;
 use self::lists::{ActiveRead, PendingResponse};
+use self::published::PublishedHosts;
+use self::requests::RequestBuilder;
+use self::slots::Slots;
 use crate::Micros;
-use crate::catalogue::{EntriesByHost, HostList, HostRows, KnownNames, MemberRows, MemberStatus};
-use crate::lease::{LeaseRequest, LeaseResponse, SlotLease};
-
+use crate::catalogue::{HostList, HostRows, KnownNames, MemberRows};
 use crate::confidence::Confidence;
 use crate::index_watch::{IndexWatch, NextRead, match_nothing_filter};
-use crate::query::{Backoff, Consistency, RequestTarget, ResponseMeta, percent_encode};
+use crate::lease::LeaseResponse;
+use crate::request::{Consistency, RequestTarget};
+use crate::response::ResponseMeta;
 
+mod calls;
+mod failure;
 mod lists;
+mod published;
+mod requests;
 mod slots;
 
-/// A call, to be told apart from others.
+/// Identifies a call among those in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
 /// What the caller is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a request to a server (by its place in the settings) and wait so long for the whole answer.
+    /// Send a request to a server, and wait for the whole response.
     Call {
         /// The call.
         call: CallId,
-        /// The server.
+        /// The server, by its position in the settings.
         server: usize,
-        /// The request.
+        /// The request's bytes.
         request: Vec<u8>,
         /// How long to wait.
         timeout: Micros,
     },
 }
 
-/// What is new.
+/// What has changed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// These hosts changed; those gone have that state. The first one is the whole list.
+    /// These hosts have changed; those that are gone have that state. The first update is the full list.
     Hosts(Vec<HostEntry>),
-    /// The placer's number from now on; without one it may send nothing to cold hosts.
+    /// The placer's slot from now on; without one it may send nothing to hosts that have just started.
     Slot(Option<u32>),
 }
 
 /// What is known and how old it is, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CatalogueReport {
-    /// Since the last answer that was taken, ms; none if there was none.
+    /// Time since the last list was accepted, or found unchanged, in ms; none if there was none.
     pub age_ms: Option<u64>,
-    /// The highest index taken.
+    /// The highest index of an accepted list.
     #[serde(rename = "index")]
     pub highest_index: u64,
-    /// Hosts listed.
+    /// Hosts in the list.
     #[serde(rename = "hosts")]
     pub listed_hosts: usize,
-    /// Those whose good news waits.
+    /// Hosts that are ready again and held back by flap damping.
     #[serde(rename = "damped")]
     pub damped_hosts: usize,
-    /// Entries of the last answer that could not be used.
+    /// Entries of the last list that could not be used.
     pub bad_entries: usize,
-    /// Answers taken, rejected, and calls that failed.
+    /// Lists that were accepted.
     #[serde(rename = "taken")]
     pub accepted_answers: u64,
-    /// Answers that told that nothing had changed, without the list.
+    /// Answers that showed by their index alone that the list had not changed.
     #[serde(rename = "unchanged")]
     pub unchanged_answers: u64,
-    /// See `taken`.
+    /// Lists that were rejected.
     #[serde(rename = "rejected")]
     pub rejected_answers: u64,
-    /// See `taken`.
+    /// Calls that failed.
     #[serde(rename = "failed")]
     pub failed_calls: u64,
-    /// The slot, if placers have them.
+    /// The placer's slot, if placers have slots.
     pub slot: Option<u32>,
-    /// All slots are held by others.
+    /// Whether others hold all slots.
     pub slots_full: bool,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum QueryKind {
-    Health,
-    Confirm,
-    Members,
-    Lease,
-    Register,
-    PassCheck,
-}
-
-/// A query that is repeated.
-#[derive(Debug, Default)]
-struct RepeatedQuery {
-    in_flight: Option<CallId>,
-    next_at: Micros,
-    backoff: Backoff,
-    server: usize,
-}
-
-/// The source.
+/// The source of hosts and of the placer's slot.
 pub struct ConsulSource {
     config: ConsulSettings,
     known_names: KnownNames,
-    user_agent: String,
-    token: Option<String>,
+    requests: RequestBuilder,
     rng: Pcg64Mcg,
-    next_call: u64,
-    pending_calls: BTreeMap<CallId, QueryKind>,
-    queries: BTreeMap<QueryKind, RepeatedQuery>,
-    index: u64,
+    calls: Calls,
+    /// The index on which the next read of the host list blocks; 0 before the first.
+    blocking_index: u64,
     index_watch: IndexWatch,
-    /// The query of the list that is out asks for nothing but the index.
+    /// Whether the query of the list that is in flight asks for nothing but the index.
     is_index_only: bool,
-    /// How late an answer about the list may be.
+    /// How long a response about the list may take, the wait of a blocking query not counted.
     list_timeout: Micros,
     confidence: Confidence,
-    /// Answers that wait to be read, one of each kind at most.
+    /// Responses that wait to be read, one of each kind at most.
     unread_responses: VecDeque<PendingResponse>,
     active_read: Option<ActiveRead>,
-    /// The last answers as they were read.
     last_host_rows: HostRows,
     last_member_rows: MemberRows,
-    /// Hosts of which there is news that was not yet told.
-    unpublished: VecDeque<String>,
-    /// What was last taken, by name.
-    entries: EntriesByHost,
-    /// Hosts as they were last told.
-    published: BTreeMap<String, HostEntry>,
-    members: BTreeMap<String, MemberStatus>,
-    damping: FlapDamping<String>,
-    lease: Option<SlotLease>,
-    lease_request: Option<(CallId, LeaseRequest)>,
-    slot: Option<u32>,
-    lock_delay_ms: u64,
-    /// The answer that waits to be confirmed.
+    hosts: PublishedHosts,
+    /// None if placers have no slots.
+    slots: Option<Slots>,
+    /// The list that waits to be confirmed.
     unconfirmed_list: Option<HostList>,
     has_list: bool,
-    /// What placers register: name, address and port of the API.
-    registration: Option<(String, std::net::SocketAddr)>,
-    take_outputs: Vec<Output>,
-    updates: Vec<Update>,
     last_answer_at: Option<Micros>,
+    updates: Vec<Update>,
     report: CatalogueReport,
 }
 
-/// Every successful read is followed by the next no sooner than this, so that a storm of changes is read in steps.
+/// A successful read is followed by the next no sooner than this, so that a storm of changes is read in steps.
 const MIN_READ_INTERVAL: Micros = 30_000;
-/// Calls that do not block are waited for so long.
+/// How long to wait for calls that do not block.
 const SHORT_CALL_TIMEOUT: Micros = 2_000_000;
-/// An answer about the list that comes so late is still news, where `ask_within` leaves as much.
+/// A response about the list that is this late is still of use, if `rules.ask_within_ms` leaves as much time.
 const MAX_LIST_LATENESS: Micros = 6_000_000;
-/// Left of `ask_within` when a late answer is given up.
+/// What remains of `rules.ask_within_ms` when a late response is given up.
 const LIST_LATENESS_MARGIN: Micros = 500_000;
+/// Microseconds in a millisecond.
+const MICROS_PER_MS: Micros = 1000;
 
 impl ConsulSource {
-    /// A source by a placer's settings.
+    /// A source by a placer's settings. `seed` is that of all its random numbers.
     pub fn new(
         placer: &PlacerConfig,
         consul: &ConsulSettings,
         token: Option<String>,
         seed: u64,
     ) -> ConsulSource {
-        let policy = match consul.damping {
-            DampingKind::Penalty => DampingPolicy::Penalty,
-            DampingKind::Off => DampingPolicy::Off,
-            DampingKind::Hold => DampingPolicy::Hold(3_000_000),
-        };
-        let most = placer.hosts.max_hosts;
-        let known = KnownNames {
-            zones: placer.identity.zones.clone(),
-            kinds: placer.kinds.iter().map(|k| k.name.clone()).collect(),
-            max_entries: most,
-        };
-        let lease = consul
+        let max_hosts = placer.hosts.max_hosts;
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        // Placers begin at different servers, so that none gets all of them.
+        let first_server = rng.next_u64() as usize % consul.servers.len();
+        let slots = consul
             .membership
             .as_ref()
-            .map(|m| SlotLease::new(placer.identity.replica_count, m.ttl_ms * 1000, seed ^ 1));
-        let wait = consul.max_wait_ms * 1000;
-        let left = (placer.rules.max_poll_interval_ms * 1000)
-            .saturating_sub(wait + wait / 16 + LIST_LATENESS_MARGIN);
-        let late = left.min(MAX_LIST_LATENESS);
-        let mut source = ConsulSource {
-            known_names: known,
-            user_agent: format!("maplethread ({})", placer.identity.name),
-            token,
-            rng: Pcg64Mcg::seed_from_u64(seed),
-            next_call: 0,
-            pending_calls: BTreeMap::new(),
-            queries: BTreeMap::new(),
-            index: 0,
+            .map(|membership| Slots::new(membership, placer.identity.replica_count, seed ^ 1));
+        let mut calls = Calls::new(consul.servers.len());
+        calls.add(QueryKind::Health, first_server, 0);
+        calls.add(QueryKind::Members, first_server, 0);
+        if slots.is_some() {
+            calls.add(QueryKind::Lease, first_server, 0);
+        }
+        ConsulSource {
+            known_names: KnownNames {
+                zones: placer.identity.zones.clone(),
+                kinds: placer.kinds.iter().map(|kind| kind.name.clone()).collect(),
+                max_entries: max_hosts,
+            },
+            requests: RequestBuilder {
+                user_agent: format!("maplethread ({})", placer.identity.name),
+                token,
+                datacentre: consul.datacentre.clone(),
+            },
+            rng,
+            calls,
+            blocking_index: 0,
             index_watch: IndexWatch::new(consul.watch),
             is_index_only: false,
-            list_timeout: late.max(SHORT_CALL_TIMEOUT),
+            list_timeout: list_timeout(placer, consul),
             confidence: Confidence::new(consul.datacentre.clone()),
             unread_responses: VecDeque::new(),
             active_read: None,
             last_host_rows: HostRows::default(),
             last_member_rows: MemberRows::default(),
-            unpublished: VecDeque::new(),
-            entries: EntriesByHost::new(),
-            published: BTreeMap::new(),
-            members: BTreeMap::new(),
-            damping: FlapDamping::new(policy, most, seed ^ 2),
-            lease,
-            lease_request: None,
-            slot: None,
-            lock_delay_ms: consul.membership.as_ref().map_or(0, |m| m.lock_delay_ms),
+            hosts: PublishedHosts::new(consul.damping, max_hosts, seed ^ 2),
+            slots,
             unconfirmed_list: None,
             has_list: false,
-            registration: None,
-            take_outputs: Vec::new(),
-            updates: Vec::new(),
             last_answer_at: None,
+            updates: Vec::new(),
             report: CatalogueReport::default(),
             config: consul.clone(),
-        };
-        // Placers begin at different servers, so that none gets all of them.
-        let first = source.rng.next_u64() as usize % source.config.servers.len();
-        for purpose in [QueryKind::Health, QueryKind::Members] {
-            source.queries.insert(
-                purpose,
-                RepeatedQuery {
-                    server: first,
-                    ..RepeatedQuery::default()
-                },
-            );
         }
-        if source.lease.is_some() {
-            source.queries.insert(
-                QueryKind::Lease,
-                RepeatedQuery {
-                    server: first,
-                    ..RepeatedQuery::default()
-                },
-            );
-        }
-        source
     }
 
-    /// The placer serves under this name and address, and registers itself if it has slots.
-    pub fn set_registration(&mut self, name: &str, address: std::net::SocketAddr) {
-        if self.lease.is_some() {
-            self.registration = Some((name.to_owned(), address));
-            let server = self.queries.get(&QueryKind::Health).map_or(0, |l| l.server);
-            self.queries.insert(
-                QueryKind::Register,
-                RepeatedQuery {
-                    server,
-                    ..RepeatedQuery::default()
-                },
-            );
+    /// Sets the name and address under which the placer serves its API. It registers itself if it has slots.
+    pub fn set_registration(&mut self, name: &str, address: SocketAddr) {
+        if let Some(slots) = &mut self.slots {
+            slots.set_registration(name, address);
+            let server = self.calls.server(QueryKind::Health);
+            self.calls.add(QueryKind::Register, server, 0);
         }
     }
 
-    /// Whether a list was taken.
+    /// Whether a list was accepted.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
     /// What is known and how old it is.
     pub fn report(&self, now: Micros) -> CatalogueReport {
-        let slots_full = self
-            .lease
-            .as_ref()
-            .is_some_and(SlotLease::are_all_slots_taken);
         CatalogueReport {
-            age_ms: self.last_answer_at.map(|at| now.saturating_sub(at) / 1000),
+            age_ms: self.age_ms(now),
             highest_index: self.confidence.highest_index(),
-            listed_hosts: self.entries.len(),
-            damped_hosts: self.damping.held_count(),
-            slot: self.slot,
-            slots_full,
+            listed_hosts: self.hosts.len(),
+            damped_hosts: self.hosts.held_count(),
+            slot: self.slots.as_ref().and_then(Slots::current),
+            slots_full: self.slots.as_ref().is_some_and(Slots::are_all_taken),
             ..self.report.clone()
         }
     }
 
+    fn age_ms(&self, now: Micros) -> Option<u64> {
+        self.last_answer_at
+            .map(|at| now.saturating_sub(at) / MICROS_PER_MS)
+    }
+
     /// What the caller is to do since the last call.
-    pub fn outputs(&mut self) -> Vec<Output> {
-        std::mem::take(&mut self.take_outputs)
+    pub fn take_outputs(&mut self) -> Vec<Output> {
+        self.calls.take_outputs()
     }
 
-    /// What is new since the last call.
+    /// What has changed since the last call.
     pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
 
-    /// When [`Source::tick`] is to be called at the latest.
+    /// When [`ConsulSource::tick`] is to be called at the latest.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
-        let loops = self
-            .queries
-            .iter()
-            .filter(|(p, l)| l.in_flight.is_none() && **p != QueryKind::Lease)
-            .map(|(_, l)| l.next_at);
-        let lease = self.lease.as_ref().and_then(|l| l.next_due(now));
-        let own = self
-            .lease
-            .as_ref()
-            .and_then(SlotLease::valid_until)
-            .filter(|&u| u > now && self.slot.is_some());
-        let busy = self.has_pending_work().then_some(now);
-        busy.into_iter()
-            .chain(loops)
-            .chain(lease)
-            .chain(own)
-            .chain(self.damping.next_release())
-            .chain(self.confidence.confirmation_deadline())
-            .min()
+        let slots = self.slots.as_ref();
+        [
+            self.has_pending_work().then_some(now),
+            self.calls.next_due(),
+            slots.and_then(|slots| slots.next_due(now)),
+            slots.and_then(|slots| slots.expiry(now)),
+            self.hosts.next_release(),
+            self.confidence.confirmation_deadline(),
+        ]
+        .into_iter()
+        .flatten()
+        .min()
     }
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros) {
-        self.fence(now);
+        self.refresh_slot(now);
         if self
             .confidence
             .confirmation_deadline()
-            .is_some_and(|due| due <= now)
-            && let Some(listed) = self.unconfirmed_list.take()
+            .is_some_and(|deadline| deadline <= now)
+            && let Some(list) = self.unconfirmed_list.take()
         {
-            // No leader has contradicted it in time: the rules win.
-            self.accept_list(now, listed);
+            // No leader has contradicted the loss in time, so it counts: rule 3 wins.
+            self.accept_list(now, list);
         }
         self.process_lists(now);
-        let released = self.damping.release_due(now);
-        self.publish_hosts(now, released);
-        for purpose in [
+        let released = self.hosts.publish_released(now);
+        self.push_hosts(released);
+        for kind in [
             QueryKind::Health,
             QueryKind::Members,
             QueryKind::Register,
             QueryKind::PassCheck,
         ] {
-            if self
-                .queries
-                .get(&purpose)
-                .is_some_and(|l| l.in_flight.is_none() && l.next_at <= now)
-            {
-                self.start_query(now, purpose);
+            if self.calls.is_due(kind, now) {
+                self.start_query(now, kind);
             }
         }
         self.advance_lease(now);
     }
 
-    fn target_in_datacentre(&self, path: String) -> RequestTarget {
-        RequestTarget::new(path).with_optional_param("dc", self.config.datacentre.as_deref())
-    }
-
-    fn health_target(&self, mode: Consistency, filter: Option<&str>) -> RequestTarget {
-        let path = format!(
-            "/v1/health/service/{}",
-            percent_encode(&self.config.service)
-        );
-        self.target_in_datacentre(path)
-            .with_optional_param("filter", filter)
-            .with_consistency(mode)
-    }
-
-    fn send(
-        &mut self,
-        purpose: QueryKind,
-        server: usize,
-        request: Vec<u8>,
-        within: Micros,
-    ) -> CallId {
-        self.next_call += 1;
-        let call = CallId(self.next_call);
-        self.pending_calls.insert(call, purpose);
-        self.take_outputs.push(Output::Call {
-            call,
-            server,
-            request,
-            timeout: within,
-        });
-        call
+    /// Queues an update of hosts, if any have changed.
+    fn push_hosts(&mut self, changed: Vec<HostEntry>) {
+        if !changed.is_empty() {
+            self.updates.push(Update::Hosts(changed));
+        }
     }
 
-    fn start_query(&mut self, now: Micros, purpose: QueryKind) {
-        let wait = self.config.max_wait_ms;
-        let mode = match self.config.consistency {
-            ReadConsistency::Default => Consistency::Default,
-            ReadConsistency::Stale => Consistency::Stale,
-            ReadConsistency::Consistent => Consistency::Consistent,
-        };
-        let (target, method, body, within) = match purpose {
-            QueryKind::Health => {
-                let next = if self.index > 0 {
-                    self.index_watch.next_read(now)
-                } else {
-                    NextRead::Full
-                };
-                self.is_index_only = next == NextRead::IndexOnly;
-                let empty = self
-                    .is_index_only
-                    .then(|| match_nothing_filter(self.config.filter.as_deref()));
-                let mut target =
-                    self.health_target(mode, empty.as_deref().or(self.config.filter.as_deref()));
-                let mut within = self.list_timeout;
-                if next != NextRead::Full {
-                    target = target
-                        .with_param("index", &self.index.to_string())
-                        .with_param("wait", &format!("{wait}ms"));
-                    // The server adds up to a sixteenth of the wait.
-                    within += (wait + wait / 16) * 1000;
-                }
-                (target, "GET", Value::Null, within)
+    fn start_query(&mut self, now: Micros, kind: QueryKind) {
+        let (request, timeout) = match kind {
+            QueryKind::Health => self.health_request(now),
+            QueryKind::Confirm => {
+                let target = self.requests.health(
+                    &self.config.service,
+                    Consistency::Consistent,
+                    self.config.filter.as_deref(),
+                );
+                (self.requests.get(&target), SHORT_CALL_TIMEOUT)
             }
-            QueryKind::Confirm => (
-                self.health_target(Consistency::Consistent, self.config.filter.as_deref()),
-                "GET",
-                Value::Null,
-                SHORT_CALL_TIMEOUT,
-            ),
-            QueryKind::Members => (
-                RequestTarget::new("/v1/agent/members"),
-                "GET",
-                Value::Null,
-                SHORT_CALL_TIMEOUT,
-            ),
-            QueryKind::Register => {
-                let Some((name, address)) = &self.registration else {
-                    return;
-                };
-                let Some(m) = &self.config.membership else {
-                    return;
-                };
-                let body = json!({
-                    "ID": name, "Name": m.service, "Address": address.ip().to_string(), "Port": address.port(),
-                    "Check": {
-                        "TTL": format!("{}ms", m.ttl_ms),
-                        "DeregisterCriticalServiceAfter": "10m",
-                    },
-                });
-                (
-                    RequestTarget::new("/v1/agent/service/register"),
-                    "PUT",
-                    body,
-                    SHORT_CALL_TIMEOUT,
-                )
+            QueryKind::Members => {
+                let target = RequestTarget::new("/v1/agent/members");
+                (self.requests.get(&target), SHORT_CALL_TIMEOUT)
             }
-            QueryKind::PassCheck => {
-                let Some((name, _)) = &self.registration else {
-                    return;
-                };
-                let path = format!("/v1/agent/check/pass/service:{}", percent_encode(name));
-                (
-                    RequestTarget::new(path),
-                    "PUT",
-                    Value::Null,
-                    SHORT_CALL_TIMEOUT,
-                )
+            QueryKind::Register | QueryKind::PassCheck => {
+                let slots = self.slots.as_ref();
+                let request = slots.and_then(|slots| match kind {
+                    QueryKind::Register => slots.registration_request(&self.requests),
+                    _ => slots.pass_check_request(&self.requests),
+                });
+                let Some(request) = request else { return };
+                (request, SHORT_CALL_TIMEOUT)
             }
+            // Requests of the lease depend on its state: see `advance_lease`.
             QueryKind::Lease => return,
         };
-        let body = if body.is_null() {
-            Vec::new()
+        self.calls.start(kind, request, timeout);
+    }
+
+    /// The next read of the host list, and how long its response may take.
+    fn health_request(&mut self, now: Micros) -> (Vec<u8>, Micros) {
+        let next_read = if self.blocking_index > 0 {
+            self.index_watch.next_read(now)
         } else {
-            body.to_string().into_bytes()
+            NextRead::Full
         };
-        let request = target.to_request(method, &self.user_agent, self.token.as_deref(), &body);
-        let server = self.queries.get(&purpose).map_or(0, |l| l.server);
-        let call = self.send(purpose, server, request, within);
-        self.queries.entry(purpose).or_default().in_flight = Some(call);
+        self.is_index_only = next_read == NextRead::IndexOnly;
+        let configured = self.config.filter.as_deref();
+        let nothing = self.is_index_only.then(|| match_nothing_filter(configured));
+        let consistency = match self.config.consistency {
+            ReadConsistency::Default => Consistency::Default,
+            ReadConsistency::Stale => Consistency::Stale,
+            ReadConsistency::Consistent => Consistency::Consistent,
+        };
+        let mut target = self.requests.health(
+            &self.config.service,
+            consistency,
+            nothing.as_deref().or(configured),
+        );
+        let mut timeout = self.list_timeout;
+        if next_read != NextRead::Full {
+            let wait_ms = self.config.max_wait_ms;
+            target = target
+                .with_param("index", &self.blocking_index.to_string())
+                .with_param("wait", &format!("{wait_ms}ms"));
+            timeout += longest_blocking_wait(wait_ms) * MICROS_PER_MS;
+        }
+        (self.requests.get(&target), timeout)
     }
 
-    /// A call's answer.
+    /// Takes in the response to a call.
     pub fn handle_response(&mut self, now: Micros, call: CallId, message: Message) {
-        let Some(purpose) = self.pending_calls.remove(&call) else {
+        let Some(kind) = self.calls.finish(call) else {
             return;
         };
         let status = message.head.status();
-        if purpose == QueryKind::Lease {
-            let told = self.parse_lease_response(call, status, &message.body);
-            if told == LeaseResponse::Failed {
-                self.fail_over(QueryKind::Lease);
-            }
-            self.complete_lease_request(now, told);
+        if kind == QueryKind::Lease {
+            self.handle_lease_response(now, call, status, &message.body);
             return;
         }
-        if self
-            .queries
-            .get(&purpose)
-            .is_none_or(|l| l.in_flight != Some(call))
-        {
+        if !self.calls.is_in_flight(kind, call) {
             return;
         }
-        if purpose == QueryKind::Health && self.is_index_only && status == 400 {
+        if kind == QueryKind::Health && self.is_index_only && status == 400 {
             self.index_watch.disable();
         }
         if status != 200 {
-            let why =
-                String::from_utf8_lossy(&message.body[..message.body.len().min(120)]).into_owned();
-            self.record_failure(now, purpose, &format!("status {status}: {why}"));
+            self.record_failure(now, kind, &CallFailure::status(status, &message.body));
             return;
         }
-        if let Some(l) = self.queries.get_mut(&purpose) {
-            l.in_flight = None;
-        }
+        self.calls.clear_in_flight(kind);
         let meta = ResponseMeta::from_message(&message);
-        match purpose {
+        match kind {
             QueryKind::Health if self.is_index_only && message.body.trim_ascii() == b"[]" => {
                 self.handle_index_response(now, meta);
             }
             QueryKind::Health | QueryKind::Confirm | QueryKind::Members => {
-                // The next one is asked for when this one is read.
-                self.schedule(purpose, Micros::MAX);
+                // The next one is requested when this one has been read.
+                self.calls.schedule(kind, Micros::MAX);
                 self.unread_responses.push_back(PendingResponse {
-                    purpose,
+                    kind,
                     meta,
                     body: message.body,
                 });
                 return;
             }
-            QueryKind::Register => {
-                let server = self.queries.remove(&purpose).map_or(0, |l| l.server);
-                self.queries.insert(
-                    QueryKind::PassCheck,
-                    RepeatedQuery {
-                        server,
-                        next_at: now,
-                        ..RepeatedQuery::default()
-                    },
-                );
-            }
+            QueryKind::Register => self.calls.replace(kind, QueryKind::PassCheck, now),
             QueryKind::PassCheck => {
-                let ttl = self.config.membership.as_ref().map_or(10_000, |m| m.ttl_ms) * 1000;
-                self.schedule(purpose, now + ttl / 3);
+                let interval = self.slots.as_ref().map_or(0, Slots::pass_check_interval);
+                self.calls.schedule(kind, now + interval);
             }
             QueryKind::Lease => {}
         }
-        self.record_success(purpose);
+        self.calls.record_success(kind);
     }
 
-    fn record_success(&mut self, purpose: QueryKind) {
-        if let Some(l) = self.queries.get_mut(&purpose) {
-            l.backoff.reset();
-        }
-    }
-
-    /// A call got no answer, or one that is no HTTP.
-    pub fn handle_failure(&mut self, now: Micros, call: CallId, why: &str) {
-        let Some(purpose) = self.pending_calls.remove(&call) else {
+    /// Takes in that a call got no response, or one that is not HTTP.
+    pub fn handle_failure(&mut self, now: Micros, call: CallId, reason: &str) {
+        let Some(kind) = self.calls.finish(call) else {
             return;
         };
-        if purpose == QueryKind::Lease {
-            self.fail_over(QueryKind::Lease);
+        if kind == QueryKind::Lease {
+            self.calls.fail_over(QueryKind::Lease);
             self.complete_lease_request(now, LeaseResponse::Failed);
-        } else if self
-            .queries
-            .get(&purpose)
-            .is_some_and(|l| l.in_flight == Some(call))
-        {
-            self.record_failure(now, purpose, why);
-        }
-    }
-
-    fn schedule(&mut self, purpose: QueryKind, at: Micros) {
-        if let Some(l) = self.queries.get_mut(&purpose) {
-            l.next_at = at;
-        }
-    }
-
-    fn fail_over(&mut self, purpose: QueryKind) {
-        let servers = self.config.servers.len();
-        if let Some(l) = self.queries.get_mut(&purpose) {
-            l.server = (l.server + 1) % servers;
+        } else if self.calls.is_in_flight(kind, call) {
+            self.record_failure(now, kind, &CallFailure::NoResponse(reason.to_owned()));
         }
     }
 
-    fn record_failure(&mut self, now: Micros, purpose: QueryKind, why: &str) {
+    fn record_failure(&mut self, now: Micros, kind: QueryKind, failure: &CallFailure) {
         self.report.failed_calls += 1;
-        let Some(l) = self.queries.get_mut(&purpose) else {
+        let Some(failed) = self.calls.record_failure(kind, now, &mut self.rng) else {
             return;
         };
-        l.in_flight = None;
-        let first = l.backoff.failures() == 0;
-        l.next_at = now + l.backoff.next_wait(&mut self.rng);
-        let server = self.config.servers[l.server];
-        if first {
-            tracing::warn!(%server, why, age_ms = self.last_answer_at.map(|h| (now - h) / 1000), "{purpose:?} query failed");
+        if failed.is_first {
+            let server = self.config.servers[failed.server];
+            tracing::warn!(%server, reason = %failure, age_ms = self.age_ms(now), "{kind} query failed");
         }
-        // A check that a restarted agent does not know: register anew.
-        if purpose == QueryKind::PassCheck
-            && (why.starts_with("status 404") || why.contains("nknown check"))
-        {
-            let server = l.server;
-            self.queries.remove(&QueryKind::PassCheck);
-            self.queries.insert(
-                QueryKind::Register,
-                RepeatedQuery {
-                    server,
-                    next_at: now,
-                    ..RepeatedQuery::default()
-                },
-            );
-            return;
+        if kind == QueryKind::PassCheck && failure.is_unknown_check() {
+            // A restarted agent does not know the check: the placer registers anew.
+            self.calls.replace(kind, QueryKind::Register, now);
+        } else {
+            self.calls.fail_over(kind);
         }
-        self.fail_over(purpose);
     }
 }
+
+/// How long a server may let a blocking query wait, in the unit given: it adds up to a sixteenth.
+fn longest_blocking_wait(wait: u64) -> u64 {
+    wait + wait / 16
+}
+
+/// How late a response about the list may be, so that the list is never older than the rules allow.
+fn list_timeout(placer: &PlacerConfig, consul: &ConsulSettings) -> Micros {
+    let longest_wait = longest_blocking_wait(consul.max_wait_ms * MICROS_PER_MS);
+    let max_age = placer.rules.max_poll_interval_ms * MICROS_PER_MS;
+    max_age
+        .saturating_sub(longest_wait + LIST_LATENESS_MARGIN)
+        .clamp(SHORT_CALL_TIMEOUT, MAX_LIST_LATENESS)
+}
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -1,139 +1,223 @@
-//! The placer's number: what the lease wants asked, and what the answers mean to it.
+//! The placer's slot and its registration as a service: requests, and what the responses mean.
 
 use std::collections::BTreeSet;
+use std::net::SocketAddr;
 
+use maplethread_config::SlotLeaseSettings;
 use serde_json::{Value, json};
 
-use super::{CallId, ConsulSource, QueryKind, SHORT_CALL_TIMEOUT, Update};
+use super::calls::QueryKind;
+use super::requests::RequestBuilder;
+use super::{CallId, ConsulSource, MICROS_PER_MS, SHORT_CALL_TIMEOUT, Update};
 use crate::Micros;
 use crate::lease::{LeaseRequest, LeaseResponse, SlotLease};
-use crate::query::{Consistency, percent_encode};
+use crate::request::{Consistency, RequestTarget, percent_encode};
 
-impl ConsulSource {
-    /// The slot is lost by the own clock: told before anything else happens.
-    pub(super) fn fence(&mut self, now: Micros) {
-        let slot = self.lease.as_ref().and_then(|l| l.slot(now));
-        if self.lease.is_some() && slot != self.slot {
-            tracing::info!(?slot, "placer number");
-            self.slot = slot;
-            self.updates.push(Update::Slot(slot));
+/// The placer's slot and its registration.
+pub(super) struct Slots {
+    settings: SlotLeaseSettings,
+    lease: SlotLease,
+    /// The request of the lease that is in flight.
+    request: Option<(CallId, LeaseRequest)>,
+    /// The slot as the placer last got it.
+    current: Option<u32>,
+    /// The name and the API's address under which the placer registers.
+    registration: Option<(String, SocketAddr)>,
+}
+
+impl Slots {
+    /// A placer that wants one of so many slots.
+    pub(super) fn new(settings: &SlotLeaseSettings, slot_count: u32, seed: u64) -> Slots {
+        Slots {
+            settings: settings.clone(),
+            lease: SlotLease::new(slot_count, settings.ttl_ms * MICROS_PER_MS, seed),
+            request: None,
+            current: None,
+            registration: None,
         }
     }
 
-    pub(super) fn advance_lease(&mut self, now: Micros) {
-        let Some(lease) = &mut self.lease else { return };
-        let Some(ask) = lease.next_request(now) else {
-            return;
-        };
-        let Some(m) = &self.config.membership else {
-            return;
-        };
-        let key = |slot: u32| format!("/v1/kv/{}/{slot}", percent_encode(&m.key_prefix));
-        let (target, method, body) = match &ask {
+    pub(super) fn set_registration(&mut self, name: &str, address: SocketAddr) {
+        self.registration = Some((name.to_owned(), address));
+    }
+
+    /// The slot as the placer last got it.
+    pub(super) fn current(&self) -> Option<u32> {
+        self.current
+    }
+
+    /// Whether others hold all slots.
+    pub(super) fn are_all_taken(&self) -> bool {
+        self.lease.are_all_slots_taken()
+    }
+
+    /// When the lease has its next request at the latest.
+    pub(super) fn next_due(&self, now: Micros) -> Option<Micros> {
+        self.lease.next_due(now)
+    }
+
+    /// When the slot is lost without a renewal.
+    pub(super) fn expiry(&self, now: Micros) -> Option<Micros> {
+        self.lease
+            .valid_until()
+            .filter(|&until| until > now && self.current.is_some())
+    }
+
+    /// How often the check of the registration is passed: a third of its TTL, so that two may fail.
+    pub(super) fn pass_check_interval(&self) -> Micros {
+        self.settings.ttl_ms * MICROS_PER_MS / 3
+    }
+
+    /// Registers the placer as a service with a check.
+    pub(super) fn registration_request(&self, requests: &RequestBuilder) -> Option<Vec<u8>> {
+        let (name, address) = self.registration.as_ref()?;
+        let body = json!({
+            "ID": name, "Name": self.settings.service, "Address": address.ip().to_string(), "Port": address.port(),
+            "Check": {
+                "TTL": format!("{}ms", self.settings.ttl_ms),
+                "DeregisterCriticalServiceAfter": "10m",
+            },
+        });
+        let target = RequestTarget::new("/v1/agent/service/register");
+        Some(requests.put(&target, &body.to_string()))
+    }
+
+    /// Passes the check of the registration.
+    pub(super) fn pass_check_request(&self, requests: &RequestBuilder) -> Option<Vec<u8>> {
+        let (name, _) = self.registration.as_ref()?;
+        let path = format!("/v1/agent/check/pass/service:{}", percent_encode(name));
+        Some(requests.put(&RequestTarget::new(path), ""))
+    }
+
+    fn lease_request(&self, requests: &RequestBuilder, request: &LeaseRequest) -> Vec<u8> {
+        let prefix = percent_encode(&self.settings.key_prefix);
+        match request {
             LeaseRequest::CreateSession => {
                 let body = json!({
-                    "Name": self.user_agent, "TTL": format!("{}ms", m.ttl_ms),
-                    "LockDelay": format!("{}ms", self.lock_delay_ms), "Behavior": "release",
+                    "Name": requests.user_agent, "TTL": format!("{}ms", self.settings.ttl_ms),
+                    "LockDelay": format!("{}ms", self.settings.lock_delay_ms), "Behavior": "release",
                     // A session of its own TTL only: the health of the node it is made on must not end it.
                     "NodeChecks": [], "ServiceChecks": [],
                 });
-                (
-                    self.target_in_datacentre("/v1/session/create".to_owned()),
-                    "PUT",
-                    body.to_string(),
-                )
+                requests.put(&requests.target("/v1/session/create"), &body.to_string())
+            }
+            LeaseRequest::RenewSession(session) => {
+                let path = format!("/v1/session/renew/{}", percent_encode(session));
+                requests.put(&requests.target(path), "")
             }
-            LeaseRequest::RenewSession(id) => (
-                self.target_in_datacentre(format!("/v1/session/renew/{}", percent_encode(id))),
-                "PUT",
-                String::new(),
-            ),
             LeaseRequest::ListSlots => {
-                let path = format!("/v1/kv/{}/", percent_encode(&m.key_prefix));
-                (
-                    self.target_in_datacentre(path)
-                        .with_param("recurse", "")
-                        .with_consistency(Consistency::Consistent),
-                    "GET",
-                    String::new(),
-                )
+                let target = requests
+                    .target(format!("/v1/kv/{prefix}/"))
+                    .with_param("recurse", "")
+                    .with_consistency(Consistency::Consistent);
+                requests.get(&target)
             }
-            LeaseRequest::AcquireSlot(slot, id) => (
-                self.target_in_datacentre(key(*slot))
-                    .with_param("acquire", id),
-                "PUT",
-                self.user_agent.clone(),
-            ),
-        };
-        let request = target.to_request(
-            method,
-            &self.user_agent,
-            self.token.as_deref(),
-            body.as_bytes(),
-        );
-        let server = self.queries.get(&QueryKind::Lease).map_or(0, |l| l.server);
-        let call = self.send(QueryKind::Lease, server, request, SHORT_CALL_TIMEOUT);
-        self.lease_request = Some((call, ask));
-    }
-
-    pub(super) fn parse_lease_response(
-        &self,
-        call: CallId,
-        status: u16,
-        body: &[u8],
-    ) -> LeaseResponse {
-        let Some((asked, ask)) = &self.lease_request else {
+            LeaseRequest::AcquireSlot { slot, session } => {
+                let target = requests
+                    .target(format!("/v1/kv/{prefix}/{slot}"))
+                    .with_param("acquire", session);
+                requests.put(&target, &requests.user_agent)
+            }
+        }
+    }
+
+    /// What a response means to the request of the lease that is in flight.
+    fn parse_response(&self, call: CallId, status: u16, body: &[u8]) -> LeaseResponse {
+        let Some((_, request)) = self.request.as_ref().filter(|(sent, _)| *sent == call) else {
             return LeaseResponse::Failed;
         };
-        if *asked != call {
-            return LeaseResponse::Failed;
-        }
         let json: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        match (ask, status) {
-            (LeaseRequest::CreateSession, 200) => match json["ID"].as_str() {
-                Some(id) => LeaseResponse::SessionCreated(id.to_owned()),
-                None => LeaseResponse::Failed,
-            },
-            (LeaseRequest::RenewSession(_), 200) => LeaseResponse::SessionRenewed,
-            (LeaseRequest::RenewSession(_), 404) => LeaseResponse::SessionGone,
+        let response = match (request, status) {
+            (LeaseRequest::CreateSession, 200) => json["ID"]
+                .as_str()
+                .map(|id| LeaseResponse::SessionCreated(id.to_owned())),
+            (LeaseRequest::RenewSession(_), 200) => Some(LeaseResponse::SessionRenewed),
+            (LeaseRequest::RenewSession(_), 404) => Some(LeaseResponse::SessionGone),
             // No key was ever locked.
-            (LeaseRequest::ListSlots, 404) => LeaseResponse::SlotsListed(BTreeSet::new(), None),
+            (LeaseRequest::ListSlots, 404) => Some(LeaseResponse::SlotsListed {
+                others: BTreeSet::new(),
+                own: None,
+            }),
             (LeaseRequest::ListSlots, 200) => {
-                let Some(all) = json.as_array() else {
-                    return LeaseResponse::Failed;
-                };
-                let own = self.lease.as_ref().and_then(SlotLease::session);
-                let (mut held, mut mine) = (BTreeSet::new(), None);
-                for key in all {
-                    let slot = key["Key"]
-                        .as_str()
-                        .and_then(|k| k.rsplit('/').next()?.parse().ok());
-                    match (slot, key["Session"].as_str()) {
-                        (Some(slot), session) if session.is_some() && session == own => {
-                            mine = Some(slot)
-                        }
-                        (Some(slot), Some(session)) if !session.is_empty() => {
-                            held.insert(slot);
-                        }
-                        _ => {}
-                    }
+                json.as_array().map(|keys| self.parse_locked_slots(keys))
+            }
+            (LeaseRequest::AcquireSlot { .. }, 200) => {
+                json.as_bool().map(LeaseResponse::SlotAcquired)
+            }
+            _ => None,
+        };
+        response.unwrap_or(LeaseResponse::Failed)
+    }
+
+    /// Which slots are held, by the sessions that lock their keys.
+    fn parse_locked_slots(&self, keys: &[Value]) -> LeaseResponse {
+        let own_session = self.lease.session();
+        let (mut others, mut own) = (BTreeSet::new(), None);
+        for key in keys {
+            let slot = key["Key"]
+                .as_str()
+                .and_then(|name| name.rsplit('/').next()?.parse().ok());
+            match (slot, key["Session"].as_str()) {
+                (Some(slot), session) if session.is_some() && session == own_session => {
+                    own = Some(slot);
                 }
-                LeaseResponse::SlotsListed(held, mine)
+                (Some(slot), Some(session)) if !session.is_empty() => {
+                    others.insert(slot);
+                }
+                _ => {}
             }
-            (LeaseRequest::AcquireSlot(..), 200) => match json.as_bool() {
-                Some(acquired) => LeaseResponse::SlotAcquired(acquired),
-                None => LeaseResponse::Failed,
-            },
-            _ => LeaseResponse::Failed,
         }
+        LeaseResponse::SlotsListed { others, own }
+    }
+}
+
+impl ConsulSource {
+    /// Publishes the slot if it has changed. It is checked first in each turn, so that a slot that is lost by the own
+    /// clock is given up before anything else happens.
+    pub(super) fn refresh_slot(&mut self, now: Micros) {
+        let Some(slots) = &mut self.slots else { return };
+        let slot = slots.lease.slot(now);
+        if slot != slots.current {
+            tracing::info!(?slot, "placer number");
+            slots.current = slot;
+            self.updates.push(Update::Slot(slot));
+        }
+    }
+
+    /// Sends the next request of the lease, if there is one.
+    pub(super) fn advance_lease(&mut self, now: Micros) {
+        let Some(slots) = &mut self.slots else { return };
+        let Some(request) = slots.lease.next_request(now) else {
+            return;
+        };
+        let bytes = slots.lease_request(&self.requests, &request);
+        let call = self.calls.send(QueryKind::Lease, bytes, SHORT_CALL_TIMEOUT);
+        slots.request = Some((call, request));
+    }
+
+    /// Takes in the response to a request of the lease.
+    pub(super) fn handle_lease_response(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        status: u16,
+        body: &[u8],
+    ) {
+        let Some(slots) = &self.slots else { return };
+        let response = slots.parse_response(call, status, body);
+        if response == LeaseResponse::Failed {
+            self.calls.fail_over(QueryKind::Lease);
+        }
+        self.complete_lease_request(now, response);
     }
 
-    pub(super) fn complete_lease_request(&mut self, now: Micros, told: LeaseResponse) {
-        self.lease_request = None;
-        if let Some(lease) = &mut self.lease {
-            lease.handle_response(now, told);
+    /// Gives the lease what its request came to, and sends the next one.
+    pub(super) fn complete_lease_request(&mut self, now: Micros, response: LeaseResponse) {
+        if let Some(slots) = &mut self.slots {
+            slots.request = None;
+            slots.lease.handle_response(now, response);
         }
-        self.fence(now);
+        self.refresh_slot(now);
         self.advance_lease(now);
     }
 }
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -64,7 +64,7 @@
     source.tick(now);
     let lists = |source: &mut ConsulSource| {
         let calls = source
-            .outputs()
+            .take_outputs()
             .into_iter()
             .map(|Output::Call { call, request, .. }| (call, request));
         calls
@@ -148,7 +148,7 @@
     answer_health_query(&mut source, 0, &health_body(0..HOSTS, |_| false), 5);
     source.tick(1_000_000);
     let mut calls = source
-        .outputs()
+        .take_outputs()
         .into_iter()
         .map(|Output::Call { call, request, .. }| (call, request));
     let (call, _) = calls
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -151,7 +151,7 @@
 }
 
 fn name_header(message: &Message, field: &str) -> Result<Option<String>, Problem> {
-    let Some(value) = message.head.parse_field(field) else {
+    let Some(value) = message.head.field(field) else {
         return Ok(None);
     };
     check_name(field, value)?;
@@ -223,7 +223,7 @@
 }
 
 fn parse_place_request(message: &Message) -> Result<PlaceRequest, Problem> {
-    if let Some(media_type) = message.head.parse_field("content-type") {
+    if let Some(media_type) = message.head.field("content-type") {
         let media_type = media_type.split(';').next().unwrap_or("").trim();
         if !media_type.eq_ignore_ascii_case("application/json") {
             return Err(Problem::new(
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -123,7 +123,7 @@
         self.fail_late_calls(now);
         self.source.tick(now);
         for _ in 0..MAX_OUTPUT_ROUNDS {
-            let outputs = self.source.outputs();
+            let outputs = self.source.take_outputs();
             if outputs.is_empty() {
                 break;
             }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -295,6 +295,10 @@
 
 /// Takes the next known frame from the front of `unread`, and tells how many bytes were used. Without a frame,
 /// more bytes are needed; frames of unknown types are used up on the way.
+///
+/// # Errors
+///
+/// A frame that is malformed or too long. The stream can't be read any further.
 pub fn decode(unread: &[u8]) -> Result<(Option<Frame>, usize), FrameError> {
     let mut used = 0;
     loop {
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -143,7 +143,7 @@
     }
 
     /// The first field of this name, if its value is UTF-8.
-    pub fn parse_field(&self, name: &str) -> Option<&str> {
+    pub fn field(&self, name: &str) -> Option<&str> {
         let (_, value) = self.fields().find(|(n, _)| n.eq_ignore_ascii_case(name))?;
         std::str::from_utf8(value).ok()
     }
@@ -175,7 +175,7 @@
 
     /// Whether the sender waits for `100 Continue` before it sends the body.
     pub fn expects_continue(&self) -> bool {
-        self.parse_field("expect")
+        self.field("expect")
             .is_some_and(|v| v.eq_ignore_ascii_case("100-continue"))
     }
 }
@@ -245,6 +245,10 @@
     }
 
     /// The connection ended with `unread` bytes left. A body that runs until then is whole.
+    ///
+    /// # Errors
+    ///
+    /// The connection ended inside a message.
     pub fn finish(&mut self, unread: &[u8]) -> Result<bool, HttpError> {
         match self.state {
             State::UntilClose => {
@@ -257,6 +261,10 @@
     }
 
     /// The next step, and how many bytes of `unread` it used up.
+    ///
+    /// # Errors
+    ///
+    /// The message can't be taken; the connection can't be used any further.
     pub fn step(&mut self, unread: &[u8]) -> Result<(Step, usize), HttpError> {
         match self.state {
             State::Head => self.head(unread),
@@ -333,7 +341,7 @@
                         self.state = State::Head;
                         return Ok((Step::MessageEnd, used));
                     }
-                    field(text, 0)?;
+                    parse_field(text, 0)?;
                 }
                 Ok((Step::NeedMore, used))
             }
@@ -471,7 +479,7 @@
             if fields.len() == self.limits.max_fields {
                 return Err(HttpError::HeadTooLarge);
             }
-            fields.push(field(&bytes[line.clone()], line.start)?);
+            fields.push(parse_field(&bytes[line.clone()], line.start)?);
         }
         Ok(Head {
             bytes,
@@ -593,7 +601,7 @@
 }
 
 /// Name and value of a field line that begins at `base`.
-fn field(line: &[u8], base: usize) -> Result<(Range<usize>, Range<usize>), HttpError> {
+fn parse_field(line: &[u8], base: usize) -> Result<(Range<usize>, Range<usize>), HttpError> {
     if matches!(line.first(), Some(b' ' | b'\t')) {
         return Err(HttpError::FoldedField);
     }
@@ -673,6 +681,10 @@
     }
 
     /// Takes bytes from the front of `unread`; returns what was found and how many were used.
+    ///
+    /// # Errors
+    ///
+    /// The message can't be taken; the connection can't be used any further.
     pub fn read(&mut self, unread: &[u8]) -> Result<(ReadResult, usize), HttpError> {
         let mut used = 0;
         loop {
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -56,7 +56,7 @@
         ("GET", "/v1/status?full", 1)
     );
     assert_eq!(
-        (head.parse_field("x-empty"), head.parse_field("x-pad")),
+        (head.field("x-empty"), head.field("x-pad")),
         (Some(""), Some("b c"))
     );
     let bytes = b"\r\nPOST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcPUT / HTTP/1.1\r\nhost: a\r\n\
