--- a/crates/membership/src/member/conflicts.rs
+++ b/crates/membership/src/member/conflicts.rs
@@ -49,7 +49,7 @@
         let is_new = self.claimed_by(now) != Some(claimant);
         self.name_claim = Some(NameClaim {
             claimant,
-            last_heard: now,
+            last_seen_at: now,
         });
         if is_new {
             self.outputs
@@ -94,7 +94,7 @@
         }
         let reported = NameConflict {
             holder: holder.clone(),
-            last_heard: now,
+            last_seen_at: now,
         };
         if let Some(conflict) = &mut self.name_conflict {
             if conflict.holder.precedence() <= holder.precedence() {
@@ -122,7 +122,7 @@
             return;
         };
         let holder = conflict.holder.clone();
-        if conflict.last_heard + NAME_CONFLICT_TIMEOUT > now {
+        if conflict.last_seen_at + NAME_CONFLICT_TIMEOUT > now {
             return self.claim_name(now, holder.address);
         }
         self.name_conflict = None;
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -14,19 +14,19 @@
     /// The process that holds the name.
     pub(crate) holder: MemberIdentity,
     /// When it last showed that it runs.
-    pub(crate) last_heard: Micros,
+    pub(crate) last_seen_at: Micros,
 }
 
 /// Another process claims the name that the local member holds.
 pub(crate) struct NameClaim {
     pub(crate) claimant: SocketAddr,
     /// When it last claimed the name.
-    pub(crate) last_heard: Micros,
+    pub(crate) last_seen_at: Micros,
 }
 
 impl NameClaim {
     /// Whether the claim still counts.
     pub(crate) fn is_current(&self, now: Micros) -> bool {
-        now < self.last_heard + NAME_CLAIM_LIFETIME
+        now < self.last_seen_at + NAME_CLAIM_LIFETIME
     }
 }
