--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -248,9 +248,14 @@
     let mut placer = PlacerConnection::greet(&agent);
     placer.receive_until(|f| matches!(f, Frame::HeldEnd));
     placer.send(&offer(1, "work", DuplicatePolicy::Idempotent));
-    let frames =
-        placer.receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
-    let at = |wanted: fn(&Frame) -> bool| frames.iter().position(wanted).expect("the frame was received");
+    let frames = placer
+        .receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
+    let at = |wanted: fn(&Frame) -> bool| {
+        frames
+            .iter()
+            .position(wanted)
+            .expect("the frame was received")
+    };
     assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
     placer.send(&Frame::Stop(1));
     let frames = placer.receive_until(is_end_of(1));
@@ -293,7 +298,8 @@
     placer.receive_until(|f| matches!(f, Frame::Started(6, _)));
     placer.send(&offer(7, "work", DuplicatePolicy::IdempotencyKey(9)));
     assert!(matches!(
-        placer.receive_until(|f| matches!(f, Frame::Refused(7, ..)))
+        placer
+            .receive_until(|f| matches!(f, Frame::Refused(7, ..)))
             .last(),
         Some(Frame::Refused(7, Reason::Ineligible, _))
     ));
