--- a/crates/agent/src/agent/action.rs
+++ b/crates/agent/src/agent/action.rs
@@ -40,8 +40,13 @@
     StartProcess(u64),
     /// Stop a process group.
     StopProcess(ProcessIdentity, StopMode),
-    /// Call [`Agent::handle_timer`](super::Agent::handle_timer) after so many µs.
-    SetTimer(u64, Timer),
+    /// Call [`Agent::handle_timer`](super::Agent::handle_timer) after a time.
+    SetTimer {
+        /// The time, µs.
+        delay_us: u64,
+        /// What the timer is for.
+        timer: Timer,
+    },
 }
 
 impl Action {
--- a/crates/agent/src/agent/store_failure.rs
+++ b/crates/agent/src/agent/store_failure.rs
@@ -33,13 +33,16 @@
                         self.admission.requeue_start(*attempt);
                     }
                 }
-                Action::Send(..) | Action::StopProcess(..) | Action::SetTimer(..) => {
+                Action::Send(..) | Action::StopProcess(..) | Action::SetTimer { .. } => {
                     out.push(action.clone());
                 }
             }
         }
         if !std::mem::replace(&mut self.is_store_unavailable, true) {
-            out.push(Action::SetTimer(STORE_RETRY_DELAY_US, Timer::RetryStore));
+            out.push(Action::SetTimer {
+                delay_us: STORE_RETRY_DELAY_US,
+                timer: Timer::RetryStore,
+            });
         }
     }
 
--- a/crates/agent/src/agent/task_control.rs
+++ b/crates/agent/src/agent/task_control.rs
@@ -79,8 +79,10 @@
             TaskState::Running(identity) => {
                 task.stop_reason = Some(reason);
                 out.push(Action::StopProcess(identity, StopMode::Graceful));
-                let timer = Timer::ForceStop(attempt);
-                out.push(Action::SetTimer(self.stop_grace_us, timer));
+                out.push(Action::SetTimer {
+                    delay_us: self.stop_grace_us,
+                    timer: Timer::ForceStop(attempt),
+                });
             }
             TaskState::Accepted | TaskState::Finished { .. } => {
                 self.finish_task(attempt, reason, false, out);
--- a/crates/agent/src/run/mod.rs
+++ b/crates/agent/src/run/mod.rs
@@ -263,7 +263,7 @@
                     Action::Send(placer, frame) => self.send_frame(&placer, &frame),
                     Action::StartProcess(attempt) => self.start_process(attempt, &mut next_turn),
                     Action::StopProcess(identity, mode) => process::signal_group(identity, mode),
-                    Action::SetTimer(delay_us, timer) => {
+                    Action::SetTimer { delay_us, timer } => {
                         self.timers.push((self.now_us() + delay_us, timer));
                     }
                 }
