--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -133,8 +133,8 @@
             unsettled_attempts: HashMap::new(),
             probes: BTreeMap::new(),
             next_probe: 0,
-            answer_cache: AnswerCache::new(api.answers_kept, api.answers_kept_ms * 1000),
-            recent_events: RecentEvents::new(api.events_kept),
+            answer_cache: AnswerCache::new(api.max_kept_answers, api.answer_retention_ms * 1000),
+            recent_events: RecentEvents::new(api.max_kept_events),
             counters: Counters::default(),
             is_stopping: false,
             decided_arrivals: Vec::new(),
@@ -263,6 +263,6 @@
 
     /// Whether a host's acceptance places an attempt; otherwise its start does.
     pub(crate) fn is_placed_on_acceptance(&self) -> bool {
-        self.config.placing.placed_when == AcceptancePoint::Accepted
+        self.config.placement.acceptance_point == AcceptancePoint::Accepted
     }
 }
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -33,7 +33,7 @@
 
     /// Watches a host that has greeted: its silence counts from now on.
     pub(super) fn watch_liveness(&mut self, id: HostId) {
-        let first_tick_after = self.jitter(self.config.hosts.ping_every_ms * 1000);
+        let first_tick_after = self.jitter(self.config.hosts.ping_interval_ms * 1000);
         self.liveness.host_greeted(self.now, id, first_tick_after);
     }
 
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -16,7 +16,7 @@
     pub fn apply_inventory(&mut self, now: Micros, inventory: &Inventory) {
         self.now = self.now.max(now);
         self.has_inventory = true;
-        let listed: BTreeSet<&str> = inventory.host.iter().map(|e| e.name.as_str()).collect();
+        let listed: BTreeSet<&str> = inventory.hosts.iter().map(|e| e.name.as_str()).collect();
         for host in self
             .hosts
             .values_mut()
@@ -24,7 +24,7 @@
         {
             host.inventory_state = HostState::Gone;
         }
-        for entry in &inventory.host {
+        for entry in &inventory.hosts {
             self.apply_entry(entry);
         }
         let published = self
@@ -94,7 +94,7 @@
             return id;
         };
         (host.entry.zone, host.entry.cell, host.entry.kind) = (zone, cell, kind);
-        let unallocated = entry.unasked_cores.zip(entry.unasked_memory_gib);
+        let unallocated = entry.unallocated_cores.zip(entry.unallocated_memory_gib);
         host.entry.unallocated = unallocated.map(|(cores, memory)| Resources::new(cores, memory));
         (host.inventory_state, host.inventory_started_ms) = (entry.state, entry.started_ms);
         let has_moved = std::mem::replace(&mut host.address, entry.address) != entry.address;
--- a/crates/engine/src/sessions/probes.rs
+++ b/crates/engine/src/sessions/probes.rs
@@ -16,7 +16,7 @@
         let sent = self.send_frame(host, &Frame::Probe(nonce), Delivery::BestEffort);
         if sent.is_some() {
             self.probes.insert(nonce, host);
-            let timeout = self.config.hosts.connect_within_ms * 1000;
+            let timeout = self.config.hosts.connect_timeout_ms * 1000;
             self.timers
                 .schedule(self.now + timeout, Timer::ProbeTimeout(nonce));
         } else {
--- a/crates/placer/src/daemon/inventory.rs
+++ b/crates/placer/src/daemon/inventory.rs
@@ -67,7 +67,7 @@
         };
         match Inventory::parse(document, &self.config) {
             Ok(inventory) => {
-                tracing::info!(%file, hosts = inventory.host.len(), "inventory read");
+                tracing::info!(%file, hosts = inventory.hosts.len(), "inventory read");
                 self.engine
                     .apply_inventory(self.event_loop.now(), &inventory);
             }
