--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -458,7 +458,7 @@
 
     /// Whether a second start does harm.
     pub fn must_not_run_twice(&self, class: usize) -> bool {
-        self.classes[class].rules.retry_safety != RetrySafety::Safe
+        self.classes[class].rules.retry_safety != RetrySafety::Idempotent
     }
 }
 
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -154,8 +154,8 @@
 
     /// Records that an attempt may still start, if its actor must not run twice.
     fn mark_unsettled(&mut self, class: usize, actor: ActorKey, attempt: AttemptKey) {
-        if self.config.classes[class].retry_safety != RetrySafety::Safe {
-            let until = self.now + self.config.api.settle_ms * 1000;
+        if self.config.classes[class].retry_safety != RetrySafety::Idempotent {
+            let until = self.now + self.config.api.resubmission_hold_ms * 1000;
             self.timers.schedule(until, Timer::UnsettledExpiry);
             self.unsettled
                 .insert(actor.clone(), UnsettledAttempt { attempt, until });
--- a/crates/placer/src/daemon/clients.rs
+++ b/crates/placer/src/daemon/clients.rs
@@ -140,7 +140,7 @@
         };
         let flushed = connection.flush(self.event_loop.poller());
         let has_too_much_unwritten =
-            connection.unwritten_bytes() > self.config.api.max_unread_bytes;
+            connection.unwritten_bytes() > self.config.api.max_unsent_bytes;
         if flushed.is_err() || has_too_much_unwritten || self.lingering.is_full() {
             connection.reset();
             return;
