--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -18,7 +18,7 @@
 impl<D: Decide> Engine<D> {
     /// Connects to a host, unless that was done since `epoch`.
     pub(crate) fn connect(&mut self, id: HostId, epoch: u64) {
-        let timeout = self.config.hosts.connect_within_ms * 1000;
+        let timeout = self.config.hosts.connect_timeout_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
@@ -101,7 +101,7 @@
         host.failed_connects = earlier_failures.saturating_add(1);
         let holds_tasks = self.finish_unplaced_attempts(id, written);
         if holds_tasks && is_wanted {
-            let lost_at = self.now + self.config.hosts.lost_after_ms * 1000;
+            let lost_at = self.now + self.config.hosts.loss_timeout_ms * 1000;
             self.timers
                 .schedule(lost_at, Timer::TasksLost { host: id, epoch });
         } else if holds_tasks {
@@ -148,9 +148,9 @@
     fn reconnect_wait(&mut self, earlier_failures: u32) -> Micros {
         let hosts = &self.config.hosts;
         let wait_ms = hosts
-            .reconnect_first_ms
+            .min_reconnect_delay_ms
             .saturating_mul(1 << earlier_failures.min(MAX_RECONNECT_DOUBLINGS))
-            .min(hosts.reconnect_most_ms);
+            .min(hosts.max_reconnect_delay_ms);
         self.jitter(wait_ms * 1000)
     }
 
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -359,7 +359,7 @@
             membership.leave(self.event_loop.now());
         }
         let now = self.event_loop.now();
-        self.stop_deadline = Some(now + self.config.api.stop_within_ms * 1000);
+        self.stop_deadline = Some(now + self.config.api.shutdown_grace_ms * 1000);
     }
 
     fn dispatch_readiness(&mut self, ready: &[Readiness]) {
