--- a/crates/agent/src/run/processes.rs
+++ b/crates/agent/src/run/processes.rs
@@ -92,7 +92,10 @@
         let started =
             spawned.and_then(|(child, identity)| self.watch_started(attempt, identity, child));
         let result = started.map_err(|error| {
-            tracing::warn!(attempt, %error, "start failed");
+            match error {
+                StartError::NotWatchable(_) => tracing::error!(attempt, %error, "start failed"),
+                _ => tracing::warn!(attempt, %error, "start failed"),
+            }
             Reason::Error
         });
         self.agent
