--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -3,9 +3,11 @@
 use std::fmt::Display;
 use std::net::SocketAddr;
 
+use crate::class::{RetrySafety, TaskClass};
+use crate::consul::ConsulSettings;
 use crate::error::{ConfigErrors, Document};
 use crate::fleet::FleetSettings;
-use crate::placer::{ConsulSettings, PlacerConfig, RetrySafety, TaskClass};
+use crate::placer::PlacerConfig;
 use crate::trace::TraceSettings;
 
 /// Collects faults.
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -57,7 +57,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// A file's name and text, for complaints about what it holds.
+/// A file's name and text, for errors about what it holds.
 #[derive(Clone, Copy)]
 pub struct Document<'a> {
     /// Its name.
@@ -67,7 +67,7 @@
 }
 
 impl Document<'_> {
-    /// A complaint about the value of `key`, such as `class[1].aim_ms`.
+    /// An error about the value of `key`, such as `class[1].aim_ms`.
     pub fn error(&self, key: &str, message: impl Into<String>) -> ConfigError {
         let line = self.line_of(key);
         ConfigError {
@@ -78,7 +78,11 @@
         }
     }
 
-    /// Complains unless `fine`.
+    /// Returns an error unless `fine`.
+    ///
+    /// # Errors
+    ///
+    /// The error about `key`, unless `fine`.
     pub fn ensure(
         &self,
         fine: bool,
@@ -132,6 +136,10 @@
 }
 
 /// Parses a TOML text; unknown keys come with a suggestion.
+///
+/// # Errors
+///
+/// Text that is no TOML, or does not fit `T`, with the line and key as far as they are known.
 pub fn parse_toml<T: DeserializeOwned>(doc: Document<'_>) -> Result<T, ConfigError> {
     toml::from_str(doc.text).map_err(|e| {
         let line = e.span().map(|span| doc.line_at(span.start));
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -64,6 +64,10 @@
 impl Inventory {
     /// Parses an inventory and checks it against a placer's zones and kinds. A file without hosts is refused: it
     /// is far more often a file cut short than a fleet that is gone, and whoever means it can list them as gone.
+    ///
+    /// # Errors
+    ///
+    /// The first fault, with its line and key.
     pub fn parse(doc: Document<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
         let inventory: Inventory = parse_toml(doc)?;
         doc.ensure(
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,17 +1,25 @@
 //! What operators write: a placer's settings and the inventory of hosts, both TOML. Files are parsed and checked
-//! whole before anything uses them, and every complaint names the file, the line and the key. Other crates parse
-//! their own files with [`parse`], so that all complaints read alike.
+//! whole before anything uses them, and every error names the file, the line and the key. Other crates parse
+//! their own files with [`parse_toml`], so that all errors read alike.
 
 mod checks;
+mod class;
+mod consul;
 mod defaults;
 mod error;
 mod fleet;
 mod inventory;
 mod placer;
+mod policy;
 mod trace;
 
+pub use class::{DeduplicationScope, HostKind, RetrySafety, TaskClass, TopologyLevel};
+pub use consul::{ConsulSettings, DampingMode, ReadConsistency, SlotLeaseSettings};
 pub use error::{ConfigError, ConfigErrors, Document, parse_toml};
 pub use fleet::FleetSettings;
 pub use inventory::{HostEntry, HostState, Inventory};
-pub use placer::*;
+pub use placer::{
+    AcceptancePoint, ApiSettings, CostSettings, HostSettings, Identity, LoadReport,
+    PlacementSettings, PlacerConfig, RuleSettings,
+};
 pub use trace::TraceSettings;
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -3,9 +3,10 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use maplethread as mt;
 use serde::{Deserialize, Serialize};
 
+use crate::class::{HostKind, TaskClass};
+use crate::consul::ConsulSettings;
 use crate::defaults as d;
 use crate::error::{ConfigErrors, Document, parse_toml};
 use crate::fleet::FleetSettings;
@@ -174,96 +175,6 @@
     pub max_unwritten_bytes: usize,
 }
 
-/// Consul as the source of hosts.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Consul")]
-pub struct ConsulSettings {
-    /// Servers or agents that speak the HTTP API; one after the other is tried.
-    pub servers: Vec<SocketAddr>,
-    /// The service under which hosts are registered.
-    #[serde(default = "d::host_service")]
-    pub service: String,
-    /// The datacentre; answers of another one are not taken. Where missing, that of the first answer.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub datacentre: Option<String>,
-    /// A file with the ACL token, relative to the settings file.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub token_file: Option<PathBuf>,
-    /// How consistent reads are.
-    #[serde(default)]
-    #[serde(rename = "reads")]
-    pub consistency: ReadConsistency,
-    /// A filter expression for the hosts' entries.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub filter: Option<String>,
-    /// Between reads of the whole list, wait for its index alone to move.
-    #[serde(default = "d::enabled")]
-    pub watch: bool,
-    /// A blocking query waits so long for news; at most half of `rules.ask_within_ms`.
-    #[serde(default = "d::wait")]
-    #[serde(rename = "wait_ms")]
-    pub max_wait_ms: u64,
-    /// The members of the gossip pool are read this often.
-    #[serde(default = "d::members_every")]
-    #[serde(rename = "members_every_ms")]
-    pub member_read_interval_ms: u64,
-    /// A longer answer is refused.
-    #[serde(default = "d::max_answer")]
-    #[serde(rename = "max_answer_bytes")]
-    pub max_response_bytes: usize,
-    /// How good news after repeated changes is held back.
-    #[serde(default)]
-    pub damping: DampingMode,
-    /// The placers' own membership.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub membership: Option<SlotLeaseSettings>,
-}
-
-/// How consistent reads are.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", expecting = "enum Reads")]
-pub enum ReadConsistency {
-    /// By the leader.
-    #[default]
-    Default,
-    /// By any server.
-    Stale,
-    /// By a leader that verified itself.
-    Consistent,
-}
-
-/// How good news after repeated changes is held back.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", expecting = "enum Damping")]
-pub enum DampingMode {
-    /// By a penalty that decays.
-    Penalty,
-    /// Not at all.
-    #[default]
-    Off,
-    /// Always for three seconds; for comparison.
-    Hold,
-}
-
-/// The placers' own membership.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Membership")]
-pub struct SlotLeaseSettings {
-    /// The service under which placers register.
-    #[serde(default = "d::placer_service")]
-    pub service: String,
-    /// Keys of the slots lie under this prefix; `placer.placers` is their number.
-    #[serde(default = "d::slots_prefix")]
-    #[serde(rename = "prefix")]
-    pub key_prefix: String,
-    /// TTL of the session and of the check, at least 10 s as Consul has it.
-    #[serde(default = "d::ttl")]
-    pub ttl_ms: u64,
-    /// Nobody takes the slot of a lost session for so long.
-    #[serde(default = "d::lock_delay")]
-    pub lock_delay_ms: u64,
-}
-
 /// What hosts admit and tell.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Placing")]
@@ -376,201 +287,24 @@
     pub migration: f64,
 }
 
-/// A kind of host.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Kind")]
-pub struct HostKind {
-    /// Its name.
-    pub name: String,
-    /// Cores.
-    pub cores: f64,
-    /// Memory.
-    pub memory_gib: f64,
-}
-
-/// What a second start does.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", expecting = "enum Effect")]
-pub enum RetrySafety {
-    /// No harm.
-    #[serde(rename = "safe")]
-    Idempotent,
-    /// The hosts of a group let one copy stand.
-    #[serde(rename = "keyed")]
-    IdempotencyKey,
-    /// It must never happen.
-    #[serde(rename = "unsafe")]
-    NonIdempotent,
-}
-
-/// A set of hosts.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", expecting = "enum Group")]
-pub enum DeduplicationScope {
-    /// All of them.
-    All,
-    /// Those of one zone.
-    Zone,
-    /// Those of one cell.
-    Cell,
-}
-
-/// A place over which a service is spread.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", expecting = "enum Place")]
-pub enum TopologyLevel {
-    /// One host.
-    Host,
-    /// One cell.
-    Cell,
-    /// One zone.
-    Zone,
-}
-
-/// A class of tasks.
-#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, expecting = "struct Class")]
-pub struct TaskClass {
-    /// Its name.
-    pub name: String,
-    /// What a second start does.
-    #[serde(rename = "effect")]
-    pub retry_safety: RetrySafety,
-    /// For keyed ones: where copies are recognised...
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "group")]
-    pub deduplication_scope: Option<DeduplicationScope>,
-    /// ...and how long, from the first send on.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "window_ms")]
-    pub deduplication_window_ms: Option<u64>,
-    /// A start within this earns all it can.
-    #[serde(rename = "aim_ms")]
-    pub latency_objective_ms: u64,
-    /// Worth of a second at mean size.
-    #[serde(default = "d::one_by_default")]
-    #[serde(rename = "worth")]
-    pub priority_weight: f64,
-    /// Seconds of service that a timely start is worth.
-    #[serde(default)]
-    pub start_bonus_s: f64,
-    /// Higher ones push out lower ones.
-    #[serde(default)]
-    pub priority: u32,
-    /// The only kind of host that takes it.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub kind: Option<String>,
-    /// Where tasks of one service are limited...
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "spread_over")]
-    pub spread_level: Option<TopologyLevel>,
-    /// ...to so many of one placer.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "spread_most")]
-    pub max_per_domain: Option<u32>,
-}
-
-const MICROS_PER_MS: u64 = 1000;
-
 impl PlacerConfig {
-    /// Parses and checks a settings file; all that is wrong is told at once.
+    /// Parses and checks a settings file.
+    ///
+    /// # Errors
+    ///
+    /// All faults of the file at once, each with its line and key.
     pub fn parse(doc: Document<'_>) -> Result<PlacerConfig, ConfigErrors> {
         let config: PlacerConfig = parse_toml(doc)?;
         config.validate(doc)?;
         Ok(config)
     }
 
-    /// Writes it as TOML.
+    /// Writes the settings as TOML, with every key.
+    ///
+    /// # Errors
+    ///
+    /// A value that TOML can't hold.
     pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
-
-    /// The module's settings.
-    pub fn policy_settings(&self) -> mt::Settings {
-        let index = |zone: &String| {
-            self.identity
-                .zones
-                .iter()
-                .position(|z| z == zone)
-                .unwrap_or(0) as u32
-        };
-        let class = |c: &TaskClass| mt::Class {
-            retry_safety: match c.retry_safety {
-                RetrySafety::Idempotent => mt::RetrySafety::Idempotent,
-                RetrySafety::NonIdempotent => mt::RetrySafety::NonIdempotent,
-                RetrySafety::IdempotencyKey => mt::RetrySafety::IdempotencyKey {
-                    scope: match c.deduplication_scope {
-                        Some(DeduplicationScope::Zone) => mt::DeduplicationScope::Zone,
-                        Some(DeduplicationScope::Cell) => mt::DeduplicationScope::Cell,
-                        _ => mt::DeduplicationScope::All,
-                    },
-                    window: c.deduplication_window_ms.unwrap_or(0) * MICROS_PER_MS,
-                },
-            },
-            latency_objective: c.latency_objective_ms * MICROS_PER_MS,
-            priority_weight: c.priority_weight,
-            start_bonus_s: c.start_bonus_s,
-            priority: c.priority,
-            machine_kind: c
-                .kind
-                .as_ref()
-                .and_then(|kind| self.kinds.iter().position(|k| &k.name == kind)),
-            spread_limit: c
-                .spread_level
-                .zip(c.max_per_domain)
-                .map(|(level, max_tasks)| mt::SpreadLimit {
-                    level: match level {
-                        TopologyLevel::Host => mt::TopologyLevel::Machine,
-                        TopologyLevel::Cell => mt::TopologyLevel::Cell,
-                        TopologyLevel::Zone => mt::TopologyLevel::Zone,
-                    },
-                    max_tasks,
-                }),
-        };
-        mt::Settings {
-            replica_count: self.identity.replica_count,
-            replica_index: self.identity.replica_index,
-            zone: index(&self.identity.zone),
-            classes: self.classes.iter().map(class).collect(),
-            kinds: self
-                .kinds
-                .iter()
-                .map(|k| mt::Resources::new(k.cores, k.memory_gib))
-                .collect(),
-            discovery: mt::DiscoveryMode::Watch,
-            acceptance_point: match self.placement.acceptance_point {
-                AcceptancePoint::Accepted => mt::AcceptancePoint::Accepted,
-                AcceptancePoint::Running => mt::AcceptancePoint::Running,
-            },
-            admit_cores: self.placement.admit_cores,
-            admit_memory: self.placement.admit_memory,
-            endpoints_report_capacity: self.placement.inventory_reports_unallocated,
-            load_report: match self.placement.load_report {
-                LoadReport::Silent => mt::LoadReport::Silent,
-                LoadReport::Unallocated => mt::LoadReport::Unallocated,
-                LoadReport::Unused => mt::LoadReport::Unused,
-            },
-            limits: mt::Limits {
-                max_attempts: self.placement.max_attempts,
-                can_cancel: true,
-                can_probe: true,
-                can_message_peers: false,
-                max_retry_after: Some(60_000 * MICROS_PER_MS),
-            },
-            rules: mt::Rules {
-                max_poll_interval: self.rules.max_poll_interval_ms * MICROS_PER_MS,
-                initial_capacity_share: self.rules.initial_capacity_share,
-                warm_up_duration: self.rules.warm_up_duration_ms * MICROS_PER_MS,
-                overload_multiple: self.rules.overload_multiple,
-                overload_window: self.rules.overload_window_ms * MICROS_PER_MS,
-                warm_up_offers: self.rules.warm_up_offers,
-            },
-            costs: mt::Costs {
-                rejection: self.costs.rejection,
-                cross_zone: self.costs.cross_zone,
-                fleet: self.costs.hosts_in_use,
-                migration: self.costs.migration,
-            },
-        }
-    }
 }
