--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -4,7 +4,11 @@
 use std::sync::Arc;
 
 use crate::scenario::{FaultKind, Scenario};
-use crate::world::{SeededRng, TaskDemand};
+use crate::seeded_rng::SeededRng;
+use crate::service_accounting::TaskDemand;
+
+#[cfg(test)]
+mod tests;
 
 /// An owner, as it comes to the cluster.
 #[derive(Clone, Debug, PartialEq)]
@@ -86,30 +90,10 @@
 /// How many times as much is wanted at a time, by the troubles.
 fn overload_factor(scenario: &Scenario, s: f64) -> f64 {
     let on = scenario
-        .trouble
+        .faults
         .iter()
         .filter(|t| t.kind == FaultKind::Overload);
-    on.filter(|t| (t.at_s..t.at_s + t.for_s).contains(&s))
-        .map(|t| t.size)
+    on.filter(|t| (t.at_s..t.at_s + t.duration_s).contains(&s))
+        .map(|t| t.intensity)
         .fold(1.0, f64::max)
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn arrivals_depend_only_on_seed() {
-        let day = Scenario::standard();
-        let first = arrivals(&day, 4);
-        assert_eq!(first, arrivals(&day, 4));
-        assert_ne!(first, arrivals(&day, 5));
-        assert!(first.is_sorted_by_key(|a| a.at_us));
-        // Their number is what the load calls for, within what chance does.
-        let rate =
-            |s: f64| day.load_at(s) * overload_factor(&day, s) * day.cores() / day.core_seconds();
-        let expected: f64 = (0..300).map(|i| rate(f64::from(i) / 10.0) / 10.0).sum();
-        let share = first.len() as f64 / expected;
-        assert!((0.9..1.1).contains(&share), "{} of {expected}", first.len());
-    }
-}
--- a/crates/emulator/src/fault_plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -1,396 +1,469 @@
-//! Troubles laid out: what each does to hosts, placers, inventory, catalogue and owners, and when.
+//! Turns the faults of a scenario into single actions on hosts, placers, inventory, catalogue and owners, each with its
+//! time.
 
 use maplethread_config::HostState;
 use maplethread_consul_emulator::Faults as CatalogueFaults;
 
-use crate::rack::HostCommand;
+use crate::host_pool::HostCommand;
 use crate::run_options::PlacerFault;
 use crate::scenario::{FaultKind, Scenario, ScheduledFault};
-use crate::world::SeededRng;
+use crate::seeded_rng::SeededRng;
 
-/// Something that happens at a time of the day.
-#[derive(Clone, Debug)]
-pub(crate) enum ScheduledAction {
-    Host(HostCommand),
-    ListHost(usize, HostState),
-    /// Changes a host's faults.
-    SetHostFault(usize, HostFault, bool),
-    PlacerFault(PlacerFault),
-    ReplaceInventory(&'static str),
-    SetHealth(usize, bool),
-    SetCatalogueFaults(CatalogueFaults),
-    LoseCatalogueLeader(u64),
-    SetDisconnectShare(f64),
-    SetInventoryDelay(f64),
+#[cfg(test)]
+mod tests;
+
+/// How long a host that was silent stays away before it starts anew, µs.
+const RESTART_DELAY_US: u64 = 300_000;
+/// The least length of one pause of a placer that stalls again and again, s.
+const MIN_STALL_S: f64 = 0.05;
+/// The least period of a health flap, s.
+const MIN_FLAP_S: f64 = 0.05;
+/// The least period of the flaps of a host that fails for real, s.
+const MIN_FAILING_FLAP_S: f64 = 0.2;
+/// The share of an answer of the catalogue that is left out where it is cut.
+const CUT_SHARE: f64 = 0.7;
+
+/// What the inventory holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum InventoryContent {
+    /// What the hosts are.
+    Valid,
+    /// Nothing.
+    Empty,
+    /// Text that is no inventory.
+    Invalid,
 }
 
 /// A fault of a host.
 #[derive(Clone, Debug)]
 pub(crate) enum HostFault {
     Silent,
-    Errors(f64),
-    Class(String, f64, bool),
-    AnswersLost(f64),
-    Neighbour(f64),
-    Slow(f64),
-    HeavyTail(String, f64),
-    HotServices(f64),
+    Errors { share: f64 },
+    ClassErrors { class: String, share: f64 },
+    ClassSilence { class: String, share: f64 },
+    AnswersLost { share: f64 },
+    Neighbour { core_share: f64 },
+    SlowAdmission { factor: f64 },
+    HeavyTail { class: String, share: f64 },
+    HotServices { share: f64 },
     ProgramsLost,
 }
 
-/// One wave of a host that is truly poor: what ails it begins a tenth of the period before its health shows it, and
-/// ends a quarter of the period after its health is back.
-fn failing_flap(
-    acts: &mut Vec<(u64, ScheduledAction)>,
-    n: usize,
-    host: usize,
+/// An action on a part of the run.
+#[derive(Clone, Debug)]
+pub(crate) enum FaultAction {
+    Host(HostCommand),
+    /// The inventory lists a host so, once it has noticed.
+    ListHost {
+        host: usize,
+        state: HostState,
+    },
+    SetHostFault {
+        host: usize,
+        fault: HostFault,
+        is_active: bool,
+    },
+    Placer(PlacerFault),
+    ReplaceInventory(InventoryContent),
+    /// The health of a host that is listed as up changes.
+    SetHealth {
+        host: usize,
+        is_healthy: bool,
+    },
+    SetCatalogueFaults(CatalogueFaults),
+    LoseCatalogueLeader {
+        for_us: u64,
+    },
+    /// This share of the requests is abandoned by an early disconnect.
+    SetDisconnectShare(f64),
+    /// The inventory notices changes this many times as late.
+    SetInventoryDelay {
+        factor: f64,
+    },
+}
+
+/// An action with its time.
+#[derive(Clone, Debug)]
+pub(crate) struct ScheduledAction {
+    /// When, µs after the start of the run.
+    pub(crate) at_us: u64,
+    pub(crate) action: FaultAction,
+}
+
+/// The actions of all faults of a scenario, in no order; the hosts and placers that they affect are drawn.
+pub(crate) fn plan(scenario: &Scenario, rng: &mut SeededRng) -> Vec<ScheduledAction> {
+    let mut plan = Plan {
+        scenario,
+        rng,
+        actions: Vec::new(),
+    };
+    for fault in &scenario.faults {
+        plan.add_fault(fault);
+    }
+    plan.actions
+}
+
+/// The time of a fault, µs after the start of the run.
+#[derive(Clone, Copy)]
+struct Window {
     from: u64,
-    period: u64,
-) {
-    let (bad, good, well) = (from + period / 10, from + period / 2, from + period * 3 / 4);
-    acts.push((bad, ScheduledAction::SetHealth(host, false)));
-    acts.push((good, ScheduledAction::SetHealth(host, true)));
-    let mut ails = |fault: HostFault| {
-        acts.push((
+    until: u64,
+}
+
+impl Window {
+    fn of(fault: &ScheduledFault) -> Window {
+        let from = (fault.at_s * 1e6) as u64;
+        Window {
             from,
-            ScheduledAction::SetHostFault(host, fault.clone(), true),
-        ));
-        acts.push((well, ScheduledAction::SetHostFault(host, fault, false)));
-    };
-    match n % 3 {
-        0 => ails(HostFault::Errors(0.7)),
-        1 => {
-            ails(HostFault::Slow(40.0));
-            acts.push((
-                from,
-                ScheduledAction::Host(HostCommand::ResetMidFrame(host)),
-            ));
-            acts.push((
-                good + period / 8,
-                ScheduledAction::Host(HostCommand::ResetMidFrame(host)),
-            ));
-        }
-        _ => {
-            acts.push((from, ScheduledAction::Host(HostCommand::Crash(host))));
-            acts.push((good, ScheduledAction::Host(HostCommand::Start(host))));
+            until: from + (fault.duration_s * 1e6) as u64,
         }
     }
-}
 
-/// What the troubles of a scenario do, in no order; who is struck is drawn.
-pub(crate) fn plan(scenario: &Scenario, dice: &mut SeededRng) -> Vec<(u64, ScheduledAction)> {
-    Plan {
-        scenario,
-        rng: dice,
+    fn length(self) -> u64 {
+        self.until - self.from
     }
-    .actions()
 }
 
 struct Plan<'a> {
     scenario: &'a Scenario,
     rng: &'a mut SeededRng,
+    actions: Vec<ScheduledAction>,
 }
 
 impl Plan<'_> {
-    /// Draws the hosts that a trouble strikes.
-    fn affected_hosts(&mut self, trouble: &ScheduledFault) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.scenario.fleet.hosts).collect();
-        if let Some(zone) = &trouble.zone {
-            all.retain(|&h| self.scenario.location_of(h).0 == *zone);
-            if trouble.reach == 0.0 {
-                return all;
+    fn add_fault(&mut self, fault: &ScheduledFault) {
+        let window = Window::of(fault);
+        match fault.kind {
+            FaultKind::HostCrash | FaultKind::ZoneLoss => self.crash_hosts(fault, window),
+            FaultKind::Silence => self.silence_hosts(fault, window),
+            FaultKind::RollingDeploy => self.deploy_hosts(fault, window),
+            FaultKind::Shrink => self.remove_hosts(fault, window),
+            FaultKind::ResetMidFrame => self.reset_connections(fault, window),
+            FaultKind::FastErrors
+            | FaultKind::ClassErrors
+            | FaultKind::ClassSilence
+            | FaultKind::AnswersLost
+            | FaultKind::Neighbour
+            | FaultKind::SlowAnswers
+            | FaultKind::ProgramsLost => {
+                let hosts = self.affected_hosts(fault);
+                self.set_host_faults(fault, window, hosts);
+            }
+            FaultKind::HeavyTail | FaultKind::HotServices => {
+                let hosts = (0..self.scenario.fleet.hosts).collect();
+                self.set_host_faults(fault, window, hosts);
+            }
+            FaultKind::HealthFlaps => self.flap_health(fault, window),
+            FaultKind::SickFlaps => self.flap_failing_hosts(fault, window),
+            FaultKind::PlacerKill => self.kill_placers(fault, window),
+            FaultKind::RollingRestart => self.restart_placers(window),
+            FaultKind::PlacerPause => self.pause_placers(fault, window),
+            FaultKind::PlacerStalls => self.stall_placers(fault, window),
+            FaultKind::InventoryLate
+            | FaultKind::InventoryEmpty
+            | FaultKind::InventoryGarbage
+            | FaultKind::HangUps => self.set_for_a_while(fault, window),
+            FaultKind::CatalogueLate
+            | FaultKind::CatalogueStorm
+            | FaultKind::CatalogueCut
+            | FaultKind::CataloguePartial
+            | FaultKind::CatalogueStale => self.set_catalogue_faults(fault, window),
+            FaultKind::LeaderLost => {
+                let for_us = window.length();
+                self.add(window.from, FaultAction::LoseCatalogueLeader { for_us });
             }
+            // It is in the arrivals, which are drawn ahead.
+            FaultKind::Overload => {}
         }
-        self.rng.shuffle(&mut all);
-        let n = (all.len() as f64 * trouble.reach).round().max(1.0) as usize;
-        all.truncate(n);
-        all
     }
 
-    fn affected_placers(&mut self, trouble: &ScheduledFault) -> Vec<usize> {
-        let mut all: Vec<usize> = (0..self.scenario.placers as usize).collect();
+    fn add(&mut self, at_us: u64, action: FaultAction) {
+        self.actions.push(ScheduledAction { at_us, action });
+    }
+
+    fn add_host(&mut self, at_us: u64, command: HostCommand) {
+        self.add(at_us, FaultAction::Host(command));
+    }
+
+    fn add_listing(&mut self, at_us: u64, host: usize, state: HostState) {
+        self.add(at_us, FaultAction::ListHost { host, state });
+    }
+
+    fn add_placer(&mut self, at_us: u64, fault: PlacerFault) {
+        self.add(at_us, FaultAction::Placer(fault));
+    }
+
+    fn add_host_fault(&mut self, window: Window, host: usize, fault: &HostFault) {
+        for (at_us, is_active) in [(window.from, true), (window.until, false)] {
+            let fault = fault.clone();
+            self.add(
+                at_us,
+                FaultAction::SetHostFault {
+                    host,
+                    fault,
+                    is_active,
+                },
+            );
+        }
+    }
+
+    /// Draws the hosts that a fault affects.
+    fn affected_hosts(&mut self, fault: &ScheduledFault) -> Vec<usize> {
+        let mut hosts: Vec<usize> = (0..self.scenario.fleet.hosts).collect();
+        if let Some(zone) = &fault.zone {
+            hosts.retain(|&host| self.scenario.location_of(host).0 == *zone);
+            if fault.affected_share == 0.0 {
+                return hosts;
+            }
+        }
+        self.draw_share(hosts, fault.affected_share)
+    }
+
+    /// Draws the placers that a fault affects.
+    fn affected_placers(&mut self, fault: &ScheduledFault) -> Vec<usize> {
+        let placers = (0..self.scenario.placers as usize).collect();
+        self.draw_share(placers, fault.affected_share)
+    }
+
+    /// Draws a share of these, at least one.
+    fn draw_share(&mut self, mut all: Vec<usize>, share: f64) -> Vec<usize> {
         self.rng.shuffle(&mut all);
-        let n = (all.len() as f64 * trouble.reach).round().max(1.0) as usize;
-        all.truncate(n);
+        let count = (all.len() as f64 * share).round().max(1.0) as usize;
+        all.truncate(count);
         all
     }
 
-    /// What each trouble does, and when.
-    fn actions(&mut self) -> Vec<(u64, ScheduledAction)> {
-        let scenario = self.scenario;
-        let mut all = Vec::new();
-        for trouble in &scenario.trouble {
-            let at = (trouble.at_s * 1e6) as u64;
-            let until = at + (trouble.for_s * 1e6) as u64;
-            let mut acts: Vec<(u64, ScheduledAction)> = Vec::new();
-            let size = trouble.size;
-            let both = |acts: &mut Vec<(u64, ScheduledAction)>, host: usize, fault: HostFault| {
-                acts.push((at, ScheduledAction::SetHostFault(host, fault.clone(), true)));
-                acts.push((until, ScheduledAction::SetHostFault(host, fault, false)));
+    fn crash_hosts(&mut self, fault: &ScheduledFault, window: Window) {
+        for host in self.affected_hosts(fault) {
+            self.add_host(window.from, HostCommand::Crash(host));
+            self.add_listing(window.from, host, HostState::Gone);
+            self.add_host(window.until, HostCommand::Start(host));
+            self.add_listing(window.until + 1, host, HostState::Ready);
+        }
+    }
+
+    fn silence_hosts(&mut self, fault: &ScheduledFault, window: Window) {
+        for host in self.affected_hosts(fault) {
+            let set = |is_active| FaultAction::SetHostFault {
+                host,
+                fault: HostFault::Silent,
+                is_active,
             };
-            match trouble.kind {
-                FaultKind::HostCrash | FaultKind::ZoneLoss => {
-                    for host in self.affected_hosts(trouble) {
-                        acts.push((at, ScheduledAction::Host(HostCommand::Crash(host))));
-                        acts.push((at, ScheduledAction::ListHost(host, HostState::Gone)));
-                        acts.push((until, ScheduledAction::Host(HostCommand::Start(host))));
-                        acts.push((until + 1, ScheduledAction::ListHost(host, HostState::Ready)));
-                    }
-                }
-                FaultKind::Silence => {
-                    for host in self.affected_hosts(trouble) {
-                        acts.push((
-                            at,
-                            ScheduledAction::SetHostFault(host, HostFault::Silent, true),
-                        ));
-                        acts.push((until, ScheduledAction::Host(HostCommand::Crash(host))));
-                        acts.push((
-                            until + 1,
-                            ScheduledAction::SetHostFault(host, HostFault::Silent, false),
-                        ));
-                        acts.push((
-                            until + 300_000,
-                            ScheduledAction::Host(HostCommand::Start(host)),
-                        ));
-                        acts.push((
-                            until + 300_001,
-                            ScheduledAction::ListHost(host, HostState::Ready),
-                        ));
-                    }
-                }
-                FaultKind::RollingDeploy => {
-                    let hosts = self.affected_hosts(trouble);
-                    let batch = ((scenario.fleet.hosts as f64 * size).round() as usize).max(1);
-                    let batches = hosts.len().div_ceil(batch).max(1) as u64;
-                    let step = (until - at) / batches;
-                    for (i, host) in hosts.into_iter().enumerate() {
-                        let at = at + (i / batch) as u64 * step;
-                        acts.push((at, ScheduledAction::Host(HostCommand::Drain(host))));
-                        acts.push((at, ScheduledAction::ListHost(host, HostState::Draining)));
-                        acts.push((
-                            at + step / 2,
-                            ScheduledAction::Host(HostCommand::Crash(host)),
-                        ));
-                        acts.push((
-                            at + step / 2 + 300_000,
-                            ScheduledAction::Host(HostCommand::Start(host)),
-                        ));
-                        acts.push((
-                            at + step / 2 + 300_001,
-                            ScheduledAction::ListHost(host, HostState::Ready),
-                        ));
-                    }
-                }
-                FaultKind::Shrink => {
-                    for host in self.affected_hosts(trouble) {
-                        acts.push((at, ScheduledAction::Host(HostCommand::Drain(host))));
-                        acts.push((at, ScheduledAction::ListHost(host, HostState::Draining)));
-                        acts.push((until, ScheduledAction::Host(HostCommand::Crash(host))));
-                        acts.push((until, ScheduledAction::ListHost(host, HostState::Gone)));
-                    }
-                }
-                FaultKind::FastErrors => {
-                    for host in self.affected_hosts(trouble) {
-                        both(&mut acts, host, HostFault::Errors(size));
-                    }
-                }
-                FaultKind::ClassErrors | FaultKind::ClassSilence => {
-                    let errors = trouble.kind == FaultKind::ClassErrors;
-                    let class = trouble
-                        .class
-                        .clone()
-                        .unwrap_or_else(|| scenario.classes[0].rules.name.clone());
-                    for host in self.affected_hosts(trouble) {
-                        both(
-                            &mut acts,
-                            host,
-                            HostFault::Class(class.clone(), size, errors),
-                        );
-                    }
-                }
-                FaultKind::AnswersLost => {
-                    for host in self.affected_hosts(trouble) {
-                        both(&mut acts, host, HostFault::AnswersLost(size));
-                    }
-                }
-                FaultKind::Neighbour => {
-                    for host in self.affected_hosts(trouble) {
-                        both(&mut acts, host, HostFault::Neighbour(size));
-                    }
-                }
-                FaultKind::SlowAnswers => {
-                    for host in self.affected_hosts(trouble) {
-                        both(&mut acts, host, HostFault::Slow(size));
-                    }
-                }
-                FaultKind::PlacerKill => {
-                    let notice = scenario.demand.failover_delay_ms * 1000;
-                    for placer in self.affected_placers(trouble) {
-                        acts.push((at, ScheduledAction::PlacerFault(PlacerFault::Kill(placer))));
-                        acts.push((
-                            (at + notice).min(until),
-                            ScheduledAction::PlacerFault(PlacerFault::MarkDown(placer)),
-                        ));
-                        acts.push((
-                            until + 1,
-                            ScheduledAction::PlacerFault(PlacerFault::Restart(placer)),
-                        ));
-                    }
-                }
-                FaultKind::RollingRestart => {
-                    let mut placers: Vec<usize> = (0..scenario.placers as usize).collect();
-                    self.rng.shuffle(&mut placers);
-                    let step = (until - at) / placers.len().max(1) as u64;
-                    let notice = (scenario.demand.failover_delay_ms * 1000).min(step / 2);
-                    for (i, placer) in placers.into_iter().enumerate() {
-                        let at = at + i as u64 * step;
-                        acts.push((at, ScheduledAction::PlacerFault(PlacerFault::Kill(placer))));
-                        acts.push((
-                            at + notice,
-                            ScheduledAction::PlacerFault(PlacerFault::MarkDown(placer)),
-                        ));
-                        acts.push((
-                            at + step / 2 + 1,
-                            ScheduledAction::PlacerFault(PlacerFault::Restart(placer)),
-                        ));
-                    }
-                }
-                FaultKind::PlacerPause => {
-                    for placer in self.affected_placers(trouble) {
-                        acts.push((at, ScheduledAction::PlacerFault(PlacerFault::Pause(placer))));
-                        acts.push((
-                            until,
-                            ScheduledAction::PlacerFault(PlacerFault::Resume(placer)),
-                        ));
-                    }
-                }
-                FaultKind::PlacerStalls => {
-                    let still = (size.max(0.05) * 1e6) as u64;
-                    for placer in self.affected_placers(trouble) {
-                        // Apart from one another; as long again and a second lie between two.
-                        let mut from = at + self.rng.index_below(still as usize) as u64;
-                        while from < until {
-                            acts.push((
-                                from,
-                                ScheduledAction::PlacerFault(PlacerFault::Pause(placer)),
-                            ));
-                            acts.push((
-                                (from + still).min(until),
-                                ScheduledAction::PlacerFault(PlacerFault::Resume(placer)),
-                            ));
-                            from += 2 * still + 1_000_000;
-                        }
-                    }
-                }
-                FaultKind::HeavyTail => {
-                    let class = trouble
-                        .class
-                        .clone()
-                        .unwrap_or_else(|| scenario.classes[0].rules.name.clone());
-                    for host in 0..scenario.fleet.hosts {
-                        both(&mut acts, host, HostFault::HeavyTail(class.clone(), size));
-                    }
-                }
-                FaultKind::HotServices => {
-                    for host in 0..scenario.fleet.hosts {
-                        both(&mut acts, host, HostFault::HotServices(size));
-                    }
-                }
-                FaultKind::ProgramsLost => {
-                    for host in self.affected_hosts(trouble) {
-                        both(&mut acts, host, HostFault::ProgramsLost);
-                    }
-                }
-                FaultKind::ResetMidFrame => {
-                    for host in self.affected_hosts(trouble) {
-                        acts.push((at, ScheduledAction::Host(HostCommand::ResetMidFrame(host))));
-                    }
-                }
-                FaultKind::InventoryLate => {
-                    acts.push((at, ScheduledAction::SetInventoryDelay(size.max(1.0))));
-                    acts.push((until, ScheduledAction::SetInventoryDelay(1.0)));
-                }
-                FaultKind::InventoryEmpty => {
-                    acts.push((at, ScheduledAction::ReplaceInventory("")));
-                    acts.push((until, ScheduledAction::ReplaceInventory("sound")));
-                }
-                FaultKind::InventoryGarbage => {
-                    acts.push((
-                        at,
-                        ScheduledAction::ReplaceInventory(
-                            "[[host]]\nname = \"host-00\"\nadress = \"?\u{0}\" [[",
-                        ),
-                    ));
-                    acts.push((until, ScheduledAction::ReplaceInventory("sound")));
-                }
-                FaultKind::HealthFlaps => {
-                    let period = ((size.max(0.05)) * 1e6) as u64;
-                    for host in self.affected_hosts(trouble) {
-                        let offset = self.rng.index_below(period as usize) as u64;
-                        let mut at = at + offset;
-                        while at < until {
-                            acts.push((at, ScheduledAction::SetHealth(host, false)));
-                            acts.push((
-                                (at + period / 2).min(until),
-                                ScheduledAction::SetHealth(host, true),
-                            ));
-                            at += period;
-                        }
-                    }
-                }
-                FaultKind::SickFlaps => {
-                    let period = (size.max(0.2) * 1e6) as u64;
-                    for (n, host) in self.affected_hosts(trouble).into_iter().enumerate() {
-                        let mut from = at + self.rng.index_below(period as usize) as u64;
-                        while from < until {
-                            failing_flap(&mut acts, n, host, from, period);
-                            from += period;
-                        }
-                    }
-                }
-                FaultKind::LeaderLost => {
-                    acts.push((at, ScheduledAction::LoseCatalogueLeader(until - at)))
-                }
-                FaultKind::CatalogueLate
-                | FaultKind::CatalogueStorm
-                | FaultKind::CatalogueCut
-                | FaultKind::CataloguePartial
-                | FaultKind::CatalogueStale => {
-                    let none = CatalogueFaults::default;
-                    let faults = match trouble.kind {
-                        FaultKind::CatalogueLate => CatalogueFaults {
-                            delay_us: (size * 1e6) as u64,
-                            ..none()
-                        },
-                        FaultKind::CatalogueStorm => CatalogueFaults {
-                            error_status: Some((size as u16, 1.0)),
-                            ..none()
-                        },
-                        FaultKind::CatalogueCut => CatalogueFaults {
-                            truncated_share: 0.7,
-                            ..none()
-                        },
-                        FaultKind::CataloguePartial => CatalogueFaults {
-                            partial_share: size,
-                            ..none()
-                        },
-                        _ => CatalogueFaults {
-                            index_offset: size as u64,
-                            ..none()
-                        },
-                    };
-                    acts.push((at, ScheduledAction::SetCatalogueFaults(faults)));
-                    acts.push((until, ScheduledAction::SetCatalogueFaults(none())));
-                }
-                // It is in the arrivals, which are drawn ahead.
-                FaultKind::Overload => {}
-                FaultKind::HangUps => {
-                    acts.push((at, ScheduledAction::SetDisconnectShare(size)));
-                    acts.push((until, ScheduledAction::SetDisconnectShare(0.0)));
+            let restart = window.until + RESTART_DELAY_US;
+            self.add(window.from, set(true));
+            self.add_host(window.until, HostCommand::Crash(host));
+            self.add(window.until + 1, set(false));
+            self.add_host(restart, HostCommand::Start(host));
+            self.add_listing(restart + 1, host, HostState::Ready);
+        }
+    }
+
+    fn deploy_hosts(&mut self, fault: &ScheduledFault, window: Window) {
+        let hosts = self.affected_hosts(fault);
+        let fleet = self.scenario.fleet.hosts as f64;
+        let batch_size = ((fleet * fault.intensity).round() as usize).max(1);
+        let batch_count = hosts.len().div_ceil(batch_size).max(1) as u64;
+        let step = window.length() / batch_count;
+        for (position, host) in hosts.into_iter().enumerate() {
+            let drain = window.from + (position / batch_size) as u64 * step;
+            let crash = drain + step / 2;
+            let restart = crash + RESTART_DELAY_US;
+            self.add_host(drain, HostCommand::Drain(host));
+            self.add_listing(drain, host, HostState::Draining);
+            self.add_host(crash, HostCommand::Crash(host));
+            self.add_host(restart, HostCommand::Start(host));
+            self.add_listing(restart + 1, host, HostState::Ready);
+        }
+    }
+
+    fn remove_hosts(&mut self, fault: &ScheduledFault, window: Window) {
+        for host in self.affected_hosts(fault) {
+            self.add_host(window.from, HostCommand::Drain(host));
+            self.add_listing(window.from, host, HostState::Draining);
+            self.add_host(window.until, HostCommand::Crash(host));
+            self.add_listing(window.until, host, HostState::Gone);
+        }
+    }
+
+    fn reset_connections(&mut self, fault: &ScheduledFault, window: Window) {
+        for host in self.affected_hosts(fault) {
+            self.add_host(window.from, HostCommand::ResetMidFrame(host));
+        }
+    }
+
+    /// Faults of these hosts for the whole window.
+    fn set_host_faults(&mut self, fault: &ScheduledFault, window: Window, hosts: Vec<usize>) {
+        let Some(host_fault) = self.host_fault(fault) else {
+            return;
+        };
+        for host in hosts {
+            self.add_host_fault(window, host, &host_fault);
+        }
+    }
+
+    fn host_fault(&self, fault: &ScheduledFault) -> Option<HostFault> {
+        let share = fault.intensity;
+        let class = || {
+            let first = || self.scenario.classes[0].rules.name.clone();
+            fault.class.clone().unwrap_or_else(first)
+        };
+        Some(match fault.kind {
+            FaultKind::FastErrors => HostFault::Errors { share },
+            FaultKind::ClassErrors => HostFault::ClassErrors {
+                class: class(),
+                share,
+            },
+            FaultKind::ClassSilence => HostFault::ClassSilence {
+                class: class(),
+                share,
+            },
+            FaultKind::AnswersLost => HostFault::AnswersLost { share },
+            FaultKind::Neighbour => HostFault::Neighbour { core_share: share },
+            FaultKind::SlowAnswers => HostFault::SlowAdmission {
+                factor: fault.intensity,
+            },
+            FaultKind::HeavyTail => HostFault::HeavyTail {
+                class: class(),
+                share,
+            },
+            FaultKind::HotServices => HostFault::HotServices { share },
+            FaultKind::ProgramsLost => HostFault::ProgramsLost,
+            _ => return None,
+        })
+    }
+
+    fn flap_health(&mut self, fault: &ScheduledFault, window: Window) {
+        let period = (fault.intensity.max(MIN_FLAP_S) * 1e6) as u64;
+        for host in self.affected_hosts(fault) {
+            let mut at = window.from + self.rng.index_below(period as usize) as u64;
+            while at < window.until {
+                let back_at = (at + period / 2).min(window.until);
+                for (at, is_healthy) in [(at, false), (back_at, true)] {
+                    self.add(at, FaultAction::SetHealth { host, is_healthy });
                 }
+                at += period;
             }
-            all.extend(acts);
         }
-        all
+    }
+
+    fn flap_failing_hosts(&mut self, fault: &ScheduledFault, window: Window) {
+        let period = (fault.intensity.max(MIN_FAILING_FLAP_S) * 1e6) as u64;
+        for (position, host) in self.affected_hosts(fault).into_iter().enumerate() {
+            let mut from = window.from + self.rng.index_below(period as usize) as u64;
+            while from < window.until {
+                self.add_failing_flap(position, host, from, period);
+                from += period;
+            }
+        }
+    }
+
+    /// One flap of a host that fails for real: its fault begins a tenth of the period before its health shows it, and ends
+    /// a quarter of the period after its health is back. Which fault it is depends on its position among the hosts.
+    fn add_failing_flap(&mut self, position: usize, host: usize, from: u64, period: u64) {
+        let (unhealthy, healthy) = (from + period / 10, from + period / 2);
+        let fault_window = Window {
+            from,
+            until: from + period * 3 / 4,
+        };
+        for (at, is_healthy) in [(unhealthy, false), (healthy, true)] {
+            self.add(at, FaultAction::SetHealth { host, is_healthy });
+        }
+        match position % 3 {
+            0 => self.add_host_fault(fault_window, host, &HostFault::Errors { share: 0.7 }),
+            1 => {
+                let slow = HostFault::SlowAdmission { factor: 40.0 };
+                self.add_host_fault(fault_window, host, &slow);
+                self.add_host(from, HostCommand::ResetMidFrame(host));
+                self.add_host(healthy + period / 8, HostCommand::ResetMidFrame(host));
+            }
+            _ => {
+                self.add_host(from, HostCommand::Crash(host));
+                self.add_host(healthy, HostCommand::Start(host));
+            }
+        }
+    }
+
+    fn kill_placers(&mut self, fault: &ScheduledFault, window: Window) {
+        let failover = self.scenario.demand.failover_delay_ms * 1000;
+        for placer in self.affected_placers(fault) {
+            let noticed = (window.from + failover).min(window.until);
+            self.add_placer(window.from, PlacerFault::Kill(placer));
+            self.add_placer(noticed, PlacerFault::MarkDown(placer));
+            self.add_placer(window.until + 1, PlacerFault::Restart(placer));
+        }
+    }
+
+    fn restart_placers(&mut self, window: Window) {
+        let mut placers: Vec<usize> = (0..self.scenario.placers as usize).collect();
+        self.rng.shuffle(&mut placers);
+        let step = window.length() / placers.len().max(1) as u64;
+        let failover = (self.scenario.demand.failover_delay_ms * 1000).min(step / 2);
+        for (position, placer) in placers.into_iter().enumerate() {
+            let at = window.from + position as u64 * step;
+            self.add_placer(at, PlacerFault::Kill(placer));
+            self.add_placer(at + failover, PlacerFault::MarkDown(placer));
+            self.add_placer(at + step / 2 + 1, PlacerFault::Restart(placer));
+        }
+    }
+
+    fn pause_placers(&mut self, fault: &ScheduledFault, window: Window) {
+        for placer in self.affected_placers(fault) {
+            self.add_placer(window.from, PlacerFault::Pause(placer));
+            self.add_placer(window.until, PlacerFault::Resume(placer));
+        }
+    }
+
+    fn stall_placers(&mut self, fault: &ScheduledFault, window: Window) {
+        let pause = (fault.intensity.max(MIN_STALL_S) * 1e6) as u64;
+        for placer in self.affected_placers(fault) {
+            // Apart from one another; as long again and a second lie between two pauses.
+            let mut from = window.from + self.rng.index_below(pause as usize) as u64;
+            while from < window.until {
+                let until = (from + pause).min(window.until);
+                self.add_placer(from, PlacerFault::Pause(placer));
+                self.add_placer(until, PlacerFault::Resume(placer));
+                from += 2 * pause + 1_000_000;
+            }
+        }
+    }
+
+    /// What is set at the beginning of the window and set back at its end.
+    fn set_for_a_while(&mut self, fault: &ScheduledFault, window: Window) {
+        let (begin, end) = match fault.kind {
+            FaultKind::InventoryLate => (
+                FaultAction::SetInventoryDelay {
+                    factor: fault.intensity.max(1.0),
+                },
+                FaultAction::SetInventoryDelay { factor: 1.0 },
+            ),
+            FaultKind::InventoryEmpty => (
+                FaultAction::ReplaceInventory(InventoryContent::Empty),
+                FaultAction::ReplaceInventory(InventoryContent::Valid),
+            ),
+            FaultKind::InventoryGarbage => (
+                FaultAction::ReplaceInventory(InventoryContent::Invalid),
+                FaultAction::ReplaceInventory(InventoryContent::Valid),
+            ),
+            _ => (
+                FaultAction::SetDisconnectShare(fault.intensity),
+                FaultAction::SetDisconnectShare(0.0),
+            ),
+        };
+        self.add(window.from, begin);
+        self.add(window.until, end);
+    }
+
+    fn set_catalogue_faults(&mut self, fault: &ScheduledFault, window: Window) {
+        let mut faults = CatalogueFaults::default();
+        match fault.kind {
+            FaultKind::CatalogueLate => faults.delay_us = (fault.intensity * 1e6) as u64,
+            FaultKind::CatalogueStorm => faults.error_status = Some((fault.intensity as u16, 1.0)),
+            FaultKind::CatalogueCut => faults.truncated_share = CUT_SHARE,
+            FaultKind::CataloguePartial => faults.partial_share = fault.intensity,
+            _ => faults.index_offset = fault.intensity as u64,
+        }
+        self.add(window.from, FaultAction::SetCatalogueFaults(faults));
+        let none = CatalogueFaults::default();
+        self.add(window.until, FaultAction::SetCatalogueFaults(none));
     }
 }
--- /dev/null
+++ b/crates/emulator/src/host/mod.rs
@@ -0,0 +1,293 @@
+//! One emulated host, without I/O: admission by the crate that real agents use, and simulated work. Cores, memory and
+//! service are simulated, as the users' pages describe their hosts; frames and their times are real.
+
+mod faults;
+mod service;
+mod tasks;
+
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+use maplethread_admission::{Admission, AdmissionPolicy, DeduplicationTable};
+use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
+
+pub use faults::{ClassFault, FaultyAnswer, HostFaults};
+
+use crate::run_context::RunContext;
+use crate::scenario::{Class, Scenario};
+use crate::seeded_rng::SeededRng;
+use service::MEASURE_INTERVAL_US;
+
+/// How long ago a host has started that is up when a run begins, µs.
+const INITIAL_AGE_US: u64 = 3_600_000_000;
+/// The stream of random numbers of a host's new process.
+const RESTART_STREAM: u64 = 5;
+
+/// What a host has to do later.
+#[derive(Clone, Copy, Debug)]
+pub enum Timer {
+    /// Decide on the next queued task.
+    AdmitNext,
+    /// The start of a task is done.
+    StartFinished(u64),
+    /// A task has run for as long as it was to.
+    TaskFinished(u64),
+}
+
+/// What a host wants done.
+pub enum HostAction {
+    /// Send a frame to this placer, if it is connected.
+    Send(Arc<str>, Frame),
+    /// Call back after so long, µs.
+    SetTimer(u64, Timer),
+    /// It has crashed under overload and stays down.
+    Crash,
+}
+
+/// A task that a host has in its queue or holds.
+struct HostedTask {
+    offer: Offer,
+    placer: Arc<str>,
+    received_at: u64,
+    /// What it uses once it runs.
+    cores: f64,
+    /// What it uses once it has grown, GiB.
+    memory_gib: f64,
+    running_since: Option<u64>,
+    /// When its use was last reported to its placer.
+    reported_at: u64,
+}
+
+/// The kind of a host and where it stands.
+#[derive(Clone, Debug)]
+pub struct HostSpec {
+    /// Its name.
+    pub name: Arc<str>,
+    /// Its zone.
+    pub zone: String,
+    /// Its cell.
+    pub cell: String,
+    /// Its cores.
+    pub cores: f64,
+    /// Its memory, GiB.
+    pub memory_gib: f64,
+    /// How fast its cores are; 1 for the usual speed.
+    pub speed: f64,
+}
+
+/// The process of a host.
+pub struct EmulatedHost {
+    /// Its kind and location.
+    pub spec: HostSpec,
+    /// When it started, Unix time in µs.
+    pub started_us: u64,
+    faults: HostFaults,
+    scenario: Arc<Scenario>,
+    context: RunContext,
+    admission: Admission,
+    tasks: BTreeMap<u64, HostedTask>,
+    /// Tasks on which it has not decided, by attempt.
+    queued: BTreeMap<u64, HostedTask>,
+    is_admitting: bool,
+    rng: SeededRng,
+    /// When offers came while it warms up.
+    recent_offers: Vec<u64>,
+    /// When each placer was last told of contention.
+    contention_reported_at: BTreeMap<Arc<str>, u64>,
+    /// When it last measured all that runs, where it measures together.
+    last_measured: u64,
+}
+
+impl EmulatedHost {
+    /// A host that has just started where `is_cold`, or else long ago.
+    pub fn new(
+        spec: HostSpec,
+        scenario: Arc<Scenario>,
+        context: RunContext,
+        mut rng: SeededRng,
+        is_cold: bool,
+    ) -> EmulatedHost {
+        let fleet = &scenario.fleet;
+        let policy = AdmissionPolicy {
+            cores: spec.cores,
+            memory_gib: spec.memory_gib,
+            cpu_overcommit: fleet.cpu_overcommit,
+            memory_overcommit: fleet.memory_overcommit,
+            max_queue_length: fleet.max_queued,
+            max_concurrent_starts: fleet.max_concurrent_starts,
+            max_warm_programs: fleet.max_kept_programs,
+            allows_preemption: fleet.preempts,
+        };
+        let now = context.clock.now();
+        let started = if is_cold { now } else { now - INITIAL_AGE_US };
+        // Hosts don't measure in step with each other.
+        let measured_ago = if fleet.measures_together {
+            rng.between([0.0, MEASURE_INTERVAL_US as f64]) as u64
+        } else {
+            0
+        };
+        EmulatedHost {
+            spec,
+            // Full milliseconds, as frames and the inventory give it.
+            started_us: started / 1000 * 1000,
+            faults: HostFaults::default(),
+            admission: Admission::new(policy),
+            scenario,
+            context,
+            tasks: BTreeMap::new(),
+            queued: BTreeMap::new(),
+            is_admitting: false,
+            rng,
+            recent_offers: Vec::new(),
+            contention_reported_at: BTreeMap::new(),
+            last_measured: now - measured_ago,
+        }
+    }
+
+    /// A new process in its place, which has to warm up.
+    pub fn restart(&mut self) {
+        self.stop();
+        let rng = SeededRng::new(self.rng.seed(), RESTART_STREAM);
+        *self = EmulatedHost::new(
+            self.spec.clone(),
+            self.scenario.clone(),
+            self.context.clone(),
+            rng,
+            true,
+        );
+    }
+
+    /// The process ends, and all that ran is lost.
+    pub fn stop(&mut self) {
+        for task in self.tasks.values().filter(|t| t.running_since.is_some()) {
+            self.context
+                .service_accounting()
+                .record_end(&task.offer.actor);
+        }
+        self.tasks.clear();
+        self.queued.clear();
+    }
+
+    /// Sets its faults from now on.
+    pub fn set_faults(&mut self, faults: HostFaults) {
+        if faults.has_lost_programs && !self.faults.has_lost_programs {
+            self.admission.forget_warm_programs();
+        }
+        self.faults = faults;
+    }
+
+    /// Whether it reads and never answers.
+    pub fn is_silent(&self) -> bool {
+        self.faults.is_silent
+    }
+
+    /// Releases the idempotency keys of its tasks.
+    pub fn release_keys(&mut self, keys: &mut DeduplicationTable) {
+        for attempt in self.tasks.keys() {
+            self.admission.remove(*attempt, keys);
+        }
+    }
+
+    /// Whether it takes nothing new.
+    pub fn is_draining(&self) -> bool {
+        self.admission.is_draining()
+    }
+
+    /// Takes nothing new from now on.
+    pub fn drain(&mut self) {
+        self.admission.drain();
+    }
+
+    /// The frames that report what it holds of a placer.
+    pub fn held_frames(&self, placer: &str) -> Vec<Frame> {
+        let own = self.tasks.values().filter(|t| *t.placer == *placer);
+        own.map(|t| Frame::Held(t.offer.clone(), t.running_since.is_some()))
+            .collect()
+    }
+
+    /// Whether it holds tasks, so that an interval of service matters.
+    pub fn has_tasks(&self) -> bool {
+        !self.tasks.is_empty()
+    }
+
+    /// Handles a frame from a placer that has sent its hello.
+    pub fn handle_frame(
+        &mut self,
+        now: u64,
+        placer: &Arc<str>,
+        frame: Frame,
+        keys: &mut DeduplicationTable,
+        out: &mut Vec<HostAction>,
+    ) {
+        match frame {
+            Frame::Offer(offer) => self.handle_offer(now, placer, offer, out),
+            Frame::Cancel(attempt) | Frame::Stop(attempt) => {
+                let is_own = |task: &HostedTask| *task.placer == **placer;
+                let task = self.tasks.get(&attempt).or(self.queued.get(&attempt));
+                if task.is_some_and(is_own) {
+                    let ran = self.remove_task(attempt, keys);
+                    let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.free());
+                    self.send_answer(placer, ended, out);
+                    self.start_next(now, out);
+                }
+            }
+            Frame::Probe(nonce) if !self.is_silent() => {
+                let free = self.free().unwrap_or_default();
+                out.push(HostAction::Send(placer.clone(), Frame::Report(nonce, free)));
+            }
+            Frame::Ping(nonce) if !self.is_silent() => {
+                out.push(HostAction::Send(placer.clone(), Frame::Pong(nonce)));
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles a timer that it set.
+    pub fn handle_timer(
+        &mut self,
+        now: u64,
+        timer: Timer,
+        keys: &mut DeduplicationTable,
+        out: &mut Vec<HostAction>,
+    ) {
+        match timer {
+            Timer::AdmitNext => self.admit_next(now, keys, out),
+            Timer::StartFinished(attempt) => self.finish_start(now, attempt, out),
+            Timer::TaskFinished(attempt) => {
+                self.end_task(now, attempt, Reason::Completed, keys, out)
+            }
+        }
+    }
+
+    /// What is not allocated, as frames report it.
+    fn free(&self) -> Option<ResourceAmounts> {
+        let (cores, memory_gib) = self.admission.requested();
+        Some(ResourceAmounts {
+            cores: self.spec.cores - cores,
+            memory_gib: self.spec.memory_gib - memory_gib,
+        })
+    }
+
+    /// Sends the answer to an attempt, which may be lost on the way; other frames are not.
+    fn send_answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<HostAction>) {
+        if !self.is_silent() && !self.rng.random_bool(self.faults.lost_answer_share) {
+            out.push(HostAction::Send(placer.clone(), frame));
+        }
+    }
+
+    /// The class of this name.
+    fn class(&self, name: &str) -> Option<&Class> {
+        self.scenario.classes.iter().find(|c| c.rules.name == name)
+    }
+
+    /// Its speed, less while it warms up.
+    fn speed_factor(&self, now: u64) -> f64 {
+        let rules = &self.scenario.rules;
+        let age_ms = (now - self.started_us.min(now)) as f64 / 1000.0;
+        let age = age_ms / rules.warm_up_ms as f64;
+        let initial = rules.initial_capacity_share;
+        (initial + (1.0 - initial) * age).min(1.0)
+            * (1.0 - self.faults.neighbour_core_share)
+            * self.spec.speed
+    }
+}
--- a/crates/emulator/src/rack.rs
+++ b/crates/emulator/src/host_pool.rs
@@ -19,10 +19,11 @@
 
 use crate::hollow_placers;
 use crate::host::{EmulatedHost, HostAction, HostFaults, HostSpec, Timer};
-use crate::looks::ReadTimes;
+use crate::read_times::ReadTimes;
+use crate::run_context::RunContext;
 use crate::scenario::Scenario;
+use crate::seeded_rng::SeededRng;
 use crate::traffic::{ConnectionTraffic, CountedFrame, TrafficCounter, message_kind};
-use crate::world::{RunContext, SeededRng};
 
 const WAKER_TOKEN: u64 = 0;
 const FIRST_LISTENER_TOKEN: u64 = 1 << 32;
@@ -64,17 +65,17 @@
     /// Starts all hosts of a scenario, on loopback addresses of their own or at these.
     pub fn start(
         scenario: &Arc<Scenario>,
-        world: &RunContext,
+        context: &RunContext,
         seed: u64,
         at: Option<&[SocketAddr]>,
     ) -> io::Result<HostPool> {
-        HostPool::start_with_counter(scenario, world, seed, at, None)
+        HostPool::start_with_counter(scenario, context, seed, at, None)
     }
 
     /// The same, with all that real placers and these hosts send each other counted.
     pub fn start_with_counter(
         scenario: &Arc<Scenario>,
-        world: &RunContext,
+        context: &RunContext,
         seed: u64,
         at: Option<&[SocketAddr]>,
         counter: Option<TrafficCounter>,
@@ -94,7 +95,7 @@
                 zone,
                 cell,
                 cores: kind.cores,
-                memory: kind.memory_gib,
+                memory_gib: kind.memory_gib,
                 speed: dice.between([0.85, 1.15]),
             };
             // An address of its own, so that its port stays free while it is down.
@@ -112,7 +113,7 @@
             let address = listener.local_addr()?;
             addresses.push(address);
             let set = SeededRng::new(dice.seed(), number as u64);
-            let host = EmulatedHost::new(spec, scenario.clone(), world.clone(), set, false);
+            let host = EmulatedHost::new(spec, scenario.clone(), context.clone(), set, false);
             slots.push(HostSlot {
                 host,
                 address,
@@ -128,13 +129,13 @@
         let mut run = HostThread {
             poller,
             slots,
-            world: world.clone(),
+            context: context.clone(),
             keys: DeduplicationTable::default(),
             connections: HashMap::new(),
             connection_of_placer: BTreeMap::new(),
             last_token: FIRST_CONNECTION_TOKEN,
             timers: Timers::default(),
-            read_times: ReadTimes::new(Observer::Hosts, world.clock.now()),
+            read_times: ReadTimes::new(Observer::Hosts, context.clock.now()),
             commands: commands.clone(),
             waker: rustix::io::dup(&waker)?,
             started: started.clone(),
@@ -217,7 +218,7 @@
 struct HostThread {
     poller: Poller,
     slots: Vec<HostSlot>,
-    world: RunContext,
+    context: RunContext,
     keys: DeduplicationTable,
     connections: HashMap<u64, PlacerConnection>,
     /// The connection of each placer to each host.
@@ -238,9 +239,9 @@
 impl HostThread {
     fn run(&mut self) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
-        let mut ticked = self.world.clock.now();
+        let mut ticked = self.context.clock.now();
         while !self.is_ended {
-            let now = self.world.clock.now();
+            let now = self.context.clock.now();
             let next = self
                 .timers
                 .next_due_at()
@@ -261,7 +262,7 @@
                 }
                 self.flush_pending();
             }
-            let now = self.world.clock.now();
+            let now = self.context.clock.now();
             while let Some((slot, epoch, later)) = self.timers.pop_due(now) {
                 if self.slots[slot].process_number == epoch && !self.slots[slot].is_down {
                     let mut out = Vec::new();
@@ -362,7 +363,7 @@
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = started_ms;
-        self.world.record(Observation::HostStarted {
+        self.context.record(Observation::HostStarted {
             host: slot.host.spec.name.clone(),
             started_ms,
         });
@@ -381,7 +382,7 @@
         self.started
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)[number] = 0;
-        self.world.record(Observation::HostStopped {
+        self.context.record(Observation::HostStopped {
             host: slot.host.spec.name.clone(),
         });
         let links: Vec<u64> = self
@@ -429,12 +430,12 @@
         if let Some(counter) = self.counter.as_ref().filter(|_| link.is_counted()) {
             counter.closed(&mut link.traffic, reset);
         }
-        if let Some(late) = self.read_times.delay_to_report(self.world.clock.now()) {
-            self.world.record(late);
+        if let Some(late) = self.read_times.delay_to_report(self.context.clock.now()) {
+            self.context.record(late);
         }
         if let Some(placer) = link.placer {
             let host = self.slots[link.host_index].host.spec.name.clone();
-            self.world.record(Observation::ConnectionLost {
+            self.context.record(Observation::ConnectionLost {
                 host,
                 connection: token,
             });
@@ -491,7 +492,7 @@
     }
 
     fn handle_frame(&mut self, token: u64, frame: Frame) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
@@ -503,7 +504,7 @@
         {
             let placer: Arc<str> = name.as_str().into();
             link.placer = Some(placer.clone());
-            self.world.record(Observation::PlacerConnected {
+            self.context.record(Observation::PlacerConnected {
                 host: host.clone(),
                 connection: token,
                 placer: placer.clone(),
@@ -535,9 +536,9 @@
             return;
         };
         if let Some(late) = self.read_times.delay_to_report(now) {
-            self.world.record(late);
+            self.context.record(late);
         }
-        self.world.record(Observation::FrameFromPlacer {
+        self.context.record(Observation::FrameFromPlacer {
             host,
             connection: token,
             frame: frame.clone(),
@@ -560,7 +561,7 @@
                 HostAction::SetTimer(after, later) => {
                     let epoch = self.slots[number].process_number;
                     self.timers
-                        .schedule(self.world.clock.now() + after, (number, epoch, later));
+                        .schedule(self.context.clock.now() + after, (number, epoch, later));
                 }
                 HostAction::Crash => self.stop_host(number),
             }
--- a/crates/emulator/src/rack/sending.rs
+++ b/crates/emulator/src/host_pool/sending.rs
@@ -32,7 +32,7 @@
     }
 
     pub(super) fn count_received(&mut self, token: u64, segment: &[CountedFrame]) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let Some(link) = self.connections.get_mut(&token).filter(|l| l.is_counted()) else {
             return;
         };
@@ -54,7 +54,7 @@
             kind: message_kind(&frame),
             bytes,
         });
-        self.world.record(Observation::FrameFromHost {
+        self.context.record(Observation::FrameFromHost {
             host,
             connection: token,
             frame,
@@ -69,7 +69,7 @@
     }
 
     pub(super) fn flush(&mut self, token: u64) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let Some(link) = self.connections.get_mut(&token) else {
             return;
         };
--- a/crates/emulator/src/owners.rs
+++ b/crates/emulator/src/owners.rs
@@ -15,9 +15,10 @@
 use serde_json::{Value, json};
 
 use crate::demand::Arrival;
-use crate::looks::ReadTimes;
+use crate::read_times::ReadTimes;
+use crate::run_context::RunContext;
 use crate::scenario::Scenario;
-use crate::world::{RunContext, SeededRng};
+use crate::seeded_rng::SeededRng;
 
 /// An owner waits this much longer than its deadline before it holds that no answer came, µs: what the reading and
 /// recording may be late by.
@@ -68,7 +69,7 @@
     /// Starts it.
     pub fn start(
         scenario: Arc<Scenario>,
-        world: RunContext,
+        context: RunContext,
         arrivals: Vec<Arrival>,
         placers: Vec<LoadBalancerEntry>,
     ) -> io::Result<Owners> {
@@ -76,13 +77,13 @@
             placers,
             ..OwnerBehaviour::default()
         }));
-        let start = world.clock.now();
+        let start = context.clock.now();
         let arrivals = arrivals.into_iter();
         let mut run = OwnerThread {
             poller: Poller::new()?,
             max_connections: max_connections(&scenario),
             scenario,
-            world,
+            context,
             arrivals,
             behaviour: mood.clone(),
             start,
@@ -200,7 +201,7 @@
 struct OwnerThread {
     poller: Poller,
     scenario: Arc<Scenario>,
-    world: RunContext,
+    context: RunContext,
     max_connections: usize,
     /// Those to come.
     arrivals: std::vec::IntoIter<Arrival>,
@@ -230,7 +231,7 @@
     fn run(&mut self) -> io::Result<Vec<u64>> {
         let mut ready: Vec<Readiness> = Vec::new();
         loop {
-            let now = self.world.clock.now();
+            let now = self.context.clock.now();
             let next = self
                 .timers
                 .next_due_at()
@@ -246,10 +247,10 @@
             for r in &ready {
                 self.handle_ready(r);
             }
-            let due_by = self.world.clock.now();
+            let due_by = self.context.clock.now();
             while let Some(due) = self.timers.pop_due(due_by) {
                 // Deadlines count from when their asks leave, and a thread that is late takes long over what is due.
-                self.handle_timer(self.world.clock.now(), due);
+                self.handle_timer(self.context.clock.now(), due);
             }
             if self.behaviour().is_closing && self.unanswered == 0 {
                 self.behaviour().is_closed = true;
@@ -291,7 +292,7 @@
             return;
         }
         let wanted = arrival.demand(&self.scenario, self.start);
-        self.world
+        self.context
             .service_accounting()
             .add_demand(&arrival.actor, wanted);
         let number = self.owners.len();
@@ -395,7 +396,7 @@
             hung_up: false,
         };
         let name: Arc<str> = self.behaviour().placers[placer].name.as_str().into();
-        self.world.record(Observation::PlacementRequested {
+        self.context.record(Observation::PlacementRequested {
             request,
             placer: name,
             class: class.rules.name.as_str().into(),
@@ -499,7 +500,7 @@
             return;
         };
         let request = self.owners[owner].request.clone();
-        self.world.record(Observation::ClientDisconnected {
+        self.context.record(Observation::ClientDisconnected {
             request: request.clone(),
         });
         self.unanswered -= 1;
@@ -591,7 +592,7 @@
         };
         if !same
             && !self
-                .world
+                .context
                 .service_accounting()
                 .is_running(&self.owners[owner].actor)
         {
@@ -605,7 +606,7 @@
     }
 
     fn handle_connection_failure(&mut self, token: u64) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let Some(link) = self.connections.remove(&token) else {
             return;
         };
@@ -616,7 +617,7 @@
                 ..
             } => {
                 let request = self.owners[owner].request.clone();
-                self.world
+                self.context
                     .record(Observation::ClientConnectionLost { request });
                 self.unanswered -= 1;
                 self.handle_unknown_outcome(now, owner);
@@ -719,7 +720,7 @@
         status: u16,
         body: &[u8],
     ) {
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         let text = |key: &str| {
             body.get(key)
@@ -740,9 +741,9 @@
             None => self.owners[owner].request.clone(),
         };
         if let Some(late) = self.read_times.delay_to_report(now) {
-            self.world.record(late);
+            self.context.record(late);
         }
-        self.world.record(Observation::Answered {
+        self.context.record(Observation::Answered {
             request,
             outcome: outcome.clone(),
         });
@@ -850,7 +851,7 @@
                 Ok((Step::MessageEnd, _)) | Err(_) => return true,
             }
         }
-        let now = self.world.clock.now();
+        let now = self.context.clock.now();
         for event in lines {
             self.handle_event(now, &event);
         }
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -12,7 +12,7 @@
 };
 use maplethread_engine::Decide;
 
-use crate::world::SeededRng;
+use crate::seeded_rng::SeededRng;
 
 /// Final answers are given this long before the deadline.
 const ANSWER_MARGIN_US: Micros = 15_000;
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -1,7 +1,10 @@
 //! Days that nobody wrote: a fleet, demand and overlapping troubles drawn from a seed, for faults on no list.
 
 use crate::scenario::{FaultKind, Scenario, ScheduledFault};
-use crate::world::SeededRng;
+use crate::seeded_rng::SeededRng;
+
+#[cfg(test)]
+mod tests;
 
 /// Which troubles a day has, how many of each, and their spans as shares of the day.
 struct FaultRange {
@@ -174,7 +177,7 @@
             .into_iter()
             .map(|part| [round(part * length), round(dice.between([0.25, 0.5]))])
             .collect();
-        scenario.trouble.clear();
+        scenario.faults.clear();
         for kind in &FAULT_RANGES {
             let count = kind.min_count + dice.index_below(kind.max_count - kind.min_count + 1);
             for _ in 0..count {
@@ -191,77 +194,17 @@
                 let trouble = ScheduledFault {
                     kind: kind.kind,
                     at_s,
-                    for_s: round(span),
-                    reach,
-                    size,
+                    duration_s: round(span),
+                    affected_share: reach,
+                    intensity: size,
                     class: struck_class.then(|| scenario.classes[class].rules.name.clone()),
                     zone: (kind.kind == FaultKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
-                scenario.trouble.push(trouble);
+                scenario.faults.push(trouble);
             }
         }
-        scenario.trouble.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
+        scenario.faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
         scenario
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use maplethread_config::Document;
-
-    #[test]
-    fn random_scenarios_are_valid_distinct_and_survive_round_trip() {
-        let mut seen = std::collections::BTreeSet::new();
-        for seed in 0..200 {
-            let drawn = Scenario::random(seed);
-            let text = toml::to_string(&drawn).expect("a scenario is TOML");
-            let again = Scenario::parse(Document {
-                file: "drawn",
-                text: &text,
-            })
-            .expect("sound");
-            assert_eq!(again, drawn);
-            assert_eq!(Scenario::random(seed), drawn, "the same seed, the same day");
-            let kills = drawn
-                .trouble
-                .iter()
-                .filter(|t| t.kind == FaultKind::PlacerKill)
-                .count();
-            assert!(kills >= 2 && drawn.trouble.iter().any(|t| t.kind == FaultKind::ZoneLoss));
-            let end = |t: &ScheduledFault| t.at_s + t.for_s;
-            assert!(
-                drawn.trouble.iter().all(|t| end(t) <= drawn.seconds),
-                "over with the day"
-            );
-            seen.insert(text);
-        }
-        assert_eq!(seen.len(), 200);
-    }
-
-    #[test]
-    fn scaled_scenario_keeps_demand_per_service() {
-        let small = Scenario::standard();
-        let per_service = |s: &Scenario| s.cores() / s.classes[0].service_count as f64;
-        let cells = |s: &Scenario| {
-            let all: std::collections::BTreeSet<_> =
-                (0..s.fleet.hosts).map(|h| s.location_of(h)).collect();
-            all.len() as f64
-        };
-        for hosts in [15, 60, 130, 400] {
-            let sized = Scenario::standard().with_host_count(hosts);
-            assert_eq!(sized.fleet.hosts, hosts);
-            let ratio = per_service(&sized) / per_service(&small);
-            assert!(
-                (0.85..1.15).contains(&ratio),
-                "{hosts} hosts: {ratio} times the demand of a service"
-            );
-            let ratio = cells(&sized) / cells(&small);
-            assert!(
-                (0.6..1.7).contains(&ratio),
-                "{hosts} hosts: {ratio} times the cells"
-            );
-        }
-    }
-}
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -13,7 +13,7 @@
 use evidence::EvidenceText;
 
 use crate::mutant::MutantResult;
-use crate::world::{ServiceLoss, ServiceShares};
+use crate::service_accounting::{ServiceLoss, ServiceShares};
 
 /// So many cases of a broken rule are shown.
 const MAX_SHOWN_PER_RULE: usize = 8;
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -6,6 +6,9 @@
 };
 use serde::{Deserialize, Serialize};
 
+#[cfg(test)]
+mod tests;
+
 /// A day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,9 +34,9 @@
     /// The classes of tasks.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// The troubles.
-    #[serde(default)]
-    pub trouble: Vec<ScheduledFault>,
+    /// The faults.
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<ScheduledFault>,
 }
 
 /// Hosts and how they behave.
@@ -259,14 +262,14 @@
     /// When, s.
     pub at_s: f64,
     /// How long, s.
-    #[serde(default)]
-    pub for_s: f64,
+    #[serde(default, rename = "for_s")]
+    pub duration_s: f64,
     /// Share of the hosts (or placers) that it strikes.
-    #[serde(default)]
-    pub reach: f64,
+    #[serde(default, rename = "reach")]
+    pub affected_share: f64,
     /// How hard: a share or a multiple, by kind.
-    #[serde(default)]
-    pub size: f64,
+    #[serde(default, rename = "size")]
+    pub intensity: f64,
     /// The class that it strikes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
@@ -296,7 +299,8 @@
     pub fn standard_with_catalogue() -> Scenario {
         #[derive(Deserialize)]
         struct More {
-            trouble: Vec<ScheduledFault>,
+            #[serde(rename = "trouble")]
+            faults: Vec<ScheduledFault>,
         }
         let doc = Document {
             file: "scenarios/catalogue.toml",
@@ -306,7 +310,7 @@
             parse_toml(doc).expect("the built-in troubles are sound, which a test holds");
         let mut scenario = Scenario::standard();
         scenario.name = "standard with catalogue".to_owned();
-        scenario.trouble.extend(more.trouble);
+        scenario.faults.extend(more.faults);
         scenario
     }
 
@@ -343,22 +347,22 @@
             doc.ensure(class.service_count >= 1, &key("services"), "at least 1")?;
             doc.ensure(class.share >= 0.0, &key("share"), "0 or above")?;
         }
-        for (i, trouble) in self.trouble.iter().enumerate() {
+        for (i, fault) in self.faults.iter().enumerate() {
             let key = |field: &str| format!("trouble[{i}].{field}");
-            doc.ensure(trouble.at_s >= 0.0, &key("at_s"), "0 or above")?;
+            doc.ensure(fault.at_s >= 0.0, &key("at_s"), "0 or above")?;
             doc.ensure(
-                (0.0..=1.0).contains(&trouble.reach),
+                (0.0..=1.0).contains(&fault.affected_share),
                 &key("reach"),
                 "a share, 0 to 1",
             )?;
-            if let Some(zone) = &trouble.zone {
+            if let Some(zone) = &fault.zone {
                 doc.ensure(
                     self.fleet.zones.contains(zone),
                     &key("zone"),
                     format!("unknown zone `{zone}`"),
                 )?;
             }
-            if let Some(class) = &trouble.class {
+            if let Some(class) = &fault.class {
                 let known = self.classes.iter().any(|c| &c.rules.name == class);
                 doc.ensure(known, &key("class"), format!("unknown class `{class}`"))?;
             }
@@ -369,8 +373,8 @@
     /// The same day squeezed or stretched to another length; lives of tasks stay as they are.
     pub fn with_duration(mut self, seconds: f64) -> Scenario {
         let by = seconds / self.seconds;
-        for trouble in &mut self.trouble {
-            (trouble.at_s, trouble.for_s) = (trouble.at_s * by, trouble.for_s * by);
+        for fault in &mut self.faults {
+            (fault.at_s, fault.duration_s) = (fault.at_s * by, fault.duration_s * by);
         }
         for point in &mut self.demand.load {
             point[0] *= by;
@@ -386,7 +390,7 @@
 
     /// The same day without troubles of a kind, to see what they cost.
     pub fn without_fault(mut self, kind: FaultKind) -> Scenario {
-        self.trouble.retain(|t| t.kind != kind);
+        self.faults.retain(|t| t.kind != kind);
         self
     }
 
@@ -461,46 +465,3 @@
         self.classes[class].rules.retry_safety != RetrySafety::Safe
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn accepts_all_bundled_scenarios() {
-        let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
-        let (mut files, mut kinds) = (0, std::collections::BTreeSet::new());
-        for entry in std::fs::read_dir(folder).expect("a folder") {
-            let path = entry.expect("an entry").path();
-            let text = std::fs::read_to_string(&path).expect("a file");
-            // Some are only what another one adds.
-            if !text.contains("[fleet]") {
-                continue;
-            }
-            let file = path.display().to_string();
-            let day = Scenario::parse(Document {
-                file: &file,
-                text: &text,
-            })
-            .expect("a sound scenario");
-            let over = |t: &ScheduledFault| t.at_s + t.for_s <= day.seconds;
-            assert!(
-                day.trouble.iter().all(over),
-                "{file}: a trouble outlasts the day"
-            );
-            kinds.extend(day.trouble.iter().map(|t| format!("{:?}", t.kind)));
-            files += 1;
-        }
-        assert!(files >= 8);
-        for kind in [
-            "HeavyTail",
-            "HotServices",
-            "ProgramsLost",
-            "PlacerStalls",
-            "AnswersLost",
-            "ClassSilence",
-        ] {
-            assert!(kinds.contains(kind), "no scenario has {kind}");
-        }
-    }
-}
