--- /dev/null
+++ b/crates/emulator/src/owners/requests.rs
@@ -0,0 +1,323 @@
+//! The requests of owners: sent, answered, abandoned and repeated.
+
+use std::sync::Arc;
+
+use maplethread_checker::{Observation, Outcome};
+use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
+use serde_json::{Value, json};
+
+use super::ANSWER_SLACK_US;
+use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerIncarnation, Timer};
+
+/// An owner that wants its task for less than this does not request it any more, µs.
+const MIN_REMAINING_US: u64 = 300_000;
+/// Where no placer can be reached an owner tries again after so long, ms.
+const NO_PLACER_RETRY_MS: [f64; 2] = [100.0, 300.0];
+/// When in its time for an answer an owner abandons a request early.
+const EARLY_DISCONNECT_SHARE: [f64; 2] = [0.02, 0.9];
+/// An abandoned connection is left open for so long, to see whether something still comes, µs.
+const LINGER_US: u64 = 300_000;
+/// An owner looks this often whether its task still runs, µs.
+const CHECK_INTERVAL_US: u64 = 2_000_000;
+
+/// An answer as it came from a placer.
+struct Answer {
+    outcome: Outcome,
+    /// The request that it names, if it does.
+    request: Option<Arc<str>>,
+    /// When the placer advises to come again, ms; 0 without advice.
+    retry_after_ms: f64,
+}
+
+impl Answer {
+    fn parse(status: u16, body: &[u8]) -> Answer {
+        let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
+        let text = |key: &str| body[key].as_str().unwrap_or("").to_owned();
+        let outcome = match (status, text("outcome").as_str()) {
+            (200, "placed") => Outcome::Placed(text("host")),
+            (200, "refused") => Outcome::Rejected(text("reason")),
+            (200, "failed") => Outcome::Failed,
+            _ => Outcome::NotAccepted(status),
+        };
+        Answer {
+            outcome,
+            request: body["request"].as_str().map(Arc::from),
+            retry_after_ms: body["come_back_ms"].as_f64().unwrap_or(0.0),
+        }
+    }
+}
+
+impl OwnerThread {
+    /// Sends an owner's next request, if it still wants its task.
+    pub(super) fn send_request(&mut self, now: u64, owner: usize) {
+        let is_closing = self.behaviour().is_closing;
+        let state = &self.owners[owner];
+        if state.state != OwnerState::BetweenRequests {
+            return;
+        }
+        if is_closing || now + MIN_REMAINING_US >= state.wanted_until {
+            self.owners[owner].state = OwnerState::Finished;
+            return;
+        }
+        let target = self.choose_placer(owner);
+        let connected = target.and_then(|target| {
+            let token = self.idle_or_new_connection(target.process, target.address);
+            Some((target.process.placer, token.ok()?))
+        });
+        let Some((placer, token)) = connected else {
+            self.schedule_retry(now, owner, NO_PLACER_RETRY_MS);
+            return;
+        };
+        self.write_request(now, owner, token, placer);
+        self.schedule_deadlines(now, owner);
+        let poller = &self.poller;
+        let has_failed = self
+            .connections
+            .get_mut(&token)
+            .is_some_and(|connection| connection.conn.flush(poller).is_err());
+        if has_failed {
+            self.handle_connection_failure(token);
+        }
+    }
+
+    fn write_request(&mut self, now: u64, owner: usize, token: u64, placer: usize) {
+        let placer_name = self.behaviour().placers[placer].name.clone();
+        let owner_index = owner;
+        let owner = &mut self.owners[owner];
+        let class = &self.scenario.classes[owner.class];
+        owner.request_count += 1;
+        owner.state = OwnerState::AwaitingAnswer(token);
+        owner.requested_at = now;
+        owner.request = format!("{}.{}", owner.actor, owner.request_count).into();
+        let body = json!({
+            "service": owner.service, "actor": owner.actor, "class": class.rules.name,
+            "cores": owner.resources[0], "memory_gib": owner.resources[1],
+            "budget_ms": class.deadline_ms,
+            "life_ms": (owner.wanted_until - now) / 1000, "again": owner.request_count > 1,
+        });
+        let request = owner.request.clone();
+        if let Some(connection) = self.connections.get_mut(&token) {
+            connection.conn.poll_connected();
+            http::write_request(
+                connection.conn.write_buffer(),
+                "POST",
+                "/v1/actors",
+                &[("Host", "placer"), ("X-Request-Id", &*request)],
+                body.to_string().as_bytes(),
+            );
+            connection.purpose = ConnectionUse::Requests {
+                reader: MessageReader::new(Role::Responses, Limits::default()),
+                owner: Some(owner_index),
+                is_abandoned: false,
+            };
+        }
+        self.context.record(Observation::PlacementRequested {
+            request,
+            placer: placer_name.into(),
+            class: class.rules.name.as_str().into(),
+            budget_us: class.deadline_ms * 1000,
+        });
+        self.unanswered += 1;
+        self.behaviour().request_count += 1;
+    }
+
+    /// Sets the deadline of a request that was just sent; the owner may abandon it before.
+    fn schedule_deadlines(&mut self, now: u64, owner: usize) {
+        let state = &self.owners[owner];
+        let request_count = state.request_count;
+        let budget_us = self.scenario.classes[state.class].deadline_ms * 1000;
+        self.timers.schedule(
+            now + budget_us + ANSWER_SLACK_US,
+            Timer::Deadline(owner, request_count),
+        );
+        let disconnect_share = self.behaviour().disconnect_share;
+        let rng = &mut self.owners[owner].rng;
+        if rng.random_bool(disconnect_share) {
+            let share = rng.between(EARLY_DISCONNECT_SHARE);
+            self.timers.schedule(
+                now + (budget_us as f64 * share) as u64,
+                Timer::EarlyDisconnect(owner, request_count),
+            );
+        }
+    }
+
+    /// Abandons a request: by closing the connection at once, by a cancellation, or a while later, to see that nothing
+    /// comes after the deadline.
+    pub(super) fn disconnect(&mut self, now: u64, owner: usize, is_early: bool) {
+        let OwnerState::AwaitingAnswer(token) = self.owners[owner].state else {
+            return;
+        };
+        let request = self.owners[owner].request.clone();
+        self.context.record(Observation::ClientDisconnected {
+            request: request.clone(),
+        });
+        self.unanswered -= 1;
+        let is_left_open = self.owners[owner].rng.random_bool(0.5);
+        if let Some(connection) = self.connections.get_mut(&token)
+            && let ConnectionUse::Requests {
+                owner: waiting,
+                is_abandoned,
+                ..
+            } = &mut connection.purpose
+        {
+            *waiting = (is_left_open && !is_early).then_some(owner);
+            *is_abandoned = true;
+        }
+        if is_left_open {
+            if is_early {
+                self.send_cancellation(token, &request);
+            }
+            self.timers
+                .schedule(now + LINGER_US, Timer::CloseConnection(token));
+        } else {
+            self.drop_connection(token);
+        }
+        self.handle_unknown_outcome(now, owner);
+    }
+
+    fn send_cancellation(&mut self, token: u64, request: &str) {
+        let Some(process) = self.connections.get(&token).map(|c| c.process) else {
+            return;
+        };
+        let Some(address) = self.behaviour().placers[process.placer].address else {
+            return;
+        };
+        if let Ok(other) = self.idle_or_new_connection(process, address)
+            && let Some(connection) = self.connections.get_mut(&other)
+        {
+            http::write_request(
+                connection.conn.write_buffer(),
+                "DELETE",
+                &format!("/v1/asks/{request}"),
+                &[("Host", "placer")],
+                b"",
+            );
+            let _ = connection.conn.flush(&self.poller);
+        }
+    }
+
+    /// A request ended and its task may run: an owner whose task must not run twice waits until that is settled.
+    pub(super) fn handle_unknown_outcome(&mut self, now: u64, owner: usize) {
+        let state = &mut self.owners[owner];
+        state.failure_count += 1;
+        let demand = &self.scenario.demand;
+        let settle_ms = demand.settle_ms as f64;
+        let after_ms = if self.scenario.must_not_run_twice(state.class) {
+            [settle_ms, settle_ms * 1.2]
+        } else {
+            demand.retry_after_ms
+        };
+        self.schedule_retry(now, owner, after_ms);
+    }
+
+    /// An owner whose placer is not the process any more that placed its task comes again if the task runs nowhere.
+    pub(super) fn check_placement(&mut self, now: u64, owner: usize) {
+        let OwnerState::Placed(process) = self.owners[owner].state else {
+            return;
+        };
+        if now >= self.owners[owner].wanted_until {
+            self.owners[owner].state = OwnerState::Finished;
+            return;
+        }
+        let is_same_process = {
+            let placer = &self.behaviour().placers[process.placer];
+            placer.incarnation == process.incarnation && !placer.is_down
+        };
+        let actor = &self.owners[owner].actor;
+        if !is_same_process && !self.context.service_accounting().is_running(actor) {
+            let retry_after_ms = self.scenario.demand.retry_after_ms;
+            self.schedule_retry(now, owner, retry_after_ms);
+            return;
+        }
+        self.timers
+            .schedule(now + CHECK_INTERVAL_US, Timer::CheckPlacement(owner));
+    }
+
+    /// Reads answers; returns whether the connection is of no more use.
+    pub(super) fn read_answers(&mut self, token: u64) -> bool {
+        loop {
+            let Some(connection) = self.connections.get_mut(&token) else {
+                return false;
+            };
+            let ConnectionUse::Requests {
+                reader,
+                owner,
+                is_abandoned,
+            } = &mut connection.purpose
+            else {
+                return true;
+            };
+            let message = match reader.read(connection.conn.unread()) {
+                Ok((ReadResult::Message(message), used)) => {
+                    connection.conn.consume(used);
+                    message
+                }
+                Ok((_, used)) => {
+                    connection.conn.consume(used);
+                    return false;
+                }
+                Err(_) => return true,
+            };
+            let (owner, is_abandoned) = (owner.take(), *is_abandoned);
+            let keep = message.head.is_keep_alive() && !is_abandoned;
+            let process = connection.process;
+            if let Some(owner) = owner {
+                let answer = Answer::parse(message.head.status(), &message.body);
+                self.handle_answer(owner, process, is_abandoned, answer);
+            }
+            if !keep {
+                self.drop_connection(token);
+                return false;
+            }
+            self.idle.entry(process).or_default().push(token);
+        }
+    }
+
+    fn handle_answer(
+        &mut self,
+        owner: usize,
+        process: PlacerIncarnation,
+        is_abandoned: bool,
+        answer: Answer,
+    ) {
+        let now = self.context.clock.now();
+        let request = match answer.request {
+            Some(request) => request,
+            // A problem sent to an owner that has gone on since is no answer to its present request.
+            None if is_abandoned => return,
+            None => self.owners[owner].request.clone(),
+        };
+        if let Some(delay) = self.read_times.delay_to_report(now) {
+            self.context.record(delay);
+        }
+        self.context.record(Observation::Answered {
+            request,
+            outcome: answer.outcome.clone(),
+        });
+        if is_abandoned {
+            return;
+        }
+        self.unanswered -= 1;
+        let retry_after_ms = self.scenario.demand.retry_after_ms;
+        match answer.outcome {
+            Outcome::Placed(_) => {
+                self.place_us.push(now - self.owners[owner].requested_at);
+                self.behaviour().placed_count += 1;
+                let state = &mut self.owners[owner];
+                (state.state, state.failure_count) = (OwnerState::Placed(process), 0);
+                self.timers
+                    .schedule(now + CHECK_INTERVAL_US, Timer::CheckPlacement(owner));
+            }
+            Outcome::Rejected(_) => {
+                self.owners[owner].failure_count += 1;
+                let advised = retry_after_ms.map(|ms| ms.max(answer.retry_after_ms));
+                self.schedule_retry(now, owner, advised);
+            }
+            Outcome::Failed => self.handle_unknown_outcome(now, owner),
+            Outcome::NotAccepted(_) => {
+                self.owners[owner].failure_count += 1;
+                self.schedule_retry(now, owner, retry_after_ms);
+            }
+        }
+    }
+}
