--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use maplethread_admission::{Admission, AdmissionPolicy, DeduplicationTable};
-use maplethread_wire::frame::{Frame, Offer, Reason, ResourceAmounts};
+use maplethread_wire::frame::{Frame, Offer, Reason};
 
 pub use faults::{ClassFault, FaultyAnswer, HostFaults};
 
@@ -226,14 +226,14 @@
                 let task = self.tasks.get(&attempt).or(self.queued.get(&attempt));
                 if task.is_some_and(is_own) {
                     let ran = self.remove_task(attempt, keys);
-                    let ended = Frame::Ended(attempt, Reason::Stopped, ran, self.free());
+                    let ended = self.admission.end_frame(attempt, Reason::Stopped, ran);
                     self.send_answer(placer, ended, out);
                     self.start_next(now, out);
                 }
             }
             Frame::Probe(nonce) if !self.is_silent() => {
-                let free = self.free().unwrap_or_default();
-                out.push(HostAction::Send(placer.clone(), Frame::Report(nonce, free)));
+                let report = Frame::Report(nonce, self.admission.unallocated());
+                out.push(HostAction::Send(placer.clone(), report));
             }
             Frame::Ping(nonce) if !self.is_silent() => {
                 out.push(HostAction::Send(placer.clone(), Frame::Pong(nonce)));
@@ -259,15 +259,6 @@
         }
     }
 
-    /// What is not allocated, as frames report it.
-    fn free(&self) -> Option<ResourceAmounts> {
-        let (cores, memory_gib) = self.admission.requested();
-        Some(ResourceAmounts {
-            cores: self.spec.cores - cores,
-            memory_gib: self.spec.memory_gib - memory_gib,
-        })
-    }
-
     /// Sends the answer to an attempt, which may be lost on the way; other frames are not.
     fn send_answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<HostAction>) {
         if !self.is_silent() && !self.rng.random_bool(self.faults.lost_answer_share) {
--- a/crates/emulator/src/host/tasks.rs
+++ b/crates/emulator/src/host/tasks.rs
@@ -2,11 +2,9 @@
 
 use std::sync::Arc;
 
-use maplethread_admission::{
-    AdmissionDecision, Deduplication, DeduplicationTable, RejectionReason, TaskRequest, TaskStage,
-};
+use maplethread_admission::{AdmissionDecision, DeduplicationTable, TaskRequest, TaskStage};
 use maplethread_config::DeduplicationScope;
-use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, Reason};
+use maplethread_wire::frame::{Frame, Offer, Reason};
 
 use super::{EmulatedHost, FaultyAnswer, HostAction, HostedTask, Timer};
 
@@ -41,9 +39,10 @@
             return;
         }
         let attempt = offer.attempt_id;
-        match self.admission.enqueue(self.task_request(&offer)) {
+        let request = TaskRequest::from_offer(&offer, self.deduplication_group(&offer.class));
+        match self.admission.enqueue(request) {
             Err(rejection) => {
-                let refused = Frame::Refused(attempt, rejection_reason(rejection), self.free());
+                let refused = self.admission.rejection_frame(attempt, rejection);
                 self.send_answer(placer, refused, out);
             }
             Ok(()) => {
@@ -81,24 +80,6 @@
         true
     }
 
-    fn task_request(&self, offer: &Offer) -> TaskRequest {
-        let deduplication = match offer.duplicate_policy {
-            DuplicatePolicy::IdempotencyKey(key) => Deduplication::OnePerKey {
-                group: self.deduplication_group(&offer.class),
-                key,
-            },
-            DuplicatePolicy::Idempotent | DuplicatePolicy::NonIdempotent => Deduplication::Disabled,
-        };
-        TaskRequest {
-            attempt_id: offer.attempt_id,
-            program_id: polynomial_hash(7, &offer.service),
-            cores: offer.requested.cores,
-            memory_gib: offer.requested.memory_gib,
-            priority: offer.priority,
-            deduplication,
-        }
-    }
-
     /// The hosts that know each other's idempotency keys of a class, as a number.
     fn deduplication_group(&self, class: &str) -> u64 {
         let group = match self.class(class).and_then(|c| c.rules.group) {
@@ -106,7 +87,7 @@
             Some(DeduplicationScope::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
         };
-        polynomial_hash(11, &group)
+        polynomial_hash(&group)
     }
 
     /// Draws what a task will use.
@@ -190,7 +171,7 @@
         let placer = task.placer.clone();
         match decision {
             AdmissionDecision::Rejected(rejection) => {
-                let refused = Frame::Refused(attempt, rejection_reason(rejection), self.free());
+                let refused = self.admission.rejection_frame(attempt, rejection);
                 self.send_answer(&placer, refused, out);
             }
             AdmissionDecision::Admitted { preempted } => {
@@ -226,11 +207,12 @@
 
     /// Starts admitted tasks, as many at once as it may.
     pub(super) fn start_next(&mut self, now: u64, out: &mut Vec<HostAction>) {
-        while let Some((attempt, has_program)) = self.admission.next_start() {
+        while let Some(start) = self.admission.next_start() {
+            let attempt = start.attempt_id;
             let task = self.tasks.get(&attempt);
             let class = task.and_then(|task| self.class(&task.offer.class));
             let work_ms = class.map_or(DEFAULT_START_WORK_MS, |c| c.work_ms);
-            let factor = if has_program {
+            let factor = if start.is_program_warm {
                 1.0
             } else {
                 self.scenario.fleet.cold_start_factor
@@ -275,7 +257,7 @@
         }
         // This is not an answer that gets lost on its way: the next hello reports it at the latest.
         if !self.is_silent() {
-            let ended = Frame::Ended(attempt, reason, ran, self.free());
+            let ended = self.admission.end_frame(attempt, reason, ran);
             out.push(HostAction::Send(task.placer.clone(), ended));
         }
     }
@@ -291,22 +273,13 @@
                 .service_accounting()
                 .record_end(&task.offer.actor);
         }
-        !matches!(stage, Some(TaskStage::Waiting) | None)
+        stage.is_some_and(TaskStage::is_possibly_started)
     }
 }
 
 /// A hash that is the same on every machine and in every version.
-fn polynomial_hash(start: u64, text: &str) -> u64 {
-    text.bytes().fold(start, |hash, byte| {
+fn polynomial_hash(text: &str) -> u64 {
+    text.bytes().fold(11, |hash, byte| {
         hash.wrapping_mul(131).wrapping_add(u64::from(byte))
     })
 }
-
-fn rejection_reason(rejection: RejectionReason) -> Reason {
-    match rejection {
-        RejectionReason::InsufficientCores => Reason::Cores,
-        RejectionReason::InsufficientMemory => Reason::Memory,
-        RejectionReason::QueueFull => Reason::QueueFull,
-        RejectionReason::Draining | RejectionReason::DuplicateKey => Reason::Ineligible,
-    }
-}
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -18,7 +18,7 @@
 use crate::channel_poll::{ChannelAction, ChannelPoll};
 use crate::engine::{ConnectionId, Engine, Output, OwnerId};
 use crate::shutdown::ShutdownSchedule;
-use crate::startup::{StartError, decode_settings, load_config};
+use crate::startup::{ConfigError, StartError, decode_settings, load_config};
 use owners::{LingeringConnection, OwnerConnection};
 
 const LISTENER_TOKEN: u64 = 0;
@@ -47,13 +47,10 @@
 /// Runs the placer that `config` describes until it is told to end.
 pub fn run(config: &Path) -> Result<(), StartError> {
     let (settings, listen) = load_config(config)?;
-    let wrong = |why: String| StartError::Config {
-        file: config.to_owned(),
-        why,
-    };
-    let unusable = |e: &dyn std::fmt::Display| wrong(format!("settings: {e}"));
-    let (decisions, terms) = decode_settings(&settings.settings).map_err(|e| unusable(&e))?;
-    let placer = Placer::new(decisions.clone(), settings.seed).map_err(|e| unusable(&e))?;
+    let (decisions, terms) = decode_settings(&settings.settings)
+        .map_err(|error| ConfigError::from(error).in_file(config))?;
+    let placer = Placer::new(decisions.clone(), settings.seed)
+        .map_err(|error| ConfigError::from(error).in_file(config))?;
     let shutdown = ShutdownSchedule::new(terms.max_deadline);
     let mut engine = Engine::new(terms, &decisions, placer);
     let memory = (settings.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -32,7 +32,7 @@
             share: 1.0,
         }],
         classes: vec![class()],
-        trouble: Vec::new(),
+        faults: Vec::new(),
     }
 }
 
