--- a/crates/emulator/src/host_pool/sending.rs
+++ b/crates/emulator/src/host_pool/sending.rs
@@ -4,7 +4,7 @@
 use maplethread_checker::Observation;
 use maplethread_wire::frame::{self, Frame};
 
-use super::HostThread;
+use super::thread::HostThread;
 use crate::traffic::{CountedFrame, message_kind};
 
 /// Bytes that may wait to be written to one placer.
@@ -14,13 +14,7 @@
     /// The connections of an unreachable host stay as they are, unread and unwritten, until their placers give them up.
     pub(super) fn set_reachable(&mut self, number: usize, reachable: bool) {
         self.slots[number].is_reachable = reachable;
-        let links: Vec<u64> = self
-            .connections
-            .iter()
-            .filter(|(_, l)| l.host_index == number)
-            .map(|(&t, _)| t)
-            .collect();
-        for token in links {
+        for token in self.connections_of(number) {
             let Some(link) = self.connections.get_mut(&token) else {
                 continue;
             };
