--- a/crates/emulator/src/host/tasks.rs
+++ b/crates/emulator/src/host/tasks.rs
@@ -82,7 +82,7 @@
 
     /// The hosts that know each other's idempotency keys of a class, as a number.
     fn deduplication_group(&self, class: &str) -> u64 {
-        let group = match self.class(class).and_then(|c| c.rules.group) {
+        let group = match self.class(class).and_then(|c| c.rules.deduplication_scope) {
             Some(DeduplicationScope::Zone) => self.spec.zone.clone(),
             Some(DeduplicationScope::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
--- a/crates/emulator/src/scenario_run/inventory.rs
+++ b/crates/emulator/src/scenario_run/inventory.rs
@@ -140,8 +140,8 @@
     fn register_hosts(&mut self, inventory: &Inventory) {
         let Some(servers) = &self.servers else { return };
         let mut registered = Vec::new();
-        for host in &inventory.host {
-            let hosts = &self.listed.registered.host;
+        for host in &inventory.hosts {
+            let hosts = &self.listed.registered.hosts;
             let known = hosts.iter().find(|known| known.name == host.name);
             match known {
                 Some(known) if known == host => registered.push(host.clone()),
@@ -151,12 +151,12 @@
                 _ => registered.extend(known.cloned()),
             }
         }
-        self.listed.has_unregistered = registered != inventory.host;
-        self.listed.registered.host = registered;
+        self.listed.has_unregistered = registered != inventory.hosts;
+        self.listed.registered.hosts = registered;
     }
 
     fn write_inventory_file(&mut self, inventory: &Inventory) -> io::Result<()> {
-        let in_state = |state| inventory.host.iter().filter(move |h| h.state == state);
+        let in_state = |state| inventory.hosts.iter().filter(move |h| h.state == state);
         let ready: Vec<ReadyHost> = in_state(HostState::Ready)
             .map(|h| (h.name.as_str().into(), h.started_ms))
             .collect();
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -18,7 +18,7 @@
 /// The host that gets all offers.
 const CHOSEN: HostId = HostId(0);
 
-/// Offers every ask to one host, for this long.
+/// Offers every request to one host, for this long.
 struct OfferToChosen(Micros);
 
 impl Decide for OfferToChosen {
@@ -58,8 +58,8 @@
         kind: "std-16".to_owned(),
         state: HostState::Ready,
         started_ms: Some(NOW / 1000),
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     }
 }
 
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -12,7 +12,7 @@
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 use support::NOW;
 
-/// Notes all machines that it is told of, and what runs; offers each ask to the first machine.
+/// Records all machines that it is given, and what runs; offers each request to the first machine.
 #[derive(Default)]
 struct Observations {
     machines: BTreeSet<MachineId>,
@@ -55,8 +55,8 @@
         kind: "std-16".to_owned(),
         state,
         started_ms: Some(NOW / 1000),
-        unasked_cores: None,
-        unasked_memory_gib: None,
+        unallocated_cores: None,
+        unallocated_memory_gib: None,
     }
 }
 
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -123,7 +123,7 @@
         self.fail_late_calls(now);
         self.source.tick(now);
         for _ in 0..MAX_OUTPUT_ROUNDS {
-            let outputs = self.source.outputs();
+            let outputs = self.source.take_outputs();
             if outputs.is_empty() {
                 break;
             }
@@ -206,7 +206,7 @@
         let token = tokens.allocate();
         let connection = TcpConnection::connect(self.settings.servers[server], token, poller)?;
         let limits = Limits {
-            max_body_bytes: self.settings.max_answer_bytes,
+            max_body_bytes: self.settings.max_response_bytes,
             ..Limits::default()
         };
         let connection = ServerConnection {
--- a/crates/placer/src/daemon/gauges.rs
+++ b/crates/placer/src/daemon/gauges.rs
@@ -47,7 +47,8 @@
             return;
         }
         if let Some(membership) = &mut self.membership {
-            let load = self.engine.pending_requests() as f64 / self.config.api.max_asks as f64;
+            let load =
+                self.engine.pending_requests() as f64 / self.config.api.max_pending_requests as f64;
             membership.announce(now, self.replica_index, load);
         }
     }
