--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -1,6 +1,6 @@
 //! `maplethread agent`: the node agent, and a look into its store.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
@@ -8,6 +8,8 @@
 use maplethread_agent::{AgentConfig, TaskState, process, run};
 use serde_json::json;
 
+use crate::error::{CommandError, ErrorContext};
+
 #[derive(Args)]
 #[command(args_conflicts_with_subcommands = true)]
 pub struct AgentArgs {
@@ -34,30 +36,31 @@
     },
 }
 
-pub fn run(args: &AgentArgs) -> Result<ExitCode, String> {
+pub fn run(args: &AgentArgs) -> Result<ExitCode, CommandError> {
     match (&args.command, &args.config) {
         (Some(AgentCommand::State { config }), _) => print_state(config),
         (Some(AgentCommand::Check { config }), _) => {
-            let (_, programs) = AgentConfig::load(config)?;
+            let (_, programs) = AgentConfig::load(config).in_library()?;
             println!("{}: sound; {} programs", config.display(), programs.len());
             Ok(ExitCode::SUCCESS)
         }
         (None, Some(config)) => {
-            run::run(config, |_| {})?;
+            run::run(config, |_| {}).in_library()?;
             Ok(ExitCode::SUCCESS)
         }
-        (None, None) => Err("--config is missing".to_owned()),
+        (None, None) => Err(CommandError::invalid_option("--config is missing")),
     }
 }
 
-fn print_state(config: &std::path::Path) -> Result<ExitCode, String> {
-    let (config, _) = AgentConfig::load(config)?;
+fn print_state(config: &Path) -> Result<ExitCode, CommandError> {
+    let (config, _) = AgentConfig::load(config).in_library()?;
     let path = config.folder.join("agent.redb");
     if !path.exists() {
-        return Err(format!("{}: there is no store", path.display()));
+        return Err(CommandError::file(&path, "there is no store"));
     }
-    let told = |e: maplethread_agent::store::StoreError| format!("{}: {e}", path.display());
-    let (facts, tasks) = Store::open(&path).map_err(told)?.load().map_err(told)?;
+    let (facts, tasks) = Store::open(&path)
+        .and_then(|store| store.load())
+        .in_file(&path)?;
     println!(
         "{}",
         json!({"agent": config.name, "boot": facts.boot_id, "drains": facts.is_draining, "tasks": tasks.len()})
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `maplethread fleet`: the placers' own view of their fleet, asked of one of them.
+//! `maplethread fleet`: the members of a placer's cluster, as that placer sees them.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -9,6 +9,8 @@
 use maplethread_placer::get_json;
 use serde_json::Value;
 
+use crate::error::{CommandError, ErrorContext};
+
 /// A placer that is followed is asked this often.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// One that does not answer for so many asks on end is given up.
@@ -35,13 +37,13 @@
     Key,
 }
 
-pub fn run(command: &FleetCommand) -> Result<ExitCode, String> {
+pub fn run(command: &FleetCommand) -> Result<ExitCode, CommandError> {
     match command {
         FleetCommand::Members { api, json } => members(*api, *json),
         FleetCommand::Watch { api } => watch(*api),
         FleetCommand::Key => {
             let mut key = [0; 32];
-            getrandom::fill(&mut key).map_err(|e| format!("random numbers: {e}"))?;
+            getrandom::fill(&mut key).in_step("random numbers")?;
             println!(
                 "{}",
                 key.iter().map(|b| format!("{b:02x}")).collect::<String>()
@@ -51,19 +53,17 @@
     }
 }
 
-fn get(api: SocketAddr, target: &str) -> Result<Value, String> {
-    let (status, body) = get_json(api, target).map_err(|e| format!("{api}: {e}"))?;
+fn get(api: SocketAddr, target: &str) -> Result<Value, CommandError> {
+    let (status, body) = get_json(api, target).in_step(api.to_string())?;
     if status == 200 {
         Ok(body)
     } else {
-        Err(format!(
-            "{api}: {} ({status})",
-            body["detail"].as_str().unwrap_or("?")
-        ))
+        let detail = body["detail"].as_str().unwrap_or("?");
+        Err(format!("{detail} ({status})")).in_step(api.to_string())
     }
 }
 
-fn members(api: SocketAddr, json: bool) -> Result<ExitCode, String> {
+fn members(api: SocketAddr, json: bool) -> Result<ExitCode, CommandError> {
     let view = get(api, "/v1/fleet")?;
     if json {
         println!("{view}");
@@ -128,7 +128,7 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn watch(api: SocketAddr) -> Result<ExitCode, String> {
+fn watch(api: SocketAddr) -> Result<ExitCode, CommandError> {
     let mut after = 0;
     let mut silent = 0;
     let mut out = std::io::stdout().lock();
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -1,12 +1,18 @@
-//! `maplethread host`: stand-in hosts for trying a placer by hand.
+//! `maplethread host`: emulated hosts for trying a placer by hand.
 
 use std::net::SocketAddr;
 use std::path::Path;
+use std::process::ExitCode;
+use std::sync::Arc;
 
 use maplethread_config::{Document, parse_toml};
+use maplethread_emulator::scenario_run;
 use serde::Deserialize;
 
-/// A file that says which stand-in hosts to run.
+use crate::error::{CommandError, ErrorContext};
+use crate::fault_run::read_scenario;
+
+/// A file that says which emulated hosts to run.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostsConfig {
@@ -18,19 +24,19 @@
     /// The first port of the hosts, which listen on 127.0.0.1; 0 for free ones.
     #[serde(default)]
     pub first_port: u16,
-    /// Fleet, kinds, classes and rules, as in a scenario; `demand` and `trouble` play no part.
+    /// Fleet, kinds, classes and rules, as in a scenario; `demand` and `trouble` (the faults) play no part.
     pub scenario: std::path::PathBuf,
 }
 
 /// Reads the file.
-pub fn load(path: &Path) -> Result<HostsConfig, String> {
+fn load(path: &Path) -> Result<HostsConfig, CommandError> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{file}: {e}"))?;
+    let text = std::fs::read_to_string(path).in_file(path)?;
     let mut config: HostsConfig = parse_toml(Document {
         file: &file,
         text: &text,
     })
-    .map_err(|e| e.to_string())?;
+    .in_library()?;
     if let Some(folder) = path.parent() {
         config.inventory = folder.join(&config.inventory);
         config.scenario = folder.join(&config.scenario);
@@ -39,7 +45,7 @@
 }
 
 /// Addresses of so many hosts.
-pub fn listen_addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
+fn listen_addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
     let port = |n: usize| {
         if config.first_port == 0 {
             0
@@ -51,3 +57,17 @@
         .map(|n| SocketAddr::from(([127, 0, 0, 1], port(n))))
         .collect()
 }
+
+/// Runs emulated hosts until they are stopped.
+///
+/// # Errors
+///
+/// What is wrong with a file, or what kept the hosts from running.
+pub fn run(file: &Path) -> Result<ExitCode, CommandError> {
+    let config = load(file)?;
+    let scenario = Arc::new(read_scenario(&config.scenario)?);
+    let addresses = listen_addresses(&config, scenario.fleet.hosts);
+    scenario_run::run_hosts(&scenario, &addresses, config.seed, &config.inventory)
+        .in_step("hosts")?;
+    Ok(ExitCode::SUCCESS)
+}
--- /dev/null
+++ b/crates/cli/src/load.rs
@@ -0,0 +1,97 @@
+//! `maplethread load`: one placer under an open-loop load of requests.
+
+use std::path::PathBuf;
+use std::process::ExitCode;
+
+use clap::Args;
+use maplethread_emulator::load_test::{self, LoadOptions, LoadResult};
+
+use crate::error::{CommandError, ErrorContext};
+use crate::fault_run;
+
+/// Arguments of `load`.
+#[derive(Args)]
+pub struct LoadArgs {
+    /// Requests a second
+    #[arg(long, default_value_t = 370.0, value_name = "N")]
+    rate: f64,
+    /// Seconds
+    #[arg(long, default_value_t = 10.0, value_name = "N")]
+    seconds: f64,
+    /// Emulated hosts
+    #[arg(long, default_value_t = 130, value_name = "N")]
+    hosts: usize,
+    /// Client connections, each with requests pipelined
+    #[arg(long, default_value_t = 64, value_name = "N")]
+    connections: usize,
+    /// Tasks end after so many ms; 0 for never
+    #[arg(long, default_value_t = 5000, value_name = "MS")]
+    life_ms: u64,
+    /// Take the hosts from a catalogue, whose entries change N times a second in the second half of the run
+    #[arg(long, value_name = "N")]
+    storm: Option<f64>,
+    /// Look for the highest rate that is sustained (p99 of due-to-answer under 50 ms), starting from --rate
+    #[arg(long)]
+    max: bool,
+    /// Let the placer write trace files into this folder
+    #[arg(long, value_name = "FOLDER")]
+    trace: Option<PathBuf>,
+    /// Print one JSON object a run
+    #[arg(long)]
+    json: bool,
+}
+
+/// Measures a placer under load.
+///
+/// # Errors
+///
+/// What is wrong with an option, or what kept the load from running.
+pub fn run(args: &LoadArgs) -> Result<ExitCode, CommandError> {
+    if !(args.rate > 0.0 && args.seconds > 0.0 && args.hosts > 0) {
+        return Err(CommandError::invalid_option(
+            "--rate, --seconds and --hosts: above 0",
+        ));
+    }
+    let program = std::env::current_exe().in_step("own program")?;
+    let trace = fault_run::absolute_folder(&args.trace)?;
+    let measure = |rate: f64| {
+        let options = LoadOptions {
+            program: program.clone(),
+            requests_per_s: rate,
+            seconds: args.seconds,
+            host_count: args.hosts,
+            connection_count: args.connections,
+            task_duration_ms: args.life_ms,
+            seed: 1,
+            health_changes_per_s: args.storm,
+            trace_folder: trace.clone(),
+        };
+        let measured = load_test::run(&options).in_step("load")?;
+        if args.json {
+            println!("{}", measured.json());
+        } else {
+            println!("{}", measured.text());
+        }
+        Ok::<_, CommandError>(measured)
+    };
+    let first = measure(args.rate)?;
+    if args.max {
+        let sustained = |m: &LoadResult| m.answer_us[1] < 50_000 && m.placed == m.requests;
+        let (mut low, mut high) = (0.0, args.rate);
+        let mut last = first;
+        while sustained(&last) {
+            (low, high) = (high, high * 1.5);
+            last = measure(high)?;
+        }
+        for _ in 0..4 {
+            let middle = (low + high) / 2.0;
+            if sustained(&measure(middle)?) {
+                low = middle
+            } else {
+                high = middle
+            }
+        }
+        println!("highest rate sustained: {low:.0} asks a second");
+    }
+    Ok(ExitCode::SUCCESS)
+}
--- a/crates/cli/src/membership_test.rs
+++ b/crates/cli/src/membership_test.rs
@@ -1,4 +1,4 @@
-//! `maplethread fleet-drill`: faults between real placers.
+//! `maplethread membership-test`: faults between real placers.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,6 +8,9 @@
 use maplethread_fault_injection::run::{self, FaultInjectionRun};
 use maplethread_fault_injection::schedule::Schedule;
 
+use crate::error::{CommandError, ErrorContext};
+use crate::interrupt::interrupt_flag;
+
 #[derive(Args)]
 pub struct MembershipTestArgs {
     /// A schedule of faults; drawn from the seed without one
@@ -16,7 +19,7 @@
     /// Seed of all that is drawn
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Play so many drills, of this seed and those after it
+    /// Run so many tests, of this seed and those after it
     #[arg(long, default_value_t = 1, value_name = "N")]
     drills: u64,
     /// Placers, where the schedule is drawn
@@ -35,13 +38,13 @@
         conflicts_with = "schedule"
     )]
     seconds: f64,
-    /// Write the schedule that is played to this file
+    /// Write the schedule that is run to this file
     #[arg(long, value_name = "FILE")]
     write_schedule: Option<PathBuf>,
-    /// Play without the view, to compare placing with it and without; the verdict on the view says nothing then
+    /// Run without membership, to compare placing with it and without; the verdict on membership says nothing then
     #[arg(long)]
     without_view: bool,
-    /// Print one JSON object a drill
+    /// Print one JSON object a test
     #[arg(long)]
     json: bool,
     /// Keep the placers' settings and debug logs in this folder
@@ -49,39 +52,41 @@
     keep: Option<PathBuf>,
 }
 
-pub fn run(args: &MembershipTestArgs) -> Result<ExitCode, String> {
+pub fn run(args: &MembershipTestArgs) -> Result<ExitCode, CommandError> {
     if !(1..=64).contains(&args.placers) || !(5.0..=3600.0).contains(&args.seconds) {
-        return Err("--placers: 1 to 64; --seconds: 5 to 3600".to_owned());
+        return Err(CommandError::invalid_option(
+            "--placers: 1 to 64; --seconds: 5 to 3600",
+        ));
     }
     let mut good = true;
-    let interrupted = crate::interrupted()?;
+    let interrupted = interrupt_flag()?;
     for seed in args.seed..args.seed.saturating_add(args.drills.max(1)) {
         let schedule = match &args.schedule {
             None => Schedule::random(seed, args.placers, args.seconds),
             Some(file) => {
                 let name = file.display().to_string();
-                let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
+                let text = std::fs::read_to_string(file).in_file(file)?;
                 Schedule::parse(Document {
                     file: &name,
                     text: &text,
                 })
-                .map_err(|e| e.to_string())?
+                .in_library()?
             }
         };
         if let Some(file) = &args.write_schedule {
-            let text = toml::to_string(&schedule).map_err(|e| e.to_string())?;
-            std::fs::write(file, text).map_err(|e| format!("{}: {e}", file.display()))?;
+            let text = toml::to_string(&schedule).in_library()?;
+            std::fs::write(file, text).in_file(file)?;
         }
         let drill = FaultInjectionRun {
             schedule,
             seed,
-            program: std::env::current_exe().map_err(|e| format!("own program: {e}"))?,
+            program: std::env::current_exe().in_step("own program")?,
             keep_files_in: args.keep.clone(),
             shows_progress: !args.json,
             without_view: args.without_view,
             interrupted: interrupted.clone(),
         };
-        let outcome = run::run(&drill).map_err(|e| format!("drill {seed}: {e}"))?;
+        let outcome = run::run(&drill).in_step(format!("membership test {seed}"))?;
         good &= if args.without_view {
             outcome.service.is_good()
         } else {
--- /dev/null
+++ b/crates/cli/src/placer.rs
@@ -0,0 +1,71 @@
+//! `maplethread placer` and `maplethread check-config`.
+
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+use clap::{Args, ValueEnum};
+use maplethread_config::PlacerConfig;
+use maplethread_emulator::random_choice::RandomChoice;
+use maplethread_engine::Decide;
+
+use crate::error::{CommandError, ErrorContext};
+
+/// Arguments of `placer`.
+#[derive(Args)]
+pub struct PlacerArgs {
+    /// The settings file
+    #[arg(long)]
+    config: PathBuf,
+    /// What decides; `random` is the baseline of fault runs
+    #[arg(long, value_enum, default_value_t = Decider::Module, hide = true)]
+    decider: Decider,
+    /// Break this rule on purpose (baseline only)
+    #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u8).range(0..=6), hide = true)]
+    rogue: u8,
+}
+
+#[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
+enum Decider {
+    Module,
+    Random,
+}
+
+/// Runs a placer.
+///
+/// # Errors
+///
+/// What stopped the placer.
+pub fn run(args: &PlacerArgs) -> Result<ExitCode, CommandError> {
+    let options = maplethread_placer::Options {
+        config_path: args.config.clone(),
+    };
+    let (which, rogue) = (args.decider, args.rogue);
+    let decider = |config: &PlacerConfig,
+                   seed: u64|
+     -> Result<Box<dyn Decide>, maplethread::SettingsError> {
+        Ok(match which {
+            Decider::Module => Box::new(maplethread::Placer::new(config.policy_settings(), seed)?),
+            Decider::Random => Box::new(RandomChoice::new(config.policy_settings(), seed, rogue)),
+        })
+    };
+    maplethread_placer::run(&options, decider).in_library()?;
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Checks a placer's settings file.
+///
+/// # Errors
+///
+/// What is wrong with the file.
+pub fn check_config(file: &Path) -> Result<ExitCode, CommandError> {
+    let config = maplethread_placer::load_config(file).in_library()?;
+    println!(
+        "{}: sound; placer {} of {}, {} classes, {} kinds of hosts",
+        file.display(),
+        config.identity.name,
+        config.identity.replica_count,
+        config.classes.len(),
+        config.kinds.len()
+    );
+    Ok(ExitCode::SUCCESS)
+}
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -7,6 +7,8 @@
 use maplethread_config::Document;
 use maplethread_scale::{InterruptFlag, SweepFile, SweepOptions, run};
 
+use crate::error::{CommandError, ErrorContext};
+use crate::interrupt::interrupt_flag;
 use crate::scale_report::{self, ReportArgs};
 
 /// What can be done with sweeps.
@@ -36,24 +38,28 @@
 }
 
 /// Runs a command on sweeps.
-pub fn command(command: &ScaleCommand) -> Result<ExitCode, String> {
+///
+/// # Errors
+///
+/// What is wrong with a file, or what kept a sweep from running.
+pub fn command(command: &ScaleCommand) -> Result<ExitCode, CommandError> {
     match command {
         ScaleCommand::Run(args) => measure(args),
         ScaleCommand::Report(args) => scale_report::run(args),
     }
 }
 
-fn measure(args: &RunArgs) -> Result<ExitCode, String> {
+fn measure(args: &RunArgs) -> Result<ExitCode, CommandError> {
     let file = args.file.display().to_string();
-    let text = std::fs::read_to_string(&args.file).map_err(|e| format!("{file}: {e}"))?;
+    let text = std::fs::read_to_string(&args.file).in_file(&args.file)?;
     let sweep = SweepFile::parse(Document {
         file: &file,
         text: &text,
     })
-    .map_err(|e| e.to_string())?;
+    .in_library()?;
     let name = stem(&args.file)?;
     let alone = if args.alone { " --alone" } else { "" };
-    let own_program = || std::env::current_exe().map_err(|e| format!("own program: {e}"));
+    let own_program = || std::env::current_exe().in_step("own program");
     let (program, placer) = match &args.placer {
         Some(placer) => (placer.clone(), format!(" --placer {}", stem(placer)?)),
         None => (own_program()?, String::new()),
@@ -65,20 +71,20 @@
         program,
         owns_loopback: args.alone,
         shows_progress: true,
-        interrupted: InterruptFlag(crate::interrupted()?),
+        interrupted: InterruptFlag(interrupt_flag()?),
     };
-    let result = run(&options).map_err(|e| e.to_string())?;
-    let mut json = serde_json::to_string_pretty(&result).map_err(|e| e.to_string())?;
+    let result = run(&options).in_library()?;
+    let mut json = serde_json::to_string_pretty(&result).in_library()?;
     json.push('\n');
-    std::fs::create_dir_all(&args.output).map_err(|e| format!("{}: {e}", args.output.display()))?;
+    std::fs::create_dir_all(&args.output).in_file(&args.output)?;
     let path = args.output.join(format!("{name}.json"));
-    std::fs::write(&path, json).map_err(|e| format!("{}: {e}", path.display()))?;
+    std::fs::write(&path, json).in_file(&path)?;
     println!("{} points in {}", result.points.len(), path.display());
     Ok(ExitCode::SUCCESS)
 }
 
-fn stem(file: &Path) -> Result<String, String> {
+fn stem(file: &Path) -> Result<String, CommandError> {
     let stem = file.file_stem().and_then(|stem| stem.to_str());
     stem.map(str::to_owned)
-        .ok_or_else(|| format!("{}: not a file name", file.display()))
+        .ok_or_else(|| CommandError::file(file, "not a file name"))
 }
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -8,6 +8,8 @@
 use clap::Args;
 use maplethread_capacity::{Plot, Regenerated, Report, SweepResult, parse_result, regenerate};
 
+use crate::error::{CommandError, ErrorContext};
+
 /// Arguments of `scale report`.
 #[derive(Args)]
 pub struct ReportArgs {
@@ -23,11 +25,15 @@
 }
 
 /// Writes or checks the page and the plots.
-pub fn run(args: &ReportArgs) -> Result<ExitCode, String> {
+///
+/// # Errors
+///
+/// What is wrong with a file, or what differs in a check.
+pub fn run(args: &ReportArgs) -> Result<ExitCode, CommandError> {
     let report = Report::new(read_results(&args.results)?, &plot_folder(args));
-    let plots = report.plots().map_err(|e| e.to_string())?;
-    let before = fs::read_to_string(&args.page).map_err(|e| in_file(&args.page, e))?;
-    let page = regenerate(&before, &report).map_err(|e| in_file(&args.page, e))?;
+    let plots = report.plots().in_library()?;
+    let before = fs::read_to_string(&args.page).in_file(&args.page)?;
+    let page = regenerate(&before, &report).in_file(&args.page)?;
     if args.check {
         check(args, &before, &page, &plots)
     } else {
@@ -35,7 +41,7 @@
     }
 }
 
-fn in_file(file: &Path, problem: impl std::fmt::Display) -> String {
+fn difference(file: &Path, problem: impl std::fmt::Display) -> String {
     format!("{}: {problem}", file.display())
 }
 
@@ -49,15 +55,15 @@
 }
 
 /// The results in a folder; none where it is not there.
-fn read_results(folder: &Path) -> Result<Vec<SweepResult>, String> {
+fn read_results(folder: &Path) -> Result<Vec<SweepResult>, CommandError> {
     let entries = match fs::read_dir(folder) {
         Ok(entries) => entries,
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(Vec::new()),
-        Err(error) => return Err(in_file(folder, error)),
+        Err(error) => return Err(CommandError::file(folder, error)),
     };
     let mut files = Vec::new();
     for entry in entries {
-        let file = entry.map_err(|e| in_file(folder, e))?.path();
+        let file = entry.in_file(folder)?.path();
         if file
             .extension()
             .is_some_and(|extension| extension == "json")
@@ -69,17 +75,17 @@
     files.iter().map(|file| read_result(file)).collect()
 }
 
-fn read_result(file: &Path) -> Result<SweepResult, String> {
-    let text = fs::read_to_string(file).map_err(|e| in_file(file, e))?;
-    parse_result(&file.display().to_string(), &text).map_err(|e| e.to_string())
+fn read_result(file: &Path) -> Result<SweepResult, CommandError> {
+    let text = fs::read_to_string(file).in_file(file)?;
+    parse_result(&file.display().to_string(), &text).in_library()
 }
 
-fn write(args: &ReportArgs, page: &Regenerated, plots: &[Plot]) -> Result<ExitCode, String> {
+fn write(args: &ReportArgs, page: &Regenerated, plots: &[Plot]) -> Result<ExitCode, CommandError> {
     for plot in plots {
         let file = args.results.join(&plot.file_name);
-        fs::write(&file, &plot.svg).map_err(|e| in_file(&file, e))?;
+        fs::write(&file, &plot.svg).in_file(&file)?;
     }
-    fs::write(&args.page, &page.text).map_err(|e| in_file(&args.page, e))?;
+    fs::write(&args.page, &page.text).in_file(&args.page)?;
     println!(
         "{}: {} parts changed, {} plots",
         args.page.display(),
@@ -94,35 +100,35 @@
     before: &str,
     page: &Regenerated,
     plots: &[Plot],
-) -> Result<ExitCode, String> {
+) -> Result<ExitCode, CommandError> {
     let mut differing: Vec<String> = page
         .changed
         .iter()
-        .map(|part| in_file(&args.page, format!("{part} differs")))
+        .map(|part| difference(&args.page, format!("{part} differs")))
         .collect();
     if differing.is_empty() && before != page.text {
-        differing.push(in_file(&args.page, "a marker is written in another way"));
+        differing.push(difference(&args.page, "a marker is written in another way"));
     }
     for plot in plots {
         let file = args.results.join(&plot.file_name);
         if let Some(problem) = plot_problem(&file, plot)? {
-            differing.push(in_file(&file, problem));
+            differing.push(difference(&file, problem));
         }
     }
     if differing.is_empty() {
         println!("{}: as the results say", args.page.display());
         return Ok(ExitCode::SUCCESS);
     }
-    Err(format!(
+    Err(CommandError::CheckFailed(format!(
         "{}\nnot what the results say; `maplethread scale report` writes it anew",
         differing.join("\n")
-    ))
+    )))
 }
 
-fn plot_problem(file: &Path, plot: &Plot) -> Result<Option<&'static str>, String> {
+fn plot_problem(file: &Path, plot: &Plot) -> Result<Option<&'static str>, CommandError> {
     match fs::read_to_string(file) {
         Ok(svg) => Ok((svg != plot.svg).then_some("differs")),
         Err(error) if error.kind() == ErrorKind::NotFound => Ok(Some("is not there")),
-        Err(error) => Err(in_file(file, error)),
+        Err(error) => Err(CommandError::file(file, error)),
     }
 }
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -9,7 +9,8 @@
 use maplethread_trace::anonymise::{Anonymiser, Identifiers};
 use maplethread_trace::{Part, Record, TimedRecord, Writer};
 
-use super::{create_new, for_each_part, in_file, open};
+use super::files::{create_new, for_each_part, open};
+use crate::error::{CommandError, ErrorContext};
 
 /// Identifiers of which the copy is searched in one pass; with more, it is searched again.
 const MAX_IDENTIFIERS_PER_PASS: usize = 1 << 18;
@@ -36,26 +37,23 @@
     round: f64,
 }
 
-pub fn anonymise(args: &AnonymiseArgs) -> Result<ExitCode, String> {
+pub fn anonymise(args: &AnonymiseArgs) -> Result<ExitCode, CommandError> {
     let mut key = [0; 32];
-    getrandom::fill(&mut key).map_err(|e| format!("no random key: {e}"))?;
+    getrandom::fill(&mut key).in_step("no random key")?;
     if let Some(file) = &args.keep_key {
         let hex: String = key.iter().map(|b| format!("{b:02x}")).collect();
         use std::io::Write;
-        writeln!(create_new(file)?, "{hex}").map_err(|e| format!("{}: {e}", file.display()))?;
+        writeln!(create_new(file)?, "{hex}").in_file(file)?;
     }
     let shift = (args.shift_s * 1e6) as i64 as u64;
     let hide = Anonymiser::new(key, shift, args.round);
     let mut trace = open(&args.file)?;
     let out = BufWriter::new(create_new(&args.out)?);
-    let mut writer =
-        Writer::new(out, &hide.anonymise_header(&trace.header)).map_err(in_file(&args.out))?;
+    let mut writer = Writer::new(out, &hide.anonymise_header(&trace.header)).in_file(&args.out)?;
     for_each_part(&args.file, &mut trace, |part| match part {
-        Part::Block { records, .. } => records.iter().try_for_each(|r| {
-            writer
-                .push(&hide.anonymise_record(r))
-                .map_err(in_file(&args.out))
-        }),
+        Part::Block { records, .. } => records
+            .iter()
+            .try_for_each(|r| writer.push(&hide.anonymise_record(r)).in_file(&args.out)),
         Part::Damaged {
             byte_count: octets, ..
         } => {
@@ -67,10 +65,10 @@
             eprintln!("{octets} damaged octets left out");
             writer
                 .push(&TimedRecord { at: 0, record })
-                .map_err(in_file(&args.out))
+                .in_file(&args.out)
         }
     })?;
-    let totals = writer.finish().map_err(in_file(&args.out))?;
+    let totals = writer.finish().in_file(&args.out)?;
     drop(writer);
     let (looked, found) = find_leaks(&args.file, &args.out)?;
     println!(
@@ -84,13 +82,15 @@
     if found.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
-    std::fs::remove_file(&args.out).map_err(|e| format!("{}: {e}", args.out.display()))?;
-    Err("the copy was removed: it held what it should hide".to_owned())
+    std::fs::remove_file(&args.out).in_file(&args.out)?;
+    Err(CommandError::CheckFailed(
+        "the copy was removed: it held what it should hide".to_owned(),
+    ))
 }
 
 /// Looks in the copy for what the original names: as values of their own, and anywhere in the unpacked octets. Returns
 /// how many identifiers were looked for, and those found.
-fn find_leaks(original: &Path, copy: &Path) -> Result<(usize, Vec<String>), String> {
+fn find_leaks(original: &Path, copy: &Path) -> Result<(usize, Vec<String>), CommandError> {
     let (mut looked, mut found) = (0, Vec::new());
     let mut identifiers = Identifiers::default();
     identifiers.add_header(&open(original)?.header);
@@ -111,9 +111,9 @@
     Ok((looked, found))
 }
 
-fn find_in_copy(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, String> {
+fn find_in_copy(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, CommandError> {
     let long: Vec<&str> = identifiers.searchable_texts().collect();
-    let any = AhoCorasick::new(&long).map_err(|e| e.to_string())?;
+    let any = AhoCorasick::new(&long).in_library()?;
     let mut trace = open(copy)?;
     // Its values; its keys are the format's own.
     let header = [&[trace.header.placer.clone()], &trace.header.classes[..]]
@@ -137,7 +137,7 @@
         Ok(())
     })?;
     for at in blocks {
-        let octets = trace.read_block_bytes(at).map_err(in_file(copy))?;
+        let octets = trace.read_block_bytes(at).in_file(copy)?;
         found.extend(
             any.find_iter(&octets)
                 .map(|m| long[m.pattern().as_usize()].to_owned()),
--- /dev/null
+++ b/crates/cli/src/trace/diff.rs
@@ -0,0 +1,68 @@
+//! `trace diff`: two traces, record by record.
+
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+use maplethread_trace::{Part, Record, TimedRecord};
+use serde_json::json;
+
+use super::files::{TraceFile, open};
+use crate::error::{CommandError, ErrorContext};
+
+/// The records of a file one by one.
+struct Records {
+    file: PathBuf,
+    trace: TraceFile,
+    block: std::vec::IntoIter<TimedRecord>,
+}
+
+impl Records {
+    fn next(&mut self) -> Result<Option<TimedRecord>, CommandError> {
+        loop {
+            // Names are said wherever a block begins, which is no difference.
+            let named =
+                |r: &TimedRecord| matches!(r.record, Record::Host { .. } | Record::Service { .. });
+            if let Some(record) = self.block.find(|r| !named(r)) {
+                return Ok(Some(record));
+            }
+            match self.trace.next_part().in_file(&self.file)? {
+                Some(Part::Block { records, .. }) => self.block = records.into_iter(),
+                Some(Part::Damaged { .. }) => {}
+                None => return Ok(None),
+            }
+        }
+    }
+}
+
+/// Compares two traces record by record.
+///
+/// # Errors
+///
+/// A file can't be read.
+pub fn diff(a: &Path, b: &Path) -> Result<ExitCode, CommandError> {
+    let records = |file: &Path| -> Result<Records, CommandError> {
+        Ok(Records {
+            file: file.to_owned(),
+            trace: open(file)?,
+            block: Vec::new().into_iter(),
+        })
+    };
+    let (mut a, mut b) = (records(a)?, records(b)?);
+    let mut same = 0u64;
+    loop {
+        match (a.next()?, b.next()?) {
+            (None, None) => {
+                println!("{same} records, all the same");
+                return Ok(ExitCode::SUCCESS);
+            }
+            (x, y) if x == y => same += 1,
+            (x, y) => {
+                let shown = |r: Option<TimedRecord>| {
+                    r.map_or_else(|| "the end".to_owned(), |r| json!(r).to_string())
+                };
+                println!("record {same} differs\n  {}\n  {}", shown(x), shown(y));
+                return Ok(ExitCode::from(1));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/src/trace/inspect.rs
@@ -0,0 +1,131 @@
+//! `trace info`, `trace cat` and `trace verify`: what a file holds.
+
+use std::io::{self, BufWriter, Write};
+use std::path::{Path, PathBuf};
+use std::process::ExitCode;
+
+use maplethread_trace::{Part, Record, module_hash};
+use serde_json::json;
+
+use super::files::{for_each_part, open};
+use crate::error::{CommandError, ErrorContext};
+
+/// Prints what a file is.
+///
+/// # Errors
+///
+/// The file can't be read.
+pub fn info(file: &Path) -> Result<ExitCode, CommandError> {
+    let mut trace = open(file)?;
+    let index = trace.read_index().in_file(file)?;
+    let header = trace.header.clone();
+    let (length, _) = trace.progress();
+    let (mut blocks, mut records, mut first, mut last) = (0, 0u64, u64::MAX, 0);
+    if let Some(index) = &index {
+        for entry in index {
+            (blocks, records) = (blocks + 1, records + u64::from(entry.record_count));
+            (first, last) = (first.min(entry.first_us), last.max(entry.last_us));
+        }
+    } else {
+        for_each_part(file, &mut trace, |part| {
+            if let Part::Block { info, .. } = part {
+                (blocks, records) = (blocks + 1, records + u64::from(info.record_count));
+                (first, last) = (first.min(info.first_us), last.max(info.last_us));
+            }
+            Ok(())
+        })?;
+    }
+    let text = json!({
+        "writer": header.writer, "placer": header.placer, "started_ms": header.started_ms, "part": header.part,
+        "module": header.module, "module_is_this_one": header.module == module_hash(),
+        "replayable": header.settings.is_some(), "changed": header.changed, "classes": header.classes,
+        "octets": length, "finished": index.is_some(), "blocks": blocks, "records": records,
+        "first_us": (records > 0).then_some(first), "last_us": (records > 0).then_some(last),
+    });
+    println!("{text:#}");
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Prints the records as JSON lines.
+///
+/// # Errors
+///
+/// A file can't be read, or standard output not be written; that its reader has gone is no error.
+pub fn cat(files: &[PathBuf]) -> Result<ExitCode, CommandError> {
+    let mut out = BufWriter::new(io::stdout().lock());
+    for file in files {
+        let mut trace = open(file)?;
+        for_each_part(file, &mut trace, |part| {
+            let result = match part {
+                Part::Block { records, .. } => records.iter().try_for_each(|r| {
+                    serde_json::to_writer(&mut out, r)?;
+                    out.write_all(b"\n")
+                }),
+                Part::Damaged {
+                    offset: at,
+                    byte_count: octets,
+                    reason: why,
+                } => {
+                    writeln!(
+                        out,
+                        "{}",
+                        json!({"damaged": {"at": at, "octets": octets, "why": why}})
+                    )
+                }
+            };
+            result.map_err(CommandError::Output)
+        })
+        .or_else(|error| match error {
+            CommandError::Output(e) if e.kind() == io::ErrorKind::BrokenPipe => Ok(()),
+            error => Err(error),
+        })?;
+    }
+    let _ = out.flush();
+    Ok(ExitCode::SUCCESS)
+}
+
+/// Reads every block, and prints what is damaged.
+///
+/// # Errors
+///
+/// The file can't be read.
+pub fn verify(file: &Path) -> Result<ExitCode, CommandError> {
+    let mut trace = open(file)?;
+    let finished = trace.read_index().in_file(file)?.is_some();
+    let (mut blocks, mut records, mut damaged, mut unknown, mut gaps) = (0, 0, 0, 0, 0);
+    for_each_part(file, &mut trace, |part| {
+        match part {
+            Part::Block {
+                records: all,
+                unknown_records: passed,
+                ..
+            } => {
+                (blocks, records, unknown) = (blocks + 1, records + all.len(), unknown + passed);
+                gaps += all
+                    .iter()
+                    .filter(|r| matches!(r.record, Record::Gap { .. }))
+                    .count();
+            }
+            Part::Damaged {
+                offset: at,
+                byte_count: octets,
+                reason: why,
+            } => {
+                damaged += 1;
+                println!("octet {at}: {octets} octets are no sound block: {why}");
+            }
+        }
+        Ok(())
+    })?;
+    println!(
+        "{blocks} blocks, {records} records, {unknown} of unknown kinds, {gaps} gaps, {damaged} damaged places"
+    );
+    if !finished {
+        println!("it has no sound index: it was cut off, or its placer still writes it");
+    }
+    Ok(if damaged == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(1)
+    })
+}
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -7,30 +7,31 @@
 use maplethread_trace::replay::Replay;
 use maplethread_trace::{Part, Record, module_hash};
 
-use super::{for_each_part, open};
+use super::files::{for_each_part, open};
+use crate::error::{CommandError, ErrorContext};
 
 pub fn replay(
     files: &[PathBuf],
     build_differs: bool,
     settings: Option<&Path>,
-) -> Result<ExitCode, String> {
-    let first = files.first().ok_or("no file is given")?;
+) -> Result<ExitCode, CommandError> {
+    let first = files
+        .first()
+        .ok_or_else(|| CommandError::invalid_option("no file is given"))?;
     let header = open(first)?.header;
-    let named_first = |e: String| format!("{}: {e}", first.display());
     if header.module != module_hash() {
         let text = "another module decided here: its text has another hash than this program's";
         if !build_differs {
-            return Err(named_first(format!(
-                "{text}; --build-differs compares all the same"
-            )));
+            let problem = format!("{text}; --build-differs compares all the same");
+            return Err(CommandError::file(first, problem));
         }
-        eprintln!("{}", named_first(text.to_owned()));
+        eprintln!("{}: {text}", first.display());
     }
     let what_if = match settings {
         None => None,
         Some(file) => Some(
             maplethread_placer::load_config(file)
-                .map_err(|e| e.to_string())?
+                .in_library()?
                 .policy_settings(),
         ),
     };
@@ -40,7 +41,7 @@
             file.display()
         );
     }
-    let mut replay = Replay::with_settings(&header, what_if).map_err(named_first)?;
+    let mut replay = Replay::with_settings(&header, what_if).in_file(first)?;
     let mut names: BTreeMap<u32, String> = BTreeMap::new();
     let begun = std::time::Instant::now();
     let (mut from, mut until) = (u64::MAX, 0);
@@ -52,11 +53,8 @@
             trace.header.part as usize,
         );
         if run != (&header.placer, header.started_ms, n) {
-            return Err(format!(
-                "{}: part {} of another run, or not the next part",
-                file.display(),
-                run.2
-            ));
+            let problem = format!("part {} of another run, or not the next part", run.2);
+            return Err(CommandError::file(file, problem));
         }
         for_each_part(file, &mut trace, |part| {
             match part {
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -1,11 +1,12 @@
 //! A trace second by second, as SVG: answers above, offers and drains below, on one axis of time.
 
-use std::error::Error;
 use std::path::Path;
 
 use maplethread_trace::summary::SecondCounts;
 use plotters::prelude::*;
 
+use crate::error::{CommandError, ErrorContext, Source};
+
 const SIZE: (u32, u32) = (1200, 640);
 /// Points of a line; longer traces are drawn in steps of several seconds, each with its mean.
 const MAX_POINTS: usize = 1200;
@@ -20,11 +21,11 @@
 
 type Series = (&'static str, RGBColor, fn(&SecondCounts) -> u32);
 
-pub fn draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), String> {
-    try_draw(file, seconds).map_err(|e| format!("{}: {e}", file.display()))
+pub fn draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), CommandError> {
+    try_draw(file, seconds).in_file(file)
 }
 
-fn try_draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), Box<dyn Error>> {
+fn try_draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), Source> {
     let area = SVGBackend::new(file, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let (above, below) = area.split_vertically(SIZE.1 as i32 * 3 / 5);
@@ -53,7 +54,7 @@
     title: &str,
     seconds: &[SecondCounts],
     lines: &[Series],
-) -> Result<(), Box<dyn Error>> {
+) -> Result<(), Source> {
     let step = seconds.len().div_ceil(MAX_POINTS).max(1);
     let points = |of: fn(&SecondCounts) -> u32| -> Vec<(f64, f64)> {
         let mean = |(n, chunk): (usize, &[SecondCounts])| {
@@ -93,34 +94,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn draws_long_and_empty_timelines() {
-        let folder =
-            std::env::temp_dir().join(format!("maplethread-timeline-{}", std::process::id()));
-        let file = folder.with_extension("svg");
-        for seconds in [0, 1, 86_400] {
-            let one = SecondCounts {
-                requests: 10,
-                placed: 9,
-                rejected: 1,
-                ..SecondCounts::default()
-            };
-            draw(&file, &vec![one; seconds]).expect("a drawing");
-            let text = std::fs::read_to_string(&file).expect("a file");
-            assert!(
-                text.starts_with("<svg") && text.contains("refused") && text.len() < 1 << 20,
-                "{seconds}"
-            );
-            // A line has a point for each second, up to the most.
-            assert_eq!(
-                text.matches(',').count() > 6 * 1000,
-                seconds > 1000,
-                "{seconds}"
-            );
-        }
-        std::fs::remove_file(&file).expect("the file");
-    }
-}
+mod tests;
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -1,5 +1,5 @@
-//! `maplethread worker`: a small real task. It uses the cores and the memory it is told to, ends as told, and writes its
-//! life to a log that nobody else writes, so that what really ran can be counted.
+//! `maplethread worker`: a small real task. It uses the given cores and memory, ends as its options say, and writes its
+//! start and end to a log that nobody else writes, so that what really ran can be counted.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -10,6 +10,8 @@
 use clap::Args;
 use serde_json::json;
 
+use crate::error::{CommandError, ErrorContext};
+
 #[derive(Args)]
 pub struct WorkerArgs {
     /// Cores to keep busy
@@ -36,7 +38,7 @@
 }
 
 /// One line, in one write, so that lines of several workers do not mix.
-fn append_to_log(args: &WorkerArgs, event: &str) -> Result<(), String> {
+fn append_to_log(args: &WorkerArgs, event: &str) -> Result<(), CommandError> {
     let Some(file) = &args.life_log else {
         return Ok(());
     };
@@ -49,17 +51,16 @@
         .append(true)
         .open(file)
         .and_then(|mut f| f.write_all(format!("{line}\n").as_bytes()));
-    written.map_err(|e| format!("{}: {e}", file.display()))
+    written.in_file(file)
 }
 
-pub fn run(args: &WorkerArgs) -> Result<ExitCode, String> {
+pub fn run(args: &WorkerArgs) -> Result<ExitCode, CommandError> {
     if !(args.cores.is_finite() && (0.0..=256.0).contains(&args.cores)) {
-        return Err("--cores: 0 to 256".to_owned());
+        return Err(CommandError::invalid_option("--cores: 0 to 256"));
     }
     let ignored = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
     if args.ignore_term {
-        signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored)
-            .map_err(|e| e.to_string())?;
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored).in_library()?;
     }
     append_to_log(args, "start")?;
     // Touched, so that it is resident.
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/fault_run.rs
@@ -1,11 +1,11 @@
-//! A short bad day with real processes, and the five rogues that the judge must catch.
+//! Short fault runs with real processes, and the mutants that the checker must catch.
 
 use std::process::Command;
 use std::sync::{Mutex, PoisonError};
 
 use serde_json::Value;
 
-/// Days run one at a time: on two slow cores two of them would be late together.
+/// Runs come one after the other: on two slow cores two of them would be late together.
 static ONE_RUN_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn fault_run(args: &[&str]) -> (Option<i32>, Value) {
@@ -13,7 +13,7 @@
         .lock()
         .unwrap_or_else(PoisonError::into_inner);
     let out = Command::new(env!("CARGO_BIN_EXE_maplethread"))
-        .args(["--log", "error", "bad-day", "--json"])
+        .args(["--log", "error", "fault-run", "--json"])
         .args(args)
         .output()
         .expect("the program starts");
@@ -49,7 +49,7 @@
     assert_eq!(code, Some(0));
     let n = |key: &str| report[key].as_u64().unwrap_or(0);
     assert!(n("asks") > 200 && n("placed") > n("asks") / 2, "{report:#}");
-    // Each ask has one answer, or a reason why nobody is to blame for its lack.
+    // Each request has one answer, or a reason why its absence is excused.
     let all = n("placed") + n("refused") + n("failed") + n("turned_away") + n("excused");
     assert_eq!(all, n("asks"), "{report:#}");
     assert!(
@@ -58,7 +58,7 @@
             .is_some_and(|s| (0.2..=1.0).contains(&s)),
         "{report:#}"
     );
-    // Every life of every placer, killed ones up to their last whole block, decided as the module does.
+    // Every run of every placer process, killed ones up to their last whole block, decided as the module does.
     let mut asked = 0;
     let entries = std::fs::read_dir(traces.path())
         .expect("a folder")
@@ -103,7 +103,7 @@
         assert!(hidden.status.success(), "{hidden:?}");
         std::fs::remove_file(copy).expect("the copy");
     }
-    // A killed placer loses its last second, and some asks never reached theirs.
+    // A killed placer loses its last second, and some requests never reached theirs.
     assert!(
         (n("asks") * 8 / 10..=n("asks")).contains(&asked),
         "{asked} of {}",
@@ -130,7 +130,7 @@
     let broken = report["broken"].as_object().expect("an object");
     assert!(
         broken.contains_key(&number),
-        "the judge missed rule {rule}: {report:#}"
+        "the checker missed rule {rule}: {report:#}"
     );
     // The frames that show it are given.
     let shown = report["broken_shown"].as_array().expect("a list");
@@ -148,7 +148,7 @@
 
 #[test]
 fn checker_catches_placer_that_leaves_requests_unanswered_after_a_pause() {
-    // Rogue 6 answers all that it is asked, but for what was open when it stood still for half a second.
+    // Mutant 6 answers every request but those that were open when it paused for half a second.
     let (code, report) = fault_run(&["--scenario", MUTANT_SCENARIO, "--seed", "2", "--rogue", "6"]);
     assert_eq!(code, Some(1), "{report:#}");
     assert!(report["unanswered"].as_u64() > Some(0), "{report:#}");
@@ -175,12 +175,12 @@
     checker_catches_mutant(5);
 }
 
-/// The exit status of a day on which a rogue had no occasion to break its rule.
+/// The exit status of a run in which a mutant had no occasion to break its rule.
 const EXIT_NO_OCCASION: i32 = 3;
 
 #[test]
 fn mutant_without_an_occasion_does_not_count_as_success() {
-    // No host drains and none is gone, so there is nothing for rogue 3 to ignore.
+    // No host drains and none is gone, so there is nothing for mutant 3 to ignore.
     let quiet = [
         "--without",
         "shrink",
@@ -203,7 +203,7 @@
     );
 }
 
-/// A rogue on a short standard day, where nothing was arranged for it.
+/// A mutant in a short standard run, where nothing was arranged for it.
 fn mutant_is_caught_in_short_standard_run(rogue: u8, rule: &str) {
     let (code, report) = fault_run(&[
         "--seconds",
@@ -219,7 +219,7 @@
     );
     assert!(
         report["broken"][rule].as_u64() > Some(0),
-        "the judge missed rule {rule}: {report:#}"
+        "the checker missed rule {rule}: {report:#}"
     );
     assert_eq!(
         (code, &report["rogue"]["caught"]),
@@ -250,7 +250,7 @@
 
 #[test]
 fn restarting_placers_break_no_rule_over_warming_hosts() {
-    // With a fresh account after each start this day broke rule 4 every time.
+    // With a fresh budget account after each start this scenario broke rule 4 every time.
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../standin/scenarios/restarts.toml"
@@ -286,7 +286,7 @@
         (Some(0), &serde_json::json!({})),
         "{report:#}"
     );
-    // Played from its file it has the same first asks, though another decides.
+    // Run from its file it has the same first requests, though another policy decides.
     let (_, again) = fault_run(&["--scenario", file, "--seed", "3", "--random"]);
     assert_eq!(again["first_asks"], report["first_asks"], "{again:#}");
     assert!(report["first_asks"].as_u64() > Some(200), "{report:#}");
@@ -356,7 +356,7 @@
         (Some(0), &serde_json::json!({})),
         "{report:#}"
     );
-    // Numbers fall free when their holders are killed or stopped for longer than their sessions last.
+    // Replica indexes fall free when their holders are killed or paused for longer than their sessions last.
     let numbers = &report["numbers"];
     assert!(
         numbers["taken"].as_u64() > Some(1),
