--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -1,83 +1,114 @@
-//! What the placer is started with, and why it may not start.
+//! What a placer is started with: its configuration and settings, and the reasons why it can't start.
 
-use std::io;
-use std::net::SocketAddr;
+use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 
-use maplethread::{LoadReport, Micros, Settings};
+use maplethread::{LoadReport, Micros, Settings, SettingsError};
 use maplethread_platform_settings::{FieldError, PlatformSettings};
 use maplethread_platform_wire::config::Config;
+use maplethread_reactor::ResourceError;
 use serde_json::Value;
 
-/// Why the placer could not start, or not go on.
+/// The longest configuration file, in bytes.
+const MAX_CONFIG_BYTES: u64 = 8 << 20;
+/// How far apart the decisions on two offers and their arrivals may lie, besides the time that a connection may take to be
+/// established: turns, and the delay before a connection is reopened. In microseconds.
+const DELIVERY_ALLOWANCE: Micros = 100_000;
+
+/// Why the placer could not start, or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The configuration can't be used.
-    #[error("{}: {why}", .file.display())]
+    #[error("{}: {error}", .file.display())]
     Config {
-        /// The file.
+        /// The configuration file.
         file: PathBuf,
-        /// What is wrong, and where.
-        why: String,
+        /// What is wrong with it.
+        error: ConfigError,
     },
-    /// A file, socket or signal could not be had.
-    #[error("{0}: {1}")]
-    Io(String, io::Error),
+    /// A file, socket or signal could not be opened or used.
+    #[error(transparent)]
+    Resource(#[from] ResourceError),
 }
 
-pub(crate) fn io_error(what: impl Into<String>) -> impl FnOnce(io::Error) -> StartError {
-    let what = what.into();
-    move |e| StartError::Io(what, e)
+/// What is wrong with a configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file is too long.
+    #[error("{0} bytes; at most {MAX_CONFIG_BYTES} are read")]
+    TooLong(u64),
+    /// It is no JSON object of this form.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// It has no address to listen at, and the environment gives none.
+    #[error("field listen: absent, and RELAY_LISTEN is {value:?}, no address")]
+    NoListenAddress {
+        /// The value of the environment variable.
+        value: String,
+        /// Why it is no address.
+        source: AddrParseError,
+    },
+    /// A key of the settings object is missing or invalid.
+    #[error("settings: {0}")]
+    Key(#[from] FieldError),
+    /// The decisions can't use the settings.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
 }
 
-/// How far apart the decisions on two offers, and their arrival, may lie besides the time that a connection may take to
-/// come up: turns, and the pause before a connection is opened anew.
-const DELIVERY_ALLOWANCE: Micros = 100_000;
+impl ConfigError {
+    /// This error, of this file.
+    pub(crate) fn in_file(self, file: &Path) -> StartError {
+        StartError::Config {
+            file: file.to_owned(),
+            error: self,
+        }
+    }
+}
 
-/// The decisions' settings and the platform's terms, from the settings object; the error names the first key that is
-/// missing or wrong.
+/// Decodes both parts of the settings object: what the decisions use, and what the service uses.
+///
+/// # Errors
+///
+/// Returns an error that names the first key that is missing or invalid.
 pub fn decode_settings(settings: &Value) -> Result<(Settings, PlatformSettings), FieldError> {
-    let (mut decisions, _) = maplethread_platform_settings::decode_policy_settings(settings)?;
-    let terms = maplethread_platform_settings::decode_platform_settings(settings)?;
-    // Offers wait for connections that are being made, and leave together: what is decided within a window and that time
-    // may reach a host that came up cold within one window.
-    decisions.rules.overload_window += terms.connect_timeout + DELIVERY_ALLOWANCE;
-    // The protocol's page knows neither load reports in hosts' messages nor room in lists, whatever the settings say, and
-    // neither is read here: the decisions reckon without them.
-    (decisions.load_report, decisions.endpoints_report_capacity) = (LoadReport::Silent, false);
-    Ok((decisions, terms))
+    let (mut policy_settings, _) = maplethread_platform_settings::decode_policy_settings(settings)?;
+    let platform_settings = maplethread_platform_settings::decode_platform_settings(settings)?;
+    // Offers wait for connections that are being opened, and are sent together: offers that were decided within a window
+    // and this time may all reach a host that is warming up within one window.
+    policy_settings.rules.overload_window += platform_settings.connect_timeout + DELIVERY_ALLOWANCE;
+    // This protocol has neither load reports in hosts' messages nor capacity in lists, whatever the settings say.
+    policy_settings.load_report = LoadReport::Silent;
+    policy_settings.endpoints_report_capacity = false;
+    Ok((policy_settings, platform_settings))
 }
 
-/// The longest configuration file.
-const LONGEST: u64 = 8 << 20;
-
-/// Reads the configuration; name and address come from `RELAY_NAME` and `RELAY_LISTEN` where it lacks them.
+/// Reads the configuration and the address to listen at. Name and address come from `RELAY_NAME` and `RELAY_LISTEN` where
+/// the file lacks them.
 pub(crate) fn load_config(path: &Path) -> Result<(Config, SocketAddr), StartError> {
-    let wrong = |why: String| StartError::Config {
-        file: path.to_owned(),
-        why,
-    };
+    let name = || path.display().to_string();
     let length = std::fs::metadata(path)
-        .map_err(io_error(path.display().to_string()))?
+        .map_err(ResourceError::of(name()))?
         .len();
-    if length > LONGEST {
-        return Err(wrong(format!("{length} bytes; at most {LONGEST} are read")));
+    if length > MAX_CONFIG_BYTES {
+        return Err(ConfigError::TooLong(length).in_file(path));
     }
-    let text = std::fs::read_to_string(path).map_err(io_error(path.display().to_string()))?;
-    let mut config = Config::parse(&text).map_err(wrong)?;
+    let text = std::fs::read_to_string(path).map_err(ResourceError::of(name()))?;
+    parse_config(&text).map_err(|error| error.in_file(path))
+}
+
+fn parse_config(text: &str) -> Result<(Config, SocketAddr), ConfigError> {
+    let mut config = Config::parse(text)?;
     if config.name.is_empty() {
         config.name = std::env::var("RELAY_NAME").unwrap_or_default();
     }
     let listen = match config.listen {
         Some(listen) => listen,
         None => {
-            let listen = std::env::var("RELAY_LISTEN").unwrap_or_default();
-            let expected = || {
-                wrong(format!(
-                    "field listen: absent, and RELAY_LISTEN is {listen:?}, no address"
-                ))
-            };
-            listen.parse().map_err(|_| expected())?
+            let value = std::env::var("RELAY_LISTEN").unwrap_or_default();
+            value
+                .parse()
+                .map_err(|source| ConfigError::NoListenAddress { value, source })?
         }
     };
     Ok((config, listen))
