--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use maplethread_trace::replay::Replay;
-use maplethread_trace::{Part, Record, module_hash};
+use maplethread_trace::{ActionList, Part, Record, module_hash};
 
 use super::files::{for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
@@ -106,8 +106,8 @@
             "first difference: turn {} at {} us",
             first.turn_index, first.time_us
         );
-        println!("  recorded: {:?}", first.recorded);
-        println!("  replayed: {:?}", first.replayed);
+        println!("  recorded: {}", ActionList(&first.recorded));
+        println!("  replayed: {}", ActionList(&first.replayed));
     }
     Ok(if found.differing_turns == 0 {
         ExitCode::SUCCESS
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,12 +1,26 @@
-//! Feeds a trace to a fresh module and compares all that it does.
+//! Feeds the recorded turns to a fresh policy and compares all of its actions.
 
 use std::collections::BTreeMap;
 
-use maplethread::{Action, Placer, Settings};
+use maplethread::{Action, Placer, Settings, SettingsError};
 
 use crate::header::Header;
 use crate::record::{Record, TimedRecord, Turn};
 
+/// Why a trace can't be replayed.
+#[derive(Debug, thiserror::Error)]
+pub enum ReplayError {
+    /// The file is not the first of its run, so that the policy's state at its beginning is not known.
+    #[error("this is part {0} of its run; a replay begins with part 0")]
+    NotFirstPart(u32),
+    /// The header has no settings: another policy decided, or the turns are not whole.
+    #[error("something else than the module decided here")]
+    NoSettings,
+    /// The settings make no sense.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
 /// Where a replay came to another decision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
@@ -50,27 +64,32 @@
 }
 
 impl Replay {
-    /// A fresh module with the settings and the seed of the trace; why it can't be had.
-    pub fn new(header: &Header) -> Result<Replay, String> {
+    /// A replay by a fresh policy with the settings and the seed of the trace.
+    ///
+    /// # Errors
+    ///
+    /// The trace can't be replayed.
+    pub fn new(header: &Header) -> Result<Replay, ReplayError> {
         Replay::with_settings(header, None)
     }
 
-    /// The same with other settings, for a what-if.
-    pub fn with_settings(header: &Header, settings: Option<Settings>) -> Result<Replay, String> {
+    /// The same with other settings, to see what these would have led to.
+    ///
+    /// # Errors
+    ///
+    /// The trace can't be replayed, or the settings make no sense.
+    pub fn with_settings(
+        header: &Header,
+        settings: Option<Settings>,
+    ) -> Result<Replay, ReplayError> {
         if header.part != 0 {
-            return Err(format!(
-                "this is part {} of its run; a replay begins with part 0",
-                header.part
-            ));
+            return Err(ReplayError::NotFirstPart(header.part));
         }
-        let recorded = header
-            .settings
-            .clone()
-            .ok_or("something else than the module decided here")?;
+        let recorded = header.settings.clone().ok_or(ReplayError::NoSettings)?;
         let settings = settings.unwrap_or(recorded);
-        let module = Placer::new(settings, header.seed).map_err(|e| e.to_string())?;
+        let placer = Placer::new(settings, header.seed)?;
         Ok(Replay {
-            placer: module,
+            placer,
             actions: Vec::new(),
             is_after_gap: false,
             result: ReplayResult::default(),
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -1,7 +1,9 @@
-//! The names by which reports call what the module decides with. They are part of the printed and JSON reports that
-//! scripts and operators read, so they are stated here and do not follow the names of the variants in the code.
+//! The names that reports give to outcomes, reasons and actions. They are part of the printed and JSON reports that scripts
+//! and operators read, so they are stated here and do not follow the names of the variants in the code.
 
-use maplethread::{AttemptOutcome, AttemptResult, BlockReason, FailureReason};
+use std::fmt;
+
+use maplethread::{Action, AttemptOutcome, AttemptResult, BlockReason, FailureReason};
 
 /// The name in reports of how an attempt ended.
 pub(crate) fn attempt_outcome(ending: AttemptOutcome) -> &'static str {
@@ -30,9 +32,9 @@
     }
 }
 
-/// The name in reports of what a held task waits for.
-pub(crate) fn block_reason(lack: BlockReason) -> &'static str {
-    match lack {
+/// The name in reports of what a blocked task waits for.
+pub(crate) fn block_reason(reason: BlockReason) -> &'static str {
+    match reason {
         BlockReason::NoKindFits => "Size",
         BlockReason::NoReadyMachine => "Ready",
         BlockReason::NotConnected => "Link",
@@ -44,13 +46,67 @@
 }
 
 /// How an attempt ended, with the reason in brackets if one is known: `Refused (Cores)`.
-pub(crate) fn attempt_result(end: &AttemptResult) -> String {
-    match end.reason {
-        Some(reason) => format!(
-            "{} ({})",
-            attempt_outcome(end.outcome),
-            failure_reason(reason)
-        ),
-        None => attempt_outcome(end.outcome).to_owned(),
+pub(crate) fn attempt_result(result: &AttemptResult) -> String {
+    let outcome = attempt_outcome(result.outcome);
+    match result.reason {
+        Some(reason) => format!("{outcome} ({})", failure_reason(reason)),
+        None => outcome.to_owned(),
+    }
+}
+
+/// A list of actions as reports print it: `[Offer(TaskId(1), MachineId(2), 500000), Held(TaskId(3), Room)]`.
+pub struct ActionList<'a>(pub &'a [Action]);
+
+impl fmt::Display for ActionList<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_list()
+            .entries(self.0.iter().map(ActionText))
+            .finish()
+    }
+}
+
+/// One action as reports print it.
+struct ActionText<'a>(&'a Action);
+
+impl fmt::Debug for ActionText<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0 {
+            Action::Offer {
+                task,
+                machine,
+                timeout,
+            } => f
+                .debug_tuple("Offer")
+                .field(task)
+                .field(machine)
+                .field(timeout)
+                .finish(),
+            Action::Cancel(attempt) => f.debug_tuple("Cancel").field(attempt).finish(),
+            Action::Reject { task, retry_after } => f
+                .debug_tuple("Refuse")
+                .field(task)
+                .field(retry_after)
+                .finish(),
+            Action::Fail(task) => f.debug_tuple("Fail").field(task).finish(),
+            Action::Blocked { task, reason } => f
+                .debug_tuple("Held")
+                .field(task)
+                .field(&format_args!("{}", block_reason(*reason)))
+                .finish(),
+            Action::Migrate(task) => f.debug_tuple("Move").field(task).finish(),
+            Action::SetTimer { after, label } => {
+                f.debug_tuple("Wake").field(after).field(label).finish()
+            }
+            Action::Probe(machine) => f.debug_tuple("Probe").field(machine).finish(),
+            Action::CloseIdle(machine) => f.debug_tuple("CloseIdle").field(machine).finish(),
+            Action::SendToPeer { to, bytes } => f
+                .debug_struct("Tell")
+                .field("to", to)
+                .field("bytes", bytes)
+                .finish(),
+            Action::WatchEndpoints { enabled } => f.debug_tuple("Listen").field(enabled).finish(),
+            Action::FetchEndpoints => f.write_str("Lookup"),
+            Action::Log(line) => f.debug_tuple("Log").field(line).finish(),
+        }
     }
 }
