--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use maplethread_agent::store::Store;
+use maplethread_agent::store::{Store, StoredState};
 use maplethread_agent::{AgentConfig, TaskState, process, run};
 use serde_json::json;
 
@@ -54,11 +54,11 @@
 
 fn print_state(config: &Path) -> Result<ExitCode, CommandError> {
     let (config, _) = AgentConfig::load(config).in_library()?;
-    let path = config.folder.join("agent.redb");
+    let path = config.store_path();
     if !path.exists() {
         return Err(CommandError::file(&path, "there is no store"));
     }
-    let (facts, tasks) = Store::open(&path)
+    let StoredState { facts, tasks } = Store::open(&path)
         .and_then(|store| store.load())
         .in_file(&path)?;
     println!(
@@ -72,8 +72,11 @@
             TaskState::Running(identity) => {
                 json!({"running": {"pid": identity.pid, "alive": process::is_alive(identity)}})
             }
-            TaskState::Finished(reason, ran) => {
-                json!({"ended": {"reason": reason.as_str(), "ran": ran}})
+            TaskState::Finished {
+                reason,
+                possibly_started,
+            } => {
+                json!({"ended": {"reason": reason.as_str(), "ran": possibly_started}})
             }
         };
         let offer = &kept.offer;
--- a/crates/engine/src/client_sessions.rs
+++ b/crates/engine/src/client_sessions.rs
@@ -32,7 +32,7 @@
             self.outputs.push(Output::CloseClient(id));
             return;
         }
-        let first_check = api.request_within_ms.min(api.idle_close_ms) * 1000;
+        let first_check = api.request_timeout_ms.min(api.idle_timeout_ms) * 1000;
         self.clients
             .insert(id, ClientConnection::new(self.now, api.max_body_bytes));
         self.timers
@@ -95,7 +95,7 @@
     /// next request has to wait.
     fn is_client_paused(&mut self, id: ClientId) -> bool {
         let max_pipelined = self.config.api.max_pipelined;
-        let max_unread = self.config.api.max_unread_bytes / UNREAD_SHARE_THAT_PAUSES;
+        let max_unread = self.config.api.max_unsent_bytes / UNREAD_SHARE_THAT_PAUSES;
         let share = if self.requests_this_turn >= MAX_REQUESTS_PER_TURN {
             1
         } else {
@@ -118,7 +118,7 @@
             return;
         };
         client.unread_bytes = bytes;
-        if bytes > self.config.api.max_unread_bytes {
+        if bytes > self.config.api.max_unsent_bytes {
             tracing::warn!(client = id.0, bytes, "does not read its answers; cut off");
             self.outputs.push(Output::CloseClient(id));
             self.client_closed(self.now, id);
@@ -157,8 +157,8 @@
 
     /// Closes a connection whose request takes too long, or that is idle for too long.
     pub(crate) fn handle_client_timeout(&mut self, id: ClientId) {
-        let request_timeout = self.config.api.request_within_ms * 1000;
-        let idle_timeout = self.config.api.idle_close_ms * 1000;
+        let request_timeout = self.config.api.request_timeout_ms * 1000;
+        let idle_timeout = self.config.api.idle_timeout_ms * 1000;
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -206,7 +206,7 @@
         let token = tokens.allocate();
         let connection = TcpConnection::connect(self.settings.servers[server], token, poller)?;
         let limits = Limits {
-            max_body_bytes: self.settings.max_answer_bytes,
+            max_body_bytes: self.settings.max_response_bytes,
             ..Limits::default()
         };
         let connection = ServerConnection {
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -233,14 +233,14 @@
 fn timing(fleet: &FleetSettings) -> Timing {
     let ms = Duration::from_millis;
     Timing {
-        probe_interval: ms(fleet.probe_every_ms),
-        probe_timeout: ms(fleet.probe_within_ms),
-        indirect_probes: fleet.helpers,
-        suspicion_multiplier: fleet.suspicion,
-        gossip_interval: ms(fleet.gossip_every_ms),
-        anti_entropy_interval: ms(fleet.sync_every_ms),
-        discovery_interval: ms(fleet.seek_every_ms),
-        forget_after: Duration::from_secs(fleet.forget_after_s),
+        probe_interval: ms(fleet.probe_interval_ms),
+        probe_timeout: ms(fleet.probe_timeout_ms),
+        indirect_probes: fleet.indirect_probes,
+        suspicion_multiplier: fleet.suspicion_multiplier,
+        gossip_interval: ms(fleet.gossip_interval_ms),
+        anti_entropy_interval: ms(fleet.sync_interval_ms),
+        discovery_interval: ms(fleet.discovery_interval_ms),
+        forget_after: Duration::from_secs(fleet.retention_s),
         max_members: fleet.max_members,
     }
 }
