--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -114,7 +114,7 @@
     scenario.placers = schedule.placers as u32;
     scenario = scenario.with_host_count(schedule.hosts);
     // What befalls hosts and placers is the drill's own.
-    scenario.trouble.clear();
+    scenario.faults.clear();
     let options = scenario_run::RunOptions {
         scenario,
         seed: drill.seed,
