--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -62,6 +62,10 @@
 
 impl Clients {
     /// Connects to all of these placers in turn.
+    ///
+    /// # Errors
+    ///
+    /// A placer cannot be connected to, or the poller cannot be created.
     pub fn connect(load: RequestLoad, placers: &[SocketAddr]) -> io::Result<Clients> {
         let poller = Poller::new()?;
         let mut connections = Vec::new();
@@ -92,6 +96,10 @@
     }
 
     /// Asks until all is asked and answered.
+    ///
+    /// # Errors
+    ///
+    /// A connection fails, or a placer breaks the protocol.
     pub fn run(mut self) -> io::Result<AnswerTimes> {
         let start = self.clock.now();
         let total = (self.load.requests_per_s * self.load.seconds).round() as u64;
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// How many times as much is wanted at a time, by the troubles.
+/// How many times as much is wanted at a time, by the faults.
 fn overload_factor(scenario: &Scenario, s: f64) -> f64 {
     let on = scenario
         .faults
--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -37,6 +37,10 @@
 
 impl HollowPlacers {
     /// Starts so many, each connected to all of these hosts and pinging each of them this often, µs.
+    ///
+    /// # Errors
+    ///
+    /// The poller or the thread cannot be created.
     pub fn start(
         placers: usize,
         hosts: &[SocketAddr],
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -280,6 +280,10 @@
 }
 
 /// Runs one placer under a load.
+///
+/// # Errors
+///
+/// Files, sockets or processes of the run fail, or the placer does not start.
 pub fn run(options: &LoadOptions) -> io::Result<LoadResult> {
     let folder = tempfile::tempdir()?;
     let hosts_up = MinimalHosts::start(options.host_count, options.task_duration_ms * 1000)?;
--- a/crates/emulator/src/placer_processes.rs
+++ b/crates/emulator/src/placer_processes.rs
@@ -59,6 +59,10 @@
     }
 
     /// Starts a placer: the `placer` command of this program, with these arguments besides its settings.
+    ///
+    /// # Errors
+    ///
+    /// Its log cannot be opened, or its process or the thread that reads its address cannot be started.
     pub fn spawn(&mut self, number: usize, program: &Path, arguments: &[String]) -> io::Result<()> {
         let placer = &mut self.all[number];
         let log = std::fs::OpenOptions::new()
@@ -100,6 +104,10 @@
 
     /// The next placer that has begun to serve, and where; waits up to `within` for it. One that ended before it served,
     /// and was not killed, is an error.
+    ///
+    /// # Errors
+    ///
+    /// A placer ended before it served, and was not killed.
     pub fn next_serving(&mut self, within: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
         while let Ok((number, start, address)) = self.start_receiver.recv_timeout(within) {
             let placer = &self.all[number];
@@ -118,6 +126,10 @@
     }
 
     /// Sends a signal to a placer that runs.
+    ///
+    /// # Errors
+    ///
+    /// The signal cannot be sent.
     pub fn signal(&self, number: usize, signal: Signal) -> io::Result<()> {
         if let Some(child) = &self.all[number].child
             && let Some(pid) = Pid::from_raw(child.id() as i32)
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -1,4 +1,4 @@
-//! Days that nobody wrote: a fleet, demand and overlapping troubles drawn from a seed, for faults on no list.
+//! Scenarios that nobody wrote: demand and overlapping faults drawn from a seed.
 
 use crate::scenario::{FaultKind, Scenario, ScheduledFault};
 use crate::seeded_rng::SeededRng;
@@ -6,7 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// Which troubles a day has, how many of each, and their spans as shares of the day.
+/// How many faults of a kind a scenario has, and the ranges of their duration (as a share of the run), reach and
+/// intensity.
 struct FaultRange {
     kind: FaultKind,
     max_count: usize,
@@ -165,7 +166,7 @@
 ];
 
 impl Scenario {
-    /// A day of the standard day's length, fleet and classes, with troubles and demand of this seed's own. What was
+    /// A scenario of the standard one's length, hosts and classes, with faults and demand of this seed's own. What was
     /// drawn is the same on every machine, so a day that showed something can be played again.
     pub fn random(seed: u64) -> Scenario {
         let mut scenario = Scenario::standard();
@@ -191,7 +192,7 @@
                     matches!(kind.kind, FaultKind::ClassErrors | FaultKind::ClassSilence);
                 let class = dice.index_below(scenario.classes.len());
                 let zone = dice.index_below(scenario.fleet.zones.len());
-                let trouble = ScheduledFault {
+                let fault = ScheduledFault {
                     kind: kind.kind,
                     at_s,
                     duration_s: round(span),
@@ -201,7 +202,7 @@
                     zone: (kind.kind == FaultKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
-                scenario.faults.push(trouble);
+                scenario.faults.push(fault);
             }
         }
         scenario.faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
--- a/crates/emulator/src/recorded_scenario.rs
+++ b/crates/emulator/src/recorded_scenario.rs
@@ -65,6 +65,10 @@
 }
 
 /// Reads traces; the day is played on `base`, grown to as many hosts and placers as were recorded, `speed` times as fast.
+///
+/// # Errors
+///
+/// A trace cannot be read, there is none, or it holds what cannot be replayed.
 pub fn read<R: Read + Seek>(
     traces: &mut [Reader<R>],
     base: &Scenario,
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: a fleet, classes, demand over time and troubles, as TOML.
+//! Scenarios: hosts, classes of tasks, demand over time and faults, as TOML.
 
 use maplethread_config::{
     AcceptancePoint, ConfigError, Document, HostKind, RetrySafety, TaskClass as PlacerClass,
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A day.
+/// A scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
@@ -253,7 +253,7 @@
     LeaderLost,
 }
 
-/// One trouble.
+/// A fault with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
@@ -280,13 +280,17 @@
 
 impl Scenario {
     /// Parses and checks a scenario file.
+    ///
+    /// # Errors
+    ///
+    /// The file is no scenario, or a value in it is not allowed.
     pub fn parse(doc: Document<'_>) -> Result<Scenario, ConfigError> {
         let scenario: Scenario = parse_toml(doc)?;
         scenario.check(doc)?;
         Ok(scenario)
     }
 
-    /// The standard bad day: every kind of trouble, spread over its length.
+    /// The standard fault scenario: every kind of fault, spread over its length.
     pub fn standard() -> Scenario {
         let doc = Document {
             file: "scenarios/standard.toml",
@@ -295,7 +299,7 @@
         Scenario::parse(doc).expect("the built-in scenario is sound, which a test holds")
     }
 
-    /// The standard day with the troubles of a catalogue besides.
+    /// The standard scenario with the faults of a catalogue besides.
     pub fn standard_with_catalogue() -> Scenario {
         #[derive(Deserialize)]
         struct More {
@@ -307,7 +311,7 @@
             text: include_str!("../scenarios/catalogue.toml"),
         };
         let more: More =
-            parse_toml(doc).expect("the built-in troubles are sound, which a test holds");
+            parse_toml(doc).expect("the built-in faults are valid, which a test holds");
         let mut scenario = Scenario::standard();
         scenario.name = "standard with catalogue".to_owned();
         scenario.faults.extend(more.faults);
@@ -388,7 +392,7 @@
         self.slots.unwrap_or(self.placers)
     }
 
-    /// The same day without troubles of a kind, to see what they cost.
+    /// The same scenario without faults of a kind, to see what they cost.
     pub fn without_fault(mut self, kind: FaultKind) -> Scenario {
         self.faults.retain(|t| t.kind != kind);
         self
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -24,6 +24,10 @@
 }
 
 /// Processor time of a process so far and its memory.
+///
+/// # Errors
+///
+/// The process is gone, or `/proc` cannot be read.
 pub fn process_usage(pid: u32) -> io::Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
@@ -46,6 +50,10 @@
 }
 
 /// Proportional memory and open descriptors of a process.
+///
+/// # Errors
+///
+/// The process is gone, or `/proc` cannot be read.
 pub fn process_holdings(pid: u32) -> io::Result<ProcessHoldings> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
--- a/crates/emulator/tests/rogue.rs
+++ b/crates/emulator/tests/mutant.rs
@@ -1,4 +1,5 @@
-//! Rogues make their own occasions: rogue 5 needs no luck to break a spread limit, and rogue 6 only a pause.
+//! Mutants of the random decider make their own opportunities: mutant 5 needs no luck to break a spread limit, and mutant
+//! 6 only a pause.
 
 use std::collections::BTreeMap;
 
