--- a/crates/cli/tests/fault_run.rs
+++ b/crates/cli/tests/fault_run.rs
@@ -113,7 +113,7 @@
 
 const MUTANT_SCENARIO: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
-    "/../standin/scenarios/rogue.toml"
+    "/../emulator/scenarios/rogue.toml"
 );
 
 fn checker_catches_mutant(rule: u8) {
@@ -253,7 +253,7 @@
     // With a fresh budget account after each start this scenario broke rule 4 every time.
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../standin/scenarios/restarts.toml"
+        "/../emulator/scenarios/restarts.toml"
     );
     let (code, report) = fault_run(&["--scenario", day, "--seed", "5"]);
     assert_eq!(
@@ -317,7 +317,7 @@
 fn leader_loss_during_rolling_deploy_breaks_no_rule() {
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../standin/scenarios/leader-lost.toml"
+        "/../emulator/scenarios/leader-lost.toml"
     );
     let (code, report) = fault_run(&["--consul", "--scenario", day, "--seed", "4"]);
     assert_eq!(
@@ -332,7 +332,7 @@
 fn replica_indexes_have_one_holder_and_are_taken_over_under_faults() {
     let day = concat!(
         env!("CARGO_MANIFEST_DIR"),
-        "/../standin/scenarios/membership.toml"
+        "/../emulator/scenarios/membership.toml"
     );
     let mut day: toml::Table =
         toml::from_str(&std::fs::read_to_string(day).expect("a scenario")).expect("TOML");
--- a/fuzz/fuzz_targets/trace.rs
+++ b/fuzz/fuzz_targets/trace.rs
@@ -1,4 +1,4 @@
-//! Whatever octets follow a sound header, the reader of traces neither panics nor goes on for ever, and what it takes for
+//! Whatever bytes follow a sound header, the reader of traces neither panics nor loops for ever, and what it takes for
 //! records can be summed up. With the first octet odd, a sound block is damaged instead.
 
 #![no_main]
@@ -7,7 +7,7 @@
 
 use libfuzzer_sys::fuzz_target;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Header, Part, Reader, Record, Stamped, Writer};
+use maplethread_trace::{Header, Part, Reader, Record, TimedRecord, Writer};
 
 fuzz_target!(|data: &[u8]| {
     let header = Header {
@@ -28,7 +28,7 @@
     if damage {
         for at in 0..9 {
             writer
-                .push(&Stamped {
+                .push(&TimedRecord {
                     at,
                     record: Record::Stopped,
                 })
@@ -48,7 +48,7 @@
     let Ok(mut reader) = Reader::open(Cursor::new(&bytes)) else {
         return;
     };
-    let _ = reader.index();
+    let _ = reader.read_index();
     let mut summary = Summary::new(&reader.header);
     while let Some(part) = reader.next_part().expect("only damage") {
         match part {
@@ -56,8 +56,8 @@
                 assert!(records.len() <= 9);
                 records.iter().for_each(|r| summary.feed(r));
             }
-            Part::Damaged { octets, .. } => assert!(octets > 0),
+            Part::Damaged { byte_count, .. } => assert!(byte_count > 0),
         }
     }
-    let _ = summary.json();
+    let _ = summary.to_json();
 });
