--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -10,7 +10,7 @@
 use crate::ids::{ActorKey, AttemptKey, HostId};
 use crate::placement_request::PlacementRequest;
 use crate::sessions::{Delivery, failure_reason, resources};
-use crate::timers::Timer;
+use crate::timer::Timer;
 
 impl<D: Decide> Engine<D> {
     /// Offers a task to a host, which is to answer within `timeout`.
--- a/crates/engine/src/client_sessions.rs
+++ b/crates/engine/src/client_sessions.rs
@@ -9,7 +9,7 @@
 use crate::ids::{ClientId, RequestSlot};
 use crate::output::Output;
 use crate::problem::Problem;
-use crate::timers::Timer;
+use crate::timer::Timer;
 
 /// Requests that are taken in one turn; beyond it each client may have one more, so that none waits for many others.
 const MAX_REQUESTS_PER_TURN: usize = 128;
--- a/crates/engine/src/decisions.rs
+++ b/crates/engine/src/decisions.rs
@@ -9,16 +9,14 @@
 use crate::event_batch;
 use crate::ids::HostId;
 use crate::placement_request::block_reason_name;
-use crate::timers::Timer;
+use crate::timer::Timer;
+use crate::turn_latency::DEADLINE_ANSWER_MARGIN;
 
 /// Rounds of decisions in one turn: what follows from an offer that can't be sent is decided at once, this many times.
 const MAX_ROUNDS_PER_TURN: usize = 8;
 /// Tasks that are placed in one turn. Further requests wait for the next turn, after the offers of this one are written:
 /// an offer that is written long after its decision may meet others in the warm-up window of a host.
 const MAX_PLACEMENTS_PER_TURN: usize = 64;
-/// A request that has no answer this long before its deadline gets one from the engine, in µs. Deciders that keep rule 1
-/// answer earlier.
-pub(crate) const DEADLINE_ANSWER_MARGIN: Micros = 5_000;
 
 impl<D: Decide> Engine<D> {
     /// Gives the decider the events of this turn, and carries its actions out.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -16,14 +16,13 @@
 use crate::client_connection::ClientConnection;
 use crate::counters::Counters;
 use crate::decide::Decide;
-use crate::decisions::DEADLINE_ANSWER_MARGIN;
 use crate::host::{DepartedHost, Host, liveness_settings};
 use crate::ids::{ActorKey, AttemptKey, ClientId, HostId, IdTable};
 use crate::lifecycle::RecentEvents;
 use crate::output::Output;
 use crate::placement_request::PlacementRequest;
-use crate::timers::Timer;
-use crate::turn_latency::TurnLatency;
+use crate::timer::Timer;
+use crate::turn_latency::{DEADLINE_ANSWER_MARGIN, TurnLatency};
 use crate::warm_up_offers::WarmUpOffers;
 
 /// What an engine needs to know about its start.
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -14,7 +14,7 @@
 use crate::lifecycle::LifecycleEvent;
 use crate::output::Output;
 use crate::problem::Problem;
-use crate::timers::Timer;
+use crate::timer::Timer;
 
 /// Bytes of events that may wait for a follower to read; further events wait in the buffer.
 const MAX_FOLLOWER_UNREAD_BYTES: usize = 64 << 10;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -28,6 +28,7 @@
 mod problem;
 mod requests;
 mod sessions;
+mod timer;
 mod timers;
 mod turn_latency;
 mod warm_up_offers;
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -10,7 +10,7 @@
 use crate::host::ConnectionState;
 use crate::ids::{AttemptKey, HostId};
 use crate::output::Output;
-use crate::timers::Timer;
+use crate::timer::Timer;
 
 /// The wait before a reconnect is doubled at most this many times.
 const MAX_RECONNECT_DOUBLINGS: u32 = 16;
--- a/crates/engine/src/sessions/probes.rs
+++ b/crates/engine/src/sessions/probes.rs
@@ -7,7 +7,7 @@
 use crate::decide::Decide;
 use crate::engine::Engine;
 use crate::ids::HostId;
-use crate::timers::Timer;
+use crate::timer::Timer;
 
 impl<D: Decide> Engine<D> {
     pub(crate) fn send_probe(&mut self, host: HostId) {
--- a/crates/engine/src/turn_latency.rs
+++ b/crates/engine/src/turn_latency.rs
@@ -2,6 +2,9 @@
 
 use maplethread::Micros;
 
+/// A request that has no answer this long before its deadline gets one from the engine, in µs. Deciders that keep rule 1
+/// answer earlier.
+pub(crate) const DEADLINE_ANSWER_MARGIN: Micros = 5_000;
 /// A turn that runs later than this is a late turn, µs.
 const LATE_TURN: Micros = 100_000;
 /// Late turns over this time are an overload, µs; over a shorter time they are a burst or a pause.
