--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -33,7 +33,7 @@
 }
 
 impl BlockInfo {
-    fn to_bytes(&self) -> [u8; 32] {
+    fn to_bytes(self) -> [u8; 32] {
         let mut bytes = [0; 32];
         bytes[..4].copy_from_slice(BLOCK_MAGIC);
         bytes[4..8].copy_from_slice(&self.packed_bytes.to_le_bytes());
