--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -9,8 +9,8 @@
 use std::process::Command;
 
 use platform_support::{
-    Commands, Host, Owner, PROGRAM, Placer, Served, TEXT, config, host_says, listed, parameter,
-    set_up,
+    EmulatedCommandChannel, EmulatedHost, OwnerClient, PROGRAM, PlacerProcess, SinglePlacer, TEXT,
+    config, listed, parameter, send_from_host, setup,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -18,36 +18,43 @@
 #[test]
 fn a_task_is_placed_and_released_and_the_channel_is_followed_over_a_new_configuration() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (host, first, second) = (Host::start(), Commands::start(), Commands::start());
+    let (host, first, second) = (
+        EmulatedHost::start(),
+        EmulatedCommandChannel::start(),
+        EmulatedCommandChannel::start(),
+    );
     let file = config(
         folder.path(),
         first.address,
         &listed(3, "s-1", host.address, "active"),
     );
-    let mut placer = Placer::start(&file);
+    let mut placer = PlacerProcess::start(&file);
     let (_held, line) = first.poll();
     assert!(line.starts_with("GET /cmd/next?resume=3&block="), "{line}");
 
-    let mut owner = Owner::connect(&placer);
+    let mut owner = OwnerClient::connect(&placer);
     owner.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
     assert_eq!(
-        (owner.hear()["msg"].as_str(), owner.hear_none()),
+        (
+            owner.receive()["msg"].as_str(),
+            owner.assert_nothing_received()
+        ),
         (Some("probed"), ())
     );
-    owner.send(&set_up("9b1f03aa5c7e2d41", 6000));
+    owner.send(&setup("9b1f03aa5c7e2d41", 6000));
     let (mut stream, message) = host.next(1);
     assert_eq!(message[1..9], 0x9b1f_03aa_5c7e_2d41_u64.to_be_bytes());
     assert_eq!(parameter(&message, 63), Some(TEXT.as_bytes()));
     assert_eq!(parameter(&message, 33), Some(&b"web"[..]));
     assert_eq!(parameter(&message, 41), Some(&b"7f3a9c21e0b4d655"[..]));
-    host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    let answer = owner.hear();
+    send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
+    let answer = owner.receive();
     assert_eq!(
         (answer["msg"].as_str(), answer["text"].as_str()),
         (Some("ready"), Some(TEXT))
     );
-    host_says(&mut stream, 12, &message, 61, &[16]);
-    let release = owner.hear();
+    send_from_host(&mut stream, 12, &message, 61, &[16]);
+    let release = owner.receive();
     assert_eq!(
         (release["msg"].as_str(), release["code"].as_u64()),
         (Some("close"), Some(16))
@@ -70,8 +77,8 @@
     assert!(line.starts_with("GET /cmd/next?resume=4&block="), "{line}");
 
     // The host drains now: the ask is not offered there, and answered before its deadline.
-    owner.send(&set_up("9b1f03aa5c7e2d42", 300));
-    let answer = owner.hear();
+    owner.send(&setup("9b1f03aa5c7e2d42", 300));
+    let answer = owner.receive();
     assert_eq!(
         (answer["msg"].as_str(), answer["code"].as_u64()),
         (Some("close"), Some(34))
@@ -86,22 +93,22 @@
 
 #[test]
 fn requests_pending_at_sigterm_are_answered_before_the_process_ends() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host,
         mut placer,
         mut owner,
-    } = Served::start();
-    owner.send(&set_up("9b1f03aa5c7e2d41", 60_000));
+    } = SinglePlacer::start();
+    owner.send(&setup("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, message) = host.next(1);
     placer.signal(Signal::TERM);
     // New connections are still served.
-    let mut late = Owner::connect(&placer);
+    let mut late = OwnerClient::connect(&placer);
     late.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
-    assert_eq!(late.hear()["msg"].as_str(), Some("probed"));
-    host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
+    assert_eq!(late.receive()["msg"].as_str(), Some("probed"));
+    send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
+    assert_eq!(owner.receive()["msg"].as_str(), Some("ready"));
     assert!(placer.wait().success());
 }
 
@@ -117,18 +124,18 @@
 
 #[test]
 fn the_placer_in_service_is_one_process_that_opens_ipv4_sockets_alone_and_is_linked_dynamically() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host,
         placer,
         mut owner,
-    } = Served::start();
+    } = SinglePlacer::start();
     for n in 0..3 {
-        owner.send(&set_up(&format!("9b1f03aa5c7e2d{n:02x}"), 60_000));
+        owner.send(&setup(&format!("9b1f03aa5c7e2d{n:02x}"), 60_000));
         let (mut stream, message) = host.next(1);
-        host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-        assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
+        send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
+        assert_eq!(owner.receive()["msg"].as_str(), Some("ready"));
     }
     let of = PathBuf::from(format!("/proc/{}", placer.child.id()));
     // A library of the operators' may be loaded into it: that takes the C library's dynamic loader.
@@ -191,49 +198,49 @@
 
 #[test]
 fn malformed_input_is_rejected_or_closed_while_others_are_served() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host,
         placer,
         mut owner,
-    } = Served::start();
+    } = SinglePlacer::start();
     // Nothing waits for its answer meanwhile: how long the rest takes is the machine's matter.
-    owner.send(&set_up("9b1f03aa5c7e2d41", 60_000));
+    owner.send(&setup("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, standing) = host.next(1);
-    host_says(&mut stream, 9, &standing, 63, TEXT.as_bytes());
-    assert_eq!(owner.hear()["msg"].as_str(), Some("ready"));
+    send_from_host(&mut stream, 9, &standing, 63, TEXT.as_bytes());
+    assert_eq!(owner.receive()["msg"].as_str(), Some("ready"));
 
-    let mut unreadable = Owner::connect(&placer);
+    let mut unreadable = OwnerClient::connect(&placer);
     unreadable
         .stream
         .write_all(b"\x16\x03\x01 this is no JSON\n")
         .expect("it is read");
-    assert!(unreadable.closed());
-    let mut endless = Owner::connect(&placer);
+    assert!(unreadable.is_closed());
+    let mut endless = OwnerClient::connect(&placer);
     let sent = (0..1000).try_for_each(|_| endless.stream.write_all(&[b'x'; 64 << 10]));
-    assert!(sent.is_err() || endless.closed());
-    let mut odd = Owner::connect(&placer);
+    assert!(sent.is_err() || endless.is_closed());
+    let mut odd = OwnerClient::connect(&placer);
     odd.send(&json!({"msg": "open", "sid": "9b1f03aa5c7e2d50", "attrs": {"class": "nosuch"}, "text": "x"}));
-    assert_eq!(odd.hear()["msg"].as_str(), Some("close"));
-    odd.send(&set_up("9b1f03aa5c7e2d41", 60_000));
-    assert_eq!(odd.hear()["msg"].as_str(), Some("close"));
+    assert_eq!(odd.receive()["msg"].as_str(), Some("close"));
+    odd.send(&setup("9b1f03aa5c7e2d41", 60_000));
+    assert_eq!(odd.receive()["msg"].as_str(), Some("close"));
     // More connections than it may hold descriptors for, which say nothing; a usual one still gets through.
     let silent: Vec<TcpStream> = (0..400)
         .map(|_| TcpStream::connect(placer.address).expect("a connection"))
         .collect();
-    let mut usual = Owner::connect(&placer);
+    let mut usual = OwnerClient::connect(&placer);
     usual.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
-    assert_eq!(usual.hear()["msg"].as_str(), Some("probed"));
+    assert_eq!(usual.receive()["msg"].as_str(), Some("probed"));
     drop(silent);
 
-    usual.send(&set_up("9b1f03aa5c7e2d42", 60_000));
+    usual.send(&setup("9b1f03aa5c7e2d42", 60_000));
     let (mut stream, message) = host.next(1);
-    host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    assert_eq!(usual.hear()["msg"].as_str(), Some("ready"));
+    send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
+    assert_eq!(usual.receive()["msg"].as_str(), Some("ready"));
     // What stood all the while is released on its owner's connection.
-    host_says(&mut stream, 12, &standing, 61, &[16]);
-    let release = owner.hear();
+    send_from_host(&mut stream, 12, &standing, 61, &[16]);
+    let release = owner.receive();
     let told = (release["msg"].as_str(), release["sid"].as_str());
     assert_eq!(told, (Some("close"), Some("9b1f03aa5c7e2d41")));
 }
@@ -241,7 +248,7 @@
 #[test]
 fn invalid_configuration_is_reported_before_anything_is_served() {
     let folder = tempfile::tempdir().expect("a folder");
-    let commands = Commands::start();
+    let commands = EmulatedCommandChannel::start();
     let good = config(
         folder.path(),
         commands.address,
--- a/crates/cli/tests/platform_cold.rs
+++ b/crates/cli/tests/platform_cold.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use platform_support::{
-    Commands, Owner, Placer, changed, listed, read_messages, set_up, wait_until,
+    EmulatedCommandChannel, OwnerClient, PlacerProcess, changed, listed, read_messages, setup,
+    wait_until,
 };
 use rustix::net::{AddressFamily, SocketType};
 use serde_json::json;
@@ -38,7 +39,7 @@
 fn offers_delayed_by_a_slow_connection_count_in_the_window_of_their_arrival() {
     const BORNE: usize = 20;
     let folder = tempfile::tempdir().expect("a folder");
-    let commands = Commands::start();
+    let commands = EmulatedCommandChannel::start();
     let (listener, address) = narrow_listener();
     let filler = TcpStream::connect(address).expect("the one that is held");
     let started = SystemTime::now()
@@ -56,11 +57,11 @@
         settings["invariants"]["coldMs"] = json!(120_000.0);
         settings["classes"][0]["aimMs"] = json!(60_000.0);
     });
-    let placer = Placer::start(&file);
+    let placer = PlacerProcess::start(&file);
     // More is asked than any window may bring.
-    let mut owner = Owner::connect(&placer);
+    let mut owner = OwnerClient::connect(&placer);
     for sid in 1..=100 {
-        let mut ask = set_up(&format!("{sid:016x}"), 60_000);
+        let mut ask = setup(&format!("{sid:016x}"), 60_000);
         ask["attrs"]["extras"] = json!(format!("cores:0.1;memory:0.1;service:{sid:016x}"));
         owner.send(&ask);
     }
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_crossings.rs
@@ -7,7 +7,8 @@
 use std::net::{SocketAddr, TcpStream};
 
 use platform_support::{
-    LONG, Owner, Placer, Served, TEXT, descriptors, host_says, probe, running, set_up, wait_until,
+    LONG, OwnerClient, PlacerProcess, SinglePlacer, TEXT, descriptor_count, probe, running,
+    send_from_host, setup, wait_until,
 };
 use rustix::net::{AddressFamily, SocketType, sockopt};
 use rustix::process::Signal;
@@ -55,7 +56,7 @@
 }
 
 /// What waits in the placer's socket of this connection: to be acknowledged, to be read.
-fn socket_queues(placer: &Placer, peer: &TcpStream) -> Option<(u64, u64)> {
+fn socket_queues(placer: &PlacerProcess, peer: &TcpStream) -> Option<(u64, u64)> {
     let (ours, theirs) = (
         placer.address.port(),
         peer.local_addr().expect("its address").port(),
@@ -82,7 +83,7 @@
 
 #[test]
 fn answers_reach_an_owner_whose_connection_is_closed_while_its_bytes_lie_unread() {
-    let served = Served::start();
+    let served = SinglePlacer::start();
     let mut owner = connect_with_small_buffers(served.placer.address);
     // The answers don't fit into the owner's buffer; then comes what closes the connection, and more than is read of it.
     let mut bytes = probe_lines(1, 500);
@@ -99,8 +100,8 @@
 
 #[test]
 fn a_peer_that_never_reads_does_not_keep_a_connection_that_is_closed() {
-    let served = Served::start();
-    let mut first = Owner {
+    let served = SinglePlacer::start();
+    let mut first = OwnerClient {
         reader: std::io::BufReader::new(connect_with_small_buffers(served.placer.address)),
         stream: connect_with_small_buffers(served.placer.address),
     };
@@ -111,26 +112,26 @@
     wait_until("all are accepted", || {
         socket_queues(&served.placer, &first.stream).is_some_and(|(_, unread)| unread == 0)
     });
-    let before = descriptors(&served.placer);
+    let before = descriptor_count(&served.placer);
     let mut owner = connect_with_small_buffers(served.placer.address);
     let mut bytes = probe_lines(1, 500);
     bytes.extend_from_slice(b"this is no message\n");
     owner.write_all(&bytes).expect("it is read");
     wait_until("its descriptor is in use, and free again", || {
         socket_queues(&served.placer, &owner).is_none_or(|(_, unread)| unread == 0)
-            && descriptors(&served.placer) <= before
+            && descriptor_count(&served.placer) <= before
     });
 }
 
 #[test]
 fn answers_reach_an_owner_when_the_process_ends_with_its_bytes_unread() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host: _host,
         mut placer,
         owner: mut other,
-    } = Served::start();
+    } = SinglePlacer::start();
     let mut owner = connect_with_small_buffers(placer.address);
     owner.write_all(&probe_lines(1, 500)).expect("it is read");
     wait_until("all tests are answered", || {
@@ -140,7 +141,7 @@
     placer.signal(Signal::TERM);
     // It has heard that by the time it answers what is said later.
     other.send(&probe(0xaa));
-    assert_eq!(other.hear()["msg"].as_str(), Some("probed"));
+    assert_eq!(other.receive()["msg"].as_str(), Some("probed"));
     drop(other);
     // It stands still until its time is over, and then finds more than it reads before it ends.
     placer.signal(Signal::STOP);
@@ -158,7 +159,7 @@
 
 #[test]
 fn slow_reader_gets_all_answers_and_is_throttled_meanwhile() {
-    let served = Served::start();
+    let served = SinglePlacer::start();
     let owner = connect_with_small_buffers(served.placer.address);
     const TESTS: u64 = 150_000;
     write_in_background(&owner, probe_lines(1, TESTS));
@@ -179,45 +180,45 @@
         still >= 10
     });
     // Others are served all the while.
-    let mut other = Owner::connect(&served.placer);
-    other.send(&set_up("9b1f03aa5c7e2d41", 60_000));
+    let mut other = OwnerClient::connect(&served.placer);
+    other.send(&setup("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, message) = served.host.next(1);
-    host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    assert_eq!(other.hear()["msg"].as_str(), Some("ready"));
-    let mut reader = Owner {
+    send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
+    assert_eq!(other.receive()["msg"].as_str(), Some("ready"));
+    let mut reader = OwnerClient {
         reader: std::io::BufReader::new(owner.try_clone().expect("a handle")),
         stream: owner,
     };
     for n in 1..=TESTS {
-        let heard = reader.hear();
+        let heard = reader.receive();
         assert_eq!(heard["sid"].as_str(), Some(format!("{n:016x}").as_str()));
     }
 }
 
 #[test]
 fn task_result_that_arrives_before_its_handover_is_not_lost() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host,
         placer: _placer,
         mut owner,
-    } = Served::start();
+    } = SinglePlacer::start();
     // One task opens the connection on which the host tells of another one, which is handed over later.
     owner.send(&running("00000000000000a1", "s-1"));
-    owner.send(&set_up("00000000000000a2", 60_000));
+    owner.send(&setup("00000000000000a2", 60_000));
     let (mut stream, message) = host.next(1);
     let mut other = message.clone();
     other[1..9].copy_from_slice(&0xa3_u64.to_be_bytes());
-    host_says(&mut stream, 12, &other, 61, &[16]);
-    host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
+    send_from_host(&mut stream, 12, &other, 61, &[16]);
+    send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
     assert_eq!(
-        owner.hear()["msg"].as_str(),
+        owner.receive()["msg"].as_str(),
         Some("ready"),
         "the end before it was read"
     );
     owner.send(&running("00000000000000a3", "s-1"));
-    let told = owner.hear();
+    let told = owner.receive();
     assert_eq!(
         (told["sid"].as_str(), told["code"].as_u64()),
         (Some("00000000000000a3"), Some(16))
@@ -226,27 +227,27 @@
 
 #[test]
 fn duplicate_rejection_is_not_taken_for_the_answer_to_the_next_attempt() {
-    let Served {
+    let SinglePlacer {
         _folder,
         _commands,
         host,
         placer: _placer,
         mut owner,
-    } = Served::start();
-    owner.send(&set_up("00000000000000a1", 60_000));
+    } = SinglePlacer::start();
+    owner.send(&setup("00000000000000a1", 60_000));
     let (mut stream, message) = host.next(1);
     // The only host errs, so the next attempt goes there too; only then comes the copy.
-    host_says(&mut stream, 12, &message, 61, &[47]);
+    send_from_host(&mut stream, 12, &message, 61, &[47]);
     let (mut second, again) = host.next(1);
     assert_eq!(message[1..9], again[1..9]);
-    host_says(&mut stream, 12, &message, 61, &[47]);
+    send_from_host(&mut stream, 12, &message, 61, &[47]);
     // Whatever was made of the copy is done before what this task's set-up tells.
-    owner.send(&set_up("00000000000000a2", 60_000));
+    owner.send(&setup("00000000000000a2", 60_000));
     let (mut third, other) = host.next(1);
     assert_eq!(other[8], 0xa2, "a third attempt while the second is out");
-    host_says(&mut third, 9, &other, 63, TEXT.as_bytes());
-    host_says(&mut second, 9, &again, 63, TEXT.as_bytes());
-    let mut placed: Vec<_> = (0..2).map(|_| owner.hear()["sid"].to_string()).collect();
+    send_from_host(&mut third, 9, &other, 63, TEXT.as_bytes());
+    send_from_host(&mut second, 9, &again, 63, TEXT.as_bytes());
+    let mut placed: Vec<_> = (0..2).map(|_| owner.receive()["sid"].to_string()).collect();
     placed.sort();
     assert_eq!(placed, ["\"00000000000000a1\"", "\"00000000000000a2\""]);
 }
--- a/crates/cli/tests/platform_fleet.rs
+++ b/crates/cli/tests/platform_fleet.rs
@@ -6,32 +6,43 @@
 use std::time::Duration;
 
 use platform_support::{
-    Commands, Host, Owner, Placer, accept_all, answers, descriptors, limit, listed, of_service,
-    patient,
+    EmulatedCommandChannel, EmulatedHost, OwnerClient, PlacerProcess, accept_all, answers,
+    config_with_long_objective, descriptor_count, listed, set_descriptor_limit, setup_of_service,
 };
 use rustix::process::Signal;
 use serde_json::json;
 
 #[test]
 fn every_request_is_answered_when_a_tenth_stops_while_all_reload() {
-    let (host, first, second) = (Host::start(), Commands::start(), Commands::start());
+    let (host, first, second) = (
+        EmulatedHost::start(),
+        EmulatedCommandChannel::start(),
+        EmulatedCommandChannel::start(),
+    );
     let known = listed(3, "s-1", host.address, "active");
     let folders: Vec<_> = (0..4)
         .map(|_| tempfile::tempdir().expect("a folder"))
         .collect();
-    let mut placers: Vec<Placer> = folders
+    let mut placers: Vec<PlacerProcess> = folders
         .iter()
-        .map(|f| Placer::start(&patient(f.path(), first.address, &known, 256)))
+        .map(|f| {
+            PlacerProcess::start(&config_with_long_objective(
+                f.path(),
+                first.address,
+                &known,
+                256,
+            ))
+        })
         .collect();
     let _polls: Vec<_> = placers.iter().map(|_| first.poll()).collect();
     accept_all(host, Duration::from_millis(2));
-    let mut owners: Vec<Owner> = placers.iter().map(Owner::connect).collect();
+    let mut owners: Vec<OwnerClient> = placers.iter().map(OwnerClient::connect).collect();
     for (n, owner) in owners.iter_mut().enumerate() {
-        (0..20).for_each(|i| owner.send(&of_service((n as u64 + 1) * 1000 + i, i)));
+        (0..20).for_each(|i| owner.send(&setup_of_service((n as u64 + 1) * 1000 + i, i)));
     }
     // The new configuration and the word to end come while those are out, in either order.
     for (placer, folder) in placers.iter().zip(&folders) {
-        patient(folder.path(), second.address, &known, 256);
+        config_with_long_objective(folder.path(), second.address, &known, 256);
         placer.signal(Signal::HUP);
     }
     placers[0].signal(Signal::TERM);
@@ -39,7 +50,7 @@
     placers[1].signal(Signal::HUP);
     // Requests go on coming to those that are about to end.
     for (n, owner) in owners.iter_mut().enumerate() {
-        (0..10).for_each(|i| owner.send(&of_service((n as u64 + 1) * 1000 + 100 + i, i)));
+        (0..10).for_each(|i| owner.send(&setup_of_service((n as u64 + 1) * 1000 + 100 + i, i)));
     }
     for owner in &mut owners {
         let (placed, other) = answers(owner, 30);
@@ -50,8 +61,15 @@
         "told to end, they end by themselves"
     );
     // Those that stay follow the new channel, and so do the successors.
-    let mut successors: Vec<Placer> = (0..2)
-        .map(|n| Placer::start(&patient(folders[n].path(), second.address, &known, 256)))
+    let mut successors: Vec<PlacerProcess> = (0..2)
+        .map(|n| {
+            PlacerProcess::start(&config_with_long_objective(
+                folders[n].path(),
+                second.address,
+                &known,
+                256,
+            ))
+        })
         .collect();
     let polls: Vec<_> = (0..4).map(|_| second.poll()).collect();
     assert!(
@@ -61,8 +79,8 @@
         "{polls:?}"
     );
     let alive = placers[2..].iter().chain(&successors);
-    for (n, mut owner) in alive.map(Owner::connect).enumerate() {
-        owner.send(&of_service(90_000 + n as u64, 7));
+    for (n, mut owner) in alive.map(OwnerClient::connect).enumerate() {
+        owner.send(&setup_of_service(90_000 + n as u64, 7));
         assert_eq!(answers(&mut owner, 1).0.len(), 1);
     }
     successors
@@ -78,7 +96,7 @@
 fn at_the_limit_of_its_descriptors_every_request_is_answered_and_the_placer_serves_on() {
     const HOSTS: u64 = 400;
     const LIMIT: u64 = 784;
-    let (host, commands) = (Host::start(), Commands::start());
+    let (host, commands) = (EmulatedHost::start(), EmulatedCommandChannel::start());
     let folder = tempfile::tempdir().expect("a folder");
     let entry = |n: u64| {
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n / 8,
@@ -86,26 +104,31 @@
     };
     let nodes = json!({"index": 1, "snapshot": true, "endpoints": (0..HOSTS).map(entry).collect::<Vec<_>>()});
     let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
-    let mut placer = Placer::start(&patient(folder.path(), commands.address, &known, LIMIT));
-    limit(&placer, LIMIT);
+    let mut placer = PlacerProcess::start(&config_with_long_objective(
+        folder.path(),
+        commands.address,
+        &known,
+        LIMIT,
+    ));
+    set_descriptor_limit(&placer, LIMIT);
     accept_all(host, Duration::ZERO);
     // More clients than it may hold say nothing, and one asks on until nearly each host has a connection.
     let silent: Vec<TcpStream> = (0..500)
         .map(|_| TcpStream::connect(placer.address).expect("a connection"))
         .collect();
-    let mut owner = Owner::connect(&placer);
+    let mut owner = OwnerClient::connect(&placer);
     let mut placed = 0;
     for round in 0..24_u64 {
-        (0..50).for_each(|i| owner.send(&of_service(1 + round * 50 + i, round * 50 + i)));
+        (0..50).for_each(|i| owner.send(&setup_of_service(1 + round * 50 + i, round * 50 + i)));
         placed += answers(&mut owner, 50).0.len();
     }
-    let held = descriptors(&placer);
+    let held = descriptor_count(&placer);
     assert!(held as u64 <= LIMIT && held > 400, "{held} descriptors");
     assert!(placed >= 1_000, "{placed} of 1200 placed");
     drop(silent);
     // What stood in the way is gone: all is served.
-    let mut later = Owner::connect(&placer);
-    (0..20).for_each(|i| later.send(&of_service(10_000 + i, i)));
+    let mut later = OwnerClient::connect(&placer);
+    (0..20).for_each(|i| later.send(&setup_of_service(10_000 + i, i)));
     assert_eq!(
         answers(&mut later, 20),
         ((0..20).map(|i| format!("{:016x}", 10_000 + i)).collect(), 0)
--- a/crates/cli/tests/platform_many.rs
+++ b/crates/cli/tests/platform_many.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use platform_support::{
-    Commands, Host, LONG, Owner, Placer, accept_all, answers, changed, listed, nobody, of_service,
-    patient, probe,
+    EmulatedCommandChannel, EmulatedHost, LONG, OwnerClient, PlacerProcess, accept_all, answers,
+    changed, config_with_long_objective, listed, probe, setup_of_service, unused_address,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
@@ -46,10 +46,10 @@
 }
 
 /// Starts all at once.
-fn start_all(files: Vec<PathBuf>) -> Vec<Placer> {
+fn start_all(files: Vec<PathBuf>) -> Vec<PlacerProcess> {
     let starting: Vec<_> = files
         .into_iter()
-        .map(|f| std::thread::spawn(move || Placer::start(&f)))
+        .map(|f| std::thread::spawn(move || PlacerProcess::start(&f)))
         .collect();
     starting
         .into_iter()
@@ -72,13 +72,13 @@
 /// Many placers are asked at once for more than the cold hosts bear; all of it is served in the end, by each of them.
 fn share_cold_hosts(placers: usize) {
     let folder = tempfile::tempdir().expect("a folder");
-    let commands = Commands::start();
-    let hosts: Vec<Host> = (0..COLD_HOSTS).map(|_| Host::start()).collect();
+    let commands = EmulatedCommandChannel::start();
+    let hosts: Vec<EmulatedHost> = (0..COLD_HOSTS).map(|_| EmulatedHost::start()).collect();
     let started = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("a time")
         .as_millis() as u64;
-    let entry = |(n, host): (usize, &Host)| {
+    let entry = |(n, host): (usize, &EmulatedHost)| {
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n,
             "status": "active", "weight": 1, "since_ms": started})
     };
@@ -95,11 +95,11 @@
         .into_iter()
         .map(|host| accept_all(host, Duration::ZERO))
         .collect();
-    let mut owners: Vec<Owner> = processes.iter().map(Owner::connect).collect();
+    let mut owners: Vec<OwnerClient> = processes.iter().map(OwnerClient::connect).collect();
     for (n, owner) in owners.iter_mut().enumerate() {
         for ask in 0..REQUESTS_PER_PLACER {
             let sid = (n * 1000 + ask + 1) as u64;
-            let mut ask = of_service(sid, sid);
+            let mut ask = setup_of_service(sid, sid);
             ask["attrs"]["left"] = json!("60000");
             owner.send(&ask);
         }
@@ -136,14 +136,14 @@
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
 /// Whether a process that is started now is ready in time and serves what it is asked for.
-fn restart(file: PathBuf, sid: u64) -> (Placer, bool) {
+fn restart(file: PathBuf, sid: u64) -> (PlacerProcess, bool) {
     let start = Instant::now();
-    let placer = Placer::start(&file);
-    let mut owner = Owner::connect(&placer);
+    let placer = PlacerProcess::start(&file);
+    let mut owner = OwnerClient::connect(&placer);
     owner.send(&probe(sid << 32));
-    assert_eq!(owner.hear()["msg"].as_str(), Some("probed"));
+    assert_eq!(owner.receive()["msg"].as_str(), Some("probed"));
     let ready = start.elapsed() <= READY_WITHIN;
-    owner.send(&of_service(sid, sid));
+    owner.send(&setup_of_service(sid, sid));
     assert_eq!(
         answers(&mut owner, 1).0.len(),
         1,
@@ -157,12 +157,12 @@
     const PLACERS: usize = 20;
     let folder = tempfile::tempdir().expect("a folder");
     // Discovery is down.
-    let (host, channel) = (Host::start(), nobody());
+    let (host, channel) = (EmulatedHost::start(), unused_address());
     let known = listed(1, "s-1", host.address, "active");
     let listening = |n: usize, address: SocketAddr| {
         let folder = folder.path().join(n.to_string());
         std::fs::create_dir_all(&folder).expect("a folder");
-        let file = patient(&folder, channel, &known, 256);
+        let file = config_with_long_objective(&folder, channel, &known, 256);
         let text = std::fs::read_to_string(&file).expect("text");
         let mut config: Value = serde_json::from_str(&text).expect("JSON");
         config["listen"] = json!(address);
@@ -175,9 +175,13 @@
     let mut placers = start_all((0..PLACERS).map(|n| listening(n, own(n))).collect());
     let _reached = accept_all(host, Duration::ZERO);
     // Clients of which some wait for answers and some are idle, and that stay connected to the last.
-    let mut owners: Vec<Owner> = placers.iter().chain(&placers).map(Owner::connect).collect();
+    let mut owners: Vec<OwnerClient> = placers
+        .iter()
+        .chain(&placers)
+        .map(OwnerClient::connect)
+        .collect();
     for (n, owner) in owners.iter_mut().enumerate().take(PLACERS) {
-        owner.send(&of_service(n as u64 + 1, n as u64));
+        owner.send(&setup_of_service(n as u64 + 1, n as u64));
     }
     placers
         .iter()
@@ -195,7 +199,7 @@
         .map(|(n, file)| std::thread::spawn(move || restart(file, 1000 + n as u64)))
         .collect();
     // One that does not start, or does not serve, fails its thread.
-    let served: Vec<(Placer, bool)> = restarts
+    let served: Vec<(PlacerProcess, bool)> = restarts
         .into_iter()
         .filter_map(|thread| thread.join().ok())
         .collect();
--- a/crates/cli/tests/platform_support/mod.rs
+++ b/crates/cli/tests/platform_support/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for owners, hosts and the command channel of the operators' platform, around real placers on loopback.
+//! Emulated owners, hosts and command channel of the operators' platform, around real placers on loopback.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeSet;
@@ -17,13 +17,13 @@
 pub const LONG: Duration = Duration::from_secs(30);
 
 /// A placer's process, with its log.
-pub struct Placer {
+pub struct PlacerProcess {
     pub child: Child,
     pub address: SocketAddr,
 }
 
-impl Placer {
-    pub fn start(config: &Path) -> Placer {
+impl PlacerProcess {
+    pub fn start(config: &Path) -> PlacerProcess {
         let mut child = Command::new(PROGRAM)
             .args(["--log-format", "json", "platform"])
             .env("RELAY_CONFIG", config)
@@ -42,7 +42,7 @@
             }
         };
         std::thread::spawn(move || lines.for_each(drop));
-        Placer { child, address }
+        PlacerProcess { child, address }
     }
 
     pub fn signal(&self, signal: Signal) {
@@ -62,21 +62,21 @@
     }
 }
 
-impl Drop for Placer {
+impl Drop for PlacerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// A stand-in for hosts: it passes tests, and all it hears goes to the test, which says what is answered.
-pub struct Host {
+/// Emulated hosts at one address: probes are answered, and all messages go to the test, which decides the answers.
+pub struct EmulatedHost {
     pub address: SocketAddr,
     pub heard: Receiver<(TcpStream, Vec<u8>)>,
 }
 
-impl Host {
-    pub fn start() -> Host {
+impl EmulatedHost {
+    pub fn start() -> EmulatedHost {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("its address");
         let (tell, heard) = channel();
@@ -86,7 +86,7 @@
                 std::thread::spawn(move || read_messages(stream, &tell));
             }
         });
-        Host { address, heard }
+        EmulatedHost { address, heard }
     }
 
     /// The next message of this type: its connection and its bytes after the length.
@@ -108,7 +108,7 @@
             return;
         }
         if message[0] == 52 {
-            host_says(&mut stream, 53, &message, 61, &[1]);
+            send_from_host(&mut stream, 53, &message, 61, &[1]);
         }
         if tell
             .send((stream.try_clone().expect("a handle"), message))
@@ -120,7 +120,7 @@
 }
 
 /// A message to a placer about the task of `about`, with one parameter.
-pub fn host_says(stream: &mut TcpStream, kind: u8, about: &[u8], code: u8, value: &[u8]) {
+pub fn send_from_host(stream: &mut TcpStream, kind: u8, about: &[u8], code: u8, value: &[u8]) {
     let mut bytes = ((12 + value.len()) as u16).to_be_bytes().to_vec();
     bytes.push(kind);
     bytes.extend_from_slice(&about[1..9]);
@@ -143,18 +143,18 @@
     None
 }
 
-/// A stand-in for the command channel: each poll's request line goes to the test, which gives the answer's body.
-pub struct Commands {
+/// An emulated command channel: each poll's request line goes to the test, which gives the answer's body.
+pub struct EmulatedCommandChannel {
     pub address: SocketAddr,
     pub polls: Receiver<(TcpStream, String)>,
 }
 
-impl Commands {
-    pub fn start() -> Commands {
-        Commands::at(([127, 0, 0, 1], 0).into())
+impl EmulatedCommandChannel {
+    pub fn start() -> EmulatedCommandChannel {
+        EmulatedCommandChannel::at(([127, 0, 0, 1], 0).into())
     }
 
-    pub fn at(address: SocketAddr) -> Commands {
+    pub fn at(address: SocketAddr) -> EmulatedCommandChannel {
         let listener = TcpListener::bind(address).expect("a port");
         let address = listener.local_addr().expect("its address");
         let (tell, polls) = channel();
@@ -173,7 +173,7 @@
                 });
             }
         });
-        Commands { address, polls }
+        EmulatedCommandChannel { address, polls }
     }
 
     pub fn poll(&self) -> (TcpStream, String) {
@@ -191,17 +191,17 @@
 }
 
 /// An owner's connection.
-pub struct Owner {
+pub struct OwnerClient {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
 }
 
-impl Owner {
-    pub fn connect(placer: &Placer) -> Owner {
+impl OwnerClient {
+    pub fn connect(placer: &PlacerProcess) -> OwnerClient {
         let stream = TcpStream::connect(placer.address).expect("a connection");
         stream.set_read_timeout(Some(LONG)).expect("a time-out");
         let reader = BufReader::new(stream.try_clone().expect("a handle"));
-        Owner { stream, reader }
+        OwnerClient { stream, reader }
     }
 
     pub fn send(&mut self, message: &Value) {
@@ -210,14 +210,14 @@
             .expect("it is read");
     }
 
-    pub fn hear(&mut self) -> Value {
+    pub fn receive(&mut self) -> Value {
         let mut line = String::new();
         self.reader.read_line(&mut line).expect("a line");
         serde_json::from_str(&line).unwrap_or_else(|_| panic!("no answer but {line:?}"))
     }
 
     /// Whether the placer closes the connection without another word.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         matches!(self.reader.read_to_end(&mut rest), Ok(0)) || rest.is_empty()
     }
@@ -225,7 +225,7 @@
 
 pub const TEXT: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9 \u{e9}\"\\\u{7}";
 
-pub fn set_up(sid: &str, left: u64) -> Value {
+pub fn setup(sid: &str, left: u64) -> Value {
     json!({"msg": "open", "sid": sid, "attrs": {"class": "web", "left": left.to_string(), "key": "7f3a9c21e0b4d655",
         "extras": "cores:1;memory:2;service:00000000b4d65521"}, "text": TEXT})
 }
@@ -259,22 +259,22 @@
 }
 
 /// A placer that knows one host, and an owner of it.
-pub struct Served {
+pub struct SinglePlacer {
     pub _folder: tempfile::TempDir,
-    pub _commands: Commands,
-    pub host: Host,
-    pub placer: Placer,
-    pub owner: Owner,
+    pub _commands: EmulatedCommandChannel,
+    pub host: EmulatedHost,
+    pub placer: PlacerProcess,
+    pub owner: OwnerClient,
 }
 
-impl Served {
-    pub fn start() -> Served {
+impl SinglePlacer {
+    pub fn start() -> SinglePlacer {
         let folder = tempfile::tempdir().expect("a folder");
-        let (host, commands) = (Host::start(), Commands::start());
+        let (host, commands) = (EmulatedHost::start(), EmulatedCommandChannel::start());
         let known = listed(1, "s-1", host.address, "active");
-        let placer = Placer::start(&config(folder.path(), commands.address, &known));
-        let owner = Owner::connect(&placer);
-        Served {
+        let placer = PlacerProcess::start(&config(folder.path(), commands.address, &known));
+        let owner = OwnerClient::connect(&placer);
+        SinglePlacer {
             _folder: folder,
             _commands: commands,
             host,
@@ -284,9 +284,9 @@
     }
 }
 
-impl Owner {
+impl OwnerClient {
     /// Nothing more lies there.
-    pub fn hear_none(&self) {
+    pub fn assert_nothing_received(&self) {
         assert!(self.reader.buffer().is_empty());
     }
 }
@@ -311,7 +311,7 @@
 }
 
 /// Sets how many descriptors a placer may hold.
-pub fn limit(placer: &Placer, descriptors: u64) {
+pub fn set_descriptor_limit(placer: &PlacerProcess, descriptors: u64) {
     let limit = Rlimit {
         current: Some(descriptors),
         maximum: Some(descriptors),
@@ -325,7 +325,7 @@
 }
 
 /// Descriptors that a placer holds.
-pub fn descriptors(placer: &Placer) -> usize {
+pub fn descriptor_count(placer: &PlacerProcess) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", placer.child.id()))
         .expect("its descriptors")
         .count()
@@ -342,26 +342,26 @@
 
 /// Accepts every set-up that reaches the host until the test is over, after a pause each; tells whose they were, and when
 /// they came.
-pub fn accept_all(host: Host, pause: Duration) -> Receiver<(u64, Instant)> {
+pub fn accept_all(host: EmulatedHost, pause: Duration) -> Receiver<(u64, Instant)> {
     let (tell, reached) = channel();
     std::thread::spawn(move || {
         for (mut stream, message) in host.heard.iter().filter(|(_, m)| m[0] == 1) {
-            let _ = tell.send((sid_of(&message), Instant::now()));
+            let _ = tell.send((setup_id(&message), Instant::now()));
             std::thread::sleep(pause);
-            host_says(&mut stream, 9, &message, 63, TEXT.as_bytes());
+            send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
         }
     });
     reached
 }
 
 /// The id of the task that a message to a host is about.
-pub fn sid_of(message: &[u8]) -> u64 {
+pub fn setup_id(message: &[u8]) -> u64 {
     u64::from_be_bytes(message[1..9].try_into().expect("an id"))
 }
 
 /// A task that runs on this host already, as its owner hands it over.
 pub fn running(sid: &str, host: &str) -> Value {
-    let mut at = set_up(sid, 0);
+    let mut at = setup(sid, 0);
     at["attrs"]
         .as_object_mut()
         .expect("an object")
@@ -373,7 +373,7 @@
 }
 
 /// An address at which nobody listens.
-pub fn nobody() -> SocketAddr {
+pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
@@ -381,7 +381,12 @@
 }
 
 /// A configuration with so many descriptors, whose aim lets an answer take seconds, as on a slow and busy machine.
-pub fn patient(folder: &Path, channel: SocketAddr, known: &Value, sockets: u64) -> PathBuf {
+pub fn config_with_long_objective(
+    folder: &Path,
+    channel: SocketAddr,
+    known: &Value,
+    sockets: u64,
+) -> PathBuf {
     changed(folder, channel, known, |config| {
         config["settings"]["classes"][0]["aimMs"] = json!(20_000.0);
         config["limits"]["sockets"] = json!(sockets);
@@ -389,18 +394,18 @@
 }
 
 /// A set-up of a service of its own.
-pub fn of_service(sid: u64, service: u64) -> Value {
-    let mut set_up = set_up(&format!("{sid:016x}"), 20_000);
+pub fn setup_of_service(sid: u64, service: u64) -> Value {
+    let mut set_up = setup(&format!("{sid:016x}"), 20_000);
     set_up["attrs"]["key"] = json!(format!("{sid:016x}"));
     set_up["attrs"]["extras"] = json!(format!("cores:0.1;memory:0.1;service:{service:016x}"));
     set_up
 }
 
 /// The ids of the next answers that place a task, and how many answers did not.
-pub fn answers(owner: &mut Owner, count: usize) -> (BTreeSet<String>, usize) {
+pub fn answers(owner: &mut OwnerClient, count: usize) -> (BTreeSet<String>, usize) {
     let (mut placed, mut other) = (BTreeSet::new(), 0);
     for _ in 0..count {
-        let answer = owner.hear();
+        let answer = owner.receive();
         let sid = answer["sid"].as_str().expect("an id").to_owned();
         if answer["msg"] == "ready" {
             assert!(placed.insert(sid), "a second answer: {answer}");
