--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -26,6 +26,10 @@
 //!
 //! `PHASE` is `rest`, `peak` or a fault such as `zone_dies` ([`Phase::from_key`]); `QUANTITY` is such as `cpu` or
 //! `control_wire_bytes` ([`Quantity::from_key`]).
+#![allow(
+    clippy::missing_errors_doc,
+    reason = "not yet worked through; listed in docs/ROADMAP.md"
+)]
 
 mod budget_block;
 mod dimension;
--- a/crates/consul-emulator/tests/bodies.rs
+++ b/crates/consul-emulator/tests/bodies.rs
@@ -1,5 +1,6 @@
 //! Bodies as clients send them: keys in any case, spans as texts and numbers, one check or several, and answers whose
 //! fields are the documented ones.
+#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -14,6 +14,11 @@
 //! | `run_context`, `service_accounting`, `read_times`, `seeded_rng` | what the parties share |
 //! | `clients`, `hollow_placers`, `load_test`, `traffic`, `usage` | load, and what it costs |
 //! | `random_choice`, `mutant` | the decider to compare with, and its deliberate violations |
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not yet worked through; listed in docs/ROADMAP.md"
+)]
 
 mod catalogue_registration;
 pub mod clients;
--- a/crates/placer/src/trace_recorder/files.rs
+++ b/crates/placer/src/trace_recorder/files.rs
@@ -114,7 +114,7 @@
         for timed in buffer.items {
             let at = timed.at;
             self.last_item_at = at;
-            for record in self.names.to_records(at, timed.item) {
+            for record in self.names.take_records(at, timed.item) {
                 self.push(TimedRecord { at, record });
             }
         }
--- a/crates/placer/src/trace_recorder/records.rs
+++ b/crates/placer/src/trace_recorder/records.rs
@@ -34,7 +34,7 @@
     }
 
     /// The records of an item.
-    pub fn to_records(&mut self, at: Micros, item: TraceItem) -> Vec<Record> {
+    pub fn take_records(&mut self, at: Micros, item: TraceItem) -> Vec<Record> {
         match item {
             TraceItem::Turn(turn) => vec![Record::Turn(turn)],
             TraceItem::AuditEntry(entry) => self.audit_records(at, entry),
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -8,13 +8,13 @@
 use maplethread_config::{HostState, Inventory};
 use maplethread_emulator::clients::Clients;
 use maplethread_emulator::hollow_placers::HollowPlacers;
-use maplethread_emulator::placer_processes::Placers;
 use maplethread_emulator::host_pool::{HostCommand, HostPool};
+use maplethread_emulator::placer_processes::Placers;
+use maplethread_emulator::run_context::RunContext;
 use maplethread_emulator::scenario::Scenario;
 use maplethread_emulator::scenario_run::replace_file;
 use maplethread_emulator::settings;
 use maplethread_emulator::traffic::TrafficCounter;
-use maplethread_emulator::run_context::RunContext;
 use rustix::process::Signal;
 use tempfile::TempDir;
 
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,6 +1,10 @@
 //! Sweeps that measure what the placer program costs by the size of its fleet: real placer processes under hollow
 //! workers, thousands of hosts in one thread that speak the host protocol on loopback, measured from outside the
 //! processes. The results are those of `maplethread-capacity`.
+#![allow(
+    clippy::missing_errors_doc,
+    reason = "not yet worked through; listed in docs/ROADMAP.md"
+)]
 
 mod error;
 mod faults;
--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -1,5 +1,6 @@
 //! Writes a trace of so many records over so many hours and services, for trying the tools on:
 //! `cargo run --release -p maplethread-trace --example large -- FILE 10000000`.
+#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
 
 use std::fs::File;
 use std::io::BufWriter;
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -5,6 +5,11 @@
 //! module, [`summary`] answers what on-call asks, [`losses`] what kept tasks from running, [`cut`] copies a part,
 //! and [`anonymise`] hides whom it is about. The format is in `docs/trace-format.md`.
 //! Nothing here reads a clock or starts a thread; files are given as `Read`, `Write` and `Seek`.
+#![allow(
+    clippy::missing_errors_doc,
+    clippy::too_many_lines,
+    reason = "not yet worked through; listed in docs/ROADMAP.md"
+)]
 
 pub mod anonymise;
 pub mod block;
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -1,5 +1,6 @@
 //! Files of a module's run: what was written is read back, what is damaged or cut off costs itself only, and a replay
 //! comes to the same decisions.
+#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
 
 use std::io::Cursor;
 
