--- a/crates/emulator/src/recorded_scenario.rs
+++ b/crates/emulator/src/recorded_scenario.rs
@@ -4,7 +4,7 @@
 //! First asks are played as they were recorded: time, service, class, size, life. What comes again depends on the
 //! answers, as on any day. Of the troubles a trace tells those that placers saw: hosts that started anew (by themselves,
 //! or a zone together) and placers that were killed or restarted. How long a host was away before its start is not in
-//! it; it is taken to be [`AWAY_S`].
+//! it; it is taken to be `ASSUMED_DOWNTIME_S`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{Read, Seek};
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,10 +1,10 @@
 //! Counts the messages between placers and hosts, by kind and direction, and models their bytes on a wire.
 //!
 //! Model of a wire:
-//! - Frames that one read or one write carries share a segment; its header of [`HEADER`] bytes (IPv4, TCP with the
+//! - Frames that one read or one write carries share a segment; its header of [`HEADER_BYTES`] bytes (IPv4, TCP with the
 //!   timestamp option) is split among them.
 //! - A segment that is answered with data on the same connection within 40 ms is acknowledged by that data.
-//!   Otherwise a lone acknowledgement of [`HEADER`] bytes goes back, one for all segments of a direction within that
+//!   Otherwise a lone acknowledgement of [`HEADER_BYTES`] bytes goes back, one for all segments of a direction within that
 //!   time. It is counted for the last message of the segment, and once the next segment of the connection is seen or
 //!   the connection ends.
 //! - Setting up a connection takes SYN, SYN-ACK and ACK, and closing it two FINs, of which the second acknowledges the
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -14,7 +14,7 @@
     pub resident_kib: u64,
 }
 
-/// Memory and descriptors of a process, which take longer to count than [`usage`].
+/// Memory and descriptors of a process, which take longer to count than [`process_usage`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessHoldings {
     /// Proportional memory, KiB: pages that processes share are parted among them.
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! The engine: messages of owners and hosts and events of the command channel become events of the decisions, and the
 //! decisions' actions become messages, connections and timers.
 //!
-//! The methods of [`Engine`] stand in the module of what they deal with: [`requests`] and [`attempts`] follow a task from
-//! its request to its answer, [`running_tasks`] and [`releases`] from there to its end; [`owners`] and [`connections`]
-//! hold the connections of both sides, [`host_messages`] handles what hosts send, and [`failure_detection`] decides when
+//! The methods of `Engine` stand in the module of what they deal with: `requests` and `attempts` follow a task from
+//! its request to its answer, `running_tasks` and `releases` from there to its end; `owners` and `connections`
+//! hold the connections of both sides, `host_messages` handles what hosts send, and `failure_detection` decides when
 //! a silent host has failed.
 
 mod admission_queue;
--- a/crates/wire/src/http/reader.rs
+++ b/crates/wire/src/http/reader.rs
@@ -18,7 +18,7 @@
     part: Option<Message>,
 }
 
-/// What a [`Reader`] found.
+/// What a [`MessageReader`] found.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ReadResult {
     /// More bytes are needed.
