--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -154,7 +154,7 @@
                 self.member.set_keys(keys);
             }
             Err(error) => {
-                tracing::error!(%error, "fleet: key file not usable; the old keys are kept");
+                tracing::error!(%error, "fleet: the key file can't be used; the keys are kept");
             }
         }
     }
