--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -364,12 +364,12 @@
         faults.check_min("trace.rotate_s", self.rotate_s, 1);
         let allowed = "at least trace.rotate_mib";
         faults.check_value(
-            self.keep_mib >= self.rotate_mib,
+            self.max_total_mib >= self.rotate_mib,
             "trace.keep_mib",
-            self.keep_mib,
+            self.max_total_mib,
             allowed,
         );
-        faults.check_min("trace.queue_records", self.queue_records as u64, 64);
+        faults.check_min("trace.queue_records", self.max_queued_records as u64, 64);
     }
 }
 
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -65,8 +65,8 @@
                 AcceptancePoint::Accepted => mt::AcceptancePoint::Accepted,
                 AcceptancePoint::Running => mt::AcceptancePoint::Running,
             },
-            admit_cores: self.placement.admit_cores,
-            admit_memory: self.placement.admit_memory,
+            cpu_overcommit: self.placement.admit_cores,
+            memory_overcommit: self.placement.admit_memory,
             endpoints_report_capacity: self.placement.inventory_reports_unallocated,
             load_report: match self.placement.load_report {
                 LoadReport::Silent => mt::LoadReport::Silent,
@@ -91,7 +91,7 @@
             costs: mt::Costs {
                 rejection: self.costs.rejection,
                 cross_zone: self.costs.cross_zone,
-                fleet: self.costs.hosts_in_use,
+                machines_in_use: self.costs.hosts_in_use,
                 migration: self.costs.migration,
             },
         }
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -20,8 +20,10 @@
     pub rotate_s: u64,
     /// The oldest files of this placer are removed while all of them have more than so many MiB.
     #[serde(default = "d::keep_mib")]
-    pub keep_mib: u64,
+    #[serde(rename = "keep_mib")]
+    pub max_total_mib: u64,
     /// Records that may wait to be written; beyond it they are lost, and a gap tells how many.
     #[serde(default = "d::queue_records")]
-    pub queue_records: usize,
+    #[serde(rename = "queue_records")]
+    pub max_queued_records: usize,
 }
--- a/crates/consul/src/source/published.rs
+++ b/crates/consul/src/source/published.rs
@@ -47,7 +47,7 @@
 
     /// How many hosts are ready again and held back.
     pub(super) fn held_count(&self) -> usize {
-        self.damping.held_count()
+        self.damping.suppressed_count()
     }
 
     /// When the next host that is held back counts as ready.
--- a/crates/damping/src/lib.rs
+++ b/crates/damping/src/lib.rs
@@ -159,7 +159,7 @@
     }
 
     /// How many wait.
-    pub fn held_count(&self) -> usize {
+    pub fn suppressed_count(&self) -> usize {
         self.hosts
             .values()
             .filter(|f| f.held_until.is_some())
--- a/crates/damping/tests/properties.rs
+++ b/crates/damping/tests/properties.rs
@@ -28,6 +28,6 @@
             damping.observe(now, &host, true);
         }
         damping.release_due(now + 9_000_001);
-        prop_assert_eq!(damping.held_count(), 0);
+        prop_assert_eq!(damping.suppressed_count(), 0);
     }
 }
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -35,8 +35,8 @@
         folder,
         rotate_mib: 256,
         rotate_s: 86_400,
-        keep_mib: 16 << 10,
-        queue_records: 1 << 18,
+        max_total_mib: 16 << 10,
+        max_queued_records: 1 << 18,
     }
 }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -188,7 +188,7 @@
 
     /// When the requests were read, in µs, whose first offers were sent since the last call, in the first turn that had
     /// them.
-    pub fn take_decided_arrivals(&mut self) -> Vec<Micros> {
+    pub fn take_first_offer_arrivals(&mut self) -> Vec<Micros> {
         std::mem::take(&mut self.decided_arrivals)
     }
 
@@ -216,7 +216,7 @@
 
     /// The caller was busy with the last turn from `from`, when it began to read, to `written`, when all output was
     /// written. What arrives meanwhile waits as long, and so do timers.
-    pub fn record_round(&mut self, from: Micros, written: Micros) {
+    pub fn record_busy_period(&mut self, from: Micros, written: Micros) {
         self.turn_latency.record_round(written.saturating_sub(from));
         self.warm_up_offers.mark_written(written);
     }
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -233,8 +233,8 @@
         let report = match kind {
             NoteKind::Cores => TaskReport::CoresUsed(value),
             NoteKind::Memory => TaskReport::MemoryUsed(value),
-            NoteKind::ServedShare => TaskReport::Served(value),
-            NoteKind::HostMemoryShare => TaskReport::MachineMemory(value),
+            NoteKind::ServedShare => TaskReport::ServiceShare(value),
+            NoteKind::HostMemoryShare => TaskReport::MachineMemoryShare(value),
         };
         if let Some(attempt) = self.attempts.get(&key) {
             self.events.push(Event::TaskReported {
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/cold_offers.rs
@@ -58,7 +58,7 @@
     engine.client_opened(now, ClientId(number));
     engine.client_bytes(now, ClientId(number), request.as_bytes());
     engine.turn(now, false);
-    engine.record_round(now, written);
+    engine.record_busy_period(now, written);
     let offer = |output: &Output| match output {
         Output::ToHost(HOST, bytes) => {
             matches!(frame::decode(bytes), Ok((Some(Frame::Offer(_)), _)))
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -74,7 +74,7 @@
             let takes = turn_takes(self.now);
             self.now += takes;
             self.record_outputs();
-            self.engine.record_round(self.now - takes, self.now);
+            self.engine.record_busy_period(self.now - takes, self.now);
             if let Some(due) = self.engine.next_timeout() {
                 self.now = self.now.max(due.min(next_ask));
             }
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -190,7 +190,7 @@
             loop_time.reading.add_micros(read_at - wakeup.at);
             loop_time.turn.add_micros(decided_at - read_at);
             loop_time.writing.add_micros(written_at - decided_at);
-            self.engine.record_round(wakeup.at, written_at);
+            self.engine.record_busy_period(wakeup.at, written_at);
             if !self.is_accepting && self.stop_deadline.is_none() && self.engine.is_ready() {
                 self.start_accepting()?;
             }
@@ -322,7 +322,7 @@
         };
         self.is_accepting = true;
         listener
-            .start(self.event_loop.poller(), LISTENER_TOKEN)
+            .register(self.event_loop.poller(), LISTENER_TOKEN)
             .map_err(ResourceError::of("listener"))?;
         let address = listener
             .local_address()
@@ -367,7 +367,7 @@
             match readiness.token {
                 LISTENER_TOKEN => self.accept_clients(),
                 SIGNALS_TOKEN => {
-                    for signal in self.event_loop.received_signals() {
+                    for signal in self.event_loop.take_received_signals() {
                         self.begin_shutdown(signal);
                     }
                 }
--- a/crates/placer/src/daemon/outputs.rs
+++ b/crates/placer/src/daemon/outputs.rs
@@ -23,7 +23,7 @@
             self.flush_connection(token);
         }
         let now = self.event_loop.now();
-        for arrived_at in self.engine.take_decided_arrivals() {
+        for arrived_at in self.engine.take_first_offer_arrivals() {
             self.gauges
                 .decision_times
                 .record(now.saturating_sub(arrived_at));
--- a/crates/placer/src/trace_recorder/folder.rs
+++ b/crates/placer/src/trace_recorder/folder.rs
@@ -36,7 +36,7 @@
             path: settings.folder.clone(),
             prefix: format!("trace-{}-", file_name_of(&header.placer)),
             started_ms: header.started_ms,
-            max_bytes: (settings.keep_mib - settings.rotate_mib) << 20,
+            max_bytes: (settings.max_total_mib - settings.rotate_mib) << 20,
         }
     }
 
--- a/crates/placer/src/trace_recorder/mod.rs
+++ b/crates/placer/src/trace_recorder/mod.rs
@@ -53,7 +53,7 @@
             changed: Vec::new(),
             sources: Vec::new(),
         };
-        let queue = Arc::new(TraceQueue::new(settings.queue_records));
+        let queue = Arc::new(TraceQueue::new(settings.max_queued_records));
         let to_write = queue.clone();
         let run =
             move || write_until_stopped(TraceFiles::new(settings, header, create_file), &to_write);
--- a/crates/placer/src/trace_recorder/tests.rs
+++ b/crates/placer/src/trace_recorder/tests.rs
@@ -20,8 +20,8 @@
         folder: folder.to_owned(),
         rotate_mib: 1,
         rotate_s: 3600,
-        keep_mib: 3,
-        queue_records: 1 << 20,
+        max_total_mib: 3,
+        max_queued_records: 1 << 20,
     }
 }
 
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -51,8 +51,8 @@
                 ("running", AcceptancePoint::Running),
             ],
         )?,
-        admit_cores: root.number("domain.admitCores")?,
-        admit_memory: root.number("domain.admitMemory")?,
+        cpu_overcommit: root.number("domain.admitCores")?,
+        memory_overcommit: root.number("domain.admitMemory")?,
         endpoints_report_capacity: root.bool("domain.listsFree")?,
         load_report,
         limits: decode_limits(root)?,
@@ -94,7 +94,7 @@
     Ok(Costs {
         rejection: root.number_or("domain.noPrice", 0.0)?,
         cross_zone: root.number_or("fees.crossZone", 0.0)?,
-        fleet: root.number_or("fees.fleet", 0.0)?,
+        machines_in_use: root.number_or("fees.fleet", 0.0)?,
         migration: root.number_or("fees.moves", 0.0)?,
     })
 }
--- a/crates/platform/src/engine/host_messages.rs
+++ b/crates/platform/src/engine/host_messages.rs
@@ -145,8 +145,8 @@
             ReportCode::Running => TaskReport::Started,
             ReportCode::CoresUsed => TaskReport::CoresUsed(figure),
             ReportCode::MemoryUsed => TaskReport::MemoryUsed(figure),
-            ReportCode::ServiceShare => TaskReport::Served(figure),
-            ReportCode::HostMemoryUsed => TaskReport::MachineMemory(figure),
+            ReportCode::ServiceShare => TaskReport::ServiceShare(figure),
+            ReportCode::HostMemoryUsed => TaskReport::MachineMemoryShare(figure),
             ReportCode::InsufficientCores
             | ReportCode::InsufficientMemory
             | ReportCode::QueueFull
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -64,7 +64,7 @@
         .local_address()
         .map_err(ResourceError::of("listener"))?;
     listener
-        .start(event_loop.poller(), LISTENER_TOKEN)
+        .register(event_loop.poller(), LISTENER_TOKEN)
         .map_err(ResourceError::of("listener"))?;
     let sockets = settings
         .limits
@@ -214,7 +214,7 @@
                 LISTENER_TOKEN => self.is_accept_pending = true,
                 SIGNALS_TOKEN => self
                     .event_loop
-                    .received_signals()
+                    .take_received_signals()
                     .into_iter()
                     .for_each(|signal| self.handle_signal(signal)),
                 token => match token & ((1 << KIND_BITS) - 1) {
--- a/crates/reactor/src/event_loop.rs
+++ b/crates/reactor/src/event_loop.rs
@@ -24,7 +24,7 @@
 ///         let next_timer_us = event_loop.now() + 1_000_000;
 ///         event_loop.wait_until(Some(next_timer_us), &mut ready)?;
 ///         for readiness in &ready {
-///             if readiness.token == SIGNALS_TOKEN && !event_loop.received_signals().is_empty() {
+///             if readiness.token == SIGNALS_TOKEN && !event_loop.take_received_signals().is_empty() {
 ///                 return Ok(());
 ///             }
 ///         }
@@ -66,7 +66,7 @@
     }
 
     /// The signals received since the last call, once for each time a signal came.
-    pub fn received_signals(&mut self) -> Vec<i32> {
+    pub fn take_received_signals(&mut self) -> Vec<i32> {
         self.signals.take_received()
     }
 
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// When the poller does not take the socket, for example because it is already watched.
-    pub fn start(&mut self, poller: &Poller, token: u64) -> io::Result<()> {
+    pub fn register(&mut self, poller: &Poller, token: u64) -> io::Result<()> {
         poller.register(&self.socket, token, false)?;
         self.token = Some(token);
         Ok(())
--- a/crates/reactor/tests/event_loop.rs
+++ b/crates/reactor/tests/event_loop.rs
@@ -38,7 +38,7 @@
     let (first, second) = (Signal::USR1, Signal::USR2);
     let mut event_loop =
         EventLoop::new(&[first.as_raw(), second.as_raw()], SIGNALS_TOKEN).expect("a loop");
-    assert!(event_loop.received_signals().is_empty());
+    assert!(event_loop.take_received_signals().is_empty());
     let mut received = Vec::new();
     let mut ready = Vec::new();
     for signal in [second, first, second] {
@@ -51,7 +51,7 @@
                 .iter()
                 .all(|r| r.token == SIGNALS_TOKEN && r.is_readable)
         );
-        received.extend(event_loop.received_signals());
+        received.extend(event_loop.take_received_signals());
     }
     assert_eq!(received, [second.as_raw(), first.as_raw(), second.as_raw()]);
     event_loop.poll_now(&mut ready).expect("a look");
@@ -65,7 +65,7 @@
         .listen(loopback(), Backlog::Large)
         .expect("listening");
     listener
-        .start(event_loop.poller(), LISTENER_TOKEN)
+        .register(event_loop.poller(), LISTENER_TOKEN)
         .expect("watched");
     let client = TcpStream::connect(listener.local_address().expect("an address"));
     let client = client.expect("connected");
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -43,7 +43,7 @@
     let address = listener.local_address().expect("an address");
     // Before the start there is nothing to turn off.
     listener.set_accepting(false, &poller).expect("no effect");
-    listener.start(&poller, TOKEN).expect("watched");
+    listener.register(&poller, TOKEN).expect("watched");
     listener.set_accepting(false, &poller).expect("turned off");
     let client = TcpStream::connect(address).expect("the backlog takes it");
     let mut ready = Vec::new();
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -178,8 +178,8 @@
         1 => TaskReport::Started,
         2 => TaskReport::CoresUsed(value),
         3 => TaskReport::MemoryUsed(value),
-        4 => TaskReport::Served(value),
-        5 => TaskReport::MachineMemory(value),
+        4 => TaskReport::ServiceShare(value),
+        5 => TaskReport::MachineMemoryShare(value),
         _ => return Err(fields.error("kind", "1 to 5")),
     })
 }
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -340,8 +340,8 @@
                     TaskReport::Started => TaskReport::Started,
                     TaskReport::CoresUsed(x) => TaskReport::CoresUsed(*x),
                     TaskReport::MemoryUsed(x) => TaskReport::MemoryUsed(*x),
-                    TaskReport::Served(x) => TaskReport::Served(*x),
-                    TaskReport::MachineMemory(x) => TaskReport::MachineMemory(*x),
+                    TaskReport::ServiceShare(x) => TaskReport::ServiceShare(*x),
+                    TaskReport::MachineMemoryShare(x) => TaskReport::MachineMemoryShare(*x),
                 };
                 Event::TaskReported {
                     attempt: AttemptId {
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -33,8 +33,8 @@
         kinds: vec![Resources::new(16.0, 64.0)],
         discovery: DiscoveryMode::Watch,
         acceptance_point: AcceptancePoint::Accepted,
-        admit_cores: 1.0,
-        admit_memory: 1.0,
+        cpu_overcommit: 1.0,
+        memory_overcommit: 1.0,
         endpoints_report_capacity: false,
         load_report: LoadReport::Unallocated,
         limits: Limits {
@@ -623,7 +623,7 @@
                     task: TaskId(task),
                     number
                 },
-                report: TaskReport::Served(x)
+                report: TaskReport::ServiceShare(x)
             }),
         (any::<u32>(), prop::collection::vec(any::<u8>(), 0..9))
             .prop_map(|(from, bytes)| Event::PeerMessage { from, bytes }),
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -91,7 +91,9 @@
     /// The memory that it uses.
     MemoryUsed(f64),
     /// The share of full service that it gets.
-    Served(f64),
+    #[cfg_attr(feature = "serde", serde(rename = "Served"))]
+    ServiceShare(f64),
     /// The share of its machine's memory that is in use.
-    MachineMemory(f64),
+    #[cfg_attr(feature = "serde", serde(rename = "MachineMemory"))]
+    MachineMemoryShare(f64),
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -24,9 +24,11 @@
     #[cfg_attr(feature = "serde", serde(rename = "seated"))]
     pub acceptance_point: AcceptancePoint,
     /// A machine accepts tasks while the cores they request stay within this multiple of its own.
-    pub admit_cores: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "admit_cores"))]
+    pub cpu_overcommit: f64,
     /// The same for memory.
-    pub admit_memory: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "admit_memory"))]
+    pub memory_overcommit: f64,
     /// Lists of machines say what is unallocated.
     #[cfg_attr(feature = "serde", serde(rename = "view"))]
     pub endpoints_report_capacity: bool,
@@ -64,14 +66,14 @@
                 1.0,
             ),
             ("attempts", f64::from(self.limits.max_attempts), 1.0),
-            ("admitted cores", self.admit_cores, f64::MIN_POSITIVE),
-            ("admitted memory", self.admit_memory, f64::MIN_POSITIVE),
+            ("admitted cores", self.cpu_overcommit, f64::MIN_POSITIVE),
+            ("admitted memory", self.memory_overcommit, f64::MIN_POSITIVE),
             ("fall multiple", rules.overload_multiple, f64::MIN_POSITIVE),
             ("cold share", rules.initial_capacity_share, 0.0),
             ("fresh offers", rules.warm_up_offers, 0.0),
             ("price of a refusal", costs.rejection, 0.0),
             ("price of crossing zones", costs.cross_zone, 0.0),
-            ("price of machines", costs.fleet, 0.0),
+            ("price of machines", costs.machines_in_use, 0.0),
             ("price of a move", costs.migration, 0.0),
         ];
         for kind in &self.kinds {
@@ -281,7 +283,8 @@
     /// Of every task running in another zone than its placer's.
     pub cross_zone: f64,
     /// Of using all machines, beyond those needed.
-    pub fleet: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "fleet"))]
+    pub machines_in_use: f64,
     /// Of one migration for every task.
     #[cfg_attr(feature = "serde", serde(rename = "moves"))]
     pub migration: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,8 +29,8 @@
 //!         kinds: vec![Resources::new(16.0, 64.0)],
 //!         discovery: DiscoveryMode::Watch,
 //!         acceptance_point: AcceptancePoint::Running,
-//!         admit_cores: 1.0,
-//!         admit_memory: 1.0,
+//!         cpu_overcommit: 1.0,
+//!         memory_overcommit: 1.0,
 //!         endpoints_report_capacity: false,
 //!         load_report: LoadReport::Silent,
 //!         limits: Limits {
--- a/src/policy/feasibility.rs
+++ b/src/policy/feasibility.rs
@@ -95,8 +95,8 @@
         self.settings.kinds.iter().enumerate().any(|(kind, &size)| {
             let share = task.requested.as_share_of(size);
             required.is_none_or(|required| required == kind)
-                && share.cores <= self.settings.admit_cores
-                && share.memory <= self.settings.admit_memory
+                && share.cores <= self.settings.cpu_overcommit
+                && share.memory <= self.settings.memory_overcommit
         })
     }
 
@@ -123,7 +123,7 @@
             .add_scaled(task.requested, 1.0)
             .as_share_of(machine.size);
         !machine.health.is_backing_off(task.requested, self.now)
-            && with_task.cores <= self.settings.admit_cores
-            && with_task.memory <= self.settings.admit_memory
+            && with_task.cores <= self.settings.cpu_overcommit
+            && with_task.memory <= self.settings.memory_overcommit
     }
 }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -30,8 +30,8 @@
 /// Whether a report tells of contention on the task's machine.
 fn shows_contention(report: TaskReport) -> bool {
     match report {
-        TaskReport::Served(share) => share < CONTENTION_SERVICE_SHARE,
-        TaskReport::MachineMemory(share) => share > CONTENTION_MEMORY_SHARE,
+        TaskReport::ServiceShare(share) => share < CONTENTION_SERVICE_SHARE,
+        TaskReport::MachineMemoryShare(share) => share > CONTENTION_MEMORY_SHARE,
         _ => false,
     }
 }
@@ -51,7 +51,9 @@
         };
         let is_preemptible = self.settings.classes[attempt.task.class].priority == 0;
         let should_move = match report {
-            TaskReport::Served(share) => attempt.track_service(share, is_preemptible, self.now),
+            TaskReport::ServiceShare(share) => {
+                attempt.track_service(share, is_preemptible, self.now)
+            }
             _ => false,
         };
         let Attempt { task, machine, .. } = *attempt;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -80,7 +80,7 @@
     /// The least share would spread tasks over more machines than needed: where that is priced, those beyond the working
     /// set are left to empty.
     fn keep_working_set(&self, machines: &mut Vec<&Machine>) {
-        if self.settings.costs.fleet > 0.0 {
+        if self.settings.costs.machines_in_use > 0.0 {
             let working_set = self.working_set();
             keep_preferred(machines, |machine| {
                 working_set.contains(&machine.entry.machine)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,8 +26,8 @@
         kinds: vec![Resources::new(32.0, 96.0)],
         discovery: DiscoveryMode::Watch,
         acceptance_point: AcceptancePoint::Accepted,
-        admit_cores: 1.5,
-        admit_memory: 1.5,
+        cpu_overcommit: 1.5,
+        memory_overcommit: 1.5,
         endpoints_report_capacity: false,
         load_report: LoadReport::Silent,
         limits: Limits {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -112,7 +112,7 @@
             harness.now += 40_000;
             harness.turn(&[Event::TaskReported {
                 attempt: attempt_id(standing, 0),
-                report: TaskReport::Served(1.0),
+                report: TaskReport::ServiceShare(1.0),
             }]);
             let machine = harness
                 .request(task(i, 100 + i, harness.now + SECOND))
@@ -252,11 +252,11 @@
             let notes = [
                 Event::TaskReported {
                     attempt: attempt_id(8, 0),
-                    report: TaskReport::Served(other),
+                    report: TaskReport::ServiceShare(other),
                 },
                 Event::TaskReported {
                     attempt: attempt_id(7, 0),
-                    report: TaskReport::Served(x),
+                    report: TaskReport::ServiceShare(x),
                 },
             ];
             all.extend(harness.turn(&notes));
@@ -383,7 +383,10 @@
 
 #[test]
 fn contended_machines_are_skipped_for_a_while() {
-    for note in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
+    for note in [
+        TaskReport::ServiceShare(0.5),
+        TaskReport::MachineMemoryShare(0.97),
+    ] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
         harness.turn(&[Event::TaskAdopted {
             task: task(900, 900, 0),
@@ -471,7 +474,7 @@
             },
             Event::TaskReported {
                 attempt: attempt_id(50, 0),
-                report: TaskReport::Served(1.0),
+                report: TaskReport::ServiceShare(1.0),
             },
         ]);
         let again = (0..10).map(|n| {
@@ -519,7 +522,10 @@
 fn no_more_machines_are_used_than_needed_where_they_are_priced() {
     let used = |fleet: f64| {
         let mut priced = settings(RetrySafety::Idempotent);
-        (priced.endpoints_report_capacity, priced.costs.fleet) = (true, fleet);
+        (
+            priced.endpoints_report_capacity,
+            priced.costs.machines_in_use,
+        ) = (true, fleet);
         let mut harness = Harness::new(priced, 0);
         let free = |n: u32| {
             Some(if n < 2 {
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -304,7 +304,7 @@
         },
         Event::TaskReported {
             attempt: attempt_id(5, 3),
-            report: TaskReport::Served(0.1),
+            report: TaskReport::ServiceShare(0.1),
         },
         finished(5, 0, AttemptOutcome::Completed, None),
         Event::ClientDisconnected(TaskId(5)),
@@ -374,7 +374,7 @@
         Some(SettingsError::UnknownMachineKind(4))
     );
     let bad: [fn(&mut Settings); 5] = [
-        |s| s.admit_cores = f64::NAN,
+        |s| s.cpu_overcommit = f64::NAN,
         |s| s.rules.overload_multiple = f64::INFINITY,
         |s| s.replica_count = 0,
         |s| s.replica_index = s.replica_count,
