--- a/crates/engine/src/answers.rs
+++ b/crates/engine/src/answers.rs
@@ -1,4 +1,4 @@
-//! Final answers, and those kept for repeated requests.
+//! Final answers to placement requests, and the cache from which repeated requests are answered.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::audit_log::RequestOutcome;
 
-/// The one final answer to a placement request. The API keeps the names in the `rename` attributes.
+/// The final answer to a placement request. The API uses the names in the `rename` attributes.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub(crate) enum FinalAnswer {
@@ -22,7 +22,7 @@
         address: String,
         attempt: u32,
     },
-    /// It is not placed, and repeating the request is safe.
+    /// The actor is not placed, and repeating the request is safe.
     #[serde(rename = "refused")]
     Rejected {
         #[serde(rename = "request")]
@@ -32,7 +32,7 @@
         retry_after_ms: u64,
         attempts: u32,
     },
-    /// It is not placed as far as is known; an attempt may have run.
+    /// The actor is not known to be placed; an attempt may have run.
     Failed {
         #[serde(rename = "request")]
         request_id: Arc<str>,
@@ -42,7 +42,7 @@
 }
 
 impl FinalAnswer {
-    /// The same answer to another request.
+    /// The same answer with another request id.
     pub fn for_request(&self, id: Arc<str>) -> FinalAnswer {
         let mut answer = self.clone();
         let (FinalAnswer::Placed { request_id, .. }
@@ -67,16 +67,16 @@
     }
 }
 
-/// What is known of an idempotency key.
+/// The state of an idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) enum IdempotencyRecord {
-    /// Its request has no answer yet.
+    /// The request has no answer yet.
     Pending(TaskId),
-    /// Its answer, as bytes.
+    /// The response to the request.
     Answered(Arc<[u8]>),
 }
 
-/// Answers by idempotency key, for a limited time and up to a limited number.
+/// Answers by idempotency key, limited in time and number.
 pub(crate) struct AnswerCache {
     /// Records with the time at which they expire; 0 while they are pending.
     by_key: BTreeMap<Arc<str>, (Micros, IdempotencyRecord)>,
@@ -114,17 +114,17 @@
         self.expire(now);
     }
 
-    pub fn forget(&mut self, key: &str) {
+    pub fn remove(&mut self, key: &str) {
         self.by_key.remove(key);
     }
 
-    /// Forgets answers whose time is over, and the oldest ones beyond the limit.
+    /// Removes expired answers, and the oldest ones beyond the limit.
     pub fn expire(&mut self, now: Micros) {
         while let Some((expires_at, key)) = self.expiry_order.front() {
             if *expires_at > now && self.expiry_order.len() <= self.max_answers {
                 return;
             }
-            // The key may have been used again since.
+            // The key may have been removed and used again since.
             if self.by_key.get(key).is_some_and(|(at, _)| at == expires_at) {
                 self.by_key.remove(key);
             }
--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -1,4 +1,4 @@
-//! Requests of the actor-placement API: how HTTP messages are parsed. Described in `docs/api.md`.
+//! Parses HTTP messages into requests of the actor-placement API, which `docs/api.md` describes.
 
 use maplethread::{Micros, Resources};
 use maplethread_wire::http::Message;
@@ -7,14 +7,14 @@
 use crate::ids::ActorKey;
 use crate::problem::Problem;
 
-/// Actors of a page where the client names no limit.
+/// Actors in a page if the client gives no limit.
 const DEFAULT_PAGE_SIZE: u64 = 100;
 const MAX_PAGE_SIZE: u64 = 1000;
-/// Names of services, actors and requests are no longer.
+/// Longest name of a service, actor or request.
 const MAX_NAME_BYTES: usize = 200;
-/// No budget is shorter, ms.
+/// Shortest budget that is accepted.
 const MIN_BUDGET_MS: u64 = 20;
-/// No request may be for more cores or GiB.
+/// Most cores, or GiB of memory, that a request may be for.
 const MAX_AMOUNT: f64 = 1e6;
 
 /// The body of a placement request. The parser's error messages, which clients see, name this type and its fields.
@@ -44,7 +44,7 @@
     pub requested: Resources,
     /// How long the client waits for the answer, ms.
     pub budget_ms: u64,
-    /// What identifies copies of one task, where that is not the actor's name.
+    /// Identifies copies of one task, if the actor's name does not.
     pub deduplication_key: Option<String>,
     pub expected_duration: Option<Micros>,
     pub is_resubmission: bool,
@@ -53,24 +53,24 @@
     pub idempotency_key: Option<String>,
 }
 
-/// Where a page of actors begins, and how long it is.
+/// The start and the length of a page of actors.
 #[derive(Debug)]
 pub(crate) struct PageRequest {
-    /// The last actor of the page before.
+    /// The last actor of the previous page.
     pub after: Option<ActorKey>,
     pub limit: usize,
 }
 
-/// From where events are to be sent.
+/// The position from which events are to be sent.
 #[derive(Debug)]
 pub(crate) struct EventCursor {
-    /// The last event that the client has.
+    /// The last event that the client has received.
     pub after_seq: Option<u64>,
-    /// The placer's incarnation that the client had it from: its start, Unix time in ms.
+    /// The incarnation of the placer that sent the event, by its start in Unix time, ms.
     pub started_ms: Option<u64>,
 }
 
-/// What a client requests.
+/// A request of a client.
 #[derive(Debug)]
 pub(crate) enum ApiRequest {
     Place(PlaceRequest),
@@ -81,16 +81,16 @@
     ListActors(PageRequest),
     FollowEvents(EventCursor),
     Status {
-        /// With measurements.
+        /// Whether the status is to include measurements.
         is_full: bool,
     },
     Membership {
-        /// Only changes after this one.
+        /// If set, only changes after this one are requested.
         after: Option<u64>,
     },
 }
 
-/// The parameters of a request's target.
+/// The query parameters of a request's target.
 struct Query<'a>(Vec<(&'a str, String)>);
 
 impl<'a> Query<'a> {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Decodes `%XX`; a malformed escape is a bad request.
+/// Decodes `%XX` escapes; a malformed one is a bad request.
 fn percent_decode(text: &str) -> Result<String, Problem> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
@@ -158,7 +158,7 @@
     Ok(Some(value.to_owned()))
 }
 
-/// What a message requests.
+/// Parses the request that a message contains.
 pub(crate) fn parse_request(message: &Message) -> Result<ApiRequest, Problem> {
     let target = message.head.target();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -7,14 +7,14 @@
 
 use crate::ids::{ActorKey, AttemptKey, HostId};
 
-/// How far an attempt has come.
+/// The stage of an attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// Offered to the host.
     Offered,
-    /// Accepted by the host, where acceptance alone does not place it.
+    /// Accepted by the host, if the settings count a task as placed only once it has started.
     Accepted,
-    /// Placed: its request has its final answer.
+    /// Placed; the request has been answered.
     Placed,
 }
 
@@ -28,14 +28,14 @@
     pub class: usize,
     pub sent_at: Micros,
     pub expires_at: Micros,
-    /// Where its frame ends in the bytes queued on the host's connection.
+    /// Position in the byte stream of the host's connection at which the offer frame ends.
     pub frame_end: u64,
     pub stage: Stage,
     pub is_running: bool,
     pub is_cancelled: bool,
-    /// Why it is to stop, where a client or the decider stops it; the name of the event of its end.
+    /// Set once a client or the decider has stopped it: the name of the life-cycle event that reports its end.
     pub stop_reason: Option<&'static str>,
-    /// Its actor was reported as ended or lost, or is placed elsewhere: no event tells of its end.
+    /// Its actor has already been reported as ended or lost, or is placed by another attempt: no event reports its end.
     pub is_unwanted: bool,
 }
 
@@ -44,14 +44,14 @@
     pub outcome: AttemptOutcome,
     /// The reason that the host gave.
     pub reason: Option<Reason>,
-    /// The load that the host reported with it.
+    /// The load that the host reported with the end.
     pub load: Option<ResourceAmounts>,
-    /// It certainly does not run, now or later.
+    /// Whether the attempt certainly does not run, now or later.
     pub is_known_dead: bool,
 }
 
 impl AttemptEnd {
-    /// An end that no host reported and after which the attempt may still run.
+    /// An end that no host has reported; the attempt may still run.
     pub fn uncertain(outcome: AttemptOutcome) -> AttemptEnd {
         AttemptEnd {
             outcome,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An end that no host reported and after which the attempt certainly does not run.
+    /// An end that no host has reported; the attempt certainly does not run.
     pub fn known_dead(outcome: AttemptOutcome) -> AttemptEnd {
         AttemptEnd {
             is_known_dead: true,
@@ -70,17 +70,17 @@
     }
 }
 
-/// An attempt of an actor that must not run twice and may still start.
+/// An abandoned attempt that may still start, of an actor that must not run twice.
 pub(crate) struct UnsettledAttempt {
     pub attempt: AttemptKey,
-    /// Until when requests for the actor are rejected.
+    /// Requests for the actor are rejected until this time.
     pub until: Micros,
 }
 
-/// Where an actor stands.
+/// The state of an actor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ActorState {
-    /// A request for it has no answer yet.
+    /// A placement request for it is pending.
     Pending(TaskId),
     /// It is placed by this attempt.
     Placed(AttemptKey),
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: offered, cancelled, stopped and finished, and when an actor of theirs counts as settled.
+//! Attempts: sending, cancelling, stopping and finishing them, and tracking those that may still start.
 
 use maplethread::{AttemptId, AttemptOutcome, AttemptResult, Event, FailureReason, Micros, TaskId};
 use maplethread_config::RetrySafety;
@@ -13,11 +13,14 @@
 use crate::timer::Timer;
 
 impl<D: Decide> Engine<D> {
-    /// Offers a task to a host, which is to answer within `timeout`.
+    /// Offers a task to a host, which has to answer within `timeout`.
     pub(crate) fn send_offer(&mut self, task: TaskId, host: HostId, timeout: Micros) {
         let key = AttemptKey::new(self.attempt_id_prefix, self.next_attempt);
         let Some(request) = self.requests.get_mut(&task) else {
-            tracing::warn!(task = task.0, "an offer for a task without a request");
+            tracing::warn!(
+                task = task.0,
+                "decider offered a task without a pending request; offer not sent"
+            );
             return;
         };
         self.next_attempt += 1;
@@ -102,14 +105,14 @@
         self.timers.schedule(expires_at, Timer::AttemptTimeout(key));
     }
 
-    /// Records the attempt of a request that is in flight.
+    /// Records that an attempt of a request is in flight.
     fn record_offer(&mut self, task: TaskId, key: AttemptKey, is_first: bool) {
         let Some(request) = self.requests.get_mut(&task) else {
             return;
         };
         request.in_flight = Some(key);
         if is_first {
-            // The time of a decision does not include the time for which a request was blocked.
+            // Decision times do not include the time for which a request was blocked.
             if request.awaits_first_turn {
                 self.decided_arrivals.push(request.received_at);
             } else {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Whether a host has started so recently that the decider limits what it is sent.
+    /// Whether a host has started so recently that the decider limits offers to it.
     fn is_warming_up(&self, host: HostId) -> bool {
         let started_at = self.hosts.get(&host).and_then(|h| h.entry.started_at);
         started_at.is_some_and(|at| at + self.settings.rules.warm_up_duration > self.now)
@@ -179,7 +182,7 @@
             .is_some_and(|unsettled| unsettled.attempt == attempt)
     }
 
-    /// Forgets unsettled attempts that have been waited for long enough.
+    /// Removes unsettled attempts whose time is over.
     pub(crate) fn expire_unsettled(&mut self) {
         let now = self.now;
         self.unsettled.retain(|_, unsettled| unsettled.until > now);
@@ -191,7 +194,7 @@
         });
     }
 
-    /// Tells a host to stop a placed task; if it has no connection, once it has one.
+    /// Sends a host the request to stop a placed task. A host without a connection gets it after it has reconnected.
     pub(crate) fn stop_attempt(&mut self, key: AttemptKey, reason: &'static str) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -201,7 +204,7 @@
         self.send_frame(host, &Frame::Stop(key.0), Delivery::Required);
     }
 
-    /// Records the outcome of an attempt, and tells the decider and followers of it.
+    /// Records the outcome of an attempt, and reports it to the decider and to followers.
     pub(crate) fn finish_attempt(&mut self, key: AttemptKey, end: AttemptEnd) {
         let Some(attempt) = self.attempts.remove(&key) else {
             return;
@@ -262,7 +265,7 @@
     }
 }
 
-/// Records how the attempt of a request ended, unless it was placed.
+/// Records in a request how its attempt ended, unless the attempt was placed.
 fn record_failure(
     request: &mut PlacementRequest,
     key: AttemptKey,
@@ -283,7 +286,7 @@
     }
 }
 
-/// The event of the end of a placed actor, and its reason, as the API names them.
+/// The life-cycle event for the end of a placed actor, and its reason, by their names in the API.
 fn end_event(
     attempt: &Attempt,
     outcome: AttemptOutcome,
--- a/crates/engine/src/audit_log.rs
+++ b/crates/engine/src/audit_log.rs
@@ -1,4 +1,4 @@
-//! Entries on requests and names that a recorder keeps beside the turns of the decider.
+//! Audit entries on requests and names, which a recorder stores beside the turns of the decider.
 
 use std::sync::Arc;
 
@@ -19,10 +19,10 @@
     ClientDisconnected,
 }
 
-/// Something that the events of turns do not tell.
+/// Information that the events of turns do not contain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuditEntry {
-    /// A host has this number from now on.
+    /// A host was assigned a number.
     Host {
         /// The number of the host.
         machine: u32,
@@ -31,7 +31,7 @@
         /// Its zone, cell and kind.
         topology: [Arc<str>; 3],
     },
-    /// A service has this number.
+    /// The number and the name of a service.
     Service(ServiceId, Arc<str>),
     /// A placement request was accepted.
     RequestAccepted {
@@ -54,14 +54,14 @@
         task: TaskId,
         /// How it ended.
         outcome: RequestOutcome,
-        /// Attempts made.
+        /// Number of attempts made.
         attempts: u32,
-        /// Time since it was read, µs.
+        /// Time since the request was read, µs.
         elapsed: Micros,
     },
 }
 
-/// Entries since they were last taken; none are kept before it is enabled.
+/// Entries that have not been taken yet; `None` until the log is enabled.
 #[derive(Debug, Default)]
 pub(crate) struct AuditLog(Option<Vec<AuditEntry>>);
 
--- a/crates/engine/src/client_connection.rs
+++ b/crates/engine/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! The connection of a client: whole requests in, responses out in the order of the requests.
+//! The connection of a client: parses complete requests, and returns responses in the order of the requests.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,7 +7,7 @@
 
 use crate::ids::RequestSlot;
 
-/// A request whose response is not sent yet.
+/// A request whose response has not been sent yet.
 struct PendingResponse {
     slot: RequestSlot,
     bytes: Option<Vec<u8>>,
@@ -19,39 +19,39 @@
     reader: MessageReader,
     responses: VecDeque<PendingResponse>,
     last_slot: RequestSlot,
-    /// When the request began that is not whole yet.
+    /// When the first bytes of an incomplete request were read.
     pub request_began_at: Option<Micros>,
-    /// When the connection was last of use.
+    /// When the connection was opened or its last request was read.
     pub last_used_at: Micros,
-    /// The next life-cycle event for it, once it follows them.
+    /// The next life-cycle event to send, if the client follows events.
     pub next_event: Option<u64>,
-    /// Bytes given to the caller that the client has not taken.
+    /// Bytes passed to the caller that the client has not read yet.
     pub unread_bytes: usize,
-    /// Nothing more is read from it.
+    /// Whether no further requests are read.
     pub has_ended: bool,
-    /// The turn in which it was last read, and the requests taken in that turn.
+    /// The turn in which the connection was last read, and the requests read in that turn.
     last_turn: u64,
     requests_in_turn: usize,
-    /// The tasks whose answers it waits for.
+    /// The tasks whose answers the client waits for.
     pub awaited_tasks: BTreeSet<TaskId>,
 }
 
-/// What was found in the bytes of a connection.
+/// The result of reading from a connection.
 pub(crate) enum ClientInput {
-    /// Nothing more for now.
-    Nothing,
-    /// The client waits for permission to send its body.
+    /// More bytes are needed.
+    NeedMore,
+    /// The client waits for `100 Continue` before it sends the body.
     Continue,
-    /// A whole request, to be answered in this slot.
+    /// A complete request, to be answered in this slot.
     Request(RequestSlot, Message),
-    /// What can't be read; the connection is to be closed after the response.
+    /// A malformed request; the connection is to be closed after the response.
     Malformed(RequestSlot, HttpError),
 }
 
-/// Responses that may be sent now.
+/// Responses that can be sent now.
 pub(crate) struct ReadyResponses {
     pub bytes: Vec<u8>,
-    /// The connection ends after them.
+    /// Whether the connection is to be closed after them.
     pub closes_connection: bool,
 }
 
@@ -76,17 +76,17 @@
         }
     }
 
-    /// How many requests have no response yet.
+    /// Number of requests without a response.
     pub fn unanswered_requests(&self) -> usize {
         self.responses.len()
     }
 
-    /// Whether a request has begun that is not whole.
+    /// Whether an incomplete request has been read.
     pub fn is_mid_request(&self) -> bool {
         self.reader.is_inside_message()
     }
 
-    /// How many requests were taken from it in this turn.
+    /// Number of requests read in this turn.
     pub fn requests_in_turn(&mut self, turn: u64) -> usize {
         if self.last_turn != turn {
             (self.last_turn, self.requests_in_turn) = (turn, 0);
@@ -94,7 +94,7 @@
         self.requests_in_turn
     }
 
-    /// A whole request was taken from it.
+    /// Records that a complete request was read.
     pub fn record_request(&mut self, now: Micros) {
         (self.request_began_at, self.last_used_at) = (None, now);
         self.requests_in_turn += 1;
@@ -110,10 +110,10 @@
         self.last_slot
     }
 
-    /// Takes the next request from the front of `unread`. Returns how many bytes were used.
+    /// Reads the next request from the front of `unread`. Returns how many bytes were used.
     pub fn read(&mut self, unread: &[u8]) -> (ClientInput, usize) {
         match self.reader.read(unread) {
-            Ok((ReadResult::NeedMore, used)) => (ClientInput::Nothing, used),
+            Ok((ReadResult::NeedMore, used)) => (ClientInput::NeedMore, used),
             Ok((ReadResult::ExpectsContinue, used)) => (ClientInput::Continue, used),
             Ok((ReadResult::Message(message), used)) => {
                 let is_last = !message.head.is_keep_alive();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Takes the response to a request; returns those that may be sent now.
+    /// Stores the response to a request; returns the responses that can be sent now.
     pub fn respond(
         &mut self,
         slot: RequestSlot,
--- a/crates/engine/src/client_requests.rs
+++ b/crates/engine/src/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the API other than placement: cancelling, actors, membership and status.
+//! API requests other than placement: cancellation, actors, membership and status.
 
 use std::ops::Bound;
 
@@ -14,7 +14,8 @@
 use crate::problem::{Problem, json_response};
 
 impl<D: Decide> Engine<D> {
-    /// Carries a request out, or says why not. What is not answered at once is answered later, in the same slot.
+    /// Handles a request, or returns why it can't be handled. A request that is not answered at once is answered later,
+    /// in the same slot.
     pub(crate) fn handle_request(
         &mut self,
         client: ClientId,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// The answer to [`Output::FetchMembership`]; nothing where this placer keeps no membership.
+    /// Answers [`Output::FetchMembership`]. `membership` is `None` if this placer keeps no membership.
     pub fn answer_membership(
         &mut self,
         client: ClientId,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Cancels the requests of this id. Others for the same actor go on waiting.
+    /// Cancels the requests with this id. Other requests for the same actor keep waiting.
     fn cancel_request(
         &mut self,
         client: ClientId,
--- a/crates/engine/src/client_sessions.rs
+++ b/crates/engine/src/client_sessions.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: opened, read, answered in order, and closed.
+//! Connections of clients: opening, reading, responding in order, and closing.
 
 use maplethread::Micros;
 
@@ -11,13 +11,14 @@
 use crate::problem::Problem;
 use crate::timer::Timer;
 
-/// Requests that are taken in one turn; beyond it each client may have one more, so that none waits for many others.
+/// Requests that are read in one turn. Beyond this limit one request is read per client, so that no client waits for
+/// many requests of others.
 const MAX_REQUESTS_PER_TURN: usize = 128;
-/// A client that has not read this part of the bytes it may leave unread has no further requests taken.
-const UNREAD_SHARE_THAT_PAUSES: usize = 4;
+/// No further requests of a client are read while its unread bytes exceed `api.max_unsent_bytes` divided by this.
+const UNREAD_PAUSE_DIVISOR: usize = 4;
 
 impl<D: Decide> Engine<D> {
-    /// A client has connected. `now` is in µs.
+    /// Handles a new client connection. `now` is in µs.
     pub fn client_opened(&mut self, now: Micros, id: ClientId) {
         self.now = self.now.max(now);
         let api = &self.config.api;
@@ -39,8 +40,8 @@
             .schedule(self.now + first_check, Timer::ClientTimeout(id));
     }
 
-    /// Takes bytes from a client; returns how many were used. The rest is to be given again, with more, or once the
-    /// client has had a response.
+    /// Handles bytes received from a client; returns how many were used. The caller passes the rest again, with further
+    /// bytes or after the client has been sent a response.
     pub fn client_bytes(&mut self, now: Micros, id: ClientId, unread: &[u8]) -> usize {
         self.now = self.now.max(now);
         let mut used = 0;
@@ -49,13 +50,13 @@
                 return unread.len();
             };
             if client.has_ended || client.next_event.is_some() {
-                // Nothing after the last request counts.
+                // Input after the last request is discarded.
                 return unread.len();
             }
             let (input, bytes) = client.read(&unread[used..]);
             used += bytes;
             match input {
-                ClientInput::Nothing => {
+                ClientInput::NeedMore => {
                     let has_begun = client.is_mid_request() || used < unread.len();
                     client.request_began_at =
                         has_begun.then(|| client.request_began_at.unwrap_or(self.now));
@@ -91,11 +92,11 @@
         used
     }
 
-    /// Whether a client has many unanswered requests, does not read, or has had its share of this turn, so that its
-    /// next request has to wait.
+    /// Whether a client's next request has to wait because the client has too many unanswered requests or unread bytes,
+    /// or has used up its share of this turn.
     fn is_client_paused(&mut self, id: ClientId) -> bool {
         let max_pipelined = self.config.api.max_pipelined;
-        let max_unread = self.config.api.max_unsent_bytes / UNREAD_SHARE_THAT_PAUSES;
+        let max_unread = self.config.api.max_unsent_bytes / UNREAD_PAUSE_DIVISOR;
         let share = if self.requests_this_turn >= MAX_REQUESTS_PER_TURN {
             1
         } else {
@@ -112,20 +113,24 @@
             || client.unread_bytes > max_unread
     }
 
-    /// How many bytes wait for a client to read them.
+    /// Records how many bytes are waiting for a client to read them.
     pub fn client_unread(&mut self, id: ClientId, bytes: usize) {
         let Some(client) = self.clients.get_mut(&id) else {
             return;
         };
         client.unread_bytes = bytes;
         if bytes > self.config.api.max_unsent_bytes {
-            tracing::warn!(client = id.0, bytes, "does not read its answers; cut off");
+            tracing::warn!(
+                client = id.0,
+                bytes,
+                "client does not read its responses; connection closed"
+            );
             self.outputs.push(Output::CloseClient(id));
             self.client_closed(self.now, id);
         }
     }
 
-    /// A client's connection has ended: it no longer waits for any answer. `now` is in µs.
+    /// Handles the end of a client's connection: requests that no other client waits for are abandoned. `now` is in µs.
     pub fn client_closed(&mut self, now: Micros, id: ClientId) {
         self.now = self.now.max(now);
         let Some(client) = self.clients.remove(&id) else {
@@ -136,7 +141,7 @@
             let Some(request) = self.requests.get_mut(&task) else {
                 continue;
             };
-            let left: Vec<_> = request
+            let removed: Vec<_> = request
                 .waiters
                 .extract_if(.., |waiter| waiter.client == id)
                 .collect();
@@ -144,8 +149,8 @@
                 self.disconnect_request(task);
                 continue;
             }
-            // Ids for which no client waits any more can't be cancelled.
-            for waiter in left {
+            // A request id that no client waits for can't be cancelled any more.
+            for waiter in removed {
                 let is_awaited =
                     |w: &crate::placement_request::Waiter| w.request_id == waiter.request_id;
                 if !request.waiters.iter().any(is_awaited) {
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Closes a connection whose request takes too long, or that is idle for too long.
+    /// Closes a connection that has been idle or inside a request for too long, and otherwise schedules the next check.
     pub(crate) fn handle_client_timeout(&mut self, id: ClientId) {
         let request_timeout = self.config.api.request_timeout_ms * 1000;
         let idle_timeout = self.config.api.idle_timeout_ms * 1000;
@@ -189,12 +194,12 @@
         self.client_closed(self.now, id);
     }
 
-    /// Sends a response, once those to earlier requests of the connection are sent.
+    /// Sends a response after those to earlier requests of the connection.
     pub(crate) fn reply(&mut self, id: ClientId, slot: RequestSlot, bytes: Vec<u8>) {
         self.respond(id, slot, bytes, false);
     }
 
-    /// Sends an error response.
+    /// Sends an error response after those to earlier requests of the connection.
     pub(crate) fn reply_problem(&mut self, id: ClientId, slot: RequestSlot, problem: Problem) {
         if problem.status == 503 {
             self.counters.unavailable += 1;
--- a/crates/engine/src/decide.rs
+++ b/crates/engine/src/decide.rs
@@ -1,19 +1,19 @@
-//! The interface between the engine and whatever makes its placement decisions.
+//! The interface through which the engine obtains placement decisions.
 
 use maplethread::{Action, Event, Micros, Placer};
 
 /// Makes placement decisions: the placement policy, or a baseline to compare it with.
 pub trait Decide {
-    /// Takes in what has happened by `now` and adds to `actions` what is to be done.
+    /// Processes the events up to `now`, and appends the resulting actions to `actions`.
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>);
 
-    /// Whether the engine answers requests that the decider leaves open up to their deadlines. Only deciders that are
-    /// to show the checker a violation of rule 1 return false.
+    /// Whether the engine answers requests that the decider has not answered shortly before their deadlines. Only
+    /// deciders that violate rule 1 on purpose, to test the checker, return false.
     fn allows_deadline_answers(&self) -> bool {
         true
     }
 
-    /// Whether it is the placement policy itself, so that a recorded trace of its turns can be replayed.
+    /// Whether the decider is the placement policy itself, so that a recorded trace of its turns can be replayed.
     fn is_replayable(&self) -> bool {
         false
     }
--- a/crates/engine/src/decisions.rs
+++ b/crates/engine/src/decisions.rs
@@ -1,4 +1,4 @@
-//! Turns of the decider: which events it gets, and how its actions are carried out.
+//! Turns of the decider: passing events to it, and carrying out its actions.
 
 use maplethread::{Action, AttemptId, BlockReason, Event, Micros, TaskId};
 
@@ -12,16 +12,16 @@
 use crate::timer::Timer;
 use crate::turn_latency::DEADLINE_ANSWER_MARGIN;
 
-/// Rounds of decisions in one turn: what follows from an offer that can't be sent is decided at once, this many times.
+/// Rounds of decisions in one turn. An offer that can't be sent causes an event, which the next round handles.
 const MAX_ROUNDS_PER_TURN: usize = 8;
-/// Tasks that are placed in one turn. Further requests wait for the next turn, after the offers of this one are written:
-/// an offer that is written long after its decision may meet others in the warm-up window of a host.
+/// Tasks that are placed in one turn. Further requests wait for the next turn, after the offers of this one have been
+/// written: an offer that is written long after its decision may add to later ones in the warm-up window of a host.
 const MAX_PLACEMENTS_PER_TURN: usize = 64;
 
 impl<D: Decide> Engine<D> {
-    /// Gives the decider the events of this turn, and carries its actions out.
+    /// Passes the events of this turn to the decider, and carries out its actions.
     pub(crate) fn decide(&mut self) {
-        let (mut given, mut actions) = (Vec::new(), Vec::new());
+        let (mut requested_tasks, mut actions) = (Vec::new(), Vec::new());
         let mut placements_left = MAX_PLACEMENTS_PER_TURN;
         for _ in 0..MAX_ROUNDS_PER_TURN {
             let events = event_batch::take(&mut self.events, &mut placements_left);
@@ -32,19 +32,19 @@
             for action in actions.drain(..) {
                 self.apply_action(action);
             }
-            given.extend(events.iter().filter_map(|event| match event {
+            requested_tasks.extend(events.iter().filter_map(|event| match event {
                 Event::PlacementRequested(task) => Some(task.id),
                 _ => None,
             }));
         }
-        for task in given {
+        for task in requested_tasks {
             if let Some(request) = self.requests.get_mut(&task) {
                 request.awaits_first_turn = false;
             }
         }
     }
 
-    /// Answers the requests that the decider left open and that the next turn may be too late for.
+    /// Answers the requests that the decider has not answered and for which the next turn may be too late.
     pub(crate) fn answer_expiring_requests(&mut self) {
         let margin = self.turn_latency.answer_margin();
         let answer_by = self.now + DEADLINE_ANSWER_MARGIN;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// How long before its deadline a request with this budget must be answered, given how late turns run.
+    /// How long before its deadline a request with this budget must be answered, requested_tasks how late turns run.
     pub(crate) fn answer_margin_for(&self, budget: Micros) -> Micros {
         self.turn_latency.answer_margin().min(budget / 2)
     }
@@ -90,7 +90,8 @@
                 .schedule(self.now + after, Timer::Decider(label)),
             Action::Probe(machine) => self.send_probe(HostId(machine.0)),
             Action::Log(line) => tracing::info!(target: "maplethread::decisions", "{line}"),
-            // Endpoints are pushed, each host has one connection that is kept, and placers do not exchange messages.
+            // Not needed here: endpoints are pushed, each host has one connection that is kept open, and placers do not
+            // exchange messages.
             Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::CloseIdle(_)
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: its state, what its caller does with it, and its turns.
+//! The engine: its state, its interface to the caller, and its turns.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -25,33 +25,33 @@
 use crate::turn_latency::{DEADLINE_ANSWER_MARGIN, TurnLatency};
 use crate::warm_up_offers::WarmUpOffers;
 
-/// What an engine needs to know about its start.
+/// Start parameters of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct StartInfo {
-    /// When the process started, Unix time in ms; it tells incarnations of one placer apart.
+    /// When the process started, Unix time in ms; it distinguishes incarnations of one placer.
     pub started_ms: u64,
-    /// Seed of the engine's random numbers, which only spread reconnects and heartbeats over time.
+    /// Seed of the random numbers, which are used only to spread reconnects and heartbeats over time.
     pub seed: u64,
 }
 
-/// Sessions with clients and hosts around the decisions of `D`. Times are µs on the caller's clock.
+/// Manages sessions with clients and hosts, and carries out the decisions of `D`. Times are µs on the caller's clock.
 pub struct Engine<D> {
     pub(crate) config: PlacerConfig,
     pub(crate) settings: Settings,
     pub(crate) decider: D,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) started_ms: u64,
-    /// The upper bits of all attempts of this incarnation.
+    /// The upper bits of the ids of all attempts of this incarnation.
     pub(crate) attempt_id_prefix: u64,
     pub(crate) next_attempt: u64,
     pub(crate) next_task: u64,
     pub(crate) now: Micros,
     pub(crate) turn_count: u64,
-    /// Requests of clients read in this turn.
+    /// Number of client requests read since the last turn.
     pub(crate) requests_this_turn: usize,
-    /// The caller was stalled before this turn.
+    /// Whether the caller was stalled before this turn.
     pub(crate) is_after_stall: bool,
-    /// What is read now may have waited unread since then.
+    /// Input that is read now may have been waiting since this time.
     pub(crate) unread_since: Option<Micros>,
     /// Unanswered requests in the order of their deadlines.
     pub(crate) deadlines: BTreeSet<(Micros, TaskId)>,
@@ -63,7 +63,7 @@
     pub(crate) hosts: BTreeMap<HostId, Host>,
     pub(crate) liveness: Liveness<HostId>,
     pub(crate) hosts_by_name: BTreeMap<Arc<str>, HostId>,
-    /// Hosts that have left the inventory. One that returns is the same host: what it was sent recently still counts.
+    /// Hosts that have left the inventory. A host that returns keeps its id, so that recent offers to it still count.
     pub(crate) departed_hosts: BTreeMap<Arc<str>, DepartedHost>,
     pub(crate) cell_ids: IdTable,
     pub(crate) next_host: u32,
@@ -74,7 +74,7 @@
     pub(crate) tasks_by_request_id: HashMap<Arc<str>, TaskId>,
     pub(crate) actors: BTreeMap<ActorKey, ActorState>,
     pub(crate) attempts: HashMap<AttemptKey, Attempt>,
-    /// Actors that must not run twice and of which an attempt may still start.
+    /// Actors that must not run twice and have an attempt that may still start.
     pub(crate) unsettled: BTreeMap<ActorKey, UnsettledAttempt>,
     pub(crate) unsettled_attempts: HashMap<AttemptKey, ActorKey>,
     /// Probes without an answer, by nonce.
@@ -84,14 +84,14 @@
     pub(crate) recent_events: RecentEvents,
     pub(crate) counters: Counters,
     pub(crate) is_stopping: bool,
-    /// When the requests were read whose first offers were sent since the caller last took this.
+    /// Arrival times of requests whose first offer was sent in their first turn, until the caller takes them.
     pub(crate) decided_arrivals: Vec<Micros>,
     pub(crate) gauges: serde_json::Value,
     pub(crate) audit_log: AuditLog,
 }
 
 impl<D: Decide> Engine<D> {
-    /// An engine that knows no hosts yet. `now` is the caller's time in µs.
+    /// Creates an engine without hosts. `now` is the caller's time in µs.
     pub fn new(config: PlacerConfig, decider: D, start: StartInfo, now: Micros) -> Engine<D> {
         let attempt_id_prefix = AttemptKey::prefix_of(&config.identity.name, start.started_ms);
         let settings = config.policy_settings();
@@ -143,27 +143,28 @@
         }
     }
 
-    /// What the engine has done since its start.
+    /// The counters since the start of the engine.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// How many placement requests have no answer yet.
+    /// Number of placement requests without an answer.
     pub fn pending_requests(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether clients can be served: the inventory is read, and each host in it has answered or failed to at least once.
+    /// Whether the engine is ready to serve clients: the inventory has been read, and the first connection to each host
+    /// in it has come into use or failed.
     pub fn is_ready(&self) -> bool {
         self.has_inventory && self.hosts.values().all(|h| h.was_tried || !h.is_wanted())
     }
 
-    /// Rejects placement requests from now on; those already accepted are still answered.
+    /// Rejects placement requests from now on. Requests that were accepted before are still answered.
     pub fn stop_accepting(&mut self) {
         self.is_stopping = true;
     }
 
-    /// When [`Engine::turn`] is to be called at the latest, µs.
+    /// The latest time at which the caller must call [`Engine::turn`], µs.
     pub fn next_timeout(&self) -> Option<Micros> {
         if !self.events.is_empty() {
             return Some(self.now);
@@ -181,48 +182,49 @@
             .min()
     }
 
-    /// What is to be done since the last call.
+    /// Takes the outputs since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When the requests were read, in µs, whose first offers were sent since the last call, in the first turn that had
-    /// them.
+    /// Takes the arrival times, in µs, of the requests whose first offer was sent since the last call. Requests that
+    /// were not offered in their first turn are left out.
     pub fn take_decided_arrivals(&mut self) -> Vec<Micros> {
         std::mem::take(&mut self.decided_arrivals)
     }
 
-    /// Keeps entries on names and requests from now on, for a recorder that takes them by
-    /// [`Engine::take_audit_entries`] around each turn.
+    /// Starts to keep audit entries, for a recorder that takes them with [`Engine::take_audit_entries`] around each
+    /// turn.
     pub fn enable_audit_log(&mut self) {
         self.audit_log.enable();
     }
 
-    /// Entries since the last call.
+    /// Takes the audit entries since the last call.
     pub fn take_audit_entries(&mut self) -> Vec<AuditEntry> {
         self.audit_log.take()
     }
 
-    /// Measurements of the caller, to be shown in the full status.
+    /// Sets the caller's measurements, which the full status shows.
     pub fn set_gauges(&mut self, gauges: serde_json::Value) {
         self.gauges = gauges;
     }
 
-    /// What is read up to the next turn may have waited unread since `at`, because the caller was stalled or busy. The
-    /// budgets of requests count from there, so that no answer comes after a deadline that passed meanwhile.
+    /// Declares that input read before the next turn may have been waiting since `at`, because the caller was stalled
+    /// or busy. Budgets of requests count from `at`, so that no answer is sent after the client's deadline.
     pub fn set_unread_since(&mut self, at: Micros) {
         self.unread_since = Some(at);
     }
 
-    /// The caller was busy with the last turn from `from`, when it began to read, to `written`, when all output was
-    /// written. What arrives meanwhile waits as long, and so do timers.
+    /// Records that the caller was busy with the last turn from `from`, when it began to read, until `written`, when it
+    /// had written all output. Input and timers that came due in between had to wait.
     pub fn record_round(&mut self, from: Micros, written: Micros) {
         self.turn_latency.record_round(written.saturating_sub(from));
         self.warm_up_offers.mark_written(written);
     }
 
-    /// Decides on all that has been received, and carries the decisions out. `is_after_stall` tells that the caller was
-    /// stalled before this turn, so that silence was its own and not the hosts'.
+    /// Handles due timers, passes the received events to the decider, and carries out its actions. `is_after_stall`
+    /// means that the caller was stalled before this turn, so that the time without input does not count as silence of
+    /// hosts.
     pub fn turn(&mut self, now: Micros, is_after_stall: bool) {
         self.now = self.now.max(now);
         self.is_after_stall = is_after_stall;
@@ -242,9 +244,9 @@
         self.send_events_to_followers();
     }
 
-    /// How long the earliest timer or request of this turn has waited for it.
+    /// How long the earliest due timer or pending request has waited for this turn.
     fn lateness(&self) -> Micros {
-        let oldest_request = self.events.iter().find_map(|event| match event {
+        let oldest_arrival = self.events.iter().find_map(|event| match event {
             Event::PlacementRequested(task) => self
                 .requests
                 .get(&task.id)
@@ -255,12 +257,12 @@
             .timers
             .next_due_at()
             .into_iter()
-            .chain(oldest_request)
+            .chain(oldest_arrival)
             .min();
         self.now.saturating_sub(due.unwrap_or(self.now))
     }
 
-    /// Whether a host's acceptance places an attempt; otherwise its start does.
+    /// Whether a task counts as placed once a host has accepted it; otherwise it does once it has started.
     pub(crate) fn is_placed_on_acceptance(&self) -> bool {
         self.config.placement.acceptance_point == AcceptancePoint::Accepted
     }
--- a/crates/engine/src/event_batch.rs
+++ b/crates/engine/src/event_batch.rs
@@ -1,29 +1,29 @@
-//! Which of the waiting events the decider gets in one turn.
+//! Selects the pending events that the decider gets in one turn.
 
 use std::collections::BTreeSet;
 
 use maplethread::{Event, TaskId};
 
-/// Takes the events of this turn from all that wait. Those that would place more tasks than are left for the turn wait
-/// for the next one, and so do later events of the same tasks. All other events are given at once, even before events
-/// that came first: a host that drains must be known before the next task is placed.
-pub(crate) fn take(waiting: &mut Vec<Event>, placements_left: &mut usize) -> Vec<Event> {
+/// Takes the events of this turn from the pending ones. Events that would exceed the number of placements left for the
+/// turn are postponed to the next one, and so are remaining events of the same tasks. All other events are delivered at
+/// once, even ahead of earlier events: the decider must get a host's drain before it places the next task.
+pub(crate) fn take(pending: &mut Vec<Event>, placements_left: &mut usize) -> Vec<Event> {
     let mut postponed: BTreeSet<TaskId> = BTreeSet::new();
-    let mut given = Vec::new();
-    let mut later = Vec::new();
-    for event in std::mem::take(waiting) {
+    let mut batch = Vec::new();
+    let mut remaining = Vec::new();
+    for event in std::mem::take(pending) {
         let task = task_of(&event);
         let fits = !causes_placement(&event) || *placements_left > 0;
         if fits && task.is_none_or(|task| !postponed.contains(&task)) {
             *placements_left -= usize::from(causes_placement(&event));
-            given.push(event);
+            batch.push(event);
         } else {
             postponed.extend(task);
-            later.push(event);
+            remaining.push(event);
         }
     }
-    *waiting = later;
-    given
+    *pending = remaining;
+    batch
 }
 
 /// Whether the decider places a task because of an event.
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -1,4 +1,4 @@
-//! Clients that follow life-cycle events: each reads the recent events as fast as it can.
+//! Clients that follow life-cycle events. Each is sent the buffered events as fast as it reads them.
 
 use std::sync::Arc;
 
@@ -16,15 +16,15 @@
 use crate::problem::Problem;
 use crate::timer::Timer;
 
-/// Bytes of events that may wait for a follower to read; further events wait in the buffer.
+/// Bytes of events that may be unread by a follower; further events stay in the buffer.
 const MAX_FOLLOWER_UNREAD_BYTES: usize = 64 << 10;
-/// How often followers get an empty line that shows that the connection is alive.
+/// Interval at which followers get an empty line, which shows that the connection is alive.
 const FOLLOWER_HEARTBEAT_INTERVAL: Micros = 10_000_000;
 /// The end of a chunked body.
 const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
 impl<D: Decide> Engine<D> {
-    /// Begins to send events to a client, from the cursor on.
+    /// Starts to send events to a client, from the cursor on.
     pub(crate) fn follow(
         &mut self,
         id: ClientId,
@@ -43,7 +43,7 @@
                 "follow events on a connection of its own",
             ));
         }
-        tracing::debug!(client = id.0, slot = slot.0, first, "follows events");
+        tracing::debug!(client = id.0, slot = slot.0, first, "client follows events");
         client.next_event = Some(first);
         let mut out = Vec::new();
         http::write_chunked_head(&mut out, 200, "application/x-ndjson", &[]);
@@ -58,7 +58,7 @@
         Ok(())
     }
 
-    /// The first event that a cursor asks for.
+    /// The sequence number of the first event to send for a cursor.
     fn first_event(&self, cursor: &EventCursor) -> Result<u64, Problem> {
         if cursor.started_ms.is_some_and(|ms| ms != self.started_ms) {
             return Err(Problem::new(
@@ -87,7 +87,7 @@
         Ok(first)
     }
 
-    /// Sends new events to followers, as far as they read.
+    /// Sends new events to followers, up to their limit of unread bytes.
     pub(crate) fn send_events_to_followers(&mut self) {
         let mut ended = Vec::new();
         for &id in &self.followers {
@@ -152,13 +152,13 @@
         &mut self,
         event: &'static str,
         reason: Option<&'static str>,
-        attempt: &AttemptSubject,
+        subject: &AttemptSubject,
     ) {
         let AttemptSubject {
             key: ActorKey { service, actor },
             host,
             request_id,
-        } = attempt.clone();
+        } = subject.clone();
         tracing::debug!(request = %request_id, %service, %actor, %host, reason, event);
         self.recent_events.push(LifecycleEvent {
             seq: 0,
@@ -172,7 +172,7 @@
         });
     }
 
-    /// What an event about an attempt says of it.
+    /// The subject of events about an attempt.
     pub(crate) fn subject_of(&self, attempt: &Attempt) -> AttemptSubject {
         AttemptSubject {
             key: attempt.key.clone(),
@@ -182,7 +182,7 @@
     }
 }
 
-/// What an event is about.
+/// The attempt that an event is about.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptSubject {
     pub key: ActorKey,
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -1,4 +1,4 @@
-//! A host as the engine knows it: what the inventory says of it, and its connection.
+//! A host: its entry in the inventory, and its connection.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,21 +9,21 @@
 
 use crate::ids::{AttemptKey, HostId, stable_hash};
 
-/// How far the connection to a host has come.
+/// The state of the connection to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
-    /// There is no connection; a timer starts the next try.
+    /// There is no connection; a timer starts the next connection attempt.
     Down,
-    /// The connection is being made, or the host's greeting is awaited.
+    /// The connection is being established, or the host has not sent its greeting yet.
     Greeting,
-    /// The host has greeted and is naming the tasks that it holds.
+    /// The host has sent its greeting and is listing the tasks that it holds.
     Syncing,
     /// In use.
     Up,
 }
 
 impl ConnectionState {
-    /// Whether the host has greeted on it.
+    /// Whether the host has sent its greeting.
     pub fn is_greeted(self) -> bool {
         matches!(self, ConnectionState::Syncing | ConnectionState::Up)
     }
@@ -38,33 +38,35 @@
     pub inventory_state: HostState,
     /// When its process started according to the inventory, Unix time in ms.
     pub inventory_started_ms: Option<u64>,
-    /// When its process started according to itself, Unix time in ms.
+    /// When its process started according to its greeting, Unix time in ms.
     pub reported_started_ms: Option<u64>,
-    /// It has said that it drains.
+    /// Whether the host has reported that it is draining.
     pub is_draining: bool,
     pub connection: ConnectionState,
-    /// Counts connections, so that timers of an earlier one are recognised.
+    /// Counts connections, so that timers of an earlier connection can be ignored.
     pub connection_epoch: u64,
-    /// The connections before it last left the inventory; their timers no longer concern it.
+    /// The value of `connection_epoch` when the host last returned to the inventory. Timers of connections up to this
+    /// one are ignored.
     pub epoch_at_return: u64,
-    /// The last connection that was greeted. How long its tasks are waited for counts from the loss of this one.
+    /// The last connection on which the host sent its greeting. The time after which the host's tasks count as lost
+    /// runs from the loss of this connection.
     pub greeted_epoch: u64,
-    /// Connections lost or not made since the last one that was in use.
+    /// Connections that failed or were lost since the last one that came into use.
     pub failed_connects: u32,
     /// Bytes queued on this connection.
     pub queued_bytes: u64,
-    /// Bytes of this connection that the kernel has taken.
+    /// Bytes of this connection that the kernel has accepted.
     pub written_bytes: u64,
-    /// Attempts and tasks at the host.
+    /// Attempts at the host, including those that are placed.
     pub attempts: BTreeSet<AttemptKey>,
-    /// Those of them that it has not named since it greeted.
+    /// Placed attempts that the host has not listed since its greeting.
     pub unconfirmed: BTreeSet<AttemptKey>,
-    /// The first try to connect is over.
+    /// Whether the first connection attempt has succeeded or failed.
     pub was_tried: bool,
 }
 
 impl Host {
-    /// A host of the inventory.
+    /// Creates a host from its entry in the inventory, without a connection.
     pub fn new(id: HostId, inventory: &HostEntry) -> Host {
         let entry = MachineEntry {
             machine: MachineId(id.0),
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Brings its entry up to date and returns it. The latest start counts, whether the inventory or the host named it.
+    /// Updates the decider's entry of the host and returns it. The start time is the later one of those that the
+    /// inventory and the host have given.
     pub fn refresh_entry(&mut self) -> MachineEntry {
         self.entry.state = match self.inventory_state {
             HostState::Gone => MachineState::Gone,
@@ -112,26 +115,26 @@
         self.entry
     }
 
-    /// Whether it is to be connected to.
+    /// Whether the engine is to be connected to the host.
     pub fn is_wanted(&self) -> bool {
         self.inventory_state != HostState::Gone
     }
 
-    /// Whether it has left the inventory and has no connection.
+    /// Whether the host has left the inventory and has no connection.
     pub fn is_departed(&self) -> bool {
         !self.is_wanted() && self.connection == ConnectionState::Down
     }
 }
 
-/// What is kept of a host that has left the inventory.
+/// The data that is kept of a host that has left the inventory.
 pub(crate) struct DepartedHost {
     pub id: HostId,
     pub connection_epoch: u64,
-    /// When it left, µs.
+    /// When the host left, µs.
     pub since: Micros,
 }
 
-/// How often hosts are pinged, as the settings say.
+/// The heartbeat settings of hosts.
 pub(crate) fn liveness_settings(hosts: &HostSettings) -> maplethread_liveness::Settings {
     maplethread_liveness::Settings {
         ping_interval: hosts.ping_interval_ms * 1000,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,10 +1,11 @@
-//! The placer's engine: sessions with clients and hosts around the placement decisions, without I/O, clock or threads.
+//! The placer's engine: manages sessions with clients and hosts, and carries out placement decisions. It has no I/O,
+//! clock or threads.
 //!
-//! [`Engine`] takes the bytes that connections deliver, changes of the inventory and the time. It turns them into
-//! [`maplethread::Event`]s for a [`Decide`], carries out the actions that it returns, and outputs bytes, connections to
-//! be made or closed, and the time at which it is to be called again. It owns ids, the mapping of names to numbers,
-//! bounded tables and the deadlines of both protocols; it decides nothing about placement. The same engine runs on
-//! sockets and under a simulated clock and network.
+//! The caller passes [`Engine`] the bytes received on connections, changes of the inventory and the time. The engine
+//! turns them into [`maplethread::Event`]s for a [`Decide`], carries out the actions that it returns, and outputs the
+//! bytes to send, the connections to open or close, and the time of the next call. It assigns ids, maps names to
+//! numbers, and keeps bounded tables and the deadlines of both protocols; it makes no placement decisions. The same
+//! engine runs on sockets and under a simulated clock and network.
 
 mod answers;
 mod api;
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -1,23 +1,23 @@
-//! Life-cycle events of actors: a bounded buffer that followers read from a sequence number on.
+//! Life-cycle events of actors, in a bounded buffer from which followers read, starting at a sequence number.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use serde::Serialize;
 
-/// One event in the life cycle of an actor, as followers get it.
+/// One event in the life cycle of an actor, as it is sent to followers.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct LifecycleEvent {
-    /// Its sequence number, one more than that of the event before.
+    /// Sequence number, one more than that of the previous event.
     pub seq: u64,
-    /// When it happened, Unix time in ms.
+    /// Unix time in ms.
     pub at_ms: u64,
-    /// What happened, such as `placed`.
+    /// The name of the event, such as `placed`.
     pub event: &'static str,
     pub service: Arc<str>,
     pub actor: Arc<str>,
     pub host: Arc<str>,
-    /// Why, where something is known.
+    /// The cause, if it is known.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub reason: Option<&'static str>,
     /// The id of the request that led to the placement.
@@ -25,7 +25,7 @@
     pub request_id: Arc<str>,
 }
 
-/// The latest events.
+/// Buffer of the latest events.
 pub(crate) struct RecentEvents {
     events: VecDeque<LifecycleEvent>,
     max_events: usize,
@@ -33,7 +33,7 @@
 }
 
 impl RecentEvents {
-    /// An empty buffer for at most `max_events`.
+    /// Creates an empty buffer for at most `max_events`.
     pub fn new(max_events: usize) -> RecentEvents {
         RecentEvents {
             events: VecDeque::new(),
--- a/crates/engine/src/output.rs
+++ b/crates/engine/src/output.rs
@@ -1,23 +1,23 @@
-//! What the engine wants its caller to do.
+//! Outputs of the engine: I/O operations for its caller.
 
 use std::net::SocketAddr;
 
 use crate::ids::{ClientId, HostId, RequestSlot};
 
-/// Something to be done by the caller, in the order of the outputs.
+/// An I/O operation for the caller, to be performed in the order of the outputs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Bytes for a client.
+    /// Send bytes to a client.
     ToClient(ClientId, Vec<u8>),
-    /// Close a client's connection once what it was sent is written.
+    /// Close a client's connection after all bytes sent to it have been written.
     CloseClient(ClientId),
-    /// Bytes for a host.
+    /// Send bytes to a host.
     ToHost(HostId, Vec<u8>),
     /// Connect to a host.
     Connect(HostId, SocketAddr),
     /// Drop the connection to a host.
     CloseHost(HostId),
-    /// A client requests the membership; to be answered by [`Engine::answer_membership`].
+    /// A client has requested the membership; the caller answers with [`Engine::answer_membership`].
     ///
     /// [`Engine::answer_membership`]: crate::Engine::answer_membership
     FetchMembership {
@@ -25,7 +25,7 @@
         client: ClientId,
         /// The request on it.
         slot: RequestSlot,
-        /// The number of a change, where only later changes are requested.
+        /// If set, only changes after this one are requested.
         after: Option<u64>,
     },
 }
--- a/crates/engine/src/placement_request.rs
+++ b/crates/engine/src/placement_request.rs
@@ -8,7 +8,7 @@
 
 use crate::ids::{ActorKey, AttemptKey, ClientId, RequestSlot};
 
-/// A request of a client that waits for the answer.
+/// A client's request that waits for the answer.
 pub(crate) struct Waiter {
     pub client: ClientId,
     pub slot: RequestSlot,
@@ -19,24 +19,24 @@
 pub(crate) struct PlacementRequest {
     pub task: Task,
     pub received_at: Micros,
-    /// When its client stops waiting. The decider gets an earlier deadline, by as much as turns may run late.
+    /// When its client stops waiting. The decider gets an earlier deadline, which allows for late turns.
     pub deadline: Micros,
-    /// The decider has not had a whole turn with it.
+    /// Whether the request's first turn of the decider is not over yet.
     pub awaits_first_turn: bool,
     pub key: ActorKey,
     pub request_id: Arc<str>,
     pub idempotency_key: Option<Arc<str>>,
-    /// Who waits for the answer; requests for the same actor join the first one.
+    /// The client requests that wait for the answer; further requests for the same actor join the first one.
     pub waiters: Vec<Waiter>,
     pub duplicate_policy: DuplicatePolicy,
     /// The attempt that has no outcome yet.
     pub in_flight: Option<AttemptKey>,
     pub attempts: u32,
-    /// Why its last attempt failed, as the API names it.
+    /// Why its last attempt failed, by its name in the API.
     pub last_failure: Option<&'static str>,
-    /// What blocks it now.
+    /// Why it is blocked at present.
     pub block_reason: Option<BlockReason>,
-    /// All that has ever blocked it, so that each reason is counted once.
+    /// All reasons for which it has been blocked, so that each is counted once.
     pub past_block_reasons: BTreeSet<BlockReason>,
     /// The first host on which an attempt may have run.
     pub possibly_started_on: Option<Arc<str>>,
@@ -44,10 +44,11 @@
 }
 
 impl PlacementRequest {
-    /// Why it is rejected, as the API names it: what blocks it, or else how its last attempt ended.
+    /// The reason for a rejection, by its name in the API: the current block reason, or else how the last attempt
+    /// failed.
     pub fn rejection_reason(&self) -> &'static str {
         match (self.block_reason, self.last_failure) {
-            // A host that rejected an attempt has named the resource that it lacks.
+            // The host that rejected the last attempt has reported which resource it lacks, which is more specific.
             (Some(BlockReason::NoCapacity), Some(reason @ ("cores" | "memory" | "line"))) => reason,
             (Some(reason), _) => block_reason_name(reason),
             (None, _) if self.in_flight.is_some() => "no_answer",
@@ -57,7 +58,7 @@
     }
 }
 
-/// The API's name of a block reason.
+/// The name of a block reason in the API.
 pub(crate) fn block_reason_name(reason: BlockReason) -> &'static str {
     match reason {
         BlockReason::NoKindFits => "too_large",
--- a/crates/engine/src/problem.rs
+++ b/crates/engine/src/problem.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A problem that is over soon (status 503): the client may send the request again after a second.
+    /// A temporary problem (status 503); the client may retry after a second.
     pub fn unavailable(
         kind: &'static str,
         title: &'static str,
@@ -47,7 +47,7 @@
         Problem::new(503, kind, title, detail).retry_after(1)
     }
 
-    /// A parameter, header or path that can't be understood (status 400).
+    /// An invalid parameter, header or path (status 400).
     pub fn bad_request(detail: impl Into<String>) -> Problem {
         Problem::new(400, "bad-request", "The request makes no sense", detail)
     }
@@ -75,7 +75,7 @@
         )
     }
 
-    /// The same problem, with a time after which the request may be sent again.
+    /// Adds a time after which the client may retry.
     pub fn retry_after(self, seconds: u64) -> Problem {
         Problem {
             retry_after_s: Some(seconds),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The same problem, after which the connection is closed.
+    /// Closes the connection after the response.
     pub fn closing(self) -> Problem {
         Problem {
             closes_connection: true,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The whole response.
+    /// The HTTP response.
     pub fn to_bytes(&self) -> Vec<u8> {
         let body = json!({
             "type": format!("urn:maplethread:problem:{}", self.kind),
@@ -116,9 +116,9 @@
     }
 }
 
-/// A response with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json_response(status: u16, body: &impl Serialize) -> Vec<u8> {
-    /// Bytes of a response without its body, roughly.
+    /// Approximate size of a response without its body.
     const HEAD_BYTES: usize = 96;
     let body = serde_json::to_vec(body).unwrap_or_default();
     let mut out = Vec::with_capacity(body.len() + HEAD_BYTES);
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,4 +1,4 @@
-//! Placement requests: accepted, joined, given up by their clients, and answered once.
+//! Placement requests: accepting, joining and abandoning them, and answering each of them once.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::problem::{Problem, json_response};
 use crate::sessions::duplicate_policy;
 
-/// Requests that may wait for the answer to one placement request.
+/// Client requests that may wait for the answer to one placement request.
 const MAX_WAITERS: usize = 64;
 
 impl<D: Decide> Engine<D> {
@@ -71,7 +71,7 @@
             .ok_or_else(|| Problem::new(422, "no-such-class", "No class of this name", name))
     }
 
-    /// Lets a request wait for the answer to a pending one.
+    /// Adds a client request to those that wait for the answer to a pending placement request.
     fn join_request(
         &mut self,
         client: ClientId,
@@ -100,7 +100,7 @@
         Ok(())
     }
 
-    /// Answers a request for an actor that is placed already: one placement has one answer.
+    /// Answers a request for an actor that is already placed with its present placement.
     fn answer_placed(
         &mut self,
         client: ClientId,
@@ -134,7 +134,7 @@
         Ok(())
     }
 
-    /// Rejects requests for an actor of which an attempt may still start.
+    /// Rejects a request for an actor that has an attempt that may still start.
     fn check_settled(&self, key: &ActorKey) -> Result<(), Problem> {
         let until = self.unsettled.get(key).map(|unsettled| unsettled.until);
         match until.filter(|&until| until > self.now) {
@@ -173,7 +173,7 @@
         Ok(())
     }
 
-    /// Rejects a request that could not be decided on in time.
+    /// Rejects a request that can't be decided on before its deadline.
     fn check_time_left(&self, budget: Micros) -> Result<(), Problem> {
         if self.turn_latency.should_reject(self.now, budget) {
             return Err(Problem::unavailable(
@@ -192,7 +192,8 @@
         Ok(())
     }
 
-    /// When the client of a request that is read now stops waiting. The budget counts from when it may have arrived.
+    /// When the client of a request that is read now stops waiting. The budget counts from the earliest time at which
+    /// the request may have arrived.
     fn client_deadline(&self, budget: Micros) -> Micros {
         self.unread_since.unwrap_or(self.now).min(self.now) + budget
     }
@@ -229,10 +230,10 @@
             deadline: self.decision_deadline(budget),
             is_resubmission: place.is_resubmission,
         };
-        let copy_name = place.deduplication_key.as_deref().unwrap_or(&key.actor);
+        let deduplication_name = place.deduplication_key.as_deref().unwrap_or(&key.actor);
         let duplicate_policy = duplicate_policy(
             self.settings.classes[class].retry_safety,
-            stable_hash(&format!("{}/{copy_name}", key.service)),
+            stable_hash(&format!("{}/{deduplication_name}", key.service)),
         );
         let span = tracing::info_span!(
             "placement",
@@ -302,7 +303,7 @@
         }
     }
 
-    /// Ends a request for which no client waits any more.
+    /// Ends a request that no client waits for any more.
     pub(crate) fn disconnect_request(&mut self, task: TaskId) {
         let Some(request) = self.remove_request(task) else {
             return;
@@ -319,7 +320,7 @@
             .span
             .in_scope(|| tracing::debug!("client disconnected"));
         if let Some(key) = &request.idempotency_key {
-            self.answer_cache.forget(key);
+            self.answer_cache.remove(key);
         }
         self.events.push(Event::ClientDisconnected(task));
         if let Some(attempt) = request.in_flight {
@@ -342,15 +343,19 @@
         Some(request)
     }
 
-    /// Answers a request that the decider left open up to its deadline, with no more than is known.
+    /// Answers a request that the decider has not answered before its deadline: as rejected if no attempt was made,
+    /// otherwise as failed.
     pub(crate) fn send_deadline_answer(&mut self, task: TaskId) {
         let Some(request) = self.requests.get(&task) else {
             return;
         };
         let attempts = request.attempts;
-        request
-            .span
-            .in_scope(|| tracing::warn!(attempts, "left open up to its deadline"));
+        request.span.in_scope(|| {
+            tracing::warn!(
+                attempts,
+                "decider did not answer before the deadline; answered by the engine"
+            )
+        });
         self.counters.deadline_answers += 1;
         let request_id = request.request_id.clone();
         let answer = if attempts == 0 {
@@ -371,7 +376,7 @@
         self.finish_request(task, answer);
     }
 
-    /// Gives the one final answer to a request. Its attempt in flight is cancelled, unless that is what was placed.
+    /// Sends the final answer to a request. Its attempt in flight is cancelled, unless that attempt was placed.
     pub(crate) fn finish_request(&mut self, task: TaskId, answer: FinalAnswer) {
         let Some(request) = self.remove_request(task) else {
             return;
@@ -390,12 +395,12 @@
                 "failed"
             }
         };
-        let unplaced = request.in_flight.filter(|key| {
+        let unplaced_attempt = request.in_flight.filter(|key| {
             self.attempts
                 .get(key)
                 .is_some_and(|attempt| attempt.stage != Stage::Placed)
         });
-        if let Some(attempt) = unplaced {
+        if let Some(attempt) = unplaced_attempt {
             self.cancel_attempt(attempt);
         }
         let elapsed = self.now.saturating_sub(request.received_at);
@@ -417,14 +422,14 @@
         for waiter in request.waiters {
             self.remove_awaited_task(waiter.client, task);
             if is_late {
-                // The client no longer waits: no answer is sent after the deadline, and closing shows that none comes.
+                // No answer is sent after the deadline. Closing the connection shows the client that none follows.
                 self.counters.past_deadline += 1;
                 self.outputs.push(Output::CloseClient(waiter.client));
                 self.client_closed(self.now, waiter.client);
             } else if waiter.request_id == request.request_id {
                 self.reply(waiter.client, waiter.slot, bytes.clone());
             } else {
-                // Each request that waited has the answer under its own id.
+                // A request that joined another one is answered under its own id.
                 let answer = answer.for_request(waiter.request_id);
                 self.reply(waiter.client, waiter.slot, json_response(200, &answer));
             }
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions with hosts: the inventory, connections, heartbeats, and the frames that are exchanged.
+//! Sessions with hosts: the inventory, connections, heartbeats, and the exchange of frames.
 
 mod adoption;
 mod connections;
@@ -20,7 +20,7 @@
 
 pub(crate) use outgoing::Delivery;
 
-/// The decider's name of the reason that a host gave, where it has one.
+/// Converts the reason that a host gave to the decider's, if it has one for it.
 pub(crate) fn failure_reason(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
         Reason::Cores => FailureReason::Cores,
@@ -34,7 +34,8 @@
     })
 }
 
-/// What a host is told about copies of a task: `key` identifies them, where the class has idempotency keys.
+/// The duplicate policy that hosts get with an offer. `key` identifies the copies of a task whose class has idempotency
+/// keys.
 pub(crate) fn duplicate_policy(retry_safety: RetrySafety, key: u64) -> DuplicatePolicy {
     match retry_safety {
         RetrySafety::Idempotent => DuplicatePolicy::Idempotent,
@@ -43,13 +44,13 @@
     }
 }
 
-/// Resources as the decider names them.
+/// Converts resources to the decider's type.
 pub(crate) fn resources(amounts: ResourceAmounts) -> Resources {
     Resources::new(amounts.cores, amounts.memory_gib)
 }
 
 impl<D: Decide> Engine<D> {
-    /// The name of a host; empty if it is not known any more.
+    /// The name of a host; empty if the host has been removed.
     pub(crate) fn host_name(&self, id: HostId) -> Arc<str> {
         self.hosts
             .get(&id)
@@ -57,7 +58,7 @@
             .unwrap_or_default()
     }
 
-    /// The address of a host as the API shows it; empty if it is not known any more.
+    /// The address of a host as the API shows it; empty if the host has been removed.
     pub(crate) fn host_address(&self, id: HostId) -> String {
         self.hosts
             .get(&id)
--- a/crates/engine/src/sessions/adoption.rs
+++ b/crates/engine/src/sessions/adoption.rs
@@ -1,4 +1,5 @@
-//! Tasks that a host names after it has greeted: kept, stopped, or adopted from an earlier incarnation of this placer.
+//! Tasks that a host lists after its greeting: confirmed, stopped, or adopted from an earlier incarnation of this
+//! placer.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
 use crate::ids::{ActorKey, AttemptKey, HostId, stable_hash};
 
 impl<D: Decide> Engine<D> {
-    /// Takes a task that a host holds of this placer.
+    /// Handles a task of this placer that a host holds.
     pub(super) fn handle_held_task(&mut self, id: HostId, offer: &Offer, is_running: bool) {
         let attempt = AttemptKey(offer.attempt_id);
         if self.attempts.contains_key(&attempt) {
@@ -24,7 +25,7 @@
         }
     }
 
-    /// A host still holds a task that this engine has placed there.
+    /// Confirms a task that this engine has placed and the host still holds.
     fn confirm_task(&mut self, id: HostId, key: AttemptKey, is_running: bool) {
         let Some(attempt) = self
             .attempts
@@ -45,17 +46,17 @@
         }
     }
 
-    /// A host holds a task that this engine does not know.
+    /// Records a task that a host holds and this engine has no attempt for.
     fn adopt_task(&mut self, id: HostId, offer: &Offer, is_running: bool) {
         let attempt_key = AttemptKey(offer.attempt_id);
         let key = ActorKey::new(&offer.service, &offer.actor);
         let classes = &self.config.classes;
         let Some(class) = classes.iter().position(|c| c.name == offer.class) else {
-            tracing::warn!(host = %self.host_name(id), class = offer.class, "holds a task of no known class");
+            tracing::warn!(host = %self.host_name(id), class = offer.class, "host holds a task of an unknown class; task ignored");
             return;
         };
-        // An attempt of this incarnation that ended or was reported lost, or another copy, is not wanted. It runs, and
-        // counts, until the host has stopped it.
+        // An attempt of this incarnation that has ended or was reported lost, and a second copy of a placed actor, are
+        // to be stopped. They count as running until the host has stopped them.
         let is_own = attempt_key.has_prefix(self.attempt_id_prefix);
         let is_unwanted = is_own || matches!(self.actors.get(&key), Some(ActorState::Placed(_)));
         self.next_task += 1;
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Answers a pending request for an actor that was just found at a host.
+    /// Answers a pending request for an actor that has just been adopted.
     fn answer_with_adopted(&mut self, task: TaskId, key: ActorKey, host: HostId) {
         let request_id = self
             .requests
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts: made, greeted in time, lost and made again.
+//! Connections to hosts: connecting, the time limit for the greeting, connection loss, and reconnecting.
 
 use maplethread::{AttemptOutcome, Event, MachineId, Micros};
 use maplethread_wire::frame::{self, Frame};
@@ -16,7 +16,7 @@
 const MAX_RECONNECT_DOUBLINGS: u32 = 16;
 
 impl<D: Decide> Engine<D> {
-    /// Connects to a host, unless that was done since `epoch`.
+    /// Connects to a host, unless a connection has been started since `epoch`.
     pub(crate) fn connect(&mut self, id: HostId, epoch: u64) {
         let timeout = self.config.hosts.connect_timeout_ms * 1000;
         let Some(host) = self.hosts.get_mut(&id) else {
@@ -39,7 +39,7 @@
         );
     }
 
-    /// Drops a connection that is not in use by now.
+    /// Drops a connection whose greeting did not complete in time.
     pub(crate) fn handle_greeting_timeout(&mut self, id: HostId, epoch: u64) {
         let Some(host) = self.hosts.get(&id) else {
             return;
@@ -49,12 +49,12 @@
             ConnectionState::Greeting | ConnectionState::Syncing
         );
         if host.connection_epoch == epoch && is_awaited {
-            tracing::warn!(host = %host.name, "no greeting in time");
+            tracing::warn!(host = %host.name, "host did not complete its greeting in time; connection dropped");
             self.disconnect_host(id);
         }
     }
 
-    /// The connection to a host is made. `now` is in µs.
+    /// Handles a new connection to a host. `now` is in µs.
     pub fn host_connected(&mut self, now: Micros, id: HostId) {
         self.now = self.now.max(now);
         let is_greeting = |state| state == ConnectionState::Greeting;
@@ -75,15 +75,16 @@
         self.send_frame(id, &hello, Delivery::Required);
     }
 
-    /// The kernel has taken `written` bytes of this connection in all.
+    /// Records that the kernel has accepted `written` bytes of this connection in total.
     pub fn host_written(&mut self, id: HostId, written: u64) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.written_bytes = written;
         }
     }
 
-    /// A connection to a host could not be made, or is lost; the kernel had taken `written` bytes of it. An offer that
-    /// it had not taken whole never reached the host whole, so it never ran. `now` is in µs.
+    /// Handles a connection to a host that failed or was lost after the kernel had accepted `written` bytes. An offer
+    /// that the kernel had not accepted completely can't have reached the host completely, so it never ran. `now` is in
+    /// µs.
     pub fn host_closed(&mut self, now: Micros, id: HostId, written: u64) {
         self.now = self.now.max(now);
         let Some(host) = self.hosts.get_mut(&id) else {
@@ -108,9 +109,9 @@
             self.fail_all_attempts(id);
         }
         if is_wanted {
-            let wait = self.reconnect_wait(earlier_failures);
+            let delay = self.reconnect_delay(earlier_failures);
             self.timers
-                .schedule(self.now + wait, Timer::Reconnect { host: id, epoch });
+                .schedule(self.now + delay, Timer::Reconnect { host: id, epoch });
         }
         if !was_tried {
             self.publish_host(id);
@@ -119,10 +120,10 @@
             machine: MachineId(id.0),
             is_connected: false,
         });
-        self.forget_departed(id);
+        self.remove_departed(id);
     }
 
-    /// Finishes the attempts at a host that are not placed. Returns whether there are placed ones.
+    /// Finishes the attempts at a host that are not placed. Returns whether the host has placed ones.
     fn finish_unplaced_attempts(&mut self, id: HostId, written: u64) -> bool {
         let mut holds_tasks = false;
         for key in self.attempts_at(id) {
@@ -144,17 +145,17 @@
         holds_tasks
     }
 
-    /// How long to wait before the next try to connect, after so many failures in a row.
-    fn reconnect_wait(&mut self, earlier_failures: u32) -> Micros {
+    /// How long to wait before the next connection attempt, after `earlier_failures` failures in a row.
+    fn reconnect_delay(&mut self, earlier_failures: u32) -> Micros {
         let hosts = &self.config.hosts;
-        let wait_ms = hosts
+        let delay_ms = hosts
             .min_reconnect_delay_ms
             .saturating_mul(1 << earlier_failures.min(MAX_RECONNECT_DOUBLINGS))
             .min(hosts.max_reconnect_delay_ms);
-        self.jitter(wait_ms * 1000)
+        self.jitter(delay_ms * 1000)
     }
 
-    /// Drops the connection to a host. What the kernel has not taken of it by now is never sent.
+    /// Drops the connection to a host. Bytes that the kernel has not accepted by now are never sent.
     pub(crate) fn disconnect_host(&mut self, id: HostId) {
         let Some(written) = self.hosts.get(&id).map(|host| host.written_bytes) else {
             return;
@@ -163,8 +164,8 @@
         self.host_closed(self.now, id, written);
     }
 
-    /// Gives up the tasks of a host whose connection was lost long ago. On a connection made since, the host itself
-    /// names the tasks that it still holds.
+    /// Finishes the attempts at a host that has been disconnected for too long. A host that has reconnected since is
+    /// left alone, as it lists the tasks that it still holds.
     pub(crate) fn handle_tasks_lost(&mut self, id: HostId, epoch: u64) {
         let is_lost = self.hosts.get(&id).is_some_and(|host| {
             epoch >= host.greeted_epoch
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that hosts send: the greeting, and reports of attempts.
+//! Frames that hosts send: the greeting, and reports on attempts.
 
 use maplethread::{AttemptOutcome, Event, MachineId, Micros, TaskReport};
 use maplethread_wire::frame::{self, Frame, NoteKind, Reason, ResourceAmounts};
@@ -10,7 +10,7 @@
 use crate::host::ConnectionState;
 use crate::ids::{AttemptKey, HostId};
 
-/// How a host breaks the protocol, so that its connection is dropped. The host is told this text.
+/// Why the connection to a host is dropped. The text is sent to the host.
 #[derive(Debug, thiserror::Error)]
 enum ProtocolError {
     #[error("speaks version {0}, not {expected}", expected = frame::MAJOR)]
@@ -20,11 +20,12 @@
     #[error("said goodbye: {0}")]
     Goodbye(String),
     #[error("a frame out of turn")]
-    OutOfTurn,
+    UnexpectedFrame,
 }
 
 impl<D: Decide> Engine<D> {
-    /// Takes bytes from a host; returns how many were used. The rest is to be given again, with more. `now` is in µs.
+    /// Handles bytes received from a host; returns how many were used. The caller passes the rest again, with further
+    /// bytes. `now` is in µs.
     pub fn host_bytes(&mut self, now: Micros, id: HostId, unread: &[u8]) -> usize {
         self.now = self.now.max(now);
         let mut used = 0;
@@ -52,7 +53,7 @@
         let Some(host) = self.hosts.get(&id) else {
             return;
         };
-        tracing::warn!(host = %host.name, reason, "breaks the protocol; connection dropped");
+        tracing::warn!(host = %host.name, reason, "protocol violation by host; connection dropped");
         self.send_frame(id, &Frame::Bye(reason.to_owned()), Delivery::Required);
         self.disconnect_host(id);
     }
@@ -75,7 +76,8 @@
             (ConnectionState::Syncing, Frame::Held(offer, is_running)) => {
                 self.handle_held_task(id, &offer, is_running);
             }
-            // Since 1.1: a task that ended while there was no connection is not lost, as the host reports its end.
+            // Since protocol 1.1 a host reports the end of a task that ended while there was no connection, so that the
+            // task does not count as lost.
             (ConnectionState::Syncing, frame @ Frame::Ended(..)) => {
                 self.handle_attempt_frame(id, frame);
             }
@@ -92,12 +94,12 @@
             (_, Frame::Pong(_)) => {}
             (_, Frame::Bye(reason)) => return Err(ProtocolError::Goodbye(reason)),
             (ConnectionState::Up, frame) => self.handle_attempt_frame(id, frame),
-            _ => return Err(ProtocolError::OutOfTurn),
+            _ => return Err(ProtocolError::UnexpectedFrame),
         }
         Ok(())
     }
 
-    /// A host has greeted: it goes on to name the tasks that it holds.
+    /// Handles the greeting of a host, which goes on to list the tasks that it holds.
     fn handle_greeting(
         &mut self,
         id: HostId,
@@ -115,7 +117,7 @@
             return Err(ProtocolError::Name(name));
         }
         if host.reported_started_ms != Some(started_ms) {
-            // A new process: what the old one reported of itself no longer holds.
+            // The host has a new process: a drain that the old one reported is over.
             (host.reported_started_ms, host.is_draining) = (Some(started_ms), false);
         }
         host.connection = ConnectionState::Syncing;
@@ -127,17 +129,17 @@
                 .is_some_and(|attempt| attempt.stage == Stage::Placed)
         };
         host.unconfirmed = host.attempts.iter().copied().filter(is_placed).collect();
-        self.watch_liveness(id);
+        self.monitor_liveness(id);
         Ok(())
     }
 
-    /// A host has named all tasks that it holds: the others are lost.
+    /// Handles the end of a host's list of tasks: placed tasks that were not listed are lost.
     fn finish_sync(&mut self, id: HostId) {
         let Some(host) = self.hosts.get_mut(&id) else {
             return;
         };
         (host.connection, host.failed_connects) = (ConnectionState::Up, 0);
-        tracing::info!(host = %host.name, "connected");
+        tracing::info!(host = %host.name, "host connected");
         let missing: Vec<AttemptKey> = host.unconfirmed.iter().copied().collect();
         for key in missing {
             let end = AttemptEnd::known_dead(AttemptOutcome::Disconnected);
@@ -151,13 +153,13 @@
         });
     }
 
-    /// What a host that has greeted reports of attempts. Attempts that are not known, or no longer, are tolerated.
+    /// Handles a host's report on an attempt. The attempt may be unknown, or have finished already.
     fn handle_attempt_frame(&mut self, id: HostId, frame: Frame) {
         match frame {
             Frame::Accepted(attempt, took_ms) => match self.attempt_at(id, attempt) {
                 Some(key) => self.handle_accepted(key, took_ms),
-                // It had timed out, or the connection had been lost, and it was cancelled then; stopping it again is
-                // harmless.
+                // The attempt had timed out, or its connection had been lost, and it was cancelled then; stopping it
+                // again has no effect.
                 None => {
                     self.send_frame(id, &Frame::Stop(attempt), Delivery::Required);
                 }
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The attempt that a host names, if it is known to be there.
+    /// The key of an attempt that a host reports on, if it is recorded at that host.
     fn attempt_at(&self, host: HostId, attempt: u64) -> Option<AttemptKey> {
         let key = AttemptKey(attempt);
         let is_there = self.attempts.get(&key).is_some_and(|a| a.host == host);
@@ -216,7 +218,7 @@
             Reason::Completed => AttemptOutcome::Completed,
             Reason::Error => AttemptOutcome::Error,
             Reason::Stopped => AttemptOutcome::Cancelled,
-            // Handed back before it ran and before it was placed.
+            // The host gave it up before it ran and before it was placed.
             _ if !has_run && !is_placed => AttemptOutcome::Rejected,
             _ => AttemptOutcome::Disconnected,
         };
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to hosts, and hosts whose silence is final, as [`maplethread_liveness`] decides.
+//! Heartbeats to hosts and disconnection of silent hosts, as [`maplethread_liveness`] decides.
 
 use maplethread_liveness::{DueAction, SignOfLife};
 use maplethread_wire::frame::Frame;
@@ -10,7 +10,7 @@
 use crate::ids::HostId;
 
 impl<D: Decide> Engine<D> {
-    /// Sends the heartbeats that are due, and drops connections to hosts whose silence is final.
+    /// Sends the heartbeats that are due, and drops connections to hosts that have been silent for too long.
     pub(crate) fn send_due_heartbeats(&mut self) {
         for due in self.liveness.take_due(self.now, self.is_after_stall) {
             match due {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Watches a host that has greeted: its silence counts from now on.
-    pub(super) fn watch_liveness(&mut self, id: HostId) {
+    /// Starts to monitor a host that has sent its greeting.
+    pub(super) fn monitor_liveness(&mut self, id: HostId) {
         let first_tick_after = self.jitter(self.config.hosts.ping_interval_ms * 1000);
         self.liveness.host_greeted(self.now, id, first_tick_after);
     }
@@ -45,7 +45,7 @@
         self.liveness.record_sign_of_life(self.now, id, sign);
     }
 
-    /// Tells the liveness whether there are attempts at a host. A host that is still naming the tasks that it holds
+    /// Updates the liveness module on whether there are attempts at a host. A host that is still listing its tasks
     /// counts as in use.
     pub(crate) fn update_host_use(&mut self, id: HostId) {
         let Some(host) = self
--- a/crates/engine/src/sessions/inventory.rs
+++ b/crates/engine/src/sessions/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory of hosts, and what the decider is told of it.
+//! The inventory of hosts, and the updates that the decider gets of it.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::ids::HostId;
 
 impl<D: Decide> Engine<D> {
-    /// Takes the whole inventory. Hosts that are not in it are gone. `now` is in µs.
+    /// Applies a full inventory. Hosts that are not in it are gone. `now` is in µs.
     pub fn apply_inventory(&mut self, now: Micros, inventory: &Inventory) {
         self.now = self.now.max(now);
         self.has_inventory = true;
@@ -37,11 +37,11 @@
             machines,
         });
         for id in self.hosts.keys().copied().collect::<Vec<_>>() {
-            self.forget_departed(id);
+            self.remove_departed(id);
         }
     }
 
-    /// Takes the entries of the hosts that have changed; hosts that are gone have that state. `now` is in µs.
+    /// Applies changed entries of the inventory; a host that has left it has the state `Gone`. `now` is in µs.
     pub fn apply_host_changes(&mut self, now: Micros, entries: &[HostEntry]) {
         self.now = self.now.max(now);
         self.has_inventory = true;
@@ -59,7 +59,7 @@
             if host.was_tried || host.is_departed() {
                 machines.push(host.refresh_entry());
             }
-            self.forget_departed(id);
+            self.remove_departed(id);
         }
         if !machines.is_empty() {
             self.events.push(Event::EndpointsUpdated {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// The index that this placer has among its replicas from now on, where that is leased.
+    /// Sets the index of this placer among its replicas, if indexes are leased; `None` while it holds no lease.
     pub fn set_replica_index(&mut self, index: Option<u32>) {
         self.events.push(Event::ReplicaIndexChanged(index));
     }
 
-    /// Takes the entry of one host, and connects to it or drops its connection where that follows.
+    /// Applies the entry of one host. Connects to a new host, and drops the connection if the address has changed.
     fn apply_entry(&mut self, entry: &HostEntry) -> HostId {
         let id = match self.hosts_by_name.get(entry.name.as_str()) {
             Some(&id) => id,
@@ -109,7 +109,7 @@
         id
     }
 
-    /// Adds a host that is new to the inventory, or that returns to it and keeps its number.
+    /// Adds a host that is new to the inventory, or that returns to it and keeps its id.
     fn add_host(&mut self, entry: &HostEntry) -> HostId {
         let (id, epoch) = match self.departed_hosts.remove(entry.name.as_str()) {
             Some(departed) => (departed.id, departed.connection_epoch),
@@ -130,7 +130,7 @@
         id
     }
 
-    /// Tells the decider the present entry of one host.
+    /// Reports the present entry of one host to the decider.
     pub(super) fn publish_host(&mut self, id: HostId) {
         if let Some(host) = self.hosts.get_mut(&id) {
             host.was_tried = true;
@@ -142,9 +142,9 @@
         }
     }
 
-    /// Removes a host that is gone and has no connection: it holds no tasks any more. Its number is kept for its
-    /// return, for as many hosts as there may be; beyond that the one that left first is forgotten.
-    pub(super) fn forget_departed(&mut self, id: HostId) {
+    /// Removes a host that is gone and has no connection, and finishes its attempts. Its id is kept in case it returns,
+    /// for up to `max_hosts` hosts; beyond that, the host that left first is removed.
+    pub(super) fn remove_departed(&mut self, id: HostId) {
         if !self.hosts.get(&id).is_some_and(Host::is_departed) {
             return;
         }
--- a/crates/engine/src/sessions/outgoing.rs
+++ b/crates/engine/src/sessions/outgoing.rs
@@ -1,4 +1,4 @@
-//! Frames to hosts, bounded by what waits to be written.
+//! Frames to hosts, within the limit of unwritten bytes.
 
 use maplethread_wire::frame::{self, Frame};
 
@@ -8,21 +8,22 @@
 use crate::ids::HostId;
 use crate::output::Output;
 
-/// Bytes that are enough for nearly every frame.
+/// Capacity that suffices for nearly every frame.
 const TYPICAL_FRAME_BYTES: usize = 160;
 
-/// What is done about a frame where too much waits to be written already.
+/// How a frame is handled if too many bytes to its host are unwritten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// It is not sent. It is also not sent before the host has named the tasks that it holds.
+    /// The frame is not sent. It is not sent either before the host has listed the tasks that it holds.
     BestEffort,
-    /// It must not be lost: it may take twice the room, and beyond that the connection is dropped, which ends what
-    /// depends on it.
+    /// The frame must not be lost: its limit is twice as high, and beyond that the connection is dropped, which ends
+    /// the attempts that depend on it.
     Required,
 }
 
 impl<D: Decide> Engine<D> {
-    /// Queues a frame for a host. Returns where it ends in the bytes of this connection, or nothing if it is not sent.
+    /// Queues a frame for a host. Returns the position in the connection's byte stream at which it ends, or `None` if
+    /// it is not sent.
     pub(crate) fn send_frame(
         &mut self,
         id: HostId,
@@ -40,7 +41,7 @@
         }
         if host.queued_bytes - host.written_bytes > max_unwritten {
             if delivery == Delivery::Required {
-                tracing::warn!(host = %host.name, "too much waits to be written; connection dropped");
+                tracing::warn!(host = %host.name, "too many unwritten bytes; connection dropped");
                 self.disconnect_host(id);
             }
             return None;
--- a/crates/engine/src/sessions/starts.rs
+++ b/crates/engine/src/sessions/starts.rs
@@ -1,4 +1,4 @@
-//! Attempts that hosts accept and start, which answers their requests.
+//! Acceptance and start of attempts by hosts, which answer placement requests.
 
 use maplethread::{Event, TaskReport};
 
@@ -9,7 +9,7 @@
 use crate::ids::AttemptKey;
 
 impl<D: Decide> Engine<D> {
-    /// A host has accepted an attempt, after `took_ms` by its own clock.
+    /// Handles the acceptance of an attempt, `took_ms` after the host read the offer by its own clock.
     pub(super) fn handle_accepted(&mut self, key: AttemptKey, took_ms: u32) {
         let is_placed_on_acceptance = self.is_placed_on_acceptance();
         let Some(attempt) = self.attempts.get_mut(&key) else {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A host has started an attempt, after `took_ms` by its own clock.
+    /// Handles the start of an attempt, `took_ms` after the host read the offer by its own clock.
     pub(super) fn handle_started(&mut self, key: AttemptKey, took_ms: u32) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -55,7 +55,7 @@
         self.publish_event("started", None, &subject);
     }
 
-    /// Places the task of an attempt and answers its request, if the deadline is not over.
+    /// Places the task of an attempt and answers its request. Cancels the attempt if the deadline has passed.
     fn confirm_placement(&mut self, key: AttemptKey, took_ms: u32) {
         let Some(attempt) = self.attempts.get_mut(&key) else {
             return;
@@ -71,7 +71,7 @@
         }
         attempt.stage = Stage::Placed;
         let (id, host, sent_at) = (attempt.id, attempt.host, attempt.sent_at);
-        // A caller that was stalled can't tell when the answer came, so what the host measured counts.
+        // After a stall it is not known when the answer arrived, so the host's measurement is used if it is shorter.
         let elapsed = self
             .is_after_stall
             .then(|| (self.now - sent_at).min(u64::from(took_ms) * 1000));
--- a/crates/engine/src/timer.rs
+++ b/crates/engine/src/timer.rs
@@ -1,26 +1,26 @@
-//! What the engine's timers are for.
+//! The timers of the engine.
 
 use crate::ids::{AttemptKey, ClientId, HostId};
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Timer {
-    /// A timer of the decider, with its label.
+    /// A timer that the decider has set, with its label.
     Decider(u64),
-    /// An attempt has had no answer in time.
+    /// The host has not answered an offer in time.
     AttemptTimeout(AttemptKey),
-    /// A host is to be connected to again.
+    /// Reconnect to a host.
     Reconnect { host: HostId, epoch: u64 },
-    /// A connection must have been greeted by now.
+    /// Time limit for the greeting on a new connection.
     GreetingTimeout { host: HostId, epoch: u64 },
-    /// Tasks of a host without a connection count as lost.
+    /// The tasks of a host that has been disconnected for too long count as lost.
     TasksLost { host: HostId, epoch: u64 },
-    /// A probe has had no answer in time.
+    /// The host has not answered a probe in time.
     ProbeTimeout(u32),
-    /// A client's connection is to be checked for time limits.
+    /// Check a client's connection for time-outs.
     ClientTimeout(ClientId),
-    /// An actor with an unsettled attempt may count as settled.
+    /// Remove unsettled attempts whose time is over.
     UnsettledExpiry,
-    /// Followers of events get an empty line.
+    /// Send an empty line to followers of events.
     FollowerHeartbeat,
 }
--- a/crates/engine/src/timers.rs
+++ b/crates/engine/src/timers.rs
@@ -1,4 +1,4 @@
-//! What happens when a timer fires.
+//! Handling of timers that fire.
 
 use maplethread::{Event, Micros};
 use rand_pcg::rand_core::Rng;
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Draws a duration between half of `max` and `max`.
+    /// Returns a random duration between half of `max` and `max`.
     pub(crate) fn jitter(&mut self, max: Micros) -> Micros {
         let half = max / 2;
         half + self.rng.next_u64() % (max - half).max(1)
--- a/crates/engine/src/warm_up_offers.rs
+++ b/crates/engine/src/warm_up_offers.rs
@@ -1,4 +1,5 @@
-//! Offers to hosts that are warming up, by when they were written; the decider counts them from when it decided.
+//! Offers to hosts that are warming up, with the time at which they were written. The decider counts offers from the
+//! time of its decision, which may be much earlier.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +11,16 @@
 #[derive(Clone, Copy, Debug)]
 struct SentOffer {
     decided_at: Micros,
-    /// When it was certainly written.
+    /// A time at which the offer had certainly been written; until that is recorded, the time of the decision.
     written_at: Micros,
 }
 
-/// Offers to hosts that are warming up, as long as they count in the window of the limit.
+/// Offers to hosts that are warming up, kept while they are within the window of the offer limit.
 #[derive(Debug)]
 pub(crate) struct WarmUpOffers {
     window: Micros,
     sent: BTreeMap<HostId, Vec<SentOffer>>,
-    /// Hosts with offers that may not be written yet.
+    /// Hosts with offers that may not have been written yet.
     unwritten: Vec<HostId>,
 }
 
@@ -32,15 +33,15 @@
         }
     }
 
-    /// Whether an offer at `now` would fall into the window of one that was written late, while for the decider that
-    /// window is over: the caller was slow or paused between a decision and its writing.
+    /// Whether an offer at `now` would fall into the window of an earlier offer that was written late, although for the
+    /// decider that window is over. This happens if the caller is slow or pauses between a decision and the writing.
     pub fn overlaps_late_offer(&self, host: HostId, now: Micros) -> bool {
         let sent = self.sent.get(&host).map(Vec::as_slice).unwrap_or_default();
         sent.iter()
             .any(|sent| sent.decided_at + self.window < now && sent.written_at + self.window >= now)
     }
 
-    /// Records an offer that is decided on.
+    /// Records an offer at the time of its decision.
     pub fn record(&mut self, host: HostId, now: Micros) {
         let sent = self.sent.entry(host).or_default();
         sent.retain(|sent| sent.written_at + self.window >= now);
@@ -51,7 +52,7 @@
         self.unwritten.push(host);
     }
 
-    /// Records that all offers so far are written.
+    /// Records that all offers so far had been written at `at`.
     pub fn mark_written(&mut self, at: Micros) {
         for host in std::mem::take(&mut self.unwritten) {
             let last = self.sent.get_mut(&host).into_iter().flatten().rev();
