--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -59,7 +59,7 @@
     }
 
     fn handle_frame(&mut self, id: HostId, frame: Frame) -> Result<(), ProtocolError> {
-        self.record_sign_of_life(id, &frame);
+        self.record_activity(id, &frame);
         let Some(host) = self.hosts.get_mut(&id) else {
             return Ok(());
         };
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats to hosts and disconnection of silent hosts, as [`maplethread_liveness`] decides.
 
-use maplethread_liveness::{DueAction, SignOfLife};
+use maplethread_liveness::{Activity, DueAction};
 use maplethread_wire::frame::Frame;
 
 use super::Delivery;
@@ -37,12 +37,12 @@
         self.liveness.host_greeted(self.now, id, first_tick_after);
     }
 
-    pub(super) fn record_sign_of_life(&mut self, id: HostId, frame: &Frame) {
-        let sign = match frame {
-            Frame::Pong(_) => SignOfLife::Answer,
-            _ => SignOfLife::Traffic,
+    pub(super) fn record_activity(&mut self, id: HostId, frame: &Frame) {
+        let activity = match frame {
+            Frame::Pong(_) => Activity::Answer,
+            _ => Activity::Traffic,
         };
-        self.liveness.record_sign_of_life(self.now, id, sign);
+        self.liveness.record_activity(self.now, id, activity);
     }
 
     /// Updates the liveness module on whether there are attempts at a host. A host that is still listing its tasks
--- a/crates/liveness/src/liveness.rs
+++ b/crates/liveness/src/liveness.rs
@@ -1,36 +1,36 @@
-//! The liveness of all hosts, in the order in which something is due.
+//! The heartbeat state of all hosts, ordered by when something is due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::host::{Host, Queue};
 use crate::pacer::Pacer;
-use crate::{Micros, Settings, SignOfLife};
+use crate::{Activity, Micros, Settings};
 
-/// What is due for a host.
+/// An action that is due for a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DueAction<K> {
-    /// It is to be sent a heartbeat.
+    /// Send a heartbeat to the host.
     SendHeartbeat(K),
-    /// Its silence is final: its connection is to be dropped. It is no longer known here.
+    /// The host has been silent for too long: drop the connection. Its entry here has been removed.
     Disconnect(K),
 }
 
-/// The signs of life of all hosts to which there is a connection. `K` names a host.
+/// The heartbeat state of all hosts to which there is a connection. `K` identifies a host.
 #[derive(Debug)]
 pub struct Liveness<K> {
     settings: Settings,
     hosts: BTreeMap<K, Host>,
-    /// How many of them are in use.
+    /// Number of hosts in use.
     in_use_count: usize,
     /// Hosts whose silence counts, by their next tick.
     ticks: BTreeSet<(Micros, K)>,
-    /// The other hosts, all idle, by their last sign of life.
+    /// The other hosts, all of them idle, by their last activity.
     idle: BTreeSet<(Micros, K)>,
     pacer: Pacer,
 }
 
 impl<K: Copy + Ord> Liveness<K> {
-    /// Knows no hosts yet.
+    /// Creates an instance without hosts.
     pub fn new(settings: Settings) -> Liveness<K> {
         Liveness {
             settings,
@@ -42,9 +42,9 @@
         }
     }
 
-    /// A host has greeted on a new connection. It counts as in use until [`Liveness::mark_idle`]. Its first tick comes
-    /// after `first_tick_after`, at most an interval; where that is random, it spreads the ticks of hosts that greet at
-    /// once.
+    /// Adds a host that has sent its greeting on a new connection. It counts as in use until [`Liveness::mark_idle`].
+    /// Its first tick is due after `first_tick_after`, which is limited to the ping interval. A random value spreads
+    /// the ticks of hosts that connect at the same time.
     pub fn host_greeted(&mut self, now: Micros, key: K, first_tick_after: Micros) {
         self.remove(key);
         let first_tick = now + first_tick_after.min(self.settings.ping_interval);
@@ -54,7 +54,7 @@
         self.hosts.insert(key, host);
     }
 
-    /// The connection to a host has ended.
+    /// Removes a host whose connection has ended.
     pub fn remove(&mut self, key: K) {
         if let Some(host) = self.hosts.remove(&key) {
             self.in_use_count -= usize::from(host.in_use());
@@ -62,27 +62,28 @@
         }
     }
 
-    /// Something was received from a host.
-    pub fn record_sign_of_life(&mut self, now: Micros, key: K, sign: SignOfLife) {
-        self.update_host(key, |host, _| host.record_sign_of_life(now, sign));
+    /// Records that something was received from a host.
+    pub fn record_activity(&mut self, now: Micros, key: K, activity: Activity) {
+        self.update_host(key, |host, _| host.record_activity(now, activity));
     }
 
-    /// A host is sent something to work on. Changes nothing if it is in use.
+    /// Marks a host as in use. Changes nothing if it is in use already.
     pub fn mark_in_use(&mut self, now: Micros, key: K) {
         self.update_host(key, |host, settings| host.mark_in_use(now, settings));
     }
 
-    /// A host has nothing to work on any more. Changes nothing if it is idle.
+    /// Marks a host as idle. Changes nothing if it is idle already.
     pub fn mark_idle(&mut self, key: K) {
         self.update_host(key, |host, _| host.mark_idle());
     }
 
-    /// The heartbeat that was just due could not be sent.
+    /// Records that the heartbeat that was last due to a host could not be sent.
     pub fn record_unsent_heartbeat(&mut self, key: K) {
         self.update_host(key, |host, _| host.record_unsent_heartbeat());
     }
 
-    /// Takes what is due by now. `stalled` tells that the caller was stalled, so that the silence was its own.
+    /// Takes the actions that are due at `now`. `stalled` means that the caller was stalled, so that the time before
+    /// `now` does not count as silence of hosts.
     pub fn take_due(&mut self, now: Micros, stalled: bool) -> Vec<DueAction<K>> {
         let mut due = Vec::new();
         while let Some(&(tick, key)) = self.ticks.first()
@@ -100,40 +101,41 @@
         due
     }
 
-    /// When something is due next, µs.
+    /// When the next action is due, µs.
     pub fn next_due_at(&self) -> Option<Micros> {
         let tick = self.ticks.first().map(|(tick, _)| *tick);
         let turn = self.next_turn().map(|(turn, _)| turn);
         tick.into_iter().chain(turn).min()
     }
 
-    /// How many hosts are not in use.
+    /// Number of hosts that are not in use.
     pub fn idle_host_count(&self) -> usize {
         self.hosts.len() - self.in_use_count
     }
 
-    /// The longest time from the last sign of life of an idle host to its next heartbeat, for the present number of
-    /// idle hosts, µs.
+    /// The longest time from the last activity of an idle host to its next heartbeat, for the present number of idle
+    /// hosts, µs.
     pub fn max_idle_interval(&self) -> Micros {
         self.pacer.max_interval(self.idle_host_count())
     }
 
-    /// The idle host whose turn is next, and when it is.
+    /// The idle host that is next to get a heartbeat, and when.
     fn next_turn(&self) -> Option<(Micros, K)> {
-        let &(oldest_sign, key) = self.idle.first()?;
+        let &(oldest_activity, key) = self.idle.first()?;
         Some((
-            self.pacer.next_turn_at(self.idle_host_count(), oldest_sign),
+            self.pacer
+                .next_turn_at(self.idle_host_count(), oldest_activity),
             key,
         ))
     }
 
-    /// A host's tick has come.
+    /// Handles a due tick of a host.
     fn handle_tick(&mut self, now: Micros, key: K, stalled: bool) -> Option<DueAction<K>> {
         let settings = self.settings;
         let mut due = None;
         self.update_host(key, |host, _| {
             if stalled {
-                host.forgive_silence(now);
+                host.reset_silence(now);
             }
             host.advance_tick(now, &settings);
             if host.is_silent(now, &settings) {
@@ -149,7 +151,7 @@
         due
     }
 
-    /// Changes what is known of a host, and its place in the queues with it.
+    /// Changes the state of a host, and moves it between the queues accordingly.
     fn update_host(&mut self, key: K, change: impl FnOnce(&mut Host, &Settings)) {
         let Some(host) = self.hosts.get_mut(&key) else {
             return;
@@ -167,14 +169,14 @@
     fn enqueue(&mut self, key: K, queue: Queue) {
         match queue {
             Queue::Tick(tick) => self.ticks.insert((tick, key)),
-            Queue::Idle(heard) => self.idle.insert((heard, key)),
+            Queue::Idle(last_activity) => self.idle.insert((last_activity, key)),
         };
     }
 
     fn dequeue(&mut self, key: K, queue: Queue) {
         match queue {
             Queue::Tick(tick) => self.ticks.remove(&(tick, key)),
-            Queue::Idle(heard) => self.idle.remove(&(heard, key)),
+            Queue::Idle(last_activity) => self.idle.remove(&(last_activity, key)),
         };
     }
 }
--- a/crates/liveness/src/pacer.rs
+++ b/crates/liveness/src/pacer.rs
@@ -1,14 +1,14 @@
-//! The turns of idle hosts: evenly spaced in time; missed turns are not made up for by a burst.
+//! The turns of idle hosts, evenly spaced in time. Missed turns are not made up for by a burst.
 
 use crate::{Micros, Settings};
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
 /// Spaces the heartbeats to idle hosts.
 #[derive(Debug)]
 pub(crate) struct Pacer {
     settings: Settings,
-    /// The last turn that was given.
+    /// When the last turn was.
     last_turn: Option<Micros>,
 }
 
@@ -20,36 +20,37 @@
         }
     }
 
-    /// The time between two turns among `idle` idle hosts: as the rate allows, or less where all of them could not have
-    /// one within the longest interval otherwise.
-    fn gap(&self, idle: usize) -> Micros {
-        let by_rate = SECOND.div_ceil(u64::from(self.settings.max_idle_pings_per_s.max(1)));
-        let round = self
+    /// The time between two turns among `idle` idle hosts. It follows from the rate, or is shorter if some hosts would
+    /// not get a turn within the longest interval otherwise.
+    fn spacing(&self, idle: usize) -> Micros {
+        let by_rate = SECOND_US.div_ceil(u64::from(self.settings.max_idle_pings_per_s.max(1)));
+        let cycle = self
             .settings
             .max_idle_interval
             .saturating_sub(self.settings.ping_interval);
-        by_rate.min(round / idle.max(1) as u64)
+        by_rate.min(cycle / idle.max(1) as u64)
     }
 
-    /// The longest time from the last sign of life of one of `idle` idle hosts to its next turn. All of them may have
-    /// given one at once: after `ping_interval` the first one has its turn, and after all others the last one.
+    /// The longest time from the last activity of one of `idle` idle hosts to its next turn. In the worst case all of
+    /// them were active at the same time: after `ping_interval` the first one gets its turn, and the last one after all
+    /// others.
     pub fn max_interval(&self, idle: usize) -> Micros {
-        self.settings.ping_interval + self.gap(idle) * idle as u64
+        self.settings.ping_interval + self.spacing(idle) * idle as u64
     }
 
-    /// When the next turn comes, given the oldest last sign of life of an idle host.
-    pub fn next_turn_at(&self, idle: usize, oldest_sign: Micros) -> Micros {
-        let eligible = oldest_sign.saturating_add(self.settings.ping_interval);
+    /// When the next turn is, given the oldest last activity of an idle host.
+    pub fn next_turn_at(&self, idle: usize, oldest_activity: Micros) -> Micros {
+        let eligible = oldest_activity.saturating_add(self.settings.ping_interval);
         let spaced = self
             .last_turn
-            .map_or(0, |last| last.saturating_add(self.gap(idle)));
+            .map_or(0, |last| last.saturating_add(self.spacing(idle)));
         eligible.max(spaced)
     }
 
-    /// The turn that was due at `turn` is given now. A caller that is late by less than a gap does not slow the turns
-    /// down; one that is later has missed some, and they are not made up for.
+    /// Records that the turn that was due at `turn` takes place now. A caller that is late by less than the spacing
+    /// does not slow the turns down. One that is later than that has missed turns, which are not made up for.
     pub fn record_turn(&mut self, now: Micros, turn: Micros, idle: usize) {
-        let missed = now.saturating_sub(turn) >= self.gap(idle);
+        let missed = now.saturating_sub(turn) >= self.spacing(idle);
         self.last_turn = Some(if missed { now } else { turn });
     }
 }
--- a/crates/liveness/tests/idle.rs
+++ b/crates/liveness/tests/idle.rs
@@ -1,10 +1,10 @@
-//! Idle hosts: heartbeats of all of them within the rate, whatever happens, and a silent one found within the interval.
+//! Idle hosts: the heartbeat rate over all of them is bounded, and a silent one is disconnected within a bounded time.
 
 mod support;
 
 use support::{AnswerBehaviour, MS, SECOND, SETTINGS, SimulatedHosts};
 
-/// The rate, a turn that was late, and the window's two ends.
+/// The rate, plus one for a late turn and one because both ends of the window count.
 const MAX_HEARTBEATS_PER_SECOND: usize = SETTINGS.max_idle_pings_per_s as usize + 2;
 
 #[test]
@@ -20,22 +20,22 @@
         let interval = fleet.liveness.max_idle_interval();
         for host in 0..hosts {
             let times = fleet.heartbeats_to(host, 0);
-            let widest = times
+            let longest = times
                 .windows(2)
                 .map(|w| w[1] - w[0])
                 .max()
                 .expect("several");
-            // The answer starts the interval.
+            // The interval starts with the answer, which takes 5 ms.
             assert!(
-                widest <= interval + 5 * MS,
-                "{hosts} hosts: {widest} us without a heartbeat"
+                longest <= interval + 5 * MS,
+                "{hosts} hosts: {longest} us without a heartbeat"
             );
-            let closest = times
+            let shortest = times
                 .windows(2)
                 .map(|w| w[1] - w[0])
                 .min()
                 .expect("several");
-            assert!(closest >= SETTINGS.ping_interval);
+            assert!(shortest >= SETTINGS.ping_interval);
         }
         assert_eq!(fleet.disconnected, []);
     }
@@ -55,7 +55,7 @@
         .map(|(_, host)| *host)
         .collect();
     assert_eq!(pinged.len(), 8192, "all within the longest interval");
-    // 8192 hosts in 89 s.
+    // The rate has to exceed its limit: 8192 hosts in 89 s.
     assert!(
         many.max_heartbeats_per_second(0) <= 95,
         "{}",
@@ -91,7 +91,7 @@
             fleet.run_until(silent_from + most);
             assert!(
                 fleet.disconnected_at(host).is_some(),
-                "{hosts} hosts: not found {most} us after"
+                "{hosts} hosts: not disconnected within {most} us"
             );
             assert_eq!(fleet.disconnected.len(), 1);
         }
@@ -119,7 +119,7 @@
         (1..=3).contains(&slow),
         "{slow} heartbeats in 64 s once it answers in time"
     );
-    assert_eq!(fleet.disconnected, [], "late answers are signs of life");
+    assert_eq!(fleet.disconnected, [], "late answers count as activity");
 }
 
 #[test]
@@ -129,17 +129,17 @@
     fleet.set_answers(0..325, AnswerBehaviour::Never);
     let most = fleet.liveness.max_idle_interval() + SETTINGS.silence_timeout;
     fleet.run_until(50 * SECOND + most);
-    assert_eq!(fleet.disconnected.len(), 325, "all of them and nobody else");
-    // Each unanswered one is repeated at two ticks before the cut.
+    assert_eq!(fleet.disconnected.len(), 325, "exactly the silent hosts");
+    // Each unanswered heartbeat is repeated at two ticks before the host is disconnected.
     let repeats = (SETTINGS.silence_timeout / SETTINGS.ping_interval) as usize;
     assert!(fleet.max_heartbeats_per_second(0) <= MAX_HEARTBEATS_PER_SECOND * repeats);
     fleet.greet_idle(0..325);
-    let back = fleet.now;
-    fleet.run_until(back + 100 * SECOND);
+    let reconnected_at = fleet.now;
+    fleet.run_until(reconnected_at + 100 * SECOND);
     assert!(
-        fleet.max_heartbeats_per_second(back) <= MAX_HEARTBEATS_PER_SECOND,
+        fleet.max_heartbeats_per_second(reconnected_at) <= MAX_HEARTBEATS_PER_SECOND,
         "{}",
-        fleet.max_heartbeats_per_second(back)
+        fleet.max_heartbeats_per_second(reconnected_at)
     );
     assert_eq!(fleet.disconnected.len(), 325);
 }
@@ -183,7 +183,7 @@
 fn silence_is_counted_when_heartbeat_could_not_be_sent() {
     let mut fleet = SimulatedHosts::new(SETTINGS);
     fleet.greet_idle(0..1);
-    let turn = fleet.liveness.next_due_at().expect("a turn");
+    let turn = fleet.liveness.next_due_at().expect("a heartbeat is due");
     assert_eq!(
         fleet.liveness.take_due(turn, false),
         [maplethread_liveness::DueAction::SendHeartbeat(0)]
--- a/crates/liveness/tests/in_use.rs
+++ b/crates/liveness/tests/in_use.rs
@@ -1,4 +1,5 @@
-//! Hosts in use: silence is final no later than with fixed heartbeats, and traffic stands for them.
+//! Hosts in use: a silent one is disconnected no later than with heartbeats at a fixed interval, and traffic replaces
+//! heartbeats.
 
 mod support;
 
@@ -9,8 +10,8 @@
 
 const HOST: u32 = 7;
 
-/// A host in use that is heard at these times and says nothing from then on: when it is disconnected, and after how many
-/// heartbeats.
+/// When a host in use is disconnected that sends traffic at these times and nothing from `silent_from` on, and the
+/// number of heartbeats sent to it.
 fn run_adaptive(traffic: &[Micros], answer_after: Micros, silent_from: Micros) -> (Micros, usize) {
     let mut fleet = SimulatedHosts::new(SETTINGS);
     fleet.greet(HOST);
@@ -22,20 +23,20 @@
     fleet.run_until(silent_from - 1);
     fleet.set_answers(HOST..HOST + 1, AnswerBehaviour::Never);
     fleet.run_until(silent_from + 20 * SECOND);
-    let cut_off = fleet
+    let disconnected_at = fleet
         .disconnected_at(HOST)
-        .expect("a silent host is cut off");
-    (cut_off, fleet.heartbeats.len())
+        .expect("a silent host is disconnected");
+    (disconnected_at, fleet.heartbeats.len())
 }
 
 #[test]
 fn silent_host_is_disconnected_no_later_than_with_fixed_heartbeats() {
-    let (mut saved, mut later_by_fixed) = (0, 0);
+    let (mut saved, mut sooner_count) = (0, 0);
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut below = |n: u64| rng.next_u64() % n;
         let silent_from = 5 * SECOND + below(10 * SECOND);
-        // From a frame every 50 ms to one in twenty seconds.
+        // The mean time between two frames is 50 ms to 12.8 s.
         let mean = (50 * MS) << below(9);
         let mut traffic = Vec::new();
         let mut at = 0;
@@ -45,18 +46,18 @@
         }
         let answer_after = 1 + below(300 * MS);
         let mut fixed = FixedHeartbeats::greeted(0);
-        let before = fixed.disconnected_at(&traffic, answer_after, silent_from);
-        let (now, heartbeats) = run_adaptive(&traffic, answer_after, silent_from);
+        let fixed_at = fixed.disconnected_at(&traffic, answer_after, silent_from);
+        let (adaptive_at, heartbeats) = run_adaptive(&traffic, answer_after, silent_from);
         assert!(
-            now <= before,
-            "seed {seed}: cut off at {now}, {before} with fixed heartbeats"
+            adaptive_at <= fixed_at,
+            "seed {seed}: disconnected at {adaptive_at}, at {fixed_at} with fixed heartbeats"
         );
         assert!(heartbeats <= fixed.heartbeats, "seed {seed}");
         saved += fixed.heartbeats - heartbeats;
-        later_by_fixed += usize::from(before > now);
+        sooner_count += usize::from(fixed_at > adaptive_at);
     }
-    assert!(saved > 1000, "traffic stood for {saved} heartbeats only");
-    println!("{saved} heartbeats saved, {later_by_fixed} of 500 cut off sooner");
+    assert!(saved > 1000, "traffic replaced only {saved} heartbeats");
+    println!("{saved} heartbeats saved, {sooner_count} of 500 hosts disconnected sooner");
 }
 
 #[test]
@@ -68,8 +69,8 @@
         6 * SECOND - 1,
     ] {
         let mut fixed = FixedHeartbeats::greeted(0);
-        let before = fixed.disconnected_at(&[], 5 * MS, silent_from);
-        assert_eq!(run_adaptive(&[], 5 * MS, silent_from).0, before);
+        let fixed_at = fixed.disconnected_at(&[], 5 * MS, silent_from);
+        assert_eq!(run_adaptive(&[], 5 * MS, silent_from).0, fixed_at);
     }
 }
 
@@ -82,7 +83,7 @@
         fleet.receive_traffic(HOST);
     }
     assert_eq!(fleet.heartbeats, []);
-    // Its traffic ends: a heartbeat at the first tick that is a period later.
+    // After the traffic has ended, a heartbeat is sent at the first tick that is at least a ping interval later.
     let last = fleet.now;
     fleet.run_until(last + 2 * SECOND);
     let first = fleet.heartbeats.first().expect("a heartbeat").0;
@@ -103,15 +104,15 @@
         let offered = fleet.now;
         fleet.liveness.mark_in_use(offered, 1299);
         fleet.run_until(offered + 10 * SECOND);
-        let cut_off = fleet.disconnected_at(1299).expect("cut off");
-        let after = cut_off - offered;
+        let disconnected_at = fleet.disconnected_at(1299).expect("disconnected");
+        let after = disconnected_at - offered;
         assert!(
             after <= SETTINGS.silence_timeout + SETTINGS.ping_interval,
             "{after} us after the offer"
         );
         assert!(
             fleet.heartbeats_to(1299, offered).len() >= 2,
-            "it is pinged before"
+            "heartbeats are sent first"
         );
     }
 }
@@ -156,7 +157,7 @@
         let slow = fleet.heartbeats_to(HOST, idle_since).len();
         assert!(
             (1..=3).contains(&slow),
-            "round {round}: {slow} heartbeats in 64 s of rest"
+            "round {round}: {slow} heartbeats in 64 s without use"
         );
     }
     assert_eq!(fleet.disconnected, []);
--- a/crates/liveness/tests/properties.rs
+++ b/crates/liveness/tests/properties.rs
@@ -1,11 +1,11 @@
-//! What holds for every course of events: hosts that come, go, fall silent, answer late, are used and left, and a
-//! caller that is stalled.
+//! Properties that hold for any sequence of events: hosts that connect, disconnect, fall silent, answer late, come into
+//! use and become idle, and stalls of the caller.
 
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use maplethread_liveness::{DueAction, Liveness, Micros, Settings, SignOfLife};
+use maplethread_liveness::{Activity, DueAction, Liveness, Micros, Settings};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use support::{MS, SECOND};
@@ -22,48 +22,48 @@
 #[derive(Clone, Debug)]
 enum Step {
     Greet(u32),
-    Leave(u32),
-    Use(u32),
-    Rest(u32),
+    Remove(u32),
+    MarkInUse(u32),
+    MarkIdle(u32),
     Traffic(u32),
-    /// The host answers the heartbeats that it owes an answer to.
+    /// The host answers one of its unanswered heartbeats.
     Answer(u32),
-    /// From now on it answers at once, or not by itself.
-    Prompt(u32, bool),
-    /// Time passes, and the caller is called in time.
+    /// From now on the host answers heartbeats at once, or only in [`Step::Answer`].
+    SetAnswersAtOnce(u32, bool),
+    /// Time passes, and the caller handles everything when it is due.
     Wait(Micros),
     /// The caller is stalled.
     Stall(Micros),
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     let host = 0..HOSTS;
     prop_oneof![
         2 => host.clone().prop_map(Step::Greet),
-        1 => host.clone().prop_map(Step::Leave),
-        2 => host.clone().prop_map(Step::Use),
-        3 => host.clone().prop_map(Step::Rest),
+        1 => host.clone().prop_map(Step::Remove),
+        2 => host.clone().prop_map(Step::MarkInUse),
+        3 => host.clone().prop_map(Step::MarkIdle),
         2 => host.clone().prop_map(Step::Traffic),
         2 => host.clone().prop_map(Step::Answer),
-        2 => (host, any::<bool>()).prop_map(|(host, prompt)| Step::Prompt(host, prompt)),
+        2 => (host, any::<bool>()).prop_map(|(host, at_once)| Step::SetAnswersAtOnce(host, at_once)),
         6 => (1..2_500 * MS).prop_map(Step::Wait),
         1 => (50 * MS..12 * SECOND).prop_map(Step::Stall),
     ]
 }
 
-/// What a test knows of one host.
+/// The expected state of one host.
 #[derive(Clone, Copy)]
 struct HostModel {
     in_use: bool,
-    /// The last sign of life.
-    last_sign_of_life: Micros,
-    /// The same, or a later stall of the caller.
-    forgiven_at: Micros,
-    /// The last thing that it was heard to say other than answers.
+    /// When anything was last received from the host.
+    last_activity: Micros,
+    /// The same time, or that of a later stall of the caller.
+    excused_at: Micros,
+    /// When something other than an answer was last received from the host.
     last_traffic: Micros,
-    /// The first thing sent since the last sign of life that asks for one.
+    /// When the first offer or heartbeat since the last activity was sent to the host.
     unanswered_since: Option<Micros>,
-    /// That was a heartbeat, and it was idle and owed nothing.
+    /// Whether that was a heartbeat to an idle host without an outstanding answer.
     is_paced: bool,
     unanswered_heartbeats: u32,
     answers_at_once: bool,
@@ -75,7 +75,7 @@
     now: Micros,
     stalled_at: Option<Micros>,
     hosts: BTreeMap<u32, HostModel>,
-    /// Heartbeats to hosts that owed nothing, within the last second.
+    /// Heartbeats to idle hosts without an outstanding answer, within the last second.
     paced_heartbeats: VecDeque<Micros>,
 }
 
@@ -98,8 +98,8 @@
                     .host_greeted(now, key, SECOND / 2 + u64::from(key) * 40 * MS);
                 let host = HostModel {
                     in_use: true,
-                    last_sign_of_life: now,
-                    forgiven_at: now,
+                    last_activity: now,
+                    excused_at: now,
                     last_traffic: now,
                     unanswered_since: None,
                     is_paced: false,
@@ -109,36 +109,36 @@
                 };
                 self.hosts.insert(key, host);
             }
-            Step::Leave(key) => {
+            Step::Remove(key) => {
                 self.liveness.remove(key);
                 self.hosts.remove(&key);
             }
-            Step::Use(key) => {
+            Step::MarkInUse(key) => {
                 self.liveness.mark_in_use(now, key);
                 if let Some(host) = self.hosts.get_mut(&key).filter(|h| !h.in_use) {
                     host.in_use = true;
                     host.unanswered_since.get_or_insert(now);
                 }
             }
-            Step::Rest(key) => {
+            Step::MarkIdle(key) => {
                 self.liveness.mark_idle(key);
                 if let Some(host) = self.hosts.get_mut(&key) {
                     host.in_use = false;
                 }
             }
-            Step::Traffic(key) => self.record_sign_of_life(key, SignOfLife::Traffic),
+            Step::Traffic(key) => self.record_activity(key, Activity::Traffic),
             Step::Answer(key) => {
                 if self
                     .hosts
                     .get(&key)
                     .is_some_and(|h| h.unanswered_heartbeats > 0)
                 {
-                    self.record_sign_of_life(key, SignOfLife::Answer);
+                    self.record_activity(key, Activity::Answer);
                 }
             }
-            Step::Prompt(key, prompt) => {
+            Step::SetAnswersAtOnce(key, at_once) => {
                 if let Some(host) = self.hosts.get_mut(&key) {
-                    host.answers_at_once = prompt;
+                    host.answers_at_once = at_once;
                 }
             }
             Step::Wait(span) => self.wait(span),
@@ -150,17 +150,17 @@
         }
     }
 
-    fn record_sign_of_life(&mut self, key: u32, sign: SignOfLife) {
+    fn record_activity(&mut self, key: u32, activity: Activity) {
         let now = self.now;
-        self.liveness.record_sign_of_life(now, key, sign);
+        self.liveness.record_activity(now, key, activity);
         let Some(host) = self.hosts.get_mut(&key) else {
             return;
         };
-        (host.last_sign_of_life, host.forgiven_at) = (now, now);
+        (host.last_activity, host.excused_at) = (now, now);
         (host.unanswered_since, host.is_paced) = (None, false);
-        match sign {
-            SignOfLife::Answer => host.unanswered_heartbeats -= 1,
-            SignOfLife::Traffic => host.last_traffic = now,
+        match activity {
+            Activity::Answer => host.unanswered_heartbeats -= 1,
+            Activity::Traffic => host.last_traffic = now,
         }
         if host.unanswered_heartbeats > 0 {
             host.unanswered_since = Some(now);
@@ -184,15 +184,15 @@
             }
         }
         if stalled {
-            // A stall excuses those whose tick had come, and may excuse nobody else.
+            // A stall restarts the silence of hosts whose tick was due, and need not affect other hosts.
             for host in self.hosts.values_mut() {
-                host.forgiven_at = self.now;
+                host.excused_at = self.now;
             }
         }
         let now = self.now;
         assert!(
             self.liveness.next_due_at().is_none_or(|next| next > now),
-            "it asks to be called at once again"
+            "the next action is due at the present time"
         );
         self.check_nothing_is_overdue();
     }
@@ -202,26 +202,26 @@
         let host = self
             .hosts
             .get_mut(&key)
-            .expect("only hosts that are there get heartbeats");
-        let settled = !host.in_use && host.unanswered_since.is_none();
+            .expect("heartbeats are sent only to connected hosts");
+        let was_settled = !host.in_use && host.unanswered_since.is_none();
         if let Some(last) = host
             .last_heartbeat
             .filter(|&last| self.stalled_at.is_none_or(|at| last > at))
         {
             assert!(
                 now - last >= SETTINGS.ping_interval,
-                "{} us after the last one",
+                "heartbeat sent {} us after the previous one",
                 now - last
             );
         }
         assert!(
             now - host.last_traffic >= SETTINGS.ping_interval,
-            "it was heard within the period"
+            "heartbeat sent within the ping interval after traffic"
         );
         host.last_heartbeat = Some(now);
         host.unanswered_heartbeats += 1;
         host.unanswered_since.get_or_insert(now);
-        if settled {
+        if was_settled {
             host.is_paced = true;
             self.paced_heartbeats.push_back(now);
             self.paced_heartbeats.retain(|&at| at + SECOND > now);
@@ -233,48 +233,49 @@
             );
         }
         if host.answers_at_once {
-            self.record_sign_of_life(key, SignOfLife::Answer);
+            self.record_activity(key, Activity::Answer);
         }
     }
 
     fn check_disconnect(&mut self, key: u32, stalled: bool) {
-        assert!(!stalled, "nobody is cut off for the caller's standstill");
+        assert!(!stalled, "a stall of the caller disconnects no host");
         let host = self
             .hosts
             .remove(&key)
-            .expect("only hosts that are there are cut off");
-        // One that was idle owes nothing until its turn.
+            .expect("only connected hosts are disconnected");
+        // No answer is outstanding from an idle host until its turn.
         let since = if host.is_paced {
-            host.unanswered_since.expect("asked in its turn")
+            host.unanswered_since
+                .expect("a heartbeat was sent in its turn")
         } else {
-            host.last_sign_of_life
+            host.last_activity
         };
         assert!(
             self.now >= since + SETTINGS.silence_timeout,
-            "cut off {} us after",
+            "disconnected after {} us of silence",
             self.now - since
         );
         assert!(
             host.in_use || host.unanswered_since.is_some(),
-            "an idle host is asked before it is cut off"
+            "an idle host is sent a heartbeat before it is disconnected"
         );
     }
 
-    /// Whoever is still there has been heard within what is promised.
+    /// No connected host has been silent for longer than the guaranteed time.
     fn check_nothing_is_overdue(&self) {
         let most = SETTINGS.silence_timeout + SETTINGS.ping_interval;
-        // Hosts in use that come to rest may go before one that waits, each of them once.
+        // A host in use that becomes idle may get its turn before one that waits, each of them once.
         let turns = SECOND.div_ceil(u64::from(SETTINGS.max_idle_pings_per_s)) * u64::from(HOSTS);
         for (key, host) in &self.hosts {
-            let silent_for = self.now - host.forgiven_at.max(host.unanswered_since.unwrap_or(0));
+            let silent_for = self.now - host.excused_at.max(host.unanswered_since.unwrap_or(0));
             if host.in_use || host.unanswered_since.is_some() {
                 assert!(
                     silent_for < most,
                     "host {key} is silent for {silent_for} us"
                 );
             } else {
-                let round = SETTINGS.ping_interval + turns;
-                assert!(silent_for <= round, "host {key} waits for {silent_for} us");
+                let cycle = SETTINGS.ping_interval + turns;
+                assert!(silent_for <= cycle, "host {key} waits for {silent_for} us");
             }
         }
     }
@@ -283,18 +284,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Nobody is disconnected before its silence is final, nor stays beyond what is promised; no heartbeat is sent within the
-    /// period of the last or of traffic; and those to idle hosts stay within the rate.
+    /// No host is disconnected before the silence time-out, and none stays connected beyond the guaranteed time. No
+    /// heartbeat is sent within the ping interval after the previous one or after traffic. Heartbeats to idle hosts
+    /// stay within the rate.
     #[test]
-    fn no_promise_is_broken(steps in vec(step(), 1..250)) {
+    fn heartbeats_and_disconnects_stay_within_their_bounds(steps in vec(any_step(), 1..250)) {
         let mut model = Model::new();
         for step in steps {
             model.apply_step(step);
         }
         model.wait(20 * SECOND);
-        let there: BTreeSet<u32> = model.hosts.keys().copied().collect();
+        let connected: BTreeSet<u32> = model.hosts.keys().copied().collect();
         let idle = model.hosts.values().filter(|h| !h.in_use).count();
         prop_assert_eq!(model.liveness.idle_host_count(), idle);
-        prop_assert!(there.len() <= HOSTS as usize);
+        prop_assert!(connected.len() <= HOSTS as usize);
     }
 }
--- a/crates/liveness/tests/support/mod.rs
+++ b/crates/liveness/tests/support/mod.rs
@@ -1,15 +1,15 @@
-//! A fleet of hosts in simulated time around [`Liveness`], and the rule of fixed heartbeats to compare with.
+//! Simulated hosts and a simulated clock around [`Liveness`], and heartbeats at a fixed interval to compare with.
 
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use maplethread_liveness::{DueAction, Liveness, Micros, Settings, SignOfLife};
+use maplethread_liveness::{Activity, DueAction, Liveness, Micros, Settings};
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-/// The defaults of a placer.
+/// The default settings of a placer.
 pub const SETTINGS: Settings = Settings {
     ping_interval: SECOND,
     silence_timeout: 3 * SECOND,
@@ -17,15 +17,15 @@
     max_idle_interval: 90 * SECOND,
 };
 
-/// How a host answers heartbeats.
+/// Whether and when a host answers heartbeats.
 #[derive(Clone, Copy)]
 pub enum AnswerBehaviour {
-    /// After this.
+    /// After this delay.
     After(Micros),
     Never,
 }
 
-/// When something happened to which host.
+/// The time of an event, and the host that it concerns.
 pub type HostEvent = (Micros, u32);
 
 pub struct SimulatedHosts {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// So many hosts greet in one instant, and hold nothing.
+    /// Creates hosts that all send their greeting at the same time and are idle.
     pub fn with_idle_hosts(settings: Settings, hosts: u32) -> SimulatedHosts {
         let mut fleet = SimulatedHosts::new(settings);
         fleet.greet_idle(0..hosts);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// A host greets, and is in use.
+    /// Adds a host that has sent its greeting and counts as in use.
     pub fn greet(&mut self, host: u32) {
         self.hosts.insert(host, AnswerBehaviour::After(5 * MS));
         self.liveness
@@ -75,18 +75,18 @@
         self.liveness.remove(host);
     }
 
-    pub fn set_answers(&mut self, hosts: std::ops::Range<u32>, how: AnswerBehaviour) {
+    pub fn set_answers(&mut self, hosts: std::ops::Range<u32>, behaviour: AnswerBehaviour) {
         for host in hosts {
-            self.hosts.insert(host, how);
+            self.hosts.insert(host, behaviour);
         }
     }
 
     pub fn receive_traffic(&mut self, host: u32) {
         self.liveness
-            .record_sign_of_life(self.now, host, SignOfLife::Traffic);
+            .record_activity(self.now, host, Activity::Traffic);
     }
 
-    /// Time passes; whatever falls due does so in time.
+    /// Advances the clock, and handles everything that becomes due without delay.
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let answer = self.answers_in_transit.first().map(|(at, _)| *at);
@@ -104,7 +104,7 @@
         self.now = end;
     }
 
-    /// The placer does nothing for a while, and then finds in one turn what has come meanwhile.
+    /// Stalls the placer for `span`; afterwards it handles in one turn everything that has arrived.
     pub fn stall(&mut self, span: Micros) {
         self.now += span;
         self.deliver_answers();
@@ -117,7 +117,7 @@
         {
             self.answers_in_transit.pop_first();
             self.liveness
-                .record_sign_of_life(self.now, host, SignOfLife::Answer);
+                .record_activity(self.now, host, Activity::Answer);
         }
     }
 
@@ -140,7 +140,7 @@
             self.liveness
                 .next_due_at()
                 .is_none_or(|next| next > self.now),
-            "it asks to be called at once again"
+            "the next action is due at the present time"
         );
     }
 
@@ -148,11 +148,11 @@
     pub fn disconnected_at(&self, host: u32) -> Option<Micros> {
         self.disconnected
             .iter()
-            .find(|(_, cut)| *cut == host)
+            .find(|(_, disconnected)| *disconnected == host)
             .map(|(at, _)| *at)
     }
 
-    /// The times of heartbeats to one host since then.
+    /// The times of heartbeats to one host since `since`.
     pub fn heartbeats_to(&self, host: u32, since: Micros) -> Vec<Micros> {
         let to_it = self
             .heartbeats
@@ -161,7 +161,7 @@
         to_it.map(|(at, _)| *at).collect()
     }
 
-    /// The most heartbeats in any second, sliding, since then.
+    /// The most heartbeats in any sliding second since `since`.
     pub fn max_heartbeats_per_second(&self, since: Micros) -> usize {
         let times: Vec<Micros> = self
             .heartbeats
@@ -175,9 +175,9 @@
     }
 }
 
-/// Fixed heartbeats to one host, as before they were adaptive: at every tick it is disconnected or gets one.
+/// Heartbeats to one host at a fixed interval: at every tick the host is disconnected or sent a heartbeat.
 pub struct FixedHeartbeats {
-    last_sign_of_life: Micros,
+    last_activity: Micros,
     next_tick: Micros,
     pub heartbeats: usize,
 }
@@ -185,14 +185,14 @@
 impl FixedHeartbeats {
     pub fn greeted(now: Micros) -> FixedHeartbeats {
         FixedHeartbeats {
-            last_sign_of_life: now,
+            last_activity: now,
             next_tick: now + SETTINGS.ping_interval,
             heartbeats: 0,
         }
     }
 
-    /// When the host is disconnected that is heard at these times, answers heartbeats after `answer_after`, and says nothing
-    /// from `silent_from` on.
+    /// When a host is disconnected that sends traffic at these times, answers heartbeats after `answer_after`, and
+    /// sends nothing from `silent_from` on.
     pub fn disconnected_at(
         &mut self,
         traffic: &[Micros],
@@ -207,14 +207,14 @@
         loop {
             let now = self.next_tick;
             while let Some(at) = traffic.next_if(|&at| at <= now) {
-                self.last_sign_of_life = self.last_sign_of_life.max(at);
+                self.last_activity = self.last_activity.max(at);
             }
-            if self.last_sign_of_life + SETTINGS.silence_timeout <= now {
+            if self.last_activity + SETTINGS.silence_timeout <= now {
                 return now;
             }
             self.heartbeats += 1;
             if now < silent_from {
-                self.last_sign_of_life = self.last_sign_of_life.max(now + answer_after);
+                self.last_activity = self.last_activity.max(now + answer_after);
             }
             self.next_tick = now + SETTINGS.ping_interval;
         }
