--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -8,19 +8,19 @@
 use crate::policy::AdmissionPolicy;
 use crate::request::{AdmissionDecision, RejectionReason, TaskRequest};
 
-/// How far an admitted task has come.
+/// The stage of an admitted task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskStage {
-    /// It waits to be started.
+    /// The task waits to be started.
     Waiting,
-    /// It is being started.
+    /// The task is being started.
     Starting,
-    /// It runs.
+    /// The task is running.
     Running,
 }
 
 impl TaskStage {
-    /// Whether the task runs, or may have run.
+    /// Whether the task is running or may have run.
     pub fn is_possibly_started(self) -> bool {
         self != TaskStage::Waiting
     }
@@ -31,7 +31,7 @@
 pub struct NextStart {
     /// The attempt.
     pub attempt_id: u64,
-    /// Whether its program is loaded on the host already.
+    /// Whether the task's program is already loaded on the host.
     pub is_program_warm: bool,
 }
 
@@ -40,10 +40,10 @@
     stage: TaskStage,
 }
 
-/// Admission of one host.
+/// The admission state of one host.
 pub struct Admission {
     policy: AdmissionPolicy,
-    /// Requests that wait for a decision.
+    /// Requests that are waiting for a decision.
     queue: VecDeque<TaskRequest>,
     /// Admitted tasks by attempt.
     admitted: BTreeMap<u64, AdmittedTask>,
@@ -51,13 +51,13 @@
     waiting_for_start: VecDeque<u64>,
     /// Number of tasks in [`TaskStage::Starting`].
     starting_count: usize,
-    /// Programs that stayed loaded without a task, the one longest without a task first.
+    /// Programs that have stayed loaded after their last task, the one whose task ended first at the front.
     warm_programs: VecDeque<u64>,
     is_draining: bool,
 }
 
 impl Admission {
-    /// Admission of a host that holds no tasks.
+    /// Creates the state of a host without tasks.
     pub fn new(policy: AdmissionPolicy) -> Admission {
         Admission {
             policy,
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The policy.
+    /// The admission policy.
     pub fn policy(&self) -> &AdmissionPolicy {
         &self.policy
     }
 
-    /// Rejects every request from now on; tasks that are admitted stay.
+    /// Rejects every request from now on. Admitted tasks stay.
     pub fn drain(&mut self) {
         self.is_draining = true;
     }
@@ -85,7 +85,7 @@
         self.is_draining
     }
 
-    /// Puts a request into the queue, to be decided by [`Admission::decide_next`].
+    /// Puts a request into the queue, from which [`Admission::decide_next`] takes it.
     ///
     /// # Errors
     /// [`RejectionReason::Draining`] or [`RejectionReason::QueueFull`].
@@ -100,12 +100,12 @@
         Ok(())
     }
 
-    /// Number of requests that wait for a decision.
+    /// Number of requests that are waiting for a decision.
     pub fn queue_length(&self) -> usize {
         self.queue.len()
     }
 
-    /// The resources that all admitted tasks request.
+    /// The total of the resources that admitted tasks request.
     pub fn requested(&self) -> ResourceAmounts {
         let tasks = self.admitted.values();
         tasks.fold(ResourceAmounts::default(), |sum, task| ResourceAmounts {
@@ -142,7 +142,7 @@
         Some((request, decision))
     }
 
-    /// The attempts to preempt for a request that is admitted.
+    /// Returns the attempts to preempt if a request can be admitted.
     fn decide(
         &self,
         request: &TaskRequest,
@@ -156,10 +156,10 @@
         {
             return Err(RejectionReason::DuplicateKey);
         }
-        self.make_room(request)
+        self.select_preemptions(request)
     }
 
-    /// Holds a task without a decision, such as one that an earlier process of the host had admitted.
+    /// Adds a task without a decision, such as one that an earlier process of the host had admitted.
     pub fn restore(
         &mut self,
         request: TaskRequest,
@@ -178,7 +178,7 @@
             .insert(request.attempt_id, AdmittedTask { request, stage });
     }
 
-    /// The next task to start, unless none waits or too many are being started.
+    /// Takes the next task to start, unless none is waiting or too many are being started.
     pub fn next_start(&mut self) -> Option<NextStart> {
         if self.starting_count >= self.policy.max_concurrent_starts {
             return None;
@@ -203,7 +203,7 @@
             .any(|task| task.request.program_id == program_id && task.stage == TaskStage::Running)
     }
 
-    /// A task whose start was not carried out waits for a start again, ahead of all others.
+    /// Returns a task whose start was not carried out to the front of those waiting for a start.
     pub fn requeue_start(&mut self, attempt_id: u64) {
         if let Some(task) = self.starting_task(attempt_id) {
             task.stage = TaskStage::Waiting;
@@ -212,7 +212,7 @@
         }
     }
 
-    /// The start of a task has succeeded.
+    /// Records that the start of a task has succeeded.
     pub fn mark_running(&mut self, attempt_id: u64) {
         if let Some(task) = self.starting_task(attempt_id) {
             task.stage = TaskStage::Running;
@@ -228,8 +228,8 @@
             .filter(|task| task.stage == TaskStage::Starting)
     }
 
-    /// Removes a task that has ended or is not wanted any more. Returns the stage that it had reached, or nothing if
-    /// it was not held; a request still in the queue counts as [`TaskStage::Waiting`].
+    /// Removes a task that has ended or is to be stopped. Returns the stage that it had reached, or `None` if it was
+    /// not held; a request still in the queue counts as [`TaskStage::Waiting`].
     pub fn remove(
         &mut self,
         attempt_id: u64,
@@ -251,7 +251,7 @@
         Some(stage)
     }
 
-    /// Keeps the program of a task that has ended loaded, unless another task runs it.
+    /// Records that the program of an ended task stays loaded, unless another task is running it.
     fn keep_program_warm(&mut self, program_id: u64) {
         if self.is_program_running(program_id) {
             return;
@@ -263,7 +263,7 @@
         }
     }
 
-    /// The admitted tasks with their stages, by attempt.
+    /// The admitted tasks with their stages, in the order of their attempt ids.
     pub fn admitted_tasks(&self) -> impl Iterator<Item = (&TaskRequest, TaskStage)> {
         self.admitted().map(|task| (&task.request, task.stage))
     }
@@ -272,7 +272,7 @@
         self.admitted.values()
     }
 
-    /// The programs that had stayed loaded are not any more.
+    /// Records that the programs without a running task are not loaded any more.
     pub fn forget_warm_programs(&mut self) {
         self.warm_programs.clear();
     }
--- a/crates/admission/src/deduplication.rs
+++ b/crates/admission/src/deduplication.rs
@@ -1,11 +1,11 @@
-//! Deduplication keys: at most one task of a key is held in a group of hosts.
+//! Deduplication keys: a group of hosts holds at most one task with the same key.
 
 use std::collections::BTreeMap;
 
 /// A deduplication key within a group of hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeduplicationKey {
-    /// The group of hosts that know each other's keys.
+    /// The group of hosts within which the key is unique.
     pub group: u64,
     /// The key.
     pub key: u64,
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -1,8 +1,8 @@
-//! What a host admits: its capacity and the bounds of its queues.
+//! The admission policy of a host: its capacity and its limits.
 
 use maplethread_wire::frame::ResourceAmounts;
 
-/// Capacity and bounds by which a host admits tasks.
+/// The capacity of a host and the limits within which it admits tasks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionPolicy {
     /// Cores of the host.
@@ -13,11 +13,11 @@
     pub cpu_overcommit: f64,
     /// Tasks may request this multiple of the memory in total.
     pub memory_overcommit: f64,
-    /// Requests that may wait for a decision.
+    /// The most requests that may wait for a decision.
     pub max_queue_length: usize,
-    /// Tasks that may be starting at the same time.
+    /// The most tasks that may be starting at the same time.
     pub max_concurrent_starts: usize,
-    /// Programs that stay loaded after their last task has ended.
+    /// The most programs that stay loaded after their last task has ended.
     pub max_warm_programs: usize,
     /// Whether a task may preempt tasks of lower priority.
     pub allows_preemption: bool,
--- a/crates/admission/src/preemption.rs
+++ b/crates/admission/src/preemption.rs
@@ -1,15 +1,15 @@
-//! Which tasks make room: preempted for a task of higher priority, or evicted because the host runs out of memory.
+//! Selects tasks to preempt for a task of higher priority, and tasks to evict because the host runs out of memory.
 
 use maplethread_wire::frame::ResourceAmounts;
 
 use crate::admission::{Admission, AdmittedTask};
 use crate::request::{RejectionReason, TaskRequest};
 
-/// Sums of requests may exceed the limit by this much, as they carry rounding errors; cores or GiB.
+/// Sums of requests may exceed the limit by this many cores or GiB, because of rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// What is missing for a request, where tasks have requested this much of the limit already.
-fn shortage(
+/// The resource that is insufficient for a request, if tasks have requested `requested` already.
+fn insufficient_resource(
     request: &TaskRequest,
     requested: ResourceAmounts,
     limit: ResourceAmounts,
@@ -24,34 +24,38 @@
 }
 
 impl Admission {
-    /// The attempts to preempt so that a request fits, as few as possible.
+    /// Selects the attempts to preempt so that a request fits, and preempts no more than necessary in the order of the
+    /// candidates.
     ///
     /// # Errors
-    /// What is missing even if all tasks that may be preempted were.
-    pub(crate) fn make_room(&self, request: &TaskRequest) -> Result<Vec<u64>, RejectionReason> {
+    /// The resource that is insufficient even if all candidates were preempted.
+    pub(crate) fn select_preemptions(
+        &self,
+        request: &TaskRequest,
+    ) -> Result<Vec<u64>, RejectionReason> {
         let limit = self.policy().requestable();
         let mut requested = self.requested();
         let mut preempted = Vec::new();
-        let Some(mut missing) = shortage(request, requested, limit) else {
+        let Some(mut reason) = insufficient_resource(request, requested, limit) else {
             return Ok(preempted);
         };
         if !self.policy().allows_preemption {
-            return Err(missing);
+            return Err(reason);
         }
         for candidate in self.preemption_candidates(request.priority, limit) {
             requested.cores -= candidate.request.cores;
             requested.memory_gib -= candidate.request.memory_gib;
             preempted.push(candidate.request.attempt_id);
-            match shortage(request, requested, limit) {
-                Some(still_missing) => missing = still_missing,
+            match insufficient_resource(request, requested, limit) {
+                Some(new_reason) => reason = new_reason,
                 None => return Ok(preempted),
             }
         }
-        Err(missing)
+        Err(reason)
     }
 
-    /// Tasks of lower priority: the lowest priority first, and of one priority the largest first, so that few are
-    /// preempted.
+    /// Tasks of lower priority, with the lowest priority first. Within a priority the largest come first, so that few
+    /// tasks are preempted.
     fn preemption_candidates(&self, priority: u32, limit: ResourceAmounts) -> Vec<&AdmittedTask> {
         let size = |task: &AdmittedTask| {
             task.request.cores / limit.cores + task.request.memory_gib / limit.memory_gib
@@ -66,8 +70,8 @@
         lower
     }
 
-    /// The attempts to evict so that the memory in use falls below `limit_gib`: the lowest priority first, and of one
-    /// priority those that exceed their request most. `used_gib` gives the memory that an attempt uses.
+    /// Selects the attempts to evict so that the memory in use falls below `limit_gib`: the lowest priority first, and
+    /// within a priority those that exceed their request most. `used_gib` returns the memory that an attempt uses.
     pub fn select_evictions(&self, limit_gib: f64, used_gib: impl Fn(u64) -> f64) -> Vec<u64> {
         let mut candidates: Vec<(&TaskRequest, f64)> = self
             .admitted()
--- a/crates/admission/src/protocol.rs
+++ b/crates/admission/src/protocol.rs
@@ -1,4 +1,4 @@
-//! Admission in terms of the host protocol: requests from offers, and the frames that answer them.
+//! Converts between admission and the host protocol: offers to requests, and decisions to frames.
 
 use maplethread_wire::frame::{DuplicatePolicy, Frame, Offer, Reason};
 
@@ -7,7 +7,7 @@
 use crate::request::{RejectionReason, TaskRequest};
 
 impl TaskRequest {
-    /// The request of an offer; keys are known within `deduplication_group`.
+    /// Converts an offer to a request. Its deduplication key, if any, belongs to `deduplication_group`.
     pub fn from_offer(offer: &Offer, deduplication_group: u64) -> TaskRequest {
         let deduplication_key = match offer.duplicate_policy {
             DuplicatePolicy::IdempotencyKey(key) => Some(DeduplicationKey {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Tasks of one service run one program.
+/// The id of a service's program, as a hash of the service's name: tasks of one service run the same program.
 fn program_id(service: &str) -> u64 {
     service.bytes().fold(7, |hash: u64, byte| {
         hash.wrapping_mul(131).wrapping_add(u64::from(byte))
@@ -46,12 +46,13 @@
 }
 
 impl Admission {
-    /// The frame that rejects an attempt, with what the host has left.
+    /// The frame that rejects an attempt, with the unallocated resources of the host.
     pub fn rejection_frame(&self, attempt_id: u64, reason: impl Into<Reason>) -> Frame {
         Frame::Refused(attempt_id, reason.into(), Some(self.unallocated()))
     }
 
-    /// The frame that reports the end of an attempt, with what the host has left once its task is removed.
+    /// The frame that reports the end of an attempt, with the unallocated resources of the host. To be called after the
+    /// task has been removed.
     pub fn end_frame(&self, attempt_id: u64, reason: Reason, possibly_started: bool) -> Frame {
         Frame::Ended(
             attempt_id,
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -5,9 +5,9 @@
 /// A request to run a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskRequest {
-    /// Identifier of the attempt, unique on the host.
+    /// The id of the attempt, unique on the host.
     pub attempt_id: u64,
-    /// Identifier of the program; tasks of one service share it.
+    /// The id of the program; tasks of one service share it.
     pub program_id: u64,
     /// Requested cores.
     pub cores: f64,
@@ -15,7 +15,8 @@
     pub memory_gib: f64,
     /// Priority; a higher one may preempt a lower one.
     pub priority: u32,
-    /// The key of which only one task may be held at a time; any number of tasks without a key.
+    /// The deduplication key. Only one task with the same key may be held at a time; tasks without a key are not
+    /// limited.
     pub deduplication_key: Option<DeduplicationKey>,
 }
 
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Decisions of admission on one host, and on hosts that share deduplication keys.
+//! Admission decisions on one host, and on hosts that share deduplication keys.
 
 use maplethread_admission::{
     Admission, AdmissionDecision, AdmissionPolicy, DeduplicationKey, DeduplicationTable, NextStart,
@@ -110,7 +110,7 @@
 fn rejects_second_task_with_same_key_in_a_group() {
     let (mut first, mut keys) = empty_host();
     let (mut second, _) = empty_host();
-    let (mut of_other_group, _) = empty_host();
+    let (mut other_group, _) = empty_host();
     let keyed = |attempt_id, group| TaskRequest {
         deduplication_key: Some(DeduplicationKey { group, key: 99 }),
         ..request(attempt_id, 1.0, 0)
@@ -124,7 +124,7 @@
         AdmissionDecision::Rejected(RejectionReason::DuplicateKey)
     );
     assert!(matches!(
-        enqueue_and_decide(&mut of_other_group, &mut keys, keyed(3, 8)),
+        enqueue_and_decide(&mut other_group, &mut keys, keyed(3, 8)),
         AdmissionDecision::Admitted { .. }
     ));
     first.remove(1, &mut keys);
@@ -166,7 +166,7 @@
     assert_eq!(
         host.next_start(),
         next_start(31, false),
-        "another program took its place"
+        "another program replaced it as the warm one"
     );
 }
 
@@ -191,7 +191,7 @@
     assert_eq!(
         host.next_start().map(|start| start.attempt_id),
         Some(2),
-        "it waits again"
+        "it is started again after being requeued"
     );
     assert_eq!(host.remove(2, &mut keys), Some(TaskStage::Starting));
     assert_eq!(host.remove(1, &mut keys), Some(TaskStage::Running));
