--- a/crates/engine/tests/api_responses.rs
+++ b/crates/engine/tests/api_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of the API, byte for byte as an earlier build gave them: all requests of a fixed list, and the output.
+//! Compares the engine's output for a fixed list of requests byte for byte with the output of an earlier build.
 
 mod support;
 
@@ -7,11 +7,12 @@
 use maplethread_wire::frame::{self, Frame, Reason};
 use support::NOW;
 
-/// What a build before the engine's files were split gave.
+/// The output of a build from before the engine's files were split. `API_RESPONSES_OUT` names a file to which a test
+/// run writes output that differs.
 const RECORDED: &str = include_str!("fixtures/api_responses.txt");
 const HOST: HostId = HostId(0);
 
-/// Does what the number of cores of a task says.
+/// Decides on a task by its number of cores.
 struct ByCores;
 
 impl Decide for ByCores {
@@ -69,17 +70,17 @@
             log: String::new(),
         };
         let hello = support::hello("h", 1);
-        session.host_sends(&[hello, Frame::HeldEnd]);
+        session.send_from_host(&[hello, Frame::HeldEnd]);
         session
     }
 
-    fn host_sends(&mut self, frames: &[Frame]) {
+    fn send_from_host(&mut self, frames: &[Frame]) {
         let bytes = support::encode(frames);
         self.engine.host_bytes(self.now, HOST, &bytes);
         self.turn();
     }
 
-    /// Runs a turn and logs what is sent; returns the offers.
+    /// Runs a turn and logs the output. Returns the attempt ids of the offers.
     fn turn(&mut self) -> Vec<u64> {
         self.now += 1_000;
         self.engine.turn(self.now, false);
@@ -97,8 +98,10 @@
                     }
                 }
                 Output::FetchMembership { client, slot, .. } => {
-                    let view = (client.0 % 2 == 0).then(|| serde_json::json!({"members": []}));
-                    self.engine.answer_membership(client, slot, view.as_ref());
+                    let membership =
+                        (client.0 % 2 == 0).then(|| serde_json::json!({"members": []}));
+                    self.engine
+                        .answer_membership(client, slot, membership.as_ref());
                 }
                 Output::Connect(..) | Output::CloseHost(_) => {}
             }
@@ -106,8 +109,8 @@
         offers
     }
 
-    /// Sends a request on a connection of its own.
-    fn sends(&mut self, request: &str) -> Vec<u64> {
+    /// Sends a request on a new connection.
+    fn send_raw(&mut self, request: &str) -> Vec<u64> {
         self.client += 1;
         let id = ClientId(self.client);
         self.log += &format!("> {request}\n");
@@ -118,22 +121,22 @@
         offers
     }
 
-    fn gets(&mut self, method: &str, target: &str) {
-        self.sends(&format!("{method} {target} HTTP/1.1\r\nHost: p\r\n\r\n"));
+    fn send_request(&mut self, method: &str, target: &str) {
+        self.send_raw(&format!("{method} {target} HTTP/1.1\r\nHost: p\r\n\r\n"));
     }
 
-    fn posts(&mut self, headers: &str, body: &str) -> Vec<u64> {
-        self.sends(&support::post_actor(headers, body))
+    fn post_body(&mut self, headers: &str, body: &str) -> Vec<u64> {
+        self.send_raw(&support::post_actor(headers, body))
     }
 
-    fn places(&mut self, headers: &str, actor: &str, class: &str, cores: u32) -> Vec<u64> {
-        self.posts(headers, &format!(
+    fn place(&mut self, headers: &str, actor: &str, class: &str, cores: u32) -> Vec<u64> {
+        self.post_body(headers, &format!(
             r#"{{"service":"s","actor":"{actor}","class":"{class}","cores":{cores},"memory_gib":1,"budget_ms":9000}}"#
         ))
     }
 }
 
-fn malformed_requests(session: &mut Session) {
+fn send_malformed_requests(session: &mut Session) {
     for target in [
         "/",
         "/v1/nothing",
@@ -150,7 +153,7 @@
         "/v1/fleet",
         "/v1/fleet?after=7",
     ] {
-        session.gets("GET", target);
+        session.send_request("GET", target);
     }
     for target in [
         "/v1/actors",
@@ -160,9 +163,9 @@
         "/v1/status",
         "/v1/fleet",
     ] {
-        session.gets("PATCH", target);
+        session.send_request("PATCH", target);
     }
-    session.sends("nonsense\r\n\r\n");
+    session.send_raw("nonsense\r\n\r\n");
     for body in [
         "",
         "{",
@@ -182,16 +185,16 @@
         r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000,"key":""}"#,
         r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000,"life_ms":"x"}"#,
     ] {
-        session.posts("", body);
+        session.post_body("", body);
     }
-    session.posts("Content-Type: text/plain\r\n", "{}");
-    session.places(
+    session.post_body("Content-Type: text/plain\r\n", "{}");
+    session.place(
         &format!("X-Request-Id: {}\r\n", "x".repeat(201)),
         "a",
         "web-api",
         1,
     );
-    session.places(
+    session.place(
         &format!("Idempotency-Key: {}\r\n", "x".repeat(201)),
         "a",
         "web-api",
@@ -202,44 +205,44 @@
 #[test]
 fn responses_are_those_of_the_recorded_build() {
     let mut session = Session::new();
-    malformed_requests(&mut session);
-    session.gets("GET", "/v1/events");
+    send_malformed_requests(&mut session);
+    session.send_request("GET", "/v1/events");
     for (actor, cores) in [("rejected", 2), ("failed", 3), ("blocked", 4)] {
-        session.places("Idempotency-Key: k\r\n", actor, "web-api", cores);
+        session.place("Idempotency-Key: k\r\n", actor, "web-api", cores);
     }
-    session.places("Idempotency-Key: k\r\n", "again", "web-api", 2);
-    // An actor that is pending, joined, cancelled and placed.
-    session.places("X-Request-Id: first\r\n", "open", "web-api", 5);
-    session.places("X-Request-Id: second\r\n", "open", "web-api", 5);
-    session.gets("GET", "/v1/actors/s/open");
-    session.gets("DELETE", "/v1/actors/s/open");
-    session.gets("DELETE", "/v1/asks/second");
-    session.gets("DELETE", "/v1/asks/first");
-    session.gets("DELETE", "/v1/asks/first");
-    for class in session_classes() {
+    session.place("Idempotency-Key: k\r\n", "again", "web-api", 2);
+    // An actor whose request is pending, joined and cancelled.
+    session.place("X-Request-Id: first\r\n", "open", "web-api", 5);
+    session.place("X-Request-Id: second\r\n", "open", "web-api", 5);
+    session.send_request("GET", "/v1/actors/s/open");
+    session.send_request("DELETE", "/v1/actors/s/open");
+    session.send_request("DELETE", "/v1/asks/second");
+    session.send_request("DELETE", "/v1/asks/first");
+    session.send_request("DELETE", "/v1/asks/first");
+    for class in class_names() {
         let actor = format!("placed-{class}");
-        let offers = session.places("X-Request-Id: placed\r\n", &actor, &class, 1);
+        let offers = session.place("X-Request-Id: placed\r\n", &actor, &class, 1);
         assert_eq!(offers.len(), 1);
         let attempt = offers[0];
-        session.host_sends(&[Frame::Accepted(attempt, 3), Frame::Started(attempt, 5)]);
-        session.gets("GET", &format!("/v1/actors/s/{actor}"));
-        session.places("", &actor, &class, 1);
-        session.gets("DELETE", &format!("/v1/actors/s/{actor}"));
-        session.places("", &actor, &class, 1);
-        session.gets("GET", &format!("/v1/actors/s/{actor}"));
-        session.gets("GET", "/v1/actors?limit=1");
-        session.host_sends(&[Frame::Ended(attempt, Reason::Stopped, true, None)]);
-        // One that is cancelled while its attempt is in flight.
-        session.places("X-Request-Id: late\r\n", "late", &class, 1);
-        session.gets("DELETE", "/v1/asks/late");
-        session.places("", "late", &class, 1);
+        session.send_from_host(&[Frame::Accepted(attempt, 3), Frame::Started(attempt, 5)]);
+        session.send_request("GET", &format!("/v1/actors/s/{actor}"));
+        session.place("", &actor, &class, 1);
+        session.send_request("DELETE", &format!("/v1/actors/s/{actor}"));
+        session.place("", &actor, &class, 1);
+        session.send_request("GET", &format!("/v1/actors/s/{actor}"));
+        session.send_request("GET", "/v1/actors?limit=1");
+        session.send_from_host(&[Frame::Ended(attempt, Reason::Stopped, true, None)]);
+        // A request that is cancelled while its attempt is in flight.
+        session.place("X-Request-Id: late\r\n", "late", &class, 1);
+        session.send_request("DELETE", "/v1/asks/late");
+        session.place("", "late", &class, 1);
     }
-    session.gets("GET", "/v1/actors?after_service=s&after_actor=late&limit=2");
-    session.gets("GET", "/v1/events?after=1");
-    session.gets("GET", "/v1/status?full");
+    session.send_request("GET", "/v1/actors?after_service=s&after_actor=late&limit=2");
+    session.send_request("GET", "/v1/events?after=1");
+    session.send_request("GET", "/v1/status?full");
     session.engine.stop_accepting();
-    session.places("", "stopping", "web-api", 2);
-    session.gets("GET", "/v1/status");
+    session.place("", "stopping", "web-api", 2);
+    session.send_request("GET", "/v1/status");
     if session.log != RECORDED {
         let differing = session
             .log
@@ -247,14 +250,14 @@
             .zip(RECORDED.lines())
             .find(|(a, b)| a != b);
         if let Ok(path) = std::env::var("API_RESPONSES_OUT") {
-            std::fs::write(path, &session.log).expect("writable");
+            std::fs::write(path, &session.log).expect("API_RESPONSES_OUT names a writable file");
         }
         panic!("first difference: {differing:#?}");
     }
 }
 
 /// The names of the classes of the settings.
-fn session_classes() -> Vec<String> {
+fn class_names() -> Vec<String> {
     let config = support::config();
     config
         .classes
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines that hold whatever the decider does, and however long the caller was stalled.
+//! Deadlines hold whatever the decider does, and however long the caller was stalled.
 
 mod support;
 
@@ -8,7 +8,7 @@
 
 const CLIENT: ClientId = ClientId(1);
 
-/// Never answers, and can refuse to let the engine do so.
+/// Never answers, and may forbid the engine to answer at the deadline.
 struct SilentDecider {
     allows_deadline_answers: bool,
 }
@@ -21,12 +21,12 @@
     }
 }
 
-fn engine(last_word: bool) -> Engine<SilentDecider> {
+fn engine(allows_deadline_answers: bool) -> Engine<SilentDecider> {
     let config = support::config();
     let mut engine = Engine::new(
         config,
         SilentDecider {
-            allows_deadline_answers: last_word,
+            allows_deadline_answers,
         },
         support::start_info(),
         NOW,
@@ -42,22 +42,22 @@
     support::post_actor("", &body).into_bytes()
 }
 
-/// The same, with a second to answer, under this id.
+/// A request with this id and a budget of 1 s.
 fn request_bytes_with_id(id: &str) -> Vec<u8> {
-    let text = String::from_utf8(request_bytes(1000)).expect("text");
+    let text = String::from_utf8(request_bytes(1000)).expect("UTF-8");
     text.replace("Host: p\r\n", &format!("Host: p\r\nX-Request-Id: {id}\r\n"))
         .into_bytes()
 }
 
 fn take_client_text(engine: &mut Engine<SilentDecider>) -> String {
-    let said = engine.take_outputs().into_iter().filter_map(|o| match o {
+    let texts = engine.take_outputs().into_iter().filter_map(|o| match o {
         Output::ToClient(_, bytes) => Some(String::from_utf8_lossy(&bytes).into_owned()),
         _ => None,
     });
-    said.collect()
+    texts.collect()
 }
 
-/// Runs all timers up to a time; when the client was told something, and what.
+/// Runs all timers up to `until`. Returns when the client was sent something, and what.
 fn run_until_answer(engine: &mut Engine<SilentDecider>, until: u64) -> Option<(u64, String)> {
     while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
         engine.turn(at, false);
@@ -77,7 +77,7 @@
     let (at, text) = run_until_answer(&mut engine, NOW + 3_000_000).expect("an answer");
     assert!(
         at < NOW + 1_000_000 && at > NOW + 900_000,
-        "{} us after the ask",
+        "{} us after the request",
         at - NOW
     );
     assert!(
@@ -92,16 +92,16 @@
         ),
         (1, 1, 0)
     );
-    // A decider that is to break the rule is let.
-    let mut rogue = self::engine(false);
-    rogue.client_bytes(NOW, CLIENT, &request_bytes(1000));
-    rogue.turn(NOW, false);
-    assert_eq!(run_until_answer(&mut rogue, NOW + 3_000_000), None);
+    // A decider that forbids deadline answers leaves the request without an answer.
+    let mut silent = self::engine(false);
+    silent.client_bytes(NOW, CLIENT, &request_bytes(1000));
+    silent.turn(NOW, false);
+    assert_eq!(run_until_answer(&mut silent, NOW + 3_000_000), None);
 }
 
 #[test]
 fn budget_counts_from_earliest_possible_arrival() {
-    // Read after a second of being stalled, it may have been sent at the beginning of that second.
+    // A request that is read after a stall of 1 s may have been sent at the start of the stall.
     let mut engine = engine(true);
     engine.set_unread_since(NOW);
     engine.client_bytes(NOW + 1_000_000, CLIENT, &request_bytes(1500));
@@ -112,7 +112,7 @@
         "{} us after it may have been sent: {text}",
         at - NOW
     );
-    // The next turn's requests are fresh again.
+    // Budgets of requests in the next turn count from when they are read.
     engine.client_bytes(at, CLIENT, &request_bytes(1500));
     engine.turn(at, false);
     let (next, _) = run_until_answer(&mut engine, at + 5_000_000).expect("an answer");
@@ -121,24 +121,30 @@
 
 #[test]
 fn joined_requests_get_the_answer_under_their_own_ids() {
-    // An owner whose first request lay unread in a stopped placer repeats it; both are read in one turn.
+    // An owner whose first request was not read by a stalled placer repeats it; both are read in one turn.
     let mut engine = engine(true);
     let second = ClientId(2);
     engine.client_opened(NOW, second);
     engine.client_bytes(NOW, CLIENT, &request_bytes_with_id("first"));
     engine.client_bytes(NOW, second, &request_bytes_with_id("second"));
     engine.turn(NOW, false);
-    let mut told = std::collections::BTreeMap::new();
+    let mut responses = std::collections::BTreeMap::new();
     while let Some(at) = engine.next_timeout().filter(|&at| at < NOW + 2_000_000) {
         engine.turn(at, false);
         for output in engine.take_outputs() {
             if let Output::ToClient(client, bytes) = output {
-                told.insert(client, String::from_utf8_lossy(&bytes).into_owned());
+                responses.insert(client, String::from_utf8_lossy(&bytes).into_owned());
             }
         }
     }
-    assert!(told[&CLIENT].contains("\"request\":\"first\""), "{told:?}");
-    assert!(told[&second].contains("\"request\":\"second\""), "{told:?}");
+    assert!(
+        responses[&CLIENT].contains("\"request\":\"first\""),
+        "{responses:?}"
+    );
+    assert!(
+        responses[&second].contains("\"request\":\"second\""),
+        "{responses:?}"
+    );
     assert_eq!(engine.counters().requests, 1);
 }
 
@@ -156,7 +162,11 @@
     engine.turn(NOW, false);
     let text = take_client_text(&mut engine);
     assert!(text.contains("410") && text.contains("202"), "{text}");
-    assert_eq!(engine.pending_requests(), 1, "the first one still waits");
+    assert_eq!(
+        engine.pending_requests(),
+        1,
+        "the first request still waits"
+    );
     engine.client_bytes(NOW, third, &cancel("first"));
     engine.turn(NOW, false);
     assert_eq!(
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of the engine in simulated time: hosts with work as often as set, idle ones within the rate.
+//! Heartbeats of the engine in simulated time: at the set interval to hosts with tasks, within the rate to idle hosts.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 use support::NOW;
 
-const SECOND: u64 = 1_000_000;
-/// The defaults: once a second, final after three, 40 a second to idle hosts (and two where a turn was late).
-const PING_INTERVAL: u64 = SECOND;
-const SILENCE_TIMEOUT: u64 = 3 * SECOND;
+const SECOND_US: u64 = 1_000_000;
+/// The default settings. The rate is 40 a second, plus two as a turn may be late.
+const PING_INTERVAL_US: u64 = SECOND_US;
+const SILENCE_TIMEOUT_US: u64 = 3 * SECOND_US;
 const MAX_IDLE_PINGS_PER_SECOND: usize = 42;
 /// The host that gets all offers.
 const CHOSEN: HostId = HostId(0);
 
-/// Offers every request to one host, for this long.
+/// Offers every request to one host, with this time-out.
 struct OfferToChosen(Micros);
 
 impl Decide for OfferToChosen {
@@ -35,7 +35,7 @@
     }
 }
 
-/// An engine and hosts that answer at once.
+/// An engine, and simulated hosts that answer at once.
 struct SimulatedHosts {
     engine: Engine<OfferToChosen>,
     now: u64,
@@ -64,12 +64,12 @@
 }
 
 impl SimulatedHosts {
-    /// So many hosts that greet in one instant.
-    fn new(hosts: u32, offer_for: Micros) -> SimulatedHosts {
+    /// Creates hosts that all send their greeting at the same time.
+    fn new(hosts: u32, offer_timeout: Micros) -> SimulatedHosts {
         let config = support::config();
-        let boot = support::start_info();
+        let start = support::start_info();
         let mut fleet = SimulatedHosts {
-            engine: Engine::new(config, OfferToChosen(offer_for), boot, NOW),
+            engine: Engine::new(config, OfferToChosen(offer_timeout), start, NOW),
             now: NOW,
             hosts,
             silent: BTreeSet::new(),
@@ -117,8 +117,8 @@
         match output {
             Output::Connect(id, _) if !self.silent.contains(&id) => self.to_greet.push(id),
             Output::ToHost(id, bytes) => {
-                let (frame, _) = frame::decode(&bytes).expect("sound");
-                self.deliver_to_host(id, frame.expect("one whole frame"));
+                let (frame, _) = frame::decode(&bytes).expect("valid frame");
+                self.deliver_to_host(id, frame.expect("one complete frame"));
             }
             Output::CloseHost(id) => self.disconnected.push((self.now, id)),
             _ => {}
@@ -175,14 +175,14 @@
             r#"{{"service":"s","actor":"a{}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}}"#,
             self.request_count
         );
-        let ask = support::post_actor("", &body);
+        let request = support::post_actor("", &body);
         self.engine
-            .client_bytes(self.now, ClientId(1), ask.as_bytes());
+            .client_bytes(self.now, ClientId(1), request.as_bytes());
         self.turn(false);
         self.turn(false);
     }
 
-    /// Everything that runs at the chosen host ends.
+    /// Ends all tasks that run on the chosen host.
     fn finish_all_tasks(&mut self) {
         for attempt in self.running.remove(&CHOSEN).unwrap_or_default() {
             self.deliver_from_host(
@@ -208,7 +208,7 @@
             .filter(|&at| at >= since)
             .collect();
         let within =
-            |first: usize| times[first..].partition_point(|&at| at < times[first] + SECOND);
+            |first: usize| times[first..].partition_point(|&at| at < times[first] + SECOND_US);
         (0..times.len()).map(within).max().unwrap_or(0)
     }
 }
@@ -216,12 +216,12 @@
 #[test]
 fn idle_ping_rate_is_bounded_when_many_hosts_greet_at_once() {
     for hosts in [130, 1300, 2600] {
-        let mut fleet = SimulatedHosts::new(hosts, SECOND);
-        fleet.run_for(100 * SECOND);
-        let most = fleet.max_pings_per_second(NOW);
+        let mut fleet = SimulatedHosts::new(hosts, SECOND_US);
+        fleet.run_for(100 * SECOND_US);
+        let max_pings = fleet.max_pings_per_second(NOW);
         assert!(
-            most <= MAX_IDLE_PINGS_PER_SECOND,
-            "{hosts} hosts: {most} in a second"
+            max_pings <= MAX_IDLE_PINGS_PER_SECOND,
+            "{hosts} hosts: {max_pings} in a second"
         );
         let pinged: BTreeSet<HostId> = fleet.pings.iter().map(|(_, id)| *id).collect();
         assert_eq!(pinged.len() as u32, fleet.hosts);
@@ -232,49 +232,56 @@
 
 #[test]
 fn stall_with_1300_hosts_disconnects_none_and_sends_no_burst() {
-    let mut fleet = SimulatedHosts::new(1300, SECOND);
+    let mut fleet = SimulatedHosts::new(1300, SECOND_US);
     fleet.send_request();
-    fleet.run_for(10 * SECOND);
-    fleet.now += 10 * SECOND;
+    fleet.run_for(10 * SECOND_US);
+    fleet.now += 10 * SECOND_US;
     fleet.turn(true);
-    fleet.run_for(60 * SECOND);
+    fleet.run_for(60 * SECOND_US);
     assert_eq!(fleet.disconnected, []);
-    // Beside them the one host in use.
-    let most = fleet.max_pings_per_second(NOW);
-    assert!(most <= MAX_IDLE_PINGS_PER_SECOND + 2, "{most} in a second");
+    // Two more than the limit, for the one host in use.
+    let max_pings = fleet.max_pings_per_second(NOW);
+    assert!(
+        max_pings <= MAX_IDLE_PINGS_PER_SECOND + 2,
+        "{max_pings} in a second"
+    );
 }
 
 #[test]
 fn host_with_task_is_pinged_every_interval_and_disconnected_after_silence() {
-    let mut fleet = SimulatedHosts::new(1300, SECOND);
-    fleet.run_for(30 * SECOND);
+    let mut fleet = SimulatedHosts::new(1300, SECOND_US);
+    fleet.run_for(30 * SECOND_US);
     fleet.send_request();
     assert_eq!(fleet.running[&CHOSEN].len(), 1);
     let placed = fleet.now;
-    fleet.run_for(20 * SECOND);
+    fleet.run_for(20 * SECOND_US);
     let pings = fleet.pings_to(CHOSEN, placed);
     assert!((18..=20).contains(&pings), "{pings} in 20 s");
     fleet.silent.insert(CHOSEN);
     let silent_from = fleet.now;
-    fleet.run_for(SILENCE_TIMEOUT + PING_INTERVAL);
+    fleet.run_for(SILENCE_TIMEOUT_US + PING_INTERVAL_US);
     assert_eq!(fleet.disconnected.len(), 1);
     let (at, id) = fleet.disconnected[0];
-    assert!(id == CHOSEN && at <= silent_from + SILENCE_TIMEOUT + PING_INTERVAL);
+    assert!(id == CHOSEN && at <= silent_from + SILENCE_TIMEOUT_US + PING_INTERVAL_US);
 }
 
 #[test]
 fn dead_idle_host_is_disconnected_after_offer_even_if_offer_is_abandoned() {
-    for offer_for in [300_000, 10 * SECOND] {
-        let mut fleet = SimulatedHosts::new(1300, offer_for);
-        fleet.run_for(10 * SECOND);
+    for offer_timeout in [300_000, 10 * SECOND_US] {
+        let mut fleet = SimulatedHosts::new(1300, offer_timeout);
+        fleet.run_for(10 * SECOND_US);
         fleet.silent.insert(CHOSEN);
         fleet.send_request();
         let offered = fleet.offered[0];
-        fleet.run_for(SILENCE_TIMEOUT + PING_INTERVAL);
-        assert_eq!(fleet.disconnected.len(), 1, "an offer for {offer_for} us");
+        fleet.run_for(SILENCE_TIMEOUT_US + PING_INTERVAL_US);
+        assert_eq!(
+            fleet.disconnected.len(),
+            1,
+            "an offer with a time-out of {offer_timeout} us"
+        );
         let (at, id) = fleet.disconnected[0];
         assert!(
-            id == CHOSEN && at <= offered + SILENCE_TIMEOUT + PING_INTERVAL,
+            id == CHOSEN && at <= offered + SILENCE_TIMEOUT_US + PING_INTERVAL_US,
             "{} us after",
             at - offered
         );
@@ -284,14 +291,14 @@
 
 #[test]
 fn host_is_pinged_less_often_after_its_last_task_ended() {
-    let mut fleet = SimulatedHosts::new(1300, SECOND);
-    fleet.run_for(5 * SECOND);
+    let mut fleet = SimulatedHosts::new(1300, SECOND_US);
+    fleet.run_for(5 * SECOND_US);
     for _ in 0..2 {
         fleet.send_request();
-        fleet.run_for(10 * SECOND);
+        fleet.run_for(10 * SECOND_US);
         fleet.finish_all_tasks();
         let idle_from = fleet.now;
-        fleet.run_for(64 * SECOND);
+        fleet.run_for(64 * SECOND_US);
         let pings = fleet.pings_to(CHOSEN, idle_from);
         assert!((1..=3).contains(&pings), "{pings} in 64 s");
     }
@@ -300,12 +307,12 @@
 
 #[test]
 fn silent_idle_host_is_disconnected_after_its_turn() {
-    let mut fleet = SimulatedHosts::new(1300, SECOND);
-    fleet.run_for(50 * SECOND);
+    let mut fleet = SimulatedHosts::new(1300, SECOND_US);
+    fleet.run_for(50 * SECOND_US);
     fleet.silent.insert(HostId(700));
-    // A second, and 1,300 turns of 25 ms.
-    fleet.run_for(SECOND + 1300 * 25_000 + SILENCE_TIMEOUT);
-    // It greets no new connection either.
-    let cut_off: BTreeSet<HostId> = fleet.disconnected.iter().map(|(_, id)| *id).collect();
-    assert_eq!(cut_off, BTreeSet::from([HostId(700)]));
+    // The ping interval of 1 s, and a turn of 25 ms for each of the 1300 hosts.
+    fleet.run_for(SECOND_US + 1300 * 25_000 + SILENCE_TIMEOUT_US);
+    // The host does not answer on new connections either, so that it may be disconnected several times.
+    let disconnected: BTreeSet<HostId> = fleet.disconnected.iter().map(|(_, id)| *id).collect();
+    assert_eq!(disconnected, BTreeSet::from([HostId(700)]));
 }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -1,4 +1,4 @@
-//! An engine whose turns take long: what it takes it still answers in time, and what it can't bear it turns away.
+//! An engine whose turns take long: accepted requests are answered in time, and requests are rejected under overload.
 
 mod support;
 
@@ -29,7 +29,7 @@
     support::post_actor("", &body).into_bytes()
 }
 
-/// How a request ended at its client.
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientOutcome {
     Answered,
@@ -37,7 +37,7 @@
     Disconnected,
 }
 
-/// An engine on a simulated clock, each of whose turns takes `turn_takes`; each client sends one request.
+/// An engine on a simulated clock, whose turns take time. Each client sends one request.
 struct SlowPlacer {
     engine: Engine<Placer>,
     now: u64,
@@ -49,7 +49,7 @@
 impl SlowPlacer {
     fn new() -> SlowPlacer {
         let config = config();
-        let placer = Placer::new(config.policy_settings(), 1).expect("sound");
+        let placer = Placer::new(config.policy_settings(), 1).expect("valid settings");
         let engine = Engine::new(config, placer, support::start_info(), NOW);
         SlowPlacer {
             engine,
@@ -60,23 +60,24 @@
         }
     }
 
-    /// Runs up to `until`: a client asks every `ask_every`, and is read by the next turn.
-    fn run_until(&mut self, until: u64, ask_every: u64, turn_takes: impl Fn(u64) -> u64) {
-        let mut next_ask = self.now;
+    /// Runs until `until`. Every `request_interval` a new client sends a request, which the next turn reads. A turn
+    /// takes `turn_duration`, given its start.
+    fn run_until(&mut self, until: u64, request_interval: u64, turn_duration: impl Fn(u64) -> u64) {
+        let mut next_request = self.now;
         while self.now < until {
             self.engine.set_unread_since(self.read_at);
-            while next_ask <= self.now {
-                self.send_request(next_ask);
-                next_ask += ask_every;
+            while next_request <= self.now {
+                self.send_request(next_request);
+                next_request += request_interval;
             }
             self.read_at = self.now;
             self.engine.turn(self.now, false);
-            let takes = turn_takes(self.now);
-            self.now += takes;
+            let duration = turn_duration(self.now);
+            self.now += duration;
             self.record_outputs();
-            self.engine.record_round(self.now - takes, self.now);
+            self.engine.record_round(self.now - duration, self.now);
             if let Some(due) = self.engine.next_timeout() {
-                self.now = self.now.max(due.min(next_ask));
+                self.now = self.now.max(due.min(next_request));
             }
         }
     }
@@ -91,12 +92,12 @@
 
     fn record_outputs(&mut self) {
         for output in self.engine.take_outputs() {
-            let (client, told) = match output {
+            let (client, outcome) = match output {
                 Output::ToClient(client, bytes) if bytes.starts_with(b"HTTP/1.1 200") => {
                     (client, ClientOutcome::Answered)
                 }
                 Output::ToClient(client, bytes) => {
-                    let text = String::from_utf8(bytes).expect("text");
+                    let text = String::from_utf8(bytes).expect("UTF-8");
                     assert!(
                         text.contains("urn:maplethread:problem:overloaded"),
                         "{text}"
@@ -107,27 +108,27 @@
                 Output::CloseClient(client) => (client, ClientOutcome::Disconnected),
                 other => panic!("{other:?}"),
             };
-            let before = self.outcomes.insert(client, (self.now, told));
-            assert_eq!(before, None, "{client:?} was told twice");
+            let previous = self.outcomes.insert(client, (self.now, outcome));
+            assert_eq!(previous, None, "{client:?} got two outcomes");
         }
     }
 
-    fn count(&self, what: ClientOutcome) -> usize {
+    fn count(&self, wanted: ClientOutcome) -> usize {
         self.outcomes
             .values()
-            .filter(|(_, told)| *told == what)
+            .filter(|(_, outcome)| *outcome == wanted)
             .count()
     }
 
-    /// Every client whose deadline is over was told something before it.
+    /// Asserts that every client whose deadline has passed got a response before it.
     fn assert_in_time(&self) {
-        for (client, asked) in &self.sent_at {
-            let deadline = asked + BUDGET_MS * 1000;
+        for (client, sent_at) in &self.sent_at {
+            let deadline = sent_at + BUDGET_MS * 1000;
             if deadline < self.now {
-                let (at, told) = self.outcomes[client];
+                let (at, outcome) = self.outcomes[client];
                 assert!(
-                    at < deadline && told != ClientOutcome::Disconnected,
-                    "{told:?} {} us late",
+                    at < deadline && outcome != ClientOutcome::Disconnected,
+                    "{outcome:?} {} us late",
                     at.saturating_sub(deadline)
                 );
             }
@@ -137,13 +138,13 @@
 
 #[test]
 fn accepted_requests_are_answered_in_time_when_turns_run_late() {
-    for turn_takes in [1_000, 20_000, 45_000, 60_000, 90_000] {
+    for turn_duration in [1_000, 20_000, 45_000, 60_000, 90_000] {
         let mut placer = SlowPlacer::new();
-        placer.run_until(NOW + 5_000_000, 10_000, |_| turn_takes);
+        placer.run_until(NOW + 5_000_000, 10_000, |_| turn_duration);
         placer.assert_in_time();
         assert!(
             placer.count(ClientOutcome::Answered) > 250,
-            "turns of {turn_takes} us"
+            "turns of {turn_duration} us"
         );
         assert_eq!(placer.engine.counters().past_deadline, 0);
     }
@@ -160,20 +161,20 @@
         length.set((length.get() + 20_000).min(220_000));
         length.get()
     });
-    let turned_away = placer.count(ClientOutcome::Unavailable);
-    assert!(turned_away > 100, "{turned_away} of 300");
-    assert_eq!(placer.engine.counters().unavailable, turned_away as u64);
-    let asked = placer.sent_at.len() as u64;
+    let rejected = placer.count(ClientOutcome::Unavailable);
+    assert!(rejected > 100, "{rejected} of 300");
+    assert_eq!(placer.engine.counters().unavailable, rejected as u64);
+    let sent = placer.sent_at.len() as u64;
     assert_eq!(
-        placer.engine.counters().requests + turned_away as u64,
-        asked,
-        "those were not taken"
+        placer.engine.counters().requests + rejected as u64,
+        sent,
+        "each request is either accepted or rejected"
     );
-    // It has time again, and soon takes everything.
+    // Turns are short again, and soon all requests are accepted.
     placer.run_until(NOW + 5_000_000, 10_000, |_| 1_000);
-    let turned_away = placer.count(ClientOutcome::Unavailable);
+    let rejected = placer.count(ClientOutcome::Unavailable);
     placer.run_until(NOW + 7_000_000, 10_000, |_| 1_000);
-    assert_eq!(placer.count(ClientOutcome::Unavailable), turned_away);
+    assert_eq!(placer.count(ClientOutcome::Unavailable), rejected);
     placer.assert_in_time();
 }
 
@@ -183,7 +184,7 @@
     placer.run_until(NOW + 2_000_000, 10_000, |_| 220_000);
     let before = placer.count(ClientOutcome::Unavailable);
     assert!(before > 0, "turns run late");
-    let taken = placer.engine.counters().requests;
+    let accepted = placer.engine.counters().requests;
     let client = ClientId(1_000_000);
     placer.engine.client_opened(placer.now, client);
     placer.engine.client_bytes(
@@ -191,7 +192,7 @@
         client,
         &request_bytes_with_budget(client.0, LONG_BUDGET_MS),
     );
-    assert_eq!(placer.engine.counters().requests, taken + 1);
+    assert_eq!(placer.engine.counters().requests, accepted + 1);
     placer.engine.turn(placer.now, false);
     placer.record_outputs();
     assert_eq!(placer.count(ClientOutcome::Unavailable), before);
@@ -212,24 +213,24 @@
     assert!(placer.count(ClientOutcome::Answered) > 200);
 }
 
-/// Notes the requests of each turn, and answers none.
+/// Records the requests of each turn, and answers none.
 struct RecordingDecider(Rc<RefCell<Vec<Vec<TaskId>>>>);
 
 impl Decide for RecordingDecider {
     fn turn(&mut self, _: Micros, events: &[Event], _: &mut Vec<Action>) {
-        let asked = events.iter().filter_map(|event| match event {
+        let requested = events.iter().filter_map(|event| match event {
             Event::PlacementRequested(task) => Some(task.id),
             _ => None,
         });
-        self.0.borrow_mut().push(asked.collect());
+        self.0.borrow_mut().push(requested.collect());
     }
 }
 
 #[test]
 fn turn_places_at_most_its_limit_and_leaves_the_rest_in_order() {
     let turns = Rc::new(RefCell::new(Vec::new()));
-    let boot = support::start_info();
-    let mut engine = Engine::new(config(), RecordingDecider(turns.clone()), boot, NOW);
+    let start = support::start_info();
+    let mut engine = Engine::new(config(), RecordingDecider(turns.clone()), start, NOW);
     for client in 1..=500 {
         engine.client_opened(NOW, ClientId(client));
         engine.client_bytes(NOW, ClientId(client), &request_bytes(client));
@@ -241,13 +242,13 @@
     }
     let turns = turns.borrow();
     assert!(
-        turns.iter().all(|asked| asked.len() <= 64),
-        "at most 64 in a turn"
+        turns.iter().all(|requested| requested.len() <= 64),
+        "at most 64 requests in a turn"
     );
     let all: Vec<u64> = turns.iter().flatten().map(|task| task.0).collect();
     assert_eq!(
         all,
         (1..=500).collect::<Vec<_>>(),
-        "all, once, and in the order in which they came"
+        "all requests, each once, in the order of arrival"
     );
 }
--- a/crates/engine/tests/crowded_turns.rs
+++ b/crates/engine/tests/placements_per_turn.rs
@@ -1,4 +1,5 @@
-//! More requests in one turn than it places: what else has happened is known before any of them is placed.
+//! More requests than one turn places: all other events of the turn are taken into account before any of them is
+//! placed.
 
 mod support;
 
@@ -8,15 +9,15 @@
 use support::NOW;
 
 const DRAINING: HostId = HostId(0);
-/// More than one turn places.
+/// More requests than one turn places.
 const REQUESTS: u64 = 200;
 
-/// An engine that is connected to two warm hosts.
+/// An engine that is connected to two hosts, neither of which is warming up.
 fn engine() -> Engine<Placer> {
     let config = support::config();
-    let placer = Placer::new(config.policy_settings(), 1).expect("sound");
-    let boot = support::start_info();
-    let mut engine = Engine::new(config.clone(), placer, boot, NOW);
+    let placer = Placer::new(config.policy_settings(), 1).expect("valid settings");
+    let start = support::start_info();
+    let mut engine = Engine::new(config.clone(), placer, start, NOW);
     engine.apply_inventory(NOW, &support::inventory(&config, &["draining", "other"]));
     for (number, name) in ["draining", "other"].into_iter().enumerate() {
         let host = HostId(number as u32);
@@ -43,7 +44,7 @@
     engine.client_bytes(NOW, ClientId(number), request.as_bytes());
 }
 
-/// Offers to each of the two hosts, as told by the outputs of some turns.
+/// Runs ten turns, and counts the offers to each of the two hosts.
 fn count_offers(engine: &mut Engine<Placer>) -> [usize; 2] {
     let mut offers = [0; 2];
     for turn in 1..=10 {
@@ -84,7 +85,7 @@
     (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
     (1..=REQUESTS).for_each(|number| engine.client_closed(NOW, ClientId(number)));
     let [to_first, to_other] = count_offers(&mut engine);
-    // What is given in the first turn is given together with its client's end.
+    // Requests reach the decider in the same turn as the end of their clients.
     assert_eq!(to_first + to_other, 0);
     assert_eq!(engine.pending_requests(), 0);
 }
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -1,4 +1,4 @@
-//! A host that is gone and comes back is the same host to the decider: what it was sent a moment ago still counts.
+//! A host that leaves the inventory and returns keeps its id, so that recent offers to it still count for the decider.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 use support::NOW;
 
-/// Records all machines that it is given, and what runs; offers each request to the first machine.
+/// What the decider has recorded: the machines, the number of running tasks, and the outcomes of attempts.
 #[derive(Default)]
 struct Observations {
     machines: BTreeSet<MachineId>,
@@ -20,25 +20,28 @@
     outcomes: Vec<AttemptOutcome>,
 }
 
+/// Records what it observes, and offers each request to the first machine.
 struct RecordingDecider(Rc<RefCell<Observations>>);
 
 impl Decide for RecordingDecider {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        let mut seen = self.0.borrow_mut();
+        let mut observations = self.0.borrow_mut();
         for event in events {
             match event {
-                Event::EndpointsUpdated { machines, .. } => {
-                    seen.machines.extend(machines.iter().map(|m| m.machine))
-                }
+                Event::EndpointsUpdated { machines, .. } => observations
+                    .machines
+                    .extend(machines.iter().map(|m| m.machine)),
                 Event::PlacementRequested(task) => actions.push(Action::Offer {
                     task: task.id,
                     machine: MachineId(0),
                     timeout: 1_000_000,
                 }),
-                Event::AttemptAccepted { .. } | Event::TaskAdopted { .. } => seen.running += 1,
+                Event::AttemptAccepted { .. } | Event::TaskAdopted { .. } => {
+                    observations.running += 1
+                }
                 Event::AttemptFinished { result: end, .. } => {
-                    seen.running -= 1;
-                    seen.outcomes.push(end.outcome);
+                    observations.running -= 1;
+                    observations.outcomes.push(end.outcome);
                 }
                 _ => {}
             }
@@ -63,9 +66,9 @@
 #[test]
 fn host_keeps_its_id_while_absent_and_is_connected_again() {
     let config = support::config();
-    let seen = Rc::new(RefCell::new(Observations::default()));
-    let boot = support::start_info();
-    let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
+    let observations = Rc::new(RefCell::new(Observations::default()));
+    let start = support::start_info();
+    let mut engine = Engine::new(config, RecordingDecider(observations.clone()), start, NOW);
     let mut now = NOW;
     for round in 0..5 {
         engine.apply_host_changes(now, &[entry(1, HostState::Ready)]);
@@ -87,12 +90,12 @@
         now += 10_000;
     }
     assert_eq!(
-        seen.borrow().machines.len(),
+        observations.borrow().machines.len(),
         1,
-        "one host, one number: {:?}",
-        seen.borrow().machines
+        "the host keeps its id: {:?}",
+        observations.borrow().machines
     );
-    // Another host has another number.
+    // Another host gets another id.
     engine.apply_host_changes(
         now,
         &[entry(1, HostState::Ready), entry(2, HostState::Ready)],
@@ -105,12 +108,12 @@
     assert_eq!(connects, 2);
 }
 
-/// The frames that the engine sends to hosts.
+/// Takes the frames that the engine has sent to hosts.
 fn take_host_frames(engine: &mut Engine<RecordingDecider>) -> Vec<Frame> {
     let mut frames = Vec::new();
     for output in engine.take_outputs() {
         if let Output::ToHost(_, bytes) = output {
-            frames.extend(frame::decode(&bytes).expect("sound").0);
+            frames.extend(frame::decode(&bytes).expect("valid frame").0);
         }
     }
     frames
@@ -121,25 +124,25 @@
     assert_eq!(engine.host_bytes(now, HostId(0), &bytes), bytes.len());
 }
 
-/// The host's greeting, always of one process.
+/// The host's greeting, always from the same process.
 fn hello() -> Frame {
     support::hello("h1", NOW / 1000)
 }
 
-/// An engine that has placed one task on the host, what its decider has seen, and the offer.
+/// An engine that has placed one task on the host, the observations of its decider, and the offer.
 fn engine_with_placed_task() -> (Engine<RecordingDecider>, Rc<RefCell<Observations>>, Offer) {
     let config = support::config();
-    let seen = Rc::new(RefCell::new(Observations::default()));
-    let boot = support::start_info();
-    let mut engine = Engine::new(config, RecordingDecider(seen.clone()), boot, NOW);
+    let observations = Rc::new(RefCell::new(Observations::default()));
+    let start = support::start_info();
+    let mut engine = Engine::new(config, RecordingDecider(observations.clone()), start, NOW);
     engine.apply_host_changes(NOW, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW, HostId(0));
     receive_frames(&mut engine, NOW, &[hello(), Frame::HeldEnd]);
     engine.turn(NOW, false);
     engine.client_opened(NOW, ClientId(1));
     let body = r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":2000}"#;
-    let ask = support::post_actor("", body);
-    engine.client_bytes(NOW, ClientId(1), ask.as_bytes());
+    let request = support::post_actor("", body);
+    engine.client_bytes(NOW, ClientId(1), request.as_bytes());
     engine.turn(NOW, false);
     let offer = take_host_frames(&mut engine).into_iter().find_map(|f| {
         if let Frame::Offer(o) = f {
@@ -158,19 +161,19 @@
         ],
     );
     engine.turn(NOW + 1000, false);
-    assert_eq!(seen.borrow().running, 1);
-    (engine, seen, offer)
+    assert_eq!(observations.borrow().running, 1);
+    (engine, observations, offer)
 }
 
 #[test]
 fn task_reported_lost_counts_until_returning_host_has_stopped_it() {
-    let (mut engine, seen, offer) = engine_with_placed_task();
-    // Its connection is lost, and the inventory says that it is gone: the task is lost.
+    let (mut engine, observations, offer) = engine_with_placed_task();
+    // The connection is lost and the host leaves the inventory: the task is lost.
     engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
     engine.apply_host_changes(NOW + 3000, &[entry(1, HostState::Gone)]);
     engine.turn(NOW + 3000, false);
-    assert_eq!(seen.borrow().running, 0);
-    // It is back, with the same process, and the task still runs there.
+    assert_eq!(observations.borrow().running, 0);
+    // The host returns with the same process, which still runs the task.
     engine.apply_host_changes(NOW + 4000, &[entry(1, HostState::Ready)]);
     engine.host_connected(NOW + 5000, HostId(0));
     receive_frames(
@@ -179,22 +182,30 @@
         &[hello(), Frame::Held(offer.clone(), true), Frame::HeldEnd],
     );
     engine.turn(NOW + 5000, false);
-    let told = take_host_frames(&mut engine);
-    assert!(told.contains(&Frame::Stop(offer.attempt_id)), "{told:?}");
-    assert_eq!(seen.borrow().running, 1, "it counts while it runs");
+    let frames = take_host_frames(&mut engine);
+    assert!(
+        frames.contains(&Frame::Stop(offer.attempt_id)),
+        "{frames:?}"
+    );
+    assert_eq!(
+        observations.borrow().running,
+        1,
+        "the task counts while it runs"
+    );
     receive_frames(
         &mut engine,
         NOW + 6000,
         &[Frame::Ended(offer.attempt_id, Reason::Stopped, true, None)],
     );
     engine.turn(NOW + 6000, false);
-    assert_eq!(seen.borrow().running, 0);
+    assert_eq!(observations.borrow().running, 0);
 }
 
 #[test]
 fn earlier_connection_loss_does_not_shorten_a_later_one() {
-    let (mut engine, seen, offer) = engine_with_placed_task();
-    // Its connection is lost and made anew, and the host names the task; lost again 4 s after the first loss.
+    let (mut engine, observations, offer) = engine_with_placed_task();
+    // The connection is lost and re-established, and the host lists the task. It is lost again 4 s after the first
+    // loss.
     engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
     let mut connected = false;
     while let Some(at) = engine.next_timeout().filter(|&at| at <= NOW + 4_000_000) {
@@ -219,48 +230,52 @@
     }
     assert!(connected);
     engine.host_closed(NOW + 4_000_000, HostId(0), u64::MAX);
-    let until_lost = |engine: &mut Engine<RecordingDecider>, until: u64| {
+    let run_until = |engine: &mut Engine<RecordingDecider>, until: u64| {
         while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
             engine.turn(at, false);
             engine.take_outputs();
         }
     };
-    // `hosts.lost_after_ms` is 5 s: not over for the second loss when it is for the first.
-    until_lost(&mut engine, NOW + 6_000_000);
-    assert_eq!(seen.borrow().running, 1, "it may still run");
-    until_lost(&mut engine, NOW + 9_500_000);
-    assert_eq!(seen.borrow().running, 0);
+    // `hosts.lost_after_ms` is 5 s, which is over for the first loss but not for the second.
+    run_until(&mut engine, NOW + 6_000_000);
+    assert_eq!(observations.borrow().running, 1, "the task is not lost yet");
+    run_until(&mut engine, NOW + 9_500_000);
+    assert_eq!(observations.borrow().running, 0);
 }
 
 #[test]
 fn task_that_ended_while_disconnected_is_not_lost_if_host_reports_its_end() {
-    for told in [true, false] {
-        let (mut engine, seen, offer) = engine_with_placed_task();
+    for is_end_reported in [true, false] {
+        let (mut engine, observations, offer) = engine_with_placed_task();
         engine.host_closed(NOW + 2000, HostId(0), u64::MAX);
-        // The first wait before it connects again is over.
-        let back = NOW + 1_000_000;
-        engine.turn(back, false);
+        // The delay before the first reconnect is over.
+        let reconnected_at = NOW + 1_000_000;
+        engine.turn(reconnected_at, false);
         assert!(
             engine
                 .take_outputs()
                 .iter()
                 .any(|o| matches!(o, Output::Connect(..)))
         );
-        engine.host_connected(back, HostId(0));
+        engine.host_connected(reconnected_at, HostId(0));
         let ended = Frame::Ended(offer.attempt_id, Reason::Completed, true, None);
-        let greeting = if told {
+        let greeting = if is_end_reported {
             vec![hello(), ended, Frame::HeldEnd]
         } else {
             vec![hello(), Frame::HeldEnd]
         };
-        receive_frames(&mut engine, back, &greeting);
-        engine.turn(back, false);
-        let ending = if told {
+        receive_frames(&mut engine, reconnected_at, &greeting);
+        engine.turn(reconnected_at, false);
+        let expected = if is_end_reported {
             AttemptOutcome::Completed
         } else {
             AttemptOutcome::Disconnected
         };
-        assert_eq!(seen.borrow().outcomes, [ending], "told: {told}");
-        assert_eq!(seen.borrow().running, 0);
+        assert_eq!(
+            observations.borrow().outcomes,
+            [expected],
+            "end reported: {is_end_reported}"
+        );
+        assert_eq!(observations.borrow().running, 0);
     }
 }
--- a/crates/engine/tests/simulated/main.rs
+++ b/crates/engine/tests/simulated/main.rs
@@ -1,6 +1,6 @@
-//! The engine with the module under a simulated clock and network: hosts that accept, refuse, stay silent, lose
-//! connections and restart, clients that send requests and disconnect, all from one seed. Equal seeds give equal bytes, every
-//! request has one answer, and nothing is left over.
+//! The engine with the placement policy under a simulated clock and network. Hosts accept, reject, stay silent, lose
+//! connections and restart, and clients send requests and disconnect, all derived from one seed. Every request gets one
+//! answer, no state is left over, and equal seeds give equal bytes.
 
 mod simulation;
 
@@ -13,11 +13,12 @@
         let mut sim = Simulation::new(seed);
         sim.run(6);
         for (id, client) in &sim.clients {
-            let wanted = usize::from(!client.has_disconnected && !client.is_closed);
-            let got = client.answers.len();
+            let expected = usize::from(!client.has_disconnected && !client.is_closed);
+            let actual = client.answers.len();
             assert!(
-                got == wanted || (got <= 1 && (client.has_disconnected || client.is_closed)),
-                "seed {seed}, {id:?}: {got} answers"
+                actual == expected
+                    || (actual <= 1 && (client.has_disconnected || client.is_closed)),
+                "seed {seed}, {id:?}: {actual} answers"
             );
             placed += client
                 .answers
@@ -27,8 +28,8 @@
         }
         sim.run_until_settled();
         let status = sim.status();
-        for gone in ["\"open_asks\":0", "\"attempts\":0", "\"actors\":0"] {
-            assert!(status.contains(gone), "seed {seed}: {status}");
+        for empty in ["\"open_asks\":0", "\"attempts\":0", "\"actors\":0"] {
+            assert!(status.contains(empty), "seed {seed}: {status}");
         }
         let counters = sim.engine.counters();
         assert_eq!(
--- a/crates/engine/tests/simulated/simulation.rs
+++ b/crates/engine/tests/simulated/simulation.rs
@@ -1,4 +1,4 @@
-//! Hosts and clients in simulated time around an engine, with faults from a seed.
+//! Simulated hosts and clients around an engine, with faults drawn from a seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -54,7 +54,7 @@
 "#;
 
 const HOSTS: usize = 6;
-const START: u64 = 1_700_000_000_000_000;
+const START_US: u64 = 1_700_000_000_000_000;
 
 enum SimEvent {
     ToHost(HostId, u64, Vec<u8>),
@@ -97,8 +97,9 @@
     written: BTreeMap<HostId, u64>,
     pub clients: BTreeMap<ClientId, SimulatedClient>,
     pub trace: blake3::Hasher,
-    /// Attempts out, by request, with their hosts; and requests of which an unsafe attempt reached a host.
-    running_attempts: BTreeMap<String, BTreeMap<u64, HostId>>,
+    /// Attempts that were offered and have not ended, with their hosts, by request id.
+    open_attempts: BTreeMap<String, BTreeMap<u64, HostId>>,
+    /// Ids of requests of which an attempt may have started.
     possibly_started: BTreeSet<String>,
     request_count: u64,
 }
@@ -109,13 +110,14 @@
             file: "sim",
             text: CONFIG,
         })
-        .expect("sound");
-        let placer = maplethread::Placer::new(config.policy_settings(), seed).expect("sound");
-        let boot = StartInfo {
-            started_ms: START / 1000,
+        .expect("valid settings");
+        let placer =
+            maplethread::Placer::new(config.policy_settings(), seed).expect("valid settings");
+        let start = StartInfo {
+            started_ms: START_US / 1000,
             seed,
         };
-        let mut engine = Engine::new(config.clone(), placer, boot, START);
+        let mut engine = Engine::new(config.clone(), placer, start, START_US);
         let mut text = String::new();
         for n in 0..HOSTS {
             let zone = ["a", "b"][n % 2];
@@ -131,25 +133,25 @@
             },
             &config,
         )
-        .expect("sound");
-        engine.apply_inventory(START, &inventory);
+        .expect("valid inventory");
+        engine.apply_inventory(START_US, &inventory);
         let hosts = (0..HOSTS)
             .map(|_| SimulatedHost {
-                started: START / 1000,
+                started: START_US / 1000,
                 ..SimulatedHost::default()
             })
             .collect();
         Simulation {
             engine,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            now: START,
+            now: START_US,
             events: Timers::default(),
             hosts,
             connection_count: 0,
             written: BTreeMap::new(),
             clients: BTreeMap::new(),
             trace: blake3::Hasher::new(),
-            running_attempts: BTreeMap::new(),
+            open_attempts: BTreeMap::new(),
             possibly_started: BTreeSet::new(),
             request_count: 0,
         }
@@ -159,22 +161,22 @@
         self.rng.next_u64() % n
     }
 
-    fn schedule(&mut self, ev: SimEvent) {
+    fn schedule(&mut self, event: SimEvent) {
         let after = 200 + self.below(1500);
-        self.events.schedule(self.now + after, ev);
+        self.events.schedule(self.now + after, event);
     }
 
-    /// Runs until nothing happens any more, with faults and requests for `seconds`.
+    /// Runs for `seconds` with requests and faults, and then for up to 20 s without.
     pub fn run(&mut self, seconds: u64) {
-        let end = START + seconds * 1_000_000;
+        let end = START_US + seconds * 1_000_000;
         for n in 0..seconds * 40 {
             let at = self.below(seconds * 1_000_000);
             self.events
-                .schedule(START + 100_000 + at, SimEvent::SendRequest(n));
+                .schedule(START_US + 100_000 + at, SimEvent::SendRequest(n));
         }
         for _ in 0..seconds * 3 {
             let at = self.below(seconds * 1_000_000);
-            self.events.schedule(START + at, SimEvent::InjectFault);
+            self.events.schedule(START_US + at, SimEvent::InjectFault);
         }
         self.turn();
         let mut steps = 0;
@@ -185,14 +187,14 @@
                 .min();
             let Some(due) = due else { break };
             self.now = self.now.max(due);
-            while let Some(ev) = self.events.pop_due(self.now) {
-                self.handle_event(ev);
+            while let Some(event) = self.events.pop_due(self.now) {
+                self.handle_event(event);
             }
             self.turn();
             steps += 1;
             assert!(
                 steps < 1_000_000,
-                "the engine asks to be called without end"
+                "the engine keeps requesting further calls"
             );
         }
     }
@@ -205,19 +207,19 @@
             match output {
                 Output::Connect(id, _) => {
                     self.connection_count += 1;
-                    let link = self.connection_count;
+                    let connection = self.connection_count;
                     self.written.insert(id, 0);
-                    self.hosts[id.0 as usize].connection = Some(link);
+                    self.hosts[id.0 as usize].connection = Some(connection);
                     self.hosts[id.0 as usize].inbox.clear();
-                    self.schedule(SimEvent::Connected(id, link));
+                    self.schedule(SimEvent::Connected(id, connection));
                 }
                 Output::ToHost(id, bytes) => {
                     let written = self.written.entry(id).or_default();
                     *written += bytes.len() as u64;
                     let written = *written;
                     self.engine.host_written(id, written);
-                    if let Some(link) = self.hosts[id.0 as usize].connection {
-                        self.schedule_in_order(SimEvent::ToHost(id, link, bytes));
+                    if let Some(connection) = self.hosts[id.0 as usize].connection {
+                        self.schedule_in_order(SimEvent::ToHost(id, connection, bytes));
                     }
                 }
                 Output::FetchMembership {
@@ -236,39 +238,39 @@
         }
     }
 
-    /// A fixed delay keeps the order of one connection's bytes.
-    fn schedule_in_order(&mut self, ev: SimEvent) {
-        self.events.schedule(self.now + 300, ev);
+    /// Schedules an event after a fixed delay, which keeps the order of the bytes of a connection.
+    fn schedule_in_order(&mut self, event: SimEvent) {
+        self.events.schedule(self.now + 300, event);
     }
 
-    fn handle_event(&mut self, ev: SimEvent) {
-        match ev {
-            SimEvent::Connected(id, link) => {
-                if self.hosts[id.0 as usize].connection == Some(link) {
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Connected(id, connection) => {
+                if self.hosts[id.0 as usize].connection == Some(connection) {
                     self.engine.host_connected(self.now, id);
                 }
             }
-            SimEvent::ToHost(id, link, bytes) => {
+            SimEvent::ToHost(id, connection, bytes) => {
                 let host = &mut self.hosts[id.0 as usize];
-                if host.connection != Some(link) {
+                if host.connection != Some(connection) {
                     return;
                 }
                 host.inbox.extend(bytes);
                 let mut inbox = std::mem::take(&mut host.inbox);
-                while let (Some(frame), used) = frame::decode(&inbox).expect("sound frames") {
+                while let (Some(frame), used) = frame::decode(&inbox).expect("valid frames") {
                     inbox.drain(..used);
                     self.handle_host_frame(id, frame);
                 }
                 self.hosts[id.0 as usize].inbox = inbox;
             }
-            SimEvent::FromHost(id, link, bytes) => {
-                if self.hosts[id.0 as usize].connection == Some(link) {
+            SimEvent::FromHost(id, connection, bytes) => {
+                if self.hosts[id.0 as usize].connection == Some(connection) {
                     let used = self.engine.host_bytes(self.now, id, &bytes);
                     assert_eq!(used, bytes.len());
                 }
             }
-            SimEvent::Lost(id, link) => {
-                if self.hosts[id.0 as usize].connection == Some(link) {
+            SimEvent::Lost(id, connection) => {
+                if self.hosts[id.0 as usize].connection == Some(connection) {
                     self.disconnect_host(id);
                     let written = self.written.get(&id).copied().unwrap_or(0);
                     self.engine.host_closed(self.now, id, written);
@@ -292,7 +294,7 @@
                 };
                 client.inbox.extend(bytes);
                 while let (ReadResult::Message(message), used) =
-                    client.reader.read(&client.inbox).expect("sound HTTP")
+                    client.reader.read(&client.inbox).expect("valid HTTP")
                 {
                     client.inbox.drain(..used);
                     assert!(now <= client.deadline, "answered after the deadline");
@@ -325,24 +327,28 @@
     }
 
     fn send_from_host(&mut self, id: HostId, frame: Frame) {
-        let Some(link) = self.hosts[id.0 as usize].connection else {
+        let Some(connection) = self.hosts[id.0 as usize].connection else {
             return;
         };
         let mut bytes = Vec::new();
         frame::encode(&frame, &mut bytes);
-        self.schedule_in_order(SimEvent::FromHost(id, link, bytes));
+        self.schedule_in_order(SimEvent::FromHost(id, connection, bytes));
     }
 
     fn handle_host_frame(&mut self, id: HostId, frame: Frame) {
         let number = id.0 as usize;
         match &frame {
             Frame::Offer(offer) => {
-                let out = self
-                    .running_attempts
+                let attempts = self
+                    .open_attempts
                     .entry(offer.request_id.clone())
                     .or_default();
-                assert!(out.is_empty(), "{} has two attempts out", offer.request_id);
-                out.insert(offer.attempt_id, id);
+                assert!(
+                    attempts.is_empty(),
+                    "{} has two attempts at the same time",
+                    offer.request_id
+                );
+                attempts.insert(offer.attempt_id, id);
                 if offer.class == "unsafe" {
                     assert!(
                         !self.possibly_started.contains(&offer.request_id),
@@ -351,7 +357,7 @@
                     );
                 }
             }
-            Frame::Cancel(attempt) | Frame::Stop(attempt) => self.forget_attempt(*attempt),
+            Frame::Cancel(attempt) | Frame::Stop(attempt) => self.remove_attempt(*attempt),
             _ => {}
         }
         if self.hosts[number].silent {
@@ -393,46 +399,47 @@
                 match draw {
                     0 => {}
                     1 => {
-                        self.forget_attempt(attempt);
+                        self.remove_attempt(attempt);
                         self.send_from_host(id, Frame::Refused(attempt, Reason::Cores, None));
                     }
                     2 => {
-                        self.forget_attempt(attempt);
+                        self.remove_attempt(attempt);
                         self.send_from_host(id, Frame::Ended(attempt, Reason::Error, true, None));
                     }
                     _ => {
                         self.hosts[number].running.insert(attempt, offer);
                         self.send_from_host(id, Frame::Accepted(attempt, 1));
                         self.send_from_host(id, Frame::Started(attempt, 2));
-                        let (life, started) = (self.below(3_000_000), self.hosts[number].started);
+                        let (duration, started) =
+                            (self.below(3_000_000), self.hosts[number].started);
                         self.events.schedule(
-                            self.now + 1000 + life,
+                            self.now + 1000 + duration,
                             SimEvent::TaskEnds(number, attempt, started),
                         );
                     }
                 }
             }
             Frame::Cancel(attempt) | Frame::Stop(attempt) => {
-                let ran = self.hosts[number].running.remove(&attempt).is_some();
-                self.send_from_host(id, Frame::Ended(attempt, Reason::Stopped, ran, None));
+                let has_run = self.hosts[number].running.remove(&attempt).is_some();
+                self.send_from_host(id, Frame::Ended(attempt, Reason::Stopped, has_run, None));
             }
             Frame::Ping(nonce) => self.send_from_host(id, Frame::Pong(nonce)),
             _ => {}
         }
     }
 
-    /// Nobody waits for this attempt any more.
-    fn forget_attempt(&mut self, attempt: u64) {
-        for out in self.running_attempts.values_mut() {
-            out.remove(&attempt);
+    /// Removes an attempt that has been rejected, ended, cancelled or stopped.
+    fn remove_attempt(&mut self, attempt: u64) {
+        for attempts in self.open_attempts.values_mut() {
+            attempts.remove(&attempt);
         }
     }
 
     fn disconnect_host(&mut self, id: HostId) {
         self.hosts[id.0 as usize].connection = None;
-        self.running_attempts
+        self.open_attempts
             .values_mut()
-            .for_each(|out| out.retain(|_, host| *host != id));
+            .for_each(|attempts| attempts.retain(|_, host| *host != id));
     }
 
     fn send_request(&mut self, n: u64) {
@@ -460,7 +467,7 @@
             answers: Vec::new(),
             has_disconnected: false,
             is_closed: false,
-            // Its own time runs from before the placer reads the request; the answer's way back takes 0.3 ms.
+            // The client's budget starts before the placer reads the request, and the answer takes 0.3 ms to arrive.
             deadline: self.now + budget * 1000 + 2000,
         };
         self.clients.insert(id, client);
@@ -481,25 +488,25 @@
         match self.rng.next_u64() % 4 {
             0 => host.silent = true,
             1 => {
-                // A new process: all that it held is gone.
+                // The host restarts and loses all its tasks.
                 host.silent = false;
                 host.started = self.now / 1000;
                 host.running.clear();
-                if let Some(link) = host.connection {
-                    self.schedule(SimEvent::Lost(id, link));
+                if let Some(connection) = host.connection {
+                    self.schedule(SimEvent::Lost(id, connection));
                 }
             }
             2 => {
                 host.silent = false;
-                if let Some(link) = host.connection {
-                    self.schedule(SimEvent::Lost(id, link));
+                if let Some(connection) = host.connection {
+                    self.schedule(SimEvent::Lost(id, connection));
                 }
             }
             _ => host.silent = false,
         }
     }
 
-    /// All faults are over, and all that runs has ended: nothing may be left.
+    /// Ends all faults and all running tasks, and runs for up to 30 s. No state may be left afterwards.
     pub fn run_until_settled(&mut self) {
         for number in 0..HOSTS {
             self.hosts[number].silent = false;
@@ -528,8 +535,8 @@
                 break;
             }
             self.now = self.now.max(due);
-            while let Some(ev) = self.events.pop_due(self.now) {
-                self.handle_event(ev);
+            while let Some(event) = self.events.pop_due(self.now) {
+                self.handle_event(event);
             }
             self.turn();
         }
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the engine's tests share: settings, an inventory, and the bytes of requests and frames.
+//! Shared helpers of the engine's tests: settings, an inventory, and the bytes of requests and frames.
 
 #![allow(dead_code)]
 
@@ -15,10 +15,10 @@
         file: "placer.toml",
         text: include_str!("../../../../config/placer.toml"),
     })
-    .expect("the example settings are sound")
+    .expect("the example settings are valid")
 }
 
-/// A start at [`NOW`] with a fixed seed.
+/// Start parameters for a start at [`NOW`] with a fixed seed.
 pub fn start_info() -> StartInfo {
     StartInfo {
         started_ms: NOW / 1000,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Hosts of these names in the first zone, each in a cell of its own.
+/// An inventory of hosts with these names in the first zone, each in a cell of its own.
 pub fn inventory(config: &PlacerConfig, names: &[&str]) -> Inventory {
     let (kind, zone) = (&config.kinds[0].name, &config.identity.zones[0]);
     let hosts: Vec<String> = names
@@ -41,7 +41,7 @@
         file: "hosts",
         text: &hosts.concat(),
     };
-    Inventory::parse(document, config).expect("a sound inventory")
+    Inventory::parse(document, config).expect("valid inventory")
 }
 
 /// The greeting of a host whose process started at this Unix time in ms.
@@ -55,7 +55,7 @@
     }
 }
 
-/// Frames as a host sends them.
+/// Encodes frames as a host sends them.
 pub fn encode(frames: &[Frame]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for frame in frames {
--- a/crates/engine/tests/cold_offers.rs
+++ b/crates/engine/tests/warm_up_offers.rs
@@ -1,4 +1,5 @@
-//! Rule 4 where a caller pauses between a decision and its writing: what a cold host is sent counts from when it leaves.
+//! Rule 4 if the caller pauses between a decision and writing it: an offer to a cold host counts from when it is
+//! written.
 
 mod support;
 
@@ -9,29 +10,29 @@
 use support::NOW;
 
 const HOST: HostId = HostId(0);
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// Offers each task to the one host as soon as it is requested.
-struct Eager;
+/// Offers each task to the only host as soon as it is requested.
+struct OfferAtOnce;
 
-impl Decide for Eager {
+impl Decide for OfferAtOnce {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             if let Event::PlacementRequested(task) = event {
                 actions.push(Action::Offer {
                     task: task.id,
                     machine: MachineId(HOST.0),
-                    timeout: S,
+                    timeout: SECOND_US,
                 });
             }
         }
     }
 }
 
-/// An engine that is connected to one host, which has just come up.
-fn engine(config: &PlacerConfig) -> Engine<Eager> {
-    let boot = support::start_info();
-    let mut engine = Engine::new(config.clone(), Eager, boot, NOW);
+/// An engine that is connected to one host, which has just started.
+fn engine(config: &PlacerConfig) -> Engine<OfferAtOnce> {
+    let start = support::start_info();
+    let mut engine = Engine::new(config.clone(), OfferAtOnce, start, NOW);
     let inventory = support::inventory(config, &["h"]);
     engine.apply_inventory(NOW, &inventory);
     engine.host_connected(NOW, HOST);
@@ -45,13 +46,14 @@
     engine
 }
 
-/// Asks at `now`; whether that is offered to the host in this turn, whose writing ends at `written`.
-fn is_offered(engine: &mut Engine<Eager>, number: u64, now: u64, written: u64) -> bool {
+/// Sends a request at `now`. Returns whether it is offered to the host in this turn, whose output is written at
+/// `written`.
+fn is_offered(engine: &mut Engine<OfferAtOnce>, number: u64, now: u64, written: u64) -> bool {
     let body = format!(
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}}"#
     );
     let request = support::post_actor("", &body);
-    // The host is there all the time.
+    // A sign of activity, so that the host is not disconnected for silence.
     let mut pong = Vec::new();
     frame::encode(&Frame::Pong(0), &mut pong);
     engine.host_bytes(now, HOST, &pong);
@@ -73,25 +75,25 @@
     let config = support::config();
     let window = config.rules.overload_window_ms * 1000;
     let mut engine = engine(&config);
-    // Decided now, and written after a pause of a second.
-    assert!(is_offered(&mut engine, 1, NOW, NOW + S));
-    // By the decider's count the window is over; by the host's it is not.
-    let after = NOW + window + 1;
-    assert!(!is_offered(&mut engine, 2, after, after));
+    // Decided at `NOW`, and written after a pause of 1 s.
+    assert!(is_offered(&mut engine, 1, NOW, NOW + SECOND_US));
+    // For the decider the window is over; for the host it is not.
+    let past_window = NOW + window + 1;
+    assert!(!is_offered(&mut engine, 2, past_window, past_window));
     assert!(!is_offered(
         &mut engine,
         3,
-        NOW + window + S,
-        NOW + window + S
+        NOW + window + SECOND_US,
+        NOW + window + SECOND_US
     ));
-    let over = NOW + window + S + 1;
-    assert!(is_offered(&mut engine, 4, over, over));
-    // Where nothing left late, the decider's count stands.
-    assert!(is_offered(&mut engine, 5, over + 1, over + 1));
+    let window_end = NOW + window + SECOND_US + 1;
+    assert!(is_offered(&mut engine, 4, window_end, window_end));
+    // If no offer was written late, only the decider's count applies.
+    assert!(is_offered(&mut engine, 5, window_end + 1, window_end + 1));
     assert!(is_offered(
         &mut engine,
         6,
-        over + window + 2,
-        over + window + 2
+        window_end + window + 2,
+        window_end + window + 2
     ));
 }
