--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -141,10 +141,10 @@
 }
 
 /// Checks the name of a service, actor or request: 1 to 200 bytes without control characters.
-fn check_name(what: &str, text: &str) -> Result<(), Problem> {
+fn check_name(field_name: &str, text: &str) -> Result<(), Problem> {
     if text.is_empty() || text.len() > MAX_NAME_BYTES || text.chars().any(char::is_control) {
         return Err(Problem::bad_value(format!(
-            "{what}: 1 to 200 bytes without control characters"
+            "{field_name}: 1 to 200 bytes without control characters"
         )));
     }
     Ok(())
--- a/crates/engine/src/decisions.rs
+++ b/crates/engine/src/decisions.rs
@@ -15,7 +15,8 @@
 /// Rounds of decisions in one turn. An offer that can't be sent causes an event, which the next round handles.
 const MAX_ROUNDS_PER_TURN: usize = 8;
 /// Tasks that are placed in one turn. Further requests wait for the next turn, after the offers of this one have been
-/// written: an offer that is written long after its decision may add to later ones in the warm-up window of a host.
+/// written: an offer that is written long after its decision may fall into the same warm-up window of a host as later
+/// offers.
 const MAX_PLACEMENTS_PER_TURN: usize = 64;
 
 impl<D: Decide> Engine<D> {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// How long before its deadline a request with this budget must be answered, requested_tasks how late turns run.
+    /// How long before its deadline a request with this budget must be answered, given how late turns run.
     pub(crate) fn answer_margin_for(&self, budget: Micros) -> Micros {
         self.turn_latency.answer_margin().min(budget / 2)
     }
--- a/crates/engine/src/event_batch.rs
+++ b/crates/engine/src/event_batch.rs
@@ -5,7 +5,7 @@
 use maplethread::{Event, TaskId};
 
 /// Takes the events of this turn from the pending ones. Events that would exceed the number of placements left for the
-/// turn are postponed to the next one, and so are remaining events of the same tasks. All other events are delivered at
+/// turn are postponed to the next one, and so are later events of the same tasks. All other events are delivered at
 /// once, even ahead of earlier events: the decider must get a host's drain before it places the next task.
 pub(crate) fn take(pending: &mut Vec<Event>, placements_left: &mut usize) -> Vec<Event> {
     let mut postponed: BTreeSet<TaskId> = BTreeSet::new();
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -18,7 +18,7 @@
     Greeting,
     /// The host has sent its greeting and is listing the tasks that it holds.
     Syncing,
-    /// In use.
+    /// The connection is in use.
     Up,
 }
 
@@ -115,7 +115,7 @@
         self.entry
     }
 
-    /// Whether the engine is to be connected to the host.
+    /// Whether the engine should keep a connection to the host.
     pub fn is_wanted(&self) -> bool {
         self.inventory_state != HostState::Gone
     }
--- a/crates/engine/src/sessions/connections.rs
+++ b/crates/engine/src/sessions/connections.rs
@@ -12,7 +12,7 @@
 use crate::output::Output;
 use crate::timer::Timer;
 
-/// The wait before a reconnect is doubled at most this many times.
+/// The delay before a reconnect is doubled at most this many times.
 const MAX_RECONNECT_DOUBLINGS: u32 = 16;
 
 impl<D: Decide> Engine<D> {
@@ -165,7 +165,7 @@
     }
 
     /// Finishes the attempts at a host that has been disconnected for too long. A host that has reconnected since is
-    /// left alone, as it lists the tasks that it still holds.
+    /// skipped, as it lists the tasks that it still holds.
     pub(crate) fn handle_tasks_lost(&mut self, id: HostId, epoch: u64) {
         let is_lost = self.hosts.get(&id).is_some_and(|host| {
             epoch >= host.greeted_epoch
--- a/crates/engine/src/sessions/outgoing.rs
+++ b/crates/engine/src/sessions/outgoing.rs
@@ -14,7 +14,7 @@
 /// How a frame is handled if too many bytes to its host are unwritten.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// The frame is not sent. It is not sent either before the host has listed the tasks that it holds.
+    /// The frame is not sent. Neither is it sent before the host has listed the tasks that it holds.
     BestEffort,
     /// The frame must not be lost: its limit is twice as high, and beyond that the connection is dropped, which ends
     /// the attempts that depend on it.
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -77,7 +77,7 @@
     let (at, text) = run_until_answer(&mut engine, NOW + 3_000_000).expect("an answer");
     assert!(
         at < NOW + 1_000_000 && at > NOW + 900_000,
-        "{} us after the request",
+        "answered {} us after the request",
         at - NOW
     );
     assert!(
@@ -109,7 +109,7 @@
     let (at, text) = run_until_answer(&mut engine, NOW + 5_000_000).expect("an answer");
     assert!(
         at < NOW + 1_500_000,
-        "{} us after it may have been sent: {text}",
+        "answered {} us after the request may have been sent: {text}",
         at - NOW
     );
     // Budgets of requests in the next turn count from when they are read.
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -221,7 +221,7 @@
         let max_pings = fleet.max_pings_per_second(NOW);
         assert!(
             max_pings <= MAX_IDLE_PINGS_PER_SECOND,
-            "{hosts} hosts: {max_pings} in a second"
+            "{hosts} hosts: {max_pings} heartbeats in a second"
         );
         let pinged: BTreeSet<HostId> = fleet.pings.iter().map(|(_, id)| *id).collect();
         assert_eq!(pinged.len() as u32, fleet.hosts);
@@ -243,7 +243,7 @@
     let max_pings = fleet.max_pings_per_second(NOW);
     assert!(
         max_pings <= MAX_IDLE_PINGS_PER_SECOND + 2,
-        "{max_pings} in a second"
+        "{max_pings} heartbeats in a second"
     );
 }
 
@@ -256,7 +256,7 @@
     let placed = fleet.now;
     fleet.run_for(20 * SECOND_US);
     let pings = fleet.pings_to(CHOSEN, placed);
-    assert!((18..=20).contains(&pings), "{pings} in 20 s");
+    assert!((18..=20).contains(&pings), "{pings} heartbeats in 20 s");
     fleet.silent.insert(CHOSEN);
     let silent_from = fleet.now;
     fleet.run_for(SILENCE_TIMEOUT_US + PING_INTERVAL_US);
@@ -282,7 +282,7 @@
         let (at, id) = fleet.disconnected[0];
         assert!(
             id == CHOSEN && at <= offered + SILENCE_TIMEOUT_US + PING_INTERVAL_US,
-            "{} us after",
+            "disconnected {} us after the offer",
             at - offered
         );
         assert!(fleet.pings_to(CHOSEN, offered) >= 2);
@@ -300,7 +300,7 @@
         let idle_from = fleet.now;
         fleet.run_for(64 * SECOND_US);
         let pings = fleet.pings_to(CHOSEN, idle_from);
-        assert!((1..=3).contains(&pings), "{pings} in 64 s");
+        assert!((1..=3).contains(&pings), "{pings} heartbeats in 64 s");
     }
     assert_eq!(fleet.disconnected, []);
 }
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -128,7 +128,7 @@
                 let (at, outcome) = self.outcomes[client];
                 assert!(
                     at < deadline && outcome != ClientOutcome::Disconnected,
-                    "{outcome:?} {} us late",
+                    "{outcome:?} {} us after the deadline",
                     at.saturating_sub(deadline)
                 );
             }
@@ -162,7 +162,7 @@
         length.get()
     });
     let rejected = placer.count(ClientOutcome::Unavailable);
-    assert!(rejected > 100, "{rejected} of 300");
+    assert!(rejected > 100, "{rejected} of 300 requests rejected");
     assert_eq!(placer.engine.counters().unavailable, rejected as u64);
     let sent = placer.sent_at.len() as u64;
     assert_eq!(
--- a/crates/engine/tests/placements_per_turn.rs
+++ b/crates/engine/tests/placements_per_turn.rs
@@ -76,7 +76,10 @@
     let mut engine = engine();
     (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
     let [to_first, to_other] = count_offers(&mut engine);
-    assert!(to_first > 0 && to_other > 0, "{to_first} and {to_other}");
+    assert!(
+        to_first > 0 && to_other > 0,
+        "{to_first} and {to_other} offers"
+    );
 }
 
 #[test]
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -81,7 +81,7 @@
         assert_eq!(
             connects.len(),
             1,
-            "round {round}: a connection is made at once"
+            "round {round}: the engine connects at once"
         );
         engine.host_closed(now + 1000, connects[0], 0);
         engine.apply_host_changes(now + 2000, &[entry(1, HostState::Gone)]);
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -40,7 +40,7 @@
     pub max_idle_interval: Micros,
 }
 
-/// What was received from a host.
+/// The kind of input that was received from a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
     /// The answer to a heartbeat. It does not postpone the next heartbeat to a host in use.
--- a/crates/liveness/tests/idle.rs
+++ b/crates/liveness/tests/idle.rs
@@ -24,7 +24,7 @@
                 .windows(2)
                 .map(|w| w[1] - w[0])
                 .max()
-                .expect("several");
+                .expect("several heartbeats");
             // The interval starts with the answer, which takes 5 ms.
             assert!(
                 longest <= interval + 5 * MS,
@@ -34,7 +34,7 @@
                 .windows(2)
                 .map(|w| w[1] - w[0])
                 .min()
-                .expect("several");
+                .expect("several heartbeats");
             assert!(shortest >= SETTINGS.ping_interval);
         }
         assert_eq!(fleet.disconnected, []);
@@ -58,7 +58,7 @@
     // The rate has to exceed its limit: 8192 hosts in 89 s.
     assert!(
         many.max_heartbeats_per_second(0) <= 95,
-        "{}",
+        "{} heartbeats in a second",
         many.max_heartbeats_per_second(0)
     );
 }
@@ -72,7 +72,7 @@
         fleet.run_until(before + 100 * SECOND);
         assert!(
             fleet.max_heartbeats_per_second(0) <= MAX_HEARTBEATS_PER_SECOND,
-            "{} in a second",
+            "{} heartbeats in a second",
             fleet.max_heartbeats_per_second(0)
         );
         assert_eq!(fleet.disconnected, []);
@@ -138,7 +138,7 @@
     fleet.run_until(reconnected_at + 100 * SECOND);
     assert!(
         fleet.max_heartbeats_per_second(reconnected_at) <= MAX_HEARTBEATS_PER_SECOND,
-        "{}",
+        "{} heartbeats in a second",
         fleet.max_heartbeats_per_second(reconnected_at)
     );
     assert_eq!(fleet.disconnected.len(), 325);
@@ -156,7 +156,7 @@
     fleet.run_until(300 * SECOND);
     assert!(
         fleet.max_heartbeats_per_second(0) <= MAX_HEARTBEATS_PER_SECOND,
-        "{}",
+        "{} heartbeats in a second",
         fleet.max_heartbeats_per_second(0)
     );
     let interval = fleet.liveness.max_idle_interval();
--- a/crates/liveness/tests/in_use.rs
+++ b/crates/liveness/tests/in_use.rs
@@ -89,7 +89,7 @@
     let first = fleet.heartbeats.first().expect("a heartbeat").0;
     assert!(
         first >= last + SECOND && first < last + 2 * SECOND,
-        "{} us after",
+        "heartbeat {} us after the last traffic",
         first - last
     );
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -143,7 +143,7 @@
         name: String,
         /// When the sender's process started, Unix time in ms.
         started_ms: u64,
-        /// The most offers on this connection that the sender keeps waiting (0 from a placer).
+        /// The most offers on this connection that the sender lets wait for a decision (0 from a placer).
         max_offers: u32,
     },
     /// Placer: offers a task to the host.
@@ -164,14 +164,14 @@
     Refused(u64, Reason, Option<ResourceAmounts>),
     /// Host: the task has started. With the time since the offer was read, ms.
     Started(u64, u32),
-    /// Host: an accepted task, or one that may have run, has ended. With whether it may have run, and the unallocated
+    /// Host: an accepted task, or one that may have run, has ended. With whether it ran or may have run, and the unallocated
     /// resources.
     Ended(u64, Reason, bool, Option<ResourceAmounts>),
     /// Host: a measurement of a task.
     Note(u64, NoteKind, f64),
     /// Host: the unallocated resources, in answer to a probe.
     Report(u32, ResourceAmounts),
-    /// Host: it is draining and accepts no more tasks.
+    /// Host: the host is draining and accepts no more tasks.
     Drain,
     /// Host, after its hello: a task of this placer that it holds. With whether the task is running.
     Held(Offer, bool),
