--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -2,7 +2,8 @@
 //!
 //! A [`Decoder`] is passed the unread bytes of a connection. It decodes messages from their front, never scans a byte
 //! twice, and rejects messages that could be interpreted in two ways: those with both Content-Length and
-//! Transfer-Encoding, a bare CR or LF in the head, folded lines, blanks before a colon, or several Content-Length values that differ.
+//! Transfer-Encoding, a bare CR or LF in the head, folded lines, blanks before a colon, or several Content-Length
+//! values that differ.
 
 use std::ops::Range;
 
