--- a/crates/placer/src/config_file.rs
+++ b/crates/placer/src/config_file.rs
@@ -1,4 +1,4 @@
-//! The settings file that a placer is started with.
+//! Loading of a placer's settings file.
 
 use std::path::{Path, PathBuf};
 
@@ -7,17 +7,17 @@
 
 use crate::error::Error;
 
-/// How to run a placer.
+/// Options for running a placer.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its settings file.
+    /// Path of the settings file.
     pub config_path: PathBuf,
 }
 
-/// Reads a settings file. Relative paths in it are taken from its folder.
+/// Reads and validates a settings file. Relative paths in it are resolved against the folder that contains it.
 ///
 /// # Errors
-/// When the file can't be read, or its settings can't be used.
+/// If the file can't be read or its settings are invalid.
 pub fn load_config(path: &Path) -> Result<PlacerConfig, Error> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(ResourceError::of(file.clone()))?;
@@ -32,7 +32,7 @@
     Ok(config)
 }
 
-/// Takes the relative paths of the settings from a folder.
+/// Resolves relative paths in the settings against `folder`.
 fn resolve_paths(config: &mut PlacerConfig, folder: &Path) {
     if let Some(inventory) = &mut config.hosts.inventory {
         *inventory = folder.join(&inventory);
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -1,5 +1,5 @@
-//! Consul on sockets: carries the source's calls to its servers, one connection for each call in flight, and keeps idle
-//! ones for the next.
+//! Sends the calls of a Consul source to its servers, with one connection per call in flight. Idle connections are kept
+//! for later calls.
 
 use std::collections::HashMap;
 use std::io;
@@ -12,27 +12,26 @@
 use crate::error::Error;
 use crate::tokens::TokenAllocator;
 
-/// Bytes of an answer that are read in one round.
+/// Bytes of a response that are read per round.
 const MAX_READ_BYTES_PER_ROUND: usize = 256 << 10;
-/// Bytes of one connection that may wait to be understood.
+/// Bytes that are buffered per connection before they are parsed.
 const MAX_UNREAD_BYTES: usize = 512 << 10;
-/// Idle connections that are kept.
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// A call that fails at once may lead to the next; so often that is made at once.
+/// A call that fails immediately may cause another call; limits how often that happens within one tick.
 const MAX_OUTPUT_ROUNDS: usize = 4;
 
-/// A call that waits for its answer.
+/// A call whose response is outstanding.
 #[derive(Clone, Copy)]
 struct PendingCall {
     id: CallId,
-    /// Its answer is waited for until then, µs.
+    /// When the call times out, µs.
     deadline: u64,
 }
 
 /// A request on its way to a server.
 struct OutgoingCall<'a> {
     call: PendingCall,
-    /// The server's place in the settings.
+    /// The server's index in the settings.
     server: usize,
     request: &'a [u8],
 }
@@ -40,7 +39,7 @@
 /// A connection to one of the servers.
 struct ServerConnection {
     connection: TcpConnection,
-    /// The server's place in the settings.
+    /// The server's index in the settings.
     server: usize,
     reader: MessageReader,
     /// None on an idle connection.
@@ -48,38 +47,38 @@
 }
 
 impl ServerConnection {
-    /// Reads what has come; the whole answer, if it is there.
-    fn read_answer(&mut self) -> (ReadOutcome, Result<Option<Message>, HttpError>) {
+    /// Reads available bytes. Returns the response once it is complete.
+    fn read_response(&mut self) -> (ReadOutcome, Result<Option<Message>, HttpError>) {
         let outcome = self
             .connection
             .read_available(MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES);
-        let answer = self.reader.read(self.connection.unread());
-        let answer = answer.map(|(result, used)| {
+        let response = self.reader.read(self.connection.unread());
+        let response = response.map(|(result, used)| {
             self.connection.consume(used);
             match result {
                 ReadResult::Message(message) => Some(message),
                 _ => None,
             }
         });
-        (outcome, answer)
+        (outcome, response)
     }
 }
 
-/// A Consul source on sockets.
+/// A Consul source together with its connections.
 pub struct ConsulClient {
-    /// What is asked and known.
+    /// Decides which calls to make, and holds what they returned.
     pub source: ConsulSource,
     settings: ConsulSettings,
-    /// By the tokens of the connections.
+    /// Keyed by poller token.
     connections: HashMap<u64, ServerConnection>,
     idle_tokens: Vec<u64>,
 }
 
 impl ConsulClient {
-    /// The client of the Consul that the settings name, if they name one. `seed` spreads its retries.
+    /// Creates a client if the settings have a `[consul]` section. `seed` randomises retry delays.
     ///
     /// # Errors
-    /// When the file with the token can't be read.
+    /// If the token file can't be read.
     pub fn new(config: &PlacerConfig, seed: u64) -> Result<Option<ConsulClient>, Error> {
         let Some(settings) = &config.consul else {
             return Ok(None);
@@ -100,12 +99,12 @@
         }))
     }
 
-    /// Whether a token of the poller belongs to one of its connections.
+    /// Whether this poller token belongs to one of the client's connections.
     pub fn owns_token(&self, token: u64) -> bool {
         self.connections.contains_key(&token)
     }
 
-    /// When [`ConsulClient::tick`] is to be called at the latest, µs.
+    /// The latest time at which [`ConsulClient::tick`] must be called, µs.
     pub fn next_timeout(&self, now: u64) -> Option<u64> {
         let next_deadline = self
             .connections
@@ -118,9 +117,9 @@
             .min()
     }
 
-    /// Does what is due, and returns what is new.
+    /// Does everything that is due and returns the resulting updates.
     pub fn tick(&mut self, now: u64, poller: &Poller, tokens: &mut TokenAllocator) -> Vec<Update> {
-        self.fail_late_calls(now);
+        self.fail_timed_out_calls(now);
         self.source.tick(now);
         for _ in 0..MAX_OUTPUT_ROUNDS {
             let outputs = self.source.take_outputs();
@@ -150,24 +149,24 @@
         self.source.take_updates()
     }
 
-    fn fail_late_calls(&mut self, now: u64) {
-        let is_late = |connection: &ServerConnection| {
+    fn fail_timed_out_calls(&mut self, now: u64) {
+        let is_timed_out = |connection: &ServerConnection| {
             connection
                 .in_flight
                 .is_some_and(|call| call.deadline <= now)
         };
-        let late: Vec<u64> = self
+        let timed_out: Vec<u64> = self
             .connections
             .iter()
-            .filter(|(_, connection)| is_late(connection))
+            .filter(|(_, connection)| is_timed_out(connection))
             .map(|(&token, _)| token)
             .collect();
-        for token in late {
-            self.fail_call(now, token, "no answer in time");
+        for token in timed_out {
+            self.fail_call(now, token, "no response within the timeout");
         }
     }
 
-    /// Sends a request on an idle connection to its server, or else on a new one.
+    /// Sends a request on an idle connection to its server, or on a new one if none is idle.
     fn send(
         &mut self,
         outgoing: &OutgoingCall<'_>,
@@ -196,7 +195,7 @@
         Some(self.idle_tokens.swap_remove(position))
     }
 
-    /// Opens a connection to a server; returns its token.
+    /// Opens a connection to a server and returns the connection's token.
     fn connect(
         &mut self,
         server: usize,
@@ -219,7 +218,7 @@
         Ok(token)
     }
 
-    /// Gives up a connection, and the call on it if there is one.
+    /// Closes a connection and fails the call on it, if there is one.
     fn fail_call(&mut self, now: u64, token: u64, reason: &str) {
         self.idle_tokens.retain(|&idle| idle != token);
         if let Some(connection) = self.connections.remove(&token)
@@ -229,7 +228,7 @@
         }
     }
 
-    /// One of its connections is ready.
+    /// Handles readiness of one of the connections.
     pub fn on_ready(&mut self, now: u64, readiness: &Readiness, poller: &Poller) {
         let token = readiness.token;
         let Some(server) = self.connections.get_mut(&token) else {
@@ -251,27 +250,31 @@
         if !readiness.is_readable {
             return;
         }
-        let (outcome, answer) = server.read_answer();
-        match answer {
+        let (outcome, response) = server.read_response();
+        match response {
             Err(error) => self.fail_call(now, token, &error.to_string()),
-            Ok(Some(answer)) => self.finish_call(now, token, outcome, answer),
+            Ok(Some(response)) => self.finish_call(now, token, outcome, response),
             Ok(None) if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) => {
-                self.fail_call(now, token, "the connection ended before the answer");
+                self.fail_call(
+                    now,
+                    token,
+                    "connection closed before the response was complete",
+                );
             }
             Ok(None) => {}
         }
     }
 
-    /// The whole answer to a call is read. Its connection is kept for the next call if it can be.
-    fn finish_call(&mut self, now: u64, token: u64, outcome: ReadOutcome, answer: Message) {
+    /// Completes a call whose response was fully read. The connection is kept for later calls if it can be reused.
+    fn finish_call(&mut self, now: u64, token: u64, outcome: ReadOutcome, response: Message) {
         let Some(server) = self.connections.get_mut(&token) else {
             return;
         };
-        let is_reusable = answer.head.is_keep_alive()
+        let is_reusable = response.head.is_keep_alive()
             && server.connection.unread().is_empty()
             && outcome == ReadOutcome::Drained;
         if let Some(call) = server.in_flight.take() {
-            self.source.handle_response(now, call.id, answer);
+            self.source.handle_response(now, call.id, response);
         }
         if is_reusable && self.idle_tokens.len() < MAX_IDLE_CONNECTIONS {
             self.idle_tokens.push(token);
--- a/crates/placer/src/daemon/clients.rs
+++ b/crates/placer/src/daemon/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepted, read a bounded number of bytes at a time, and written to.
+//! Client connections: accepting them, reading a bounded number of bytes at a time, and writing.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,16 +7,15 @@
 
 use super::{Daemon, MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES};
 
-/// Connections accepted in one round.
 const MAX_ACCEPTS_PER_ROUND: usize = 64;
 
-/// The clients that are connected. A client is known to the engine by the token of its connection.
+/// Connected clients. The engine identifies a client by the poller token of its connection.
 #[derive(Default)]
 pub(super) struct Clients {
     connections: HashMap<u64, TcpConnection>,
-    /// Clients with bytes that the engine did not take yet, since they have too many requests in hand.
+    /// Clients with bytes that the engine has not consumed yet, since they have too many requests in progress.
     backlogged: BTreeSet<u64>,
-    /// The engine may take some of those bytes now.
+    /// Whether the engine may consume some of those bytes now.
     has_retriable_backlog: bool,
 }
 
@@ -25,12 +24,12 @@
         self.connections.contains_key(&token)
     }
 
-    /// Whether the engine may take bytes that it left before.
+    /// Whether the engine may consume bytes that it left unconsumed before.
     pub fn has_retriable_backlog(&self) -> bool {
         self.has_retriable_backlog
     }
 
-    /// Whether nothing waits to be written to any client.
+    /// Whether no client has unwritten output.
     pub fn is_all_written(&self) -> bool {
         self.connections
             .values()
@@ -53,7 +52,7 @@
                 Ok(Some(stream)) => stream,
                 Ok(None) => return,
                 Err(error) => {
-                    // Too many open files, most likely: those waiting stay in the kernel's queue.
+                    // Most likely too many open files; waiting connections stay in the kernel's accept queue.
                     tracing::warn!(%error, "accepting a connection failed");
                     return;
                 }
@@ -65,7 +64,7 @@
                     self.engine
                         .client_opened(self.event_loop.now(), ClientId(token));
                 }
-                Err(error) => tracing::warn!(%error, "connection not accepted"),
+                Err(error) => tracing::warn!(%error, "registering an accepted connection failed"),
             }
         }
     }
@@ -92,17 +91,17 @@
             self.clients.has_retriable_backlog |= used > 0;
         }
         if is_full {
-            // If the poller does not take it, the connection is reported again and is read no further.
+            // If this fails, the connection is reported as readable again, but no more of it is read.
             let _ = connection.set_reading(false, self.event_loop.poller());
         }
-        let is_gone = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed)
+        let is_disconnected = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed)
             || (is_full && readiness.is_closed);
-        if is_gone {
+        if is_disconnected {
             self.disconnect_client(now, token);
         }
     }
 
-    /// Bytes that the engine left, while a client had too many requests in hand, are offered to it again.
+    /// Passes bytes to the engine again that it left unconsumed while a client had too many requests in progress.
     pub(super) fn retry_backlogged_clients(&mut self) {
         let now = self.event_loop.now();
         if !std::mem::take(&mut self.clients.has_retriable_backlog) {
@@ -120,7 +119,7 @@
                 self.clients.backlogged.insert(token);
             }
             if !connection.is_reading() && connection.unread().len() < MAX_UNREAD_BYTES {
-                // If the poller does not take it, the next bytes taken try again.
+                // If this fails, it is tried again when further bytes are consumed.
                 let _ = connection.set_reading(true, self.event_loop.poller());
             }
         }
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Closes a client's connection once what it was sent is written. The engine knows it no more.
+    /// Closes a client's connection once its output is written. The engine no longer tracks the client.
     pub(super) fn close_client(&mut self, id: ClientId) {
         let Some(mut connection) = self.clients.remove(id.0) else {
             return;
@@ -153,7 +152,7 @@
         );
     }
 
-    /// Writes what waits for a client; nothing if the token is none of a client.
+    /// Writes a client's pending output. Does nothing if the token is not that of a client.
     pub(super) fn flush_client(&mut self, token: u64) {
         let Some(connection) = self.clients.connections.get_mut(&token) else {
             return;
@@ -161,14 +160,14 @@
         let flushed = connection.flush(self.event_loop.poller());
         self.engine
             .client_unread(ClientId(token), connection.unwritten_bytes());
-        // Answers that were written make room for further requests.
+        // Written answers make room for further requests.
         self.clients.has_retriable_backlog |= self.clients.backlogged.contains(&token);
         if flushed.is_err() {
             self.disconnect_client(self.event_loop.now(), token);
         }
     }
 
-    /// A client's connection has ended.
+    /// Handles the end of a client's connection.
     fn disconnect_client(&mut self, now: u64, token: u64) {
         self.engine.client_closed(now, ClientId(token));
         self.clients.remove(token);
--- a/crates/placer/src/daemon/gauges.rs
+++ b/crates/placer/src/daemon/gauges.rs
@@ -1,4 +1,4 @@
-//! What the daemon has measured, as the status shows it, and what it tells the other members of itself.
+//! The daemon's measurements for the status response, and the load that it announces to other members.
 
 use maplethread_engine::Decide;
 use serde_json::json;
@@ -7,7 +7,7 @@
 use crate::decision_times::DecisionTimes;
 use crate::loop_time::LoopTime;
 
-/// Gauges are given to the engine so often, µs.
+/// How often gauges are passed to the engine, µs.
 const PUBLISH_INTERVAL_US: u64 = 250_000;
 
 /// The daemon's measurements.
@@ -28,7 +28,7 @@
 }
 
 impl<D: Decide> Daemon<D> {
-    /// Gives the measurements to the engine for the status, and the load to the other members, when it is time to.
+    /// Passes the measurements to the engine for the status response and announces the load to other members, if due.
     pub(super) fn publish_gauges(&mut self, now: u64) {
         if now < self.gauges.next_publish_at {
             return;
@@ -43,7 +43,7 @@
         }
         self.engine.set_gauges(gauges);
         if self.stop_deadline.is_some() {
-            // Whoever leaves has told the others so.
+            // During shutdown the member has already announced that it leaves.
             return;
         }
         if let Some(membership) = &mut self.membership {
--- a/crates/placer/src/daemon/hosts.rs
+++ b/crates/placer/src/daemon/hosts.rs
@@ -8,16 +8,16 @@
 
 use super::{Daemon, MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES};
 
-/// A connection to a host, made or being made.
+/// A connection to a host, established or in progress.
 struct HostConnection {
     connection: TcpConnection,
     id: HostId,
 }
 
-/// The connections to hosts.
+/// All connections to hosts.
 #[derive(Default)]
 pub(super) struct Hosts {
-    /// By the tokens of the connections.
+    /// Keyed by poller token.
     connections: HashMap<u64, HostConnection>,
     /// The token of the newest connection to each host.
     tokens: HashMap<HostId, u64>,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Drops the connection to a host. The engine knows it no more.
+    /// Drops the connection to a host. The engine no longer tracks it.
     pub(super) fn close_host(&mut self, id: HostId) {
         if let Some(token) = self.hosts.tokens.remove(&id) {
             self.pending_writes.remove(token);
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Writes what waits for a host.
+    /// Writes a host's pending output.
     pub(super) fn flush_host(&mut self, token: u64) {
         let Some(host) = self.hosts.connections.get_mut(&token) else {
             return;
@@ -116,7 +116,7 @@
         }
     }
 
-    /// A connection to a host has ended. The engine is told if it was the newest one to that host.
+    /// Handles the end of a connection to a host. Notifies the engine if it was the newest one to that host.
     fn disconnect_host(&mut self, token: u64) {
         if let Some(HostConnection { connection, id }) = self.hosts.connections.remove(&token)
             && self.hosts.tokens.get(&id) == Some(&token)
--- a/crates/placer/src/daemon/inventory.rs
+++ b/crates/placer/src/daemon/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory file: read at the start, and again whenever it changes.
+//! The inventory file: loaded at startup and whenever it changes.
 
 use std::io;
 use std::path::Path;
@@ -11,7 +11,6 @@
 use crate::error::Error;
 use crate::tokens::INVENTORY_TOKEN;
 
-/// The longest inventory file.
 const MAX_INVENTORY_BYTES: u64 = 16 << 20;
 
 /// Watches the inventory file, if the settings name one.
@@ -27,12 +26,15 @@
     Ok(Some(watch))
 }
 
-/// Reads a file unless it is too long.
+/// Reads a file of at most `MAX_INVENTORY_BYTES`.
 fn read_limited(path: &Path) -> io::Result<String> {
-    // A file that can't be looked at can't be read either, and reading says why.
+    // If the metadata can't be read, neither can the file, and reading it returns the reason.
     let is_too_long = std::fs::metadata(path).is_ok_and(|m| m.len() > MAX_INVENTORY_BYTES);
     if is_too_long {
-        return Err(io::Error::new(io::ErrorKind::FileTooLarge, "over 16 MiB"));
+        return Err(io::Error::new(
+            io::ErrorKind::FileTooLarge,
+            "larger than 16 MiB",
+        ));
     }
     std::fs::read_to_string(path)
 }
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Reads the inventory file, if there is one. A file that can't be used leaves the last good list in place.
+    /// Loads the inventory file, if one is configured. If it can't be used, the last valid list stays in use.
     pub(super) fn load_inventory(&mut self) {
         let Some(watch) = &self.inventory_watch else {
             return;
@@ -57,7 +59,7 @@
         let text = match read_limited(watch.path()) {
             Ok(text) => text,
             Err(error) => {
-                tracing::error!(%file, %error, "inventory can't be read; the last good list is kept");
+                tracing::error!(%file, %error, "cannot read the inventory; keeping the last valid list");
                 return;
             }
         };
@@ -67,11 +69,11 @@
         };
         match Inventory::parse(document, &self.config) {
             Ok(inventory) => {
-                tracing::info!(%file, hosts = inventory.hosts.len(), "inventory read");
+                tracing::info!(%file, hosts = inventory.hosts.len(), "inventory loaded");
                 self.engine
                     .apply_inventory(self.event_loop.now(), &inventory);
             }
-            Err(error) => tracing::error!(%error, "bad inventory; the last good list is kept"),
+            Err(error) => tracing::error!(%error, "bad inventory; keeping the last valid list"),
         }
     }
 }
--- a/crates/placer/src/daemon/lingering.rs
+++ b/crates/placer/src/daemon/lingering.rs
@@ -1,5 +1,5 @@
-//! Connections that the engine has closed: each is kept for a moment, so that its client can read what it was sent. A close
-//! with bytes unread would be a reset, which may destroy what was written.
+//! Connections that the engine has closed. Each stays open briefly so that its client can read all output: closing a
+//! socket with unread input sends a reset, which may discard output that the client has not read yet.
 
 use std::collections::HashMap;
 
@@ -7,32 +7,31 @@
 
 use super::{MAX_READ_BYTES_PER_ROUND, MAX_UNREAD_BYTES};
 
-/// A connection that is closed gets so long to take what it was sent, µs.
+/// How long a closed connection stays open for its client to read the output, µs.
 const LINGER_DURATION_US: u64 = 1_000_000;
-/// Connections that linger at a time.
-const MAX_LINGERING: usize = 1024;
+const MAX_LINGERING_CONNECTIONS: usize = 1024;
 
 struct LingeringConnection {
     connection: TcpConnection,
     deadline: u64,
 }
 
-/// The connections that are being closed, by their tokens.
+/// Connections that are being closed, keyed by poller token.
 #[derive(Default)]
 pub(super) struct LingeringConnections(HashMap<u64, LingeringConnection>);
 
 impl LingeringConnections {
     /// Whether no more connections may linger.
     pub fn is_full(&self) -> bool {
-        self.0.len() >= MAX_LINGERING
+        self.0.len() >= MAX_LINGERING_CONNECTIONS
     }
 
-    /// Keeps a connection until its client has closed it or time is up.
+    /// Keeps a connection until its client closes it or `LINGER_DURATION_US` has passed.
     pub fn insert(&mut self, token: u64, mut connection: TcpConnection, now: u64, poller: &Poller) {
         if connection.unwritten_bytes() == 0 {
             connection.shutdown_write();
         }
-        // If the poller does not take it, the connection ends at its deadline.
+        // If this fails, the connection ends at its deadline.
         let _ = connection.set_reading(true, poller);
         let deadline = now + LINGER_DURATION_US;
         self.0.insert(
@@ -44,7 +43,7 @@
         );
     }
 
-    /// Goes on writing, and drops what the client sends.
+    /// Continues writing and discards input from the client.
     pub fn on_ready(&mut self, readiness: &Readiness, poller: &Poller) {
         let token = readiness.token;
         let Some(LingeringConnection { connection, .. }) = self.0.get_mut(&token) else {
@@ -66,12 +65,12 @@
         }
     }
 
-    /// When the first of them has had its time.
+    /// The earliest deadline of a lingering connection, µs.
     pub fn next_timeout(&self) -> Option<u64> {
         self.0.values().map(|lingering| lingering.deadline).min()
     }
 
-    /// Closes those that have had their time.
+    /// Closes the connections whose deadline has passed.
     pub fn close_expired(&mut self, now: u64) {
         self.0.retain(|_, lingering| lingering.deadline > now);
     }
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! The loop: sockets, signals and the inventory file in; the engine's outputs carried out.
+//! The event loop: feeds input from sockets, signals and the inventory file to the engine, and executes its outputs.
 
 mod clients;
 mod gauges;
@@ -37,20 +37,20 @@
 use hosts::Hosts;
 use lingering::LingeringConnections;
 
-/// Bytes read from one connection in one round, so that a busy peer waits for the others.
+/// Bytes read per connection and round, so that a busy peer can't starve the others.
 const MAX_READ_BYTES_PER_ROUND: usize = 64 << 10;
-/// Bytes of one connection that may wait to be understood.
+/// Bytes that are buffered per connection before they are parsed.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
-/// Rounds of reading before a decision.
+/// Read rounds before a decision.
 const MAX_READ_ROUNDS: usize = 4;
-/// Rounds of reading before the first decision after a time in which the process stood still.
+/// Read rounds before the first decision after a stall of the process, which has to be based on all input since then.
 const MAX_READ_ROUNDS_AFTER_STALL: usize = 256;
 
-/// Runs a placer until it is told to stop by SIGTERM or SIGINT. `new_decider` makes what decides from the settings and a
+/// Runs a placer until it receives SIGTERM or SIGINT. `new_decider` creates the decider from the settings and a random
 /// seed.
 ///
 /// # Errors
-/// When the settings can't be used, or a file, socket or signal that they need can't be.
+/// If the settings are invalid, or a file, socket or signal handler that they need can't be opened.
 pub fn run<D: Decide>(
     options: &Options,
     new_decider: impl FnOnce(&PlacerConfig, u64) -> Result<D, SettingsError>,
@@ -65,26 +65,26 @@
     let decider = new_decider(&config, seed).map_err(Error::Settings)?;
     let listener = event_loop.listen(config.api.listen, Backlog::Large)?;
     let recorder = Recorder::start(&config, seed, started_ms, decider.is_replayable())
-        .map_err(ResourceError::of("thread of the trace"))?;
+        .map_err(ResourceError::of("trace writer thread"))?;
     let start = StartInfo { started_ms, seed };
     let mut daemon = Daemon::new(config, decider, start, event_loop, listener, recorder)?;
     daemon.load_inventory();
     daemon.serve()
 }
 
-/// The decider of a daemon: its time is measured, and that of recording its turns apart from it.
+/// The daemon's decider. Its time is measured separately from that of recording its turns.
 type DaemonDecider<D> = RecordingDecider<TimedDecider<D>>;
 
 struct Daemon<D> {
     engine: Engine<DaemonDecider<D>>,
     event_loop: EventLoop,
-    /// Nothing once the process is to stop.
+    /// None once shutdown has begun.
     listener: Option<Listener>,
     is_accepting: bool,
     inventory_watch: Option<FileWatch>,
     consul: Option<ConsulClient>,
     membership: Option<MembershipSocket>,
-    /// The placer's index among all placers, as the decisions know it.
+    /// This placer's index among the replicas, as last passed to the engine.
     replica_index: Option<u32>,
     config: PlacerConfig,
     tokens: TokenAllocator,
@@ -93,7 +93,7 @@
     lingering: LingeringConnections,
     pending_writes: PendingWrites,
     gauges: Gauges,
-    /// The process is to stop, at the latest then, µs.
+    /// The latest time at which the process exits, µs; none until shutdown begins.
     stop_deadline: Option<u64>,
     recorder: Option<Recorder>,
 }
@@ -141,7 +141,7 @@
             .as_ref()
             .is_some_and(|c| c.membership.is_some())
         {
-            // Consul gives the index.
+            // The index comes from the slot that is leased through Consul.
             replica_index = None;
             engine.set_replica_index(None);
         }
@@ -216,13 +216,13 @@
         };
         let wakeup = stalls.wake_up(wait, self.event_loop.now());
         if wakeup.is_stalled {
-            tracing::warn!(ms = wakeup.unread_ms(), "stood still");
+            tracing::warn!(ms = wakeup.unread_ms(), "event loop stalled");
         }
         Ok(wakeup)
     }
 
-    /// Reads what is ready, and what has come meanwhile; after a pause, all that came in it, so far as that is done soon.
-    /// Returns the last time at which nothing was left unread.
+    /// Reads what is ready and what arrives meanwhile. After a stall, reads everything that arrived during it, for at
+    /// most `MAX_READ_DURATION_US`. Returns the last time at which nothing was left unread.
     fn read_ready(
         &mut self,
         ready: &mut Vec<Readiness>,
@@ -236,28 +236,28 @@
         let mut drained_at = None;
         self.dispatch_readiness(ready);
         for _ in 1..max_rounds {
-            let looked_at = self.event_loop.now();
+            let polled_at = self.event_loop.now();
             self.event_loop.poll_now(ready)?;
             if ready.len() < MAX_EVENTS_PER_WAIT {
-                drained_at = Some(looked_at);
+                drained_at = Some(polled_at);
             }
             self.dispatch_readiness(ready);
-            let is_enough = drained_at.is_some() || looked_at > wakeup.at + MAX_READ_DURATION_US;
-            if ready.is_empty() || (wakeup.is_stalled && is_enough) {
+            let may_stop = drained_at.is_some() || polled_at > wakeup.at + MAX_READ_DURATION_US;
+            if ready.is_empty() || (wakeup.is_stalled && may_stop) {
                 break;
             }
         }
         Ok(drained_at)
     }
 
-    /// Has the engine decide on all that was read.
+    /// Lets the engine decide on all input read so far.
     fn take_turn(&mut self, now: u64, is_stalled: bool) {
         self.record_audit_entries(now);
         self.engine.turn(now, is_stalled);
         self.record_audit_entries(now);
     }
 
-    /// Gives the recorder the entries of the engine's audit log.
+    /// Passes new entries of the engine's audit log to the recorder.
     fn record_audit_entries(&mut self, now: u64) {
         let Some(recorder) = &self.recorder else {
             return;
@@ -271,8 +271,8 @@
         });
     }
 
-    /// Lets the Consul client do what is due, and gives what is new to the engine. `now` is the time of the decision that
-    /// follows: a later one could lie after a pause that the decision does not know of.
+    /// Runs the Consul client and passes its updates to the engine. `now` is the time of the decision that follows: a
+    /// later time could be after a stall that the decision does not take into account.
     fn apply_consul_updates(&mut self, now: u64, is_stalled: bool) {
         let Some(consul) = &mut self.consul else {
             return;
@@ -298,7 +298,7 @@
         }
     }
 
-    /// When something falls due next, µs.
+    /// The next time at which something is due, µs.
     fn next_timeout(&self) -> Option<u64> {
         let consul = self.consul.as_ref();
         [
@@ -315,7 +315,7 @@
         .min()
     }
 
-    /// Serves clients from now on, and says so where whoever started the process reads it.
+    /// Starts serving clients and announces the listening address to the parent process.
     fn start_accepting(&mut self) -> Result<(), Error> {
         let Some(listener) = &mut self.listener else {
             return Ok(());
@@ -336,7 +336,7 @@
         Ok(())
     }
 
-    /// Whether the process may end: everything is answered and written, or the time for that is over.
+    /// Whether the process may exit: every request is answered and written, or the grace period is over.
     fn is_done(&self) -> bool {
         self.stop_deadline.is_some_and(|deadline| {
             (self.engine.pending_requests() == 0 && self.clients.is_all_written())
@@ -344,7 +344,7 @@
         })
     }
 
-    /// Stops accepting clients and answers what is pending; a second signal ends the process at once.
+    /// Stops accepting clients and answers pending requests. A second signal ends the process at once.
     fn begin_shutdown(&mut self, signal: i32) {
         if self.stop_deadline.is_some() {
             tracing::warn!(signal, "second signal: exiting at once");
@@ -401,10 +401,10 @@
     }
 }
 
-/// Prints the address on the standard output.
+/// Prints the listening address on standard output.
 fn announce_address(name: &str, address: SocketAddr) {
     let mut out = std::io::stdout().lock();
-    // Whoever closed the output does not want to know.
+    // A closed standard output is no error: nobody reads the address then.
     let _ = writeln!(out, "maplethread placer {name} listening on {address}");
     let _ = out.flush();
 }
--- a/crates/placer/src/daemon/outputs.rs
+++ b/crates/placer/src/daemon/outputs.rs
@@ -1,14 +1,14 @@
-//! Carries out what the engine wants done.
+//! Executes the engine's outputs.
 
 use maplethread_engine::{Decide, Output};
 
 use super::Daemon;
 
-/// Carrying out may give rise to more, such as a connection that can't be made; so often that is carried out at once.
+/// Executing outputs may cause further ones, for example when a connection fails; limits how often within one turn.
 const MAX_OUTPUT_ROUNDS: usize = 8;
 
 impl<D: Decide> Daemon<D> {
-    /// Carries out the outputs of a turn, and writes what they have for clients and hosts.
+    /// Executes the outputs of a turn and writes their bytes to clients and hosts.
     pub(super) fn execute_outputs(&mut self) {
         for _ in 0..MAX_OUTPUT_ROUNDS {
             let outputs = self.engine.take_outputs();
--- a/crates/placer/src/decision_times.rs
+++ b/crates/placer/src/decision_times.rs
@@ -1,11 +1,11 @@
-//! How long decisions take: from the last byte of a request read to the first byte of its offer written.
+//! Decision times: from reading the last byte of a request to writing the first byte of its offer.
 
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// The longest decision time that is told apart from longer ones, µs.
+/// Longer decision times are recorded as this value, µs.
 const MAX_RECORDED_US: u64 = 60_000_000;
-/// Decimal digits that are kept of each time.
+/// Precision of recorded times, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A histogram of decision times, µs.
@@ -14,15 +14,15 @@
 impl DecisionTimes {
     pub fn new() -> DecisionTimes {
         let histogram = Histogram::new_with_bounds(1, MAX_RECORDED_US, SIGNIFICANT_DIGITS);
-        DecisionTimes(histogram.expect("the bounds and the digits are in the range of the library"))
+        DecisionTimes(histogram.expect("histogram bounds and precision are valid"))
     }
 
-    /// Counts a decision that took so long, µs.
+    /// Records the duration of one decision, µs.
     pub fn record(&mut self, micros: u64) {
         self.0.saturating_record(micros);
     }
 
-    /// Quantiles, and the counts themselves, so that those of several placers can be added up.
+    /// Quantiles, and the counts per value so that the histograms of several placers can be merged.
     pub fn to_json(&self) -> Value {
         let counts: Vec<(u64, u64)> = self
             .0
--- a/crates/placer/src/decision_times/tests.rs
+++ b/crates/placer/src/decision_times/tests.rs
@@ -1,9 +1,9 @@
-//! The histogram as the status shows it.
+//! JSON output of the decision time histogram.
 
 use super::{DecisionTimes, MAX_RECORDED_US};
 
 #[test]
-fn json_gives_quantiles_and_the_counts_of_each_value() {
+fn json_contains_quantiles_and_the_count_of_each_value() {
     let mut times = DecisionTimes::new();
     for micros in [100, 100, 200] {
         times.record(micros);
@@ -16,10 +16,10 @@
 }
 
 #[test]
-fn times_beyond_the_range_count_as_the_longest() {
+fn times_above_the_range_are_recorded_as_the_maximum() {
     let mut times = DecisionTimes::new();
     times.record(10 * MAX_RECORDED_US);
-    let max = times.to_json()["max"].as_u64().expect("a time");
+    let max = times.to_json()["max"].as_u64().expect("max is a number");
     assert!(
         (MAX_RECORDED_US..10 * MAX_RECORDED_US).contains(&max),
         "{max}"
--- a/crates/placer/src/error.rs
+++ b/crates/placer/src/error.rs
@@ -1,16 +1,16 @@
-//! Why a placer could not start, or not go on.
+//! Errors that keep a placer from starting or running.
 
 use maplethread::SettingsError;
 use maplethread_config::ConfigErrors;
 use maplethread_reactor::ResourceError;
 
-/// Why a placer could not start, or not go on.
+/// An error that keeps a placer from starting or running.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The settings file can't be used.
+    /// The settings file is invalid.
     #[error("{0}")]
     Config(ConfigErrors),
-    /// The decider does not take the settings.
+    /// The decider rejected the settings.
     #[error("{0}")]
     Settings(SettingsError),
     /// A file, socket or signal could not be opened or used.
--- a/crates/placer/src/http_call.rs
+++ b/crates/placer/src/http_call.rs
@@ -1,4 +1,4 @@
-//! One call to a placer's API, for the command line and for programs that watch placers.
+//! A minimal HTTP client for a placer's API, for the command line and for programs that monitor placers.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,14 +6,14 @@
 
 use serde_json::Value;
 
-/// Connecting, and each part of the answer, may take so long.
+/// Timeout for connecting and for each read of the answer.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One GET on a connection of its own: the answer's status and its body. Connecting, and each part of the answer, may
-/// take 2 s.
+/// Sends one GET request on a new connection and returns the answer's status and JSON body. Connecting and each read of
+/// the answer time out after 2 s.
 ///
 /// # Errors
-/// When the placer can't be reached, does not answer in time, or answers with something other than JSON over HTTP.
+/// If the placer can't be reached, does not answer in time, or does not answer with JSON over HTTP.
 pub fn get_json(address: SocketAddr, target: &str) -> io::Result<(u16, Value)> {
     let mut stream = TcpStream::connect_timeout(&address, TIMEOUT)?;
     stream.set_read_timeout(Some(TIMEOUT))?;
@@ -29,7 +29,12 @@
         .split(' ')
         .nth(1)
         .and_then(|status| status.parse().ok())
-        .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidData, "no HTTP answer"))?;
+        .ok_or_else(|| {
+            io::Error::new(
+                io::ErrorKind::InvalidData,
+                "answer does not start with an HTTP status line",
+            )
+        })?;
     let body = serde_json::from_str(body).map_err(io::Error::other)?;
     Ok((status, body))
 }
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -1,8 +1,9 @@
-//! The placer's daemon: the engine on sockets. It reads all that is readable, gives it to the engine with the time, lets
-//! it decide once, and writes what came out. Nothing here knows what the bytes mean.
+//! The placer daemon: runs the engine on sockets. Each round of its event loop reads the available input, passes it to
+//! the engine with the current time, lets the engine decide once, and writes the output. Only the engine interprets the
+//! bytes of clients and hosts.
 //!
-//! [`run`] is the whole process. The loop is in `daemon`; what it needs beside the engine has a module each: Consul
-//! ([`ConsulClient`]), the membership protocol, the recording of a trace, and the measurements.
+//! [`run`] is the whole process. The event loop is in `daemon`; everything it needs besides the engine has a module of
+//! its own: Consul ([`ConsulClient`]), the membership protocol, trace recording and measurements.
 
 mod config_file;
 mod consul_client;
--- a/crates/placer/src/loop_time.rs
+++ b/crates/placer/src/loop_time.rs
@@ -1,4 +1,4 @@
-//! What the loop's time is spent on, as the status shows it.
+//! Time spent in each phase of the event loop, for the status response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use maplethread_engine::Decide;
 use serde_json::{Value, json};
 
-/// The time of one kind of work: in all, and the longest time that it took at once.
+/// Total and longest single duration of one kind of work.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Phase {
     total: Duration,
@@ -30,12 +30,12 @@
     }
 }
 
-/// A phase that is measured in one place and shown in another, on one thread.
+/// A phase that is measured in one place and reported from another on the same thread.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SharedPhase(Rc<Cell<Phase>>);
 
 impl SharedPhase {
-    /// Does some work and counts the time that it takes.
+    /// Runs `work` and adds its duration to the phase.
     pub fn measure<T>(&self, work: impl FnOnce() -> T) -> T {
         let started = Instant::now();
         let result = work();
@@ -50,25 +50,25 @@
     }
 }
 
-/// What the loop's time was spent on since the start.
+/// Time spent in each phase since startup.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoopTime {
-    /// Reading what came, and handing it to the engine.
+    /// Reading input and passing it to the engine.
     pub reading: Phase,
-    /// Applying Consul's updates, once clients are served.
+    /// Applying Consul updates, counted once clients are served.
     pub updating: Phase,
-    /// Updates and the engine's turn.
+    /// Consul updates and the engine's turn.
     pub turn: Phase,
-    /// Carrying out what the engine wants, and writing.
+    /// Executing the engine's outputs and writing.
     pub writing: Phase,
-    /// Of the turn, the decider.
+    /// The part of `turn` spent in the decider.
     pub deciding: SharedPhase,
-    /// Of the turn, handing a recording to the thread that writes it.
+    /// The part of `turn` spent on passing records to the trace writer thread.
     pub recording: SharedPhase,
 }
 
 impl LoopTime {
-    /// Total and longest time of each phase, µs.
+    /// Total and longest duration of each phase, µs.
     pub fn to_json(&self) -> Value {
         json!({
             "reading": self.reading.to_json(),
@@ -81,7 +81,7 @@
     }
 }
 
-/// A decider whose time is measured.
+/// A decider that measures the duration of its turns.
 pub(crate) struct TimedDecider<D> {
     pub inner: D,
     pub phase: SharedPhase,
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -1,4 +1,5 @@
-//! The membership protocol on a socket: one UDP socket on the daemon's loop, with a bounded share of each round.
+//! Runs the membership protocol on a UDP socket in the daemon's event loop, reading a bounded number of datagrams per
+//! round.
 
 mod change_log;
 
@@ -18,22 +19,22 @@
 use crate::error::Error;
 use change_log::ChangeLog;
 
-/// Datagrams read in one round: a flood waits in the socket, and what finds no room there is lost.
+/// Datagrams read per round. Under a flood, further ones wait in the socket's receive buffer or are dropped there.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
-/// The load is announced in so many steps, so that the view settles under load.
+/// The announced load is rounded down to one of this many steps, so that the view can settle while the load varies.
 const LOAD_STEPS: f64 = 4.0;
 
-/// When a member started, and what its random numbers begin with.
+/// Start time and random seed of a member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct StartTime {
     /// Unix time, ms.
     pub unix_ms: u64,
     pub seed: u64,
-    /// Time of the loop, µs.
+    /// Time on the event loop's clock, µs.
     pub now: u64,
 }
 
-/// Under which tokens a member's descriptors are registered.
+/// Poller tokens of a member's descriptors.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PollerTokens {
     pub socket: u64,
@@ -41,7 +42,7 @@
     pub keys: u64,
 }
 
-/// This placer as a member, on its socket.
+/// This placer as a member, with its socket.
 pub(crate) struct MembershipSocket {
     member: LocalMember,
     socket: UdpSocket,
@@ -49,15 +50,15 @@
     key_file: PathBuf,
     fleet_name: String,
     changes: ChangeLog,
-    /// Datagrams that the socket did not take.
+    /// Datagrams that could not be sent.
     unsent_datagrams: u64,
 }
 
 impl MembershipSocket {
-    /// The member that the settings name, if they name one.
+    /// Creates the member if the settings have a `[fleet]` section.
     ///
     /// # Errors
-    /// When its socket or key file can't be used, or its name is too long.
+    /// If its socket or key file can't be used, or its name is too long.
     pub fn new(
         config: &PlacerConfig,
         start: StartTime,
@@ -81,9 +82,9 @@
             .map_err(ResourceError::of("inotify"))?;
         let bound = socket
             .local_addr()
-            .map_err(ResourceError::of("the fleet's socket"))?;
+            .map_err(ResourceError::of("fleet socket"))?;
         let settings = Settings {
-            name: MemberName::try_from(config.identity.name.clone()).map_err(bad_text)?,
+            name: MemberName::try_from(config.identity.name.clone()).map_err(invalid_text_error)?,
             advertised_address: fleet.advertise.unwrap_or(bound),
             generation: start.unix_ms,
             facts: facts(config, start)?,
@@ -103,26 +104,26 @@
         }))
     }
 
-    /// When [`MembershipSocket::tick`] is to be called at the latest, µs.
+    /// The latest time at which [`MembershipSocket::tick`] must be called, µs.
     pub fn next_timeout(&self) -> Option<u64> {
         self.member.next_timeout()
     }
 
-    /// Reads what waits on the socket, up to a round's share.
+    /// Reads waiting datagrams, at most `MAX_DATAGRAMS_PER_ROUND`.
     pub fn read_datagrams(&mut self, now: u64) {
-        // One byte more than the longest, so that a longer one is not taken for a whole one.
+        // One byte more than the maximum, so that a longer datagram is not accepted after truncation.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS_PER_ROUND {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, _)) => self.member.handle_datagram(now, &bytes[..length]),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // What an earlier datagram met: nobody listened where it went.
+                // The result of an earlier datagram: its destination port was closed.
                 Err(_) => {}
             }
         }
     }
 
-    /// Does what is due, and sends what is to be sent.
+    /// Does everything that is due and sends the resulting datagrams.
     pub fn tick(&mut self, now: u64) {
         self.member.tick(now);
         for output in self.member.take_outputs() {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The key file may have changed. One that can't be used leaves the keys as they are.
+    /// Reloads the keys if the key file has changed. If it can't be used, the current keys stay in use.
     pub fn reload_keys(&mut self) {
         if !self.key_watch.has_changed() {
             return;
@@ -154,12 +155,12 @@
                 self.member.set_keys(keys);
             }
             Err(error) => {
-                tracing::error!(%error, "fleet: the key file can't be used; the keys are kept");
+                tracing::error!(%error, "fleet: the key file can't be used; keeping the current keys");
             }
         }
     }
 
-    /// What the member says of itself from now on. `load` is a part of what it can take, from 0 to 1.
+    /// Sets the facts that this member announces. `load` is a share of its capacity, from 0 to 1.
     pub fn announce(&mut self, now: u64, replica_index: Option<u32>, load: f64) {
         let step = (load.clamp(0.0, 1.0) * LOAD_STEPS).floor();
         let facts = Facts {
@@ -171,13 +172,13 @@
         self.member.set_facts(now, facts);
     }
 
-    /// Tells the others that it leaves.
+    /// Announces to the other members that this one leaves.
     pub fn leave(&mut self, now: u64) {
         self.member.leave(now);
         self.tick(now);
     }
 
-    /// The view; or with the number of a change what has changed since, and what the view comes to.
+    /// The full view; or, if `after` is the number of a change, the later changes and a digest of the view.
     pub fn view_json(&self, now: u64, after: Option<u64>) -> Value {
         let Some(after) = after else {
             let mut view = json!(self.member.view(now));
@@ -189,7 +190,7 @@
             "digest": format!("{:016x}", self.member.digest()),
             "live": self.member.live_count(),
             "now_ms": now / 1000,
-            "lost": self.changes.has_lost_after(after),
+            "lost": self.changes.has_evicted_after(after),
             "changes": self.changes.after(after),
         })
     }
@@ -200,7 +201,7 @@
     let socket = UdpSocket::bind(fleet.listen).map_err(ResourceError::of(resource))?;
     socket
         .set_nonblocking(true)
-        .map_err(ResourceError::of("the fleet's socket"))?;
+        .map_err(ResourceError::of("fleet socket"))?;
     Ok(socket)
 }
 
@@ -213,16 +214,21 @@
     Ok(keys)
 }
 
-/// A text of the settings that the protocol does not carry.
-fn bad_text(error: maplethread_membership::TextError) -> Error {
+/// The error for a text of the settings that does not fit into the protocol's fields.
+fn invalid_text_error(error: maplethread_membership::TextError) -> Error {
     ResourceError::of("[fleet]")(io::Error::other(error)).into()
 }
 
 fn facts(config: &PlacerConfig, start: StartTime) -> Result<Facts, Error> {
     let version = env!("CARGO_PKG_VERSION").to_owned();
     Ok(Facts {
-        version: version.try_into().map_err(bad_text)?,
-        zone: config.identity.zone.clone().try_into().map_err(bad_text)?,
+        version: version.try_into().map_err(invalid_text_error)?,
+        zone: config
+            .identity
+            .zone
+            .clone()
+            .try_into()
+            .map_err(invalid_text_error)?,
         started_ms: start.unix_ms,
         is_draining: false,
         replica_index: None,
@@ -256,13 +262,13 @@
         change.new_state,
         Some(MemberState::Down | MemberState::Suspect)
     ) {
-        tracing::warn!(%member, %address, life, from, to, %by, "fleet: a member has changed");
+        tracing::warn!(%member, %address, life, from, to, %by, "fleet: member state changed");
     } else {
-        tracing::info!(%member, %address, life, from, to, %by, "fleet: a member has changed");
+        tracing::info!(%member, %address, life, from, to, %by, "fleet: member state changed");
     }
 }
 
-/// A member's state as the log gives it.
+/// The name of a member's state in log lines.
 fn state_name(state: Option<MemberState>) -> &'static str {
     match state {
         Some(MemberState::Alive) => "alive",
--- a/crates/placer/src/membership/change_log.rs
+++ b/crates/placer/src/membership/change_log.rs
@@ -1,12 +1,10 @@
-//! The latest changes of the view, numbered for those who follow it.
+//! The latest changes of the membership view, numbered so that clients can request those after a number.
 
 use std::collections::VecDeque;
 
 use serde_json::{Value, json};
 
-/// Changes that are kept.
 const MAX_KEPT_CHANGES: usize = 4096;
-/// Changes in one answer.
 const MAX_CHANGES_PER_ANSWER: usize = 1024;
 
 struct NumberedChange {
@@ -23,7 +21,7 @@
 }
 
 impl ChangeLog {
-    /// Adds a change that was seen at this time, µs. The oldest one goes if there are too many.
+    /// Appends a change that was observed at `now`, µs, and evicts the oldest one if the log is full.
     pub fn push(&mut self, now: u64, change: Value) {
         self.last_number += 1;
         self.changes.push_back(NumberedChange {
@@ -36,18 +34,18 @@
         }
     }
 
-    /// The number that the next change gets.
+    /// The number of the next change.
     pub fn next_number(&self) -> u64 {
         self.last_number + 1
     }
 
-    /// Whether a change that came after this number is not kept any more.
-    pub fn has_lost_after(&self, number: u64) -> bool {
+    /// Whether a change after this number has been evicted.
+    pub fn has_evicted_after(&self, number: u64) -> bool {
         let oldest = self.changes.front();
         number + 1 < oldest.map_or(self.next_number(), |change| change.number)
     }
 
-    /// The changes after this number, as many as one answer holds.
+    /// The changes after this number, at most `MAX_CHANGES_PER_ANSWER`.
     pub fn after(&self, number: u64) -> Vec<Value> {
         self.changes
             .iter()
--- a/crates/placer/src/membership/change_log/tests.rs
+++ b/crates/placer/src/membership/change_log/tests.rs
@@ -1,11 +1,11 @@
-//! Numbers, and what is kept.
+//! Numbering and eviction of changes.
 
 use serde_json::json;
 
 use super::{ChangeLog, MAX_CHANGES_PER_ANSWER, MAX_KEPT_CHANGES};
 
-/// A log with so many changes.
-fn log_of(count: usize) -> ChangeLog {
+/// A log with `count` changes.
+fn log_with(count: usize) -> ChangeLog {
     let mut log = ChangeLog::default();
     for n in 1..=count {
         log.push(n as u64 * 1000, json!(n));
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn gives_the_changes_after_a_number_with_number_and_time() {
-    let log = log_of(3);
+fn returns_changes_after_a_number_with_their_number_and_time() {
+    let log = log_with(3);
     assert_eq!(log.next_number(), 4);
     assert_eq!(
         log.after(1),
@@ -25,21 +25,21 @@
         ]
     );
     assert!(log.after(3).is_empty());
-    assert!(!log.has_lost_after(0));
+    assert!(!log.has_evicted_after(0));
 }
 
 #[test]
-fn an_empty_log_has_lost_nothing() {
+fn an_empty_log_has_evicted_nothing() {
     let log = ChangeLog::default();
     assert_eq!(log.next_number(), 1);
-    assert!(log.after(0).is_empty() && !log.has_lost_after(0));
+    assert!(log.after(0).is_empty() && !log.has_evicted_after(0));
 }
 
 #[test]
-fn keeps_the_latest_changes_and_tells_that_older_ones_are_lost() {
-    let log = log_of(MAX_KEPT_CHANGES + 2);
-    assert!(log.has_lost_after(0) && log.has_lost_after(1));
-    assert!(!log.has_lost_after(2));
+fn keeps_the_latest_changes_and_reports_that_older_ones_were_evicted() {
+    let log = log_with(MAX_KEPT_CHANGES + 2);
+    assert!(log.has_evicted_after(0) && log.has_evicted_after(1));
+    assert!(!log.has_evicted_after(2));
     let answer = log.after(0);
     assert_eq!(answer.len(), MAX_CHANGES_PER_ANSWER);
     assert_eq!(answer[0]["number"], 3);
--- a/crates/placer/src/pending_writes.rs
+++ b/crates/placer/src/pending_writes.rs
@@ -1,9 +1,9 @@
-//! Connections with something new to write, in the order in which they got it: an attempt that is cancelled ends at its
-//! host before the next one reaches another.
+//! Connections with pending output, in the order in which they got it. Keeping the order makes the cancellation of an
+//! attempt reach its host before the next attempt reaches another host.
 
 use std::collections::HashSet;
 
-/// Connections by their tokens, each once.
+/// Tokens of connections, each once.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     order: Vec<u64>,
@@ -11,19 +11,19 @@
 }
 
 impl PendingWrites {
-    /// A connection has something to write.
+    /// Queues a connection, unless it is queued already.
     pub fn insert(&mut self, token: u64) {
         if self.queued.insert(token) {
             self.order.push(token);
         }
     }
 
-    /// A connection is gone.
+    /// Removes a closed connection.
     pub fn remove(&mut self, token: u64) {
         self.queued.remove(&token);
     }
 
-    /// All of them, to be written in this order.
+    /// Takes all queued connections, in the order in which they are to be written.
     pub fn take(&mut self) -> Vec<u64> {
         let queued = std::mem::take(&mut self.queued);
         let mut order = std::mem::take(&mut self.order);
--- a/crates/placer/src/pending_writes/tests.rs
+++ b/crates/placer/src/pending_writes/tests.rs
@@ -1,4 +1,4 @@
-//! The order of writing.
+//! Order of queued connections.
 
 use super::PendingWrites;
 
--- a/crates/placer/src/stall_detection/tests.rs
+++ b/crates/placer/src/stall_detection/tests.rs
@@ -1,25 +1,24 @@
-//! Pauses at every point of a round.
+//! Detection of stalls at every step of a round.
 
 use super::{MAX_READ_DURATION_US, MIN_STALL_US, StallDetector, Wait};
 
-/// A pause as by SIGSTOP, µs.
+/// A pause as caused by SIGSTOP, µs.
 const PAUSE_US: u64 = 4_000_000;
-/// One step of a round takes so long, µs.
+/// Duration of one step of a round, µs.
 const STEP_US: u64 = 10;
-/// A timer is due so long after a wait began, µs.
-const TIMER_US: u64 = 200_000;
+/// Time from the start of a wait to its timer, µs.
+const TIMER_DELAY_US: u64 = 200_000;
 
-/// The steps of a round between which the process may stand still; each begins with the last look at the clock of the
-/// one before.
+/// The steps of a round in which the process may be paused; each begins with the last clock reading of the step before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Step {
-    /// From the look at the clock before the wait to its end.
+    /// From the clock reading before the wait to its end.
     Wait,
-    /// From the end of the wait to the look that finds nothing to read.
+    /// From the end of the wait to the poll that finds nothing to read.
     Read,
-    /// From that look to the look at the clock for the decision.
+    /// From that poll to the clock reading for the decision.
     FinishReading,
-    /// From the look at the clock for the decision until all is written.
+    /// From the clock reading for the decision until everything is written.
     DecideAndWrite,
 }
 
@@ -30,32 +29,32 @@
     Step::DecideAndWrite,
 ];
 
-/// A decision as the loop makes it.
+/// A decision of the event loop.
 #[derive(Debug)]
 struct Decision {
     at: u64,
-    /// Everything that came before this was read for it.
+    /// Input that arrived before this time was read before the decision.
     read_up_to: u64,
     is_stalled: bool,
 }
 
-/// Plays rounds of the loop in which nothing but a timer falls due, with one pause.
-struct Rounds {
+/// Simulates rounds of the event loop in which only a timer is due.
+struct SimulatedLoop {
     now: u64,
     stalls: StallDetector,
 }
 
-impl Rounds {
-    fn new() -> Rounds {
+impl SimulatedLoop {
+    fn new() -> SimulatedLoop {
         let now = 1_000_000;
-        Rounds {
+        SimulatedLoop {
             now,
             stalls: StallDetector::new(now),
         }
     }
 
-    /// Plays one round; the process stands still for `pause_us` within the step `paused_in`.
-    fn play(&mut self, paused_in: Option<Step>, pause_us: u64) -> Decision {
+    /// Simulates one round in which the process is paused for `pause_us` within the step `paused_in`.
+    fn run_round(&mut self, paused_in: Option<Step>, pause_us: u64) -> Decision {
         let pass = |now: &mut u64, step| {
             *now += STEP_US;
             if paused_in == Some(step) {
@@ -63,9 +62,9 @@
             }
         };
         let started_at = self.now;
-        let deadline = Some(started_at + TIMER_US);
-        // The wait ends with its timer, or with the pause if that is later.
-        self.now += TIMER_US;
+        let deadline = Some(started_at + TIMER_DELAY_US);
+        // The wait ends with its timer, or with the pause if that ends later.
+        self.now += TIMER_DELAY_US;
         if paused_in == Some(Step::Wait) {
             self.now = self.now.max(started_at + pause_us);
         }
@@ -92,13 +91,13 @@
 }
 
 #[test]
-fn no_decision_takes_the_process_own_pause_for_silence_wherever_it_was_paused() {
+fn decision_after_a_pause_has_read_all_input_or_is_marked_as_stalled() {
     for step in STEPS {
-        let mut rounds = Rounds::new();
-        rounds.play(None, 0);
+        let mut event_loop = SimulatedLoop::new();
+        event_loop.run_round(None, 0);
         for paused_in in [Some(step), None, None] {
-            let decision = rounds.play(paused_in, PAUSE_US);
-            // Whoever spoke during a pause was heard before the decision, or the decision knows of the pause.
+            let decision = event_loop.run_round(paused_in, PAUSE_US);
+            // Input that arrived during a pause was read before the decision, or the decision is marked as stalled.
             let unread_us = decision.at - decision.read_up_to;
             assert!(
                 decision.is_stalled || unread_us < PAUSE_US / 2,
@@ -109,16 +108,16 @@
 }
 
 #[test]
-fn reports_a_pause_at_any_step_in_that_round_or_the_next_and_then_no_more() {
+fn reports_a_pause_at_any_step_in_its_round_or_the_next_and_not_again() {
     for step in STEPS {
-        let mut rounds = Rounds::new();
-        assert!(!rounds.play(None, 0).is_stalled);
+        let mut event_loop = SimulatedLoop::new();
+        assert!(!event_loop.run_round(None, 0).is_stalled);
         let reported: Vec<bool> = [Some(step), None, None, None]
-            .map(|paused_in| rounds.play(paused_in, PAUSE_US).is_stalled)
+            .map(|paused_in| event_loop.run_round(paused_in, PAUSE_US).is_stalled)
             .into();
         let expected: &[bool] = match step {
             Step::Wait | Step::Read => &[true, false, false, false],
-            // What was read last was read before the pause.
+            // The last read was before the pause, so the next round follows a stall as well.
             Step::FinishReading => &[true, true, false, false],
             Step::DecideAndWrite => &[false, true, false, false],
         };
@@ -127,19 +126,19 @@
 }
 
 #[test]
-fn a_round_on_a_busy_machine_is_no_pause() {
+fn pause_shorter_than_the_minimum_is_not_a_stall() {
     for step in STEPS {
-        let mut rounds = Rounds::new();
-        rounds.play(None, 0);
+        let mut event_loop = SimulatedLoop::new();
+        event_loop.run_round(None, 0);
         for paused_in in [Some(step), None] {
-            let decision = rounds.play(paused_in, MIN_STALL_US - 3 * STEP_US);
+            let decision = event_loop.run_round(paused_in, MIN_STALL_US - 3 * STEP_US);
             assert!(!decision.is_stalled, "{step:?}: {decision:?}");
         }
     }
 }
 
 #[test]
-fn reading_may_take_its_time_without_being_a_pause() {
+fn reading_for_the_allowed_time_is_not_a_stall() {
     let stalls = StallDetector::new(0);
     let wait = Wait {
         started_at: 10,
@@ -151,7 +150,7 @@
 }
 
 #[test]
-fn a_long_wait_without_a_deadline_is_no_pause() {
+fn long_wait_without_a_deadline_is_not_a_stall() {
     let stalls = StallDetector::new(0);
     let wait = Wait {
         started_at: 10,
@@ -163,21 +162,21 @@
 }
 
 #[test]
-fn unread_bytes_count_from_the_last_time_at_which_none_were_left() {
+fn unread_time_starts_when_nothing_was_left_to_read() {
     let stalls = StallDetector::new(1_000);
-    let overslept = stalls.wake_up(
+    let ended_late = stalls.wake_up(
         Wait {
             started_at: 2_000,
             deadline: Some(3_000),
         },
         PAUSE_US,
     );
-    assert!(overslept.is_stalled);
-    assert_eq!(overslept.unread_since, 2_000);
+    assert!(ended_late.is_stalled);
+    assert_eq!(ended_late.unread_since, 2_000);
     let paused_while_writing = stalls.wake_up(
         Wait {
             started_at: PAUSE_US,
-            deadline: Some(PAUSE_US + TIMER_US),
+            deadline: Some(PAUSE_US + TIMER_DELAY_US),
         },
         PAUSE_US + 5,
     );
--- a/crates/placer/src/tokens.rs
+++ b/crates/placer/src/tokens.rs
@@ -1,20 +1,19 @@
-//! The numbers under which sockets and files are registered with the poller.
+//! Tokens under which sockets and files are registered with the poller.
 
-/// New connections of clients.
+/// The listening socket for clients.
 pub(crate) const LISTENER_TOKEN: u64 = 0;
-/// Signals.
 pub(crate) const SIGNALS_TOKEN: u64 = 1;
-/// The inventory file.
+/// The watch on the inventory file.
 pub(crate) const INVENTORY_TOKEN: u64 = 2;
 /// The socket of the membership protocol.
 pub(crate) const MEMBERSHIP_TOKEN: u64 = 3;
-/// Its key file.
+/// The watch on the key file of the membership protocol.
 pub(crate) const MEMBERSHIP_KEYS_TOKEN: u64 = 4;
-/// The last token that no connection gets.
+/// Connections get tokens above this one.
 const LAST_RESERVED_TOKEN: u64 = 16;
 
-/// Gives each connection a token of its own. No token is given twice, so that a late readiness of a closed connection
-/// meets no other.
+/// Allocates a token for each connection. Tokens are never reused, so that a late readiness event of a closed
+/// connection can't be attributed to another one.
 #[derive(Debug)]
 pub struct TokenAllocator {
     last: u64,
@@ -29,7 +28,7 @@
 }
 
 impl TokenAllocator {
-    /// A token that nothing had before.
+    /// Returns a token that was never used before.
     pub fn allocate(&mut self) -> u64 {
         self.last += 1;
         self.last
--- a/crates/placer/src/trace_queue.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -1,4 +1,5 @@
-//! The deciding thread's side of a recording: turns and audit entries are put in a bounded queue, and nothing ever waits.
+//! The deciding thread's side of trace recording: turns and audit entries go into a bounded queue, which drops records
+//! when it is full instead of blocking.
 
 use std::ops::AddAssign;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,16 +10,16 @@
 
 use crate::loop_time::SharedPhase;
 
-/// Something to be recorded.
+/// An item to be recorded.
 pub(crate) enum TraceItem {
-    /// What a decider was told, and what it decided.
+    /// The events that the decider received and the actions that it returned.
     Turn(Turn),
-    /// What turns do not tell.
+    /// Information that turns do not contain.
     AuditEntry(AuditEntry),
 }
 
 impl TraceItem {
-    /// What the item counts against the queue's limit: events, actions and entries.
+    /// The item's share of the queue's limit, counted in events, actions and entries.
     fn weight(&self) -> usize {
         match self {
             TraceItem::Turn(turn) => 1 + turn.events.len() + turn.actions.len(),
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What is lost with the item.
+    /// The loss if the item is dropped.
     fn loss(&self) -> Loss {
         Loss {
             turns: u64::from(matches!(self, TraceItem::Turn(_))),
@@ -38,9 +39,9 @@
 /// How much of a recording was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Loss {
-    /// Turns.
+    /// Lost turns.
     pub turns: u64,
-    /// Records, turns among them.
+    /// Lost records, including turns.
     pub records: u64,
 }
 
@@ -57,25 +58,25 @@
     }
 }
 
-/// An item, and when it happened.
+/// An item and its time.
 pub(crate) struct TimedItem {
     pub at: Micros,
     pub item: TraceItem,
 }
 
-/// What waits to be written.
+/// Items waiting to be written.
 #[derive(Default)]
 pub(crate) struct TraceBuffer {
     pub items: Vec<TimedItem>,
-    /// What the items weigh.
+    /// Total weight of the items.
     weight: usize,
-    /// What found no room after these items.
+    /// What was dropped after these items.
     pub lost: Loss,
-    /// Nothing comes after this.
+    /// Whether this is the last buffer.
     pub is_stopping: bool,
 }
 
-/// The queue between the deciding thread and the writer.
+/// The queue between the deciding thread and the writer thread.
 pub(crate) struct TraceQueue {
     buffer: Mutex<TraceBuffer>,
     max_weight: usize,
@@ -89,12 +90,12 @@
         }
     }
 
-    /// The lock is held for a few instructions on either side.
+    /// Either thread holds the lock only for a few instructions.
     fn lock(&self) -> MutexGuard<'_, TraceBuffer> {
         self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds an item; once one was lost, all are until the writer has taken what waits, so that there is one gap.
+    /// Adds an item. Once one was dropped, all are until the writer empties the queue, so that there is a single gap.
     pub fn push(&self, at: Micros, item: TraceItem) {
         let weight = item.weight();
         let mut buffer = self.lock();
@@ -106,7 +107,7 @@
         buffer.items.push(TimedItem { at, item });
     }
 
-    /// Takes what waits.
+    /// Takes all waiting items.
     pub fn take(&self) -> TraceBuffer {
         let mut buffer = self.lock();
         let empty = TraceBuffer {
@@ -116,17 +117,17 @@
         std::mem::replace(&mut *buffer, empty)
     }
 
-    /// Nothing is pushed any more.
+    /// Marks the end of the recording.
     pub fn stop(&self) {
         self.lock().is_stopping = true;
     }
 }
 
-/// A decider whose turns are recorded, if there is a queue for them.
+/// A decider that records its turns if there is a queue.
 pub(crate) struct RecordingDecider<D> {
     pub inner: D,
     pub queue: Option<Arc<TraceQueue>>,
-    /// What recording takes of the deciding thread.
+    /// Time that the deciding thread spends on recording.
     pub phase: SharedPhase,
 }
 
--- a/crates/placer/src/trace_queue/tests.rs
+++ b/crates/placer/src/trace_queue/tests.rs
@@ -1,9 +1,9 @@
-//! The queue's limit.
+//! Limit of the queue.
 
 use super::*;
 
 #[test]
-fn counts_items_lost_when_the_queue_is_full() {
+fn counts_items_dropped_when_the_queue_is_full() {
     let queue = TraceQueue::new(10);
     let turn = || {
         TraceItem::Turn(Turn {
@@ -16,7 +16,7 @@
         queue.push(at, turn());
     }
     let buffer = queue.take();
-    // Two of weight four fit; the rest is one gap, also what would have fitted.
+    // Two items of weight four fit; all later ones belong to one gap.
     let lost = Loss {
         turns: 3,
         records: 3,
--- a/crates/placer/src/trace_recorder/files.rs
+++ b/crates/placer/src/trace_recorder/files.rs
@@ -1,5 +1,5 @@
-//! The trace files: rotation, and what happens when the disk does not take what it is given. Placing goes on then; what is
-//! lost is counted, and a gap in the next file says how much it was and why.
+//! Trace files: rotation and handling of write failures. When a file can't be written, placement continues; lost
+//! records are counted, and a gap record in the next file gives their number and the reason.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -14,14 +14,14 @@
 use super::records::RecordedNames;
 use crate::trace_queue::{Loss, TraceBuffer};
 
-/// How often what is written so far is made a block.
+/// How often buffered records are written as a block.
 pub(super) const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
-/// After a failure the next file is tried so much later.
+/// Time between a failure and the attempt to open the next file.
 const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// Where a trace file goes.
+/// The destination of a trace file's bytes.
 pub(super) trait TraceSink: Write + Send {
-    /// Waits until all of it is on the disk.
+    /// Waits until all data is on the disk.
     fn sync(&self) -> io::Result<()>;
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Why a part of the recording is lost, as the gap gives it.
+/// Why records were lost; its text is written to the gap record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LossReason {
     QueueFull,
@@ -49,7 +49,7 @@
     }
 }
 
-/// What was lost since the last gap was written.
+/// Records lost since the last gap record was written.
 #[derive(Clone, Copy, Debug)]
 struct Gap {
     loss: Loss,
@@ -66,14 +66,14 @@
     }
 }
 
-/// The file that is written to.
+/// The trace file that is being written.
 struct OpenFile {
     writer: Writer<Box<dyn TraceSink>>,
     path: PathBuf,
     opened_at: Instant,
 }
 
-/// The files of one run. `open_file` creates the file of a path.
+/// The trace files of one run. `open_file` creates the file at a path.
 pub(super) struct TraceFiles<O> {
     open_file: O,
     folder: TraceFolder,
@@ -81,9 +81,9 @@
     header: Header,
     current: Option<OpenFile>,
     pub(super) flushed_at: Instant,
-    /// No file is opened before.
+    /// No file is opened before this time.
     pub(super) retry_at: Instant,
-    /// The log has told of a failure since the last file was opened.
+    /// Whether a failure was logged since the last file was opened.
     is_failure_reported: bool,
     gap: Option<Gap>,
     names: RecordedNames,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Writes what was queued, and begins the next file where this one is full or old.
+    /// Writes queued items, and closes the file if it is due for rotation.
     pub fn write(&mut self, buffer: TraceBuffer) {
         for timed in buffer.items {
             let at = timed.at;
@@ -193,11 +193,11 @@
         }
     }
 
-    /// Leaves the file as it is; another one is tried later. `loss` is what was not written, beside what the open block
-    /// held.
+    /// Abandons the current file; another one is opened later. `loss` is what was not written, apart from the records
+    /// of the unfinished block.
     fn handle_write_failure(&mut self, error: &TraceError, mut loss: Loss) {
         if !std::mem::replace(&mut self.is_failure_reported, true) {
-            tracing::error!(folder = %self.settings.folder.display(), %error, "trace can't be written; placing goes on");
+            tracing::error!(folder = %self.settings.folder.display(), %error, "cannot write the trace; placement continues");
         }
         if let Some(file) = self.current.take() {
             let (turns, records) = file.writer.unflushed();
@@ -207,7 +207,7 @@
         self.retry_at = Instant::now() + RETRY_DELAY;
     }
 
-    /// Whether a file is open to write to, after an attempt to open one if none was.
+    /// Opens a file if none is open. Returns whether one is open now.
     fn ensure_open(&mut self, at: Micros) -> bool {
         if self.current.is_some() {
             return true;
@@ -221,7 +221,7 @@
                 self.current = Some(file);
                 self.header.part += 1;
                 if std::mem::take(&mut self.is_failure_reported) {
-                    tracing::info!(folder = %self.settings.folder.display(), "trace is written again");
+                    tracing::info!(folder = %self.settings.folder.display(), "trace recording resumed");
                 }
                 true
             }
@@ -254,12 +254,12 @@
         })
     }
 
-    /// A file that somebody has removed is not written any more: what it held is lost, and the next one is begun.
+    /// Abandons a file that was removed while it was open: its records are lost, and the next ones go to a new file.
     fn check_file_exists(&mut self) {
         let Some(file) = self.current.take_if(|file| !file.path.exists()) else {
             return;
         };
-        tracing::warn!(file = %file.path.display(), "trace file removed while it was written");
+        tracing::warn!(file = %file.path.display(), "trace file was removed while being written");
         let totals = file.writer.totals();
         let loss = Loss {
             turns: totals.turns,
@@ -268,7 +268,7 @@
         self.record_loss(loss, LossReason::FileRemoved);
     }
 
-    /// Ends the file. The next record begins another one.
+    /// Closes the file. The next record opens another one.
     pub fn close(&mut self) {
         let Some(mut file) = self.current.take() else {
             return;
@@ -278,7 +278,7 @@
             .finish()
             .and_then(|_| Ok(file.writer.get_ref().sync()?));
         if let Err(error) = result {
-            tracing::error!(%error, "trace file not closed; it can be read up to its last whole block");
+            tracing::error!(%error, "closing the trace file failed; it is readable up to its last complete block");
         }
     }
 }
--- a/crates/placer/src/trace_recorder/folder.rs
+++ b/crates/placer/src/trace_recorder/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of the trace files: their names, and the ceiling on the disk that a placer's files use.
+//! The folder of the trace files: file names, and the limit on the total size of a placer's files.
 
 use std::fs::DirEntry;
 use std::path::PathBuf;
@@ -7,24 +7,23 @@
 use maplethread_config::TraceSettings;
 use maplethread_trace::Header;
 
-/// The end of a trace file's name.
 const EXTENSION: &str = ".mtrace";
-/// So many characters of the placer's name are kept in the names of its files.
+/// How many characters of the placer's name are kept in file names.
 const MAX_NAME_CHARS: usize = 100;
 
-/// The folder as one run of one placer uses it.
+/// The folder of the trace files, as used by one run of one placer.
 pub(super) struct TraceFolder {
     path: PathBuf,
-    /// The start of the names of this placer's files, of whichever run.
+    /// Prefix of the names of this placer's files, the same in all runs.
     prefix: String,
     started_ms: u64,
-    /// What the files may use before a new one is begun.
+    /// Total size of the files above which the oldest are removed before a new one is opened.
     max_bytes: u64,
 }
 
-/// A trace file of this placer. The order is that of age.
+/// A trace file of this placer. Ordered by age, oldest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct OldFile {
+struct TraceFile {
     modified: SystemTime,
     path: PathBuf,
     bytes: u64,
@@ -34,7 +33,7 @@
     pub fn new(settings: &TraceSettings, header: &Header) -> TraceFolder {
         TraceFolder {
             path: settings.folder.clone(),
-            prefix: format!("trace-{}-", file_name_of(&header.placer)),
+            prefix: format!("trace-{}-", to_file_name(&header.placer)),
             started_ms: header.started_ms,
             max_bytes: (settings.keep_mib - settings.rotate_mib) << 20,
         }
@@ -47,12 +46,12 @@
             .join(format!("{prefix}{run}-{part:05}{EXTENSION}"))
     }
 
-    /// Removes this placer's oldest files until a whole new one fits under the ceiling.
+    /// Removes this placer's oldest files until a new one of full size fits within the limit.
     pub fn remove_oldest_files(&self) {
         let Ok(entries) = std::fs::read_dir(&self.path) else {
             return;
         };
-        let mut files: Vec<OldFile> = entries
+        let mut files: Vec<TraceFile> = entries
             .filter_map(|entry| self.own_file(&entry.ok()?))
             .collect();
         files.sort();
@@ -68,8 +67,8 @@
         }
     }
 
-    /// The file of an entry, if it is one of this placer's trace files.
-    fn own_file(&self, entry: &DirEntry) -> Option<OldFile> {
+    /// Returns the file of a folder entry if it is one of this placer's trace files.
+    fn own_file(&self, entry: &DirEntry) -> Option<TraceFile> {
         let name = entry.file_name().into_string().ok()?;
         let run_and_part = name.strip_prefix(&self.prefix)?.strip_suffix(EXTENSION)?;
         let (run, part) = run_and_part.split_once('-')?;
@@ -77,7 +76,7 @@
             return None;
         }
         let metadata = entry.metadata().ok()?;
-        Some(OldFile {
+        Some(TraceFile {
             modified: metadata.modified().ok()?,
             path: entry.path(),
             bytes: metadata.len(),
@@ -89,12 +88,12 @@
     text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// A placer's name as a file may be called.
-fn file_name_of(placer: &str) -> String {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+/// A placer's name as part of a file name: shortened, with unsafe characters replaced.
+fn to_file_name(placer: &str) -> String {
+    let is_safe = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     placer
         .chars()
-        .map(|c| if is_plain(c) { c } else { '_' })
+        .map(|c| if is_safe(c) { c } else { '_' })
         .take(MAX_NAME_CHARS)
         .collect()
 }
--- a/crates/placer/src/trace_recorder/mod.rs
+++ b/crates/placer/src/trace_recorder/mod.rs
@@ -1,5 +1,6 @@
-//! Writes trace files on a thread of its own. A block is written about once a second, and a file is synced when it is
-//! closed; so a killed placer loses a second at most, a machine that fails what its kernel had not written.
+//! Writes trace files on a separate thread. A block is written about once a second, and a file is synced when it is
+//! closed. A killed placer therefore loses at most a second of records; a machine that fails also loses what its kernel
+//! had not written to disk.
 
 mod files;
 mod folder;
@@ -21,17 +22,18 @@
 /// How often the queue is emptied.
 const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The writing side of a recording. Dropped, it writes what is queued and closes the file.
+/// The writing side of trace recording. Dropping it writes the queued items and closes the file.
 pub(crate) struct Recorder {
     queue: Arc<TraceQueue>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Recorder {
-    /// Begins to record, if the settings want it. `is_replayable` tells whether the module decides, with this seed.
+    /// Starts recording if the settings have a `[trace]` section. `is_replayable` says whether the decisions come from
+    /// the decision module with this seed.
     ///
     /// # Errors
-    /// When the system has no thread left.
+    /// If the thread can't be started.
     pub fn start(
         config: &PlacerConfig,
         seed: u64,
@@ -54,9 +56,13 @@
             sources: Vec::new(),
         };
         let queue = Arc::new(TraceQueue::new(settings.queue_records));
-        let to_write = queue.clone();
-        let run =
-            move || write_until_stopped(TraceFiles::new(settings, header, create_file), &to_write);
+        let writer_queue = queue.clone();
+        let run = move || {
+            write_until_stopped(
+                TraceFiles::new(settings, header, create_file),
+                &writer_queue,
+            )
+        };
         let thread = std::thread::Builder::new()
             .name("trace".to_owned())
             .spawn(run)?;
@@ -66,7 +72,7 @@
         }))
     }
 
-    /// Where the deciding thread puts what is to be recorded.
+    /// The queue for items to be recorded.
     pub fn queue(&self) -> Arc<TraceQueue> {
         self.queue.clone()
     }
@@ -77,19 +83,19 @@
         self.queue.stop();
         if let Some(thread) = self.thread.take() {
             thread.thread().unpark();
-            // If the writer has panicked, there is nothing left to write to.
+            // If the writer thread has panicked, nothing more can be written.
             let _ = thread.join();
         }
     }
 }
 
-/// Creates a trace file. Another run's files are never written to.
+/// Creates a trace file. Existing files are never overwritten.
 fn create_file(path: &Path) -> io::Result<Box<dyn TraceSink>> {
     let file = OpenOptions::new().write(true).create_new(true).open(path)?;
     Ok(Box::new(file))
 }
 
-/// The writer's thread.
+/// Writes queued items until the queue is stopped; runs on the writer thread.
 fn write_until_stopped(
     mut files: TraceFiles<impl FnMut(&Path) -> io::Result<Box<dyn TraceSink>>>,
     queue: &TraceQueue,
@@ -99,7 +105,7 @@
         let is_stopping = buffer.is_stopping;
         files.write(buffer);
         if is_stopping {
-            // What came between the last look and the order to stop is in it.
+            // The buffer contains everything that was pushed before the stop.
             files.close();
             return;
         }
--- a/crates/placer/src/trace_recorder/records.rs
+++ b/crates/placer/src/trace_recorder/records.rs
@@ -1,4 +1,4 @@
-//! Turns what was queued into records of the trace.
+//! Converts queued items to trace records.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,23 +8,22 @@
 
 use crate::trace_queue::TraceItem;
 
-/// The machine of a host that was never named.
+/// The machine number of a host whose name was never recorded.
 const UNKNOWN_MACHINE: u32 = u32::MAX;
 
-/// The names that records have given, so that each file can be read by itself.
+/// Names that were recorded before. They are repeated so that each file can be read on its own.
 #[derive(Default)]
 pub(super) struct RecordedNames {
-    /// Machines by the names of their hosts.
+    /// Machine numbers by host name.
     machines: BTreeMap<String, u32>,
-    /// The records that named hosts, for the start of each file.
+    /// Records that name hosts, repeated at the start of each file.
     host_records: Vec<Record>,
-    /// Services that the current file has named.
+    /// Services that were named in the current file.
     services: BTreeSet<u64>,
 }
 
 impl RecordedNames {
-    /// The names that a file starts with, given at this time. Services are named again when something is requested of
-    /// them.
+    /// The records at the start of a new file, with this time. Services are named again with the next request for them.
     pub fn begin_file(&mut self, at: Micros) -> impl Iterator<Item = TimedRecord> + '_ {
         self.services.clear();
         self.host_records.iter().map(move |record| TimedRecord {
@@ -33,7 +32,7 @@
         })
     }
 
-    /// The records of an item.
+    /// Converts an item to its records.
     pub fn take_records(&mut self, at: Micros, item: TraceItem) -> Vec<Record> {
         match item {
             TraceItem::Turn(turn) => vec![Record::Turn(turn)],
@@ -96,7 +95,7 @@
         }
     }
 
-    /// The record that names a service, if the file has not named it.
+    /// The record that names a service, unless the current file already has it.
     fn service_record(&mut self, service: ServiceId, name: &str) -> Option<Record> {
         self.services.insert(service.0).then(|| Record::Service {
             service: service.0,
--- a/crates/placer/src/trace_recorder/tests.rs
+++ b/crates/placer/src/trace_recorder/tests.rs
@@ -1,4 +1,4 @@
-//! Trace files on disks that are small, full or gone.
+//! Rotation of trace files, write failures and gaps.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Write};
@@ -40,7 +40,7 @@
     }
 }
 
-/// A turn that can be told from others by its time.
+/// A turn that is identified by its time.
 fn numbered_turn(n: u64) -> (Micros, TraceItem) {
     let turn = Turn {
         now: n,
@@ -58,34 +58,34 @@
     queue.take()
 }
 
-/// The buffer after which nothing comes.
+/// A buffer that ends the recording.
 fn last_buffer_of(items: impl IntoIterator<Item = (Micros, TraceItem)>) -> TraceBuffer {
     let mut buffer = buffer_of(items);
     buffer.is_stopping = true;
     buffer
 }
 
-/// What the files of a folder hold, in the order of their names.
+/// The contents of a folder's trace files, in the order of their names.
 #[derive(Debug, Default)]
-struct ReadBack {
+struct TraceContents {
     /// The times of all turns.
     turns: Vec<u64>,
-    /// The turns that each gap counts, and its reason.
+    /// The number of lost turns and the reason of each gap.
     gaps: Vec<(u64, String)>,
 }
 
-fn read_back(folder: &Path) -> ReadBack {
+fn read_traces(folder: &Path) -> TraceContents {
     let mut paths: Vec<PathBuf> = std::fs::read_dir(folder)
-        .expect("a folder")
-        .map(|e| e.expect("an entry").path())
+        .expect("the folder can be read")
+        .map(|e| e.expect("the folder entry can be read").path())
         .collect();
     paths.sort();
-    let mut found = ReadBack::default();
+    let mut found = TraceContents::default();
     for path in paths {
-        let Ok(mut reader) = Reader::open(File::open(path).expect("a file")) else {
+        let Ok(mut reader) = Reader::open(File::open(path).expect("the file can be opened")) else {
             continue;
         };
-        while let Some(part) = reader.next_part().expect("no fault") {
+        while let Some(part) = reader.next_part().expect("the trace can be read") {
             let Part::Block { records, .. } = part else {
                 continue;
             };
@@ -101,7 +101,7 @@
     found
 }
 
-/// Text that cannot be compressed much, different for each number.
+/// Text that can hardly be compressed and differs for each number.
 fn incompressible_text(n: u64) -> String {
     use std::hash::{DefaultHasher, Hash, Hasher};
     (0..8)
@@ -115,12 +115,12 @@
 
 #[test]
 fn rotates_by_size_and_removes_the_oldest_files() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     std::fs::write(folder.path().join("trace-p_0-x.mtrace"), vec![0; 9 << 20])
-        .expect("a file of others");
+        .expect("the unrelated file is written");
     let mut files = TraceFiles::new(settings(folder.path()), header(), create_file);
     for round in 0..30 {
-        // Logs that can't be packed, some 300 KiB a round.
+        // Log lines that can't be compressed, about 300 KiB per round.
         let items = (0..5000).map(|n| {
             let turn = Turn {
                 now: round,
@@ -134,12 +134,12 @@
     files.write(last_buffer_of([]));
     files.close();
     let sizes: Vec<(String, u64)> = std::fs::read_dir(folder.path())
-        .expect("a folder")
-        .map(|e| e.expect("an entry"))
+        .expect("the folder can be read")
+        .map(|e| e.expect("the folder entry can be read"))
         .map(|e| {
             (
-                e.file_name().into_string().expect("a name"),
-                e.metadata().expect("data").len(),
+                e.file_name().into_string().expect("the name is UTF-8"),
+                e.metadata().expect("the metadata can be read").len(),
             )
         })
         .filter(|(name, _)| name.starts_with("trace-p_0-17-"))
@@ -151,26 +151,26 @@
     );
     assert!(
         folder.path().join("trace-p_0-x.mtrace").exists(),
-        "files of others are left alone"
+        "unrelated files are not removed"
     );
     assert!(
         !sizes
             .iter()
             .any(|(name, _)| name.ends_with("-00000.mtrace")),
-        "the first is gone"
+        "the oldest file is removed"
     );
 }
 
-/// Whether the disk of [`SmallDisk`] is full.
+/// Whether the simulated disk of [`FillableDiskFile`] is full.
 static IS_DISK_FULL: AtomicBool = AtomicBool::new(false);
 
-/// A disk that can be made full.
-struct SmallDisk(File);
+/// A file on a simulated disk that can be made full.
+struct FillableDiskFile(File);
 
-impl Write for SmallDisk {
+impl Write for FillableDiskFile {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if IS_DISK_FULL.load(Ordering::Relaxed) {
-            // Half of it fits, as on a real disk.
+            // As on a real disk, a part of the bytes is still written.
             self.0.write_all(&bytes[..bytes.len() / 2])?;
             return Err(io::ErrorKind::StorageFull.into());
         }
@@ -182,7 +182,7 @@
     }
 }
 
-impl TraceSink for SmallDisk {
+impl TraceSink for FillableDiskFile {
     fn sync(&self) -> io::Result<()> {
         self.0.sync_data()
     }
@@ -190,10 +190,10 @@
 
 #[test]
 fn records_a_gap_with_counts_when_the_disk_is_full() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let open = |path: &Path| -> io::Result<Box<dyn TraceSink>> {
         let file = OpenOptions::new().write(true).create_new(true).open(path)?;
-        Ok(Box::new(SmallDisk(file)))
+        Ok(Box::new(FillableDiskFile(file)))
     };
     let mut files = TraceFiles::new(settings(folder.path()), header(), open);
     let make_flush_due = |files: &mut TraceFiles<_>| {
@@ -209,37 +209,37 @@
     files.retry_at = Instant::now();
     files.write(last_buffer_of((30..40).map(numbered_turn)));
     files.close();
-    let ReadBack { turns, gaps } = read_back(folder.path());
+    let TraceContents { turns, gaps } = read_traces(folder.path());
     assert_eq!(turns, (0..10).chain(30..40).collect::<Vec<u64>>());
     assert_eq!(gaps, [(20, "the file could not be written".to_owned())]);
 }
 
 #[test]
-fn retries_when_the_folder_is_unwritable_or_removed() {
-    let parent = tempfile::tempdir().expect("a folder");
+fn retries_when_the_folder_cannot_be_created_or_is_removed() {
+    let parent = tempfile::tempdir().expect("a temporary folder");
     let folder = parent.path().join("traces");
-    // A file stands where the folder should be.
-    std::fs::write(&folder, "x").expect("a file");
+    // A file has the path of the folder, so the folder can't be created.
+    std::fs::write(&folder, "x").expect("the file is written");
     let mut files = TraceFiles::new(settings(&folder), header(), create_file);
     files.write(buffer_of((0..10).map(numbered_turn)));
-    std::fs::remove_file(&folder).expect("gone");
+    std::fs::remove_file(&folder).expect("it is removed");
     files.retry_at = Instant::now();
     files.write(buffer_of((10..20).map(numbered_turn)));
-    // The folder vanishes while it is written to.
-    std::fs::remove_dir_all(&folder).expect("gone");
+    // The folder is removed while a file in it is being written.
+    std::fs::remove_dir_all(&folder).expect("it is removed");
     files.flushed_at = Instant::now() - FLUSH_INTERVAL;
     files.write(buffer_of((20..30).map(numbered_turn)));
     files.write(last_buffer_of((30..40).map(numbered_turn)));
     files.close();
-    let ReadBack { turns, gaps } = read_back(&folder);
+    let TraceContents { turns, gaps } = read_traces(&folder);
     assert_eq!(turns, (30..40).collect::<Vec<u64>>());
-    // What the vanished file told of its own gap is lost with it.
+    // The removed file's own gap record is lost with it.
     assert_eq!(gaps, [(20, "the file was removed".to_owned())]);
 }
 
 #[test]
 fn records_a_gap_when_the_queue_overflows() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let mut files = TraceFiles::new(settings(folder.path()), header(), create_file);
     let queue = TraceQueue::new(16);
     for n in 0..20 {
@@ -259,7 +259,7 @@
     queue.stop();
     files.write(queue.take());
     files.close();
-    let ReadBack { turns, gaps } = read_back(folder.path());
+    let TraceContents { turns, gaps } = read_traces(folder.path());
     assert_eq!(turns, (0..8).collect::<Vec<u64>>());
     assert_eq!(gaps, [(12, "the writer could not keep up".to_owned())]);
 }
