--- a/crates/consul/src/backoff.rs
+++ b/crates/consul/src/backoff.rs
@@ -5,29 +5,30 @@
 
 use crate::Micros;
 
-/// Waits between failed calls: each doubles the one before, and is drawn between half of that and the whole.
+/// Delays between failed calls. Their upper bound doubles with each failure, up to a maximum; each delay is drawn
+/// between half the bound and the bound.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    const FIRST_WAIT: Micros = 100_000;
-    const MAX_WAIT: Micros = 3_000_000;
+    const INITIAL_DELAY: Micros = 100_000;
+    const MAX_DELAY: Micros = 3_000_000;
 
-    /// Counts a failure and returns how long to wait after it.
-    pub fn next_wait(&mut self, rng: &mut Pcg64Mcg) -> Micros {
-        let whole = (Self::FIRST_WAIT << self.failures.min(10)).min(Self::MAX_WAIT);
+    /// Records a failure and returns the delay after it.
+    pub fn next_delay(&mut self, rng: &mut Pcg64Mcg) -> Micros {
+        let upper_bound = (Self::INITIAL_DELAY << self.failures.min(10)).min(Self::MAX_DELAY);
         self.failures = self.failures.saturating_add(1);
-        whole / 2 + rng.next_u64() % (whole / 2)
+        upper_bound / 2 + rng.next_u64() % (upper_bound / 2)
     }
 
-    /// Begins anew after a successful call.
+    /// Starts again from the shortest delay after a successful call.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last successful call.
+    /// Number of failures since the last successful call.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/consul/src/catalogue.rs
+++ b/crates/consul/src/catalogue.rs
@@ -1,4 +1,4 @@
-//! What Consul's lists of services and members mean for placing.
+//! Parsing of Consul's lists of services and members, and the host states that follow from them.
 
 mod differences;
 mod entry;
--- a/crates/consul/src/catalogue/differences.rs
+++ b/crates/consul/src/catalogue/differences.rs
@@ -1,4 +1,4 @@
-//! How one list of hosts differs from another.
+//! Differences between two lists of hosts.
 
 use std::cmp::Ordering;
 use std::sync::Arc;
@@ -7,21 +7,21 @@
 
 use super::{CatalogueEntry, EntriesByHost};
 
-/// How a list differs from the one before, host by host.
+/// How a list differs from the previous one, host by host.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ListDifferences {
-    /// Hosts that are gone, or have changed and are not ready.
+    /// Hosts that were removed, or have changed and are not ready.
     pub degraded: Vec<String>,
     /// Ready hosts that are new or have changed.
     pub other: Vec<String>,
-    /// How many hosts are gone.
+    /// Number of hosts that were removed.
     pub removed_count: usize,
 }
 
 impl ListDifferences {
     /// Compares two lists.
     pub fn between(before: &EntriesByHost, after: &EntriesByHost) -> ListDifferences {
-        // Unchanged entries are shared by the lists, so that most are not compared in depth.
+        // Unchanged entries are shared between the lists, so most comparisons end at the pointers.
         let is_same =
             |a: &Arc<CatalogueEntry>, b: &Arc<CatalogueEntry>| Arc::ptr_eq(a, b) || a == b;
         let (mut before, mut after) = (before.iter().peekable(), after.iter().peekable());
--- a/crates/consul/src/catalogue/entry.rs
+++ b/crates/consul/src/catalogue/entry.rs
@@ -8,15 +8,15 @@
 
 use super::CheckStatus;
 
-/// The longest name or metadata value that is taken in, in bytes (error texts: in characters).
+/// Maximum length of a name or metadata value, in bytes, and of an error text, in characters.
 pub(super) const MAX_TEXT_LENGTH: usize = 200;
-/// A later start of a host is a mistake (the year 2100, Unix time in ms).
+/// Start times from here on (the year 2100, Unix time in ms) are rejected as invalid.
 const MAX_START_MS: u64 = 4_102_444_800_000;
 
-/// A host as the catalogue has it.
+/// A host as listed in the catalogue.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CatalogueEntry {
-    /// The host; its state is that of its checks.
+    /// The host, with the state that follows from its checks.
     pub host: HostEntry,
     /// The node on which it runs.
     pub node: String,
@@ -24,39 +24,39 @@
     pub status: CheckStatus,
 }
 
-/// The names that hosts may use: those of the placer's settings.
+/// The names that hosts may use, from the placer's settings, and the maximum length of a list.
 #[derive(Clone, Debug, Default)]
 pub struct KnownNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of hosts.
     pub kinds: Vec<String>,
-    /// The most entries that are taken from one list.
+    /// Maximum number of entries in a list.
     pub max_entries: usize,
 }
 
-/// Why an entry can't be used.
+/// Why an entry is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum EntryError {
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    #[error("{field}: 1 to {MAX_TEXT_LENGTH} bytes without control characters")]
+    #[error("{field}: expected 1 to {MAX_TEXT_LENGTH} bytes without control characters")]
     InvalidText { field: &'static str },
-    #[error("no metadata `{key}`, of the service or its node")]
+    #[error("metadata `{key}` is missing from the service and its node")]
     MissingMetadata { key: &'static str },
     #[error("zone `{0}` is not in the placer's settings")]
     UnknownZone(String),
     #[error("kind `{0}` is not in the placer's settings")]
     UnknownKind(String),
-    #[error("started_ms: not a time in ms since 1970")]
+    #[error("started_ms: expected a Unix time in ms before the year 2100")]
     InvalidStart,
-    #[error("address: not an IP address")]
+    #[error("address: expected an IP address")]
     InvalidAddress,
-    #[error("port {0}: out of range")]
+    #[error("port {0}: expected 1 to 65535")]
     InvalidPort(i64),
 }
 
-/// An entry as Consul writes it.
+/// An entry in Consul's JSON format.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct RawEntry {
@@ -101,7 +101,7 @@
 }
 
 impl RawEntry {
-    /// A metadata value: the service's own, else the node's.
+    /// A metadata value of the service, or else of its node.
     fn metadata(&self, key: &str) -> Option<&str> {
         [&self.service.meta, &self.node.meta]
             .into_iter()
@@ -126,7 +126,7 @@
         self.metadata("started_ms").map(parse).transpose()
     }
 
-    /// Where the host listens: the service's own address, else the node's.
+    /// Where the host listens: the service's address, or else that of its node.
     fn address(&self) -> Result<SocketAddr, EntryError> {
         let ip = if self.service.address.is_empty() {
             &self.node.address
@@ -141,7 +141,7 @@
         Ok(SocketAddr::new(ip, port))
     }
 
-    /// The host that the entry describes.
+    /// Validates the entry and converts it to the host that it describes.
     pub(super) fn into_entry(self, known: &KnownNames) -> Result<CatalogueEntry, EntryError> {
         check_text("Service.ID", &self.service.id)?;
         check_text("Node.Node", &self.node.node)?;
@@ -185,7 +185,7 @@
     }
 }
 
-/// The worst of node-level and service-level checks, as Consul merges them. An unknown status is taken for critical.
+/// The worst of node-level and service-level checks, as Consul merges them. An unknown status counts as critical.
 fn worst_status(checks: &[RawCheck]) -> CheckStatus {
     let status = |check: &RawCheck| match check.status.as_str() {
         "passing" => CheckStatus::Passing,
--- a/crates/consul/src/catalogue/host_list.rs
+++ b/crates/consul/src/catalogue/host_list.rs
@@ -10,53 +10,53 @@
 use super::{CatalogueEntry, CheckStatus, KnownNames, ListFormat, ListReader};
 use crate::json_rows::{RowError, Rows};
 
-/// Invalid entries of one list that are kept one by one.
+/// Invalid entries that are kept per list.
 const MAX_INVALID_ENTRIES: usize = 100;
-/// Datacentres of one list that are kept.
+/// Datacentres that are kept per list.
 const MAX_DATACENTRES: usize = 16;
 
-/// Entries by the host's name. An entry that is as in the previous list is the same allocation.
+/// Entries by host name. An entry that is unchanged since the previous list shares its allocation.
 pub type EntriesByHost = BTreeMap<String, Arc<CatalogueEntry>>;
 
-/// An entry that can't be used.
+/// An entry that describes no valid host.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("entry {position} ({name:?}): {reason}")]
 pub struct InvalidEntry {
     /// Its position in the list, counted from 0.
     pub position: usize,
-    /// Its service id, as far as it can be read.
+    /// Its service id, or `?` if that can't be read.
     pub name: String,
-    /// Why it can't be used.
+    /// Why it is invalid.
     pub reason: String,
 }
 
 /// A list of hosts.
 #[derive(Clone, Debug, Default)]
 pub struct HostList {
-    /// The entries that can be used, by the host's name.
+    /// The valid entries, by host name.
     pub entries: EntriesByHost,
-    /// Those that can't be used.
+    /// The invalid entries.
     pub invalid_entries: Vec<InvalidEntry>,
-    /// The datacentres that entries name.
+    /// The datacentres that the entries name.
     pub datacentres: BTreeSet<String>,
 }
 
-/// What a row of the list was parsed to.
+/// The result of parsing a row of the list.
 #[derive(Debug)]
 pub struct ParsedRow {
     datacentre: String,
-    entry: Result<Arc<CatalogueEntry>, UnusableRow>,
+    entry: Result<Arc<CatalogueEntry>, InvalidHostRow>,
 }
 
-/// A row that describes no host.
+/// A row that describes no valid host.
 #[derive(Debug)]
-struct UnusableRow {
-    /// Its service id, as far as it can be read.
+struct InvalidHostRow {
+    /// Its service id, or `?` if that can't be read.
     name: String,
     reason: String,
 }
 
-/// The rows of the last list.
+/// The rows of the previous list.
 pub type HostRows = Rows<Arc<ParsedRow>>;
 
 /// Reads a list of hosts in steps.
@@ -75,11 +75,11 @@
     }
 }
 
-/// Reads a list of hosts in one go.
+/// Reads a whole list of hosts at once.
 ///
 /// # Errors
 ///
-/// The body as a whole is no list, or a too long one.
+/// If the body is not a list, or has too many entries.
 pub fn read_host_list(body: &[u8], known: &KnownNames) -> Result<HostList, RowError> {
     let mut reader = HostListReader::new(body.to_vec(), HostRows::default(), known.max_entries);
     let mut budget = usize::MAX;
@@ -97,8 +97,8 @@
         }
         match &row.entry {
             Ok(entry) => self.add_entry(position, entry),
-            Err(unusable) => {
-                self.add_invalid(position, &unusable.name, unusable.reason.clone());
+            Err(invalid) => {
+                self.add_invalid(position, &invalid.name, invalid.reason.clone());
             }
         }
     }
@@ -109,8 +109,8 @@
             self.entries.insert(name.clone(), entry.clone());
             return;
         };
-        // Two entries claim to be this host. Nothing shows which one is right, so the host gets nothing new.
-        let reason = format!("its id stands on {} already", other.node);
+        // Two entries have this host's id. Nothing shows which one is right, so the host is drained.
+        let reason = format!("its id is already registered on {}", other.node);
         let other = Arc::make_mut(other);
         other.status = CheckStatus::Critical;
         other.host.state = HostState::Draining;
@@ -133,25 +133,25 @@
     let entry = serde_json::from_str::<RawEntry>(raw)
         .map_err(EntryError::from)
         .and_then(|entry| {
-            datacentre = shortened(&entry.node.datacenter);
+            datacentre = truncated(&entry.node.datacenter);
             entry.into_entry(known)
         });
     ParsedRow {
         datacentre,
-        entry: entry.map(Arc::new).map_err(|error| UnusableRow {
-            name: shortened(&readable_id(raw)),
-            reason: shortened(&error.to_string()),
+        entry: entry.map(Arc::new).map_err(|error| InvalidHostRow {
+            name: truncated(&id_or_placeholder(raw)),
+            reason: truncated(&error.to_string()),
         }),
     }
 }
 
-/// A text cut to its first characters, so that a list can't make the placer keep long ones.
-fn shortened(text: &str) -> String {
+/// Truncates a text, so that a list can't make the placer store long ones.
+fn truncated(text: &str) -> String {
     text.chars().take(MAX_TEXT_LENGTH).collect()
 }
 
-/// The service id of an entry whose other parts may be unreadable.
-fn readable_id(raw: &str) -> String {
+/// The service id of an entry whose other fields may be invalid.
+fn id_or_placeholder(raw: &str) -> String {
     #[derive(Deserialize)]
     #[serde(rename_all = "PascalCase")]
     struct EntryId {
--- a/crates/consul/src/catalogue/list_reader.rs
+++ b/crates/consul/src/catalogue/list_reader.rs
@@ -1,15 +1,15 @@
-//! What the readers of all lists share: rows are parsed once, and added up to a list.
+//! Shared by the readers of all lists: rows are parsed once and collected into a list.
 
 use crate::json_rows::{RowError, RowReader, Rows};
 
-/// How the rows of one of Consul's lists are parsed, and what they add up to.
+/// How the rows of one of Consul's lists are parsed, and what they are collected into.
 pub trait ListFormat {
-    /// What a row is parsed to. It is kept for the next list, so cloning it should be cheap.
+    /// The result of parsing a row. It is kept for the next list, so cloning it should be cheap.
     type Row: Clone;
-    /// What the rows add up to.
+    /// What the rows are collected into.
     type List: Default;
 
-    /// Parses one row. A row that can't be used is a row as well, so that it does not spoil the list.
+    /// Parses one row. An invalid row has a result as well, so that it does not invalidate the list.
     fn parse(&self, raw: &str) -> Self::Row;
 
     /// Adds the row at this position, counted from 0, to the list.
@@ -23,7 +23,7 @@
 }
 
 impl<F: ListFormat> ListReader<F> {
-    /// Begins to read a list of at most `max_rows`; rows that are as in the previous list are not parsed again.
+    /// Starts reading a list of at most `max_rows`. Rows that are as in the previous list are not parsed again.
     pub fn new(body: Vec<u8>, previous: Rows<F::Row>, max_rows: usize) -> ListReader<F> {
         ListReader {
             rows: RowReader::new(body, previous, max_rows),
@@ -31,11 +31,11 @@
         }
     }
 
-    /// Reads on as far as the budget goes, which it lessens by the cost, and returns whether the list is complete.
+    /// Reads until the budget is used up, and returns whether the list is complete. Subtracts the cost from the budget.
     ///
     /// # Errors
     ///
-    /// The body as a whole is no list, or a too long one.
+    /// If the body is not a list, or has too many entries.
     pub fn step(&mut self, budget: &mut usize, format: &F) -> Result<bool, RowError> {
         let list = &mut self.list;
         self.rows.step(
@@ -45,7 +45,7 @@
         )
     }
 
-    /// The list, and its rows for the next one to be compared with. If the body was no list, the rows are those of
+    /// Returns the list, and its rows to compare the next list with. If the body was not a list, the rows are those of
     /// the previous one.
     pub fn finish(self) -> (F::List, Rows<F::Row>) {
         (self.list, self.rows.into_rows())
--- a/crates/consul/src/catalogue/members.rs
+++ b/crates/consul/src/catalogue/members.rs
@@ -8,16 +8,16 @@
 use super::{ListFormat, ListReader, MemberStatus};
 use crate::json_rows::Rows;
 
-/// Nodes whose agent is not alive, with its status.
+/// Nodes whose agent is not alive, with the agent's status.
 pub type UnhealthyMembers = BTreeMap<String, MemberStatus>;
 
-/// The rows of the last list of members: name and status of those that are not alive.
+/// The rows of the previous list of members: name and status of those that are not alive.
 pub type MemberRows = Rows<Option<Arc<(String, MemberStatus)>>>;
 
 /// Reads a list of members in steps.
 pub type MemberListReader = ListReader<MemberFormat>;
 
-/// How a list of members is read: entries that can't be parsed are taken for members that are alive.
+/// The format of a list of members. Entries that can't be parsed count as members that are alive.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberFormat;
 
--- a/crates/consul/src/catalogue/status.rs
+++ b/crates/consul/src/catalogue/status.rs
@@ -1,13 +1,13 @@
-//! The statuses of checks and of members, and what they mean for placing.
+//! Statuses of checks and members, and the host states that follow from them.
 
 use maplethread_config::HostState;
 
-/// The status of a check, best first.
+/// The status of a check, ordered from best to worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CheckStatus {
     /// The check passes.
     Passing,
-    /// The host works, but an operator should look at it.
+    /// The host works, but needs the attention of an operator.
     Warning,
     /// The host does not work.
     Critical,
@@ -16,7 +16,7 @@
 }
 
 impl CheckStatus {
-    /// What it means for placing.
+    /// The state of a host whose worst check has this status.
     pub fn host_state(self) -> HostState {
         match self {
             CheckStatus::Passing | CheckStatus::Warning => HostState::Ready,
@@ -28,7 +28,7 @@
 /// The status of an agent in the gossip pool (`/v1/agent/members`).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberStatus {
-    /// It is a member, or nothing is known of it.
+    /// It is a member, or its status is unknown.
     Alive,
     /// It is about to leave.
     Leaving,
@@ -39,7 +39,7 @@
 }
 
 impl MemberStatus {
-    /// The status for one of Serf's numbers.
+    /// Converts one of Serf's status numbers.
     pub fn from_serf_status(number: i64) -> MemberStatus {
         match number {
             2 => MemberStatus::Leaving,
@@ -49,9 +49,9 @@
         }
     }
 
-    /// What it means for placing. A member can only make a host worse: an agent that is alive says nothing about the
-    /// host's process. The host of a failed or departed agent may still run its tasks, so it drains until it is
-    /// deregistered.
+    /// The state of a host on this member's node. It can only make the host's own state worse: an agent that is alive
+    /// says nothing about the host's process. The host of a failed or departed agent may still run its tasks, so it
+    /// drains until it is deregistered.
     pub fn host_state(self) -> HostState {
         match self {
             MemberStatus::Alive => HostState::Ready,
--- a/crates/consul/src/catalogue/tests.rs
+++ b/crates/consul/src/catalogue/tests.rs
@@ -1,10 +1,10 @@
-//! Statuses, invalid entries, differences of lists, and bodies that are no list.
+//! Statuses, invalid entries, differences between lists, and bodies that are not lists.
 
 use maplethread_config::HostState;
 
 use super::*;
 
-fn known() -> KnownNames {
+fn known_names() -> KnownNames {
     KnownNames {
         zones: vec!["a".into()],
         kinds: vec!["std".into()],
@@ -57,7 +57,7 @@
     for (checks, status, state) in cases {
         let checks: Vec<String> = checks.iter().map(|(id, s)| check(id, s)).collect();
         let body = format!("[{}]", entry("h", &checks.join(",")));
-        let listed = read_host_list(body.as_bytes(), &known()).expect("a list");
+        let listed = read_host_list(body.as_bytes(), &known_names()).expect("a valid list");
         assert_eq!(
             (listed.entries["h"].status, listed.entries["h"].host.state),
             (status, state)
@@ -100,24 +100,24 @@
     ];
     for bad in &bad {
         let body = format!("[{bad},{good}]");
-        match read_host_list(body.as_bytes(), &known()) {
+        match read_host_list(body.as_bytes(), &known_names()) {
             Ok(listed) => {
                 assert_eq!(listed.entries.len(), 1, "{}", &bad[..bad.len().min(300)]);
                 assert_eq!(listed.invalid_entries.len(), 1);
                 assert!(listed.invalid_entries[0].to_string().len() < 600);
             }
-            // Nesting beyond what the parser bears spoils the list, which is then not taken at all.
+            // Nesting beyond the parser's limit invalidates the whole list.
             Err(e) => assert!(e.to_string().contains("recursion"), "{e}"),
         }
     }
-    // Other metadata, however large, is passed over.
+    // Other metadata is ignored, whatever its size.
     let body = format!(
         "[{}]",
         entry("h", "").replace(r#""cell":"c""#, &format!(r#""cell":"c","note":"{long}""#))
     );
     assert_eq!(
-        read_host_list(body.as_bytes(), &known())
-            .expect("a list")
+        read_host_list(body.as_bytes(), &known_names())
+            .expect("a valid list")
             .entries
             .len(),
         1
@@ -131,18 +131,19 @@
         entry("h", ""),
         entry("h", "").replace("node-h", "node-2")
     );
-    let listed = read_host_list(body.as_bytes(), &known()).expect("a list");
+    let listed = read_host_list(body.as_bytes(), &known_names()).expect("a valid list");
     assert_eq!(listed.entries["h"].host.state, HostState::Draining);
     assert_eq!(
         listed.invalid_entries[0].reason,
-        "its id stands on node-h already"
+        "its id is already registered on node-h"
     );
 }
 
 #[test]
-fn differences_name_added_changed_and_removed_hosts() {
+fn differences_contain_added_changed_and_removed_hosts() {
     let list = |rows: &[String]| {
-        read_host_list(format!("[{}]", rows.join(",")).as_bytes(), &known()).expect("a list")
+        read_host_list(format!("[{}]", rows.join(",")).as_bytes(), &known_names())
+            .expect("a valid list")
     };
     let old = list(&[
         entry("a", ""),
@@ -173,20 +174,23 @@
 #[test]
 fn rejects_body_that_is_not_a_list() {
     for body in ["", "{}", "[", "\u{0}", "[1,]", "null"] {
-        assert!(read_host_list(body.as_bytes(), &known()).is_err(), "{body}");
+        assert!(
+            read_host_list(body.as_bytes(), &known_names()).is_err(),
+            "{body}"
+        );
     }
     let many = format!("[{}1]", "1,".repeat(100));
     assert!(
-        read_host_list(many.as_bytes(), &known())
-            .expect_err("too many")
+        read_host_list(many.as_bytes(), &known_names())
+            .expect_err("the list has too many entries")
             .to_string()
             .contains("more than 100 entries")
     );
     let members =
             br#"[{"Name":"n1","Status":1},{"Name":"n2","Status":4},{"Name":3},{"Name":"n3","Status":3}]"#;
-    let mut reading = MemberListReader::new(members.to_vec(), MemberRows::default(), 10);
-    while !reading.step(&mut 1, &MemberFormat).expect("a list") {}
-    let (members, _) = reading.finish();
+    let mut reader = MemberListReader::new(members.to_vec(), MemberRows::default(), 10);
+    while !reader.step(&mut 1, &MemberFormat).expect("a valid list") {}
+    let (members, _) = reader.finish();
     assert_eq!(
         members.into_iter().collect::<Vec<_>>(),
         [
--- a/crates/consul/src/index_watch/tests.rs
+++ b/crates/consul/src/index_watch/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 #[test]
 fn reads_full_list_first_after_changes_and_periodically() {
@@ -10,27 +10,30 @@
     assert_eq!(
         watch.next_read(0),
         NextRead::FullBlocking,
-        "nothing is known yet"
+        "no list was read yet"
     );
-    watch.record_full_read(S, false, 1.0);
-    assert_eq!(watch.next_read(2 * S), NextRead::IndexOnly);
+    watch.record_full_read(SECOND, false, 1.0);
+    assert_eq!(watch.next_read(2 * SECOND), NextRead::IndexOnly);
     watch.record_index(false);
-    assert_eq!(watch.next_read(7 * S), NextRead::IndexOnly);
+    assert_eq!(watch.next_read(7 * SECOND), NextRead::IndexOnly);
     watch.record_index(true);
-    assert_eq!(watch.next_read(8 * S), NextRead::Full);
-    watch.record_full_read(8 * S, false, 1.0);
+    assert_eq!(watch.next_read(8 * SECOND), NextRead::Full);
+    watch.record_full_read(8 * SECOND, false, 1.0);
     assert_eq!(
-        watch.next_read(8 * S + FULL_READ_INTERVAL - 1),
+        watch.next_read(8 * SECOND + FULL_READ_INTERVAL - 1),
         NextRead::IndexOnly
     );
-    assert_eq!(watch.next_read(8 * S + FULL_READ_INTERVAL), NextRead::Full);
-    watch.record_full_read(8 * S, false, 0.0);
     assert_eq!(
-        watch.next_read(8 * S + FULL_READ_INTERVAL / 2 - 1),
+        watch.next_read(8 * SECOND + FULL_READ_INTERVAL),
+        NextRead::Full
+    );
+    watch.record_full_read(8 * SECOND, false, 0.0);
+    assert_eq!(
+        watch.next_read(8 * SECOND + FULL_READ_INTERVAL / 2 - 1),
         NextRead::IndexOnly
     );
     assert_eq!(
-        watch.next_read(8 * S + FULL_READ_INTERVAL / 2),
+        watch.next_read(8 * SECOND + FULL_READ_INTERVAL / 2),
         NextRead::Full
     );
     assert_eq!(IndexWatch::new(false).next_read(0), NextRead::FullBlocking);
@@ -39,16 +42,16 @@
 #[test]
 fn disables_watch_that_missed_a_change_or_is_not_supported() {
     let mut watch = IndexWatch::new(true);
-    watch.record_full_read(S, false, 0.0);
-    watch.record_full_read(2 * S, true, 0.0);
-    assert_eq!(watch.next_read(3 * S), NextRead::FullBlocking);
+    watch.record_full_read(SECOND, false, 0.0);
+    watch.record_full_read(2 * SECOND, true, 0.0);
+    assert_eq!(watch.next_read(3 * SECOND), NextRead::FullBlocking);
     assert_eq!(
-        watch.next_read(2 * S + DISTRUST_DURATION),
+        watch.next_read(2 * SECOND + DISABLE_DURATION),
         NextRead::Full,
-        "tried again much later, from a whole list"
+        "used again later, starting with a full list"
     );
     let mut watch = IndexWatch::new(true);
-    watch.record_full_read(S, false, 0.0);
+    watch.record_full_read(SECOND, false, 0.0);
     watch.disable();
     assert_eq!(watch.next_read(u64::MAX), NextRead::FullBlocking);
 }
--- a/crates/consul/src/json_rows.rs
+++ b/crates/consul/src/json_rows.rs
@@ -1,31 +1,31 @@
-//! Long lists in steps: a JSON array read row by row.
+//! Reads a JSON array row by row, in steps of bounded cost.
 //!
-//! A list of thousands of rows never holds up the thread that decides, and rows that are as in the previous list cost
-//! a comparison of bytes instead of parsing.
+//! A list of thousands of rows therefore never blocks the deciding thread, and rows that are as in the previous list
+//! cost a comparison of bytes instead of parsing.
 
 use serde_json::value::RawValue;
 
-/// What one step may cost, in units of what an unchanged row costs. On the machine of `docs/measurements.md` a step
+/// Cost limit of one step, in units of the cost of an unchanged row. On the machine of `docs/measurements.md` a step
 /// takes about half a millisecond.
 pub const STEP_BUDGET: usize = 2_000;
-/// What parsing a row costs, in units of an unchanged row...
+/// Cost of parsing a row, in units of the cost of an unchanged row...
 const PARSE_COST: usize = 8;
-/// ...and one unit more for so many bytes.
+/// ...plus one unit for this many bytes.
 const PARSED_BYTES_PER_UNIT: usize = 40;
-/// How many rows of the previous list are looked at, from the place reached there, for one that is the same.
+/// How many rows of the previous list are searched for an equal one, from the position reached there.
 const MAX_LOOKAHEAD_ROWS: usize = 64;
 
-/// Why a body is no list.
+/// Why a body is not a valid list.
 #[derive(Debug, thiserror::Error)]
 pub enum RowError {
     /// The array has more rows than allowed.
     #[error("more than {max_rows} entries")]
     TooManyRows {
-        /// The most rows that are allowed.
+        /// The maximum number of rows.
         max_rows: usize,
     },
-    /// A byte that can't stand there.
-    #[error("octet {offset}: {byte:?} is out of place")]
+    /// A byte that is not allowed at its position.
+    #[error("unexpected {byte:?} at byte offset {offset}")]
     UnexpectedByte {
         /// Its offset in the body.
         offset: usize,
@@ -33,24 +33,24 @@
         byte: char,
     },
     /// The body ends inside the array.
-    #[error("octet {offset}: it ends too early")]
+    #[error("unexpected end at byte offset {offset}")]
     UnexpectedEnd {
-        /// Where it ends, or where the row begins that is cut short.
+        /// Where the body ends, or where the truncated row begins.
         offset: usize,
     },
-    /// A row is no JSON value.
-    #[error("entry {position}, from octet {offset}: {source}")]
+    /// A row is not a JSON value.
+    #[error("entry {position} at byte offset {offset}: {source}")]
     InvalidRow {
         /// The row's position, counted from 0.
         position: usize,
         /// Where it begins.
         offset: usize,
-        /// What the parser says.
+        /// The parser's error.
         source: serde_json::Error,
     },
 }
 
-/// Where a row stands in the body, and what it was parsed to.
+/// A row's position in the body, and the value that it was parsed to.
 #[derive(Clone, Copy, Debug)]
 struct Row<T> {
     start: usize,
@@ -58,7 +58,7 @@
     value: T,
 }
 
-/// The rows of a list, with which the next list is compared.
+/// The rows of a list, to compare the next list with.
 #[derive(Debug)]
 pub struct Rows<T> {
     body: Vec<u8>,
@@ -74,7 +74,7 @@
     }
 }
 
-/// Where the reader stands in the array.
+/// The reader's position in the array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Position {
     /// Before the opening bracket.
@@ -94,16 +94,16 @@
 pub struct RowReader<T> {
     current: Rows<T>,
     previous: Rows<T>,
-    /// The next row of the previous list that has not been found again.
+    /// The next row of the previous list that has not been matched yet.
     cursor: usize,
-    /// How much of the body has been read, in bytes.
+    /// Bytes of the body that have been read.
     offset: usize,
     position: Position,
     max_rows: usize,
 }
 
 impl<T: Clone> RowReader<T> {
-    /// Begins to read an array of at most `max_rows`.
+    /// Starts reading an array of at most `max_rows`.
     pub fn new(body: Vec<u8>, previous: Rows<T>, max_rows: usize) -> RowReader<T> {
         let rows = Vec::with_capacity(previous.rows.len().min(max_rows));
         RowReader {
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Reads rows as far as the budget goes, which it lessens by their cost, and returns whether the array is
-    /// complete. `parse` makes a value of a row that is new or has changed; `take` gets every row's position and value.
+    /// Reads rows until the budget is used up, and returns whether the array is complete. Their cost is subtracted from
+    /// the budget. `parse` converts a row that is new or has changed; `take` receives every row's position and value.
     ///
     /// # Errors
     ///
-    /// The body is no JSON array, or has too many rows. The error names the place.
+    /// If the body is not a JSON array, or has too many rows.
     pub fn step(
         &mut self,
         budget: &mut usize,
@@ -139,14 +139,14 @@
                 }
                 (Position::AfterRow, Some(b',')) => Position::AfterComma,
                 (Position::AfterOpeningBracket | Position::AfterComma, Some(_)) => {
-                    let number = self.current.rows.len();
-                    if number == self.max_rows {
+                    let row_index = self.current.rows.len();
+                    if row_index == self.max_rows {
                         return Err(RowError::TooManyRows {
                             max_rows: self.max_rows,
                         });
                     }
-                    let (row, cost) = self.read_row(number, &mut parse)?;
-                    take(number, &row.value);
+                    let (row, cost) = self.read_row(row_index, &mut parse)?;
+                    take(row_index, &row.value);
                     self.offset = row.end;
                     self.current.rows.push(row);
                     *budget = budget.saturating_sub(cost);
@@ -164,7 +164,7 @@
                     });
                 }
             };
-            // Brackets and commas are one byte; a row has moved the offset to its own end.
+            // Brackets and commas are one byte long; reading a row has set the offset to its end.
             if self.position != Position::AfterRow {
                 self.offset += 1;
             }
@@ -182,22 +182,22 @@
     /// Reads the row at the offset, and returns it with its cost.
     fn read_row(
         &mut self,
-        number: usize,
+        row_index: usize,
         parse: &mut impl FnMut(&str) -> T,
     ) -> Result<(Row<T>, usize), RowError> {
         let (start, rest) = (self.offset, &self.current.body[self.offset..]);
-        let lookahead = self
+        let candidates = self
             .previous
             .rows
             .iter()
             .enumerate()
             .skip(self.cursor)
             .take(MAX_LOOKAHEAD_ROWS);
-        // An object shows its own end, so what begins with the same object is that object. A number does not.
+        // An object ends with its closing brace, so equal leading bytes mean an equal object. A number has none.
         let is_same = |old: &Row<T>| {
             rest.first() == Some(&b'{') && rest.starts_with(&self.previous.body[old.start..old.end])
         };
-        if let Some((at, old)) = lookahead.clone().find(|(_, old)| is_same(old)) {
+        if let Some((at, old)) = candidates.clone().find(|(_, old)| is_same(old)) {
             self.cursor = at + 1;
             let row = Row {
                 start,
@@ -211,7 +211,7 @@
             Some(Ok(raw)) => raw,
             Some(Err(source)) => {
                 return Err(RowError::InvalidRow {
-                    position: number,
+                    position: row_index,
                     offset: start,
                     source,
                 });
@@ -220,9 +220,9 @@
         };
         let length = values.byte_offset();
         let value = parse(raw.get());
-        // A row that stands in the place of the next old one has most likely replaced it. If it was put in before it,
-        // the old one is found further on in the new list, and the cursor with it.
-        if lookahead
+        // A row in the place of the next previous row has most likely replaced it. If it was inserted before it, the
+        // next match sets the cursor to its place.
+        if candidates
             .clone()
             .next()
             .is_some_and(|(_, old)| self.is_replacement_of(old, rest))
@@ -237,14 +237,14 @@
         Ok((row, PARSE_COST + length / PARSED_BYTES_PER_UNIT))
     }
 
-    /// Whether a row begins like an old one for so long that it hardly describes anything else.
+    /// Whether a row shares so much of its start with a previous row that it most likely describes the same thing.
     fn is_replacement_of(&self, old: &Row<T>, rest: &[u8]) -> bool {
         let old = &self.previous.body[old.start..old.end];
-        let alike = old.iter().zip(rest).take_while(|(a, b)| a == b).count();
-        alike * 4 >= old.len()
+        let common_prefix = old.iter().zip(rest).take_while(|(a, b)| a == b).count();
+        common_prefix * 4 >= old.len()
     }
 
-    /// The rows with which the next list is compared: those of this list if it is complete, else the previous ones.
+    /// The rows to compare the next list with: those of this list if it is complete, else the previous ones.
     pub fn into_rows(self) -> Rows<T> {
         if self.position == Position::AfterArray {
             self.current
--- a/crates/consul/src/lease.rs
+++ b/crates/consul/src/lease.rs
@@ -1,9 +1,9 @@
 //! The lease of a placer slot: a number below a configured count, held by a session that locks a key. No two running
-//! placers ever hold the same slot, so that their warm-up budgets (rule 4) add up to what hosts can take.
+//! placers ever hold the same slot, so that their warm-up budgets (rule 4) add up to what hosts can handle.
 //!
-//! The lease is measured on the placer's own clock from when its last successful renewal was *sent*. The servers can't
-//! end a session sooner than its TTL after they got that renewal, so a placer that was paused knows by its own clock
-//! that its slot is lost before it asks anybody. Others can't take the slot until the lock delay after that.
+//! The lease is timed on the placer's own clock from when its last successful renewal was *sent*. The servers can't end
+//! a session sooner than its TTL after they received that renewal, so a placer that was paused detects by its own clock
+//! that its slot is lost, before it sends any request. Others can't acquire the slot until the lock delay after that.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use crate::Micros;
 use crate::backoff::Backoff;
 
-/// What to request next.
+/// The next request to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseRequest {
     /// Create a session.
@@ -31,14 +31,14 @@
     },
 }
 
-/// What a request came to.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseResponse {
     /// The session was created and has this id.
     SessionCreated(String),
     /// The session was renewed.
     SessionRenewed,
-    /// The session does not exist any more.
+    /// The session no longer exists.
     SessionGone,
     /// The slots that are held.
     SlotsListed {
@@ -47,9 +47,9 @@
         /// The one held by this placer's session, if there is one.
         own: Option<u32>,
     },
-    /// Whether the slot is this placer's now.
+    /// Whether the slot was acquired.
     SlotAcquired(bool),
-    /// No response, or one that can't be used.
+    /// No response, or an invalid one.
     Failed,
 }
 
@@ -61,27 +61,27 @@
     ttl: Micros,
     rng: Pcg64Mcg,
     session: Option<String>,
-    /// Until when the session surely exists.
+    /// Until when the session is certain to exist.
     valid_until: Micros,
     slot: Option<u32>,
-    /// Slots that were found held since they were last listed.
+    /// Slots that others hold, by the last listing and by failed acquisitions since; none until the next listing.
     occupied_slots: Option<BTreeSet<u32>>,
     /// The request in flight and when it was sent.
     in_flight: Option<(LeaseRequest, Micros)>,
-    /// Nothing is requested before.
+    /// No request is sent before this time.
     next_request_at: Micros,
     backoff: Backoff,
     /// Whether all slots are held by others.
     all_slots_taken: bool,
 }
 
-/// How much sooner than its session a lease ends, as a share of the TTL: clocks may run at slightly different rates.
-const EXPIRY_MARGIN: f64 = 0.1;
+/// How much sooner than its session a lease ends, as a share of the TTL, since clocks may run at different rates.
+const EXPIRY_MARGIN_SHARE: f64 = 0.1;
 /// While others hold all slots, they are listed again about this often.
 const RELIST_INTERVAL: Micros = 1_000_000;
 
 impl SlotLease {
-    /// A placer that wants one of so many slots, by sessions of this TTL.
+    /// Creates a lease of one of `slot_count` slots, with sessions of this TTL.
     pub fn new(slot_count: u32, ttl: Micros, seed: u64) -> SlotLease {
         SlotLease {
             slot_count,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The slot that is surely this placer's now.
+    /// The slot, if it is certain that this placer still holds it.
     pub fn slot(&self, now: Micros) -> Option<u32> {
         self.slot.filter(|_| now < self.valid_until)
     }
@@ -118,7 +118,7 @@
         self.slot.map(|_| self.valid_until)
     }
 
-    /// When [`SlotLease::next_request`] has something to say at the latest.
+    /// The latest time at which [`SlotLease::next_request`] must be called.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         if self.in_flight.is_some() {
             return self.valid_until().filter(|&until| until > now);
@@ -130,18 +130,18 @@
         Some(due.max(self.next_request_at))
     }
 
-    /// How long a lease lasts after the renewal was sent.
+    /// How long a lease lasts after its renewal was sent.
     fn duration(&self) -> Micros {
-        (self.ttl as f64 * (1.0 - EXPIRY_MARGIN)) as Micros
+        (self.ttl as f64 * (1.0 - EXPIRY_MARGIN_SHARE)) as Micros
     }
 
-    /// A lease is renewed when a third of it is used up, so that two renewals may fail.
+    /// A lease is renewed when a third of its duration has passed, so that two renewals may fail.
     fn renewal_due(&self) -> Micros {
         let duration = self.duration();
         self.valid_until.saturating_sub(duration - duration / 3)
     }
 
-    /// What to request now, if anything.
+    /// Returns the request to send now, if there is one.
     pub fn next_request(&mut self, now: Micros) -> Option<LeaseRequest> {
         if self.in_flight.is_some() || now < self.next_request_at {
             return None;
@@ -159,12 +159,12 @@
                         .filter(|slot| !occupied.contains(slot))
                         .collect();
                     if free.is_empty() {
-                        self.wait_for_a_free_slot(now);
+                        self.schedule_relisting(now);
                         return None;
                     }
-                    let drawn = (self.rng.next_u64() % free.len() as u64) as usize;
+                    let index = (self.rng.next_u64() % free.len() as u64) as usize;
                     LeaseRequest::AcquireSlot {
-                        slot: free[drawn],
+                        slot: free[index],
                         session: session.clone(),
                     }
                 }
@@ -174,13 +174,13 @@
         Some(request)
     }
 
-    fn wait_for_a_free_slot(&mut self, now: Micros) {
+    fn schedule_relisting(&mut self, now: Micros) {
         self.all_slots_taken = true;
         self.occupied_slots = None;
         self.next_request_at = now + RELIST_INTERVAL / 2 + self.rng.next_u64() % RELIST_INTERVAL;
     }
 
-    /// Takes in what the last request came to.
+    /// Processes the result of the last request.
     pub fn handle_response(&mut self, now: Micros, response: LeaseResponse) {
         let Some((request, sent)) = self.in_flight.take() else {
             return;
@@ -197,9 +197,9 @@
                 self.valid_until = sent + self.duration();
                 self.backoff.reset();
             }
-            // The slot is lost with the session, whatever the own clock says.
-            (LeaseRequest::RenewSession(_), LeaseResponse::SessionGone) => self.forget_session(),
-            // Locked by a request whose response was lost: without this, one placer would keep two slots from others.
+            // The slot is lost with the session, even if it has not expired by the placer's own clock.
+            (LeaseRequest::RenewSession(_), LeaseResponse::SessionGone) => self.discard_session(),
+            // The slot was locked by a request whose response was lost. Without this, one placer would hold two slots.
             (LeaseRequest::ListSlots, LeaseResponse::SlotsListed { own: Some(own), .. })
                 if own < self.slot_count =>
             {
@@ -213,15 +213,15 @@
             (LeaseRequest::AcquireSlot { slot, .. }, LeaseResponse::SlotAcquired(true)) => {
                 self.hold_slot(slot);
             }
-            // Another placer was quicker, or the lock delay is not over.
+            // Another placer was faster, or the lock delay is not over.
             (LeaseRequest::AcquireSlot { slot, .. }, LeaseResponse::SlotAcquired(false)) => {
                 self.occupied_slots.get_or_insert_default().insert(slot);
             }
             (request, _) => self.handle_failure(now, &request),
         }
-        // A response to a request sent before a long pause may be about a session that is gone by now.
+        // A response to a request sent before a long pause may refer to a session that has expired since.
         if self.slot.is_some() && now >= self.valid_until {
-            self.forget_session();
+            self.discard_session();
         }
     }
 
@@ -233,20 +233,20 @@
     }
 
     fn handle_failure(&mut self, now: Micros, request: &LeaseRequest) {
-        self.next_request_at = now + self.backoff.next_wait(&mut self.rng);
+        self.next_request_at = now + self.backoff.next_delay(&mut self.rng);
         if matches!(
             request,
             LeaseRequest::ListSlots | LeaseRequest::AcquireSlot { .. }
         ) {
             self.occupied_slots = None;
         }
-        // A session that can't be renewed any more is given up for a new one.
+        // A session that can no longer be renewed is replaced by a new one.
         if self.session.is_some() && now >= self.valid_until {
-            self.forget_session();
+            self.discard_session();
         }
     }
 
-    fn forget_session(&mut self) {
+    fn discard_session(&mut self) {
         self.session = None;
         self.slot = None;
         self.occupied_slots = None;
--- a/crates/consul/src/confidence.rs
+++ b/crates/consul/src/list_validator.rs
@@ -1,53 +1,54 @@
-//! Which lists of the catalogue to accept.
+//! Decides which lists of the catalogue to accept.
 //!
-//! Three things must not pass for news: a list of a server that lags, a list that lost much at once because a server
-//! has just restarted, and a list of another datacentre. The first is known by its index, the last by what its
-//! entries say. A loss of more than half the hosts is read again in the consistent mode, which only a leader that has
-//! verified itself answers; if that answer does not come within [`CONFIRMATION_TIMEOUT`], the loss counts, since it
-//! may be true (rule 3 of the placers wins). Hosts that an unconfirmed list names as not ready count as such at once.
+//! Three kinds of lists must not count as changes: a list of a server that lags, a list that lost many hosts at once
+//! because a server has just restarted, and a list of another datacentre. The first is recognised by its index, the
+//! last by the datacentre that its entries name. A loss of more than half the hosts is read again in the consistent
+//! mode, which only a leader that has verified itself answers. If that answer does not arrive within
+//! [`CONFIRMATION_TIMEOUT`], the loss is accepted, since it may be real (rule 3 of the placers has precedence). Hosts
+//! that an unconfirmed list names as not ready are treated as not ready at once.
 
 use crate::Micros;
 use crate::catalogue::HostList;
 use crate::response::ResponseMeta;
 
-/// How long a loss may wait to be confirmed: well within any grace of rule 3.
+/// How long a loss may wait for confirmation: well within any grace period of rule 3.
 pub const CONFIRMATION_TIMEOUT: Micros = 500_000;
-/// A list with a smaller share than this of the hosts known before has to be confirmed...
+/// A list with a smaller share than this of the previously known hosts must be confirmed...
 const MIN_REMAINING_SHARE: f64 = 0.5;
-/// ...if at least so many are missing.
+/// ...if at least this many are missing.
 const MIN_LOST_HOSTS: usize = 3;
 
-/// What to do with a list.
+/// How to proceed with a list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Assessment {
-    /// It counts as a whole.
+    /// Accept the whole list.
     Accept,
-    /// It counts only where it names hosts that are not ready; the rest waits for a confirming read.
+    /// Apply only the hosts that it names as not ready; the rest waits for a confirming read.
     Confirm,
-    /// It does not count, for this reason.
+    /// Reject the list for this reason.
     Reject(RejectionReason),
 }
 
-/// Why a list does not count.
+/// Why a list is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectionReason {
     /// Its entries name another datacentre.
-    #[error("it is of another datacentre")]
+    #[error("list is from another datacentre")]
     OtherDatacentre,
-    /// It was read consistently, but its server knows no leader.
-    #[error("a consistent read without a leader")]
+    /// It was read consistently, but its server has no known leader.
+    #[error("consistent read from a server without a known leader")]
     NoLeader,
     /// Its index is below that of a list that was accepted.
-    #[error("its server lags")]
+    #[error("server lags behind an accepted list")]
     Lagging,
 }
 
-/// What a list lacks of the hosts that were known before.
+/// How many of the previously known hosts a list lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostLoss {
-    /// Hosts known before.
+    /// Number of previously known hosts.
     pub known: usize,
-    /// Those of them that the list does not name.
+    /// Number of those that the list lacks.
     pub missing: usize,
 }
 
@@ -58,20 +59,20 @@
     }
 }
 
-/// Decides which lists count, by those that counted before.
+/// Decides which lists to accept, based on those accepted before.
 #[derive(Debug, Default)]
-pub struct Confidence {
+pub struct ListValidator {
     datacentre: Option<String>,
     /// The highest index of a list that was accepted.
     highest_index: u64,
-    /// When a loss began to wait for its confirmation.
+    /// Since when a loss has been waiting for confirmation.
     unconfirmed_since: Option<Micros>,
 }
 
-impl Confidence {
-    /// Accepts lists of this datacentre, or of that which the first list names.
-    pub fn new(datacentre: Option<String>) -> Confidence {
-        Confidence {
+impl ListValidator {
+    /// Accepts lists of this datacentre or, if none is given, of the one that the first list names.
+    pub fn new(datacentre: Option<String>) -> ListValidator {
+        ListValidator {
             datacentre,
             highest_index: 0,
             unconfirmed_since: None,
@@ -83,7 +84,7 @@
         self.highest_index
     }
 
-    /// When a loss that waits for its confirmation counts at the latest.
+    /// When a loss that waits for confirmation is accepted at the latest.
     pub fn confirmation_deadline(&self) -> Option<Micros> {
         self.unconfirmed_since
             .map(|since| since + CONFIRMATION_TIMEOUT)
@@ -120,7 +121,7 @@
             return Assessment::Confirm;
         }
         self.unconfirmed_since = None;
-        // Read consistently, the index may have gone back: a cluster restored from a snapshot.
+        // The index of a consistent read may be lower, if the cluster was restored from a snapshot.
         self.highest_index = if is_consistent {
             meta.index
         } else {
--- a/crates/consul/src/request/tests.rs
+++ b/crates/consul/src/request/tests.rs
@@ -16,6 +16,6 @@
     );
     assert!(
         text.contains("X-Consul-Token: tX: y\r\n"),
-        "a token can't add a line: {text}"
+        "a token can't add a header line: {text}"
     );
 }
--- a/crates/consul/src/response.rs
+++ b/crates/consul/src/response.rs
@@ -1,15 +1,15 @@
-//! What the headers of Consul's responses say.
+//! The headers of Consul's responses.
 
 use maplethread_wire::http::Message;
 
 /// Consul's response headers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResponseMeta {
-    /// `X-Consul-Index`; 0 if it is missing or no number.
+    /// `X-Consul-Index`; 0 if it is missing or not a number.
     pub index: u64,
-    /// `X-Consul-KnownLeader`, if it is there.
+    /// `X-Consul-KnownLeader`, if present.
     pub known_leader: Option<bool>,
-    /// `X-Consul-LastContact`: how long ago the server last heard from the leader, in ms.
+    /// `X-Consul-LastContact`: how long ago the server last had contact with the leader, in ms.
     pub last_contact_ms: u64,
 }
 
@@ -33,10 +33,10 @@
     }
 }
 
-/// The index for the next blocking query, as the documentation asks for: 0 when the index has gone back, and else
-/// never 0, so that the query surely blocks.
-pub fn next_blocking_index(last: u64, answered: u64) -> u64 {
-    if answered < last { 0 } else { answered.max(1) }
+/// The index for the next blocking query, as Consul's documentation requires: 0 if the index has gone back, and else
+/// at least 1, so that the query blocks.
+pub fn next_blocking_index(last: u64, received: u64) -> u64 {
+    if received < last { 0 } else { received.max(1) }
 }
 
 #[cfg(test)]
--- a/crates/consul/src/response/tests.rs
+++ b/crates/consul/src/response/tests.rs
@@ -3,16 +3,16 @@
 use super::*;
 
 #[test]
-fn blocking_index_restarts_when_it_goes_back_and_is_never_zero_twice() {
+fn blocking_index_is_zero_after_it_went_back_and_else_at_least_one() {
     assert_eq!(next_blocking_index(5, 9), 9);
     assert_eq!(
         next_blocking_index(9, 5),
         0,
-        "it went back: from the beginning"
+        "the index went back: restart from 0"
     );
     assert_eq!(
         next_blocking_index(0, 0),
         1,
-        "missing or zero: still one that blocks"
+        "missing or zero: the query blocks all the same"
     );
 }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -1,4 +1,4 @@
-//! The source of hosts and of the placer's slot: which calls to make to Consul, and what the responses lead to.
+//! The source of hosts and of the placer's slot: decides which calls to make to Consul, and evaluates the responses.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,9 +17,9 @@
 use self::slots::Slots;
 use crate::Micros;
 use crate::catalogue::{HostList, HostRows, KnownNames, MemberRows};
-use crate::confidence::Confidence;
 use crate::index_watch::{IndexWatch, NextRead, match_nothing_filter};
 use crate::lease::LeaseResponse;
+use crate::list_validator::ListValidator;
 use crate::request::{Consistency, RequestTarget};
 use crate::response::ResponseMeta;
 
@@ -34,7 +34,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What the caller is to do.
+/// An action for the caller to execute.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a request to a server, and wait for the whole response.
@@ -50,19 +50,19 @@
     },
 }
 
-/// What has changed.
+/// A change for the caller to apply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// These hosts have changed; those that are gone have that state. The first update is the full list.
+    /// These hosts have changed; removed ones have the state `HostState::Gone`. The first update is the full list.
     Hosts(Vec<HostEntry>),
-    /// The placer's slot from now on; without one it may send nothing to hosts that have just started.
+    /// The placer's slot from now on. Without one, it must not send offers to hosts that have just started.
     Slot(Option<u32>),
 }
 
-/// What is known and how old it is, for operators.
+/// Contents and age of the catalogue, for operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct CatalogueReport {
-    /// Time since the last list was accepted, or found unchanged, in ms; none if there was none.
+    /// Time since a list was last accepted or found unchanged, in ms; none before the first list.
     pub age_ms: Option<u64>,
     /// The highest index of an accepted list.
     #[serde(rename = "index")]
@@ -70,15 +70,15 @@
     /// Hosts in the list.
     #[serde(rename = "hosts")]
     pub listed_hosts: usize,
-    /// Hosts that are ready again and held back by flap damping.
+    /// Hosts that are ready again but held back by flap damping.
     #[serde(rename = "damped")]
     pub damped_hosts: usize,
-    /// Entries of the last list that could not be used.
+    /// Invalid entries of the last list.
     pub bad_entries: usize,
     /// Lists that were accepted.
     #[serde(rename = "taken")]
     pub accepted_answers: u64,
-    /// Answers that showed by their index alone that the list had not changed.
+    /// Responses that showed by their index alone that the list had not changed.
     #[serde(rename = "unchanged")]
     pub unchanged_answers: u64,
     /// Lists that were rejected.
@@ -103,12 +103,12 @@
     /// The index on which the next read of the host list blocks; 0 before the first.
     blocking_index: u64,
     index_watch: IndexWatch,
-    /// Whether the query of the list that is in flight asks for nothing but the index.
+    /// Whether the list query in flight reads only the index.
     is_index_only: bool,
-    /// How long a response about the list may take, the wait of a blocking query not counted.
+    /// Timeout of list queries, not counting the wait of a blocking query.
     list_timeout: Micros,
-    confidence: Confidence,
-    /// Responses that wait to be read, one of each kind at most.
+    list_validator: ListValidator,
+    /// Responses waiting to be read, at most one of each kind.
     unread_responses: VecDeque<PendingResponse>,
     active_read: Option<ActiveRead>,
     last_host_rows: HostRows,
@@ -116,7 +116,7 @@
     hosts: PublishedHosts,
     /// None if placers have no slots.
     slots: Option<Slots>,
-    /// The list that waits to be confirmed.
+    /// The list that is waiting for confirmation.
     unconfirmed_list: Option<HostList>,
     has_list: bool,
     last_answer_at: Option<Micros>,
@@ -124,19 +124,18 @@
     report: CatalogueReport,
 }
 
-/// A successful read is followed by the next no sooner than this, so that a storm of changes is read in steps.
+/// Minimum time between a successful read and the next one, so that a burst of changes is read in batches.
 const MIN_READ_INTERVAL: Micros = 30_000;
-/// How long to wait for calls that do not block.
+/// Timeout of calls that do not block.
 const SHORT_CALL_TIMEOUT: Micros = 2_000_000;
-/// A response about the list that is this late is still of use, if `rules.ask_within_ms` leaves as much time.
-const MAX_LIST_LATENESS: Micros = 6_000_000;
-/// What remains of `rules.ask_within_ms` when a late response is given up.
-const LIST_LATENESS_MARGIN: Micros = 500_000;
-/// Microseconds in a millisecond.
+/// Maximum timeout of list queries: a response this late is still useful, if `rules.ask_within_ms` leaves as much time.
+const MAX_LIST_TIMEOUT: Micros = 6_000_000;
+/// Time left of `rules.ask_within_ms` when a list query times out.
+const LIST_TIMEOUT_MARGIN: Micros = 500_000;
 const MICROS_PER_MS: Micros = 1000;
 
 impl ConsulSource {
-    /// A source by a placer's settings. `seed` is that of all its random numbers.
+    /// Creates a source from a placer's settings. `seed` is the seed of all its random numbers.
     pub fn new(
         placer: &PlacerConfig,
         consul: &ConsulSettings,
@@ -145,7 +144,7 @@
     ) -> ConsulSource {
         let max_hosts = placer.hosts.max_hosts;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        // Placers begin at different servers, so that none gets all of them.
+        // Placers start with different servers, so that no server gets all of them.
         let first_server = rng.next_u64() as usize % consul.servers.len();
         let slots = consul
             .membership
@@ -174,7 +173,7 @@
             index_watch: IndexWatch::new(consul.watch),
             is_index_only: false,
             list_timeout: list_timeout(placer, consul),
-            confidence: Confidence::new(consul.datacentre.clone()),
+            list_validator: ListValidator::new(consul.datacentre.clone()),
             unread_responses: VecDeque::new(),
             active_read: None,
             last_host_rows: HostRows::default(),
@@ -190,7 +189,7 @@
         }
     }
 
-    /// Sets the name and address under which the placer serves its API. It registers itself if it has slots.
+    /// Sets the placer's name and the address of its API. The placer registers itself under them if placers have slots.
     pub fn set_registration(&mut self, name: &str, address: SocketAddr) {
         if let Some(slots) = &mut self.slots {
             slots.set_registration(name, address);
@@ -199,16 +198,16 @@
         }
     }
 
-    /// Whether a list was accepted.
+    /// Whether a list has been accepted.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// What is known and how old it is.
+    /// Contents and age of the catalogue.
     pub fn report(&self, now: Micros) -> CatalogueReport {
         CatalogueReport {
             age_ms: self.age_ms(now),
-            highest_index: self.confidence.highest_index(),
+            highest_index: self.list_validator.highest_index(),
             listed_hosts: self.hosts.len(),
             damped_hosts: self.hosts.held_count(),
             slot: self.slots.as_ref().and_then(Slots::current),
@@ -222,17 +221,17 @@
             .map(|at| now.saturating_sub(at) / MICROS_PER_MS)
     }
 
-    /// What the caller is to do since the last call.
+    /// Takes the outputs since the last call.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         self.calls.take_outputs()
     }
 
-    /// What has changed since the last call.
+    /// Takes the updates since the last call.
     pub fn take_updates(&mut self) -> Vec<Update> {
         std::mem::take(&mut self.updates)
     }
 
-    /// When [`ConsulSource::tick`] is to be called at the latest.
+    /// The latest time at which [`ConsulSource::tick`] must be called.
     pub fn next_timeout(&self, now: Micros) -> Option<Micros> {
         let slots = self.slots.as_ref();
         [
@@ -241,23 +240,23 @@
             slots.and_then(|slots| slots.next_due(now)),
             slots.and_then(|slots| slots.expiry(now)),
             self.hosts.next_release(),
-            self.confidence.confirmation_deadline(),
+            self.list_validator.confirmation_deadline(),
         ]
         .into_iter()
         .flatten()
         .min()
     }
 
-    /// Does what is due.
+    /// Does everything that is due.
     pub fn tick(&mut self, now: Micros) {
         self.refresh_slot(now);
         if self
-            .confidence
+            .list_validator
             .confirmation_deadline()
             .is_some_and(|deadline| deadline <= now)
             && let Some(list) = self.unconfirmed_list.take()
         {
-            // No leader has contradicted the loss in time, so it counts: rule 3 wins.
+            // No leader has contradicted the loss in time, so it is accepted: rule 3 has precedence.
             self.accept_list(now, list);
         }
         self.process_lists(now);
@@ -313,7 +312,7 @@
         self.calls.start(kind, request, timeout);
     }
 
-    /// The next read of the host list, and how long its response may take.
+    /// The request of the next read of the host list, and its timeout.
     fn health_request(&mut self, now: Micros) -> (Vec<u8>, Micros) {
         let next_read = if self.blocking_index > 0 {
             self.index_watch.next_read(now)
@@ -322,7 +321,7 @@
         };
         self.is_index_only = next_read == NextRead::IndexOnly;
         let configured = self.config.filter.as_deref();
-        let nothing = self.is_index_only.then(|| match_nothing_filter(configured));
+        let index_only_filter = self.is_index_only.then(|| match_nothing_filter(configured));
         let consistency = match self.config.consistency {
             ReadConsistency::Default => Consistency::Default,
             ReadConsistency::Stale => Consistency::Stale,
@@ -331,7 +330,7 @@
         let mut target = self.requests.health(
             &self.config.service,
             consistency,
-            nothing.as_deref().or(configured),
+            index_only_filter.as_deref().or(configured),
         );
         let mut timeout = self.list_timeout;
         if next_read != NextRead::Full {
@@ -344,7 +343,7 @@
         (self.requests.get(&target), timeout)
     }
 
-    /// Takes in the response to a call.
+    /// Processes the response to a call.
     pub fn handle_response(&mut self, now: Micros, call: CallId, message: Message) {
         let Some(kind) = self.calls.finish(call) else {
             return;
@@ -371,7 +370,7 @@
                 self.handle_index_response(now, meta);
             }
             QueryKind::Health | QueryKind::Confirm | QueryKind::Members => {
-                // The next one is requested when this one has been read.
+                // The next query is sent when this response has been read.
                 self.calls.schedule(kind, Micros::MAX);
                 self.unread_responses.push_back(PendingResponse {
                     kind,
@@ -390,7 +389,7 @@
         self.calls.record_success(kind);
     }
 
-    /// Takes in that a call got no response, or one that is not HTTP.
+    /// Records that a call got no response, or one that is not HTTP.
     pub fn handle_failure(&mut self, now: Micros, call: CallId, reason: &str) {
         let Some(kind) = self.calls.finish(call) else {
             return;
@@ -413,7 +412,7 @@
             tracing::warn!(%server, reason = %failure, age_ms = self.age_ms(now), "{kind} query failed");
         }
         if kind == QueryKind::PassCheck && failure.is_unknown_check() {
-            // A restarted agent does not know the check: the placer registers anew.
+            // A restarted agent does not have the check any more, so the placer registers again.
             self.calls.replace(kind, QueryKind::Register, now);
         } else {
             self.calls.fail_over(kind);
@@ -421,16 +420,16 @@
     }
 }
 
-/// How long a server may let a blocking query wait, in the unit given: it adds up to a sixteenth.
+/// How long a server may delay a blocking query, in the unit of `wait`: it adds up to a sixteenth.
 fn longest_blocking_wait(wait: u64) -> u64 {
     wait + wait / 16
 }
 
-/// How late a response about the list may be, so that the list is never older than the rules allow.
+/// The timeout of list queries that keeps the list from becoming older than the rules allow.
 fn list_timeout(placer: &PlacerConfig, consul: &ConsulSettings) -> Micros {
     let longest_wait = longest_blocking_wait(consul.max_wait_ms * MICROS_PER_MS);
     let max_age = placer.rules.max_poll_interval_ms * MICROS_PER_MS;
     max_age
-        .saturating_sub(longest_wait + LIST_LATENESS_MARGIN)
-        .clamp(SHORT_CALL_TIMEOUT, MAX_LIST_LATENESS)
+        .saturating_sub(longest_wait + LIST_TIMEOUT_MARGIN)
+        .clamp(SHORT_CALL_TIMEOUT, MAX_LIST_TIMEOUT)
 }
--- a/crates/consul/src/source/calls.rs
+++ b/crates/consul/src/source/calls.rs
@@ -1,4 +1,4 @@
-//! The calls in flight, and when each repeated query is made next and to which server.
+//! The calls in flight, and the schedule and server of each repeated query.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -18,7 +18,7 @@
     Confirm,
     /// Read the members of the gossip pool.
     Members,
-    /// Whatever the lease of the slot needs next.
+    /// The next request of the slot lease.
     Lease,
     /// Register the placer as a service.
     Register,
@@ -40,11 +40,11 @@
     }
 }
 
-/// A query that is made again and again.
+/// A query that is repeated.
 #[derive(Debug, Default)]
 struct RepeatedQuery {
     in_flight: Option<CallId>,
-    /// When it is made next, unless it is in flight.
+    /// When it is sent next, unless it is in flight.
     next_at: Micros,
     backoff: Backoff,
     /// The server that gets it, by its position in the settings.
@@ -70,7 +70,7 @@
 }
 
 impl Calls {
-    /// No calls yet, to any of so many servers.
+    /// Creates an empty set of calls to `server_count` servers.
     pub(super) fn new(server_count: usize) -> Calls {
         Calls {
             server_count,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Adds a query that is made first at this time, or resets it.
+    /// Adds a query that is first sent at this time, or resets it.
     pub(super) fn add(&mut self, kind: QueryKind, server: usize, next_at: Micros) {
         let query = RepeatedQuery {
             server,
@@ -91,7 +91,7 @@
         self.queries.insert(kind, query);
     }
 
-    /// Makes another query in place of this one, at the same server.
+    /// Replaces a query by another one to the same server.
     pub(super) fn replace(&mut self, kind: QueryKind, by: QueryKind, next_at: Micros) {
         let server = self.server(kind);
         self.queries.remove(&kind);
@@ -103,14 +103,14 @@
         self.queries.get(&kind).map_or(0, |query| query.server)
     }
 
-    /// Whether a query is to be made now.
+    /// Whether a query is to be sent now.
     pub(super) fn is_due(&self, kind: QueryKind, now: Micros) -> bool {
         self.queries
             .get(&kind)
             .is_some_and(|query| query.in_flight.is_none() && query.next_at <= now)
     }
 
-    /// When the next query is to be made; those of the lease have their own time.
+    /// When the next query is to be sent; the lease has a schedule of its own.
     pub(super) fn next_due(&self) -> Option<Micros> {
         self.queries
             .iter()
@@ -133,13 +133,13 @@
         call
     }
 
-    /// Sends a request that counts as the query in flight of its kind.
+    /// Sends a request as the query in flight of its kind.
     pub(super) fn start(&mut self, kind: QueryKind, request: Vec<u8>, timeout: Micros) {
         let call = self.send(kind, request, timeout);
         self.queries.entry(kind).or_default().in_flight = Some(call);
     }
 
-    /// Ends a call, and returns what it was for.
+    /// Removes a call, and returns what it was for.
     pub(super) fn finish(&mut self, call: CallId) -> Option<QueryKind> {
         self.pending.remove(&call)
     }
@@ -151,14 +151,14 @@
             .is_some_and(|query| query.in_flight == Some(call))
     }
 
-    /// The query in flight of this kind has its response.
+    /// Records that the query in flight of this kind was answered.
     pub(super) fn clear_in_flight(&mut self, kind: QueryKind) {
         if let Some(query) = self.queries.get_mut(&kind) {
             query.in_flight = None;
         }
     }
 
-    /// Makes a query next at this time.
+    /// Schedules a query for this time.
     pub(super) fn schedule(&mut self, kind: QueryKind, at: Micros) {
         if let Some(query) = self.queries.get_mut(&kind) {
             query.next_at = at;
@@ -178,14 +178,14 @@
         true
     }
 
-    /// Ends the backoff of a query.
+    /// Resets the backoff of a query.
     pub(super) fn record_success(&mut self, kind: QueryKind) {
         if let Some(query) = self.queries.get_mut(&kind) {
             query.backoff.reset();
         }
     }
 
-    /// Makes a query again after a backoff. None if there is no such query.
+    /// Schedules a failed query again after a backoff. Returns none if there is no such query.
     pub(super) fn record_failure(
         &mut self,
         kind: QueryKind,
@@ -195,7 +195,7 @@
         let query = self.queries.get_mut(&kind)?;
         query.in_flight = None;
         let is_first = query.backoff.failures() == 0;
-        query.next_at = now + query.backoff.next_wait(rng);
+        query.next_at = now + query.backoff.next_delay(rng);
         Some(FailedQuery {
             server: query.server,
             is_first,
@@ -210,7 +210,7 @@
         }
     }
 
-    /// What the caller is to send.
+    /// Takes the calls that the caller is to send.
     pub(super) fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
--- a/crates/consul/src/source/failure.rs
+++ b/crates/consul/src/source/failure.rs
@@ -2,7 +2,7 @@
 
 use crate::json_rows::RowError;
 
-/// The most bytes of a response's body that are kept to explain a failure.
+/// Bytes of a response's body that are kept to explain a failure.
 const MAX_EXPLANATION_BYTES: usize = 120;
 
 /// Why a call failed.
@@ -14,13 +14,13 @@
     /// No response, or one that is not HTTP.
     #[error("{0}")]
     NoResponse(String),
-    /// A body that is no list.
+    /// A body that is not a valid list.
     #[error(transparent)]
     List(#[from] RowError),
 }
 
 impl CallFailure {
-    /// A response with this status and body.
+    /// The failure of a response with this status and body.
     pub(super) fn status(status: u16, body: &[u8]) -> CallFailure {
         let start = &body[..body.len().min(MAX_EXPLANATION_BYTES)];
         CallFailure::Status {
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Whether an agent says that it does not know a check.
+    /// Whether an agent responded that it has no such check.
     pub(super) fn is_unknown_check(&self) -> bool {
         match self {
-            // The message begins with a capital or a small letter, by the version of the agent.
+            // Whether the message begins with a capital letter depends on the version of the agent.
             CallFailure::Status {
                 status,
                 explanation,
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -1,7 +1,7 @@
-//! Reading lists of hosts and members in steps, and deciding what they change.
+//! Reads lists of hosts and members in steps, and applies their changes.
 //!
-//! A turn of the caller does a bounded amount of work on them, so that a long list, or one in which everything has
-//! changed, never holds up decisions. Hosts that got worse are published first.
+//! Each tick does a bounded amount of this work, so that a long list, or one in which everything has changed, never
+//! delays decisions. Hosts whose state got worse are published first.
 
 use maplethread_config::ReadConsistency;
 use rand_pcg::rand_core::Rng;
@@ -12,23 +12,23 @@
     HostList, HostListReader, ListDifferences, ListFormat, ListReader, MemberFormat,
     MemberListReader,
 };
-use crate::confidence::{Assessment, HostLoss, RejectionReason};
 use crate::json_rows::{RowError, Rows, STEP_BUDGET};
+use crate::list_validator::{Assessment, HostLoss, RejectionReason};
 use crate::response::{ResponseMeta, next_blocking_index};
 
-/// What publishing one host costs, in the units of [`STEP_BUDGET`], the placer's part included.
+/// Cost of publishing one host, in the units of [`STEP_BUDGET`], including the placer's work on the update.
 const HOST_UPDATE_COST: usize = 20;
-/// Invalid entries that are logged one by one.
+/// Invalid entries of a list that are logged individually.
 const MAX_LOGGED_ENTRIES: usize = 5;
 
-/// A response that waits to be read.
+/// A response waiting to be read.
 pub(super) struct PendingResponse {
     pub(super) kind: QueryKind,
     pub(super) meta: ResponseMeta,
     pub(super) body: Vec<u8>,
 }
 
-/// Which read of the host list a list comes from.
+/// The read that returned a host list.
 #[derive(Clone, Copy)]
 pub(super) struct HostRead {
     kind: QueryKind,
@@ -38,12 +38,12 @@
 /// The list that is being read.
 pub(super) enum ActiveRead {
     Hosts(HostRead, HostListReader),
-    /// A list that is complete and waits to be assessed.
+    /// A complete list waiting to be assessed.
     HostsComplete(HostRead, HostList),
     Members(MemberListReader),
 }
 
-/// A reader after a step.
+/// The result of a reader's step.
 enum Progress<F: ListFormat> {
     Incomplete(ListReader<F>),
     Complete(Result<F::List, RowError>, Rows<F::Row>),
@@ -60,22 +60,22 @@
 }
 
 impl ConsulSource {
-    /// Whether responses wait to be read, or changes to be published.
+    /// Whether responses are waiting to be read, or changes to be published.
     pub fn has_pending_work(&self) -> bool {
         self.active_read.is_some()
             || !self.unread_responses.is_empty()
             || self.hosts.unpublished_count() > 0
     }
 
-    /// Reads and publishes all that waits, however long it takes: for a caller that was paused, and must not decide
-    /// by what was true before.
+    /// Reads and publishes everything that is waiting, however long it takes: for a caller that was paused and must not
+    /// decide on outdated data.
     pub fn catch_up(&mut self, now: Micros) {
         while self.has_pending_work() {
             self.process_lists(now);
         }
     }
 
-    /// Does one turn's work on lists.
+    /// Reads and publishes within the budget of one step.
     pub(super) fn process_lists(&mut self, now: Micros) {
         let mut budget = STEP_BUDGET;
         while budget > 0 && self.has_pending_work() {
@@ -102,7 +102,7 @@
         let max_hosts = self.known_names.max_entries;
         self.active_read = Some(if kind == QueryKind::Members {
             let previous = std::mem::take(&mut self.last_member_rows);
-            // The pool has more members than there are hosts: servers, and nodes of other services.
+            // The pool has more members than hosts: servers, and nodes of other services.
             ActiveRead::Members(MemberListReader::new(body, previous, max_hosts * 4))
         } else {
             let previous = std::mem::take(&mut self.last_host_rows);
@@ -127,7 +127,7 @@
                     }
                 }
             },
-            // Comparing with the accepted list and dropping that costs about as much as reading the same rows again.
+            // Comparing with the accepted list and freeing that costs about as much as reading the same rows again.
             ActiveRead::HostsComplete(read, list)
                 if *budget < list.entries.len().min(STEP_BUDGET) =>
             {
@@ -161,11 +161,11 @@
         }
     }
 
-    /// Takes in the answer to a read of the index. Any other index is news, whichever way it went.
+    /// Processes the response to a read of the index. A different index counts as a change, whether higher or lower.
     pub(super) fn handle_index_response(&mut self, now: Micros, meta: ResponseMeta) {
-        let has_moved = meta.index != self.blocking_index;
-        self.index_watch.record_index(has_moved);
-        if has_moved {
+        let has_changed = meta.index != self.blocking_index;
+        self.index_watch.record_index(has_changed);
+        if has_changed {
             self.calls.schedule(QueryKind::Health, now);
         } else {
             self.last_answer_at = Some(now);
@@ -190,7 +190,7 @@
             missing: differences.removed_count,
         };
         match self
-            .confidence
+            .list_validator
             .assess(now, read.meta, is_consistent, &list, loss)
         {
             Assessment::Accept => self.accept_list(now, list),
@@ -198,7 +198,7 @@
                 tracing::warn!(
                     listed = list.entries.len(),
                     have = self.hosts.len(),
-                    "a great loss; asking a leader"
+                    "large loss of hosts; waiting for confirmation by a leader"
                 );
                 self.hosts.apply_degradations(&list);
                 self.unconfirmed_list = Some(list);
@@ -215,16 +215,16 @@
         list: &HostList,
         differences: &ListDifferences,
     ) {
-        // A full list in answer to a read of the index: the server ignores the filter.
+        // A full list in response to a read of the index: the server ignores the filter.
         if std::mem::take(&mut self.is_index_only) {
             self.index_watch.disable();
         }
         let is_unannounced = meta.index == self.blocking_index
             && list.invalid_entries.is_empty()
             && !differences.is_empty();
-        let drawn = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
+        let jitter = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         self.index_watch
-            .record_full_read(now, is_unannounced, drawn);
+            .record_full_read(now, is_unannounced, jitter);
         self.blocking_index = next_blocking_index(self.blocking_index, meta.index);
         self.calls
             .schedule(QueryKind::Health, now + MIN_READ_INTERVAL);
@@ -248,11 +248,11 @@
         tracing::debug!(
             %reason,
             index = read.meta.index,
-            highest = self.confidence.highest_index(),
-            "answer not taken"
+            highest = self.list_validator.highest_index(),
+            "catalogue list rejected"
         );
         if read.kind == QueryKind::Health {
-            // Another server is asked, without blocking; and a leader, in case the index went back everywhere.
+            // Reads from another server without blocking, and from a leader in case the index went back everywhere.
             self.calls.fail_over(read.kind);
             self.blocking_index = 0;
             self.calls.schedule(read.kind, now + 4 * MIN_READ_INTERVAL);
@@ -270,14 +270,14 @@
         }
     }
 
-    /// Makes a list the one that counts.
+    /// Accepts a list as the current one.
     pub(super) fn accept_list(&mut self, now: Micros, list: HostList) {
         self.unconfirmed_list = None;
         self.report.accepted_answers += 1;
         self.last_answer_at = Some(now);
         self.hosts.apply_list(list);
         if !std::mem::replace(&mut self.has_list, true) {
-            // The first list is published as a whole, also if it is empty.
+            // The first list is published as a whole, even if it is empty.
             let changed = self.hosts.publish_next(now, usize::MAX);
             self.push_hosts(changed);
             if self.hosts.len() == 0 {
--- a/crates/consul/src/source/published.rs
+++ b/crates/consul/src/source/published.rs
@@ -1,4 +1,4 @@
-//! The hosts as the placer is given them: the accepted list, made worse by the gossip pool and by flap damping.
+//! The hosts as published to the placer: the accepted list, with states degraded by the gossip pool and flap damping.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,26 +10,26 @@
 use crate::catalogue::{EntriesByHost, HostList, ListDifferences, MemberStatus, UnhealthyMembers};
 
 /// How long [`DampingMode::Hold`] holds back a host that is ready again.
-const FIXED_HOLD: Micros = 3_000_000;
+const FIXED_HOLD_DURATION: Micros = 3_000_000;
 
-/// The accepted list, and what the placer was given of it.
+/// The accepted list, and what was published of it to the placer.
 pub(super) struct PublishedHosts {
     entries: EntriesByHost,
     members: UnhealthyMembers,
-    /// Hosts as the placer last got them.
+    /// Hosts as last published to the placer.
     published: BTreeMap<String, HostEntry>,
     damping: FlapDamping<String>,
-    /// Hosts whose change the placer did not get yet, those that got worse first.
+    /// Hosts with unpublished changes, those whose state got worse first.
     unpublished: VecDeque<String>,
 }
 
 impl PublishedHosts {
-    /// No hosts yet.
+    /// Creates an empty list.
     pub(super) fn new(mode: DampingMode, max_hosts: usize, seed: u64) -> PublishedHosts {
         let policy = match mode {
             DampingMode::Penalty => DampingPolicy::Penalty,
             DampingMode::Off => DampingPolicy::Off,
-            DampingMode::Hold => DampingPolicy::Hold(FIXED_HOLD),
+            DampingMode::Hold => DampingPolicy::Hold(FIXED_HOLD_DURATION),
         };
         PublishedHosts {
             entries: EntriesByHost::new(),
@@ -40,22 +40,22 @@
         }
     }
 
-    /// How many hosts are listed.
+    /// Number of listed hosts.
     pub(super) fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// How many hosts are ready again and held back.
+    /// Number of hosts that are ready again but held back by damping.
     pub(super) fn held_count(&self) -> usize {
         self.damping.held_count()
     }
 
-    /// When the next host that is held back counts as ready.
+    /// When the next host that is held back is released.
     pub(super) fn next_release(&self) -> Option<Micros> {
         self.damping.next_release()
     }
 
-    /// How many hosts have changes that are not published yet.
+    /// Number of hosts with unpublished changes.
     pub(super) fn unpublished_count(&self) -> usize {
         self.unpublished.len()
     }
@@ -65,7 +65,7 @@
         ListDifferences::between(&self.entries, &list.entries)
     }
 
-    /// Takes the members that are not alive.
+    /// Applies a list of the members that are not alive.
     pub(super) fn apply_members(&mut self, members: UnhealthyMembers) {
         if members == self.members {
             return;
@@ -80,29 +80,29 @@
         self.members = members;
     }
 
-    /// Takes from a list that is not accepted yet only the hosts that it names as not ready.
+    /// Applies, of a list that is not accepted yet, only the hosts that it names as not ready.
     pub(super) fn apply_degradations(&mut self, list: &HostList) {
         for (name, entry) in &list.entries {
             if entry.host.state != HostState::Ready
-                && let Some(have) = self.entries.get_mut(name)
+                && let Some(current) = self.entries.get_mut(name)
             {
-                let have = Arc::make_mut(have);
-                have.host.state = entry.host.state;
-                have.status = entry.status;
+                let current = Arc::make_mut(current);
+                current.host.state = entry.host.state;
+                current.status = entry.status;
                 self.unpublished.push_back(name.clone());
             }
         }
     }
 
-    /// Takes an accepted list.
+    /// Applies an accepted list.
     pub(super) fn apply_list(&mut self, list: HostList) {
         let mut entries = list.entries;
-        // An entry that can't be used any more does not lose its host, but nothing new goes there.
+        // A host whose entry has become invalid is kept, but drained.
         for invalid in &list.invalid_entries {
-            if let Some(have) = self.entries.get(&invalid.name)
+            if let Some(current) = self.entries.get(&invalid.name)
                 && !entries.contains_key(&invalid.name)
             {
-                let mut kept = have.clone();
+                let mut kept = current.clone();
                 Arc::make_mut(&mut kept).host.state = HostState::Draining;
                 entries.insert(invalid.name.clone(), kept);
             }
@@ -113,14 +113,14 @@
         self.unpublished.extend(differences.other);
     }
 
-    /// Publishes the changes of at most so many hosts; returns those that now count as something else.
+    /// Publishes the changes of at most `max_hosts` hosts, and returns those that differ from what was last published.
     pub(super) fn publish_next(&mut self, now: Micros, max_hosts: usize) -> Vec<HostEntry> {
         let count = self.unpublished.len().min(max_hosts);
         let names: Vec<String> = self.unpublished.drain(..count).collect();
         self.publish(now, names)
     }
 
-    /// Publishes the hosts whose hold is over.
+    /// Publishes the hosts whose hold has ended.
     pub(super) fn publish_released(&mut self, now: Micros) -> Vec<HostEntry> {
         let released = self.damping.release_due(now);
         self.publish(now, released)
@@ -133,7 +133,7 @@
             .collect()
     }
 
-    /// The host as it now counts, if that differs from what the placer last got.
+    /// The host in its current state, if that differs from what was last published.
     fn refresh(&mut self, now: Micros, name: String) -> Option<HostEntry> {
         let Some(entry) = self.entries.get(&name) else {
             self.damping.observe(now, &name, false);
@@ -149,8 +149,8 @@
             .map_or(HostState::Ready, |member: &MemberStatus| {
                 member.host_state()
             });
-        let is_good = entry.host.state == HostState::Ready && member_state == HostState::Ready;
-        let state = if self.damping.observe(now, &name, is_good) {
+        let is_ready = entry.host.state == HostState::Ready && member_state == HostState::Ready;
+        let state = if self.damping.observe(now, &name, is_ready) {
             HostState::Ready
         } else {
             HostState::Draining
--- a/crates/consul/src/source/requests.rs
+++ b/crates/consul/src/source/requests.rs
@@ -1,8 +1,8 @@
-//! Requests with what all of them share.
+//! Builds requests with their common headers and parameters.
 
 use crate::request::{Consistency, RequestTarget, percent_encode};
 
-/// Builds requests with the source's name, token and datacentre.
+/// Builds requests with the source's user agent, token and datacentre.
 pub(super) struct RequestBuilder {
     pub(super) user_agent: String,
     pub(super) token: Option<String>,
@@ -27,12 +27,12 @@
             .with_consistency(consistency)
     }
 
-    /// A read.
+    /// A GET request.
     pub(super) fn get(&self, target: &RequestTarget) -> Vec<u8> {
         target.to_request("GET", &self.user_agent, self.token.as_deref(), b"")
     }
 
-    /// A write; the body may be empty.
+    /// A PUT request; the body may be empty.
     pub(super) fn put(&self, target: &RequestTarget, body: &str) -> Vec<u8> {
         target.to_request(
             "PUT",
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -1,4 +1,4 @@
-//! The placer's slot and its registration as a service: requests, and what the responses mean.
+//! The placer's slot and its registration as a service: builds the requests and interprets the responses.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,16 +17,16 @@
 pub(super) struct Slots {
     settings: SlotLeaseSettings,
     lease: SlotLease,
-    /// The request of the lease that is in flight.
+    /// The lease request that is in flight.
     request: Option<(CallId, LeaseRequest)>,
-    /// The slot as the placer last got it.
+    /// The slot as last passed to the placer.
     current: Option<u32>,
     /// The name and the API's address under which the placer registers.
     registration: Option<(String, SocketAddr)>,
 }
 
 impl Slots {
-    /// A placer that wants one of so many slots.
+    /// Creates the state of a placer that needs one of `slot_count` slots.
     pub(super) fn new(settings: &SlotLeaseSettings, slot_count: u32, seed: u64) -> Slots {
         Slots {
             settings: settings.clone(),
@@ -41,7 +41,7 @@
         self.registration = Some((name.to_owned(), address));
     }
 
-    /// The slot as the placer last got it.
+    /// The slot as last passed to the placer.
     pub(super) fn current(&self) -> Option<u32> {
         self.current
     }
@@ -51,24 +51,24 @@
         self.lease.are_all_slots_taken()
     }
 
-    /// When the lease has its next request at the latest.
+    /// The latest time of the next lease request.
     pub(super) fn next_due(&self, now: Micros) -> Option<Micros> {
         self.lease.next_due(now)
     }
 
-    /// When the slot is lost without a renewal.
+    /// When the slot expires if it is not renewed.
     pub(super) fn expiry(&self, now: Micros) -> Option<Micros> {
         self.lease
             .valid_until()
             .filter(|&until| until > now && self.current.is_some())
     }
 
-    /// How often the check of the registration is passed: a third of its TTL, so that two may fail.
+    /// The interval at which the check of the registration is passed: a third of its TTL, so that two calls may fail.
     pub(super) fn pass_check_interval(&self) -> Micros {
         self.settings.ttl_ms * MICROS_PER_MS / 3
     }
 
-    /// Registers the placer as a service with a check.
+    /// The request that registers the placer as a service with a check.
     pub(super) fn registration_request(&self, requests: &RequestBuilder) -> Option<Vec<u8>> {
         let (name, address) = self.registration.as_ref()?;
         let body = json!({
@@ -82,7 +82,7 @@
         Some(requests.put(&target, &body.to_string()))
     }
 
-    /// Passes the check of the registration.
+    /// The request that passes the check of the registration.
     pub(super) fn pass_check_request(&self, requests: &RequestBuilder) -> Option<Vec<u8>> {
         let (name, _) = self.registration.as_ref()?;
         let path = format!("/v1/agent/check/pass/service:{}", percent_encode(name));
@@ -96,7 +96,7 @@
                 let body = json!({
                     "Name": requests.user_agent, "TTL": format!("{}ms", self.settings.ttl_ms),
                     "LockDelay": format!("{}ms", self.settings.lock_delay_ms), "Behavior": "release",
-                    // A session of its own TTL only: the health of the node it is made on must not end it.
+                    // The session ends only by its TTL: the health of the node on which it is created must not end it.
                     "NodeChecks": [], "ServiceChecks": [],
                 });
                 requests.put(&requests.target("/v1/session/create"), &body.to_string())
@@ -121,7 +121,7 @@
         }
     }
 
-    /// What a response means to the request of the lease that is in flight.
+    /// Interprets a response to the lease request that is in flight.
     fn parse_response(&self, call: CallId, status: u16, body: &[u8]) -> LeaseResponse {
         let Some((_, request)) = self.request.as_ref().filter(|(sent, _)| *sent == call) else {
             return LeaseResponse::Failed;
@@ -133,7 +133,7 @@
                 .map(|id| LeaseResponse::SessionCreated(id.to_owned())),
             (LeaseRequest::RenewSession(_), 200) => Some(LeaseResponse::SessionRenewed),
             (LeaseRequest::RenewSession(_), 404) => Some(LeaseResponse::SessionGone),
-            // No key was ever locked.
+            // No key was locked yet.
             (LeaseRequest::ListSlots, 404) => Some(LeaseResponse::SlotsListed {
                 others: BTreeSet::new(),
                 own: None,
@@ -149,7 +149,7 @@
         response.unwrap_or(LeaseResponse::Failed)
     }
 
-    /// Which slots are held, by the sessions that lock their keys.
+    /// Determines which slots are held, by the sessions that lock their keys.
     fn parse_locked_slots(&self, keys: &[Value]) -> LeaseResponse {
         let own_session = self.lease.session();
         let (mut others, mut own) = (BTreeSet::new(), None);
@@ -172,8 +172,8 @@
 }
 
 impl ConsulSource {
-    /// Publishes the slot if it has changed. It is checked first in each turn, so that a slot that is lost by the own
-    /// clock is given up before anything else happens.
+    /// Publishes the slot if it has changed. It is checked first in each tick, so that a slot that has expired by the
+    /// placer's own clock is given up before anything else happens.
     pub(super) fn refresh_slot(&mut self, now: Micros) {
         let Some(slots) = &mut self.slots else { return };
         let slot = slots.lease.slot(now);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Sends the next request of the lease, if there is one.
+    /// Sends the next lease request, if there is one.
     pub(super) fn advance_lease(&mut self, now: Micros) {
         let Some(slots) = &mut self.slots else { return };
         let Some(request) = slots.lease.next_request(now) else {
@@ -195,7 +195,7 @@
         slots.request = Some((call, request));
     }
 
-    /// Takes in the response to a request of the lease.
+    /// Processes the response to a lease request.
     pub(super) fn handle_lease_response(
         &mut self,
         now: Micros,
@@ -211,7 +211,7 @@
         self.complete_lease_request(now, response);
     }
 
-    /// Gives the lease what its request came to, and sends the next one.
+    /// Passes the result of a request to the lease, and sends the next request.
     pub(super) fn complete_lease_request(&mut self, now: Micros, response: LeaseResponse) {
         if let Some(slots) = &mut self.slots {
             slots.request = None;
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -1,4 +1,5 @@
-//! Long lists through the whole source: taken in over many turns, bad news first, and nothing lost on the way.
+//! Long lists through the whole source: they are processed over many ticks, hosts whose state got worse are
+//! published first, and no change is lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -14,12 +15,12 @@
          [hosts]\n[consul]\nservers = [\"127.0.0.1:8500\"]\nwatch = false\n[rules]\ncold_from = 0.2\ncold_for_ms = 1\n\
          fall_multiple = 4.0\nfall_window_ms = 1\nfresh_offers = 1.0\n[[kind]]\nname = \"std\"\ncores = 1.0\n\
          memory_gib = 1.0\n[[class]]\nname = \"c\"\neffect = \"safe\"\naim_ms = 1\n";
-    let config = PlacerConfig::parse(Document { file: "test", text }).expect("settings");
-    let consul = config.consul.clone().expect("a catalogue");
+    let config = PlacerConfig::parse(Document { file: "test", text }).expect("valid settings");
+    let consul = config.consul.clone().expect("a `[consul]` section");
     ConsulSource::new(&config, &consul, None, 1)
 }
 
-/// A list of these hosts; those told as critical are.
+/// A health list of `hosts`, of which those selected by `critical` have a critical check.
 fn health_body(hosts: impl Iterator<Item = usize>, critical: impl Fn(usize) -> bool) -> String {
     let mut body = String::from("[");
     for n in hosts {
@@ -30,7 +31,7 @@
             r#"{comma}{{"Node":{{"Node":"node-{n}","Address":"127.0.0.1","Datacenter":"dc1"}},"Service":{{"ID":"host-{n:04}",
             "Port":7000,"Meta":{{"zone":"a","cell":"c","kind":"std"}}}},"Checks":[{{"CheckID":"c","Status":"{status}"}}]}}"#
         )
-        .expect("a string takes all");
+        .expect("writing to a string succeeds");
     }
     body + "]"
 }
@@ -46,7 +47,7 @@
     };
     match MessageReader::new(Role::Responses, limits)
         .read((head + body).as_bytes())
-        .expect("HTTP")
+        .expect("valid HTTP")
         .0
     {
         ReadResult::Message(message) => message,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Answers the query of the list that is out, and returns what each turn tells until all is told.
+/// Answers the list query in flight, and returns the updates of each tick until all are published.
 fn answer_health_query(
     source: &mut ConsulSource,
     now: u64,
@@ -72,20 +73,20 @@
             .collect::<Vec<_>>()
     };
     let [(call, _)] = &lists(source)[..] else {
-        panic!("one query of the list")
+        panic!("expected one list query")
     };
     source.handle_response(now, *call, health_response(body, index));
-    let mut turns = Vec::new();
+    let mut ticks = Vec::new();
     while source.has_pending_work() {
         assert_eq!(
             source.next_timeout(now),
             Some(now),
-            "it wants to go on at once"
+            "pending work is due at once"
         );
         source.tick(now);
         assert!(
             lists(source).is_empty(),
-            "asked again while the answer is still read"
+            "no list query while the response is being read"
         );
         let hosts = source
             .take_updates()
@@ -94,46 +95,51 @@
                 Update::Hosts(hosts) => hosts,
                 Update::Slot(slot) => panic!("{slot:?}"),
             });
-        turns.push(hosts.map(|h| (h.name, h.state)).collect());
+        ticks.push(hosts.map(|h| (h.name, h.state)).collect());
     }
-    turns
+    ticks
 }
 
 #[test]
-fn reads_long_list_over_many_turns_and_publishes_losses_first() {
+fn reads_long_list_over_many_ticks_and_publishes_degraded_hosts_first() {
     let mut source = source_from_test_settings();
-    let turns = answer_health_query(&mut source, 0, &health_body(0..HOSTS, |_| false), 5);
-    assert!(turns.len() > 10, "{} turns", turns.len());
-    let (first, last) = (&turns[..turns.len() - 1], &turns[turns.len() - 1]);
+    let ticks = answer_health_query(&mut source, 0, &health_body(0..HOSTS, |_| false), 5);
+    assert!(ticks.len() > 10, "{} ticks", ticks.len());
+    let (first, last) = (&ticks[..ticks.len() - 1], &ticks[ticks.len() - 1]);
     assert!(
         first.iter().all(Vec::is_empty) && last.len() == HOSTS,
-        "the first list is told as a whole"
+        "the first list is published as a whole"
     );
 
-    let turns = answer_health_query(&mut source, 1_000_000, &health_body(0..HOSTS, |_| false), 6);
+    let ticks = answer_health_query(&mut source, 1_000_000, &health_body(0..HOSTS, |_| false), 6);
     assert!(
-        turns.len() <= 5 && turns.iter().all(Vec::is_empty),
-        "unchanged: {} turns",
-        turns.len()
+        ticks.len() <= 5 && ticks.iter().all(Vec::is_empty),
+        "unchanged: {} ticks",
+        ticks.len()
     );
 
-    // A hundred are gone, every third one drains, and new ones come.
-    let now = health_body(100..HOSTS + 500, |n| n % 3 == 0 && n < HOSTS);
-    let turns = answer_health_query(&mut source, 2_000_000, &now, 7);
-    let most = turns.iter().map(Vec::len).max().expect("turns");
-    assert!(most <= 400, "{most} told in one turn");
-    let told: Vec<&(String, HostState)> = turns.iter().flatten().collect();
-    let ready = told
+    // A hundred hosts are removed, every third one drains, and new ones are added.
+    let body = health_body(100..HOSTS + 500, |n| n % 3 == 0 && n < HOSTS);
+    let ticks = answer_health_query(&mut source, 2_000_000, &body, 7);
+    let most = ticks.iter().map(Vec::len).max().expect("at least one tick");
+    assert!(most <= 400, "{most} updates in one tick");
+    let updates: Vec<&(String, HostState)> = ticks.iter().flatten().collect();
+    let ready = updates
         .iter()
         .position(|(_, state)| *state == HostState::Ready)
-        .expect("new ones");
+        .expect("new hosts are ready");
     assert!(
-        told[ready..]
+        updates[ready..]
             .iter()
             .all(|(_, state)| *state == HostState::Ready),
-        "bad news comes first"
+        "hosts whose state got worse are published first"
     );
-    let count = |wanted| told.iter().filter(|(_, state)| *state == wanted).count();
+    let count = |expected_state| {
+        updates
+            .iter()
+            .filter(|(_, state)| *state == expected_state)
+            .count()
+    };
     let draining = (100..HOSTS).filter(|n| n % 3 == 0).count();
     assert_eq!(
         (count(HostState::Gone), count(HostState::Draining)),
@@ -153,7 +159,7 @@
         .map(|Output::Call { call, request, .. }| (call, request));
     let (call, _) = calls
         .find(|(_, request)| request.starts_with(b"GET /v1/health"))
-        .expect("a query");
+        .expect("a list query");
     source.handle_response(
         1_000_000,
         call,
@@ -173,19 +179,19 @@
 }
 
 #[test]
-fn truncated_and_reordered_answers_end_in_the_same_list() {
+fn truncated_and_reordered_responses_lead_to_the_right_hosts() {
     let mut source = source_from_test_settings();
     let whole = health_body(0..HOSTS, |_| false);
     answer_health_query(&mut source, 0, &whole, 5);
-    // No list: nothing is told, and the next answer is compared with the last good one.
-    let turns = answer_health_query(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
-    assert!(turns.iter().all(Vec::is_empty));
+    // Not a list: nothing is published, and the next response is compared with the last valid list.
+    let ticks = answer_health_query(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
+    assert!(ticks.iter().all(Vec::is_empty));
     assert_eq!(source.report(1_000_000).failed_calls, 1);
     let mut state: BTreeMap<String, HostState> = (0..HOSTS)
         .map(|n| (format!("host-{n:04}"), HostState::Ready))
         .collect();
     let shuffled = (0..HOSTS).map(|n| n * 7 % HOSTS).filter(|n| n % 5 != 1);
-    for (name, told) in answer_health_query(
+    for (name, new_state) in answer_health_query(
         &mut source,
         5_000_000,
         &health_body(shuffled, |n| n % 5 == 2),
@@ -193,11 +199,11 @@
     )
     .concat()
     {
-        state.insert(name, told);
+        state.insert(name, new_state);
     }
-    let are = |wanted| state.values().filter(|s| **s == wanted).count();
-    assert_eq!(are(HostState::Gone), HOSTS / 5);
-    assert_eq!(are(HostState::Draining), HOSTS / 5);
+    let count = |expected_state| state.values().filter(|s| **s == expected_state).count();
+    assert_eq!(count(HostState::Gone), HOSTS / 5);
+    assert_eq!(count(HostState::Draining), HOSTS / 5);
     let names: BTreeSet<&String> = state.keys().collect();
     assert_eq!(names.len(), HOSTS);
 }
