--- a/crates/cli/tests/check_config.rs
+++ b/crates/cli/tests/check_config.rs
@@ -33,32 +33,32 @@
         (
             "number = 0 ",
             "number = 1 ",
-            ":5: placer.number: 1 is given; below placer.placers",
+            ":5: placer.number: got 1, expected a number below placer.placers",
         ),
         (
             "zone = \"hall-a\"",
             "zone = \"hall-x\"",
-            ":7: placer.zone: `hall-x` is given; one of placer.zones",
+            ":7: placer.zone: got `hall-x`, expected one of placer.zones",
         ),
         (
             "aim_ms = 1500",
             "aim_ms = 0",
-            ": class[1].aim_ms: 0 is given; at least 1",
+            ": class[1].aim_ms: got 0, expected at least 1",
         ),
         (
             "group = \"zone\"",
             "",
-            ": class[1].group: belongs to keyed classes",
+            ": class[1].group: required for keyed classes",
         ),
         (
             "cores = 16.0",
             "cores = -1.0",
-            ": kind[0].cores: -1 is given; above 0",
+            ": kind[0].cores: got -1, expected a number above 0",
         ),
         (
             "127.0.0.1:7400",
             "0.0.0.0:7400",
-            ": api.listen: 0.0.0.0:7400 is given; a loopback address",
+            ": api.listen: got 0.0.0.0:7400, expected a loopback address",
         ),
         ("[rules]", "[rules", ": "),
         ("cold_from = 0.2", "cold_from = \"x\"", ": "),
--- a/crates/config/src/checks.rs
+++ b/crates/config/src/checks.rs
@@ -1,4 +1,4 @@
-//! What a placer's settings have to be: each fault with its key, what was given and what is allowed.
+//! Validation of a placer's settings. Each error names the key, the given value and the allowed values.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -10,133 +10,149 @@
 use crate::placer::PlacerConfig;
 use crate::trace::TraceSettings;
 
-/// Collects faults.
-struct FaultCollector<'a> {
+/// Collects the errors of a settings file.
+struct ErrorCollector<'a> {
     doc: Document<'a>,
     errors: ConfigErrors,
 }
 
-impl FaultCollector<'_> {
-    /// A fault unless `fine`.
-    fn check(&mut self, fine: bool, key: &str, message: impl Into<String>) {
-        if !fine {
+impl ErrorCollector<'_> {
+    /// Adds an error unless `is_valid`.
+    fn check(&mut self, is_valid: bool, key: &str, message: impl Into<String>) {
+        if !is_valid {
             self.errors.0.push(self.doc.error(key, message));
         }
     }
 
-    /// A fault that names what was given, unless `fine`.
-    fn check_value(&mut self, fine: bool, key: &str, given: impl Display, allowed: impl Display) {
-        self.check(fine, key, format!("{given} is given; {allowed}"));
+    /// Adds an error that names the given value, unless `is_valid`.
+    fn check_value(
+        &mut self,
+        is_valid: bool,
+        key: &str,
+        given: impl Display,
+        allowed: impl Display,
+    ) {
+        self.check(is_valid, key, format!("got {given}, expected {allowed}"));
     }
 
-    fn check_min(&mut self, key: &str, given: u64, least: u64) {
-        self.check_value(given >= least, key, given, format_args!("at least {least}"));
+    fn check_min(&mut self, key: &str, given: u64, min: u64) {
+        self.check_value(given >= min, key, given, format_args!("at least {min}"));
     }
 
     fn check_positive(&mut self, key: &str, given: f64) {
-        self.check_value(given.is_finite() && given > 0.0, key, given, "above 0");
+        self.check_value(
+            given.is_finite() && given > 0.0,
+            key,
+            given,
+            "a number above 0",
+        );
     }
 
     fn check_not_negative(&mut self, key: &str, given: f64) {
-        self.check_value(given.is_finite() && given >= 0.0, key, given, "0 or above");
+        self.check_value(
+            given.is_finite() && given >= 0.0,
+            key,
+            given,
+            "a number of at least 0",
+        );
     }
 }
 
 impl PlacerConfig {
     pub(crate) fn validate(&self, doc: Document<'_>) -> Result<(), ConfigErrors> {
-        let mut faults = FaultCollector {
+        let mut collector = ErrorCollector {
             doc,
             errors: ConfigErrors(Vec::new()),
         };
-        self.check_identity(&mut faults);
-        self.check_limits(&mut faults);
+        self.check_identity(&mut collector);
+        self.check_limits(&mut collector);
         if let Some(trace) = &self.trace {
-            trace.faults(&mut faults);
+            trace.validate(&mut collector);
         }
         if let Some(consul) = &self.consul {
-            consul.faults(self.rules.max_poll_interval_ms, &mut faults);
+            consul.validate(self.rules.max_poll_interval_ms, &mut collector);
         }
         if let Some(fleet) = &self.fleet {
             let name = &self.identity.name;
-            faults.check_value(
+            collector.check_value(
                 name.len() <= 64,
                 "placer.name",
                 format_args!("`{name}`"),
-                "with [fleet] a name has at most 64 bytes",
+                "a name of at most 64 bytes, as [fleet] is set",
             );
             let zone = &self.identity.zone;
-            let allowed = "with [fleet] a zone has 1 to 32 bytes";
-            faults.check_value(
+            let allowed = "a zone of 1 to 32 bytes, as [fleet] is set";
+            collector.check_value(
                 (1..=32).contains(&zone.len()),
                 "placer.zone",
                 format_args!("`{zone}`"),
                 allowed,
             );
-            fleet.faults(&mut faults);
+            fleet.validate(&mut collector);
         }
-        self.check_numbers(&mut faults);
-        self.check_kinds(&mut faults);
-        faults.check(!self.classes.is_empty(), "class", "at least one is needed");
+        self.check_numbers(&mut collector);
+        self.check_kinds(&mut collector);
+        collector.check(!self.classes.is_empty(), "class", "expected at least one");
         for (i, class) in self.classes.iter().enumerate() {
-            self.check_class(i, class, &mut faults);
+            self.check_class(i, class, &mut collector);
         }
-        if faults.errors.0.is_empty() {
-            // What the module would refuse has been found above; this is its own word on it.
-            let sound = self.policy_settings().validate();
-            faults.check(
-                sound.is_ok(),
+        if collector.errors.0.is_empty() {
+            // The checks above cover what the decision module rejects; this is the module's own validation.
+            let result = self.policy_settings().validate();
+            collector.check(
+                result.is_ok(),
                 "",
-                sound.err().map(|e| e.to_string()).unwrap_or_default(),
+                result.err().map(|e| e.to_string()).unwrap_or_default(),
             );
         }
-        if faults.errors.0.is_empty() {
+        if collector.errors.0.is_empty() {
             Ok(())
         } else {
-            Err(faults.errors)
+            Err(collector.errors)
         }
     }
 
-    fn check_identity(&self, faults: &mut FaultCollector<'_>) {
-        let who = &self.identity;
-        let named = !who.name.is_empty() && who.name.len() <= 200;
-        faults.check_value(
-            named,
+    fn check_identity(&self, collector: &mut ErrorCollector<'_>) {
+        let identity = &self.identity;
+        let is_valid_name = !identity.name.is_empty() && identity.name.len() <= 200;
+        collector.check_value(
+            is_valid_name,
             "placer.name",
-            format_args!("`{}`", who.name),
-            "a name has 1 to 200 bytes",
+            format_args!("`{}`", identity.name),
+            "a name of 1 to 200 bytes",
         );
-        faults.check_min("placer.placers", who.replica_count.into(), 1);
-        let below = who.replica_index < who.replica_count;
-        faults.check_value(
-            below,
+        collector.check_min("placer.placers", identity.replica_count.into(), 1);
+        let is_below_count = identity.replica_index < identity.replica_count;
+        collector.check_value(
+            is_below_count,
             "placer.number",
-            who.replica_index,
-            "below placer.placers",
+            identity.replica_index,
+            "a number below placer.placers",
         );
-        faults.check(
-            !who.zones.is_empty(),
+        collector.check(
+            !identity.zones.is_empty(),
             "placer.zones",
-            "at least one is needed",
+            "expected at least one",
         );
-        let known = who.zones.contains(&who.zone);
-        faults.check_value(
-            known,
+        let is_known = identity.zones.contains(&identity.zone);
+        collector.check_value(
+            is_known,
             "placer.zone",
-            format_args!("`{}`", who.zone),
+            format_args!("`{}`", identity.zone),
             "one of placer.zones",
         );
     }
 
-    fn check_limits(&self, faults: &mut FaultCollector<'_>) {
+    fn check_limits(&self, collector: &mut ErrorCollector<'_>) {
         let (api, hosts) = (&self.api, &self.hosts);
-        let loopback = api.listen.ip().is_loopback();
-        faults.check_value(
-            loopback,
+        let is_loopback = api.listen.ip().is_loopback();
+        collector.check_value(
+            is_loopback,
             "api.listen",
             api.listen,
-            "a loopback address, as plain text is spoken on loopback addresses only",
+            "a loopback address, as connections are not encrypted",
         );
-        let least: [(&str, u64, u64); 17] = [
+        let minimums: [(&str, u64, u64); 17] = [
             ("api.max_clients", api.max_clients as u64, 1),
             ("api.max_asks", api.max_pending_requests as u64, 1),
             ("api.max_actors", api.max_actors as u64, 1),
@@ -167,184 +183,184 @@
                 1,
             ),
         ];
-        for (key, value, floor) in least {
-            faults.check_min(key, value, floor);
+        for (key, value, min) in minimums {
+            collector.check_min(key, value, min);
         }
-        let rising = hosts.max_reconnect_delay_ms >= hosts.min_reconnect_delay_ms;
-        let most = hosts.max_reconnect_delay_ms;
-        faults.check_value(
-            rising,
+        let is_not_below_first = hosts.max_reconnect_delay_ms >= hosts.min_reconnect_delay_ms;
+        let max_delay = hosts.max_reconnect_delay_ms;
+        collector.check_value(
+            is_not_below_first,
             "hosts.reconnect_most_ms",
-            most,
+            max_delay,
             "at least hosts.reconnect_first_ms",
         );
-        let longer = hosts.silence_timeout_ms > hosts.ping_interval_ms;
-        faults.check_value(
-            longer,
+        let is_above_ping_interval = hosts.silence_timeout_ms > hosts.ping_interval_ms;
+        collector.check_value(
+            is_above_ping_interval,
             "hosts.silent_after_ms",
             hosts.silence_timeout_ms,
-            "above hosts.ping_every_ms",
+            "a time above hosts.ping_every_ms",
         );
         let interval = hosts.max_idle_ping_interval_ms;
-        let allowed = "above hosts.ping_every_ms";
-        faults.check_value(
+        let allowed = "a time above hosts.ping_every_ms";
+        collector.check_value(
             interval > hosts.ping_interval_ms,
             "hosts.max_idle_ping_interval_ms",
             interval,
             allowed,
         );
-        let one = hosts.inventory.is_some() != self.consul.is_some();
-        faults.check(
-            one,
+        let has_one_source = hosts.inventory.is_some() != self.consul.is_some();
+        collector.check(
+            has_one_source,
             "hosts.inventory",
-            "either this or [consul] tells of the hosts",
+            "expected either this or [consul] as the source of hosts",
         );
     }
 
-    fn check_numbers(&self, faults: &mut FaultCollector<'_>) {
+    fn check_numbers(&self, collector: &mut ErrorCollector<'_>) {
         let (rules, prices, placing) = (&self.rules, &self.costs, &self.placement);
-        faults.check_positive("placing.admit_cores", placing.admit_cores);
-        faults.check_positive("placing.admit_memory", placing.admit_memory);
-        faults.check_not_negative("rules.cold_from", rules.initial_capacity_share);
-        faults.check_positive("rules.fall_multiple", rules.overload_multiple);
-        faults.check_not_negative("rules.fresh_offers", rules.warm_up_offers);
-        faults.check_not_negative("prices.refused", prices.rejection);
-        faults.check_not_negative("prices.cross_zone", prices.cross_zone);
-        faults.check_not_negative("prices.fleet", prices.hosts_in_use);
-        faults.check_not_negative("prices.moves", prices.migration);
+        collector.check_positive("placing.admit_cores", placing.admit_cores);
+        collector.check_positive("placing.admit_memory", placing.admit_memory);
+        collector.check_not_negative("rules.cold_from", rules.initial_capacity_share);
+        collector.check_positive("rules.fall_multiple", rules.overload_multiple);
+        collector.check_not_negative("rules.fresh_offers", rules.warm_up_offers);
+        collector.check_not_negative("prices.refused", prices.rejection);
+        collector.check_not_negative("prices.cross_zone", prices.cross_zone);
+        collector.check_not_negative("prices.fleet", prices.hosts_in_use);
+        collector.check_not_negative("prices.moves", prices.migration);
     }
 
-    fn check_kinds(&self, faults: &mut FaultCollector<'_>) {
-        faults.check(!self.kinds.is_empty(), "kind", "at least one is needed");
+    fn check_kinds(&self, collector: &mut ErrorCollector<'_>) {
+        collector.check(!self.kinds.is_empty(), "kind", "expected at least one");
         for (i, kind) in self.kinds.iter().enumerate() {
-            let twice = self.kinds[..i].iter().any(|k| k.name == kind.name);
-            faults.check(
-                !twice,
+            let is_duplicate = self.kinds[..i].iter().any(|k| k.name == kind.name);
+            collector.check(
+                !is_duplicate,
                 &format!("kind[{i}].name"),
-                format!("`{}` stands twice", kind.name),
+                format!("`{}` is defined twice", kind.name),
             );
-            faults.check_positive(&format!("kind[{i}].cores"), kind.cores);
-            faults.check_positive(&format!("kind[{i}].memory_gib"), kind.memory_gib);
+            collector.check_positive(&format!("kind[{i}].cores"), kind.cores);
+            collector.check_positive(&format!("kind[{i}].memory_gib"), kind.memory_gib);
         }
     }
 
-    fn check_class(&self, i: usize, class: &TaskClass, faults: &mut FaultCollector<'_>) {
+    fn check_class(&self, i: usize, class: &TaskClass, collector: &mut ErrorCollector<'_>) {
         let key = |field: &str| format!("class[{i}].{field}");
-        let twice = self.classes[..i].iter().any(|c| c.name == class.name);
-        faults.check(
-            !twice,
+        let is_duplicate = self.classes[..i].iter().any(|c| c.name == class.name);
+        collector.check(
+            !is_duplicate,
             &key("name"),
-            format!("`{}` stands twice", class.name),
+            format!("`{}` is defined twice", class.name),
         );
-        let keyed = class.retry_safety == RetrySafety::IdempotencyKey;
-        let belongs = "belongs to keyed classes, and to all of them";
-        faults.check(
-            class.deduplication_scope.is_some() == keyed,
+        let is_keyed = class.retry_safety == RetrySafety::IdempotencyKey;
+        let requirement = "required for keyed classes, and allowed only for them";
+        collector.check(
+            class.deduplication_scope.is_some() == is_keyed,
             &key("group"),
-            belongs,
+            requirement,
         );
-        faults.check(
-            class.deduplication_window_ms.is_some() == keyed,
+        collector.check(
+            class.deduplication_window_ms.is_some() == is_keyed,
             &key("window_ms"),
-            belongs,
+            requirement,
         );
-        faults.check_min(&key("aim_ms"), class.latency_objective_ms, 1);
-        faults.check_not_negative(&key("worth"), class.priority_weight);
-        faults.check_not_negative(&key("start_bonus_s"), class.start_bonus_s);
-        let both = class.spread_level.is_some() == class.max_per_domain.is_some();
-        faults.check(
-            both,
+        collector.check_min(&key("aim_ms"), class.latency_objective_ms, 1);
+        collector.check_not_negative(&key("worth"), class.priority_weight);
+        collector.check_not_negative(&key("start_bonus_s"), class.start_bonus_s);
+        let is_consistent = class.spread_level.is_some() == class.max_per_domain.is_some();
+        collector.check(
+            is_consistent,
             &key("spread_most"),
-            "spread_over and spread_most belong together",
+            "spread_over and spread_most must be set together",
         );
-        faults.check_min(
+        collector.check_min(
             &key("spread_most"),
             class.max_per_domain.unwrap_or(1).into(),
             1,
         );
         if let Some(kind) = &class.kind {
-            let known = self.kinds.iter().any(|k| &k.name == kind);
-            faults.check(known, &key("kind"), format!("unknown kind `{kind}`"));
+            let is_known = self.kinds.iter().any(|k| &k.name == kind);
+            collector.check(is_known, &key("kind"), format!("unknown kind `{kind}`"));
         }
     }
 }
 
 impl FleetSettings {
-    fn faults(&self, faults: &mut FaultCollector<'_>) {
-        let named = !self.name.is_empty() && self.name.len() <= 64;
-        faults.check_value(
-            named,
+    fn validate(&self, collector: &mut ErrorCollector<'_>) {
+        let is_valid_name = !self.name.is_empty() && self.name.len() <= 64;
+        collector.check_value(
+            is_valid_name,
             "fleet.name",
             format_args!("`{}`", self.name),
-            "a name has 1 to 64 bytes",
+            "a name of 1 to 64 bytes",
         );
-        faults.check(
+        collector.check(
             !self.key_file.as_os_str().is_empty(),
             "fleet.key_file",
-            "a file is needed",
+            "expected a file",
         );
-        let reached = |a: &SocketAddr| !a.ip().is_unspecified() && a.port() > 0;
+        let is_reachable = |a: &SocketAddr| !a.ip().is_unspecified() && a.port() > 0;
         match self.advertise {
             Some(to) => {
-                faults.check_value(
-                    reached(&to),
+                collector.check_value(
+                    is_reachable(&to),
                     "fleet.advertise",
                     to,
-                    "an address and port that others can send to",
+                    "an address and port that other members can send to",
                 );
             }
             None => {
-                let any = self.listen.ip().is_unspecified();
-                faults.check_value(
-                    !any,
+                let is_unspecified = self.listen.ip().is_unspecified();
+                collector.check_value(
+                    !is_unspecified,
                     "fleet.listen",
                     self.listen,
-                    "one address, or fleet.advertise beside it",
+                    "a specific address, or fleet.advertise set as well",
                 );
             }
         }
-        for seed in self.seeds.iter().filter(|s| !reached(s)) {
-            faults.check_value(
+        for seed in self.seeds.iter().filter(|s| !is_reachable(s)) {
+            collector.check_value(
                 false,
                 "fleet.seeds",
                 seed,
-                "addresses and ports that can be sent to",
+                "addresses and ports that this member can send to",
             );
         }
-        let many = self.seeds.len();
-        faults.check_value(
-            many <= 32,
+        let seed_count = self.seeds.len();
+        collector.check_value(
+            seed_count <= 32,
             "fleet.seeds",
-            format_args!("{many} seeds"),
+            format_args!("{seed_count} seeds"),
             "at most 32",
         );
-        faults.check_min("fleet.probe_every_ms", self.probe_interval_ms, 20);
-        let within = (1..self.probe_interval_ms).contains(&self.probe_timeout_ms);
+        collector.check_min("fleet.probe_every_ms", self.probe_interval_ms, 20);
+        let is_in_range = (1..self.probe_interval_ms).contains(&self.probe_timeout_ms);
         let allowed = "1 to less than fleet.probe_every_ms";
-        faults.check_value(
-            within,
+        collector.check_value(
+            is_in_range,
             "fleet.probe_within_ms",
             self.probe_timeout_ms,
             allowed,
         );
-        faults.check_value(
+        collector.check_value(
             (1..=16).contains(&self.indirect_probes),
             "fleet.helpers",
             self.indirect_probes,
             "1 to 16",
         );
-        faults.check_value(
+        collector.check_value(
             (1..=100).contains(&self.suspicion_multiplier),
             "fleet.suspicion",
             self.suspicion_multiplier,
             "1 to 100",
         );
-        faults.check_min("fleet.gossip_every_ms", self.gossip_interval_ms, 10);
-        faults.check_min("fleet.sync_every_ms", self.sync_interval_ms, 50);
-        faults.check_min("fleet.seek_every_ms", self.discovery_interval_ms, 50);
-        // Shorter, an answer of a life that is over could be sent again after it is forgotten.
-        faults.check_min("fleet.forget_after_s", self.retention_s, 15);
-        faults.check_value(
+        collector.check_min("fleet.gossip_every_ms", self.gossip_interval_ms, 10);
+        collector.check_min("fleet.sync_every_ms", self.sync_interval_ms, 50);
+        collector.check_min("fleet.seek_every_ms", self.discovery_interval_ms, 50);
+        // With a shorter time, a response of an earlier generation could be replayed after that generation is removed.
+        collector.check_min("fleet.forget_after_s", self.retention_s, 15);
+        collector.check_value(
             (2..=16_384).contains(&self.max_members),
             "fleet.max_members",
             self.max_members,
@@ -354,59 +370,59 @@
 }
 
 impl TraceSettings {
-    fn faults(&self, faults: &mut FaultCollector<'_>) {
-        faults.check(
+    fn validate(&self, collector: &mut ErrorCollector<'_>) {
+        collector.check(
             !self.folder.as_os_str().is_empty(),
             "trace.folder",
-            "a folder is needed",
+            "expected a folder",
         );
-        faults.check_min("trace.rotate_mib", self.rotate_mib, 1);
-        faults.check_min("trace.rotate_s", self.rotate_s, 1);
+        collector.check_min("trace.rotate_mib", self.rotate_mib, 1);
+        collector.check_min("trace.rotate_s", self.rotate_s, 1);
         let allowed = "at least trace.rotate_mib";
-        faults.check_value(
+        collector.check_value(
             self.keep_mib >= self.rotate_mib,
             "trace.keep_mib",
             self.keep_mib,
             allowed,
         );
-        faults.check_min("trace.queue_records", self.queue_records as u64, 64);
+        collector.check_min("trace.queue_records", self.queue_records as u64, 64);
     }
 }
 
 impl ConsulSettings {
-    fn faults(&self, ask_within_ms: u64, faults: &mut FaultCollector<'_>) {
-        faults.check(
+    fn validate(&self, ask_within_ms: u64, collector: &mut ErrorCollector<'_>) {
+        collector.check(
             !self.servers.is_empty(),
             "consul.servers",
-            "at least one is needed",
+            "expected at least one",
         );
         for server in self.servers.iter().filter(|s| !s.ip().is_loopback()) {
-            let allowed = "loopback addresses, as plain text is spoken on these only";
-            faults.check_value(false, "consul.servers", server, allowed);
+            let allowed = "loopback addresses, as connections are not encrypted";
+            collector.check_value(false, "consul.servers", server, allowed);
         }
-        faults.check(
+        collector.check(
             !self.service.is_empty(),
             "consul.service",
-            "a name is needed",
+            "expected a name",
         );
-        let within = self.max_wait_ms >= 1 && self.max_wait_ms <= ask_within_ms / 2;
+        let is_in_range = self.max_wait_ms >= 1 && self.max_wait_ms <= ask_within_ms / 2;
         let allowed = format!(
             "1 to half of rules.ask_within_ms, which is {}",
             ask_within_ms / 2
         );
-        faults.check_value(within, "consul.wait_ms", self.max_wait_ms, allowed);
-        faults.check_min("consul.members_every_ms", self.member_read_interval_ms, 100);
-        faults.check_min(
+        collector.check_value(is_in_range, "consul.wait_ms", self.max_wait_ms, allowed);
+        collector.check_min("consul.members_every_ms", self.member_read_interval_ms, 100);
+        collector.check_min(
             "consul.max_answer_bytes",
             self.max_response_bytes as u64,
             1024,
         );
         if let Some(m) = &self.membership {
-            faults.check_min("consul.membership.ttl_ms", m.ttl_ms, 1_000);
-            faults.check(
+            collector.check_min("consul.membership.ttl_ms", m.ttl_ms, 1_000);
+            collector.check(
                 !m.key_prefix.is_empty(),
                 "consul.membership.prefix",
-                "a key's prefix is needed",
+                "expected a key prefix",
             );
         }
     }
--- a/crates/config/src/checks/tests.rs
+++ b/crates/config/src/checks/tests.rs
@@ -1,25 +1,25 @@
-//! Which faults of the settings are reported, and how.
+//! Errors reported for invalid settings.
 
 use super::*;
 
 const SAMPLE: &str = include_str!("../../../../config/placer.toml");
 
 #[test]
-fn reports_every_fault_with_line_key_given_value_and_allowed_values() {
-    let sound = PlacerConfig::parse(Document {
+fn reports_every_error_with_line_key_given_value_and_allowed_values() {
+    let sample = PlacerConfig::parse(Document {
         file: "placer.toml",
         text: SAMPLE,
     });
-    let text = sound
-        .expect("the settings to try are sound")
+    let text = sample
+        .expect("the sample settings are valid")
         .to_toml()
-        .expect("TOML");
-    let with = |key: &str, value: &str| {
+        .expect("the settings can be written as TOML");
+    let settings_with = |key: &str, value: &str| {
         let line = text
             .lines()
             .position(|l| l.starts_with(&format!("{key} = ")))
-            .expect("the key stands");
-        let swapped: Vec<String> = text
+            .expect("the key is in the settings");
+        let changed: Vec<String> = text
             .lines()
             .enumerate()
             .map(|(n, l)| {
@@ -30,79 +30,79 @@
                 }
             })
             .collect();
-        (line + 1, swapped.join("\n"))
+        (line + 1, changed.join("\n"))
     };
-    let one = |key: &str, value: &str| {
-        let (line, text) = with(key, value);
-        let faults = PlacerConfig::parse(Document {
+    let parse_error_of = |key: &str, value: &str| {
+        let (line, text) = settings_with(key, value);
+        let errors = PlacerConfig::parse(Document {
             file: "f",
             text: &text,
         })
-        .expect_err("a fault");
-        (line, faults)
+        .expect_err("the settings are invalid");
+        (line, errors)
     };
-    for (key, value, full, allowed) in [
+    for (key, value, full_key, message) in [
         (
             "fall_multiple",
             "-4.0",
             "rules.fall_multiple",
-            "-4 is given; above 0",
+            "got -4, expected a number above 0",
         ),
         (
             "fresh_offers",
             "-1.0",
             "rules.fresh_offers",
-            "-1 is given; 0 or above",
+            "got -1, expected a number of at least 0",
         ),
         (
             "cold_from",
             "nan",
             "rules.cold_from",
-            "NaN is given; 0 or above",
+            "got NaN, expected a number of at least 0",
         ),
         (
             "admit_cores",
             "0.0",
             "placing.admit_cores",
-            "0 is given; above 0",
+            "got 0, expected a number above 0",
         ),
         (
             "max_attempts",
             "0",
             "placing.max_attempts",
-            "0 is given; at least 1",
+            "got 0, expected at least 1",
         ),
         (
             "cross_zone",
             "-0.5",
             "prices.cross_zone",
-            "-0.5 is given; 0 or above",
+            "got -0.5, expected a number of at least 0",
         ),
         (
             "max_clients",
             "0",
             "api.max_clients",
-            "0 is given; at least 1",
+            "got 0, expected at least 1",
         ),
     ] {
-        let (line, faults) = one(key, value);
-        assert_eq!(faults.0.len(), 1, "{faults}");
-        let fault = &faults.0[0];
+        let (line, errors) = parse_error_of(key, value);
+        assert_eq!(errors.0.len(), 1, "{errors}");
+        let error = &errors.0[0];
         assert_eq!(
-            (fault.line, fault.key.as_str(), fault.message.as_str()),
-            (Some(line), full, allowed)
+            (error.line, error.key.as_str(), error.message.as_str()),
+            (Some(line), full_key, message)
         );
     }
-    // Two faults, two lines of complaint.
-    let (_, text) = with("fall_multiple", "-4.0");
+    // Each of several errors has a line of its own.
+    let (_, text) = settings_with("fall_multiple", "-4.0");
     let text = text
         .replace("max_clients = ", "max_clients = 0 # ")
         .replace("fresh_offers = ", "fresh_offers = -");
-    let faults = PlacerConfig::parse(Document {
+    let errors = PlacerConfig::parse(Document {
         file: "f",
         text: &text,
     })
-    .expect_err("faults");
-    assert_eq!(faults.0.len(), 3, "{faults}");
-    assert_eq!(faults.to_string().lines().count(), 3);
+    .expect_err("the settings are invalid");
+    assert_eq!(errors.0.len(), 3, "{errors}");
+    assert_eq!(errors.to_string().lines().count(), 3);
 }
--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -1,4 +1,4 @@
-//! Settings of the kinds of hosts and the classes of tasks.
+//! Settings of host kinds and task classes.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,40 +10,40 @@
 pub struct HostKind {
     /// Its name.
     pub name: String,
-    /// Cores.
+    /// Number of cores.
     pub cores: f64,
-    /// Memory.
+    /// Memory, GiB.
     pub memory_gib: f64,
 }
 
-/// What a second start does.
+/// The effect of starting a task a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Effect")]
 pub enum RetrySafety {
-    /// No harm.
+    /// A second start does no harm.
     #[serde(rename = "safe")]
     Idempotent,
-    /// The hosts of a group let one copy stand.
+    /// The hosts of a group recognise copies by their key and keep one.
     #[serde(rename = "keyed")]
     IdempotencyKey,
-    /// It must never happen.
+    /// A second start must never happen.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// A set of hosts.
+/// The hosts that recognise copies of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Group")]
 pub enum DeduplicationScope {
-    /// All of them.
+    /// All hosts.
     All,
-    /// Those of one zone.
+    /// The hosts of one zone.
     Zone,
-    /// Those of one cell.
+    /// The hosts of one cell.
     Cell,
 }
 
-/// A place over which a service is spread.
+/// The topology level over which a service is spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Place")]
 pub enum TopologyLevel {
@@ -61,38 +61,38 @@
 pub struct TaskClass {
     /// Its name.
     pub name: String,
-    /// What a second start does.
+    /// The effect of starting a task a second time.
     #[serde(rename = "effect")]
     pub retry_safety: RetrySafety,
-    /// For keyed ones: where copies are recognised...
+    /// For keyed classes: which hosts recognise copies...
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "group")]
     pub deduplication_scope: Option<DeduplicationScope>,
-    /// ...and how long, from the first send on.
+    /// ...and for how long, counted from the first attempt to send.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "window_ms")]
     pub deduplication_window_ms: Option<u64>,
-    /// A start within this earns all it can.
+    /// A task that starts within this time gets its full value.
     #[serde(rename = "aim_ms")]
     pub latency_objective_ms: u64,
-    /// Worth of a second at mean size.
-    #[serde(default = "d::one_by_default")]
+    /// Value of a second of service for a task of mean size.
+    #[serde(default = "d::one")]
     #[serde(rename = "worth")]
     pub priority_weight: f64,
-    /// Seconds of service that a timely start is worth.
+    /// Value of a start in time, in seconds of service.
     #[serde(default)]
     pub start_bonus_s: f64,
-    /// Higher ones push out lower ones.
+    /// Tasks of a higher priority preempt those of a lower one.
     #[serde(default)]
     pub priority: u32,
-    /// The only kind of host that takes it.
+    /// The only kind of host that runs its tasks; any kind if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// Where tasks of one service are limited...
+    /// The topology level at which tasks of one service are limited...
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "spread_over")]
     pub spread_level: Option<TopologyLevel>,
-    /// ...to so many of one placer.
+    /// ...to this many tasks of one placer.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "spread_most")]
     pub max_per_domain: Option<u32>,
--- a/crates/config/src/consul.rs
+++ b/crates/config/src/consul.rs
@@ -11,88 +11,88 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Consul")]
 pub struct ConsulSettings {
-    /// Servers or agents that speak the HTTP API; one after the other is tried.
+    /// Servers or agents with Consul's HTTP API; they are tried one after the other.
     pub servers: Vec<SocketAddr>,
     /// The service under which hosts are registered.
     #[serde(default = "d::host_service")]
     pub service: String,
-    /// The datacentre; answers of another one are not taken. Where missing, that of the first answer.
+    /// The datacentre; lists of another one are rejected. If missing, that of the first list.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub datacentre: Option<String>,
     /// A file with the ACL token, relative to the settings file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub token_file: Option<PathBuf>,
-    /// How consistent reads are.
+    /// Consistency mode of reads.
     #[serde(default)]
     #[serde(rename = "reads")]
     pub consistency: ReadConsistency,
     /// A filter expression for the hosts' entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub filter: Option<String>,
-    /// Between reads of the whole list, wait for its index alone to move.
+    /// Whether to wait for a change of the list's index alone between reads of the full list.
     #[serde(default = "d::enabled")]
     pub watch: bool,
-    /// A blocking query waits so long for news; at most half of `rules.ask_within_ms`.
-    #[serde(default = "d::wait")]
+    /// Maximum wait of a blocking query; at most half of `rules.ask_within_ms`.
+    #[serde(default = "d::max_wait_ms")]
     #[serde(rename = "wait_ms")]
     pub max_wait_ms: u64,
-    /// The members of the gossip pool are read this often.
-    #[serde(default = "d::members_every")]
+    /// Interval between reads of the members of the gossip pool.
+    #[serde(default = "d::member_read_interval_ms")]
     #[serde(rename = "members_every_ms")]
     pub member_read_interval_ms: u64,
-    /// A longer answer is refused.
-    #[serde(default = "d::max_answer")]
+    /// Maximum size of a response; longer ones are rejected.
+    #[serde(default = "d::max_response_bytes")]
     #[serde(rename = "max_answer_bytes")]
     pub max_response_bytes: usize,
-    /// How good news after repeated changes is held back.
+    /// How a host that becomes ready after repeated changes is held back.
     #[serde(default)]
     pub damping: DampingMode,
-    /// The placers' own membership.
+    /// Registration of the placers and leases of their slots; neither if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub membership: Option<SlotLeaseSettings>,
 }
 
-/// How consistent reads are.
+/// Consistency mode of reads.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Reads")]
 pub enum ReadConsistency {
-    /// By the leader.
+    /// Answered by the leader.
     #[default]
     Default,
-    /// By any server.
+    /// Answered by any server.
     Stale,
-    /// By a leader that verified itself.
+    /// Answered by the leader after it has verified that it leads.
     Consistent,
 }
 
-/// How good news after repeated changes is held back.
+/// How a host that becomes ready after repeated changes is held back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Damping")]
 pub enum DampingMode {
-    /// By a penalty that decays.
+    /// By a penalty that decays over time.
     Penalty,
     /// Not at all.
     #[default]
     Off,
-    /// Always for three seconds; for comparison.
+    /// Always for three seconds, as a baseline for comparisons.
     Hold,
 }
 
-/// The placers' own membership.
+/// Registration of the placers and leases of their slots.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Membership")]
 pub struct SlotLeaseSettings {
     /// The service under which placers register.
     #[serde(default = "d::placer_service")]
     pub service: String,
-    /// Keys of the slots lie under this prefix; `placer.placers` is their number.
-    #[serde(default = "d::slots_prefix")]
+    /// Prefix of the keys of the slots; `placer.placers` is the number of slots.
+    #[serde(default = "d::slot_key_prefix")]
     #[serde(rename = "prefix")]
     pub key_prefix: String,
-    /// TTL of the session and of the check, at least 10 s as Consul has it.
-    #[serde(default = "d::ttl")]
+    /// TTL of the session and of the check; Consul requires at least 10 s.
+    #[serde(default = "d::session_ttl_ms")]
     pub ttl_ms: u64,
-    /// Nobody takes the slot of a lost session for so long.
-    #[serde(default = "d::lock_delay")]
+    /// How long nobody can acquire the slot of a lost session.
+    #[serde(default = "d::lock_delay_ms")]
     pub lock_delay_ms: u64,
 }
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,20 +1,20 @@
-//! Errors with file, line and key, and the parsing that gives them.
+//! Errors with file, line and key, and the TOML parsing that returns them.
 
 use std::fmt;
 
 use serde::de::DeserializeOwned;
 use toml::de::{DeTable, DeValue};
 
-/// A file that can't be used.
+/// An error in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// The file.
     pub file: String,
-    /// The line, counted from 1, if one is to blame.
+    /// The line, counted from 1, if the error refers to one.
     pub line: Option<usize>,
-    /// The key, such as `class[1].aim_ms`; empty where the text is no TOML.
+    /// The key, such as `class[1].aim_ms`; empty if the text is not valid TOML.
     pub key: String,
-    /// What is wrong.
+    /// A description of the error.
     pub message: String,
 }
 
@@ -33,13 +33,13 @@
 
 impl std::error::Error for ConfigError {}
 
-/// All that is wrong with a file; at least one fault.
+/// All errors in a file; at least one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
 impl From<ConfigError> for ConfigErrors {
-    fn from(one: ConfigError) -> ConfigErrors {
-        ConfigErrors(vec![one])
+    fn from(error: ConfigError) -> ConfigErrors {
+        ConfigErrors(vec![error])
     }
 }
 
@@ -57,7 +57,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// A file's name and text, for errors about what it holds.
+/// A file's name and text, for errors about its contents.
 #[derive(Clone, Copy)]
 pub struct Document<'a> {
     /// Its name.
@@ -78,18 +78,18 @@
         }
     }
 
-    /// Returns an error unless `fine`.
+    /// Checks a condition on the value of `key`.
     ///
     /// # Errors
     ///
-    /// The error about `key`, unless `fine`.
+    /// An error about `key` if the condition is false.
     pub fn ensure(
         &self,
-        fine: bool,
+        condition: bool,
         key: &str,
         message: impl Into<String>,
     ) -> Result<(), ConfigError> {
-        if fine {
+        if condition {
             Ok(())
         } else {
             Err(self.error(key, message))
@@ -104,7 +104,7 @@
             + 1
     }
 
-    /// The line of a key, or of the nearest part above it that stands in the file.
+    /// The line of a key, or of its nearest parent that is in the file.
     fn line_of(&self, key: &str) -> Option<usize> {
         let root = DeTable::parse(self.text).ok()?;
         let mut table = root.get_ref();
@@ -135,11 +135,11 @@
     }
 }
 
-/// Parses a TOML text; unknown keys come with a suggestion.
+/// Parses a TOML text. Errors about unknown keys suggest a similar one.
 ///
 /// # Errors
 ///
-/// Text that is no TOML, or does not fit `T`, with the line and key as far as they are known.
+/// If the text is not valid TOML or does not match `T`, with the line and key as far as they are known.
 pub fn parse_toml<T: DeserializeOwned>(doc: Document<'_>) -> Result<T, ConfigError> {
     toml::from_str(doc.text).map_err(|e| {
         let line = e.span().map(|span| doc.line_at(span.start));
@@ -147,17 +147,17 @@
         let quoted: Vec<&str> = message.split('`').skip(1).step_by(2).collect();
         let mut key = String::new();
         let mut hint = String::new();
-        if let (true, Some((wrong, known))) =
+        if let (true, Some((unknown, known))) =
             (message.starts_with("unknown field"), quoted.split_first())
         {
-            key = (*wrong).to_owned();
-            let like = |k: &&&str| strsim::damerau_levenshtein(k, wrong);
-            if let Some(best) = known
+            key = (*unknown).to_owned();
+            let distance = |k: &&&str| strsim::damerau_levenshtein(k, unknown);
+            if let Some(closest) = known
                 .iter()
-                .min_by_key(like)
-                .filter(|k| like(k) <= 1 + wrong.len() / 3)
+                .min_by_key(distance)
+                .filter(|k| distance(k) <= 1 + unknown.len() / 3)
             {
-                hint = format!("; did you mean `{best}`?");
+                hint = format!("; did you mean `{closest}`?");
             }
         }
         ConfigError {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings of the placers' own view of their fleet.
+//! Settings of the placers' membership protocol.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,57 +7,58 @@
 
 use crate::defaults as d;
 
-/// The placers' own view of their fleet.
+/// The placers' membership protocol.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Fleet")]
 pub struct FleetSettings {
-    /// The fleet's name, the same at all its members; another fleet's datagrams are not taken, with one key too.
+    /// The fleet's name, the same for all members. Datagrams of another fleet are rejected, even with the same key.
     #[serde(default = "d::fleet_name")]
     pub name: String,
-    /// Where it listens, UDP; port 0 takes a free one.
+    /// UDP address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Where others send to it; where missing, the address at which it listens.
+    /// Address that other members send to; if missing, the address that it listens on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Where it looks for others; its own address among them does no harm.
+    /// Addresses at which it looks for other members; may contain its own address.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// A file with the fleet's key, or with two while it is changed; relative to the settings file. Read again when it
-    /// changes.
+    /// A file with the fleet's key, or with two keys while the key is changed; relative to the settings file. Reloaded
+    /// when it changes.
     pub key_file: PathBuf,
-    /// A member is tested this often.
-    #[serde(default = "d::probe_every")]
+    /// Interval between probes of members.
+    #[serde(default = "d::probe_interval_ms")]
     #[serde(rename = "probe_every_ms")]
     pub probe_interval_ms: u64,
-    /// It has so long to answer before others are asked to test it.
-    #[serde(default = "d::probe_within")]
+    /// Time that a probed member has to answer before other members are asked to probe it.
+    #[serde(default = "d::probe_timeout_ms")]
     #[serde(rename = "probe_within_ms")]
     pub probe_timeout_ms: u64,
-    /// So many others are asked.
-    #[serde(default = "d::helpers")]
+    /// Number of members that are asked to probe it.
+    #[serde(default = "d::indirect_probes")]
     #[serde(rename = "helpers")]
     pub indirect_probes: usize,
-    /// A suspect has so many periods of tests to refute, times the decimal logarithm of the fleet, at least so many.
-    #[serde(default = "d::suspicion")]
+    /// Probe intervals that a suspected member has to refute the suspicion, multiplied by the decimal logarithm of the
+    /// fleet's size if that is above 1.
+    #[serde(default = "d::suspicion_multiplier")]
     #[serde(rename = "suspicion")]
     pub suspicion_multiplier: u32,
-    /// News are passed on this often.
-    #[serde(default = "d::gossip_every")]
+    /// Interval between messages that pass on changes.
+    #[serde(default = "d::gossip_interval_ms")]
     #[serde(rename = "gossip_every_ms")]
     pub gossip_interval_ms: u64,
-    /// A member is asked this often whether it sees the same fleet.
-    #[serde(default = "d::sync_every")]
+    /// Interval between comparisons of the view with that of another member.
+    #[serde(default = "d::sync_interval_ms")]
     #[serde(rename = "sync_every_ms")]
     pub sync_interval_ms: u64,
-    /// Seeds, and members thought down, are tried again this often.
-    #[serde(default = "d::seek_every")]
+    /// Interval between attempts to reach seeds and members that are considered down.
+    #[serde(default = "d::discovery_interval_ms")]
     #[serde(rename = "seek_every_ms")]
     pub discovery_interval_ms: u64,
-    /// Members that are gone are forgotten after this.
-    #[serde(default = "d::forget_after")]
+    /// Time after which members that left or are down are removed from the view.
+    #[serde(default = "d::retention_s")]
     #[serde(rename = "forget_after_s")]
     pub retention_s: u64,
-    /// Members at a time, those that are gone included; further ones are not taken in.
+    /// Maximum number of members, including those that left or are down; further ones are rejected.
     #[serde(default = "d::max_members")]
     pub max_members: usize,
 }
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory: which hosts there are, where, and in what state.
+//! The inventory: the hosts with their places and states.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It takes tasks.
+    /// It accepts tasks.
     #[default]
     Ready,
-    /// Nothing new goes there.
+    /// It gets no new tasks.
     Draining,
     /// It was removed.
     Gone,
@@ -25,9 +25,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostEntry {
-    /// Its name, unique and lasting.
+    /// Its name, unique and permanent.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its zone.
     pub zone: String,
@@ -41,11 +41,11 @@
     /// When its process last started, Unix time in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<u64>,
-    /// Cores that nobody asked for, some time ago.
+    /// Cores that were not allocated to tasks, some time ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "unasked_cores")]
     pub unallocated_cores: Option<f64>,
-    /// Memory that nobody asked for, some time ago.
+    /// Memory that was not allocated to tasks, some time ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "unasked_memory_gib")]
     pub unallocated_memory_gib: Option<f64>,
@@ -62,39 +62,39 @@
 }
 
 impl Inventory {
-    /// Parses an inventory and checks it against a placer's zones and kinds. A file without hosts is refused: it
-    /// is far more often a file cut short than a fleet that is gone, and whoever means it can list them as gone.
+    /// Parses an inventory and checks it against a placer's zones and kinds. A file without hosts is rejected, since it
+    /// is far more often a truncated file than a fleet without hosts; operators can list removed hosts as gone.
     ///
     /// # Errors
     ///
-    /// The first fault, with its line and key.
+    /// The first error, with its line and key.
     pub fn parse(doc: Document<'_>, config: &PlacerConfig) -> Result<Inventory, ConfigError> {
         let inventory: Inventory = parse_toml(doc)?;
         doc.ensure(
             !inventory.hosts.is_empty(),
             "host",
-            "no hosts; list removed ones with state = \"gone\"",
+            "no hosts; list removed hosts with state = \"gone\"",
         )?;
-        let most = config.hosts.max_hosts;
+        let max_hosts = config.hosts.max_hosts;
         doc.ensure(
-            inventory.hosts.len() <= most,
+            inventory.hosts.len() <= max_hosts,
             "host",
-            format!("more than hosts.max_hosts = {most}"),
+            format!("more hosts than hosts.max_hosts = {max_hosts}"),
         )?;
         let mut names = BTreeMap::new();
         for (i, host) in inventory.hosts.iter().enumerate() {
             let key = |field: &str| format!("host[{i}].{field}");
-            let plain = !host.name.chars().any(char::is_control);
-            let named = !host.name.is_empty() && host.name.len() <= 200 && plain;
+            let is_printable = !host.name.chars().any(char::is_control);
+            let is_valid_name = !host.name.is_empty() && host.name.len() <= 200 && is_printable;
             doc.ensure(
-                named,
+                is_valid_name,
                 &key("name"),
-                "a name has 1 to 200 bytes without control characters",
+                "expected 1 to 200 bytes without control characters",
             )?;
             if let Some(other) = names.insert(&host.name, i) {
                 return Err(doc.error(
                     &key("name"),
-                    format!("`{}` is host[{other}] already", host.name),
+                    format!("`{}` is already the name of host[{other}]", host.name),
                 ));
             }
             let known = config.identity.zones.contains(&host.zone);
@@ -105,12 +105,12 @@
             doc.ensure(
                 finite(host.unallocated_cores),
                 &key("unasked_cores"),
-                "not a finite number",
+                "expected a finite number",
             )?;
             doc.ensure(
                 finite(host.unallocated_memory_gib),
                 &key("unasked_memory_gib"),
-                "not a finite number",
+                "expected a finite number",
             )?;
         }
         Ok(inventory)
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
-//! What operators write: a placer's settings and the inventory of hosts, both TOML. Files are parsed and checked
-//! whole before anything uses them, and every error names the file, the line and the key. Other crates parse
-//! their own files with [`parse_toml`], so that all errors read alike.
+//! The files that operators write: a placer's settings and the inventory of hosts, both in TOML. A file is parsed and
+//! validated as a whole before anything uses it, and every error names the file, the line and the key. Other crates
+//! parse their own files with [`parse_toml`], so that all errors have the same format.
 
 mod checks;
 mod class;
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -16,29 +16,29 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlacerConfig {
-    /// Who it is.
+    /// The placer's identity.
     #[serde(rename = "placer")]
     pub identity: Identity,
-    /// The interface for runtimes.
+    /// The API for clients.
     pub api: ApiSettings,
     /// The hosts and the connections to them.
     pub hosts: HostSettings,
     /// Consul as the source of hosts, in place of an inventory file.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub consul: Option<ConsulSettings>,
-    /// The placers' own view of their fleet; none without it.
+    /// The placers' membership protocol; off if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetSettings>,
-    /// Trace files of all that it sees and decides; none without it.
+    /// Trace files of all events and decisions; none if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub trace: Option<TraceSettings>,
-    /// What hosts admit and tell.
+    /// Admission of tasks by hosts, and the load that hosts report.
     #[serde(default)]
     #[serde(rename = "placing")]
     pub placement: PlacementSettings,
-    /// Figures of the rules.
+    /// Parameters of the placement rules.
     pub rules: RuleSettings,
-    /// What things cost.
+    /// Costs that placement takes into account.
     #[serde(default)]
     #[serde(rename = "prices")]
     pub costs: CostSettings,
@@ -50,82 +50,83 @@
     pub classes: Vec<TaskClass>,
 }
 
-/// Who a placer is.
+/// A placer's identity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Identity {
-    /// Its name, which outlives restarts: hosts know its tasks by it.
+    /// Its name, the same after a restart: hosts identify its tasks by it.
     pub name: String,
-    /// Which of the placers it is, counted from 0.
+    /// Its index among the placers, counted from 0.
     #[serde(rename = "number")]
     pub replica_index: u32,
-    /// How many placers share the hosts.
+    /// Number of placers that share the hosts.
     #[serde(rename = "placers")]
     pub replica_count: u32,
     /// Its zone.
     pub zone: String,
     /// All zones.
     pub zones: Vec<String>,
-    /// Seed of its random numbers; drawn at the start where missing.
+    /// Seed of its random numbers; chosen at startup if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub seed: Option<u64>,
 }
 
-/// The interface for runtimes.
+/// The API for clients.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Api")]
 pub struct ApiSettings {
-    /// Where it listens; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Client connections at a time; one more gets 503.
+    /// Maximum number of client connections; further ones get 503.
     #[serde(default = "d::max_clients")]
     pub max_clients: usize,
-    /// Asks without an answer at a time; one more gets 503.
-    #[serde(default = "d::max_asks")]
+    /// Maximum number of placement requests without an answer; further ones get 503.
+    #[serde(default = "d::max_pending_requests")]
     #[serde(rename = "max_asks")]
     pub max_pending_requests: usize,
-    /// Actors held at a time; an ask beyond gets 503.
+    /// Maximum number of actors; requests for further ones get 503.
     #[serde(default = "d::max_actors")]
     pub max_actors: usize,
-    /// Bytes of a request's body; more gets 413.
-    #[serde(default = "d::max_body")]
+    /// Maximum size of a request's body; larger ones get 413.
+    #[serde(default = "d::max_body_bytes")]
     pub max_body_bytes: usize,
-    /// Bytes of answers that may wait for a client to read; beyond it is cut off.
-    #[serde(default = "d::max_unread")]
+    /// Maximum size of answers that a client has not read yet; a client above it is disconnected.
+    #[serde(default = "d::max_unsent_bytes")]
     #[serde(rename = "max_unread_bytes")]
     pub max_unsent_bytes: usize,
-    /// Requests in hand on one connection; further ones wait in the socket.
+    /// Maximum number of requests in progress on one connection; further ones wait in the socket.
     #[serde(default = "d::max_pipelined")]
     pub max_pipelined: usize,
-    /// A longer time budget is cut to this.
-    #[serde(default = "d::max_budget")]
+    /// Maximum time budget of a request; a longer one is reduced to it.
+    #[serde(default = "d::max_budget_ms")]
     pub max_budget_ms: u64,
-    /// A request must be whole this long after its first byte.
-    #[serde(default = "d::request_within")]
+    /// A request must be complete this long after its first byte.
+    #[serde(default = "d::request_timeout_ms")]
     #[serde(rename = "request_within_ms")]
     pub request_timeout_ms: u64,
-    /// A connection without requests is closed after this.
-    #[serde(default = "d::idle")]
+    /// A connection without requests is closed after this time.
+    #[serde(default = "d::idle_timeout_ms")]
     #[serde(rename = "idle_close_ms")]
     pub idle_timeout_ms: u64,
-    /// An answer is given again to its Idempotency-Key for this long...
-    #[serde(default = "d::answers_kept_ms")]
+    /// How long an answer is kept and repeated for its Idempotency-Key...
+    #[serde(default = "d::answer_retention_ms")]
     #[serde(rename = "answers_kept_ms")]
     pub answer_retention_ms: u64,
-    /// ...and so many are kept; beyond it the oldest go first.
-    #[serde(default = "d::answers_kept")]
+    /// ...and how many answers are kept; above it, the oldest are removed.
+    #[serde(default = "d::max_kept_answers")]
     #[serde(rename = "answers_kept")]
     pub max_kept_answers: usize,
-    /// Life-cycle events kept for followers.
-    #[serde(default = "d::events_kept")]
+    /// Number of life-cycle events that are kept for clients that follow them.
+    #[serde(default = "d::max_kept_events")]
     #[serde(rename = "events_kept")]
     pub max_kept_events: usize,
-    /// After an attempt of a keyed or unsafe actor that may have run, the actor is not taken again for this long.
-    #[serde(default = "d::settle")]
+    /// After an attempt of a keyed or unsafe actor that may have run, the actor is not accepted again for this
+    /// long.
+    #[serde(default = "d::resubmission_hold_ms")]
     #[serde(rename = "settle_ms")]
     pub resubmission_hold_ms: u64,
-    /// After the word to stop, asks in hand get this long to be answered.
-    #[serde(default = "d::stop_within")]
+    /// During shutdown, pending requests have this long to be answered.
+    #[serde(default = "d::shutdown_grace_ms")]
     #[serde(rename = "stop_within_ms")]
     pub shutdown_grace_ms: u64,
 }
@@ -137,45 +138,45 @@
     /// The inventory file; relative to the settings file. Not with `[consul]`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub inventory: Option<PathBuf>,
-    /// Hosts listed at a time; a longer inventory is refused.
+    /// Maximum number of hosts; a longer inventory is rejected.
     #[serde(default = "d::max_hosts")]
     pub max_hosts: usize,
-    /// A connection must be made and greeted within this.
-    #[serde(default = "d::connect_within")]
+    /// Timeout for establishing a connection, up to the greeting.
+    #[serde(default = "d::connect_timeout_ms")]
     #[serde(rename = "connect_within_ms")]
     pub connect_timeout_ms: u64,
-    /// The first wait before a new try to connect; it doubles...
-    #[serde(default = "d::reconnect_first")]
+    /// The first delay before a new attempt to connect; it doubles...
+    #[serde(default = "d::min_reconnect_delay_ms")]
     #[serde(rename = "reconnect_first_ms")]
     pub min_reconnect_delay_ms: u64,
-    /// ...up to this, and each is drawn between half and the whole.
-    #[serde(default = "d::reconnect_most")]
+    /// ...up to this, and each delay is drawn between half of it and the whole.
+    #[serde(default = "d::max_reconnect_delay_ms")]
     #[serde(rename = "reconnect_most_ms")]
     pub max_reconnect_delay_ms: u64,
-    /// A host with attempts or tasks of this placer is pinged this often, unless it is heard anyway...
-    #[serde(default = "d::ping_every")]
+    /// Interval between pings of a host with attempts or tasks of this placer, unless it sends other messages...
+    #[serde(default = "d::ping_interval_ms")]
     #[serde(rename = "ping_every_ms")]
     pub ping_interval_ms: u64,
-    /// ...and cut off when it is silent for so long.
-    #[serde(default = "d::silent_after")]
+    /// ...and the time without a message after which the host is disconnected.
+    #[serde(default = "d::silence_timeout_ms")]
     #[serde(rename = "silent_after_ms")]
     pub silence_timeout_ms: u64,
-    /// Pings a second to all other hosts together, so that each of them is pinged the less often the more they are...
+    /// Pings per second to all other hosts together, so that the ping interval of each grows with their number...
     #[serde(default = "d::max_idle_pings_per_s")]
     pub max_idle_pings_per_s: u32,
-    /// ...but at least this often.
-    #[serde(default = "d::max_idle_ping_interval")]
+    /// ...up to this interval.
+    #[serde(default = "d::max_idle_ping_interval_ms")]
     pub max_idle_ping_interval_ms: u64,
-    /// Tasks of a host without a connection for this long are told as lost.
-    #[serde(default = "d::lost_after")]
+    /// Tasks of a host without a connection for this long are reported as lost.
+    #[serde(default = "d::loss_timeout_ms")]
     #[serde(rename = "lost_after_ms")]
     pub loss_timeout_ms: u64,
-    /// Bytes that may wait to be written to a host; offers beyond are not sent.
-    #[serde(default = "d::max_unwritten")]
+    /// Maximum number of bytes waiting to be written to a host; no offers are sent above it.
+    #[serde(default = "d::max_unwritten_bytes")]
     pub max_unwritten_bytes: usize,
 }
 
-/// What hosts admit and tell.
+/// Admission of tasks by hosts, and the load that hosts report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Placing")]
 pub struct PlacementSettings {
@@ -183,19 +184,19 @@
     #[serde(default)]
     #[serde(rename = "placed_when")]
     pub acceptance_point: AcceptancePoint,
-    /// Attempts for one ask.
+    /// Maximum number of attempts per request.
     #[serde(default = "d::max_attempts")]
     pub max_attempts: u32,
-    /// Hosts admit while asks stay within this multiple of their cores.
-    #[serde(default = "d::one_by_default")]
+    /// Hosts admit tasks while the requested cores stay within this multiple of their cores.
+    #[serde(default = "d::one")]
     pub admit_cores: f64,
     /// The same for memory.
-    #[serde(default = "d::one_by_default")]
+    #[serde(default = "d::one")]
     pub admit_memory: f64,
-    /// What the load that comes with answers tells.
+    /// What the load reported with hosts' answers means.
     #[serde(default)]
     pub load_report: LoadReport,
-    /// The inventory tells what nobody asked for.
+    /// Whether the inventory reports unallocated resources.
     #[serde(default)]
     #[serde(rename = "inventory_tells_room")]
     pub inventory_reports_unallocated: bool,
@@ -203,15 +204,15 @@
 
 impl Default for PlacementSettings {
     fn default() -> PlacementSettings {
-        let (placed_when, load_report) = (AcceptancePoint::default(), LoadReport::default());
-        let inventory_tells_room = false;
+        let (acceptance_point, load_report) = (AcceptancePoint::default(), LoadReport::default());
+        let inventory_reports_unallocated = false;
         PlacementSettings {
-            acceptance_point: placed_when,
+            acceptance_point,
             max_attempts: 3,
             admit_cores: 1.0,
             admit_memory: 1.0,
             load_report,
-            inventory_reports_unallocated: inventory_tells_room,
+            inventory_reports_unallocated,
         }
     }
 }
@@ -227,61 +228,61 @@
     Running,
 }
 
-/// What the load that comes with answers tells.
+/// What the load reported with hosts' answers means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadReport {
-    /// Nothing of use.
+    /// It has no usable meaning.
     #[default]
     Silent,
-    /// Cores and memory that nobody asked for.
+    /// Cores and memory that are not allocated to tasks.
     #[serde(rename = "unasked")]
     Unallocated,
-    /// Cores and memory not in use.
+    /// Cores and memory that are not in use.
     Unused,
 }
 
-/// Figures of the rules.
+/// Parameters of the placement rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Rules")]
 pub struct RuleSettings {
-    /// Silence towards discovery for this long counts as being told.
-    #[serde(default = "d::ask_within")]
+    /// A placer that has not polled discovery for this long counts as notified.
+    #[serde(default = "d::max_poll_interval_ms")]
     #[serde(rename = "ask_within_ms")]
     pub max_poll_interval_ms: u64,
-    /// The least share of its pace that a host has right after its start.
+    /// The least share of its capacity that a host has right after its start.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
-    /// A host is warm after this.
+    /// Time after its start until a host has warmed up.
     #[serde(rename = "cold_for_ms")]
     pub warm_up_duration_ms: u64,
-    /// A cold host falls over when sent this many times what it can do...
+    /// A cold host is overloaded by this many times what it can handle...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// ...for this long.
     #[serde(rename = "fall_window_ms")]
     pub overload_window_ms: u64,
-    /// Offers in that time, from all placers, that a cold host always bears.
+    /// Offers in that time, from all placers together, that a cold host can always handle.
     #[serde(rename = "fresh_offers")]
     pub warm_up_offers: f64,
 }
 
-/// What things cost, in shares of the whole worth.
+/// Costs that placement takes into account, as shares of the value of all tasks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Prices")]
 pub struct CostSettings {
-    /// One refused offer for every task.
+    /// Cost of one rejected offer per task.
     #[serde(default)]
     #[serde(rename = "refused")]
     pub rejection: f64,
-    /// Every task in another zone than its placer's.
+    /// Cost of running every task in another zone than its placer's.
     #[serde(default)]
     pub cross_zone: f64,
-    /// As many hosts in use as there are, beyond those needed.
+    /// Cost of using all hosts, beyond those needed.
     #[serde(default)]
     #[serde(rename = "fleet")]
     pub hosts_in_use: f64,
-    /// One move for every task.
+    /// Cost of one migration per task.
     #[serde(default)]
     #[serde(rename = "moves")]
     pub migration: f64,
@@ -292,7 +293,7 @@
     ///
     /// # Errors
     ///
-    /// All faults of the file at once, each with its line and key.
+    /// All errors of the file, each with its line and key.
     pub fn parse(doc: Document<'_>) -> Result<PlacerConfig, ConfigErrors> {
         let config: PlacerConfig = parse_toml(doc)?;
         config.validate(doc)?;
@@ -303,7 +304,7 @@
     ///
     /// # Errors
     ///
-    /// A value that TOML can't hold.
+    /// If a value can't be represented in TOML.
     pub fn to_toml(&self) -> Result<String, toml::ser::Error> {
         toml::to_string(self)
     }
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -1,4 +1,4 @@
-//! From a placer's settings to those of the decision module.
+//! Conversion of a placer's settings to those of the decision module.
 
 use maplethread as mt;
 
@@ -8,7 +8,7 @@
 const MICROS_PER_MS: u64 = 1000;
 
 impl PlacerConfig {
-    /// The settings of the decision module; durations there are in microseconds.
+    /// Converts to the settings of the decision module, whose durations are in microseconds.
     pub fn policy_settings(&self) -> mt::Settings {
         let index = |zone: &String| {
             self.identity
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -10,18 +10,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Trace")]
 pub struct TraceSettings {
-    /// Where they are put; made if it is not there.
+    /// The folder of the files; created if missing.
     pub folder: PathBuf,
-    /// A file is closed, and the next begun, once it has so many MiB...
+    /// A file is closed, and the next one opened, once it has this many MiB...
     #[serde(default = "d::rotate_mib")]
     pub rotate_mib: u64,
-    /// ...or is so old, s.
+    /// ...or is this many seconds old.
     #[serde(default = "d::rotate_s")]
     pub rotate_s: u64,
-    /// The oldest files of this placer are removed while all of them have more than so many MiB.
+    /// The oldest files of this placer are removed while the total size is above this many MiB.
     #[serde(default = "d::keep_mib")]
     pub keep_mib: u64,
-    /// Records that may wait to be written; beyond it they are lost, and a gap tells how many.
+    /// Maximum number of records waiting to be written; further ones are lost, and a gap record gives their number.
     #[serde(default = "d::queue_records")]
     pub queue_records: usize,
 }
