--- a/crates/consul/src/index_watch.rs
+++ b/crates/consul/src/index_watch.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Records the answer to a read of the index.
+    /// Records the response to a read of the index.
     pub fn record_index(&mut self, has_changed: bool) {
         self.has_changed |= has_changed;
     }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -119,7 +119,7 @@
     /// The list that is waiting for confirmation.
     unconfirmed_list: Option<HostList>,
     has_list: bool,
-    last_answer_at: Option<Micros>,
+    last_response_at: Option<Micros>,
     updates: Vec<Update>,
     report: CatalogueReport,
 }
@@ -182,7 +182,7 @@
             slots,
             unconfirmed_list: None,
             has_list: false,
-            last_answer_at: None,
+            last_response_at: None,
             updates: Vec::new(),
             report: CatalogueReport::default(),
             config: consul.clone(),
@@ -217,7 +217,7 @@
     }
 
     fn age_ms(&self, now: Micros) -> Option<u64> {
-        self.last_answer_at
+        self.last_response_at
             .map(|at| now.saturating_sub(at) / MICROS_PER_MS)
     }
 
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -168,7 +168,7 @@
         if has_changed {
             self.calls.schedule(QueryKind::Health, now);
         } else {
-            self.last_answer_at = Some(now);
+            self.last_response_at = Some(now);
             self.report.unchanged_answers += 1;
             self.calls
                 .schedule(QueryKind::Health, now + MIN_READ_INTERVAL);
@@ -233,7 +233,7 @@
     fn report_invalid_entries(&mut self, list: &HostList) {
         let invalid = &list.invalid_entries;
         for entry in invalid.iter().take(MAX_LOGGED_ENTRIES) {
-            tracing::debug!(%entry, "bad catalogue entry");
+            tracing::debug!(%entry, "invalid catalogue entry");
         }
         if invalid.len() != self.report.bad_entries {
             self.report.bad_entries = invalid.len();
@@ -274,7 +274,7 @@
     pub(super) fn accept_list(&mut self, now: Micros, list: HostList) {
         self.unconfirmed_list = None;
         self.report.accepted_answers += 1;
-        self.last_answer_at = Some(now);
+        self.last_response_at = Some(now);
         self.hosts.apply_list(list);
         if !std::mem::replace(&mut self.has_list, true) {
             // The first list is published as a whole, even if it is empty.
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -178,7 +178,7 @@
         let Some(slots) = &mut self.slots else { return };
         let slot = slots.lease.slot(now);
         if slot != slots.current {
-            tracing::info!(?slot, "placer number");
+            tracing::info!(?slot, "placer slot changed");
             slots.current = slot;
             self.updates.push(Update::Slot(slot));
         }
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -28,7 +28,7 @@
     deadline: u64,
 }
 
-/// A request on its way to a server.
+/// A request to be sent to a server.
 struct OutgoingCall<'a> {
     call: PendingCall,
     /// The server's index in the settings.
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -151,7 +151,7 @@
         }
         match load_keys(&self.key_file, &self.fleet_name) {
             Ok(keys) => {
-                tracing::info!(file = %self.key_file.display(), ?keys, "fleet: the keys are read again");
+                tracing::info!(file = %self.key_file.display(), ?keys, "fleet: keys reloaded");
                 self.member.set_keys(keys);
             }
             Err(error) => {
--- a/crates/placer/src/stall_detection/tests.rs
+++ b/crates/placer/src/stall_detection/tests.rs
@@ -55,7 +55,7 @@
 
     /// Simulates one round in which the process is paused for `pause_us` within the step `paused_in`.
     fn run_round(&mut self, paused_in: Option<Step>, pause_us: u64) -> Decision {
-        let pass = |now: &mut u64, step| {
+        let advance = |now: &mut u64, step| {
             *now += STEP_US;
             if paused_in == Some(step) {
                 *now += pause_us;
@@ -75,13 +75,13 @@
             },
             self.now,
         );
-        pass(&mut self.now, Step::Read);
+        advance(&mut self.now, Step::Read);
         let read_up_to = self.now;
         self.stalls.record_drained(read_up_to);
-        pass(&mut self.now, Step::FinishReading);
+        advance(&mut self.now, Step::FinishReading);
         let at = self.now;
         let is_stalled = wakeup.is_stalled_by(at);
-        pass(&mut self.now, Step::DecideAndWrite);
+        advance(&mut self.now, Step::DecideAndWrite);
         Decision {
             at,
             read_up_to,
