--- a/crates/agent/src/agent/action.rs
+++ b/crates/agent/src/agent/action.rs
@@ -1,4 +1,4 @@
-//! What an [`Agent`](super::Agent) wants done.
+//! The actions that an [`Agent`](super::Agent) returns to its caller.
 
 use std::sync::Arc;
 
@@ -9,49 +9,49 @@
 /// A timer of the agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// The stop grace period of this attempt is over: its processes are killed.
+    /// The stop grace period of this attempt has expired; its processes are killed.
     ForceStop(u64),
-    /// A store that failed is tried again.
+    /// The store is used again after a failed commit.
     RetryStore,
 }
 
-/// How a process group is asked to end.
+/// How a process group is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopMode {
-    /// By a signal that it may handle (SIGTERM).
+    /// With SIGTERM, which the processes can handle.
     Graceful,
-    /// By a signal that it cannot handle (SIGKILL).
+    /// With SIGKILL, which the processes cannot handle.
     Forced,
 }
 
-/// What is to be done, in the order of the list.
+/// An action for the caller. Actions are executed in the order of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Store this of an attempt.
+    /// Store the record of an attempt.
     StoreTask(u64, StoredTask),
     /// Remove an attempt from the store.
     RemoveTask(u64),
-    /// Store that the host is draining.
+    /// Store the draining flag of the host.
     StoreDraining,
-    /// Send a frame to a placer, if it is connected.
+    /// Send a frame to a placer, if the placer is connected.
     Send(Arc<str>, Frame),
     /// Start the program of an attempt, and report the result to
     /// [`Agent::handle_start_result`](super::Agent::handle_start_result).
     StartProcess(u64),
-    /// Stop a process group.
+    /// Signal a process group to stop.
     StopProcess(ProcessIdentity, StopMode),
-    /// Call [`Agent::handle_timer`](super::Agent::handle_timer) after a time.
+    /// Call [`Agent::handle_timer`](super::Agent::handle_timer) after a delay.
     SetTimer {
-        /// The time, µs.
+        /// The delay, µs.
         delay_us: u64,
-        /// What the timer is for.
+        /// The timer to pass to the call.
         timer: Timer,
     },
 }
 
 impl Action {
-    /// Whether it changes the store, and so has to be durable before the others of its list are carried out.
-    pub fn is_stored(&self) -> bool {
+    /// Whether the action changes the store. Such actions are committed before the others in the list are executed.
+    pub fn changes_store(&self) -> bool {
         matches!(
             self,
             Action::StoreTask(..) | Action::RemoveTask(_) | Action::StoreDraining
--- a/crates/agent/src/agent/mod.rs
+++ b/crates/agent/src/agent/mod.rs
@@ -1,18 +1,19 @@
-//! The decisions of a node agent, without I/O: frames of placers, ends of processes and timers go in, a list of
-//! [`Action`]s comes out.
+//! The state machine of a node agent, without I/O: it takes frames from placers, process exits and timer expiries, and
+//! returns a list of [`Action`]s.
 //!
-//! A list is carried out in two steps. First all that is to be stored is made durable, in one commit; then the rest is
-//! done in its order. So an acceptance leaves only after it is durable, and a program is started only after the intent
-//! to start it is. If the commit fails, nothing of the rest is done, and [`Agent::handle_store_failure`] replaces the
-//! list.
+//! The caller executes a list in two steps. It first commits all changes of the store in one transaction, then executes
+//! the other actions in order. An acceptance is therefore sent only after it is durable, and a program is started only
+//! after the intent to start it is durable. If the commit fails, the other actions are not executed, and
+//! [`Agent::handle_store_failure`] returns a list that replaces the failed one.
 //!
-//! A task passes through the states accepted, starting, running, finished. After a kill of the agent at any point:
+//! A task passes through the states accepted, starting, running and finished. If the agent is killed at any point, its
+//! next process handles the task by its stored state:
 //!
-//! - *accepted*: the task never started, as *starting* is stored before the start; it is started now;
-//! - *starting*: the task may have a process, which is looked for by the marker in its environment; if there is none,
-//!   the task may have run, and is reported so;
-//! - *running*: its process runs with this pid and start time, or has ended unobserved;
-//! - *finished*: the end is reported to its placer at the next greeting.
+//! - *accepted*: the task never started, because *starting* is stored before the start; it is started now;
+//! - *starting*: the task may have a process, which is searched for by the marker in its environment; if there is none,
+//!   the task is reported as ended and possibly started;
+//! - *running*: the process with the stored pid and start time is still running, or has exited unobserved;
+//! - *finished*: the result is reported when the placer connects again.
 
 mod action;
 mod offers;
@@ -31,29 +32,29 @@
 use task::HeldTask;
 pub use task::{ProcessIdentity, RecoveryOutcome, StoredTask, TaskState};
 
-/// The agent of one host.
+/// The state machine of the agent of one host.
 pub struct Agent {
     name: Arc<str>,
-    /// When this process of the agent started, Unix time in ms.
+    /// When this agent process started, Unix time in ms.
     started_ms: u64,
     stop_grace_us: u64,
     admission: Admission,
     deduplication_table: DeduplicationTable,
-    /// Tasks that have not ended, by attempt.
+    /// Tasks that have not finished, by attempt.
     held: BTreeMap<u64, HeldTask>,
-    /// Tasks that have ended and whose placers have not been sent the end, by attempt.
+    /// Finished tasks whose result has not been sent to the placer, by attempt.
     unreported: BTreeMap<u64, StoredTask>,
-    /// Attempts whose ends were sent in this turn; the next turn removes them from the store.
+    /// Attempts whose result is sent by the current list of actions; the next list removes them from the store.
     reported: Vec<u64>,
     is_store_unavailable: bool,
-    /// Attempts that may still be in the store and are to be removed from it.
+    /// Attempts to remove from the store, whose removal is not known to be committed.
     unconfirmed_removals: Vec<u64>,
     /// The time of the latest event, µs.
     now_us: u64,
 }
 
 impl Agent {
-    /// An agent that holds nothing. A task that was asked to stop is killed after `stop_grace_us`.
+    /// Creates an agent without tasks. A task that is being stopped is killed after `stop_grace_us`.
     pub fn new(name: &str, started_ms: u64, policy: AdmissionPolicy, stop_grace_us: u64) -> Agent {
         Agent {
             name: name.into(),
@@ -70,12 +71,12 @@
         }
     }
 
-    /// The offer of an attempt that is held.
+    /// The offer of an unfinished attempt.
     pub fn offer(&self, attempt: u64) -> Option<&Offer> {
         self.held.get(&attempt).map(|task| &task.record.offer)
     }
 
-    /// The attempts that have a process, with it.
+    /// The running attempts, each with its process.
     pub fn running_processes(&self) -> impl Iterator<Item = (u64, ProcessIdentity)> {
         self.held
             .iter()
@@ -85,7 +86,7 @@
             })
     }
 
-    /// A timer has expired.
+    /// Handles the expiry of a timer.
     pub fn handle_timer(&mut self, now_us: u64, timer: Timer, out: &mut Vec<Action>) {
         self.advance_clock(now_us);
         match timer {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Rejects all offers from now on, and tells the connected `placers`.
+    /// Rejects all offers from now on, and notifies the connected `placers`.
     pub fn drain(&mut self, placers: impl Iterator<Item = Arc<str>>, out: &mut Vec<Action>) {
         if !self.admission.is_draining() {
             self.admission.drain();
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Reports what the processes of a task use to its placer.
+    /// Reports the resource usage of a task to its placer.
     pub fn report_usage(&self, attempt: u64, cores: f64, memory_gib: f64, out: &mut Vec<Action>) {
         let Some(task) = self.held.get(&attempt) else {
             return;
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Time never runs backwards, whatever the order in which events are handed in.
+    /// Advances the clock; an earlier time than that of a previous event leaves it unchanged.
     fn advance_clock(&mut self, now_us: u64) {
         self.now_us = self.now_us.max(now_us);
     }
--- a/crates/agent/src/agent/offers.rs
+++ b/crates/agent/src/agent/offers.rs
@@ -1,4 +1,4 @@
-//! What placers send, and what they are answered.
+//! Frames from placers and the responses to them.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use super::task::HeldTask;
 use super::{Action, Agent, StoredTask, TaskState};
 
-/// Deduplication keys are known to this agent only, so all are of one group.
+/// Deduplication is local to this agent, so all keys are in one group.
 pub(super) const DEDUPLICATION_GROUP: u64 = 0;
 
 impl Agent {
-    /// A placer has greeted: it is sent who this is, the ends that it has not been sent, and all that is held of it.
-    /// A placer of minor version 0 handles ends only after that; [`Agent::report_finished`] sends them, and by then it
-    /// has taken those tasks for lost.
-    pub fn handle_greeting(&mut self, placer: &Arc<str>, minor: u16, out: &mut Vec<Action>) {
+    /// Handles the Hello frame of a placer. The response is a Hello frame, the unreported results of the placer's tasks,
+    /// and the list of its unfinished tasks. A placer with minor version 0 handles results only after the list: they are
+    /// sent later by [`Agent::report_finished`], when the placer already considers those tasks lost.
+    pub fn handle_hello(&mut self, placer: &Arc<str>, minor: u16, out: &mut Vec<Action>) {
         let send = |frame| Action::Send(placer.clone(), frame);
         out.push(send(Frame::Hello {
             major: frame::MAJOR,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A frame of a placer that has greeted.
+    /// Handles a frame from a placer that has sent its Hello frame.
     pub fn handle_frame(
         &mut self,
         now_us: u64,
@@ -69,8 +69,8 @@
     fn handle_offer(&mut self, placer: &Arc<str>, offer: Offer, out: &mut Vec<Action>) {
         let attempt = offer.attempt_id;
         if self.held.contains_key(&attempt) || self.unreported.contains_key(&attempt) {
-            // Attempt ids are used once: a second offer is an error of the placer and starts nothing.
-            tracing::warn!(%placer, attempt, "offer ignored: attempt id was used before");
+            // Attempt ids are unique, so a second offer with the same id is an error in the placer.
+            tracing::warn!(%placer, attempt, "offer ignored: attempt id is already in use");
             return;
         }
         if self.is_store_unavailable {
@@ -111,7 +111,7 @@
                 }
             }
             AdmissionDecision::Admitted { preempted } => {
-                // Admission has given their resources to the new task already.
+                // Admission has already reassigned the resources of these tasks to the new one.
                 for preempted_attempt in preempted {
                     self.stop_task(preempted_attempt, Reason::Preempted, out);
                 }
--- a/crates/agent/src/agent/recovery.rs
+++ b/crates/agent/src/agent/recovery.rs
@@ -1,4 +1,4 @@
-//! What a new process of the agent makes of the tasks that an earlier one stored.
+//! Recovery of the tasks that an earlier agent process stored.
 
 use maplethread_admission::{TaskRequest, TaskStage};
 use maplethread_wire::frame::Reason;
@@ -8,8 +8,8 @@
 use super::{Action, Agent, RecoveryOutcome, StoredTask, TaskState};
 
 impl Agent {
-    /// Takes over the tasks that an earlier process of the agent stored. `find_process` is asked for the process of
-    /// each task that may have one.
+    /// Restores the tasks that an earlier agent process stored. `find_process` looks up the process of each task that
+    /// may have one.
     pub fn recover(
         &mut self,
         now_us: u64,
@@ -24,10 +24,10 @@
                 TaskState::Finished { .. } => {
                     self.unreported.insert(attempt, record);
                 }
-                TaskState::Accepted => self.hold_recovered(attempt, record, TaskStage::Waiting),
+                TaskState::Accepted => self.restore_task(attempt, record, TaskStage::Waiting),
                 TaskState::Starting | TaskState::Running(_) => {
                     let outcome = find_process(attempt, &record);
-                    self.recover_started(attempt, record, outcome, out);
+                    self.restore_started_task(attempt, record, outcome, out);
                 }
             }
         }
@@ -37,7 +37,7 @@
         self.start_waiting_tasks(out);
     }
 
-    fn recover_started(
+    fn restore_started_task(
         &mut self,
         attempt: u64,
         mut record: StoredTask,
@@ -48,10 +48,10 @@
             RecoveryOutcome::Running(identity) => {
                 record.state = TaskState::Running(identity);
                 out.push(Action::StoreTask(attempt, record.clone()));
-                self.hold_recovered(attempt, record, TaskStage::Running);
+                self.restore_task(attempt, record, TaskStage::Running);
             }
             RecoveryOutcome::NotFound => {
-                // A start that was interrupted may have run; how a running task ended was not observed.
+                // An interrupted start may have succeeded; the exit status of a running task was not observed.
                 let reason = match record.state {
                     TaskState::Starting => Reason::Error,
                     _ => Reason::Unknown,
@@ -66,7 +66,7 @@
         }
     }
 
-    fn hold_recovered(&mut self, attempt: u64, record: StoredTask, stage: TaskStage) {
+    fn restore_task(&mut self, attempt: u64, record: StoredTask, stage: TaskStage) {
         let request = TaskRequest::from_offer(&record.offer, DEDUPLICATION_GROUP);
         self.admission
             .restore(request, stage, &mut self.deduplication_table);
--- a/crates/agent/src/agent/store_failure.rs
+++ b/crates/agent/src/agent/store_failure.rs
@@ -1,21 +1,21 @@
-//! What becomes of a turn that could not be stored.
+//! Handling of actions whose commit to the store has failed.
 
 use maplethread_wire::frame::{Frame, Reason};
 
 use super::{Action, Agent, TaskState, Timer};
 
-/// A store that failed is tried again after this time, µs.
+/// The delay before the store is used again after a failed commit.
 const STORE_RETRY_DELAY_US: u64 = 1_000_000;
 
 impl Agent {
-    /// The commit of a turn has failed, and nothing of the turn was carried out; `out` receives what is done instead.
+    /// Handles a failed commit of `failed_actions`, none of which were executed; `out` receives their replacement.
     ///
-    /// Whether an acceptance is in the store all the same is unknown, and a later process of the agent might start it:
-    /// so its placer is told that it may have run, and it is removed once the store works. Starts wait. All else is
-    /// reported as it is: a later process that reads the older state finds the process, or finds that it is gone.
-    /// Offers are rejected until the store is tried again.
-    pub fn handle_store_failure(&mut self, turn: &[Action], out: &mut Vec<Action>) {
-        for action in turn {
+    /// The failed commit may still have reached the disk, so a later agent process might start a task accepted in it.
+    /// Such a task is reported as ended and possibly started, and is removed from the store once the store works.
+    /// Starts are postponed. The other actions are kept: a later agent process that reads the older state either finds
+    /// the task's process or finds that it has exited. Offers are rejected until the store is used again.
+    pub fn handle_store_failure(&mut self, failed_actions: &[Action], out: &mut Vec<Action>) {
+        for action in failed_actions {
             match action {
                 Action::StoreTask(..) | Action::StoreDraining => {}
                 Action::RemoveTask(attempt) => self.unconfirmed_removals.push(*attempt),
@@ -46,7 +46,8 @@
         }
     }
 
-    /// Accepts offers again, and removes what is not to be in the store; another failure comes back as one.
+    /// Accepts offers again, and removes the attempts whose removal is pending. If the store still fails,
+    /// [`Agent::handle_store_failure`] is called again.
     pub(super) fn retry_store(&mut self, out: &mut Vec<Action>) {
         self.is_store_unavailable = false;
         let removals = self.unconfirmed_removals.drain(..);
--- a/crates/agent/src/agent/task.rs
+++ b/crates/agent/src/agent/task.rs
@@ -1,67 +1,67 @@
-//! Tasks as the agent holds and stores them.
+//! Tasks in memory and in the store.
 
 use std::sync::Arc;
 
 use maplethread_wire::frame::{Offer, Reason};
 
-/// Identifies a process, also after its pid has been given to another one.
+/// Identifies a process uniquely, even if its pid is reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessIdentity {
-    /// Its pid, which is the id of its process group too.
+    /// The pid, which is also the id of the process group.
     pub pid: u32,
-    /// When it started, in clock ticks of the kernel since boot.
+    /// The start time, in kernel clock ticks since boot.
     pub start_ticks: u64,
 }
 
-/// How far a task has come.
+/// The lifecycle state of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Accepted, and not started.
+    /// Accepted, not started.
     Accepted,
-    /// About to be started: from here on it may have run.
+    /// About to be started: from this state on the task may have run.
     Starting,
-    /// It runs as this process.
+    /// Running as this process.
     Running(ProcessIdentity),
-    /// It has ended.
+    /// Ended, or could not be started.
     Finished {
-        /// Why it ended.
+        /// Why the task ended.
         reason: Reason,
-        /// Whether it ran, or may have run.
+        /// Whether the task ran or may have run.
         possibly_started: bool,
     },
 }
 
-/// What is stored of a task.
+/// The stored record of a task.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoredTask {
-    /// The placer that offered it.
+    /// The placer that offered the task.
     pub placer: Arc<str>,
     /// The offer.
     pub offer: Offer,
-    /// How far it has come.
+    /// The lifecycle state.
     pub state: TaskState,
 }
 
-/// What became of the process of a stored task while no agent ran.
+/// The result of looking up the process of a stored task during recovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryOutcome {
-    /// It runs as this process.
+    /// The task is running as this process.
     Running(ProcessIdentity),
-    /// There is no such process.
+    /// The task has no process any more.
     NotFound,
 }
 
-/// A task that the host holds.
+/// A task that has not finished.
 pub(super) struct HeldTask {
     pub(super) record: StoredTask,
-    /// When its offer was read, µs; nothing for a task of an earlier process of the agent.
+    /// When the offer was received, µs; `None` for a task recovered from the store.
     pub(super) received_at_us: Option<u64>,
-    /// It is being stopped, and its end will be reported with this reason.
+    /// The reason to report once the task has ended, if the task is being stopped.
     pub(super) stop_reason: Option<Reason>,
 }
 
 impl HeldTask {
-    /// Time since the offer was read, ms; 0 for a task of an earlier process of the agent.
+    /// Time since the offer was received, ms; 0 for a task recovered from the store.
     pub(super) fn time_since_offer_ms(&self, now_us: u64) -> u32 {
         self.received_at_us
             .map_or(0, |at| (now_us.saturating_sub(at) / 1000) as u32)
--- a/crates/agent/src/agent/task_control.rs
+++ b/crates/agent/src/agent/task_control.rs
@@ -1,14 +1,15 @@
-//! Starting, stopping and ending tasks, and reporting their ends.
+//! Starting and stopping tasks, and reporting their results.
 
 use maplethread_wire::frame::{Frame, Reason};
 
 use super::{Action, Agent, ProcessIdentity, StopMode, TaskState, Timer};
 
-/// Ends that may wait to be reported. Beyond it the oldest attempt is forgotten, and its placer finds it missing.
-const MAX_UNREPORTED: usize = 1 << 16;
+/// The maximum number of unreported results. Beyond it the lowest attempt id is dropped, and the placer finds the attempt
+/// missing from the list of unfinished tasks.
+const MAX_UNREPORTED_RESULTS: usize = 1 << 16;
 
 impl Agent {
-    /// Starts as many of the waiting tasks as may start at the same time.
+    /// Starts waiting tasks up to the limit of concurrent starts.
     pub(super) fn start_waiting_tasks(&mut self, out: &mut Vec<Action>) {
         while let Some(start) = self.admission.next_start() {
             let attempt = start.attempt_id;
@@ -21,7 +22,7 @@
         }
     }
 
-    /// The program of an attempt was started, or could not be.
+    /// Handles the result of starting the program of an attempt.
     pub fn handle_start_result(
         &mut self,
         now_us: u64,
@@ -49,7 +50,7 @@
         self.start_waiting_tasks(out);
     }
 
-    /// The process of an attempt has ended. `is_success` is whether it reported success, if that is known.
+    /// Handles the exit of the process of an attempt. `is_success` is `None` if the exit status is unknown.
     pub fn handle_process_exit(
         &mut self,
         now_us: u64,
@@ -68,13 +69,13 @@
         self.start_waiting_tasks(out);
     }
 
-    /// Stops a task; its end is reported with `reason`.
+    /// Stops a task; its result is reported with `reason`.
     pub(super) fn stop_task(&mut self, attempt: u64, reason: Reason, out: &mut Vec<Action>) {
         let Some(task) = self.held.get_mut(&attempt) else {
             return;
         };
         match task.record.state {
-            // Its process is being created, and is stopped as soon as it runs.
+            // The process is being created, and is stopped as soon as it runs.
             TaskState::Starting => task.stop_reason = Some(reason),
             TaskState::Running(identity) => {
                 task.stop_reason = Some(reason);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Kills the process of a task that is being stopped.
+    /// Kills the process of a task that has not exited within its stop grace period.
     pub(super) fn force_stop(&self, attempt: u64, out: &mut Vec<Action>) {
         if let Some(task) = self.held.get(&attempt)
             && let TaskState::Running(identity) = task.record.state
@@ -101,7 +102,7 @@
         }
     }
 
-    /// A task has ended: it is stored as finished until its end was reported.
+    /// Stores a task as finished until its result has been reported.
     fn finish_task(
         &mut self,
         attempt: u64,
@@ -121,15 +122,15 @@
         };
         out.push(Action::StoreTask(attempt, record.clone()));
         self.unreported.insert(attempt, record);
-        while self.unreported.len() > MAX_UNREPORTED
-            && let Some((oldest, _)) = self.unreported.pop_first()
+        while self.unreported.len() > MAX_UNREPORTED_RESULTS
+            && let Some((dropped, _)) = self.unreported.pop_first()
         {
-            out.push(Action::RemoveTask(oldest));
+            out.push(Action::RemoveTask(dropped));
         }
     }
 
-    /// Reports ends to the placers that are connected. What is reported in one turn is removed from the store in the
-    /// next one, so that an end is stored until it has left.
+    /// Reports results to the connected placers. Each reported result is removed from the store by the next call, so
+    /// that it stays stored until the list of actions that reports it has been executed.
     pub fn report_finished(&mut self, is_connected: impl Fn(&str) -> bool, out: &mut Vec<Action>) {
         out.extend(self.reported.drain(..).map(Action::RemoveTask));
         let reportable = self
@@ -141,8 +142,8 @@
                 possibly_started,
             } = record.state
             {
-                let end = self.admission.end_frame(attempt, reason, possibly_started);
-                out.push(Action::Send(record.placer, end));
+                let ended = self.admission.end_frame(attempt, reason, possibly_started);
+                out.push(Action::Send(record.placer, ended));
             }
             self.reported.push(attempt);
         }
--- a/crates/agent/src/config/check.rs
+++ b/crates/agent/src/config/check.rs
@@ -1,10 +1,10 @@
-//! Checks of settings beyond their types.
+//! Validation of settings beyond their types.
 
 use std::ops::RangeInclusive;
 
 use super::{AgentConfig, Limits, PreparedProgram, Program, SettingFault};
 
-/// Collects invalid settings, so that all are reported at once.
+/// Collects all invalid settings, so that they are reported together.
 #[derive(Default)]
 struct Faults(Vec<SettingFault>);
 
@@ -28,27 +28,35 @@
         range: RangeInclusive<T>,
         key: &str,
     ) {
-        let requirement = format!("{} to {}", range.start(), range.end());
+        let requirement = format!(
+            "must be between {} and {}, got {value}",
+            range.start(),
+            range.end()
+        );
         self.require(range.contains(&value), key, &requirement);
     }
 }
 
 impl AgentConfig {
-    /// Checks all settings, and prepares the programs.
+    /// Validates all settings, and parses the arguments of the programs.
     ///
     /// # Errors
-    /// All invalid settings.
+    /// Returns all invalid settings.
     pub fn check(&self) -> Result<Vec<PreparedProgram>, Vec<SettingFault>> {
         let mut faults = Faults::default();
         let is_name = !self.name.is_empty() && self.name.len() <= 255;
-        faults.require(is_name, "name", "1 to 255 octets");
+        faults.require(is_name, "name", "must be 1 to 255 bytes long");
         let is_loopback = self.listen.ip().is_loopback();
-        faults.require(is_loopback, "listen", "a loopback address");
+        faults.require(is_loopback, "listen", "must be a loopback address");
         check_limits(&self.limits, &mut faults);
         faults.require_range(self.stop_grace_ms, 1..=3_600_000, "stop_grace_ms");
         faults.require_range(self.max_output_kib, 1..=1 << 20, "output_kib");
         faults.require_range(self.measure_interval_ms, 100..=600_000, "measure_ms");
-        faults.require(!self.programs.is_empty(), "program", "at least one");
+        faults.require(
+            !self.programs.is_empty(),
+            "program",
+            "must have at least one entry",
+        );
         let programs = check_programs(&self.programs, &mut faults);
         if faults.0.is_empty() {
             Ok(programs)
@@ -63,12 +71,12 @@
     faults.require(
         is_in_bounds(limits.cores, 4096.0),
         "limits.cores",
-        "above 0, at most 4096",
+        "must be above 0 and at most 4096",
     );
     faults.require(
         is_in_bounds(limits.memory_gib, 65536.0),
         "limits.memory_gib",
-        "above 0, at most 65536",
+        "must be above 0 and at most 65536",
     );
     faults.require_range(limits.cpu_overcommit, 1.0..=100.0, "limits.over_cores");
     faults.require_range(limits.memory_overcommit, 1.0..=100.0, "limits.over_memory");
@@ -81,18 +89,22 @@
     for (program, number) in programs.iter().zip(1..) {
         let key = |field: &str| format!("program {number}: {field}");
         let is_absolute = program.path.is_absolute();
-        faults.require(is_absolute, key("path"), "an absolute path");
+        faults.require(is_absolute, key("path"), "must be an absolute path");
         match PreparedProgram::new(program) {
             Ok(program) => prepared.push(program),
             Err(error) => faults.add(key("args"), error.to_string()),
         }
-        let is_variable = |name: &String| !name.is_empty() && !name.contains(['=', '\0']);
+        let is_variable_name = |name: &String| !name.is_empty() && !name.contains(['=', '\0']);
         let are_variables = program
             .env
             .iter()
             .chain(program.set.keys())
-            .all(is_variable);
-        faults.require(are_variables, key("env"), "names without `=`");
+            .all(is_variable_name);
+        faults.require(
+            are_variables,
+            key("env"),
+            "variable names must be non-empty, without `=` and NUL",
+        );
     }
     prepared
 }
--- a/crates/agent/src/config/defaults.rs
+++ b/crates/agent/src/config/defaults.rs
@@ -1,4 +1,4 @@
-//! Settings that may be left out.
+//! Default values of optional settings.
 
 pub(super) fn stop_grace_ms() -> u64 {
     5000
@@ -12,7 +12,7 @@
     2000
 }
 
-/// No overcommitment.
+/// No overcommit: the sum of requests is limited to the host's capacity.
 pub(super) fn overcommit() -> f64 {
     1.0
 }
--- a/crates/agent/src/config/error.rs
+++ b/crates/agent/src/config/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with a settings file.
+//! Errors in a settings file.
 
 use std::fmt;
 use std::io;
 
 use maplethread_config::ConfigError;
 
-/// Why a settings file can't be used.
+/// An error in reading or validating a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file can't be read, or a path in it can't be resolved.
+    /// The file cannot be read, or a path in it cannot be resolved.
     #[error("{file}: {source}")]
     Io {
         /// The settings file.
@@ -16,7 +16,7 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The file can't be parsed.
+    /// The file cannot be parsed.
     #[error(transparent)]
     Parse(#[from] ConfigError),
     /// Settings are invalid.
@@ -34,7 +34,7 @@
 pub struct SettingFault {
     /// The key of the setting.
     pub key: String,
-    /// What it has to be, or what is wrong with it.
+    /// The requirement that the value does not meet, or the error in the value.
     pub problem: String,
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// A line for each fault.
+/// One line for each fault.
 fn join_faults(file: &str, faults: &[SettingFault]) -> String {
     let lines: Vec<String> = faults
         .iter()
--- a/crates/agent/src/config/mod.rs
+++ b/crates/agent/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of an agent, written by operators and checked whole before the agent starts.
+//! The settings file of an agent, which is validated completely before the agent starts.
 
 mod check;
 mod defaults;
@@ -25,23 +25,23 @@
     pub listen: SocketAddr,
     /// Folder of the store and of the tasks' output; created if it does not exist.
     pub folder: PathBuf,
-    /// Time after which a task that was asked to stop is killed, ms.
+    /// Stop grace period: time after which a task that is being stopped is killed, ms.
     #[serde(default = "defaults::stop_grace_ms")]
     pub stop_grace_ms: u64,
-    /// Size at which the output of a task is moved aside, KiB; output that was moved aside before is lost.
+    /// Size at which the output of a task is rotated, KiB; one rotated file is kept.
     #[serde(rename = "output_kib", default = "defaults::max_output_kib")]
     pub max_output_kib: u64,
     /// Interval at which the usage of tasks is measured, ms.
     #[serde(rename = "measure_ms", default = "defaults::measure_interval_ms")]
     pub measure_interval_ms: u64,
-    /// What the host admits.
+    /// Admission limits of the host.
     pub limits: Limits,
-    /// The programs that tasks run; a task runs the first that matches it.
+    /// The programs that tasks run; a task runs the first matching one.
     #[serde(rename = "program")]
     pub programs: Vec<Program>,
 }
 
-/// What a host admits.
+/// Admission limits of a host.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Limits {
@@ -49,16 +49,16 @@
     pub cores: f64,
     /// Memory, GiB.
     pub memory_gib: f64,
-    /// Tasks may request this multiple of the cores in total.
+    /// The total of cores that tasks may request, as a multiple of `cores`.
     #[serde(rename = "over_cores", default = "defaults::overcommit")]
     pub cpu_overcommit: f64,
-    /// Tasks may request this multiple of the memory in total.
+    /// The total of memory that tasks may request, as a multiple of `memory_gib`.
     #[serde(rename = "over_memory", default = "defaults::overcommit")]
     pub memory_overcommit: f64,
-    /// Offers that may wait for a decision.
+    /// Maximum number of offers that wait for a decision.
     #[serde(rename = "line", default = "defaults::max_queue_length")]
     pub max_queue_length: usize,
-    /// Tasks that may be starting at the same time.
+    /// Maximum number of tasks that are starting at the same time.
     #[serde(rename = "starts", default = "defaults::max_concurrent_starts")]
     pub max_concurrent_starts: usize,
     /// Whether tasks may preempt tasks of lower priority.
@@ -67,10 +67,10 @@
 }
 
 impl AgentConfig {
-    /// Reads and checks a settings file; relative paths are relative to its folder.
+    /// Reads and validates a settings file; a relative `folder` is relative to the folder of the file.
     ///
     /// # Errors
-    /// If the file can't be read or parsed, or with all invalid settings at once.
+    /// If the file cannot be read or parsed, or if settings are invalid; all invalid settings are reported together.
     pub fn load(path: &Path) -> Result<(AgentConfig, Vec<PreparedProgram>), SettingsError> {
         let file = path.display().to_string();
         let io_error = |source| SettingsError::Io {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The file of the agent's store.
+    /// The path of the agent's store.
     pub fn store_path(&self) -> PathBuf {
         self.folder.join("agent.redb")
     }
@@ -100,7 +100,7 @@
         self.folder.join("output")
     }
 
-    /// The policy of admission.
+    /// The admission policy.
     pub fn admission_policy(&self) -> AdmissionPolicy {
         AdmissionPolicy {
             cores: self.limits.cores,
@@ -109,7 +109,7 @@
             memory_overcommit: self.limits.memory_overcommit,
             max_queue_length: self.limits.max_queue_length,
             max_concurrent_starts: self.limits.max_concurrent_starts,
-            // Each task is a process of its own: nothing stays loaded after it.
+            // Each task is a separate process, so no program stays loaded after its task.
             max_warm_programs: 0,
             allows_preemption: self.limits.allows_preemption,
         }
--- a/crates/agent/src/config/program.rs
+++ b/crates/agent/src/config/program.rs
@@ -12,29 +12,29 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Program {
-    /// It runs tasks of this class; of any class if left out.
+    /// The class of tasks that run the program; any class if omitted.
     pub class: Option<String>,
-    /// It runs tasks of this service; of any service if left out.
+    /// The service of tasks that run the program; any service if omitted.
     pub service: Option<String>,
     /// The absolute path of the program.
     pub path: PathBuf,
-    /// Its arguments, with placeholders such as `{actor}`.
+    /// The arguments, with placeholders such as `{actor}`.
     #[serde(default)]
     pub args: Vec<String>,
-    /// Environment variables of the agent that it receives; it receives no others.
+    /// Names of the environment variables that the program inherits from the agent; it inherits no others.
     #[serde(default)]
     pub env: Vec<String>,
-    /// Environment variables that it receives besides.
+    /// Additional environment variables.
     #[serde(default)]
     pub set: BTreeMap<String, String>,
-    /// Its working directory; the folder of the tasks' output if left out.
+    /// The working directory; the folder of the tasks' output if omitted.
     pub folder: Option<PathBuf>,
 }
 
 /// A program with its arguments parsed.
 #[derive(Clone, Debug)]
 pub struct PreparedProgram {
-    /// The program as in the settings.
+    /// The program as configured.
     pub program: Program,
     templates: Vec<ArgumentTemplate>,
 }
@@ -49,10 +49,10 @@
         })
     }
 
-    /// The arguments for a task.
+    /// Renders the arguments for a task.
     ///
     /// # Errors
-    /// If a name in the offer may not be an argument.
+    /// If a name in the offer cannot be used as an argument.
     pub fn render_args(&self, offer: &Offer) -> Result<Vec<String>, InvalidName> {
         self.templates
             .iter()
@@ -60,7 +60,7 @@
             .collect()
     }
 
-    /// Whether the program runs tasks of this class and service.
+    /// Whether the program runs tasks with the class and service of the offer.
     fn matches(&self, offer: &Offer) -> bool {
         let is_match = |wanted: &Option<String>, offered: &str| {
             wanted.as_ref().is_none_or(|wanted| wanted == offered)
@@ -70,7 +70,7 @@
     }
 }
 
-/// The first program that matches a task.
+/// Returns the first program that matches an offer.
 pub fn find_program<'a>(
     programs: &'a [PreparedProgram],
     offer: &Offer,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,13 +1,13 @@
 //! The node agent: the host side of the host protocol with real processes.
 //!
-//! - [`agent`] holds the state and decides, without I/O. Frames of placers, ends of processes and timers go in, a list
-//!   of [`Action`]s comes out, ordered so that nothing leaves the host before it is durable.
-//! - [`store`] keeps accepted tasks in an embedded database.
+//! - [`agent`] is the state machine, without I/O: it takes frames from placers, process exits and timer expiries, and
+//!   returns a list of [`Action`]s, ordered so that nothing is sent before the state it depends on is durable.
+//! - [`store`] persists accepted tasks in an embedded database.
 //! - [`process`] starts, finds, measures and stops processes; a process is identified by pid and start time.
-//! - [`config`] is the settings file that operators write, [`template`] makes command lines from it.
-//! - [`run`] connects all of it to sockets, processes and signals.
+//! - [`config`] reads the settings file written by operators, [`template`] renders command lines from it.
+//! - [`run`] connects these modules to sockets, processes and signals.
 //!
-//! Which offers are accepted is decided by `maplethread-admission`, as on emulated hosts.
+//! Admission control (which offers are accepted) is in `maplethread-admission`, which emulated hosts use too.
 
 pub mod agent;
 pub mod config;
--- a/crates/agent/src/process/mod.rs
+++ b/crates/agent/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! Processes of tasks, by way of `/proc`.
+//! Task processes, inspected through `/proc`.
 //!
-//! A task's process leads a process group of its own and carries a marker in its environment. A process is identified
-//! by pid and start time, and is found again by the marker where these were not stored yet.
+//! The process of a task is the leader of its own process group and has a marker in its environment. A process is
+//! identified by pid and start time; if the agent was killed before it stored these, the marker identifies the process.
 
 mod signal;
 mod spawn;
@@ -20,7 +20,7 @@
 pub use stat::{ProcessStat, is_alive, read_stat};
 pub use usage::{ResourceUsage, measure_groups, ticks_per_second};
 
-/// The environment variable that marks the processes of tasks.
+/// The environment variable that marks task processes.
 pub const MARKER_VARIABLE: &str = "MAPLETHREAD_TASK";
 
 /// The value of [`MARKER_VARIABLE`] for the processes of an attempt.
@@ -28,10 +28,10 @@
     format!("{agent}:{attempt:016x}")
 }
 
-/// The kernel's id of this boot.
+/// The kernel's id of the current boot.
 ///
 /// # Errors
-/// If `/proc` can't be read.
+/// If `/proc` cannot be read.
 pub fn boot_id() -> io::Result<String> {
     Ok(std::fs::read_to_string("/proc/sys/kernel/random/boot_id")?
         .trim()
@@ -44,7 +44,7 @@
     entries.filter_map(|entry| entry.file_name().to_str()?.parse().ok())
 }
 
-/// The processes that carry the marker of this agent, by attempt; leaders of process groups first.
+/// The processes with the marker of this agent, by attempt; process group leaders first.
 pub fn find_marked(agent: &str) -> BTreeMap<u64, Vec<ProcessIdentity>> {
     let prefix = format!("{MARKER_VARIABLE}={agent}:");
     let mut found: BTreeMap<u64, Vec<ProcessIdentity>> = BTreeMap::new();
@@ -69,7 +69,7 @@
     found
 }
 
-/// The attempt in the marker of a process.
+/// The attempt in the marker of a process, if the process has one with this prefix.
 fn marked_attempt(pid: u32, prefix: &str) -> Option<u64> {
     let environment = std::fs::read(format!("/proc/{pid}/environ")).ok()?;
     let attempt = environment
--- a/crates/agent/src/process/spawn.rs
+++ b/crates/agent/src/process/spawn.rs
@@ -1,4 +1,4 @@
-//! Starting the program of a task.
+//! Starting the process of a task.
 
 use std::fs::OpenOptions;
 use std::io;
@@ -16,24 +16,24 @@
 /// Why a program could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The settings have no program for the task.
-    #[error("no program for this task")]
+    /// No configured program matches the task.
+    #[error("no configured program matches the task")]
     NoProgram,
-    /// A name in the offer may not be an argument.
+    /// A name in the offer cannot be used as an argument.
     #[error(transparent)]
     InvalidArgument(#[from] InvalidName),
     /// The program or its output file could not be opened.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The program was started and ended at once, as its end could not be watched.
-    #[error("its end can't be watched: {0}")]
-    NotWatchable(#[source] io::Error),
+    /// The program was started, and then killed because its exit could not be watched.
+    #[error("cannot watch for the exit of the process: {0}")]
+    WatchFailed(#[source] io::Error),
 }
 
-/// Starts the program of a task. Its output is appended to a file of its own in `folder`.
+/// Starts the program of a task. Its output is appended to [`output_path`] in `folder`.
 ///
 /// # Errors
-/// If a name in the offer may not be an argument, or if the program or the output file can't be opened.
+/// If a name in the offer cannot be used as an argument, or if the program or the output file cannot be opened.
 pub fn spawn(
     program: &PreparedProgram,
     offer: &Offer,
@@ -62,12 +62,12 @@
         .process_group(0)
         .spawn()?;
     let pid = child.id();
-    // The pid is its own until it is reaped, and it is not reaped before it is waited for.
+    // The pid cannot be reused before the child is reaped, and the child is reaped only by `wait`.
     let start_ticks = read_stat(pid).map_or(0, |stat| stat.start_ticks);
     Ok((child, ProcessIdentity { pid, start_ticks }))
 }
 
-/// The file of a task's output.
+/// The path of a task's output file.
 pub fn output_path(folder: &Path, attempt: u64) -> PathBuf {
     folder.join(format!("{attempt:016x}.log"))
 }
--- a/crates/agent/src/process/stat.rs
+++ b/crates/agent/src/process/stat.rs
@@ -1,27 +1,27 @@
-//! The state of a process in `/proc/PID/stat`.
+//! Parsing of `/proc/PID/stat`.
 
 use crate::agent::ProcessIdentity;
 
 /// Fields of `/proc/PID/stat`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProcessStat {
-    /// `R`, `S`, `Z` and so on.
+    /// The state: `R`, `S`, `Z` and so on.
     pub state: char,
-    /// Its process group.
+    /// The process group id.
     pub group_id: u32,
-    /// When it started, ticks since boot.
+    /// The start time, ticks since boot.
     pub start_ticks: u64,
-    /// Processor time that it has used, ticks.
+    /// User and system CPU time, ticks.
     pub cpu_ticks: u64,
     /// Resident memory, pages.
     pub resident_pages: u64,
 }
 
-/// Parses a line of `/proc/PID/stat`. The name of the program may hold anything, closing parentheses too.
+/// Parses a line of `/proc/PID/stat`. The program name may contain any characters, including closing parentheses.
 pub(super) fn parse_stat(line: &str) -> Option<ProcessStat> {
     let (_, rest) = line.rsplit_once(')')?;
     let fields: Vec<&str> = rest.split_ascii_whitespace().collect();
-    // Fields are numbered from 1 in proc(5), and the state is the third.
+    // proc(5) numbers fields from 1; field 3, the state, is the first one after the program name.
     let number = |n: usize| fields.get(n - 3)?.parse::<u64>().ok();
     Some(ProcessStat {
         state: fields.first()?.chars().next()?,
@@ -32,14 +32,14 @@
     })
 }
 
-/// The state of the process that has this pid now.
+/// Reads the fields of the process that currently has this pid.
 pub fn read_stat(pid: u32) -> Option<ProcessStat> {
     parse_stat(&String::from_utf8_lossy(
         &std::fs::read(format!("/proc/{pid}/stat")).ok()?,
     ))
 }
 
-/// Whether this very process still runs.
+/// Whether the process is still running, and its pid has not been reused.
 pub fn is_alive(identity: ProcessIdentity) -> bool {
     read_stat(identity.pid).is_some_and(|stat| {
         stat.start_ticks == identity.start_ticks && stat.state != 'Z' && stat.state != 'X'
--- a/crates/agent/src/process/tests.rs
+++ b/crates/agent/src/process/tests.rs
@@ -1,4 +1,4 @@
-//! Identification of processes by `/proc`.
+//! Identification of processes through `/proc`.
 
 use super::stat::parse_stat;
 use super::*;
@@ -17,7 +17,7 @@
             resident_pages: 55
         }
     );
-    assert_eq!(parse_stat("12 (cut) S 1"), None);
+    assert_eq!(parse_stat("12 (truncated) S 1"), None);
     assert_eq!(parse_stat(""), None);
 }
 
--- a/crates/agent/src/process/usage.rs
+++ b/crates/agent/src/process/usage.rs
@@ -1,19 +1,19 @@
-//! What the processes of tasks use.
+//! Resource usage of task processes.
 
 use std::collections::BTreeMap;
 
 use super::{all_pids, read_stat};
 
-/// What the processes of one group use.
+/// The resource usage of the processes of one group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ResourceUsage {
-    /// Processor time so far, ticks.
+    /// CPU time used so far, ticks.
     pub cpu_ticks: u64,
     /// Resident memory, bytes.
     pub resident_bytes: u64,
 }
 
-/// What each process group uses, in one pass over `/proc`.
+/// Measures the resource usage of each process group, in one pass over `/proc`.
 pub fn measure_groups() -> BTreeMap<u32, ResourceUsage> {
     let page_bytes = rustix::param::page_size() as u64;
     let mut groups: BTreeMap<u32, ResourceUsage> = BTreeMap::new();
@@ -25,7 +25,7 @@
     groups
 }
 
-/// Ticks of processor time in a second.
+/// The number of clock ticks per second.
 pub fn ticks_per_second() -> u64 {
     rustix::param::clock_ticks_per_second()
 }
--- a/crates/agent/src/run/connections.rs
+++ b/crates/agent/src/run/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of placers.
+//! Connections from placers.
 
 use std::sync::Arc;
 
@@ -9,18 +9,18 @@
 use crate::agent::Action;
 use crate::config::find_program;
 
-/// Connections that may be open at a time; more are closed at once.
+/// Maximum number of open connections; further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 1024;
-/// A placer that leaves more than this unread is disconnected.
+/// Maximum size of the write buffer of a connection; a placer that reads too slowly and exceeds it is disconnected.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
-/// Bytes that are read from a connection in one turn.
+/// Maximum number of bytes read from a connection for one readiness event.
 const MAX_READ_BYTES: usize = 256 << 10;
-/// Bytes that may be read from a connection and not be decoded yet.
+/// Maximum size of the read buffer of a connection, which holds bytes that are not decoded yet.
 const MAX_UNREAD_BYTES: usize = 512 << 10;
 
 pub(super) struct PlacerConnection {
     connection: TcpConnection,
-    /// The name of the placer, once it has greeted.
+    /// The name of the placer, once its Hello frame has been received.
     placer: Option<Arc<str>>,
 }
 
@@ -30,7 +30,7 @@
             if self.connections.len() >= MAX_CONNECTIONS {
                 tracing::warn!(
                     max = MAX_CONNECTIONS,
-                    "connection closed: too many are open"
+                    "connection closed: the maximum number of connections is open"
                 );
                 continue;
             }
@@ -57,7 +57,7 @@
     pub(super) fn handle_connection_ready(
         &mut self,
         readiness: &Readiness,
-        turn: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let token = readiness.token;
         let Some(placer) = self.connections.get_mut(&token) else {
@@ -77,11 +77,11 @@
                 Ok((frame, used)) => {
                     placer.connection.consume(used);
                     let Some(frame) = frame else { break };
-                    self.handle_frame(token, frame, turn);
+                    self.handle_frame(token, frame, actions);
                 }
                 Err(error) => {
                     let name = placer.placer.as_deref().unwrap_or_default();
-                    tracing::warn!(placer = name, %error, "connection lost: protocol error");
+                    tracing::warn!(placer = name, %error, "connection closed: protocol error");
                     return self.close_connection(token);
                 }
             }
@@ -91,7 +91,7 @@
         }
     }
 
-    fn handle_frame(&mut self, token: u64, frame: Frame, turn: &mut Vec<Action>) {
+    fn handle_frame(&mut self, token: u64, frame: Frame, actions: &mut Vec<Action>) {
         let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
@@ -103,12 +103,12 @@
                     major, minor, name, ..
                 },
             ) if major == frame::MAJOR => {
-                self.handle_greeting(token, name.into(), minor, turn);
+                self.handle_hello(token, name.into(), minor, actions);
             }
             (None, _) => {
                 let bye = Frame::Bye(format!("speaks version {}", frame::MAJOR));
                 frame::encode(&bye, connection.connection.write_buffer());
-                // The connection is closed whether or not this reaches the peer.
+                // Best effort: the connection is closed whether or not the frame reaches the peer.
                 let _ = connection.connection.flush(&self.poller);
                 self.close_connection(token);
             }
@@ -116,23 +116,23 @@
                 if find_program(&self.programs, &offer).is_none() =>
             {
                 let rejection = Frame::Refused(offer.attempt_id, Reason::Ineligible, None);
-                turn.push(Action::Send(placer.clone(), rejection));
+                actions.push(Action::Send(placer.clone(), rejection));
             }
             (Some(placer), frame) => {
                 let placer = placer.clone();
                 let now_us = self.now_us();
-                self.agent.handle_frame(now_us, &placer, frame, turn);
+                self.agent.handle_frame(now_us, &placer, frame, actions);
             }
         }
     }
 
-    /// A placer has greeted on a connection, which replaces an earlier one of the same placer.
-    fn handle_greeting(
+    /// Handles the Hello frame of a placer. The connection replaces an earlier one from the same placer.
+    fn handle_hello(
         &mut self,
         token: u64,
         placer: Arc<str>,
         minor: u16,
-        turn: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if let Some(connection) = self.connections.get_mut(&token) {
             connection.placer = Some(placer.clone());
@@ -140,7 +140,7 @@
         if let Some(earlier) = self.token_by_placer.insert(placer.clone(), token) {
             self.connections.remove(&earlier);
         }
-        self.agent.handle_greeting(&placer, minor, turn);
+        self.agent.handle_hello(&placer, minor, actions);
     }
 
     pub(super) fn send_frame(&mut self, placer: &str, frame: &Frame) {
--- a/crates/agent/src/run/error.rs
+++ b/crates/agent/src/run/error.rs
@@ -1,4 +1,4 @@
-//! Why an agent could not be run.
+//! Errors of running an agent.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,21 +6,21 @@
 use crate::config::SettingsError;
 use crate::store::StoreError;
 
-/// Why an agent could not be run, or stopped running.
+/// An error in starting or running an agent.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings file can't be used.
+    /// The settings file is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The store can't be used.
+    /// The store cannot be used.
     #[error("{}: {source}", path.display())]
     Store {
-        /// The file of the store.
+        /// The path of the store.
         path: PathBuf,
-        /// Why it can't be used.
+        /// The error of the store.
         source: StoreError,
     },
-    /// The folder for output could not be created, or the sockets that the settings name could not be set up.
+    /// The output folder could not be created, or the configured sockets could not be set up.
     #[error("{}: {source}", path.display())]
     Setup {
         /// The folder, or the settings file.
@@ -28,10 +28,10 @@
         /// The error of the operating system.
         source: io::Error,
     },
-    /// The kernel's id of this boot could not be read.
-    #[error("boot id: {0}")]
+    /// The kernel's boot id could not be read.
+    #[error("cannot read the boot id: {0}")]
     BootId(#[source] io::Error),
     /// Waiting for events failed.
-    #[error("agent: {0}")]
+    #[error("cannot wait for events: {0}")]
     Serve(#[source] io::Error),
 }
--- a/crates/agent/src/run/mod.rs
+++ b/crates/agent/src/run/mod.rs
@@ -1,6 +1,6 @@
-//! The shell of an agent: sockets of placers, processes, signals and the store around an [`Agent`].
+//! The I/O shell of an agent: placer connections, processes, signals and the store around an [`Agent`].
 //!
-//! It runs in one thread. All events of one look at the poller make one turn of the agent, with one commit.
+//! It runs in one thread. The actions for all events that one wait of the poller returns are committed together.
 
 mod connections;
 mod error;
@@ -26,10 +26,10 @@
 
 const SIGNALS_TOKEN: u64 = 0;
 const LISTENER_TOKEN: u64 = 1;
-/// Connections and processes have tokens from here on.
+/// The first token for connections and processes.
 const FIRST_DYNAMIC_TOKEN: u64 = 2;
 
-/// Whether the shell goes on after an event.
+/// Whether the event loop continues after an event.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Flow {
     Continue,
@@ -51,20 +51,20 @@
     /// Processes by token.
     watched: HashMap<u64, WatchedProcess>,
     next_token: u64,
-    /// Timers with the time at which they expire, µs.
+    /// Timers with their expiry times, µs.
     timers: Vec<(u64, Timer)>,
-    /// Processor time that attempts had used at the last measurement, ticks.
+    /// CPU time of each attempt at the last measurement, ticks.
     previous_cpu_ticks: BTreeMap<u64, u64>,
     /// When usage was last measured, µs.
     last_measured_us: u64,
     started_at: Instant,
 }
 
-/// Runs an agent until SIGTERM or SIGINT; its tasks run on. SIGUSR1 drains it. `on_ready` receives the address that it
-/// listens on.
+/// Runs an agent until SIGTERM or SIGINT; its tasks keep running. SIGUSR1 drains the host. `on_ready` receives the
+/// address that the agent listens on.
 ///
 /// # Errors
-/// If the settings or the store can't be used, or an operation of the operating system fails.
+/// If the settings are invalid, the store cannot be used, or a system call fails.
 pub fn run(settings_file: &Path, on_ready: impl FnOnce(SocketAddr)) -> Result<(), RunError> {
     let (config, programs) = AgentConfig::load(settings_file)?;
     let setup_error = |path: &Path| {
@@ -141,7 +141,7 @@
         Ok((shell, signals))
     }
 
-    /// Time since the shell was created, µs; never 0.
+    /// Time since the shell was created, µs; at least 1.
     fn now_us(&self) -> u64 {
         self.started_at.elapsed().as_micros() as u64 + 1
     }
@@ -151,30 +151,30 @@
         self.next_token - 1
     }
 
-    /// Takes over the tasks that an earlier process of the agent stored.
+    /// Restores the tasks that an earlier agent process stored.
     fn recover(&mut self, stored: Vec<(u64, StoredTask)>, is_same_boot: bool) {
         let marked = process::find_marked(&self.config.name);
         let find_process = |attempt: u64, task: &StoredTask| {
             if !is_same_boot {
                 return RecoveryOutcome::NotFound;
             }
-            let with_marker = || marked.get(&attempt).and_then(|all| all.first()).copied();
+            let marked_process = || marked.get(&attempt).and_then(|all| all.first()).copied();
             match task.state {
                 TaskState::Running(identity) if process::is_alive(identity) => {
                     RecoveryOutcome::Running(identity)
                 }
                 TaskState::Starting => {
-                    with_marker().map_or(RecoveryOutcome::NotFound, RecoveryOutcome::Running)
+                    marked_process().map_or(RecoveryOutcome::NotFound, RecoveryOutcome::Running)
                 }
                 _ => RecoveryOutcome::NotFound,
             }
         };
         let (now_us, is_draining) = (self.now_us(), self.facts.is_draining);
-        let mut turn = Vec::new();
+        let mut actions = Vec::new();
         self.agent
-            .recover(now_us, is_draining, stored, find_process, &mut turn);
-        self.adopt_processes(&marked, &mut turn);
-        self.execute(turn);
+            .recover(now_us, is_draining, stored, find_process, &mut actions);
+        self.adopt_processes(&marked, &mut actions);
+        self.execute(actions);
     }
 
     fn serve(&mut self, signals: &mut Signals) -> io::Result<()> {
@@ -185,18 +185,18 @@
             ready.clear();
             self.poller
                 .wait(Some(Duration::from_micros(timeout_us)), &mut ready)?;
-            let mut turn = Vec::new();
+            let mut actions = Vec::new();
             for readiness in &ready {
-                if self.handle_readiness(readiness, signals, &mut turn) == Flow::Stop {
+                if self.handle_readiness(readiness, signals, &mut actions) == Flow::Stop {
                     return Ok(());
                 }
             }
-            self.fire_timers(&mut turn);
-            self.execute(turn);
+            self.fire_timers(&mut actions);
+            self.execute(actions);
         }
     }
 
-    /// When the next timer expires, or the next measurement is due.
+    /// When the next timer expires or the next measurement is due, whichever is earlier.
     fn next_wakeup_us(&self) -> u64 {
         let timers = self.timers.iter().map(|&(expires_us, _)| expires_us);
         timers.fold(self.next_measurement_us(), u64::min)
@@ -210,77 +210,77 @@
         &mut self,
         readiness: &Readiness,
         signals: &mut Signals,
-        turn: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Flow {
         match readiness.token {
-            SIGNALS_TOKEN => return self.handle_signals(signals, turn),
+            SIGNALS_TOKEN => return self.handle_signals(signals, actions),
             LISTENER_TOKEN => self.accept_connections(),
-            token if self.watched.contains_key(&token) => self.handle_process_exit(token, turn),
-            _ => self.handle_connection_ready(readiness, turn),
+            token if self.watched.contains_key(&token) => self.handle_process_exit(token, actions),
+            _ => self.handle_connection_ready(readiness, actions),
         }
         Flow::Continue
     }
 
-    fn handle_signals(&mut self, signals: &mut Signals, turn: &mut Vec<Action>) -> Flow {
+    fn handle_signals(&mut self, signals: &mut Signals, actions: &mut Vec<Action>) -> Flow {
         for signal in signals.take_received() {
             if signal != SIGUSR1 {
-                tracing::info!("agent stopping; its tasks run on");
+                tracing::info!("agent stopping; its tasks keep running");
                 return Flow::Stop;
             }
             let placers: Vec<Arc<str>> = self.token_by_placer.keys().cloned().collect();
-            self.agent.drain(placers.into_iter(), turn);
+            self.agent.drain(placers.into_iter(), actions);
         }
         Flow::Continue
     }
 
-    fn fire_timers(&mut self, turn: &mut Vec<Action>) {
+    fn fire_timers(&mut self, actions: &mut Vec<Action>) {
         let now_us = self.now_us();
         for (_, timer) in self.timers.extract_if(.., |(at, _)| *at <= now_us) {
-            self.agent.handle_timer(now_us, timer, turn);
+            self.agent.handle_timer(now_us, timer, actions);
         }
         if self.next_measurement_us() <= now_us {
-            self.report_usage(now_us - self.last_measured_us, turn);
+            self.report_usage(now_us - self.last_measured_us, actions);
             self.last_measured_us = now_us;
         }
     }
 
-    /// Makes durable what a turn wants stored, then carries out the rest, and the turns that follow from it.
-    fn execute(&mut self, mut turn: Vec<Action>) {
+    /// Commits changes of the store, then executes the other actions and those that result from them.
+    fn execute(&mut self, mut actions: Vec<Action>) {
         loop {
             let token_by_placer = &self.token_by_placer;
             self.agent
-                .report_finished(|placer| token_by_placer.contains_key(placer), &mut turn);
-            if turn.is_empty() {
+                .report_finished(|placer| token_by_placer.contains_key(placer), &mut actions);
+            if actions.is_empty() {
                 return;
             }
-            if let Some(replacement) = self.store_turn(&turn) {
-                turn = replacement;
+            if let Some(replacement) = self.commit_actions(&actions) {
+                actions = replacement;
             }
-            let mut next_turn = Vec::new();
-            for action in turn {
+            let mut next_actions = Vec::new();
+            for action in actions {
                 match action {
                     Action::StoreTask(..) | Action::RemoveTask(_) | Action::StoreDraining => {}
                     Action::Send(placer, frame) => self.send_frame(&placer, &frame),
-                    Action::StartProcess(attempt) => self.start_process(attempt, &mut next_turn),
+                    Action::StartProcess(attempt) => self.start_process(attempt, &mut next_actions),
                     Action::StopProcess(identity, mode) => process::signal_group(identity, mode),
                     Action::SetTimer { delay_us, timer } => {
                         self.timers.push((self.now_us() + delay_us, timer));
                     }
                 }
             }
-            turn = next_turn;
+            actions = next_actions;
         }
     }
 
-    /// Commits a turn. Returns what is done instead of it if that fails.
-    fn store_turn(&mut self, turn: &[Action]) -> Option<Vec<Action>> {
-        let is_draining = turn.contains(&Action::StoreDraining);
+    /// Commits the changes of the store in a list of actions. If that fails, returns the list that replaces it.
+    fn commit_actions(&mut self, actions: &[Action]) -> Option<Vec<Action>> {
+        let is_draining = actions.contains(&Action::StoreDraining);
         self.facts.is_draining |= is_draining;
         let facts = is_draining.then_some(&self.facts);
-        let error = self.store.commit(turn, facts).err()?;
-        tracing::error!(%error, "the store takes nothing; offers are rejected until it does");
+        let error = self.store.commit(actions, facts).err()?;
+        tracing::error!(%error, "commit to the store failed; offers are rejected until the store is used again");
         let mut replacement = Vec::new();
-        self.agent.handle_store_failure(turn, &mut replacement);
+        self.agent.handle_store_failure(actions, &mut replacement);
         Some(replacement)
     }
 }
--- a/crates/agent/src/run/processes.rs
+++ b/crates/agent/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of tasks: started, watched by a `pidfd`, and measured.
+//! Task processes: starting them, watching them with a `pidfd`, and measuring their usage.
 
 use std::collections::BTreeMap;
 use std::fs::OpenOptions;
@@ -16,41 +16,42 @@
 
 const BYTES_PER_GIB: f64 = (1u64 << 30) as f64;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Usage is never divided by a shorter time than this, seconds.
+/// Lower bound of the interval by which usage is divided.
 const MIN_MEASURED_SECONDS: f64 = 1e-3;
 
-/// A process whose end is awaited.
+/// A process whose exit is watched.
 pub(super) struct WatchedProcess {
     attempt: u64,
     identity: ProcessIdentity,
-    /// Readable once the process has ended.
+    /// Becomes readable when the process exits.
     pidfd: OwnedFd,
-    /// Nothing for a process that an earlier process of the agent started.
+    /// `None` for a process that was started by an earlier agent process.
     child: Option<Child>,
 }
 
 impl Shell {
-    /// Watches the processes that run, and kills all other processes with the marker of this agent: they were left
-    /// behind by tasks that have ended.
+    /// Watches the processes of running tasks, and kills all other processes with the marker of this agent, which belong
+    /// to tasks that have ended.
     pub(super) fn adopt_processes(
         &mut self,
         marked: &BTreeMap<u64, Vec<ProcessIdentity>>,
-        turn: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         let adopted: BTreeMap<u64, ProcessIdentity> = self.agent.running_processes().collect();
-        let left_behind = marked
+        let orphaned = marked
             .iter()
             .filter(|(attempt, _)| !adopted.contains_key(attempt));
-        for &identity in left_behind.flat_map(|(_, identities)| identities) {
+        for &identity in orphaned.flat_map(|(_, identities)| identities) {
             process::signal_group(identity, StopMode::Forced);
         }
         tracing::info!(adopted = adopted.len(), "tasks recovered");
         for (attempt, identity) in adopted {
             if let Err(error) = self.watch_process(attempt, identity, None) {
-                // It has ended since it was looked for.
-                tracing::info!(attempt, %error, "process of recovered task is gone");
+                // The process has exited since it was looked up.
+                tracing::info!(attempt, %error, "process of a recovered task has exited");
                 let now_us = self.now_us();
-                self.agent.handle_process_exit(now_us, attempt, None, turn);
+                self.agent
+                    .handle_process_exit(now_us, attempt, None, actions);
             }
         }
     }
@@ -63,7 +64,8 @@
     ) -> io::Result<()> {
         let pid = Pid::from_raw(identity.pid as i32).ok_or(io::ErrorKind::NotFound)?;
         let pidfd = pidfd_open(pid, PidfdFlags::empty())?;
-        // The descriptor stands for the expected process only if that is still alive after it was opened.
+        // The pid may have been reused before `pidfd_open`: the descriptor refers to the expected process only if that
+        // process is still alive now.
         if child.is_none() && !process::is_alive(identity) {
             return Err(io::ErrorKind::NotFound.into());
         }
@@ -79,7 +81,7 @@
         Ok(())
     }
 
-    pub(super) fn start_process(&mut self, attempt: u64, next_turn: &mut Vec<Action>) {
+    pub(super) fn start_process(&mut self, attempt: u64, next_actions: &mut Vec<Action>) {
         let Some(offer) = self.agent.offer(attempt) else {
             return;
         };
@@ -93,16 +95,16 @@
             spawned.and_then(|(child, identity)| self.watch_started(attempt, identity, child));
         let result = started.map_err(|error| {
             match error {
-                StartError::NotWatchable(_) => tracing::error!(attempt, %error, "start failed"),
-                _ => tracing::warn!(attempt, %error, "start failed"),
+                StartError::WatchFailed(_) => tracing::error!(attempt, %error, "task start failed"),
+                _ => tracing::warn!(attempt, %error, "task start failed"),
             }
             Reason::Error
         });
         self.agent
-            .handle_start_result(now_us, attempt, result, next_turn);
+            .handle_start_result(now_us, attempt, result, next_actions);
     }
 
-    /// Watches a process that was just started; one whose end can't be watched is killed.
+    /// Watches a process that was just started, and kills the process if that fails.
     fn watch_started(
         &mut self,
         attempt: u64,
@@ -113,18 +115,18 @@
             Ok(()) => Ok(identity),
             Err(error) => {
                 process::signal_group(identity, StopMode::Forced);
-                Err(StartError::NotWatchable(error))
+                Err(StartError::WatchFailed(error))
             }
         }
     }
 
-    pub(super) fn handle_process_exit(&mut self, token: u64, turn: &mut Vec<Action>) {
+    pub(super) fn handle_process_exit(&mut self, token: u64, actions: &mut Vec<Action>) {
         let Some(mut watched) = self.watched.remove(&token) else {
             return;
         };
-        // A descriptor that the poller has lost needs no removal.
+        // An error means that the poller no longer has the descriptor.
         let _ = self.poller.deregister(&watched.pidfd);
-        // The rest of its group ends with it; until it is reaped, the id of the group is its own.
+        // Kills the rest of the process group. The group id cannot be reused before the child is reaped below.
         process::signal_group(watched.identity, StopMode::Forced);
         let is_success = watched
             .child
@@ -134,11 +136,11 @@
         self.previous_cpu_ticks.remove(&watched.attempt);
         let now_us = self.now_us();
         self.agent
-            .handle_process_exit(now_us, watched.attempt, is_success, turn);
+            .handle_process_exit(now_us, watched.attempt, is_success, actions);
     }
 
-    /// Reports the usage of each task since the last measurement, `interval_us` ago.
-    pub(super) fn report_usage(&mut self, interval_us: u64, turn: &mut Vec<Action>) {
+    /// Reports the usage of each running task since the last measurement, which was `interval_us` ago.
+    pub(super) fn report_usage(&mut self, interval_us: u64, actions: &mut Vec<Action>) {
         let groups = process::measure_groups();
         let seconds_per_tick = 1.0 / process::ticks_per_second().max(1) as f64;
         let interval = (interval_us as f64 / MICROSECONDS_PER_SECOND).max(MIN_MEASURED_SECONDS);
@@ -153,12 +155,13 @@
                 let ticks = usage.cpu_ticks.saturating_sub(previous);
                 let cores = ticks as f64 * seconds_per_tick / interval;
                 let memory_gib = usage.resident_bytes as f64 / BYTES_PER_GIB;
-                self.agent.report_usage(attempt, cores, memory_gib, turn);
+                self.agent.report_usage(attempt, cores, memory_gib, actions);
             }
         }
     }
 
-    /// Moves the output of a task aside once it is too long. Tasks append, so what they write next begins the file anew.
+    /// Rotates the output file of a task once it exceeds the maximum size. Tasks open the file in append mode, so after
+    /// the truncation they continue at its start.
     fn rotate_output(&self, attempt: u64) {
         let file = process::output_path(&self.output_folder, attempt);
         let max_bytes = self.config.max_output_kib << 10;
--- a/crates/agent/src/store/error.rs
+++ b/crates/agent/src/store/error.rs
@@ -1,64 +1,66 @@
-//! Why a store can't be used.
+//! Errors of the store.
 
 use super::STORE_VERSION;
 
-/// Why a store can't be used.
+/// An error in opening, reading or writing a store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// Another agent uses it.
-    #[error("another process has it open")]
+    /// Another process has the store open.
+    #[error("the store is open in another process")]
     Locked,
-    /// A newer program wrote it.
+    /// The store was written by a newer version of the program.
     #[error(
-        "it has version {0}, and this program knows {STORE_VERSION}; use the program that wrote it"
+        "the store has version {0}, this program supports {STORE_VERSION}; use the program version that wrote it"
     )]
     NewerVersion(u32),
-    /// It is damaged.
-    #[error("it is damaged: {0}; put it aside and see what runs before starting without it")]
+    /// The store is damaged.
+    #[error(
+        "the store is damaged: {0}; move the file away, and check which tasks are running before starting without it"
+    )]
     Damaged(#[from] Damage),
     /// A value could not be encoded.
-    #[error("a value could not be encoded: {0}")]
+    #[error("cannot encode a value: {0}")]
     Encode(#[source] postcard::Error),
-    /// The disk fails, is full, or may not be written.
+    /// The disk failed, is full, or is not writable.
     #[error("{0}")]
     Storage(#[source] Box<redb::Error>),
 }
 
-/// How a store is damaged.
+/// The kind of damage to a store.
 #[derive(Debug, thiserror::Error)]
 pub enum Damage {
     /// The file is not a database.
-    #[error("the file is not a store")]
+    #[error("the file is not a database")]
     NotAStore,
-    /// The database found itself corrupted.
+    /// The database library detected corruption.
     #[error("{0}")]
     Corrupted(String),
-    /// The version is not a number of 4 bytes.
-    #[error("its version is not a number")]
+    /// The stored version is not 4 bytes long.
+    #[error("the stored version is not 4 bytes long")]
     Version,
-    /// The facts of the host can't be decoded.
-    #[error("facts of the host: {0}")]
+    /// The facts about the host cannot be decoded.
+    #[error("cannot decode the facts about the host: {0}")]
     HostFacts(#[source] postcard::Error),
-    /// A task can't be decoded.
-    #[error("task {attempt:016x}: {source}")]
+    /// A task cannot be decoded.
+    #[error("cannot decode task {attempt:016x}: {source}")]
     Task {
         /// The attempt.
         attempt: u64,
-        /// Why it can't be decoded.
+        /// The error of the decoder.
         source: postcard::Error,
     },
-    /// The offer of a task can't be decoded.
-    #[error("task {attempt:016x}: its offer can't be decoded")]
+    /// The offer of a task cannot be decoded.
+    #[error("cannot decode the offer of task {attempt:016x}")]
     Offer {
         /// The attempt.
         attempt: u64,
     },
-    /// A task is stored under the key of another attempt.
-    #[error("task {attempt:016x}: its offer is that of attempt {offered:016x}")]
-    OtherAttempt {
-        /// The attempt that is the key.
+    /// The attempt id in the offer of a task differs from the key of the task.
+    #[error("task {attempt:016x} contains the offer of attempt {offered:016x}")]
+    AttemptMismatch {
+        /// The attempt in the key.
         attempt: u64,
-        /// The attempt of the stored offer.
+        /// The attempt in the stored offer.
         offered: u64,
     },
 }
--- a/crates/agent/src/store/mod.rs
+++ b/crates/agent/src/store/mod.rs
@@ -1,7 +1,7 @@
-//! The durable state of an agent: an embedded database (redb) with one commit for each turn.
+//! The durable state of an agent: an embedded database (redb) with one commit for each list of actions.
 //!
-//! Each value is checked when it is read, and the database carries a version, so that a store of a newer version or a
-//! damaged one is reported as such and never taken for an empty one.
+//! Each value is validated when it is read, and the database contains a version number, so that a damaged store or one of
+//! a newer version is reported as such and never treated as empty.
 
 mod error;
 mod row;
@@ -24,26 +24,26 @@
 const TASKS_TABLE: TableDefinition<u64, &[u8]> = TableDefinition::new("tasks");
 /// The version of the store and the facts of the host.
 const FACTS_TABLE: TableDefinition<&str, &[u8]> = TableDefinition::new("facts");
-/// Key of the version, 4 bytes little endian.
+/// Key of the version, stored as 4 bytes in little-endian order.
 const VERSION_KEY: &str = "version";
 /// Key of the [`HostFacts`].
 const HOST_KEY: &str = "host";
 /// The version of the contents of the tables.
 const STORE_VERSION: u32 = 1;
 
-/// What is stored of the host. Stored by position: the order of the fields stays.
+/// Stored facts about the host. Fields are encoded by position: their order must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostFacts {
-    /// The kernel's id of the boot in which the agent last ran.
+    /// The kernel's boot id when the agent last started.
     pub boot_id: String,
     /// Whether the host is draining.
     pub is_draining: bool,
 }
 
-/// Everything that a store holds.
+/// The contents of a store.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StoredState {
-    /// What is stored of the host.
+    /// Facts about the host.
     pub facts: HostFacts,
     /// The tasks, by attempt.
     pub tasks: Vec<(u64, StoredTask)>,
@@ -55,10 +55,10 @@
 }
 
 impl Store {
-    /// Opens a store, or creates it.
+    /// Opens a store, or creates it if it does not exist.
     ///
     /// # Errors
-    /// If another process has it open, if it is of a newer version or damaged, or if the disk fails.
+    /// If the store is open in another process, has a newer version or is damaged, or if the disk fails.
     pub fn open(path: &Path) -> Result<Store, StoreError> {
         let database = Database::create(path).map_err(|e| match e {
             DatabaseError::Storage(StorageError::Io(e))
@@ -81,7 +81,7 @@
         Ok(write)
     }
 
-    /// Writes the version and the tables of a new store; of an old one checks the version.
+    /// Writes the version and creates the tables of a new store; checks the version of an existing one.
     fn check_version(&self) -> Result<(), StoreError> {
         let write = self.begin_write()?;
         {
@@ -111,7 +111,7 @@
         write.commit().map_err(storage_error)
     }
 
-    /// Reads everything that is stored.
+    /// Reads the contents of the store.
     ///
     /// # Errors
     /// If a value is damaged or the disk fails.
@@ -132,18 +132,22 @@
         Ok(StoredState { facts, tasks })
     }
 
-    /// Makes what a turn wants stored durable, all of it or nothing. Returns whether there was anything to store.
+    /// Commits the changes of the store in a list of actions in one transaction. Returns whether there were any.
     ///
     /// # Errors
-    /// If the commit fails; whether it reached the disk all the same is unknown then.
-    pub fn commit(&self, turn: &[Action], facts: Option<&HostFacts>) -> Result<bool, StoreError> {
-        if facts.is_none() && !turn.iter().any(Action::is_stored) {
+    /// If the commit fails; whether the transaction reached the disk is unknown then.
+    pub fn commit(
+        &self,
+        actions: &[Action],
+        facts: Option<&HostFacts>,
+    ) -> Result<bool, StoreError> {
+        if facts.is_none() && !actions.iter().any(Action::changes_store) {
             return Ok(false);
         }
         let write = self.begin_write()?;
         {
             let mut tasks = write.open_table(TASKS_TABLE).map_err(storage_error)?;
-            for action in turn {
+            for action in actions {
                 match action {
                     Action::StoreTask(attempt, task) => {
                         tasks
--- a/crates/agent/src/store/row.rs
+++ b/crates/agent/src/store/row.rs
@@ -1,6 +1,6 @@
-//! The stored form of a task: postcard, with the offer as a frame of the host protocol.
+//! The stored format of a task: postcard, with the offer encoded as a frame of the host protocol.
 //!
-//! Postcard stores fields and variants by position: their order and types are part of the format, their names are not.
+//! Postcard encodes fields and variants by position: their order and types are part of the format, their names are not.
 
 use maplethread_wire::frame::{self, Frame, Reason};
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
 struct TaskRow<'a> {
     placer: &'a str,
     state: StateRow,
-    /// The offer, as a [`Frame::Held`].
+    /// The offer, encoded as a [`Frame::Held`].
     offer: Vec<u8>,
 }
 
@@ -80,7 +80,7 @@
         return Err(Damage::Offer { attempt });
     };
     if offer.attempt_id != attempt {
-        return Err(Damage::OtherAttempt {
+        return Err(Damage::AttemptMismatch {
             attempt,
             offered: offer.attempt_id,
         });
--- a/crates/agent/src/store/tests.rs
+++ b/crates/agent/src/store/tests.rs
@@ -1,4 +1,4 @@
-//! What the store reads back, and how it reports what it can't read.
+//! Reading back stored tasks, and errors of damaged or incompatible stores.
 
 use std::path::PathBuf;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A folder for stores; removed when it is dropped.
+/// A temporary folder for stores, removed on drop.
 struct Folder(tempfile::TempDir);
 
 impl Folder {
@@ -70,32 +70,33 @@
     };
     {
         let store = Store::open(&path).expect("a store is created");
-        let mut turn: Vec<Action> = tasks
+        let mut actions: Vec<Action> = tasks
             .iter()
             .map(|(attempt, task)| Action::StoreTask(*attempt, task.clone()))
             .collect();
-        turn.push(Action::StoreTask(99, stored_task(99, TaskState::Accepted)));
-        let commit = |turn: &[Action], facts| store.commit(turn, facts).expect("the commit works");
-        assert!(commit(&turn, Some(&facts)));
+        actions.push(Action::StoreTask(99, stored_task(99, TaskState::Accepted)));
+        let commit =
+            |actions: &[Action], facts| store.commit(actions, facts).expect("the commit succeeds");
+        assert!(commit(&actions, Some(&facts)));
         assert!(commit(&[Action::RemoveTask(99)], None));
         assert!(
             !commit(&[Action::StartProcess(1)], None),
-            "nothing to store"
+            "no action changes the store"
         );
         assert!(
             matches!(Store::open(&path), Err(StoreError::Locked)),
-            "one agent at a time"
+            "only one agent can open a store"
         );
     }
-    let store = Store::open(&path).expect("the store is opened again");
+    let store = Store::open(&path).expect("the store is reopened");
     assert_eq!(
-        store.load().expect("the store can be read"),
+        store.load().expect("the store is readable"),
         StoredState { facts, tasks }
     );
 }
 
 #[test]
-fn rejects_damaged_foreign_or_newer_store_with_its_cause() {
+fn reports_cause_for_damaged_or_newer_store() {
     let folder = Folder::new();
     let path = folder.path("agent.redb");
     std::fs::write(&path, vec![7; 100_000]).expect("the file is written");
--- a/crates/agent/src/template.rs
+++ b/crates/agent/src/template.rs
@@ -1,11 +1,11 @@
-//! Command lines from templates.
+//! Templates of command-line arguments.
 //!
-//! An argument is text with typed placeholders. Names from the wire fill in placeholders and are never read as a
-//! command, an option or a path.
+//! An argument is text with typed placeholders. Placeholders are filled with values from the offer, which are untrusted:
+//! the program's path is fixed by the settings, no shell is involved, and a value cannot turn its argument into an option.
 
 use maplethread_wire::frame::Offer;
 
-/// What a placeholder stands for.
+/// The field of an offer that a placeholder is replaced by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Placeholder {
     Service,
@@ -30,7 +30,7 @@
         Placeholder::ExpectedDurationMs,
     ];
 
-    /// The name between braces, as operators write it.
+    /// The name between the braces in the settings file.
     fn name(self) -> &'static str {
         match self {
             Placeholder::Service => "service",
@@ -73,17 +73,17 @@
     Placeholder(Placeholder),
 }
 
-/// What is wrong with a template.
+/// A syntax error in a template.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TemplateError {
     /// A `{` without a `}` after it.
-    #[error("a `{{` is not closed")]
+    #[error("`{{` without a matching `}}`; write `{{{{` for a literal brace")]
     UnclosedBrace,
     /// A `}` without a `{` before it.
-    #[error("a `}}` stands alone; write `}}}}`")]
+    #[error("`}}` without a matching `{{`; write `}}}}` for a literal brace")]
     UnopenedBrace,
     /// A placeholder that does not exist.
-    #[error("no placeholder `{{{0}}}`; there are {names}", names = placeholder_names())]
+    #[error("unknown placeholder `{{{0}}}`, expected one of {names}", names = placeholder_names())]
     UnknownPlaceholder(String),
 }
 
@@ -91,14 +91,14 @@
     Placeholder::ALL.map(Placeholder::name).join(", ")
 }
 
-/// A name from the wire that may not be an argument.
+/// A value from an offer that cannot be used in an argument.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidName {
-    /// It contains a NUL byte.
-    #[error("a name contains a NUL byte")]
+    /// The argument would contain a NUL byte.
+    #[error("a value from the offer contains a NUL byte")]
     ContainsNul,
-    /// An argument that is a name alone would be read as an option.
-    #[error("a name that is an argument of its own begins with `-`")]
+    /// The argument begins with a placeholder, and its value would make the argument an option.
+    #[error("a value from the offer at the start of an argument begins with `-`")]
     LooksLikeOption,
 }
 
@@ -107,10 +107,10 @@
 pub struct ArgumentTemplate(Vec<Segment>);
 
 impl ArgumentTemplate {
-    /// Parses a template: `{name}` is a placeholder, `{{` and `}}` are braces.
+    /// Parses a template: `{name}` is a placeholder, `{{` and `}}` are literal braces.
     ///
     /// # Errors
-    /// If braces are not paired, or a placeholder does not exist.
+    /// If braces are not paired, or a placeholder is unknown.
     pub fn parse(text: &str) -> Result<ArgumentTemplate, TemplateError> {
         let (mut segments, mut plain, mut rest) = (Vec::new(), String::new(), text);
         while let Some(c) = rest.chars().next() {
@@ -141,10 +141,10 @@
         Ok(ArgumentTemplate(segments))
     }
 
-    /// The argument for a task.
+    /// Renders the argument for a task.
     ///
     /// # Errors
-    /// If a name in the offer contains a NUL byte, or would make the argument an option.
+    /// If a value from the offer contains a NUL byte, or would make the argument an option.
     pub fn render(&self, offer: &Offer) -> Result<String, InvalidName> {
         let rendered = self.0.iter().map(|segment| match segment {
             Segment::Text(text) => text.clone(),
--- a/crates/agent/tests/config.rs
+++ b/crates/agent/tests/config.rs
@@ -1,4 +1,4 @@
-//! Checks of an agent's settings file.
+//! Validation of an agent's settings file.
 
 use maplethread_agent::AgentConfig;
 use maplethread_config::{Document, parse_toml};
@@ -17,7 +17,7 @@
 "#;
 
 #[test]
-fn check_reports_all_faults_at_once() {
+fn reports_all_invalid_settings_together_and_line_of_unknown_key() {
     let doc = Document {
         file: "a.toml",
         text: VALID_SETTINGS,
@@ -26,13 +26,13 @@
     assert_eq!(config.check().expect("the settings are valid").len(), 1);
     config.limits.cores = f64::NAN;
     config.programs[0].path = "true".into();
-    config.programs[0].args = vec!["{who}".into()];
+    config.programs[0].args = vec!["{unknown}".into()];
     let faults = config.check().expect_err("three settings are invalid");
     assert_eq!(faults.len(), 3, "{faults:?}");
-    let unknown = VALID_SETTINGS.replace("cores = 4.0", "cores = 4.0\nmany = 1");
+    let with_unknown_key = VALID_SETTINGS.replace("cores = 4.0", "cores = 4.0\nunknown = 1");
     let error = parse_toml::<AgentConfig>(Document {
         file: "a.toml",
-        text: &unknown,
+        text: &with_unknown_key,
     })
     .expect_err("a key is unknown")
     .to_string();
--- a/crates/agent/tests/recorded_stores.rs
+++ b/crates/agent/tests/recorded_stores.rs
@@ -1,8 +1,9 @@
-//! Stores that an earlier build wrote stay readable, and every task in them is recovered.
+//! Stores written by an earlier build stay readable, and every task in them is recovered.
 //!
-//! `fixtures/running-tasks.redb.zst` is the store of an agent of text a11b515 that was killed while three tasks ran and
-//! two had ended without their placer having heard of it; `fixtures/all-states.redb.zst` was written by the same text
-//! through its store, with a task in each state. Neither is made anew when the code changes.
+//! Both fixtures were written by commit a11b515. `fixtures/running-tasks.redb.zst` is the store of an agent that was
+//! killed while three tasks were running and the results of two finished tasks had not been sent to the placer.
+//! `fixtures/all-states.redb.zst` contains a task in each state. The fixtures must not be regenerated when the code
+//! changes.
 
 use std::path::Path;
 
@@ -11,17 +12,20 @@
 use maplethread_agent::{Action, Agent, ProcessIdentity, RecoveryOutcome, StoredTask, TaskState};
 use maplethread_wire::frame::{DuplicatePolicy, Reason, ResourceAmounts};
 
-/// Everything in a recorded store; it is opened in a copy, since opening it may write.
-fn read(name: &str) -> (HostFacts, Vec<(u64, StoredTask)>) {
-    let packed = Path::new(env!("CARGO_MANIFEST_DIR"))
+/// Loads a recorded store. It is decompressed to a temporary file, because opening a store may write to it.
+fn load_fixture(name: &str) -> (HostFacts, Vec<(u64, StoredTask)>) {
+    let fixture_path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/fixtures")
         .join(format!("{name}.redb.zst"));
-    let packed = std::fs::read(packed).expect("a fixture");
-    let bytes = zstd::decode_all(&packed[..]).expect("a Zstandard frame");
-    let folder = tempfile::tempdir().expect("a folder");
+    let compressed = std::fs::read(fixture_path).expect("the fixture is readable");
+    let bytes = zstd::decode_all(&compressed[..]).expect("the fixture is a Zstandard frame");
+    let folder = tempfile::tempdir().expect("a temporary folder can be created");
     let path = folder.path().join("agent.redb");
-    std::fs::write(&path, bytes).expect("a copy");
-    let StoredState { facts, tasks } = Store::open(&path).expect("a store").load().expect("tasks");
+    std::fs::write(&path, bytes).expect("the copy is written");
+    let StoredState { facts, tasks } = Store::open(&path)
+        .expect("the store opens")
+        .load()
+        .expect("the store is readable");
     (facts, tasks)
 }
 
@@ -40,19 +44,19 @@
 }
 
 #[test]
-fn recovers_every_task_of_a_killed_agent() {
-    let (facts, tasks) = read("running-tasks");
+fn recovers_every_task_of_killed_agent() {
+    let (facts, tasks) = load_fixture("running-tasks");
     assert!(!facts.is_draining && !facts.boot_id.is_empty());
     let actors: Vec<&str> = tasks.iter().map(|(_, t)| &t.offer.actor[..]).collect();
     assert_eq!(actors, ["a1", "a2", "a3", "b4", "b5"]);
     for (attempt, task) in &tasks {
         assert_eq!(task.offer.attempt_id, *attempt);
         assert_eq!(&*task.placer, "placer-0");
-        let quarter = ResourceAmounts {
+        let requested = ResourceAmounts {
             cores: 0.25,
             memory_gib: 0.25,
         };
-        assert_eq!(task.offer.requested, quarter);
+        assert_eq!(task.offer.requested, requested);
         match &task.offer.class[..] {
             "job" => {
                 assert_eq!(task.offer.duplicate_policy, DuplicatePolicy::NonIdempotent);
@@ -72,17 +76,23 @@
                     }
                 ));
             }
-            other => panic!("class {other}"),
+            other => panic!("unexpected class {other}"),
         }
     }
 
-    // Those that ran run on, and nothing is started again.
-    let alive = |_: u64, task: &StoredTask| match task.state {
+    // Running tasks are kept as running, and no task is started again.
+    let find_process = |_: u64, task: &StoredTask| match task.state {
         TaskState::Running(identity) => RecoveryOutcome::Running(identity),
-        _ => panic!("asked for the process of a task that has ended"),
+        _ => panic!("process lookup for a finished task"),
     };
     let (mut agent, mut actions) = (agent(), Vec::new());
-    agent.recover(1, facts.is_draining, tasks.clone(), alive, &mut actions);
+    agent.recover(
+        1,
+        facts.is_draining,
+        tasks.clone(),
+        find_process,
+        &mut actions,
+    );
     let running: Vec<u64> = agent
         .running_processes()
         .map(|(attempt, _)| attempt)
@@ -96,13 +106,13 @@
 }
 
 #[test]
-fn reads_every_state_that_a_task_can_be_stored_in() {
-    let (facts, tasks) = read("all-states");
-    let written = HostFacts {
+fn loads_tasks_in_every_state() {
+    let (facts, tasks) = load_fixture("all-states");
+    let expected_facts = HostFacts {
         boot_id: "boot-1".into(),
         is_draining: true,
     };
-    assert_eq!(facts, written);
+    assert_eq!(facts, expected_facts);
     let identity = ProcessIdentity {
         pid: 4242,
         start_ticks: 987_654,
@@ -124,7 +134,7 @@
             possibly_started: true,
         },
     ];
-    let copies = [
+    let duplicate_policies = [
         DuplicatePolicy::Idempotent,
         DuplicatePolicy::IdempotencyKey(9),
         DuplicatePolicy::NonIdempotent,
@@ -142,12 +152,12 @@
         assert_eq!(offer.service, format!("service-{n}"));
         assert_eq!(offer.request_id, format!("request-{n}"));
         assert_eq!((&offer.actor[..], &offer.class[..]), ("ä", "job"));
-        let asks = ResourceAmounts {
+        let requested = ResourceAmounts {
             cores: 0.5,
             memory_gib: 1.5,
         };
-        assert_eq!((offer.requested, offer.priority), (asks, n as u32));
-        assert_eq!(offer.duplicate_policy, copies[n % 3]);
+        assert_eq!((offer.requested, offer.priority), (requested, n as u32));
+        assert_eq!(offer.duplicate_policy, duplicate_policies[n % 3]);
         assert_eq!(
             (offer.expected_duration_ms, offer.answer_timeout_ms),
             (700 + n as u64, 250)
--- a/crates/agent/tests/turns.rs
+++ b/crates/agent/tests/state_machine.rs
@@ -1,5 +1,5 @@
-//! Turns of an agent without processes: what is stored before what leaves, what becomes of a turn that can't be stored,
-//! and what a later process of the agent makes of what an earlier one stored.
+//! The agent's state machine without processes: state is stored before frames are sent and processes are started, a list
+//! of actions whose commit fails is replaced, and tasks stored by an earlier agent process are recovered.
 
 mod support;
 
@@ -94,33 +94,33 @@
     assert_eq!(
         stored_states(&second),
         [TaskState::Accepted],
-        "one starts at a time"
+        "only one task may be starting at a time"
     );
     let out = report_started(&mut agent, 1);
     assert!(out.contains(&Action::StartProcess(2)), "{out:?}");
     assert!(matches!(sent_frames(&out)[..], [Frame::Started(1, _)]));
-    // The same attempt offered again starts nothing.
+    // An offer with a used attempt id is ignored.
     assert!(send_offer(&mut agent, offer(1, 1.0, 0)).is_empty());
 }
 
 #[test]
-fn undoes_turn_and_rejects_offers_after_a_store_failure() {
+fn store_failure_undoes_acceptance_and_rejects_offers() {
     let mut agent = agent();
-    let turn = send_offer(&mut agent, offer(1, 1.0, 0));
-    let mut instead = Vec::new();
-    agent.handle_store_failure(&turn, &mut instead);
-    // It may be in the store all the same, and a later process of the agent might start it.
+    let failed_actions = send_offer(&mut agent, offer(1, 1.0, 0));
+    let mut replacement = Vec::new();
+    agent.handle_store_failure(&failed_actions, &mut replacement);
+    // The task may be in the store despite the failure, and a later agent process might start it.
     assert!(
         matches!(
-            sent_frames(&instead)[..],
+            sent_frames(&replacement)[..],
             [Frame::Ended(1, Reason::Error, true, _)]
         ),
-        "{instead:?}"
+        "{replacement:?}"
     );
-    assert!(!instead.contains(&Action::StartProcess(1)) && agent.offer(1).is_none());
-    let refused = send_offer(&mut agent, offer(2, 1.0, 0));
+    assert!(!replacement.contains(&Action::StartProcess(1)) && agent.offer(1).is_none());
+    let rejected = send_offer(&mut agent, offer(2, 1.0, 0));
     assert!(matches!(
-        sent_frames(&refused)[..],
+        sent_frames(&rejected)[..],
         [Frame::Refused(2, Reason::Ineligible, _)]
     ));
     let mut out = Vec::new();
@@ -128,23 +128,23 @@
     assert_eq!(out, [Action::RemoveTask(1)]);
     assert!(
         send_offer(&mut agent, offer(3, 1.0, 0)).contains(&Action::StartProcess(3)),
-        "the resources of the first are free"
+        "the resources of the first task were released"
     );
 }
 
 #[test]
-fn retries_start_when_its_intent_could_not_be_stored() {
+fn retries_start_after_its_intent_could_not_be_stored() {
     let mut agent = agent();
     send_offer(&mut agent, offer(1, 1.0, 0));
     send_offer(&mut agent, offer(2, 1.0, 0));
-    let turn = report_started(&mut agent, 1);
-    let mut instead = Vec::new();
-    agent.handle_store_failure(&turn, &mut instead);
+    let failed_actions = report_started(&mut agent, 1);
+    let mut replacement = Vec::new();
+    agent.handle_store_failure(&failed_actions, &mut replacement);
     assert!(
-        matches!(sent_frames(&instead)[..], [Frame::Started(1, _)]),
-        "what runs is reported: {instead:?}"
+        matches!(sent_frames(&replacement)[..], [Frame::Started(1, _)]),
+        "the running task is reported: {replacement:?}"
     );
-    assert!(!instead.contains(&Action::StartProcess(2)));
+    assert!(!replacement.contains(&Action::StartProcess(2)));
     let mut out = Vec::new();
     agent.handle_timer(3, Timer::RetryStore, &mut out);
     assert!(
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn stops_task_once_running_when_cancelled_during_start() {
+fn stops_task_as_soon_as_it_runs_if_cancelled_during_start() {
     let mut agent = agent();
     send_offer(&mut agent, offer(1, 1.0, 0));
     let mut out = Vec::new();
     agent.handle_frame(1, &placer(), Frame::Cancel(1), &mut out);
-    assert!(out.is_empty(), "there is nothing to stop yet: {out:?}");
+    assert!(out.is_empty(), "the process does not exist yet: {out:?}");
     let identity = ProcessIdentity {
         pid: 1,
         start_ticks: 5,
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn keeps_result_in_store_until_it_was_reported() {
+fn keeps_result_in_store_until_reported() {
     let mut agent = agent();
     send_offer(&mut agent, offer(1, 1.0, 0));
     report_started(&mut agent, 1);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn recovers_tasks_of_the_previous_process_in_every_state() {
+fn recovers_stored_tasks_in_every_state() {
     let process = |pid, start_ticks| ProcessIdentity { pid, start_ticks };
     let states = [
         TaskState::Accepted,
@@ -247,21 +247,24 @@
     assert_eq!(
         started,
         [&Action::StartProcess(1)],
-        "only a task that certainly never started is started"
+        "only the accepted task is started: it certainly never ran"
     );
-    let mut greeting = Vec::new();
-    agent.handle_greeting(&placer(), 1, &mut greeting);
-    assert_eq!(sent_frames(&greeting).last(), Some(&&Frame::Drain));
-    let held_end = sent_frames(&greeting)
+    let mut response = Vec::new();
+    agent.handle_hello(&placer(), 1, &mut response);
+    assert_eq!(sent_frames(&response).last(), Some(&&Frame::Drain));
+    let held_end = sent_frames(&response)
         .iter()
         .position(|f| **f == Frame::HeldEnd)
-        .expect("the list of held tasks ends");
-    let ends = sent_frames(&greeting)[..held_end]
+        .expect("the list of unfinished tasks is terminated");
+    let result_count = sent_frames(&response)[..held_end]
         .iter()
         .filter(|f| matches!(f, Frame::Ended(..)))
         .count();
-    assert_eq!(ends, 3, "ends come before the list of held tasks ends");
-    let frames = sent_frames(&greeting);
+    assert_eq!(
+        result_count, 3,
+        "results are sent before the list of unfinished tasks is terminated"
+    );
+    let frames = sent_frames(&response);
     let held: Vec<(u64, bool)> = frames
         .iter()
         .filter_map(|f| match f {
@@ -270,15 +273,20 @@
         })
         .collect();
     assert_eq!(held, [(1, false), (2, true), (4, true)]);
-    assert!(frames.contains(&&Frame::Drain), "it is still draining");
+    assert!(
+        frames.contains(&&Frame::Drain),
+        "the host is still draining"
+    );
     let ended: Vec<(u64, Reason, bool)> = frames
         .iter()
         .filter_map(|f| match f {
-            Frame::Ended(attempt, reason, ran, _) => Some((*attempt, *reason, *ran)),
+            Frame::Ended(attempt, reason, possibly_started, _) => {
+                Some((*attempt, *reason, *possibly_started))
+            }
             _ => None,
         })
         .collect();
-    // An interrupted start may have run; how the running task ended was not observed.
+    // An interrupted start may have succeeded; the exit status of the running task was not observed.
     assert_eq!(
         ended,
         [
@@ -290,7 +298,7 @@
 }
 
 #[test]
-fn preempts_lower_priority_for_a_higher_one() {
+fn preempts_task_of_lower_priority() {
     let mut agent = agent();
     send_offer(&mut agent, offer(1, 3.0, 0));
     report_started(&mut agent, 1);
--- a/crates/agent/tests/support/mod.rs
+++ b/crates/agent/tests/support/mod.rs
@@ -1,8 +1,8 @@
-//! Offers for the tests of the agent.
+//! Offers for the agent's tests.
 
 use maplethread_wire::frame::{DuplicatePolicy, Offer, ResourceAmounts};
 
-/// An offer of a small task.
+/// An offer of a task that needs half a core and half a GiB.
 pub fn offer(attempt: u64) -> Offer {
     Offer {
         attempt_id: attempt,
--- a/crates/agent/tests/template.rs
+++ b/crates/agent/tests/template.rs
@@ -1,4 +1,4 @@
-//! Arguments from templates, and names from the wire that may not be arguments.
+//! Rendering of argument templates, and values from offers that cannot be used in arguments.
 
 mod support;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn renders_placeholders_from_the_offer() {
+fn renders_placeholders_with_values_from_the_offer() {
     let argument = template("--name={service}/{actor}:{attempt}");
     assert_eq!(
         argument.render(&offer("a b;$(x)")).as_deref(),
@@ -35,11 +35,11 @@
 }
 
 #[test]
-fn rejects_malformed_template_with_its_cause() {
+fn reports_cause_for_malformed_template() {
     for (text, cause) in [
-        ("{nobody}", "no placeholder"),
-        ("{actor", "not closed"),
-        ("a}", "stands alone"),
+        ("{unknown}", "unknown placeholder `{unknown}`"),
+        ("{actor", "`{` without a matching `}`"),
+        ("a}", "`}` without a matching `{`"),
     ] {
         let error = ArgumentTemplate::parse(text).expect_err(text).to_string();
         assert!(error.contains(cause), "{text}: {error}");
@@ -47,16 +47,16 @@
 }
 
 #[test]
-fn rejects_name_from_the_wire_that_would_be_an_option() {
+fn rejects_value_that_would_make_argument_an_option_or_contains_nul() {
     let alone = template("{actor}");
     assert_eq!(
         alone.render(&offer("--force")),
         Err(InvalidName::LooksLikeOption)
     );
     assert_eq!(alone.render(&offer("a\0b")), Err(InvalidName::ContainsNul));
-    let after = template("--actor={actor}");
+    let prefixed = template("--actor={actor}");
     assert_eq!(
-        after.render(&offer("--force")).as_deref(),
+        prefixed.render(&offer("--force")).as_deref(),
         Ok("--actor=--force")
     );
 }
