--- a/crates/membership/src/active_timers.rs
+++ b/crates/membership/src/active_timers.rs
@@ -1,10 +1,10 @@
-//! Timers that stand still while the process is paused.
+//! Timers that do not advance while the process is paused.
 
 use maplethread_timers::Timers;
 
 use crate::member_table::Micros;
 
-/// Timers of a member in its active time: the time that has passed less the pauses of the process.
+/// Timers of a member in active time: elapsed time without the pauses of the process.
 pub(crate) struct ActiveTimers<T> {
     timers: Timers<T>,
     paused_total: Micros,
--- a/crates/membership/src/datagram.rs
+++ b/crates/membership/src/datagram.rs
@@ -1,5 +1,5 @@
-//! The content of datagrams. They are encoded by postcard, which stores fields and variants by position: names may change,
-//! the order may not.
+//! The content of datagrams. They are encoded with postcard, which encodes fields and variants by position: names may
+//! change, the order must not.
 
 use std::net::SocketAddr;
 
@@ -10,38 +10,39 @@
 
 /// The maximum size of a datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// How many bytes of the keyed hash are sent.
+/// The size of the truncated keyed hash in a datagram, in bytes.
 pub(crate) const TAG_BYTES: usize = 16;
-/// The maximum size of what surrounds the message, in bytes: version, tag, the sender's identity, the time, and lengths.
+/// The maximum overhead of a datagram around its message, in bytes: version, tag, the sender's identity, the send time, and
+/// lengths.
 pub(crate) const MAX_ENVELOPE_BYTES: usize = 1 + TAG_BYTES + 64 + 2 + 20 + 10 + 10 + 6;
-/// How many parts of a view are compared separately.
+/// The number of buckets into which members are divided by name hash; each bucket of a view has its own digest.
 pub(crate) const DIGEST_BUCKETS: usize = 32;
 
 /// The authenticated content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Datagram {
     pub(crate) sender: MemberIdentity,
-    /// When it was sent, µs of the sender's active time. It identifies datagrams that were delayed for long.
+    /// The send time, µs of the sender's active time. It is used to reject datagrams that were delayed for long.
     pub(crate) sent_at: u64,
     pub(crate) message: Message,
 }
 
-/// What one member sends to another.
+/// A message from one member to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
     /// A message of the SWIM library.
     Swim(Vec<u8>),
-    /// The digests of the sender's view by bucket. The receiver sends what it knows of members in buckets that differ, and
-    /// its own digests unless this is a reply already.
+    /// The digests of the sender's view, by bucket. The receiver sends updates of the members in buckets that differ, and
+    /// its own digests unless this message is a reply.
     DigestExchange {
         bucket_digests: Vec<u32>,
         is_reply: bool,
     },
-    /// What the sender knows of some members.
+    /// Updates of some members from the sender's view.
     MemberUpdates(Vec<MemberUpdate>),
-    /// Asks an unknown sender to prove that it runs now, so that a replayed datagram revives nobody.
+    /// Requests proof from an unknown sender that it is running, so that a replayed datagram cannot add a stopped member.
     Challenge(u64),
-    /// The answer to a challenge, with the digests of the sender's view.
+    /// The response to a challenge, with the digests of the sender's view.
     ChallengeResponse {
         nonce: u64,
         bucket_digests: Vec<u32>,
@@ -52,11 +53,11 @@
         address: SocketAddr,
         is_down: bool,
     },
-    /// The sender claims the receiver's name as its own.
+    /// The sender claims the receiver's name.
     NameClaim,
 }
 
-/// What is known of one member.
+/// The state of one member in the sender's view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct MemberUpdate {
     pub(crate) identity: MemberIdentity,
@@ -65,7 +66,7 @@
     pub(crate) facts: Option<FactsRecord>,
 }
 
-/// The states of the SWIM protocol, as they are sent.
+/// The states of the SWIM protocol, as encoded in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WireState {
     Alive,
--- a/crates/membership/src/facts.rs
+++ b/crates/membership/src/facts.rs
@@ -1,44 +1,44 @@
-//! What a member publishes about itself.
+//! Facts that a member publishes about itself.
 
 use serde::{Deserialize, Serialize};
 
 use crate::identity::MemberName;
 use crate::text::BoundedText;
 
-/// What a member publishes about itself. Only the member changes it.
+/// Facts that a member publishes about itself. Only the member itself changes them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Facts {
-    /// The version of its program.
+    /// The version of the program.
     pub version: BoundedText<32>,
-    /// Its zone.
+    /// The zone.
     pub zone: BoundedText<32>,
-    /// When its process started, ms of Unix time.
+    /// When the process started, ms of Unix time.
     pub started_ms: u64,
-    /// Whether it accepts no new requests.
+    /// Whether the member is draining: it accepts no new requests.
     #[serde(rename = "draining")]
     pub is_draining: bool,
-    /// Its index among the placers, if it has one.
+    /// The index among the placers, if the member has one.
     #[serde(rename = "number")]
     pub replica_index: Option<u32>,
-    /// Its load in percent.
+    /// The load in percent.
     #[serde(rename = "load")]
     pub load_percent: u8,
 }
 
-/// The version of a member's facts: later generations, and later sequence numbers within a generation, are newer.
+/// The version of a member's facts, ordered by generation, then by sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FactsVersion {
     pub(crate) generation: u64,
     pub(crate) sequence: u32,
 }
 
-/// Facts as they are sent: with the member they belong to and their version.
+/// Facts as they are sent, with the name of the member and their version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FactsRecord {
     pub(crate) name: MemberName,
     pub(crate) generation: u64,
     pub(crate) sequence: u32,
-    /// Whether the member leaves the fleet on purpose.
+    /// Whether the member is leaving the fleet on purpose.
     pub(crate) is_leaving: bool,
     pub(crate) facts: Facts,
 }
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Whether this record announces that the given generation leaves, or a later one has left.
+    /// Whether this record announces the leave of this generation or of a later one.
     pub(crate) fn announces_leave_of(&self, generation: u64) -> bool {
         self.is_leaving && self.generation >= generation
     }
--- a/crates/membership/src/former_addresses.rs
+++ b/crates/membership/src/former_addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses of members that are gone.
+//! Addresses of members that were removed from the table.
 
 use std::net::SocketAddr;
 
@@ -6,16 +6,17 @@
 
 use crate::random::random_below;
 
-/// How many addresses are kept.
+/// Maximum number of addresses.
 const MAX_FORMER_ADDRESSES: usize = 64;
 
-/// The addresses of members that are gone, where a part of the fleet may be found after its members were forgotten.
+/// Addresses of members that were removed from the table. They are contacted to rejoin a part of the fleet that was
+/// separated for so long that its members were removed.
 #[derive(Default)]
 pub(crate) struct FormerAddresses(Vec<SocketAddr>);
 
 impl FormerAddresses {
-    /// Adds an address; if there is no room, it replaces a random one.
-    pub(crate) fn remember(&mut self, address: SocketAddr, rng: &mut Pcg64Mcg) {
+    /// Adds an address. If the table is full, it replaces a random one.
+    pub(crate) fn insert(&mut self, address: SocketAddr, rng: &mut Pcg64Mcg) {
         if self.0.contains(&address) {
             return;
         }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,4 +1,4 @@
-//! Names of members and the identity of one generation of a member.
+//! Member names, and the identity of one generation of a member.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 
 use crate::text::{BoundedText, TextError};
 
-/// The hash of a member's name; tables are keyed by it.
+/// The hash of a member's name, used as the key of tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NameHash(u64);
 
@@ -30,7 +30,7 @@
 }
 
 impl MemberName {
-    /// The hash under which tables store the member.
+    /// The hash of the name, used as the key of tables.
     pub(crate) fn hash(&self) -> NameHash {
         self.hash
     }
@@ -78,19 +78,19 @@
     u64::from_le_bytes(first)
 }
 
-/// One generation of a member. Of two with one name, the higher generation takes precedence, and of equal generations the
-/// higher address, so that all members decide alike.
+/// One generation of a member. Of two identities with the same name, the one with the higher generation takes precedence;
+/// if the generations are equal, the one with the higher address, so that all members decide alike.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberIdentity {
     pub(crate) name: MemberName,
-    /// Where its datagrams go.
+    /// The address that receives the member's datagrams.
     pub(crate) address: SocketAddr,
-    /// When its process started, ms of Unix time; one higher each time it rejoined after it was declared down.
+    /// The start time of the process, ms of Unix time, raised each time the member starts a new generation.
     pub(crate) generation: u64,
 }
 
 impl MemberIdentity {
-    /// Orders the generations of one name: the higher value takes precedence.
+    /// Orders the identities with one name: the higher value takes precedence.
     pub(crate) fn precedence(&self) -> (u64, SocketAddr) {
         (self.generation, self.address)
     }
@@ -99,7 +99,8 @@
 impl foca::Identity for MemberIdentity {
     type Addr = NameHash;
 
-    /// The library never starts a new generation: [`crate::LocalMember`] does, as it has to consider name conflicts.
+    /// Returns `None`, so that the library never starts a new generation: [`crate::LocalMember`] does, because it has to
+    /// consider name conflicts.
     fn renew(&self) -> Option<MemberIdentity> {
         None
     }
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -1,29 +1,30 @@
-//! The keys of a fleet, and the authentication of datagrams by a keyed hash.
+//! The keys of a fleet, and the authentication of datagrams with a keyed hash.
 
 use crate::datagram::{Datagram, MAX_DATAGRAM_BYTES, TAG_BYTES};
 
-/// The version of the datagram format, in its first byte.
+/// The version of the datagram format, sent as the first byte.
 const VERSION: u8 = 1;
-/// Separates these keys from other uses of the same key file. It is part of every key in use and must not change.
+/// Separates these keys from other uses of the same key file. Changing it would change all keys.
 const KEY_DERIVATION_CONTEXT: &str = "maplethread 2026-12-02 fleet datagrams v1";
 
 /// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum DatagramError {
-    #[error("longer than 1,200 bytes")]
+    #[error("the datagram is longer than 1200 bytes")]
     TooLong,
-    /// It is too short for a datagram, or of another version.
-    #[error("no datagram of this version")]
+    /// The datagram is too short, or has another format version.
+    #[error("the datagram is too short or has an unknown format version")]
     UnknownVersion,
-    /// Its keyed hash belongs to none of the keys.
-    #[error("not of this fleet")]
+    /// The keyed hash matches none of the keys.
+    #[error("the datagram is not signed with a key of this fleet")]
     Unauthenticated,
-    /// Its keyed hash is right, but it cannot be decoded.
-    #[error("can't be read")]
+    /// The datagram is authenticated, but cannot be decoded.
+    #[error("the datagram cannot be decoded")]
     Malformed,
 }
 
-/// The keys of a fleet: the first one signs, all of them verify. Two keys are valid at once during a key rotation.
+/// The keys of a fleet. Datagrams are signed with the first key and verified with all. There are two keys during a key
+/// rotation.
 #[derive(Clone)]
 pub struct KeyRing(Vec<[u8; 32]>);
 
@@ -31,17 +32,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum KeyRingError {
     /// The number of keys is neither one nor two.
-    #[error("one key, or two while it is changed, a line each; there are {0}")]
+    #[error("expected one key, or two during a key rotation, each on its own line; found {0}")]
     WrongCount(usize),
     /// The line with this number, counted from 1, is not a key.
-    #[error("line {0}: a key has 64 hex digits")]
+    #[error("line {0}: expected a key of 64 hex digits")]
     InvalidKey(usize),
 }
 
 impl KeyRing {
-    /// Reads keys from the text of a key file: one or two lines of 64 hex digits, of which the first one signs. Empty lines
-    /// and lines that begin with `#` are ignored. The name of the fleet becomes part of each key, so that two fleets with
-    /// the same key file stay apart.
+    /// Parses the text of a key file: one or two lines of 64 hex digits, of which the first is the signing key. Empty lines
+    /// and lines that begin with `#` are ignored. The name of the fleet is part of each derived key, so that two fleets with
+    /// the same key file reject each other's datagrams.
     ///
     /// # Errors
     ///
@@ -71,14 +72,14 @@
         tag
     }
 
-    /// A number for this text that only a holder of the signing key can compute.
+    /// A keyed hash of a text, which only a holder of the signing key can compute.
     pub(crate) fn nonce(&self, text: &[u8]) -> u64 {
         let mut first = [0; 8];
         first.copy_from_slice(&blake3::keyed_hash(&self.0[0], text).as_bytes()[8..16]);
         u64::from_le_bytes(first)
     }
 
-    /// Encodes and signs a datagram; `None` if it would be too long.
+    /// Encodes and signs a datagram; `None` if it cannot be encoded or would be too long.
     pub(crate) fn seal(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(datagram).ok()?;
         let mut bytes = Vec::with_capacity(1 + TAG_BYTES + body.len());
@@ -98,7 +99,7 @@
             return Err(DatagramError::UnknownVersion);
         };
         let (tag, body) = rest.split_at(TAG_BYTES);
-        // Padded to whole hashes, because blake3 compares hashes in constant time.
+        // The tags are padded to full hashes, because `blake3::Hash` compares in constant time.
         let is_signed_by = |key: &[u8; 32]| {
             let (mut expected, mut received) = ([0; 32], [0; 32]);
             expected[..TAG_BYTES].copy_from_slice(&Self::tag(key, body));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,18 @@
-//! Group membership among placers: every member keeps its own view of the fleet, without an external system.
+//! Group membership among placers: every member maintains its own view of the fleet, without an external system.
 //!
-//! [`LocalMember`] is a state machine. It takes datagrams and the current time, and returns datagrams to send, changes of
-//! the view, and the time of its next timer. It has no I/O, clock or thread, and equal seeds and inputs give equal outputs.
+//! [`LocalMember`] is a deterministic state machine without I/O, clock or threads. It takes datagrams and the current time,
+//! and returns datagrams to send, changes of the view, and the time of its next timer.
 //!
-//! The failure detector is SWIM, from the `foca` library. This crate adds what the library leaves open:
+//! The failure detector is SWIM, from the `foca` library. This crate adds:
 //!
-//! - authentication of datagrams by a keyed hash ([`KeyRing`]);
+//! - authentication of datagrams with a keyed hash ([`KeyRing`]);
 //! - generations, so that a restarted process replaces its predecessor;
-//! - resolution of conflicts when two running processes use one name;
-//! - anti-entropy: members compare digests of their views and exchange what differs;
-//! - detection of pauses of the own process, so that nobody is declared down because of datagrams that were not read.
+//! - resolution of conflicts when two running processes use the same name;
+//! - anti-entropy: members compare digests of their views and exchange the entries that differ;
+//! - detection of pauses of the local process, so that after a pause no other member is declared down because its
+//!   datagrams have not been read yet.
 //!
-//! Placement decisions never depend on the view.
+//! Placement decisions do not depend on the view.
 #![forbid(unsafe_code)]
 
 mod active_timers;
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -1,11 +1,11 @@
-//! The local member's own health, which slows down its judgement of others (local health multiplier of Lifeguard).
+//! The local health of a member (Lifeguard's local health multiplier), which delays probes and suspicions.
 
-/// The worst score.
+/// The maximum score, which is the worst.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// A pause of the process counts for as much as two suspicions.
+/// The score that a pause of the process adds: as much as two suspicions.
 const PAUSE_PENALTY: u32 = 2;
 
-/// How much the local member doubts itself: 0 is healthy, higher is worse.
+/// The local health score: 0 is healthy, higher is worse.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LocalHealth {
     score: u32,
@@ -16,22 +16,22 @@
         self.score
     }
 
-    /// Another member was probed: the score falls by one.
+    /// Records a probe of another member, which decreases the score.
     pub(crate) fn record_probe(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Somebody suspects the local member.
+    /// Records that another member suspects the local one.
     pub(crate) fn record_suspicion(&mut self) {
         self.score = (self.score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// The process was paused.
+    /// Records a pause of the process.
     pub(crate) fn record_pause(&mut self) {
         self.score = (self.score + PAUSE_PENALTY).min(MAX_HEALTH_SCORE);
     }
 
-    /// By what factor probes and suspicions of others take longer.
+    /// The factor by which timers for probes and suspicions are multiplied.
     pub(crate) fn delay_factor(self) -> u32 {
         1 + self.score
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! The local member: its state, its timers, and what happens when they are due.
+//! The local member: its state and the dispatch of its timers.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -35,27 +35,28 @@
 mod snapshot;
 mod table_updates;
 
-/// A probe by the local member itself as the source of a change, in [`MembershipChange::reported_by`].
+/// [`MembershipChange::reported_by`] of a change found by a probe of the local member. Published in JSON.
 pub const OWN_PROBE: &str = "a test of its own";
-/// The local member as the source of a change. Published in JSON, as are the others here.
+/// [`MembershipChange::reported_by`] of a change caused by the local member itself. Published in JSON.
 const ITSELF: &str = "itself";
-/// The end of the time for which a member that is gone is remembered, as the source of a change.
+/// [`MembershipChange::reported_by`] of the removal of a member that was down for [`crate::Timing::forget_after`]. Published
+/// in JSON.
 const EXPIRY: &str = "time";
 
-/// What the caller has to do.
+/// An action or event for the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send a datagram to an address.
     Send(SocketAddr, Vec<u8>),
-    /// Take note of a change of the view.
+    /// The view has changed.
     Changed(MembershipChange),
-    /// Take note of an event that concerns this member itself.
+    /// An event that concerns the local member itself.
     Notice(Notice),
 }
 
-/// What a timer is for.
+/// The action of a timer.
 enum MemberTimer {
-    /// A timer of the SWIM library; void if the library was restarted since.
+    /// A timer of the SWIM library. It is ignored if the library has been restarted since it was set.
     Swim {
         restarts: u32,
         timer: Timer<MemberIdentity>,
@@ -69,7 +70,7 @@
     CheckNameConflict,
 }
 
-/// What the local member publishes about itself.
+/// The facts that the local member publishes, and when they were last published.
 struct PublishedFacts {
     facts: Facts,
     sequence: u32,
@@ -91,16 +92,16 @@
     send_times: SendTimes,
     former_addresses: FormerAddresses,
     notice_limiter: NoticeLimiter,
-    /// Another process holds the name of this one.
+    /// Set while another process holds the local member's name.
     name_conflict: Option<NameConflict>,
-    /// Another process claims the name that this one holds.
+    /// The last claim by another process to the local member's name.
     name_claim: Option<NameClaim>,
     published: PublishedFacts,
     is_leaving: bool,
-    last_call: Micros,
+    last_called_at: Micros,
     health: LocalHealth,
     digest: ViewDigest,
-    /// When views are compared next, in active time.
+    /// When the next comparison of views is due, in active time.
     next_comparison_at: Micros,
 }
 
@@ -109,7 +110,8 @@
 }
 
 impl LocalMember {
-    /// A member that knows nobody yet and contacts its seeds at once. Equal seeds and inputs give equal outputs.
+    /// Creates a member with an empty view, which contacts its seeds immediately. The outputs are determined by the seed
+    /// of the random number generator and the inputs.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> LocalMember {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let identity = MemberIdentity {
@@ -140,7 +142,7 @@
                 is_update_scheduled: false,
             },
             is_leaving: false,
-            last_call: now,
+            last_called_at: now,
             health: LocalHealth::default(),
             digest: ViewDigest::new(now),
             next_comparison_at: 0,
@@ -153,19 +155,19 @@
         member
     }
 
-    /// Takes what has to be done, in order.
+    /// Takes the pending outputs, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`LocalMember::tick`] has to be called at the latest.
+    /// The latest time at which [`LocalMember::tick`] must be called.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.timers.next_due_at()
     }
 
     /// Handles the timers that are due.
     pub fn tick(&mut self, now: Micros) {
-        self.account_for_pause(now);
+        self.detect_pause(now);
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 MemberTimer::Swim { restarts, timer } if restarts == self.swim_restarts => {
@@ -201,32 +203,32 @@
         }
     }
 
-    /// Uses other keys from now on.
+    /// Replaces the keys of the fleet.
     pub fn set_keys(&mut self, keys: KeyRing) {
         self.settings.keys = keys;
     }
 
-    /// What this member publishes about itself.
+    /// The facts that the local member publishes.
     pub fn facts(&self) -> &Facts {
         &self.published.facts
     }
 
-    /// The digest of the view, see [`crate::MembershipView::digest`].
+    /// The digest of the view; see [`crate::MembershipView::digest`].
     pub fn digest(&self) -> u64 {
         self.digest.value
     }
 
-    /// The state of another member by its name; `None` if it is unknown.
+    /// The state of another member; `None` if no member with this name is known.
     pub fn state_of(&self, name: &str) -> Option<MemberState> {
         self.table.get(NameHash::of(name)).map(|known| known.state)
     }
 
-    /// The number of live members, this one included.
+    /// The number of live members, including the local one.
     pub fn live_count(&self) -> usize {
         self.table.live_count() + 1
     }
 
-    /// How many entries are kept for other members, live or gone, in all tables together.
+    /// The total number of entries for other members in all tables, including members that are down or have left.
     pub fn entry_count(&self) -> usize {
         self.table.len()
             + self.shared.borrow().facts.len()
@@ -239,7 +241,7 @@
         self.shared.borrow().identity.clone()
     }
 
-    /// Signs a message and has it sent.
+    /// Signs a message and queues it for sending.
     fn send(&mut self, now: Micros, to: SocketAddr, message: Message) {
         let datagram = Datagram {
             sender: self.identity(),
--- a/crates/membership/src/member/anti_entropy.rs
+++ b/crates/membership/src/member/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: members compare digests of their views, and send what differs.
+//! Anti-entropy: members compare digests of their views, and send each other the entries that differ.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,11 +14,12 @@
 use crate::shared_state::SharedState;
 use crate::view_digest::bucket_digests;
 
-/// How many members are sent in answer to one exchange, some ten to a datagram; the others follow with the next exchange.
+/// Maximum number of member updates sent in one exchange, with about ten in each datagram. The others are sent in later
+/// exchanges.
 const MAX_UPDATES_PER_EXCHANGE: usize = 120;
 
 impl LocalMember {
-    /// Schedules the next comparison of views, in place of an earlier schedule.
+    /// Schedules the next comparison of views, replacing an earlier schedule.
     pub(super) fn schedule_comparison(&mut self, now: Micros, interval: Duration) {
         let delay = with_jitter(&mut self.rng, as_micros(interval));
         self.next_comparison_at = self.timers.active_time(now) + delay;
@@ -28,7 +29,7 @@
     /// Compares views with a random live member.
     pub(super) fn compare_views(&mut self, now: Micros) {
         if self.timers.active_time(now) < self.next_comparison_at {
-            // The schedule was changed since this timer was set.
+            // The comparison was rescheduled after this timer was set.
             return;
         }
         self.schedule_comparison(now, self.settings.timing.anti_entropy_interval);
@@ -53,10 +54,14 @@
     /// The digests of the local view, by bucket.
     pub(super) fn bucket_digests(&self) -> Vec<u32> {
         let shared = self.shared.borrow();
-        bucket_digests(&self.table.sums_with(&shared.identity, shared.own_facts()))
+        bucket_digests(
+            &self
+                .table
+                .bucket_sums_with(&shared.identity, shared.own_facts()),
+        )
     }
 
-    /// Sends what this member knows of members in buckets whose digests differ; returns the digests of the own view.
+    /// Sends updates of the members in buckets whose digests differ. Returns the digests of the local view.
     pub(super) fn send_differences(
         &mut self,
         now: Micros,
@@ -67,24 +72,24 @@
         if received_digests.len() != DIGEST_BUCKETS || own_digests == received_digests {
             return own_digests;
         }
-        let mut page = Vec::new();
+        let mut batch = Vec::new();
         let mut free_bytes = 0;
         for update in self.differing_members(&own_digests, received_digests) {
             let size =
                 postcard::experimental::serialized_size(&update).unwrap_or(MAX_DATAGRAM_BYTES);
             if free_bytes < size {
-                self.send_member_updates(now, to, std::mem::take(&mut page));
+                self.send_member_updates(now, to, std::mem::take(&mut batch));
                 free_bytes = MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES;
             }
             free_bytes = free_bytes.saturating_sub(size);
-            page.push(update);
+            batch.push(update);
         }
-        self.send_member_updates(now, to, page);
+        self.send_member_updates(now, to, batch);
         own_digests
     }
 
-    /// What this member knows of members in buckets whose digests differ, itself included; at most
-    /// [`MAX_UPDATES_PER_EXCHANGE`]. Only those are copied, as a large fleet has thousands.
+    /// Updates of the members in buckets whose digests differ, including the local member; at most
+    /// [`MAX_UPDATES_PER_EXCHANGE`]. Only these are copied, because a large fleet has thousands of members.
     fn differing_members(
         &mut self,
         own_digests: &[u32],
@@ -95,7 +100,7 @@
             own_digests[bucket] != received_digests[bucket]
         };
         let local = foca::Member::alive(self.identity());
-        // The receiver itself is included, so that it learns of a suspicion whose message was lost.
+        // Includes the receiver itself, so that it can refute a suspicion even if the first message about it was lost.
         let members = || {
             self.swim
                 .iter_membership_state()
@@ -103,16 +108,16 @@
                 .filter(|member| is_in_differing_bucket(member.id()))
         };
         let count = members().count();
-        // If not all can be sent, each exchange sends others.
-        let first = if count > MAX_UPDATES_PER_EXCHANGE {
+        // If there are too many updates for one exchange, a random start makes each exchange send a different part.
+        let start = if count > MAX_UPDATES_PER_EXCHANGE {
             random_below(&mut self.rng, count)
         } else {
             0
         };
         let shared = self.shared.borrow();
         members()
-            .skip(first)
-            .chain(members().take(first))
+            .skip(start)
+            .chain(members().take(start))
             .take(MAX_UPDATES_PER_EXCHANGE)
             .map(|member| member_update(member, &shared))
             .collect()
@@ -124,7 +129,7 @@
         }
     }
 
-    /// Applies what another member knows.
+    /// Applies updates from another member.
     pub(super) fn apply_member_updates(
         &mut self,
         now: Micros,
@@ -143,7 +148,7 @@
         let digest_before = self.digest.value;
         self.with_swim(now, reported_by, |swim, output| {
             for record in records {
-                // The store of facts decides whether the record is new; if it is, it is passed on.
+                // `FactStore` accepts the record only if it is new; an accepted record is broadcast further.
                 if let Ok(bytes) = postcard::to_allocvec(&record) {
                     swim.add_broadcast(&bytes)?;
                 }
@@ -151,7 +156,7 @@
             swim.apply_many(members.into_iter(), true, output)
         });
         if self.digest.value != digest_before {
-            // More changes may follow, so the next comparison comes soon: many changes at once spread without delay.
+            // More changes are likely to follow, so the next comparison is scheduled early: large changes spread faster.
             self.schedule_comparison(now, self.settings.timing.gossip_interval);
         }
     }
--- a/crates/membership/src/member/conflicts.rs
+++ b/crates/membership/src/member/conflicts.rs
@@ -1,5 +1,5 @@
-//! Two running processes that use one name: the generation with the higher precedence holds it, the other one takes no part
-//! and asks the holder every second whether it still runs.
+//! Name conflicts: two running processes use the same name. The generation with the higher precedence holds the name. The
+//! other process is displaced: it does not participate, and checks every second whether the holder is still running.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 /// The time between claims that a displaced process sends to the holder of its name.
 const NAME_CLAIM_INTERVAL: Micros = 1_000_000;
-/// A holder that has not answered for this long is gone.
+/// A holder that has not answered for this long is considered stopped.
 const NAME_CONFLICT_TIMEOUT: Micros = 5_000_000;
 
 impl LocalMember {
@@ -20,7 +20,7 @@
     pub(super) fn handle_same_name(&mut self, now: Micros, datagram: &Datagram) {
         let (local, sender) = (self.identity(), &datagram.sender);
         if sender.address == local.address {
-            // Its own datagram, or one of its earlier generations.
+            // A datagram of the local member, possibly from an earlier generation.
             return;
         }
         match datagram.message {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tells a claimant of the local member's name that it is taken.
+    /// Records a claim to the local member's name, and rejects it.
     fn reject_claim(&mut self, now: Micros, local: &MemberIdentity, claimant: SocketAddr) {
         let is_new = self.claimed_by(now) != Some(claimant);
         self.name_claim = Some(NameClaim {
@@ -63,7 +63,8 @@
         self.send(now, claimant, superseded);
     }
 
-    /// The process that claims the local member's name; it repeats the claim for as long as it runs.
+    /// The process that claims the local member's name, if its last claim is recent. A displaced process repeats its claim
+    /// for as long as it runs.
     pub(super) fn claimed_by(&self, now: Micros) -> Option<SocketAddr> {
         self.name_claim
             .as_ref()
@@ -71,7 +72,8 @@
             .map(|claim| claim.claimant)
     }
 
-    /// Handles a report that `holder` is the current generation of the local member's name, or that it is down.
+    /// Handles a report that `holder` is the current generation of the local member's name, or, if `is_down`, that this
+    /// generation was declared down.
     pub(super) fn handle_superseded(
         &mut self,
         now: Micros,
@@ -79,14 +81,15 @@
         is_down: bool,
     ) {
         let local = self.identity();
-        // That the local generation holds its name is nothing new: it answers a delayed datagram of an earlier one.
+        // Reports of an earlier generation are outdated, and one that the current generation holds the name is redundant: it
+        // answers a delayed datagram of an earlier generation.
         if holder.precedence() < local.precedence()
             || (holder.precedence() == local.precedence() && !is_down)
         {
             return;
         }
         if is_down || holder.address == local.address {
-            // Nobody else uses the name, so it is the local member's, in a later generation.
+            // No other process holds the name, so the local member continues with a later generation.
             if self.name_conflict.is_none() {
                 self.start_generation(now, holder.generation);
             }
@@ -109,14 +112,14 @@
         self.claim_name(now, holder.address);
     }
 
-    /// Asks the holder of the name whether it still runs, and checks later whether it has answered.
+    /// Sends a claim to the holder of the name, and schedules a check for its answer.
     fn claim_name(&mut self, now: Micros, holder: SocketAddr) {
         self.send(now, holder, Message::NameClaim);
         self.timers
             .schedule(now, NAME_CLAIM_INTERVAL, MemberTimer::CheckNameConflict);
     }
 
-    /// Claims the name again, or takes it if its holder is gone.
+    /// Claims the name again, or takes it over if the holder has stopped answering.
     pub(super) fn check_name_conflict(&mut self, now: Micros) {
         let Some(conflict) = &self.name_conflict else {
             return;
@@ -128,7 +131,7 @@
         self.name_conflict = None;
         self.outputs.push(Output::Notice(Notice::Reinstated));
         self.start_generation(now, holder.generation);
-        // The new instance of the library learns the members that are known, and probes them.
+        // Adds the known live members to the new instance of the library, which then probes them.
         let members: Vec<_> = self
             .table
             .live()
@@ -138,6 +141,6 @@
         self.with_swim(now, ITSELF, |swim, output| {
             swim.apply_many(members.into_iter(), true, output)
         });
-        self.contact_strangers(now, true);
+        self.contact_unknown_addresses(now, true);
     }
 }
--- a/crates/membership/src/member/discovery.rs
+++ b/crates/membership/src/member/discovery.rs
@@ -1,4 +1,4 @@
-//! Finding other members: at the start, and after parts of the fleet were separated.
+//! Discovery of other members, at the start and after a network partition.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::member_table::{MemberState, Micros};
 use crate::random::{random_below, with_jitter};
 
-/// How much more often a member that knows no live member tries to find some.
+/// By how much discovery is more frequent while no other live member is known.
 const ISOLATED_DISCOVERY_FACTOR: u32 = 5;
 
 impl LocalMember {
@@ -23,27 +23,27 @@
         let delay = with_jitter(&mut self.rng, interval);
         self.timers.schedule(now, delay, MemberTimer::DiscoverPeers);
         if !self.is_leaving && self.name_conflict.is_none() {
-            self.contact_strangers(now, is_isolated);
+            self.contact_unknown_addresses(now, is_isolated);
         }
     }
 
-    /// Sends to addresses where no live member is known: all seeds or a random one, and a random address of a former
-    /// member.
-    pub(super) fn contact_strangers(&mut self, now: Micros, all_seeds: bool) {
+    /// Starts a digest exchange with addresses of which no live member is known: all seeds or a random one, and a random
+    /// former address.
+    pub(super) fn contact_unknown_addresses(&mut self, now: Micros, all_seeds: bool) {
         let own = self.settings.advertised_address;
         let live: Vec<SocketAddr> = self.table.live().map(|member| member.address).collect();
-        let is_stranger = |address: &&SocketAddr| **address != own && !live.contains(address);
+        let is_unknown = |address: &&SocketAddr| **address != own && !live.contains(address);
         let seeds: Vec<SocketAddr> = self
             .settings
             .seeds
             .iter()
-            .filter(is_stranger)
+            .filter(is_unknown)
             .copied()
             .collect();
         let former: Vec<SocketAddr> = self
             .former_addresses
             .iter()
-            .filter(is_stranger)
+            .filter(is_unknown)
             .copied()
             .collect();
         let mut receivers = Vec::new();
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Keeps the address of a member that is about to be forgotten, unless it left.
-    pub(super) fn remember_former_address(&mut self, name: NameHash) {
+    /// Records the address of a member that is about to be removed, unless the member has left.
+    pub(super) fn record_former_address(&mut self, name: NameHash) {
         let known = self.table.get(name);
         if let Some(known) = known.filter(|known| known.state != MemberState::Left) {
             self.former_addresses
-                .remember(known.identity.address, &mut self.rng);
+                .insert(known.identity.address, &mut self.rng);
         }
     }
 }
--- a/crates/membership/src/member/messages.rs
+++ b/crates/membership/src/member/messages.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: authentication, and dispatch by sender and message.
+//! Authentication of received datagrams, and their dispatch by sender and message.
 
 use super::LocalMember;
 use crate::datagram::{Datagram, Message};
@@ -6,16 +6,17 @@
 use crate::keys::DatagramError;
 use crate::member_table::Micros;
 
-/// How long a nonce stays the same; it is accepted for as long again. That is less than the shortest time for which members
-/// that are gone are remembered, so that a replayed answer of an earlier generation is void before that one is forgotten.
+/// How long a nonce is issued; it is accepted for one more period. Both periods together are shorter than the minimum of
+/// [`crate::Timing::forget_after`], so that a replayed response of an earlier generation has expired before that generation
+/// is removed from the table.
 const NONCE_PERIOD: Micros = 5_000_000;
-/// How many members are told at once that they are held for down.
+/// Maximum number of members that are notified at once that they are considered down.
 const MAX_DOWN_NOTICES: usize = 32;
 
 impl LocalMember {
-    /// Handles a received datagram. One that is not of this fleet, or cannot be decoded, is counted and changes nothing.
+    /// Handles a received datagram. A datagram that cannot be authenticated or decoded is counted and ignored.
     pub fn handle_datagram(&mut self, now: Micros, bytes: &[u8]) {
-        self.account_for_pause(now);
+        self.detect_pause(now);
         self.counters.received += 1;
         let datagram = match self.settings.keys.open(bytes) {
             Ok(datagram) => datagram,
@@ -39,7 +40,7 @@
         *counter += 1;
     }
 
-    /// Whether a datagram was not delayed for long, by its sender's own time.
+    /// Whether a datagram was not delayed for long, by its sender's active time. Records the send time of a known sender.
     fn is_recent(&mut self, datagram: &Datagram) -> bool {
         let Datagram {
             sender, sent_at, ..
@@ -64,7 +65,7 @@
             is_down,
         } = message
         {
-            // Accepted even from a member that is held for down: that is how separated parts of the fleet find each other.
+            // Accepted even from a member that is considered down, so that the parts of a partitioned fleet can rejoin.
             let holder = MemberIdentity {
                 generation,
                 address,
@@ -80,13 +81,13 @@
             || (known.identity == sender && !is_live);
         if has_ended {
             let known = known.identity.clone();
-            return self.answer_ended_generation(now, &sender, &known, is_live);
+            return self.notify_superseded(now, &sender, &known, is_live);
         }
         self.handle_known_sender(now, &sender, message);
     }
 
-    /// Tells a sender that its generation has ended.
-    fn answer_ended_generation(
+    /// Notifies a sender that its generation has ended.
+    fn notify_superseded(
         &mut self,
         now: Micros,
         sender: &MemberIdentity,
@@ -94,7 +95,7 @@
         is_live: bool,
     ) {
         self.counters.superseded += 1;
-        if self.notice_limiter.may_notify(now, sender.name.hash()) {
+        if self.notice_limiter.try_notify(now, sender.name.hash()) {
             let superseded = Message::Superseded {
                 generation: known.generation,
                 address: known.address,
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Handles a message of a sender of which nobody has told: it becomes a member once it has proved that it runs now.
+    /// Handles a message of an unknown sender, which becomes a member once it has answered a challenge.
     fn handle_unknown_sender(&mut self, now: Micros, sender: &MemberIdentity, message: Message) {
         match message {
             Message::ChallengeResponse {
@@ -140,7 +141,7 @@
                 self.admit(now, sender, &bucket_digests);
             }
             Message::Challenge(nonce) => self.answer_challenge(now, sender, nonce),
-            _ if self.notice_limiter.may_notify(now, sender.name.hash()) => {
+            _ if self.notice_limiter.try_notify(now, sender.name.hash()) => {
                 self.counters.challenged += 1;
                 let challenge = Message::Challenge(self.nonce(now, sender));
                 self.send(now, sender.address, challenge);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Adds a sender that has answered a challenge.
+    /// Adds a sender that has answered a challenge to the members.
     fn admit(&mut self, now: Micros, sender: &MemberIdentity, bucket_digests: &[u32]) {
         if self.table.len() >= self.settings.timing.max_members {
             self.shared.borrow_mut().over_capacity += 1;
@@ -184,14 +185,14 @@
         self.send(now, sender.address, response);
     }
 
-    /// Whether a nonce is the current or the previous one: the response may arrive just after it has changed.
+    /// Whether a nonce is the current or the previous one, because a response may arrive just after the nonce has changed.
     fn is_valid_nonce(&self, now: Micros, sender: &MemberIdentity, nonce: u64) -> bool {
         nonce == self.nonce(now, sender)
             || nonce == self.nonce(now.saturating_sub(NONCE_PERIOD), sender)
     }
 
-    /// A number that only a process that receives this member's messages now can know. It changes with each
-    /// [`NONCE_PERIOD`] and with each generation of either side.
+    /// The nonce for challenges to a sender, which only a process that receives the local member's current messages can
+    /// return. It changes every [`NONCE_PERIOD`] and with each generation of either side.
     fn nonce(&self, now: Micros, sender: &MemberIdentity) -> u64 {
         let local = self.identity();
         let text = format!(
@@ -205,11 +206,11 @@
         self.settings.keys.nonce(text.as_bytes())
     }
 
-    /// Tells members that others hold for alive that this one holds the same generation for down, so that separated parts
-    /// of the fleet need not wait until each of these members is met by chance.
+    /// Notifies members that others consider alive, and the local member considers down in the same generation, so that
+    /// they start a new generation. A partitioned fleet rejoins faster than if each pair of members had to meet at random.
     pub(super) fn notify_considered_down(&mut self, now: Micros, members: Vec<MemberIdentity>) {
         for member in members.into_iter().take(MAX_DOWN_NOTICES) {
-            if self.notice_limiter.may_notify(now, member.name.hash()) {
+            if self.notice_limiter.try_notify(now, member.name.hash()) {
                 let superseded = Message::Superseded {
                     generation: member.generation,
                     address: member.address,
--- a/crates/membership/src/member/pauses.rs
+++ b/crates/membership/src/member/pauses.rs
@@ -1,4 +1,4 @@
-//! Pauses of the own process, and new generations of the local member.
+//! Detection of pauses of the local process, and new generations of the local member.
 
 use super::{ITSELF, LocalMember, Output, as_micros};
 use crate::identity::NameHash;
@@ -6,19 +6,19 @@
 use crate::swim::new_swim;
 use crate::view::Notice;
 
-/// A call that comes this much later than the next timer was due shows that the process was paused.
+/// The process is considered paused if a call comes this much later than the next timer was due.
 const MIN_DETECTED_PAUSE: Micros = 500_000;
-/// A long pause as the source of a change. Published in JSON.
+/// [`crate::MembershipChange::reported_by`] of a removal after a long pause. Published in JSON.
 const ITSELF_AFTER_PAUSE: &str = "itself, after it stood still";
 
 impl LocalMember {
-    /// Detects that the process was paused. It has not read what arrived meanwhile, so its timers are delayed by the pause:
-    /// everything that waits is read before another member is suspected. After a pause as long as members that are gone are
-    /// remembered, the local member starts over, as what it knows is too old.
-    pub(super) fn account_for_pause(&mut self, now: Micros) {
-        let expected = self.timers.next_due_at().unwrap_or(self.last_call);
-        let pause = now.saturating_sub(expected.max(self.last_call));
-        self.last_call = self.last_call.max(now);
+    /// Detects a pause of the process, and delays all timers by it: datagrams that arrived during the pause are then read
+    /// before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer the view is outdated,
+    /// so the local member starts again with an empty one.
+    pub(super) fn detect_pause(&mut self, now: Micros) {
+        let expected = self.timers.next_due_at().unwrap_or(self.last_called_at);
+        let pause = now.saturating_sub(expected.max(self.last_called_at));
+        self.last_called_at = self.last_called_at.max(now);
         if pause < MIN_DETECTED_PAUSE {
             return;
         }
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Forgets all other members and goes on in a new generation.
+    /// Removes all other members, and continues with a new generation.
     fn restart_from_empty(&mut self, now: Micros) {
         let names: Vec<NameHash> = self
             .table
@@ -40,8 +40,8 @@
             .map(|known| known.identity.name.hash())
             .collect();
         for name in names {
-            self.remember_former_address(name);
-            self.forget_member(name, ITSELF_AFTER_PAUSE);
+            self.record_former_address(name);
+            self.remove_member(name, ITSELF_AFTER_PAUSE);
         }
         self.shared.borrow_mut().known_generations.clear();
         self.restart_swim();
@@ -49,8 +49,8 @@
         self.discover_peers(now);
     }
 
-    /// Goes on in a generation above the current one and above `other`: the current generation was declared down, or had
-    /// to give way to another one.
+    /// Starts a generation above the current one and above `other`, because the current generation was declared down or
+    /// superseded.
     pub(super) fn start_generation(&mut self, now: Micros, other: u64) {
         if self.is_leaving {
             return;
@@ -63,13 +63,13 @@
         }));
         self.with_swim(now, ITSELF, |swim, mut output| {
             swim.change_identity(identity, &mut output)?;
-            // The library starts its periodic work only once updates are applied.
+            // The library starts its periodic timers only when updates are applied.
             swim.apply_many(std::iter::empty(), false, output)
         });
         self.publish_facts(now);
     }
 
-    /// Replaces the library by a new instance, which knows nobody.
+    /// Replaces the library by a new instance without other members.
     pub(super) fn restart_swim(&mut self) {
         self.swim = new_swim(&self.settings.timing, &mut self.rng, &self.shared);
         self.swim_restarts += 1;
--- a/crates/membership/src/member/publishing.rs
+++ b/crates/membership/src/member/publishing.rs
@@ -1,4 +1,4 @@
-//! What the local member publishes about itself: its facts, and that it leaves.
+//! Publication of the local member's facts, and of its leave.
 
 use super::{ITSELF, LocalMember, MemberTimer};
 use crate::datagram::{MemberUpdate, Message, WireState};
@@ -6,15 +6,15 @@
 use crate::member_table::Micros;
 use crate::random::random_below;
 
-/// The least time between two publications of facts.
+/// Minimum interval between publications of facts.
 const MIN_FACTS_INTERVAL: Micros = 1_000_000;
-/// How often a leaving member announces it, as datagrams may be lost.
+/// How many times a leave is announced, because datagrams can be lost.
 const LEAVE_ANNOUNCEMENTS: u32 = 3;
-/// The time between these announcements.
+/// Interval between announcements of a leave.
 const LEAVE_ANNOUNCEMENT_INTERVAL: Micros = 50_000;
 
 impl LocalMember {
-    /// Publishes other facts: at most once a second, so of several changes within a second the last one counts.
+    /// Publishes new facts, at most once per second: of several changes within a second only the last one is published.
     pub fn set_facts(&mut self, now: Micros, facts: Facts) {
         if self.published.facts == facts || self.is_leaving {
             return;
@@ -30,7 +30,8 @@
         }
     }
 
-    /// Announces that this member leaves, several times while its process ends.
+    /// Leaves the fleet. The leave is announced several times, because datagrams can be lost, so the caller must keep calling
+    /// [`LocalMember::tick`] for a short time.
     pub fn leave(&mut self, now: Micros) {
         if self.is_leaving {
             return;
@@ -47,7 +48,7 @@
         self.publish_facts(now);
     }
 
-    /// Has the facts sent along with the library's messages.
+    /// Queues the current facts for broadcast in the library's messages.
     pub(super) fn publish_facts(&mut self, now: Micros) {
         self.published.published_at = now;
         self.published.sequence += 1;
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Tells some random members that this one leaves, and schedules the remaining announcements.
+    /// Announces the leave to random members, and schedules the remaining announcements.
     pub(super) fn announce_leave(&mut self, now: Micros, remaining: u32) {
         let facts = self.shared.borrow().own_facts().cloned();
         let update = MemberUpdate {
--- a/crates/membership/src/member/snapshot.rs
+++ b/crates/membership/src/member/snapshot.rs
@@ -1,4 +1,4 @@
-//! The view of the local member, for operators and tests.
+//! Snapshots of the local member's view, for operators and tests.
 
 use super::LocalMember;
 use crate::member_table::{KnownMember, Member, Micros};
@@ -6,7 +6,7 @@
 use crate::view::{DatagramCounters, MembershipView};
 
 impl LocalMember {
-    /// The fleet as this member sees it.
+    /// Returns the local member's view of the fleet.
     pub fn view(&self, now: Micros) -> MembershipView {
         let shared = self.shared.borrow();
         let mut members: Vec<Member> = self
--- a/crates/membership/src/member/table_updates.rs
+++ b/crates/membership/src/member/table_updates.rs
@@ -1,4 +1,4 @@
-//! Calls of the SWIM library, and what they change in the table of members.
+//! Calls of the SWIM library, and the resulting updates of the member table.
 
 use foca::Timer;
 
@@ -9,8 +9,7 @@
 use crate::swim::{Swim, SwimNotification, SwimOutput};
 
 impl LocalMember {
-    /// Calls the library, carries out what it asks for, and updates the table. `reported_by` names the source of the
-    /// changes.
+    /// Calls the library, processes its outputs, and updates the member table. `reported_by` is the source of the changes.
     pub(super) fn with_swim(
         &mut self,
         now: Micros,
@@ -41,7 +40,8 @@
         self.update_digest(now);
     }
 
-    /// Sets the library's timers; those by which others are judged are slower the worse the local health is.
+    /// Sets the library's timers. Those for probes and suspicions are delayed by a factor that grows with the local health
+    /// score.
     fn set_swim_timers(
         &mut self,
         now: Micros,
@@ -52,7 +52,7 @@
             let delay = match timer {
                 Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => delay * factor,
                 Timer::ChangeSuspectToDown { .. } => {
-                    // The library would use the same time for fleets of all sizes.
+                    // The library's own timeout does not depend on the size of the fleet.
                     let live_count = self.table.live_count();
                     self.settings.timing.suspicion_timeout(live_count) * factor
                 }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns whether the local member was declared down.
+    /// Applies notifications of the library. Returns whether the local member was declared down.
     fn apply_notifications(
         &mut self,
         now: Micros,
@@ -85,11 +85,11 @@
         is_declared_down
     }
 
-    /// Looks up members of which the decoded messages reported something new: the library does not notify of suspicions and
-    /// refutations.
+    /// Refreshes members whose state may have changed by the decoded messages: the library sends no notifications of
+    /// suspicions and refutations.
     fn apply_reports(&mut self, now: Micros, reported_by: &str) {
         let reports = std::mem::take(&mut self.shared.borrow_mut().reported);
-        let mut held_for_down = Vec::new();
+        let mut considered_down = Vec::new();
         for report in reports {
             if self.may_change_table(&report) {
                 self.refresh_member(now, report.id(), reported_by);
@@ -99,13 +99,13 @@
                     .get(report.id().name.hash())
                     .is_some_and(|known| known.state == MemberState::Down)
             {
-                held_for_down.push(report.id().clone());
+                considered_down.push(report.id().clone());
             }
         }
-        self.notify_considered_down(now, held_for_down);
+        self.notify_considered_down(now, considered_down);
     }
 
-    /// Whether a report of a member may change what is shown of it.
+    /// Whether a report may change the table entry of its member.
     fn may_change_table(&self, report: &foca::Member<MemberIdentity>) -> bool {
         let Some(known) = self.table.get(report.id().name.hash()) else {
             return true;
@@ -120,7 +120,7 @@
             || state_may_differ
     }
 
-    /// Updates the table by what the library knows of a member now.
+    /// Updates the table entry of a member from the library's current state.
     pub(super) fn refresh_member(
         &mut self,
         now: Micros,
@@ -139,12 +139,12 @@
             self.update_member(now, &member, reported_by);
         } else {
             let name = identity.name.hash();
-            self.remember_former_address(name);
-            self.forget_member(name, reported_by);
+            self.record_former_address(name);
+            self.remove_member(name, reported_by);
         }
     }
 
-    /// Reports members that the local member's own probe has just made suspect.
+    /// Updates members that the local member's own probe has just made suspect.
     pub(super) fn report_new_suspects(&mut self, now: Micros) {
         let suspects: Vec<_> = self
             .swim
@@ -180,7 +180,7 @@
         self.store_state(now, identity, member.incarnation(), state, reported_by);
     }
 
-    /// Updates the members whose facts have changed.
+    /// Updates the table entries of members whose facts have changed.
     fn refresh_updated_facts(&mut self, now: Micros) {
         let updated = std::mem::take(&mut self.shared.borrow_mut().updated_facts);
         for name in updated {
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Stores the state of a member; one that is down has left if its own last facts say so.
+    /// Stores the state of a member. A member that is down has left if its last facts announced the leave.
     fn store_state(
         &mut self,
         now: Micros,
@@ -217,13 +217,13 @@
         }
     }
 
-    pub(super) fn forget_member(&mut self, name: NameHash, reported_by: &str) {
+    pub(super) fn remove_member(&mut self, name: NameHash, reported_by: &str) {
         let Some(known) = self.table.remove(name) else {
             return;
         };
-        self.shared.borrow_mut().forget(name);
-        self.send_times.forget(name);
-        self.notice_limiter.forget(name);
+        self.shared.borrow_mut().remove(name);
+        self.send_times.remove(name);
+        self.notice_limiter.remove(name);
         self.report_change(&known.identity, Some(known.state), None, reported_by);
     }
 
@@ -247,7 +247,9 @@
     /// Recomputes the digest of the view.
     pub(super) fn update_digest(&mut self, now: Micros) {
         let shared = self.shared.borrow();
-        let sums = self.table.sums_with(&shared.identity, shared.own_facts());
+        let sums = self
+            .table
+            .bucket_sums_with(&shared.identity, shared.own_facts());
         self.digest.update(now, &sums);
     }
 }
--- a/crates/membership/src/member_table.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of other members, with the digest of its content.
+//! The table of other members, with digests of its content.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 use crate::facts::{Facts, FactsRecord};
 use crate::identity::{MemberIdentity, NameHash, content_hash};
 
-/// Time in µs of a monotonic clock; its origin is chosen by the caller.
+/// Time in µs of a monotonic clock with an arbitrary origin.
 pub type Micros = u64;
 
-/// The state of a member as another one sees it.
+/// The state of a member in the view of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// It failed a probe, and has limited time to refute that it is down.
+    /// The member did not answer a probe, and is declared down unless it refutes the suspicion in time.
     Suspect,
-    /// It announced that it leaves.
+    /// The member announced its leave.
     Left,
-    /// It did not refute in time that it is down.
+    /// The member did not refute a suspicion in time.
     Down,
 }
 
@@ -38,18 +38,19 @@
 pub struct MembershipChange {
     /// The name of the member.
     pub name: String,
-    /// Its address.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Its generation.
+    /// The generation of the member.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Its state before; `None` if it was unknown.
+    /// The state before the change; `None` if the member was unknown.
     #[serde(rename = "from")]
     pub previous_state: Option<MemberState>,
-    /// Its state now; `None` if it was forgotten.
+    /// The state after the change; `None` if the member was removed.
     #[serde(rename = "to")]
     pub new_state: Option<MemberState>,
-    /// Who reported it: the name of a member, or [`crate::OWN_PROBE`] and the like if this member found it out itself.
+    /// The source of the change: the name of another member, or a fixed text such as [`crate::OWN_PROBE`] if the local
+    /// member detected it.
     #[serde(rename = "by")]
     pub reported_by: String,
 }
@@ -57,32 +58,32 @@
 /// Another member in a [`crate::MembershipView`].
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Its address.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Its generation.
+    /// The generation of the member.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// Its incarnation within the generation: how often it refuted a suspicion.
+    /// The incarnation within the generation: how many suspicions the member refuted.
     pub incarnation: u16,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// How long it has been in this state, in ms.
+    /// How long the member has been in this state, in ms.
     #[serde(rename = "for_ms")]
     pub state_age_ms: u64,
-    /// What it publishes about itself, once received.
+    /// The facts that the member publishes; `None` if none were received yet.
     pub facts: Option<Facts>,
 }
 
-/// What is known of another member.
+/// The table entry of another member.
 pub(crate) struct KnownMember {
     pub(crate) identity: MemberIdentity,
     pub(crate) incarnation: u16,
     pub(crate) state: MemberState,
     pub(crate) state_since: Micros,
-    /// What it adds to the sum of its bucket.
-    digest_share: u64,
+    /// The contribution to the digest sum of the member's bucket.
+    digest_contribution: u64,
 }
 
 /// A change of a member's identity or state in the table.
@@ -91,7 +92,7 @@
     pub(crate) previous_state: Option<MemberState>,
 }
 
-/// All other members that are known, by the hash of their names.
+/// All other known members, by the hash of their names.
 #[derive(Default)]
 pub(crate) struct MemberTable {
     members: BTreeMap<NameHash, KnownMember>,
@@ -99,8 +100,8 @@
     bucket_sums: [u64; DIGEST_BUCKETS],
 }
 
-/// What a member adds to the sum of its bucket: 0 unless it is live.
-fn digest_share(
+/// The contribution of a member to the digest sum of its bucket: 0 unless the member is live.
+fn digest_contribution(
     identity: &MemberIdentity,
     state: MemberState,
     record: Option<&FactsRecord>,
@@ -135,14 +136,14 @@
         self.members.values()
     }
 
-    /// All other members that are live, in the order of their hashes.
+    /// The other live members, ordered by name hash.
     pub(crate) fn live(&self) -> impl Iterator<Item = &MemberIdentity> {
         self.iter()
             .filter(|known| known.state.is_live())
             .map(|known| &known.identity)
     }
 
-    /// The number of other members that are live.
+    /// The number of other live members.
     pub(crate) fn live_count(&self) -> usize {
         self.live_count
     }
@@ -151,7 +152,7 @@
         self.members.len()
     }
 
-    /// Stores what is known of a member now; returns the change if its identity or state is another than before.
+    /// Stores the entry of a member. Returns the change if the identity or state differs from before.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -162,10 +163,10 @@
     ) -> Option<StateChange> {
         let name = identity.name.hash();
         let before = self.remove(name);
-        let share = digest_share(identity, state, record);
+        let contribution = digest_contribution(identity, state, record);
         let bucket = Self::bucket_index(name);
         self.live_count += usize::from(state.is_live());
-        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_add(share);
+        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_add(contribution);
         let unchanged = before
             .as_ref()
             .filter(|known| known.state == state && known.identity == *identity);
@@ -175,7 +176,7 @@
             incarnation,
             state,
             state_since: unchanged.map_or(now, |known| known.state_since),
-            digest_share: share,
+            digest_contribution: contribution,
         };
         self.members.insert(name, known);
         has_changed.then(|| StateChange {
@@ -187,19 +188,19 @@
         let known = self.members.remove(&name)?;
         let bucket = Self::bucket_index(name);
         self.live_count -= usize::from(known.state.is_live());
-        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_sub(known.digest_share);
+        self.bucket_sums[bucket] = self.bucket_sums[bucket].wrapping_sub(known.digest_contribution);
         Some(known)
     }
 
-    /// The sums of all buckets, with the local member included.
-    pub(crate) fn sums_with(
+    /// The digest sums of all buckets, including the local member.
+    pub(crate) fn bucket_sums_with(
         &self,
         local: &MemberIdentity,
         record: Option<&FactsRecord>,
     ) -> [u64; DIGEST_BUCKETS] {
         let mut sums = self.bucket_sums;
         let own = &mut sums[Self::bucket_index(local.name.hash())];
-        *own = own.wrapping_add(digest_share(local, MemberState::Alive, record));
+        *own = own.wrapping_add(digest_contribution(local, MemberState::Alive, record));
         sums
     }
 
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -1,31 +1,31 @@
-//! Conflicts between two running processes that use one name.
+//! Conflicts between two running processes that use the same name.
 
 use std::net::SocketAddr;
 
 use crate::identity::MemberIdentity;
 use crate::member_table::Micros;
 
-/// How long a claim counts after the last message that made it.
+/// How long a claim is valid after its last message.
 const NAME_CLAIM_LIFETIME: Micros = 10_000_000;
 
-/// Another process holds the local member's name. The local member is displaced: it takes no part in the protocol until the
-/// other one is gone.
+/// Another process holds the local member's name. The local member is displaced: it does not participate in the protocol
+/// until the other process has stopped.
 pub(crate) struct NameConflict {
     /// The process that holds the name.
     pub(crate) holder: MemberIdentity,
-    /// When it last showed that it runs.
+    /// When the holder was last reported, by itself or by another member.
     pub(crate) last_seen_at: Micros,
 }
 
 /// Another process claims the name that the local member holds.
 pub(crate) struct NameClaim {
     pub(crate) claimant: SocketAddr,
-    /// When it last claimed the name.
+    /// When the last claim was received.
     pub(crate) last_seen_at: Micros,
 }
 
 impl NameClaim {
-    /// Whether the claim still counts.
+    /// Whether the claim is still valid.
     pub(crate) fn is_current(&self, now: Micros) -> bool {
         now < self.last_seen_at + NAME_CLAIM_LIFETIME
     }
--- a/crates/membership/src/notice_limiter.rs
+++ b/crates/membership/src/notice_limiter.rs
@@ -1,29 +1,30 @@
-//! Limits how often a member is notified of the same thing.
+//! Rate limit of notices to each member.
 
 use std::collections::BTreeMap;
 
 use crate::identity::NameHash;
 use crate::member_table::Micros;
 
-/// The least time between two notices to one member.
+/// Minimum interval between notices to one member.
 const MIN_NOTICE_INTERVAL: Micros = 200_000;
-/// How long it is remembered that a member was notified.
-const NOTICE_MEMORY: Micros = 60_000_000;
-/// How many members may be notified within [`NOTICE_MEMORY`].
-const MAX_NOTIFIED: usize = 4096;
+/// How long the time of a notice is kept.
+const NOTICE_RETENTION: Micros = 60_000_000;
+/// Maximum number of members that are notified within [`NOTICE_RETENTION`].
+const MAX_TRACKED_MEMBERS: usize = 4096;
 
-/// When members were last sent a notice that they caused by their own messages.
+/// The times of the last notices to members. A notice is triggered by a received message, so without a limit any sender
+/// could cause any number of them.
 #[derive(Default)]
 pub(crate) struct NoticeLimiter {
     last_notified: BTreeMap<NameHash, Micros>,
 }
 
 impl NoticeLimiter {
-    /// Whether a notice may be sent to a member now; if so, it counts as sent.
-    pub(crate) fn may_notify(&mut self, now: Micros, name: NameHash) -> bool {
+    /// Returns whether a notice may be sent to a member now, and if so records it as sent.
+    pub(crate) fn try_notify(&mut self, now: Micros, name: NameHash) -> bool {
         let allowed = match self.last_notified.get(&name) {
             Some(at) => at + MIN_NOTICE_INTERVAL <= now,
-            None => self.last_notified.len() < MAX_NOTIFIED,
+            None => self.last_notified.len() < MAX_TRACKED_MEMBERS,
         };
         if allowed {
             self.last_notified.insert(name, now);
@@ -31,12 +32,13 @@
         allowed
     }
 
-    /// Forgets notices that were sent long ago.
+    /// Removes the times of notices older than [`NOTICE_RETENTION`].
     pub(crate) fn expire(&mut self, now: Micros) {
-        self.last_notified.retain(|_, at| *at + NOTICE_MEMORY > now);
+        self.last_notified
+            .retain(|_, at| *at + NOTICE_RETENTION > now);
     }
 
-    pub(crate) fn forget(&mut self, name: NameHash) {
+    pub(crate) fn remove(&mut self, name: NameHash) {
         self.last_notified.remove(&name);
     }
 
--- a/crates/membership/src/send_times.rs
+++ b/crates/membership/src/send_times.rs
@@ -1,35 +1,35 @@
-//! When the datagrams of each sender were sent, to recognise those that were delayed for long.
+//! Send times of the datagrams of each sender, to reject datagrams that were delayed for long.
 
 use std::collections::BTreeMap;
 
 use crate::identity::{MemberIdentity, NameHash};
 use crate::member_table::Micros;
 
-/// A datagram that was sent this much earlier than another one of its sender is stale.
+/// A datagram is stale if it was sent this much earlier than the newest received one of the same sender.
 const MAX_DATAGRAM_AGE: Micros = 10_000_000;
 
-/// The newest datagram of a sender.
+/// The send time of a sender's newest datagram.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct SendTime {
     generation: u64,
-    /// µs of the sender's active time.
+    /// The send time, µs of the sender's active time.
     sent_at: u64,
 }
 
-/// The newest datagram of each sender.
+/// The send time of the newest datagram of each sender.
 #[derive(Default)]
 pub(crate) struct SendTimes {
     newest: BTreeMap<NameHash, SendTime>,
 }
 
 impl SendTimes {
-    /// Whether a datagram was sent long before another one of the same generation.
+    /// Whether a datagram was sent more than [`MAX_DATAGRAM_AGE`] before the newest one of the same generation.
     pub(crate) fn is_stale(&self, sender: &MemberIdentity, sent_at: u64) -> bool {
         let newest = self.newest(sender);
         newest.generation == sender.generation && sent_at + MAX_DATAGRAM_AGE < newest.sent_at
     }
 
-    /// Records a datagram of a known sender.
+    /// Records the send time of a datagram.
     pub(crate) fn record(&mut self, sender: &MemberIdentity, sent_at: u64) {
         let sent = SendTime {
             generation: sender.generation,
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(crate) fn forget(&mut self, name: NameHash) {
+    pub(crate) fn remove(&mut self, name: NameHash) {
         self.newest.remove(&name);
     }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -10,15 +10,15 @@
 /// The settings with which a member starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Its name, unique in the fleet.
+    /// The name of the member, unique in the fleet.
     pub name: MemberName,
     /// The address to which other members send.
     pub advertised_address: SocketAddr,
-    /// Its first generation: when its process started, ms of Unix time.
+    /// The first generation: the start time of the process, ms of Unix time.
     pub generation: u64,
-    /// The facts that it publishes first.
+    /// The facts that the member publishes initially.
     pub facts: Facts,
-    /// Addresses to contact at the start, and to find parts of the fleet that were separated.
+    /// Addresses to contact at the start and after a network partition.
     pub seeds: Vec<SocketAddr>,
     /// The keys of the fleet.
     pub keys: KeyRing,
@@ -29,24 +29,24 @@
 /// Intervals and limits of the protocol.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between probes of random members.
+    /// Interval between probes of random members.
     pub probe_interval: Duration,
-    /// How long a probed member has to answer before others are asked to probe it.
+    /// Timeout of a direct probe, after which other members are asked to probe the member.
     pub probe_timeout: Duration,
-    /// How many members are asked to probe one that did not answer.
+    /// The number of members that are asked to probe a member that did not answer.
     pub indirect_probes: usize,
-    /// A suspected member has this many probe intervals to refute, times the decimal logarithm of the fleet's size, and at
-    /// least as many as stated here.
+    /// The suspicion timeout in probe intervals, which is multiplied by the decimal logarithm of the fleet's size if that is
+    /// greater than 1.
     pub suspicion_multiplier: u32,
-    /// Time between rounds of gossip; each round goes to [`Timing::indirect_probes`] members.
+    /// Interval between rounds of gossip; each round is sent to [`Timing::indirect_probes`] members.
     pub gossip_interval: Duration,
-    /// Time between comparisons of views with a random member.
+    /// Interval between comparisons of views with a random member.
     pub anti_entropy_interval: Duration,
-    /// Time between attempts to reach seeds and members that are held for down.
+    /// Interval between attempts to contact seeds and members that are considered down.
     pub discovery_interval: Duration,
-    /// How long members that are gone are remembered.
+    /// How long members that are down or have left are kept.
     pub forget_after: Duration,
-    /// How many members are kept at a time, including those that are gone. Further ones are rejected.
+    /// Maximum number of members that are kept, including those that are down or have left. Further ones are rejected.
     pub max_members: usize,
 }
 
@@ -67,7 +67,7 @@
 }
 
 impl Timing {
-    /// All intervals divided by `factor`, except for [`Timing::forget_after`].
+    /// Divides all intervals by `factor`, except for [`Timing::forget_after`].
     pub fn sped_up_by(self, factor: u32) -> Timing {
         Timing {
             probe_interval: self.probe_interval / factor,
@@ -79,14 +79,14 @@
         }
     }
 
-    /// How long a suspected member has to refute in a fleet of this size.
+    /// The time in which a suspected member has to refute the suspicion, in a fleet of this size.
     pub fn suspicion_timeout(&self, member_count: usize) -> Duration {
         self.probe_interval.mul_f64(
             f64::from(self.suspicion_multiplier) * ((member_count + 1) as f64).log10().max(1.0),
         )
     }
 
-    /// How often each update is retransmitted in a fleet of this size.
+    /// How many times each update is transmitted in a fleet of this size.
     pub(crate) fn max_transmissions(&self, member_count: usize) -> u8 {
         (4.0 * ((member_count + 1) as f64).log10().ceil().max(1.0)) as u8
     }
--- a/crates/membership/src/shared_state.rs
+++ b/crates/membership/src/shared_state.rs
@@ -9,10 +9,10 @@
 use crate::facts::FactsRecord;
 use crate::identity::{MemberIdentity, NameHash};
 
-/// The shared state as its owners hold it: the local member, the codec and the store of facts, all on one thread.
+/// A shared reference to the state, held by the local member, the codec and the fact store, all on one thread.
 pub(crate) type Shared = Rc<RefCell<SharedState>>;
 
-/// A report that another generation holds the local member's name, or that its own generation is down.
+/// A report that another generation holds the local member's name, or that a generation of it was declared down.
 #[derive(Clone)]
 pub(crate) struct ConflictReport {
     pub(crate) holder: MemberIdentity,
@@ -25,19 +25,19 @@
     pub(crate) identity: MemberIdentity,
     /// The generation with the highest precedence that was reported for the local member's name.
     pub(crate) conflict: Option<ConflictReport>,
-    /// What the messages that were just decoded report of members.
+    /// Updates in the messages that were decoded during the current call of the library.
     pub(crate) reported: Vec<foca::Member<MemberIdentity>>,
-    /// Whether somebody suspects the local member.
+    /// Whether another member suspects the local one.
     pub(crate) is_suspected: bool,
     /// The generation of each known member.
     pub(crate) known_generations: BTreeMap<NameHash, u64>,
-    /// How many members may be known.
+    /// Maximum number of known members.
     pub(crate) max_members: usize,
-    /// Updates that were rejected because too many members are known.
+    /// The number of updates that were rejected because the table of members is full.
     pub(crate) over_capacity: u64,
     /// The newest facts of each member.
     pub(crate) facts: BTreeMap<NameHash, FactsRecord>,
-    /// Members whose facts have changed since they were last looked at.
+    /// Members whose facts have changed since the table of members was last updated.
     pub(crate) updated_facts: BTreeSet<NameHash>,
 }
 
@@ -56,19 +56,20 @@
         }
     }
 
-    /// The facts that the local member published last.
+    /// The facts that the local member last published.
     pub(crate) fn own_facts(&self) -> Option<&FactsRecord> {
         self.facts.get(&self.identity.name.hash())
     }
 
-    /// Forgets a member.
-    pub(crate) fn forget(&mut self, name: NameHash) {
+    /// Removes a member.
+    pub(crate) fn remove(&mut self, name: NameHash) {
         self.known_generations.remove(&name);
         self.facts.remove(&name);
     }
 
-    /// Stores facts that are newer than those known, and returns whether they are. Facts of another generation of a known
-    /// member are ignored, even of a higher one: its clock may have been wrong, or its successor's may be.
+    /// Stores facts if they are newer than the stored ones, and returns whether they are. Facts of a generation other than
+    /// the known one are ignored, even of a higher one: generations are start times, and the clock of one of the two
+    /// processes may have been wrong.
     pub(crate) fn store_if_newer(&mut self, record: &FactsRecord) -> bool {
         let name = record.name.hash();
         let generation = self.known_generations.get(&name).copied();
@@ -88,11 +89,12 @@
         true
     }
 
-    /// Returns an update of a member as the library may see it.
+    /// Filters an update before it is passed to the library.
     ///
-    /// The library must not see another generation under the local member's name: it would declare that one down, and two
-    /// running processes of one name would declare each other down for ever. Nor does it see members for which there is no
-    /// room. In their place it gets an update that the local member is alive, which changes nothing.
+    /// The library must not receive another generation of the local member's name: it would declare that generation down,
+    /// and two running processes with the same name would declare each other down forever. Updates of new members are also
+    /// rejected if the table is full. A rejected update is replaced by one that the local member is alive, which changes
+    /// nothing.
     pub(crate) fn filter_update(
         &mut self,
         update: foca::Member<MemberIdentity>,
@@ -105,7 +107,7 @@
             && self.known_generations.len() >= self.max_members
         {
             self.over_capacity += 1;
-            return self.no_update();
+            return self.neutral_update();
         }
         self.reported.push(update.clone());
         update
@@ -122,7 +124,7 @@
             if !is_down {
                 return update;
             }
-            // This very generation was declared down: the local member starts a new one.
+            // The current generation was declared down, so the local member starts a new one.
             let report = ConflictReport {
                 holder: self.identity.clone(),
                 is_down: true,
@@ -139,10 +141,10 @@
                 is_down,
             });
         }
-        self.no_update()
+        self.neutral_update()
     }
 
-    fn no_update(&self) -> foca::Member<MemberIdentity> {
+    fn neutral_update(&self) -> foca::Member<MemberIdentity> {
         foca::Member::alive(self.identity.clone())
     }
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! The SWIM library: its configuration, encoding, the facts that travel with its messages, and what it asks to be done.
+//! Integration of the SWIM library: its configuration, its codec, the broadcast of facts in its messages, and its outputs.
 
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -17,13 +17,13 @@
 use crate::settings::Timing;
 use crate::shared_state::Shared;
 
-/// For larger fleets updates are not retransmitted more often than for this many members.
+/// Limits the number of retransmissions of an update: larger fleets use the number for this many members.
 const MAX_MEMBERS_FOR_TRANSMISSIONS: usize = 400;
 
-/// The library with the encoding and the store of facts of this crate.
+/// The SWIM library with this crate's codec and broadcast handler.
 pub(crate) type Swim = Foca<MemberIdentity, SwimCodec, Pcg64Mcg, FactStore>;
 
-/// A new instance of the library, which knows no other members.
+/// Creates an instance of the library without other members.
 pub(crate) fn new_swim(timing: &Timing, rng: &mut Pcg64Mcg, shared: &Shared) -> Swim {
     let non_zero = |count: usize| NonZeroUsize::new(count).unwrap_or(NonZeroUsize::MIN);
     let periodic = |interval: Duration, members: usize| {
@@ -57,12 +57,12 @@
     )
 }
 
-/// Encodes the library's messages by postcard, and filters the updates in them.
+/// Encodes the library's messages with postcard, and filters the updates in received ones.
 pub(crate) struct SwimCodec(Shared);
 
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CodecError {
-    #[error("no room is left in the datagram")]
+    #[error("not enough space is left in the datagram")]
     NoRoom,
     #[error(transparent)]
     Postcard(#[from] postcard::Error),
@@ -116,10 +116,10 @@
     }
 }
 
-/// Stores the facts that travel with the library's messages.
+/// Handles the facts that are broadcast in the library's messages.
 pub(crate) struct FactStore(Shared);
 
-/// Whose facts, and which version: newer facts replace older ones that still wait to be sent.
+/// The member and version of broadcast facts: newer facts replace older ones that are still queued.
 pub(crate) struct FactsKey {
     name: NameHash,
     version: FactsVersion,
@@ -149,7 +149,7 @@
     }
 }
 
-/// What the library asks to be done, in order.
+/// The outputs of a call of the library, in order.
 #[derive(Default)]
 pub(crate) struct SwimOutput {
     pub(crate) datagrams: Vec<(MemberIdentity, Vec<u8>)>,
@@ -157,9 +157,9 @@
     pub(crate) notifications: Vec<SwimNotification>,
 }
 
-/// What the library reports.
+/// A notification of the library.
 pub(crate) enum SwimNotification {
-    /// Something has changed about a member.
+    /// The state or the identity of a member has changed.
     MemberChanged(MemberIdentity),
     /// The local member was declared down.
     DeclaredDown,
--- a/crates/membership/src/text.rs
+++ b/crates/membership/src/text.rs
@@ -1,4 +1,4 @@
-//! Text of bounded length, checked when it is created and when it is received.
+//! Text of bounded length, validated when it is created or received.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 /// A text that is empty, too long, or contains control characters.
 #[derive(Clone, Debug, thiserror::Error)]
-#[error("`{text}`: 1 to {max_bytes} bytes without control characters are allowed")]
+#[error("invalid text `{text}`: expected 1 to {max_bytes} bytes without control characters")]
 pub struct TextError {
     /// The beginning of the rejected text, with special characters escaped.
     pub text: String,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,5 +1,5 @@
-//! What a member shows: its view of the fleet, its counters, and notices about itself. All of it is published as JSON, with
-//! the field names given by `serde`.
+//! The published state of a member: its view of the fleet, its counters, and notices about itself. All are published as
+//! JSON, with the field names given by `serde`.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,34 +13,35 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "what")]
 pub enum Notice {
-    /// The process was paused. Timers that ran out meanwhile do not count against other members.
+    /// The process was paused. All timers are delayed by the pause, so that no other member is suspected because of it.
     #[serde(rename = "stood_still")]
     ProcessPaused {
-        /// How long, in ms.
+        /// The duration of the pause, in ms.
         #[serde(rename = "ms")]
         duration_ms: u64,
     },
-    /// The member was declared down, or had to give way to another generation, and goes on in a new generation.
+    /// The member was declared down or superseded, and continues with a new generation.
     Renewed {
         /// The new generation.
         #[serde(rename = "life")]
         generation: u64,
     },
-    /// Another running process holds the member's name: this one takes no part until the other one is gone.
+    /// Another running process holds the member's name. The local process does not participate until the other one has
+    /// stopped.
     Displaced {
         /// The address of the other process.
         by: SocketAddr,
     },
-    /// Another running process claims the member's name, and takes no part.
+    /// Another running process claims the member's name, and does not participate.
     Claimed {
         /// The address of the other process.
         by: SocketAddr,
     },
-    /// The process that held the member's name is gone, and this one takes part again.
+    /// The process that held the member's name has stopped, and the local process participates again.
     Reinstated,
 }
 
-/// The text under which operators find the notice in the log.
+/// The text in the log. Operators search for it, so it must not change.
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -55,7 +56,7 @@
     }
 }
 
-/// Counts of datagrams, by what became of them.
+/// Counts of datagrams and updates, by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct DatagramCounters {
     /// Datagrams sent.
@@ -74,14 +75,14 @@
     /// Rejected: authenticated, but not decodable.
     #[serde(rename = "unreadable")]
     pub malformed: u64,
-    /// Rejected: sent long before another datagram of its sender.
+    /// Rejected: sent long before the newest datagram of the same sender.
     #[serde(rename = "late")]
     pub stale: u64,
-    /// Rejected: of a generation that has ended.
+    /// Rejected: from a generation that has ended.
     pub superseded: u64,
-    /// Datagrams of unknown senders that were answered by a challenge.
+    /// Datagrams from unknown senders that were answered with a challenge.
     pub challenged: u64,
-    /// Updates of members that were rejected because the table is full.
+    /// Updates that were rejected because the table of members is full.
     #[serde(rename = "full")]
     pub over_capacity: u64,
     /// Messages that the SWIM library rejected.
@@ -89,30 +90,30 @@
     pub rejected_by_swim: u64,
 }
 
-/// The fleet as one member sees it.
+/// The view that one member has of the fleet.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipView {
     /// The name of the local member.
     pub name: String,
-    /// The address to which others send.
+    /// The address of the local member.
     pub address: SocketAddr,
-    /// Its generation.
+    /// The generation of the local member.
     #[serde(rename = "life")]
     pub generation: u64,
-    /// What it publishes about itself.
+    /// The facts that the local member publishes.
     pub facts: Facts,
-    /// The digest of the live members, the local one included, with their states and facts, as 16 hex digits: equal at two
-    /// members that see the same.
+    /// The digest of the live members, including the local one, with their states and facts, as 16 hex digits. Members with
+    /// equal views have equal digests.
     pub digest: String,
-    /// How many different digests there were before.
+    /// How many times the digest has changed.
     pub version: u64,
-    /// How long the digest has not changed, in ms.
+    /// The time since the last change of the digest, in ms.
     #[serde(rename = "settled_ms")]
     pub unchanged_ms: u64,
-    /// The local health score, from 0 (healthy) to 8: each step makes the member slower to declare others down.
+    /// The local health score, from 0 (healthy) to 8. A higher score delays probes and suspicions of other members.
     #[serde(rename = "health")]
     pub health_score: u32,
-    /// The address of the process that holds the member's name, while this one takes no part.
+    /// The address of the process that holds the member's name, while the local process does not participate.
     pub displaced_by: Option<SocketAddr>,
     /// The address of a running process that claims the member's name.
     pub claimed_by: Option<SocketAddr>,
--- a/crates/membership/src/view_digest.rs
+++ b/crates/membership/src/view_digest.rs
@@ -3,10 +3,10 @@
 use crate::datagram::DIGEST_BUCKETS;
 use crate::member_table::Micros;
 
-/// The digest of the view: equal at two members that see the same live members in the same states, with the same facts.
+/// The digest of a view. Two views with the same live members, states and facts have equal digests.
 pub(crate) struct ViewDigest {
     pub(crate) value: u64,
-    /// How many different digests there were before.
+    /// How many times the digest has changed.
     pub(crate) version: u64,
     pub(crate) changed_at: Micros,
 }
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Recomputes the digest from the sums of all buckets.
+    /// Recomputes the digest from the digest sums of all buckets.
     pub(crate) fn update(&mut self, now: Micros, bucket_sums: &[u64; DIGEST_BUCKETS]) {
         let value = bucket_sums.iter().fold(0_u64, |digest, sum| {
             digest.rotate_left(7) ^ sum.wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -33,7 +33,7 @@
     }
 }
 
-/// The digests of single buckets, as members compare them.
+/// The digests of the buckets, as sent in messages.
 pub(crate) fn bucket_digests(bucket_sums: &[u64; DIGEST_BUCKETS]) -> Vec<u32> {
     bucket_sums
         .iter()
--- a/crates/membership/tests/wire_format.rs
+++ b/crates/membership/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The format of datagrams. `recorded/join_and_leave.txt` holds all datagrams of two members, one that starts, one that
-//! joins it and leaves after three seconds, as an earlier build sent them: the step, the sender, and the bytes.
+//! Compatibility of the datagram format with an earlier build. Each line of `recorded/join_and_leave.txt` is a datagram that
+//! the earlier build sent: the step, the index of the sender, and the bytes. The second of two members joins the first one,
+//! and leaves after three seconds.
 
 use std::net::SocketAddr;
 
@@ -19,7 +20,11 @@
 }
 
 fn start_member(member: usize) -> LocalMember {
-    let text = |text: &str| text.to_owned().try_into().expect("short text");
+    let text = |text: &str| {
+        text.to_owned()
+            .try_into()
+            .expect("the text has a valid length")
+    };
     let name = ["first", "second"][member].to_owned();
     let settings = Settings {
         name: MemberName::try_from(name).expect("a valid name"),
@@ -51,7 +56,7 @@
         .collect()
 }
 
-/// Runs two members that are connected without loss, and returns each datagram they send.
+/// Runs two members over a lossless network, and returns each datagram that they send, in the recorded format.
 fn run_two_members() -> Vec<String> {
     let mut members = [start_member(0), start_member(1)];
     let mut sent = Vec::new();
@@ -61,7 +66,7 @@
             members[1].leave(now);
         }
         members.iter_mut().for_each(|member| member.tick(now));
-        // A few turns for answers and the answers to them.
+        // Several rounds, so that responses and the responses to them arrive within the same step.
         for _ in 0..4 {
             for sender in 0..2 {
                 let receiver = 1 - sender;
@@ -81,21 +86,28 @@
 }
 
 #[test]
-fn sends_the_same_bytes_as_recorded() {
+fn sends_same_datagrams_as_earlier_build() {
     let recorded: Vec<&str> = RECORDED.lines().collect();
-    assert!(recorded.len() > 50, "{} datagrams", recorded.len());
+    assert!(
+        recorded.len() > 50,
+        "only {} recorded datagrams",
+        recorded.len()
+    );
     assert_eq!(run_two_members(), recorded);
 }
 
 #[test]
-fn understands_recorded_datagrams() {
+fn accepts_datagrams_of_earlier_build() {
     let mut member = start_member(0);
     let (mut state_before_leave, mut count) = (None, 0);
     for line in RECORDED.lines() {
-        let mut words = line.split(' ');
-        let step: u64 = words.next().and_then(|w| w.parse().ok()).expect("a step");
-        let sender = words.next().expect("a sender");
-        let bytes = from_hex(words.next().expect("bytes"));
+        let mut fields = line.split(' ');
+        let step: u64 = fields
+            .next()
+            .and_then(|field| field.parse().ok())
+            .expect("the line has a step");
+        let sender = fields.next().expect("the line has a sender");
+        let bytes = from_hex(fields.next().expect("the line has bytes"));
         if sender != "1" {
             continue;
         }
@@ -117,6 +129,9 @@
         + view.counters.stale
         + view.counters.rejected_by_swim;
     assert_eq!((view.counters.received, rejected), (count, 0));
-    let facts = view.members[0].facts.as_ref().expect("facts were sent");
+    let facts = view.members[0]
+        .facts
+        .as_ref()
+        .expect("the member published facts");
     assert_eq!((facts.replica_index, facts.load_percent), (Some(1), 25));
 }
