--- a/crates/leadership/src/durable.rs
+++ b/crates/leadership/src/durable.rs
@@ -1,4 +1,4 @@
-//! What a voter has to make durable, and the state that results from all these writes.
+//! Durable writes of a voter, and the durable state that results from them.
 
 use std::collections::BTreeMap;
 
@@ -11,61 +11,63 @@
 use crate::raft_log::{RETAINED_ENTRIES, RaftLog};
 use crate::state::LeadershipState;
 
-/// What has to be made durable, in order.
+/// A write that the caller has to make durable. Writes are applied in order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DurableWrite {
-    /// The identity of the store: the first write, and made once.
+    /// The identity of the store. This is the first write to a new store, and occurs only once.
     Identity(u64),
-    /// The vote and the term, encoded.
+    /// Raft's hard state (term, vote and commit index), encoded.
     Vote(Vec<u8>),
-    /// Entries of the log, encoded. Earlier entries from this index on are void.
+    /// Log entries, encoded. They replace all stored entries from `first_index` on.
     Entries {
         /// The index of the first entry.
         first_index: u64,
         /// The entries.
         entries: Vec<Vec<u8>>,
     },
-    /// A snapshot, encoded. Entries up to its index are void.
+    /// A snapshot, encoded. It covers all entries up to its index, of which only the most recent ones are retained.
     Snapshot(Vec<u8>),
 }
 
-/// The durable state of a voter, as read at its start.
+/// The durable state of a voter, which is loaded when the voter starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DurableState {
-    /// The identity of the store; `None` if it is new.
+    /// The identity of the store; `None` if the store is new.
     pub identity: Option<u64>,
     vote: Option<Vec<u8>>,
     entries: BTreeMap<u64, Vec<u8>>,
     snapshot: Option<(u64, Vec<u8>)>,
 }
 
-/// Why a voter cannot use its store.
+/// An error in the durable state of a voter.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A part of it cannot be decoded.
+    /// A Raft message in the store cannot be decoded.
     #[error("the voter's store is damaged: {0}")]
     Damaged(#[from] protobuf::ProtobufError),
-    /// The replicated state in its snapshot cannot be decoded.
-    #[error("the voter's store holds a state that can't be read: {0}")]
+    /// The replicated state in the snapshot cannot be decoded.
+    #[error("cannot decode the replicated state in the snapshot of the voter's store: {0}")]
     InvalidState(#[from] postcard::Error),
-    /// The consensus library rejects its content or the settings.
-    #[error("the voter's store or settings can't be used: {0}")]
+    /// The Raft library rejected the content of the store or the settings.
+    #[error("the Raft library rejected the voter's store or settings: {0}")]
     RejectedByRaft(#[from] raft::Error),
-    /// It has a vote or a log, but no identity.
-    #[error("the voter's store is no whole one: it holds a vote or a log, and no identity")]
+    /// The store contains a vote, a snapshot or log entries, but no identity.
+    #[error(
+        "the voter's store is incomplete: it contains a vote, a snapshot or log entries, but no identity"
+    )]
     MissingIdentity,
 }
 
-/// What a voter restores from its durable state.
+/// The state that a voter restores from its durable state.
 pub(crate) struct RestoredState {
     pub(crate) log: RaftLog,
     pub(crate) state: LeadershipState,
-    /// The index of the last entry that is part of `state`.
+    /// The index of the last entry applied to `state`.
     pub(crate) applied_index: u64,
 }
 
 impl DurableState {
-    /// Applies a write. The durable state is the result of all writes in order.
+    /// Applies a write. All writes have to be applied in order.
     ///
     /// # Errors
     ///
@@ -91,7 +93,7 @@
         Ok(())
     }
 
-    /// Whether a voter has used the store.
+    /// Whether a voter has already used the store.
     pub(crate) fn has_history(&self) -> bool {
         self.vote.is_some() || self.snapshot.is_some() || !self.entries.is_empty()
     }
--- a/crates/leadership/src/envelope.rs
+++ b/crates/leadership/src/envelope.rs
@@ -1,34 +1,34 @@
-//! The messages between voters: those of the consensus library, with the identities of the stores.
+//! Messages between voters: messages of the Raft library, with the identities of the stores.
 
 use protobuf::Message as _;
 use raft::eraftpb::Message;
 use serde::{Deserialize, Serialize};
 
-/// The maximum size of a message that is accepted, in bytes.
+/// The maximum size of a received message, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A message between voters. It is encoded by postcard: the order of the fields must not change.
+/// A message between voters. It is encoded with postcard, so the order of the fields must not change.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct Envelope {
     from: u64,
     /// The identity of the sender's store.
     store: u64,
-    /// The store with which the receiver votes, as far as the sender knows; 0 if it does not know.
+    /// The identity of the receiver's registered store; 0 if the sender has no record of one.
     to_store: u64,
     message: Vec<u8>,
 }
 
-/// A message as it was received.
+/// A decoded message.
 pub(crate) struct ReceivedMessage {
     pub(crate) from: u64,
     /// The identity of the sender's store.
     pub(crate) store: u64,
-    /// The receiver's store that the sender expects, if it knows one.
+    /// The identity of the receiver's registered store, if the sender has a record of one.
     pub(crate) expected_store: Option<u64>,
     pub(crate) message: Message,
 }
 
-/// Encodes a message; `None` if that fails.
+/// Encodes a message. Returns `None` if encoding fails.
 pub(crate) fn encode(
     message: &Message,
     from: u64,
@@ -44,7 +44,8 @@
     postcard::to_allocvec(&envelope).ok()
 }
 
-/// Decodes a message; `None` if it is too long, cannot be decoded, or its parts disagree on the sender.
+/// Decodes a message. Returns `None` if it is too long or cannot be decoded, or if the envelope and the Raft message have
+/// different senders.
 pub(crate) fn decode(bytes: &[u8]) -> Option<ReceivedMessage> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return None;
--- a/crates/leadership/src/fence.rs
+++ b/crates/leadership/src/fence.rs
@@ -1,21 +1,21 @@
-//! Fencing: rejects actions of earlier leaders where they would take effect. A lease makes it unlikely that two leaders act
-//! at once; the fence guarantees that late actions of an earlier one have no effect.
+//! Fencing: rejects actions of earlier leaders at the place where they would take effect. A lease makes it unlikely that
+//! two leaders act at the same time; the fence guarantees that delayed actions of an earlier leader have no effect.
 
 use serde::{Deserialize, Serialize};
 
-/// The highest epoch that was announced at one place, whose number is the fencing token of actions there. The place has to
-/// make the fence durable before an action of a new epoch takes effect.
+/// The fence at one place where actions take effect: the highest epoch announced there, which is the fencing token of
+/// actions. The fence has to be made durable before an action of a new epoch takes effect.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fence {
     #[serde(rename = "highest")]
     highest_epoch: u64,
 }
 
-/// An action or an announcement of an epoch that is not the current one.
+/// The error for an action or announcement that is rejected because of its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("epoch {presented_epoch} is over; this place has seen {highest_epoch}")]
+#[error("epoch {presented_epoch} rejected: the highest announced epoch is {highest_epoch}")]
 pub struct StaleEpoch {
-    /// The epoch of the action.
+    /// The epoch of the action or announcement.
     pub presented_epoch: u64,
     /// The highest epoch that was announced.
     pub highest_epoch: u64,
@@ -27,12 +27,12 @@
         self.highest_epoch
     }
 
-    /// Announces a leader's epoch, before the leader plans any action at this place. Returns whether the epoch is new, so
-    /// that the fence has to be made durable.
+    /// Announces the epoch of a leader, before the leader plans actions at this place. Returns whether the epoch is new; if
+    /// so, the fence has to be made durable.
     ///
     /// # Errors
     ///
-    /// Fails if a higher epoch was announced before.
+    /// Fails if a higher epoch was announced earlier.
     pub fn advance(&mut self, epoch: u64) -> Result<bool, StaleEpoch> {
         if epoch < self.highest_epoch {
             return Err(self.stale(epoch));
@@ -46,8 +46,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if a higher epoch was announced, or if this one was not: its leader has not seen the state on which it would
-    /// act.
+    /// Fails if a higher epoch was announced, or if this epoch was not announced: its leader has not read the state at this
+    /// place before it planned the action.
     pub fn authorize(&self, epoch: u64) -> Result<(), StaleEpoch> {
         if epoch == self.highest_epoch {
             Ok(())
--- a/crates/leadership/src/lease_renewal.rs
+++ b/crates/leadership/src/lease_renewal.rs
@@ -1,30 +1,30 @@
-//! The renewal of a lease by rounds of questions to the majority.
+//! Renewal of a lease by rounds of Raft read-index requests, each confirmed by a majority.
 
 use std::collections::BTreeMap;
 
 use crate::settings::Micros;
 
-/// How many rounds may wait for answers; further ones replace the oldest.
+/// Maximum number of unconfirmed rounds; further ones replace the oldest.
 const MAX_PENDING_ROUNDS: usize = 64;
 
-/// The rounds by which a leader renews its lease, and how long the lease is valid.
+/// The renewal rounds of a leader, and the time until which its lease is valid.
 #[derive(Default)]
 pub(crate) struct LeaseRenewal {
-    /// When each round that waits for answers was started.
+    /// The start time of each unconfirmed round.
     pending_rounds: BTreeMap<u64, Micros>,
     last_round: u64,
-    /// Until when a majority follows this voter, by its own clock.
+    /// The end of the lease, by the clock of this voter.
     valid_until: Micros,
 }
 
 impl LeaseRenewal {
-    /// Ends the lease: the voter is not the leader.
+    /// Ends the lease, when the voter is not the leader.
     pub(crate) fn reset(&mut self) {
         self.pending_rounds.clear();
         self.valid_until = 0;
     }
 
-    /// Starts a round, and returns its number.
+    /// Starts a round. Returns its number.
     pub(crate) fn start_round(&mut self, now: Micros) -> u64 {
         if self.pending_rounds.len() >= MAX_PENDING_ROUNDS {
             self.pending_rounds.pop_first();
@@ -34,7 +34,7 @@
         self.last_round
     }
 
-    /// A majority has answered a round: the lease is valid for `duration` from its start.
+    /// Records that a majority has confirmed a round: the lease is valid for `duration` from the start of the round.
     pub(crate) fn confirm_round(&mut self, round: u64, duration: Micros) {
         if let Some(started_at) = self.pending_rounds.remove(&round) {
             self.valid_until = self.valid_until.max(started_at + duration);
--- a/crates/leadership/src/lib.rs
+++ b/crates/leadership/src/lib.rs
@@ -1,12 +1,15 @@
-//! Leader election with leases, epochs and fencing, for work that exactly one placer of a fleet may do.
+//! Leader election with leases, epochs and fencing, for work that only one placer of a fleet may do at a time.
 //!
-//! Three, five or seven placers are voters. A majority elects one of them as leader; each [`Lease`] has an epoch that only
-//! grows. Consensus is the `raft` library's. This crate adds its storage in terms of what has to be durable, the replicated
-//! state, the time limit that ends a leader's actions before those of its successor can begin, and the [`Fence`] that
-//! rejects actions of earlier leaders where they take effect.
+//! Three, five or seven placers are voters. A majority elects one of them as leader; each [`Lease`] has an epoch, which is
+//! higher than those of all earlier leases. Consensus is provided by the `raft` library. This crate adds:
 //!
-//! [`Voter`] has no I/O, clock or thread: it takes messages and the current time, and returns what has to be made durable,
-//! the messages to send after that, and news. Equal seeds and inputs give equal outputs.
+//! - durable storage, as a sequence of [`DurableWrite`]s;
+//! - the replicated state, [`LeadershipState`];
+//! - lease durations, which end a leader's actions before those of its successor can begin;
+//! - the [`Fence`], which rejects actions of earlier leaders at the place where they would take effect.
+//!
+//! [`Voter`] is a deterministic state machine without I/O, clock or threads. It takes messages and the current time, and
+//! returns writes to make durable, messages to send after them, and events.
 
 mod durable;
 mod envelope;
--- a/crates/leadership/src/raft_log.rs
+++ b/crates/leadership/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The log as the consensus library reads it: in memory, with the snapshot of the replicated state.
+//! The in-memory log for the Raft library, with the snapshot of the replicated state.
 
 use std::cell::RefCell;
 
@@ -6,10 +6,11 @@
 use raft::storage::MemStorage;
 use raft::{GetEntriesContext, RaftState, Storage, StorageError};
 
-/// How many entries are retained before a snapshot, so that a voter that is a little behind does not need the snapshot.
+/// The number of entries that are retained before a snapshot, so that a voter that is only slightly behind does not need
+/// the snapshot.
 pub(crate) const RETAINED_ENTRIES: u64 = 256;
 
-/// The library's log in memory. The library would make snapshots without a state, so the snapshot is kept beside it.
+/// The in-memory log. The snapshot is stored separately, because snapshots made by [`MemStorage`] contain no state.
 pub(crate) struct RaftLog {
     memory: MemStorage,
     snapshot: RefCell<Option<Snapshot>>,
@@ -29,9 +30,9 @@
         (self.memory.last_index().unwrap_or(0) + 1).saturating_sub(first)
     }
 
-    /// Appends entries, in place of those from the first one's index on.
+    /// Appends entries. They replace all entries from the index of the first one on.
     pub(crate) fn append(&self, entries: &[Entry]) {
-        // Fails only for entries that do not follow the log, which the library never gives out.
+        // Fails only if there is a gap between the log and the entries, which the library never produces.
         let _ = self.memory.wl().append(entries);
     }
 
@@ -43,18 +44,18 @@
         self.memory.wl().mut_hard_state().commit = index;
     }
 
-    /// Replaces the log by a snapshot that was received.
+    /// Replaces the log by a received snapshot.
     pub(crate) fn install_snapshot(&self, snapshot: Snapshot) {
-        // Fails only for a snapshot older than the log, which the library does not give out.
+        // Fails only if the snapshot is older than the log, which the library never produces.
         let _ = self.memory.wl().apply_snapshot(snapshot.clone());
         self.snapshot.replace(Some(snapshot));
     }
 
-    /// Keeps a snapshot that the voter has made, and drops the entries that it makes superfluous.
+    /// Stores a snapshot made by this voter, and removes the entries before it except for [`RETAINED_ENTRIES`].
     pub(crate) fn compact(&self, snapshot: Snapshot) {
         let index = snapshot.get_metadata().index;
         self.snapshot.replace(Some(snapshot));
-        // Fails only for an index beyond the log; the voter has applied this one.
+        // Fails only if the index is beyond the log; the voter has already applied this index.
         let _ = self
             .memory
             .wl()
--- a/crates/leadership/src/settings.rs
+++ b/crates/leadership/src/settings.rs
@@ -1,23 +1,23 @@
 //! The settings of a voter.
 
-/// Time in µs of a clock that also runs while the machine sleeps; its origin is chosen by the caller.
+/// Time in µs of a clock with an arbitrary origin, which also advances while the machine is suspended.
 pub type Micros = u64;
 
 /// The settings of a voter.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The voter's number, from 1.
+    /// The id of the voter, from 1.
     pub id: u64,
-    /// The numbers of all voters; the same list at each of them.
+    /// The ids of all voters; the list must be the same at each voter.
     pub voters: Vec<u64>,
-    /// The interval of the timer, µs. The periods below are multiples of it.
+    /// The tick interval, µs. It is the unit of `election_ticks` and `heartbeat_ticks`.
     pub tick_interval: Micros,
-    /// The election timeout: after this many silent intervals a leader is no longer followed.
+    /// The election timeout, in ticks: a voter that receives nothing from the leader for this long no longer follows it.
     pub election_ticks: u32,
-    /// A leader sends a heartbeat every so many intervals.
+    /// The interval between heartbeats of a leader, in ticks.
     pub heartbeat_ticks: u32,
-    /// By what share of the time a voter's clock may be fast or slow, at most.
-    pub max_clock_error: f64,
+    /// The maximum drift rate of a voter's clock: 0.1 means up to 10 % fast or slow.
+    pub max_clock_drift: f64,
 }
 
 impl Settings {
@@ -26,18 +26,19 @@
         self.tick_interval as f64 * f64::from(self.election_ticks)
     }
 
-    /// How long a voter gives no vote after its start. The promise not to vote against a live leader is not durable, and the
-    /// lease of that leader counts on it.
+    /// How long a voter does not vote after its start. A voter that follows a leader must not vote for another one while that
+    /// leader's lease may be valid; this is not recorded durably, so the voter waits for
+    /// more than an election timeout.
     pub(crate) fn vote_delay_after_start(&self) -> Micros {
-        let slow = self.election_timeout() * (1.0 + self.max_clock_error);
-        slow as Micros + self.tick_interval
+        let longest_timeout = self.election_timeout() * (1.0 + self.max_clock_drift);
+        longest_timeout as Micros + self.tick_interval
     }
 
-    /// How long a lease is valid after the leader has asked for its renewal: the clocks of the voters may be fast while that
-    /// of the leader is slow.
+    /// How long a lease is valid after the start of its renewal round. It is shorter than the election timeout, because the
+    /// clocks of the other voters may be fast while the leader's clock is slow.
     pub(crate) fn lease_duration(&self) -> Micros {
-        let ratio = self.election_timeout() * (1.0 - self.max_clock_error);
-        let duration = ratio / (1.0 + self.max_clock_error);
+        let shortest_timeout = self.election_timeout() * (1.0 - self.max_clock_drift);
+        let duration = shortest_timeout / (1.0 + self.max_clock_drift);
         (duration as Micros).saturating_sub(self.tick_interval)
     }
 }
--- a/crates/leadership/src/state.rs
+++ b/crates/leadership/src/state.rs
@@ -1,48 +1,49 @@
-//! The replicated state: the latest lease, and the store with which each voter votes.
+//! The replicated state: the latest lease, and the registered store of each voter.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// The right of one voter to lead in one epoch.
+/// The right of one voter to act as leader in one epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The voter that leads.
+    /// The id of the leader.
     pub leader: u64,
-    /// Higher than the epoch of every earlier lease; the fencing token of the leader's actions.
+    /// The epoch, which is higher than that of every earlier lease. It is the fencing token of the leader's actions.
     pub epoch: u64,
 }
 
-/// An entry of the replicated log. Entries are encoded by postcard: the order of variants and fields must not change.
+/// A command in the replicated log. Commands are encoded with postcard, so the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// A newly elected voter begins a lease.
+    /// Begins a lease of a newly elected leader.
     BeginLease {
-        /// The voter.
+        /// The id of the leader.
         leader: u64,
     },
-    /// A voter votes with this store, and with no other one.
+    /// Registers the store of a voter. A voter may vote only with its registered store.
     RegisterStore {
-        /// The voter.
+        /// The id of the voter.
         voter: u64,
-        /// The identity of its store.
+        /// The identity of the voter's store.
         store: u64,
     },
 }
 
-/// The replicated state after all commands so far.
+/// The replicated state, which results from all applied commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipState {
-    /// The latest lease; its epoch is the highest so far.
+    /// The latest lease, which has the highest epoch.
     pub latest_lease: Option<Lease>,
-    /// The identity of the store with which each voter votes, by the voter's number.
+    /// The identity of each voter's registered store, by voter id.
     pub stores: BTreeMap<u64, u64>,
-    /// The first epoch is one higher. An operator who starts over with new voters sets it above the epochs of the old ones.
+    /// The epoch before the first lease. If the voters are replaced by new ones with empty stores, it has to be set to at
+    /// least the highest epoch of the old voters.
     pub base_epoch: u64,
 }
 
 impl LeadershipState {
-    /// Applies a command, and returns the lease that it begins, if any.
+    /// Applies a command. Returns the lease that the command begins, if any.
     pub fn apply(&mut self, command: &Command) -> Option<Lease> {
         match *command {
             Command::BeginLease { leader } => {
@@ -56,14 +57,15 @@
                 self.latest_lease
             }
             Command::RegisterStore { voter, store } => {
-                // The first store counts: a voter that lost it returns under another identity, and may have forgotten votes.
+                // Only the first registration is accepted: a voter that has lost its store restarts with a new identity, and
+                // may no longer have a record of its votes.
                 self.stores.entry(voter).or_insert(store);
                 None
             }
         }
     }
 
-    /// Whether a voter may vote with this store: it is the registered one, or none is registered yet.
+    /// Whether a voter may vote with this store: it is the voter's registered one, or none is registered yet.
     pub fn accepts_store(&self, voter: u64, store: u64) -> bool {
         self.stores
             .get(&voter)
--- a/crates/leadership/src/voter.rs
+++ b/crates/leadership/src/voter.rs
@@ -1,4 +1,4 @@
-//! A voter: it drives the consensus library, and tells when it may act as the leader.
+//! A voter, which drives the Raft library and determines when it may act as the leader.
 
 use std::collections::BTreeSet;
 
@@ -17,39 +17,38 @@
 
 /// The maximum size of the entries in one message, in bytes.
 const MAX_MESSAGE_ENTRIES_BYTES: u64 = 64 << 10;
-/// How many messages to one voter may wait for answers.
+/// Maximum number of unacknowledged append messages to one voter.
 const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// The maximum size of entries that are proposed and not committed, in bytes.
+/// The maximum size of proposed entries that are not committed yet, in bytes.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
 
-/// What the caller has to do, in this order.
+/// An action or event for the caller. Outputs must be processed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Make these writes durable before anything that follows.
+    /// Make these writes durable before processing the outputs that follow.
     Persist(Vec<DurableWrite>),
-    /// Send this message to the voter with this number.
+    /// Send this message to the voter with this id.
     Send(u64, Vec<u8>),
-    /// Take note that the voters have agreed on this lease.
+    /// The voters have committed this lease.
     LeaseBegun(Lease),
-    /// Take note that the voter with this number, possibly this one itself, uses another store than the one with which it
-    /// votes. Its messages are ignored.
+    /// The voter with this id, possibly the local one, uses a store other than its registered one. Its messages are ignored.
     ForeignStore(u64),
 }
 
-/// A voter.
+/// One voter of a fleet.
 pub struct Voter {
     settings: Settings,
     node: RawNode<RaftLog>,
     state: LeadershipState,
     /// The identity of the store.
-    identity: u64,
+    store_identity: u64,
     seed: u64,
-    /// When the last interval of the timer began.
+    /// When the current tick interval began.
     last_tick_at: Micros,
-    /// No vote is given before: what was promised before a restart may still hold.
+    /// The voter does not vote before this time; see [`Settings::vote_delay_after_start`].
     no_votes_until: Micros,
     renewal: LeaseRenewal,
-    /// The term in which the voter has proposed a lease.
+    /// The last term in which the voter proposed a lease.
     lease_requested_in_term: u64,
     applied_index: u64,
     reported_foreign_stores: BTreeSet<u64>,
@@ -57,12 +56,12 @@
 }
 
 impl Voter {
-    /// Starts a voter from its durable state. A new store gets its identity from the seed, as its first write.
+    /// Starts a voter from its durable state. The identity of a new store is generated from the seed, and is its first write.
     ///
     /// # Errors
     ///
-    /// Fails if the durable state cannot be decoded or has no identity, or if the consensus library rejects it or the
-    /// settings.
+    /// Fails if the durable state cannot be decoded, if a store in use has no identity, or if the Raft library rejects the
+    /// state or the settings.
     pub fn new(
         settings: Settings,
         durable: DurableState,
@@ -70,7 +69,7 @@
         now: Micros,
     ) -> Result<Voter, StoreError> {
         let mut outputs = Vec::new();
-        let identity = match durable.identity {
+        let store_identity = match durable.identity {
             Some(identity) => identity,
             None if durable.has_history() => return Err(StoreError::MissingIdentity),
             None => {
@@ -88,7 +87,7 @@
         let mut voter = Voter {
             node: RawNode::new(&raft_config(&settings, applied_index), log, &logger)?,
             state,
-            identity,
+            store_identity,
             seed,
             last_tick_at: now,
             no_votes_until: now + settings.vote_delay_after_start(),
@@ -103,18 +102,18 @@
         Ok(voter)
     }
 
-    /// Takes what has to be done, in order.
+    /// Takes the pending outputs, in order.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// When [`Voter::tick`] has to be called at the latest.
+    /// The latest time at which [`Voter::tick`] must be called.
     pub fn next_timeout(&self) -> Micros {
         self.last_tick_at + self.settings.tick_interval
     }
 
-    /// Advances the timer. After a pause of the process, only one interval counts, however long it was: messages that wait
-    /// to be read may show that there is a leader.
+    /// Advances the Raft timer by one tick, if it is due. A pause of the process counts as one tick, however long it was,
+    /// because heartbeats of the leader may be waiting to be read.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_timeout() {
             return;
@@ -132,7 +131,7 @@
         self.process_ready(now);
     }
 
-    /// Handles a message of another voter. One that cannot be decoded is ignored.
+    /// Handles a message from another voter. A message that cannot be decoded is ignored.
     pub fn handle_message(&mut self, now: Micros, bytes: &[u8]) {
         let Some(received) = envelope::decode(bytes) else {
             return;
@@ -164,12 +163,12 @@
         self.process_ready(now);
     }
 
-    /// The voter that uses another store than the one with which it votes, if a message shows one. That voter may have
-    /// forgotten for whom it voted, and which entries it has confirmed.
+    /// Returns the voter that uses a store other than its registered one, if a message shows that. Such a voter may have lost
+    /// the record of its votes and of the entries that it acknowledged.
     fn foreign_store(&self, received: &ReceivedMessage) -> Option<u64> {
         let expects_another = received
             .expected_store
-            .is_some_and(|expected| expected != self.identity);
+            .is_some_and(|expected| expected != self.store_identity);
         if expects_another {
             Some(self.settings.id)
         } else if !self.state.accepts_store(received.from, received.store) {
@@ -179,10 +178,10 @@
         }
     }
 
-    /// Whether the library may see a message.
+    /// Whether a message may be passed to the library.
     fn may_step(&self, now: Micros, message: &Message) -> bool {
         match message.get_msg_type() {
-            // The library ends the process if a leader regards more entries as committed than this log has.
+            // The library panics if the commit index of a heartbeat is beyond the end of the log.
             MessageType::MsgHeartbeat => {
                 message.commit <= self.node.store().last_index().unwrap_or(0)
             }
@@ -193,8 +192,8 @@
         }
     }
 
-    /// The epoch in which this voter may act as the leader now. The lease counts from when the majority was asked, and ends
-    /// before a majority can follow another voter, if all clocks keep to [`Settings::max_clock_error`].
+    /// The epoch in which this voter may act as the leader now. The lease is valid from the start of its renewal round, and
+    /// ends before a majority can elect another leader, provided that no clock exceeds [`Settings::max_clock_drift`].
     pub fn acting_epoch(&self, now: Micros) -> Option<u64> {
         let own_lease = self
             .state
@@ -206,7 +205,7 @@
         has_current_lease.then_some(own_lease.epoch)
     }
 
-    /// The replicated state, as far as this voter knows.
+    /// The replicated state, up to the last entry that this voter has applied.
     pub fn state(&self) -> &LeadershipState {
         &self.state
     }
@@ -222,18 +221,18 @@
 
     fn propose(&mut self, command: &Command) {
         if let Ok(data) = postcard::to_allocvec(command) {
-            // A proposal that the library rejects is repeated when its cause occurs again.
+            // A rejected proposal is repeated when its cause occurs again.
             let _ = self.node.propose(Vec::new(), data);
         }
     }
 
-    /// Asks the majority whether it still follows this voter.
+    /// Requests confirmation from a majority that this voter is still the leader.
     fn start_renewal_round(&mut self, now: Micros) {
         let round = self.renewal.start_round(now);
         self.node.read_index(round.to_be_bytes().to_vec());
     }
 
-    /// Carries out what the library asks for, until it asks for nothing more.
+    /// Processes the library's ready states until there are none left.
     fn process_ready(&mut self, now: Micros) {
         self.set_election_timeout();
         if !self.is_leader() {
@@ -248,8 +247,8 @@
         self.compact();
     }
 
-    /// Replaces the timeout that the library draws from its own random numbers by one that depends on seed and term only, so
-    /// that equal inputs give equal outputs.
+    /// Replaces the library's random election timeout by one that depends only on the seed and the term, so that the outputs
+    /// are deterministic.
     fn set_election_timeout(&mut self) {
         let min_ticks = self.settings.election_ticks as usize;
         let term = self.node.raft.term;
@@ -258,7 +257,7 @@
         self.node.raft.set_randomized_election_timeout(ticks);
     }
 
-    /// Proposes a lease, once in each term in which this voter was elected.
+    /// Proposes a lease, once for each term in which this voter is elected.
     fn request_lease(&mut self, now: Micros) {
         self.lease_requested_in_term = self.node.raft.term;
         let voter = self.settings.id;
@@ -266,7 +265,7 @@
         if !self.state.stores.contains_key(&voter) {
             self.propose(&Command::RegisterStore {
                 voter,
-                store: self.identity,
+                store: self.store_identity,
             });
         }
         self.start_renewal_round(now);
@@ -292,7 +291,7 @@
         self.node.advance_apply();
     }
 
-    /// Takes in what the library wants stored, and returns the writes that make it durable.
+    /// Stores the snapshot, entries and hard state of a ready state in the log. Returns the writes that make them durable.
     fn store_ready(&mut self, ready: &mut Ready) -> Vec<DurableWrite> {
         let mut writes = Vec::new();
         if !ready.snapshot().is_empty() {
@@ -317,10 +316,10 @@
         writes
     }
 
-    /// Extends the lease by the rounds that a majority has answered.
-    fn extend_lease(&mut self, answered: &[ReadState]) {
+    /// Extends the lease by the rounds that a majority has confirmed.
+    fn extend_lease(&mut self, confirmed: &[ReadState]) {
         let duration = self.settings.lease_duration();
-        for read_state in answered {
+        for read_state in confirmed {
             if let Ok(round) = read_state.request_ctx.as_slice().try_into() {
                 self.renewal
                     .confirm_round(u64::from_be_bytes(round), duration);
@@ -328,7 +327,7 @@
         }
     }
 
-    /// Takes in a snapshot, and returns the write that makes it durable.
+    /// Installs a received snapshot. Returns the write that makes it durable.
     fn install_snapshot(&mut self, snapshot: Snapshot) -> Option<DurableWrite> {
         self.state = postcard::from_bytes(snapshot.get_data()).ok()?;
         self.applied_index = snapshot.get_metadata().index;
@@ -352,7 +351,7 @@
         }
     }
 
-    /// Replaces old entries of a long log by a snapshot.
+    /// Replaces old entries by a snapshot once the log is too long.
     fn compact(&mut self) {
         if self.log_length() <= 2 * RETAINED_ENTRIES {
             return;
@@ -367,7 +366,7 @@
         self.node.store().compact(snapshot);
     }
 
-    /// A snapshot of the replicated state; `None` if it cannot be made.
+    /// Makes a snapshot of the replicated state; `None` if encoding fails or the term of the last applied entry is unknown.
     fn make_snapshot(&self) -> Option<Snapshot> {
         let data = postcard::to_allocvec(&self.state).ok()?;
         let term = self.node.store().term(self.applied_index).ok()?;
@@ -387,15 +386,19 @@
         for message in messages {
             let to = message.to;
             let expected_store = self.state.stores.get(&to).copied();
-            let encoded =
-                envelope::encode(&message, self.settings.id, self.identity, expected_store);
+            let encoded = envelope::encode(
+                &message,
+                self.settings.id,
+                self.store_identity,
+                expected_store,
+            );
             self.outputs
                 .extend(encoded.map(|bytes| Output::Send(to, bytes)));
         }
     }
 }
 
-/// The configuration of the consensus library.
+/// The configuration of the Raft library.
 fn raft_config(settings: &Settings, applied_index: u64) -> Config {
     let election_ticks = settings.election_ticks as usize;
     Config {
@@ -407,7 +410,7 @@
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
-        // The library draws the timeout from this range; see `Voter::set_election_timeout`.
+        // The range of the library's random election timeout; see `Voter::set_election_timeout`.
         min_election_tick: election_ticks,
         max_election_tick: 2 * election_ticks,
         read_only_option: ReadOnlyOption::Safe,
--- a/crates/leadership/tests/fence.rs
+++ b/crates/leadership/tests/fence.rs
@@ -1,4 +1,4 @@
-//! Fencing of actions by epoch.
+//! Fencing of actions by their epoch.
 
 use maplethread_leadership::{Fence, StaleEpoch};
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn rejects_actions_of_stale_and_unannounced_epochs() {
+fn rejects_stale_and_unannounced_epochs() {
     let mut fence = Fence::default();
     assert_eq!(fence.advance(3), Ok(true));
     assert_eq!(fence.advance(3), Ok(false));
--- a/crates/leadership/tests/model/cluster.rs
+++ b/crates/leadership/tests/model/cluster.rs
@@ -1,5 +1,6 @@
-//! A cluster of voters in simulated time: a faulty network, crashes that lose what was not durable, pauses, and clocks that
-//! run fast or slow. After every event it checks that at most one voter may act and that epochs only grow.
+//! A cluster of voters in simulated time, with a faulty network, crashes that lose all state that is not durable, pauses, and
+//! clocks that are fast or slow. After every event it checks that at most one voter may act as leader and that epochs
+//! increase.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +10,11 @@
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
 
-/// A millisecond, µs.
+/// A millisecond, in µs.
 pub const MS: Micros = 1_000;
-/// A second, µs.
+/// A second, in µs.
 pub const S: Micros = 1_000_000;
-/// When the simulation starts.
+/// The start time of the simulation.
 pub const START: Micros = 1_000 * S;
 
 enum Event {
@@ -23,7 +24,7 @@
     Start(u64),
 }
 
-/// The process of a voter. It keeps its durable state across crashes.
+/// The process of a voter. Its durable state survives crashes.
 pub struct Process {
     voter: Option<Voter>,
     pub durable: DurableState,
@@ -31,7 +32,7 @@
     clock_rate: f64,
     clock_started_at: Micros,
     is_paused: bool,
-    /// Messages that arrived during a pause.
+    /// Messages that arrived during a pause, in order.
     inbox: Vec<Vec<u8>>,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The time of the process's own clock.
+    /// The time of the process's clock, which may be fast or slow.
     fn local_time(&self, now: Micros) -> Micros {
         self.clock_started_at + ((now - self.clock_started_at) as f64 * self.clock_rate) as Micros
     }
@@ -58,9 +59,9 @@
     }
 }
 
-/// A voter that acts, and the epoch in which it does.
+/// A voter that may act as leader, and its epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Actor {
+pub struct ActingLeader {
     pub id: u64,
     pub epoch: u64,
 }
@@ -71,15 +72,15 @@
     events: Timers<Event>,
     pub processes: BTreeMap<u64, Process>,
     rng: Pcg64Mcg,
-    /// The voter that acted last.
-    pub last_actor: Option<Actor>,
+    /// The latest acting leader that a check found.
+    pub last_acting: Option<ActingLeader>,
     /// The leader of each epoch.
     pub leader_by_epoch: BTreeMap<u64, u64>,
-    /// How many checks found a voter that may act.
+    /// The number of checks that found an acting leader.
     pub acting_checks: u64,
-    /// How often a voter was reported to use a foreign store.
+    /// The number of [`Output::ForeignStore`] reports.
     pub foreign_store_reports: usize,
-    /// Whether voters may crash between any two outputs.
+    /// Whether voters may crash between two outputs.
     pub crash_between_outputs: bool,
 }
 
@@ -91,7 +92,7 @@
         tick_interval: 100 * MS,
         election_ticks: 10,
         heartbeat_ticks: 2,
-        max_clock_error: 0.1,
+        max_clock_drift: 0.1,
     }
 }
 
@@ -110,7 +111,7 @@
             events: Timers::default(),
             processes,
             rng,
-            last_actor: None,
+            last_acting: None,
             leader_by_epoch: BTreeMap::new(),
             acting_checks: 0,
             foreign_store_reports: 0,
@@ -131,7 +132,7 @@
     fn process(&mut self, id: u64) -> &mut Process {
         self.processes
             .get_mut(&id)
-            .expect("the cluster has this voter")
+            .expect("the cluster has a voter with this id")
     }
 
     fn start(&mut self, id: u64) {
@@ -146,7 +147,7 @@
         self.schedule_tick(id);
     }
 
-    /// Ends a process, which starts again after `restart_after`.
+    /// Crashes a process, which restarts after `restart_after`.
     pub fn crash(&mut self, id: u64, restart_after: Micros) {
         let process = self.process(id);
         if process.voter.take().is_some() {
@@ -189,7 +190,7 @@
                 Output::Persist(writes) => {
                     for write in writes {
                         let applied = self.process(id).durable.apply(write);
-                        applied.expect("a voter writes what can be decoded");
+                        applied.expect("writes of a voter can be decoded");
                     }
                 }
                 Output::Send(to, message) => {
@@ -215,39 +216,39 @@
         }
     }
 
-    /// The voters that may act now, each by its own clock.
-    fn actors(&self) -> impl Iterator<Item = Actor> {
+    /// The voters that may act as leader now, each by its own clock.
+    fn acting_leaders(&self) -> impl Iterator<Item = ActingLeader> {
         self.processes.iter().filter_map(|(&id, process)| {
             let epoch = process
                 .voter
                 .as_ref()?
                 .acting_epoch(process.local_time(self.now))?;
-            Some(Actor { id, epoch })
+            Some(ActingLeader { id, epoch })
         })
     }
 
-    /// At most one voter may act, and the epochs of those that do only grow.
-    fn assert_single_actor(&mut self) {
-        let actors: Vec<Actor> = self.actors().collect();
+    /// Asserts that at most one voter may act as leader, and that its epoch is new or its own.
+    fn assert_single_acting_leader(&mut self) {
+        let found: Vec<ActingLeader> = self.acting_leaders().collect();
         assert!(
-            actors.len() <= 1,
-            "{actors:?} may act at once, at {}",
+            found.len() <= 1,
+            "several voters may act as leader at {} µs: {found:?}",
             self.now
         );
-        let Some(&actor) = actors.first() else { return };
+        let Some(&acting) = found.first() else { return };
         assert_eq!(
-            self.leader_by_epoch.get(&actor.epoch),
-            Some(&actor.id),
-            "epoch {} is another's",
-            actor.epoch
+            self.leader_by_epoch.get(&acting.epoch),
+            Some(&acting.id),
+            "voter acts in epoch {}, whose lease it does not hold",
+            acting.epoch
         );
-        if let Some(last) = self.last_actor {
+        if let Some(last) = self.last_acting {
             assert!(
-                actor.epoch > last.epoch || actor == last,
-                "{actor:?} after {last:?}"
+                acting.epoch > last.epoch || acting == last,
+                "{acting:?} acts after {last:?}"
             );
         }
-        self.last_actor = Some(actor);
+        self.last_acting = Some(acting);
         self.acting_checks += 1;
     }
 
@@ -305,22 +306,22 @@
             }
             Event::Start(id) => self.start(id),
         }
-        self.assert_single_actor();
+        self.assert_single_acting_leader();
     }
 
-    /// The voter that may act now.
+    /// The voter that may act as leader now.
     pub fn acting_voter(&self) -> Option<u64> {
-        self.actors().next().map(|actor| actor.id)
+        self.acting_leaders().next().map(|acting| acting.id)
     }
 
-    /// Runs until a voter may act, and returns how long that took.
+    /// Runs until a voter may act as leader. Returns how long that took.
     pub fn run_until_acting(&mut self, timeout: Micros) -> Micros {
         let from = self.now;
         while self.acting_voter().is_none() {
             self.run(20 * MS);
             assert!(
                 self.now <= from + timeout,
-                "nobody acts after {} ms",
+                "no voter may act as leader after {} ms",
                 (self.now - from) / MS
             );
         }
--- a/crates/leadership/tests/model/elections.rs
+++ b/crates/leadership/tests/model/elections.rs
@@ -1,4 +1,4 @@
-//! Elections after crashes, partitions, pauses and restarts, and bounds of the log.
+//! Elections after crashes, partitions, pauses and restarts, and the bounded length of the log.
 
 use crate::cluster::{Cluster, MS, S};
 
@@ -12,24 +12,24 @@
         assert_eq!(
             (cluster.acting_voter(), cluster.leader_by_epoch.len()),
             (leader, 1),
-            "the leader changed without need"
+            "the leader changed without a fault"
         );
     }
 }
 
 #[test]
-fn elects_new_leader_in_higher_epoch_after_crash_partition_and_pause() {
+fn elects_new_leader_after_crash_partition_and_pause() {
     for seed in 0..10 {
         let mut cluster = Cluster::new(seed, 3);
         cluster.run_until_acting(8 * S);
-        let first = cluster.acting_voter().expect("one acts");
+        let first = cluster.acting_voter().expect("a voter acts as leader");
         cluster.crash(first, 30 * S);
         cluster.run(S);
         cluster.run_until_acting(8 * S);
-        let second = cluster.acting_voter().expect("one acts");
+        let second = cluster.acting_voter().expect("a voter acts as leader");
         assert_ne!(first, second);
         cluster.run(40 * S);
-        let isolated = cluster.acting_voter().expect("one acts");
+        let isolated = cluster.acting_voter().expect("a voter acts as leader");
         let others: Vec<usize> = (1..=3).filter(|&id| id != isolated as usize).collect();
         cluster
             .network
@@ -39,8 +39,8 @@
         assert_ne!(cluster.acting_voter(), Some(isolated));
         cluster.network.heal();
         cluster.run(10 * S);
-        // After a long pause a leader finds that its lease is over before it acts.
-        let paused = cluster.acting_voter().expect("one acts");
+        // After a long pause a leader must find its lease expired before it acts.
+        let paused = cluster.acting_voter().expect("a voter acts as leader");
         cluster.pause(paused, 20 * S);
         cluster.run(S);
         cluster.run_until_acting(8 * S);
@@ -55,59 +55,62 @@
 }
 
 #[test]
-fn restarted_voter_gives_no_vote_while_lease_may_hold() {
+fn restarted_voter_does_not_vote_while_lease_may_be_valid() {
     for offset in 0..300 {
         let mut cluster = Cluster::new(100 + offset, 3);
         cluster.run_until_acting(8 * S);
         cluster.run(5 * S);
-        let leader = cluster.acting_voter().expect("one acts");
-        let (isolated, helper) = match leader {
+        let leader = cluster.acting_voter().expect("a voter acts as leader");
+        let (isolated, follower) = match leader {
             1 => (2, 3),
             2 => (1, 3),
             _ => (1, 2),
         };
-        // One voter hears nothing of the leader and asks for votes, which the other refuses, as it follows the leader.
+        // The isolated voter receives nothing from the leader and requests votes. The follower rejects them.
         cluster.network.cut(leader as usize, isolated);
         cluster.network.cut(isolated, leader as usize);
         cluster.run(4 * S + offset * 7 * MS);
         assert_eq!(cluster.acting_voter(), Some(leader));
-        // After a quick restart it has forgotten that; the lease of the leader still counts on it.
-        cluster.crash(helper, MS);
+        // After a quick restart the follower has lost its record of the leader, whose lease still depends on its vote.
+        cluster.crash(follower, MS);
         cluster.run(3 * S);
         assert_eq!(
             (cluster.acting_voter(), cluster.leader_by_epoch.len()),
             (Some(leader), 1),
-            "{offset}"
+            "offset {offset}"
         );
     }
 }
 
 #[test]
-fn nobody_acts_without_majority_and_epoch_rises_after_all_voters_crash() {
+fn no_voter_acts_without_majority_and_epoch_increases_after_all_voters_crash() {
     let mut cluster = Cluster::new(5, 3);
     cluster.run_until_acting(8 * S);
-    let epoch = cluster.last_actor.expect("one acted").epoch;
+    let epoch = cluster
+        .last_acting
+        .expect("a voter has acted as leader")
+        .epoch;
     cluster.network.partition(&[vec![1], vec![2], vec![3]]);
     cluster.run(3 * S);
     let before = cluster.acting_checks;
     cluster.run(3_600 * S);
     assert_eq!(
         cluster.acting_checks, before,
-        "a voter acted without a majority"
+        "a voter acted as leader without a majority"
     );
     cluster.network.heal();
     (1..=3).for_each(|id| cluster.crash(id, S));
     cluster.run(2 * S);
     cluster.run_until_acting(10 * S);
-    assert!(cluster.last_actor.expect("one acts").epoch > epoch);
+    assert!(cluster.last_acting.expect("a voter acts as leader").epoch > epoch);
 }
 
 #[test]
-fn voter_with_lost_store_gets_no_vote_under_its_old_id() {
+fn voter_with_lost_store_is_not_counted_under_its_old_id() {
     let mut cluster = Cluster::new(6, 3);
     cluster.run_until_acting(8 * S);
     cluster.run(5 * S);
-    let leader = cluster.acting_voter().expect("one acts");
+    let leader = cluster.acting_voter().expect("a voter acts as leader");
     let other = (1..=3).find(|&id| id != leader).expect("another voter");
     cluster.crash(other, S);
     let process = cluster.processes.get_mut(&other).expect("a voter");
@@ -115,9 +118,9 @@
     cluster.run(5 * S);
     assert!(
         cluster.foreign_store_reports > 0,
-        "its new store is taken for the old one"
+        "the new store was accepted in place of the registered one"
     );
-    // The other two are still a majority without it; one of them alone is not.
+    // The other two voters are a majority without it; one of them alone is not.
     cluster.run_until_acting(8 * S);
     let third = (1..=3)
         .find(|&id| id != leader && id != other)
@@ -128,40 +131,43 @@
     cluster.run(20 * S);
     assert_eq!(
         cluster.acting_checks, before,
-        "a voter that may have forgotten a vote was counted"
+        "a voter that may have lost the record of a vote was counted for a majority"
     );
 }
 
 #[test]
-fn log_stays_bounded_and_long_absent_voter_catches_up_by_snapshot() {
+fn log_stays_bounded_and_voter_catches_up_by_snapshot_after_long_absence() {
     let mut cluster = Cluster::new(7, 3);
     cluster.run_until_acting(8 * S);
     cluster.crash(3, 4_000 * S);
-    // Hundreds of leases fill the log.
+    // Each crash of the leader adds a lease to the log.
     for round in 0..700 {
         cluster.run(3 * S);
-        if let Some(actor) = cluster.acting_voter()
+        if let Some(leader) = cluster.acting_voter()
             && round % 2 == 0
         {
-            cluster.crash(actor, 100 * MS);
+            cluster.crash(leader, 100 * MS);
         }
     }
     cluster.run(2_000 * S);
     cluster.run_until_acting(10 * S);
     cluster.run(10 * S);
-    let latest = cluster.last_actor.expect("one acted").epoch;
-    assert!(latest > 200, "{latest}");
+    let latest = cluster
+        .last_acting
+        .expect("a voter has acted as leader")
+        .epoch;
+    assert!(latest > 200, "the latest epoch is only {latest}");
     for (id, process) in &cluster.processes {
-        let voter = process.voter().expect("it runs");
+        let voter = process.voter().expect("the voter runs");
         assert!(
             voter.log_length() <= 600,
-            "{id} keeps {}",
+            "the log of voter {id} has {} entries",
             voter.log_length()
         );
         assert_eq!(
             voter.state().latest_lease.map(|lease| lease.epoch),
             Some(latest),
-            "{id}"
+            "voter {id}"
         );
     }
 }
--- a/crates/leadership/tests/model/main.rs
+++ b/crates/leadership/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! Voters in simulated time. At no instant may two of them act, and epochs only grow.
+//! Voters in simulated time. At most one voter may act as leader at any time, and epochs must increase.
 
 mod cluster;
 mod elections;
--- a/crates/leadership/tests/model/random_schedules.rs
+++ b/crates/leadership/tests/model/random_schedules.rs
@@ -1,5 +1,5 @@
-//! Random schedules of faults: partitions, one-way cuts, loss, late and duplicated messages, crashes, and pauses. Once the
-//! faults stop, a voter acts.
+//! Random fault schedules: partitions, one-way cuts, lost, late and duplicated messages, crashes, and pauses. After the last
+//! fault a voter must become the acting leader.
 
 use maplethread_simnet::Link;
 
@@ -69,18 +69,18 @@
 }
 
 #[test]
-fn random_schedules_never_let_two_voters_act() {
+fn at_most_one_voter_acts_in_random_schedules() {
     (0..150).for_each(run_random_schedule);
 }
 
 #[test]
-fn more_random_schedules_never_let_two_voters_act() {
+fn at_most_one_voter_acts_in_more_random_schedules() {
     (10_000..10_150).for_each(run_random_schedule);
 }
 
-/// `cargo test --release -p maplethread-leadership --test model -- --ignored`
+/// Run with `cargo test --release -p maplethread-leadership --test model -- --ignored`.
 #[test]
-#[ignore = "thousands of schedules, for a sitting of its own"]
-fn thousands_of_random_schedules() {
+#[ignore = "runs 5000 schedules; run separately in a release build"]
+fn at_most_one_voter_acts_in_thousands_of_random_schedules() {
     (20_000..25_000).for_each(run_random_schedule);
 }
