--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,4 +1,4 @@
-//! The node agent: the host side of the host protocol with real processes.
+//! The node agent of a host: it implements the host side of the host protocol, and runs each task as a process.
 //!
 //! - [`agent`] is the state machine, without I/O: it takes frames from placers, process exits and timer expiries, and
 //!   returns a list of [`Action`]s, ordered so that nothing is sent before the state it depends on is durable.
--- a/crates/agent/src/run/connections.rs
+++ b/crates/agent/src/run/connections.rs
@@ -34,7 +34,7 @@
                 );
                 continue;
             }
-            let token = self.take_token();
+            let token = self.allocate_token();
             if let Ok(connection) = TcpConnection::from_accepted(stream, token, &self.poller) {
                 let connection = PlacerConnection {
                     connection,
--- a/crates/agent/src/run/mod.rs
+++ b/crates/agent/src/run/mod.rs
@@ -146,7 +146,7 @@
         self.started_at.elapsed().as_micros() as u64 + 1
     }
 
-    fn take_token(&mut self) -> u64 {
+    fn allocate_token(&mut self) -> u64 {
         self.next_token += 1;
         self.next_token - 1
     }
--- a/crates/agent/src/run/processes.rs
+++ b/crates/agent/src/run/processes.rs
@@ -69,7 +69,7 @@
         if child.is_none() && !process::is_alive(identity) {
             return Err(io::ErrorKind::NotFound.into());
         }
-        let token = self.take_token();
+        let token = self.allocate_token();
         self.poller.register(&pidfd, token, false)?;
         let watched = WatchedProcess {
             attempt,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -38,10 +38,10 @@
 /// [`MembershipChange::reported_by`] of a change found by a probe of the local member. Published in JSON.
 pub const OWN_PROBE: &str = "a test of its own";
 /// [`MembershipChange::reported_by`] of a change caused by the local member itself. Published in JSON.
-const ITSELF: &str = "itself";
+const REPORTED_BY_SELF: &str = "itself";
 /// [`MembershipChange::reported_by`] of the removal of a member that was down for [`crate::Timing::forget_after`]. Published
 /// in JSON.
-const EXPIRY: &str = "time";
+const REPORTED_BY_EXPIRY: &str = "time";
 
 /// An action or event for the caller.
 #[derive(Clone, Debug, PartialEq)]
@@ -199,7 +199,7 @@
             self.report_new_suspects(now);
         }
         if let Some(identity) = removed {
-            self.refresh_member(now, &identity, EXPIRY);
+            self.refresh_member(now, &identity, REPORTED_BY_EXPIRY);
         }
     }
 
--- a/crates/membership/src/member/conflicts.rs
+++ b/crates/membership/src/member/conflicts.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use super::{ITSELF, LocalMember, MemberTimer, Output};
+use super::{LocalMember, MemberTimer, Output, REPORTED_BY_SELF};
 use crate::datagram::{Datagram, Message};
 use crate::identity::MemberIdentity;
 use crate::member_table::Micros;
@@ -17,7 +17,7 @@
 
 impl LocalMember {
     /// Handles a datagram of another process that uses the local member's name.
-    pub(super) fn handle_same_name(&mut self, now: Micros, datagram: &Datagram) {
+    pub(super) fn handle_same_name_datagram(&mut self, now: Micros, datagram: &Datagram) {
         let (local, sender) = (self.identity(), &datagram.sender);
         if sender.address == local.address {
             // A datagram of the local member, possibly from an earlier generation.
@@ -138,7 +138,7 @@
             .cloned()
             .map(foca::Member::alive)
             .collect();
-        self.with_swim(now, ITSELF, |swim, output| {
+        self.with_swim(now, REPORTED_BY_SELF, |swim, output| {
             swim.apply_many(members.into_iter(), true, output)
         });
         self.contact_unknown_addresses(now, true);
--- a/crates/membership/src/member/messages.rs
+++ b/crates/membership/src/member/messages.rs
@@ -23,7 +23,7 @@
             Err(error) => return self.count_rejected(error),
         };
         if datagram.sender.name == self.settings.name {
-            return self.handle_same_name(now, &datagram);
+            return self.handle_same_name_datagram(now, &datagram);
         }
         if self.is_recent(&datagram) && self.name_conflict.is_none() {
             self.handle_message(now, datagram);
--- a/crates/membership/src/member/pauses.rs
+++ b/crates/membership/src/member/pauses.rs
@@ -1,6 +1,6 @@
 //! Detection of pauses of the local process, and new generations of the local member.
 
-use super::{ITSELF, LocalMember, Output, as_micros};
+use super::{LocalMember, Output, REPORTED_BY_SELF, as_micros};
 use crate::identity::NameHash;
 use crate::member_table::Micros;
 use crate::swim::new_swim;
@@ -9,7 +9,7 @@
 /// The process is considered paused if a call comes this much later than the next timer was due.
 const MIN_DETECTED_PAUSE: Micros = 500_000;
 /// [`crate::MembershipChange::reported_by`] of a removal after a long pause. Published in JSON.
-const ITSELF_AFTER_PAUSE: &str = "itself, after it stood still";
+const REPORTED_BY_SELF_AFTER_PAUSE: &str = "itself, after it stood still";
 
 impl LocalMember {
     /// Detects a pause of the process, and delays all timers by it: datagrams that arrived during the pause are then read
@@ -41,7 +41,7 @@
             .collect();
         for name in names {
             self.record_former_address(name);
-            self.remove_member(name, ITSELF_AFTER_PAUSE);
+            self.remove_member(name, REPORTED_BY_SELF_AFTER_PAUSE);
         }
         self.shared.borrow_mut().known_generations.clear();
         self.restart_swim();
@@ -61,7 +61,7 @@
         self.outputs.push(Output::Notice(Notice::Renewed {
             generation: identity.generation,
         }));
-        self.with_swim(now, ITSELF, |swim, mut output| {
+        self.with_swim(now, REPORTED_BY_SELF, |swim, mut output| {
             swim.change_identity(identity, &mut output)?;
             // The library starts its periodic timers only when updates are applied.
             swim.apply_many(std::iter::empty(), false, output)
--- a/crates/membership/src/member/publishing.rs
+++ b/crates/membership/src/member/publishing.rs
@@ -1,6 +1,6 @@
 //! Publication of the local member's facts, and of its leave.
 
-use super::{ITSELF, LocalMember, MemberTimer};
+use super::{LocalMember, MemberTimer, REPORTED_BY_SELF};
 use crate::datagram::{MemberUpdate, Message, WireState};
 use crate::facts::{Facts, FactsRecord};
 use crate::member_table::Micros;
@@ -39,7 +39,9 @@
         self.is_leaving = true;
         self.published.facts.is_draining = true;
         self.publish_facts(now);
-        self.with_swim(now, ITSELF, |swim, output| swim.leave_cluster(output));
+        self.with_swim(now, REPORTED_BY_SELF, |swim, output| {
+            swim.leave_cluster(output)
+        });
         self.announce_leave(now, LEAVE_ANNOUNCEMENTS);
     }
 
@@ -61,7 +63,9 @@
             facts: self.published.facts.clone(),
         };
         if let Ok(bytes) = postcard::to_allocvec(&record) {
-            self.with_swim(now, ITSELF, |swim, _| swim.add_broadcast(&bytes).map(drop));
+            self.with_swim(now, REPORTED_BY_SELF, |swim, _| {
+                swim.add_broadcast(&bytes).map(drop)
+            });
         }
     }
 
