--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -20,6 +20,7 @@
     pub rotate_s: u64,
     /// The oldest files of this placer are removed while the total size is above this many MiB.
     #[serde(default = "d::keep_mib")]
+    #[serde(rename = "keep_mib")]
     pub max_total_mib: u64,
     /// Maximum number of records waiting to be written; further ones are lost, and a gap record gives their number.
     #[serde(default = "d::queue_records")]
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -75,7 +75,8 @@
             let duration = turn_duration(self.now);
             self.now += duration;
             self.record_outputs();
-            self.engine.record_busy_period(self.now - duration, self.now);
+            self.engine
+                .record_busy_period(self.now - duration, self.now);
             if let Some(due) = self.engine.next_timeout() {
                 self.now = self.now.max(due.min(next_request));
             }
