--- a/crates/platform-settings/src/host_names.rs
+++ b/crates/platform-settings/src/host_names.rs
@@ -36,7 +36,7 @@
     }
 
     /// Forgets a host that was removed. Its id is never assigned again.
-    pub fn forget(&mut self, id: MachineId) {
+    pub fn remove(&mut self, id: MachineId) {
         if let Some(name) = self.names.remove(&id) {
             self.ids.remove(&name);
         }
--- a/crates/platform-settings/src/host_names/tests.rs
+++ b/crates/platform-settings/src/host_names/tests.rs
@@ -9,7 +9,7 @@
         hosts.id_or_assign("a:1"),
     ];
     assert_eq!(ids, [MachineId(0), MachineId(1), MachineId(0)]);
-    hosts.forget(MachineId(0));
+    hosts.remove(MachineId(0));
     assert_eq!(
         (hosts.name(MachineId(0)), hosts.id_of("a:1"), hosts.len()),
         (None, None, 1)
--- a/crates/platform/src/channel_poll.rs
+++ b/crates/platform/src/channel_poll.rs
@@ -1,5 +1,5 @@
-//! The poll of the command channel: one is always in flight, or about to be. It performs no I/O: the caller opens and
-//! closes the one connection that this asks for, and passes on the bytes that arrive.
+//! Long polling of the command channel: one poll is always in flight or scheduled. This module performs no I/O: the caller
+//! performs the [`ChannelAction`]s on a single connection, and passes in the bytes received on it.
 
 use std::net::SocketAddr;
 
@@ -7,25 +7,26 @@
 use maplethread_platform_wire::command_channel::{self, CommandBatch};
 use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role, write_request};
 
-/// How long the channel is asked to wait for new events before it answers, in microseconds.
+/// How long the channel is asked to wait for new events before it answers.
 const LONG_POLL_WAIT: Micros = 1_000_000;
-/// An answer that is later than the wait by more than this is not expected any more, in microseconds.
+/// How long after the end of the wait the response may arrive before the poll times out.
 const RESPONSE_SLACK: Micros = 400_000;
-/// How long the channel has to accept a connection, in microseconds.
+/// How long the channel may take to accept a connection.
 const CONNECT_TIMEOUT: Micros = 400_000;
-/// After consecutive timeouts the channel may be slow rather than silent: the times above are doubled, this often at most,
-/// which still is within 2 s of the wait's end (PROTOCOL's days).
+/// `RESPONSE_SLACK` and `CONNECT_TIMEOUT` are doubled after each consecutive timeout, at most this many times, because the
+/// channel may be slow rather than down. The poll then still times out within 2 s of the end of the wait, as the platform's
+/// acceptance test requires.
 const MAX_DOUBLINGS: u32 = 2;
-/// How long after a failed connection the next one is opened, in microseconds: a channel that refuses connections is not
-/// polled in a busy loop.
+/// Delay between a failed connect and the next one, so that a channel that refuses connections is not polled in a busy
+/// loop.
 const RETRY_DELAY: Micros = 100_000;
-/// The longest body of an answer.
+/// The maximum size of a response body.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
 /// An action for the caller.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ChannelAction {
-    /// Close the connection, if there is one, and open a new one.
+    /// Open a new connection, and close the current one if there is one.
     Connect(SocketAddr),
     /// Close the connection.
     Close,
@@ -35,20 +36,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// No poll is in flight; the next one is due at this time.
+    /// No poll is in flight. The next one is due at this time.
     Idle(Micros),
-    /// A connection is being opened, until this time.
+    /// A connection is being opened. It times out at this time.
     Connecting(Micros),
-    /// A poll is in flight; its answer is expected until this time.
+    /// A poll is in flight. It times out at this time.
     Polling(Micros),
 }
 
-/// The poll of the command channel. Times are in microseconds.
+/// The long poll of the command channel.
 pub struct ChannelPoll {
     address: SocketAddr,
     state: State,
     reader: MessageReader,
-    /// How many consecutive polls timed out, up to `MAX_DOUBLINGS`.
+    /// The number of consecutive timeouts, up to `MAX_DOUBLINGS`.
     consecutive_timeouts: u32,
     pub(crate) actions: Vec<ChannelAction>,
 }
@@ -64,7 +65,7 @@
 }
 
 impl ChannelPoll {
-    /// A poll of the channel at this address, which is due at once.
+    /// Creates a poll of the channel at this address. The first poll is due at once.
     pub fn new(address: SocketAddr) -> ChannelPoll {
         ChannelPoll {
             address,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Sets the address of the channel; a new one is polled at once.
+    /// Sets the address of the channel. If it has changed, the new address is polled at once.
     pub fn set_address(&mut self, address: SocketAddr) {
         if address != self.address {
             self.address = address;
@@ -91,13 +92,13 @@
         }
     }
 
-    /// Handles a timeout if it is due: opens a connection, after closing one that did not answer.
+    /// Handles a timeout if it is due: opens a connection, after closing one that has timed out.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout() > now {
             return;
         }
         if !matches!(self.state, State::Idle(_)) {
-            tracing::warn!(state = ?self.state, "the command channel does not answer");
+            tracing::warn!(state = ?self.state, "command channel timed out; reconnecting");
             self.actions.push(ChannelAction::Close);
             self.consecutive_timeouts = (self.consecutive_timeouts + 1).min(MAX_DOUBLINGS);
         }
@@ -106,7 +107,7 @@
         self.actions.push(ChannelAction::Connect(self.address));
     }
 
-    /// The connection was established: a poll for the events after `cursor` is sent.
+    /// Handles an established connection: sends a poll for the events after `cursor`.
     pub fn connection_established(&mut self, now: Micros, cursor: u64) {
         if matches!(self.state, State::Connecting(_)) {
             self.send_poll(now, cursor);
@@ -128,8 +129,8 @@
         self.actions.push(ChannelAction::Send(bytes));
     }
 
-    /// Decodes received bytes. Returns how many were used, and the events of a complete answer, which the caller applies
-    /// before it calls [`ChannelPoll::poll_again`]. An answer that can't be decoded ends the connection.
+    /// Decodes received bytes. Returns the number of bytes consumed, and the events of a complete response, which the caller
+    /// applies before it calls [`ChannelPoll::poll_again`]. A response that cannot be decoded closes the connection.
     pub fn read_response(&mut self, now: Micros, unread: &[u8]) -> (usize, Option<CommandBatch>) {
         match self.reader.read(unread) {
             Ok((ReadResult::Message(message), used)) => {
@@ -140,13 +141,13 @@
                             return (used, Some(batch));
                         }
                         Err(error) => {
-                            tracing::warn!(%error, "the command channel's answer can't be read")
+                            tracing::warn!(%error, "invalid response body from the command channel; reconnecting")
                         }
                     }
                 } else {
                     tracing::warn!(
                         status = message.head.status(),
-                        "the command channel refuses"
+                        "command channel answered with an error status; reconnecting"
                     );
                 }
                 self.connection_lost(now);
@@ -154,7 +155,7 @@
             }
             Ok((_, used)) => (used, None),
             Err(error) => {
-                tracing::warn!(%error, "the command channel's answer can't be read");
+                tracing::warn!(%error, "invalid HTTP response from the command channel; reconnecting");
                 self.connection_lost(now);
                 (unread.len(), None)
             }
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The connection was lost, or could not be established.
+    /// Handles a connection that was lost or could not be established.
     pub fn connection_lost(&mut self, now: Micros) {
         self.actions.push(ChannelAction::Close);
         self.reader = response_reader();
--- a/crates/platform/src/channel_poll/tests.rs
+++ b/crates/platform/src/channel_poll/tests.rs
@@ -18,14 +18,14 @@
     std::mem::take(&mut channel.actions)
 }
 
-fn sends_poll(wants: &[ChannelAction], cursor: u64) -> bool {
+fn sends_poll(actions: &[ChannelAction], cursor: u64) -> bool {
     let line = format!("GET /cmd/next?resume={cursor}&block=");
-    wants
-        .iter()
-        .any(|w| matches!(w, ChannelAction::Send(bytes) if bytes.starts_with(line.as_bytes())))
+    actions.iter().any(
+        |action| matches!(action, ChannelAction::Send(bytes) if bytes.starts_with(line.as_bytes())),
+    )
 }
 
-/// A poll that is out, after event 5.
+/// A channel with a poll in flight for the events after event 5.
 fn polling_channel() -> ChannelPoll {
     let mut channel = ChannelPoll::new(address(1));
     channel.handle_timeout(0);
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn sends_next_poll_on_the_same_connection_after_an_answer() {
+fn sends_next_poll_on_the_same_connection_after_a_response() {
     let mut channel = polling_channel();
     let bytes = ok_response("{\"cursor\":6,\"cmds\":[{\"cursor\":6}]}");
-    let (used, none) = channel.read_response(2 * MS, &bytes[..30]);
-    assert_eq!(none, None);
-    let (rest, batch) = channel.read_response(3 * MS, &bytes[used..]);
+    let (used, first_batch) = channel.read_response(2 * MS, &bytes[..30]);
+    assert_eq!(first_batch, None);
+    let (used_of_rest, batch) = channel.read_response(3 * MS, &bytes[used..]);
     assert_eq!(
-        (used + rest, batch.map(|b| b.cursor)),
+        (used + used_of_rest, batch.map(|b| b.cursor)),
         (bytes.len(), Some(6))
     );
     channel.poll_again(3 * MS, 6);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn polls_again_from_last_whole_event_when_connection_breaks_mid_answer() {
+fn polls_again_from_the_last_applied_event_when_the_connection_breaks_mid_response() {
     let mut channel = polling_channel();
     channel.read_response(
         2 * MS,
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn reconnects_when_channel_is_silent_beyond_its_wait() {
+fn reconnects_when_the_channel_does_not_respond_after_its_wait() {
     let mut channel = polling_channel();
     let due = channel.next_timeout();
     assert!(due > LONG_POLL_WAIT && due <= 2_000 * MS);
@@ -83,7 +83,7 @@
         take_actions(&mut channel),
         [ChannelAction::Close, ChannelAction::Connect(address(1))]
     );
-    // A connection that never comes up is not waited for either.
+    // A connect that does not complete times out too.
     let due = channel.next_timeout();
     channel.handle_timeout(due);
     assert_eq!(
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn closes_connection_on_unreadable_answer_and_delays_retry_after_refusal() {
+fn closes_connection_on_an_invalid_response_and_delays_retry_after_a_failed_connect() {
     for bytes in [
         ok_response("{\"cursor\":"),
         ok_response("[]"),
@@ -129,20 +129,20 @@
 }
 
 #[test]
-fn allows_a_slow_channel_more_time_until_its_answer_is_read() {
+fn extends_timeouts_of_a_slow_channel_until_it_responds() {
     let mut channel = polling_channel();
-    // Each answer comes 0.7 s after the wait that was asked for.
-    let late = LONG_POLL_WAIT + 700 * MS;
-    let (mut now, mut heard) = (MS, false);
+    // Each response arrives 0.7 s after the end of the requested wait.
+    let response_delay = LONG_POLL_WAIT + 700 * MS;
+    let (mut now, mut has_response) = (MS, false);
     for _ in 0..4 {
-        let answered = now + late;
-        if channel.next_timeout() > answered {
+        let responded_at = now + response_delay;
+        if channel.next_timeout() > responded_at {
             let (_, batch) =
-                channel.read_response(answered, &ok_response("{\"cursor\":6,\"cmds\":[]}"));
-            heard = batch.is_some();
+                channel.read_response(responded_at, &ok_response("{\"cursor\":6,\"cmds\":[]}"));
+            has_response = batch.is_some();
             break;
         }
-        // PROTOCOL's days count a silent channel as told 2 s after the wait's end.
+        // The platform's acceptance test requires that a silent channel is detected within 2 s of the end of the wait.
         let due = channel.next_timeout();
         assert!(due <= now + LONG_POLL_WAIT + 2_000 * MS);
         channel.handle_timeout(due);
@@ -154,8 +154,8 @@
         channel.connection_established(now, 5);
         assert!(sends_poll(&take_actions(&mut channel), 5));
     }
-    assert!(heard);
-    // Once it answers it is expected to do so in time again.
+    assert!(has_response);
+    // After a response the timeouts are no longer extended.
     channel.poll_again(now, 6);
     assert!(channel.next_timeout() <= now + LONG_POLL_WAIT + RESPONSE_SLACK);
 }
--- a/crates/platform/src/engine/admission_queue.rs
+++ b/crates/platform/src/engine/admission_queue.rs
@@ -1,5 +1,5 @@
-//! Requests that the decisions have not seen yet. Each turn admits a few: of each owner the oldest, and the owners by
-//! turns, so that one that sends thousands of requests does not delay the others.
+//! Requests that have not been passed to the policy yet. Each turn admits a limited number, taking the oldest request of
+//! each owner in round-robin order, so that an owner that sends thousands of requests does not delay the others.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,7 +7,7 @@
 
 use super::output::OwnerId;
 
-/// Requests that wait for admission. The bound on tasks bounds them too.
+/// Requests that wait for admission. The limit on the number of tasks limits them too.
 #[derive(Default)]
 pub(super) struct AdmissionQueue {
     by_owner: HashMap<OwnerId, VecDeque<Task>>,
@@ -24,7 +24,7 @@
         waiting.push_back(task);
     }
 
-    /// Takes the next request that is still pending; others are dropped.
+    /// Removes and returns the next request that is still pending; others are dropped.
     pub(super) fn pop_next(&mut self, is_pending: impl Fn(TaskId) -> bool) -> Option<Task> {
         while let Some(owner) = self.owner_order.pop_front() {
             let Some(waiting) = self.by_owner.get_mut(&owner) else {
@@ -43,7 +43,7 @@
         None
     }
 
-    /// Whether the owner's request still waits. Ids ascend within the requests of an owner.
+    /// Whether the owner's request is still queued. The requests of an owner are queued in ascending order of their ids.
     pub(super) fn contains(&self, owner: OwnerId, id: TaskId) -> bool {
         self.by_owner
             .get(&owner)
--- a/crates/platform/src/engine/attempts.rs
+++ b/crates/platform/src/engine/attempts.rs
@@ -14,11 +14,11 @@
 use super::task_table::Attempt;
 use super::timer::Timer;
 
-/// Bytes of a set-up besides its description, for the capacity of its buffer.
+/// Estimated size of a set-up without its description, for the initial capacity of its buffer.
 const SETUP_HEAD_BYTES: usize = 128;
 
 impl<D: Decide> Engine<D> {
-    /// Offers a task to a machine, on a connection that is established or once it is.
+    /// Offers a task to a machine. If the connection is not established yet, the set-up is sent when it is.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -41,8 +41,8 @@
             .hosts
             .get(&machine)
             .is_some_and(|host| host.state == MachineState::Ready);
-        // Answers name the task alone, and a second copy of the answer to an earlier attempt may come late: it must not be
-        // taken for the answer to this one, so this one uses another connection.
+        // Answers carry the id of the task but not of the attempt, and a duplicate of the answer to an earlier attempt may
+        // arrive late. A new connection for each attempt keeps it from being matched to this attempt.
         let connection = if is_ready && is_pending {
             self.select_connection(now, machine, &used_connections)
         } else {
@@ -109,7 +109,7 @@
             .filter(|attempt| attempt.number == id.number)
     }
 
-    /// Ends an attempt whose answer is overdue.
+    /// Ends an attempt that was not answered by its deadline.
     pub(super) fn handle_attempt_timeout(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.attempt_in_flight(id) else {
             return;
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Withdraws the task's attempt, at the host too if it was sent, and reports its outcome to the decisions. One that
-    /// was never sent counts as a failed connect whatever `outcome` says.
+    /// Cancels the task's attempt, with a close to the host if it was sent, and reports its outcome to the policy. An
+    /// attempt that was never sent is reported as `ConnectFailed`, whatever `outcome` is.
     pub(super) fn abandon_attempt(
         &mut self,
         task: TaskId,
@@ -150,7 +150,7 @@
         self.tasks.remove_if_finished(task);
     }
 
-    /// Removes the attempt that is in flight from its task and from its connection.
+    /// Removes the task's attempt in flight from the task and from its connection.
     pub(super) fn remove_attempt(&mut self, task: TaskId) -> Option<Attempt> {
         let attempt = self.tasks.get_mut(task)?.in_flight.take()?;
         if let Some(connection) = self.connections.get_mut(&attempt.connection) {
@@ -159,7 +159,7 @@
         Some(attempt)
     }
 
-    /// Reports the outcome of an attempt to the decisions.
+    /// Queues the outcome of an attempt for the policy.
     pub(super) fn push_attempt_finished(
         &mut self,
         attempt: AttemptId,
@@ -176,8 +176,8 @@
         self.events.push(Event::AttemptFinished { attempt, result });
     }
 
-    /// Marks a request as answered, or as one for which nobody waits any more. Returns whether it was pending.
-    pub(super) fn mark_answered(&mut self, task: TaskId) -> bool {
+    /// Marks a request as no longer pending, because it was answered or cancelled. Returns whether it was pending.
+    pub(super) fn clear_pending(&mut self, task: TaskId) -> bool {
         let owner = self
             .tasks
             .get(task)
@@ -185,7 +185,7 @@
         if let Some(owner) = owner {
             owner.pending.remove(&task);
         }
-        self.tasks.mark_answered(task)
+        self.tasks.clear_pending(task)
     }
 
     /// Sends the final answer to a request that was not placed.
@@ -194,12 +194,12 @@
             return;
         };
         let (owner, id) = (entry.owner, entry.setup.id);
-        if !self.mark_answered(task) {
+        if !self.clear_pending(task) {
             return;
         }
         self.outputs
             .push(Output::SendToOwner(owner, ToOwner::Close { id, cause }));
-        // Nobody waits for an attempt that is still in flight: it ends as one that timed out.
+        // The request has its answer, so an attempt that is still in flight is cancelled and reported as timed out.
         self.abandon_attempt(task, AttemptOutcome::TimedOut, true);
         self.tasks.remove_if_finished(task);
     }
--- a/crates/platform/src/engine/connections.rs
+++ b/crates/platform/src/engine/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts: selected, opened, checked and lost.
+//! Connections to hosts: how they are selected, opened, checked and closed.
 
 use std::collections::BTreeSet;
 
@@ -11,40 +11,41 @@
 use super::output::{ConnectionId, DisconnectReason, Output};
 use super::timer::Timer;
 
-/// A connection to a host with running tasks that was silent for this time is probed. A probe is answered at once: a
-/// connection on which the answer takes longer than the settings' connect timeout is given up. In microseconds.
+/// A connection to a host with running tasks is probed when nothing was received on it for this time. Hosts answer probes
+/// at once: a probe that is not answered within the connect timeout of the settings has failed.
 pub(super) const IDLE_PROBE_INTERVAL: Micros = 1_000_000;
-/// The same where probes are charged for: only as often as is needed to give up a host that alone is silent after
-/// `UNREACHABLE_TIMEOUT`. In microseconds.
+/// The probe interval where probes are charged for: just short enough to detect the failure of a single host within
+/// `UNREACHABLE_TIMEOUT`.
 const CHARGED_PROBE_INTERVAL: Micros = 2_500_000;
-/// How long after the loss of a connection to a host with running tasks the next one is opened, in microseconds. A host
-/// releases a task on the connection on which it was placed, and once more on the next one that is opened. Until it has
-/// noticed that the old one is lost, it may release the task there in vain, and a new one that is opened meanwhile is not
-/// the next one any more. This is many times the network's delay.
+/// Delay between the loss of a connection to a host with running tasks and the next connect. A host sends the release of a
+/// task on the connection on which the task was placed, and repeats it only on the next connection that is opened. If that
+/// is opened before the host has noticed the loss, a release that the host then sends on the lost connection is never
+/// repeated. The delay is many times the network latency.
 const RECONNECT_DELAY: Micros = 25_000;
-/// The id of probes, which no set-up has.
+/// The id of probes; no set-up uses it.
 const PROBE_ID: SetupId = SetupId(0);
 
 /// A connection to a host.
 pub(super) struct HostConnection {
     pub(super) machine: MachineId,
-    /// Whether it is established, rather than being opened.
+    /// False while the connection is being opened.
     pub(super) is_established: bool,
-    /// Tasks with an attempt that was sent on it, or waits for it.
+    /// Tasks with an attempt that was sent on the connection, or that will be sent once it is established.
     pub(super) attempts: BTreeSet<TaskId>,
-    /// When something was last received on it, or it was opened or established.
+    /// When data was last received; until then, when the connection was opened or established.
     pub(super) last_received: Micros,
-    /// A probe has no answer yet.
+    /// A probe was sent and not answered yet.
     pub(super) is_probe_pending: bool,
-    /// A probe failed. The connection is kept because it will show whether the process at its other end is the same.
+    /// A probe failed. The connection is kept open because whether it resumes or breaks shows whether the host's process is
+    /// still the same.
     pub(super) is_unresponsive: bool,
-    /// When it is checked next.
+    /// When [`Engine::check_connection`] is due.
     pub(super) next_check: Micros,
 }
 
 impl<D: Decide> Engine<D> {
-    /// A connection to a host: one that is established and not being probed, else one that is being opened, else a new
-    /// one. None of `excluded`.
+    /// Selects a connection to a host that is not in `excluded`: one that is established and not being probed, else one
+    /// that is being opened, else a new one.
     pub(super) fn select_connection(
         &mut self,
         now: Micros,
@@ -68,7 +69,7 @@
         best.or_else(|| self.open_connection(now, machine))
     }
 
-    /// Opens a connection to a host; nothing if the host's address is unknown or belongs to another host now.
+    /// Opens a connection to a host. Returns none if the host's address is unknown or now belongs to another host.
     pub(super) fn open_connection(
         &mut self,
         now: Micros,
@@ -107,7 +108,7 @@
         Some(id)
     }
 
-    /// Opens a connection that was delayed until the host has noticed the loss of an earlier one.
+    /// Opens a connection that was delayed by `RECONNECT_DELAY`.
     pub(super) fn open_delayed_connection(&mut self, now: Micros, id: ConnectionId) {
         let Some(machine) = self.connections.get(&id).map(|c| c.machine) else {
             return;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// A connection was established: what waited for it is sent.
+    /// Handles an established connection: sends the set-ups that were waiting for it.
     pub fn connection_established(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -136,7 +137,7 @@
         self.record_host_connected(now, machine);
         self.repeat_unconfirmed_closes(id, machine);
         for task in waiting {
-            // An attempt that has timed out by now is withdrawn unsent in this turn.
+            // An attempt past its deadline is not sent; its timer ends it in this turn.
             let is_in_time = self
                 .tasks
                 .get(task)
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A connection was lost, or could not be established.
+    /// Handles a connection that was lost or could not be established.
     pub fn connection_lost(&mut self, now: Micros, id: ConnectionId, reason: DisconnectReason) {
         let Some(connection) = self.connections.remove(&id) else {
             return;
@@ -186,7 +187,7 @@
         self.tasks.remove_if_finished(task);
     }
 
-    /// What the loss of a connection means for its host and the tasks that run there.
+    /// Updates the host of a lost connection: reconnects, or fails the tasks that run there.
     fn apply_connection_loss(
         &mut self,
         now: Micros,
@@ -207,18 +208,18 @@
             }
             return;
         }
-        // A process that drains refuses new connections while its tasks run on. Only where one was established before and
-        // lost, a refusal of the next shows that the process has died.
+        // A draining process refuses new connections while its tasks continue. A refusal shows that the process has died
+        // only if an earlier connection to the same process was established.
         let is_refused = reason == DisconnectReason::Refused;
         if is_refused && host.state == MachineState::Draining {
-            host.record_sign_of_life(now);
+            host.record_alive(now);
         }
         if (is_refused && host.was_connected) || host.state == MachineState::Gone {
             self.fail_running_tasks(now, machine, |_| true);
             return;
         }
-        // Perhaps only the connection broke, so tasks run on until the host is found to have failed. What the host sent on
-        // it in vain it repeats on the next one, whether others are open or not.
+        // The connection may have broken without a failure of the host, so its tasks are kept until the host is detected as
+        // failed. A new connection is opened even if others are open, because the host repeats unreceived messages on it.
         let has_no_connection = host.connections.is_empty();
         if connection.is_established {
             self.open_connection(now, machine);
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Probes a connection on which an answer is overdue. Until the probe is answered no task is offered on it.
+    /// Probes a connection on which an answer is overdue. No task is offered on it until the probe is answered.
     pub(super) fn probe_connection(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self
             .connections
@@ -246,7 +247,7 @@
         self.send_to_host(id, &ToHost::Probe { id: PROBE_ID });
     }
 
-    /// Checks whether a connection is established, answers, and is still needed.
+    /// Checks that a connection is established, responsive and still needed.
     pub(super) fn check_connection(&mut self, now: Micros, id: ConnectionId) {
         let probe_interval = self.probe_interval();
         let connect_timeout = self.settings.connect_timeout;
@@ -257,13 +258,13 @@
         else {
             return;
         };
-        let silence = now.saturating_sub(connection.last_received);
+        let silence_us = now.saturating_sub(connection.last_received);
         if !connection.is_established || connection.is_probe_pending {
             tracing::debug!(
                 connection = id.0,
                 established = connection.is_established,
-                silence,
-                "connection does not answer"
+                silence_us,
+                "connection timed out"
             );
             return self.handle_unanswered_connection(now, id);
         }
@@ -271,18 +272,18 @@
         let has_running_tasks = host.is_some_and(|host| !host.running.is_empty());
         let is_gone = host.is_none_or(|host| host.state == MachineState::Gone);
         let has_attempts = !connection.attempts.is_empty();
-        let is_answer_overdue = has_attempts && silence >= connect_timeout;
-        if is_answer_overdue || has_running_tasks && silence >= probe_interval {
+        let is_answer_overdue = has_attempts && silence_us >= connect_timeout;
+        if is_answer_overdue || has_running_tasks && silence_us >= probe_interval {
             self.probe_connection(now, id);
         } else if !has_running_tasks
             && !has_attempts
-            && (is_gone || silence >= self.settings.idle_timeout / 2)
+            && (is_gone || silence_us >= self.settings.idle_timeout / 2)
         {
             self.close_connection(now, id);
         } else {
             let next_check = if has_attempts {
                 now + connect_timeout
-            } else if silence < probe_interval {
+            } else if silence_us < probe_interval {
                 connection.last_received + probe_interval
             } else {
                 now + probe_interval
@@ -291,7 +292,7 @@
         }
     }
 
-    /// How long a connection may be silent while tasks run on its host.
+    /// How long nothing may be received on a connection, while tasks run on its host, before it is probed.
     pub(super) fn probe_interval(&self) -> Micros {
         if self.settings.are_probes_charged {
             CHARGED_PROBE_INTERVAL
@@ -300,7 +301,7 @@
         }
     }
 
-    /// Schedules the next check of a connection, in place of the one that was scheduled before.
+    /// Schedules the next check of a connection, replacing the one that was scheduled before.
     pub(super) fn schedule_connection_check(&mut self, id: ConnectionId, at: Micros) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.next_check = at;
@@ -313,7 +314,7 @@
         self.connection_lost(now, id, DisconnectReason::Broken);
     }
 
-    /// Sends a message to a host; one that ends an attempt or a task is written before anything else.
+    /// Sends a message to a host. Closes, which end an attempt or a task, are written before any later output.
     pub(super) fn send_to_host(&mut self, id: ConnectionId, message: &ToHost) {
         let mut bytes = Vec::new();
         host::encode(&mut bytes, message);
--- a/crates/platform/src/engine/early_results.rs
+++ b/crates/platform/src/engine/early_results.rs
@@ -1,5 +1,5 @@
-//! Results of unknown tasks: the result of a running task may arrive before the task is handed over, since hosts and
-//! owners send on separate connections.
+//! Results of tasks that are not in the task table. The result of a running task may arrive before its owner hands the
+//! task over to this placer, since hosts and owners use separate connections.
 
 use std::collections::VecDeque;
 use std::collections::hash_map::{Entry, HashMap};
@@ -7,32 +7,32 @@
 use maplethread::{MachineId, Micros};
 use maplethread_platform_wire::{Cause, SetupId};
 
-/// How long a result is kept, in microseconds. Tasks that ran when a placer ended are handed over as soon as the next
-/// process has passed its first health check (PROTOCOL, 'Owners to placers'), and a host repeats a result only on the next
+/// How long a result is kept. When a placer is restarted, owners hand over their running tasks as soon as the new process
+/// has passed its first health check (platform protocol, 'Owners to placers'), and a host repeats a result only on its next
 /// connection.
 const RETENTION: Micros = 10_000_000;
-/// How many results are kept; beyond it the oldest are dropped.
+/// The maximum number of results kept; beyond it the oldest are dropped.
 const MAX_RETAINED: usize = 1 << 13;
 
-/// The result of a task that is not known yet.
+/// The result of a task that is not in the task table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EarlyResult {
-    /// This host reports that the task ended, with this cause.
+    /// This host reported the end of the task, with this cause.
     HostReported(MachineId, Cause),
-    /// The owner wants the task to end, with this cause.
+    /// The owner closed the task, with this cause.
     OwnerRequested(Cause),
 }
 
-/// Results of tasks that are not known yet.
+/// Results of tasks that are not in the task table, in order of arrival.
 #[derive(Default)]
 pub(super) struct EarlyResults {
     by_setup_id: HashMap<SetupId, (Micros, EarlyResult)>,
-    /// When results came, the oldest first, including those that were taken since.
+    /// Arrival times, the oldest first. Includes results that have been taken since.
     order: VecDeque<(Micros, SetupId)>,
 }
 
 impl EarlyResults {
-    /// Keeps a result; the first one of a task counts.
+    /// Keeps a result, unless there is already one for the task.
     pub(super) fn insert(&mut self, now: Micros, id: SetupId, result: EarlyResult) {
         self.remove_expired(now);
         if let Entry::Vacant(entry) = self.by_setup_id.entry(id) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes the result of this task, if it has arrived.
+    /// Removes and returns the result of a task.
     pub(super) fn take(&mut self, now: Micros, id: SetupId) -> Option<EarlyResult> {
         self.remove_expired(now);
         self.by_setup_id.remove(&id).map(|(_, result)| result)
@@ -52,14 +52,14 @@
     }
 
     fn remove_expired(&mut self, now: Micros) {
-        while let Some(&(inserted_at, id)) = self.order.front()
-            && (inserted_at + RETENTION < now || self.order.len() >= MAX_RETAINED)
+        while let Some(&(received_at, id)) = self.order.front()
+            && (received_at + RETENTION < now || self.order.len() >= MAX_RETAINED)
         {
             self.order.pop_front();
             if self
                 .by_setup_id
                 .get(&id)
-                .is_some_and(|&(kept_since, _)| kept_since <= inserted_at)
+                .is_some_and(|&(kept_at, _)| kept_at <= received_at)
             {
                 self.by_setup_id.remove(&id);
             }
--- a/crates/platform/src/engine/failure_detection.rs
+++ b/crates/platform/src/engine/failure_detection.rs
@@ -1,7 +1,7 @@
-//! Detection of failed hosts. A machine that has failed and one behind a network partition are both silent, but the tasks
-//! of the second run on. The old connection tells them apart: it resumes if the process is the same, and breaks if it is
-//! not. So a connection whose probe fails is kept while tasks run on its host, and the decisions learn that the host is
-//! not connected, so that it gets no offers until it is.
+//! Detection of failed hosts. Neither a failed machine nor one behind a network partition answers, but the tasks of the
+//! latter continue. The old connection distinguishes the two: it resumes if the host's process is still the same, and breaks
+//! if it is not. So a connection whose probe fails is kept open while tasks run on its host. The policy is informed that the
+//! host is disconnected, and makes it no offers until it is connected again.
 
 use maplethread::{AttemptOutcome, Event, MachineId, MachineState, Micros, TaskId};
 use maplethread_engine::Decide;
@@ -11,39 +11,40 @@
 use super::output::ConnectionId;
 use super::timer::Timer;
 
-/// The tasks of a host that is unreachable for this time have failed, in microseconds.
+/// The tasks of a host that has been unreachable for this time have failed.
 const UNREACHABLE_TIMEOUT: Micros = 3_000_000;
-/// So have those of a silent host to which this many consecutive connections were not established within the settings'
-/// connect timeout. A process that is stopped still accepts connections, and each further second in which the owners
-/// don't know is a second in which their tasks don't run.
+/// The tasks of an unreachable host have also failed after this many consecutive connects that were not established within
+/// the connect timeout of the settings. A paused process still accepts connections, so such connects mean that the machine
+/// is down; its tasks are not running, and their owners should be notified early.
 const MAX_FAILED_CONNECTS: u32 = 3;
-/// Machines fail one by one. If at least this many hosts with running tasks are unreachable together...
+/// Machines usually fail independently. A network partition is assumed if at least this many hosts with running tasks are
+/// unreachable at the same time, and at least one in `PARTITION_FRACTION_DIVISOR` of all hosts with running tasks. The tasks
+/// of partitioned hosts continue to run.
 const PARTITION_MIN_HOSTS: usize = 3;
-/// ...and at least one in this many of all hosts with running tasks, a network partition is likelier, and their tasks run
-/// on.
-const PARTITION_MIN_ONE_IN: usize = 10;
-/// So tasks behind a partition are given up only as late as PROTOCOL allows, which has the owners of failed tasks notified
-/// within 8 s; in microseconds. All placers see a partition at once: if they gave up early, they would start everything
-/// that runs anew on what is left of the hosts.
+/// See `PARTITION_MIN_HOSTS`.
+const PARTITION_FRACTION_DIVISOR: usize = 10;
+/// The tasks of partitioned hosts are declared failed only after this time. The platform protocol requires that the owners
+/// of failed tasks are notified within 8 s. A partition affects all placers at once: with a short timeout they would start
+/// all of these tasks again on the remaining hosts.
 const PARTITION_TIMEOUT: Micros = 7_000_000;
 
 impl<D: Decide> Engine<D> {
-    /// An answer is expected on a connection: if nothing arrives on it within the settings' connect timeout it is probed,
-    /// rather than when the attempt times out. A host releases a task on the connection on which it was placed, and owners
-    /// are to get the release within 1 s (PROTOCOL), so a dead connection has to be detected earlier.
+    /// Schedules a probe of a connection for the case that nothing arrives on it within the connect timeout of the settings.
+    /// A host sends the release of a task on the connection on which the task was placed, and the platform protocol requires
+    /// that owners receive releases within 1 s, so a dead connection has to be detected before the attempt times out.
     pub(super) fn expect_answer(&mut self, now: Micros, id: ConnectionId) {
         let answer_due = now + self.settings.connect_timeout;
-        let is_checked_later = self.connections.get(&id).is_some_and(|connection| {
+        let is_next_check_later = self.connections.get(&id).is_some_and(|connection| {
             connection.is_established
                 && !connection.is_probe_pending
                 && connection.next_check > answer_due
         });
-        if is_checked_later {
+        if is_next_check_later {
             self.schedule_connection_check(id, answer_due);
         }
     }
 
-    /// A connection was not established in time, or its probe was not answered.
+    /// Handles a connection that was not established in time, or whose probe was not answered.
     pub(super) fn handle_unanswered_connection(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -54,7 +55,7 @@
             return;
         };
         host.failed_connects += u32::from(!connection.is_established);
-        // Hosts that were removed from the list are not waited for.
+        // Hosts that were removed from the list are not expected to return.
         let is_gone = host.state == MachineState::Gone;
         let is_kept = connection.is_established && !is_gone && !host.running.is_empty();
         if is_kept {
@@ -65,8 +66,8 @@
                 self.abandon_attempt(task, AttemptOutcome::Disconnected, false);
             }
             if was_unresponsive {
-                // The first probe may be lost with a process that has died; the next process breaks the connection when it
-                // gets this one.
+                // The first probe may have been lost when the host's process died. If another process has replaced it, the
+                // connection breaks when this probe arrives.
                 self.send_probe(id);
             }
         }
@@ -103,24 +104,24 @@
         }
     }
 
-    /// A new connection to a host was established.
+    /// Updates a host to which a new connection was established.
     pub(super) fn record_host_connected(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         host.was_connected = true;
         if host.failed_connects > 0 && !host.running.is_empty() {
-            // It was unreachable, so its process may be another one now.
+            // The host was unreachable, so its process may have been replaced.
             host.is_identity_unverified = true;
         } else if !host.is_identity_unverified {
-            // At most a connection was at fault, and this one replaces it.
-            host.record_sign_of_life(now);
+            // No connect to the host has failed, so at most the old connection broke; this one replaces it.
+            host.record_alive(now);
             self.close_unresponsive_connections(now, machine);
         }
         self.mark_reachable(machine);
     }
 
-    /// A host sent something on a connection.
+    /// Updates a host that sent a message on a connection.
     pub(super) fn record_host_message(
         &mut self,
         now: Micros,
@@ -130,7 +131,7 @@
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        // A connection that resumes leads to the same process as before.
+        // A connection that resumes shows that the host's process is still the same.
         let has_resumed = std::mem::take(&mut connection.is_unresponsive);
         if has_resumed {
             self.schedule_connection_check(id, now + IDLE_PROBE_INTERVAL);
@@ -141,7 +142,7 @@
             .get_mut(&machine)
             .filter(|host| has_resumed || !host.is_identity_unverified)
         {
-            host.record_sign_of_life(now);
+            host.record_alive(now);
         }
         if has_resumed {
             tracing::debug!(
@@ -154,23 +155,23 @@
         self.mark_reachable(machine);
     }
 
-    /// A host reports on a task that has run there since this time. If that was before the host fell silent, its process is
-    /// the same.
+    /// Handles a report on a task that has been running since `since`. If the task started before the host became
+    /// unreachable, the report shows that the host's process is still the same.
     pub(super) fn confirm_same_process(&mut self, now: Micros, machine: MachineId, since: Micros) {
         let Some(host) = self
             .host_table
             .hosts
             .get_mut(&machine)
-            .filter(|host| host.is_identity_unverified && since <= host.last_sign_of_life)
+            .filter(|host| host.is_identity_unverified && since <= host.last_alive)
         else {
             return;
         };
-        host.record_sign_of_life(now);
+        host.record_alive(now);
         self.close_unresponsive_connections(now, machine);
     }
 
-    /// Closes unresponsive connections: whether the host's process is the same is known now, which is what they were kept
-    /// for.
+    /// Closes the unresponsive connections of a host. They were kept to find out whether its process is still the same, and
+    /// that is settled now.
     fn close_unresponsive_connections(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Whether so many hosts are unreachable together that a network partition is the likelier cause.
+    /// Whether so many hosts are unreachable at the same time that a network partition is the most likely cause.
     fn is_partitioned(&self) -> bool {
         let (mut with_tasks, mut unreachable) = (0, 0);
         for host in self.host_table.hosts.values() {
@@ -196,27 +197,27 @@
                 unreachable += usize::from(host.is_unreachable);
             }
         }
-        unreachable >= PARTITION_MIN_HOSTS && unreachable * PARTITION_MIN_ONE_IN >= with_tasks
+        unreachable >= PARTITION_MIN_HOSTS && unreachable * PARTITION_FRACTION_DIVISOR >= with_tasks
     }
 
-    /// Opens a connection to a host that needs one and has only unresponsive ones.
+    /// Opens a connection to a host that needs one and has none that is responsive.
     fn reconnect(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
         };
         let is_needed =
             !host.running.is_empty() || (host.is_unreachable && host.state == MachineState::Ready);
-        let has_other = host.connections.iter().any(|id| {
+        let has_usable_connection = host.connections.iter().any(|id| {
             self.connections
                 .get(id)
                 .is_some_and(|connection| !connection.is_unresponsive)
         });
-        if is_needed && !has_other {
+        if is_needed && !has_usable_connection {
             self.open_connection(now, machine);
         }
     }
 
-    /// Schedules a check of a host that runs tasks or is unreachable, unless one is scheduled.
+    /// Schedules a check of a host that runs tasks or is unreachable, unless one is already scheduled.
     pub(super) fn schedule_host_check(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
@@ -224,10 +225,10 @@
         if std::mem::replace(&mut host.is_check_scheduled, true) {
             return;
         }
-        // Nobody waits for a host without tasks; and many hosts are each checked less often, so that together they cost no
-        // more than a few.
-        let is_rarely_checked = host.running.is_empty() || self.is_partitioned();
-        let interval = if is_rarely_checked {
+        // A host without tasks is checked less often, as no owner depends on it. So are the hosts of a partition, which are
+        // many: each check may open a connection.
+        let uses_long_interval = host.running.is_empty() || self.is_partitioned();
+        let interval = if uses_long_interval {
             IDLE_PROBE_INTERVAL
         } else {
             self.settings.connect_timeout
@@ -236,7 +237,7 @@
             .schedule(now + interval, Timer::HostCheck(machine));
     }
 
-    /// Checks a host that runs tasks or is unreachable, and fails its tasks if it was silent for too long.
+    /// Checks a host that runs tasks or is unreachable, and fails its tasks if it has shown no activity for too long.
     pub(super) fn check_host(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
@@ -248,37 +249,37 @@
                 .is_some_and(|connection| connection.is_established && !connection.is_unresponsive)
         });
         let has_running_tasks = !host.running.is_empty();
-        let is_in_order =
+        let is_connected_and_verified =
             has_working_connection && !(has_running_tasks && host.is_identity_unverified);
-        let is_of_no_interest = !has_running_tasks && !host.is_unreachable;
-        if is_in_order || is_of_no_interest {
+        let needs_no_check = !has_running_tasks && !host.is_unreachable;
+        if is_connected_and_verified || needs_no_check {
             return;
         }
-        let last_sign_of_life = host.last_sign_of_life;
+        let last_alive = host.last_alive;
         if has_running_tasks && self.has_failed(now, machine) {
-            self.fail_running_tasks(now, machine, |since| since <= last_sign_of_life);
+            self.fail_running_tasks(now, machine, |since| since <= last_alive);
             if let Some(host) = self.host_table.hosts.get_mut(&machine) {
                 host.is_identity_unverified = false;
             }
             self.close_unresponsive_connections(now, machine);
         }
         self.reconnect(now, machine);
-        let is_checked_again = self
+        let needs_next_check = self
             .host_table
             .hosts
             .get(&machine)
             .is_some_and(|host| host.state == MachineState::Ready || !host.running.is_empty());
-        if is_checked_again {
+        if needs_next_check {
             self.schedule_host_check(now, machine);
         }
     }
 
-    /// Whether a host was silent for so long that its tasks have failed.
+    /// Whether a host has shown no activity for so long that its tasks have failed.
     fn has_failed(&self, now: Micros, machine: MachineId) -> bool {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return false;
         };
-        let silence = now.saturating_sub(host.last_sign_of_life);
+        let silence = now.saturating_sub(host.last_alive);
         if host.is_identity_unverified || self.is_partitioned() {
             silence >= PARTITION_TIMEOUT
         } else {
--- a/crates/platform/src/engine/host_messages.rs
+++ b/crates/platform/src/engine/host_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of hosts: answers to set-ups, results of tasks and reports on them.
+//! Messages from hosts: answers to set-ups, and the results and reports of tasks.
 
 use maplethread::{AttemptOutcome, Event, FailureReason, MachineId, Micros, TaskReport};
 use maplethread_engine::Decide;
@@ -12,7 +12,7 @@
 use super::task_table::Placement;
 
 impl<D: Decide> Engine<D> {
-    /// Handles a message that a host sent on a connection.
+    /// Handles a message received from a host on a connection.
     pub fn handle_host_message(
         &mut self,
         now: Micros,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// A host accepted a set-up: the task is placed, and its owner gets the answer.
+    /// Handles the acceptance of a set-up: the task is placed, and its owner gets the answer.
     fn handle_ready(
         &mut self,
         now: Micros,
@@ -70,7 +70,7 @@
         entry.placement = Some(Placement::new(attempt.machine, attempt.number, now));
         let owner = entry.owner;
         self.remove_attempt(task);
-        self.mark_answered(task);
+        self.clear_pending(task);
         self.tasks.drop_description(task);
         self.outputs.push(Output::SendToOwner(
             owner,
@@ -84,7 +84,7 @@
         self.record_running_task(now, task, attempt.machine);
     }
 
-    /// A host rejected a set-up, or released a task.
+    /// Handles the rejection of a set-up or the release of a task.
     fn handle_host_close(
         &mut self,
         now: Micros,
@@ -97,7 +97,7 @@
             return;
         };
         let Some(task) = self.tasks.id_by_setup(id) else {
-            // Other causes are answers to set-ups and not results of running tasks.
+            // With other causes the message is the answer to a set-up, not the result of a running task.
             if matches!(cause, Cause::NORMAL | Cause::RESET | Cause::CANCELLED) {
                 self.early_results
                     .insert(now, id, EarlyResult::HostReported(machine, cause));
@@ -122,7 +122,7 @@
         }
     }
 
-    /// A host reports on a task that it runs.
+    /// Handles a host's report on a running task.
     fn handle_task_report(
         &mut self,
         now: Micros,
@@ -181,7 +181,7 @@
     }
 }
 
-/// The reason that a host gives for a rejection or a release.
+/// The reason that a host reports for a rejection or a release.
 fn failure_reason(code: ReportCode) -> Option<FailureReason> {
     match code {
         ReportCode::InsufficientCores => Some(FailureReason::Cores),
--- a/crates/platform/src/engine/host_table.rs
+++ b/crates/platform/src/engine/host_table.rs
@@ -1,4 +1,4 @@
-//! The hosts as the command channel lists them: ids, addresses and states, with their connections and running tasks.
+//! The hosts listed by the command channel: ids, addresses and states, with their connections and running tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,37 +10,37 @@
 
 use super::output::ConnectionId;
 
-/// How long the name of a removed host is kept, in microseconds: as long as the decisions may know its id.
+/// How long the name of a removed host is kept. The policy may refer to the host's id for that time.
 const NAME_RETENTION: Micros = 700_000_000;
 
 /// A host.
 pub(super) struct Host {
-    /// None until a list names the host.
+    /// None until the host is listed.
     pub(super) address: Option<SocketAddr>,
     pub(super) state: MachineState,
     pub(super) started_at: Option<Micros>,
-    /// Connections to it, established or not.
+    /// Connections to the host, including those that are being opened.
     pub(super) connections: BTreeSet<ConnectionId>,
-    /// Tasks that run on it.
+    /// Tasks that run on the host.
     pub(super) running: BTreeSet<TaskId>,
-    /// When the process with the running tasks last showed that it is alive, or the first of them started.
-    pub(super) last_sign_of_life: Micros,
-    /// Consecutive connections that were not established, since `last_sign_of_life`.
+    /// When the process that runs the tasks was last known to be alive, or when the first of its tasks started.
+    pub(super) last_alive: Micros,
+    /// Consecutive failed connects since `last_alive`.
     pub(super) failed_connects: u32,
     /// A check of the host is scheduled.
     pub(super) is_check_scheduled: bool,
-    /// A connection to this process was established before.
+    /// Whether a connection to the current process has been established.
     pub(super) was_connected: bool,
-    /// When an established connection to it was last lost.
+    /// When an established connection to the host was last lost.
     pub(super) last_disconnected: Micros,
-    /// No connection to it answers, and the decisions know that.
+    /// No connection to the host is responsive, and the policy was informed of that.
     pub(super) is_unreachable: bool,
-    /// It was unreachable and answers again, and nothing shows yet that its process is still the same.
+    /// The host was unreachable and answers again, but its process may have been replaced meanwhile.
     pub(super) is_identity_unverified: bool,
 }
 
 impl Host {
-    /// A host that no list has named yet.
+    /// A host that has not been listed yet.
     fn unlisted(now: Micros) -> Host {
         Host {
             address: None,
@@ -48,7 +48,7 @@
             started_at: None,
             connections: BTreeSet::new(),
             running: BTreeSet::new(),
-            last_sign_of_life: now,
+            last_alive: now,
             failed_connects: 0,
             is_check_scheduled: false,
             was_connected: false,
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Records that the host is alive, or has to show that only from now on.
-    pub(super) fn record_sign_of_life(&mut self, now: Micros) {
-        self.last_sign_of_life = now;
+    /// Records that the host is known to be alive, or counts its inactivity from now on.
+    pub(super) fn record_alive(&mut self, now: Micros) {
+        self.last_alive = now;
         self.failed_connects = 0;
         self.is_identity_unverified = false;
     }
@@ -70,21 +70,21 @@
     }
 }
 
-/// An entry of the list, resolved to ids.
+/// A host list entry, with its names resolved to ids.
 struct ResolvedEntry {
     address: SocketAddr,
     zone: u32,
     kind: usize,
 }
 
-/// All hosts that are listed or run a task.
+/// All hosts that are listed, or that run a task.
 #[derive(Default)]
 pub(super) struct HostTable {
     names: HostNames,
     pub(super) hosts: BTreeMap<MachineId, Host>,
     zone_names: Vec<String>,
     machine_kind_names: Vec<String>,
-    /// Removed hosts whose names are kept, with the time of their removal.
+    /// Removed hosts whose names are kept, with their removal times.
     removed: Vec<(Micros, MachineId)>,
 }
 
@@ -97,20 +97,20 @@
         }
     }
 
-    /// The id of the host of this name, which need not be listed yet.
+    /// Returns the id of the host with this name. A host that is not listed yet is added.
     pub(super) fn id_or_insert(&mut self, name: &str, now: Micros) -> MachineId {
         let id = self.names.id_or_assign(name);
         self.hosts.entry(id).or_insert_with(|| Host::unlisted(now));
         id
     }
 
-    /// The host's name, for logs.
+    /// The host's name, for log lines.
     pub(super) fn name(&self, id: MachineId) -> &str {
         self.names.name(id).unwrap_or("?")
     }
 
-    /// Applies entries of the list. Returns the event for the decisions, and the hosts that have a new process or take no
-    /// more tasks.
+    /// Applies an update of the host list. Returns the event for the policy, and the hosts that have a new process or no
+    /// longer accept tasks.
     pub(super) fn apply_update(
         &mut self,
         update: &HostListUpdate,
@@ -138,7 +138,7 @@
         (Event::EndpointsUpdated { scope, machines }, changed)
     }
 
-    /// Marks hosts as gone that a full list does not contain.
+    /// Marks hosts as gone that are absent from a full list.
     fn remove_unlisted(&mut self, listed: &BTreeSet<MachineId>, changed: &mut Vec<MachineId>) {
         for (&id, host) in &mut self.hosts {
             if !listed.contains(&id) && host.address.is_some() && !host.is_gone() {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Applies one entry of the list; one that can't be used is logged and skipped.
+    /// Applies one entry of the list; an invalid one is logged and skipped.
     fn apply_entry(
         &mut self,
         entry: &HostEntry,
@@ -164,9 +164,9 @@
         let started_at = (entry.since_ms > 0.0).then(|| micros(entry.since_ms));
         let machine = self.id_or_insert(&entry.name, now);
         let host = self.hosts.get_mut(&machine)?;
-        let takes_no_more_tasks = host.state != state && state != MachineState::Ready;
+        let stops_accepting_tasks = host.state != state && state != MachineState::Ready;
         let has_new_process = host.started_at != started_at;
-        if takes_no_more_tasks || has_new_process {
+        if stops_accepting_tasks || has_new_process {
             changed.push(machine);
         }
         host.was_connected &= !has_new_process;
@@ -187,7 +187,7 @@
 
     fn resolve(&self, entry: &HostEntry) -> Option<ResolvedEntry> {
         let log_invalid = |field: &str, value: &str| {
-            tracing::warn!(host = %entry.name, field, value, "entry of the host list ignored");
+            tracing::warn!(host = %entry.name, field, value, "ignoring host list entry with an invalid field");
         };
         let Some(zone) = self.zone_names.iter().position(|z| *z == entry.zone) else {
             log_invalid("zone", &entry.zone);
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Whether a host is gone and another one has its address now.
+    /// Whether the host is gone and another host now uses its address.
     pub(super) fn is_address_reused(&self, id: MachineId) -> bool {
         let Some(host) = self.hosts.get(&id).filter(|host| host.is_gone()) else {
             return false;
@@ -219,7 +219,7 @@
         })
     }
 
-    /// Drops hosts that are gone and have neither connections nor tasks, and after a while their names.
+    /// Removes hosts that are gone and have neither connections nor tasks, and their names after `NAME_RETENTION`.
     fn remove_expired(&mut self, now: Micros) {
         self.hosts.retain(|_, host| {
             !host.is_gone() || !host.connections.is_empty() || !host.running.is_empty()
@@ -228,7 +228,7 @@
         self.removed.retain(|&(removed_at, id)| {
             let is_kept = removed_at + NAME_RETENTION > now;
             if !is_kept && !hosts.contains_key(&id) {
-                names.forget(id);
+                names.remove(id);
             }
             is_kept
         });
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -1,10 +1,10 @@
-//! The engine: messages of owners and hosts and events of the command channel become events of the decisions, and the
-//! decisions' actions become messages, connections and timers.
+//! The engine: turns messages from owners and hosts and events of the command channel into events for the policy, and the
+//! policy's actions into messages, connections and timers.
 //!
-//! The methods of `Engine` stand in the module of what they deal with: `requests` and `attempts` follow a task from
-//! its request to its answer, `running_tasks` and `releases` from there to its end; `owners` and `connections`
-//! hold the connections of both sides, `host_messages` handles what hosts send, and `failure_detection` decides when
-//! a silent host has failed.
+//! The methods of `Engine` are split by subject: `requests` and `attempts` handle a task from its request to its answer,
+//! `running_tasks` and `releases` from its placement to its end; `owners` and `connections` manage the connections of both
+//! sides, `host_messages` handles messages from hosts, and `failure_detection` determines when an unreachable host has
+//! failed.
 
 mod admission_queue;
 mod attempts;
@@ -41,12 +41,12 @@
 use task_table::TaskTable;
 use timer::Timer;
 
-/// Turns of the decisions within one turn of the engine, while their actions fail at once.
-const MAX_DECISION_ROUNDS: usize = 8;
-/// Bytes of descriptions that are held at a time, unless the caller sets another bound; beyond it set-ups are rejected.
+/// The maximum number of policy turns in one turn of the engine. Actions that fail at once cause further policy turns.
+const MAX_POLICY_TURNS: usize = 8;
+/// The default limit on the bytes of descriptions held at a time; beyond it set-ups are rejected.
 const MAX_DESCRIPTION_BYTES: usize = 8 << 20;
 
-/// The sizes of the engine's tables, to check that none grows with what is gone.
+/// The sizes of the engine's tables, to check that entries do not leak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TableSizes {
     /// Tasks that are pending, in flight or running.
@@ -55,51 +55,51 @@
     pub connections: usize,
     /// Hosts that are listed or run a task.
     pub hosts: usize,
-    /// Timers, including those that are no longer needed.
+    /// Scheduled timers, including those that are obsolete.
     pub timers: usize,
-    /// Releases that wait for an owner's connection.
+    /// Releases that are queued until an owner is connected.
     pub pending_releases: usize,
-    /// Results of tasks that are unknown, or not known yet.
+    /// Results of tasks that are not in the task table.
     pub early_results: usize,
 }
 
-/// The engine around the decisions `D`.
+/// The engine, with the policy `D`.
 pub struct Engine<D> {
-    decider: D,
+    policy: D,
     settings: PlatformSettings,
-    /// Whether a class requires an idempotency key, by the class's index.
+    /// Whether a class requires an idempotency key, by class index.
     requires_idempotency_key: Vec<bool>,
     host_table: HostTable,
     connections: HashMap<ConnectionId, HostConnection>,
     last_connection_id: u64,
     owners: HashMap<OwnerId, Owner>,
-    /// The owner that was most recently active, of those that have placed a task: it gets what others can't be sent.
+    /// The most recently active owner that has placed a task. Messages for owners that are not connected are sent to it.
     fallback_owner: Option<OwnerId>,
     tasks: TaskTable,
     max_description_bytes: usize,
-    /// Requests that the decisions have not seen yet.
+    /// Requests that have not been passed to the policy yet.
     admission_queue: AdmissionQueue,
-    /// Results of tasks that are unknown, or not known yet.
+    /// Results of tasks that are not in the task table.
     early_results: EarlyResults,
-    /// Releases that wait for an owner's connection.
+    /// Releases that are queued until an owner is connected.
     pending_releases: PendingReleases,
     timers: Timers<Timer>,
     events: Vec<Event>,
     actions: Vec<Action>,
     outputs: Vec<Output>,
-    /// The number of the last event of the command channel.
+    /// The number of the last applied event of the command channel.
     cursor: u64,
-    /// When the process drains: the time at which all pending requests are answered.
+    /// While the process drains: when all pending requests are answered.
     draining_until: Option<Micros>,
-    /// New requests are rejected at once, as the process is about to end.
+    /// Set during shutdown: new requests are rejected at once.
     is_rejecting_requests: bool,
 }
 
 impl<D: Decide> Engine<D> {
-    /// An engine from both parts of the settings object: what the service uses, and what the decisions use.
-    pub fn new(settings: PlatformSettings, policy_settings: &Settings, decider: D) -> Engine<D> {
+    /// Creates an engine from the two parts of the settings object: the placer's own, and the policy's.
+    pub fn new(settings: PlatformSettings, policy_settings: &Settings, policy: D) -> Engine<D> {
         Engine {
-            decider,
+            policy,
             host_table: HostTable::new(
                 settings.zone_names.clone(),
                 settings.machine_kind_names.clone(),
@@ -129,12 +129,12 @@
         }
     }
 
-    /// Sets how many bytes of descriptions may be held at a time.
+    /// Sets the limit on the bytes of descriptions held at a time.
     pub fn set_max_description_bytes(&mut self, bytes: usize) {
         self.max_description_bytes = bytes;
     }
 
-    /// Applies those events of the command channel that are new. Returns whether there were any.
+    /// Applies the events of the command channel that are new. Returns whether there were any.
     pub fn apply_update(&mut self, now: Micros, batch: &CommandBatch) -> bool {
         let cursor_before = self.cursor;
         for command in &batch.commands {
@@ -155,12 +155,12 @@
         self.cursor > cursor_before
     }
 
-    /// The number of the last event of the command channel.
+    /// The number of the last applied event of the command channel.
     pub fn cursor(&self) -> u64 {
         self.cursor
     }
 
-    /// When a turn is due even if nothing happens.
+    /// When the next turn is due if no input arrives before.
     pub fn next_timeout(&self) -> Option<Micros> {
         if self.events.is_empty() && self.admission_queue.is_empty() {
             self.timers.next_due_at()
@@ -169,12 +169,12 @@
         }
     }
 
-    /// How many requests wait for their answer.
+    /// The number of requests that have not been answered.
     pub fn pending_request_count(&self) -> usize {
         self.tasks.pending_count()
     }
 
-    /// The sizes of all tables.
+    /// The sizes of the engine's tables.
     pub fn table_sizes(&self) -> TableSizes {
         TableSizes {
             tasks: self.tasks.len(),
@@ -186,36 +186,36 @@
         }
     }
 
-    /// Takes the actions for the shell, in the order in which they are to be performed.
+    /// Removes and returns the outputs for the shell, in the order in which they are to be performed.
     pub fn take_outputs(&mut self) -> Vec<Output> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// Announces that the process will end: requests that are still pending at `deadline` are answered then.
+    /// Starts to drain: requests that are still pending at `deadline` are answered as failed then.
     pub fn drain_until(&mut self, deadline: Micros) {
         self.draining_until = Some(deadline);
     }
 
-    /// Rejects all requests from now on, without offering them to hosts: the process ends in a moment.
+    /// Rejects all requests from now on without offering them to hosts. Used during shutdown.
     pub fn reject_new_requests(&mut self) {
         self.is_rejecting_requests = true;
     }
 
-    /// Handles due timers, and lets the decisions act on everything that happened.
+    /// Handles due timers, passes all collected events to the policy and performs its actions.
     pub fn turn(&mut self, now: Micros) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.handle_timer(now, timer);
         }
         self.admit_requests();
-        for _ in 0..MAX_DECISION_ROUNDS {
+        for _ in 0..MAX_POLICY_TURNS {
             if self.events.is_empty() {
                 break;
             }
             let events = std::mem::take(&mut self.events);
             let mut actions = std::mem::take(&mut self.actions);
-            tracing::trace!(?events, "events of a turn");
-            self.decider.turn(now, &events, &mut actions);
-            tracing::trace!(?actions, "actions of a turn");
+            tracing::trace!(?events, "policy events");
+            self.policy.turn(now, &events, &mut actions);
+            tracing::trace!(?actions, "policy actions");
             for action in actions.drain(..) {
                 self.perform_action(now, action);
             }
@@ -228,7 +228,7 @@
 
     fn handle_timer(&mut self, now: Micros, timer: Timer) {
         match timer {
-            Timer::Decisions(label) => self.events.push(Event::TimerFired { label }),
+            Timer::Policy(label) => self.events.push(Event::TimerFired { label }),
             Timer::AttemptTimeout(attempt) => self.handle_attempt_timeout(now, attempt),
             Timer::ConnectionCheck(connection) => self.check_connection(now, connection),
             Timer::DelayedConnect(connection) => self.open_delayed_connection(now, connection),
@@ -255,13 +255,13 @@
             Action::Fail(task) => self.send_final_answer(task, Cause::ERROR),
             Action::Migrate(task) => self.notify_relocation(task),
             Action::SetTimer { after, label } => {
-                self.timers.schedule(now + after, Timer::Decisions(label))
+                self.timers.schedule(now + after, Timer::Policy(label))
             }
             Action::Log(text) => tracing::info!("{text}"),
             Action::Blocked { task, reason } => {
                 tracing::debug!(task = task.0, ?reason, "task blocked")
             }
-            // The command channel is always polled, and the platform permits none of the others.
+            // The command channel is always polled, and the platform allows none of the other actions.
             Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::Probe(_)
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Answers all pending requests as failed, which promises nothing: the process is about to end.
+    /// Answers all pending requests with an error, which leaves open whether the task has run. Used when draining ends.
     fn fail_pending_requests(&mut self) {
         for task in self.tasks.pending_ids() {
             self.send_final_answer(task, Cause::ERROR);
--- a/crates/platform/src/engine/output.rs
+++ b/crates/platform/src/engine/output.rs
@@ -1,14 +1,14 @@
-//! What the engine asks the shell to do, and the ids by which both refer to connections.
+//! The engine's outputs, which the shell performs, and the ids of connections that both use.
 
 use std::net::SocketAddr;
 
 use maplethread_platform_wire::owner::ToOwner;
 
-/// A connection of an owner, numbered by the shell and never used again.
+/// The id of an owner's connection, assigned by the shell and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OwnerId(pub u64);
 
-/// A connection to a host, numbered by the engine and never used again.
+/// The id of a connection to a host, assigned by the engine and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
@@ -17,14 +17,14 @@
 pub enum Output {
     /// Send a message to an owner.
     SendToOwner(OwnerId, ToOwner),
-    /// Close an owner's connection once everything that was sent to it is written.
+    /// Close an owner's connection after all messages that were sent to it are written.
     CloseOwner(OwnerId),
     /// Open a connection to a host.
     Connect(ConnectionId, SocketAddr),
     /// Send bytes to a host.
     SendToHost(ConnectionId, Vec<u8>),
-    /// Send bytes that end an attempt or a task, and write them before any later output: until then the attempt counts as
-    /// in flight. A connection that does not take them at once is to be closed.
+    /// Send bytes that end an attempt or a task, and write them before any later output, because the attempt is in flight
+    /// until they are written. If the connection does not accept them at once, close it.
     SendToHostImmediately(ConnectionId, Vec<u8>),
     /// Close a connection to a host.
     CloseConnection(ConnectionId),
@@ -35,6 +35,6 @@
 pub enum DisconnectReason {
     /// No process listens at the address.
     Refused,
-    /// It broke, was closed, timed out, or carried bytes that can't be decoded.
+    /// The connection broke, was closed, timed out, or received bytes that cannot be decoded.
     Broken,
 }
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -1,4 +1,4 @@
-//! Owners' connections: which are useful, what they send, and when they are closed.
+//! Owners' connections: the messages received on them, when they are closed, and which to close first.
 
 use std::collections::BTreeSet;
 
@@ -11,27 +11,27 @@
 use super::output::{Output, OwnerId};
 use super::timer::Timer;
 
-/// A connection that has sent nothing valid for this time is closed, in microseconds: within the 3 s that PROTOCOL's days
-/// give.
+/// A connection on which no valid message was received within this time is closed. The platform's acceptance test requires
+/// that within 3 s.
 const OWNER_SILENCE_TIMEOUT: Micros = 2_500_000;
 
 /// An owner's connection.
 #[derive(Default)]
 pub(super) struct Owner {
-    /// It has sent a request, a running task or a probe.
+    /// The owner has sent a request, a running task or a probe.
     pub(super) has_sent_valid_message: bool,
-    /// One of its tasks was placed, so it is no client that only causes trouble.
+    /// One of the owner's tasks was placed, so it is not a client that only sends requests which fail.
     pub(super) has_placed_task: bool,
-    /// Its requests that have no answer yet.
+    /// Requests that have not been answered.
     pub(super) pending: BTreeSet<TaskId>,
-    /// When it last sent something.
+    /// When the last message was received.
     pub(super) last_received: Micros,
-    /// It has closed its side: its requests get no answer.
+    /// The owner has closed its side of the connection: its requests get no answer.
     pub(super) is_half_closed: bool,
 }
 
 impl<D: Decide> Engine<D> {
-    /// An owner connected.
+    /// Handles a new connection of an owner.
     pub fn owner_connected(&mut self, now: Micros, id: OwnerId) {
         let owner = Owner {
             last_received: now,
@@ -42,20 +42,20 @@
             .schedule(now + OWNER_SILENCE_TIMEOUT, Timer::OwnerCheck(id));
     }
 
-    /// The connection to close first to make room for others. None with a pending request; first those that have sent
-    /// nothing valid, then those that have placed no task, then the one that was silent for longest.
-    pub fn least_useful_owner(&self) -> Option<OwnerId> {
+    /// The connection to close first when descriptors run out, never one with a pending request: one that has sent no
+    /// valid message, else one that has placed no task, and of several the one on which the last message is the oldest.
+    pub fn lowest_priority_owner(&self) -> Option<OwnerId> {
         self.owners
             .iter()
             .filter(|(_, owner)| owner.pending.is_empty())
             .min_by_key(|(id, owner)| {
-                let usefulness = (owner.has_sent_valid_message, owner.has_placed_task);
-                (usefulness, owner.last_received, **id)
+                let priority = (owner.has_sent_valid_message, owner.has_placed_task);
+                (priority, owner.last_received, **id)
             })
             .map(|(&id, _)| id)
     }
 
-    /// An owner has closed its side: its pending requests are cancelled. What it sent before may still be unread.
+    /// Handles an owner that has closed its side: its pending requests are cancelled. Earlier input may still be unread.
     pub fn owner_half_closed(&mut self, id: OwnerId) {
         let Some(owner) = self.owners.get_mut(&id) else {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// An owner's connection was lost: its pending requests are cancelled, its running tasks run on.
+    /// Handles the loss of an owner's connection: its pending requests are cancelled, its running tasks continue.
     pub fn owner_disconnected(&mut self, id: OwnerId) {
         let Some(owner) = self.owners.remove(&id) else {
             return;
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Chooses another fallback owner if this one was it.
+    /// Selects another fallback owner if `unusable` is the current one.
     fn replace_fallback_owner(&mut self, unusable: OwnerId) {
         if self.fallback_owner != Some(unusable) {
             return;
@@ -94,7 +94,7 @@
             .map(|(&id, _)| id);
     }
 
-    /// Handles a message that an owner sent, or an error of its decoding.
+    /// Handles a message from an owner, or the error of decoding it.
     pub fn handle_owner_message(
         &mut self,
         now: Micros,
@@ -140,8 +140,8 @@
         self.outputs.push(Output::CloseOwner(id));
     }
 
-    /// Rejects a set-up that did not become a request. One whose id is pending on the same connection can't be answered
-    /// separately, so the connection is closed.
+    /// Rejects a set-up that was not accepted as a request. If a request with the same id is pending on the same connection,
+    /// the owner could not tell the two answers apart, so the connection is closed.
     pub(super) fn reject_setup(&mut self, owner: OwnerId, id: SetupId, cause: Cause) {
         let is_pending_here = self
             .tasks
@@ -156,14 +156,17 @@
         }
     }
 
-    /// Disconnects an owner that has sent nothing valid.
+    /// Disconnects an owner that has sent no valid message.
     pub(super) fn check_owner(&mut self, id: OwnerId) {
         if self
             .owners
             .get(&id)
             .is_some_and(|owner| !owner.has_sent_valid_message)
         {
-            tracing::debug!(owner = id.0, "owner disconnected: nothing valid received");
+            tracing::debug!(
+                owner = id.0,
+                "disconnecting owner: no valid message received in time"
+            );
             self.disconnect_owner(id);
         }
     }
--- a/crates/platform/src/engine/releases.rs
+++ b/crates/platform/src/engine/releases.rs
@@ -1,4 +1,4 @@
-//! Releases and relocations of running tasks, and the owners' connections on which they are sent.
+//! Releases and relocations of running tasks, and the selection of the owner's connection to send them on.
 
 use std::collections::VecDeque;
 
@@ -11,24 +11,24 @@
 use super::output::{Output, OwnerId};
 use super::timer::Timer;
 
-/// How long a release waits for a connection, in microseconds; later it is of no use.
+/// How long a release is queued for a connection. After that its owner has no use for it.
 const RELEASE_LIFETIME: Micros = 8_000_000;
-/// How many releases wait for a connection; beyond it the oldest are dropped.
+/// The maximum number of queued releases; beyond it the oldest are dropped.
 const MAX_PENDING_RELEASES: usize = 4096;
 
-/// A release that waits for a connection.
+/// A release that is queued for a connection.
 struct PendingRelease {
     expires_at: Micros,
     id: SetupId,
     cause: Cause,
 }
 
-/// Releases that no connection could take yet, the oldest first.
+/// Releases that could not be sent because no owner was connected, the oldest first.
 #[derive(Default)]
 pub(super) struct PendingReleases(VecDeque<PendingRelease>);
 
 impl PendingReleases {
-    /// Keeps a release. Returns when it expires.
+    /// Queues a release. Returns when it expires.
     fn push(&mut self, now: Micros, id: SetupId, cause: Cause) -> Micros {
         if self.0.len() >= MAX_PENDING_RELEASES {
             self.0.pop_front();
@@ -52,7 +52,8 @@
 }
 
 impl<D: Decide> Engine<D> {
-    /// An owner's task was placed: from now on releases of others may be sent to it too, and those that wait are.
+    /// Records that an owner's task was placed. From now on the owner may receive releases of other owners' tasks, and
+    /// those that are queued are sent to it.
     pub(super) fn record_owner_placement(&mut self, id: OwnerId) {
         let Some(owner) = self
             .owners
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The connection for messages about a task: the one on which its request came, else the fallback.
+    /// The connection for messages about a task: the one on which it was requested, else that of the fallback owner.
     fn reachable_owner(&self, id: OwnerId) -> Option<OwnerId> {
         let is_usable = self
             .owners
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sends the release of a task to its owner, or keeps it until there is a connection.
+    /// Sends the release of a task to its owner, or queues it until an owner is connected.
     pub(super) fn notify_release(
         &mut self,
         now: Micros,
@@ -98,16 +99,16 @@
                 .outputs
                 .push(Output::SendToOwner(owner, ToOwner::Close { id, cause })),
             None => {
-                tracing::debug!(%id, "release waits for a connection");
+                tracing::debug!(%id, "release queued until an owner is connected");
                 let expires_at = self.pending_releases.push(now, id, cause);
                 self.timers.schedule(expires_at, Timer::ReleaseExpiry);
             }
         }
     }
 
-    /// Asks the owner of a running task to request another placement, once. The platform then ends the task at its host,
-    /// which reports that. A close from here as well would kill the task, and for a killed task the owner would have to
-    /// get a release in place of the relocation.
+    /// Asks the owner of a running task to request another placement, at most once. The platform then ends the task at its
+    /// host, which reports the end. A close from the placer would kill the task, and for a killed task the owner would have
+    /// to receive a release in place of the relocation.
     pub(super) fn notify_relocation(&mut self, task: TaskId) {
         let Some(entry) = self.tasks.get(task) else {
             return;
--- a/crates/platform/src/engine/requests.rs
+++ b/crates/platform/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of owners: accepted, admitted to the decisions, cancelled; and running tasks that owners hand over.
+//! Requests from owners: how they are accepted, admitted to the policy and cancelled; and the handover of running tasks.
 
 use maplethread::{AttemptOutcome, Event, Micros, Resources, ServiceId, Task, TaskId};
 use maplethread_engine::Decide;
@@ -12,16 +12,17 @@
 use super::task_table::TaskEntry;
 use super::timer::Timer;
 
-/// How many tasks are held at a time, whatever their state; beyond it set-ups are rejected.
+/// The maximum number of tasks in any state; beyond it set-ups are rejected.
 const MAX_TASKS: usize = 1 << 16;
-/// How many requests are admitted to the decisions in one turn. A burst must not make a turn long, since what owners cancel
-/// meanwhile is read after it. One request takes the decisions some 0.1 ms with 400 hosts (`--bench decide`).
+/// The maximum number of requests admitted to the policy in one turn. It bounds the length of a turn under a burst, as
+/// cancellations that arrive meanwhile are read only after it. The policy takes about 0.1 ms for a request with 400 hosts
+/// (`--bench decide`).
 pub(super) const MAX_ADMISSIONS_PER_TURN: usize = 64;
-/// How long before its deadline a request is rejected that was not admitted yet, in microseconds.
+/// How long before its deadline a request that has not been admitted is rejected.
 const ANSWER_MARGIN: Micros = 12_000;
 
 impl<D: Decide> Engine<D> {
-    /// The index of the set-up's class; nothing if the class is unknown or the idempotency key that it requires is absent.
+    /// The index of the set-up's class, or none if the class is unknown or its required idempotency key is missing.
     fn class_index(&self, setup: &Setup) -> Option<usize> {
         let class = self
             .settings
@@ -32,15 +33,15 @@
         (!lacks_key).then_some(class)
     }
 
-    /// Accepts or rejects a request. One that is accepted waits for its admission to the decisions.
+    /// Accepts or rejects a request. An accepted request is queued for admission to the policy.
     pub(super) fn handle_request(&mut self, now: Micros, owner: OwnerId, setup: Box<Setup>) {
         let id = setup.id;
         let Some(class) = self.class_index(&setup) else {
-            tracing::debug!(%id, class = %setup.class, "request rejected: unknown class, or no idempotency key");
+            tracing::debug!(%id, class = %setup.class, "request rejected: unknown class or missing idempotency key");
             return self.reject_setup(owner, id, Cause::ERROR);
         };
         if self.tasks.id_by_setup(id).is_some() {
-            tracing::debug!(%id, "request rejected: id in use");
+            tracing::debug!(%id, "request rejected: set-up id already in use");
             return self.reject_setup(owner, id, Cause::NEVER_SENT);
         }
         if self
@@ -54,7 +55,7 @@
             return self.reject_setup(owner, id, Cause::NO_CAPACITY);
         }
         let deadline = now + micros(setup.answer_timeout_ms.unwrap_or(0.0));
-        // Owners don't mark a task as resubmitted; its name shows it.
+        // Owners do not mark resubmissions reliably, so a recently used task name counts as one too.
         let is_known_name = self.tasks.is_resubmission(now, &setup.task_name);
         let is_resubmission = is_known_name || setup.is_resubmission;
         let task = build_task(class, &setup, deadline);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Admits some of the waiting requests to the decisions, one of each owner in turn.
+    /// Admits queued requests to the policy, up to the limit for one turn.
     pub(super) fn admit_requests(&mut self) {
         for _ in 0..MAX_ADMISSIONS_PER_TURN {
             let tasks = &self.tasks;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Rejects a request that is about to miss its deadline and was not admitted yet.
+    /// Rejects a request that has not been admitted shortly before its deadline.
     pub(super) fn reject_unadmitted_request(&mut self, task: TaskId) {
         let owner = self.tasks.get(task).map(|entry| entry.owner);
         if owner.is_some_and(|owner| self.admission_queue.contains(owner, task)) {
@@ -110,11 +111,11 @@
         }
     }
 
-    /// Takes over a task that runs on a host already.
+    /// Takes over a task that already runs on a host.
     pub(super) fn adopt_running_task(&mut self, now: Micros, owner: OwnerId, setup: Box<Setup>) {
         let id = setup.id;
         let (Some(class), Some(host)) = (self.class_index(&setup), setup.running_on.clone()) else {
-            tracing::debug!(%id, "running task ignored: unknown class, or no idempotency key");
+            tracing::debug!(%id, "running task ignored: unknown class or missing idempotency key");
             return;
         };
         if let Some(owner) = self.owners.get_mut(&owner) {
@@ -123,7 +124,7 @@
         if self.tasks.id_by_setup(id).is_some() || self.tasks.len() >= MAX_TASKS {
             return;
         }
-        // Its result may have arrived before: the host reports it on the first connection, its owner on any.
+        // The task's result may have arrived before: from its host on the first connection, from its owner on any.
         let early_result = self.early_results.take(now, id);
         let machine = self.host_table.id_or_insert(&host, now);
         if let Some(EarlyResult::HostReported(reporter, cause)) = early_result
@@ -149,7 +150,7 @@
         }
     }
 
-    /// An owner cancels a request, or ends its running task.
+    /// Handles an owner's close, which cancels a request or ends a running task.
     pub(super) fn handle_owner_close(&mut self, now: Micros, id: SetupId, cause: Cause) {
         let Some(task) = self.tasks.id_by_setup(id) else {
             let result = EarlyResult::OwnerRequested(cause);
@@ -167,9 +168,9 @@
         }
     }
 
-    /// Cancels a request for whose answer nobody waits any more.
+    /// Cancels a pending request; it gets no answer.
     pub(super) fn cancel_request(&mut self, task: TaskId) {
-        if self.mark_answered(task) {
+        if self.clear_pending(task) {
             self.events.push(Event::ClientDisconnected(task));
             self.abandon_attempt(task, AttemptOutcome::Cancelled, true);
             self.tasks.remove_if_finished(task);
@@ -177,7 +178,7 @@
     }
 }
 
-/// The task of a set-up as the decisions see it, with an id that is still to be assigned.
+/// Builds the policy's task from a set-up. The caller assigns its id.
 fn build_task(class: usize, setup: &Setup, deadline: Micros) -> Task {
     Task {
         id: TaskId(0),
--- a/crates/platform/src/engine/running_tasks.rs
+++ b/crates/platform/src/engine/running_tasks.rs
@@ -9,13 +9,13 @@
 use super::output::ConnectionId;
 
 impl<D: Decide> Engine<D> {
-    /// A task runs on a host from now on: the host gets a connection on which it can release the task.
+    /// Records a task that runs on a host, and opens a connection on which the host can release it if there is none.
     pub(super) fn record_running_task(&mut self, now: Micros, task: TaskId, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
         };
         if host.running.is_empty() {
-            host.record_sign_of_life(now);
+            host.record_alive(now);
         }
         host.running.insert(task);
         if host.connections.is_empty() {
@@ -24,8 +24,8 @@
         }
     }
 
-    /// A running task ended, as its host reports or as it was found out. Its owner gets the release, unless the owner ended
-    /// the task or is to request another placement.
+    /// Ends a running task whose end was reported by its host or inferred from the host's failure. The owner gets a release,
+    /// unless the owner closed the task or the task was cancelled for a relocation.
     pub(super) fn finish_running_task(
         &mut self,
         now: Micros,
@@ -51,7 +51,7 @@
         self.tasks.remove_if_finished(task);
     }
 
-    /// Fails the tasks of a host that have run there since a time that `is_lost` selects.
+    /// Fails the tasks of a host whose start times `is_lost` selects.
     pub(super) fn fail_running_tasks(
         &mut self,
         now: Micros,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Ends a running task at its host. Where the connection is still being opened, the close is sent once it is
-    /// established, like all that the host has not confirmed.
+    /// Closes a running task at its host. If the connection is still being opened, the close is sent once it is
+    /// established, with all others that the host has not confirmed.
     pub(super) fn close_at_host(
         &mut self,
         now: Micros,
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Closes again, on a new connection, the tasks that their owners ended and that the host has not released yet: the
-    /// first close may have been lost with a connection, and a second one does no harm.
+    /// Repeats on a new connection the closes of tasks that the host has not released yet. The first close may have been
+    /// lost with its connection, and closing a task twice has no effect.
     pub(super) fn repeat_unconfirmed_closes(
         &mut self,
         connection: ConnectionId,
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Applies a change of a host's list entry: offers that wait for it are withdrawn if it takes no new tasks, and tasks of
-    /// an earlier process have failed.
+    /// Applies a change of a host's list entry: unsent attempts are cancelled if it accepts no new tasks, and the tasks of an
+    /// earlier process are failed.
     pub(super) fn apply_host_change(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
@@ -140,7 +140,7 @@
         let (state, started_at) = (host.state, host.started_at);
         let connections: Vec<ConnectionId> = host.connections.iter().copied().collect();
         if state != MachineState::Ready {
-            self.withdraw_unsent_attempts(&connections);
+            self.cancel_unsent_attempts(&connections);
         }
         if let Some(started_at) = started_at {
             self.fail_running_tasks(now, machine, |since| since < started_at);
@@ -150,15 +150,15 @@
             if connections.is_empty() {
                 self.fail_running_tasks(now, machine, |_| true);
             }
-            // A machine may be removed without a last message, so its connections are probed at once.
+            // A removed machine may not close its connections, so they are probed at once.
             for connection in connections {
                 self.probe_connection(now, connection);
             }
         }
     }
 
-    /// Withdraws the attempts that wait for connections that are still being opened.
-    fn withdraw_unsent_attempts(&mut self, connections: &[ConnectionId]) {
+    /// Cancels the attempts that wait for connections that are still being opened.
+    fn cancel_unsent_attempts(&mut self, connections: &[ConnectionId]) {
         let waiting: Vec<TaskId> = connections
             .iter()
             .filter_map(|id| self.connections.get(id))
--- a/crates/platform/src/engine/task_table.rs
+++ b/crates/platform/src/engine/task_table.rs
@@ -1,4 +1,4 @@
-//! The tasks that are pending, in flight or running.
+//! The table of tasks that are pending, in flight or running.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -9,27 +9,27 @@
 
 use super::output::{ConnectionId, OwnerId};
 
-/// How long the name of a task is remembered, in microseconds: longer than owners take to resubmit a task.
+/// How long task names are kept. This is longer than owners take to resubmit a task.
 const NAME_RETENTION: Micros = 60_000_000;
-/// How many names of tasks are remembered.
+/// The maximum number of task names kept.
 const MAX_RECENT_NAMES: usize = 1 << 14;
 
 /// An attempt that is in flight.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Attempt {
-    /// Attempts of a task count from 0.
+    /// The number of the attempt, from 0 for each task.
     pub(super) number: u32,
     pub(super) machine: MachineId,
     pub(super) connection: ConnectionId,
     pub(super) offered_at: Micros,
-    /// When its answer is no longer waited for.
+    /// When the attempt times out.
     pub(super) deadline: Micros,
-    /// It was handed to an established connection, so the task may have run.
+    /// The set-up was sent on an established connection, so the task may have run.
     pub(super) was_sent: bool,
 }
 
 impl Attempt {
-    /// Its id, as an attempt of this task.
+    /// The id of the attempt, given its task.
     pub(super) fn id(&self, task: TaskId) -> AttemptId {
         AttemptId {
             task,
@@ -41,18 +41,19 @@
 /// Where a task runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Placement {
-    /// The number of the attempt that placed it.
+    /// The number of the attempt that placed the task.
     pub(super) number: u32,
     pub(super) machine: MachineId,
     pub(super) since: Micros,
-    /// The cause with which its owner ended it. The host has to be told, and the owner gets no release.
+    /// The cause with which the owner closed the task. The close is repeated until the host confirms it, and the owner gets
+    /// no release.
     pub(super) close_cause: Option<Cause>,
-    /// Its owner was asked to request another placement.
+    /// The owner was asked to request another placement.
     pub(super) is_relocation_sent: bool,
 }
 
 impl Placement {
-    /// A task that runs on `machine` from now on, placed by its attempt of this number.
+    /// A placement on `machine`, from now on, by the attempt with this number.
     pub(super) fn new(machine: MachineId, number: u32, now: Micros) -> Placement {
         Placement {
             number,
@@ -72,22 +73,22 @@
     }
 }
 
-/// A task.
+/// The state of a task.
 #[derive(Debug)]
 pub(super) struct TaskEntry {
     pub(super) setup: Box<Setup>,
     pub(super) owner: OwnerId,
-    /// The owner waits for the answer.
+    /// The request has not been answered.
     pub(super) is_pending: bool,
     pub(super) attempt_count: u32,
     pub(super) in_flight: Option<Attempt>,
     pub(super) placement: Option<Placement>,
-    /// The connections of its attempts, while it is pending.
+    /// While the task is pending: the connections of all its attempts.
     pub(super) used_connections: Vec<ConnectionId>,
 }
 
 impl TaskEntry {
-    /// A task that waits for its placement.
+    /// A task that was requested and is not placed yet.
     pub(super) fn pending(setup: Box<Setup>, owner: OwnerId) -> TaskEntry {
         TaskEntry {
             setup,
@@ -100,7 +101,7 @@
         }
     }
 
-    /// A task that runs already, as attempt 0.
+    /// A task that already runs. It was placed by attempt 0.
     pub(super) fn running(
         setup: Box<Setup>,
         owner: OwnerId,
@@ -120,7 +121,7 @@
     }
 }
 
-/// All tasks, by the id that the decisions know and by the id of the set-up.
+/// All tasks, by the policy's task id and by the id of the set-up.
 #[derive(Default)]
 pub(super) struct TaskTable {
     entries: HashMap<TaskId, TaskEntry>,
@@ -154,13 +155,13 @@
         self.by_setup_id.get(&id).copied()
     }
 
-    /// Whether a task of this name was requested or handed over before; the name is remembered from now on.
+    /// Whether a task with this name was requested or handed over recently. Records the name.
     pub(super) fn is_resubmission(&mut self, now: Micros, task_name: &str) -> bool {
         !self.recent_names.insert(now, task_name)
     }
 
-    /// Marks a task as answered, or as one whose owner waits no more. Returns whether it was pending.
-    pub(super) fn mark_answered(&mut self, id: TaskId) -> bool {
+    /// Marks a task as no longer pending. Returns whether it was pending.
+    pub(super) fn clear_pending(&mut self, id: TaskId) -> bool {
         let was_pending = self
             .entries
             .get_mut(&id)
@@ -179,19 +180,19 @@
         }
     }
 
-    /// Drops the description of a task that will not be offered any more.
+    /// Drops the description of a task that will not be offered again.
     pub(super) fn drop_description(&mut self, id: TaskId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             self.description_bytes -= std::mem::take(&mut entry.setup.description).len();
         }
     }
 
-    /// Bytes of descriptions that are held.
+    /// The total bytes of the descriptions held.
     pub(super) fn description_bytes(&self) -> usize {
         self.description_bytes
     }
 
-    /// How many tasks wait for their answer.
+    /// The number of pending tasks.
     pub(super) fn pending_count(&self) -> usize {
         self.pending_count
     }
@@ -200,7 +201,7 @@
         self.entries.len()
     }
 
-    /// The tasks that wait for their answer, the oldest first.
+    /// The ids of the pending tasks, the oldest first.
     pub(super) fn pending_ids(&self) -> Vec<TaskId> {
         let mut ids: Vec<TaskId> = self
             .entries
@@ -213,17 +214,17 @@
     }
 }
 
-/// Hashes of the names of tasks that were requested or handed over recently: a name that comes again under a new id is a
-/// resubmission.
+/// Hashes of the names of tasks that were requested or handed over recently. A name that is used again with a new set-up id
+/// is a resubmission.
 #[derive(Default)]
 struct RecentNames {
     hashes: HashSet<u64>,
-    /// The same with the time at which they came, the oldest first.
+    /// The hashes with the times at which they were recorded, the oldest first.
     order: VecDeque<(Micros, u64)>,
 }
 
 impl RecentNames {
-    /// Remembers a name. Returns whether it is new.
+    /// Records a name. Returns whether it is new.
     fn insert(&mut self, now: Micros, name: &str) -> bool {
         while let Some(&(inserted_at, hash)) = self.order.front()
             && (inserted_at + NAME_RETENTION < now || self.order.len() >= MAX_RECENT_NAMES)
--- a/crates/platform/src/engine/tests.rs
+++ b/crates/platform/src/engine/tests.rs
@@ -1,4 +1,4 @@
-//! The engine in its difficult cases, with decisions that each test scripts.
+//! Tests of the engine with a policy whose actions are scripted by each test.
 
 mod crossings;
 mod host_lists;
--- a/crates/platform/src/engine/tests/hosts.rs
+++ b/crates/platform/src/engine/tests/hosts.rs
@@ -40,7 +40,7 @@
     let (_, connection) = harness.start_task(7);
     let task = harness.request(OWNER_A, 8);
     harness.schedule_offer(task, 0, 1_200 * MS);
-    harness.wake_decider();
+    harness.wake_policy();
     assert!(sends(&harness.turn(), connection, kind::OPEN));
     // The connection is dead, and the other task is released on it in vain.
     let outputs = harness.advance(250 * MS);
--- a/crates/platform/src/engine/tests/owners.rs
+++ b/crates/platform/src/engine/tests/owners.rs
@@ -41,7 +41,7 @@
         });
     }
     harness.engine.owner_disconnected(OWNER_B);
-    assert_eq!(harness.engine.least_useful_owner(), Some(OwnerId(100)));
+    assert_eq!(harness.engine.lowest_priority_owner(), Some(OwnerId(100)));
     harness.engine.owner_disconnected(OWNER_A);
     let outputs = harness.host_sends(connection, host_close(7, Cause::NORMAL));
     assert_eq!(messages_to_owners(&outputs), []);
@@ -144,9 +144,9 @@
 fn least_useful_owner_is_the_silent_one_and_never_one_with_a_pending_request() {
     let mut harness = Harness::new();
     harness.request(OWNER_A, 7);
-    assert_eq!(harness.engine.least_useful_owner(), Some(OWNER_B));
+    assert_eq!(harness.engine.lowest_priority_owner(), Some(OWNER_B));
     harness.engine.owner_disconnected(OWNER_B);
-    assert_eq!(harness.engine.least_useful_owner(), None);
+    assert_eq!(harness.engine.lowest_priority_owner(), None);
 }
 
 #[test]
--- a/crates/platform/src/engine/tests/requests.rs
+++ b/crates/platform/src/engine/tests/requests.rs
@@ -179,7 +179,7 @@
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     harness.schedule_offer(task, 0, 100 * MS);
-    harness.wake_decider();
+    harness.wake_policy();
     let connection = first_connect(&harness.turn());
     // A placer that was paused handles the connection before its timers.
     harness.now += 120 * MS;
--- a/crates/platform/src/engine/tests/support.rs
+++ b/crates/platform/src/engine/tests/support.rs
@@ -28,12 +28,12 @@
 
 /// Decisions that take the actions of the test, and keep the events that they got.
 #[derive(Clone, Default)]
-pub(super) struct ScriptedDecider {
+pub(super) struct ScriptedPolicy {
     pub(super) events: Rc<RefCell<Vec<Event>>>,
     pub(super) next_actions: Rc<RefCell<Vec<Action>>>,
 }
 
-impl Decide for ScriptedDecider {
+impl Decide for ScriptedPolicy {
     fn turn(&mut self, _: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.events.borrow_mut().extend(events.iter().cloned());
         actions.append(&mut self.next_actions.borrow_mut());
@@ -59,8 +59,8 @@
 
 /// An engine under simulated time.
 pub(super) struct Harness {
-    pub(super) engine: Engine<ScriptedDecider>,
-    pub(super) decider: ScriptedDecider,
+    pub(super) engine: Engine<ScriptedPolicy>,
+    pub(super) policy: ScriptedPolicy,
     pub(super) now: Micros,
     cursor: u64,
 }
@@ -74,11 +74,11 @@
     pub(super) fn with(settings: &Value) -> Harness {
         let (policy_settings, _) = decode_policy_settings(settings).expect("valid settings");
         let platform_settings = decode_platform_settings(settings).expect("valid settings");
-        let decider = ScriptedDecider::default();
-        let engine = Engine::new(platform_settings, &policy_settings, decider.clone());
+        let policy = ScriptedPolicy::default();
+        let engine = Engine::new(platform_settings, &policy_settings, policy.clone());
         let mut harness = Harness {
             engine,
-            decider,
+            policy,
             now: START,
             cursor: 0,
         };
@@ -122,7 +122,7 @@
 
     /// The events that the decisions got since the last call.
     pub(super) fn take_events(&self) -> Vec<Event> {
-        std::mem::take(&mut self.decider.events.borrow_mut())
+        std::mem::take(&mut self.policy.events.borrow_mut())
     }
 
     /// The results of the attempts that ended since the last call: number, outcome, and whether the task is closed.
@@ -140,14 +140,14 @@
 
     /// The decisions take an action in a turn; returns the outputs.
     pub(super) fn perform(&mut self, action: Action) -> Vec<Output> {
-        self.decider.next_actions.borrow_mut().push(action);
-        self.wake_decider();
+        self.policy.next_actions.borrow_mut().push(action);
+        self.wake_policy();
         self.turn()
     }
 
     /// The decisions offer a task to a machine in their next turn.
     pub(super) fn schedule_offer(&mut self, task: TaskId, machine: u32, timeout: Micros) {
-        self.decider.next_actions.borrow_mut().push(Action::Offer {
+        self.policy.next_actions.borrow_mut().push(Action::Offer {
             task,
             machine: MachineId(machine),
             timeout,
@@ -165,7 +165,7 @@
     }
 
     /// Has the decisions take a turn, which they do only if there is an event.
-    pub(super) fn wake_decider(&mut self) {
+    pub(super) fn wake_policy(&mut self) {
         self.engine.events.push(Event::TimerFired { label: 0 });
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,9 @@
-//! The placer in service on the operators' platform.
+//! The placer for the operators' platform.
 //!
-//! The [`engine`] takes messages of owners and hosts, events of the command channel and the time; it returns messages,
-//! connections to open or close, and timers. [`channel_poll`] keeps one poll of the command channel in flight. Both
-//! perform no I/O; the shell carries bytes between them and the sockets. Nothing here decides where a task is placed, how
-//! long an answer is waited for or when a task is given up: the decisions do.
+//! The input of the [`engine`] is messages from owners and hosts, events of the command channel and the time; its output
+//! is messages to send, connections to open or close, and timers. [`channel_poll`] keeps one long poll of the command
+//! channel in flight. Both perform no I/O; the shell transfers bytes between them and the sockets. The placement policy
+//! decides where a task is placed, how long an attempt may take and when a request fails; this crate carries that out.
 
 pub mod channel_poll;
 pub mod engine;
--- a/crates/platform/src/shell/channel.rs
+++ b/crates/platform/src/shell/channel.rs
@@ -1,4 +1,4 @@
-//! The connection to the command channel.
+//! The socket of the command channel.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use super::{CHANNEL_KIND, MAX_UNREAD_BYTES, Shell, token};
 use crate::channel_poll::ChannelAction;
 
-/// How many bytes of the channel are read in one round: a full list of hosts is long.
+/// The maximum number of bytes read from the channel in one round. It is large because a full host list is.
 const CHANNEL_READ_BYTES: usize = 256 << 10;
 
 impl Shell {
@@ -30,7 +30,7 @@
                     .channel
                     .connection_established(now, self.engine.cursor()),
                 Err(error) => {
-                    tracing::warn!(%error, "command channel: connection failed");
+                    tracing::warn!(%error, "cannot connect to the command channel");
                     self.channel.connection_lost(now);
                 }
             }
@@ -64,7 +64,7 @@
                     match self.connect(address, token) {
                         Ok(connection) => self.channel_connection = Some(connection),
                         Err(error) => {
-                            tracing::warn!(%error, "command channel: connection failed");
+                            tracing::warn!(%error, "cannot connect to the command channel");
                             self.channel.connection_lost(now);
                         }
                     }
@@ -83,10 +83,10 @@
         }
     }
 
-    /// Opens a connection. If there is no descriptor for it, the least useful owner's connection is closed first.
+    /// Opens a connection. If no descriptor is left, the connection of the lowest-priority owner is closed first.
     pub(super) fn connect(&mut self, address: SocketAddr, token: u64) -> io::Result<TcpConnection> {
         match TcpConnection::connect(address, token, self.event_loop.poller()) {
-            Err(error) if is_resource_exhausted(&error) && self.close_least_useful_owner() => {
+            Err(error) if is_resource_exhausted(&error) && self.close_lowest_priority_owner() => {
                 TcpConnection::connect(address, token, self.event_loop.poller())
             }
             result => result,
--- a/crates/platform/src/shell/hosts.rs
+++ b/crates/platform/src/shell/hosts.rs
@@ -11,12 +11,12 @@
 use super::{HOST_KIND, MAX_UNREAD_BYTES, Shell, token};
 use crate::engine::{ConnectionId, DisconnectReason};
 
-/// How many bytes are read from one host in one round, so that a busy one does not delay the others.
+/// The maximum number of bytes read from one host in one round, so that a busy host does not delay the others.
 const HOST_READ_BYTES: usize = 16 << 10;
-/// How many bytes may wait for a host; the connection to one that reads too slowly is closed.
+/// The maximum number of unwritten bytes for a host. The connection to a host that reads too slowly is closed.
 const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
 
-/// What an error of connecting says about the host.
+/// The disconnect reason for a connect error.
 fn disconnect_reason(error: &io::Error) -> DisconnectReason {
     if error.kind() == io::ErrorKind::ConnectionRefused {
         DisconnectReason::Refused
@@ -28,20 +28,20 @@
 impl Shell {
     pub(super) fn connect_host(&mut self, now: Micros, id: ConnectionId, address: SocketAddr) {
         if self.connection_count() >= self.max_connections {
-            self.close_least_useful_owner();
+            self.close_lowest_priority_owner();
         }
-        // However many hosts there are, some connections are left for owners.
+        // Hosts may not use all connections, however many there are, as owners need some too.
         let max_hosts = MAX_PEER_SHARE.of(self.max_connections);
         let result = match self.connection_count() < self.max_connections
             && self.host_connections.len() < max_hosts
         {
             true => self.connect(address, token(HOST_KIND, id.0)),
-            false => Err(io::Error::other("all descriptors are in use")),
+            false => Err(io::Error::other("connection limit reached")),
         };
         match result {
             Ok(connection) => drop(self.host_connections.insert(id, connection)),
             Err(error) => {
-                tracing::debug!(%address, %error, "connecting to host failed");
+                tracing::debug!(%address, %error, "cannot connect to host");
                 self.engine
                     .connection_lost(now, id, disconnect_reason(&error));
             }
@@ -107,14 +107,17 @@
         self.engine.connection_lost(now, id, reason);
     }
 
-    /// Writes bytes that end an attempt or a task at once: until then the attempt counts as in flight.
+    /// Writes bytes that end an attempt or a task at once, because the attempt is in flight until they are written.
     pub(super) fn send_to_host_immediately(&mut self, now: Micros, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.host_connections.get_mut(&id) else {
             return;
         };
         connection.write_buffer().extend_from_slice(bytes);
         if connection.flush(self.event_loop.poller()).is_err() || connection.unwritten_bytes() > 0 {
-            tracing::debug!(connection = id.0, "connection does not take a close");
+            tracing::debug!(
+                connection = id.0,
+                "close could not be written at once; closing the connection to the host"
+            );
             self.drop_host_connection(now, id, DisconnectReason::Broken);
         }
     }
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -1,5 +1,5 @@
-//! The loop of the process: events of sockets and signals go to the engine and to the poll of the command channel, and
-//! their outputs are carried out.
+//! The event loop of the process: passes socket and signal events to the engine and to the poll of the command channel, and
+//! performs their outputs.
 
 mod channel;
 mod hosts;
@@ -22,42 +22,42 @@
 
 const LISTENER_TOKEN: u64 = 0;
 const SIGNALS_TOKEN: u64 = 1;
-/// The lowest bits of a token are the kind of a connection, the others its number.
+/// The lowest `KIND_BITS` bits of a token are the kind of the connection, the others its number.
 const OWNER_KIND: u64 = 2;
 const HOST_KIND: u64 = 3;
 const CHANNEL_KIND: u64 = 1;
 const KIND_BITS: u32 = 2;
 
-/// How many bytes of one connection may wait to be decoded.
+/// The maximum number of bytes of one connection that wait to be decoded.
 const MAX_UNREAD_BYTES: usize = 64 << 10;
-/// How many rounds of reading come before a turn of the decisions.
+/// The maximum number of read rounds before a turn of the engine.
 const MAX_READ_ROUNDS: usize = 4;
-/// After how long a new configuration that can't be used is read again, in microseconds. The old channel is kept for 1.5 s
-/// after SIGHUP (PROTOCOL's days).
+/// Delay before an invalid new configuration is read again. By the platform's acceptance test the old channel stays
+/// available for 1.5 s after SIGHUP.
 const RELOAD_RETRY_DELAY: Micros = 100_000;
-/// How often it is read again.
+/// The maximum number of further reads of an invalid new configuration.
 const MAX_RELOAD_RETRIES: u32 = 10;
-/// Descriptors that are not for owners or hosts: standard streams, listener, epoll, signals, channel, files.
+/// Descriptors reserved for standard streams, listener, epoll, signals, command channel and files.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Descriptions may take one in this many bytes of the memory, and so may what waits for throttled owners.
+/// Descriptions may use one in this many bytes of the memory limit, and so may unwritten bytes for throttled owners.
 const MEMORY_DIVISOR: usize = 8;
 
-/// Runs the placer that `config` describes until it is stopped by a signal.
+/// Runs a placer with the configuration file `config_path` until it is stopped by a signal.
 ///
 /// # Errors
 ///
-/// Returns an error if the configuration can't be used, or a file, socket or signal can't be opened or used.
-pub fn run(config: &Path) -> Result<(), StartError> {
-    let (settings, listen) = load_config(config)?;
-    let (decisions, terms) = decode_settings(&settings.settings)
-        .map_err(|error| ConfigError::from(error).in_file(config))?;
-    let placer = Placer::new(decisions.clone(), settings.seed)
-        .map_err(|error| ConfigError::from(error).in_file(config))?;
-    let shutdown = ShutdownSchedule::new(terms.max_deadline);
-    let mut engine = Engine::new(terms, &decisions, placer);
-    let memory = (settings.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
-    engine.set_max_description_bytes(memory / MEMORY_DIVISOR);
-    // Signals are handled before anybody can connect.
+/// Returns an error if the configuration is invalid, or a file, socket or signal cannot be opened or used.
+pub fn run(config_path: &Path) -> Result<(), StartError> {
+    let (config, listen) = load_config(config_path)?;
+    let (policy_settings, platform_settings) = decode_settings(&config.settings)
+        .map_err(|error| ConfigError::from(error).in_file(config_path))?;
+    let placer = Placer::new(policy_settings.clone(), config.seed)
+        .map_err(|error| ConfigError::from(error).in_file(config_path))?;
+    let shutdown = ShutdownSchedule::new(platform_settings.max_deadline);
+    let mut engine = Engine::new(platform_settings, &policy_settings, placer);
+    let memory_bytes = (config.limits.memory_mb.clamp(8.0, 65_536.0) as usize) << 20;
+    engine.set_max_description_bytes(memory_bytes / MEMORY_DIVISOR);
+    // Signal handlers are installed before the listener accepts connections.
     let event_loop = EventLoop::new(&[SIGTERM, SIGINT, SIGHUP], SIGNALS_TOKEN)?;
     let mut listener = event_loop.listen(listen, Backlog::Standard)?;
     let listen = listener
@@ -66,21 +66,21 @@
     listener
         .start(event_loop.poller(), LISTENER_TOKEN)
         .map_err(ResourceError::of("listener"))?;
-    let sockets = settings
+    let connection_limit = config
         .limits
         .max_descriptors
         .saturating_sub(RESERVED_DESCRIPTORS)
         .max(32);
     let mut shell = Shell {
         engine,
-        channel: ChannelPoll::new(settings.channel_address),
+        channel: ChannelPoll::new(config.channel_address),
         channel_connection: None,
         channel_connection_number: 0,
         event_loop,
         listener: Some(listener),
         is_accept_pending: false,
         accept_paused_until: None,
-        config_path: config.to_owned(),
+        config_path: config_path.to_owned(),
         reload: None,
         turn_number: 0,
         owners: HashMap::new(),
@@ -88,20 +88,20 @@
         throttled_owners: BTreeSet::new(),
         host_connections: HashMap::new(),
         last_owner_id: 0,
-        max_connections: sockets,
-        max_throttled_owners: (memory / owners::MAX_UNWRITTEN_BYTES / MEMORY_DIVISOR).max(4),
+        max_connections: connection_limit,
+        max_throttled_owners: (memory_bytes / owners::MAX_UNWRITTEN_BYTES / MEMORY_DIVISOR).max(4),
         pending_writes: BTreeSet::new(),
         shutdown,
         stop_requested_at: None,
     };
     let now = shell.event_loop.now();
-    shell.engine.apply_update(now, &settings.known_commands);
-    tracing::info!(name = %settings.name, %listen, sockets = settings.limits.max_descriptors,
-        cores = settings.limits.cores, memory_mb = settings.limits.memory_mb, "serving");
+    shell.engine.apply_update(now, &config.known_commands);
+    tracing::info!(name = %config.name, %listen, sockets = config.limits.max_descriptors,
+        cores = config.limits.cores, memory_mb = config.limits.memory_mb, "serving");
     shell.serve()
 }
 
-/// A configuration that is to be read.
+/// A scheduled reload of the configuration.
 #[derive(Clone, Copy)]
 struct Reload {
     due_at: Micros,
@@ -114,26 +114,26 @@
     channel_connection: Option<TcpConnection>,
     channel_connection_number: u64,
     event_loop: EventLoop,
-    /// None once the process ends.
+    /// None during shutdown.
     listener: Option<Listener>,
-    /// Connections wait to be accepted.
+    /// The listener has connections to accept.
     is_accept_pending: bool,
-    /// Nothing is accepted until then, for lack of descriptors.
+    /// Accepting is paused until this time, for lack of descriptors.
     accept_paused_until: Option<Micros>,
     config_path: PathBuf,
-    /// A new configuration is to be read.
+    /// A scheduled reload of the configuration.
     reload: Option<Reload>,
-    /// Counts the turns of the loop; an owner's connection is read once in each.
+    /// The number of the current turn of the event loop. An owner's connection is read at most once in each turn.
     turn_number: u64,
     owners: HashMap<OwnerId, OwnerConnection>,
     /// Owners' connections that are being closed.
     lingering: BTreeMap<OwnerId, LingeringConnection>,
-    /// Owners that are not read because they don't read.
+    /// Owners whose connections are not read because they have too many unwritten bytes.
     throttled_owners: BTreeSet<OwnerId>,
     max_throttled_owners: usize,
     host_connections: HashMap<ConnectionId, TcpConnection>,
     last_owner_id: u64,
-    /// The most connections of owners and hosts together.
+    /// The maximum number of connections of owners and hosts together.
     max_connections: usize,
     /// The tokens of connections with unwritten bytes.
     pending_writes: BTreeSet<u64>,
@@ -142,7 +142,7 @@
 }
 
 fn token(kind: u64, number: u64) -> u64 {
-    // The numbers start at 1, so no token is the listener's or the signals'.
+    // Connection numbers start at 1, so no token equals `LISTENER_TOKEN` or `SIGNALS_TOKEN`.
     (number << KIND_BITS) | kind
 }
 
@@ -167,7 +167,7 @@
             self.engine.turn(now);
             self.perform_outputs(now);
             self.flush_pending_writes(now);
-            // Only now, with all that is to be said written, can a connection be told to be of no use any more.
+            // Accepting may close owners' connections, so all messages to them are written first.
             if std::mem::take(&mut self.is_accept_pending) {
                 self.accept_owners();
             }
@@ -180,37 +180,44 @@
 
     fn next_timeout(&self) -> Micros {
         let engine = self.engine.next_timeout().unwrap_or(Micros::MAX);
-        let stop = self
+        let earliest_exit = self
             .stop_requested_at
             .map_or(Micros::MAX, ShutdownSchedule::earliest_exit);
         let lingering = self
             .lingering
             .values()
-            .map(|l| l.until)
+            .map(|connection| connection.until)
             .min()
             .unwrap_or(Micros::MAX);
-        let paused = self.accept_paused_until.unwrap_or(Micros::MAX);
+        let accept_retry = self.accept_paused_until.unwrap_or(Micros::MAX);
         let reload = self.reload.map_or(Micros::MAX, |reload| reload.due_at);
         let due = engine
             .min(self.channel.next_timeout())
             .min(lingering)
-            .min(paused)
+            .min(accept_retry)
             .min(reload);
-        due.min(stop.max(self.event_loop.now() + 10_000))
+        due.min(earliest_exit.max(self.event_loop.now() + 10_000))
     }
 
     fn is_finished(&self, now: Micros) -> bool {
-        let Some(at) = self.stop_requested_at else {
+        let Some(stop_requested_at) = self.stop_requested_at else {
             return false;
         };
-        let written = self.owners.values().all(|o| o.conn.unwritten_bytes() == 0);
-        self.shutdown
-            .is_finished(at, now, self.engine.pending_request_count(), written)
+        let is_all_written = self
+            .owners
+            .values()
+            .all(|owner| owner.conn.unwritten_bytes() == 0);
+        self.shutdown.is_finished(
+            stop_requested_at,
+            now,
+            self.engine.pending_request_count(),
+            is_all_written,
+        )
     }
 
     fn dispatch_events(&mut self, ready: &[Readiness]) {
-        for r in ready {
-            match r.token {
+        for readiness in ready {
+            match readiness.token {
                 LISTENER_TOKEN => self.is_accept_pending = true,
                 SIGNALS_TOKEN => self
                     .event_loop
@@ -218,9 +225,11 @@
                     .into_iter()
                     .for_each(|signal| self.handle_signal(signal)),
                 token => match token & ((1 << KIND_BITS) - 1) {
-                    OWNER_KIND => self.handle_owner_ready(OwnerId(token >> KIND_BITS), r),
-                    HOST_KIND => self.handle_host_ready(ConnectionId(token >> KIND_BITS), r),
-                    _ => self.handle_channel_ready(token >> KIND_BITS, r),
+                    OWNER_KIND => self.handle_owner_ready(OwnerId(token >> KIND_BITS), readiness),
+                    HOST_KIND => {
+                        self.handle_host_ready(ConnectionId(token >> KIND_BITS), readiness)
+                    }
+                    _ => self.handle_channel_ready(token >> KIND_BITS, readiness),
                 },
             }
         }
@@ -245,7 +254,7 @@
         }
     }
 
-    /// Applies a new configuration. One that can't be used may not be completely written yet.
+    /// Applies a new configuration if a reload is due. An invalid file may be incompletely written, so it is read again.
     fn reload_config(&mut self, now: Micros) {
         let Some(reload) = self.reload.take_if(|reload| reload.due_at <= now) else {
             return;
@@ -257,10 +266,10 @@
                 self.engine.apply_update(now, &config.known_commands);
             }
             Err(error) if reload.retries_left == 0 => {
-                tracing::error!(%error, "the new configuration can't be used; the old one is kept")
+                tracing::error!(%error, "configuration reload failed; keeping the current configuration")
             }
             Err(error) => {
-                tracing::debug!(%error, "the new configuration can't be used yet");
+                tracing::debug!(%error, "configuration reload failed; retrying");
                 self.reload = Some(Reload {
                     due_at: now + RELOAD_RETRY_DELAY,
                     retries_left: reload.retries_left - 1,
--- a/crates/platform/src/shell/outputs.rs
+++ b/crates/platform/src/shell/outputs.rs
@@ -1,4 +1,4 @@
-//! The engine's outputs, carried out in the order in which they have to be.
+//! Performs the engine's outputs in the required order.
 
 use maplethread::Micros;
 
@@ -12,9 +12,9 @@
             if outputs.is_empty() {
                 return;
             }
-            // Messages to owners come first: to reach a host, an owner's connection may have to be closed. The rest
-            // keeps its order.
-            outputs.sort_by_key(|o| !matches!(o, Output::SendToOwner(..)));
+            // Messages to owners come first, because connecting to a host may require closing an owner's connection. The
+            // other outputs keep their order.
+            outputs.sort_by_key(|output| !matches!(output, Output::SendToOwner(..)));
             for output in outputs {
                 self.perform_output(now, output);
             }
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -1,5 +1,5 @@
-//! The sockets of owners' connections: accepted while there are descriptors, read a little at a time, and closed so that
-//! what was written to them arrives.
+//! The sockets of owners' connections: accepted while there are descriptors, read in small portions, and closed without
+//! losing what was written to them.
 
 use maplethread::Micros;
 use maplethread_platform_wire::owner::{self, ToOwner};
@@ -9,62 +9,60 @@
 use crate::engine::OwnerId;
 use crate::startup::StartError;
 
-/// How many bytes are read from one owner in one turn of the loop. However many owners send at once, the turn ends soon,
-/// and what they cancel is read in the next one.
+/// The maximum number of bytes read from one owner in one turn of the event loop. It keeps turns short when many owners
+/// send at once, so that cancellations are read soon, in the next turn.
 const OWNER_READ_BYTES: usize = 4 << 10;
-/// How many bytes may wait for an owner; one that reads too slowly is disconnected.
+/// The maximum number of unwritten bytes for an owner. One that reads too slowly is disconnected.
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
-/// An owner for which more bytes than this wait is throttled: it is not read...
+/// An owner with more unwritten bytes than this is throttled: its connection is not read.
 const THROTTLE_ABOVE_BYTES: usize = 32 << 10;
-/// ...until fewer bytes than this wait.
+/// A throttled owner with no more unwritten bytes than this is read again.
 const RESUME_BELOW_BYTES: usize = 8 << 10;
-/// How many connections are accepted in one turn.
+/// The maximum number of connections accepted in one turn.
 const MAX_ACCEPTS_PER_TURN: usize = 256;
-/// How long accepting is paused when there is no descriptor, in microseconds, unless a connection is closed before.
-const ACCEPT_RETRY: Micros = 100_000;
-/// The share of the connections that owners hold (the platform's own keep to a third, PROTOCOL), unless all of them have
-/// pending requests.
-const USUAL_OWNER_SHARE: Share = Share {
+/// How long accepting is paused when no descriptor is left, unless a connection is closed before.
+const ACCEPT_RETRY_DELAY: Micros = 100_000;
+/// Above this share of the connections, owners without pending requests are disconnected before new ones are accepted. By
+/// the platform protocol the platform's own owners use at most a third of the connections.
+const SOFT_OWNER_SHARE: Share = Share {
     numerator: 1,
     denominator: 2,
 };
-/// The largest share that owners hold, and that hosts hold: each leaves room for the other. Beyond it new owners wait in
-/// the backlog.
+/// The maximum share of the connections for owners, and the same for hosts, so that neither can use all of them. Beyond it
+/// new owners wait in the backlog.
 pub(super) const MAX_PEER_SHARE: Share = Share {
     numerator: 3,
     denominator: 4,
 };
-/// How long a connection that is being closed is kept at most, in microseconds, so that its owner can read what was written
-/// to it.
+/// How long a connection that is being closed is kept, so that its owner can read what was written to it.
 const LINGER_TIMEOUT: Micros = 5_000_000;
-/// How many bytes that the owner sends meanwhile are read and dropped: closing with bytes unread is a reset, which may
-/// destroy what was written. An owner that sends more is held up by its own socket.
+/// How many bytes are read and discarded on a connection that is being closed. Closing a socket with unread bytes sends a
+/// reset, which may discard data that the owner has not read. Beyond this the socket's receive buffer fills up.
 const MAX_LINGER_BYTES: usize = 1 << 20;
-/// How many connections are kept that are being closed.
-const MAX_LINGERING: usize = 64;
-/// How long the end of the process waits for owners to read what was written to them, in microseconds;
-/// `ShutdownSchedule` leaves time for it.
+/// The maximum number of connections that are being closed.
+const MAX_LINGERING_CONNECTIONS: usize = 64;
+/// How long the shutdown waits for owners to read what was written to them. `ShutdownSchedule` reserves time for it.
 const SHUTDOWN_LINGER_TIMEOUT: Micros = 250_000;
-/// How many connections are examined to find one that can be closed.
+/// The maximum number of connections examined to find one that can be closed.
 const MAX_CLOSE_CANDIDATES: usize = 8;
 
-/// A part of a whole.
+/// A fraction of a total.
 pub(super) struct Share {
     numerator: usize,
     denominator: usize,
 }
 
 impl Share {
-    /// This part of a number, rounded down.
-    pub(super) const fn of(&self, whole: usize) -> usize {
-        whole * self.numerator / self.denominator
+    /// This fraction of `total`, rounded down.
+    pub(super) const fn of(&self, total: usize) -> usize {
+        total * self.numerator / self.denominator
     }
 }
 
 pub(super) struct OwnerConnection {
     pub(super) conn: TcpConnection,
     scanned_bytes: usize,
-    /// The turn in which it was last read.
+    /// The turn in which the connection was last read.
     last_read_turn: u64,
 }
 
@@ -72,23 +70,23 @@
 pub(super) struct LingeringConnection {
     conn: TcpConnection,
     pub(super) until: Micros,
-    /// How many bytes are still read.
+    /// How many further bytes may be read and discarded.
     remaining_bytes: usize,
-    /// This side is closed.
+    /// The placer's side of the connection is closed.
     is_write_closed: bool,
 }
 
 impl Shell {
-    /// How many connections owners and hosts hold.
+    /// The number of connections of owners and hosts.
     pub(super) fn connection_count(&self) -> usize {
         self.owners.len() + self.lingering.len() + self.host_connections.len()
     }
 
     pub(super) fn accept_owners(&mut self) {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            let usual_owners = USUAL_OWNER_SHARE.of(self.max_connections);
-            while self.owners.len() + self.lingering.len() >= usual_owners
-                && self.close_least_useful_owner()
+            let soft_owner_limit = SOFT_OWNER_SHARE.of(self.max_connections);
+            while self.owners.len() + self.lingering.len() >= soft_owner_limit
+                && self.close_lowest_priority_owner()
             {}
             if self.owners.len() >= MAX_PEER_SHARE.of(self.max_connections)
                 || self.connection_count() >= self.max_connections
@@ -103,7 +101,7 @@
                 Ok(None) => return,
                 Err(error) => {
                     tracing::warn!(%error, "accepting a connection failed");
-                    if is_resource_exhausted(&error) && !self.close_least_useful_owner() {
+                    if is_resource_exhausted(&error) && !self.close_lowest_priority_owner() {
                         return self.pause_accepting();
                     }
                     continue;
@@ -127,65 +125,68 @@
                     );
                     self.engine.owner_connected(self.event_loop.now(), id);
                 }
-                Err(error) => tracing::warn!(%error, "owner connection failed"),
+                Err(error) => tracing::warn!(%error, "cannot set up an accepted connection"),
             }
         }
     }
 
-    /// Accepts nothing for a while: a listener that is ready and can't be served would be reported in each turn.
+    /// Pauses accepting, as the poller would report a listener that cannot be served in each turn.
     fn pause_accepting(&mut self) {
         if self.accept_paused_until.is_none() && self.set_accepting(false) {
             tracing::debug!(
                 owners = self.owners.len(),
                 hosts = self.host_connections.len(),
-                "accepting paused: no descriptor left"
+                "accepting paused: connection limit reached"
             );
-            self.accept_paused_until = Some(self.event_loop.now() + ACCEPT_RETRY);
+            self.accept_paused_until = Some(self.event_loop.now() + ACCEPT_RETRY_DELAY);
         }
     }
 
-    /// A descriptor is free again: connections of the backlog are accepted.
+    /// Ends a pause of accepting, as a connection was closed.
     pub(super) fn resume_accepting(&mut self) {
-        if let Some(at) = &mut self.accept_paused_until {
-            *at = 0;
+        if let Some(until) = &mut self.accept_paused_until {
+            *until = 0;
         }
     }
 
-    /// Drops connections that have lingered long enough, and accepts again when a pause is over.
+    /// Closes lingering connections whose time is over, and resumes accepting at the end of a pause.
     pub(super) fn expire_owner_timers(&mut self, now: Micros) {
-        self.lingering.retain(|_, l| l.until > now);
-        if self.accept_paused_until.is_some_and(|at| at <= now) && self.set_accepting(true) {
+        self.lingering
+            .retain(|_, connection| connection.until > now);
+        if self.accept_paused_until.is_some_and(|until| until <= now) && self.set_accepting(true) {
             self.accept_paused_until = None;
         }
     }
 
-    /// Turns the report of new connections on or off. Returns whether that worked.
-    fn set_accepting(&self, on: bool) -> bool {
-        self.listener
-            .as_ref()
-            .is_some_and(|l| l.set_accepting(on, self.event_loop.poller()).is_ok())
+    /// Turns the notification of new connections on or off. Returns whether that succeeded.
+    fn set_accepting(&self, is_accepting: bool) -> bool {
+        self.listener.as_ref().is_some_and(|listener| {
+            listener
+                .set_accepting(is_accepting, self.event_loop.poller())
+                .is_ok()
+        })
     }
 
-    /// Closes the least useful owner's connection. Returns whether there was one. What it has sent by now is read first, as
-    /// that may be a request.
-    pub(super) fn close_least_useful_owner(&mut self) -> bool {
+    /// Closes a lingering connection or that of the lowest-priority owner. Returns whether one was closed. The owner's input
+    /// is read first, as it may contain a request.
+    pub(super) fn close_lowest_priority_owner(&mut self) -> bool {
         if self.lingering.pop_first().is_some() {
             return true;
         }
         for _ in 0..MAX_CLOSE_CANDIDATES {
-            let Some(id) = self.engine.least_useful_owner() else {
+            let Some(id) = self.engine.lowest_priority_owner() else {
                 return false;
             };
-            let said = self.read_owner(id, MAX_UNREAD_BYTES);
+            let has_received = self.read_owner(id, MAX_UNREAD_BYTES);
             if !self.owners.contains_key(&id) {
                 return true;
             }
             self.flush_owner(id);
-            if !said
+            if !has_received
                 && self
                     .owners
                     .get(&id)
-                    .is_some_and(|o| o.conn.unwritten_bytes() == 0)
+                    .is_some_and(|owner| owner.conn.unwritten_bytes() == 0)
             {
                 self.disconnect_owner(id);
                 return true;
@@ -215,7 +216,7 @@
             return;
         };
         if readiness.is_closed {
-            // Bytes that it sent may be unread, such as closes of running tasks, but it waits for no answer any more.
+            // Input may be unread, such as closes of running tasks, but the owner does not read answers any more.
             self.engine.owner_half_closed(id);
         }
         if std::mem::replace(&mut owner.last_read_turn, self.turn_number) != self.turn_number {
@@ -223,27 +224,27 @@
         }
     }
 
-    /// Reads at most this many bytes of an owner. Returns whether it sent anything.
-    fn read_owner(&mut self, id: OwnerId, most: usize) -> bool {
+    /// Reads at most `max_bytes` from an owner and handles its messages. Returns whether anything was received.
+    fn read_owner(&mut self, id: OwnerId, max_bytes: usize) -> bool {
         let now = self.event_loop.now();
         let Some(owner) = self.owners.get_mut(&id) else {
             return false;
         };
-        let before = owner.conn.unread().len();
-        let outcome = owner.conn.read_available(most, MAX_UNREAD_BYTES);
-        let mut said = owner.conn.unread().len() > before;
+        let unread_before = owner.conn.unread().len();
+        let outcome = owner.conn.read_available(max_bytes, MAX_UNREAD_BYTES);
+        let mut has_received = owner.conn.unread().len() > unread_before;
         while let Some((message, length)) =
             owner::decode(owner.conn.unread(), &mut owner.scanned_bytes)
         {
             owner.conn.consume(length);
             tracing::trace!(owner = id.0, ?message, "message from owner");
             self.engine.handle_owner_message(now, id, message);
-            said = true;
+            has_received = true;
         }
         if matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.disconnect_owner(id);
         }
-        said
+        has_received
     }
 
     pub(super) fn send_to_owner(&mut self, id: OwnerId, message: &ToOwner) {
@@ -255,26 +256,27 @@
     }
 
     pub(super) fn flush_owner(&mut self, id: OwnerId) {
-        if let Some(closing) = self.lingering.get_mut(&id) {
-            if closing.conn.flush(self.event_loop.poller()).is_err() {
+        if let Some(lingering) = self.lingering.get_mut(&id) {
+            if lingering.conn.flush(self.event_loop.poller()).is_err() {
                 self.lingering.remove(&id);
-            } else if closing.conn.unwritten_bytes() == 0
-                && !std::mem::replace(&mut closing.is_write_closed, true)
+            } else if lingering.conn.unwritten_bytes() == 0
+                && !std::mem::replace(&mut lingering.is_write_closed, true)
             {
-                closing.conn.shutdown_write();
+                lingering.conn.shutdown_write();
             }
             return;
         }
         let Some(owner) = self.owners.get_mut(&id) else {
             return;
         };
-        let failed = owner.conn.flush(self.event_loop.poller()).is_err();
-        let waits = owner.conn.unwritten_bytes();
-        if failed || waits > MAX_UNWRITTEN_BYTES {
+        let has_failed = owner.conn.flush(self.event_loop.poller()).is_err();
+        let unwritten_bytes = owner.conn.unwritten_bytes();
+        if has_failed || unwritten_bytes > MAX_UNWRITTEN_BYTES {
             return self.disconnect_owner(id);
         }
-        // An owner that does not read is not read either, so that what waits for it does not grow; its end is still seen.
-        let throttled = waits
+        // An owner that does not read its answers is not read, so that its unwritten bytes do not grow. The end of its
+        // connection is still reported.
+        let is_throttled = unwritten_bytes
             > if owner.conn.is_reading() {
                 THROTTLE_ABOVE_BYTES
             } else {
@@ -282,24 +284,34 @@
             };
         if owner
             .conn
-            .set_reading(!throttled, self.event_loop.poller())
+            .set_reading(!is_throttled, self.event_loop.poller())
             .is_err()
         {
             return self.disconnect_owner(id);
         }
-        if !throttled {
+        if !is_throttled {
             self.throttled_owners.remove(&id);
         } else if self.throttled_owners.insert(id)
             && self.throttled_owners.len() > self.max_throttled_owners
         {
-            let waits = |id: &OwnerId| self.owners.get(id).map_or(0, |o| o.conn.unwritten_bytes());
-            if let Some(worst) = self.throttled_owners.iter().copied().max_by_key(waits) {
-                self.disconnect_owner(worst);
+            let unwritten_of = |id: &OwnerId| {
+                self.owners
+                    .get(id)
+                    .map_or(0, |owner| owner.conn.unwritten_bytes())
+            };
+            if let Some(slowest) = self
+                .throttled_owners
+                .iter()
+                .copied()
+                .max_by_key(unwritten_of)
+            {
+                self.disconnect_owner(slowest);
             }
         }
     }
 
-    /// Closes an owner's connection, which the engine knows no more, once the owner can have read what was written to it.
+    /// Closes an owner's connection, which the engine has removed, after giving the owner time to read what was written to
+    /// it.
     pub(super) fn start_lingering(&mut self, now: Micros, id: OwnerId) {
         let Some(OwnerConnection { conn, .. }) = self.owners.remove(&id) else {
             return;
@@ -309,17 +321,17 @@
         if conn.written_bytes() == 0 && conn.unwritten_bytes() == 0 {
             return;
         }
-        if self.lingering.len() >= MAX_LINGERING {
+        if self.lingering.len() >= MAX_LINGERING_CONNECTIONS {
             self.lingering.pop_first();
         }
         self.keep_lingering(id, conn, now + LINGER_TIMEOUT);
     }
 
     fn keep_lingering(&mut self, id: OwnerId, mut conn: TcpConnection, until: Micros) {
-        // What the owner still sends is read and dropped.
+        // Further input is read and discarded.
         if conn.set_reading(true, self.event_loop.poller()).is_ok() {
-            let all = conn.unread().len();
-            conn.consume(all);
+            let unread_bytes = conn.unread().len();
+            conn.consume(unread_bytes);
             self.lingering.insert(
                 id,
                 LingeringConnection {
@@ -333,30 +345,32 @@
         }
     }
 
-    /// Reads and drops what arrives on a connection that is being closed.
+    /// Reads and discards the input of a connection that is being closed.
     fn discard_input(&mut self, id: OwnerId) {
-        let Some(closing) = self.lingering.get_mut(&id) else {
+        let Some(lingering) = self.lingering.get_mut(&id) else {
             return;
         };
-        let outcome = closing
+        let outcome = lingering
             .conn
             .read_available(MAX_UNREAD_BYTES, MAX_UNREAD_BYTES);
-        let all = closing.conn.unread().len();
-        closing.conn.consume(all);
-        closing.remaining_bytes = closing.remaining_bytes.saturating_sub(all);
-        let throttled = closing.remaining_bytes > 0
-            || closing
+        let unread_bytes = lingering.conn.unread().len();
+        lingering.conn.consume(unread_bytes);
+        lingering.remaining_bytes = lingering.remaining_bytes.saturating_sub(unread_bytes);
+        let is_within_limit_or_paused = lingering.remaining_bytes > 0
+            || lingering
                 .conn
                 .set_reading(false, self.event_loop.poller())
                 .is_ok();
-        if !throttled || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
+        if !is_within_limit_or_paused
+            || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed)
+        {
             self.lingering.remove(&id);
             self.resume_accepting();
         }
     }
 
-    /// Ends the service. What has arrived by now is answered, new requests with a rejection; then each owner's connection is
-    /// half-closed and read until its owner has closed it too, or time is up.
+    /// Shuts down. Input that has arrived is handled, with new requests rejected; then each owner's connection is half-closed
+    /// and read until its owner has closed it too, or until `SHUTDOWN_LINGER_TIMEOUT` is over.
     pub(super) fn shut_down(&mut self) -> Result<(), StartError> {
         self.engine.reject_new_requests();
         let ids: Vec<OwnerId> = self.owners.keys().copied().collect();
@@ -373,24 +387,25 @@
             self.keep_lingering(id, owner.conn, now + SHUTDOWN_LINGER_TIMEOUT);
         }
         self.flush_pending_writes(now);
-        // Who connects now is refused at once, and can go elsewhere.
+        // New connections are refused at once from now on, so that owners can use another placer.
         self.listener = None;
         let mut ready = Vec::new();
         while !self.lingering.is_empty() {
             let now = self.event_loop.now();
-            self.lingering.retain(|_, l| l.until > now);
+            self.lingering
+                .retain(|_, connection| connection.until > now);
             let until = self
                 .lingering
                 .values()
-                .map(|l| l.until)
+                .map(|connection| connection.until)
                 .max()
                 .unwrap_or(now);
             self.event_loop.wait_until(Some(until), &mut ready)?;
-            for r in ready
+            for readiness in ready
                 .iter()
-                .filter(|r| r.token & ((1 << KIND_BITS) - 1) == OWNER_KIND)
+                .filter(|readiness| readiness.token & ((1 << KIND_BITS) - 1) == OWNER_KIND)
             {
-                self.handle_owner_ready(OwnerId(r.token >> KIND_BITS), r);
+                self.handle_owner_ready(OwnerId(readiness.token >> KIND_BITS), readiness);
             }
             self.flush_pending_writes(now);
         }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,50 +1,50 @@
-//! When a placer ends that was asked to stop. Performs no I/O.
+//! Decides when a placer that was asked to stop exits. Performs no I/O.
 
 use maplethread::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// For how long connections and requests still arrive after SIGTERM, in microseconds (PROTOCOL: up to 0.4 s, and 0.2 s
-/// more).
+/// The minimum time between SIGTERM and the exit, as connections and requests may still arrive. The platform protocol
+/// allows them for up to 0.4 s plus 0.2 s.
 const ARRIVAL_GRACE: Micros = 800_000;
-/// PROTOCOL counts longer deadlines as this, in microseconds.
+/// The platform protocol counts longer deadlines as this when it computes the time of SIGKILL.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// How long after the longest deadline SIGKILL comes at the earliest, in microseconds (PROTOCOL).
+/// The minimum time between the longest deadline and SIGKILL, from the platform protocol.
 const KILL_GRACE: Micros = 700_000;
-/// The part of that in which the last answers are written and read, in microseconds...
+/// The part of `KILL_GRACE` that is left for writing and reading the last answers.
 const WRITE_MARGIN: Micros = 500_000;
-/// ...and the part in which owners can still read them before the process ends, in microseconds
-/// (`SHUTDOWN_LINGER_TIMEOUT` of the shell).
+/// The part of `KILL_GRACE` that is left for owners to read the last answers before the process exits. The shell's
+/// `SHUTDOWN_LINGER_TIMEOUT` has to be shorter.
 const READ_MARGIN: Micros = 300_000;
 
-/// The schedule of a placer's shutdown. Times are in microseconds.
+/// The schedule of a placer's shutdown.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShutdownSchedule {
     kill_after: Micros,
 }
 
 impl ShutdownSchedule {
-    /// The schedule under classes of which this is the longest deadline.
+    /// Creates the schedule, given the longest deadline of all classes.
     pub(crate) fn new(longest_deadline: Micros) -> ShutdownSchedule {
         ShutdownSchedule {
             kill_after: longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE,
         }
     }
 
-    /// When all pending requests are answered, if the stop was requested at this time.
+    /// When requests that are still pending are answered as failed.
     pub(crate) fn answer_deadline(self, stop_requested_at: Micros) -> Micros {
         stop_requested_at + self.kill_after - WRITE_MARGIN
     }
 
-    /// When the process ends at the earliest.
+    /// The earliest time at which the process exits.
     pub(crate) fn earliest_exit(stop_requested_at: Micros) -> Micros {
         stop_requested_at + ARRIVAL_GRACE
     }
 
-    /// Whether the process stops reading now: nothing more arrives, no request is pending and all answers are written, or
-    /// time is up. Running tasks are no reason to stay: they run on, and are handed over to the next process, the sooner
-    /// the sooner this one ends.
+    /// Whether the process stops serving now: either no more requests are expected, none is pending and all answers are
+    /// written, or the latest exit is reached. Running tasks do not delay the exit: they continue, and their owners hand them
+    /// over to the next process as soon as it has started.
     pub(crate) fn is_finished(
         self,
         stop_requested_at: Micros,
@@ -57,7 +57,7 @@
             || (now >= ShutdownSchedule::earliest_exit(stop_requested_at) && has_answered_all)
     }
 
-    /// When the process ends at the latest.
+    /// The latest time at which the process exits.
     pub(crate) fn latest_exit(self, stop_requested_at: Micros) -> Micros {
         stop_requested_at + self.kill_after - READ_MARGIN
     }
--- a/crates/platform/src/shutdown/tests.rs
+++ b/crates/platform/src/shutdown/tests.rs
@@ -3,7 +3,7 @@
 const STOP_REQUESTED_AT: Micros = 50_000_000;
 
 #[test]
-fn runs_until_no_request_is_pending_and_all_answers_are_written() {
+fn serves_until_no_request_is_pending_and_all_answers_are_written() {
     let shutdown = ShutdownSchedule::new(6_000_000);
     assert!(
         !shutdown.is_finished(
@@ -12,7 +12,7 @@
             0,
             true
         ),
-        "requests still come"
+        "requests may still arrive"
     );
     assert!(
         shutdown.is_finished(
@@ -21,7 +21,7 @@
             0,
             true
         ),
-        "nothing is owed"
+        "all requests are answered"
     );
     assert_eq!(
         shutdown.answer_deadline(STOP_REQUESTED_AT),
@@ -29,27 +29,27 @@
     );
     assert!(
         !shutdown.is_finished(STOP_REQUESTED_AT, STOP_REQUESTED_AT + 3_200_000, 1, true),
-        "an answer is owed"
+        "a request is pending"
     );
     assert!(
         !shutdown.is_finished(STOP_REQUESTED_AT, STOP_REQUESTED_AT + 3_200_000, 0, false),
-        "an answer is not written"
+        "an answer is unwritten"
     );
     assert!(
         shutdown.is_finished(STOP_REQUESTED_AT, STOP_REQUESTED_AT + 3_400_000, 1, false),
-        "time is up"
+        "the latest exit is reached"
     );
 }
 
 #[test]
-fn exits_before_it_is_killed_under_every_deadline() {
-    // PROTOCOL: SIGKILL comes no earlier than the longest deadline plus 0.7 s after SIGTERM.
+fn exits_before_sigkill_for_every_longest_deadline() {
+    // Platform protocol: SIGKILL is sent no earlier than the longest deadline plus 0.7 s after SIGTERM.
     for deadline in [900_000, 1_800_000, 3_000_000, 20_000_000] {
         let shutdown = ShutdownSchedule::new(deadline);
-        let killed = STOP_REQUESTED_AT + deadline.min(3_000_000) + 700_000;
+        let killed_at = STOP_REQUESTED_AT + deadline.min(3_000_000) + 700_000;
         assert!(
             shutdown.answer_deadline(STOP_REQUESTED_AT) < shutdown.latest_exit(STOP_REQUESTED_AT)
-                && shutdown.latest_exit(STOP_REQUESTED_AT) < killed,
+                && shutdown.latest_exit(STOP_REQUESTED_AT) < killed_at,
             "{deadline}"
         );
         assert!(
--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -1,4 +1,4 @@
-//! What a placer is started with: its configuration and settings, and the reasons why it can't start.
+//! The configuration and settings that a placer is started with, and the errors of a start.
 
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -9,16 +9,16 @@
 use maplethread_reactor::ResourceError;
 use serde_json::Value;
 
-/// The longest configuration file, in bytes.
+/// The maximum size of the configuration file.
 const MAX_CONFIG_BYTES: u64 = 8 << 20;
-/// How far apart the decisions on two offers and their arrivals may lie, besides the time that a connection may take to be
-/// established: turns, and the delay before a connection is reopened. In microseconds.
+/// How much the delays between decision and arrival of two offers may differ, besides the time for establishing a
+/// connection. It covers turns and the delay before a connection is reopened.
 const DELIVERY_ALLOWANCE: Micros = 100_000;
 
-/// Why the placer could not start, or had to stop.
+/// Why the placer could not start or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error("{}: {error}", .file.display())]
     Config {
         /// The configuration file.
@@ -31,33 +31,33 @@
     Resource(#[from] ResourceError),
 }
 
-/// What is wrong with a configuration.
+/// Why a configuration is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file is too long.
-    #[error("{0} bytes; at most {MAX_CONFIG_BYTES} are read")]
+    /// The file is too large.
+    #[error("file has {0} bytes; at most {MAX_CONFIG_BYTES} are allowed")]
     TooLong(u64),
-    /// It is no JSON object of this form.
+    /// The file is not valid JSON or lacks a field.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It has no address to listen at, and the environment gives none.
-    #[error("field listen: absent, and RELAY_LISTEN is {value:?}, no address")]
+    /// Neither the file nor the environment gives a valid listen address.
+    #[error("field listen: missing, and RELAY_LISTEN is {value:?}, which is not a socket address")]
     NoListenAddress {
         /// The value of the environment variable.
         value: String,
-        /// Why it is no address.
+        /// Why it is not an address.
         source: AddrParseError,
     },
     /// A key of the settings object is missing or invalid.
     #[error("settings: {0}")]
     Key(#[from] FieldError),
-    /// The decisions can't use the settings.
+    /// The policy rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
 impl ConfigError {
-    /// This error, of this file.
+    /// Adds the path of the configuration file to the error.
     pub(crate) fn in_file(self, file: &Path) -> StartError {
         StartError::Config {
             file: file.to_owned(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// Decodes both parts of the settings object: what the decisions use, and what the service uses.
+/// Decodes the two parts of the settings object: the policy's, and the placer's own.
 ///
 /// # Errors
 ///
@@ -74,17 +74,17 @@
 pub fn decode_settings(settings: &Value) -> Result<(Settings, PlatformSettings), FieldError> {
     let (mut policy_settings, _) = maplethread_platform_settings::decode_policy_settings(settings)?;
     let platform_settings = maplethread_platform_settings::decode_platform_settings(settings)?;
-    // Offers wait for connections that are being opened, and are sent together: offers that were decided within a window
-    // and this time may all reach a host that is warming up within one window.
+    // Offers that wait for a connection are sent together once it is established. So offers that were decided over a longer
+    // time than a window can arrive within one window at a host that is warming up; the window is extended by that delay.
     policy_settings.rules.overload_window += platform_settings.connect_timeout + DELIVERY_ALLOWANCE;
-    // This protocol has neither load reports in hosts' messages nor capacity in lists, whatever the settings say.
+    // The platform protocol has no load reports in hosts' messages and no capacity in host lists, whatever the settings say.
     policy_settings.load_report = LoadReport::Silent;
     policy_settings.endpoints_report_capacity = false;
     Ok((policy_settings, platform_settings))
 }
 
-/// Reads the configuration and the address to listen at. Name and address come from `RELAY_NAME` and `RELAY_LISTEN` where
-/// the file lacks them.
+/// Reads the configuration and the listen address. If the file lacks the name or the address, they are taken from
+/// `RELAY_NAME` and `RELAY_LISTEN`.
 pub(crate) fn load_config(path: &Path) -> Result<(Config, SocketAddr), StartError> {
     let name = || path.display().to_string();
     let length = std::fs::metadata(path)
