--- a/crates/platform/src/engine/tests/host_lists.rs
+++ b/crates/platform/src/engine/tests/host_lists.rs
@@ -1,4 +1,4 @@
-//! The list of hosts.
+//! Updates of the host list.
 
 use std::net::SocketAddr;
 
@@ -41,7 +41,7 @@
     assert!(
         matches!(&events[..], [Event::EndpointsUpdated { scope: UpdateScope::Delta, machines }] if machines.len() == 1)
     );
-    // A full list: hosts that are absent are gone.
+    // Hosts that are absent from a full list are gone.
     harness
         .engine
         .apply_update(harness.now, &batch(3, true, &["b"]));
@@ -58,9 +58,9 @@
     let mut harness = Harness::new();
     for n in 0..200 {
         let (name, address) = (format!("h{n}"), format!("127.0.0.1:{}", 100 + n));
-        harness.list(&name, &address, "active", 0.0);
+        harness.list_host(&name, &address, "active", 0.0);
         harness.now += 10_000 * MS;
-        harness.list(&name, &address, "left", 0.0);
+        harness.list_host(&name, &address, "left", 0.0);
         harness.turn();
     }
     assert_eq!(
--- a/crates/platform/src/engine/tests/hosts.rs
+++ b/crates/platform/src/engine/tests/hosts.rs
@@ -1,4 +1,4 @@
-//! Connections to hosts, and the tasks that run there.
+//! Connections to hosts, and failure detection for the tasks that run on them.
 
 use maplethread::{Action, AttemptId, AttemptOutcome, Event};
 use maplethread_platform_wire::Cause;
@@ -8,18 +8,18 @@
 use crate::engine::{DisconnectReason, Output};
 
 #[test]
-fn opens_a_new_connection_after_a_break_so_that_lost_releases_are_repeated() {
+fn opens_a_new_connection_after_a_break_although_another_is_open() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    // An offer opens a second connection while the first is being probed; then the first breaks during releases.
+    // An offer opens a second connection while the first is being probed. Then the first breaks, with releases lost.
     harness.engine.probe_connection(harness.now, connection);
     let task = harness.request(OWNER_A, 8);
     let second = harness.offer_and_send(task, 0);
-    harness.lose(connection, DisconnectReason::Broken);
+    harness.lose_connection(connection, DisconnectReason::Broken);
     let outputs = harness.turn();
     assert!(
         connects(&outputs).next().is_none(),
-        "the host may not have noticed the loss: {outputs:?}"
+        "reconnected before the host can have noticed the loss: {outputs:?}"
     );
     assert!(harness.engine.connections.contains_key(&second));
     let third = first_connect(&harness.advance(25 * MS));
@@ -35,14 +35,14 @@
 }
 
 #[test]
-fn probes_connection_with_an_overdue_answer_before_a_release_is_late() {
+fn probes_connection_on_overdue_answer_in_time_for_releases() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
     let task = harness.request(OWNER_A, 8);
     harness.schedule_offer(task, 0, 1_200 * MS);
     harness.wake_policy();
     assert!(sends(&harness.turn(), connection, kind::OPEN));
-    // The connection is dead, and the other task is released on it in vain.
+    // The connection is dead: a release that the host sends on it is lost.
     let outputs = harness.advance(250 * MS);
     assert!(sends(&outputs, connection, kind::PROBE), "{outputs:?}");
     let next = first_connect(&harness.advance(250 * MS));
@@ -62,9 +62,9 @@
     harness.now += 100 * MS;
     assert!(sends(&harness.offer(second, 0), connection, kind::OPEN));
     let outputs = harness.advance(450 * MS);
-    // The first timed out at 300 ms, the second at 400; the probe had no answer by 550.
+    // The first attempt timed out at 300 ms and the second at 400 ms; the probe is unanswered at 550 ms.
     assert!(outputs.contains(&Output::CloseConnection(connection)));
-    // The decisions know that the host is not connected, until a connection is established.
+    // The policy is informed that the host is disconnected, and later that it is connected again.
     let connection_changes = |harness: &Harness| -> Vec<bool> {
         harness
             .take_events()
@@ -88,13 +88,13 @@
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     let connection = first_connect(&harness.offer(task, 0));
-    harness.lose(connection, DisconnectReason::Refused);
+    harness.lose_connection(connection, DisconnectReason::Refused);
     harness.turn();
     assert_eq!(
         harness.take_attempt_results(),
         [(0, AttemptOutcome::ConnectFailed, false)]
     );
-    // Never established: closed after the settings' 250 ms.
+    // A connection that is not established is closed after the connect timeout of 250 ms.
     let connection = first_connect(&harness.offer(task, 0));
     let outputs = harness.advance(250 * MS);
     assert!(outputs.contains(&Output::CloseConnection(connection)));
@@ -105,7 +105,7 @@
     let connection = first_connect(&harness.advance(1_000 * MS));
     harness.establish(connection);
     assert!(sends(&harness.offer(task, 0), connection, kind::OPEN));
-    harness.lose(connection, DisconnectReason::Broken);
+    harness.lose_connection(connection, DisconnectReason::Broken);
     harness.turn();
     assert_eq!(
         harness.take_attempt_results(),
@@ -114,11 +114,11 @@
 }
 
 #[test]
-fn withdraws_waiting_offers_when_the_host_drains() {
+fn cancels_unsent_offers_when_the_host_drains() {
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     let connection = first_connect(&harness.offer(task, 0));
-    harness.list("a", "127.0.0.1:1", "leaving", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "leaving", 0.0);
     harness.turn();
     assert_eq!(
         harness.take_attempt_results(),
@@ -126,16 +126,16 @@
     );
     harness.establish(connection);
     assert!(!sends(&harness.turn(), connection, kind::OPEN));
-    // So is one that the decisions cancel before it was sent.
-    harness.list("a", "127.0.0.1:1", "active", 0.0);
+    // An attempt that the policy cancels before it was sent is not sent either.
+    harness.list_host("a", "127.0.0.1:1", "active", 0.0);
     let connection = harness
         .engine
         .connections
         .keys()
         .copied()
         .next()
-        .expect("it is established");
-    harness.lose(connection, DisconnectReason::Broken);
+        .expect("an established connection");
+    harness.lose_connection(connection, DisconnectReason::Broken);
     let connection = first_connect(&harness.offer(task, 0));
     harness.perform(Action::Cancel(AttemptId { task, number: 1 }));
     harness.establish(connection);
@@ -146,7 +146,7 @@
 fn fails_offer_to_a_draining_host_without_sending() {
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
-    harness.list("a", "127.0.0.1:1", "leaving", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "leaving", 0.0);
     let outputs = harness.offer(task, 0);
     assert!(
         !outputs
@@ -163,13 +163,13 @@
 fn keeps_tasks_when_a_connection_breaks_and_fails_them_when_the_next_is_refused() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    harness.lose(connection, DisconnectReason::Broken);
+    harness.lose_connection(connection, DisconnectReason::Broken);
     let connection = first_connect(&harness.advance(25 * MS));
     harness.establish(connection);
     assert_eq!(harness.take_attempt_results(), []);
-    harness.lose(connection, DisconnectReason::Broken);
+    harness.lose_connection(connection, DisconnectReason::Broken);
     let connection = first_connect(&harness.advance(25 * MS));
-    harness.lose(connection, DisconnectReason::Refused);
+    harness.lose_connection(connection, DisconnectReason::Refused);
     let outputs = harness.turn();
     assert_eq!(
         harness.take_attempt_results(),
@@ -184,18 +184,18 @@
 #[test]
 fn keeps_tasks_of_a_draining_host_that_refuses_connections_until_it_is_removed() {
     let mut harness = Harness::new();
-    harness.list("a", "127.0.0.1:1", "leaving", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "leaving", 0.0);
     let outputs = harness.owner_sends(OWNER_A, request(running_setup(7, "a")));
     let connection = first_connect(&outputs);
-    harness.lose(connection, DisconnectReason::Refused);
+    harness.lose_connection(connection, DisconnectReason::Refused);
     for _ in 0..40 {
         let outputs = harness.advance(250 * MS);
         assert_eq!(messages_to_owners(&outputs), []);
         for connection in connects(&outputs) {
-            harness.lose(connection, DisconnectReason::Refused);
+            harness.lose_connection(connection, DisconnectReason::Refused);
         }
     }
-    harness.list("a", "127.0.0.1:1", "left", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "left", 0.0);
     let outputs = harness.turn();
     assert_eq!(
         messages_to_owners(&outputs),
@@ -204,14 +204,14 @@
 }
 
 #[test]
-fn releases_tasks_of_a_silent_host_in_time() {
+fn releases_tasks_of_an_unreachable_host_after_three_failed_connects() {
     let mut harness = Harness::new();
     harness.start_task(7);
     let outputs = harness.advance(1_900 * MS);
     assert_eq!(
         (harness.take_attempt_results(), messages_to_owners(&outputs)),
         (vec![], vec![]),
-        "one new connection may fail, and a second"
+        "two failed connects do not fail the tasks"
     );
     let outputs = harness.advance(400 * MS);
     assert_eq!(
@@ -233,9 +233,9 @@
         let outputs = harness.advance(1_700 * MS);
         assert!(
             !outputs.contains(&Output::CloseConnection(connection)),
-            "it is kept as it may show that the process is the same"
+            "the connection is kept to verify the identity of the host's process"
         );
-        // A new connection is established first, the old one resumes a little later.
+        // A new connection is established, and shortly after that the old one resumes.
         harness.establish(last_connect(&outputs));
         harness.advance(100 * MS);
         harness.host_sends(connection, FromHost::Probed { is_healthy: true });
@@ -253,7 +253,7 @@
 fn fails_tasks_of_a_reconnected_host_that_reports_none_of_them() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    let next = harness.fall_silent_and_reconnect(connection);
+    let next = harness.become_unreachable_and_reconnect(connection);
     harness.take_events();
     let task = harness.request(OWNER_A, 8);
     assert!(sends(&harness.offer(task, 0), next, kind::OPEN));
@@ -262,7 +262,7 @@
     assert_eq!(
         harness.take_attempt_results(),
         [],
-        "until 7 s after its last sign of life"
+        "the tasks are kept for 7 s after the host was last known to be alive"
     );
     let outputs = harness.advance(600 * MS);
     assert_eq!(
@@ -273,7 +273,7 @@
         messages_to_owners(&outputs),
         [(OWNER_A, close(7, Cause::RESET))]
     );
-    // The task that started since then runs on.
+    // The task that started after the reconnect continues.
     harness.answer_probes(next, 20);
     assert_eq!(
         (
@@ -288,7 +288,7 @@
 fn keeps_tasks_of_a_reconnected_host_that_reports_one_of_them() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    let next = harness.fall_silent_and_reconnect(connection);
+    let next = harness.become_unreachable_and_reconnect(connection);
     harness.host_sends(next, host_report(7, ReportCode::ServiceShare, 0.9));
     harness.answer_probes(next, 20);
     assert_eq!(
@@ -305,7 +305,7 @@
     let mut harness = Harness::new();
     let mut connections = Vec::new();
     for (n, name) in ["a", "b", "c", "d"].into_iter().enumerate() {
-        harness.list(name, &format!("127.0.0.1:{}", n + 1), "active", 0.0);
+        harness.list_host(name, &format!("127.0.0.1:{}", n + 1), "active", 0.0);
         let task = harness.request(OWNER_A, 30 + n as u64);
         let connection = harness.offer_and_send(task, n as u32);
         harness.host_sends(connection, host_ready(30 + n as u64, "t"));
@@ -316,7 +316,7 @@
     assert_eq!(
         (harness.take_attempt_results(), messages_to_owners(&outputs)),
         (vec![], vec![]),
-        "a single host would have failed by now"
+        "longer than the timeout for a single host"
     );
     assert!(connects(&outputs).count() <= 4 * 8, "{outputs:?}");
     // The partition heals for three of them.
@@ -336,14 +336,14 @@
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 20);
     first_connect(&harness.offer(task, 0));
-    // Connections are attempted repeatedly although no task runs there.
+    // Connects are repeated although no task runs on the host.
     let connect_count = connects(&harness.advance(4_600 * MS)).count();
     assert_eq!(
         (harness.take_attempt_results(), connect_count),
         (vec![(0, AttemptOutcome::ConnectFailed, false)], 4)
     );
     harness.owner_sends(OWNER_A, request(running_setup(7, "a")));
-    // Its first connection may fail, and the second too.
+    // Two failed connects after the start of the task do not fail it.
     let outputs = harness.advance(600 * MS);
     assert_eq!(messages_to_owners(&outputs), []);
     let outputs = harness.advance(1_400 * MS);
@@ -373,10 +373,10 @@
 }
 
 #[test]
-fn fails_tasks_of_a_removed_host_once_a_probe_is_unanswered() {
+fn fails_tasks_of_a_removed_host_that_does_not_answer_a_probe() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    harness.list("a", "127.0.0.1:1", "left", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "left", 0.0);
     assert!(sends(&harness.turn(), connection, kind::PROBE));
     let outputs = harness.advance(250 * MS);
     assert_eq!(
@@ -391,7 +391,7 @@
     harness.start_task(7);
     let since = (harness.now + 100 * MS) as f64 / 1000.0;
     harness.now += 200 * MS;
-    harness.list("a", "127.0.0.1:1", "active", since);
+    harness.list_host("a", "127.0.0.1:1", "active", since);
     let outputs = harness.turn();
     assert_eq!(
         messages_to_owners(&outputs),
@@ -403,15 +403,15 @@
 fn does_not_reuse_a_connection_for_another_host_at_the_same_address() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    harness.list("a", "127.0.0.1:1", "left", 0.0);
-    harness.list("b", "127.0.0.1:1", "active", 0.0);
+    harness.list_host("a", "127.0.0.1:1", "left", 0.0);
+    harness.list_host("b", "127.0.0.1:1", "active", 0.0);
     harness.turn();
     let task = harness.request(OWNER_A, 8);
     let other = first_connect(&harness.offer(task, 1));
     assert!(other != connection);
-    // The old host's connection breaks: it is not reopened, as another host has the address now.
+    // The old host's connection breaks. It is not reopened, as another host now uses the address.
     harness.take_events();
-    harness.lose(connection, DisconnectReason::Broken);
+    harness.lose_connection(connection, DisconnectReason::Broken);
     let outputs = harness.turn();
     assert!(connects(&outputs).next().is_none());
     assert_eq!(
--- a/crates/platform/src/engine/tests/owners.rs
+++ b/crates/platform/src/engine/tests/owners.rs
@@ -1,4 +1,4 @@
-//! Owners' connections and the messages on them.
+//! Owners' connections and the messages received and sent on them.
 
 use maplethread::{Action, AttemptOutcome, Event, MachineId, ServiceId, Task};
 use maplethread_platform_wire::owner::{DecodeError, Setup, ToOwner};
@@ -14,7 +14,7 @@
     harness.engine.owner_disconnected(OWNER_A);
     let outputs = harness.host_sends(connection, host_close(7, Cause::NORMAL));
     assert_eq!(messages_to_owners(&outputs), []);
-    // It waits for an owner whose task is placed: a client that only sends requests may be one that causes trouble.
+    // The release is queued until a task of another owner is placed. A client that has only sent requests does not get it.
     let task = harness.request(OWNER_B, 8);
     assert!(sends(&harness.offer(task, 0), connection, kind::OPEN));
     let outputs = harness.host_sends(connection, host_ready(8, "t"));
@@ -25,10 +25,10 @@
 }
 
 #[test]
-fn clients_without_placed_tasks_do_not_receive_releases_of_others() {
+fn clients_without_placed_tasks_do_not_receive_releases_of_other_owners() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    // Many clients send requests later, and none is placed: the owner's connection is still not the least useful one.
+    // Many clients send requests later and none is placed. The owner's connection still has a higher priority than theirs.
     for n in 0..50 {
         harness.now += MS;
         harness
@@ -88,11 +88,11 @@
         class: "nosuch".into(),
         ..setup(7)
     };
-    let without_key = Setup {
+    let missing_key = Setup {
         class: "batch".into(),
         ..setup(8)
     };
-    for setup in [unknown_class, without_key] {
+    for setup in [unknown_class, missing_key] {
         let id = setup.id;
         let outputs = harness.owner_sends(OWNER_A, request(setup));
         assert_eq!(
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn closes_silent_owner_within_three_seconds_and_keeps_one_that_sent_a_request() {
+fn closes_owner_without_messages_within_three_seconds_and_keeps_one_that_sent_a_request() {
     let mut harness = Harness::new();
     harness.request(OWNER_A, 7);
     let outputs = harness.advance(2_900 * MS);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn least_useful_owner_is_the_silent_one_and_never_one_with_a_pending_request() {
+fn lowest_priority_owner_has_sent_nothing_and_has_no_pending_request() {
     let mut harness = Harness::new();
     harness.request(OWNER_A, 7);
     assert_eq!(harness.engine.lowest_priority_owner(), Some(OWNER_B));
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn cancelled_and_disconnected_requests_get_no_answer() {
+fn requests_that_are_cancelled_or_whose_owner_disconnects_get_no_answer() {
     let mut harness = Harness::new();
     let (first, second) = (harness.request(OWNER_A, 7), harness.request(OWNER_B, 8));
     let connection = harness.offer_and_send(first, 0);
@@ -197,7 +197,7 @@
 fn sends_relocation_to_the_owner_once_and_leaves_the_close_to_the_host() {
     let mut harness = Harness::new();
     let (task, connection) = harness.start_task(7);
-    // A close to the host as well would kill the task, and the owner would have to get a release.
+    // A close to the host would kill the task, and the owner would have to receive a release.
     assert_eq!(
         harness.perform(Action::Migrate(task)),
         [Output::SendToOwner(OWNER_A, relocate(7))]
@@ -208,7 +208,8 @@
         (messages_to_owners(&outputs), harness.take_attempt_results()),
         (vec![], vec![(0, AttemptOutcome::Cancelled, true)])
     );
-    // A task that completes before the relocation is released; without an owner's connection no relocation is sent.
+    // If the task completes before it is relocated, the owner gets the release. Without a connected owner no relocation is
+    // sent.
     let (task, connection) = harness.start_task(8);
     harness.perform(Action::Migrate(task));
     let outputs = harness.host_sends(connection, host_close(8, Cause::NORMAL));
@@ -238,7 +239,7 @@
             machine: MachineId(0)
         }]
     ));
-    // A second handover changes nothing; the tasks of a host that no list ever names fail in time.
+    // A repeated handover is ignored. Tasks of a host that is never listed fail after the timeout.
     harness.owner_sends(OWNER_A, request(running_setup(7, "a")));
     assert_eq!(harness.take_events(), []);
     let outputs = harness.host_sends(connection, host_close(7, Cause::NORMAL));
@@ -246,13 +247,13 @@
         messages_to_owners(&outputs),
         [(OWNER_A, close(7, Cause::NORMAL))]
     );
-    harness.owner_sends(OWNER_A, request(running_setup(8, "unheard-of")));
+    harness.owner_sends(OWNER_A, request(running_setup(8, "unlisted")));
     let outputs = harness.advance(7_900 * MS);
     assert!(messages_to_owners(&outputs).contains(&(OWNER_A, close(8, Cause::RESET))));
 }
 
 #[test]
-fn marks_a_task_with_a_recent_name_as_resubmitted() {
+fn marks_a_task_with_a_recently_used_name_as_resubmission() {
     let mut harness = Harness::new();
     let is_resubmission = |harness: &mut Harness, id: u64, task_name: &str| {
         harness.owner_sends(
@@ -273,13 +274,13 @@
     assert_eq!(is_resubmission(&mut harness, 7, "one"), Some(false));
     assert_eq!(is_resubmission(&mut harness, 8, "two"), Some(false));
     assert_eq!(is_resubmission(&mut harness, 9, "one"), Some(true));
-    // Names are forgotten after a while.
+    // Names expire.
     harness.now += 120_000 * MS;
     assert_eq!(is_resubmission(&mut harness, 10, "one"), Some(false));
 }
 
 #[test]
-fn answers_all_pending_requests_before_the_process_ends() {
+fn answers_all_pending_requests_at_the_drain_deadline() {
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     let connection = harness.offer_and_send(task, 0);
--- a/crates/platform/src/engine/tests/crossings.rs
+++ b/crates/platform/src/engine/tests/race_conditions.rs
@@ -1,4 +1,4 @@
-//! Pairs of events that can arrive in either order, and floods of requests.
+//! Events that can arrive in either order, bursts of requests, and limits.
 
 use maplethread::{AttemptOutcome, Event, TaskId};
 use maplethread_platform_wire::Cause;
@@ -10,7 +10,7 @@
 use crate::engine::requests::MAX_ADMISSIONS_PER_TURN;
 use crate::engine::{ConnectionId, DisconnectReason};
 
-/// Lets time pass until a connection is opened.
+/// Advances time until a connection is opened, for up to 1 s.
 fn next_connect(harness: &mut Harness) -> ConnectionId {
     let outputs = (0..100)
         .map(|_| harness.advance(10 * MS))
@@ -18,7 +18,7 @@
     first_connect(&outputs.expect("a connection is opened"))
 }
 
-/// The tasks that the decisions saw since the last call.
+/// The ids of the tasks that were admitted to the policy since the last call.
 fn take_requested_ids(harness: &Harness) -> Vec<TaskId> {
     harness
         .take_events()
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn flood_of_one_owner_neither_lengthens_turns_nor_delays_another_owner() {
+fn burst_of_one_owner_is_limited_per_turn_and_does_not_delay_another_owner() {
     let mut harness = Harness::new();
     for id in 1..=1000 {
         harness
@@ -44,10 +44,11 @@
     harness.turn();
     let first = take_requested_ids(&harness);
     assert_eq!(first.len(), MAX_ADMISSIONS_PER_TURN);
-    // The request of B came last and is admitted second. The rest is admitted without any further event.
+    // The request of B arrived last and is admitted second. The others are admitted in the next turns, without further
+    // events.
     assert_eq!(first[1], TaskId(1001));
     assert_eq!(harness.engine.next_timeout(), Some(0));
-    // Requests that their owner cancels meanwhile are never admitted, nor those of an owner that has half-closed.
+    // Queued requests that are cancelled are never admitted, nor are those of an owner that has half-closed.
     harness.owner_sends(OWNER_A, owner_close(500, Cause::NORMAL));
     let second = take_requested_ids(&harness);
     assert_eq!(second.len(), MAX_ADMISSIONS_PER_TURN);
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn rejects_requests_beyond_the_description_limit_and_frees_it_once_a_task_runs() {
+fn rejects_requests_beyond_the_description_limit_until_a_task_is_placed() {
     let mut harness = Harness::new();
     harness.engine.set_max_description_bytes(10_000);
     let long = |id| {
@@ -126,24 +127,24 @@
 }
 
 #[test]
-fn applies_result_of_a_task_that_arrives_before_its_handover() {
+fn applies_result_that_arrives_before_the_handover_of_its_task() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
-    // The host's release first.
+    // The release of the host arrives before the handover.
     harness.host_sends(connection, host_close(8, Cause::RESET));
     let outputs = harness.owner_sends(OWNER_A, request(running_setup(8, "a")));
     assert_eq!(
         messages_to_owners(&outputs),
         [(OWNER_A, close(8, Cause::RESET))]
     );
-    // The owner's close first: the host gets it, and the owner nothing.
+    // The owner's close arrives before the handover: it is passed on to the host, and the owner gets no release.
     harness.owner_sends(OWNER_B, owner_close(9, Cause::NORMAL));
     let outputs = harness.owner_sends(OWNER_A, request(running_setup(9, "a")));
     assert!(sends(&outputs, connection, kind::CLOSE) && messages_to_owners(&outputs).is_empty());
     let outputs = harness.host_sends(connection, host_close(9, Cause::CANCELLED));
     assert!(messages_to_owners(&outputs).is_empty());
-    // Neither the release of another host nor a late rejection ends a task that runs here; nor does an old release.
-    harness.list("b", "127.0.0.1:77", "active", 0.0);
+    // A task is not ended by the release of another host, by a late rejection or by an expired release.
+    harness.list_host("b", "127.0.0.1:77", "active", 0.0);
     let other = harness.request(OWNER_A, 10);
     let second = harness.offer_and_send(other, 1);
     harness.host_sends(second, host_close(11, Cause::RESET));
@@ -180,14 +181,14 @@
         connection,
         kind::CLOSE
     ));
-    harness.lose(connection, DisconnectReason::Broken);
-    // Even if the next connection is not established either.
+    harness.lose_connection(connection, DisconnectReason::Broken);
+    // The next connection breaks before it is established; the close is repeated on the one after it.
     let second = next_connect(&mut harness);
-    harness.lose(second, DisconnectReason::Broken);
+    harness.lose_connection(second, DisconnectReason::Broken);
     let third = next_connect(&mut harness);
     harness.establish(third);
     assert!(sends(&harness.turn(), third, kind::CLOSE));
-    // Not once the host has released the task.
+    // Once the host has released the task, the close is not repeated.
     assert!(
         messages_to_owners(&harness.host_sends(third, host_close(7, Cause::CANCELLED))).is_empty()
     );
@@ -195,12 +196,12 @@
 }
 
 #[test]
-fn withdraws_unsent_setup_when_its_owner_disconnects() {
+fn does_not_send_waiting_setup_after_its_owner_disconnects() {
     for is_reset in [false, true] {
         let mut harness = Harness::new();
         let task = harness.request(OWNER_A, 7);
         let connection = first_connect(&harness.offer(task, 0));
-        // Both arrive in the same round.
+        // The end of the owner's connection and the establishment of the host's are handled in the same turn.
         if is_reset {
             harness.engine.owner_disconnected(OWNER_A);
         } else {
@@ -218,10 +219,10 @@
 
 #[test]
 fn probes_idle_connection_less_often_when_probes_are_charged() {
-    let count_probes = |price: f64| {
+    let count_probes = |probe_fee: f64| {
         let mut settings = settings();
         settings["allowed"]["probes"] = json!(true);
-        settings["fees"] = json!({"probe": price});
+        settings["fees"] = json!({"probe": probe_fee});
         let mut harness = Harness::with(&settings);
         let (_, connection) = harness.start_task(7);
         let mut count = 0;
@@ -232,7 +233,7 @@
                 harness.host_sends(connection, FromHost::Probed { is_healthy: true });
             }
         }
-        // From here on the host is silent: the owner gets the release in the time that PROTOCOL allows.
+        // Now the host stops answering. The owner gets the release within the 8 s of the platform protocol.
         let outputs = harness.advance(7_900 * MS);
         assert!(messages_to_owners(&outputs).contains(&(OWNER_A, close(7, Cause::RESET))));
         count
@@ -250,18 +251,18 @@
 }
 
 #[test]
-fn sends_releases_elsewhere_once_an_owner_has_half_closed() {
+fn sends_releases_on_another_connection_once_an_owner_has_half_closed() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
     harness.start_task(8);
     let task = harness.request(OWNER_B, 9);
     harness.offer_and_send(task, 0);
     harness.host_sends(connection, host_ready(9, "t"));
-    // The half-close is known before its last messages are read.
+    // The half-close is reported before the last messages of the connection are read.
     harness.engine.owner_half_closed(OWNER_A);
     let outputs = harness.owner_sends(OWNER_A, owner_close(7, Cause::NORMAL));
     assert!(sends(&outputs, connection, kind::CLOSE));
-    // Releases are sent on another connection, also those of tasks that are handed over on this one.
+    // Releases are sent on another connection, even for tasks that are then handed over on the half-closed one.
     let outputs = harness.host_sends(connection, host_close(8, Cause::NORMAL));
     assert_eq!(
         messages_to_owners(&outputs),
--- a/crates/platform/src/engine/tests/requests.rs
+++ b/crates/platform/src/engine/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, offers and their answers.
+//! Requests, the offers to hosts, and their answers.
 
 use maplethread::{Action, AttemptId, AttemptOutcome, Event, TaskReport};
 use maplethread_platform_wire::Cause;
@@ -40,7 +40,7 @@
         harness.take_attempt_results(),
         [(0, AttemptOutcome::Completed, true)]
     );
-    // The release is repeated on the next connection, and a report arrives after the end.
+    // A repeated release and a late report have no effect.
     let outputs = harness.host_sends(connection, host_close(7, Cause::NORMAL));
     harness.host_sends(connection, host_report(7, ReportCode::ServiceShare, 0.5));
     assert_eq!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn request_stays_pending_after_rejected_offer_and_is_answered_when_rejected() {
+fn request_stays_pending_after_a_host_rejects_it_until_the_policy_does() {
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     let connection = harness.offer_and_send(task, 0);
@@ -100,7 +100,7 @@
         (messages_to_owners(&outputs), harness.take_events()),
         (vec![], vec![])
     );
-    // The answer shows that the connection works: it is used again, but not for the same task.
+    // The answer shows that the connection is responsive. It is used again, but not for the same task.
     let other = harness.request(OWNER_A, 8);
     assert!(sends(&harness.offer(other, 0), connection, kind::OPEN));
     let second = harness.offer_and_send(task, 0);
@@ -113,7 +113,7 @@
             (vec![], vec![])
         );
     }
-    // A task fails with an attempt in flight: the host is told, and no later answer counts.
+    // When a task fails with an attempt in flight, the attempt is closed at the host and a later answer is ignored.
     let outputs = harness.perform(Action::Fail(task));
     assert_eq!(
         messages_to_owners(&outputs),
@@ -133,8 +133,9 @@
 #[test]
 fn writes_close_of_an_attempt_before_the_next_setup() {
     let mut harness = Harness::new();
-    harness.list("b", "127.0.0.1:2", "active", 0.0);
-    // The connection to `b` is the older one, so writing in the order of connections would write the second attempt first.
+    harness.list_host("b", "127.0.0.1:2", "active", 0.0);
+    // The connection to `b` is older, so writing in the order of connection ids would send the second attempt before the
+    // close of the first.
     let other = harness.request(OWNER_A, 6);
     let older = harness.offer_and_send(other, 1);
     harness.host_sends(older, host_ready(6, "t"));
@@ -144,10 +145,7 @@
     harness.schedule_offer(task, 1, 300 * MS);
     let outputs = harness.turn();
     let position = |matches: &dyn Fn(&Output) -> bool| {
-        outputs
-            .iter()
-            .position(matches)
-            .expect("the message is sent")
+        outputs.iter().position(matches).expect("a sent message")
     };
     let close = position(&|output| {
         matches!(output, Output::SendToHostImmediately(connection, bytes)
@@ -155,7 +153,8 @@
     });
     let next_setup = position(&|output| is_sent(output, older, kind::OPEN));
     assert!(close < next_setup, "{outputs:?}");
-    // The close of a running task and that of a cancelled attempt are written as early: rule 5 counts both.
+    // The closes of running tasks and of cancelled attempts are written immediately too, as rule 5 of the platform counts
+    // both.
     let (running, connection) = harness.start_task(8);
     let outputs = harness.owner_sends(OWNER_A, owner_close(8, Cause::NORMAL));
     assert!(
@@ -181,7 +180,7 @@
     harness.schedule_offer(task, 0, 100 * MS);
     harness.wake_policy();
     let connection = first_connect(&harness.turn());
-    // A placer that was paused handles the connection before its timers.
+    // After a pause of the process, the connection event is handled before the expired timer.
     harness.now += 120 * MS;
     harness.establish(connection);
     let outputs = harness.turn();
--- a/crates/platform/src/engine/tests/support.rs
+++ b/crates/platform/src/engine/tests/support.rs
@@ -1,4 +1,4 @@
-//! A harness around an engine with scripted decisions, and short forms of messages.
+//! A harness for an engine with a scripted policy, and constructors of messages.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,14 +19,14 @@
 pub(super) const OWNER_B: OwnerId = OwnerId(2);
 const START: Micros = 1_700_000_000_000_000;
 
-/// The types of messages to hosts, as they stand after the length.
+/// Message types for hosts: the byte after the length field.
 pub(super) mod kind {
     pub(crate) const OPEN: u8 = 1;
     pub(crate) const CLOSE: u8 = 12;
     pub(crate) const PROBE: u8 = 52;
 }
 
-/// Decisions that take the actions of the test, and keep the events that they got.
+/// A policy that returns the actions scripted by the test and records the events passed to it.
 #[derive(Clone, Default)]
 pub(super) struct ScriptedPolicy {
     pub(super) events: Rc<RefCell<Vec<Event>>>,
@@ -66,7 +66,7 @@
 }
 
 impl Harness {
-    /// An engine that knows host `a`, to which owners `A` and `B` are connected.
+    /// An engine with host `a` listed and owners `A` and `B` connected.
     pub(super) fn new() -> Harness {
         Harness::with(&settings())
     }
@@ -82,7 +82,7 @@
             now: START,
             cursor: 0,
         };
-        harness.list("a", "127.0.0.1:1", "active", 0.0);
+        harness.list_host("a", "127.0.0.1:1", "active", 0.0);
         harness.engine.owner_connected(START, OWNER_A);
         harness.engine.owner_connected(START, OWNER_B);
         harness.turn();
@@ -90,8 +90,8 @@
         harness
     }
 
-    /// The command channel lists a host.
-    pub(super) fn list(&mut self, name: &str, address: &str, status: &str, since_ms: f64) {
+    /// Applies an update of the host list with one entry.
+    pub(super) fn list_host(&mut self, name: &str, address: &str, status: &str, since_ms: f64) {
         self.cursor += 1;
         let batch = json!({"cursor": self.cursor, "cmds": [{"cursor": self.cursor, "nodes": {"endpoints": [
             {"name": name, "address": address, "zone": "east", "type": "std", "group": 0, "status": status,
@@ -101,13 +101,13 @@
         self.engine.apply_update(self.now, &batch);
     }
 
-    /// One turn; returns its outputs.
+    /// Performs one turn and returns its outputs.
     pub(super) fn turn(&mut self) -> Vec<Output> {
         self.engine.turn(self.now);
         self.engine.take_outputs()
     }
 
-    /// Lets time pass, with a turn whenever one is due; returns all outputs.
+    /// Advances time, with a turn whenever one is due, and returns all outputs.
     pub(super) fn advance(&mut self, span: Micros) -> Vec<Output> {
         let end = self.now + span;
         let mut outputs = Vec::new();
@@ -120,7 +120,7 @@
         outputs
     }
 
-    /// The events that the decisions got since the last call.
+    /// The events passed to the policy since the last call.
     pub(super) fn take_events(&self) -> Vec<Event> {
         std::mem::take(&mut self.policy.events.borrow_mut())
     }
@@ -138,14 +138,14 @@
             .collect()
     }
 
-    /// The decisions take an action in a turn; returns the outputs.
+    /// Performs an action of the policy in a turn and returns the outputs.
     pub(super) fn perform(&mut self, action: Action) -> Vec<Output> {
         self.policy.next_actions.borrow_mut().push(action);
         self.wake_policy();
         self.turn()
     }
 
-    /// The decisions offer a task to a machine in their next turn.
+    /// Scripts an offer of a task to a machine for the policy's next turn.
     pub(super) fn schedule_offer(&mut self, task: TaskId, machine: u32, timeout: Micros) {
         self.policy.next_actions.borrow_mut().push(Action::Offer {
             task,
@@ -154,29 +154,29 @@
         });
     }
 
-    /// A connection to a host is established.
+    /// Reports a connection to a host as established.
     pub(super) fn establish(&mut self, connection: ConnectionId) {
         self.engine.connection_established(self.now, connection);
     }
 
-    /// A connection to a host is lost.
-    pub(super) fn lose(&mut self, connection: ConnectionId, reason: DisconnectReason) {
+    /// Reports a connection to a host as lost.
+    pub(super) fn lose_connection(&mut self, connection: ConnectionId, reason: DisconnectReason) {
         self.engine.connection_lost(self.now, connection, reason);
     }
 
-    /// Has the decisions take a turn, which they do only if there is an event.
+    /// Queues an event, without which the policy gets no turn.
     pub(super) fn wake_policy(&mut self) {
         self.engine.events.push(Event::TimerFired { label: 0 });
     }
 
-    /// An owner sends a message; returns the outputs of a turn.
+    /// Handles a message from an owner in a turn and returns the outputs.
     pub(super) fn owner_sends(&mut self, owner: OwnerId, message: FromOwner) -> Vec<Output> {
         self.engine
             .handle_owner_message(self.now, owner, Ok(message));
         self.turn()
     }
 
-    /// A host sends a message; returns the outputs of a turn.
+    /// Handles a message from a host in a turn and returns the outputs.
     pub(super) fn host_sends(
         &mut self,
         connection: ConnectionId,
@@ -187,7 +187,7 @@
         self.turn()
     }
 
-    /// An owner requests a placement of class `web`; returns the task that the decisions see.
+    /// Handles an owner's request of class `web` and returns the id of the task that is passed to the policy.
     pub(super) fn request(&mut self, owner: OwnerId, id: u64) -> TaskId {
         self.owner_sends(owner, request(setup(id)));
         let requested = self
@@ -197,10 +197,10 @@
                 Event::PlacementRequested(task) => Some(task.id),
                 _ => None,
             });
-        requested.expect("the set-up becomes a request")
+        requested.expect("an admitted request")
     }
 
-    /// The decisions offer a task to a machine.
+    /// Offers a task to a machine and returns the outputs.
     pub(super) fn offer(&mut self, task: TaskId, machine: u32) -> Vec<Output> {
         self.perform(Action::Offer {
             task,
@@ -209,7 +209,7 @@
         })
     }
 
-    /// Offers a task on an established connection, or on a new one that is then established; returns the connection.
+    /// Offers a task and returns the connection on which the set-up was sent. A new connection is established.
     pub(super) fn offer_and_send(&mut self, task: TaskId, machine: u32) -> ConnectionId {
         let outputs = self.offer(task, machine);
         let sent_on = outputs.iter().find_map(|output| match output {
@@ -225,7 +225,7 @@
         connection
     }
 
-    /// A task of owner `A` that runs on host `a`.
+    /// Places a task of owner `A` on host `a`.
     pub(super) fn start_task(&mut self, id: u64) -> (TaskId, ConnectionId) {
         let task = self.request(OWNER_A, id);
         let connection = self.offer_and_send(task, 0);
@@ -235,17 +235,20 @@
         (task, connection)
     }
 
-    /// A host falls silent; then its old connection breaks and a new one is established, so that its process may be
-    /// another one.
-    pub(super) fn fall_silent_and_reconnect(&mut self, connection: ConnectionId) -> ConnectionId {
+    /// A host stops responding, then its old connection breaks and a new one is established, so that its process may have
+    /// been replaced. Returns the new connection.
+    pub(super) fn become_unreachable_and_reconnect(
+        &mut self,
+        connection: ConnectionId,
+    ) -> ConnectionId {
         let outputs = self.advance(1_700 * MS);
-        self.lose(connection, DisconnectReason::Broken);
+        self.lose_connection(connection, DisconnectReason::Broken);
         let next = last_connect(&outputs);
         self.establish(next);
         next
     }
 
-    /// For this many times half a second a host answers probes and sends nothing else.
+    /// Every 0.5 s, `times` times, a host answers a probe; it sends nothing else.
     pub(super) fn answer_probes(&mut self, connection: ConnectionId, times: usize) {
         for _ in 0..times {
             self.advance(500 * MS);
@@ -271,7 +274,7 @@
     }
 }
 
-/// A task that runs on a host already, as its owner hands it over.
+/// The set-up with which an owner hands over a running task.
 pub(super) fn running_setup(id: u64, host: &str) -> Setup {
     Setup {
         running_on: Some(host.into()),
@@ -333,7 +336,7 @@
     ToOwner::Relocate { id: SetupId(id) }
 }
 
-/// The connections that are to be opened, in order.
+/// The connections that the outputs open, in order.
 pub(super) fn connects(outputs: &[Output]) -> impl DoubleEndedIterator<Item = ConnectionId> + '_ {
     outputs.iter().filter_map(|output| match output {
         Output::Connect(connection, _) => Some(*connection),
@@ -351,7 +354,7 @@
         .expect("a connection is opened")
 }
 
-/// Whether a message of this type is sent on a connection.
+/// Whether any output sends a message of this type on a connection.
 pub(super) fn sends(outputs: &[Output], connection: ConnectionId, kind: u8) -> bool {
     outputs
         .iter()
