--- a/crates/platform/src/engine/early_results.rs
+++ b/crates/platform/src/engine/early_results.rs
@@ -23,7 +23,7 @@
     OwnerRequested(Cause),
 }
 
-/// Results of tasks that are not in the task table, in order of arrival.
+/// Results of tasks that are not in the task table, by set-up id.
 #[derive(Default)]
 pub(super) struct EarlyResults {
     by_setup_id: HashMap<SetupId, (Micros, EarlyResult)>,
--- a/crates/platform/src/engine/requests.rs
+++ b/crates/platform/src/engine/requests.rs
@@ -56,8 +56,8 @@
         }
         let deadline = now + micros(setup.answer_timeout_ms.unwrap_or(0.0));
         // Owners do not mark resubmissions reliably, so a recently used task name counts as one too.
-        let is_known_name = self.tasks.is_resubmission(now, &setup.task_name);
-        let is_resubmission = is_known_name || setup.is_resubmission;
+        let is_recent_name = self.tasks.record_name(now, &setup.task_name);
+        let is_resubmission = is_recent_name || setup.is_resubmission;
         let task = build_task(class, &setup, deadline);
         let id = self.tasks.insert(TaskEntry::pending(setup, owner));
         self.record_pending_request(owner, id);
@@ -132,7 +132,7 @@
         {
             return self.notify_release(now, owner, id, cause);
         }
-        self.tasks.is_resubmission(now, &setup.task_name);
+        self.tasks.record_name(now, &setup.task_name);
         let task = build_task(class, &setup, now);
         let task_id = self
             .tasks
--- a/crates/platform/src/engine/task_table.rs
+++ b/crates/platform/src/engine/task_table.rs
@@ -155,8 +155,8 @@
         self.by_setup_id.get(&id).copied()
     }
 
-    /// Whether a task with this name was requested or handed over recently. Records the name.
-    pub(super) fn is_resubmission(&mut self, now: Micros, task_name: &str) -> bool {
+    /// Records the name of a task that is requested or handed over. Returns whether it was recorded recently.
+    pub(super) fn record_name(&mut self, now: Micros, task_name: &str) -> bool {
         !self.recent_names.insert(now, task_name)
     }
 
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -37,7 +37,8 @@
 /// How long a connection that is being closed is kept, so that its owner can read what was written to it.
 const LINGER_TIMEOUT: Micros = 5_000_000;
 /// How many bytes are read and discarded on a connection that is being closed. Closing a socket with unread bytes sends a
-/// reset, which may discard data that the owner has not read. Beyond this the socket's receive buffer fills up.
+/// reset, which may discard data that the owner has not read. After this many bytes reading stops, and TCP flow control
+/// blocks an owner that sends more.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 /// The maximum number of connections that are being closed.
 const MAX_LINGERING_CONNECTIONS: usize = 64;
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Decides when a placer that was asked to stop exits. Performs no I/O.
+//! The shutdown schedule: when a placer that was asked to stop exits. Performs no I/O.
 
 use maplethread::Micros;
 
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -95,8 +95,10 @@
     pub max_release_delay: Micros,
 }
 
+/// A connection to a host: placer, incarnation of the placer, and connection id.
 type ConnectionKey = (usize, u32, ConnectionId);
 
+/// A scheduled event. Placers and hosts are given by index and incarnation.
 #[derive(Debug)]
 enum Event {
     Turn(usize, u32),
@@ -113,6 +115,7 @@
     ListUpdate(Value),
 }
 
+/// An input that a placer handles in its next turn.
 #[derive(Debug)]
 enum Input {
     Connected(ConnectionId),
