--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -57,7 +57,7 @@
     pub hosts: usize,
     /// Scheduled timers, including those that are obsolete.
     pub timers: usize,
-    /// Releases that are queued until an owner is connected.
+    /// Releases that are queued because there was no owner to send them to.
     pub pending_releases: usize,
     /// Results of tasks that are not in the task table.
     pub early_results: usize,
@@ -81,7 +81,7 @@
     admission_queue: AdmissionQueue,
     /// Results of tasks that are not in the task table.
     early_results: EarlyResults,
-    /// Releases that are queued until an owner is connected.
+    /// Releases that are queued because there was no owner to send them to.
     pending_releases: PendingReleases,
     timers: Timers<Timer>,
     events: Vec<Event>,
--- a/crates/platform/src/engine/releases.rs
+++ b/crates/platform/src/engine/releases.rs
@@ -11,19 +11,19 @@
 use super::output::{Output, OwnerId};
 use super::timer::Timer;
 
-/// How long a release is queued for a connection. After that its owner has no use for it.
+/// How long a release is queued. After that its owner has no use for it.
 const RELEASE_LIFETIME: Micros = 8_000_000;
 /// The maximum number of queued releases; beyond it the oldest are dropped.
 const MAX_PENDING_RELEASES: usize = 4096;
 
-/// A release that is queued for a connection.
+/// A release that is queued.
 struct PendingRelease {
     expires_at: Micros,
     id: SetupId,
     cause: Cause,
 }
 
-/// Releases that could not be sent because no owner was connected, the oldest first.
+/// Releases that are queued because there was no owner to send them to, the oldest first.
 #[derive(Default)]
 pub(super) struct PendingReleases(VecDeque<PendingRelease>);
 
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Sends the release of a task to its owner, or queues it until an owner is connected.
+    /// Sends the release of a task to its owner or the fallback owner. Without either it is queued until the next task of an
+    /// owner is placed.
     pub(super) fn notify_release(
         &mut self,
         now: Micros,
@@ -99,7 +100,7 @@
                 .outputs
                 .push(Output::SendToOwner(owner, ToOwner::Close { id, cause })),
             None => {
-                tracing::debug!(%id, "release queued until an owner is connected");
+                tracing::debug!(%id, "release queued: no owner to send it to");
                 let expires_at = self.pending_releases.push(now, id, cause);
                 self.timers.schedule(expires_at, Timer::ReleaseExpiry);
             }
--- a/crates/platform/src/engine/requests.rs
+++ b/crates/platform/src/engine/requests.rs
@@ -55,7 +55,7 @@
             return self.reject_setup(owner, id, Cause::NO_CAPACITY);
         }
         let deadline = now + micros(setup.answer_timeout_ms.unwrap_or(0.0));
-        // Owners do not mark resubmissions reliably, so a recently used task name counts as one too.
+        // Owners resubmit tasks without marking them; a recently used task name identifies a resubmission.
         let is_recent_name = self.tasks.record_name(now, &setup.task_name);
         let is_resubmission = is_recent_name || setup.is_resubmission;
         let task = build_task(class, &setup, deadline);
