--- a/crates/platform/src/engine/host_messages.rs
+++ b/crates/platform/src/engine/host_messages.rs
@@ -145,8 +145,8 @@
             ReportCode::Running => TaskReport::Started,
             ReportCode::CoresUsed => TaskReport::CoresUsed(value),
             ReportCode::MemoryUsed => TaskReport::MemoryUsed(value),
-            ReportCode::ServiceShare => TaskReport::Served(value),
-            ReportCode::HostMemoryUsed => TaskReport::MachineMemory(value),
+            ReportCode::ServiceShare => TaskReport::ServiceShare(value),
+            ReportCode::HostMemoryUsed => TaskReport::MachineMemoryShare(value),
             ReportCode::InsufficientCores
             | ReportCode::InsufficientMemory
             | ReportCode::QueueFull
--- a/crates/reactor/src/event_loop.rs
+++ b/crates/reactor/src/event_loop.rs
@@ -24,7 +24,7 @@
 ///         let next_timer_us = event_loop.now() + 1_000_000;
 ///         event_loop.wait_until(Some(next_timer_us), &mut ready)?;
 ///         for readiness in &ready {
-///             if readiness.token == SIGNALS_TOKEN && !event_loop.received_signals().is_empty() {
+///             if readiness.token == SIGNALS_TOKEN && !event_loop.take_received_signals().is_empty() {
 ///                 return Ok(());
 ///             }
 ///         }
@@ -67,11 +67,11 @@
     }
 
     /// Removes and returns the signals received since the last call, one entry for each time a signal was received.
-    pub fn received_signals(&mut self) -> Vec<i32> {
+    pub fn take_received_signals(&mut self) -> Vec<i32> {
         self.signals.take_received()
     }
 
-    /// Binds a listener. The poller does not watch it until [`Listener::start`] is called.
+    /// Binds a listener. The poller does not watch it until [`Listener::register`] is called.
     ///
     /// # Errors
     /// When the address is in use, not local or not permitted.
--- a/crates/reactor/src/listener.rs
+++ b/crates/reactor/src/listener.rs
@@ -56,14 +56,14 @@
     ///
     /// # Errors
     /// When the poller cannot register the socket, for example because it is already registered.
-    pub fn start(&mut self, poller: &Poller, token: u64) -> io::Result<()> {
+    pub fn register(&mut self, poller: &Poller, token: u64) -> io::Result<()> {
         poller.register(&self.socket, token, false)?;
         self.token = Some(token);
         Ok(())
     }
 
     /// Turns the report of new connections on or off. While it is off, new connections wait in the backlog and do not wake the
-    /// event loop. Has no effect before [`Listener::start`].
+    /// event loop. Has no effect before [`Listener::register`].
     ///
     /// # Errors
     /// When the poller cannot change the registration.
--- a/crates/reactor/tests/listener.rs
+++ b/crates/reactor/tests/listener.rs
@@ -43,7 +43,7 @@
     let address = listener.local_address().expect("an address");
     // Before the registration the call has no effect.
     listener.set_accepting(false, &poller).expect("no effect");
-    listener.start(&poller, TOKEN).expect("registered");
+    listener.register(&poller, TOKEN).expect("registered");
     listener.set_accepting(false, &poller).expect("turned off");
     let client = TcpStream::connect(address).expect("queued in the backlog");
     let mut ready = Vec::new();
