--- a/crates/platform/src/engine/connections.rs
+++ b/crates/platform/src/engine/connections.rs
@@ -263,7 +263,7 @@
             tracing::debug!(
                 connection = id.0,
                 established = connection.is_established,
-                silence_us,
+                silence = silence_us,
                 "connection timed out"
             );
             return self.handle_unanswered_connection(now, id);
