--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -17,13 +17,13 @@
         /// The machines.
         machines: Vec<MachineEntry>,
     },
-    /// Which of the placers this one is from now on, where that is leased rather than set. Without an index a placer has
-    /// no part of the budget of a machine that is warming up.
+    /// Which of the placers this one is from now on, where that is leased rather than set. Without an index a placer
+    /// has no part of the budget of a machine that is warming up.
     #[cfg_attr(feature = "serde", serde(rename = "Numbered"))]
     ReplicaIndexChanged(Option<u32>),
-    /// Whether the caller has a connection to a machine; only from callers that keep connections. Without one an offer is
-    /// [`AttemptOutcome::ConnectFailed`](super::AttemptOutcome::ConnectFailed) at once. A machine counts as connected until
-    /// this says otherwise.
+    /// Whether the caller has a connection to a machine; only from callers that keep connections. Without one an offer
+    /// is [`AttemptOutcome::ConnectFailed`](super::AttemptOutcome::ConnectFailed) at once. A machine counts as
+    /// connected until this says otherwise.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Linked", with = "super::tuple_variants::two")
@@ -59,8 +59,8 @@
     AttemptAccepted {
         /// The attempt.
         attempt: AttemptId,
-        /// The time from the offer to the answer, where the caller measures it. After a stall of its own the placer would
-        /// else take its pause for the machine's.
+        /// The time from the offer to the answer, where the caller measures it. After a stall of its own the placer
+        /// would else take its pause for the machine's.
         elapsed: Option<Micros>,
     },
     /// A report of an attempt that is in flight.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -242,7 +242,8 @@
     /// [`Action::SendToPeer`](super::Action::SendToPeer) is understood.
     #[cfg_attr(feature = "serde", serde(rename = "peers"))]
     pub can_message_peers: bool,
-    /// The longest advice in [`Action::Reject`](super::Action::Reject), in microseconds; none where owners take no advice.
+    /// The longest advice in [`Action::Reject`](super::Action::Reject), in microseconds; none where owners take no
+    /// advice.
     #[cfg_attr(feature = "serde", serde(rename = "come_back"))]
     pub max_retry_after: Option<Micros>,
 }
@@ -251,7 +252,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rules {
-    /// Where discovery is polled ([`DiscoveryMode::Poll`]), a placer that has not asked for this long counts as notified.
+    /// Where discovery is polled ([`DiscoveryMode::Poll`]), a placer that has not asked for this long counts as
+    /// notified.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
     pub max_poll_interval: Micros,
     /// The share of its capacity that a machine has right after its start.
--- a/src/interface/tuple_variants.rs
+++ b/src/interface/tuple_variants.rs
@@ -1,5 +1,5 @@
-//! Variants with named fields that are written as the tuple variants they once were, so that trace files and the records
-//! that are printed of them stay as they are.
+//! Variants with named fields that are written as the tuple variants they once were, so that trace files and the
+//! records that are printed of them stay as they are.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! The decisions of a scheduler for tasks that request cores and memory, sans-I/O. Many placers share the same machines
-//! and exchange no messages; each decides by Blind GB-PANDAS (Yekkehkhany and Nagi), with guards for what must hold when
-//! machines, lists and placers fail. `src/policy` holds all decisions, `src/interface` what goes in and comes out.
+//! and exchange no messages; each decides by Blind GB-PANDAS (Yekkehkhany and Nagi), with guards for what must hold
+//! when machines, lists and placers fail. `src/policy` holds all decisions, `src/interface` what goes in and comes out.
 //!
 //! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`: give it the
-//! time and everything that has happened since the last call, then carry out the actions in order. It keeps no clock and
-//! does no I/O; equal seeds and events give equal actions. The example announces a machine, requests a placement and
-//! handles a timer and a rejection.
+//! time and everything that has happened since the last call, then carry out the actions in order. It keeps no clock
+//! and does no I/O; equal seeds and events give equal actions. The example announces a machine, requests a placement
+//! and handles a timer and a rejection.
 //!
 //! As a program:
 //!
--- a/src/policy/answer_times.rs
+++ b/src/policy/answer_times.rs
@@ -1,21 +1,21 @@
-//! How long machines take to answer an offer, and the timeout that follows from it: a smoothed mean and mean deviation,
-//! as TCP keeps them of round-trip times.
+//! The time that machines take to answer an offer, and the offer timeout derived from it: a smoothed mean and mean
+//! deviation, as TCP estimates round-trip times.
 
 use std::collections::BTreeMap;
 
 use super::service_rate::Locality;
 use crate::interface::{AcceptancePoint, Class, Micros};
 
-/// The timeout is the mean and this many mean deviations more.
+/// The timeout is the mean plus this many mean deviations.
 const TIMEOUT_DEVIATIONS: f64 = 5.0;
-/// Weight of the newest answer in mean and deviation.
+/// Weight of the newest answer in the mean and the deviation.
 const SMOOTHING_FACTOR: f64 = 0.1;
-/// The shortest timeout, in latency objectives.
+/// Minimum timeout, in latency objectives.
 const MIN_TIMEOUT_OBJECTIVES: f64 = 0.5;
-/// Each further attempt of a task waits this many times as long: where answers are slow everywhere, giving up makes
-/// copies that nobody counts.
+/// Factor on the timeout for each further attempt of a task. Where answers are slow on all machines, attempts that time
+/// out early may still start, as duplicates of the task.
 const TIMEOUT_BACKOFF: f64 = 2.0;
-/// Where the answer comes with the start, a start may queue behind others: waits are this many times as long.
+/// Factor on the timeout where a machine answers only once the task runs, since a start may queue behind others.
 const QUEUEING_FACTOR: f64 = 4.0;
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -24,15 +24,15 @@
     locality: Locality,
 }
 
-/// Smoothed time to an answer, in microseconds.
+/// Smoothed answer time, in microseconds.
 #[derive(Clone, Copy)]
 struct Estimate {
     mean: f64,
     deviation: f64,
 }
 
-/// The answer times that one placer has seen, by class and locality where answers come with the start. Where they come
-/// before it, class and locality make no difference, and there is one estimate.
+/// The answer times observed by one placer, by class and locality where a machine answers once the task runs. Where it
+/// answers before that, the answer time does not depend on class and locality, and there is one estimate.
 pub(super) struct AnswerTimes {
     acceptance_point: AcceptancePoint,
     estimates: BTreeMap<Key, Estimate>,
@@ -56,25 +56,25 @@
         }
     }
 
-    /// Records an answer that took `took`.
-    pub(super) fn record(&mut self, class: usize, locality: Locality, took: Micros) {
-        let took = took as f64;
+    /// Records the answer time of an accepted offer.
+    pub(super) fn record(&mut self, class: usize, locality: Locality, answer_time: Micros) {
+        let answer_time = answer_time as f64;
         let first = Estimate {
-            mean: took,
-            deviation: took,
+            mean: answer_time,
+            deviation: answer_time,
         };
         let estimate = self
             .estimates
             .entry(self.key(class, locality))
             .or_insert(first);
         estimate.deviation +=
-            SMOOTHING_FACTOR * ((took - estimate.mean).abs() - estimate.deviation);
-        estimate.mean += SMOOTHING_FACTOR * (took - estimate.mean);
+            SMOOTHING_FACTOR * ((answer_time - estimate.mean).abs() - estimate.deviation);
+        estimate.mean += SMOOTHING_FACTOR * (answer_time - estimate.mean);
     }
 
-    /// How long attempt number `attempt` (from 0) of a task may stay unanswered, at most `remaining`. Silence is noticed
-    /// soon, and what must not run twice is given back to its owner, who learns whether it runs. The price: where
-    /// answers grow slow or are lost, copies.
+    /// The timeout of attempt number `attempt` (from 0) of a task, at most `remaining`. A short timeout detects silent
+    /// machines early, and a non-idempotent task is returned early to its owner, who finds out whether it runs. The
+    /// drawback is duplicates of other tasks where answers become slower or are lost.
     pub(super) fn timeout(
         &self,
         classes: &[Class],
@@ -83,19 +83,20 @@
         attempt: u32,
         remaining: Micros,
     ) -> Micros {
-        let (objective, queueing) = match self.acceptance_point {
+        let (objective, queueing_factor) = match self.acceptance_point {
             AcceptancePoint::Running => (classes[class].latency_objective, QUEUEING_FACTOR),
             AcceptancePoint::Accepted => (shortest_objective(classes), 1.0),
         };
         let objective = objective as f64;
-        let unmeasured = Estimate {
+        let initial = Estimate {
             mean: 0.0,
             deviation: objective / TIMEOUT_DEVIATIONS,
         };
         let key = self.key(class, locality);
-        let Estimate { mean, deviation } = self.estimates.get(&key).copied().unwrap_or(unmeasured);
-        let usual = (mean + TIMEOUT_DEVIATIONS * deviation).max(objective * MIN_TIMEOUT_OBJECTIVES);
-        let timeout = usual * queueing * TIMEOUT_BACKOFF.powf(f64::from(attempt));
+        let Estimate { mean, deviation } = self.estimates.get(&key).copied().unwrap_or(initial);
+        let base_timeout =
+            (mean + TIMEOUT_DEVIATIONS * deviation).max(objective * MIN_TIMEOUT_OBJECTIVES);
+        let timeout = base_timeout * queueing_factor * TIMEOUT_BACKOFF.powf(f64::from(attempt));
         (timeout as Micros).clamp(1, remaining)
     }
 }
--- a/src/policy/answer_times/tests.rs
+++ b/src/policy/answer_times/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn unmeasured_timeout_is_the_latency_objective() {
+fn timeout_before_any_answer_is_the_latency_objective() {
     let accepted = AnswerTimes::new(AcceptancePoint::Accepted);
     let timeout = |class| accepted.timeout(&classes(), class, Locality::Local, 0, 9_000_000);
     assert_eq!((timeout(0), timeout(1)), (400_000, 400_000));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn quick_answers_shorten_the_timeout_to_half_the_objective_and_no_further() {
+fn quick_answers_shorten_the_timeout_to_no_less_than_half_the_objective() {
     let mut times = AnswerTimes::new(AcceptancePoint::Accepted);
     for _ in 0..200 {
         times.record(1, Locality::Remote, 1_000);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn answers_are_estimated_apart_by_class_and_locality_where_they_come_with_the_start() {
+fn answer_times_are_separate_per_class_and_locality_when_answers_come_with_the_start() {
     let mut times = AnswerTimes::new(AcceptancePoint::Running);
     for _ in 0..200 {
         times.record(0, Locality::Local, 1_000);
--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -1,4 +1,4 @@
-//! The one final answer of each task (rule 1), and what a rejection promises and advises (rule 2).
+//! The final answer of each task (rule 1), and what a rejection guarantees and advises (rule 2).
 
 use super::Placer;
 use super::attempts::PendingTask;
@@ -8,7 +8,7 @@
     Action, AttemptId, BlockReason, DeduplicationScope, Micros, RetrySafety, Task, TaskId,
 };
 
-/// Answers are given this long before the owner's deadline, so that a late turn still meets it.
+/// Final answers are sent this long before the owner's deadline, so that a late turn still meets it.
 pub(super) const ANSWER_MARGIN: Micros = 12_000;
 
 impl Placer {
@@ -16,7 +16,7 @@
         task.deadline <= self.now + ANSWER_MARGIN
     }
 
-    /// Rule 1: the one final answer. Rule 2: a rejection promises that nothing ran, or will.
+    /// Sends the one final answer (rule 1). A rejection guarantees that a resubmission has no second effect (rule 2).
     pub(super) fn send_final_answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.remove(&id) else {
             return;
@@ -39,21 +39,21 @@
         });
     }
 
-    /// When to ask again: what the task waited for takes about so long to change. Spread by the task's number, so that
-    /// those rejected together do not return together.
+    /// The retry-after of a rejection: about the time after which the block reason may have changed. It is jittered by
+    /// the task's id, so that tasks rejected together are not resubmitted together.
     fn retry_after(&self, pending: &PendingTask) -> Option<Micros> {
         let max = self.settings.limits.max_retry_after?;
         let about = match pending.block_reason {
             Some(BlockReason::NoKindFits) => return Some(max),
             Some(BlockReason::WarmUpBudget) => self.settings.rules.overload_window,
-            // Not blocked, but its attempts are used up: machines that were full stay so for about as long.
+            // Blocked otherwise, or out of attempts: the machines that rejected it are skipped for about this long.
             None | Some(_) => CAPACITY_BACKOFF,
         };
         Some((about / 2 + mix_bits(pending.task.id.0) % about.max(1)).min(max))
     }
 }
 
-/// Whether the owner may ask again without a second effect, whatever became of earlier attempts.
+/// Whether the owner may resubmit the task without a second effect, whatever the outcome of earlier attempts.
 fn is_safe_to_repeat(pending: &PendingTask, safety: RetrySafety) -> bool {
     match safety {
         RetrySafety::Idempotent
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -1,14 +1,15 @@
-//! Attempts and the tasks that are owed an answer: what becomes of offers, and what follows from that (rules 1 and 2).
+//! Attempts and pending tasks: the outcomes of offers, and the retry or final answer that follows (rules 1 and 2).
 
 use super::Placer;
-use super::outlier::EndedAttempt;
-use super::service_rate::{Locality, StartKind};
+use super::outlier::FinishedAttempt;
+use super::service_rate::{Locality, StartProfile};
 use crate::interface::{
     AcceptancePoint, Action, AttemptId, AttemptOutcome, AttemptResult, BlockReason, MachineId,
     Micros, Task,
 };
 
-/// A placer that applies an answer at least this late was stalled; less is the pace of its turns.
+/// An answer that is applied more than this after its arrival shows that the placer was stalled. Shorter delays come
+/// from the interval between turns.
 const MIN_STALL: Micros = 50_000;
 
 /// An attempt without an outcome.
@@ -20,14 +21,14 @@
     pub(super) sent_at: Micros,
     pub(super) is_accepted: bool,
     pub(super) is_started: bool,
-    /// It is accepted, and counts among the starts in progress.
+    /// It is accepted and counts as a start in progress.
     pub(super) is_starting: bool,
-    /// Since when it has been served too little.
+    /// Since when its service share has been below the limit for migration.
     pub(super) underserved_since: Option<Micros>,
 }
 
 impl Attempt {
-    /// An offer that is sent now.
+    /// An attempt whose offer is sent at `now`.
     pub(super) fn offered(task: Task, machine: MachineId, locality: Locality, now: Micros) -> Self {
         Attempt {
             task,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// A task that runs already.
+    /// An attempt whose task is already running.
     pub(super) fn running(task: Task, machine: MachineId, now: Micros) -> Self {
         Attempt {
             is_accepted: true,
@@ -50,8 +51,8 @@
         }
     }
 
-    fn start_kind(&self) -> StartKind {
-        StartKind {
+    fn start_profile(&self) -> StartProfile {
+        StartProfile {
             service: self.task.service,
             class: self.task.class,
             machine: self.machine,
@@ -60,21 +61,21 @@
     }
 }
 
-/// The first attempt of a task that may have run.
+/// The first attempt of a task that may have started it.
 #[derive(Clone, Copy)]
 pub(super) struct PossibleStart {
     pub(super) sent_at: Micros,
     pub(super) machine: MachineId,
 }
 
-/// The machine that answered a task's first error, and whether another one did as well.
+/// The machine that returned a task's first error, and whether another machine returned one as well.
 #[derive(Clone, Copy)]
 struct FirstError {
     machine: MachineId,
     is_repeated_elsewhere: bool,
 }
 
-/// A task that is owed its final answer.
+/// A task without a final answer.
 #[derive(Clone, Copy)]
 pub(super) struct PendingTask {
     pub(super) task: Task,
@@ -83,9 +84,9 @@
     pub(super) is_in_flight: bool,
     pub(super) possibly_started: Option<PossibleStart>,
     first_error: Option<FirstError>,
-    /// What it waits for, while it is blocked.
+    /// Why it is blocked, while it is.
     pub(super) block_reason: Option<BlockReason>,
-    /// Until when tasks that come for the first time go before it.
+    /// Until when first submissions take precedence over it.
     pub(super) deferred_until: Option<Micros>,
 }
 
@@ -104,29 +105,30 @@
 }
 
 impl Placer {
-    /// Counts an attempt in: an offer, or a task that runs already.
+    /// Records a new attempt and adds its request to the machine's allocation.
     pub(super) fn track_attempt(&mut self, id: AttemptId, attempt: Attempt) {
         if self.attempts.insert(id, attempt).is_some() {
             return;
         }
         let task = &attempt.task;
         if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-            machine.add_own(task.requested, self.now);
+            machine.add_own_allocation(task.requested, self.now);
         }
         self.placements.add(task.service, attempt.machine, self.now);
     }
 
-    /// Counts an attempt out; the task was last known to be on the machine at `last_seen`.
+    /// Removes a finished attempt's request from the machine's allocation. The task was last known to be on the machine
+    /// at `last_seen`.
     fn release_attempt(&mut self, attempt: &Attempt, last_seen: Micros) {
         let task = &attempt.task;
         if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-            machine.remove_own(task.requested, self.now);
+            machine.remove_own_allocation(task.requested, self.now);
         }
         self.placements
             .remove(task.service, attempt.machine, last_seen);
     }
 
-    /// An attempt is no start in progress any more: it runs, or is over.
+    /// Stops counting an attempt as a start in progress, since the task runs or the attempt has finished.
     pub(super) fn finish_start(&mut self, id: &AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id)
             && std::mem::take(&mut attempt.is_starting)
@@ -135,7 +137,7 @@
         }
     }
 
-    /// The machine accepted: how long that took, and that the machine lives.
+    /// Handles an accepted offer: records its answer time and that the machine is alive.
     pub(super) fn handle_accepted(&mut self, id: &AttemptId, elapsed: Option<Micros>) {
         self.pending.remove(&id.task);
         if let Some(attempt) = self.attempts.get_mut(id) {
@@ -144,7 +146,7 @@
                 self.restart_throttle.begin_start();
             }
             attempt.is_accepted = true;
-            // After a stall the machine's time counts, not this placer's own silence.
+            // After a stall of this placer, only the time that the machine took counts.
             let since_sent = self.now - attempt.sent_at;
             let stall = elapsed
                 .map(|elapsed| since_sent.saturating_sub(elapsed))
@@ -152,8 +154,8 @@
                 .unwrap_or(0);
             attempt.sent_at += stall;
             let class = attempt.task.class;
-            let took = since_sent - stall;
-            self.answer_times.record(class, attempt.locality, took);
+            let duration = since_sent - stall;
+            self.answer_times.record(class, attempt.locality, duration);
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
                 machine.health.record_acceptance(class, self.now);
             }
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The task runs. Only here a service rate is sampled, so failed attempts give no sample.
+    /// Handles the start of a task. Service rates are sampled only here, so failed attempts give no sample.
     pub(super) fn handle_started(&mut self, id: &AttemptId) {
         self.finish_start(id);
         let Some(attempt) = self.attempts.get_mut(id).filter(|a| !a.is_started) else {
@@ -172,15 +174,15 @@
         attempt.is_started = true;
         let class = attempt.task.class;
         let objective = self.settings.classes[class].latency_objective;
-        let took = self.now - attempt.sent_at;
+        let duration = self.now - attempt.sent_at;
         self.service_rates
-            .record_start(attempt.start_kind(), took, objective);
+            .record_start(attempt.start_profile(), duration, objective);
         if let Some(machine) = self.machines.get_mut(&attempt.machine) {
             machine.health.record_start(class, self.now);
         }
     }
 
-    /// An attempt ended: the task is done, retried or answered.
+    /// Handles the end of an attempt: the task is finished, retried or answered.
     pub(super) fn handle_finished(
         &mut self,
         id: AttemptId,
@@ -196,14 +198,14 @@
         let is_task_at_fault =
             result.outcome == AttemptOutcome::Error && self.fails_on_every_machine(&attempt);
         if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-            let ended = EndedAttempt {
+            let finished = FinishedAttempt {
                 class: attempt.task.class,
                 requested: attempt.task.requested,
                 was_accepted: attempt.is_accepted,
             };
             machine
                 .health
-                .record_outcome(&ended, &result, is_task_at_fault, self.now);
+                .record_outcome(&finished, &result, is_task_at_fault, self.now);
         }
         if result.closes_task || attempt.is_accepted {
             self.pending.remove(&id.task);
@@ -211,8 +213,8 @@
         self.retry_or_answer(id, &attempt, result.outcome, actions);
     }
 
-    /// When a task whose attempt ended was last on its machine. What was cut off may have been so long ago, with its
-    /// process.
+    /// When a finished attempt's task was last known to be on its machine. After a lost connection that is the time of
+    /// the offer, since the machine's process may have ended at any time after it.
     fn last_seen(&self, attempt: &Attempt, result: &AttemptResult) -> Micros {
         let is_cut_off = attempt.is_accepted
             && result.outcome == AttemptOutcome::Disconnected
@@ -224,7 +226,7 @@
         }
     }
 
-    /// What follows for a task that is still owed its answer.
+    /// Retries a pending task after a failed attempt, or sends its final answer.
     fn retry_or_answer(
         &mut self,
         id: AttemptId,
@@ -251,12 +253,13 @@
         } else if outcome == AttemptOutcome::Rejected && id.number > 0 {
             self.blocked.push_back(id.task);
         } else {
-            self.waiting.push_back(id.task);
+            self.offer_queue.push_back(id.task);
         }
     }
 
-    /// Whether an error is the task's. A task that no machine can run would else make every machine look unhealthy in
-    /// turn: an error of a second machine tells of the task, and what the first one cost its machine is taken back.
+    /// Whether an error is caused by the task. A task that no machine can run would otherwise have every machine
+    /// ejected in turn, so an error on a second machine is attributed to the task, and the failure recorded for the
+    /// first machine is retracted.
     fn fails_on_every_machine(&mut self, attempt: &Attempt) -> bool {
         let Some(pending) = self.pending.get_mut(&attempt.task.id) else {
             return false;
@@ -271,7 +274,7 @@
         let is_first_repeat = !std::mem::replace(&mut first.is_repeated_elsewhere, true);
         let first_machine = first.machine;
         if is_first_repeat && let Some(machine) = self.machines.get_mut(&first_machine) {
-            machine.health.forgive_failure(attempt.task.class);
+            machine.health.retract_failure(attempt.task.class);
         }
         true
     }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! Which machines there are: endpoint lists, connections and load reports, and the subscription to discovery.
+//! The table of machines: endpoint lists, connection changes and load reports, and the subscription to discovery.
 
 use super::Placer;
 use super::machine::{ENDPOINT_LAG, LOAD_REPORT_LAG, Machine};
@@ -7,12 +7,12 @@
     UpdateScope,
 };
 
-/// A failed call to discovery is repeated after this, well within any `max_poll_interval`.
+/// How soon a failed discovery call is retried; well within any `max_poll_interval`.
 const DISCOVERY_RETRY_INTERVAL: Micros = 300_000;
-/// Machines that are gone and services without tasks are forgotten after this.
+/// How long machines that are gone and services without tasks are kept.
 const RETENTION: Micros = 600_000_000;
 
-/// The subscription to discovery, where it has to be asked for.
+/// The subscription to discovery in [`DiscoveryMode::Poll`].
 #[derive(Default)]
 pub(super) struct DiscoverySubscription {
     is_started: bool,
@@ -20,7 +20,7 @@
 }
 
 impl DiscoverySubscription {
-    /// Subscribes in the first turn, and again when a retry is due. Whether this is the first turn.
+    /// Subscribes in the first turn. Returns whether this is the first turn.
     pub(super) fn start(&mut self, mode: DiscoveryMode, actions: &mut Vec<Action>) -> bool {
         let is_first_turn = !std::mem::replace(&mut self.is_started, true);
         if is_first_turn && mode == DiscoveryMode::Poll {
@@ -42,7 +42,8 @@
 }
 
 impl Placer {
-    /// Applies a list. Rule 3: a drain or removal acts at once; a machine absent from a full list is gone.
+    /// Applies an endpoint list. Rule 3: a drain or removal takes effect at once, and a machine that is absent from a
+    /// full list is gone.
     pub(super) fn apply_endpoints(&mut self, scope: UpdateScope, entries: &[MachineEntry]) {
         if scope != UpdateScope::Delta {
             for machine in self.machines.values_mut() {
@@ -53,15 +54,15 @@
         for entry in entries {
             has_new_machines |= self.apply_entry(entry);
         }
-        self.forget_unused();
-        // Tasks may run where no list had named the machine yet. All attempts are gone through only for a machine
-        // that is new: a storm of changes would else cost milliseconds each.
+        self.remove_unused();
+        // Attempts may run on a machine that no earlier list contained. All attempts are scanned only when a machine is
+        // new: under frequent changes a scan for every change would cost milliseconds each.
         if has_new_machines {
             self.restore_own_allocations();
         }
     }
 
-    /// Applies one line of a list. Whether the machine was not known before.
+    /// Applies one entry of a list. Returns whether the machine is new.
     fn apply_entry(&mut self, entry: &MachineEntry) -> bool {
         let Some(&size) = self.settings.kinds.get(entry.kind) else {
             return false;
@@ -73,7 +74,7 @@
             .entry(entry.machine)
             .or_insert_with(|| Machine::new(*entry, size, class_count, self.now));
         if machine.entry.started_at != entry.started_at {
-            machine.health.forget_process();
+            machine.health.reset_for_new_process();
         }
         machine.entry = *entry;
         machine.last_changed = self.now;
@@ -85,35 +86,37 @@
         is_new
     }
 
-    fn forget_unused(&mut self) {
+    fn remove_unused(&mut self) {
         let now = self.now;
         self.machines.retain(|_, machine| {
             machine.entry.state != MachineState::Gone || machine.last_changed + RETENTION > now
         });
-        self.placements.forget_unused(now, RETENTION);
+        self.placements.remove_unused(now, RETENTION);
         let placements = &self.placements;
         self.service_rates
             .retain_services(|service| placements.contains(service));
     }
 
     fn restore_own_allocations(&mut self) {
-        self.machines.values_mut().for_each(Machine::reset_own);
+        self.machines
+            .values_mut()
+            .for_each(Machine::reset_own_allocation);
         for attempt in self.attempts.values() {
             if let Some(machine) = self.machines.get_mut(&attempt.machine) {
-                machine.restore_own(attempt.task.requested);
+                machine.restore_own_allocation(attempt.task.requested);
             }
         }
     }
 
-    /// Without a connection a machine gets no offers: attempts would be spent in one instant on machines that are known to
-    /// be unreachable. The task is blocked instead, as where no machine has capacity.
+    /// Records whether the caller has a connection to the machine. Without one the machine gets no offers, since each
+    /// would fail at once and use up an attempt. A task that no connected machine can take is blocked.
     pub(super) fn set_connected(&mut self, machine: MachineId, is_connected: bool) {
         if let Some(machine) = self.machines.get_mut(&machine) {
             machine.is_connected = is_connected;
         }
     }
 
-    /// Takes in the load report that came with an answer or a probe, if it says what is unallocated.
+    /// Applies the load report of an answer or a probe, if load reports contain the unallocated resources.
     pub(super) fn record_load_report(&mut self, machine: MachineId, load: Option<Resources>) {
         if let (LoadReport::Unallocated, Some(unallocated)) = (self.settings.load_report, load)
             && let Some(machine) = self.machines.get_mut(&machine)
--- a/src/policy/feasibility.rs
+++ b/src/policy/feasibility.rs
@@ -1,4 +1,4 @@
-//! Which machines may take a task, and what blocks it on the others (rules 2, 3, 4 and 5, capacity).
+//! Feasibility: which machines may take a task, and what blocks it on the others (rules 2 to 5, and capacity).
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use crate::interface::{BlockReason, DeduplicationScope, MachineEntry, RetrySafety, Task};
 
 impl Placer {
-    /// The machines that may take the task; else what blocks it on the machine that comes nearest to taking it.
+    /// The machines that may take the task, or the reason that blocks it on the nearest machine if there are none.
     pub(super) fn feasible_machines(
         &self,
         pending: &PendingTask,
@@ -32,8 +32,8 @@
         })
     }
 
-    /// What keeps the machine from taking the task, if anything. The reasons are looked for in the order of
-    /// [`BlockReason`], so the largest over all machines is that of the nearest one.
+    /// Why the machine cannot take the task, if it cannot. Reasons are checked in the order of [`BlockReason`], so the
+    /// largest reason over all machines is that of the machine which passed the most checks.
     fn block_reason(
         &self,
         machine: &Machine,
@@ -54,7 +54,7 @@
         if !self.is_in_deduplication_scope(&machine.entry, pending) {
             return Some(BlockReason::OutsideDeduplicationScope);
         }
-        // Rule 5: attempts and running tasks of the service in one domain.
+        // Rule 5: both attempts and running tasks of the service count.
         if class.spread_limit.is_some_and(|limit| {
             limit.max_tasks == 0 || saturated.contains(&machine.entry.domain(limit.level))
         }) {
@@ -72,8 +72,8 @@
         (!self.has_capacity(machine, &pending.task)).then_some(BlockReason::NoCapacity)
     }
 
-    /// Rule 2: a repeat under an idempotency key whose first attempt may have run stays with the machines that know the
-    /// key.
+    /// Rule 2: once an attempt with an idempotency key may have run, retries go only to machines that deduplicate by
+    /// the same keys.
     fn is_in_deduplication_scope(&self, entry: &MachineEntry, pending: &PendingTask) -> bool {
         let safety = self.settings.classes[pending.task.class].retry_safety;
         let (Some(first), RetrySafety::IdempotencyKey { scope, .. }) =
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Whether some kind of machine, empty, could take the task.
+    /// Whether an empty machine of some kind could take the task.
     fn fits_any_kind(&self, task: &Task) -> bool {
         let required = self.settings.classes[task.class].machine_kind;
         self.settings.kinds.iter().enumerate().any(|(kind, &size)| {
@@ -100,7 +100,7 @@
         })
     }
 
-    /// The domains that hold as many attempts and running tasks of the service as its class may have in one.
+    /// The domains in which attempts and running tasks of the service have reached the spread limit of its class.
     fn saturated_domains(&self, task: &Task) -> Vec<u32> {
         let Some(limit) = self.settings.classes[task.class].spread_limit else {
             return Vec::new();
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -1,4 +1,4 @@
-//! How full machines are: requested and likely used shares, headroom, and the working set.
+//! The load of machines: allocation, estimated utilization, headroom, and the working set.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 use super::machine::Machine;
 use crate::interface::{LoadReport, MachineId, Resources, Task};
 
-/// A machine has headroom while what its tasks are likely to use stays under this share of it.
+/// A machine has headroom while its estimated utilization is at most this share.
 const HEADROOM_LIMIT: f64 = 0.85;
-/// Weight of the newest report in the mean share that own tasks use.
+/// Weight of the newest report in the smoothed usage share.
 const USAGE_SMOOTHING_FACTOR: f64 = 0.02;
-/// Where machines in use are priced, as many are used as are needed to fill them to this share.
+/// Utilization up to which machines are filled where each machine in use has a cost.
 const TARGET_UTILIZATION: f64 = 0.7;
 
-/// The share of what they requested that this placer's tasks use, a smoothed mean of their reports.
+/// The share of their requested resources that this placer's tasks use: a smoothed mean of their reports.
 pub(super) struct UsageShare {
     share: Resources,
 }
 
 impl UsageShare {
-    /// Before any report, tasks are taken to use all that they requested.
+    /// Before the first report, tasks are assumed to use all that they requested.
     pub(super) fn new() -> UsageShare {
         UsageShare {
             share: Resources::new(1.0, 1.0),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The larger of the core and memory shares that are likely in use where these shares are requested.
+    /// The larger of the estimated core and memory utilization where these shares are requested.
     fn of_requested(&self, requested: Resources) -> f64 {
         requested.scaled_by(self.share).dominant_share()
     }
@@ -49,7 +49,8 @@
         self.machines.values().filter(|machine| machine.is_ready())
     }
 
-    /// The mean share that is requested of the ready machines that are reported, or of own tasks where none is.
+    /// The mean allocation of the ready machines with reported capacity, as shares of their size. Where no machine has
+    /// any, the mean allocation of this placer's own tasks.
     pub(super) fn mean_allocation(&self) -> Resources {
         let mut shares: Vec<Resources> = self
             .ready_machines()
@@ -67,7 +68,7 @@
         })
     }
 
-    /// The share of the machine that is likely in use with the task: the workload that a score weighs.
+    /// The estimated utilization of the machine with the task on it: the workload term of its score.
     pub(super) fn likely_utilization(
         &self,
         machine: &Machine,
@@ -78,12 +79,13 @@
             .of_requested(self.allocation_with(machine, task, mean))
     }
 
-    /// Shares requested, with the task: as reported, with own changes since. A machine that is not reported counts with
-    /// the `mean` besides; where nothing ever is reported, with the mean of own tasks for each other placer.
+    /// The machine's allocation with the task on it, as shares of its size. For a machine without reported capacity,
+    /// the `mean` allocation is added for the tasks of other placers; where capacity is never reported, the mean of own
+    /// tasks is added once for each other placer.
     fn allocation_with(&self, machine: &Machine, task: &Task, mean: Resources) -> Resources {
         let is_ever_reported = self.settings.endpoints_report_capacity
             || self.settings.load_report == LoadReport::Unallocated;
-        let times_mean = match (machine.is_reported(), is_ever_reported) {
+        let mean_weight = match (machine.is_reported(), is_ever_reported) {
             (true, _) => 0.0,
             (false, true) => 1.0,
             (false, false) => f64::from(self.settings.replica_count - 1),
@@ -92,10 +94,10 @@
             .known_allocation()
             .add_scaled(task.requested, 1.0)
             .as_share_of(machine.size)
-            .add_scaled(mean, times_mean)
+            .add_scaled(mean, mean_weight)
     }
 
-    /// Whether the machine would serve the task well: it is not contended, and would not be nearly full.
+    /// Whether the machine is not contended and stays within [`HEADROOM_LIMIT`] with the task on it.
     pub(super) fn has_headroom(&self, machine: &Machine, task: &Task, mean: Resources) -> bool {
         machine.contended_until <= self.now
             && self.likely_utilization(machine, task, mean) <= HEADROOM_LIMIT
@@ -108,7 +110,7 @@
             .any(|machine| self.has_headroom(machine, task, mean))
     }
 
-    /// The fullest ready machines that together hold what is likely used, filled up to [`TARGET_UTILIZATION`].
+    /// The fullest ready machines whose cores suffice for all estimated usage at [`TARGET_UTILIZATION`].
     pub(super) fn working_set(&self) -> BTreeSet<MachineId> {
         let utilization = |machine: &Machine| {
             self.usage_share
--- a/src/policy/machine.rs
+++ b/src/policy/machine.rs
@@ -1,4 +1,4 @@
-//! What this placer knows of one machine.
+//! The state of one machine, as this placer has recorded it.
 
 use std::collections::VecDeque;
 
@@ -6,41 +6,41 @@
 use super::slow_start::RecentOffers;
 use crate::interface::{MachineEntry, MachineState, Micros, Resources};
 
-/// What endpoint lists say of capacity is taken to be this old when it arrives: own changes of that time are added.
+/// Assumed age of the capacity in an endpoint list on arrival. Own allocation changes within that time are added to it.
 pub(super) const ENDPOINT_LAG: Micros = 800_000;
-/// The same for load reports that come with answers.
+/// Assumed age of the capacity in a load report on arrival.
 pub(super) const LOAD_REPORT_LAG: Micros = 700_000;
 
-/// What the tasks of all placers requested on a machine, and when that was so.
+/// What the tasks of all placers together had requested on a machine at one time.
 #[derive(Clone, Copy)]
 struct ReportedAllocation {
     allocated: Resources,
     as_of: Micros,
 }
 
-/// A task of this placer that came to a machine (`factor` 1) or left it (-1).
+/// The start (`factor` 1) or end (`factor` -1) of one of this placer's attempts on a machine.
 #[derive(Clone, Copy)]
-struct OwnChange {
+struct AllocationChange {
     at: Micros,
     requested: Resources,
     factor: f64,
 }
 
-/// A machine, as endpoint lists, load reports and this placer's own attempts show it.
+/// A machine, with the state derived from endpoint lists, load reports and this placer's own attempts.
 pub(super) struct Machine {
     pub(super) entry: MachineEntry,
     pub(super) size: Resources,
-    /// The caller has a connection to it. Without one an offer would fail at once, and use up an attempt.
+    /// The caller has a connection to it. Without one an offer would fail at once and use up an attempt.
     pub(super) is_connected: bool,
     pub(super) health: MachineHealth,
     pub(super) recent_offers: RecentOffers,
-    /// Until when it is passed over, whatever the contention comes from.
+    /// Until when it is skipped because of contention, whatever the cause.
     pub(super) contended_until: Micros,
     pub(super) last_changed: Micros,
     reported: Option<ReportedAllocation>,
-    /// What this placer's attempts and tasks request there, and its latest changes.
+    /// What this placer's attempts and running tasks request there. Its latest changes are in `recent_changes`.
     own_allocation: Resources,
-    recent_changes: VecDeque<OwnChange>,
+    recent_changes: VecDeque<AllocationChange>,
 }
 
 impl Machine {
@@ -68,38 +68,38 @@
         self.entry.state == MachineState::Ready
     }
 
-    /// A task of this placer came.
-    pub(super) fn add_own(&mut self, requested: Resources, now: Micros) {
-        self.change_own(requested, 1.0, now);
+    /// Records the start of an own attempt.
+    pub(super) fn add_own_allocation(&mut self, requested: Resources, now: Micros) {
+        self.change_own_allocation(requested, 1.0, now);
     }
 
-    /// A task of this placer left.
-    pub(super) fn remove_own(&mut self, requested: Resources, now: Micros) {
-        self.change_own(requested, -1.0, now);
+    /// Records the end of an own attempt.
+    pub(super) fn remove_own_allocation(&mut self, requested: Resources, now: Micros) {
+        self.change_own_allocation(requested, -1.0, now);
     }
 
-    fn change_own(&mut self, requested: Resources, factor: f64, now: Micros) {
+    fn change_own_allocation(&mut self, requested: Resources, factor: f64, now: Micros) {
         self.last_changed = now;
         self.own_allocation = self.own_allocation.add_scaled(requested, factor);
         self.recent_changes
             .retain(|change| change.at + 2 * ENDPOINT_LAG >= now);
-        self.recent_changes.push_back(OwnChange {
+        self.recent_changes.push_back(AllocationChange {
             at: now,
             requested,
             factor,
         });
     }
 
-    pub(super) fn reset_own(&mut self) {
+    pub(super) fn reset_own_allocation(&mut self) {
         self.own_allocation = Resources::default();
     }
 
-    /// Counts a task in that was there before the machine was listed.
-    pub(super) fn restore_own(&mut self, requested: Resources) {
+    /// Adds the allocation of an own attempt that started before the machine was listed.
+    pub(super) fn restore_own_allocation(&mut self, requested: Resources) {
         self.own_allocation = self.own_allocation.add_scaled(requested, 1.0);
     }
 
-    /// Takes in what nobody had requested at `as_of`, unless something newer is known.
+    /// Applies the reported unallocated resources as of `as_of`, unless a newer report was applied.
     pub(super) fn observe_unallocated(&mut self, unallocated: Resources, as_of: Micros) {
         if self.reported.is_none_or(|before| before.as_of <= as_of) {
             let allocated = self.size.add_scaled(unallocated, -1.0);
@@ -111,7 +111,7 @@
         self.reported.is_some()
     }
 
-    /// What is requested there now: as reported, with own changes since. None where nothing was reported.
+    /// The current allocation: the reported one plus own changes since. None without a report.
     pub(super) fn reported_allocation(&self) -> Option<Resources> {
         let ReportedAllocation { allocated, as_of } = self.reported?;
         let since = self
@@ -127,7 +127,7 @@
         self.own_allocation
     }
 
-    /// What is requested there now, as far as this placer knows.
+    /// The current allocation as far as it is recorded: the reported one, or that of own attempts without a report.
     pub(super) fn known_allocation(&self) -> Resources {
         self.reported_allocation().unwrap_or(self.own_allocation)
     }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -1,24 +1,24 @@
-//! What running tasks report: how much they use, contention on their machine, and when a task that is served too little
-//! moves.
+//! Reports of running tasks: resource usage, contention on their machine, and the migration of underserved tasks.
 
 use super::Placer;
 use super::attempts::Attempt;
 use crate::interface::{Action, AttemptId, Micros, TaskReport};
 
-/// A task that gets less than this share of full service tells of contention on its machine.
+/// A machine is contended if a task on it gets less than this share of full service.
 const CONTENTION_SERVICE_SHARE: f64 = 0.92;
-/// So does a machine that has more than this share of its memory in use.
+/// A machine is contended if more than this share of its memory is in use.
 const CONTENTION_MEMORY_SHARE: f64 = 0.9;
-/// A contended machine is passed over for this long, whether the cause are own tasks, others' or another program.
+/// How long a contended machine is skipped, whether own tasks, other placers' tasks or another program are the cause.
 const CONTENTION_DURATION: Micros = 1_500_000;
-/// A task of a priority above 0, which others cannot preempt, moves once it has been served under this share...
+/// Service share below which a task migrates after [`MIGRATION_DELAY`]. Only tasks of a priority above 0, which others
+/// cannot preempt, migrate.
 const UNDERSERVED_SHARE: f64 = 0.5;
-/// ...for this long. A rare and large task would else earn nothing for its whole life where it landed.
+/// How long a task must be underserved before it migrates. Without migration a task of such a class, which is rare and
+/// large, would stay underserved on a contended machine for its whole duration.
 const MIGRATION_DELAY: Micros = 2_000_000;
 
 impl Attempt {
-    /// Takes in the share of full service that the task gets. Whether it has been served too little for long enough to
-    /// move.
+    /// Applies a reported service share. Returns whether the task has been underserved for long enough to migrate.
     fn track_service(&mut self, share: f64, is_preemptible: bool, now: Micros) -> bool {
         let is_underserved = share < UNDERSERVED_SHARE && !is_preemptible;
         let since = self.underserved_since.unwrap_or(now);
@@ -27,7 +27,7 @@
     }
 }
 
-/// Whether a report tells of contention on the task's machine.
+/// Whether a report shows contention on the task's machine.
 fn shows_contention(report: TaskReport) -> bool {
     match report {
         TaskReport::Served(share) => share < CONTENTION_SERVICE_SHARE,
@@ -37,20 +37,20 @@
 }
 
 impl Placer {
-    /// Applies what an own task reports of itself and of its machine.
+    /// Applies the report of an own task about itself or its machine.
     pub(super) fn handle_task_report(
         &mut self,
         id: &AttemptId,
         report: TaskReport,
         actions: &mut Vec<Action>,
     ) {
-        // The report of its start may have been lost: a task that uses something runs.
+        // Any report shows that the task runs, even if the report of its start was lost.
         self.finish_start(id);
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         let is_preemptible = self.settings.classes[attempt.task.class].priority == 0;
-        let should_move = match report {
+        let should_migrate = match report {
             TaskReport::Served(share) => attempt.track_service(share, is_preemptible, self.now),
             _ => false,
         };
@@ -65,12 +65,12 @@
             _ => {}
         }
         if let Some(machine) = self.machines.get_mut(&machine) {
-            machine.health.record_sign_of_life(self.now);
+            machine.health.record_liveness(self.now);
             if shows_contention(report) {
                 machine.contended_until = self.now + CONTENTION_DURATION;
             }
         }
-        if should_move && self.has_machine_with_headroom(&task) {
+        if should_migrate && self.has_machine_with_headroom(&task) {
             actions.push(Action::Migrate(id.task));
         }
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,19 @@
-//! All decisions of a placer, with their tables and tuned values.
+//! The placement policy: all decisions of a placer, with its state and constants.
 //!
-//! [`Placer::turn`] applies what has happened and then offers waiting tasks. Each module holds one decision:
-//! [`selection`] chooses among the machines that [`feasibility`] allows, by the rates of [`service_rate`] and the
-//! utilization of [`load`]; [`placing`] and [`attempts`] lead a task from its request to its answer ([`answers`]);
-//! [`slow_start`], [`outlier`], [`answer_times`], [`restart_throttle`] and [`migration`] are what guards against hosts,
-//! lists and placers that fail. What each departure from the paper is for stands in `docs/design.md`.
+//! [`Placer::turn`] applies a batch of events and then offers the queued tasks to machines. Each module implements one
+//! part of the policy: [`selection`] chooses among the machines that [`feasibility`] allows, by the rates of
+//! [`service_rate`] and the utilization of [`load`]; [`placing`] and [`attempts`] take a task from its request to its
+//! final answer ([`answers`]); [`slow_start`], [`outlier`], [`answer_times`], [`restart_throttle`] and [`migration`]
+//! limit the effect of failing hosts, stale endpoint lists and restarting placers. `docs/design.md` gives the reason
+//! for each departure from the paper.
+//!
+//! Comments refer to the five rules that hold whatever fails:
+//!
+//! 1. Every request gets exactly one final answer before its deadline.
+//! 2. A task that may have run is sent again only as the retry safety of its class allows.
+//! 3. A machine that is draining or gone gets no new offers.
+//! 4. A machine that is warming up gets no more offers than its budget in any window.
+//! 5. A service stays within its spread limit.
 
 mod answer_times;
 mod answers;
@@ -32,7 +41,7 @@
 use self::load::UsageShare;
 use self::machine::Machine;
 use self::placements::Placements;
-use self::random::UniformSource;
+use self::random::UniformRng;
 use self::restart_throttle::{RestartThrottle, deferral_deadline};
 use self::service_rate::ServiceRates;
 use self::slow_start::SlowStart;
@@ -41,20 +50,20 @@
     TaskId, TaskReport,
 };
 
-/// A blocked task, for which no machine is feasible now, is tried again after this.
+/// How soon a blocked task, for which no machine was feasible, is tried again.
 const BLOCKED_RETRY_INTERVAL: Micros = 200_000;
-/// This many blocked tasks are tried in one turn: what a placer's share of a core bears at any backlog.
+/// How many blocked tasks are tried in one turn. This bounds the length of a turn, whatever the backlog.
 const MAX_BLOCKED_PER_TURN: usize = 64;
-/// Label of the general timer; a task's own is its number plus one.
+/// Label of the tick timer, which all tasks share. The label of a task's own timer is its id plus one.
 const TICK_LABEL: u64 = 0;
 
-/// Decides for one placer. Nothing is shared between placers.
+/// The placement policy of one placer. Placers share no state.
 pub struct Placer {
     settings: Settings,
-    random: UniformSource,
+    random: UniformRng,
     now: Micros,
-    /// Machines selected so far.
-    decisions: u64,
+    /// How many times a machine has been selected.
+    decision_count: u64,
     discovery: DiscoverySubscription,
     machines: BTreeMap<MachineId, Machine>,
     slow_start: SlowStart,
@@ -64,29 +73,29 @@
     pending: BTreeMap<TaskId, PendingTask>,
     attempts: BTreeMap<AttemptId, Attempt>,
     placements: Placements,
-    /// Tasks to be offered in this turn.
-    waiting: VecDeque<TaskId>,
-    /// Tasks for which no machine was feasible, tried again in turn.
+    /// Tasks to offer in this turn.
+    offer_queue: VecDeque<TaskId>,
+    /// Tasks for which no machine was feasible, tried again in this order.
     blocked: VecDeque<TaskId>,
     restart_throttle: RestartThrottle,
     tick_at: Option<Micros>,
 }
 
 impl Placer {
-    /// A placer that knows nothing but its settings. Equal seeds and events give equal actions.
+    /// Creates a placer without machines and tasks. Equal seeds and events give equal actions.
     ///
     /// # Errors
     ///
-    /// The first setting that is missing or out of range.
+    /// Returns the first setting that is missing or out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Placer, SettingsError> {
         settings.validate()?;
         Ok(Placer {
             slow_start: SlowStart::new(settings.replica_index),
             answer_times: AnswerTimes::new(settings.acceptance_point),
             settings,
-            random: UniformSource::new(seed),
+            random: UniformRng::new(seed),
             now: 0,
-            decisions: 0,
+            decision_count: 0,
             discovery: DiscoverySubscription::default(),
             machines: BTreeMap::new(),
             service_rates: ServiceRates::default(),
@@ -94,18 +103,18 @@
             pending: BTreeMap::new(),
             attempts: BTreeMap::new(),
             placements: Placements::default(),
-            waiting: VecDeque::new(),
+            offer_queue: VecDeque::new(),
             blocked: VecDeque::new(),
             restart_throttle: RestartThrottle::default(),
             tick_at: None,
         })
     }
 
-    /// Applies what has happened by `now` (µs) and appends to `actions` what is to be done, in this order. All events of
-    /// the turn are applied before anything is offered.
+    /// Applies the events up to `now` (µs) and appends to `actions` what the caller must do, in order. All events of
+    /// the turn are applied before any offer is made.
     pub fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // Rule 3: where discovery must be asked, it is from the first turn on.
+        // Rule 3: a placer that polls discovery subscribes in its first turn, so that it receives drains and removals.
         if self.discovery.start(self.settings.discovery, actions) {
             self.pause_slow_start();
         }
@@ -115,9 +124,9 @@
         self.discovery.retry_if_due(self.now, actions);
         if self.tick_at.is_none() {
             let count = self.blocked.len().min(MAX_BLOCKED_PER_TURN);
-            self.waiting.extend(self.blocked.drain(..count));
+            self.offer_queue.extend(self.blocked.drain(..count));
         }
-        while let Some(task) = self.waiting.pop_front() {
+        while let Some(task) = self.offer_queue.pop_front() {
             self.place(task, actions);
         }
         self.release_deferred(actions);
@@ -174,10 +183,10 @@
             after: answer_at.saturating_sub(self.now),
             label: task.id.0 + 1,
         });
-        self.waiting.push_back(task.id);
+        self.offer_queue.push_back(task.id);
     }
 
-    /// Takes over a task that runs already.
+    /// Takes over a task that is already running.
     fn adopt(&mut self, task: Task, machine: MachineId) {
         if task.class < self.settings.classes.len() {
             let attempt = AttemptId {
@@ -200,13 +209,13 @@
         }
     }
 
-    /// Rule 4, over a restart: nothing goes to warming machines for one window.
+    /// Rule 4 across a restart of the placer: machines that are warming up get no offers for one window.
     fn pause_slow_start(&mut self) {
         let window = self.settings.rules.overload_window;
         self.slow_start.pause(self.now, window);
     }
 
-    /// Sets the one general timer, for blocked and deferred tasks and for discovery.
+    /// Sets the tick timer for blocked and deferred tasks and for discovery retries.
     fn schedule_tick(&mut self, actions: &mut Vec<Action>) {
         let has_tasks = !self.blocked.is_empty() || self.restart_throttle.has_deferred();
         let retry_tasks_at = has_tasks.then_some(self.now + BLOCKED_RETRY_INTERVAL);
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,29 +1,29 @@
-//! Outlier ejection and backoff: which machines are passed over for what lately became of offers there.
+//! Outlier ejection and backoff: which machines are skipped because of the recent outcomes of offers to them.
 
 use crate::interface::{AttemptOutcome, AttemptResult, FailureReason, Micros, Resources};
 
-/// A machine is ejected for a class this long after its first failure, twice that after the next and so on.
+/// How long a machine is ejected for a class after the first failure. Each further failure doubles it.
 const BASE_EJECTION: Micros = 3_000_000;
-/// At most this many doublings: a machine that has recovered is found within twelve seconds.
+/// Maximum number of doublings, so that a machine that has recovered is offered to again within twelve seconds.
 const MAX_EJECTION_DOUBLINGS: f64 = 2.0;
-/// After a rejection for lack of capacity, tasks as large are not offered there for this long.
+/// How long tasks as large are not offered to a machine after a rejection for lack of capacity.
 pub(super) const CAPACITY_BACKOFF: Micros = 1_000_000;
-/// After a rejection for its queue or state, nothing is offered to a machine for this long.
+/// How long no task is offered to a machine after a rejection because of its queue or state.
 const QUEUE_BACKOFF: Micros = 150_000;
-/// Consecutive rejections double those times, at most this often.
+/// Maximum number of doublings of the backoff by consecutive rejections.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// From this many consecutive rejections on, smaller tasks are kept away as well.
+/// Number of consecutive rejections after which the backoff applies to smaller tasks as well.
 const REJECTIONS_UNTIL_ALL_SIZES: u32 = 2;
 
-/// How a machine has lately served one class.
+/// The recent outcomes of one class on a machine.
 #[derive(Clone, Copy, Default)]
 struct ClassHealth {
     failure_count: f64,
     last_failure: Micros,
     ejected_until: Micros,
-    /// Offers there that have no answer yet.
+    /// Offers of the class without an answer so far.
     unanswered: u32,
-    /// When an offer was cut off or timed out, with none accepted since.
+    /// When an offer was disconnected or timed out, if none has been accepted since.
     unanswered_since: Option<Micros>,
 }
 
@@ -35,8 +35,9 @@
         self.ejected_until = now + (BASE_EJECTION as f64 * doublings.exp2()) as Micros;
     }
 
-    /// An offer was cut off or timed out. The cause may be a broken connection or a spoilt answer rather than the
-    /// machine: the first such offer counts until the machine shows a sign of life, a second one in a row as any failure.
+    /// Records an offer that was disconnected or timed out. The cause may be a broken connection or a lost answer
+    /// rather than the machine, so the first such offer counts only until the machine is seen alive. A second one
+    /// without an acceptance in between counts as a failure.
     fn record_lost_answer(&mut self, now: Micros) {
         match self.unanswered_since {
             Some(before) if before < now => self.record_failure(now),
@@ -44,7 +45,7 @@
         }
     }
 
-    fn forgive_failure(&mut self) {
+    fn retract_failure(&mut self) {
         self.failure_count = (self.failure_count - 1.0).max(0.0);
         if self.failure_count < 1.0 {
             self.ejected_until = 0;
@@ -55,13 +56,14 @@
         self.unanswered = self.unanswered.saturating_sub(1);
     }
 
-    /// Whether the class itself may be offered there: not ejected, and after a failure one offer at a time.
+    /// Whether the class's own outcomes allow another offer: the class is not ejected, and after a failure only one
+    /// offer may be unanswered at a time.
     fn admits_offers(&self, now: Micros) -> bool {
         self.ejected_until <= now && (self.failure_count < 1.0 || self.unanswered == 0)
     }
 
-    /// Whether this class's offers suggest that the whole machine is down: it failed or left offers unanswered, and
-    /// showed no sign of life since.
+    /// Whether this class's outcomes suggest that the whole machine is down: an offer failed or stayed unanswered, and
+    /// the machine has not been seen alive since.
     fn suggests_machine_is_down(&self, last_seen_alive: Micros, now: Micros) -> bool {
         let failed = self.ejected_until > now && self.last_failure > last_seen_alive;
         let is_silent = |since: Micros| since > last_seen_alive && since + BASE_EJECTION > now;
@@ -69,15 +71,15 @@
     }
 }
 
-/// Capacity that was refused, and until when that counts.
+/// A backoff after a rejection.
 #[derive(Clone, Copy)]
 struct Backoff {
-    /// Tasks that ask for as much, in cores or in memory, are kept away.
+    /// Tasks that request at least as many cores or as much memory are not offered.
     requested: Resources,
     until: Micros,
 }
 
-/// How a machine has lately answered, by class and as a whole.
+/// The health of a machine, by class and as a whole.
 pub(super) struct MachineHealth {
     classes: Vec<ClassHealth>,
     last_seen_alive: Micros,
@@ -96,13 +98,13 @@
         }
     }
 
-    /// A new process runs there: what was learned of the old one says nothing of it.
-    pub(super) fn forget_process(&mut self) {
+    /// Discards the recorded failures, since they belong to an earlier process on the machine.
+    pub(super) fn reset_for_new_process(&mut self) {
         self.classes.fill(ClassHealth::default());
         self.backoff = None;
     }
 
-    pub(super) fn record_sign_of_life(&mut self, now: Micros) {
+    pub(super) fn record_liveness(&mut self, now: Micros) {
         self.last_seen_alive = now;
     }
 
@@ -124,15 +126,16 @@
         self.last_seen_alive = now;
     }
 
-    /// A failure turned out to be the task's.
-    pub(super) fn forgive_failure(&mut self, class: usize) {
-        self.classes[class].forgive_failure();
+    /// Retracts a failure that was caused by the task rather than the machine.
+    pub(super) fn retract_failure(&mut self, class: usize) {
+        self.classes[class].retract_failure();
     }
 
-    /// Records how an attempt ended. A task that fails on every machine (`is_task_at_fault`) says nothing of this one.
+    /// Records the outcome of an attempt. An error of a task that fails on every machine (`is_task_at_fault`) does not
+    /// count against this one.
     pub(super) fn record_outcome(
         &mut self,
-        attempt: &EndedAttempt,
+        attempt: &FinishedAttempt,
         result: &AttemptResult,
         is_task_at_fault: bool,
         now: Micros,
@@ -149,8 +152,8 @@
         }
         match (result.outcome, result.reason) {
             (AttemptOutcome::Rejected, reason) => self.back_off(attempt.requested, reason, now),
-            // Failing fast gives no rate sample, so the rate would stay good and draw ever more offers: the
-            // machine is ejected, and then tried with one offer at a time.
+            // A failure gives no service-rate sample, so a machine that fails fast would keep its rate and receive most
+            // offers. It is therefore ejected, and afterwards gets one offer at a time.
             (AttemptOutcome::Error, _) if is_task_at_fault => {}
             (AttemptOutcome::Disconnected, None) => health.record_lost_answer(now),
             (AttemptOutcome::Error | AttemptOutcome::ConnectFailed, _) => {
@@ -164,8 +167,9 @@
         }
     }
 
-    /// Lists are late, and all placers see the same capacity: each rejection in a row doubles the time, and after some
-    /// smaller tasks are kept away as well.
+    /// Starts a backoff after a rejection. Endpoint lists are late and all placers see the same capacity, so each
+    /// consecutive rejection doubles the time, and after [`REJECTIONS_UNTIL_ALL_SIZES`] it applies to smaller tasks as
+    /// well.
     fn back_off(&mut self, requested: Resources, reason: Option<FailureReason>, now: Micros) {
         let lacks_capacity = matches!(reason, Some(FailureReason::Cores | FailureReason::Memory));
         let base = if lacks_capacity {
@@ -185,7 +189,7 @@
         self.consecutive_rejections = (self.consecutive_rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
     }
 
-    /// Whether tasks that ask for this are kept away for now after rejections.
+    /// Whether a backoff applies to tasks that request these resources.
     pub(super) fn is_backing_off(&self, requested: Resources, now: Micros) -> bool {
         self.backoff.is_some_and(|backoff| {
             let is_as_large = requested.cores >= backoff.requested.cores
@@ -194,8 +198,9 @@
         })
     }
 
-    /// Whether a class may be offered there. Its own failures count until its own starts make up for them, those of other
-    /// classes only while the machine shows no sign of life: it may fail one class and serve the rest.
+    /// Whether tasks of a class may be offered to the machine. Failures of the class itself count until starts of the
+    /// class reduce them. Failures of other classes count only until the machine is seen alive, since a machine may
+    /// fail one class and serve the others.
     pub(super) fn is_healthy(&self, class: usize, now: Micros) -> bool {
         let is_down =
             |health: &ClassHealth| health.suggests_machine_is_down(self.last_seen_alive, now);
@@ -203,9 +208,9 @@
     }
 }
 
-/// What an outcome has to be told with.
+/// The attempt that an outcome belongs to.
 #[derive(Clone, Copy)]
-pub(super) struct EndedAttempt {
+pub(super) struct FinishedAttempt {
     pub(super) class: usize,
     pub(super) requested: Resources,
     /// The machine had accepted it before it ended.
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -2,15 +2,15 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn offered(requested: Resources) -> EndedAttempt {
-    EndedAttempt {
+fn offered(requested: Resources) -> FinishedAttempt {
+    FinishedAttempt {
         class: 0,
         requested,
         was_accepted: false,
     }
 }
 
-fn end(
+fn finish_attempt(
     health: &mut MachineHealth,
     outcome: AttemptOutcome,
     reason: Option<FailureReason>,
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn failures_in_a_row_eject_for_three_six_and_twelve_seconds() {
+fn consecutive_failures_eject_for_three_six_and_twelve_seconds() {
     let mut health = MachineHealth::new(1);
     let mut now = SECOND;
     for seconds in [3, 6, 12, 12] {
-        end(&mut health, AttemptOutcome::Error, None, now);
-        health.record_sign_of_life(now);
+        finish_attempt(&mut health, AttemptOutcome::Error, None, now);
+        health.record_liveness(now);
         assert!(!health.is_healthy(0, now + seconds * SECOND - 1));
         now += seconds * SECOND;
         assert!(health.is_healthy(0, now));
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn after_a_failure_offers_go_out_one_at_a_time_until_starts_make_up_for_it() {
+fn after_a_failure_only_one_offer_is_outstanding_until_a_start_succeeds() {
     let mut health = MachineHealth::new(1);
-    end(&mut health, AttemptOutcome::Error, None, SECOND);
+    finish_attempt(&mut health, AttemptOutcome::Error, None, SECOND);
     let later = 10 * SECOND;
     health.record_offer(0);
     assert!(!health.is_healthy(0, later));
@@ -53,39 +53,39 @@
 }
 
 #[test]
-fn one_lost_answer_counts_until_a_sign_of_life_and_two_as_a_failure() {
+fn one_lost_answer_counts_until_the_machine_is_seen_alive_and_two_count_as_a_failure() {
     let mut health = MachineHealth::new(2);
-    end(&mut health, AttemptOutcome::TimedOut, None, 2 * SECOND);
+    finish_attempt(&mut health, AttemptOutcome::TimedOut, None, 2 * SECOND);
     assert!(!health.is_healthy(1, 3 * SECOND));
-    health.record_sign_of_life(3 * SECOND);
+    health.record_liveness(3 * SECOND);
     assert!(health.is_healthy(0, 3 * SECOND) && health.is_healthy(1, 3 * SECOND));
-    end(&mut health, AttemptOutcome::Disconnected, None, 4 * SECOND);
-    health.record_sign_of_life(5 * SECOND);
+    finish_attempt(&mut health, AttemptOutcome::Disconnected, None, 4 * SECOND);
+    health.record_liveness(5 * SECOND);
     assert!(!health.is_healthy(0, 5 * SECOND) && health.is_healthy(1, 5 * SECOND));
 }
 
 #[test]
-fn forgiven_failure_ends_the_ejection() {
+fn retracting_a_failure_ends_the_ejection() {
     let mut health = MachineHealth::new(1);
-    end(&mut health, AttemptOutcome::Error, None, SECOND);
-    health.record_sign_of_life(SECOND);
-    health.forgive_failure(0);
+    finish_attempt(&mut health, AttemptOutcome::Error, None, SECOND);
+    health.record_liveness(SECOND);
+    health.retract_failure(0);
     assert!(health.is_healthy(0, SECOND));
 }
 
 #[test]
-fn rejections_for_capacity_keep_tasks_as_large_away_and_then_all() {
+fn capacity_rejections_back_off_tasks_as_large_and_later_all_tasks() {
     let mut health = MachineHealth::new(1);
     let small = Resources::new(1.0, 1.0);
     let large = Resources::new(2.0, 1.0);
     let reason = Some(FailureReason::Cores);
     for (rejections, seconds) in [(1, 1), (2, 2), (3, 4), (4, 8), (5, 8)] {
-        end(&mut health, AttemptOutcome::Rejected, reason, 0);
+        finish_attempt(&mut health, AttemptOutcome::Rejected, reason, 0);
         assert!(health.is_backing_off(large, seconds * SECOND - 1));
         assert!(!health.is_backing_off(large, seconds * SECOND));
         assert_eq!(health.is_backing_off(small, 0), rejections > 2);
     }
     health.record_acceptance(0, 0);
-    end(&mut health, AttemptOutcome::Rejected, reason, 0);
+    finish_attempt(&mut health, AttemptOutcome::Rejected, reason, 0);
     assert!(!health.is_backing_off(large, SECOND));
 }
--- a/src/policy/placements.rs
+++ b/src/policy/placements.rs
@@ -1,10 +1,10 @@
-//! Where this placer's tasks are: attempts without an outcome, by service and machine.
+//! The placements of this placer: its attempts without an outcome, by service and machine.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{MachineId, Micros, ServiceId};
 
-/// A machine keeps a program loaded for about this long after its last task.
+/// How long a machine is assumed to keep a program loaded after the last task of the service.
 const PROGRAM_RETENTION: Micros = 8_000_000;
 
 /// The attempts of one service on one machine.
@@ -14,7 +14,7 @@
     last_changed: Micros,
 }
 
-/// The attempts of all services, and for a while those that are over.
+/// The attempts of all services, including those that finished recently.
 #[derive(Default)]
 pub(super) struct Placements {
     by_service: BTreeMap<ServiceId, BTreeMap<MachineId, Placement>>,
@@ -26,21 +26,21 @@
         machines.entry(machine).or_default()
     }
 
-    /// An attempt began at `now`.
+    /// Records an attempt that starts at `now`.
     pub(super) fn add(&mut self, service: ServiceId, machine: MachineId, now: Micros) {
         let placement = self.entry(service, machine);
         placement.attempts += 1;
         placement.last_changed = now.max(placement.last_changed);
     }
 
-    /// An attempt is over; it was last known to run at `last_seen`.
+    /// Records the end of an attempt, which was last known to run at `last_seen`.
     pub(super) fn remove(&mut self, service: ServiceId, machine: MachineId, last_seen: Micros) {
         let placement = self.entry(service, machine);
         placement.attempts = placement.attempts.saturating_sub(1);
         placement.last_changed = last_seen.max(placement.last_changed);
     }
 
-    /// The machines on which the service has or lately had attempts, in the order of their ids, with their number.
+    /// The machines on which the service has or recently had attempts, ordered by id, with the number of attempts.
     pub(super) fn of_service(
         &self,
         service: ServiceId,
@@ -49,8 +49,8 @@
         machines.map(|(machine, placement)| (*machine, placement.attempts))
     }
 
-    /// Whether the machine should still have the service's program loaded. A process that was started since
-    /// (`machine_started_at`, 0 if that is not known) holds no program of before.
+    /// Whether the machine is expected to have the service's program loaded. A restart of the machine's process unloads
+    /// it; `machine_started_at` is 0 if the time of the last start is unknown.
     pub(super) fn holds_program(
         &self,
         service: ServiceId,
@@ -68,8 +68,8 @@
             })
     }
 
-    /// Forgets services without attempts for which nothing changed within `retention`.
-    pub(super) fn forget_unused(&mut self, now: Micros, retention: Micros) {
+    /// Removes services that have no attempts and had no change within `retention`.
+    pub(super) fn remove_unused(&mut self, now: Micros, retention: Micros) {
         self.by_service.retain(|_, machines| {
             machines
                 .values()
@@ -77,7 +77,7 @@
         });
     }
 
-    /// Whether anything is known of the service.
+    /// Whether the service has an entry.
     pub(super) fn contains(&self, service: ServiceId) -> bool {
         self.by_service.contains_key(&service)
     }
--- a/src/policy/placing.rs
+++ b/src/policy/placing.rs
@@ -1,4 +1,4 @@
-//! Offers: which pending task goes where next, and what waits instead (rules 1 and 2).
+//! Placing a pending task: it is offered to a machine, deferred, blocked or answered (rules 1 and 2).
 
 use super::answers::ANSWER_MARGIN;
 use super::attempts::{Attempt, PendingTask};
@@ -7,7 +7,7 @@
 use crate::interface::{Action, AttemptId, BlockReason, Micros, RetrySafety, TaskId};
 
 impl Placer {
-    /// Offers a task to the machine that the mechanism selects, defers or blocks it, or answers it.
+    /// Offers a task to the selected machine, defers or blocks it, or sends its final answer.
     pub(super) fn place(&mut self, id: TaskId, actions: &mut Vec<Action>) {
         let Some(pending) = self.pending.get(&id).copied() else {
             return;
@@ -35,8 +35,9 @@
         }
     }
 
-    /// Until when the task may be offered. Rule 2: what may have run is sent again only as its class allows. An offer's
-    /// timeout ends with the window of its key: it may wait for its connection, and must not leave after the window.
+    /// Until when the task may be offered. Rule 2: a task that may have run is sent again only as its class allows.
+    /// With an idempotency key an offer's timeout ends with the key's window, since the offer may wait for a connection
+    /// and must not be sent after the window.
     fn offer_deadline(&self, pending: &PendingTask) -> Micros {
         let safety = self.settings.classes[pending.task.class].retry_safety;
         match (pending.possibly_started, safety) {
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Keeps a task for later, and reports what it waits for when that changes. What no machine can ever take is answered
-    /// at once.
+    /// Blocks a task until a later turn, and reports its block reason when that changes. A task that fits no kind of
+    /// machine is answered at once.
     fn block(&mut self, task: TaskId, reason: BlockReason, actions: &mut Vec<Action>) {
         if let Some(pending) = self.pending.get_mut(&task)
             && pending.block_reason.replace(reason) != Some(reason)
@@ -110,7 +111,7 @@
         restart_throttle::max_starts_in_progress(ready, self.settings.replica_count)
     }
 
-    /// Places deferred tasks as starts in progress become fewer, or once they have been deferred for long enough.
+    /// Places deferred tasks while starts in progress are below the limit, or once their deferral has ended.
     pub(super) fn release_deferred(&mut self, actions: &mut Vec<Action>) {
         if !self.restart_throttle.has_deferred() {
             return;
--- a/src/policy/restart_throttle.rs
+++ b/src/policy/restart_throttle.rs
@@ -1,46 +1,47 @@
-//! Restart throttling: tasks that are resubmitted give way to tasks that come for the first time while many starts are in
-//! progress.
+//! Restart throttling: while many starts are in progress, resubmitted tasks are deferred in favour of first
+//! submissions.
 //!
-//! A resubmitted task has no timely start to lose, and comes with thousands of others where machines are lost. Its start
-//! would stand in the queues of machines before starts that are worth more when they are timely.
+//! A resubmitted task no longer earns the bonus for a timely start, and a loss of machines resubmits thousands of tasks
+//! at once. Without a limit their starts would fill the queues of the machines and delay starts that still earn the
+//! bonus.
 
 use std::collections::BTreeSet;
 
 use crate::interface::{Micros, Task, TaskId};
 
-/// A resubmitted task gives way for this long at most, and for no more than half of the time it has.
+/// Maximum time for which a resubmitted task is deferred; it is also limited to half of the time until its deadline.
 const MAX_DEFERRAL: Micros = 1_000_000;
-/// Accepted starts in progress for each ready machine, over all placers, from which on resubmitted tasks give way.
+/// Starts in progress per ready machine, over all placers, from which on resubmitted tasks are deferred.
 const MAX_STARTS_PER_MACHINE: f64 = 3.0;
 
-/// When the placer stops deferring a task; none for a task that comes for the first time.
+/// Until when a task may be deferred; none for a first submission.
 pub(super) fn deferral_deadline(task: &Task, now: Micros) -> Option<Micros> {
-    let half_of_its_time = task.deadline.saturating_sub(now) / 2;
+    let half_of_remaining = task.deadline.saturating_sub(now) / 2;
     task.is_resubmission
-        .then_some(now + MAX_DEFERRAL.min(half_of_its_time))
+        .then_some(now + MAX_DEFERRAL.min(half_of_remaining))
 }
 
-/// This placer's part of the starts in progress, from which on resubmitted tasks give way.
+/// This placer's share of the limit on starts in progress, from which on resubmitted tasks are deferred.
 pub(super) fn max_starts_in_progress(ready_machines: usize, replica_count: u32) -> u32 {
     let starts = MAX_STARTS_PER_MACHINE * ready_machines as f64 / f64::from(replica_count);
     (starts as u32).max(1)
 }
 
-/// The tasks that are deferred, and this placer's starts in progress.
+/// The deferred tasks and the number of this placer's starts in progress.
 #[derive(Default)]
 pub(super) struct RestartThrottle {
-    /// With the time until which each is deferred.
+    /// Ordered by the time until which each task is deferred.
     deferred: BTreeSet<(Micros, TaskId)>,
     starts_in_progress: u32,
 }
 
 impl RestartThrottle {
-    /// A machine accepted a task that has not started yet.
+    /// Records that a machine has accepted a task that has not started yet.
     pub(super) fn begin_start(&mut self) {
         self.starts_in_progress += 1;
     }
 
-    /// Such a task has started, or its attempt is over.
+    /// Records that such a task has started or its attempt has finished.
     pub(super) fn finish_start(&mut self) {
         self.starts_in_progress -= 1;
     }
@@ -57,7 +58,8 @@
         !self.deferred.is_empty()
     }
 
-    /// Takes out the next task to be placed: the one whose time is over, or the first of all below the limit.
+    /// Removes and returns the next task to place: the first one, if its deferral has ended or starts in progress are
+    /// below the limit.
     pub(super) fn take_released(&mut self, max_starts: u32, now: Micros) -> Option<TaskId> {
         let &(until, task) = self.deferred.first()?;
         if self.is_at_limit(max_starts) && until > now {
--- a/src/policy/restart_throttle/tests.rs
+++ b/src/policy/restart_throttle/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn only_resubmitted_tasks_are_deferred_for_a_second_or_half_their_time() {
+fn only_resubmitted_tasks_are_deferred_for_at_most_a_second_or_half_their_remaining_time() {
     let now = 5_000_000;
     assert_eq!(deferral_deadline(&task(false, now + 9_000_000), now), None);
     let deadline = |left| deferral_deadline(&task(true, now + left), now);
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn limit_is_this_placers_part_and_at_least_one() {
+fn limit_is_this_placers_share_and_at_least_one() {
     assert_eq!(max_starts_in_progress(40, 4), 30);
     assert_eq!(max_starts_in_progress(1, 30), 1);
     assert_eq!(max_starts_in_progress(0, 1), 1);
 }
 
 #[test]
-fn deferred_tasks_are_released_below_the_limit_or_when_their_time_is_over() {
+fn deferred_tasks_are_released_below_the_limit_or_when_their_deferral_ends() {
     let mut throttle = RestartThrottle::default();
     throttle.begin_start();
     throttle.defer(TaskId(2), 200);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,56 +1,57 @@
-//! The mechanism on its ordinary path: Blind GB-PANDAS with one queue a server (paper, 2.1 and 3). Among the machines that
-//! may take a task it chooses the least workload over rate, or a uniform draw with decreasing probability.
+//! Machine selection by Blind GB-PANDAS with one queue per server (paper, sections 2.1 and 3). Among the feasible
+//! machines it selects the one with the lowest ratio of workload to service rate or, with a probability that decreases
+//! over time, a uniformly random one (exploration).
 
 use super::Placer;
 use super::attempts::PendingTask;
 use super::machine::Machine;
 use super::random::mix_bits;
-use super::service_rate::{Locality, StartKind};
+use super::service_rate::{Locality, StartProfile};
 use crate::interface::{BlockReason, MachineId, ServiceId, Task};
 
-/// Decision t is a uniform draw with probability 1/t^C (paper, 3), where t counts the decisions of all placers as this
-/// one's times their number: the paper's one router sees them all. This is the largest C allowed: a draw that is not
-/// needed costs a slow start, and pairs are sampled by near-ties and retries as well.
+/// The exponent C: decision t explores with probability 1/t^C (paper, section 3). The paper has one router, so t is
+/// this placer's number of decisions times the number of placers. 1 is the largest exponent that the paper allows. Less
+/// exploration is needed here, since it costs slow starts, and near-ties and retries give samples as well.
 const EXPLORATION_EXPONENT: f64 = 1.0;
-/// Machines that score within this factor of the least are drawn at random.
+/// Machines that score within this factor of the lowest score are tied, and one of them is selected at random.
 const NEAR_TIE_FACTOR: f64 = 1.1;
-/// This many machines that rank first for a service are looked at for headroom.
+/// How many of the machines that rank first for a service are candidates.
 const MAX_CANDIDATES: usize = 4;
-/// While less than this share of a machine with the program is likely to be used, its load delays nobody, and an emptier
-/// machine without the program must not attract starts: that one counts as fuller, by more than a near-tie.
+/// Estimated utilization below which a machine with the program is lightly used. Its load causes no delay, so an
+/// emptier machine without the program must not attract starts: it is scored as fuller, by more than a near-tie.
 const LOW_UTILIZATION: f64 = 0.45;
-/// A machine in another zone scores worse by this many times the cost of crossing zones.
+/// Factor on the cross-zone cost in the score of a machine in another zone.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
 
-/// The machine that was chosen, and how near it is to the service's program.
+/// The selected machine and its locality for the service.
 #[derive(Clone, Copy)]
 pub(super) struct Selection {
     pub(super) machine: MachineId,
     pub(super) locality: Locality,
 }
 
-/// A machine among those that are scored.
+/// A machine to be scored.
 struct Candidate<'a> {
     machine: &'a Machine,
     locality: Locality,
     utilization: f64,
 }
 
-/// A machine's score; the least is best.
+/// A machine with its score; the lowest is best.
 #[derive(Clone, Copy)]
 struct Scored {
     score: f64,
     selection: Selection,
 }
 
-/// A machine's rank for a service by rendezvous hashing (highest random weight), the same at every placer; the least is
-/// first. Large machines rank first more often.
+/// The score of a machine for a service by rendezvous hashing (highest random weight), which is the same at every
+/// placer. The lowest score ranks first. Weighted by cores, so larger machines rank first more often.
 fn rendezvous_score(service: ServiceId, machine: &Machine) -> f64 {
-    let drawn = (mix_bits(service.0 ^ machine.entry.stable_hash) >> 11) as f64 + 1.0;
-    (53.0 * std::f64::consts::LN_2 - drawn.ln()) / machine.size.cores
+    let hash = (mix_bits(service.0 ^ machine.entry.stable_hash) >> 11) as f64 + 1.0;
+    (53.0 * std::f64::consts::LN_2 - hash.ln()) / machine.size.cores
 }
 
-/// Keeps the machines that `is_preferred` holds for, if there are any.
+/// Keeps only the machines for which `is_preferred` holds, or all of them if it holds for none.
 fn keep_preferred(machines: &mut Vec<&Machine>, is_preferred: impl Fn(&Machine) -> bool) {
     if machines.iter().any(|machine| is_preferred(machine)) {
         machines.retain(|machine| is_preferred(machine));
@@ -58,7 +59,7 @@
 }
 
 impl Placer {
-    /// Chooses a machine for the task, or says what blocks it everywhere.
+    /// Selects a machine for the task, or returns the reason that blocks it on all machines.
     pub(super) fn select_machine(
         &mut self,
         pending: &PendingTask,
@@ -70,15 +71,16 @@
         });
         self.keep_working_set(&mut machines);
         let mut scores = self.scores(&self.candidates(machines, task), task);
-        self.decisions += 1;
+        self.decision_count += 1;
         if !self.explores() {
             keep_near_ties(&mut scores);
         }
         Ok(scores[self.random.index(scores.len())].selection)
     }
 
-    /// The least share would spread tasks over more machines than needed: where that is priced, those beyond the working
-    /// set are left to empty.
+    /// Keeps only machines of the working set, if there are any and machines in use have a cost. The lowest utilization
+    /// would otherwise spread tasks over more machines than needed; machines outside the working set become empty over
+    /// time.
     fn keep_working_set(&self, machines: &mut Vec<&Machine>) {
         if self.settings.costs.fleet > 0.0 {
             let working_set = self.working_set();
@@ -88,14 +90,14 @@
         }
     }
 
-    /// Whether this decision is a uniform draw over all candidates.
+    /// Whether this decision selects uniformly among all candidates.
     fn explores(&mut self) -> bool {
-        let decisions = self.decisions as f64 * f64::from(self.settings.replica_count);
+        let decisions = self.decision_count as f64 * f64::from(self.settings.replica_count);
         self.random.fraction() < decisions.powf(-EXPLORATION_EXPONENT)
     }
 
-    /// The machines to be scored: of those that the service ranks first and those that hold its program, the ones with
-    /// headroom, if there are any.
+    /// The machines to be scored: those that rank first for the service or have its program loaded, limited to those
+    /// with headroom if there are any.
     fn candidates<'a>(&self, machines: Vec<&'a Machine>, task: &Task) -> Vec<Candidate<'a>> {
         let mean = self.mean_allocation();
         let local = self.local_machines(task.service);
@@ -115,7 +117,7 @@
             .collect()
     }
 
-    /// The machines that should have the service's program loaded, in the order of their ids.
+    /// The machines that are expected to have the service's program loaded, ordered by id.
     fn local_machines(&self, service: ServiceId) -> Vec<MachineId> {
         let machines = self.placements.of_service(service);
         machines
@@ -129,9 +131,10 @@
             .collect()
     }
 
-    /// Orders the machines by their rank for the service. All placers see the same few machines with headroom and would
-    /// swarm to them, so only those that rank first and the local ones are kept. A task that preempts others is rare and
-    /// large, and one on a contended machine costs many tasks: all machines are kept for it.
+    /// Orders the machines by their rank for the service. All placers see the same few machines with headroom, and
+    /// would all select them, so only the machines that rank first and the local ones are kept. All machines are kept
+    /// for a task that preempts others: such tasks are rare and large, and on a contended machine one degrades many
+    /// other tasks.
     fn first_ranked<'a>(
         &self,
         machines: Vec<&'a Machine>,
@@ -169,7 +172,7 @@
 
     fn score(&self, candidate: &Candidate, task: &Task, min_remote_utilization: f64) -> Scored {
         let entry = &candidate.machine.entry;
-        let crossing = if entry.zone == self.settings.zone {
+        let zone_factor = if entry.zone == self.settings.zone {
             1.0
         } else {
             1.0 + CROSS_ZONE_FACTOR * self.settings.costs.cross_zone
@@ -178,16 +181,16 @@
             Locality::Local => 0.0,
             _ => min_remote_utilization,
         };
-        let kind = StartKind {
+        let profile = StartProfile {
             service: task.service,
             class: task.class,
             machine: entry.machine,
             locality: candidate.locality,
         };
         let objective = self.settings.classes[task.class].latency_objective;
-        let rate = self.service_rates.estimate(kind, objective);
+        let rate = self.service_rates.estimate(profile, objective);
         Scored {
-            score: crossing * candidate.utilization.max(min_utilization) / rate,
+            score: zone_factor * candidate.utilization.max(min_utilization) / rate,
             selection: Selection {
                 machine: entry.machine,
                 locality: candidate.locality,
@@ -206,9 +209,9 @@
 }
 
 fn keep_near_ties(scores: &mut Vec<Scored>) {
-    let least = scores
+    let lowest = scores
         .iter()
         .map(|scored| scored.score)
         .fold(f64::INFINITY, f64::min);
-    scores.retain(|scored| scored.score <= least * NEAR_TIE_FACTOR);
+    scores.retain(|scored| scored.score <= lowest * NEAR_TIE_FACTOR);
 }
--- a/src/policy/service_rate/tests.rs
+++ b/src/policy/service_rate/tests.rs
@@ -2,8 +2,8 @@
 
 const OBJECTIVE: Micros = 600_000;
 
-fn kind(service: u64, locality: Locality) -> StartKind {
-    StartKind {
+fn profile(service: u64, locality: Locality) -> StartProfile {
+    StartProfile {
         service: ServiceId(service),
         class: 0,
         machine: MachineId(3),
@@ -12,54 +12,54 @@
 }
 
 #[test]
-fn nearer_machines_are_presumed_to_be_faster() {
+fn prior_rate_is_higher_at_nearer_localities() {
     let rates = ServiceRates::default();
-    let presumed = [
+    let priors = [
         Locality::Local,
         Locality::PrimaryHome,
         Locality::SecondaryHome,
         Locality::Remote,
     ]
-    .map(|locality| rates.estimate(kind(1, locality), OBJECTIVE));
-    assert_eq!(presumed[0], presumed[1]);
-    assert!(presumed[1] > presumed[2] && presumed[2] > presumed[3]);
-    assert_eq!(presumed[3], 1e6 / (2.0 * OBJECTIVE as f64));
+    .map(|locality| rates.estimate(profile(1, locality), OBJECTIVE));
+    assert_eq!(priors[0], priors[1]);
+    assert!(priors[1] > priors[2] && priors[2] > priors[3]);
+    assert_eq!(priors[3], 1e6 / (2.0 * OBJECTIVE as f64));
 }
 
 #[test]
-fn starts_move_the_estimate_of_their_pair_more_than_of_their_class() {
+fn starts_change_the_estimate_of_their_pair_more_than_of_their_class() {
     let mut rates = ServiceRates::default();
-    let other = kind(2, Locality::Remote);
+    let other = profile(2, Locality::Remote);
     let before = rates.estimate(other, OBJECTIVE);
     for _ in 0..8 {
-        rates.record_start(kind(1, Locality::Remote), 300_000, OBJECTIVE);
+        rates.record_start(profile(1, Locality::Remote), 300_000, OBJECTIVE);
     }
     let (pair, class) = (
-        rates.estimate(kind(1, Locality::Remote), OBJECTIVE),
+        rates.estimate(profile(1, Locality::Remote), OBJECTIVE),
         rates.estimate(other, OBJECTIVE),
     );
     assert!(before < class && class < pair && pair < 1e6 / 300_000.0);
 }
 
 #[test]
-fn starts_faster_than_the_shortest_that_counts_are_recorded_as_that() {
-    let (mut quick, mut quickest) = (ServiceRates::default(), ServiceRates::default());
-    let local = kind(1, Locality::Local);
-    quick.record_start(local, OBJECTIVE / 4, OBJECTIVE);
-    quickest.record_start(local, 1, OBJECTIVE);
+fn starts_below_the_minimum_duration_are_recorded_at_the_minimum() {
+    let (mut at_min, mut below_min) = (ServiceRates::default(), ServiceRates::default());
+    let local = profile(1, Locality::Local);
+    at_min.record_start(local, OBJECTIVE / 4, OBJECTIVE);
+    below_min.record_start(local, 1, OBJECTIVE);
     assert_eq!(
-        quick.estimate(local, OBJECTIVE),
-        quickest.estimate(local, OBJECTIVE)
+        at_min.estimate(local, OBJECTIVE),
+        below_min.estimate(local, OBJECTIVE)
     );
 }
 
 #[test]
-fn forgotten_services_keep_only_the_mean_of_their_class() {
+fn removed_services_are_estimated_by_the_mean_of_their_class() {
     let mut rates = ServiceRates::default();
-    rates.record_start(kind(1, Locality::Remote), 300_000, OBJECTIVE);
+    rates.record_start(profile(1, Locality::Remote), 300_000, OBJECTIVE);
     rates.retain_services(|service| service != ServiceId(1));
     assert_eq!(
-        rates.estimate(kind(1, Locality::Remote), OBJECTIVE),
-        rates.estimate(kind(2, Locality::Remote), OBJECTIVE)
+        rates.estimate(profile(1, Locality::Remote), OBJECTIVE),
+        rates.estimate(profile(2, Locality::Remote), OBJECTIVE)
     );
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,24 +1,24 @@
-//! Slow start: how many offers this placer sends to a machine that has just started (rule 4).
+//! Slow start: limits this placer's offers to a machine that is warming up after its start (rule 4).
 //!
-//! In every window a warming machine bears a number of offers from all placers together. They are split over the
-//! placers; rejected offers count as well.
+//! A warming machine has a budget of offers per window for all placers together, which is split among the placers.
+//! Rejected offers count as well.
 
 use std::collections::VecDeque;
 
 use super::random::mix_bits;
 use crate::interface::{MachineEntry, Micros, Rules};
 
-/// Share of the budget that is spent; the rest is for offers that arrive bunched.
+/// Share of the budget that is used. The rest is a margin for offers that arrive in bursts.
 const BUDGET_SHARE: f64 = 0.9;
 
-/// When offers were lately sent to one machine.
+/// The times of recent offers to one machine.
 #[derive(Default)]
 pub(super) struct RecentOffers {
     sent_at: VecDeque<Micros>,
 }
 
 impl RecentOffers {
-    /// Records an offer, and forgets those that have left the window.
+    /// Records an offer, and removes those outside of the window.
     pub(super) fn record(&mut self, now: Micros, window: Micros) {
         self.sent_at.retain(|at| at + window >= now);
         self.sent_at.push_back(now);
@@ -32,11 +32,11 @@
     }
 }
 
-/// This placer's part of the warm-up budgets.
+/// This placer's share of the warm-up budgets.
 pub(super) struct SlowStart {
-    /// Which of the placers this one is; none while that is not known, and then it has no part.
+    /// The index of this placer; without one it has no share of any budget.
     replica_index: Option<u32>,
-    /// Nothing goes to warming machines up to this time.
+    /// No offers are sent to warming machines until after this time.
     paused_until: Micros,
 }
 
@@ -48,13 +48,14 @@
         }
     }
 
-    /// Waits for a whole window, since this index's part of it may be spent already: what an earlier process, or the
-    /// last holder of the index, sent is not known here.
+    /// Pauses offers to warming machines for a whole window. An earlier process or the last holder of the index may
+    /// have used this index's share of the window, and its offers are not recorded here.
     pub(super) fn pause(&mut self, now: Micros, window: Micros) {
         self.paused_until = now + window;
     }
 
-    /// The index changed. Without one nothing is sent, since two placers could else spend the same part.
+    /// Changes the index. Without an index no offers are sent to warming machines, since two placers could otherwise
+    /// use the same share.
     pub(super) fn set_replica_index(&mut self, index: Option<u32>, now: Micros, window: Micros) {
         if index.is_some() && index != self.replica_index {
             self.pause(now, window);
@@ -62,7 +63,7 @@
         self.replica_index = index;
     }
 
-    /// Whether one more offer to the machine keeps its budget. A machine that is not warming up has none to keep.
+    /// Whether the budget allows one more offer to the machine. Only machines that are warming up have a budget.
     pub(super) fn allows_offer(
         &self,
         entry: &MachineEntry,
@@ -83,14 +84,15 @@
     }
 }
 
-/// Offers in each window that are the replica's. Where placers outnumber the offers, each start of a machine opens it to
-/// only so many placers; all placers draw them alike from the machine and its start (`draw`), so no window holds more,
-/// whenever each of them was notified.
-fn budget_of_replica(draw: u64, rules: &Rules, replica_count: u32, index: u32) -> u64 {
+/// The replica's share of the offers in each window. The remainder of the division goes to some of the placers; if
+/// placers outnumber the offers, only those may send any. All placers derive the same selection from `hash`, which
+/// depends only on the machine and the time of its start, so no window exceeds the budget, whenever each placer
+/// received the list.
+fn budget_of_replica(hash: u64, rules: &Rules, replica_count: u32, index: u32) -> u64 {
     let offers = (rules.warm_up_offers * BUDGET_SHARE) as u64;
     let replicas = u64::from(replica_count);
-    let turn = (u64::from(index) + mix_bits(draw) % replicas) % replicas;
-    offers / replicas + u64::from(turn < offers % replicas)
+    let rotated_index = (u64::from(index) + mix_bits(hash) % replicas) % replicas;
+    offers / replicas + u64::from(rotated_index < offers % replicas)
 }
 
 #[cfg(test)]
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn parts_of_all_replicas_add_up_to_nine_tenths_of_the_budget() {
+fn shares_of_all_replicas_add_up_to_nine_tenths_of_the_budget() {
     for replica_count in [1, 3, 7, 20, 30] {
-        for draw in 0..50 {
-            let parts = (0..replica_count)
-                .map(|index| budget_of_replica(draw, &rules(20.0), replica_count, index));
-            assert_eq!(parts.sum::<u64>(), 18, "{replica_count} replicas");
+        for hash in 0..50 {
+            let shares = (0..replica_count)
+                .map(|index| budget_of_replica(hash, &rules(20.0), replica_count, index));
+            assert_eq!(shares.sum::<u64>(), 18, "{replica_count} replicas");
         }
     }
 }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn warm_machines_have_no_budget() {
+fn machines_that_are_not_warming_up_have_no_offer_limit() {
     let slow_start = SlowStart::new(0);
     let recent = RecentOffers::default();
     for (entry, now, allowed) in [
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn nothing_is_sent_without_an_index_or_within_a_window_of_a_new_one() {
+fn no_offers_are_allowed_without_an_index_or_within_a_window_of_a_new_one() {
     let mut slow_start = SlowStart::new(0);
     let entry = started_at(Some(20 * SECOND));
     let allows = |slow_start: &SlowStart, now| {
