--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,8 +1,8 @@
-//! What a placer wants done.
+//! The actions that a placer returns to its caller.
 
 use super::{AttemptId, MachineId, Micros, TaskId};
 
-/// What the caller is to do, in the order in which a turn returns it.
+/// An action for the caller. Actions are carried out in the order in which a turn returns them.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Action {
@@ -13,12 +13,12 @@
         task: TaskId,
         /// The machine.
         machine: MachineId,
-        /// How long its answer is waited for, in microseconds.
+        /// How long the caller waits for the machine's answer, in microseconds.
         timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel(AttemptId),
-    /// Final answer: the task was not placed, and asking again does no harm.
+    /// Final answer: the task was not placed, and resubmitting it has no second effect.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Refuse", with = "super::tuple_variants::two")
@@ -26,12 +26,12 @@
     Reject {
         /// The task.
         task: TaskId,
-        /// Advice how long to wait before asking again, in microseconds.
+        /// How long the owner should wait before it resubmits the task, in microseconds.
         retry_after: Option<Micros>,
     },
-    /// Final answer: the task was not placed, and nothing is promised about its attempts.
+    /// Final answer: the task was not placed, but one of its attempts may have started it.
     Fail(TaskId),
-    /// A task is blocked from now on for this reason. Nothing is to be done; reported once for each change.
+    /// A task is blocked for this reason. For information only; reported each time the reason changes.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Held", with = "super::tuple_variants::two")
@@ -39,28 +39,28 @@
     Blocked {
         /// The task.
         task: TaskId,
-        /// What it waits for.
+        /// Why it is blocked.
         reason: BlockReason,
     },
-    /// Stop a placed task, so that its owner asks for another place.
+    /// Stop a placed task, so that its owner resubmits it.
     #[cfg_attr(feature = "serde", serde(rename = "Move"))]
     Migrate(TaskId),
-    /// Return [`Event::TimerFired`](super::Event::TimerFired) later.
+    /// Deliver [`Event::TimerFired`](super::Event::TimerFired) after a time.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Wake", with = "super::tuple_variants::two")
     )]
     SetTimer {
-        /// After how long, in microseconds.
+        /// The time, in microseconds.
         after: Micros,
-        /// The label to return.
+        /// The label of the event.
         label: u64,
     },
-    /// Ask a machine for its load report.
+    /// Request a machine's load report.
     Probe(MachineId),
     /// Close idle connections to a machine.
     CloseIdle(MachineId),
-    /// Send a message of at most 256 bytes to one placer, or to all.
+    /// Send a message of at most 256 bytes to one other placer or to all.
     #[cfg_attr(feature = "serde", serde(rename = "Tell"))]
     SendToPeer {
         /// The replica index of the receiver; none for all.
@@ -68,45 +68,46 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Subscribe to the changes that discovery reports, or end that.
+    /// Subscribe to the changes that discovery reports, or end the subscription.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Listen", with = "super::tuple_variants::one")
     )]
     WatchEndpoints {
-        /// Subscribe.
+        /// Whether to subscribe.
         enabled: bool,
     },
-    /// Ask discovery for the full list once.
+    /// Fetch the full endpoint list from discovery once.
     #[cfg_attr(feature = "serde", serde(rename = "Lookup"))]
     FetchEndpoints,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
-/// What a blocked task waits for: what stopped the machine that came nearest to taking it. Later reasons are nearer.
+/// Why a task is blocked: the check that failed on the machine that passed the most checks. Variants are in the order
+/// of the checks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum BlockReason {
-    /// A larger machine: no kind that it may run on could ever take it.
+    /// No kind of machine that it may run on is large enough.
     #[cfg_attr(feature = "serde", serde(rename = "Size"))]
     NoKindFits,
-    /// A machine of its kind that takes tasks: all are draining, or gone.
+    /// No machine of a kind that it may run on is ready: there is none, or all are draining or gone.
     #[cfg_attr(feature = "serde", serde(rename = "Ready"))]
     NoReadyMachine,
-    /// A connection to one.
+    /// No such machine is connected.
     #[cfg_attr(feature = "serde", serde(rename = "Link"))]
     NotConnected,
-    /// A machine that knows its idempotency key, since an attempt may have run there.
+    /// An attempt may have run, and no such machine is in the scope that deduplicates by its idempotency key.
     #[cfg_attr(feature = "serde", serde(rename = "Group"))]
     OutsideDeduplicationScope,
-    /// A domain that does not hold as many tasks of its service as it may.
+    /// The spread limit of its service is reached in the domains of all such machines.
     #[cfg_attr(feature = "serde", serde(rename = "Spread"))]
     SpreadLimit,
-    /// A part of the budget of a machine that is warming up.
+    /// All such machines are warming up, and this placer has used its share of their budgets.
     #[cfg_attr(feature = "serde", serde(rename = "Cold"))]
     WarmUpBudget,
-    /// Free cores or memory.
+    /// No such machine has enough free cores and memory, or all have a backoff after a rejection.
     #[cfg_attr(feature = "serde", serde(rename = "Room"))]
     NoCapacity,
 }
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -1,57 +1,57 @@
-//! Attempts to place a task: what they report while they run, and how they end.
+//! Attempts to place a task: their reports while the task runs, and their outcomes.
 
 use super::{Resources, TaskId};
 
-/// One attempt of a task.
+/// The id of one attempt to place a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptId {
     /// The task.
     pub task: TaskId,
-    /// Attempts of a task count from 0.
+    /// The number of the attempt, from 0 for each task.
     pub number: u32,
 }
 
-/// How an attempt ended, with all that is known of it.
+/// The outcome of an attempt, with its details.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptResult {
-    /// How it ended.
+    /// The outcome.
     #[cfg_attr(feature = "serde", serde(rename = "ending"))]
     pub outcome: AttemptOutcome,
-    /// Why, if the machine said so.
+    /// The reason, if the machine gave one.
     #[cfg_attr(feature = "serde", serde(rename = "why"))]
     pub reason: Option<FailureReason>,
-    /// The request is over, whatever became of the task.
+    /// Whether the request ends with this attempt, whatever its outcome.
     #[cfg_attr(feature = "serde", serde(rename = "closed"))]
     pub closes_task: bool,
-    /// The machine's load report, if one came.
+    /// The machine's load report, if the answer contained one.
     pub load: Option<Resources>,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AttemptOutcome {
-    /// The task ran to its end.
+    /// The task ran to completion.
     #[cfg_attr(feature = "serde", serde(rename = "Done"))]
     Completed,
-    /// The machine answered with an error; the task may have run.
+    /// The machine returned an error; the task may have run.
     Error,
-    /// The machine rejected it, or handed it back before it ran.
+    /// The machine rejected the task, or returned it before it ran.
     #[cfg_attr(feature = "serde", serde(rename = "Refused"))]
     Rejected,
-    /// No answer in time; the task may run.
+    /// The machine did not answer in time; the task may run.
     TimedOut,
-    /// No connection; it never ran.
+    /// The connection to the machine failed; the task never ran.
     #[cfg_attr(feature = "serde", serde(rename = "Unreachable"))]
     ConnectFailed,
     /// The connection or the machine was lost, or the task was evicted, preempted or drained.
     #[cfg_attr(feature = "serde", serde(rename = "Reset"))]
     Disconnected,
-    /// It was cancelled; if it had not been accepted it may have run.
+    /// The attempt was cancelled; unless it had been accepted, the task may have run.
     Cancelled,
-    /// It was never sent.
+    /// The offer was never sent.
     #[cfg_attr(feature = "serde", serde(rename = "NotSent"))]
     NeverSent,
 }
@@ -60,37 +60,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum FailureReason {
-    /// Too few cores.
+    /// The machine has too few free cores.
     Cores,
-    /// Too little memory.
+    /// The machine has too little free memory.
     Memory,
-    /// Too many offers are queued.
+    /// The machine's queue of offers is full.
     #[cfg_attr(feature = "serde", serde(rename = "Line"))]
     QueueFull,
-    /// The wrong kind, draining, too late, or a copy of the task is there.
+    /// The machine cannot take the task: it is of the wrong kind or draining, the offer is too late, or the task
+    /// already runs there.
     #[cfg_attr(feature = "serde", serde(rename = "NotHere"))]
     Ineligible,
-    /// Evicted for memory.
+    /// The task was evicted to free memory.
     Evicted,
-    /// Preempted by a task of a higher priority.
+    /// The task was preempted by one of a higher priority.
     #[cfg_attr(feature = "serde", serde(rename = "PushedOut"))]
     Preempted,
-    /// Its machine is draining.
+    /// The task was stopped because its machine is draining.
     #[cfg_attr(feature = "serde", serde(rename = "SentAway"))]
     Drained,
 }
 
-/// What a task that was accepted reports.
+/// A report about a task that was accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum TaskReport {
-    /// The task runs.
+    /// The task has started.
     Started,
-    /// The cores that it uses.
+    /// The number of cores that the task uses.
     CoresUsed(f64),
-    /// The memory that it uses.
+    /// The memory that the task uses, in the unit of its request.
     MemoryUsed(f64),
-    /// The share of full service that it gets.
+    /// The share of full service that the task gets.
     Served(f64),
     /// The share of its machine's memory that is in use.
     MachineMemory(f64),
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,15 +1,15 @@
-//! What a placer sees.
+//! The events that the caller passes to a placer.
 
 use super::{
     AttemptId, AttemptResult, MachineEntry, MachineId, Micros, Resources, Task, TaskId, TaskReport,
     UpdateScope,
 };
 
-/// Something that has happened, in the order in which the caller learned of it.
+/// An event. The caller passes events in the order in which it received them.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Event {
-    /// A list of machines, or changes of one.
+    /// An endpoint list: all machines, or changes of some.
     #[cfg_attr(feature = "serde", serde(rename = "Listed"))]
     EndpointsUpdated {
         /// How much the list covers.
@@ -17,13 +17,13 @@
         /// The machines.
         machines: Vec<MachineEntry>,
     },
-    /// Which of the placers this one is from now on, where that is leased rather than set. Without an index a placer
-    /// has no part of the budget of a machine that is warming up.
+    /// The replica index of this placer has changed, where the index is leased rather than configured. Without an index
+    /// a placer has no share of the budget of a machine that is warming up.
     #[cfg_attr(feature = "serde", serde(rename = "Numbered"))]
     ReplicaIndexChanged(Option<u32>),
-    /// Whether the caller has a connection to a machine; only from callers that keep connections. Without one an offer
-    /// is [`AttemptOutcome::ConnectFailed`](super::AttemptOutcome::ConnectFailed) at once. A machine counts as
-    /// connected until this says otherwise.
+    /// The connection to a machine was established or lost; only from callers that keep connections. An offer to a
+    /// machine without one fails at once with [`AttemptOutcome::ConnectFailed`](super::AttemptOutcome::ConnectFailed).
+    /// A machine counts as connected until this event reports otherwise.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Linked", with = "super::tuple_variants::two")
@@ -31,16 +31,16 @@
     ConnectionChanged {
         /// The machine.
         machine: MachineId,
-        /// There is a connection.
+        /// Whether there is a connection.
         is_connected: bool,
     },
-    /// A call to discovery failed, or the subscription broke.
+    /// A call to discovery failed, or the subscription was interrupted.
     #[cfg_attr(feature = "serde", serde(rename = "ListUnavailable"))]
     DiscoveryUnavailable,
     /// An owner requests a placement.
     #[cfg_attr(feature = "serde", serde(rename = "Asked"))]
     PlacementRequested(Task),
-    /// A task that runs already is this placer's from now on, as attempt 0.
+    /// This placer takes over a task that is already running, as attempt 0.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Running", with = "super::tuple_variants::two")
@@ -59,11 +59,11 @@
     AttemptAccepted {
         /// The attempt.
         attempt: AttemptId,
-        /// The time from the offer to the answer, where the caller measures it. After a stall of its own the placer
-        /// would else take its pause for the machine's.
+        /// The time from the offer to the answer, if the caller measures it. Without it, a stall of the placer's own
+        /// process would count as the machine's answer time.
         elapsed: Option<Micros>,
     },
-    /// A report of an attempt that is in flight.
+    /// A report about the task of an attempt that has not finished.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Noted", with = "super::tuple_variants::two")
@@ -74,7 +74,7 @@
         /// The report.
         report: TaskReport,
     },
-    /// An attempt ended.
+    /// An attempt finished.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Ended", with = "super::tuple_variants::two")
@@ -82,29 +82,29 @@
     AttemptFinished {
         /// The attempt.
         attempt: AttemptId,
-        /// How it ended.
+        /// Its outcome.
         result: AttemptResult,
     },
-    /// The client closed or cancelled: nobody waits for the task any more.
+    /// The client closed its connection or cancelled the request, so the task needs no final answer.
     #[cfg_attr(feature = "serde", serde(rename = "HungUp"))]
     ClientDisconnected(TaskId),
-    /// A timer of [`Action::SetTimer`](super::Action::SetTimer) fired.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) fired.
     #[cfg_attr(
         feature = "serde",
         serde(rename = "Woken", with = "super::tuple_variants::one")
     )]
     TimerFired {
-        /// The label that it was set with.
+        /// The label of the timer.
         label: u64,
     },
-    /// A probe's result.
+    /// The result of a probe.
     Probed {
         /// The machine.
         machine: MachineId,
-        /// It answered.
+        /// Whether it answered.
         #[cfg_attr(feature = "serde", serde(rename = "ok"))]
         answered: bool,
-        /// Its load report, if one came.
+        /// Its load report, if the answer contained one.
         load: Option<Resources>,
     },
     /// A message from another placer.
--- a/src/interface/machine.rs
+++ b/src/interface/machine.rs
@@ -1,31 +1,31 @@
-//! Machines, as discovery lists them.
+//! Machines, as listed by discovery.
 
 use super::{Micros, Resources, TopologyLevel};
 
-/// A machine, numbered by the caller. The number has no meaning and is kept for the life of the placer.
+/// The id of a machine, assigned by the caller. It is valid for the lifetime of the placer and has no other meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MachineId(pub u32);
 
-/// What discovery says of a machine's process.
+/// The state of a machine, as reported by discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum MachineState {
-    /// It takes tasks.
+    /// It accepts new tasks.
     Ready,
-    /// It finishes its work and must get nothing new.
+    /// It finishes its running tasks and must get no new ones.
     Draining,
     /// It was removed.
     Gone,
 }
 
-/// One line of a list of machines.
+/// One entry of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct MachineEntry {
     /// The machine.
     pub machine: MachineId,
-    /// A number that is the same at every placer, such as a hash of its address.
+    /// A hash that is the same at every placer, such as one of its address.
     #[cfg_attr(feature = "serde", serde(rename = "label"))]
     pub stable_hash: u64,
     /// Its zone.
@@ -36,16 +36,16 @@
     pub kind: usize,
     /// Its state.
     pub state: MachineState,
-    /// When its process started, if that was not long ago.
+    /// When its process started, if that was recently.
     #[cfg_attr(feature = "serde", serde(rename = "started"))]
     pub started_at: Option<Micros>,
-    /// What no task had requested, some time ago. Below zero where more was accepted.
+    /// The resources that no task had requested when the entry was written. Negative if the machine is overcommitted.
     #[cfg_attr(feature = "serde", serde(rename = "unasked"))]
     pub unallocated: Option<Resources>,
 }
 
 impl MachineEntry {
-    /// The number of the domain of this level that the machine is in.
+    /// The id of the domain of this level that contains the machine.
     pub fn domain(&self, level: TopologyLevel) -> u32 {
         match level {
             TopologyLevel::Machine => self.machine.0,
@@ -55,15 +55,15 @@
     }
 }
 
-/// How much a list covers.
+/// What an endpoint list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum UpdateScope {
-    /// Only what changed.
+    /// Only the machines that changed.
     #[cfg_attr(feature = "serde", serde(rename = "Changes"))]
     Delta,
-    /// All machines; those not in it are gone.
+    /// All machines; those absent from the list are gone.
     Full,
-    /// All machines as this placer last knew them before its restart; may be out of date.
+    /// All machines as recorded by this placer before its restart; may be out of date.
     Restored,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! What goes into a [`Placer`](crate::Placer) and what comes out: settings, events, actions.
+//! The inputs and outputs of a [`Placer`](crate::Placer): settings, events and actions.
 //!
-//! Times are microseconds on the caller's clock, which may start anywhere and never runs back. What is serialized keeps
-//! the names under which it has always been written, by `serde(rename)`; the names in the code are those of the field.
+//! Times are microseconds on the caller's clock, which may start at any value and never goes backwards. Where a field
+//! or variant was renamed, `serde(rename)` keeps the name under which it is stored.
 
 mod action;
 mod attempt;
@@ -24,5 +24,5 @@
 };
 pub use task::{ServiceId, Task, TaskId};
 
-/// A point in time, or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/src/interface/resources.rs
+++ b/src/interface/resources.rs
@@ -1,17 +1,17 @@
 //! Cores and memory.
 
-/// Cores and memory: a size, what is requested, what is free, or shares of a size.
+/// Cores and memory: the size of a machine, a request, unallocated resources, or shares of a size.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Resources {
     /// Cores.
     pub cores: f64,
-    /// Memory, in any one unit.
+    /// Memory, in any unit that all settings and events share.
     pub memory: f64,
 }
 
 impl Resources {
-    /// This many cores and this much memory.
+    /// Creates a value from both quantities.
     pub const fn new(cores: f64, memory: f64) -> Resources {
         Resources { cores, memory }
     }
@@ -24,17 +24,17 @@
         )
     }
 
-    /// Multiplies cores by cores and memory by memory.
+    /// Multiplies cores and memory by the factor for each.
     pub fn scaled_by(self, factors: Resources) -> Resources {
         Resources::new(self.cores * factors.cores, self.memory * factors.memory)
     }
 
-    /// Both as shares of `size`.
+    /// Cores and memory as shares of `size`.
     pub fn as_share_of(self, size: Resources) -> Resources {
         Resources::new(self.cores / size.cores, self.memory / size.memory)
     }
 
-    /// The larger of both, and no less than 0.
+    /// The larger of the two shares, and at least 0.
     pub fn dominant_share(self) -> f64 {
         self.cores.max(self.memory).max(0.0)
     }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,53 +1,53 @@
-//! The settings of a placer: classes of tasks, kinds of machines, rules and costs.
+//! The settings of a placer: task classes, machine kinds, limits, rules and costs.
 
 use super::{Micros, Resources};
 
-/// The settings of one placer, fixed for its life.
+/// The settings of one placer, fixed for its lifetime.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Settings {
-    /// How many placers share the machines.
+    /// The number of placers that share the machines.
     #[cfg_attr(feature = "serde", serde(rename = "placers"))]
     pub replica_count: u32,
-    /// Which of them this one is, counted from 0.
+    /// The index of this placer among them, from 0.
     #[cfg_attr(feature = "serde", serde(rename = "number"))]
     pub replica_index: u32,
     /// The zone of this placer.
     pub zone: u32,
-    /// Classes of tasks.
+    /// The task classes.
     pub classes: Vec<Class>,
     /// The size of each kind of machine.
     pub kinds: Vec<Resources>,
-    /// How lists of machines arrive.
+    /// How endpoint lists arrive.
     pub discovery: DiscoveryMode,
     /// When [`Event::AttemptAccepted`](super::Event::AttemptAccepted) arrives.
     #[cfg_attr(feature = "serde", serde(rename = "seated"))]
     pub acceptance_point: AcceptancePoint,
-    /// A machine accepts tasks while the cores they request stay within this multiple of its own.
+    /// Overcommit factor: a machine accepts tasks while the cores they request are at most this multiple of its own.
     pub admit_cores: f64,
     /// The same for memory.
     pub admit_memory: f64,
-    /// Lists of machines say what is unallocated.
+    /// Whether endpoint lists contain the unallocated resources of machines.
     #[cfg_attr(feature = "serde", serde(rename = "view"))]
     pub endpoints_report_capacity: bool,
-    /// What load reports say.
+    /// What load reports contain.
     #[cfg_attr(feature = "serde", serde(rename = "report"))]
     pub load_report: LoadReport,
-    /// What the caller can do for the placer.
+    /// Limits on attempts and on the actions that the caller supports.
     pub limits: Limits,
-    /// The figures of the rules.
+    /// The parameters of the rules for drains and for machines that are warming up.
     pub rules: Rules,
-    /// The costs that count against what is served.
+    /// The costs that are subtracted from the value of the service.
     #[cfg_attr(feature = "serde", serde(rename = "prices"))]
     pub costs: Costs,
 }
 
 impl Settings {
-    /// Checks that lists are not empty and figures are finite and in their range.
+    /// Checks that lists are not empty, and that numbers are finite and within their range.
     ///
     /// # Errors
     ///
-    /// The first setting that is not.
+    /// Returns the first setting that is not.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
@@ -59,27 +59,31 @@
         let mut figures = vec![
             ("placers", f64::from(self.replica_count), 1.0),
             (
-                "number of this placer",
+                "index of this placer",
                 f64::from(self.replica_count) - f64::from(self.replica_index),
                 1.0,
             ),
             ("attempts", f64::from(self.limits.max_attempts), 1.0),
-            ("admitted cores", self.admit_cores, f64::MIN_POSITIVE),
-            ("admitted memory", self.admit_memory, f64::MIN_POSITIVE),
-            ("fall multiple", rules.overload_multiple, f64::MIN_POSITIVE),
-            ("cold share", rules.initial_capacity_share, 0.0),
-            ("fresh offers", rules.warm_up_offers, 0.0),
-            ("price of a refusal", costs.rejection, 0.0),
-            ("price of crossing zones", costs.cross_zone, 0.0),
-            ("price of machines", costs.fleet, 0.0),
-            ("price of a move", costs.migration, 0.0),
+            ("core overcommit", self.admit_cores, f64::MIN_POSITIVE),
+            ("memory overcommit", self.admit_memory, f64::MIN_POSITIVE),
+            (
+                "overload multiple",
+                rules.overload_multiple,
+                f64::MIN_POSITIVE,
+            ),
+            ("initial capacity share", rules.initial_capacity_share, 0.0),
+            ("warm-up offers", rules.warm_up_offers, 0.0),
+            ("cost of a rejection", costs.rejection, 0.0),
+            ("cost of crossing zones", costs.cross_zone, 0.0),
+            ("cost of machines in use", costs.fleet, 0.0),
+            ("cost of a migration", costs.migration, 0.0),
         ];
         for kind in &self.kinds {
             figures.push(("cores of a kind", kind.cores, f64::MIN_POSITIVE));
             figures.push(("memory of a kind", kind.memory, f64::MIN_POSITIVE));
         }
         for class in &self.classes {
-            figures.push(("worth", class.priority_weight, 0.0));
+            figures.push(("priority weight", class.priority_weight, 0.0));
             figures.push(("start bonus", class.start_bonus_s, 0.0));
             if let Some(kind) = class.machine_kind.filter(|&kind| kind >= self.kinds.len()) {
                 return Err(SettingsError::UnknownMachineKind(kind));
@@ -95,45 +99,45 @@
     }
 }
 
-/// A class of tasks, which share their rules.
+/// A class of tasks with the same requirements.
 #[derive(Clone, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Class {
-    /// What a second start of a task does.
+    /// Whether a task may be started a second time.
     #[cfg_attr(feature = "serde", serde(rename = "effect"))]
     pub retry_safety: RetrySafety,
-    /// A start within this time earns all that it can, in microseconds.
+    /// A start within this time earns the full start bonus, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Micros,
-    /// Worth of a second of service for a task of mean size.
+    /// The value of a second of service for a task of mean size.
     #[cfg_attr(feature = "serde", serde(rename = "worth"))]
     pub priority_weight: f64,
-    /// Seconds of service that a timely start is worth.
+    /// The value of a timely start, in seconds of service.
     pub start_bonus_s: f64,
     /// Tasks of a higher priority preempt those of a lower one.
     pub priority: u32,
-    /// The only kind of machine that takes it, an index into [`Settings::kinds`]; none for any kind.
+    /// The only kind of machine that may run it, an index into [`Settings::kinds`]; none for any kind.
     #[cfg_attr(feature = "serde", serde(rename = "kind"))]
     pub machine_kind: Option<usize>,
-    /// How many tasks of a service this placer may have in one domain.
+    /// The maximum number of tasks of one service that this placer may have in one domain.
     #[cfg_attr(feature = "serde", serde(rename = "spread"))]
     pub spread_limit: Option<SpreadLimit>,
 }
 
-/// Whether a task may be started a second time.
+/// Whether and where a task may be started a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum RetrySafety {
-    /// A second start does no harm.
+    /// A second start has no further effect.
     #[cfg_attr(feature = "serde", serde(rename = "Safe"))]
     Idempotent,
-    /// Machines that know the first start drop a second one.
+    /// Machines deduplicate starts by an idempotency key, within a scope and a window.
     #[cfg_attr(feature = "serde", serde(rename = "Keyed"))]
     IdempotencyKey {
-        /// The machines that recognise a repeat.
+        /// The machines that share the keys.
         #[cfg_attr(feature = "serde", serde(rename = "group"))]
         scope: DeduplicationScope,
-        /// For how long after the first was sent, in microseconds.
+        /// How long a key is valid after the first attempt was sent, in microseconds.
         window: Micros,
     },
     /// It must never be started twice.
@@ -141,7 +145,7 @@
     NonIdempotent,
 }
 
-/// The machines that recognise the same idempotency keys.
+/// The machines that share idempotency keys with the machine of the first attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DeduplicationScope {
@@ -153,7 +157,7 @@
     Cell,
 }
 
-/// How many tasks of a service may be in one domain.
+/// The maximum number of tasks of a service in one domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(
     feature = "serde",
@@ -161,9 +165,9 @@
     serde(from = "(TopologyLevel, u32)", into = "(TopologyLevel, u32)")
 )]
 pub struct SpreadLimit {
-    /// What a domain is.
+    /// The topology level of the domains.
     pub level: TopologyLevel,
-    /// The most tasks in one.
+    /// The maximum number of tasks in one domain.
     pub max_tasks: u32,
 }
 
@@ -179,7 +183,7 @@
     }
 }
 
-/// A level of the topology over whose domains the tasks of a service are spread.
+/// A level of the topology. The tasks of a service are spread over the domains of one level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum TopologyLevel {
@@ -191,11 +195,11 @@
     Zone,
 }
 
-/// How lists of machines arrive.
+/// How endpoint lists arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum DiscoveryMode {
-    /// The caller delivers them.
+    /// The caller delivers them without a request.
     #[cfg_attr(feature = "serde", serde(rename = "Push"))]
     Watch,
     /// Only after [`Action::WatchEndpoints`](super::Action::WatchEndpoints) or
@@ -208,17 +212,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum AcceptancePoint {
-    /// Once the machine has accepted; [`TaskReport::Started`](super::TaskReport::Started) follows with the start.
+    /// When the machine accepts the task; [`TaskReport::Started`](super::TaskReport::Started) follows with the start.
     Accepted,
-    /// Once the task runs.
+    /// When the task runs.
     Running,
 }
 
-/// What machines say of their load in answers and probes.
+/// What load reports in answers and probes contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum LoadReport {
-    /// Nothing that a placer could use.
+    /// Nothing that a placer uses.
     Silent,
     /// Cores and memory that no task has requested.
     #[cfg_attr(feature = "serde", serde(rename = "Unasked"))]
@@ -227,86 +231,90 @@
     Unused,
 }
 
-/// What the caller can do for the placer.
+/// Limits on attempts, and which actions the caller supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Limits {
-    /// The most attempts for one task.
+    /// The maximum number of attempts for one task.
     pub max_attempts: u32,
-    /// [`Action::Cancel`](super::Action::Cancel) is understood.
+    /// The caller supports [`Action::Cancel`](super::Action::Cancel).
     #[cfg_attr(feature = "serde", serde(rename = "cancel"))]
     pub can_cancel: bool,
-    /// [`Action::Probe`](super::Action::Probe) is understood.
+    /// The caller supports [`Action::Probe`](super::Action::Probe).
     #[cfg_attr(feature = "serde", serde(rename = "probes"))]
     pub can_probe: bool,
-    /// [`Action::SendToPeer`](super::Action::SendToPeer) is understood.
+    /// The caller supports [`Action::SendToPeer`](super::Action::SendToPeer).
     #[cfg_attr(feature = "serde", serde(rename = "peers"))]
     pub can_message_peers: bool,
-    /// The longest advice in [`Action::Reject`](super::Action::Reject), in microseconds; none where owners take no
-    /// advice.
+    /// The maximum `retry_after` of [`Action::Reject`](super::Action::Reject), in microseconds; none where owners
+    /// ignore it.
     #[cfg_attr(feature = "serde", serde(rename = "come_back"))]
     pub max_retry_after: Option<Micros>,
 }
 
-/// The figures of the rules.
+/// The parameters of the rules for drains and for machines that are warming up.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rules {
-    /// Where discovery is polled ([`DiscoveryMode::Poll`]), a placer that has not asked for this long counts as
-    /// notified.
+    /// In [`DiscoveryMode::Poll`], a placer that has not called discovery for this long counts as notified of all
+    /// changes, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
     pub max_poll_interval: Micros,
-    /// The share of its capacity that a machine has right after its start.
+    /// The share of its full capacity that a machine has right after its start.
     #[cfg_attr(feature = "serde", serde(rename = "cold_from"))]
     pub initial_capacity_share: f64,
     /// How long a machine warms up, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
     pub warm_up_duration: Micros,
-    /// A machine that is warming up is overloaded by this many times what it can do...
+    /// A machine that is warming up is overloaded by more than this multiple of its current capacity...
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_multiple: f64,
-    /// ...over this long, in microseconds. Budgets hold in every such window.
+    /// ...over this window, in microseconds. The warm-up budget applies to every window of this length.
     #[cfg_attr(feature = "serde", serde(rename = "fall_window"))]
     pub overload_window: Micros,
-    /// Offers in such a window, from all placers together, that a machine always bears while it warms up.
+    /// The warm-up budget: the number of offers per window, from all placers together, that never overload a machine
+    /// that is warming up.
     #[cfg_attr(feature = "serde", serde(rename = "fresh_offers"))]
     pub warm_up_offers: f64,
 }
 
-/// Costs, each as a share of the whole worth.
+/// Costs, each as a share of the total value.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Costs {
-    /// Of one rejected offer for every task.
+    /// The cost of one rejected offer for every task.
     #[cfg_attr(feature = "serde", serde(rename = "refused"))]
     pub rejection: f64,
-    /// Of every task running in another zone than its placer's.
+    /// The cost of running every task in a zone other than its placer's.
     pub cross_zone: f64,
-    /// Of using all machines, beyond those needed.
+    /// The cost of using all machines instead of only those needed.
     pub fleet: f64,
-    /// Of one migration for every task.
+    /// The cost of one migration for every task.
     #[cfg_attr(feature = "serde", serde(rename = "moves"))]
     pub migration: f64,
 }
 
-/// Why settings cannot be used.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A list is empty.
+    /// The list of this name is empty.
     Empty(&'static str),
-    /// A figure is not finite, or out of its range.
+    /// The number of this name is not finite, or is out of its range.
     OutOfRange(&'static str),
-    /// A class names a kind that is not listed.
+    /// A class requires the machine kind of this index, which is not in [`Settings::kinds`].
     UnknownMachineKind(usize),
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            SettingsError::Empty(what) => write!(f, "{what}: at least one is needed"),
+            SettingsError::Empty(what) => write!(f, "{what}: expected at least one, got none"),
             SettingsError::OutOfRange(what) => write!(f, "{what}: not finite or out of range"),
             SettingsError::UnknownMachineKind(kind) => {
-                write!(f, "class of unlisted machine kind {kind}")
+                write!(
+                    f,
+                    "a class requires machine kind {kind}, which is not listed"
+                )
             }
         }
     }
--- a/src/interface/tuple_variants.rs
+++ b/src/interface/tuple_variants.rs
@@ -1,5 +1,5 @@
-//! Variants with named fields that are written as the tuple variants they once were, so that trace files and the
-//! records that are printed of them stay as they are.
+//! Serialization of variants with named fields as tuple variants. The format of trace files, and of the records printed
+//! from them, dates from when these were tuple variants.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,12 @@
-//! The decisions of a scheduler for tasks that request cores and memory, sans-I/O. Many placers share the same machines
-//! and exchange no messages; each decides by Blind GB-PANDAS (Yekkehkhany and Nagi), with guards for what must hold
-//! when machines, lists and placers fail. `src/policy` holds all decisions, `src/interface` what goes in and comes out.
+//! The placement policy of a scheduler for tasks that request cores and memory, sans-I/O. Many placers share the same
+//! machines and exchange no messages. Each selects machines by Blind GB-PANDAS (Yekkehkhany and Nagi), with additional
+//! rules that hold when machines, endpoint lists or placers fail. `src/policy` contains the policy, `src/interface` its
+//! inputs and outputs.
 //!
-//! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`: give it the
-//! time and everything that has happened since the last call, then carry out the actions in order. It keeps no clock
-//! and does no I/O; equal seeds and events give equal actions. The example announces a machine, requests a placement
-//! and handles a timer and a rejection.
-//!
-//! As a program:
+//! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`: the caller
+//! passes the time and all events since the last call, and then carries out the actions in order. A placer has no clock
+//! and does no I/O; equal seeds and events give equal actions. The following example announces a machine, requests a
+//! placement and handles a timer and a rejection:
 //!
 //! ```rust
 //! use maplethread::*;
@@ -71,24 +70,24 @@
 //!         is_resubmission: false,
 //!     };
 //!
-//!     // Announce a machine and request a placement: the task is offered to it.
+//!     // Announce a machine and request a placement: the placer offers the task to the machine.
 //!     let mut actions = Vec::new();
 //!     let list = Event::EndpointsUpdated { scope: UpdateScope::Full, machines: vec![machine] };
 //!     placer.turn(0, &[list, Event::PlacementRequested(task)], &mut actions);
 //!     let is_offer = |a: &Action| matches!(a, Action::Offer { task: TaskId(1), machine: MachineId(0), .. });
 //!     assert!(actions.iter().any(is_offer));
 //!
-//!     // A timer that the placer set fires; the offer is in flight and the deadline far, so there is no answer yet.
+//!     // A timer of the placer fires. The offer is in flight and the deadline is far off, so there is no final answer yet.
 //!     let label = actions.iter().find_map(|a| match a {
 //!         Action::SetTimer { label, .. } => Some(*label),
 //!         _ => None,
 //!     });
 //!     actions.clear();
-//!     let timer = Event::TimerFired { label: label.expect("a timer for the deadline") };
+//!     let timer = Event::TimerFired { label: label.expect("a timer was set for the deadline") };
 //!     placer.turn(20_000, &[timer], &mut actions);
 //!     assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
 //!
-//!     // The machine rejects the offer; it could be offered again, there or elsewhere.
+//!     // The machine rejects the offer; the placer may offer the task to the same or another machine.
 //!     let result = AttemptResult {
 //!         outcome: AttemptOutcome::Rejected,
 //!         reason: Some(FailureReason::QueueFull),
