--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -1,5 +1,5 @@
-//! The cost of one decision by the size of the fleet: `cargo bench --bench decide`. A checksum of all decisions is
-//! printed beside the time, so that a change that must not alter any can show it.
+//! Measures the time per decision by the number of machines: `cargo bench --bench decide`. Prints a checksum of all
+//! decisions as well, to verify that a change does not alter any decision.
 
 use std::time::Instant;
 
@@ -10,15 +10,15 @@
 
 const SERVICES: u64 = 300;
 const REQUESTS: u64 = 20_000;
-/// Requests in one turn, as after the loss of a zone.
+/// Requests in one turn; many at once, as after the loss of a zone.
 const REQUESTS_PER_TURN: u64 = 50;
 
 fn settings() -> Settings {
-    let class = |effect, spread, priority| Class {
+    let class = |retry_safety, limit, priority| Class {
         latency_objective: 900_000,
-        spread_limit: spread,
+        spread_limit: limit,
         priority,
-        ..common::class(effect)
+        ..common::class(retry_safety)
     };
     Settings {
         replica_count: 16,
@@ -52,14 +52,14 @@
 }
 
 fn run(machines: u32) -> (f64, u64) {
-    let mut placer = Placer::new(settings(), 7).expect("sound settings");
+    let mut placer = Placer::new(settings(), 7).expect("valid settings");
     let list = (0..machines).map(|n| MachineEntry {
         stable_hash: u64::from(n) * 7919,
         zone: n % 3,
         cell: n % 16,
         ..common::machine(n)
     });
-    let (mut now, mut actions, mut sum, mut offers) = (1_000_000, Vec::new(), 0u64, 0u64);
+    let (mut now, mut actions, mut checksum, mut offers) = (1_000_000, Vec::new(), 0u64, 0u64);
     placer.turn(
         now,
         &[Event::EndpointsUpdated {
@@ -68,7 +68,7 @@
         }],
         &mut actions,
     );
-    let began = Instant::now();
+    let started = Instant::now();
     let mut running: std::collections::VecDeque<AttemptId> = Default::default();
     for first in (0..REQUESTS).step_by(REQUESTS_PER_TURN as usize) {
         now += 20_000;
@@ -81,7 +81,7 @@
             }));
         }
         while running.len() > 600 {
-            let end = AttemptResult {
+            let completed = AttemptResult {
                 outcome: AttemptOutcome::Completed,
                 reason: None,
                 closes_task: true,
@@ -89,18 +89,20 @@
             };
             events.extend(running.pop_front().map(|id| Event::AttemptFinished {
                 attempt: id,
-                result: end,
+                result: completed,
             }));
         }
         actions.clear();
         placer.turn(now, &events, &mut actions);
-        let mut seated = Vec::new();
+        let mut accepted = Vec::new();
         for action in &actions {
             if let Action::Offer { task, machine, .. } = *action {
                 offers += 1;
-                sum = sum.wrapping_mul(31).wrapping_add(u64::from(machine.0) + 1);
+                checksum = checksum
+                    .wrapping_mul(31)
+                    .wrapping_add(u64::from(machine.0) + 1);
                 let id = AttemptId { task, number: 0 };
-                seated.push(Event::AttemptAccepted {
+                accepted.push(Event::AttemptAccepted {
                     attempt: id,
                     elapsed: None,
                 });
@@ -109,17 +111,17 @@
         }
         now += 5_000;
         actions.clear();
-        placer.turn(now, &seated, &mut actions);
+        placer.turn(now, &accepted, &mut actions);
     }
     (
-        began.elapsed().as_secs_f64() * 1e6 / offers.max(1) as f64,
-        sum,
+        started.elapsed().as_secs_f64() * 1e6 / offers.max(1) as f64,
+        checksum,
     )
 }
 
 fn main() {
     for machines in [25, 100, 400, 1600] {
-        let (micros, sum) = run(machines);
-        println!("{machines:5} machines: {micros:8.1} us a decision, decisions {sum:016x}");
+        let (micros, checksum) = run(machines);
+        println!("{machines:5} machines: {micros:8.1} us a decision, decisions {checksum:016x}");
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A placer under test: settings, events, and shorthand for its actions.
+//! A harness for a placer under test, with default settings and helpers for events and actions.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use maplethread::*;
@@ -105,9 +105,9 @@
 }
 
 impl Harness {
-    /// A placer that knows this many machines, from a full list at time 1 s.
+    /// Creates a placer with this many machines, from a full endpoint list at time 1 s.
     pub fn new(settings: Settings, machines: u32) -> Harness {
-        let placer = Placer::new(settings, 11).expect("sound settings");
+        let placer = Placer::new(settings, 11).expect("valid settings");
         let mut harness = Harness {
             placer,
             now: SECOND,
@@ -130,34 +130,34 @@
         actions
     }
 
-    /// Turns every 10 ms until `at`, with only the timers of these labels fired.
+    /// Runs a turn every 10 ms until `at`, in which the timers of these labels fire.
     pub fn advance_until(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
         let mut all = Vec::new();
-        let wake: Vec<Event> = labels
+        let timers: Vec<Event> = labels
             .iter()
             .map(|&label| Event::TimerFired { label })
             .collect();
         while self.now < at {
             self.now += 10_000;
-            all.extend(self.turn(&wake));
+            all.extend(self.turn(&timers));
         }
         all
     }
 
-    /// Requests a placement, and returns where the task was offered.
+    /// Requests a placement, and returns the machine that the task was offered to.
     pub fn request(&mut self, task: Task) -> Option<u32> {
         offered_machine(&self.turn(&[Event::PlacementRequested(task)]))
     }
 
-    /// Requests a placement that is accepted, and started after `took`; returns the machine.
-    pub fn request_and_start(&mut self, task: Task, took: Micros) -> u32 {
+    /// Requests a placement that is accepted and starts after `start_duration`; returns the machine.
+    pub fn request_and_start(&mut self, task: Task, start_duration: Micros) -> u32 {
         let machine = self.request(task).expect("an offer");
         let id = attempt_id(task.id.0, 0);
         self.turn(&[Event::AttemptAccepted {
             attempt: id,
             elapsed: None,
         }]);
-        self.now += took;
+        self.now += start_duration;
         self.turn(&[Event::TaskReported {
             attempt: id,
             report: TaskReport::Started,
@@ -173,7 +173,7 @@
     })
 }
 
-/// The timeout of the first offer.
+/// The timeout of the first offer among the actions.
 pub fn offer_timeout(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| match a {
         Action::Offer {
@@ -184,6 +184,6 @@
 }
 
 pub fn final_answers(actions: &[Action]) -> Vec<Action> {
-    let answer = |a: &&Action| matches!(a, Action::Reject { .. } | Action::Fail(_));
-    actions.iter().filter(answer).cloned().collect()
+    let is_final_answer = |a: &&Action| matches!(a, Action::Reject { .. } | Action::Fail(_));
+    actions.iter().filter(is_final_answer).cloned().collect()
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,28 +1,29 @@
-//! Regressions: one test for each failure that was found.
+//! Regression tests: one for each fault that was found in the handling of failures.
 
 mod common;
 use common::*;
 use maplethread::*;
 
-/// How many of `n` requests, `every` apart, are offered to machine 0; `react` returns what becomes of each offer.
+/// Requests `n` placements at intervals of `interval`, and counts the offers to machine 0. `react` returns the events
+/// that follow each offer.
 fn count_offers_to_first_machine(
     harness: &mut Harness,
     n: u64,
-    every: Micros,
+    interval: Micros,
     react: impl Fn(u64, u32) -> Vec<Event>,
 ) -> u64 {
-    let mut to_zero = 0;
+    let mut offers_to_first = 0;
     for i in 0..n {
-        harness.now += every;
+        harness.now += interval;
         let machine = harness
             .request(task(i, 100 + i, harness.now + SECOND))
             .expect("an offer");
-        to_zero += u64::from(machine == 0);
+        offers_to_first += u64::from(machine == 0);
         let mut events = react(i, machine);
         events.push(Event::ClientDisconnected(TaskId(i)));
         harness.turn(&events);
     }
-    to_zero
+    offers_to_first
 }
 
 fn accepted_started_and_completed(i: u64) -> Vec<Event> {
@@ -42,20 +43,23 @@
 
 #[test]
 fn fast_failures_do_not_attract_more_offers() {
-    for ending in [
+    for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::Disconnected,
         AttemptOutcome::ConnectFailed,
         AttemptOutcome::TimedOut,
     ] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
-        let to_zero =
+        let offers_to_first =
             count_offers_to_first_machine(&mut harness, 300, 40_000, |i, machine| match machine {
-                0 => vec![finished(i, 0, ending, None)],
+                0 => vec![finished(i, 0, outcome, None)],
                 _ => accepted_started_and_completed(i),
             });
-        assert!(to_zero <= 12, "{ending:?}: {to_zero} of 300");
-        // The machine is tried again, and used once it works.
+        assert!(
+            offers_to_first <= 12,
+            "{outcome:?}: {offers_to_first} of 300"
+        );
+        // The machine gets offers again, and is used once it works.
         harness.now += 10 * SECOND;
         let mut works = 0;
         for i in 1_000..1_100u64 {
@@ -63,84 +67,89 @@
             works += u64::from(harness.request(task(i, i, harness.now + SECOND)) == Some(0));
             harness.turn(&accepted_started_and_completed(i));
         }
-        assert!(works > 10, "{ending:?}: {works} of 100 once it is well");
+        assert!(
+            works > 10,
+            "{outcome:?}: {works} of 100 after it works again"
+        );
     }
 }
 
 #[test]
 fn task_that_fails_on_every_machine_ejects_none() {
-    // Some requests fail on every machine: each such task is tried on several, and others must not suffer for it.
+    // Some tasks fail on every machine on which they are tried. That must not eject machines for other tasks.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
-    let mut to = [0; 3];
+    let mut offers = [0; 3];
     for i in 0..200u64 {
         harness.now += 20_000;
-        let odd = 1_000 + i;
+        let failing = 1_000 + i;
         let first = harness
-            .request(task(odd, odd, harness.now + SECOND))
+            .request(task(failing, failing, harness.now + SECOND))
             .expect("an offer");
         let second =
-            offered_machine(&harness.turn(&[finished(odd, 0, AttemptOutcome::Error, None)]))
+            offered_machine(&harness.turn(&[finished(failing, 0, AttemptOutcome::Error, None)]))
                 .expect("another offer");
         assert_ne!(
             first, second,
-            "the first error counts until another machine errs too"
+            "the first error counts until another machine returns one as well"
         );
-        harness.turn(&[finished(odd, 1, AttemptOutcome::Error, None)]);
-        harness.turn(&[finished(odd, 2, AttemptOutcome::Error, None)]);
+        harness.turn(&[finished(failing, 1, AttemptOutcome::Error, None)]);
+        harness.turn(&[finished(failing, 2, AttemptOutcome::Error, None)]);
         let machine = harness
             .request(task(i, 100 + i, harness.now + SECOND))
             .expect("an offer");
-        to[machine as usize] += 1;
+        offers[machine as usize] += 1;
         harness.turn(&accepted_started_and_completed(i));
     }
-    assert!(to.iter().all(|&n| n > 30), "{to:?} of 200");
+    assert!(offers.iter().all(|&n| n > 30), "{offers:?} of 200");
 }
 
 #[test]
 fn occasional_lost_answers_do_not_eject_a_live_machine() {
-    // Connections break and answers are lost on any machine; tasks that run there go on reporting.
-    let to_zero = |ending: AttemptOutcome, every: u64| {
+    // On any machine a connection may break or an answer may be lost, while running tasks continue to report.
+    let offers_to_first = |outcome: AttemptOutcome, lost_one_in: u64| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
-        let mut standing = 1_000;
-        while harness.request_and_start(task(standing, standing, harness.now + SECOND), 100_000)
-            != 0
+        let mut long_running = 1_000;
+        while harness.request_and_start(
+            task(long_running, long_running, harness.now + SECOND),
+            100_000,
+        ) != 0
         {
-            standing += 1;
+            long_running += 1;
         }
-        let (mut offers, mut to_zero) = (0, 0);
+        let (mut offer_count, mut offers_to_first) = (0, 0);
         for i in 0..300u64 {
             harness.now += 40_000;
             harness.turn(&[Event::TaskReported {
-                attempt: attempt_id(standing, 0),
+                attempt: attempt_id(long_running, 0),
                 report: TaskReport::Served(1.0),
             }]);
             let machine = harness
                 .request(task(i, 100 + i, harness.now + SECOND))
                 .expect("an offer");
-            offers += u64::from(machine == 0);
-            to_zero += u64::from(machine == 0);
+            offer_count += u64::from(machine == 0);
+            offers_to_first += u64::from(machine == 0);
             harness.now += 1_000;
-            let spoilt = machine == 0 && offers % every == 0;
-            let mut events = if spoilt {
-                vec![finished(i, 0, ending, None)]
+            let is_lost = machine == 0 && offer_count % lost_one_in == 0;
+            let mut events = if is_lost {
+                vec![finished(i, 0, outcome, None)]
             } else {
                 accepted_started_and_completed(i)
             };
             events.push(Event::ClientDisconnected(TaskId(i)));
             harness.turn(&events);
         }
-        to_zero
+        offers_to_first
     };
-    for ending in [AttemptOutcome::Disconnected, AttemptOutcome::TimedOut] {
+    for outcome in [AttemptOutcome::Disconnected, AttemptOutcome::TimedOut] {
         assert!(
-            to_zero(ending, 5) > 50,
-            "{ending:?}, one in five: {}",
-            to_zero(ending, 5)
+            offers_to_first(outcome, 5) > 50,
+            "{outcome:?}, one in five: {}",
+            offers_to_first(outcome, 5)
         );
         assert!(
-            to_zero(ending, 1) < 15,
-            "{ending:?}, each one: {}",
-            to_zero(ending, 1)
+            offers_to_first(outcome, 1) < 15,
+            "{outcome:?}, each one: {}",
+            offers_to_first(outcome, 1)
         );
     }
 }
@@ -148,7 +157,7 @@
 #[test]
 fn failing_machine_stays_ejected_when_its_tasks_run_elsewhere() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
-    let mut to_zero = 0;
+    let mut offers_to_first = 0;
     for i in 0..200u64 {
         harness.now += 20_000;
         let mut machine = harness
@@ -156,7 +165,7 @@
             .expect("an offer");
         let mut number = 0;
         while machine == 0 {
-            to_zero += 1;
+            offers_to_first += 1;
             machine =
                 offered_machine(&harness.turn(&[finished(i, number, AttemptOutcome::Error, None)]))
                     .expect("another offer");
@@ -175,25 +184,25 @@
             finished(i, number, AttemptOutcome::Completed, None),
         ]);
     }
-    assert!(to_zero <= 6, "{to_zero}");
+    assert!(offers_to_first <= 6, "{offers_to_first}");
 }
 
 #[test]
-fn preempting_task_looks_for_headroom_on_all_machines() {
-    let to_empty = |priority: u32| {
+fn preempting_task_considers_headroom_on_all_machines() {
+    let offers_to_empty = |priority: u32| {
         let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
             priority,
             ..class(RetrySafety::Idempotent)
         });
         let mut harness = Harness::new(settings, 12);
-        let running = |n: u64| Task {
+        let running_task = |n: u64| Task {
             requested: Resources::new(12.0, 24.0),
             ..task(n, n, 0)
         };
         let full: Vec<Event> = (1..12)
             .map(|n| Event::TaskAdopted {
-                task: running(n),
+                task: running_task(n),
                 machine: MachineId(n as u32),
             })
             .collect();
@@ -203,7 +212,7 @@
             requested: Resources::new(22.0, 40.0),
             ..task(n, n, 10 * SECOND)
         };
-        let ask = |n: u64| {
+        let request = |n: u64| {
             let machine = harness.request(large(n));
             harness.turn(&[
                 finished(n, 0, AttemptOutcome::Completed, None),
@@ -211,20 +220,21 @@
             ]);
             machine
         };
-        (100..160).map(ask).filter(|m| *m == Some(0)).count()
+        (100..160).map(request).filter(|m| *m == Some(0)).count()
     };
-    assert!(to_empty(1) > 50, "{} of 60", to_empty(1));
+    assert!(offers_to_empty(1) > 50, "{} of 60", offers_to_empty(1));
     assert!(
-        to_empty(0) < 40,
-        "what pushes nobody out stays near home: {} of 60",
-        to_empty(0)
+        offers_to_empty(0) < 40,
+        "a task that does not preempt stays on machines that rank first: {} of 60",
+        offers_to_empty(0)
     );
 }
 
 #[test]
 fn underserved_task_migrates_once_a_machine_has_headroom() {
-    // Whether a task on machine 0 migrates, with a report every second. A task on machine 1 reports how full that is.
-    let moved = |priority: u32, served: &[f64], other: f64| {
+    // Returns whether a task on machine 0 migrates that reports these service shares, one every second. A task on
+    // machine 1 reports `other_share`.
+    let migrated = |priority: u32, service_shares: &[f64], other_share: f64| {
         let mut settings = settings(RetrySafety::Idempotent);
         settings.classes.push(Class {
             priority,
@@ -247,30 +257,39 @@
             },
         ]);
         let mut all = Vec::new();
-        for &x in served {
+        for &share in service_shares {
             harness.now += SECOND;
-            let notes = [
+            let reports = [
                 Event::TaskReported {
                     attempt: attempt_id(8, 0),
-                    report: TaskReport::Served(other),
+                    report: TaskReport::Served(other_share),
                 },
                 Event::TaskReported {
                     attempt: attempt_id(7, 0),
-                    report: TaskReport::Served(x),
+                    report: TaskReport::Served(share),
                 },
             ];
-            all.extend(harness.turn(&notes));
+            all.extend(harness.turn(&reports));
         }
         all.contains(&Action::Migrate(TaskId(7)))
     };
-    assert!(moved(1, &[0.1, 0.0, 0.2], 1.0));
-    assert!(!moved(1, &[0.1, 0.0], 1.0), "not at the first sign");
-    assert!(!moved(1, &[0.1, 0.9, 0.1, 0.1], 1.0), "it had recovered");
+    assert!(migrated(1, &[0.1, 0.0, 0.2], 1.0));
+    assert!(
+        !migrated(1, &[0.1, 0.0], 1.0),
+        "underserved for one second only"
+    );
+    assert!(
+        !migrated(1, &[0.1, 0.9, 0.1, 0.1], 1.0),
+        "recovered in between"
+    );
     assert!(
-        !moved(0, &[0.1, 0.0, 0.2, 0.1], 1.0),
-        "small ones by the hundred stay where they are"
+        !migrated(0, &[0.1, 0.0, 0.2, 0.1], 1.0),
+        "tasks of priority 0 do not migrate"
+    );
+    assert!(
+        !migrated(1, &[0.1, 0.0, 0.2, 0.1], 0.5),
+        "no machine with headroom"
     );
-    assert!(!moved(1, &[0.1, 0.0, 0.2, 0.1], 0.5), "nowhere better");
 }
 
 #[test]
@@ -283,13 +302,13 @@
             Event::ClientDisconnected(TaskId(i)),
         ]);
     }
-    let mut two = vec![machine(0), machine(1)];
-    two[0].started_at = Some(harness.now);
-    harness.update_endpoints(UpdateScope::Full, two);
-    let to_zero = count_offers_to_first_machine(&mut harness, 60, 200_000, |i, _| {
+    let mut machines = vec![machine(0), machine(1)];
+    machines[0].started_at = Some(harness.now);
+    harness.update_endpoints(UpdateScope::Full, machines);
+    let offers_to_first = count_offers_to_first_machine(&mut harness, 60, 200_000, |i, _| {
         accepted_started_and_completed(i)
     });
-    assert!(to_zero > 10, "{to_zero} of 60");
+    assert!(offers_to_first > 10, "{offers_to_first} of 60");
 }
 
 #[test]
@@ -306,22 +325,23 @@
         harness
             .request(task(100, 100, harness.now + SECOND))
             .is_some(),
-        "held for nothing"
+        "not blocked"
     );
 }
 
 #[test]
 fn attempt_timeout_grows_with_each_attempt_of_the_same_task_only() {
-    // Slow answers everywhere must not cause one copy after the other; one silent class must not slow the others.
+    // Slow answers on all machines must not lead to ever more duplicates of a task, and timeouts of one task must not
+    // lengthen those of other tasks.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
-    let give_up_at = harness.now + 60 * SECOND;
-    let mut wait = |event| offer_timeout(&harness.turn(&[event])).expect("an offer");
-    let first = wait(Event::PlacementRequested(task(1, 1, give_up_at)));
+    let deadline = harness.now + 60 * SECOND;
+    let mut timeout_after = |event| offer_timeout(&harness.turn(&[event])).expect("an offer");
+    let first = timeout_after(Event::PlacementRequested(task(1, 1, deadline)));
     assert!(first < 4 * SECOND, "{first}");
-    let second = wait(finished(1, 0, AttemptOutcome::TimedOut, None));
+    let second = timeout_after(finished(1, 0, AttemptOutcome::TimedOut, None));
     assert!(second > first + first / 2, "{first} then {second}");
     assert_eq!(
-        wait(Event::PlacementRequested(task(2, 2, give_up_at))),
+        timeout_after(Event::PlacementRequested(task(2, 2, deadline))),
         first
     );
 }
@@ -340,34 +360,38 @@
         AttemptOutcome::Rejected,
         Some(FailureReason::Cores),
     )]);
-    assert_eq!(offered_machine(&again), None, "not at once");
+    assert_eq!(offered_machine(&again), None, "no offer during the backoff");
     assert_eq!(
         harness.request(task(2, 2, 9 * SECOND)),
         Some(0),
-        "a smaller one may fit"
+        "a smaller task may fit"
     );
     let later = harness.advance_until(harness.now + 2 * SECOND, &[0]);
-    assert_eq!(offered_machine(&later), Some(0), "it is tried again");
+    assert_eq!(
+        offered_machine(&later),
+        Some(0),
+        "offered again after the backoff"
+    );
 }
 
 #[test]
 fn consecutive_rejections_back_off_longer_until_one_is_accepted() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
-    let mut offered = 0;
+    let mut offers = 0;
     for n in 0..1_000u64 {
         harness.now += 20_000;
         if harness.request(task(n, n, harness.now + SECOND)).is_some() {
-            offered += 1;
-            let refused = finished(
+            offers += 1;
+            let rejected = finished(
                 n,
                 0,
                 AttemptOutcome::Rejected,
                 Some(FailureReason::QueueFull),
             );
-            harness.turn(&[Event::ClientDisconnected(TaskId(n)), refused]);
+            harness.turn(&[Event::ClientDisconnected(TaskId(n)), rejected]);
         }
     }
-    assert!((10..30).contains(&offered), "{offered} offers in 20 s");
+    assert!((10..30).contains(&offers), "{offers} offers in 20 s");
     harness.now += 2 * SECOND;
     assert_eq!(
         harness.request(task(5_000, 1, harness.now + SECOND)),
@@ -377,13 +401,13 @@
     assert_eq!(
         harness.request(task(5_001, 1, harness.now + SECOND)),
         Some(0),
-        "taken: all is well"
+        "an acceptance ends the backoff"
     );
 }
 
 #[test]
 fn contended_machines_are_skipped_for_a_while() {
-    for note in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
+    for task_report in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
         harness.turn(&[Event::TaskAdopted {
             task: task(900, 900, 0),
@@ -394,21 +418,21 @@
                 accepted_started_and_completed(i),
                 vec![Event::TaskReported {
                     attempt: attempt_id(900, 0),
-                    report: note,
+                    report: task_report,
                 }],
             ]
             .concat()
         };
         harness.turn(&[Event::TaskReported {
             attempt: attempt_id(900, 0),
-            report: note,
+            report: task_report,
         }]);
         assert_eq!(
             count_offers_to_first_machine(&mut harness, 50, 100_000, react),
             0,
-            "{note:?}"
+            "{task_report:?}"
         );
-        // Once nothing more is reported of it, and the other machine is fuller, it is used again.
+        // Once contention is no longer reported, and the other machine is fuller, the machine is used again.
         harness.now += 3 * SECOND;
         let large = Task {
             requested: Resources::new(16.0, 16.0),
@@ -422,15 +446,15 @@
             count_offers_to_first_machine(&mut harness, 50, 100_000, |i, _| {
                 accepted_started_and_completed(i)
             }) > 40,
-            "{note:?}"
+            "{task_report:?}"
         );
     }
 }
 
 #[test]
-fn restarted_machine_holds_no_program() {
-    // Ten services have tasks on machine 0, which is lost with them and restarts, or is not lost.
-    let back_there = |lost: bool| {
+fn restarted_machine_counts_as_having_no_program() {
+    // Ten services have tasks on machine 0. The machine restarts and loses them, or they complete.
+    let offers_to_former_machine = |restarts: bool| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
         harness.now += 20 * SECOND;
         let small = |n| Task {
@@ -445,25 +469,25 @@
             .collect();
         harness.turn(&tasks);
         harness.now += SECOND;
-        if lost {
-            let listing = MachineEntry {
+        if restarts {
+            let entry = MachineEntry {
                 started_at: Some(harness.now),
                 ..machine(0)
             };
             harness.now += 100_000;
-            harness.update_endpoints(UpdateScope::Delta, vec![listing]);
+            harness.update_endpoints(UpdateScope::Delta, vec![entry]);
         }
-        let ending = if lost {
+        let outcome = if restarts {
             AttemptOutcome::Disconnected
         } else {
             AttemptOutcome::Completed
         };
         harness.turn(
             &(0..10)
-                .map(|n| finished(n, 0, ending, None))
+                .map(|n| finished(n, 0, outcome, None))
                 .collect::<Vec<_>>(),
         );
-        // A report of another task there shows that the machine is alive.
+        // A report of another task on the machine shows that it is alive.
         harness.turn(&[
             Event::TaskAdopted {
                 task: small(50),
@@ -474,21 +498,29 @@
                 report: TaskReport::Served(1.0),
             },
         ]);
-        let again = (0..10).map(|n| {
+        let offers = (0..10).map(|n| {
             harness.request(Task {
                 id: TaskId(100 + n),
                 deadline: harness.now + SECOND,
                 ..small(n)
             })
         });
-        again.filter(|machine| *machine == Some(0)).count()
+        offers.filter(|machine| *machine == Some(0)).count()
     };
-    assert!(back_there(false) >= 9, "{}", back_there(false));
-    assert!(back_there(true) <= 6, "{}", back_there(true));
+    assert!(
+        offers_to_former_machine(false) >= 9,
+        "{}",
+        offers_to_former_machine(false)
+    );
+    assert!(
+        offers_to_former_machine(true) <= 6,
+        "{}",
+        offers_to_former_machine(true)
+    );
 }
 
 #[test]
-fn service_stays_where_its_program_is_loaded() {
+fn service_is_placed_where_its_program_is_loaded() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
     // A small task of each service runs on one machine; starts elsewhere take ten times as long.
     for service in 0..20u64 {
@@ -501,26 +533,32 @@
             machine: MachineId((service % 4) as u32),
         }]);
     }
-    let mut local = 0;
+    let mut local_offers = 0;
     for n in 0..600u64 {
         let machine = harness
             .request(task(n, n % 20, harness.now + 9 * SECOND))
             .expect("an offer");
-        let held = u64::from(machine) == n % 4;
-        local += u64::from(held && n >= 400);
-        harness.now += if held { 100_000 } else { SECOND };
+        let is_local = u64::from(machine) == n % 4;
+        local_offers += u64::from(is_local && n >= 400);
+        harness.now += if is_local { 100_000 } else { SECOND };
         harness.turn(&accepted_started_and_completed(n));
         harness.now += 9 * SECOND;
     }
-    assert!(local > 150, "{local} of 200; chance gives a quarter");
+    assert!(
+        local_offers > 150,
+        "{local_offers} of 200; a random selection gives about 50"
+    );
 }
 
 #[test]
-fn no_more_machines_are_used_than_needed_where_they_are_priced() {
-    let used = |fleet: f64| {
-        let mut priced = settings(RetrySafety::Idempotent);
-        (priced.endpoints_report_capacity, priced.costs.fleet) = (true, fleet);
-        let mut harness = Harness::new(priced, 0);
+fn no_more_machines_are_used_than_needed_when_they_have_a_cost() {
+    let machines_used = |cost: f64| {
+        let mut settings_with_cost = settings(RetrySafety::Idempotent);
+        (
+            settings_with_cost.endpoints_report_capacity,
+            settings_with_cost.costs.fleet,
+        ) = (true, cost);
+        let mut harness = Harness::new(settings_with_cost, 0);
         let free = |n: u32| {
             Some(if n < 2 {
                 Resources::new(24.0, 72.0)
@@ -537,26 +575,26 @@
                 })
                 .collect(),
         );
-        let mut used = [0; 8];
+        let mut offers = [0; 8];
         for n in 0..300 {
             let machine = harness
                 .request(task(n, n, harness.now + SECOND))
                 .expect("an offer");
-            used[machine as usize] += 1;
+            offers[machine as usize] += 1;
             harness.turn(&accepted_started_and_completed(n));
         }
-        used.iter().filter(|&&n| n > 0).count()
+        offers.iter().filter(|&&n| n > 0).count()
     };
-    assert_eq!(used(0.2), 1);
-    assert!(used(0.0) >= 6);
+    assert_eq!(machines_used(0.2), 1);
+    assert!(machines_used(0.0) >= 6);
 }
 
 #[test]
 fn timeout_shortens_once_answers_are_quick_for_every_retry_safety() {
-    // A machine that leaves one class unanswered would keep a non-idempotent task until its deadline; returned
-    // early, its owner learns that it does not run and resubmits it.
-    for effect in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
-        let mut harness = Harness::new(settings(effect), 3);
+    // A machine that does not answer offers of one class would keep a non-idempotent task until its deadline. If it is
+    // returned earlier, its owner finds out that it does not run, and resubmits it.
+    for retry_safety in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
+        let mut harness = Harness::new(settings(retry_safety), 3);
         for n in 0..30 {
             harness
                 .request(task(n, 1, harness.now + 9 * SECOND))
@@ -575,89 +613,92 @@
             1,
             harness.now + 9 * SECOND,
         ))]);
-        let wait = offer_timeout(&actions);
+        let timeout = offer_timeout(&actions);
         assert!(
-            wait.is_some_and(|wait| wait > 60_000 && wait < SECOND),
-            "{effect:?}: {wait:?}"
+            timeout.is_some_and(|timeout| timeout > 60_000 && timeout < SECOND),
+            "{retry_safety:?}: {timeout:?}"
         );
     }
 }
 
 #[test]
 fn placers_do_not_all_choose_the_same_few_machines_with_headroom() {
-    let (mut swarmed, placers) = (0, 200);
-    for number in 0..placers {
-        let mut seen = settings(RetrySafety::Idempotent);
+    let (mut offers_with_headroom, placers) = (0, 200);
+    for index in 0..placers {
+        let mut reporting = settings(RetrySafety::Idempotent);
         (
-            seen.endpoints_report_capacity,
-            seen.replica_count,
-            seen.replica_index,
-        ) = (true, placers, number);
-        let placer = Placer::new(seen, u64::from(number)).expect("sound settings");
+            reporting.endpoints_report_capacity,
+            reporting.replica_count,
+            reporting.replica_index,
+        ) = (true, placers, index);
+        let placer = Placer::new(reporting, u64::from(index)).expect("valid settings");
         let mut harness = Harness {
             placer,
             now: SECOND,
         };
         // Three of twenty machines have headroom.
-        let unasked = |n: u32| {
+        let unallocated = |n: u32| {
             if n < 3 {
                 Resources::new(8.0, 24.0)
             } else {
                 Resources::new(3.0, 9.0)
             }
         };
-        let listing = |n: u32| MachineEntry {
-            unallocated: Some(unasked(n)),
+        let entry = |n: u32| MachineEntry {
+            unallocated: Some(unallocated(n)),
             ..machine(n)
         };
-        harness.update_endpoints(UpdateScope::Full, (0..20).map(listing).collect());
-        swarmed += u32::from(
+        harness.update_endpoints(UpdateScope::Full, (0..20).map(entry).collect());
+        offers_with_headroom += u32::from(
             harness
-                .request(task(1, u64::from(number), 9 * SECOND))
+                .request(task(1, u64::from(index), 9 * SECOND))
                 .expect("an offer")
                 < 3,
         );
     }
-    assert!(swarmed < placers * 3 / 4, "{swarmed} of {placers}");
     assert!(
-        swarmed > placers / 5,
-        "comfort still counts: {swarmed} of {placers}"
+        offers_with_headroom < placers * 3 / 4,
+        "{offers_with_headroom} of {placers}"
+    );
+    assert!(
+        offers_with_headroom > placers / 5,
+        "headroom is still preferred: {offers_with_headroom} of {placers}"
     );
 }
 
 #[test]
-fn failing_class_leaves_a_machine_and_returns_while_other_classes_stay() {
-    let mut two = settings(RetrySafety::Idempotent);
-    two.classes.push(class(RetrySafety::Idempotent));
-    let mut harness = Harness::new(two, 2);
-    let of = |n: u64, class: usize| Task {
+fn failing_class_is_ejected_and_readmitted_without_affecting_other_classes() {
+    let mut two_classes = settings(RetrySafety::Idempotent);
+    two_classes.classes.push(class(RetrySafety::Idempotent));
+    let mut harness = Harness::new(two_classes, 2);
+    let task_of_class = |n: u64, class: usize| Task {
         class,
         ..task(n, n, 900 * SECOND)
     };
     harness.turn(&[
         Event::TaskAdopted {
-            task: of(9_999, 1),
+            task: task_of_class(9_999, 1),
             machine: MachineId(0),
         },
         Event::TaskAdopted {
-            task: of(9_998, 1),
+            task: task_of_class(9_998, 1),
             machine: MachineId(1),
         },
     ]);
-    // Class 0 fails on machine 0 until both homes are known; class 1 is served there all the time.
+    // Class 0 fails on machine 0 in some phases; class 1 is served there all the time.
     let mut n = 0;
-    let mut share = |harness: &mut Harness, class: usize, fails: bool| {
-        let mut there = 0;
+    let mut offers_to_first = |harness: &mut Harness, class: usize, fails: bool| {
+        let mut offers = 0;
         for _ in 0..40 {
             n += 1;
-            // A task that runs there goes on reporting what it uses.
+            // A task that runs there continues to report its usage.
             harness.turn(&[Event::TaskReported {
                 attempt: attempt_id(9_999, 0),
                 report: TaskReport::CoresUsed(0.5),
             }]);
-            let at = harness.request(of(n, class)).expect("an offer");
-            there += u32::from(at == 0);
-            if at == 0 && fails {
+            let machine = harness.request(task_of_class(n, class)).expect("an offer");
+            offers += u32::from(machine == 0);
+            if machine == 0 && fails {
                 harness.turn(&[
                     finished(n, 0, AttemptOutcome::TimedOut, None),
                     Event::ClientDisconnected(TaskId(n)),
@@ -678,23 +719,33 @@
             }
             harness.now += 20_000;
         }
-        there
+        offers
     };
-    assert!(share(&mut harness, 1, false) > 5);
-    assert!(share(&mut harness, 0, true) < 5, "the failing class leaves");
-    assert!(share(&mut harness, 1, false) > 5, "the other stays");
+    assert!(offers_to_first(&mut harness, 1, false) > 5);
     assert!(
-        share(&mut harness, 0, true) < 5,
-        "whose success clears nothing"
+        offers_to_first(&mut harness, 0, true) < 5,
+        "the failing class gets no more offers there"
+    );
+    assert!(
+        offers_to_first(&mut harness, 1, false) > 5,
+        "the other class is still offered there"
+    );
+    assert!(
+        offers_to_first(&mut harness, 0, true) < 5,
+        "starts of the other class do not end the ejection"
     );
     harness.now += 60 * SECOND;
-    assert!(share(&mut harness, 0, false) > 5, "and finds it again");
+    assert!(
+        offers_to_first(&mut harness, 0, false) > 5,
+        "the failing class is offered there again once it works"
+    );
 }
 
 #[test]
 fn stalled_placer_does_not_count_its_pause_as_answer_time() {
-    // Answers that arrived during a stall are applied late; timeouts must follow the time that they took.
-    let wait_after_stalls = |elapsed: Option<Micros>| {
+    // Answers that arrive during a stall of the placer are applied late. Timeouts must depend on the time that the
+    // machine took.
+    let timeout_after_stalls = |elapsed: Option<Micros>| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         for n in 0..30 {
             harness
@@ -716,8 +767,8 @@
         ))]);
         offer_timeout(&actions)
     };
-    assert!(wait_after_stalls(None) > Some(SECOND));
-    assert!(wait_after_stalls(Some(20_000)).is_some_and(|wait| wait < SECOND));
+    assert!(timeout_after_stalls(None) > Some(SECOND));
+    assert!(timeout_after_stalls(Some(20_000)).is_some_and(|timeout| timeout < SECOND));
 }
 
 #[test]
@@ -728,7 +779,7 @@
         ..machine(0)
     };
     harness.now += 2 * SECOND;
-    // The drain is last in the backlog, behind twenty requests.
+    // The drain is the last event, after twenty requests.
     let mut backlog: Vec<Event> = (0..20)
         .map(|n| Event::PlacementRequested(task(n, n, harness.now + 5 * SECOND)))
         .collect();
@@ -758,11 +809,11 @@
 
 #[test]
 fn cross_zone_offers_are_weighed_by_their_cost() {
-    // The service runs on a machine of either zone, so the machines differ in nothing else.
-    let away = |price: f64| {
-        let mut priced = settings(RetrySafety::Idempotent);
-        priced.costs.cross_zone = price;
-        let mut harness = Harness::new(priced, 0);
+    // The service runs on a machine in each zone, so the machines differ only in their zone.
+    let offers_to_other_zone = |cost: f64| {
+        let mut settings_with_cost = settings(RetrySafety::Idempotent);
+        settings_with_cost.costs.cross_zone = cost;
+        let mut harness = Harness::new(settings_with_cost, 0);
         harness.update_endpoints(
             UpdateScope::Full,
             (0..2)
@@ -782,24 +833,24 @@
                 machine: MachineId(1),
             },
         ]);
-        let mut away = 0;
+        let mut cross_zone_offers = 0;
         for n in 0..200 {
-            away += harness
+            cross_zone_offers += harness
                 .request(task(n, 1, harness.now + SECOND))
                 .expect("an offer");
             harness.turn(&accepted_started_and_completed(n));
         }
-        away
+        cross_zone_offers
     };
-    assert!(away(0.05) < 20);
-    assert!(away(0.0) > 60);
+    assert!(offers_to_other_zone(0.05) < 20);
+    assert!(offers_to_other_zone(0.0) > 60);
 }
 
 #[test]
 fn restarted_placer_uses_its_restored_list_until_a_newer_one() {
-    let mut asks = settings(RetrySafety::Idempotent);
-    asks.discovery = DiscoveryMode::Poll;
-    let placer = Placer::new(asks, 3).expect("sound settings");
+    let mut polling = settings(RetrySafety::Idempotent);
+    polling.discovery = DiscoveryMode::Poll;
+    let placer = Placer::new(polling, 3).expect("valid settings");
     let mut harness = Harness {
         placer,
         now: SECOND,
@@ -829,7 +880,7 @@
             is_connected: false,
         },
     ]);
-    // No machine is connected: the task is blocked, neither offered nor rejected.
+    // No machine is connected, so the task is blocked: neither offered nor rejected.
     let actions = harness.turn(&[Event::PlacementRequested(task(
         1,
         5,
@@ -837,7 +888,7 @@
     ))]);
     assert_eq!(offered_machine(&actions), None);
     assert!(final_answers(&harness.advance_until(harness.now + SECOND, &[0])).is_empty());
-    // The first machine that is connected again gets it, as its first attempt.
+    // The first machine that is connected again gets the offer, which is the first attempt.
     harness.turn(&[Event::ConnectionChanged {
         machine: MachineId(1),
         is_connected: true,
@@ -857,15 +908,15 @@
         },
     ];
     assert_eq!(offered_machine(&harness.turn(&lost)), Some(0));
-    // No connection until the deadline: rejected in time.
+    // Without a connection until the deadline, the task is rejected in time.
     let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 1);
     harness.turn(&[Event::ConnectionChanged {
         machine: MachineId(0),
         is_connected: false,
     }]);
-    let give_up_at = harness.now + 2 * SECOND;
-    harness.turn(&[Event::PlacementRequested(task(1, 5, give_up_at))]);
-    let actions = harness.advance_until(give_up_at, &[0, 2]);
+    let deadline = harness.now + 2 * SECOND;
+    harness.turn(&[Event::PlacementRequested(task(1, 5, deadline))]);
+    let actions = harness.advance_until(deadline, &[0, 2]);
     assert_eq!(
         final_answers(&actions),
         [Action::Reject {
@@ -876,11 +927,12 @@
     assert_eq!(offered_machine(&actions), None);
 }
 
-/// One of four placers with four machines, and its part of twelve accepted starts in progress.
+/// One of four placers with four machines, with its share (three) of the limit of twelve starts in progress. Returns
+/// the next free task number as well.
 fn harness_with_starts_at_the_limit() -> (Harness, u64) {
-    let mut own = settings(RetrySafety::Idempotent);
-    own.replica_count = 4;
-    let mut harness = Harness::new(own, 4);
+    let mut shared = settings(RetrySafety::Idempotent);
+    shared.replica_count = 4;
+    let mut harness = Harness::new(shared, 4);
     for n in 0..3 {
         harness.request(task(n, n, 100 * SECOND)).expect("an offer");
         harness.turn(&[Event::AttemptAccepted {
@@ -891,10 +943,10 @@
     (harness, 3)
 }
 
-fn resubmitted(n: u64, give_up_at: Micros) -> Task {
+fn resubmitted(n: u64, deadline: Micros) -> Task {
     Task {
         is_resubmission: true,
-        ..task(n, n, give_up_at)
+        ..task(n, n, deadline)
     }
 }
 
@@ -904,11 +956,11 @@
     assert_eq!(
         harness.request(resubmitted(next, 100 * SECOND)),
         None,
-        "its part of the starts is under way"
+        "its share of the starts is in progress"
     );
     assert!(
         harness.request(task(next + 1, 9, 100 * SECOND)).is_some(),
-        "a first start is not kept waiting"
+        "a first submission is not deferred"
     );
     assert_eq!(
         offered_machine(&harness.turn(&[Event::AttemptAccepted {
@@ -917,7 +969,7 @@
         }])),
         None
     );
-    // Two of the four starts in progress are done: this placer's part is three, so one more may start.
+    // Once two of its four starts in progress have finished, this placer is below its share of three.
     harness.now += 50_000;
     let started = |n| Event::TaskReported {
         attempt: attempt_id(n, 0),
@@ -939,29 +991,29 @@
         harness
             .request(resubmitted(next + 2, 100 * SECOND))
             .is_none(),
-        "that start counts too"
+        "the start of the resubmitted task counts as well"
     );
 }
 
 #[test]
-fn deferral_ends_when_starts_are_never_reported() {
+fn deferral_ends_even_if_starts_are_never_reported() {
     let (mut harness, next) = harness_with_starts_at_the_limit();
-    let from = harness.now;
+    let start = harness.now;
     assert_eq!(
-        harness.request(resubmitted(next, from + 100 * SECOND)),
+        harness.request(resubmitted(next, start + 100 * SECOND)),
         None
     );
-    assert_eq!(harness.request(resubmitted(next + 1, from + SECOND)), None);
-    // A task is deferred for half of its time at most, and for no more than a second.
-    assert!(offered_machine(&harness.advance_until(from + 400_000, &[0])).is_none());
-    let early = harness.advance_until(from + 710_000, &[0]);
+    assert_eq!(harness.request(resubmitted(next + 1, start + SECOND)), None);
+    // A task is deferred for at most a second, and for at most half of the time until its deadline.
+    assert!(offered_machine(&harness.advance_until(start + 400_000, &[0])).is_none());
+    let sooner = harness.advance_until(start + 710_000, &[0]);
     assert!(
-        early
+        sooner
             .iter()
             .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next + 1)),
-        "{early:?}"
+        "{sooner:?}"
     );
-    let late = harness.advance_until(from + 1_210_000, &[0]);
+    let late = harness.advance_until(start + 1_210_000, &[0]);
     assert!(
         late.iter()
             .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next)),
@@ -973,29 +1025,30 @@
 fn finished_or_running_attempts_do_not_count_as_starts_in_progress() {
     let (mut harness, next) = harness_with_starts_at_the_limit();
     assert_eq!(harness.request(resubmitted(next, 100 * SECOND)), None);
-    let used = harness.turn(&[Event::TaskReported {
+    let after_usage = harness.turn(&[Event::TaskReported {
         attempt: attempt_id(1, 0),
         report: TaskReport::CoresUsed(0.5),
     }]);
     assert!(
-        used.iter()
+        after_usage
+            .iter()
             .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next)),
-        "{used:?}"
+        "{after_usage:?}"
     );
     harness.turn(&[Event::AttemptAccepted {
         attempt: attempt_id(next, 0),
         elapsed: None,
     }]);
     assert_eq!(harness.request(resubmitted(next + 1, 100 * SECOND)), None);
-    let ended = harness.turn(&[finished(0, 0, AttemptOutcome::Disconnected, None)]);
+    let after_end = harness.turn(&[finished(0, 0, AttemptOutcome::Disconnected, None)]);
     assert!(
-        ended
+        after_end
             .iter()
             .any(|a| matches!(a, Action::Offer { task: t, .. } if t.0 == next + 1)),
-        "{ended:?}"
+        "{after_end:?}"
     );
-    // A repeated or late report counts once or not at all.
-    let twice = [
+    // Duplicate and late events do not count again.
+    let duplicates = [
         Event::AttemptAccepted {
             attempt: attempt_id(2, 0),
             elapsed: None,
@@ -1005,7 +1058,7 @@
             elapsed: None,
         },
     ];
-    harness.turn(&twice);
+    harness.turn(&duplicates);
     harness.turn(&[
         Event::TaskReported {
             attempt: attempt_id(2, 0),
@@ -1020,7 +1073,7 @@
         harness
             .request(resubmitted(next + 2, 100 * SECOND))
             .is_some(),
-        "one start is under way, of a part of three"
+        "one start is in progress, of a share of three"
     );
 }
 
@@ -1028,13 +1081,13 @@
 fn deferred_task_is_dropped_when_its_client_disconnects() {
     let (mut harness, next) = harness_with_starts_at_the_limit();
     assert_eq!(harness.request(resubmitted(next, 100 * SECOND)), None);
-    let its = |a: &Action| matches!(a, Action::Offer { task: t, .. } | Action::Reject { task: t, .. } if t.0 == next);
+    let is_for_task = |a: &Action| matches!(a, Action::Offer { task: t, .. } | Action::Reject { task: t, .. } if t.0 == next);
     harness.turn(&[Event::ClientDisconnected(TaskId(next))]);
     let actions = harness.turn(&[Event::TaskReported {
         attempt: attempt_id(0, 0),
         report: TaskReport::Started,
     }]);
-    assert!(!actions.iter().any(its), "{actions:?}");
+    assert!(!actions.iter().any(is_for_task), "{actions:?}");
     let actions = harness.advance_until(110 * SECOND, &[0, next + 1]);
-    assert!(!actions.iter().any(its), "{actions:?}");
+    assert!(!actions.iter().any(is_for_task), "{actions:?}");
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,10 +1,10 @@
-//! Blind GB-PANDAS on its ordinary path.
+//! Machine selection by Blind GB-PANDAS while no machine fails.
 
 mod common;
 use common::*;
 use maplethread::*;
 
-/// Makes decisions for tasks whose clients disconnect at once, so that exploration is rare afterwards.
+/// Requests 600 placements whose clients disconnect at once, so that later decisions rarely explore.
 fn end_exploration(harness: &mut Harness) {
     for n in 10_000..10_600 {
         harness.request(task(n, n, harness.now + SECOND));
@@ -16,21 +16,21 @@
     harness.now += 10 * SECOND;
 }
 
-/// How often each of three machines is offered one of `n` tasks whose clients disconnect at once.
+/// Requests `n` placements whose clients disconnect at once, and counts the offers to each of three machines.
 fn offers_per_machine(harness: &mut Harness, n: u64, service: impl Fn(u64) -> u64) -> [u64; 3] {
-    let mut got = [0; 3];
+    let mut offers = [0; 3];
     for i in 0..n {
         let machine = harness
             .request(task(i, service(i), harness.now + SECOND))
             .expect("an offer");
-        got[machine as usize] += 1;
+        offers[machine as usize] += 1;
         harness.turn(&[
             Event::ClientDisconnected(TaskId(i)),
             finished(i, 0, AttemptOutcome::Cancelled, None),
         ]);
         harness.now += 20 * SECOND;
     }
-    got
+    offers
 }
 
 #[test]
@@ -45,14 +45,14 @@
             machine: MachineId(machine),
         }]);
     }
-    let got = offers_per_machine(&mut harness, 200, |i| 1_000 + i);
-    assert!(got[2] >= 195, "{got:?}");
+    let offers = offers_per_machine(&mut harness, 200, |i| 1_000 + i);
+    assert!(offers[2] >= 195, "{offers:?}");
 }
 
 #[test]
 fn emptier_machine_does_not_attract_starts_from_a_lightly_used_one_with_the_program() {
-    // Machine 0 has the program and this many of 32 cores allocated; the others are empty, one is the primary home.
-    let at_the_program = |cores: f64| {
+    // Machine 0 has the program and this many of 32 cores allocated. The others are empty, and one is the primary home.
+    let offers_to_local_machine = |cores: f64| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         end_exploration(&mut harness);
         let large = Task {
@@ -63,7 +63,7 @@
             task: large,
             machine: MachineId(0),
         }]);
-        let mut got = 0;
+        let mut offers = 0;
         for service in 0..100 {
             let small = Task {
                 requested: Resources::new(0.1, 0.1),
@@ -76,7 +76,7 @@
             let machine = harness
                 .request(task(3_000 + service, 1_000 + service, harness.now + SECOND))
                 .expect("an offer");
-            got += u64::from(machine == 0);
+            offers += u64::from(machine == 0);
             for n in [2_000 + service, 3_000 + service] {
                 harness.turn(&[
                     Event::ClientDisconnected(TaskId(n)),
@@ -84,10 +84,18 @@
                 ]);
             }
         }
-        got
+        offers
     };
-    assert!(at_the_program(9.0) >= 95, "{}", at_the_program(9.0));
-    assert!(at_the_program(24.0) <= 80, "{}", at_the_program(24.0));
+    assert!(
+        offers_to_local_machine(9.0) >= 95,
+        "{}",
+        offers_to_local_machine(9.0)
+    );
+    assert!(
+        offers_to_local_machine(24.0) <= 80,
+        "{}",
+        offers_to_local_machine(24.0)
+    );
 }
 
 #[test]
@@ -95,8 +103,8 @@
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
     end_exploration(&mut harness);
     // Machine 0 starts the service in 0.2 s, machine 1 in 2 s; both have the program.
-    let (mut n, mut seen) = (1, [0, 0]);
-    while seen.iter().any(|&s| s < 8) {
+    let (mut n, mut starts) = (1, [0, 0]);
+    while starts.iter().any(|&count| count < 8) {
         let machine = harness
             .request(task(n, 7, harness.now + 9 * SECOND))
             .expect("an offer") as usize;
@@ -109,14 +117,14 @@
             attempt: attempt_id(n, 0),
             report: TaskReport::Started,
         }]);
-        seen[machine] += 1;
+        starts[machine] += 1;
         n += 1;
-        assert!(n < 2_000, "{seen:?}");
+        assert!(n < 2_000, "{starts:?}");
     }
-    assert!(seen[0] > 2 * seen[1], "{seen:?}");
+    assert!(starts[0] > 2 * starts[1], "{starts:?}");
 }
 
-/// Puts a small task of the service on each machine, so that all have the same locality.
+/// Adopts a small task of the service on each machine, so that all machines have the same locality.
 fn run_service_on_all_machines(harness: &mut Harness, service: u64, machines: u32) {
     for n in 0..machines {
         let small = Task {
@@ -134,24 +142,24 @@
 fn near_ties_are_broken_at_random() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     end_exploration(&mut harness);
-    // No start was sampled, so all rates are equal, and so are all utilizations.
-    let got = offers_per_machine(&mut harness, 300, |i| 1_000 + i);
-    assert!(got.iter().all(|&g| g > 60), "{got:?}");
+    // No start was sampled, so all rates are equal, and all utilizations are equal as well.
+    let offers = offers_per_machine(&mut harness, 300, |i| 1_000 + i);
+    assert!(offers.iter().all(|&count| count > 60), "{offers:?}");
 }
 
 #[test]
 fn exploration_decreases_with_the_number_of_decisions() {
-    let explored = |skip: bool| {
-        let mut away = 0;
+    let explored = |after_many_decisions: bool| {
+        let mut explorations = 0;
         for seed in 0..60 {
             let placer =
-                Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
+                Placer::new(settings(RetrySafety::Idempotent), seed).expect("valid settings");
             let mut harness = Harness {
                 placer,
                 now: SECOND,
             };
             harness.update_endpoints(UpdateScope::Full, (0..3).map(machine).collect());
-            if skip {
+            if after_many_decisions {
                 end_exploration(&mut harness);
             }
             let mut large = task(1, 1, 0);
@@ -169,18 +177,18 @@
                     machine: MachineId(1),
                 },
             ]);
-            away += u32::from(harness.request(task(3, 3, harness.now + SECOND)) != Some(2));
+            explorations += u32::from(harness.request(task(3, 3, harness.now + SECOND)) != Some(2));
         }
-        away
+        explorations
     };
-    assert!(explored(false) > 25, "the first decision is a uniform draw");
-    assert!(explored(true) < 5, "later ones hardly are");
+    assert!(explored(false) > 25, "the first decision explores");
+    assert!(explored(true) < 5, "later decisions rarely explore");
 }
 
 #[test]
 fn exploration_and_ties_stay_within_feasible_machines() {
     for seed in 0..50 {
-        let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("sound settings");
+        let placer = Placer::new(settings(RetrySafety::Idempotent), seed).expect("valid settings");
         let mut harness = Harness {
             placer,
             now: SECOND,
@@ -207,10 +215,10 @@
 
 #[test]
 fn unreported_machine_counts_with_the_mean_allocation() {
-    let mut view = settings(RetrySafety::Idempotent);
-    view.endpoints_report_capacity = true;
-    let mut harness = Harness::new(view, 0);
-    let unasked = |n| match n {
+    let mut reporting = settings(RetrySafety::Idempotent);
+    reporting.endpoints_report_capacity = true;
+    let mut harness = Harness::new(reporting, 0);
+    let unallocated = |n| match n {
         0 => Some(Resources::new(28.0, 84.0)),
         1 => Some(Resources::new(4.0, 12.0)),
         _ => None,
@@ -219,22 +227,25 @@
         UpdateScope::Full,
         (0..3)
             .map(|n| MachineEntry {
-                unallocated: unasked(n),
+                unallocated: unallocated(n),
                 ..machine(n)
             })
             .collect(),
     );
     end_exploration(&mut harness);
     run_service_on_all_machines(&mut harness, 7, 3);
-    let got = offers_per_machine(&mut harness, 200, |_| 7);
-    assert!(got[0] >= 190, "the emptiest that is known: {got:?}");
+    let offers = offers_per_machine(&mut harness, 200, |_| 7);
+    assert!(
+        offers[0] >= 190,
+        "offers to the emptiest reported machine: {offers:?}"
+    );
 }
 
 #[test]
 fn own_placements_count_until_the_endpoint_list_includes_them() {
-    let mut view = settings(RetrySafety::Idempotent);
-    view.endpoints_report_capacity = true;
-    let mut harness = Harness::new(view, 0);
+    let mut reporting = settings(RetrySafety::Idempotent);
+    reporting.endpoints_report_capacity = true;
+    let mut harness = Harness::new(reporting, 0);
     let free = Some(Resources::new(32.0, 96.0));
     harness.update_endpoints(
         UpdateScope::Full,
@@ -247,15 +258,15 @@
     );
     end_exploration(&mut harness);
     run_service_on_all_machines(&mut harness, 7, 2);
-    let mut got = [0; 2];
+    let mut offers = [0; 2];
     for n in 1..=20 {
-        got[harness
+        offers[harness
             .request(task(n, 7, harness.now + SECOND))
             .expect("an offer") as usize] += 1;
     }
     assert!(
-        got.iter().all(|&g| (8..=12).contains(&g)),
-        "a stale view must not draw a herd: {got:?}"
+        offers.iter().all(|&count| (8..=12).contains(&count)),
+        "an out-of-date list must not concentrate offers on one machine: {offers:?}"
     );
 }
 
@@ -328,18 +339,18 @@
         },
     ];
     assert!(harness.turn(&unknown).is_empty());
-    let refused = harness.turn(&[Event::PlacementRequested(Task {
+    let rejected = harness.turn(&[Event::PlacementRequested(Task {
         class: 9,
         ..task(7, 7, 9 * SECOND)
     })]);
     assert_eq!(
-        final_answers(&refused),
+        final_answers(&rejected),
         [Action::Reject {
             task: TaskId(7),
             retry_after: None
         }]
     );
-    // A clock that seems to run back counts as standing still.
+    // A time before that of an earlier turn is replaced by the earlier time.
     harness.now = 0;
     harness.request(task(8, 8, 9 * SECOND));
     assert!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules at their edges.
+//! The five rules of the placement policy, in boundary cases.
 
 mod common;
 use common::*;
@@ -11,17 +11,17 @@
 
 #[test]
 fn every_request_gets_one_answer_before_its_deadline() {
-    for effect in [
+    for retry_safety in [
         RetrySafety::Idempotent,
         IDEMPOTENCY_KEY,
         RetrySafety::NonIdempotent,
     ] {
-        let mut harness = Harness::new(settings(effect), 2);
+        let mut harness = Harness::new(settings(retry_safety), 2);
         assert!(harness.request(task(1, 1, 6 * SECOND)).is_some());
         let actions = harness.advance_until(7 * SECOND, &[2]);
         let answers = final_answers(&actions);
-        assert_eq!(answers.len(), 1, "{effect:?}: {answers:?}");
-        let expected = match effect {
+        assert_eq!(answers.len(), 1, "{retry_safety:?}: {answers:?}");
+        let expected = match retry_safety {
             RetrySafety::Idempotent => Action::Reject {
                 task: TaskId(1),
                 retry_after: None,
@@ -29,7 +29,7 @@
             _ => Action::Fail(TaskId(1)),
         };
         assert_eq!(answers[0], expected);
-        // The late outcome leads to no further answer.
+        // An outcome after the final answer leads to no second one.
         assert!(
             harness
                 .turn(&[finished(1, 0, AttemptOutcome::TimedOut, None)])
@@ -63,7 +63,7 @@
 
 #[test]
 fn blocked_task_is_offered_once_a_machine_appears() {
-    // A blocked task must be tried again well before its deadline.
+    // A blocked task must be tried again soon, not only at its deadline.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 0);
     assert_eq!(harness.request(task(1, 1, 9 * SECOND)), None);
     harness.update_endpoints(UpdateScope::Delta, vec![machine(4)]);
@@ -73,14 +73,14 @@
 
 #[test]
 fn non_idempotent_tasks_are_retried_only_after_proof_that_they_never_ran() {
-    let proofs = [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed];
-    for ending in proofs {
+    let never_ran = [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed];
+    for outcome in never_ran {
         let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 3);
         harness.request(task(1, 1, 9 * SECOND));
-        let actions = harness.turn(&[finished(1, 0, ending, None)]);
-        assert!(offered_machine(&actions).is_some(), "{ending:?}");
+        let actions = harness.turn(&[finished(1, 0, outcome, None)]);
+        assert!(offered_machine(&actions).is_some(), "{outcome:?}");
     }
-    for ending in [
+    for outcome in [
         AttemptOutcome::Error,
         AttemptOutcome::TimedOut,
         AttemptOutcome::Disconnected,
@@ -88,21 +88,21 @@
     ] {
         let mut harness = Harness::new(settings(RetrySafety::NonIdempotent), 3);
         harness.request(task(1, 1, 9 * SECOND));
-        let actions = harness.turn(&[finished(1, 0, ending, None)]);
-        assert_eq!(offered_machine(&actions), None, "{ending:?}");
+        let actions = harness.turn(&[finished(1, 0, outcome, None)]);
+        assert_eq!(offered_machine(&actions), None, "{outcome:?}");
         assert_eq!(
             final_answers(&actions),
             [Action::Fail(TaskId(1))],
-            "{ending:?}"
+            "{outcome:?}"
         );
     }
 }
 
 #[test]
 fn keyed_tasks_stay_in_their_deduplication_scope_and_window() {
-    let mut many = settings(IDEMPOTENCY_KEY);
-    many.limits.max_attempts = 4;
-    let mut harness = Harness::new(many, 0);
+    let mut four_attempts = settings(IDEMPOTENCY_KEY);
+    four_attempts.limits.max_attempts = 4;
+    let mut harness = Harness::new(four_attempts, 0);
     let cells = |n: u32| MachineEntry {
         cell: n / 2,
         ..machine(n)
@@ -110,17 +110,18 @@
     harness.update_endpoints(UpdateScope::Full, (0..8).map(cells).collect());
     let first = harness.request(task(1, 1, 20 * SECOND)).expect("an offer");
     let actions = harness.turn(&[finished(1, 0, AttemptOutcome::Disconnected, None)]);
-    let again = offered_machine(&actions).expect("the cell's other machine");
+    let again = offered_machine(&actions).expect("an offer to the cell's other machine");
     assert_eq!(again / 2, first / 2);
-    assert_ne!(again, first, "the one that failed is avoided");
-    // Near its end the timeout of an offer ends with the window: until then it may wait for its connection.
+    assert_ne!(again, first, "the machine that failed is avoided");
+    // Near the end of the window an offer's timeout ends with the window, since the offer may wait for a connection.
     harness.now += 3_900_000;
     let actions = harness.turn(&[finished(1, 1, AttemptOutcome::Disconnected, None)]);
     assert!(
         offer_timeout(&actions).is_some_and(|out| out <= 100_000),
         "{actions:?}"
     );
-    // Past the window nothing is sent, and a rejection would promise too much.
+    // After the window no offer is sent, and the task fails, since a rejection would
+    // guarantee that a resubmission has no second effect.
     harness.now += 100_000;
     let actions = harness.turn(&[finished(1, 2, AttemptOutcome::Disconnected, None)]);
     assert_eq!(offered_machine(&actions), None);
@@ -163,11 +164,11 @@
 fn draining_and_removed_machines_get_no_offers() {
     for state in [MachineState::Draining, MachineState::Gone] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
-        let listing = MachineEntry {
+        let entry = MachineEntry {
             state,
             ..machine(0)
         };
-        harness.update_endpoints(UpdateScope::Delta, vec![listing]);
+        harness.update_endpoints(UpdateScope::Delta, vec![entry]);
         for n in 0..40 {
             assert_eq!(harness.request(task(n, n, 9 * SECOND)), Some(1));
         }
@@ -178,20 +179,20 @@
         assert_eq!(
             harness.request(task(n, n, 9 * SECOND)),
             Some(1),
-            "absent from a full list"
+            "absent from the full list"
         );
     }
 }
 
 #[test]
 fn polled_discovery_is_watched_at_once_and_after_each_failure() {
-    let mut asks = settings(RetrySafety::Idempotent);
-    asks.discovery = DiscoveryMode::Poll;
+    let mut polling = settings(RetrySafety::Idempotent);
+    polling.discovery = DiscoveryMode::Poll;
     let mut harness = Harness {
-        placer: Placer::new(asks, 1).expect("sound settings"),
+        placer: Placer::new(polling, 1).expect("valid settings"),
         now: 0,
     };
-    let listen = |actions: &[Action]| {
+    let count_subscriptions = |actions: &[Action]| {
         let calls = actions
             .iter()
             .filter(|a| **a == Action::WatchEndpoints { enabled: true });
@@ -201,33 +202,34 @@
         scope: UpdateScope::Restored,
         machines: vec![machine(0)],
     };
-    assert_eq!(listen(&harness.turn(&[restored])), 1);
+    assert_eq!(count_subscriptions(&harness.turn(&[restored])), 1);
     for _ in 0..5 {
         let failed = harness.turn(&[Event::DiscoveryUnavailable]);
         assert_eq!(
-            listen(&failed) + listen(&harness.advance_until(harness.now + SECOND, &[0])),
+            count_subscriptions(&failed)
+                + count_subscriptions(&harness.advance_until(harness.now + SECOND, &[0])),
             1,
-            "once each"
+            "one subscription for each failure"
         );
     }
 }
 
 #[test]
-fn warming_machine_gets_no_more_than_this_placers_part_of_the_budget() {
+fn warming_machine_gets_no_more_than_this_placers_share_of_the_budget() {
     let mut shared = settings(RetrySafety::Idempotent);
     shared.replica_count = 4;
     let mut harness = Harness::new(shared, 0);
-    let cold = MachineEntry {
+    let warming = MachineEntry {
         started_at: Some(harness.now),
         ..machine(0)
     };
-    harness.update_endpoints(UpdateScope::Full, vec![cold]);
-    let mut sends = Vec::new();
+    harness.update_endpoints(UpdateScope::Full, vec![warming]);
+    let mut sent_at = Vec::new();
     for n in 0..400u64 {
         harness.now += 20_000;
         if harness.request(task(n, n, harness.now + 100_000)).is_some() {
-            sends.push(harness.now);
-            // Rejected offers count as well.
+            sent_at.push(harness.now);
+            // Rejected offers count against the budget as well.
             harness.turn(&[finished(
                 n,
                 0,
@@ -242,29 +244,33 @@
             )]);
         }
     }
-    assert!(sends.len() > 5, "it does get some: {}", sends.len());
-    for &from in &sends {
-        let window = sends
+    assert!(
+        sent_at.len() > 5,
+        "offers within the budget: {}",
+        sent_at.len()
+    );
+    for &from in &sent_at {
+        let window = sent_at
             .iter()
             .filter(|&&at| at >= from && at < from + 3 * SECOND);
-        assert!(window.count() <= 5, "20 offers over 4 placers");
+        assert!(window.count() <= 5, "a budget of 20 offers for 4 placers");
     }
 }
 
 #[test]
 fn budget_holds_when_placers_outnumber_warm_up_offers() {
-    // Placers are notified of the same start at different times, each with more tasks than it may send: with one offer a
-    // window for each of 400 placers, a machine that bears 20 would get 400.
+    // 400 placers receive the same start of a machine at different times, and each has more tasks than it may offer.
+    // With one offer per window for each placer, a machine with a budget of 20 would get 400.
     let started = 5 * SECOND;
-    let mut sends = Vec::new();
-    let mut busy = 0;
-    for number in 0..400u32 {
+    let mut sent_at = Vec::new();
+    let mut sending_placers = 0;
+    for index in 0..400u32 {
         let mut shared = settings(RetrySafety::Idempotent);
-        (shared.replica_count, shared.replica_index) = (400, number);
-        let placer = Placer::new(shared, u64::from(number)).expect("sound settings");
+        (shared.replica_count, shared.replica_index) = (400, index);
+        let placer = Placer::new(shared, u64::from(index)).expect("valid settings");
         let mut harness = Harness {
             placer,
-            now: started + u64::from(number % 40) * 100_000,
+            now: started + u64::from(index % 40) * 100_000,
         };
         harness.update_endpoints(
             UpdateScope::Full,
@@ -273,11 +279,11 @@
                 ..machine(0)
             }],
         );
-        let before = sends.len();
+        let before = sent_at.len();
         for n in 0..100u64 {
             harness.now += 90_000;
             if harness.request(task(n, n, harness.now + 100_000)).is_some() {
-                sends.push(harness.now);
+                sent_at.push(harness.now);
                 harness.turn(&[
                     finished(
                         n,
@@ -289,17 +295,17 @@
                 ]);
             }
         }
-        busy += u32::from(sends.len() > before);
-        // Once it is warm, every placer may.
+        sending_placers += u32::from(sent_at.len() > before);
+        // Once the machine has warmed up, every placer may send offers.
         harness.now = started + 16 * SECOND;
         assert_eq!(
             harness.request(task(1000, 1000, harness.now + 6 * SECOND)),
             Some(0)
         );
     }
-    sends.sort_unstable();
-    let most = sends.iter().map(|&from| {
-        sends
+    sent_at.sort_unstable();
+    let most = sent_at.iter().map(|&from| {
+        sent_at
             .iter()
             .filter(|&&at| at >= from && at <= from + 3 * SECOND)
             .count()
@@ -307,31 +313,35 @@
     let most = most.max().unwrap_or(0);
     assert!(most <= 20, "{most} offers in one window");
     assert!(
-        busy >= 10 && most >= 10,
-        "{busy} placers may offer, {most} in a window"
+        sending_placers >= 10 && most >= 10,
+        "{sending_placers} placers sent offers, at most {most} in a window"
     );
 }
 
 #[test]
 fn spread_limit_counts_attempts_and_running_tasks_per_domain() {
-    for place in [
+    for topology_level in [
         TopologyLevel::Machine,
         TopologyLevel::Cell,
         TopologyLevel::Zone,
     ] {
         let mut spread = settings(RetrySafety::Idempotent);
         spread.classes[0].spread_limit = Some(SpreadLimit {
-            level: place,
+            level: topology_level,
             max_tasks: 2,
         });
         let mut harness = Harness::new(spread, 1);
-        // A task that runs already counts, and so does an offer without outcome.
+        // A running task counts, and so does an offer without an outcome.
         harness.turn(&[Event::TaskAdopted {
             task: task(100, 7, 0),
             machine: MachineId(0),
         }]);
         assert_eq!(harness.request(task(1, 7, 9 * SECOND)), Some(0));
-        assert_eq!(harness.request(task(2, 7, 9 * SECOND)), None, "{place:?}");
+        assert_eq!(
+            harness.request(task(2, 7, 9 * SECOND)),
+            None,
+            "{topology_level:?}"
+        );
         assert_eq!(
             harness.request(task(3, 8, 9 * SECOND)),
             Some(0),
@@ -339,34 +349,39 @@
         );
         harness.turn(&[finished(100, 0, AttemptOutcome::Completed, None)]);
         let actions = harness.advance_until(harness.now + 100_000, &[0]);
-        assert_eq!(offered_machine(&actions), Some(0), "room again");
+        assert_eq!(
+            offered_machine(&actions),
+            Some(0),
+            "a finished task no longer counts"
+        );
     }
 }
 
 #[test]
 fn placer_without_replica_index_sends_nothing_to_warming_machines() {
-    let mut s = settings(RetrySafety::Idempotent);
-    s.replica_count = 4;
-    let mut harness = Harness::new(s, 1);
-    let cold = MachineEntry {
+    let mut settings = settings(RetrySafety::Idempotent);
+    settings.replica_count = 4;
+    let mut harness = Harness::new(settings, 1);
+    let warming = MachineEntry {
         started_at: Some(harness.now),
         ..machine(0)
     };
-    harness.update_endpoints(UpdateScope::Full, vec![cold]);
-    // Its replica index is lost, as when a lease expired during a stall: it has no part of any budget.
+    harness.update_endpoints(UpdateScope::Full, vec![warming]);
+    // The placer has lost its replica index, as when its lease expired during a stall, so it has no share of any
+    // budget.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     assert_eq!(harness.request(task(1, 1, harness.now + 60 * SECOND)), None);
     assert_eq!(
         offered_machine(&harness.advance_until(harness.now + 2 * SECOND, &[0])),
         None
     );
-    // The last holder of the index may have spent its part a moment ago: nothing is sent for one window of 3 s.
+    // The last holder of the index may have used its share just before, so no offers are sent for one window of 3 s.
     harness.turn(&[Event::ReplicaIndexChanged(Some(2))]);
     assert_eq!(
         offered_machine(&harness.advance_until(harness.now + 3 * SECOND, &[0])),
         None
     );
-    // Then the blocked task is offered there, and no more than the part of that index.
+    // Then the blocked task is offered, and further tasks only within the share of that index.
     let mut sent = usize::from(
         offered_machine(&harness.advance_until(harness.now + SECOND / 2, &[0])).is_some(),
     );
@@ -379,7 +394,7 @@
         );
     }
     assert!(sent <= 5, "{sent} of 20 for one of four placers");
-    // Warm machines need no index.
+    // Offers to machines that are not warming up need no index.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     harness.update_endpoints(UpdateScope::Full, vec![machine(0)]);
     assert!(
@@ -390,15 +405,16 @@
 }
 
 #[test]
-fn restart_spends_no_warm_up_budget_twice() {
-    // Processes of one placer, each killed half a second after its start, with more tasks than it may send to one
-    // machine that stays warming up: none knows what the last one sent, and yet no window may hold two parts.
+fn restarted_placer_does_not_use_its_warm_up_budget_twice() {
+    // One placer restarts eight times, after the same lifetime each time, with more tasks than it may offer to a
+    // machine that is warming up throughout. No process has a record of the offers of the previous one, but no window
+    // may contain more than the placer's share.
     let mut shared = settings(RetrySafety::Idempotent);
     (shared.replica_count, shared.rules.warm_up_duration) = (4, 60 * SECOND);
-    for life_span in [SECOND / 2, 2 * SECOND, 4 * SECOND, 7 * SECOND] {
-        let (mut now, mut sends) = (5 * SECOND, Vec::new());
-        for life in 0..8u64 {
-            let placer = Placer::new(shared.clone(), life).expect("sound settings");
+    for lifetime in [SECOND / 2, 2 * SECOND, 4 * SECOND, 7 * SECOND] {
+        let (mut now, mut sent_at) = (5 * SECOND, Vec::new());
+        for process in 0..8u64 {
+            let placer = Placer::new(shared.clone(), process).expect("valid settings");
             let mut harness = Harness { placer, now };
             harness.update_endpoints(
                 UpdateScope::Full,
@@ -407,10 +423,10 @@
                     ..machine(0)
                 }],
             );
-            for n in 0..life_span / 20_000 {
+            for n in 0..lifetime / 20_000 {
                 harness.now += 20_000;
                 if harness.request(task(n, n, harness.now + 100_000)).is_some() {
-                    sends.push(harness.now);
+                    sent_at.push(harness.now);
                     harness.turn(&[
                         finished(
                             n,
@@ -424,60 +440,64 @@
             }
             now = harness.now;
         }
-        for &from in &sends {
-            let window = sends
+        for &from in &sent_at {
+            let window = sent_at
                 .iter()
                 .filter(|&&at| at >= from && at < from + 3 * SECOND)
                 .count();
             assert!(
                 window <= 5,
-                "{window} of 20 offers for one of 4 placers, lives of {life_span}"
+                "{window} of 20 offers for one of 4 placers, lifetime {lifetime} us"
             );
         }
         assert_eq!(
-            sends.is_empty(),
-            life_span < 3 * SECOND,
-            "it does get some once a window has gone by"
+            sent_at.is_empty(),
+            lifetime < 3 * SECOND,
+            "offers only after a whole window"
         );
     }
 }
 
 #[test]
 fn blocked_task_reports_its_block_reason() {
-    let held = |actions: &[Action]| {
+    let block_reasons = |actions: &[Action]| {
         actions
             .iter()
             .filter_map(|a| {
-                if let Action::Blocked { reason: lack, .. } = a {
-                    Some(*lack)
+                if let Action::Blocked {
+                    reason: block_reason,
+                    ..
+                } = a
+                {
+                    Some(*block_reason)
                 } else {
                     None
                 }
             })
             .collect()
     };
-    let ask = |harness: &mut Harness, n: u64| -> Vec<BlockReason> {
+    let request = |harness: &mut Harness, n: u64| -> Vec<BlockReason> {
         let task = task(n, 7, harness.now + 9 * SECOND);
-        held(&harness.turn(&[Event::PlacementRequested(task)]))
+        block_reasons(&harness.turn(&[Event::PlacementRequested(task)]))
     };
-    let mut s = settings(RetrySafety::Idempotent);
-    s.limits.max_retry_after = Some(60 * SECOND);
-    s.classes[0].spread_limit = Some(SpreadLimit {
+    let mut settings = settings(RetrySafety::Idempotent);
+    settings.limits.max_retry_after = Some(60 * SECOND);
+    settings.classes[0].spread_limit = Some(SpreadLimit {
         level: TopologyLevel::Zone,
         max_tasks: 1,
     });
-    let mut harness = Harness::new(s, 0);
-    assert_eq!(ask(&mut harness, 1), [BlockReason::NoReadyMachine]);
-    // Each machine comes nearer than the one before; a change is reported, what stays the same is not.
-    let drains = MachineEntry {
+    let mut harness = Harness::new(settings, 0);
+    assert_eq!(request(&mut harness, 1), [BlockReason::NoReadyMachine]);
+    // Each added machine passes more checks than the one before. Only changes of the block reason are reported.
+    let draining = MachineEntry {
         state: MachineState::Draining,
         ..machine(0)
     };
     assert_eq!(
-        held(&harness.update_endpoints(UpdateScope::Full, vec![drains])),
+        block_reasons(&harness.update_endpoints(UpdateScope::Full, vec![draining])),
         []
     );
-    let mut told = Vec::new();
+    let mut reported = Vec::new();
     let mut steps = vec![vec![Event::ConnectionChanged {
         machine: MachineId(1),
         is_connected: false,
@@ -490,33 +510,36 @@
         machine: MachineId(2),
     }]);
     for (n, events) in steps.into_iter().enumerate() {
-        let place = MachineEntry {
+        let entry = MachineEntry {
             zone: n as u32 + 1,
             ..machine(n as u32 + 1)
         };
-        harness.update_endpoints(UpdateScope::Delta, vec![place]);
+        harness.update_endpoints(UpdateScope::Delta, vec![entry]);
         harness.turn(&events);
-        told.extend(held(
+        reported.extend(block_reasons(
             &harness.advance_until(harness.now + SECOND / 10, &[0]),
         ));
     }
-    assert_eq!(told, [BlockReason::NotConnected, BlockReason::SpreadLimit]);
-    let cold = MachineEntry {
+    assert_eq!(
+        reported,
+        [BlockReason::NotConnected, BlockReason::SpreadLimit]
+    );
+    let warming = MachineEntry {
         zone: 4,
         started_at: Some(harness.now),
         ..machine(4)
     };
-    harness.update_endpoints(UpdateScope::Delta, vec![cold]);
-    // Within one window of the new index the warming machine gets nothing.
+    harness.update_endpoints(UpdateScope::Delta, vec![warming]);
+    // Without a replica index the warming machine gets no offers.
     harness.turn(&[Event::ReplicaIndexChanged(None)]);
     assert_eq!(
-        held(&harness.advance_until(harness.now + SECOND / 10, &[0])),
+        block_reasons(&harness.advance_until(harness.now + SECOND / 10, &[0])),
         [BlockReason::WarmUpBudget]
     );
-    // Rejected in the end, it has a retry-after; two tasks that were blocked alike have different ones.
-    ask(&mut harness, 2);
-    let at_last = harness.advance_until(harness.now + 10 * SECOND, &[2, 3]);
-    let advice: Vec<Micros> = at_last
+    // The final rejection has a retry-after, which differs between two tasks with the same block reason.
+    request(&mut harness, 2);
+    let actions = harness.advance_until(harness.now + 10 * SECOND, &[2, 3]);
+    let retry_afters: Vec<Micros> = actions
         .iter()
         .filter_map(|a| {
             if let Action::Reject {
@@ -530,18 +553,21 @@
             }
         })
         .collect();
-    assert_eq!(advice.len(), 2, "{at_last:?}");
+    assert_eq!(retry_afters.len(), 2, "{actions:?}");
     assert!(
-        advice[0] != advice[1] && advice.iter().all(|a| (SECOND..5 * SECOND).contains(a)),
-        "{advice:?}"
+        retry_afters[0] != retry_afters[1]
+            && retry_afters
+                .iter()
+                .all(|a| (SECOND..5 * SECOND).contains(a)),
+        "{retry_afters:?}"
     );
 }
 
 #[test]
 fn task_that_fits_no_machine_kind_is_rejected_at_once() {
-    let mut s = settings(RetrySafety::NonIdempotent);
-    s.limits.max_retry_after = Some(60 * SECOND);
-    let mut harness = Harness::new(s, 3);
+    let mut settings = settings(RetrySafety::NonIdempotent);
+    settings.limits.max_retry_after = Some(60 * SECOND);
+    let mut harness = Harness::new(settings, 3);
     let large = Task {
         requested: Resources::new(1000.0, 1.0),
         ..task(1, 1, 9 * SECOND)
@@ -561,7 +587,7 @@
             retry_after: Some(60 * SECOND)
         }]
     );
-    // A task that a machine could take if it were empty is blocked.
+    // A task that fits an empty machine is offered.
     let full = Task {
         requested: Resources::new(40.0, 1.0),
         ..task(2, 1, 9 * SECOND)
@@ -571,11 +597,11 @@
 
 #[test]
 fn rejection_after_used_up_attempts_has_a_retry_after() {
-    let mut s = settings(RetrySafety::NonIdempotent);
-    s.limits.max_retry_after = Some(60 * SECOND);
-    let attempts = s.limits.max_attempts;
-    let mut harness = Harness::new(s, 40);
-    let mut advice = Vec::new();
+    let mut settings = settings(RetrySafety::NonIdempotent);
+    settings.limits.max_retry_after = Some(60 * SECOND);
+    let attempts = settings.limits.max_attempts;
+    let mut harness = Harness::new(settings, 40);
+    let mut retry_afters = Vec::new();
     for id in 1..4 {
         harness.request(task(id, 1, harness.now + 9 * SECOND));
         for number in 0..attempts {
@@ -585,7 +611,7 @@
                 AttemptOutcome::Rejected,
                 Some(FailureReason::Cores),
             )]);
-            advice.extend(final_answers(&actions).into_iter().filter_map(|a| {
+            retry_afters.extend(final_answers(&actions).into_iter().filter_map(|a| {
                 if let Action::Reject {
                     retry_after: after, ..
                 } = a
@@ -597,10 +623,12 @@
             }));
         }
     }
-    // Without this they returned at once, all together.
-    assert_eq!(advice.len(), 3, "each is refused, and told when");
+    // Without a retry-after all three would be resubmitted at once and together.
+    assert_eq!(retry_afters.len(), 3, "each rejection has a retry-after");
     assert!(
-        advice.windows(2).all(|w| w[0] != w[1])
-            && advice.iter().all(|a| (SECOND / 2..2 * SECOND).contains(a))
+        retry_afters.windows(2).all(|w| w[0] != w[1])
+            && retry_afters
+                .iter()
+                .all(|a| (SECOND / 2..2 * SECOND).contains(a))
     );
 }
