--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Applies the simulator's lines to the placers, batch by batch, and collects their actions.
+//! Applies the simulator's lines to the placers batch by batch, and encodes their actions.
 
 use std::any::Any;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -10,14 +10,14 @@
 use crate::instances::{Instance, Instances};
 use crate::wire::{self, Incoming};
 
-/// A batch that has begun: its time and its number.
+/// The time and number of the current batch.
 #[derive(Clone, Copy)]
 struct Batch {
     now: Micros,
     number: u64,
 }
 
-/// The adapter between two lines.
+/// The state of the adapter between two lines.
 #[derive(Default)]
 pub(crate) struct Adapter {
     instances: Instances,
@@ -29,10 +29,10 @@
     ///
     /// # Errors
     ///
-    /// The line cannot be read, names an unknown instance or roster, or stands outside of a batch.
+    /// Returns an error if the line cannot be decoded, names an unknown instance or roster, or is outside of a batch.
     pub(crate) fn apply_line(&mut self, text: &str) -> Result<Option<String>, FieldError> {
         let value: Value = serde_json::from_str(text)
-            .map_err(|e| FieldError::new("-", "-", format!("JSON ({e})")))?;
+            .map_err(|e| FieldError::new("-", "-", format!("valid JSON ({e})")))?;
         let incoming = wire::decode(&value, &mut self.instances)?;
         let Some(batch) = self.batch else {
             return self.begin_batch(&incoming);
@@ -47,28 +47,30 @@
                 return Ok(Some(self.run_batch(batch)));
             }
             Incoming::Launch {
-                who,
+                instance_id,
                 seed,
                 settings,
-                reports,
+                capacity_reporting,
             } => {
-                let instance = Instance::launch(seed, *settings, reports);
-                self.instances.by_number.insert(who, instance);
+                let instance = Instance::launch(seed, *settings, capacity_reporting);
+                self.instances.by_id.insert(instance_id, instance);
             }
-            Incoming::Killed { who } => {
-                self.instances.by_number.remove(&who);
+            Incoming::Killed { instance_id } => {
+                self.instances.by_id.remove(&instance_id);
             }
             Incoming::Roster { id, rows } => {
                 self.instances.rosters.insert(id, rows);
             }
-            Incoming::Event { who, event } => self.instances.instance(who)?.events.push(event),
+            Incoming::Event { instance_id, event } => {
+                self.instances.instance(instance_id)?.events.push(event)
+            }
         }
         Ok(None)
     }
 
     fn begin_batch(&mut self, incoming: &Incoming) -> Result<Option<String>, FieldError> {
         let &Incoming::Turn { now, batch } = incoming else {
-            let expected = "TURN ahead of any other line";
+            let expected = "TURN before any other line";
             return Err(FieldError::new("-", "-", expected.into()));
         };
         self.batch = Some(Batch { now, number: batch });
@@ -79,22 +81,23 @@
         self.batch.is_some()
     }
 
-    /// Runs a turn of each instance that has events, and writes the actions of all.
+    /// Runs a turn of each instance that has events, and returns the encoded actions of all.
     fn run_batch(&mut self, batch: Batch) -> String {
         let mut out = String::new();
-        for (&who, instance) in &mut self.instances.by_number {
+        for (&instance_id, instance) in &mut self.instances.by_id {
             if let Some(fault) = instance.fault.take() {
-                wire::encode_fault(&mut out, who, &fault);
+                wire::encode_fault(&mut out, instance_id, &fault);
             }
-            run_turn(who, instance, batch.now, &mut out);
+            run_turn(instance_id, instance, batch.now, &mut out);
         }
         wire::encode_done(&mut out, batch.number);
         out
     }
 }
 
-/// Runs one turn. A placer that panics is reported as broken and runs no more; the others are not affected.
-fn run_turn(who: u32, instance: &mut Instance, now: Micros, out: &mut String) {
+/// Runs one turn of an instance. A placer that panics is reported as broken and gets no further turns; other instances
+/// are not affected.
+fn run_turn(instance_id: u32, instance: &mut Instance, now: Micros, out: &mut String) {
     let events = std::mem::take(&mut instance.events);
     let Some(placer) = instance.placer.as_mut().filter(|_| !events.is_empty()) else {
         return;
@@ -103,11 +106,11 @@
     let turn = AssertUnwindSafe(|| placer.turn(now, &events, &mut actions));
     if let Err(panic) = catch_unwind(turn) {
         instance.placer = None;
-        wire::encode_fault(out, who, panic_message(panic.as_ref()));
+        wire::encode_fault(out, instance_id, panic_message(panic.as_ref()));
         return;
     }
     for action in &actions {
-        wire::encode(out, who, action, &instance.hosts);
+        wire::encode(out, instance_id, action, &instance.hosts);
     }
 }
 
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The placers that the simulator runs, and the host lists that it has sent.
+//! The placer instances that the simulator has launched, and the rosters (host lists) that it has sent.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,24 @@
 use maplethread_platform_settings::host_names::stable_hash;
 use maplethread_platform_settings::{CapacityReporting, FieldError, HostNames};
 
-/// One placer, the host names it has been sent, and its events of the current batch.
+/// One placer with its host names and its events of the current batch.
 pub(crate) struct Instance {
-    /// None once the placer has failed.
+    /// None if its settings were invalid or it has panicked.
     pub(crate) placer: Option<Placer>,
     pub(crate) hosts: HostNames,
-    pub(crate) reports: CapacityReporting,
+    pub(crate) capacity_reporting: CapacityReporting,
     pub(crate) events: Vec<Event>,
-    /// What is to be reported as broken with the next reply.
+    /// A fault to be reported with the next reply.
     pub(crate) fault: Option<String>,
 }
 
 impl Instance {
-    /// Starts a placer; settings that cannot be used are its fault.
-    pub(crate) fn launch(seed: u64, settings: Settings, reports: CapacityReporting) -> Instance {
+    /// Starts a placer. Invalid settings are recorded as a fault.
+    pub(crate) fn launch(
+        seed: u64,
+        settings: Settings,
+        capacity_reporting: CapacityReporting,
+    ) -> Instance {
         let (placer, fault) = match Placer::new(settings, seed) {
             Ok(placer) => (Some(placer), None),
             Err(error) => (None, Some(format!("settings: {error}"))),
@@ -27,14 +31,14 @@
         Instance {
             placer,
             hosts: HostNames::default(),
-            reports,
+            capacity_reporting,
             events: Vec::new(),
             fault,
         }
     }
 }
 
-/// An entry of a roster, before any instance has numbered its host.
+/// An entry of a roster. Each instance assigns its own id to the host.
 pub(crate) struct RosterRow {
     pub(crate) host: String,
     pub(crate) zone: u32,
@@ -60,41 +64,56 @@
     }
 }
 
-/// All instances by the simulator's number, and the rosters by theirs.
+/// All instances and rosters, by the ids that the simulator assigned.
 #[derive(Default)]
 pub(crate) struct Instances {
-    pub(crate) by_number: BTreeMap<u32, Instance>,
+    pub(crate) by_id: BTreeMap<u32, Instance>,
     pub(crate) rosters: BTreeMap<u64, Vec<RosterRow>>,
 }
 
 impl Instances {
+    /// The running instance of an id.
+    ///
     /// # Errors
     ///
-    /// No instance of that number is up.
-    pub(crate) fn instance(&mut self, who: u32) -> Result<&mut Instance, FieldError> {
-        self.by_number.get_mut(&who).ok_or_else(|| not_up(who))
+    /// Returns an error if no instance with that id is running.
+    pub(crate) fn instance(&mut self, instance_id: u32) -> Result<&mut Instance, FieldError> {
+        self.by_id
+            .get_mut(&instance_id)
+            .ok_or_else(|| unknown_instance(instance_id))
     }
 
+    /// Where an instance learns the capacity of machines.
+    ///
     /// # Errors
     ///
-    /// No instance of that number is up.
-    pub(crate) fn reports(&self, who: u32) -> Result<CapacityReporting, FieldError> {
-        let instance = self.by_number.get(&who).ok_or_else(|| not_up(who))?;
-        Ok(instance.reports)
+    /// Returns an error if no instance with that id is running.
+    pub(crate) fn capacity_reporting(
+        &self,
+        instance_id: u32,
+    ) -> Result<CapacityReporting, FieldError> {
+        let instance = self
+            .by_id
+            .get(&instance_id)
+            .ok_or_else(|| unknown_instance(instance_id))?;
+        Ok(instance.capacity_reporting)
     }
 
-    /// The machines of a roster as an instance numbers them; none if there is no such roster.
+    /// The machines of a roster, with the ids that an instance assigns to them; none if there is no such roster.
     ///
     /// # Errors
     ///
-    /// No instance of that number is up.
+    /// Returns an error if no instance with that id is running.
     pub(crate) fn machines(
         &mut self,
-        who: u32,
+        instance_id: u32,
         roster: u64,
     ) -> Result<Option<Vec<MachineEntry>>, FieldError> {
-        let instance = self.by_number.get_mut(&who).ok_or_else(|| not_up(who))?;
-        let reports_capacity = instance.reports.in_endpoint_lists;
+        let instance = self
+            .by_id
+            .get_mut(&instance_id)
+            .ok_or_else(|| unknown_instance(instance_id))?;
+        let reports_capacity = instance.capacity_reporting.in_endpoint_lists;
         let hosts = &mut instance.hosts;
         let rows = self.rosters.get(&roster);
         Ok(rows.map(|rows| {
@@ -105,6 +124,6 @@
     }
 }
 
-fn not_up(who: u32) -> FieldError {
-    FieldError::new("-", "who", format!("an instance that is up, not {who}"))
+fn unknown_instance(instance_id: u32) -> FieldError {
+    FieldError::new("-", "who", format!("a running instance, got {instance_id}"))
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs maplethread placers on the simulator's wire: one JSON array per line, a batch of events on standard input, one
-//! reply a batch on standard output. It translates and decides nothing.
+//! Runs maplethread placers on the simulator's wire protocol, with one JSON array per line. It reads batches of events
+//! from standard input and writes one reply per batch to standard output. All decisions are made by the placers.
 
 #![forbid(unsafe_code)]
 
@@ -14,7 +14,7 @@
 
 use self::adapter::Adapter;
 
-/// Why the adapter ends before its input does.
+/// Why the adapter exits before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error("line {line}: {source}")]
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator as events of the placers.
+//! Decoding of the simulator's lines as events of the placers.
 
 use maplethread::{
     AttemptOutcome, AttemptResult, Event, FailureReason, MachineState, Micros, Resources,
@@ -11,12 +11,12 @@
 use super::hex;
 use crate::instances::{Instances, RosterRow};
 
-/// The task runs for about as long as its message says.
+/// Flag: the message contains the expected duration of the task.
 const HAS_DURATION: u64 = 1;
-/// The task was resubmitted by its owner.
+/// Flag: the task was resubmitted by its owner.
 const IS_RESUBMISSION: u64 = 16;
 
-/// A line, decoded.
+/// A decoded line.
 pub(crate) enum Incoming {
     Turn {
         now: Micros,
@@ -24,29 +24,29 @@
     },
     EndOfBatch,
     Launch {
-        who: u32,
+        instance_id: u32,
         seed: u64,
         settings: Box<Settings>,
-        reports: CapacityReporting,
+        capacity_reporting: CapacityReporting,
     },
     Killed {
-        who: u32,
+        instance_id: u32,
     },
     Roster {
         id: u64,
         rows: Vec<RosterRow>,
     },
     Event {
-        who: u32,
+        instance_id: u32,
         event: Event,
     },
 }
 
-/// Decodes a line. Hosts that it names are numbered for the instance that it is for.
+/// Decodes a line. The instance that it is for assigns ids to the hosts that it names.
 ///
 /// # Errors
 ///
-/// The first field that is missing or wrong, or an instance or roster that is not known.
+/// Returns an error for the first field that is missing or invalid, or for an unknown instance or roster.
 pub(crate) fn decode(value: &Value, instances: &mut Instances) -> Result<Incoming, FieldError> {
     let line = value
         .as_array()
@@ -58,7 +58,7 @@
         message: name,
         values: &line[1..],
     };
-    let who = |fields: &Fields| fields.u32(0, "who");
+    let instance_id = |fields: &Fields| fields.u32(0, "who");
     Ok(match name {
         "TURN" => Incoming::Turn {
             now: fields.time(0, "clock")?,
@@ -69,15 +69,17 @@
             let info = fields
                 .get(2)
                 .ok_or_else(|| fields.error("bootInfo", "an object"))?;
-            let (settings, reports) = decode_policy_settings(info)?;
+            let (settings, capacity_reporting) = decode_policy_settings(info)?;
             Incoming::Launch {
-                who: who(&fields)?,
-                reports,
+                instance_id: instance_id(&fields)?,
+                capacity_reporting,
                 seed: fields.u64(1, "initSeed")?,
                 settings: Box::new(settings),
             }
         }
-        "KILLED" => Incoming::Killed { who: who(&fields)? },
+        "KILLED" => Incoming::Killed {
+            instance_id: instance_id(&fields)?,
+        },
         "ROSTER" => {
             let rows = fields.array(1, "rows")?;
             let rows = rows.iter().map(roster_row).collect::<Result<_, _>>()?;
@@ -88,9 +90,9 @@
         }
         "ROSTER_CHANGE" | "REQUEST" | "RUNNING" | "SEATED" | "INTERIM" | "FINISHED" | "HANGUP"
         | "TIMER" | "CHECK_RESULT" | "NOTE_FROM" => {
-            let who = who(&fields)?;
-            let event = event(name, who, &fields, instances)?;
-            Incoming::Event { who, event }
+            let instance_id = instance_id(&fields)?;
+            let event = event(name, instance_id, &fields, instances)?;
+            Incoming::Event { instance_id, event }
         }
         _ => return Err(FieldError::new(name, "name", "a known message".into())),
     })
@@ -98,16 +100,16 @@
 
 fn event(
     name: &str,
-    who: u32,
+    instance_id: u32,
     fields: &Fields,
     instances: &mut Instances,
 ) -> Result<Event, FieldError> {
     Ok(match name {
-        "ROSTER_CHANGE" => roster_change(who, fields, instances)?,
+        "ROSTER_CHANGE" => roster_change(instance_id, fields, instances)?,
         "REQUEST" => Event::PlacementRequested(task(fields, &REQUEST)?),
         "RUNNING" => {
             let task = task(fields, &RUNNING)?;
-            let hosts = &mut instances.instance(who)?.hosts;
+            let hosts = &mut instances.instance(instance_id)?.hosts;
             let machine = hosts.id_or_assign(fields.str(2, "host")?);
             Event::TaskAdopted { task, machine }
         }
@@ -123,7 +125,7 @@
             }
         }
         "FINISHED" => {
-            let result = attempt_result(fields, instances.reports(who)?)?;
+            let result = attempt_result(fields, instances.capacity_reporting(instance_id)?)?;
             Event::AttemptFinished {
                 attempt: fields.attempt(6)?,
                 result,
@@ -134,12 +136,12 @@
             label: fields.u64(1, "label")?,
         },
         "CHECK_RESULT" => {
-            let instance = instances.instance(who)?;
+            let instance = instances.instance(instance_id)?;
             let machine = instance.hosts.id_or_assign(fields.str(3, "host")?);
             Event::Probed {
                 machine,
                 answered: outcome(fields.u64(1, "ending")?) == Some(AttemptOutcome::Completed),
-                load: load_report(instance.reports, fields, fields.get(4))?,
+                load: load_report(instance.capacity_reporting, fields, fields.get(4))?,
             }
         }
         _ => {
@@ -154,7 +156,7 @@
 }
 
 fn roster_change(
-    who: u32,
+    instance_id: u32,
     fields: &Fields,
     instances: &mut Instances,
 ) -> Result<Event, FieldError> {
@@ -167,8 +169,8 @@
     };
     let roster = fields.u64(3, "rosterId")?;
     let machines = instances
-        .machines(who, roster)?
-        .ok_or_else(|| fields.error("rosterId", "a roster sent before"))?;
+        .machines(instance_id, roster)?
+        .ok_or_else(|| fields.error("rosterId", "the id of a roster that was sent before"))?;
     Ok(Event::EndpointsUpdated { scope, machines })
 }
 
@@ -186,14 +188,14 @@
 
 fn attempt_result(
     fields: &Fields,
-    reports: CapacityReporting,
+    capacity_reporting: CapacityReporting,
 ) -> Result<AttemptResult, FieldError> {
     Ok(AttemptResult {
         outcome: outcome(fields.u64(5, "ending")?)
             .ok_or_else(|| fields.error("ending", "an outcome code"))?,
         reason: failure_reason(fields.u64_or_zero(7, "note")?),
         closes_task: fields.bool(4, "noMore")?,
-        load: load_report(reports, fields, fields.get(8))?,
+        load: load_report(capacity_reporting, fields, fields.get(8))?,
     })
 }
 
@@ -224,10 +226,10 @@
     })
 }
 
-/// Where the fields of a task stand in a message.
+/// The positions of a task's fields in a message.
 struct TaskPositions {
-    ticket: usize,
-    marks: usize,
+    task_id: usize,
+    flags: usize,
     cores: usize,
     duration: usize,
     deadline: usize,
@@ -237,8 +239,8 @@
 }
 
 const REQUEST: TaskPositions = TaskPositions {
-    ticket: 1,
-    marks: 2,
+    task_id: 1,
+    flags: 2,
     cores: 4,
     duration: 5,
     deadline: 6,
@@ -248,8 +250,8 @@
 };
 
 const RUNNING: TaskPositions = TaskPositions {
-    ticket: 1,
-    marks: 10,
+    task_id: 1,
+    flags: 10,
     cores: 9,
     duration: 11,
     deadline: 7,
@@ -259,19 +261,19 @@
 };
 
 fn task(fields: &Fields, at: &TaskPositions) -> Result<Task, FieldError> {
-    let marks = fields.u64_or_zero(at.marks, "marks")?;
+    let flags = fields.u64_or_zero(at.flags, "marks")?;
     let duration = fields.optional_time(at.duration, "lifeMs")?;
     Ok(Task {
-        id: fields.task(at.ticket)?,
+        id: fields.task(at.task_id)?,
         service: ServiceId(fields.u64_or_zero(at.service, "app")?),
         class: fields.u64(at.class, "lane")? as usize,
         requested: Resources {
             cores: fields.f64(at.cores, "cpuAsk")?,
             memory: fields.f64(at.memory, "memNeeded")?,
         },
-        expected_duration: duration.filter(|_| marks & HAS_DURATION != 0),
+        expected_duration: duration.filter(|_| flags & HAS_DURATION != 0),
         deadline: fields.time(at.deadline, "giveUpAtMs")?,
-        is_resubmission: marks & IS_RESUBMISSION != 0,
+        is_resubmission: flags & IS_RESUBMISSION != 0,
     })
 }
 
@@ -301,13 +303,13 @@
     })
 }
 
-/// Cores and memory of a load report, if it holds both.
+/// The cores and memory of a load report, if it contains both.
 fn load_report(
-    reports: CapacityReporting,
+    capacity_reporting: CapacityReporting,
     fields: &Fields,
     load: Option<&Value>,
 ) -> Result<Option<Resources>, FieldError> {
-    let Some(load) = load.filter(|_| reports.in_load_reports) else {
+    let Some(load) = load.filter(|_| capacity_reporting.in_load_reports) else {
         return Ok(None);
     };
     let load = load
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,10 +1,10 @@
-//! The values of one message, by position.
+//! Access to the fields of one message by position.
 
 use maplethread::{AttemptId, Micros, TaskId};
 use maplethread_platform_settings::{FieldError, micros};
 use serde_json::Value;
 
-/// The values of one array, by position, with the names that error texts give.
+/// The values of one array, with the name of its message for error texts.
 pub(super) struct Fields<'a> {
     pub(super) message: &'a str,
     pub(super) values: &'a [Value],
@@ -15,7 +15,7 @@
         FieldError::new(self.message, field, expected.to_owned())
     }
 
-    /// The value at a position; none if it is absent or null.
+    /// The value at a position, or none if it is absent or null.
     pub(super) fn get(&self, at: usize) -> Option<&'a Value> {
         self.values.get(at).filter(|value| !value.is_null())
     }
@@ -44,7 +44,7 @@
         self.get(at).map_or(Ok(0.0), |_| self.f64(at, field))
     }
 
-    /// A time or span that the wire gives in milliseconds.
+    /// A point in time or a duration, which the wire has in milliseconds.
     pub(super) fn time(&self, at: usize, field: &str) -> Result<Micros, FieldError> {
         Ok(micros(self.f64(at, field)?))
     }
@@ -80,7 +80,7 @@
         Ok(TaskId(u64::from(self.u32(at, "ticket")?)))
     }
 
-    /// An attempt, whose task always is the second value, from the position of its number.
+    /// An attempt id: the task is always the second value, and the number is at the given position.
     pub(super) fn attempt(&self, at: usize) -> Result<AttemptId, FieldError> {
         Ok(AttemptId {
             task: self.task(1)?,
--- a/crates/simulator-adapter/src/wire/hex.rs
+++ b/crates/simulator-adapter/src/wire/hex.rs
@@ -1,6 +1,6 @@
-//! Bytes as pairs of hex digits.
+//! Encoding of bytes as pairs of hexadecimal digits.
 
-/// The bytes of a text; none if it is not pairs of hex digits.
+/// Decodes pairs of hexadecimal digits; none if the text is not valid.
 pub(super) fn decode(text: &str) -> Option<Vec<u8>> {
     let digits: Option<Vec<u8>> = text
         .chars()
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! The lines of the simulator's wire, both ways. Names of messages and fields are the simulator's.
+//! Decoding and encoding of the simulator's wire protocol, which defines the names of messages and fields.
 
 mod decode;
 mod encode;
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,36 +1,39 @@
-//! The adapter as the simulator meets it: lines in, lines out.
+//! Tests of the adapter program over its standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const INFO: &str = r#"{"allowed":{"maxAttempts":3,"mayCancel":true,"peers":false,"probes":false,"retryAfter":false,"unheardOf":1},
+const SETTINGS: &str = r#"{"allowed":{"maxAttempts":3,"mayCancel":true,"peers":false,"probes":false,"retryAfter":false,"unheardOf":1},
 "classes":[{"aimMs":600.0,"effect":"pure","giveUpMs":6000.0,"group":"all","name":"web","windowMs":5000.0,"worth":3.0}],
 "domain":{"ack":"accepted","admitCores":1.5,"admitMemory":1.5,"classPriority":[0],"freeBy":"used","freshOffers":86.0,
 "kindByClass":[-1],"kindCores":[30],"listsFree":false,"memoryByKind":[86.0],"spreadMost":[4],"spreadOver":["zone"],"startBonusS":[12.0]},
 "fees":{"crossZone":0.03},"invariants":{"askWithinMs":10000.0,"coldFrom":0.17,"coldMs":15000.0,"fallMultiple":4.0,"tipAfterMs":3000.0},
 "ordinal":1,"peersTotal":3,"registryMode":"ask","reporting":{"fields":[],"how":"silent"},"zone":0,"somethingNew":{}}"#;
 
-fn launch(who: u32) -> String {
-    format!(r#"["LAUNCH",{who},7,{}]"#, INFO.replace('\n', ""))
+fn launch(instance_id: u32) -> String {
+    format!(
+        r#"["LAUNCH",{instance_id},7,{}]"#,
+        SETTINGS.replace('\n', "")
+    )
 }
 
-/// Exit code, standard output and standard error for some lines of input.
+/// Runs the adapter on these lines; returns its exit code, standard output and standard error.
 fn run_adapter(lines: &[&str]) -> (i32, Vec<String>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_maplethread-drill"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
-    let mut input = child.stdin.take().expect("piped");
-    // The adapter may have stopped reading at a bad line.
+        .expect("start the adapter");
+    let mut input = child.stdin.take().expect("standard input is piped");
+    // The write fails if the adapter has exited at an invalid line.
     let _ = input.write_all((lines.join("\n") + "\n").as_bytes());
     drop(input);
-    let output = child.wait_with_output().expect("it ends");
-    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
+    let output = child.wait_with_output().expect("wait for the adapter");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("output is UTF-8");
     let out = text(output.stdout).lines().map(str::to_owned).collect();
     (
-        output.status.code().expect("a code"),
+        output.status.code().expect("an exit code"),
         out,
         text(output.stderr),
     )
@@ -65,10 +68,10 @@
             .any(|line| line.starts_with(r#"["CLAIM_ROOM",3,4294967295,"10.0.0.1:5003","#)),
         "{out:?}"
     );
-    let remind = out
+    let timer = out
         .iter()
         .find(|line| line.starts_with(r#"["REMIND",3,7640.25,"#));
-    assert!(remind.is_some(), "before the deadline: {out:?}");
+    assert!(timer.is_some(), "timer before the deadline: {out:?}");
     assert_eq!(out.last().map(String::as_str), Some(r#"["DONE",2]"#));
 }
 
@@ -100,7 +103,7 @@
 }
 
 #[test]
-fn restart_within_a_batch_forgets_everything() {
+fn restarted_instance_within_a_batch_has_no_earlier_state() {
     let (code, out, _) = run_adapter(&[
         r#"["TURN",1000,1]"#,
         &launch(1),
@@ -132,7 +135,7 @@
         ),
         (
             &[r#"["TURN",1,1]"#, r#"["TIMER",5,1]"#, r#"["EOB"]"#],
-            "instance that is up, not 5",
+            "a running instance, got 5",
         ),
         (
             &[r#"["TURN","late",1]"#],
