--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -29,7 +29,7 @@
                 number: pending.attempts - 1,
             }));
         }
-        actions.push(if is_safe_to_repeat(&pending, safety) {
+        actions.push(if is_safe_to_resubmit(&pending, safety) {
             Action::Reject {
                 task: id,
                 retry_after: self.retry_after(&pending),
@@ -43,18 +43,18 @@
     /// the task's id, so that tasks rejected together are not resubmitted together.
     fn retry_after(&self, pending: &PendingTask) -> Option<Micros> {
         let max = self.settings.limits.max_retry_after?;
-        let about = match pending.block_reason {
+        let base = match pending.block_reason {
             Some(BlockReason::NoKindFits) => return Some(max),
             Some(BlockReason::WarmUpBudget) => self.settings.rules.overload_window,
             // Blocked otherwise, or out of attempts: the machines that rejected it are skipped for about this long.
             None | Some(_) => CAPACITY_BACKOFF,
         };
-        Some((about / 2 + mix_bits(pending.task.id.0) % about.max(1)).min(max))
+        Some((base / 2 + mix_bits(pending.task.id.0) % base.max(1)).min(max))
     }
 }
 
 /// Whether the owner may resubmit the task without a second effect, whatever the outcome of earlier attempts.
-fn is_safe_to_repeat(pending: &PendingTask, safety: RetrySafety) -> bool {
+fn is_safe_to_resubmit(pending: &PendingTask, safety: RetrySafety) -> bool {
     match safety {
         RetrySafety::Idempotent
         | RetrySafety::IdempotencyKey {
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -216,10 +216,10 @@
     /// When a finished attempt's task was last known to be on its machine. After a lost connection that is the time of
     /// the offer, since the machine's process may have ended at any time after it.
     fn last_seen(&self, attempt: &Attempt, result: &AttemptResult) -> Micros {
-        let is_cut_off = attempt.is_accepted
+        let is_connection_lost = attempt.is_accepted
             && result.outcome == AttemptOutcome::Disconnected
             && result.reason.is_none();
-        if is_cut_off {
+        if is_connection_lost {
             attempt.sent_at
         } else {
             self.now
--- a/src/policy/feasibility.rs
+++ b/src/policy/feasibility.rs
@@ -8,25 +8,26 @@
 use crate::interface::{BlockReason, DeduplicationScope, MachineEntry, RetrySafety, Task};
 
 impl Placer {
-    /// The machines that may take the task, or the reason that blocks it on the nearest machine if there are none.
+    /// The machines that may take the task. If there are none, the reason that blocks it on the machine that passed the
+    /// most checks, which is the largest reason.
     pub(super) fn feasible_machines(
         &self,
         pending: &PendingTask,
     ) -> Result<Vec<&Machine>, BlockReason> {
         let saturated = self.saturated_domains(&pending.task);
         let mut feasible = Vec::new();
-        let mut nearest = BlockReason::NoReadyMachine;
+        let mut max_reason = BlockReason::NoReadyMachine;
         for machine in self.machines.values() {
             match self.block_reason(machine, pending, &saturated) {
                 None => feasible.push(machine),
-                Some(reason) => nearest = nearest.max(reason),
+                Some(reason) => max_reason = max_reason.max(reason),
             }
         }
         if !feasible.is_empty() {
             return Ok(feasible);
         }
         Err(if self.fits_any_kind(&pending.task) {
-            nearest
+            max_reason
         } else {
             BlockReason::NoKindFits
         })
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -39,7 +39,7 @@
     }
 
     /// The larger of the estimated core and memory utilization where these shares are requested.
-    fn of_requested(&self, requested: Resources) -> f64 {
+    fn utilization_of(&self, requested: Resources) -> f64 {
         requested.scaled_by(self.share).dominant_share()
     }
 }
@@ -69,14 +69,14 @@
     }
 
     /// The estimated utilization of the machine with the task on it: the workload term of its score.
-    pub(super) fn likely_utilization(
+    pub(super) fn estimated_utilization(
         &self,
         machine: &Machine,
         task: &Task,
         mean: Resources,
     ) -> f64 {
         self.usage_share
-            .of_requested(self.allocation_with(machine, task, mean))
+            .utilization_of(self.allocation_with(machine, task, mean))
     }
 
     /// The machine's allocation with the task on it, as shares of its size. For a machine without reported capacity,
@@ -100,7 +100,7 @@
     /// Whether the machine is not contended and stays within [`HEADROOM_LIMIT`] with the task on it.
     pub(super) fn has_headroom(&self, machine: &Machine, task: &Task, mean: Resources) -> bool {
         machine.contended_until <= self.now
-            && self.likely_utilization(machine, task, mean) <= HEADROOM_LIMIT
+            && self.estimated_utilization(machine, task, mean) <= HEADROOM_LIMIT
     }
 
     /// Whether some ready machine has headroom for the task.
@@ -114,7 +114,7 @@
     pub(super) fn working_set(&self) -> BTreeSet<MachineId> {
         let utilization = |machine: &Machine| {
             self.usage_share
-                .of_requested(machine.known_allocation().as_share_of(machine.size))
+                .utilization_of(machine.known_allocation().as_share_of(machine.size))
         };
         let mut ready: Vec<(f64, &Machine)> = self
             .ready_machines()
--- a/src/policy/machine.rs
+++ b/src/policy/machine.rs
@@ -114,11 +114,11 @@
     /// The current allocation: the reported one plus own changes since. None without a report.
     pub(super) fn reported_allocation(&self) -> Option<Resources> {
         let ReportedAllocation { allocated, as_of } = self.reported?;
-        let since = self
+        let later_changes = self
             .recent_changes
             .iter()
             .filter(|change| change.at > as_of);
-        Some(since.fold(allocated, |sum, change| {
+        Some(later_changes.fold(allocated, |sum, change| {
             sum.add_scaled(change.requested, change.factor)
         }))
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -52,7 +52,8 @@
 
 /// How soon a blocked task, for which no machine was feasible, is tried again.
 const BLOCKED_RETRY_INTERVAL: Micros = 200_000;
-/// How many blocked tasks are tried in one turn. This bounds the length of a turn, whatever the backlog.
+/// How many blocked tasks are tried in one turn. It limits the CPU time of a turn to a placer's share of a core,
+/// whatever the backlog.
 const MAX_BLOCKED_PER_TURN: usize = 64;
 /// Label of the tick timer, which all tasks share. The label of a task's own timer is its id plus one.
 const TICK_LABEL: u64 = 0;
@@ -75,7 +76,7 @@
     placements: Placements,
     /// Tasks to offer in this turn.
     offer_queue: VecDeque<TaskId>,
-    /// Tasks for which no machine was feasible, tried again in this order.
+    /// Tasks for which no machine was feasible, in the order in which they are tried again.
     blocked: VecDeque<TaskId>,
     restart_throttle: RestartThrottle,
     tick_at: Option<Micros>,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -66,8 +66,8 @@
     /// the machine has not been seen alive since.
     fn suggests_machine_is_down(&self, last_seen_alive: Micros, now: Micros) -> bool {
         let failed = self.ejected_until > now && self.last_failure > last_seen_alive;
-        let is_silent = |since: Micros| since > last_seen_alive && since + BASE_EJECTION > now;
-        failed || self.unanswered_since.is_some_and(is_silent)
+        let is_unanswered = |since: Micros| since > last_seen_alive && since + BASE_EJECTION > now;
+        failed || self.unanswered_since.is_some_and(is_unanswered)
     }
 }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -112,7 +112,7 @@
             .map(|(rank, machine)| Candidate {
                 machine,
                 locality: locality(rank, is_local(machine)),
-                utilization: self.likely_utilization(machine, task, mean),
+                utilization: self.estimated_utilization(machine, task, mean),
             })
             .collect()
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -61,15 +61,16 @@
         );
         // The machine gets offers again, and is used once it works.
         harness.now += 10 * SECOND;
-        let mut works = 0;
+        let mut offers_after_recovery = 0;
         for i in 1_000..1_100u64 {
             harness.now += 40_000;
-            works += u64::from(harness.request(task(i, i, harness.now + SECOND)) == Some(0));
+            offers_after_recovery +=
+                u64::from(harness.request(task(i, i, harness.now + SECOND)) == Some(0));
             harness.turn(&accepted_started_and_completed(i));
         }
         assert!(
-            works > 10,
-            "{outcome:?}: {works} of 100 after it works again"
+            offers_after_recovery > 10,
+            "{outcome:?}: {offers_after_recovery} of 100 after it works again"
         );
     }
 }
