--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -83,7 +83,7 @@
             .ok_or_else(|| unknown_instance(instance_id))
     }
 
-    /// Where an instance learns the capacity of machines.
+    /// The sources of machine capacity that an instance uses.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn hex_round_trips_and_rejects_odd_or_foreign_digits() {
+fn hex_round_trips_and_odd_lengths_or_invalid_digits_are_rejected() {
     assert_eq!(hex::decode("00ff68").as_deref(), Some(&[0, 255, 0x68][..]));
     assert_eq!(hex::encode(&[0, 255, 0x68]), "00ff68");
     assert_eq!((hex::decode("0"), hex::decode("zz")), (None, None));
