--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -24,9 +24,11 @@
     #[cfg_attr(feature = "serde", serde(rename = "seated"))]
     pub acceptance_point: AcceptancePoint,
     /// Overcommit factor: a machine accepts tasks while the cores they request are at most this multiple of its own.
-    pub admit_cores: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "admit_cores"))]
+    pub cpu_overcommit: f64,
     /// The same for memory.
-    pub admit_memory: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "admit_memory"))]
+    pub memory_overcommit: f64,
     /// Whether endpoint lists contain the unallocated resources of machines.
     #[cfg_attr(feature = "serde", serde(rename = "view"))]
     pub endpoints_report_capacity: bool,
@@ -64,8 +66,12 @@
                 1.0,
             ),
             ("attempts", f64::from(self.limits.max_attempts), 1.0),
-            ("core overcommit", self.admit_cores, f64::MIN_POSITIVE),
-            ("memory overcommit", self.admit_memory, f64::MIN_POSITIVE),
+            ("core overcommit", self.cpu_overcommit, f64::MIN_POSITIVE),
+            (
+                "memory overcommit",
+                self.memory_overcommit,
+                f64::MIN_POSITIVE,
+            ),
             (
                 "overload multiple",
                 rules.overload_multiple,
@@ -75,7 +81,7 @@
             ("warm-up offers", rules.warm_up_offers, 0.0),
             ("cost of a rejection", costs.rejection, 0.0),
             ("cost of crossing zones", costs.cross_zone, 0.0),
-            ("cost of machines in use", costs.fleet, 0.0),
+            ("cost of machines in use", costs.machines_in_use, 0.0),
             ("cost of a migration", costs.migration, 0.0),
         ];
         for kind in &self.kinds {
@@ -288,7 +294,8 @@
     /// The cost of running every task in a zone other than its placer's.
     pub cross_zone: f64,
     /// The cost of using all machines instead of only those needed.
-    pub fleet: f64,
+    #[cfg_attr(feature = "serde", serde(rename = "fleet"))]
+    pub machines_in_use: f64,
     /// The cost of one migration for every task.
     #[cfg_attr(feature = "serde", serde(rename = "moves"))]
     pub migration: f64,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -82,7 +82,7 @@
     /// would otherwise spread tasks over more machines than needed; machines outside the working set become empty over
     /// time.
     fn keep_working_set(&self, machines: &mut Vec<&Machine>) {
-        if self.settings.costs.fleet > 0.0 {
+        if self.settings.costs.machines_in_use > 0.0 {
             let working_set = self.working_set();
             keep_preferred(machines, |machine| {
                 working_set.contains(&machine.entry.machine)
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -122,7 +122,7 @@
             harness.now += 40_000;
             harness.turn(&[Event::TaskReported {
                 attempt: attempt_id(long_running, 0),
-                report: TaskReport::Served(1.0),
+                report: TaskReport::ServiceShare(1.0),
             }]);
             let machine = harness
                 .request(task(i, 100 + i, harness.now + SECOND))
@@ -263,11 +263,11 @@
             let reports = [
                 Event::TaskReported {
                     attempt: attempt_id(8, 0),
-                    report: TaskReport::Served(other_share),
+                    report: TaskReport::ServiceShare(other_share),
                 },
                 Event::TaskReported {
                     attempt: attempt_id(7, 0),
-                    report: TaskReport::Served(share),
+                    report: TaskReport::ServiceShare(share),
                 },
             ];
             all.extend(harness.turn(&reports));
@@ -408,7 +408,10 @@
 
 #[test]
 fn contended_machines_are_skipped_for_a_while() {
-    for task_report in [TaskReport::Served(0.5), TaskReport::MachineMemory(0.97)] {
+    for task_report in [
+        TaskReport::ServiceShare(0.5),
+        TaskReport::MachineMemoryShare(0.97),
+    ] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 2);
         harness.turn(&[Event::TaskAdopted {
             task: task(900, 900, 0),
@@ -496,7 +499,7 @@
             },
             Event::TaskReported {
                 attempt: attempt_id(50, 0),
-                report: TaskReport::Served(1.0),
+                report: TaskReport::ServiceShare(1.0),
             },
         ]);
         let offers = (0..10).map(|n| {
@@ -557,7 +560,7 @@
         let mut settings_with_cost = settings(RetrySafety::Idempotent);
         (
             settings_with_cost.endpoints_report_capacity,
-            settings_with_cost.costs.fleet,
+            settings_with_cost.costs.machines_in_use,
         ) = (true, cost);
         let mut harness = Harness::new(settings_with_cost, 0);
         let free = |n: u32| {
