--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -22,7 +22,7 @@
     /// The reason, if the machine gave one.
     #[cfg_attr(feature = "serde", serde(rename = "why"))]
     pub reason: Option<FailureReason>,
-    /// Whether the request ends with this attempt, whatever its outcome.
+    /// Whether the placer must make no further attempt for this task, even if the outcome would allow one.
     #[cfg_attr(feature = "serde", serde(rename = "closed"))]
     pub closes_task: bool,
     /// The machine's load report, if the answer contained one.
@@ -49,14 +49,14 @@
     /// The connection or the machine was lost, or the task was evicted, preempted or drained.
     #[cfg_attr(feature = "serde", serde(rename = "Reset"))]
     Disconnected,
-    /// The attempt was cancelled; unless it had been accepted, the task may have run.
+    /// The attempt was cancelled. If it had not been accepted yet, the task may have run all the same.
     Cancelled,
     /// The offer was never sent.
     #[cfg_attr(feature = "serde", serde(rename = "NotSent"))]
     NeverSent,
 }
 
-/// Why an attempt ended.
+/// Why a machine rejected a task, or ended it before it completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum FailureReason {
@@ -91,7 +91,7 @@
     CoresUsed(f64),
     /// The memory that the task uses, in the unit of its request.
     MemoryUsed(f64),
-    /// The share of full service that the task gets.
+    /// The share of full service that the task gets; 1 is full service.
     #[cfg_attr(feature = "serde", serde(rename = "Served"))]
     ServiceShare(f64),
     /// The share of its machine's memory that is in use.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -59,8 +59,8 @@
     AttemptAccepted {
         /// The attempt.
         attempt: AttemptId,
-        /// The time from the offer to the answer, if the caller measures it. Without it, a stall of the placer's own
-        /// process would count as the machine's answer time.
+        /// The time from the offer to the answer, if the caller measures it. Without it, a time in which the placer's own
+        /// process was stalled would count as answer time of the machine.
         elapsed: Option<Micros>,
     },
     /// A report about the task of an attempt that has not finished.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -26,7 +26,7 @@
     /// Overcommit factor: a machine accepts tasks while the cores they request are at most this multiple of its own.
     #[cfg_attr(feature = "serde", serde(rename = "admit_cores"))]
     pub cpu_overcommit: f64,
-    /// The same for memory.
+    /// The overcommit factor for memory.
     #[cfg_attr(feature = "serde", serde(rename = "admit_memory"))]
     pub memory_overcommit: f64,
     /// Whether endpoint lists contain the unallocated resources of machines.
@@ -49,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the first setting that is not.
+    /// Returns an error for the first setting that fails a check.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
@@ -58,7 +58,7 @@
             return Err(SettingsError::Empty("kinds"));
         }
         let (rules, costs) = (&self.rules, &self.costs);
-        let mut figures = vec![
+        let mut bounded_values = vec![
             ("placers", f64::from(self.replica_count), 1.0),
             (
                 "index of this placer",
@@ -85,17 +85,17 @@
             ("cost of a migration", costs.migration, 0.0),
         ];
         for kind in &self.kinds {
-            figures.push(("cores of a kind", kind.cores, f64::MIN_POSITIVE));
-            figures.push(("memory of a kind", kind.memory, f64::MIN_POSITIVE));
+            bounded_values.push(("cores of a kind", kind.cores, f64::MIN_POSITIVE));
+            bounded_values.push(("memory of a kind", kind.memory, f64::MIN_POSITIVE));
         }
         for class in &self.classes {
-            figures.push(("priority weight", class.priority_weight, 0.0));
-            figures.push(("start bonus", class.start_bonus_s, 0.0));
+            bounded_values.push(("priority weight", class.priority_weight, 0.0));
+            bounded_values.push(("start bonus", class.start_bonus_s, 0.0));
             if let Some(kind) = class.machine_kind.filter(|&kind| kind >= self.kinds.len()) {
                 return Err(SettingsError::UnknownMachineKind(kind));
             }
         }
-        match figures
+        match bounded_values
             .iter()
             .find(|&&(_, value, min)| !value.is_finite() || value < min)
         {
@@ -112,7 +112,7 @@
     /// Whether a task may be started a second time.
     #[cfg_attr(feature = "serde", serde(rename = "effect"))]
     pub retry_safety: RetrySafety,
-    /// A start within this time earns the full start bonus, in microseconds.
+    /// The time within which a task should start, in microseconds. A start within this time earns the full start bonus.
     #[cfg_attr(feature = "serde", serde(rename = "aim"))]
     pub latency_objective: Micros,
     /// The value of a second of service for a task of mean size.
@@ -228,7 +228,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum LoadReport {
-    /// Nothing that a placer uses.
+    /// No cores and memory, so placers do not use the reports.
     Silent,
     /// Cores and memory that no task has requested.
     #[cfg_attr(feature = "serde", serde(rename = "Unasked"))]
@@ -262,8 +262,8 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Rules {
-    /// In [`DiscoveryMode::Poll`], a placer that has not called discovery for this long counts as notified of all
-    /// changes, in microseconds.
+    /// In [`DiscoveryMode::Poll`], a placer that has not called discovery for this long is treated as if it had received
+    /// all changes, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
     pub max_poll_interval: Micros,
     /// The share of its full capacity that a machine has right after its start.
@@ -272,31 +272,33 @@
     /// How long a machine warms up, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "cold_for"))]
     pub warm_up_duration: Micros,
-    /// A machine that is warming up is overloaded by more than this multiple of its current capacity...
+    /// A machine that is warming up is overloaded if its load over an `overload_window` exceeds this multiple of its
+    /// current capacity.
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_multiple: f64,
-    /// ...over this window, in microseconds. The warm-up budget applies to every window of this length.
+    /// The length of the window over which overload is determined, in microseconds. The warm-up budget applies to every
+    /// window of this length.
     #[cfg_attr(feature = "serde", serde(rename = "fall_window"))]
     pub overload_window: Micros,
-    /// The warm-up budget: the number of offers per window, from all placers together, that never overload a machine
-    /// that is warming up.
+    /// The warm-up budget: the maximum number of offers per `overload_window`, from all placers together, that cannot
+    /// overload a machine that is warming up.
     #[cfg_attr(feature = "serde", serde(rename = "fresh_offers"))]
     pub warm_up_offers: f64,
 }
 
-/// Costs, each as a share of the total value.
+/// Costs, each as a share of the total value of the service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct Costs {
-    /// The cost of one rejected offer for every task.
+    /// The cost if every task has one rejected offer.
     #[cfg_attr(feature = "serde", serde(rename = "refused"))]
     pub rejection: f64,
-    /// The cost of running every task in a zone other than its placer's.
+    /// The cost if every task runs in a zone other than its placer's.
     pub cross_zone: f64,
-    /// The cost of using all machines instead of only those needed.
+    /// The cost if all machines are in use instead of only as many as needed.
     #[cfg_attr(feature = "serde", serde(rename = "fleet"))]
     pub machines_in_use: f64,
-    /// The cost of one migration for every task.
+    /// The cost if every task migrates once.
     #[cfg_attr(feature = "serde", serde(rename = "moves"))]
     pub migration: f64,
 }
--- a/src/interface/task.rs
+++ b/src/interface/task.rs
@@ -25,10 +25,10 @@
     /// The requested cores and memory.
     #[cfg_attr(feature = "serde", serde(rename = "asks"))]
     pub requested: Resources,
-    /// About how long it is expected to run.
+    /// How long it is expected to run, in microseconds.
     #[cfg_attr(feature = "serde", serde(rename = "life"))]
     pub expected_duration: Option<Micros>,
-    /// When its owner stops waiting for an answer.
+    /// When its owner stops waiting for an answer, on the caller's clock.
     #[cfg_attr(feature = "serde", serde(rename = "give_up_at"))]
     pub deadline: Micros,
     /// Whether its owner resubmitted it after a rejection, failure, migration or loss.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //!
 //! A placer is created with `Placer::new(settings, seed)` and driven by `turn(now, &events, &mut actions)`: the caller
 //! passes the time and all events since the last call, and then carries out the actions in order. A placer has no clock
-//! and does no I/O; equal seeds and events give equal actions. The following example announces a machine, requests a
-//! placement and handles a timer and a rejection:
+//! and does no I/O; equal seeds and events give equal actions. In the following example the caller lists a machine,
+//! requests a placement, lets a timer fire and reports that the machine has rejected the offer:
 //!
 //! ```rust
 //! use maplethread::*;
@@ -70,14 +70,15 @@
 //!         is_resubmission: false,
 //!     };
 //!
-//!     // Announce a machine and request a placement: the placer offers the task to the machine.
+//!     // List a machine and request a placement: the placer offers the task to the machine.
 //!     let mut actions = Vec::new();
 //!     let list = Event::EndpointsUpdated { scope: UpdateScope::Full, machines: vec![machine] };
 //!     placer.turn(0, &[list, Event::PlacementRequested(task)], &mut actions);
 //!     let is_offer = |a: &Action| matches!(a, Action::Offer { task: TaskId(1), machine: MachineId(0), .. });
 //!     assert!(actions.iter().any(is_offer));
 //!
-//!     // A timer of the placer fires. The offer is in flight and the deadline is far off, so there is no final answer yet.
+//!     // The timer that the placer has set fires. The offer is still in flight and the deadline is almost five seconds
+//!     // away, so the placer does not answer the request yet.
 //!     let label = actions.iter().find_map(|a| match a {
 //!         Action::SetTimer { label, .. } => Some(*label),
 //!         _ => None,
@@ -87,7 +88,7 @@
 //!     placer.turn(20_000, &[timer], &mut actions);
 //!     assert!(!actions.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))));
 //!
-//!     // The machine rejects the offer; the placer may offer the task to the same or another machine.
+//!     // The machine rejects the offer. The placer may offer the task again, to the same or another machine.
 //!     let result = AttemptResult {
 //!         outcome: AttemptOutcome::Rejected,
 //!         reason: Some(FailureReason::QueueFull),
--- a/src/policy/answer_times.rs
+++ b/src/policy/answer_times.rs
@@ -72,9 +72,9 @@
         estimate.mean += SMOOTHING_FACTOR * (answer_time - estimate.mean);
     }
 
-    /// The timeout of attempt number `attempt` (from 0) of a task, at most `remaining`. A short timeout detects silent
-    /// machines early, and a non-idempotent task is returned early to its owner, who finds out whether it runs. The
-    /// drawback is duplicates of other tasks where answers become slower or are lost.
+    /// The timeout of attempt number `attempt` (from 0) of a task, at most `remaining`. With a short timeout, a machine
+    /// that does not answer is detected early, and the owner of a non-idempotent task can find out early whether the
+    /// task runs. The drawback: if answers become slower or are lost, tasks that may be retried are started twice.
     pub(super) fn timeout(
         &self,
         classes: &[Class],
--- a/src/policy/answers.rs
+++ b/src/policy/answers.rs
@@ -39,21 +39,23 @@
         });
     }
 
-    /// The retry-after of a rejection: about the time after which the block reason may have changed. It is jittered by
-    /// the task's id, so that tasks rejected together are not resubmitted together.
+    /// The retry-after of a rejection: about the time after which the block reason may no longer apply. Jitter derived
+    /// from the task's id keeps tasks that are rejected together from being resubmitted together.
     fn retry_after(&self, pending: &PendingTask) -> Option<Micros> {
         let max = self.settings.limits.max_retry_after?;
         let base = match pending.block_reason {
             Some(BlockReason::NoKindFits) => return Some(max),
             Some(BlockReason::WarmUpBudget) => self.settings.rules.overload_window,
-            // Blocked otherwise, or out of attempts: the machines that rejected it are skipped for about this long.
+            // Blocked for another reason, or out of attempts. Machines that rejected the task are skipped for about
+            // this long.
             None | Some(_) => CAPACITY_BACKOFF,
         };
         Some((base / 2 + mix_bits(pending.task.id.0) % base.max(1)).min(max))
     }
 }
 
-/// Whether the owner may resubmit the task without a second effect, whatever the outcome of earlier attempts.
+/// Whether a resubmission by the owner is safe: either a second start has no further effect, or no attempt can have
+/// started the task.
 fn is_safe_to_resubmit(pending: &PendingTask, safety: RetrySafety) -> bool {
     match safety {
         RetrySafety::Idempotent
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -8,7 +8,7 @@
     Micros, Task,
 };
 
-/// An answer that is applied more than this after its arrival shows that the placer was stalled. Shorter delays come
+/// If an answer is applied more than this after its arrival, the placer's process was stalled. Shorter delays result
 /// from the interval between turns.
 const MIN_STALL: Micros = 50_000;
 
@@ -21,7 +21,7 @@
     pub(super) sent_at: Micros,
     pub(super) is_accepted: bool,
     pub(super) is_started: bool,
-    /// It is accepted and counts as a start in progress.
+    /// It was accepted, its task has not started yet, and it counts as a start in progress.
     pub(super) is_starting: bool,
     /// Since when its service share has been below the limit for migration.
     pub(super) underserved_since: Option<Micros>,
@@ -146,7 +146,7 @@
                 self.restart_throttle.begin_start();
             }
             attempt.is_accepted = true;
-            // After a stall of this placer, only the time that the machine took counts.
+            // If this placer's process was stalled, only the time that the machine took to answer counts.
             let since_sent = self.now - attempt.sent_at;
             let stall = elapsed
                 .map(|elapsed| since_sent.saturating_sub(elapsed))
@@ -195,8 +195,8 @@
         };
         self.release_attempt(&attempt, self.last_seen(&attempt, &result));
         self.record_load_report(attempt.machine, result.load);
-        let is_task_at_fault =
-            result.outcome == AttemptOutcome::Error && self.fails_on_every_machine(&attempt);
+        let is_caused_by_task =
+            result.outcome == AttemptOutcome::Error && self.is_error_caused_by_task(&attempt);
         if let Some(machine) = self.machines.get_mut(&attempt.machine) {
             let finished = FinishedAttempt {
                 class: attempt.task.class,
@@ -205,7 +205,7 @@
             };
             machine
                 .health
-                .record_outcome(&finished, &result, is_task_at_fault, self.now);
+                .record_outcome(&finished, &result, is_caused_by_task, self.now);
         }
         if result.closes_task || attempt.is_accepted {
             self.pending.remove(&id.task);
@@ -257,10 +257,10 @@
         }
     }
 
-    /// Whether an error is caused by the task. A task that no machine can run would otherwise have every machine
-    /// ejected in turn, so an error on a second machine is attributed to the task, and the failure recorded for the
-    /// first machine is retracted.
-    fn fails_on_every_machine(&mut self, attempt: &Attempt) -> bool {
+    /// Whether an error is attributed to the task and not to the machine. Otherwise a task that fails on every machine
+    /// would have one machine after the other ejected. So an error on a second machine is attributed to the task, and
+    /// the failure recorded for the first machine is retracted.
+    fn is_error_caused_by_task(&mut self, attempt: &Attempt) -> bool {
         let Some(pending) = self.pending.get_mut(&attempt.task.id) else {
             return false;
         };
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -7,7 +7,7 @@
     UpdateScope,
 };
 
-/// How soon a failed discovery call is retried; well within any `max_poll_interval`.
+/// After this time a failed discovery call is retried. It is much shorter than any `max_poll_interval`.
 const DISCOVERY_RETRY_INTERVAL: Micros = 300_000;
 /// How long machines that are gone and services without tasks are kept.
 const RETENTION: Micros = 600_000_000;
@@ -55,8 +55,8 @@
             has_new_machines |= self.apply_entry(entry);
         }
         self.remove_unused();
-        // Attempts may run on a machine that no earlier list contained. All attempts are scanned only when a machine is
-        // new: under frequent changes a scan for every change would cost milliseconds each.
+        // A machine that is new in the list may already run attempts of this placer. All attempts are scanned only then,
+        // since a scan takes milliseconds and lists may change often.
         if has_new_machines {
             self.restore_own_allocations();
         }
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -49,8 +49,8 @@
         self.machines.values().filter(|machine| machine.is_ready())
     }
 
-    /// The mean allocation of the ready machines with reported capacity, as shares of their size. Where no machine has
-    /// any, the mean allocation of this placer's own tasks.
+    /// The mean allocation of the ready machines with reported capacity, as shares of their size. If no machine has
+    /// reported capacity, the mean allocation of this placer's own tasks.
     pub(super) fn mean_allocation(&self) -> Resources {
         let mut shares: Vec<Resources> = self
             .ready_machines()
@@ -79,9 +79,9 @@
             .utilization_of(self.allocation_with(machine, task, mean))
     }
 
-    /// The machine's allocation with the task on it, as shares of its size. For a machine without reported capacity,
-    /// the `mean` allocation is added for the tasks of other placers; where capacity is never reported, the mean of own
-    /// tasks is added once for each other placer.
+    /// The machine's allocation with the task on it, as shares of its size. For a machine without reported capacity the
+    /// tasks of other placers are estimated by the `mean` allocation. Where capacity is never reported, `mean` covers
+    /// only own tasks, so it is added once for each other placer.
     fn allocation_with(&self, machine: &Machine, task: &Task, mean: Resources) -> Resources {
         let is_ever_reported = self.settings.endpoints_report_capacity
             || self.settings.load_report == LoadReport::Unallocated;
--- a/src/policy/machine.rs
+++ b/src/policy/machine.rs
@@ -6,9 +6,10 @@
 use super::slow_start::RecentOffers;
 use crate::interface::{MachineEntry, MachineState, Micros, Resources};
 
-/// Assumed age of the capacity in an endpoint list on arrival. Own allocation changes within that time are added to it.
+/// Assumed age of the capacity in an endpoint list when the list arrives. Changes of this placer's own allocation within
+/// that time are added to it.
 pub(super) const ENDPOINT_LAG: Micros = 800_000;
-/// Assumed age of the capacity in a load report on arrival.
+/// Assumed age of the capacity in a load report when the report arrives.
 pub(super) const LOAD_REPORT_LAG: Micros = 700_000;
 
 /// What the tasks of all placers together had requested on a machine at one time.
@@ -30,15 +31,16 @@
 pub(super) struct Machine {
     pub(super) entry: MachineEntry,
     pub(super) size: Resources,
-    /// The caller has a connection to it. Without one an offer would fail at once and use up an attempt.
+    /// Whether the caller has a connection to it. Without one an offer would fail at once and use up an attempt.
     pub(super) is_connected: bool,
     pub(super) health: MachineHealth,
     pub(super) recent_offers: RecentOffers,
-    /// Until when it is skipped because of contention, whatever the cause.
+    /// Until when the machine is skipped because a report of a task showed contention on it.
     pub(super) contended_until: Micros,
     pub(super) last_changed: Micros,
     reported: Option<ReportedAllocation>,
-    /// What this placer's attempts and running tasks request there. Its latest changes are in `recent_changes`.
+    /// The resources that this placer's attempts and running tasks request there. The latest changes are in
+    /// `recent_changes`.
     own_allocation: Resources,
     recent_changes: VecDeque<AllocationChange>,
 }
@@ -127,7 +129,7 @@
         self.own_allocation
     }
 
-    /// The current allocation as far as it is recorded: the reported one, or that of own attempts without a report.
+    /// The reported allocation plus own changes since; without a report, the allocation of this placer's attempts alone.
     pub(super) fn known_allocation(&self) -> Resources {
         self.reported_allocation().unwrap_or(self.own_allocation)
     }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -8,10 +8,10 @@
 const CONTENTION_SERVICE_SHARE: f64 = 0.92;
 /// A machine is contended if more than this share of its memory is in use.
 const CONTENTION_MEMORY_SHARE: f64 = 0.9;
-/// How long a contended machine is skipped, whether own tasks, other placers' tasks or another program are the cause.
+/// How long a contended machine is skipped. The cause may be own tasks, tasks of other placers or another program.
 const CONTENTION_DURATION: Micros = 1_500_000;
-/// Service share below which a task migrates after [`MIGRATION_DELAY`]. Only tasks of a priority above 0, which others
-/// cannot preempt, migrate.
+/// A task with a lower service share is underserved and migrates after [`MIGRATION_DELAY`]. Only tasks of a priority
+/// above 0 migrate, since tasks of priority 0 can be preempted.
 const UNDERSERVED_SHARE: f64 = 0.5;
 /// How long a task must be underserved before it migrates. Without migration a task of such a class, which is rare and
 /// large, would stay underserved on a contended machine for its whole duration.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,7 +7,7 @@
 //! limit the effect of failing hosts, stale endpoint lists and restarting placers. `docs/design.md` gives the reason
 //! for each departure from the paper.
 //!
-//! Comments refer to the five rules that hold whatever fails:
+//! Comments refer by number to these five rules, which must hold even if machines, discovery or placers fail:
 //!
 //! 1. Every request gets exactly one final answer before its deadline.
 //! 2. A task that may have run is sent again only as the retry safety of its class allows.
@@ -50,20 +50,21 @@
     TaskId, TaskReport,
 };
 
-/// How soon a blocked task, for which no machine was feasible, is tried again.
+/// After this time a blocked task, for which no machine was feasible, is tried again.
 const BLOCKED_RETRY_INTERVAL: Micros = 200_000;
-/// How many blocked tasks are tried in one turn. It limits the CPU time of a turn to a placer's share of a core,
-/// whatever the backlog.
+/// The maximum number of blocked tasks that are tried again in one turn. It keeps the CPU time of a turn within the
+/// placer's share of a core, however many tasks are blocked.
 const MAX_BLOCKED_PER_TURN: usize = 64;
-/// Label of the tick timer, which all tasks share. The label of a task's own timer is its id plus one.
+/// Label of the tick timer, at which blocked tasks, deferred tasks and failed discovery calls are tried again. The label
+/// of a task's own timer is its id plus one.
 const TICK_LABEL: u64 = 0;
 
-/// The placement policy of one placer. Placers share no state.
+/// The placement policy of one placer, with its state. Placers share no state, even if they share the machines.
 pub struct Placer {
     settings: Settings,
     random: UniformRng,
     now: Micros,
-    /// How many times a machine has been selected.
+    /// The number of times that a machine has been selected.
     decision_count: u64,
     discovery: DiscoverySubscription,
     machines: BTreeMap<MachineId, Machine>,
@@ -123,6 +124,7 @@
             self.handle_event(event, actions);
         }
         self.discovery.retry_if_due(self.now, actions);
+        // While a tick is scheduled, blocked tasks are not tried again before it.
         if self.tick_at.is_none() {
             let count = self.blocked.len().min(MAX_BLOCKED_PER_TURN);
             self.offer_queue.extend(self.blocked.drain(..count));
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -4,11 +4,11 @@
 
 /// How long a machine is ejected for a class after the first failure. Each further failure doubles it.
 const BASE_EJECTION: Micros = 3_000_000;
-/// Maximum number of doublings, so that a machine that has recovered is offered to again within twelve seconds.
+/// Maximum number of doublings, so that a machine that has recovered gets offers again within twelve seconds.
 const MAX_EJECTION_DOUBLINGS: f64 = 2.0;
-/// How long tasks as large are not offered to a machine after a rejection for lack of capacity.
+/// How long a machine gets no offers of tasks of the same size or larger after a rejection for lack of capacity.
 pub(super) const CAPACITY_BACKOFF: Micros = 1_000_000;
-/// How long no task is offered to a machine after a rejection because of its queue or state.
+/// How long a machine gets no offers at all after a rejection because of its queue or state.
 const QUEUE_BACKOFF: Micros = 150_000;
 /// Maximum number of doublings of the backoff by consecutive rejections.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
@@ -131,13 +131,13 @@
         self.classes[class].retract_failure();
     }
 
-    /// Records the outcome of an attempt. An error of a task that fails on every machine (`is_task_at_fault`) does not
+    /// Records the outcome of an attempt. An error of a task that fails on every machine (`is_caused_by_task`) does not
     /// count against this one.
     pub(super) fn record_outcome(
         &mut self,
         attempt: &FinishedAttempt,
         result: &AttemptResult,
-        is_task_at_fault: bool,
+        is_caused_by_task: bool,
         now: Micros,
     ) {
         let health = &mut self.classes[attempt.class];
@@ -154,7 +154,7 @@
             (AttemptOutcome::Rejected, reason) => self.back_off(attempt.requested, reason, now),
             // A failure gives no service-rate sample, so a machine that fails fast would keep its rate and receive most
             // offers. It is therefore ejected, and afterwards gets one offer at a time.
-            (AttemptOutcome::Error, _) if is_task_at_fault => {}
+            (AttemptOutcome::Error, _) if is_caused_by_task => {}
             (AttemptOutcome::Disconnected, None) => health.record_lost_answer(now),
             (AttemptOutcome::Error | AttemptOutcome::ConnectFailed, _) => {
                 health.record_failure(now);
--- a/src/policy/placing.rs
+++ b/src/policy/placing.rs
@@ -35,9 +35,9 @@
         }
     }
 
-    /// Until when the task may be offered. Rule 2: a task that may have run is sent again only as its class allows.
-    /// With an idempotency key an offer's timeout ends with the key's window, since the offer may wait for a connection
-    /// and must not be sent after the window.
+    /// Until when the task may be offered; 0 if it must not be offered again. Rule 2: a task that may have run is sent
+    /// again only as its class allows. With an idempotency key, an offer must not be sent after the key's window. As an
+    /// offer may wait for a connection, its timeout ends with the window.
     fn offer_deadline(&self, pending: &PendingTask) -> Micros {
         let safety = self.settings.classes[pending.task.class].retry_safety;
         match (pending.possibly_started, safety) {
--- a/src/policy/restart_throttle.rs
+++ b/src/policy/restart_throttle.rs
@@ -1,9 +1,9 @@
 //! Restart throttling: while many starts are in progress, resubmitted tasks are deferred in favour of first
 //! submissions.
 //!
-//! A resubmitted task no longer earns the bonus for a timely start, and a loss of machines resubmits thousands of tasks
-//! at once. Without a limit their starts would fill the queues of the machines and delay starts that still earn the
-//! bonus.
+//! When machines fail, owners resubmit thousands of tasks at once. A resubmitted task can no longer earn the start
+//! bonus. Without a limit, resubmitted tasks would fill the machines' queues and delay first submissions, which can
+//! still earn it.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,8 @@
 
 /// Maximum time for which a resubmitted task is deferred; it is also limited to half of the time until its deadline.
 const MAX_DEFERRAL: Micros = 1_000_000;
-/// Starts in progress per ready machine, over all placers, from which on resubmitted tasks are deferred.
+/// Resubmitted tasks are deferred while all placers together have at least this many starts in progress per ready
+/// machine.
 const MAX_STARTS_PER_MACHINE: f64 = 3.0;
 
 /// Until when a task may be deferred; none for a first submission.
@@ -21,7 +22,7 @@
         .then_some(now + MAX_DEFERRAL.min(half_of_remaining))
 }
 
-/// This placer's share of the limit on starts in progress, from which on resubmitted tasks are deferred.
+/// This placer's share of the limit on starts in progress. Resubmitted tasks are deferred while it is reached.
 pub(super) fn max_starts_in_progress(ready_machines: usize, replica_count: u32) -> u32 {
     let starts = MAX_STARTS_PER_MACHINE * ready_machines as f64 / f64::from(replica_count);
     (starts as u32).max(1)
@@ -41,7 +42,7 @@
         self.starts_in_progress += 1;
     }
 
-    /// Records that such a task has started or its attempt has finished.
+    /// Records that an accepted task has started, or that its attempt has finished before the start.
     pub(super) fn finish_start(&mut self) {
         self.starts_in_progress -= 1;
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -17,8 +17,9 @@
 const NEAR_TIE_FACTOR: f64 = 1.1;
 /// How many of the machines that rank first for a service are candidates.
 const MAX_CANDIDATES: usize = 4;
-/// Estimated utilization below which a machine with the program is lightly used. Its load causes no delay, so an
-/// emptier machine without the program must not attract starts: it is scored as fuller, by more than a near-tie.
+/// Estimated utilization below which a machine with the program is lightly used. Its load delays no start, so a machine
+/// without the program must not be preferred for being emptier: it is scored as if it were fuller, by more than
+/// [`NEAR_TIE_FACTOR`].
 const LOW_UTILIZATION: f64 = 0.45;
 /// Factor on the cross-zone cost in the score of a machine in another zone.
 const CROSS_ZONE_FACTOR: f64 = 10.0;
@@ -45,7 +46,8 @@
 }
 
 /// The score of a machine for a service by rendezvous hashing (highest random weight), which is the same at every
-/// placer. The lowest score ranks first. Weighted by cores, so larger machines rank first more often.
+/// placer. The lowest score ranks first. It is -ln(hash / 2^53) / cores, so a machine ranks first with a probability in
+/// proportion to its cores.
 fn rendezvous_score(service: ServiceId, machine: &Machine) -> f64 {
     let hash = (mix_bits(service.0 ^ machine.entry.stable_hash) >> 11) as f64 + 1.0;
     (53.0 * std::f64::consts::LN_2 - hash.ln()) / machine.size.cores
--- a/src/policy/service_rate.rs
+++ b/src/policy/service_rate.rs
@@ -8,7 +8,7 @@
 
 use crate::interface::{MachineId, Micros, ServiceId};
 
-/// Weight of the class's mean in a pair's estimate, in samples. Without it a single outlier would decide for a long
+/// Weight of the class's mean in a pair's estimate, in samples. Without it a single outlier would determine for a long
 /// time whether the pair is selected.
 const PAIR_PRIOR_SAMPLES: f64 = 2.0;
 /// Weight of the prior rate in a class's estimate, in samples.
@@ -18,8 +18,9 @@
 /// Prior duration of a start at the secondary home, in latency objectives. It lies between those at the primary home
 /// and at any other machine, so that some placers select the secondary home as the primary one fills up.
 const SECONDARY_START_OBJECTIVES: f64 = 0.57;
-/// Minimum duration of a start in the estimate, in latency objectives. A shorter start earns nothing more, so it must
-/// not outweigh utilization: otherwise the tasks of a class with a long objective would concentrate on one machine.
+/// Minimum duration of a start in the estimate, in latency objectives. A shorter start counts as this long, because it
+/// earns no larger bonus: its rate must not outweigh utilization, or the tasks of a class with a long objective would
+/// concentrate on one machine.
 const MIN_START_OBJECTIVES: f64 = 0.25;
 
 /// The locality of a machine for a service's program: the locality levels of the paper (section 2.1). A start on a
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Pauses offers to warming machines for a whole window. An earlier process or the last holder of the index may
-    /// have used this index's share of the window, and its offers are not recorded here.
+    /// Pauses offers to warming machines for a whole window. An earlier process of this placer, or the last placer with
+    /// this index, may have used the index's share of the window, and its offers are not recorded here.
     pub(super) fn pause(&mut self, now: Micros, window: Micros) {
         self.paused_until = now + window;
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -130,7 +130,7 @@
         actions
     }
 
-    /// Runs a turn every 10 ms until `at`, in which the timers of these labels fire.
+    /// Runs a turn every 10 ms until `at`. In each turn the timers with these labels fire.
     pub fn advance_until(&mut self, at: Micros, labels: &[u64]) -> Vec<Action> {
         let mut all = Vec::new();
         let timers: Vec<Event> = labels
@@ -177,8 +177,9 @@
 pub fn offer_timeout(actions: &[Action]) -> Option<Micros> {
     actions.iter().find_map(|a| match a {
         Action::Offer {
-            timeout: time_out, ..
-        } => Some(*time_out),
+            timeout: timeout_us,
+            ..
+        } => Some(*timeout_us),
         _ => None,
     })
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -77,7 +77,7 @@
 
 #[test]
 fn task_that_fails_on_every_machine_ejects_none() {
-    // Some tasks fail on every machine on which they are tried. That must not eject machines for other tasks.
+    // Some tasks fail on every machine. Their errors must not eject machines for other tasks.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
     let mut offers = [0; 3];
     for i in 0..200u64 {
@@ -326,14 +326,14 @@
         harness
             .request(task(100, 100, harness.now + SECOND))
             .is_some(),
-        "not blocked"
+        "a task was blocked although all machines are only ejected"
     );
 }
 
 #[test]
 fn attempt_timeout_grows_with_each_attempt_of_the_same_task_only() {
-    // Slow answers on all machines must not lead to ever more duplicates of a task, and timeouts of one task must not
-    // lengthen those of other tasks.
+    // If all machines answer slowly, a constant timeout would start one duplicate of a task after another. The timeouts
+    // of one task must not lengthen those of other tasks.
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 4);
     let deadline = harness.now + 60 * SECOND;
     let mut timeout_after = |event| offer_timeout(&harness.turn(&[event])).expect("an offer");
@@ -595,8 +595,8 @@
 
 #[test]
 fn timeout_shortens_once_answers_are_quick_for_every_retry_safety() {
-    // A machine that does not answer offers of one class would keep a non-idempotent task until its deadline. If it is
-    // returned earlier, its owner finds out that it does not run, and resubmits it.
+    // With a long timeout, a machine that does not answer offers of one class would hold a non-idempotent task until its
+    // deadline. If the task is returned earlier, its owner finds out that it does not run, and resubmits it.
     for retry_safety in [RetrySafety::Idempotent, RetrySafety::NonIdempotent] {
         let mut harness = Harness::new(settings(retry_safety), 3);
         for n in 0..30 {
@@ -747,8 +747,8 @@
 
 #[test]
 fn stalled_placer_does_not_count_its_pause_as_answer_time() {
-    // Answers that arrive during a stall of the placer are applied late. Timeouts must depend on the time that the
-    // machine took.
+    // Answers that arrive while the placer's process is stalled are applied late. Timeouts must depend only on the time
+    // that the machine took to answer.
     let timeout_after_stalls = |elapsed: Option<Micros>| {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 3);
         for n in 0..30 {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules of the placement policy, in boundary cases.
+//! The five rules of the placement policy, which `src/policy/mod.rs` lists, in boundary cases.
 
 mod common;
 use common::*;
@@ -103,11 +103,11 @@
     let mut four_attempts = settings(IDEMPOTENCY_KEY);
     four_attempts.limits.max_attempts = 4;
     let mut harness = Harness::new(four_attempts, 0);
-    let cells = |n: u32| MachineEntry {
+    let two_per_cell = |n: u32| MachineEntry {
         cell: n / 2,
         ..machine(n)
     };
-    harness.update_endpoints(UpdateScope::Full, (0..8).map(cells).collect());
+    harness.update_endpoints(UpdateScope::Full, (0..8).map(two_per_cell).collect());
     let first = harness.request(task(1, 1, 20 * SECOND)).expect("an offer");
     let actions = harness.turn(&[finished(1, 0, AttemptOutcome::Disconnected, None)]);
     let again = offered_machine(&actions).expect("an offer to the cell's other machine");
@@ -117,11 +117,11 @@
     harness.now += 3_900_000;
     let actions = harness.turn(&[finished(1, 1, AttemptOutcome::Disconnected, None)]);
     assert!(
-        offer_timeout(&actions).is_some_and(|out| out <= 100_000),
+        offer_timeout(&actions).is_some_and(|timeout| timeout <= 100_000),
         "{actions:?}"
     );
-    // After the window no offer is sent, and the task fails, since a rejection would
-    // guarantee that a resubmission has no second effect.
+    // After the window no offer is sent. The task fails instead of being rejected, since a rejection would guarantee
+    // that a resubmission has no second effect.
     harness.now += 100_000;
     let actions = harness.turn(&[finished(1, 2, AttemptOutcome::Disconnected, None)]);
     assert_eq!(offered_machine(&actions), None);
@@ -453,7 +453,7 @@
         assert_eq!(
             sent_at.is_empty(),
             lifetime < 3 * SECOND,
-            "offers only after a whole window"
+            "no offers within one window of a restart, and some after it"
         );
     }
 }
