--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -4,8 +4,8 @@
 
 mod field_error;
 pub mod host_names;
-mod node;
 pub mod settings;
+mod settings_object;
 mod units;
 
 pub use field_error::FieldError;
@@ -13,4 +13,4 @@
 pub use settings::{
     CapacityReporting, PlatformSettings, decode_platform_settings, decode_policy_settings,
 };
-pub use units::micros;
+pub use units::micros_from_ms;
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -6,8 +6,8 @@
 };
 use serde_json::Value;
 
-use crate::node::Node;
-use crate::{FieldError, micros};
+use crate::settings_object::SettingsObject;
+use crate::{FieldError, micros_from_ms};
 
 /// Where the capacity of machines is reported.
 #[derive(Clone, Copy, Debug)]
@@ -26,7 +26,7 @@
 pub fn decode_policy_settings(
     settings: &Value,
 ) -> Result<(Settings, CapacityReporting), FieldError> {
-    let root = Node::root(settings);
+    let root = SettingsObject::new(settings);
     let load_report = decode_load_report(root)?;
     let settings = Settings {
         replica_count: root.integer("peersTotal")?,
@@ -66,7 +66,7 @@
     Ok((settings, reporting))
 }
 
-fn decode_limits(root: Node) -> Result<Limits, FieldError> {
+fn decode_limits(root: SettingsObject) -> Result<Limits, FieldError> {
     Ok(Limits {
         max_attempts: root.integer("allowed.maxAttempts")?,
         can_cancel: root.bool("allowed.mayCancel")?,
@@ -79,7 +79,7 @@
     })
 }
 
-fn decode_rules(root: Node) -> Result<Rules, FieldError> {
+fn decode_rules(root: SettingsObject) -> Result<Rules, FieldError> {
     Ok(Rules {
         max_poll_interval: root.duration("invariants.askWithinMs")?,
         initial_capacity_share: root.number("invariants.coldFrom")?,
@@ -90,7 +90,7 @@
     })
 }
 
-fn decode_costs(root: Node) -> Result<Costs, FieldError> {
+fn decode_costs(root: SettingsObject) -> Result<Costs, FieldError> {
     Ok(Costs {
         rejection: root.number_or("domain.noPrice", 0.0)?,
         cross_zone: root.number_or("fees.crossZone", 0.0)?,
@@ -99,7 +99,7 @@
     })
 }
 
-fn decode_load_report(root: Node) -> Result<LoadReport, FieldError> {
+fn decode_load_report(root: SettingsObject) -> Result<LoadReport, FieldError> {
     let fields = root.array("reporting.fields")?;
     let has_field = |name: &str| fields.iter().any(|field| field.as_str() == Some(name));
     let has_cores_and_memory = has_field("x0") && has_field("x1");
@@ -116,8 +116,8 @@
     )
 }
 
-fn decode_class(root: Node, index: usize) -> Result<Class, FieldError> {
-    let class = Node::root(&root.array("classes")?[index]);
+fn decode_class(root: SettingsObject, index: usize) -> Result<Class, FieldError> {
+    let class = SettingsObject::new(&root.array("classes")?[index]);
     let retry_safety = decode_retry_safety(class)?;
     let spread_level = decode_spread_level(root, index)?;
     let max_tasks = root.number_at("domain.spreadMost", index)?;
@@ -136,7 +136,7 @@
     })
 }
 
-fn decode_retry_safety(class: Node) -> Result<RetrySafety, FieldError> {
+fn decode_retry_safety(class: SettingsObject) -> Result<RetrySafety, FieldError> {
     match class.string("effect")? {
         "pure" => Ok(RetrySafety::Idempotent),
         "side_effect" => Ok(RetrySafety::NonIdempotent),
@@ -144,21 +144,27 @@
             scope: decode_deduplication_scope(class)?,
             window: class.duration("windowMs")?,
         }),
-        _ => Err(Node::error("classes.effect", "pure, token or side_effect")),
+        _ => Err(SettingsObject::error(
+            "classes.effect",
+            "pure, token or side_effect",
+        )),
     }
 }
 
-fn decode_deduplication_scope(class: Node) -> Result<DeduplicationScope, FieldError> {
+fn decode_deduplication_scope(class: SettingsObject) -> Result<DeduplicationScope, FieldError> {
     match class.string("group")? {
         "all" => Ok(DeduplicationScope::All),
         "zone" => Ok(DeduplicationScope::Zone),
         "cell" => Ok(DeduplicationScope::Cell),
-        _ => Err(Node::error("classes.group", "all, zone or cell")),
+        _ => Err(SettingsObject::error("classes.group", "all, zone or cell")),
     }
 }
 
 /// The topology level of the spread limit of a class, or none if the class has no limit.
-fn decode_spread_level(root: Node, class: usize) -> Result<Option<TopologyLevel>, FieldError> {
+fn decode_spread_level(
+    root: SettingsObject,
+    class: usize,
+) -> Result<Option<TopologyLevel>, FieldError> {
     let level = root
         .array("domain.spreadOver")?
         .get(class)
@@ -168,21 +174,21 @@
         Some("machine") => Ok(Some(TopologyLevel::Machine)),
         Some("cell") => Ok(Some(TopologyLevel::Cell)),
         Some("zone") => Ok(Some(TopologyLevel::Zone)),
-        _ => Err(Node::error(
+        _ => Err(SettingsObject::error(
             "domain.spreadOver",
-            "silent, machine, cell or zone for each class",
+            "silent (no limit), machine, cell or zone for each class",
         )),
     }
 }
 
-fn decode_machine_kind(root: Node, index: usize) -> Result<Resources, FieldError> {
+fn decode_machine_kind(root: SettingsObject, index: usize) -> Result<Resources, FieldError> {
     Ok(Resources {
         cores: root.number_at("domain.kindCores", index)?,
         memory: root.number_at("domain.memoryByKind", index)?,
     })
 }
 
-/// The part of the settings object that the placer itself uses, besides the policy's part.
+/// The part of the settings object that the placer uses outside the policy.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The names of the task classes.
@@ -201,22 +207,22 @@
     pub are_probes_charged: bool,
 }
 
-/// Decodes the part of the settings object that the placer itself uses.
+/// Decodes the part of the settings object that the placer uses outside the policy.
 ///
 /// # Errors
 ///
 /// Returns an error that names the first key that is missing or invalid.
 pub fn decode_platform_settings(settings: &Value) -> Result<PlatformSettings, FieldError> {
-    let root = Node::root(settings);
+    let root = SettingsObject::new(settings);
     let max_deadline_ms = root
         .array("classes")?
         .iter()
-        .map(|class| Node::root(class).number_or("giveUpMs", f64::INFINITY))
+        .map(|class| SettingsObject::new(class).number_or("giveUpMs", f64::INFINITY))
         .try_fold(0.0, |longest: f64, deadline_ms| {
             deadline_ms.map(|deadline_ms| longest.max(deadline_ms))
         })?;
     Ok(PlatformSettings {
-        max_deadline: micros(max_deadline_ms),
+        max_deadline: micros_from_ms(max_deadline_ms),
         are_probes_charged: root.bool("allowed.probes")?
             && root.number_or("fees.probe", 0.0)? > 0.0,
         class_names: root.strings("classes", |class| class.get("name")?.as_str())?,
--- a/crates/platform-settings/src/settings_object.rs
+++ b/crates/platform-settings/src/settings_object.rs
@@ -3,19 +3,18 @@
 use maplethread::Micros;
 use serde_json::Value;
 
-use crate::{FieldError, micros};
+use crate::{FieldError, micros_from_ms};
 
 /// The name of the message that contains the settings object, for errors.
 const MESSAGE: &str = "LAUNCH";
 
-/// An object within the settings. Its values are accessed by paths such as `domain.ack`.
+/// A JSON object: the settings object or one within it. Its values are accessed by paths such as `domain.ack`.
 #[derive(Clone, Copy)]
-pub(crate) struct Node<'a>(&'a Value);
+pub(crate) struct SettingsObject<'a>(&'a Value);
 
-impl<'a> Node<'a> {
-    /// Creates a node for an object, relative to which paths are resolved.
-    pub(crate) fn root(object: &'a Value) -> Node<'a> {
-        Node(object)
+impl<'a> SettingsObject<'a> {
+    pub(crate) fn new(object: &'a Value) -> SettingsObject<'a> {
+        SettingsObject(object)
     }
 
     /// Creates the error of a value that is missing or invalid.
@@ -37,7 +36,7 @@
     ) -> Result<T, FieldError> {
         self.find(path)
             .and_then(read)
-            .ok_or_else(|| Node::error(path, expected))
+            .ok_or_else(|| SettingsObject::error(path, expected))
     }
 
     pub(crate) fn number(self, path: &str) -> Result<f64, FieldError> {
@@ -53,12 +52,12 @@
         self.array(path)?
             .get(index)
             .and_then(Value::as_f64)
-            .ok_or_else(|| Node::error(path, "a number for each class or machine type"))
+            .ok_or_else(|| SettingsObject::error(path, "a number for each class or machine type"))
     }
 
     /// A duration that is given in milliseconds.
     pub(crate) fn duration(self, path: &str) -> Result<Micros, FieldError> {
-        self.number(path).map(micros)
+        self.number(path).map(micros_from_ms)
     }
 
     /// A duration above zero that is given in milliseconds.
@@ -66,7 +65,7 @@
         self.require(path, "milliseconds above 0", |value| {
             value.as_f64().filter(|&ms| ms > 0.0)
         })
-        .map(micros)
+        .map(micros_from_ms)
     }
 
     pub(crate) fn integer(self, path: &str) -> Result<u32, FieldError> {
@@ -83,7 +82,7 @@
         self.require(path, "a string", Value::as_str)
     }
 
-    /// The value that `choices` assigns to the string at `path`. Other strings are invalid.
+    /// Maps the string at `path` to its value in `choices`. Other strings are invalid.
     pub(crate) fn one_of<T: Copy>(
         self,
         path: &str,
@@ -95,7 +94,7 @@
             .iter()
             .find(|(choice, _)| *choice == text)
             .map(|&(_, value)| value)
-            .ok_or_else(|| Node::error(path, expected))
+            .ok_or_else(|| SettingsObject::error(path, expected))
     }
 
     pub(crate) fn array(self, path: &str) -> Result<&'a [Value], FieldError> {
--- a/crates/platform-wire/src/owner.rs
+++ b/crates/platform-wire/src/owner.rs
@@ -295,7 +295,7 @@
     amount.filter(|&amount| amount > 0.0 && amount <= MAX_AMOUNT)
 }
 
-/// A string, or a number as it is written in the JSON text.
+/// The text of a string, or of a number in JSON notation. None for other values.
 fn text_or_number(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.clone()),
@@ -304,7 +304,7 @@
     }
 }
 
-/// A number, or a string that contains one.
+/// The value of a number, or of a string that contains one. None for other values.
 fn parse_number(value: Option<&Value>) -> Option<f64> {
     match value? {
         Value::String(text) => text.parse().ok(),
--- a/crates/platform/src/channel_poll/tests.rs
+++ b/crates/platform/src/channel_poll/tests.rs
@@ -142,7 +142,8 @@
             has_response = batch.is_some();
             break;
         }
-        // The platform's acceptance test requires that a silent channel is detected within 2 s of the end of the wait.
+        // The platform's acceptance test requires that a channel that does not respond is detected within 2 s of the end of
+        // the wait.
         let due = channel.next_timeout();
         assert!(due <= now + LONG_POLL_WAIT + 2_000 * MS);
         channel.handle_timeout(due);
--- a/crates/platform/src/engine/attempts.rs
+++ b/crates/platform/src/engine/attempts.rs
@@ -41,8 +41,8 @@
             .hosts
             .get(&machine)
             .is_some_and(|host| host.state == MachineState::Ready);
-        // Answers carry the id of the task but not of the attempt, and a duplicate of the answer to an earlier attempt may
-        // arrive late. A new connection for each attempt keeps it from being matched to this attempt.
+        // Answers contain the id of the task but not of the attempt, and a copy of the answer to an earlier attempt may
+        // arrive late. Each attempt uses another connection, so that such a copy is not taken for the answer to this one.
         let connection = if is_ready && is_pending {
             self.select_connection(now, machine, &used_connections)
         } else {
@@ -98,7 +98,7 @@
         };
         host::encode(&mut bytes, &message);
         self.outputs.push(Output::SendToHost(connection, bytes));
-        self.expect_answer(now, connection);
+        self.schedule_probe_if_unanswered(now, connection);
     }
 
     /// The attempt with this id, if it is in flight.
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Cancels the task's attempt, with a close to the host if it was sent, and reports its outcome to the policy. An
-    /// attempt that was never sent is reported as `ConnectFailed`, whatever `outcome` is.
+    /// Cancels the task's attempt and reports its end to the policy. If the attempt was sent, the host gets a close and the
+    /// policy gets `outcome`. If it was never sent, the policy gets `ConnectFailed` instead of `outcome`.
     pub(super) fn abandon_attempt(
         &mut self,
         task: TaskId,
@@ -173,7 +173,8 @@
             closes_task,
             load: None,
         };
-        self.events.push(Event::AttemptFinished { attempt, result });
+        self.policy_events
+            .push(Event::AttemptFinished { attempt, result });
     }
 
     /// Marks a request as no longer pending, because it was answered or cancelled. Returns whether it was pending.
--- a/crates/platform/src/engine/connections.rs
+++ b/crates/platform/src/engine/connections.rs
@@ -14,8 +14,8 @@
 /// A connection to a host with running tasks is probed when nothing was received on it for this time. Hosts answer probes
 /// at once: a probe that is not answered within the connect timeout of the settings has failed.
 pub(super) const IDLE_PROBE_INTERVAL: Micros = 1_000_000;
-/// The probe interval where probes are charged for: just short enough to detect the failure of a single host within
-/// `UNREACHABLE_TIMEOUT`.
+/// The probe interval on platforms that charge for probes. It is only just short enough to detect the failure of a single
+/// host within `UNREACHABLE_TIMEOUT`.
 const CHARGED_PROBE_INTERVAL: Micros = 2_500_000;
 /// Delay between the loss of a connection to a host with running tasks and the next connect. A host sends the release of a
 /// task on the connection on which the task was placed, and repeats it only on the next connection that is opened. If that
@@ -32,7 +32,7 @@
     pub(super) is_established: bool,
     /// Tasks with an attempt that was sent on the connection, or that will be sent once it is established.
     pub(super) attempts: BTreeSet<TaskId>,
-    /// When data was last received; until then, when the connection was opened or established.
+    /// When data was last received. Before the first data: when the connection was established, or else opened.
     pub(super) last_received: Micros,
     /// A probe was sent and not answered yet.
     pub(super) is_probe_pending: bool,
@@ -208,8 +208,8 @@
             }
             return;
         }
-        // A draining process refuses new connections while its tasks continue. A refusal shows that the process has died
-        // only if an earlier connection to the same process was established.
+        // A draining process refuses new connections while its tasks continue. So a refused connection means that the
+        // process has terminated only if the process had accepted an earlier connection.
         let is_refused = reason == DisconnectReason::Refused;
         if is_refused && host.state == MachineState::Draining {
             host.record_alive(now);
@@ -258,32 +258,32 @@
         else {
             return;
         };
-        let silence_us = now.saturating_sub(connection.last_received);
+        let idle_us = now.saturating_sub(connection.last_received);
         if !connection.is_established || connection.is_probe_pending {
             tracing::debug!(
                 connection = id.0,
                 established = connection.is_established,
-                silence = silence_us,
+                silence = idle_us,
                 "connection timed out"
             );
-            return self.handle_unanswered_connection(now, id);
+            return self.handle_connection_timeout(now, id);
         }
         let host = self.host_table.hosts.get(&connection.machine);
         let has_running_tasks = host.is_some_and(|host| !host.running.is_empty());
         let is_gone = host.is_none_or(|host| host.state == MachineState::Gone);
         let has_attempts = !connection.attempts.is_empty();
-        let is_answer_overdue = has_attempts && silence_us >= connect_timeout;
-        if is_answer_overdue || has_running_tasks && silence_us >= probe_interval {
+        let is_answer_overdue = has_attempts && idle_us >= connect_timeout;
+        if is_answer_overdue || has_running_tasks && idle_us >= probe_interval {
             self.probe_connection(now, id);
         } else if !has_running_tasks
             && !has_attempts
-            && (is_gone || silence_us >= self.settings.idle_timeout / 2)
+            && (is_gone || idle_us >= self.settings.idle_timeout / 2)
         {
             self.close_connection(now, id);
         } else {
             let next_check = if has_attempts {
                 now + connect_timeout
-            } else if silence_us < probe_interval {
+            } else if idle_us < probe_interval {
                 connection.last_received + probe_interval
             } else {
                 now + probe_interval
--- a/crates/platform/src/engine/early_results.rs
+++ b/crates/platform/src/engine/early_results.rs
@@ -1,5 +1,5 @@
-//! Results of tasks that are not in the task table. The result of a running task may arrive before its owner hands the
-//! task over to this placer, since hosts and owners use separate connections.
+//! Early results: results of tasks that are not in the task table yet. The result of a running task may arrive before its
+//! owner hands the task over to this placer, since hosts and owners use separate connections.
 
 use std::collections::VecDeque;
 use std::collections::hash_map::{Entry, HashMap};
@@ -14,16 +14,16 @@
 /// The maximum number of results kept; beyond it the oldest are dropped.
 const MAX_RETAINED: usize = 1 << 13;
 
-/// The result of a task that is not in the task table.
+/// The result of a task that is not in the task table yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EarlyResult {
     /// This host reported the end of the task, with this cause.
-    HostReported(MachineId, Cause),
+    ReportedByHost(MachineId, Cause),
     /// The owner closed the task, with this cause.
-    OwnerRequested(Cause),
+    ClosedByOwner(Cause),
 }
 
-/// Results of tasks that are not in the task table, by set-up id.
+/// Results of tasks that are not in the task table yet, by set-up id.
 #[derive(Default)]
 pub(super) struct EarlyResults {
     by_setup_id: HashMap<SetupId, (Micros, EarlyResult)>,
--- a/crates/platform/src/engine/failure_detection.rs
+++ b/crates/platform/src/engine/failure_detection.rs
@@ -1,7 +1,7 @@
-//! Detection of failed hosts. Neither a failed machine nor one behind a network partition answers, but the tasks of the
-//! latter continue. The old connection distinguishes the two: it resumes if the host's process is still the same, and breaks
-//! if it is not. So a connection whose probe fails is kept open while tasks run on its host. The policy is informed that the
-//! host is disconnected, and makes it no offers until it is connected again.
+//! Detection of failed hosts. A failed machine does not answer, and neither does one behind a network partition, but the
+//! tasks of the latter continue. The old connection distinguishes the two cases later: it resumes if the host's process is
+//! still the same, and breaks if it is not. So a connection whose probe fails is kept open while tasks run on its host. The
+//! policy gets an event that the host is disconnected, and makes it no offers until it is connected again.
 
 use maplethread::{AttemptOutcome, Event, MachineId, MachineState, Micros, TaskId};
 use maplethread_engine::Decide;
@@ -13,9 +13,9 @@
 
 /// The tasks of a host that has been unreachable for this time have failed.
 const UNREACHABLE_TIMEOUT: Micros = 3_000_000;
-/// The tasks of an unreachable host have also failed after this many consecutive connects that were not established within
-/// the connect timeout of the settings. A paused process still accepts connections, so such connects mean that the machine
-/// is down; its tasks are not running, and their owners should be notified early.
+/// The tasks of an unreachable host have also failed after this many consecutive connects that did not complete within the
+/// connect timeout of the settings. A paused process still accepts connections, so such connects mean that the machine is
+/// down and its tasks do not run, and their owners should be notified early.
 const MAX_FAILED_CONNECTS: u32 = 3;
 /// Machines usually fail independently. A network partition is assumed if at least this many hosts with running tasks are
 /// unreachable at the same time, and at least one in `PARTITION_FRACTION_DIVISOR` of all hosts with running tasks. The tasks
@@ -29,10 +29,11 @@
 const PARTITION_TIMEOUT: Micros = 7_000_000;
 
 impl<D: Decide> Engine<D> {
-    /// Schedules a probe of a connection for the case that nothing arrives on it within the connect timeout of the settings.
+    /// Schedules a probe of a connection on which an answer is expected, in case nothing arrives on it within the connect
+    /// timeout of the settings.
     /// A host sends the release of a task on the connection on which the task was placed, and the platform protocol requires
     /// that owners receive releases within 1 s, so a dead connection has to be detected before the attempt times out.
-    pub(super) fn expect_answer(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn schedule_probe_if_unanswered(&mut self, now: Micros, id: ConnectionId) {
         let answer_due = now + self.settings.connect_timeout;
         let is_next_check_later = self.connections.get(&id).is_some_and(|connection| {
             connection.is_established
@@ -45,7 +46,7 @@
     }
 
     /// Handles a connection that was not established in time, or whose probe was not answered.
-    pub(super) fn handle_unanswered_connection(&mut self, now: Micros, id: ConnectionId) {
+    pub(super) fn handle_connection_timeout(&mut self, now: Micros, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
@@ -66,8 +67,8 @@
                 self.abandon_attempt(task, AttemptOutcome::Disconnected, false);
             }
             if was_unresponsive {
-                // The first probe may have been lost when the host's process died. If another process has replaced it, the
-                // connection breaks when this probe arrives.
+                // The first probe may have been lost when the host's process terminated. If a new process runs there now,
+                // the connection breaks when this probe arrives.
                 self.send_probe(id);
             }
         }
@@ -86,7 +87,7 @@
         if let Some(host) = self.host_table.hosts.get_mut(&machine)
             && !std::mem::replace(&mut host.is_unreachable, true)
         {
-            self.events.push(Event::ConnectionChanged {
+            self.policy_events.push(Event::ConnectionChanged {
                 machine,
                 is_connected: false,
             });
@@ -97,7 +98,7 @@
         if let Some(host) = self.host_table.hosts.get_mut(&machine)
             && std::mem::take(&mut host.is_unreachable)
         {
-            self.events.push(Event::ConnectionChanged {
+            self.policy_events.push(Event::ConnectionChanged {
                 machine,
                 is_connected: true,
             });
@@ -114,7 +115,7 @@
             // The host was unreachable, so its process may have been replaced.
             host.is_identity_unverified = true;
         } else if !host.is_identity_unverified {
-            // No connect to the host has failed, so at most the old connection broke; this one replaces it.
+            // No connect to the host has failed, so at most the old connection broke. The new connection replaces it.
             host.record_alive(now);
             self.close_unresponsive_connections(now, machine);
         }
@@ -170,8 +171,8 @@
         self.close_unresponsive_connections(now, machine);
     }
 
-    /// Closes the unresponsive connections of a host. They were kept to find out whether its process is still the same, and
-    /// that is settled now.
+    /// Closes the unresponsive connections of a host. They were kept open to find out whether its process is still the same,
+    /// and are no longer needed for that.
     fn close_unresponsive_connections(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return;
@@ -237,7 +238,7 @@
             .schedule(now + interval, Timer::HostCheck(machine));
     }
 
-    /// Checks a host that runs tasks or is unreachable, and fails its tasks if it has shown no activity for too long.
+    /// Checks a host that runs tasks or is unreachable, fails its tasks if they count as failed, and reconnects.
     pub(super) fn check_host(&mut self, now: Micros, machine: MachineId) {
         let Some(host) = self.host_table.hosts.get_mut(&machine) else {
             return;
@@ -274,16 +275,17 @@
         }
     }
 
-    /// Whether a host has shown no activity for so long that its tasks have failed.
+    /// Whether the tasks of an inactive host count as failed: the timeout that applies to the host is over, or too many
+    /// connects to it have failed.
     fn has_failed(&self, now: Micros, machine: MachineId) -> bool {
         let Some(host) = self.host_table.hosts.get(&machine) else {
             return false;
         };
-        let silence = now.saturating_sub(host.last_alive);
+        let inactive_us = now.saturating_sub(host.last_alive);
         if host.is_identity_unverified || self.is_partitioned() {
-            silence >= PARTITION_TIMEOUT
+            inactive_us >= PARTITION_TIMEOUT
         } else {
-            silence >= UNREACHABLE_TIMEOUT || host.failed_connects >= MAX_FAILED_CONNECTS
+            inactive_us >= UNREACHABLE_TIMEOUT || host.failed_connects >= MAX_FAILED_CONNECTS
         }
     }
 }
--- a/crates/platform/src/engine/host_messages.rs
+++ b/crates/platform/src/engine/host_messages.rs
@@ -77,7 +77,7 @@
             ToOwner::Ready { id, description },
         ));
         self.record_owner_placement(owner);
-        self.events.push(Event::AttemptAccepted {
+        self.policy_events.push(Event::AttemptAccepted {
             attempt: attempt.id(task),
             elapsed: Some(now.saturating_sub(attempt.offered_at)),
         });
@@ -100,7 +100,7 @@
             // With other causes the message is the answer to a set-up, not the result of a running task.
             if matches!(cause, Cause::NORMAL | Cause::RESET | Cause::CANCELLED) {
                 self.early_results
-                    .insert(now, id, EarlyResult::HostReported(machine, cause));
+                    .insert(now, id, EarlyResult::ReportedByHost(machine, cause));
             }
             return;
         };
@@ -155,7 +155,7 @@
             | ReportCode::Preempted
             | ReportCode::Drained => return,
         };
-        self.events.push(Event::TaskReported {
+        self.policy_events.push(Event::TaskReported {
             attempt: placement.attempt(task),
             report,
         });
--- a/crates/platform/src/engine/host_table.rs
+++ b/crates/platform/src/engine/host_table.rs
@@ -5,7 +5,7 @@
 
 use maplethread::{Event, MachineEntry, MachineId, MachineState, Micros, TaskId, UpdateScope};
 use maplethread_platform_settings::host_names::stable_hash;
-use maplethread_platform_settings::{HostNames, micros};
+use maplethread_platform_settings::{HostNames, micros_from_ms};
 use maplethread_platform_wire::command_channel::{HostEntry, HostListUpdate, HostStatus};
 
 use super::output::ConnectionId;
@@ -25,7 +25,7 @@
     pub(super) running: BTreeSet<TaskId>,
     /// When the process that runs the tasks was last known to be alive, or when the first of its tasks started.
     pub(super) last_alive: Micros,
-    /// Consecutive failed connects since `last_alive`.
+    /// The number of consecutive failed connects since `last_alive`.
     pub(super) failed_connects: u32,
     /// A check of the host is scheduled.
     pub(super) is_check_scheduled: bool,
@@ -33,7 +33,7 @@
     pub(super) was_connected: bool,
     /// When an established connection to the host was last lost.
     pub(super) last_disconnected: Micros,
-    /// No connection to the host is responsive, and the policy was informed of that.
+    /// No connection to the host is responsive, and the policy has received the event for that.
     pub(super) is_unreachable: bool,
     /// The host was unreachable and answers again, but its process may have been replaced meanwhile.
     pub(super) is_identity_unverified: bool,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Records that the host is known to be alive, or counts its inactivity from now on.
+    /// Records that the host is alive, or starts to measure its inactivity from now on.
     pub(super) fn record_alive(&mut self, now: Micros) {
         self.last_alive = now;
         self.failed_connects = 0;
@@ -161,7 +161,7 @@
             HostStatus::Leaving => MachineState::Draining,
             HostStatus::Left => MachineState::Gone,
         };
-        let started_at = (entry.since_ms > 0.0).then(|| micros(entry.since_ms));
+        let started_at = (entry.since_ms > 0.0).then(|| micros_from_ms(entry.since_ms));
         let machine = self.id_or_insert(&entry.name, now);
         let host = self.hosts.get_mut(&machine)?;
         let stops_accepting_tasks = host.state != state && state != MachineState::Ready;
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -43,7 +43,7 @@
 
 /// The maximum number of policy turns in one turn of the engine. Actions that fail at once cause further policy turns.
 const MAX_POLICY_TURNS: usize = 8;
-/// The default limit on the bytes of descriptions held at a time; beyond it set-ups are rejected.
+/// The default limit on the total bytes of the descriptions in the task table; beyond it set-ups are rejected.
 const MAX_DESCRIPTION_BYTES: usize = 8 << 20;
 
 /// The sizes of the engine's tables, to check that entries do not leak.
@@ -57,9 +57,9 @@
     pub hosts: usize,
     /// Scheduled timers, including those that are obsolete.
     pub timers: usize,
-    /// Releases that are queued because there was no owner to send them to.
+    /// Releases that are queued until there is an owner to which they can be sent.
     pub pending_releases: usize,
-    /// Results of tasks that are not in the task table.
+    /// Results that arrived before their tasks were handed over to this placer.
     pub early_results: usize,
 }
 
@@ -73,23 +73,23 @@
     connections: HashMap<ConnectionId, HostConnection>,
     last_connection_id: u64,
     owners: HashMap<OwnerId, Owner>,
-    /// The most recently active owner that has placed a task. Messages for owners that are not connected are sent to it.
+    /// The most recently active owner that has placed a task. It gets the messages for owners that are not connected.
     fallback_owner: Option<OwnerId>,
     tasks: TaskTable,
     max_description_bytes: usize,
     /// Requests that have not been passed to the policy yet.
     admission_queue: AdmissionQueue,
-    /// Results of tasks that are not in the task table.
+    /// Results that arrived before their tasks were handed over to this placer.
     early_results: EarlyResults,
-    /// Releases that are queued because there was no owner to send them to.
+    /// Releases that are queued until there is an owner to which they can be sent.
     pending_releases: PendingReleases,
     timers: Timers<Timer>,
-    events: Vec<Event>,
-    actions: Vec<Action>,
+    policy_events: Vec<Event>,
+    policy_actions: Vec<Action>,
     outputs: Vec<Output>,
     /// The number of the last applied event of the command channel.
     cursor: u64,
-    /// While the process drains: when all pending requests are answered.
+    /// While the process drains: when requests that are still pending are answered as failed.
     draining_until: Option<Micros>,
     /// Set during shutdown: new requests are rejected at once.
     is_rejecting_requests: bool,
@@ -120,8 +120,8 @@
             early_results: EarlyResults::default(),
             pending_releases: PendingReleases::default(),
             timers: Timers::default(),
-            events: Vec::new(),
-            actions: Vec::new(),
+            policy_events: Vec::new(),
+            policy_actions: Vec::new(),
             outputs: Vec::new(),
             cursor: 0,
             draining_until: None,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Sets the limit on the bytes of descriptions held at a time.
+    /// Sets the limit on the total bytes of the descriptions in the task table.
     pub fn set_max_description_bytes(&mut self, bytes: usize) {
         self.max_description_bytes = bytes;
     }
@@ -146,7 +146,7 @@
                 continue;
             };
             let (event, changed) = self.host_table.apply_update(hosts, now);
-            self.events.push(event);
+            self.policy_events.push(event);
             for machine in changed {
                 self.apply_host_change(now, machine);
             }
@@ -162,7 +162,7 @@
 
     /// When the next turn is due if no input arrives before.
     pub fn next_timeout(&self) -> Option<Micros> {
-        if self.events.is_empty() && self.admission_queue.is_empty() {
+        if self.policy_events.is_empty() && self.admission_queue.is_empty() {
             self.timers.next_due_at()
         } else {
             Some(0)
@@ -208,18 +208,18 @@
         }
         self.admit_requests();
         for _ in 0..MAX_POLICY_TURNS {
-            if self.events.is_empty() {
+            if self.policy_events.is_empty() {
                 break;
             }
-            let events = std::mem::take(&mut self.events);
-            let mut actions = std::mem::take(&mut self.actions);
+            let events = std::mem::take(&mut self.policy_events);
+            let mut actions = std::mem::take(&mut self.policy_actions);
             tracing::trace!(?events, "policy events");
             self.policy.turn(now, &events, &mut actions);
             tracing::trace!(?actions, "policy actions");
             for action in actions.drain(..) {
                 self.perform_action(now, action);
             }
-            self.actions = actions;
+            self.policy_actions = actions;
         }
         if self.draining_until.is_some_and(|deadline| deadline <= now) {
             self.fail_pending_requests();
@@ -228,7 +228,7 @@
 
     fn handle_timer(&mut self, now: Micros, timer: Timer) {
         match timer {
-            Timer::Policy(label) => self.events.push(Event::TimerFired { label }),
+            Timer::Policy(label) => self.policy_events.push(Event::TimerFired { label }),
             Timer::AttemptTimeout(attempt) => self.handle_attempt_timeout(now, attempt),
             Timer::ConnectionCheck(connection) => self.check_connection(now, connection),
             Timer::DelayedConnect(connection) => self.open_delayed_connection(now, connection),
@@ -270,11 +270,11 @@
         }
     }
 
-    /// Answers all pending requests with an error, which leaves open whether the task has run. Used when draining ends.
+    /// Answers all pending requests with an error, which does not say whether the task has run. Used when draining ends.
     fn fail_pending_requests(&mut self) {
         for task in self.tasks.pending_ids() {
             self.send_final_answer(task, Cause::ERROR);
-            self.events.push(Event::ClientDisconnected(task));
+            self.policy_events.push(Event::ClientDisconnected(task));
         }
     }
 }
--- a/crates/platform/src/engine/output.rs
+++ b/crates/platform/src/engine/output.rs
@@ -23,8 +23,8 @@
     Connect(ConnectionId, SocketAddr),
     /// Send bytes to a host.
     SendToHost(ConnectionId, Vec<u8>),
-    /// Send bytes that end an attempt or a task, and write them before any later output, because the attempt is in flight
-    /// until they are written. If the connection does not accept them at once, close it.
+    /// Send bytes that end an attempt or a task, and write them before any later output is performed: the attempt counts as
+    /// in flight until they are written. If not all of them can be written at once, close the connection.
     SendToHostImmediately(ConnectionId, Vec<u8>),
     /// Close a connection to a host.
     CloseConnection(ConnectionId),
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -11,16 +11,16 @@
 use super::output::{Output, OwnerId};
 use super::timer::Timer;
 
-/// A connection on which no valid message was received within this time is closed. The platform's acceptance test requires
-/// that within 3 s.
-const OWNER_SILENCE_TIMEOUT: Micros = 2_500_000;
+/// An owner's connection is closed if its first valid message does not arrive within this time. The platform's acceptance
+/// test requires the close within 3 s.
+const FIRST_MESSAGE_TIMEOUT: Micros = 2_500_000;
 
 /// An owner's connection.
 #[derive(Default)]
 pub(super) struct Owner {
     /// The owner has sent a request, a running task or a probe.
     pub(super) has_sent_valid_message: bool,
-    /// One of the owner's tasks was placed, so it is not a client that only sends requests which fail.
+    /// One of the owner's tasks was placed. Clients that send only requests that fail get no releases of other owners.
     pub(super) has_placed_task: bool,
     /// Requests that have not been answered.
     pub(super) pending: BTreeSet<TaskId>,
@@ -39,11 +39,12 @@
         };
         self.owners.insert(id, owner);
         self.timers
-            .schedule(now + OWNER_SILENCE_TIMEOUT, Timer::OwnerCheck(id));
+            .schedule(now + FIRST_MESSAGE_TIMEOUT, Timer::OwnerCheck(id));
     }
 
-    /// The connection to close first when descriptors run out, never one with a pending request: one that has sent no
-    /// valid message, else one that has placed no task, and of several the one on which the last message is the oldest.
+    /// The owner's connection to close first when descriptors run out: one that has sent no valid message, else one that has
+    /// placed no task, else any other. Of several such connections it is the one whose last message is the oldest.
+    /// Connections with a pending request are never closed.
     pub fn lowest_priority_owner(&self) -> Option<OwnerId> {
         self.owners
             .iter()
@@ -141,7 +142,7 @@
     }
 
     /// Rejects a set-up that was not accepted as a request. If a request with the same id is pending on the same connection,
-    /// the owner could not tell the two answers apart, so the connection is closed.
+    /// the answers to both would have the same id, so the connection is closed instead.
     pub(super) fn reject_setup(&mut self, owner: OwnerId, id: SetupId, cause: Cause) {
         let is_pending_here = self
             .tasks
--- a/crates/platform/src/engine/releases.rs
+++ b/crates/platform/src/engine/releases.rs
@@ -23,7 +23,7 @@
     cause: Cause,
 }
 
-/// Releases that are queued because there was no owner to send them to, the oldest first.
+/// Releases that are queued until there is an owner to which they can be sent, the oldest first.
 #[derive(Default)]
 pub(super) struct PendingReleases(VecDeque<PendingRelease>);
 
--- a/crates/platform/src/engine/requests.rs
+++ b/crates/platform/src/engine/requests.rs
@@ -2,7 +2,7 @@
 
 use maplethread::{AttemptOutcome, Event, Micros, Resources, ServiceId, Task, TaskId};
 use maplethread_engine::Decide;
-use maplethread_platform_settings::micros;
+use maplethread_platform_settings::micros_from_ms;
 use maplethread_platform_wire::owner::Setup;
 use maplethread_platform_wire::{Cause, SetupId};
 
@@ -54,8 +54,8 @@
         if self.is_rejecting_requests || !self.has_capacity(&setup) {
             return self.reject_setup(owner, id, Cause::NO_CAPACITY);
         }
-        let deadline = now + micros(setup.answer_timeout_ms.unwrap_or(0.0));
-        // Owners resubmit tasks without marking them; a recently used task name identifies a resubmission.
+        let deadline = now + micros_from_ms(setup.answer_timeout_ms.unwrap_or(0.0));
+        // Not all owners mark the tasks that they resubmit, so a task name that was used recently identifies one too.
         let is_recent_name = self.tasks.record_name(now, &setup.task_name);
         let is_resubmission = is_recent_name || setup.is_resubmission;
         let task = build_task(class, &setup, deadline);
@@ -99,7 +99,7 @@
             else {
                 return;
             };
-            self.events.push(Event::PlacementRequested(task));
+            self.policy_events.push(Event::PlacementRequested(task));
         }
     }
 
@@ -124,10 +124,11 @@
         if self.tasks.id_by_setup(id).is_some() || self.tasks.len() >= MAX_TASKS {
             return;
         }
-        // The task's result may have arrived before: from its host on the first connection, from its owner on any.
+        // The task's result may have arrived before the handover: from its host, which sends it on the first connection to
+        // this process, or from its owner, on any connection.
         let early_result = self.early_results.take(now, id);
         let machine = self.host_table.id_or_insert(&host, now);
-        if let Some(EarlyResult::HostReported(reporter, cause)) = early_result
+        if let Some(EarlyResult::ReportedByHost(reporter, cause)) = early_result
             && reporter == machine
         {
             return self.notify_release(now, owner, id, cause);
@@ -142,10 +143,11 @@
             id: task_id,
             ..task
         };
-        self.events.push(Event::TaskAdopted { task, machine });
+        self.policy_events
+            .push(Event::TaskAdopted { task, machine });
         self.record_running_task(now, task_id, machine);
         self.record_owner_placement(owner);
-        if let Some(EarlyResult::OwnerRequested(cause)) = early_result {
+        if let Some(EarlyResult::ClosedByOwner(cause)) = early_result {
             self.handle_owner_close(now, id, cause);
         }
     }
@@ -153,7 +155,7 @@
     /// Handles an owner's close, which cancels a request or ends a running task.
     pub(super) fn handle_owner_close(&mut self, now: Micros, id: SetupId, cause: Cause) {
         let Some(task) = self.tasks.id_by_setup(id) else {
-            let result = EarlyResult::OwnerRequested(cause);
+            let result = EarlyResult::ClosedByOwner(cause);
             return self.early_results.insert(now, id, result);
         };
         let Some(entry) = self.tasks.get_mut(task) else {
@@ -171,7 +173,7 @@
     /// Cancels a pending request; it gets no answer.
     pub(super) fn cancel_request(&mut self, task: TaskId) {
         if self.clear_pending(task) {
-            self.events.push(Event::ClientDisconnected(task));
+            self.policy_events.push(Event::ClientDisconnected(task));
             self.abandon_attempt(task, AttemptOutcome::Cancelled, true);
             self.tasks.remove_if_finished(task);
         }
@@ -188,7 +190,7 @@
             cores: setup.cores,
             memory: setup.memory,
         },
-        expected_duration: setup.expected_duration_ms.map(micros),
+        expected_duration: setup.expected_duration_ms.map(micros_from_ms),
         deadline,
         is_resubmission: setup.is_resubmission,
     }
--- a/crates/platform/src/engine/running_tasks.rs
+++ b/crates/platform/src/engine/running_tasks.rs
@@ -51,7 +51,7 @@
         self.tasks.remove_if_finished(task);
     }
 
-    /// Fails the tasks of a host whose start times `is_lost` selects.
+    /// Fails those tasks of a host for whose start time `is_lost` returns true.
     pub(super) fn fail_running_tasks(
         &mut self,
         now: Micros,
@@ -150,7 +150,7 @@
             if connections.is_empty() {
                 self.fail_running_tasks(now, machine, |_| true);
             }
-            // A removed machine may not close its connections, so they are probed at once.
+            // A removed machine may have stopped without closing its connections, so they are probed at once.
             for connection in connections {
                 self.probe_connection(now, connection);
             }
--- a/crates/platform/src/engine/task_table.rs
+++ b/crates/platform/src/engine/task_table.rs
@@ -83,7 +83,7 @@
     pub(super) attempt_count: u32,
     pub(super) in_flight: Option<Attempt>,
     pub(super) placement: Option<Placement>,
-    /// While the task is pending: the connections of all its attempts.
+    /// While the task is pending: the connections of all its attempts so far, which further attempts must not use.
     pub(super) used_connections: Vec<ConnectionId>,
 }
 
--- a/crates/platform/src/engine/tests/hosts.rs
+++ b/crates/platform/src/engine/tests/hosts.rs
@@ -19,7 +19,7 @@
     let outputs = harness.turn();
     assert!(
         connects(&outputs).next().is_none(),
-        "reconnected before the host can have noticed the loss: {outputs:?}"
+        "reconnected before the host can have detected the loss: {outputs:?}"
     );
     assert!(harness.engine.connections.contains_key(&second));
     let third = first_connect(&harness.advance(25 * MS));
--- a/crates/platform/src/engine/tests/race_conditions.rs
+++ b/crates/platform/src/engine/tests/race_conditions.rs
@@ -223,7 +223,7 @@
         let mut settings = settings();
         settings["allowed"]["probes"] = json!(true);
         settings["fees"] = json!({"probe": probe_fee});
-        let mut harness = Harness::with(&settings);
+        let mut harness = Harness::with_settings(&settings);
         let (_, connection) = harness.start_task(7);
         let mut count = 0;
         for _ in 0..100 {
--- a/crates/platform/src/engine/tests/support.rs
+++ b/crates/platform/src/engine/tests/support.rs
@@ -68,10 +68,10 @@
 impl Harness {
     /// An engine with host `a` listed and owners `A` and `B` connected.
     pub(super) fn new() -> Harness {
-        Harness::with(&settings())
+        Harness::with_settings(&settings())
     }
 
-    pub(super) fn with(settings: &Value) -> Harness {
+    pub(super) fn with_settings(settings: &Value) -> Harness {
         let (policy_settings, _) = decode_policy_settings(settings).expect("valid settings");
         let platform_settings = decode_platform_settings(settings).expect("valid settings");
         let policy = ScriptedPolicy::default();
@@ -166,7 +166,9 @@
 
     /// Queues an event, without which the policy gets no turn.
     pub(super) fn wake_policy(&mut self) {
-        self.engine.events.push(Event::TimerFired { label: 0 });
+        self.engine
+            .policy_events
+            .push(Event::TimerFired { label: 0 });
     }
 
     /// Handles a message from an owner in a turn and returns the outputs.
--- a/crates/platform/src/engine/timer.rs
+++ b/crates/platform/src/engine/timer.rs
@@ -10,11 +10,11 @@
     Policy(u64),
     /// An attempt has reached its deadline.
     AttemptTimeout(AttemptId),
-    /// A connection to a host may have timed out, be idle or need a health check.
+    /// A connection to a host is to be checked: it may have timed out, be idle or need a probe.
     ConnectionCheck(ConnectionId),
     /// A delayed connect is due.
     DelayedConnect(ConnectionId),
-    /// A host with running tasks, or one that is unreachable, may have failed.
+    /// A host that runs tasks or is unreachable is to be checked: it may have failed.
     HostCheck(MachineId),
     /// An owner that has sent no valid message is to be disconnected.
     OwnerCheck(OwnerId),
--- a/crates/platform/src/shell/hosts.rs
+++ b/crates/platform/src/shell/hosts.rs
@@ -30,7 +30,7 @@
         if self.connection_count() >= self.max_connections {
             self.close_lowest_priority_owner();
         }
-        // Hosts may not use all connections, however many there are, as owners need some too.
+        // Connections to hosts are limited to a share of the maximum, so that some are left for owners.
         let max_hosts = MAX_PEER_SHARE.of(self.max_connections);
         let result = match self.connection_count() < self.max_connections
             && self.host_connections.len() < max_hosts
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -32,8 +32,8 @@
 const MAX_UNREAD_BYTES: usize = 64 << 10;
 /// The maximum number of read rounds before a turn of the engine.
 const MAX_READ_ROUNDS: usize = 4;
-/// Delay before an invalid new configuration is read again. By the platform's acceptance test the old channel stays
-/// available for 1.5 s after SIGHUP.
+/// Delay before an invalid new configuration is read again. The platform's acceptance test keeps the old channel available
+/// for 1.5 s after SIGHUP, so all retries have to be within that time.
 const RELOAD_RETRY_DELAY: Micros = 100_000;
 /// The maximum number of further reads of an invalid new configuration.
 const MAX_RELOAD_RETRIES: u32 = 10;
@@ -196,6 +196,7 @@
             .min(lingering)
             .min(accept_retry)
             .min(reload);
+        // After the earliest exit, whether the shutdown is finished is checked every 10 ms.
         due.min(earliest_exit.max(self.event_loop.now() + 10_000))
     }
 
--- a/crates/platform/src/shell/owners.rs
+++ b/crates/platform/src/shell/owners.rs
@@ -1,5 +1,5 @@
-//! The sockets of owners' connections: accepted while there are descriptors, read in small portions, and closed without
-//! losing what was written to them.
+//! The sockets of owners' connections. They are accepted while descriptors are left, read a limited number of bytes at a
+//! time, and closed only after the owner had time to read what was written.
 
 use maplethread::Micros;
 use maplethread_platform_wire::owner::{self, ToOwner};
@@ -16,7 +16,7 @@
 pub(super) const MAX_UNWRITTEN_BYTES: usize = 256 << 10;
 /// An owner with more unwritten bytes than this is throttled: its connection is not read.
 const THROTTLE_ABOVE_BYTES: usize = 32 << 10;
-/// A throttled owner with no more unwritten bytes than this is read again.
+/// A throttled owner's connection is read again once it has no more unwritten bytes than this.
 const RESUME_BELOW_BYTES: usize = 8 << 10;
 /// The maximum number of connections accepted in one turn.
 const MAX_ACCEPTS_PER_TURN: usize = 256;
@@ -73,7 +73,7 @@
     pub(super) until: Micros,
     /// How many further bytes may be read and discarded.
     remaining_bytes: usize,
-    /// The placer's side of the connection is closed.
+    /// The placer's side of the connection is closed: all bytes are written.
     is_write_closed: bool,
 }
 
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Pauses accepting, as the poller would report a listener that cannot be served in each turn.
+    /// Pauses accepting. Otherwise the poller would report the waiting connections in each turn, although none can be
+    /// accepted.
     fn pause_accepting(&mut self) {
         if self.accept_paused_until.is_none() && self.set_accepting(false) {
             tracing::debug!(
@@ -275,8 +276,8 @@
         if has_failed || unwritten_bytes > MAX_UNWRITTEN_BYTES {
             return self.disconnect_owner(id);
         }
-        // An owner that does not read its answers is not read, so that its unwritten bytes do not grow. The end of its
-        // connection is still reported.
+        // While an owner does not read its answers, no further requests are read from it, so that its unwritten bytes do
+        // not grow. The end of its connection is still reported.
         let is_throttled = unwritten_bytes
             > if owner.conn.is_reading() {
                 THROTTLE_ABOVE_BYTES
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown schedule: when a placer that was asked to stop exits. Performs no I/O.
+//! The shutdown schedule: when a placer exits after it has received a stop signal. Performs no I/O.
 
 use maplethread::Micros;
 
@@ -8,7 +8,7 @@
 /// The minimum time between SIGTERM and the exit, as connections and requests may still arrive. The platform protocol
 /// allows them for up to 0.4 s plus 0.2 s.
 const ARRIVAL_GRACE: Micros = 800_000;
-/// The platform protocol counts longer deadlines as this when it computes the time of SIGKILL.
+/// The time of SIGKILL depends on the longest deadline. The platform protocol counts longer deadlines as this.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// The minimum time between the longest deadline and SIGKILL, from the platform protocol.
 const KILL_GRACE: Micros = 700_000;
--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -11,8 +11,8 @@
 
 /// The maximum size of the configuration file.
 const MAX_CONFIG_BYTES: u64 = 8 << 20;
-/// How much the delays between decision and arrival of two offers may differ, besides the time for establishing a
-/// connection. It covers turns and the delay before a connection is reopened.
+/// The longest time, in addition to the connect timeout, from the decision on an offer to its arrival at the host. It
+/// covers the length of turns and the delay before a connection is reopened.
 const DELIVERY_ALLOWANCE: Micros = 100_000;
 
 /// Why the placer could not start or stopped serving.
@@ -74,10 +74,12 @@
 pub fn decode_settings(settings: &Value) -> Result<(Settings, PlatformSettings), FieldError> {
     let (mut policy_settings, _) = maplethread_platform_settings::decode_policy_settings(settings)?;
     let platform_settings = maplethread_platform_settings::decode_platform_settings(settings)?;
-    // Offers that wait for a connection are sent together once it is established. So offers that were decided over a longer
-    // time than a window can arrive within one window at a host that is warming up; the window is extended by that delay.
+    // The warm-up budget limits the offers that arrive within a window, but the policy counts offers when it decides on them.
+    // Offers that wait for a connection are sent together once it is established, so offers from a longer time than a window
+    // can arrive within one. The window is therefore extended by the longest delay of an offer.
     policy_settings.rules.overload_window += platform_settings.connect_timeout + DELIVERY_ALLOWANCE;
-    // The platform protocol has no load reports in hosts' messages and no capacity in host lists, whatever the settings say.
+    // In the platform protocol, hosts' messages contain no load reports and host lists no capacity, even if the settings
+    // announce them.
     policy_settings.load_report = LoadReport::Silent;
     policy_settings.endpoints_report_capacity = false;
     Ok((policy_settings, platform_settings))
--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn tasks_of_a_zone_whose_processes_die_are_released_within_two_seconds() {
+fn tasks_of_a_zone_whose_processes_are_killed_are_released_within_two_seconds() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
         simulation.schedule_requests(S, 9 * S, 150);
@@ -218,7 +218,7 @@
     ] {
         for seed in 0..2 {
             let mut simulation =
-                Simulation::with(seed, 30, 12, ConnectTiming { timeout, max_delay });
+                Simulation::with_connect_timing(seed, 30, 12, ConnectTiming { timeout, max_delay });
             simulation.set_list_delay(0);
             simulation.schedule_requests(S, 20 * S, 400);
             // All hosts restart, and all tasks that ran on them are requested again.
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -68,7 +68,7 @@
     Heal(usize),
     /// All connections to these hosts are reset.
     ResetConnections(HostSet),
-    /// The processes of these hosts die: connections are reset and new ones refused, until `RestartHosts`.
+    /// The processes of these hosts are killed: connections are reset and new ones refused, until `RestartHosts`.
     KillHosts(HostSet),
     /// The machines of these hosts lose power: nothing is answered, until `RestartHosts`.
     PowerOffHosts(HostSet),
@@ -125,6 +125,7 @@
     ListUpdate(Value),
 }
 
+/// A placer, with its engine while its process runs.
 struct Process {
     incarnation: u32,
     engine: Option<Engine<Placer>>,
@@ -179,6 +180,7 @@
     hosts: Vec<Host>,
     connections: BTreeMap<ConnectionKey, Connection>,
     partitioned_zones: BTreeSet<usize>,
+    /// Messages held back by a partition, with the zone of the host.
     held_messages: Vec<(usize, Event)>,
     requests: BTreeMap<u64, Request>,
     last_sid: u64,
@@ -193,7 +195,7 @@
 
 impl Simulation {
     pub fn new(seed: u64, placers: usize, hosts: usize) -> Simulation {
-        Simulation::with(
+        Simulation::with_connect_timing(
             seed,
             placers,
             hosts,
@@ -204,7 +206,7 @@
         )
     }
 
-    pub fn with(
+    pub fn with_connect_timing(
         seed: u64,
         placers: usize,
         hosts: usize,
@@ -318,7 +320,8 @@
         self.now = end;
     }
 
-    /// Checks what only the end of a simulation shows, and returns the results.
+    /// Checks at the end of a simulation that each request was answered and each lost task released in time, and returns the
+    /// results.
     pub fn check(&self) -> Summary {
         for (sid, request) in &self.requests {
             let is_same_process = self.placers[request.placer].incarnation == request.incarnation;
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -39,8 +39,8 @@
     read_buffer: Vec<u8>,
     /// The bytes of `read_buffer` before this index are consumed.
     read_start: usize,
-    outgoing: Vec<u8>,
-    /// The bytes of `outgoing` before this index are written to the kernel.
+    write_buffer: Vec<u8>,
+    /// The bytes of `write_buffer` before this index are written to the kernel.
     write_start: usize,
     /// The total number of bytes written to the kernel.
     written_bytes: u64,
@@ -65,7 +65,7 @@
         Ok(TcpConnection::new(stream, token, false))
     }
 
-    /// Starts to connect and registers the socket with the poller under a token. [`TcpConnection::finish_connect`] has the
+    /// Starts to connect and registers the socket with the poller under a token. [`TcpConnection::finish_connect`] returns the
     /// result after the first write readiness.
     ///
     /// # Errors
@@ -93,7 +93,7 @@
             token,
             read_buffer: Vec::new(),
             read_start: 0,
-            outgoing: Vec::new(),
+            write_buffer: Vec::new(),
             write_start: 0,
             written_bytes: 0,
             is_write_watched: is_connecting,
@@ -182,12 +182,12 @@
 
     /// The buffer of bytes to write. Append to it, then call [`TcpConnection::flush`].
     pub fn write_buffer(&mut self) -> &mut Vec<u8> {
-        &mut self.outgoing
+        &mut self.write_buffer
     }
 
     /// The number of bytes that have not been written to the kernel.
     pub fn unwritten_bytes(&self) -> usize {
-        self.outgoing.len() - self.write_start
+        self.write_buffer.len() - self.write_start
     }
 
     /// The total number of bytes written to the kernel.
@@ -201,7 +201,7 @@
     /// When the connection is broken.
     pub fn flush(&mut self, poller: &Poller) -> io::Result<()> {
         while !self.is_connecting && self.unwritten_bytes() > 0 {
-            match self.stream.write(&self.outgoing[self.write_start..]) {
+            match self.stream.write(&self.write_buffer[self.write_start..]) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
                 Ok(count) => {
                     self.write_start += count;
@@ -214,9 +214,9 @@
         }
         if self.unwritten_bytes() == 0 {
             self.write_start = 0;
-            clear_and_shrink(&mut self.outgoing);
+            clear_and_shrink(&mut self.write_buffer);
         } else if self.write_start > MAX_WRITTEN_PREFIX_BYTES {
-            self.outgoing.drain(..self.write_start);
+            self.write_buffer.drain(..self.write_start);
             self.write_start = 0;
         }
         let needs_write = self.is_connecting || self.unwritten_bytes() > 0;
--- a/crates/reactor/src/error.rs
+++ b/crates/reactor/src/error.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, thiserror::Error)]
 #[error("{resource}: {source}")]
 pub struct ResourceError {
-    /// The resource, in an operator's terms: a path, an address, `epoll`.
+    /// The name of the resource, for the operator: for example a path, an address or `epoll`.
     pub resource: String,
     /// The error of the operating system.
     pub source: io::Error,
--- a/crates/reactor/src/lib.rs
+++ b/crates/reactor/src/lib.rs
@@ -1,8 +1,8 @@
 //! An event loop for single-threaded processes on Linux: readiness from epoll, TCP connections with bounded buffers,
 //! listeners, signals, a clock and file watches. No async runtime is used.
 //!
-//! The crate does not interpret the transferred bytes. A connection reads a bounded number of bytes per call, so that a busy
-//! peer does not starve the others, and watches for write readiness only while it has unwritten bytes.
+//! The crate does not interpret the transferred bytes. A connection reads a bounded number of bytes per call, so that a
+//! peer that sends a lot does not delay the others, and watches for write readiness only while it has unwritten bytes.
 //!
 //! A process creates an [`EventLoop`], which owns the clock, the poller and the signals. It registers connections
 //! ([`TcpConnection`]), listeners ([`Listener`]) and files ([`FileWatch`]) under tokens of its own choice. The
--- a/crates/reactor/src/signals.rs
+++ b/crates/reactor/src/signals.rs
@@ -41,8 +41,8 @@
             .try_for_each(|signal| poller.register(&signal.pipe, token, false))
     }
 
-    /// Removes and returns the signals received since the last call: each signal number as often as it was received, in the
-    /// order of the signals in [`Signals::catch`].
+    /// Removes and returns the signals received since the last call. The result contains a signal's number once for each time
+    /// it was received. It has the order of the signals in [`Signals::catch`], not that of their arrival.
     pub fn take_received(&mut self) -> Vec<i32> {
         let mut received = Vec::new();
         for signal in &mut self.caught {
--- a/crates/reactor/tests/support/mod.rs
+++ b/crates/reactor/tests/support/mod.rs
@@ -26,7 +26,7 @@
         ready.clear();
         let remaining = deadline
             .checked_duration_since(Instant::now())
-            .expect("the event within the time limit");
+            .expect("the event arrives within the test timeout");
         poller.wait(Some(remaining), &mut ready).expect("epoll");
         if let Some(found) = ready.iter().find(|r| r.token == token && is_expected(r)) {
             return *found;
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -8,7 +8,7 @@
 
 /// One placer with its host names and its events of the current batch.
 pub(crate) struct Instance {
-    /// None if its settings were invalid or it has panicked.
+    /// None if the settings were invalid or the placer has panicked.
     pub(crate) placer: Option<Placer>,
     pub(crate) hosts: HostNames,
     pub(crate) capacity_reporting: CapacityReporting,
@@ -99,7 +99,8 @@
         Ok(instance.capacity_reporting)
     }
 
-    /// The machines of a roster, with the ids that an instance assigns to them; none if there is no such roster.
+    /// The entries of a roster, with the host names replaced by the instance's machine ids. Returns none if no roster
+    /// with this id was sent.
     ///
     /// # Errors
     ///
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Runs maplethread placers on the simulator's wire protocol, with one JSON array per line. It reads batches of events
-//! from standard input and writes one reply per batch to standard output. All decisions are made by the placers.
+//! Connects maplethread placers to the simulator, whose wire protocol has one JSON array per line. The program reads
+//! batches of events from standard input and writes one reply per batch to standard output. It makes no decisions of its
+//! own.
 
 #![forbid(unsafe_code)]
 
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -42,7 +42,8 @@
     },
 }
 
-/// Decodes a line. The instance that it is for assigns ids to the hosts that it names.
+/// Decodes a line. Host names in it are replaced by the machine ids of the instance that the line is for, which assigns
+/// an id to a new name.
 ///
 /// # Errors
 ///
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,7 +1,7 @@
 //! Access to the fields of one message by position.
 
 use maplethread::{AttemptId, Micros, TaskId};
-use maplethread_platform_settings::{FieldError, micros};
+use maplethread_platform_settings::{FieldError, micros_from_ms};
 use serde_json::Value;
 
 /// The values of one array, with the name of its message for error texts.
@@ -46,7 +46,7 @@
 
     /// A point in time or a duration, which the wire has in milliseconds.
     pub(super) fn time(&self, at: usize, field: &str) -> Result<Micros, FieldError> {
-        Ok(micros(self.f64(at, field)?))
+        Ok(micros_from_ms(self.f64(at, field)?))
     }
 
     pub(super) fn optional_time(
