--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -51,6 +51,7 @@
     }
 }
 
+/// Returns the time per decision in microseconds, and a checksum of all decisions.
 fn run(machines: u32) -> (f64, u64) {
     let mut placer = Placer::new(settings(), 7).expect("valid settings");
     let list = (0..machines).map(|n| MachineEntry {
--- a/crates/platform-wire/src/host.rs
+++ b/crates/platform-wire/src/host.rs
@@ -162,7 +162,7 @@
 pub enum DecodeError {
     /// The length is out of range.
     #[error(
-        "invalid message length {0}; at least {HEADER_BYTES} and at most {MAX_MESSAGE_BYTES} with the length field"
+        "message length {0} is out of range: expected at least {HEADER_BYTES}, and at most {MAX_MESSAGE_BYTES} including the length field"
     )]
     InvalidLength(usize),
     /// Hosts do not send messages of this type.
--- a/crates/platform/src/engine/connections.rs
+++ b/crates/platform/src/engine/connections.rs
@@ -19,7 +19,7 @@
 const CHARGED_PROBE_INTERVAL: Micros = 2_500_000;
 /// Delay between the loss of a connection to a host with running tasks and the next connect. A host sends the release of a
 /// task on the connection on which the task was placed, and repeats it only on the next connection that is opened. If that
-/// is opened before the host has noticed the loss, a release that the host then sends on the lost connection is never
+/// is opened before the host has detected the loss, a release that the host then sends on the lost connection is never
 /// repeated. The delay is many times the network latency.
 const RECONNECT_DELAY: Micros = 25_000;
 /// The id of probes; no set-up uses it.
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -134,8 +134,9 @@
         self.max_description_bytes = bytes;
     }
 
-    /// Applies the events of the command channel that are new. Returns whether there were any.
-    pub fn apply_update(&mut self, now: Micros, batch: &CommandBatch) -> bool {
+    /// Applies those events of a batch from the command channel that were not applied before. Returns whether there were
+    /// any.
+    pub fn apply_commands(&mut self, now: Micros, batch: &CommandBatch) -> bool {
         let cursor_before = self.cursor;
         for command in &batch.commands {
             if command.cursor <= self.cursor {
--- a/crates/platform/src/engine/task_table.rs
+++ b/crates/platform/src/engine/task_table.rs
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The total bytes of the descriptions held.
+    /// The total bytes of the descriptions in the table.
     pub(super) fn description_bytes(&self) -> usize {
         self.description_bytes
     }
--- a/crates/platform/src/engine/tests/host_lists.rs
+++ b/crates/platform/src/engine/tests/host_lists.rs
@@ -24,17 +24,17 @@
     assert!(
         !harness
             .engine
-            .apply_update(harness.now, &batch(1, false, &["x"]))
+            .apply_commands(harness.now, &batch(1, false, &["x"]))
     );
     assert!(
         harness
             .engine
-            .apply_update(harness.now, &batch(2, false, &["b"]))
+            .apply_commands(harness.now, &batch(2, false, &["b"]))
     );
     assert!(
         !harness
             .engine
-            .apply_update(harness.now, &batch(2, false, &["c"]))
+            .apply_commands(harness.now, &batch(2, false, &["c"]))
     );
     harness.turn();
     let events = harness.take_events();
@@ -44,7 +44,7 @@
     // Hosts that are absent from a full list are gone.
     harness
         .engine
-        .apply_update(harness.now, &batch(3, true, &["b"]));
+        .apply_commands(harness.now, &batch(3, true, &["b"]));
     let task = harness.request(OWNER_A, 7);
     assert_eq!(harness.offer(task, 0), []);
     assert_eq!(
--- a/crates/platform/src/engine/tests/support.rs
+++ b/crates/platform/src/engine/tests/support.rs
@@ -98,7 +98,7 @@
              "since_ms": since_ms}]}}]});
         let batch: CommandBatch =
             command_channel::decode(batch.to_string().as_bytes()).expect("a valid batch");
-        self.engine.apply_update(self.now, &batch);
+        self.engine.apply_commands(self.now, &batch);
     }
 
     /// Performs one turn and returns its outputs.
--- a/crates/platform/src/shell/channel.rs
+++ b/crates/platform/src/shell/channel.rs
@@ -40,7 +40,7 @@
                 let (used, batch) = self.channel.read_response(now, connection.unread());
                 connection.consume(used);
                 if let Some(batch) = &batch {
-                    self.engine.apply_update(now, batch);
+                    self.engine.apply_commands(now, batch);
                     self.channel.poll_again(now, self.engine.cursor());
                 }
                 if batch.is_none() || used == 0 {
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -22,15 +22,16 @@
 
 const LISTENER_TOKEN: u64 = 0;
 const SIGNALS_TOKEN: u64 = 1;
-/// The lowest `KIND_BITS` bits of a token are the kind of the connection, the others its number.
+/// The kinds of connections in tokens; see `KIND_BITS`.
 const OWNER_KIND: u64 = 2;
 const HOST_KIND: u64 = 3;
 const CHANNEL_KIND: u64 = 1;
+/// The number of low bits of a token that contain the kind of the connection. The other bits contain its number.
 const KIND_BITS: u32 = 2;
 
 /// The maximum number of bytes of one connection that wait to be decoded.
 const MAX_UNREAD_BYTES: usize = 64 << 10;
-/// The maximum number of read rounds before a turn of the engine.
+/// The maximum number of rounds in which ready connections are read before a turn of the engine.
 const MAX_READ_ROUNDS: usize = 4;
 /// Delay before an invalid new configuration is read again. The platform's acceptance test keeps the old channel available
 /// for 1.5 s after SIGHUP, so all retries have to be within that time.
@@ -95,7 +96,7 @@
         stop_requested_at: None,
     };
     let now = shell.event_loop.now();
-    shell.engine.apply_update(now, &config.known_commands);
+    shell.engine.apply_commands(now, &config.known_commands);
     tracing::info!(name = %config.name, %listen, sockets = config.limits.max_descriptors,
         cores = config.limits.cores, memory_mb = config.limits.memory_mb, "serving");
     shell.serve()
@@ -264,7 +265,7 @@
             Ok((config, _)) => {
                 tracing::info!(channel = %config.channel_address, "configuration reloaded");
                 self.channel.set_address(config.channel_address);
-                self.engine.apply_update(now, &config.known_commands);
+                self.engine.apply_commands(now, &config.known_commands);
             }
             Err(error) if reload.retries_left == 0 => {
                 tracing::error!(%error, "configuration reload failed; keeping the current configuration")
--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -5,16 +5,16 @@
 mod support;
 
 use maplethread::Micros;
-use support::{ConnectTiming, Fault, HostSet, MS, S, Simulation, WARM_UP_OFFERS};
+use support::{ConnectTiming, Fault, HostSet, MS, SECOND, Simulation, WARM_UP_OFFERS};
 
 #[test]
 fn partitioned_zone_keeps_its_tasks_and_no_request_has_two_attempts_in_flight() {
     for seed in 0..6 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 12 * S, 150);
-        simulation.schedule_fault(4 * S, Fault::Partition(1));
-        simulation.schedule_fault(9 * S, Fault::Heal(1));
-        simulation.run(16 * S);
+        simulation.schedule_requests(SECOND, 12 * SECOND, 150);
+        simulation.schedule_fault(4 * SECOND, Fault::Partition(1));
+        simulation.schedule_fault(9 * SECOND, Fault::Heal(1));
+        simulation.run(16 * SECOND);
         let summary = simulation.check();
         assert!(
             summary.requested > 1_000 && summary.placed * 10 > summary.requested * 9,
@@ -31,14 +31,14 @@
 fn tasks_of_a_zone_whose_processes_are_killed_are_released_within_two_seconds() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 9 * S, 150);
-        simulation.schedule_fault(4 * S, Fault::KillHosts(HostSet::Zone(1)));
-        simulation.schedule_fault(8 * S, Fault::RestartHosts(HostSet::Zone(1)));
-        simulation.set_list_delay(2 * S);
-        simulation.run(14 * S);
+        simulation.schedule_requests(SECOND, 9 * SECOND, 150);
+        simulation.schedule_fault(4 * SECOND, Fault::KillHosts(HostSet::Zone(1)));
+        simulation.schedule_fault(8 * SECOND, Fault::RestartHosts(HostSet::Zone(1)));
+        simulation.set_list_delay(2 * SECOND);
+        simulation.run(14 * SECOND);
         let summary = simulation.check();
         assert!(
-            summary.lost > 50 && summary.max_release_delay < 2 * S,
+            summary.lost > 50 && summary.max_release_delay < 2 * SECOND,
             "seed {seed}: {summary:?}"
         );
     }
@@ -48,13 +48,13 @@
 fn detects_power_loss_of_a_zone_that_restarts_before_the_list_update() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 12 * S, 100);
-        simulation.schedule_fault(4 * S, Fault::PowerOffHosts(HostSet::Zone(1)));
-        simulation.schedule_fault(9 * S, Fault::RestartHosts(HostSet::Zone(1)));
-        simulation.set_list_delay(6 * S);
-        simulation.run(20 * S);
+        simulation.schedule_requests(SECOND, 12 * SECOND, 100);
+        simulation.schedule_fault(4 * SECOND, Fault::PowerOffHosts(HostSet::Zone(1)));
+        simulation.schedule_fault(9 * SECOND, Fault::RestartHosts(HostSet::Zone(1)));
+        simulation.set_list_delay(6 * SECOND);
+        simulation.run(20 * SECOND);
         let summary = simulation.check();
-        let max_delay: Micros = 8 * S + 50 * MS;
+        let max_delay: Micros = 8 * SECOND + 50 * MS;
         assert!(
             summary.lost > 50 && summary.max_release_delay <= max_delay,
             "seed {seed}: {summary:?}"
@@ -66,11 +66,11 @@
 fn placers_that_restart_together_without_state_serve_requests_and_follow_the_protocol() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 10, 40);
-        simulation.schedule_requests(S, 10 * S, 200);
+        simulation.schedule_requests(SECOND, 10 * SECOND, 200);
         for placer in 0..7 {
-            simulation.schedule_fault(4 * S, Fault::KillPlacer(placer));
+            simulation.schedule_fault(4 * SECOND, Fault::KillPlacer(placer));
         }
-        simulation.run(14 * S);
+        simulation.run(14 * SECOND);
         let summary = simulation.check();
         assert!(
             summary.placed * 10 > summary.requested * 9,
@@ -83,12 +83,12 @@
 fn requests_pending_during_a_full_partition_are_served_once_it_heals() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 8 * S, 150);
+        simulation.schedule_requests(SECOND, 8 * SECOND, 150);
         for zone in 0..3 {
-            simulation.schedule_fault(4 * S, Fault::Partition(zone));
-            simulation.schedule_fault(7 * S, Fault::Heal(zone));
+            simulation.schedule_fault(4 * SECOND, Fault::Partition(zone));
+            simulation.schedule_fault(7 * SECOND, Fault::Heal(zone));
         }
-        simulation.run(15 * S);
+        simulation.run(15 * SECOND);
         let summary = simulation.check();
         // Requests from the first second of the partition use up their attempts before the hosts are detected as
         // unreachable.
@@ -107,14 +107,14 @@
 fn resetting_all_connections_of_a_zone_ends_no_running_task() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 9 * S, 200);
+        simulation.schedule_requests(SECOND, 9 * SECOND, 200);
         for n in 0..8 {
             simulation.schedule_fault(
-                3 * S + n * 500 * MS,
+                3 * SECOND + n * 500 * MS,
                 Fault::ResetConnections(HostSet::Zone(1)),
             );
         }
-        simulation.run(14 * S);
+        simulation.run(14 * SECOND);
         let summary = simulation.check();
         assert!(
             summary.placed * 20 > summary.requested * 19,
@@ -132,13 +132,13 @@
 fn follows_the_protocol_when_half_of_the_hosts_fail_and_the_list_is_five_seconds_late() {
     for seed in 0..4 {
         let mut simulation = Simulation::new(seed, 6, 48);
-        simulation.schedule_requests(S, 14 * S, 120);
-        simulation.set_list_delay(5 * S);
-        simulation.schedule_fault(4 * S, Fault::PowerOffHosts(HostSet::Half));
-        simulation.schedule_fault(4 * S, Fault::RemoveFromList(HostSet::Half));
-        simulation.run(20 * S);
+        simulation.schedule_requests(SECOND, 14 * SECOND, 120);
+        simulation.set_list_delay(5 * SECOND);
+        simulation.schedule_fault(4 * SECOND, Fault::PowerOffHosts(HostSet::Half));
+        simulation.schedule_fault(4 * SECOND, Fault::RemoveFromList(HostSet::Half));
+        simulation.run(20 * SECOND);
         let summary = simulation.check();
-        let max_delay: Micros = 8 * S + 50 * MS;
+        let max_delay: Micros = 8 * SECOND + 50 * MS;
         assert!(
             summary.lost > 50 && summary.max_release_delay <= max_delay,
             "seed {seed}: {summary:?}"
@@ -156,9 +156,9 @@
         let mut simulation = Simulation::new(seed, 4, 6);
         simulation.resubmit_rejected_at_once();
         // Half of the hosts fail and the others lack the capacity, so hundreds of requests are rejected and resubmitted.
-        simulation.schedule_fault(2 * S, Fault::PowerOffHosts(HostSet::Half));
-        simulation.schedule_requests(S, 4 * S, 1_500);
-        simulation.run(12 * S);
+        simulation.schedule_fault(2 * SECOND, Fault::PowerOffHosts(HostSet::Half));
+        simulation.schedule_requests(SECOND, 4 * SECOND, 1_500);
+        simulation.run(12 * SECOND);
         let summary = simulation.check();
         assert!(summary.rejected > 300, "seed {seed}: {summary:?}");
         assert!(
@@ -177,7 +177,7 @@
 #[test]
 fn tables_do_not_grow_during_a_long_run_with_faults() {
     let mut simulation = Simulation::new(5, 2, 8);
-    simulation.schedule_requests(S, 2_690 * S, 4);
+    simulation.schedule_requests(SECOND, 2_690 * SECOND, 4);
     for n in 0..260u64 {
         let host = HostSet::One(n as usize % 8);
         let fault = if n.is_multiple_of(3) {
@@ -185,12 +185,12 @@
         } else {
             Fault::KillHosts(host)
         };
-        simulation.schedule_fault((10 + n * 10) * S, fault);
-        simulation.schedule_fault((14 + n * 10) * S, Fault::RestartHosts(host));
+        simulation.schedule_fault((10 + n * 10) * SECOND, fault);
+        simulation.schedule_fault((14 + n * 10) * SECOND, Fault::RestartHosts(host));
     }
-    simulation.run(300 * S);
+    simulation.run(300 * SECOND);
     let early = simulation.table_sizes();
-    simulation.run(2_720 * S);
+    simulation.run(2_720 * SECOND);
     let (late, summary) = (simulation.table_sizes(), simulation.check());
     assert!(
         summary.requested > 10_000 && summary.lost > 1_000,
@@ -220,17 +220,17 @@
             let mut simulation =
                 Simulation::with_connect_timing(seed, 30, 12, ConnectTiming { timeout, max_delay });
             simulation.set_list_delay(0);
-            simulation.schedule_requests(S, 20 * S, 400);
+            simulation.schedule_requests(SECOND, 20 * SECOND, 400);
             // All hosts restart, and all tasks that ran on them are requested again.
-            simulation.schedule_fault(3 * S, Fault::KillHosts(HostSet::All));
-            simulation.schedule_fault(4 * S, Fault::RestartHosts(HostSet::All));
+            simulation.schedule_fault(3 * SECOND, Fault::KillHosts(HostSet::All));
+            simulation.schedule_fault(4 * SECOND, Fault::RestartHosts(HostSet::All));
             for placer in 0..10 {
                 simulation.schedule_fault(
-                    7 * S + placer as Micros * 100 * MS,
+                    7 * SECOND + placer as Micros * 100 * MS,
                     Fault::KillPlacer(placer),
                 );
             }
-            simulation.run(22 * S);
+            simulation.run(22 * SECOND);
             // The platform allows for random variation, up to N + 2 * sqrt(N) + 2 arrivals per window with a limit of N. This
             // is stricter, because the shares of the placers add up to less than N.
             let max_arrivals = simulation.max_arrivals_per_window();
@@ -263,6 +263,7 @@
     );
     // The window in which offers to a cold host are counted is extended by the time that a connect may take.
     assert!(
-        policy_settings.rules.overload_window > support::WINDOW + platform_settings.connect_timeout
+        policy_settings.rules.overload_window
+            > support::OVERLOAD_WINDOW + platform_settings.connect_timeout
     );
 }
--- a/crates/platform/tests/support/faults.rs
+++ b/crates/platform/tests/support/faults.rs
@@ -63,7 +63,7 @@
                 old_connections
                     .into_iter()
                     .for_each(|key| self.close_connection(key));
-                self.schedule(self.now + S / 2, Event::Start(placer));
+                self.schedule(self.now + SECOND / 2, Event::Start(placer));
             }
         }
     }
--- a/crates/platform/tests/support/hosts.rs
+++ b/crates/platform/tests/support/hosts.rs
@@ -53,6 +53,7 @@
         }
         let sid = setup_id(bytes);
         match bytes[2] {
+            // A set-up.
             1 if !conn.closed_setups.contains(&sid.0) => {
                 let request = self.requests.get_mut(&sid.0).expect("a recorded request");
                 assert!(
@@ -64,7 +65,7 @@
                     "{sid} was offered after its request was answered"
                 );
                 request.in_flight = Some(key);
-                if self.hosts[host].started + WARM_UP > self.now {
+                if self.hosts[host].started + WARM_UP_DURATION > self.now {
                     self.cold_host_arrivals
                         .entry((host, host_incarnation))
                         .or_default()
@@ -82,10 +83,12 @@
                     Event::HostAnswers(key, host_incarnation, sid),
                 );
             }
+            // A close.
             12 => {
                 self.hosts[host].pending_offers.remove(&sid.0);
                 self.hosts[host].running.remove(&sid.0);
             }
+            // A probe.
             52 => self.send_from_host(key, FromHost::Probed { is_healthy: true }),
             _ => {}
         }
@@ -105,7 +108,10 @@
             return;
         }
         self.clear_in_flight(key, sid);
-        let (roll, duration) = (self.random_below(100), 8 * S + self.random_below(10 * S));
+        let (roll, duration) = (
+            self.random_below(100),
+            8 * SECOND + self.random_below(10 * SECOND),
+        );
         if roll < 3 {
             self.send_from_host(
                 key,
--- a/crates/platform/tests/support/messages.rs
+++ b/crates/platform/tests/support/messages.rs
@@ -11,8 +11,8 @@
         "domain": {"ack": "accepted", "admitCores": 1.5, "admitMemory": 1.5, "freeBy": "used", "listsFree": false,
             "kindByClass": [-1], "kindCores": [64], "memoryByKind": [172.0], "spreadMost": [4],
             "spreadOver": ["zone"], "startBonusS": [12.0], "classPriority": [0], "freshOffers": WARM_UP_OFFERS},
-        "invariants": {"askWithinMs": 10000.0, "coldFrom": 0.17, "coldMs": WARM_UP / MS, "fallMultiple": 4.0,
-            "tipAfterMs": WINDOW / MS},
+        "invariants": {"askWithinMs": 10000.0, "coldFrom": 0.17, "coldMs": WARM_UP_DURATION / MS, "fallMultiple": 4.0,
+            "tipAfterMs": OVERLOAD_WINDOW / MS},
         "ordinal": replica_index, "peersTotal": placers, "registryMode": "ask",
         "reporting": {"fields": [], "how": "silent"}, "shapes": ["std"], "zone": 0, "zones": ZONES
     })
--- a/crates/platform/tests/support/mod.rs
+++ b/crates/platform/tests/support/mod.rs
@@ -26,8 +26,8 @@
 pub use messages::settings;
 
 pub const MS: Micros = 1000;
-pub const S: Micros = 1_000_000;
-const START: Micros = 1_700_000_000 * S;
+pub const SECOND: Micros = 1_000_000;
+const START: Micros = 1_700_000_000 * SECOND;
 const ZONES: [&str; 3] = ["east", "west", "north"];
 const OWNER: OwnerId = OwnerId(1);
 /// The one-way network latency. It is shorter than `WRITE_TIME`.
@@ -37,8 +37,8 @@
 
 /// The maximum number of offers that a cold host may receive in any window, from all placers together.
 pub const WARM_UP_OFFERS: u64 = 60;
-pub const WINDOW: Micros = 3 * S;
-pub const WARM_UP: Micros = 15 * S;
+pub const OVERLOAD_WINDOW: Micros = 3 * SECOND;
+pub const WARM_UP_DURATION: Micros = 15 * SECOND;
 
 /// The timing of connects.
 #[derive(Clone, Copy, Debug)]
@@ -101,17 +101,29 @@
 /// A scheduled event. Placers and hosts are given by index and incarnation.
 #[derive(Debug)]
 enum Event {
+    /// A placer performs a turn.
     Turn(usize, u32),
+    /// A timer of a placer is due.
     TimerFired(usize, u32),
+    /// A connect of a placer arrives at a host.
     Connect(ConnectionKey, usize),
+    /// A message of a placer arrives at a host.
     HostReceives(ConnectionKey, Vec<u8>),
+    /// A placer has written the close of a set-up, which ends the attempt.
     SetupClosed(ConnectionKey, SetupId),
+    /// A host answers a set-up.
     HostAnswers(ConnectionKey, u32, SetupId),
+    /// A task completes on a host.
     TaskEnds(usize, u32, SetupId),
+    /// An input arrives at a placer.
     ToPlacer(usize, u32, Input),
+    /// An owner sends a request: whether it is a resubmission, and the name of the task.
     Request(bool, u64),
+    /// A fault begins or ends.
     Fault(Fault),
+    /// A process of a placer starts.
     Start(usize),
+    /// An update of the host list arrives at all placers.
     ListUpdate(Value),
 }
 
@@ -130,8 +142,10 @@
     incarnation: u32,
     engine: Option<Engine<Placer>>,
     inbox: Vec<Input>,
+    /// The end of the current or last turn.
     busy_until: Micros,
     is_turn_scheduled: bool,
+    /// When the timer that was scheduled last is due.
     next_timer: Micros,
 }
 
@@ -243,7 +257,7 @@
             requests: BTreeMap::new(),
             last_sid: 0,
             cursor: 1,
-            list_delay: S,
+            list_delay: SECOND,
             resubmits_at_once: false,
             connect_timing,
             cold_host_arrivals: BTreeMap::new(),
@@ -255,7 +269,7 @@
 
     /// Schedules `rate` requests per second between two times.
     pub fn schedule_requests(&mut self, from: Micros, to: Micros, rate: u64) {
-        let interval = S / rate;
+        let interval = SECOND / rate;
         for at in (from..to).step_by(interval as usize) {
             let at = START + at + self.random_below(interval);
             let task_name = self.random_below(u64::MAX);
@@ -282,7 +296,7 @@
         let count_from = |times: &[Micros], from: usize| {
             times[from..]
                 .iter()
-                .take_while(|&&t| t <= times[from] + WINDOW)
+                .take_while(|&&t| t <= times[from] + OVERLOAD_WINDOW)
                 .count()
         };
         let max_count = |times: &Vec<Micros>| {
@@ -330,7 +344,7 @@
                 "{sid:x} was not answered by its deadline"
             );
             if let Some(lost_at) = request.lost_at.filter(|_| is_same_process) {
-                let release_due = lost_at + 8 * S + 50 * MS;
+                let release_due = lost_at + 8 * SECOND + 50 * MS;
                 assert!(
                     request.released || release_due > self.now,
                     "{sid:x} was lost and not released within 8 s"
--- a/crates/platform/tests/support/placers.rs
+++ b/crates/platform/tests/support/placers.rs
@@ -13,7 +13,7 @@
         let entries: Vec<Value> = (0..self.hosts.len())
             .map(|h| self.list_entry(h, "active"))
             .collect();
-        engine.apply_update(
+        engine.apply_commands(
             self.now,
             &decode_batch(&list_update(self.cursor, true, &entries)),
         );
@@ -78,7 +78,7 @@
         let placer = running_placers[self.random_below(running_placers.len() as u64) as usize];
         self.last_sid += 1;
         let (sid, incarnation) = (self.last_sid << 8, self.placers[placer].incarnation);
-        let deadline = self.now + 6 * S;
+        let deadline = self.now + 6 * SECOND;
         let request = Request {
             placer,
             incarnation,
@@ -113,7 +113,7 @@
                 Input::OwnerMessage(message) => {
                     engine.handle_owner_message(now, OWNER, Ok(*message))
                 }
-                Input::ListUpdate(list) => drop(engine.apply_update(now, &decode_batch(&list))),
+                Input::ListUpdate(list) => drop(engine.apply_commands(now, &decode_batch(&list))),
             }
         }
         engine.turn(now);
@@ -185,6 +185,7 @@
     pub(super) fn flush_connection(&mut self, key: ConnectionKey, at: Micros) {
         let conn = self.connections.get_mut(&key).expect("an open connection");
         let messages = std::mem::take(&mut conn.unwritten);
+        // Type 12 is a close.
         let closed_setups: Vec<SetupId> = messages
             .iter()
             .filter(|bytes| bytes[2] == 12)
--- a/src/policy/attempts.rs
+++ b/src/policy/attempts.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PendingTask {
     pub(super) task: Task,
-    /// Attempts made so far.
+    /// The number of attempts so far.
     pub(super) attempts: u32,
     pub(super) is_in_flight: bool,
     pub(super) possibly_started: Option<PossibleStart>,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -21,7 +21,7 @@
     failure_count: f64,
     last_failure: Micros,
     ejected_until: Micros,
-    /// Offers of the class without an answer so far.
+    /// The number of offers of the class that have no answer yet.
     unanswered: u32,
     /// When an offer was disconnected or timed out, if none has been accepted since.
     unanswered_since: Option<Micros>,
@@ -131,8 +131,8 @@
         self.classes[class].retract_failure();
     }
 
-    /// Records the outcome of an attempt. An error of a task that fails on every machine (`is_caused_by_task`) does not
-    /// count against this one.
+    /// Records the outcome of an attempt. An error that is attributed to the task (`is_caused_by_task`) does not count
+    /// against the machine.
     pub(super) fn record_outcome(
         &mut self,
         attempt: &FinishedAttempt,
@@ -167,9 +167,9 @@
         }
     }
 
-    /// Starts a backoff after a rejection. Endpoint lists are late and all placers see the same capacity, so each
-    /// consecutive rejection doubles the time, and after [`REJECTIONS_UNTIL_ALL_SIZES`] it applies to smaller tasks as
-    /// well.
+    /// Starts a backoff after a rejection. Endpoint lists are late and all placers act on the same capacity, so
+    /// each consecutive rejection doubles the time, and after [`REJECTIONS_UNTIL_ALL_SIZES`] it applies to smaller tasks
+    /// as well.
     fn back_off(&mut self, requested: Resources, reason: Option<FailureReason>, now: Micros) {
         let lacks_capacity = matches!(reason, Some(FailureReason::Cores | FailureReason::Memory));
         let base = if lacks_capacity {
--- a/src/policy/restart_throttle/tests.rs
+++ b/src/policy/restart_throttle/tests.rs
@@ -17,7 +17,7 @@
 fn only_resubmitted_tasks_are_deferred_for_at_most_a_second_or_half_their_remaining_time() {
     let now = 5_000_000;
     assert_eq!(deferral_deadline(&task(false, now + 9_000_000), now), None);
-    let deadline = |left| deferral_deadline(&task(true, now + left), now);
+    let deadline = |remaining| deferral_deadline(&task(true, now + remaining), now);
     assert_eq!(deadline(9_000_000), Some(now + 1_000_000));
     assert_eq!(deadline(600_000), Some(now + 300_000));
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -133,7 +133,7 @@
             .collect()
     }
 
-    /// Orders the machines by their rank for the service. All placers see the same few machines with headroom, and
+    /// Orders the machines by their rank for the service. All placers find the same few machines with headroom, and
     /// would all select them, so only the machines that rank first and the local ones are kept. All machines are kept
     /// for a task that preempts others: such tasks are rare and large, and on a contended machine one degrades many
     /// other tasks.
