--- a/crates/platform/src/engine/output.rs
+++ b/crates/platform/src/engine/output.rs
@@ -4,7 +4,7 @@
 
 use maplethread_platform_wire::owner::ToOwner;
 
-/// The id of an owner's connection, assigned by the shell and never reused.
+/// The id of an owner, which is that of its connection. Assigned by the shell and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OwnerId(pub u64);
 
--- a/crates/platform/src/engine/owners.rs
+++ b/crates/platform/src/engine/owners.rs
@@ -15,7 +15,8 @@
 /// test requires the close within 3 s.
 const FIRST_MESSAGE_TIMEOUT: Micros = 2_500_000;
 
-/// An owner's connection.
+/// An owner's connection. The engine identifies owners by their connections, so an owner with two connections counts as two
+/// owners.
 #[derive(Default)]
 pub(super) struct Owner {
     /// The owner has sent a request, a running task or a probe.
--- a/crates/platform/src/engine/tests/hosts.rs
+++ b/crates/platform/src/engine/tests/hosts.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn probes_connection_on_overdue_answer_in_time_for_releases() {
+fn probes_a_connection_as_soon_as_an_answer_is_overdue() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
     let task = harness.request(OWNER_A, 8);
--- a/crates/platform/src/engine/tests/owners.rs
+++ b/crates/platform/src/engine/tests/owners.rs
@@ -8,7 +8,7 @@
 use crate::engine::{Output, OwnerId};
 
 #[test]
-fn sends_release_on_another_connection_when_its_own_is_closed() {
+fn queues_release_for_another_owner_when_its_own_is_disconnected() {
     let mut harness = Harness::new();
     let (_, connection) = harness.start_task(7);
     harness.engine.owner_disconnected(OWNER_A);
--- a/crates/platform/src/engine/tests/requests.rs
+++ b/crates/platform/src/engine/tests/requests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn request_stays_pending_after_a_host_rejects_it_until_the_policy_does() {
+fn request_stays_pending_after_a_host_rejects_it_until_the_policy_rejects_it() {
     let mut harness = Harness::new();
     let task = harness.request(OWNER_A, 7);
     let connection = harness.offer_and_send(task, 0);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! The placement policy of a scheduler for tasks that request cores and memory, sans-I/O. Many placers share the same
+//! The placement policy, without I/O, of a scheduler for tasks that request cores and memory. Many placers share the same
 //! machines and exchange no messages. Each selects machines by Blind GB-PANDAS (Yekkehkhany and Nagi), with additional
 //! rules that hold when machines, endpoint lists or placers fail. `src/policy` contains the policy, `src/interface` its
 //! inputs and outputs.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -124,7 +124,7 @@
             self.handle_event(event, actions);
         }
         self.discovery.retry_if_due(self.now, actions);
-        // While a tick is scheduled, blocked tasks are not tried again before it.
+        // If a tick is scheduled, blocked tasks wait for it.
         if self.tick_at.is_none() {
             let count = self.blocked.len().min(MAX_BLOCKED_PER_TURN);
             self.offer_queue.extend(self.blocked.drain(..count));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn polled_discovery_is_watched_at_once_and_after_each_failure() {
+fn placer_that_polls_discovery_subscribes_at_once_and_after_each_failure() {
     let mut polling = settings(RetrySafety::Idempotent);
     polling.discovery = DiscoveryMode::Poll;
     let mut harness = Harness {
