--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,7 +1,8 @@
-//! A faulty network without sockets: what becomes of each datagram between two numbered places. A model asks it with
-//! simulated time, a proxy between real processes with the clock, so one set of faults serves both.
+//! A simulated faulty network without sockets. It determines for each datagram between two numbered nodes whether, how
+//! often and when it is delivered. Models use it with simulated time, and a proxy between real processes uses it with
+//! the real clock, so both have the same faults.
 //!
-//! All randomness comes from the seed: equal seeds and equal calls give equal deliveries.
+//! All randomness comes from the seed: with equal seeds, equal calls give equal deliveries.
 
 mod link;
 mod network;
--- a/crates/simnet/src/link.rs
+++ b/crates/simnet/src/link.rs
@@ -1,22 +1,23 @@
-//! The faults of one link.
+//! The faults and the latency of one link.
 
-/// Time, µs.
+/// A time or a time span, µs.
 pub type Micros = u64;
 
-/// What becomes of datagrams on a link, in one direction.
+/// The faults and the latency of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Link {
     /// Probability that a datagram is lost.
     pub loss_probability: f64,
     /// Probability that a datagram is delivered twice.
     pub duplicate_probability: f64,
-    /// Shortest latency.
+    /// Minimum latency.
     pub min_latency: Micros,
-    /// Longest latency. It is drawn for each copy, so datagrams are reordered.
+    /// Maximum latency, exclusive unless it equals the minimum. The latency of each copy is random, so datagrams can be
+    /// reordered.
     pub max_latency: Micros,
-    /// Probability that a copy is delivered late...
+    /// Probability that a copy is delivered late.
     pub late_probability: f64,
-    /// ...by this much more than its latency.
+    /// Delay of a late copy, in addition to its latency.
     pub late_delay: Micros,
 }
 
--- a/crates/simnet/tests/network.rs
+++ b/crates/simnet/tests/network.rs
@@ -1,12 +1,13 @@
-//! Faults of the network: what is delivered, how often and after how long.
+//! Faults of the network: which datagrams are delivered, how often and with which delay.
 
 use maplethread_simnet::{Link, Micros, Network};
 
-const DATAGRAMS: usize = 10_000;
+/// Number of datagrams sent in each test of a probability.
+const DATAGRAM_COUNT: usize = 10_000;
 
-/// All deliveries of many datagrams over one link.
+/// Sends many datagrams over one link. Returns the delays of the delivered copies of each.
 fn deliveries(network: &mut Network) -> Vec<Vec<Micros>> {
-    (0..DATAGRAMS).map(|_| network.send(0, 1)).collect()
+    (0..DATAGRAM_COUNT).map(|_| network.send(0, 1)).collect()
 }
 
 fn with_link(link: Link) -> Network {
@@ -15,9 +16,9 @@
     network
 }
 
-/// Whether a count is within a tenth of this share of the datagrams.
-fn is_within_a_tenth(count: usize, share: f64) -> bool {
-    let expected = DATAGRAMS as f64 * share;
+/// Whether a count is within 10% of this share of the datagrams.
+fn is_within_ten_percent(count: usize, share: f64) -> bool {
+    let expected = DATAGRAM_COUNT as f64 * share;
     (count as f64 - expected).abs() < expected / 10.0
 }
 
@@ -54,7 +55,7 @@
         .iter()
         .filter(|delays| delays.is_empty())
         .count();
-    assert!(is_within_a_tenth(lost, 0.2), "{lost}");
+    assert!(is_within_ten_percent(lost, 0.2), "{lost}");
     assert_eq!(network.lost_datagrams, lost as u64);
 }
 
@@ -64,28 +65,32 @@
         duplicate_probability: 0.1,
         ..Link::default()
     });
-    let twice: Vec<Vec<Micros>> = deliveries(&mut network)
+    let duplicated: Vec<Vec<Micros>> = deliveries(&mut network)
         .into_iter()
         .filter(|d| d.len() == 2)
         .collect();
-    assert!(is_within_a_tenth(twice.len(), 0.1), "{}", twice.len());
-    assert!(twice.iter().any(|delays| delays[0] != delays[1]));
+    assert!(
+        is_within_ten_percent(duplicated.len(), 0.1),
+        "{}",
+        duplicated.len()
+    );
+    assert!(duplicated.iter().any(|delays| delays[0] != delays[1]));
 }
 
 #[test]
 fn delays_late_datagrams_by_configured_time() {
-    let late_by = 1_000_000;
+    let late_delay = 1_000_000;
     let mut network = with_link(Link {
         late_probability: 0.1,
-        late_delay: late_by,
+        late_delay,
         ..Link::default()
     });
     let late = deliveries(&mut network)
         .iter()
         .flatten()
-        .filter(|&&delay| delay >= late_by)
+        .filter(|&&delay| delay >= late_delay)
         .count();
-    assert!(is_within_a_tenth(late, 0.1), "{late}");
+    assert!(is_within_ten_percent(late, 0.1), "{late}");
 }
 
 #[test]
@@ -114,7 +119,7 @@
 }
 
 #[test]
-fn partitions_are_isolated_and_unnamed_places_join_the_first() {
+fn partitions_are_isolated_and_unlisted_nodes_belong_to_the_first() {
     let mut network = Network::new(1);
     network.partition(&[vec![0, 1], vec![2]]);
     assert_eq!(network.send(0, 1).len(), 1);
