--- a/crates/fault-injection/examples/random_schedules.rs
+++ b/crates/fault-injection/examples/random_schedules.rs
@@ -1,4 +1,5 @@
-//! Plays drawn schedules in the model: `cargo run --release -p maplethread-fault-injection --example drawn -- FIRST COUNT`.
+//! Runs random schedules in the model:
+//! `cargo run --release -p maplethread-fault-injection --example random_schedules -- FIRST_SEED COUNT`.
 
 use maplethread_fault_injection::random_schedule::run_random_schedule;
 
@@ -18,27 +19,27 @@
             })
         })
         .collect();
-    let mut played: Vec<_> = workers
+    let mut results: Vec<_> = workers
         .into_iter()
-        .flat_map(|w| w.join().expect("a worker"))
+        .flat_map(|w| w.join().expect("no worker panicked"))
         .collect();
-    for wrong in played.iter().filter_map(|p| p.failure.as_ref()) {
-        println!("{wrong}");
+    for failure in results.iter().filter_map(|p| p.failure.as_ref()) {
+        println!("{failure}");
     }
-    let bad = played.iter().filter(|p| p.failure.is_some()).count();
-    played.retain(|p| p.settled_after.is_some());
-    played.sort_by_key(|p| p.settled_after);
-    let at = |part: f64| {
-        played
-            .get(((played.len() - 1) as f64 * part) as usize)
+    let failed = results.iter().filter(|p| p.failure.is_some()).count();
+    results.retain(|p| p.settled_after.is_some());
+    results.sort_by_key(|p| p.settled_after);
+    let settled_at_percentile = |part: f64| {
+        results
+            .get(((results.len() - 1) as f64 * part) as usize)
             .and_then(|p| p.settled_after)
             .unwrap_or(0)
     };
-    let held = played.iter().map(|p| p.max_entries).max().unwrap_or(0);
+    let max_entries = results.iter().map(|p| p.max_entries).max().unwrap_or(0);
     println!(
-        "{count} schedules, {bad} with something wrong; settled after {:.2} s median, {:.2} s at the 99th percentile, {:.2} s worst; {held} held at most",
-        at(0.5) as f64 / 1e6,
-        at(0.99) as f64 / 1e6,
-        at(1.0) as f64 / 1e6
+        "{count} schedules, {failed} failed; settled after {:.2} s median, {:.2} s at the 99th percentile, {:.2} s maximum; {max_entries} entries at most",
+        settled_at_percentile(0.5) as f64 / 1e6,
+        settled_at_percentile(0.99) as f64 / 1e6,
+        settled_at_percentile(1.0) as f64 / 1e6
     );
 }
--- a/crates/fault-injection/src/checker.rs
+++ b/crates/fault-injection/src/checker.rs
@@ -1,4 +1,5 @@
-//! What a drill came to, from what placers showed and what befell them. Shares no state with the processes.
+//! Checks a run: compares the views that placers reported with the recorded states of their processes. It shares no
+//! state with the processes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// A placer's process over time: whether it runs, and whether it stands still.
+/// The state of a placer's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProcessState {
     Running,
@@ -18,18 +19,18 @@
     Stopped,
 }
 
-/// What befell placers, by number, in order of time.
+/// The state changes of the placers' processes, by placer number, in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct ProcessHistory {
     by_placer: BTreeMap<usize, Vec<(u64, ProcessState)>>,
 }
 
 impl ProcessHistory {
-    /// From what the day told.
-    pub fn from_events(news: &[RunEvent]) -> ProcessHistory {
-        let mut truth = ProcessHistory::default();
-        for news in news {
-            let (at, placer, is) = match *news {
+    /// Derives the state changes from the events of a run.
+    pub fn from_events(events: &[RunEvent]) -> ProcessHistory {
+        let mut process_history = ProcessHistory::default();
+        for event in events {
+            let (at, placer, state) = match *event {
                 RunEvent::PlacerServing(at, placer, _) => (at, placer, ProcessState::Running),
                 RunEvent::FaultInjected(
                     at,
@@ -43,23 +44,27 @@
                 }
                 RunEvent::FaultInjected(..) | RunEvent::Started(_) => continue,
             };
-            truth.by_placer.entry(placer).or_default().push((at, is));
+            process_history
+                .by_placer
+                .entry(placer)
+                .or_default()
+                .push((at, state));
         }
-        truth
+        process_history
     }
 
     fn state_at(&self, placer: usize, at: u64) -> ProcessState {
-        let before = self
+        let last_change = self
             .by_placer
             .get(&placer)
             .into_iter()
             .flatten()
             .rev()
             .find(|s| s.0 <= at);
-        before.map_or(ProcessState::Stopped, |s| s.1)
+        last_change.map_or(ProcessState::Stopped, |s| s.1)
     }
 
-    /// Placers that run, and don't stand still, at a time.
+    /// Placers that run and are not paused at a time.
     fn running_at(&self, at: u64) -> Vec<usize> {
         self.by_placer
             .keys()
@@ -68,7 +73,7 @@
             .collect()
     }
 
-    /// Whether a placer was up, unpaused, for all of a span.
+    /// Whether a placer ran without a pause throughout a time span.
     fn ran_throughout(&self, placer: usize, from: u64, to: u64) -> bool {
         let changes = self.by_placer.get(&placer).into_iter().flatten();
         self.state_at(placer, from) == ProcessState::Running
@@ -76,153 +81,174 @@
     }
 }
 
-/// What the drill came to.
+/// The result of the check of a run.
 #[derive(Clone, Debug)]
 pub struct CheckResult {
-    /// What was broken, for a person; nothing where all held.
+    /// Descriptions of the violations; empty if there are none.
     pub violations: Vec<String>,
-    /// From the end of the faults until all live members held one view, s.
+    /// Time from the end of the faults until all live members had the same view, s; `None` if there are violations.
     pub settled_s: Option<f64>,
-    /// Members called down by another's own test that ran all the while, with no fault of the network then.
+    /// Number of times that a running member was declared down by another's own probe while the network had no fault.
     pub false_alarms: usize,
-    /// The same while some fault of the network stood.
+    /// The same while the network had a fault.
     pub false_alarms_under_faults: usize,
-    /// From a kill to the last live view that still had it, s, for each placer that stayed away for longer.
+    /// Time from a kill until the placer was live in no view any more, s, for each placer that stayed down longer.
     pub removal_times_s: Vec<f64>,
-    /// Members at the end.
+    /// Number of running members at the end.
     pub members: usize,
-    /// Samples read.
+    /// Number of views read.
     pub samples: usize,
 }
 
-/// The name of the placer of a number.
+/// The name of the placer with a number.
 pub fn placer_name(number: usize) -> String {
     format!("placer-{number}")
 }
 
-/// Judges a drill whose faults of the network stood in `faults`, and were all over by `quiet`; it ended at `end`.
+/// Checks a run. `faults` are the time spans in which the network had a fault. All faults were over at
+/// `faults_ended_at`, and the run ended at `end`; times are Unix time, µs.
 pub fn check(
-    truth: &ProcessHistory,
-    watched: &Observations,
+    process_history: &ProcessHistory,
+    observations: &Observations,
     faults: &[(u64, u64)],
-    quiet: u64,
+    faults_ended_at: u64,
     end: u64,
 ) -> CheckResult {
-    let mut broken = Vec::new();
-    let running = truth.running_at(end);
+    let mut failures = Vec::new();
+    let running = process_history.running_at(end);
     let names: BTreeSet<String> = running.iter().map(|&p| placer_name(p)).collect();
-    // Settled: from when on all of a placer's samples show just the live ones, and all placers' are equal.
-    let last = |p: &usize| watched.samples.get(p).and_then(|s| s.last());
-    let finals: Vec<Option<&Sample>> = running.iter().map(last).collect();
-    let digest = finals.first().copied().flatten().map(|s| s.digest.clone());
-    let mut settled_at = quiet;
-    for (&placer, sample) in running.iter().zip(&finals) {
+    // A placer is settled from its first sample after which its view equals the final view of the first placer.
+    let last_sample = |p: &usize| observations.samples.get(p).and_then(|s| s.last());
+    let final_samples: Vec<Option<&Sample>> = running.iter().map(last_sample).collect();
+    let digest = final_samples
+        .first()
+        .copied()
+        .flatten()
+        .map(|s| s.digest.clone());
+    let mut settled_at = faults_ended_at;
+    for (&placer, sample) in running.iter().zip(&final_samples) {
         let Some(sample) = sample else {
-            broken.push(format!("{} showed no view", placer_name(placer)));
+            failures.push(format!("{} reported no view", placer_name(placer)));
             continue;
         };
         let live: BTreeSet<String> = sample.live.iter().cloned().collect();
-        let ghosts: Vec<&String> = live.difference(&names).collect();
+        let unexpected: Vec<&String> = live.difference(&names).collect();
         let missing: Vec<&String> = names.difference(&live).collect();
-        if !ghosts.is_empty() {
-            broken.push(format!(
-                "{} still holds {ghosts:?} for live",
+        if !unexpected.is_empty() {
+            failures.push(format!(
+                "{} still lists {unexpected:?} as live",
                 placer_name(placer)
             ));
         }
         if !missing.is_empty() {
-            broken.push(format!("{} lacks {missing:?}", placer_name(placer)));
+            failures.push(format!(
+                "{} does not list {missing:?} as live",
+                placer_name(placer)
+            ));
         }
         if Some(&sample.digest) != digest.as_ref() {
-            broken.push(format!(
-                "{} holds another view than {}",
+            failures.push(format!(
+                "the view of {} differs from the view of {}",
                 placer_name(placer),
                 placer_name(running[0])
             ));
         }
-        let all = &watched.samples[&placer];
-        let unsettled = all
+        let samples = &observations.samples[&placer];
+        let last_unsettled = samples
             .iter()
             .rev()
             .find(|s| Some(&s.digest) != digest.as_ref());
-        let since = all.iter().find(|s| unsettled.is_none_or(|u| s.at > u.at));
-        settled_at = settled_at.max(since.map_or(end, |s| s.at));
+        let first_settled = samples
+            .iter()
+            .find(|s| last_unsettled.is_none_or(|u| s.at > u.at));
+        settled_at = settled_at.max(first_settled.map_or(end, |s| s.at));
     }
-    let settled_s = broken
+    let settled_s = failures
         .is_empty()
-        .then(|| settled_at.saturating_sub(quiet) as f64 / 1e6);
-    let (false_alarms, alarms_under_faults) = count_false_alarms(truth, watched, faults);
+        .then(|| settled_at.saturating_sub(faults_ended_at) as f64 / 1e6);
+    let (false_alarms, alarms_under_faults) =
+        count_false_alarms(process_history, observations, faults);
     CheckResult {
-        violations: broken,
+        violations: failures,
         settled_s,
         false_alarms,
         false_alarms_under_faults: alarms_under_faults,
-        removal_times_s: removal_times(truth, watched, end),
+        removal_times_s: removal_times(process_history, observations, end),
         members: running.len(),
-        samples: watched.samples.values().map(Vec::len).sum(),
+        samples: observations.samples.values().map(Vec::len).sum(),
     }
 }
 
-/// Who was called down by another's own test while it ran.
+/// Counts how often a running member was declared down by another's own probe: without and with a network fault.
 fn count_false_alarms(
-    truth: &ProcessHistory,
-    watched: &Observations,
+    process_history: &ProcessHistory,
+    observations: &Observations,
     faults: &[(u64, u64)],
 ) -> (usize, usize) {
-    /// What a judgement may rest on.
-    const BEFORE: u64 = 5_000_000;
-    let (mut without, mut with) = (0, 0);
-    for (&by, told) in &watched.changes {
-        for change in told {
-            let own = change.event["to"] == "down"
+    /// Time span before a change whose faults can have caused it.
+    const LOOKBACK_US: u64 = 5_000_000;
+    let (mut without_faults, mut under_faults) = (0, 0);
+    for (&reporter, changes) in &observations.changes {
+        for change in changes {
+            let is_own_probe = change.event["to"] == "down"
                 && change.event["by"] == maplethread_membership::OWN_PROBE;
-            let of = change.event["name"]
+            let member = change.event["name"]
                 .as_str()
                 .and_then(|n| n.strip_prefix("placer-")?.parse().ok());
-            let Some(of) = of.filter(|_| own) else {
+            let Some(member) = member.filter(|_| is_own_probe) else {
                 continue;
             };
-            let from = change.at.saturating_sub(BEFORE);
-            if !truth.ran_throughout(of, from, change.at)
-                || !truth.ran_throughout(by, from, change.at)
+            let lookback_start = change.at.saturating_sub(LOOKBACK_US);
+            if !process_history.ran_throughout(member, lookback_start, change.at)
+                || !process_history.ran_throughout(reporter, lookback_start, change.at)
             {
                 continue;
             }
-            let faulty = faults
+            let is_network_faulty = faults
                 .iter()
-                .any(|&(begin, until)| begin <= change.at && from <= until);
-            if faulty { with += 1 } else { without += 1 }
+                .any(|&(begin, until)| begin <= change.at && lookback_start <= until);
+            if is_network_faulty {
+                under_faults += 1
+            } else {
+                without_faults += 1
+            }
         }
     }
-    (without, with)
+    (without_faults, under_faults)
 }
 
-/// How long after each kill some live view still had the placer, where it stayed away until nobody had.
-fn removal_times(truth: &ProcessHistory, watched: &Observations, end: u64) -> Vec<f64> {
+/// How long after each kill the placer was still live in some view, s. Kills after which the placer came back before it
+/// was removed from all views are left out.
+fn removal_times(
+    process_history: &ProcessHistory,
+    observations: &Observations,
+    end: u64,
+) -> Vec<f64> {
     let mut spans = Vec::new();
-    for (&placer, states) in &truth.by_placer {
-        for (n, &(at, is)) in states.iter().enumerate() {
-            if is != ProcessState::Stopped || n > 0 && states[n - 1].1 == ProcessState::Stopped {
+    for (&placer, states) in &process_history.by_placer {
+        for (n, &(at, state)) in states.iter().enumerate() {
+            if state != ProcessState::Stopped || n > 0 && states[n - 1].1 == ProcessState::Stopped {
                 continue;
             }
-            let back = states[n + 1..]
+            let came_back_at = states[n + 1..]
                 .iter()
                 .find(|s| s.1 != ProcessState::Stopped)
                 .map_or(end, |s| s.0);
-            let holds =
-                |s: &&Sample| s.at > at && s.at < back && s.live.contains(&placer_name(placer));
-            let others = watched.samples.iter().filter(|(p, _)| **p != placer);
-            let last = others
-                .filter_map(|(_, s)| s.iter().rev().find(holds))
+            let lists_placer = |s: &&Sample| {
+                s.at > at && s.at < came_back_at && s.live.contains(&placer_name(placer))
+            };
+            let other_placers = observations.samples.iter().filter(|(p, _)| **p != placer);
+            let last_listed_at = other_placers
+                .filter_map(|(_, s)| s.iter().rev().find(lists_placer))
                 .map(|s| s.at)
                 .max();
-            let shown = watched
+            let is_removed = observations
                 .samples
                 .values()
                 .flatten()
-                .any(|s| s.at > last.unwrap_or(at) && s.at < back);
-            if shown {
-                spans.push(last.map_or(0, |l| l - at) as f64 / 1e6);
+                .any(|s| s.at > last_listed_at.unwrap_or(at) && s.at < came_back_at);
+            if is_removed {
+                spans.push(last_listed_at.map_or(0, |l| l - at) as f64 / 1e6);
             }
         }
     }
@@ -230,7 +256,7 @@
 }
 
 impl CheckResult {
-    /// As one object.
+    /// The result as a JSON object.
     pub fn to_json(&self) -> Value {
         let worst = self.removal_times_s.iter().copied().fold(0.0, f64::max);
         json!({
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,9 +1,8 @@
-//! The fleet's view under faults: a model with simulated time, and a rig of real processes with a faulty network between
-//! every pair of them and a judge that shares no state with them.
+//! Fault injection for the fleet's membership: a model with simulated time, and a run of real processes with a faulty
+//! network between every pair of them. The checker that judges such a run shares no state with the processes.
 #![allow(
-    clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not yet worked through; listed in docs/ROADMAP.md"
+    reason = "setting up a run and converting a schedule each take many short steps"
 )]
 
 pub mod checker;
--- a/crates/fault-injection/src/model/settling.rs
+++ b/crates/fault-injection/src/model/settling.rs
@@ -1,33 +1,34 @@
-//! Whether members agree, how long that takes, and how they differ.
+//! Whether members agree on one view, how long that takes, and how their views differ.
 
 use maplethread_membership::{MemberState, Micros};
 
 use super::{MS, Model, member_name};
 
 impl Model {
-    /// Whether the members at these places see each other, all alike, and nobody else as live.
-    pub fn is_settled(&self, places: &[usize]) -> bool {
-        let first = self.local_member(places[0]).digest();
-        let names: Vec<String> = places
+    /// Whether the members at these nodes have equal views, in which exactly these members are live.
+    pub fn is_settled(&self, nodes: &[usize]) -> bool {
+        let first = self.local_member(nodes[0]).digest();
+        let names: Vec<String> = nodes
             .iter()
             .map(|p| member_name(self.processes[p].member))
             .collect();
-        places.iter().all(|p| {
-            let fleet = self.local_member(*p);
-            fleet.digest() == first
-                && fleet.live_count() == places.len()
+        nodes.iter().all(|p| {
+            let member = self.local_member(*p);
+            member.digest() == first
+                && member.live_count() == nodes.len()
                 && names.iter().all(|n| {
                     *n == member_name(self.processes[p].member)
-                        || fleet.state_of(n) == Some(MemberState::Alive)
+                        || member.state_of(n) == Some(MemberState::Alive)
                 })
         })
     }
 
-    /// Lets time pass until these are settled: how long it took, or nothing if it took longer than `within`.
-    pub fn run_until_settled(&mut self, places: &[usize], within: Micros) -> Option<Micros> {
+    /// Runs the model until the members at these nodes are settled. Returns how long it took, or `None` if it took
+    /// longer than `within`.
+    pub fn run_until_settled(&mut self, nodes: &[usize], within: Micros) -> Option<Micros> {
         let from = self.now;
         while self.now <= from + within {
-            if self.is_settled(places) {
+            if self.is_settled(nodes) {
                 return Some(self.now - from);
             }
             self.run(50 * MS);
@@ -35,19 +36,19 @@
         None
     }
 
-    /// Why these are not settled, for a failing test.
-    pub fn describe_differences(&self, places: &[usize]) -> String {
+    /// Describes the views at these nodes, for the message of a failing test.
+    pub fn describe_differences(&self, nodes: &[usize]) -> String {
         let mut text = String::new();
-        for &p in places {
+        for &p in nodes {
             let view = self.local_member(p).view(self.now);
-            let others: Vec<String> = view
+            let live_members: Vec<String> = view
                 .members
                 .iter()
                 .filter(|m| m.state.is_live())
                 .map(|m| {
                     let started = m.facts.as_ref().map(|f| f.started_ms);
                     format!(
-                        "{} {:?} at {} life {} started {started:?}",
+                        "{} {:?} at {} generation {} started {started:?}",
                         m.name, m.state, m.address, m.generation
                     )
                 })
@@ -59,7 +60,7 @@
                 view.digest,
                 view.health_score,
                 view.displaced_by,
-                others.join(", ")
+                live_members.join(", ")
             );
         }
         text
--- a/crates/fault-injection/src/observers.rs
+++ b/crates/fault-injection/src/observers.rs
@@ -1,4 +1,5 @@
-//! What placers show of their fleet, read from their API by a thread for each process, with the time of each answer.
+//! Polls the fleet views of placers from their API, with one thread for each process, and records the time of each
+//! response.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,39 +11,39 @@
 use maplethread_placer::{Clock, get_json};
 use serde_json::Value;
 
-/// A placer is asked this often.
+/// Interval between two polls of a placer.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A view, as a placer showed it.
+/// A view, as a placer reported it.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// When the answer was read; Unix time, µs.
+    /// When the response was read; Unix time, µs.
     pub at: u64,
-    /// The digest.
+    /// Digest of the view.
     pub digest: String,
     /// Names of members that are live in it, the placer itself included.
     pub live: Vec<String>,
 }
 
-/// A change that a placer told.
+/// A change of the fleet that a placer reported.
 #[derive(Clone, Debug)]
 pub struct ReportedChange {
-    /// When; Unix time, µs, by the placer's clock.
+    /// When it happened; Unix time, µs, by the placer's clock.
     pub at: u64,
-    /// The change or the notice, as it was told.
+    /// The change or the notice, as reported.
     pub event: Value,
 }
 
-/// All that was read, by the placer's number.
+/// Everything that was read, by placer number.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Views.
+    /// The views.
     pub samples: BTreeMap<usize, Vec<Sample>>,
-    /// Changes.
+    /// The changes.
     pub changes: BTreeMap<usize, Vec<ReportedChange>>,
 }
 
-/// Threads that read.
+/// The threads that poll the placers.
 pub struct Observers {
     observations: Arc<Mutex<Observations>>,
     stop: Arc<AtomicBool>,
@@ -50,7 +51,7 @@
 }
 
 impl Observers {
-    /// None yet.
+    /// Creates the observers, without a thread.
     pub fn new() -> Observers {
         Observers {
             observations: Arc::default(),
@@ -59,49 +60,55 @@
         }
     }
 
-    /// Reads this process's view from now on, in place of an earlier one of the same number.
+    /// Starts to poll a placer's process, and stops polling an earlier process with the same number.
     pub fn follow(&mut self, number: usize, api: SocketAddr) {
         self.threads
             .iter()
             .filter(|t| t.0 == number)
             .for_each(|t| t.1.store(true, Ordering::Relaxed));
-        let (seen, stop, over) = (
+        let (observations, stop, is_replaced) = (
             self.observations.clone(),
             self.stop.clone(),
             Arc::new(AtomicBool::new(false)),
         );
-        let mine = over.clone();
+        let was_replaced = is_replaced.clone();
         let thread = std::thread::spawn(move || {
             let clock = Clock::start();
             let mut after = 0;
-            while !stop.load(Ordering::Relaxed) && !mine.load(Ordering::Relaxed) {
-                if let (Ok((200, view)), Ok((200, news))) = (
+            while !stop.load(Ordering::Relaxed) && !was_replaced.load(Ordering::Relaxed) {
+                if let (Ok((200, view)), Ok((200, changes))) = (
                     get_json(api, "/v1/fleet"),
                     get_json(api, &format!("/v1/fleet?after={after}")),
                 ) {
                     let at = clock.now();
-                    let mut seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-                    seen.samples
+                    let mut observations =
+                        observations.lock().unwrap_or_else(PoisonError::into_inner);
+                    observations
+                        .samples
                         .entry(number)
                         .or_default()
                         .push(sample(at, &view));
-                    for change in news["changes"].as_array().into_iter().flatten() {
+                    for change in changes["changes"].as_array().into_iter().flatten() {
                         after = change["number"].as_u64().unwrap_or(after);
                         let at = change["at_ms"].as_u64().unwrap_or(0) * 1000;
-                        let what = change["change"].clone();
-                        seen.changes
+                        let reported = change["change"].clone();
+                        observations
+                            .changes
                             .entry(number)
                             .or_default()
-                            .push(ReportedChange { at, event: what });
+                            .push(ReportedChange {
+                                at,
+                                event: reported,
+                            });
                     }
                 }
                 std::thread::sleep(POLL_INTERVAL);
             }
         });
-        self.threads.push((number, over, thread));
+        self.threads.push((number, is_replaced, thread));
     }
 
-    /// Ends all, and gives what was read.
+    /// Stops all threads and returns the observations.
     pub fn finish(self) -> Observations {
         self.stop.store(true, Ordering::Relaxed);
         for (_, _, thread) in self.threads {
--- a/crates/fault-injection/src/proxy.rs
+++ b/crates/fault-injection/src/proxy.rs
@@ -1,5 +1,6 @@
-//! A faulty network between real processes: each place has a loopback address where its process listens and another that
-//! it advertises. What comes to the second is lost, delayed, duplicated or passed on to the first, by who sent it.
+//! A faulty network between real processes. Each node has a loopback address at which its process listens and another
+//! one that it advertises. Datagrams to the advertised address are lost, delayed, duplicated or forwarded to the
+//! listening address, depending on their sender.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -12,31 +13,32 @@
 use maplethread_simnet::Network;
 use maplethread_timers::Timers;
 
-/// The port at which all listen and are reached.
+/// The port at which processes listen; the advertised port is the next one.
 const PORT: u16 = 7946;
-/// The longest datagram that is carried; members send at most 1,200 bytes.
-const MAX_DATAGRAM: usize = 2048;
-/// Datagrams in flight at a time; further ones are lost.
-const MAX_IN_FLIGHT: usize = 1 << 16;
+/// Maximum size of a forwarded datagram; members send at most 1,200 bytes.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Maximum number of datagrams in flight; further ones are dropped.
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 1 << 16;
 
-static NETWORKS: AtomicU32 = AtomicU32::new(0);
+/// Number of subnets tried so far, so that networks of one process use different ones.
+static SUBNET_ATTEMPTS: AtomicU32 = AtomicU32::new(0);
 
-/// Datagrams and bytes that the proxy carried.
+/// Traffic counts of the proxy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Datagrams that came from a place.
+    /// Number of datagrams received from the network's nodes.
     pub sent: u64,
-    /// Their bytes.
+    /// Number of bytes in these datagrams.
     pub bytes: u64,
-    /// Datagrams that were passed on.
+    /// Number of datagrams forwarded, duplicates included.
     pub delivered: u64,
-    /// Datagrams from elsewhere.
+    /// Number of datagrams from unknown senders, which are dropped.
     pub from_unknown_senders: u64,
 }
 
-/// A proxy before each process, run by one thread until it is dropped.
+/// A proxy in front of each process. All of them run in one thread, until the value is dropped.
 pub struct NetworkProxy {
-    base: [u8; 2],
+    subnet: [u8; 2],
     network: Arc<Mutex<Network>>,
     traffic: Arc<Mutex<Traffic>>,
     stop: Arc<AtomicBool>,
@@ -48,15 +50,20 @@
 }
 
 impl NetworkProxy {
-    /// A network of so many places, at most 250, on addresses that nobody uses.
-    pub fn start(places: usize, seed: u64) -> io::Result<NetworkProxy> {
-        if places > 250 {
+    /// Starts a network of at most 250 nodes on free loopback addresses.
+    ///
+    /// # Errors
+    ///
+    /// If there are more than 250 nodes, if no free addresses are found, or if the sockets or the thread cannot be set
+    /// up.
+    pub fn start(nodes: usize, seed: u64) -> io::Result<NetworkProxy> {
+        if nodes > 250 {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidInput,
-                "at most 250 places",
+                "a network has at most 250 nodes",
             ));
         }
-        let (base, sockets) = Self::bind(places)?;
+        let (subnet, sockets) = Self::bind(nodes)?;
         let poller = Poller::new()?;
         for (n, socket) in sockets.iter().enumerate() {
             socket.set_nonblocking(true)?;
@@ -65,8 +72,8 @@
         let network = Arc::new(Mutex::new(Network::new(seed)));
         let traffic = Arc::new(Mutex::new(Traffic::default()));
         let stop = Arc::new(AtomicBool::new(false));
-        let carrier = Carrier {
-            base,
+        let forwarder = Forwarder {
+            subnet,
             sockets,
             poller,
             network: network.clone(),
@@ -75,9 +82,9 @@
         };
         let thread = std::thread::Builder::new()
             .name("network".to_owned())
-            .spawn(move || carrier.run())?;
+            .spawn(move || forwarder.run())?;
         Ok(NetworkProxy {
-            base,
+            subnet,
             network,
             traffic,
             stop,
@@ -85,41 +92,44 @@
         })
     }
 
-    /// Looks for a part of the loopback network in which all addresses are free.
-    fn bind(places: usize) -> io::Result<([u8; 2], Vec<UdpSocket>)> {
-        let mut last = io::Error::other("no places");
+    /// Binds the advertised addresses of all nodes in a loopback subnet in which all addresses are free.
+    fn bind(nodes: usize) -> io::Result<([u8; 2], Vec<UdpSocket>)> {
+        let mut last_error = io::Error::other("no loopback subnet was tried");
         for _ in 0..200 {
-            let drawn = std::process::id()
+            let candidate = std::process::id()
                 .wrapping_mul(31)
-                .wrapping_add(NETWORKS.fetch_add(1, Ordering::Relaxed));
-            // 127.16.x to 127.254.x: away from 127.0.0.1 and what commonly lies beside it.
-            let base = [16 + (drawn % 238) as u8, (drawn / 238 % 254) as u8 + 1];
-            let all: io::Result<Vec<UdpSocket>> = (0..places)
+                .wrapping_add(SUBNET_ATTEMPTS.fetch_add(1, Ordering::Relaxed));
+            // 127.16.x to 127.253.x, to avoid 127.0.0.1 and other commonly used addresses near it.
+            let subnet = [
+                16 + (candidate % 238) as u8,
+                (candidate / 238 % 254) as u8 + 1,
+            ];
+            let all: io::Result<Vec<UdpSocket>> = (0..nodes)
                 .map(|n| {
-                    // The place's own address has to be free as well.
-                    drop(UdpSocket::bind(listen(base, n))?);
-                    UdpSocket::bind(advertise(base, n))
+                    // The node's listening address must be free as well.
+                    drop(UdpSocket::bind(listen(subnet, n))?);
+                    UdpSocket::bind(advertise(subnet, n))
                 })
                 .collect();
             match all {
-                Ok(sockets) => return Ok((base, sockets)),
-                Err(error) => last = error,
+                Ok(sockets) => return Ok((subnet, sockets)),
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    /// Where the process at a place listens.
-    pub fn listen(&self, place: usize) -> SocketAddr {
-        listen(self.base, place)
+    /// The address at which the process at a node listens.
+    pub fn listen(&self, node: usize) -> SocketAddr {
+        listen(self.subnet, node)
     }
 
-    /// Where others send to it.
-    pub fn advertise(&self, place: usize) -> SocketAddr {
-        advertise(self.base, place)
+    /// The address that the process at a node advertises.
+    pub fn advertise(&self, node: usize) -> SocketAddr {
+        advertise(self.subnet, node)
     }
 
-    /// The faults.
+    /// The simulated network, whose faults can be changed.
     pub fn faults(&self) -> MutexGuard<'_, Network> {
         lock(&self.network)
     }
@@ -139,19 +149,22 @@
     }
 }
 
-fn listen(base: [u8; 2], place: usize) -> SocketAddr {
-    SocketAddr::from((Ipv4Addr::new(127, base[0], base[1], place as u8 + 1), PORT))
+fn listen(subnet: [u8; 2], node: usize) -> SocketAddr {
+    SocketAddr::from((
+        Ipv4Addr::new(127, subnet[0], subnet[1], node as u8 + 1),
+        PORT,
+    ))
 }
 
-fn advertise(base: [u8; 2], place: usize) -> SocketAddr {
+fn advertise(subnet: [u8; 2], node: usize) -> SocketAddr {
     SocketAddr::from((
-        Ipv4Addr::new(127, base[0], base[1], place as u8 + 1),
+        Ipv4Addr::new(127, subnet[0], subnet[1], node as u8 + 1),
         PORT + 1,
     ))
 }
 
-struct Carrier {
-    base: [u8; 2],
+struct Forwarder {
+    subnet: [u8; 2],
     sockets: Vec<UdpSocket>,
     poller: Poller,
     network: Arc<Mutex<Network>>,
@@ -159,12 +172,12 @@
     stop: Arc<AtomicBool>,
 }
 
-impl Carrier {
+impl Forwarder {
     fn run(self) {
         let clock = Clock::start();
         let mut in_flight: Timers<(usize, Vec<u8>)> = Timers::default();
         let mut ready: Vec<Readiness> = Vec::new();
-        let mut bytes = [0; MAX_DATAGRAM];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         while !self.stop.load(Ordering::Relaxed) {
             let now = clock.now();
             let next = in_flight
@@ -178,8 +191,8 @@
             {
                 return;
             }
-            for r in &ready {
-                let to = r.token as usize;
+            for readiness in &ready {
+                let to = readiness.token as usize;
                 for _ in 0..256 {
                     let Ok((n, from)) = self.sockets[to].recv_from(&mut bytes) else {
                         break;
@@ -189,8 +202,8 @@
             }
             let now = clock.now();
             while let Some((to, bytes)) = in_flight.pop_due(now) {
-                let passed = self.sockets[to].send_to(&bytes, listen(self.base, to));
-                lock(&self.traffic).delivered += u64::from(passed.is_ok());
+                let result = self.sockets[to].send_to(&bytes, listen(self.subnet, to));
+                lock(&self.traffic).delivered += u64::from(result.is_ok());
             }
         }
     }
@@ -203,22 +216,22 @@
         to: usize,
         bytes: &[u8],
     ) {
-        let place = match from {
-            SocketAddr::V4(v4) if v4.ip().octets()[1..3] == self.base => {
+        let node = match from {
+            SocketAddr::V4(v4) if v4.ip().octets()[1..3] == self.subnet => {
                 usize::from(v4.ip().octets()[3]).checked_sub(1)
             }
             _ => None,
         };
         let mut traffic = lock(&self.traffic);
-        let Some(place) = place.filter(|&p| p < self.sockets.len()) else {
+        let Some(node) = node.filter(|&p| p < self.sockets.len()) else {
             traffic.from_unknown_senders += 1;
             return;
         };
         traffic.sent += 1;
         traffic.bytes += bytes.len() as u64;
         drop(traffic);
-        for delay in lock(&self.network).send(place, to) {
-            if in_flight.len() < MAX_IN_FLIGHT {
+        for delay in lock(&self.network).send(node, to) {
+            if in_flight.len() < MAX_DATAGRAMS_IN_FLIGHT {
                 in_flight.schedule(now + delay, (to, bytes.to_vec()));
             }
         }
--- a/crates/fault-injection/src/random_schedule.rs
+++ b/crates/fault-injection/src/random_schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults drawn from a seed, for the model: which kinds exist at all is drawn too.
+//! Random schedules of faults for the model, generated from a seed. Which kinds of faults occur at all is random too.
 
 use maplethread_membership::MemberState;
 use maplethread_simnet::Link;
@@ -7,41 +7,42 @@
 
 use crate::model::{MS, Model, S, member_name};
 
-/// What a schedule came to.
+/// The result of running a random schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduleResult {
-    /// Members at its end.
+    /// Number of members at the end.
     pub members: usize,
-    /// How long it took to settle once faults had stopped, µs.
+    /// How long the members took to settle after the faults, µs; `None` if they did not.
     pub settled_after: Option<u64>,
-    /// Members that ran, could be reached, and were called down before the faults began.
+    /// Number of times that a running, reachable member was declared down before the faults began.
     pub false_alarms_before_faults: u64,
-    /// Members that are gone and came back in some view after all had settled.
+    /// Number of views of departed members that reappeared as live after all members had settled.
     pub resurrected_members: usize,
-    /// The most that one member held for another.
+    /// Maximum number of table entries of one member.
     pub max_entries: usize,
-    /// What was wrong, for a person.
+    /// A description of what went wrong, if anything did.
     pub failure: Option<String>,
 }
 
-/// Faults stop this long after the start; settling is waited for this long.
-const FAULTS_END: u64 = 90 * S;
-const SETTLE_TIMEOUT: u64 = 90 * S;
+/// Time at which the faults end, after the start.
+const FAULTS_END_US: u64 = 90 * S;
+/// How long the members may take to settle after the faults.
+const SETTLE_TIMEOUT_US: u64 = 90 * S;
 
-/// Plays the schedule of a seed.
+/// Generates the schedule of a seed and runs it.
 pub fn run_random_schedule(seed: u64) -> ScheduleResult {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = move |below: u64| rng.next_u64() % below.max(1);
     let mut model = Model::new(seed);
     model.timing.forget_after = std::time::Duration::from_secs([30, 600][draw(2) as usize]);
-    let count = 2 + draw(15) as usize;
+    let member_count = 2 + draw(15) as usize;
     model.seeds = (0..1 + draw(3) as usize).collect();
-    let kinds = draw(256);
-    model.start_all(count);
+    let enabled_kinds = draw(256);
+    model.start_all(member_count);
     model.run(10 * S);
-    let early_alarms = model.statistics().false_alarms;
+    let early_false_alarms = model.statistics().false_alarms;
     model.counts_false_alarms = false;
-    if kinds & 1 != 0 {
+    if enabled_kinds & 1 != 0 {
         let (loss, late) = (draw(25) as f64 / 100.0, draw(5) as f64 / 100.0);
         model.network.default_link = Link {
             loss_probability: loss,
@@ -52,47 +53,52 @@
             ..Link::default()
         };
     }
-    let (mut gone, mut next) = (Vec::new(), 1000);
+    let (mut departed, mut next_node) = (Vec::new(), 1000);
     let mut now = 10 * S;
-    while now < FAULTS_END {
-        let places = model.places();
-        let at = places[draw(places.len() as u64) as usize];
+    while now < FAULTS_END_US {
+        let nodes = model.nodes();
+        let target = nodes[draw(nodes.len() as u64) as usize];
         match draw(8) {
-            1 if kinds & 2 != 0 && places.len() > 1 => {
-                gone.push(model.member_at(at));
-                model.kill(at);
+            1 if enabled_kinds & 2 != 0 && nodes.len() > 1 => {
+                departed.push(model.member_at(target));
+                model.kill(target);
             }
-            2 if kinds & 4 != 0 && places.len() > 1 => {
-                gone.push(model.member_at(at));
-                model.leave(at);
+            2 if enabled_kinds & 4 != 0 && nodes.len() > 1 => {
+                departed.push(model.member_at(target));
+                model.leave(target);
             }
             3 => {
-                if let Some(member) = gone.pop() {
-                    let off = if kinds & 8 != 0 {
+                if let Some(member) = departed.pop() {
+                    let clock_offset_ms = if enabled_kinds & 8 != 0 {
                         draw(7_200_000) as i64 - 3_600_000
                     } else {
                         0
                     };
-                    let same = draw(2) == 0 && !places.contains(&member);
-                    let place = if same { member } else { next };
-                    next += 1;
-                    model.start_with(member, place, off, 0.95 + draw(10) as f64 / 100.0);
+                    let reuses_node = draw(2) == 0 && !nodes.contains(&member);
+                    let node = if reuses_node { member } else { next_node };
+                    next_node += 1;
+                    model.start_with(
+                        member,
+                        node,
+                        clock_offset_ms,
+                        0.95 + draw(10) as f64 / 100.0,
+                    );
                 }
             }
-            4 if kinds & 16 != 0 => model.pause(at, 500 * MS + draw(20 * S)),
-            5 if kinds & 32 != 0 => {
+            4 if enabled_kinds & 16 != 0 => model.pause(target, 500 * MS + draw(20 * S)),
+            5 if enabled_kinds & 32 != 0 => {
                 let mut parts = vec![Vec::new(), Vec::new(), Vec::new()];
-                let ways = 2 + draw(2);
-                for &place in &places {
-                    parts[draw(ways) as usize].push(place);
+                let part_count = 2 + draw(2);
+                for &node in &nodes {
+                    parts[draw(part_count) as usize].push(node);
                 }
                 model.network.partition(&parts);
             }
-            6 if kinds & 64 != 0 => {
-                let other = places[draw(places.len() as u64) as usize];
-                model.network.cut(at, other);
+            6 if enabled_kinds & 64 != 0 => {
+                let other = nodes[draw(nodes.len() as u64) as usize];
+                model.network.cut(target, other);
             }
-            7 if kinds & 128 != 0 => model.network.heal(),
+            7 if enabled_kinds & 128 != 0 => model.network.heal(),
             _ => {}
         }
         let step = 200 * MS + draw(6 * S);
@@ -101,45 +107,45 @@
     }
     model.network.heal();
     model.network.default_link = Link::default();
-    // Whoever stands still goes on, and what was late has come.
+    // Paused members resume, and most late datagrams arrive.
     model.run(20 * S);
     model.restart_seed_if_none_runs();
-    let places = model.places();
-    let settled = model.run_until_settled(&places, SETTLE_TIMEOUT);
-    let ghosts = if settled.is_some() {
+    let nodes = model.nodes();
+    let settle_time = model.run_until_settled(&nodes, SETTLE_TIMEOUT_US);
+    let resurrected = if settle_time.is_some() {
         model.run(40 * S);
-        let running: Vec<usize> = places.iter().map(|&p| model.member_at(p)).collect();
-        let ghost = |p: usize, g: usize| {
-            !running.contains(&g)
+        let running_members: Vec<usize> = nodes.iter().map(|&p| model.member_at(p)).collect();
+        let is_resurrected = |p: usize, g: usize| {
+            !running_members.contains(&g)
                 && model
                     .local_member(p)
                     .state_of(&member_name(g))
                     .is_some_and(MemberState::is_live)
         };
-        places
+        nodes
             .iter()
-            .map(|&p| gone.iter().filter(|&&g| ghost(p, g)).count())
+            .map(|&p| departed.iter().filter(|&&g| is_resurrected(p, g)).count())
             .sum()
     } else {
         0
     };
-    let held = places
+    let max_entry_count = nodes
         .iter()
         .map(|&p| model.local_member(p).entry_count())
         .max()
         .unwrap_or(0);
-    let wrong = (settled.is_none() || ghosts > 0 || early_alarms > 0).then(|| {
+    let description = (settle_time.is_none() || resurrected > 0 || early_false_alarms > 0).then(|| {
         format!(
-            "seed {seed}, kinds {kinds:08b}, {count} at first\n{}",
-            model.describe_differences(&places)
+            "seed {seed}, fault kinds {enabled_kinds:08b}, {member_count} members at the start\n{}",
+            model.describe_differences(&nodes)
         )
     });
     ScheduleResult {
-        members: places.len(),
-        settled_after: settled,
-        false_alarms_before_faults: early_alarms,
-        resurrected_members: ghosts,
-        max_entries: held,
-        failure: wrong,
+        members: nodes.len(),
+        settled_after: settle_time,
+        false_alarms_before_faults: early_false_alarms,
+        resurrected_members: resurrected,
+        max_entries: max_entry_count,
+        failure: description,
     }
 }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -1,4 +1,5 @@
-//! A drill: real placers with a faulty network between them, placing for stand-in owners on stand-in hosts all the while.
+//! A fault injection run: real placers with a faulty network between them, which place tasks of emulated owners on
+//! emulated hosts throughout.
 
 use std::io;
 use std::path::PathBuf;
@@ -20,44 +21,44 @@
 use crate::proxy::{NetworkProxy, Traffic};
 use crate::schedule::{NetworkStep, Schedule};
 
-/// What to play.
+/// The options of a run.
 #[derive(Clone, Debug)]
 pub struct FaultInjectionRun {
-    /// What befalls whom.
+    /// The faults to inject, and the number of placers and hosts.
     pub schedule: Schedule,
-    /// Seed of the network, the owners and the placers.
+    /// Seed of all randomness in the network, the owners and the placers.
     pub seed: u64,
-    /// The program whose placers are run.
+    /// Path of the program that is run as placer.
     pub program: PathBuf,
-    /// Keep the placers' settings and logs here.
+    /// Folder in which the placers' settings and logs are kept.
     pub keep_files_in: Option<PathBuf>,
-    /// Tell how it goes, on standard error.
+    /// Print the progress on standard error.
     pub shows_progress: bool,
-    /// Placers keep no view: to compare placing.
+    /// Run the placers without membership, to compare the placement service with and without it.
     pub without_view: bool,
-    /// Once this is set the drill ends with an error, and so do its processes.
+    /// Once this is set, the run ends with an error and its processes are stopped.
     pub interrupted: Arc<AtomicBool>,
 }
 
-/// What it came to.
+/// The result of a run.
 pub struct RunReport {
-    /// Of the fleet's view.
+    /// Result of the membership check.
     pub membership: CheckResult,
-    /// Of the five rules, with service and times.
+    /// Report on the five placement rules, with service and latencies.
     pub service: Report,
-    /// What the network carried.
+    /// Traffic of the network between the placers.
     pub traffic: Traffic,
-    /// How long the drill lasted, s.
+    /// Duration of the run, s.
     pub duration_s: f64,
 }
 
 impl RunReport {
-    /// Whether all held.
+    /// Whether neither check found a violation.
     pub fn passed(&self) -> bool {
         self.membership.violations.is_empty() && self.service.is_good()
     }
 
-    /// As one object.
+    /// The result as a JSON object.
     pub fn to_json(&self) -> Value {
         let per_member =
             self.traffic.bytes as f64 / self.duration_s / self.membership.members.max(1) as f64;
@@ -71,155 +72,162 @@
     }
 }
 
-/// The drill's key.
-const KEY: &str = "2b7e151628aed2a6abf7158809cf4f3c762e7160f38b4da56a784d9045190cfe";
+/// The membership key of the run.
+const FLEET_KEY: &str = "2b7e151628aed2a6abf7158809cf4f3c762e7160f38b4da56a784d9045190cfe";
 
-/// Plays a drill.
-pub fn run(drill: &FaultInjectionRun) -> io::Result<RunReport> {
-    let schedule = &drill.schedule;
-    let proxy = NetworkProxy::start(schedule.placers, drill.seed)?;
-    let temporary = tempfile::tempdir()?;
-    let key_file = temporary.path().join("fleet.key");
-    std::fs::write(&key_file, KEY)?;
-    let faster = u64::from(schedule.faster.max(1));
-    let section = |place: usize| FleetSettings {
+/// Executes a run.
+///
+/// # Errors
+///
+/// If the network, the placers or the emulated owners and hosts cannot be started, if one of them fails, or if the run
+/// is interrupted.
+pub fn run(run_options: &FaultInjectionRun) -> io::Result<RunReport> {
+    let schedule = &run_options.schedule;
+    let proxy = NetworkProxy::start(schedule.placers, run_options.seed)?;
+    let temp_dir = tempfile::tempdir()?;
+    let key_file = temp_dir.path().join("fleet.key");
+    std::fs::write(&key_file, FLEET_KEY)?;
+    let speedup = u64::from(schedule.speedup.max(1));
+    let section = |node: usize| FleetSettings {
         name: "drill".to_owned(),
-        listen: proxy.listen(place),
-        advertise: Some(proxy.advertise(place)),
+        listen: proxy.listen(node),
+        advertise: Some(proxy.advertise(node)),
         seeds: (0..schedule.placers.min(3))
             .map(|p| proxy.advertise(p))
             .collect(),
         key_file: key_file.clone(),
-        probe_interval_ms: 1000 / faster,
-        probe_timeout_ms: 300 / faster,
+        probe_interval_ms: 1000 / speedup,
+        probe_timeout_ms: 300 / speedup,
         indirect_probes: 3,
         suspicion_multiplier: 5,
-        gossip_interval_ms: 200 / faster,
-        sync_interval_ms: 2000 / faster,
-        discovery_interval_ms: 5000 / faster,
+        gossip_interval_ms: 200 / speedup,
+        sync_interval_ms: 2000 / speedup,
+        discovery_interval_ms: 5000 / speedup,
         retention_s: schedule.forget_after_s,
         max_members: 4096,
     };
-    let (news, heard) = channel();
+    let (event_sender, event_receiver) = channel();
     let sections = (0..schedule.placers)
-        .filter(|_| !drill.without_view)
+        .filter(|_| !run_options.without_view)
         .map(section)
         .collect();
-    let fleet = MembershipTest {
+    let membership_test = MembershipTest {
         sections,
         faults: schedule.placer_faults(),
-        events: news,
+        events: event_sender,
     };
     let mut scenario = Scenario::standard().with_duration(schedule.faults_s + schedule.settle_s);
     scenario.placers = schedule.placers as u32;
     scenario = scenario.with_host_count(schedule.hosts);
-    // What befalls hosts and placers is the drill's own.
+    // Only the faults of this run's schedule are injected, not those of the standard scenario.
     scenario.faults.clear();
     let options = scenario_run::RunOptions {
         scenario,
-        seed: drill.seed,
-        program: drill.program.clone(),
+        seed: run_options.seed,
+        program: run_options.program.clone(),
         use_random_choice: false,
         mutant: 0,
         consul: None,
-        show_progress: drill.shows_progress,
-        kept_folder: drill.keep_files_in.clone(),
+        show_progress: run_options.shows_progress,
+        kept_folder: run_options.keep_files_in.clone(),
         trace_folder: None,
         arrivals: None,
-        membership: Some(fleet),
-        interrupted: drill.interrupted.clone(),
+        membership: Some(membership_test),
+        interrupted: run_options.interrupted.clone(),
     };
     let steps = schedule.network_steps();
-    let ends = schedule.faults_s + schedule.settle_s;
+    let end_s = schedule.faults_s + schedule.settle_s;
     let clock = Clock::start();
-    let started = clock.now();
+    let run_started_at = clock.now();
     std::thread::scope(|scope| {
         let proxy = &proxy;
-        let watching = scope.spawn(move || watch(&heard, proxy, steps, ends));
-        // The sender goes with the options, so the watcher ends with the day.
-        let day = scenario_run::run_scenario(&options);
+        let observer_thread =
+            scope.spawn(move || observe_run(&event_receiver, proxy, steps, end_s));
+        // The options own the event sender. Dropping them ends the observer thread.
+        let report = scenario_run::run_scenario(&options);
         drop(options);
-        let (news, watched, begun) = watching
+        let (events, observations, started_at) = observer_thread
             .join()
-            .map_err(|_| io::Error::other("the watcher panicked"))?;
-        let day = day?;
-        let quiet = begun + (schedule.faults_s * 1e6) as u64;
+            .map_err(|_| io::Error::other("the observer thread panicked"))?;
+        let report = report?;
+        let faults_ended_at = started_at + (schedule.faults_s * 1e6) as u64;
         let faults: Vec<(u64, u64)> = schedule
             .fault
             .iter()
             .filter(|f| {
                 !matches!(
                     f.kind,
-                    crate::schedule::Kind::Kill { .. } | crate::schedule::Kind::Lose { .. }
+                    crate::schedule::FaultKind::Kill { .. }
+                        | crate::schedule::FaultKind::Lose { .. }
                 )
             })
             .map(|f| {
                 (
-                    begun + (f.at_s * 1e6) as u64,
-                    begun + ((f.at_s + f.for_s) * 1e6) as u64,
+                    started_at + (f.at_s * 1e6) as u64,
+                    started_at + ((f.at_s + f.duration_s) * 1e6) as u64,
                 )
             })
             .collect();
-        let end = begun + (ends * 1e6) as u64;
-        let fleet = check(
-            &ProcessHistory::from_events(&news),
-            &watched,
+        let end = started_at + (end_s * 1e6) as u64;
+        let check_result = check(
+            &ProcessHistory::from_events(&events),
+            &observations,
             &faults,
-            quiet,
+            faults_ended_at,
             end,
         );
-        let lasted_s = (clock.now() - started) as f64 / 1e6;
+        let elapsed_s = (clock.now() - run_started_at) as f64 / 1e6;
         Ok(RunReport {
-            membership: fleet,
-            service: day,
+            membership: check_result,
+            service: report,
             traffic: proxy.traffic(),
-            duration_s: lasted_s,
+            duration_s: elapsed_s,
         })
     })
 }
 
-/// Follows the placers' views and takes the network's steps until the drill is over; what the day told, what placers
-/// showed, and when the drill began.
-fn watch(
-    heard: &Receiver<RunEvent>,
+/// Observes the placers' views and applies the network's faults until the run is over. Returns the events of the run,
+/// the observations, and the start time of the run in Unix time, µs.
+fn observe_run(
+    event_receiver: &Receiver<RunEvent>,
     proxy: &NetworkProxy,
     steps: Vec<(u64, NetworkStep)>,
-    ends_s: f64,
+    end_s: f64,
 ) -> (Vec<RunEvent>, Observations, u64) {
     let clock = Clock::start();
-    let (mut all, mut begun) = (Vec::new(), None);
-    let mut watchers = Some(Observers::new());
-    let mut watched = Observations::default();
+    let (mut events, mut start) = (Vec::new(), None);
+    let mut observers = Some(Observers::new());
+    let mut observations = Observations::default();
     let mut steps = steps.into_iter().peekable();
     loop {
-        match heard.recv_timeout(Duration::from_millis(5)) {
-            Ok(news) => {
-                match (news, &mut watchers) {
-                    (RunEvent::PlacerServing(_, number, api), Some(watchers)) => {
-                        watchers.follow(number, api)
+        match event_receiver.recv_timeout(Duration::from_millis(5)) {
+            Ok(event) => {
+                match (event, &mut observers) {
+                    (RunEvent::PlacerServing(_, number, api), Some(observers)) => {
+                        observers.follow(number, api)
                     }
-                    (RunEvent::Started(at), _) => begun = Some(at),
+                    (RunEvent::Started(at), _) => start = Some(at),
                     _ => {}
                 }
-                all.push(news);
+                events.push(event);
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => break,
         }
-        let Some(begun) = begun else { continue };
-        let now = clock.now().saturating_sub(begun);
+        let Some(start) = start else { continue };
+        let now = clock.now().saturating_sub(start);
         while let Some((_, step)) = steps.next_if(|s| s.0 <= now) {
             step.apply(&mut proxy.faults());
         }
-        // What is shown once owners have stopped, and placers are told to end, says nothing of the drill.
-        if now as f64 >= ends_s * 1e6
-            && let Some(watchers) = watchers.take()
+        // After this time owners stop and placers are terminated, so later views must not be checked.
+        if now as f64 >= end_s * 1e6
+            && let Some(observers) = observers.take()
         {
-            watched = watchers.finish();
+            observations = observers.finish();
         }
     }
-    if let Some(watchers) = watchers {
-        watched = watchers.finish();
+    if let Some(observers) = observers {
+        observations = observers.finish();
     }
-    (all, watched, begun.unwrap_or(0))
+    (events, observations, start.unwrap_or(0))
 }
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -1,4 +1,4 @@
-//! What befalls a drill's network and placers, and when: from a TOML file or drawn from a seed.
+//! Schedules of the network and process faults in a run, read from a TOML file or generated from a seed.
 
 use maplethread_config::{ConfigErrors, Document, parse_toml};
 use serde::{Deserialize, Serialize};
@@ -10,199 +10,212 @@
 
 pub use timeline::NetworkStep;
 
-/// A drill.
+/// The settings and the faults of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Placers.
+    /// Number of placers.
     pub placers: usize,
-    /// Stand-in hosts on which they place.
-    #[serde(default = "hosts")]
+    /// Number of emulated hosts on which they place tasks.
+    #[serde(default = "default_hosts")]
     pub hosts: usize,
-    /// Faults stop after this, s.
+    /// Time after which no fault is active any more, s.
     pub faults_s: f64,
-    /// Then all has to be settled within this, s.
-    #[serde(default = "settle")]
+    /// Time after the faults within which all placers must have the same view, s.
+    #[serde(default = "default_settle_s")]
     pub settle_s: f64,
-    /// The members' periods are so many times as short as usual.
-    #[serde(default = "faster")]
-    pub faster: u32,
-    /// Members that are gone are forgotten after this, s.
-    #[serde(default = "forget_after")]
+    /// Factor by which the members' intervals and timeouts are shorter than in production.
+    #[serde(default = "default_speedup", rename = "faster")]
+    pub speedup: u32,
+    /// Time after which members that are gone are removed from memory, s.
+    #[serde(default = "default_forget_after_s")]
     pub forget_after_s: u64,
     /// The faults.
     #[serde(default)]
     pub fault: Vec<Fault>,
 }
 
-fn forget_after() -> u64 {
+fn default_forget_after_s() -> u64 {
     600
 }
 
-fn hosts() -> usize {
+fn default_hosts() -> usize {
     12
 }
-fn settle() -> f64 {
+fn default_settle_s() -> f64 {
     20.0
 }
-fn faster() -> u32 {
+fn default_speedup() -> u32 {
     4
 }
 
-/// A fault, from one time to another.
+/// A fault and the time span in which it is active.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, s after the drill did.
+    /// When it begins, s after the start of the run.
     pub at_s: f64,
     /// How long it lasts, s.
-    pub for_s: f64,
-    /// What it is.
+    #[serde(rename = "for_s")]
+    pub duration_s: f64,
+    /// The kind of fault.
     #[serde(flatten)]
-    pub kind: Kind,
+    pub kind: FaultKind,
 }
 
-/// Kinds of faults. Placers go by their numbers.
+/// The kind of a fault. Placers are identified by their numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
-pub enum Kind {
-    /// Every link loses this share, duplicates a twentieth, and takes up to so many ms.
+pub enum FaultKind {
+    /// Every link loses this share of the datagrams, duplicates 5%, and has this maximum latency.
     Loss {
-        /// The share.
+        /// The share that is lost, 0 to 1.
         share: f64,
-        /// The longest latency, ms.
+        /// The maximum latency, ms.
         #[serde(rename = "most_ms")]
         max_latency_ms: f64,
     },
-    /// This share comes so much later.
+    /// Every link delivers this share of the datagrams late.
     Late {
-        /// The share.
+        /// The share that is late, 0 to 1.
         share: f64,
-        /// By so much, s.
+        /// The additional delay, s.
         by_s: f64,
     },
-    /// The link from one to another is worse than the others.
+    /// The link from one placer to another loses datagrams and has a higher latency.
     Link {
         /// The sender.
         from: usize,
         /// The receiver.
         to: usize,
-        /// The share that is lost.
+        /// The share that is lost, 0 to 1.
         share: f64,
-        /// The longest latency, ms.
+        /// The maximum latency, ms.
         #[serde(rename = "most_ms")]
         max_latency_ms: f64,
     },
-    /// Nothing comes through between these parts; who is not named is in the first.
+    /// Nothing is delivered between these partitions. Placers that are not listed belong to the first one.
     Partition {
-        /// The parts.
+        /// The placers of each partition.
         parts: Vec<Vec<usize>>,
     },
-    /// Nothing comes from one to the other; the way back stays.
+    /// Nothing is delivered from one placer to the other; the reverse direction works.
     OneWay {
         /// The sender.
         from: usize,
         /// The receiver.
         to: usize,
     },
-    /// These hear all and are heard by none.
+    /// These placers receive everything, but nothing that they send is delivered.
     Unheard {
-        /// Who.
+        /// Their numbers.
         placers: Vec<usize>,
     },
-    /// The link between two is cut and whole in turn, a second each.
+    /// The link between two placers is alternately cut and restored, for a second each.
     Flap {
-        /// One end.
+        /// One end of the link.
         from: usize,
-        /// The other.
+        /// The other end.
         to: usize,
     },
-    /// These are killed, and start again at the end.
+    /// These placers are killed, and restarted at the end of the fault.
     Kill {
-        /// Who.
+        /// Their numbers.
         placers: Vec<usize>,
     },
-    /// These are killed for good.
+    /// These placers are killed and not restarted.
     Lose {
-        /// Who.
+        /// Their numbers.
         placers: Vec<usize>,
     },
-    /// These stand still.
+    /// These placers are paused, and resumed at the end of the fault.
     Pause {
-        /// Who.
+        /// Their numbers.
         placers: Vec<usize>,
     },
-    /// All are told to end and started again, one after the other.
+    /// All placers are terminated and restarted, one after the other.
     RollingRestart,
 }
 
 impl Schedule {
-    /// Reads and checks a schedule; all that is wrong is told at once.
-    pub fn parse(doc: Document<'_>) -> Result<Schedule, ConfigErrors> {
-        let schedule: Schedule = parse_toml(doc)?;
-        let mut wrong = Vec::new();
-        let mut check = |fine: bool, key: String, message: &str| {
-            if !fine {
-                wrong.push(doc.error(&key, message));
+    /// Parses and validates a schedule.
+    ///
+    /// # Errors
+    ///
+    /// If the document is not a valid schedule. All invalid values are reported together.
+    pub fn parse(document: Document<'_>) -> Result<Schedule, ConfigErrors> {
+        let schedule: Schedule = parse_toml(document)?;
+        let mut errors = Vec::new();
+        let mut check = |is_valid: bool, key: String, message: &str| {
+            if !is_valid {
+                errors.push(document.error(&key, message));
             }
         };
         check(
             (1..=64).contains(&schedule.placers),
             "placers".into(),
-            "1 to 64",
+            "must be 1 to 64",
         );
         check(
             (1..=400).contains(&schedule.hosts),
             "hosts".into(),
-            "1 to 400",
+            "must be 1 to 400",
         );
         check(
-            (1..=20).contains(&schedule.faster),
+            (1..=20).contains(&schedule.speedup),
             "faster".into(),
-            "1 to 20",
+            "must be 1 to 20",
         );
         check(
             schedule.forget_after_s >= 15,
             "forget_after_s".into(),
-            "at least 15",
+            "must be at least 15",
         );
-        let time = |s: f64| s.is_finite() && (0.0..=3600.0).contains(&s);
-        check(time(schedule.faults_s), "faults_s".into(), "0 to 3600");
+        let is_valid_time = |s: f64| s.is_finite() && (0.0..=3600.0).contains(&s);
         check(
-            time(schedule.settle_s) && schedule.settle_s >= 1.0,
+            is_valid_time(schedule.faults_s),
+            "faults_s".into(),
+            "must be 0 to 3600",
+        );
+        check(
+            is_valid_time(schedule.settle_s) && schedule.settle_s >= 1.0,
             "settle_s".into(),
-            "1 to 3600",
+            "must be 1 to 3600",
         );
         for (n, fault) in schedule.fault.iter().enumerate() {
-            let sound = time(fault.at_s) && time(fault.for_s);
-            check(sound, format!("fault[{n}].at_s"), "times are 0 to 3600 s");
-            let ends = fault.at_s + fault.for_s <= schedule.faults_s;
+            let has_valid_times = is_valid_time(fault.at_s) && is_valid_time(fault.duration_s);
             check(
-                ends,
+                has_valid_times,
+                format!("fault[{n}].at_s"),
+                "times must be 0 to 3600 s",
+            );
+            let ends_in_time = fault.at_s + fault.duration_s <= schedule.faults_s;
+            check(
+                ends_in_time,
                 format!("fault[{n}].for_s"),
-                "it has to be over before faults_s",
+                "the fault must end before faults_s",
             );
             let share = match fault.kind {
-                Kind::Loss { share, .. } | Kind::Late { share, .. } | Kind::Link { share, .. } => {
-                    share
-                }
+                FaultKind::Loss { share, .. }
+                | FaultKind::Late { share, .. }
+                | FaultKind::Link { share, .. } => share,
                 _ => 0.0,
             };
             check(
                 (0.0..=1.0).contains(&share),
                 format!("fault[{n}].share"),
-                "0 to 1",
+                "must be 0 to 1",
             );
-            let known = fault.placers().iter().all(|&p| p < schedule.placers);
+            let are_placers_valid = fault.placers().iter().all(|&p| p < schedule.placers);
             check(
-                known,
+                are_placers_valid,
                 format!("fault[{n}]"),
-                "placers are counted from 0 to below `placers`",
+                "placer numbers must be less than `placers`",
             );
         }
-        if wrong.is_empty() {
+        if errors.is_empty() {
             Ok(schedule)
         } else {
-            Err(ConfigErrors(wrong))
+            Err(ConfigErrors(errors))
         }
     }
 }
@@ -210,15 +223,19 @@
 impl Fault {
     fn placers(&self) -> Vec<usize> {
         match &self.kind {
-            Kind::Partition { parts } => parts.iter().flatten().copied().collect(),
-            Kind::OneWay { from, to } | Kind::Flap { from, to } | Kind::Link { from, to, .. } => {
+            FaultKind::Partition { parts } => parts.iter().flatten().copied().collect(),
+            FaultKind::OneWay { from, to }
+            | FaultKind::Flap { from, to }
+            | FaultKind::Link { from, to, .. } => {
                 vec![*from, *to]
             }
-            Kind::Unheard { placers }
-            | Kind::Kill { placers }
-            | Kind::Lose { placers }
-            | Kind::Pause { placers } => placers.clone(),
-            Kind::Loss { .. } | Kind::Late { .. } | Kind::RollingRestart => Vec::new(),
+            FaultKind::Unheard { placers }
+            | FaultKind::Kill { placers }
+            | FaultKind::Lose { placers }
+            | FaultKind::Pause { placers } => placers.clone(),
+            FaultKind::Loss { .. } | FaultKind::Late { .. } | FaultKind::RollingRestart => {
+                Vec::new()
+            }
         }
     }
 }
--- a/crates/fault-injection/src/schedule/timeline.rs
+++ b/crates/fault-injection/src/schedule/timeline.rs
@@ -1,27 +1,27 @@
-//! What a schedule does to the network and to placers, step by step.
+//! Converts a schedule into timed steps for the network and for the placers' processes.
 
 use maplethread_emulator::run_options::PlacerFault;
 use maplethread_simnet::{Link, Network};
 
-use super::{Kind, Schedule};
+use super::{FaultKind, Schedule};
 
-/// A step of the network's faults.
+/// A change of the network's faults.
 #[derive(Clone, Debug)]
 pub enum NetworkStep {
-    /// The default link is this from now on.
+    /// Sets the default link.
     SetDefaultLink(Link),
-    /// The link from one to the other is this from now on.
+    /// Sets the link from the first placer to the second.
     SetLink(usize, usize, Link),
-    /// Partitions, in place of earlier ones.
+    /// Replaces the partitions; an empty list ends them.
     Partition(Vec<Vec<usize>>),
-    /// A one-way cut.
+    /// Cuts the link from the first placer to the second, one way.
     Cut(usize, usize),
-    /// The end of it.
+    /// Ends a one-way cut.
     Restore(usize, usize),
 }
 
 impl NetworkStep {
-    /// Takes the step.
+    /// Applies the change to a network.
     pub fn apply(&self, network: &mut Network) {
         match self {
             NetworkStep::SetDefaultLink(link) => network.default_link = *link,
@@ -38,13 +38,17 @@
 }
 
 impl Schedule {
-    /// What befalls the network, µs after the drill began, in order. At the end of the faults it is whole.
+    /// The changes of the network with their times in µs after the start of the run, sorted by time. After the last one
+    /// the network has no faults.
     pub fn network_steps(&self) -> Vec<(u64, NetworkStep)> {
         let mut steps = Vec::new();
         for fault in &self.fault {
-            let (at, until) = (to_micros(fault.at_s), to_micros(fault.at_s + fault.for_s));
+            let (at, until) = (
+                to_micros(fault.at_s),
+                to_micros(fault.at_s + fault.duration_s),
+            );
             match &fault.kind {
-                Kind::Loss {
+                FaultKind::Loss {
                     share,
                     max_latency_ms,
                 } => {
@@ -58,7 +62,7 @@
                     steps.push((at, NetworkStep::SetDefaultLink(link)));
                     steps.push((until, NetworkStep::SetDefaultLink(Link::default())));
                 }
-                Kind::Late { share, by_s } => {
+                FaultKind::Late { share, by_s } => {
                     let link = Link {
                         late_probability: *share,
                         late_delay: to_micros(*by_s),
@@ -67,7 +71,7 @@
                     steps.push((at, NetworkStep::SetDefaultLink(link)));
                     steps.push((until, NetworkStep::SetDefaultLink(Link::default())));
                 }
-                Kind::Link {
+                FaultKind::Link {
                     from,
                     to,
                     share,
@@ -82,15 +86,15 @@
                     steps.push((at, NetworkStep::SetLink(*from, *to, link)));
                     steps.push((until, NetworkStep::SetLink(*from, *to, Link::default())));
                 }
-                Kind::Partition { parts } => {
+                FaultKind::Partition { parts } => {
                     steps.push((at, NetworkStep::Partition(parts.clone())));
                     steps.push((until, NetworkStep::Partition(Vec::new())));
                 }
-                Kind::OneWay { from, to } => {
+                FaultKind::OneWay { from, to } => {
                     steps.push((at, NetworkStep::Cut(*from, *to)));
                     steps.push((until, NetworkStep::Restore(*from, *to)));
                 }
-                Kind::Unheard { placers } => {
+                FaultKind::Unheard { placers } => {
                     for &from in placers {
                         for to in (0..self.placers).filter(|&to| to != from) {
                             steps.push((at, NetworkStep::Cut(from, to)));
@@ -98,8 +102,8 @@
                         }
                     }
                 }
-                Kind::Flap { from, to } => {
-                    for second in 0..fault.for_s as u64 {
+                FaultKind::Flap { from, to } => {
+                    for second in 0..fault.duration_s as u64 {
                         let at = at + second * 1_000_000;
                         let step: fn(usize, usize) -> NetworkStep = if second % 2 == 0 {
                             NetworkStep::Cut
@@ -112,52 +116,58 @@
                     steps.push((until, NetworkStep::Restore(*from, *to)));
                     steps.push((until, NetworkStep::Restore(*to, *from)));
                 }
-                Kind::Kill { .. }
-                | Kind::Lose { .. }
-                | Kind::Pause { .. }
-                | Kind::RollingRestart => {}
+                FaultKind::Kill { .. }
+                | FaultKind::Lose { .. }
+                | FaultKind::Pause { .. }
+                | FaultKind::RollingRestart => {}
             }
         }
         steps.sort_by_key(|s| s.0);
         steps
     }
 
-    /// What befalls placers, µs after the drill began.
+    /// The faults of the placers' processes with their times in µs after the start of the run, sorted by time.
     pub fn placer_faults(&self) -> Vec<(u64, PlacerFault)> {
-        /// The front layer notices this long after.
-        const NOTICE: u64 = 500_000;
-        let mut acts = Vec::new();
+        /// Delay after which the front layer detects a killed placer.
+        const DETECTION_DELAY_US: u64 = 500_000;
+        let mut faults = Vec::new();
         for fault in &self.fault {
-            let (at, until) = (to_micros(fault.at_s), to_micros(fault.at_s + fault.for_s));
+            let (at, until) = (
+                to_micros(fault.at_s),
+                to_micros(fault.at_s + fault.duration_s),
+            );
             match &fault.kind {
-                Kind::Kill { placers } | Kind::Lose { placers } => {
+                FaultKind::Kill { placers } | FaultKind::Lose { placers } => {
                     for &placer in placers {
-                        acts.push((at, PlacerFault::Kill(placer)));
-                        acts.push(((at + NOTICE).min(until), PlacerFault::MarkDown(placer)));
-                        if matches!(fault.kind, Kind::Kill { .. }) {
-                            acts.push((until + 1, PlacerFault::Restart(placer)));
+                        faults.push((at, PlacerFault::Kill(placer)));
+                        faults.push((
+                            (at + DETECTION_DELAY_US).min(until),
+                            PlacerFault::MarkDown(placer),
+                        ));
+                        if matches!(fault.kind, FaultKind::Kill { .. }) {
+                            faults.push((until + 1, PlacerFault::Restart(placer)));
                         }
                     }
                 }
-                Kind::Pause { placers } => {
+                FaultKind::Pause { placers } => {
                     for &placer in placers {
-                        acts.push((at, PlacerFault::Pause(placer)));
-                        acts.push((until, PlacerFault::Resume(placer)));
+                        faults.push((at, PlacerFault::Pause(placer)));
+                        faults.push((until, PlacerFault::Resume(placer)));
                     }
                 }
-                Kind::RollingRestart => {
+                FaultKind::RollingRestart => {
                     let step = (until - at) / self.placers.max(1) as u64;
                     for placer in 0..self.placers {
                         let at = at + placer as u64 * step;
-                        acts.push((at, PlacerFault::Terminate(placer)));
-                        acts.push((at + step / 2, PlacerFault::KillIfRunning(placer)));
-                        acts.push((at + step / 2 + 1, PlacerFault::Restart(placer)));
+                        faults.push((at, PlacerFault::Terminate(placer)));
+                        faults.push((at + step / 2, PlacerFault::KillIfRunning(placer)));
+                        faults.push((at + step / 2 + 1, PlacerFault::Restart(placer)));
                     }
                 }
                 _ => {}
             }
         }
-        acts.sort_by_key(|a| a.0);
-        acts
+        faults.sort_by_key(|a| a.0);
+        faults
     }
 }
--- a/crates/fault-injection/tests/model/bounds.rs
+++ b/crates/fault-injection/tests/model/bounds.rs
@@ -1,4 +1,4 @@
-//! Keys, datagrams that are not sound, facts, and tables that do not grow.
+//! Key rotation, invalid datagrams, facts, and bounds on table sizes.
 
 use maplethread_fault_injection::model::{MS, Model, S};
 
@@ -6,38 +6,38 @@
 
 #[test]
 fn key_rotation_keeps_one_view_and_foreign_datagrams_change_nothing() {
-    let other = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
-    let both = |first: &str, second: &str| {
+    let new_key = "ffeeddccbbaa99887766554433221100ffeeddccbbaa99887766554433221100";
+    let key_pair = |first: &str, second: &str| {
         maplethread_fault_injection::model::keys(&format!(
-            "{first}\n# the one before or after\n{second}\n"
+            "{first}\n# the previous or next key\n{second}\n"
         ))
     };
-    let old = maplethread_fault_injection::model::KEY;
+    let old_key = maplethread_fault_injection::model::KEY;
     let mut model = Model::new(15);
     model.is_recording = true;
     model.start_all(8);
     settle_time(&mut model, 10 * S);
     model.is_recording = false;
-    let recorded = model.recorded.clone();
+    let recorded = model.recorded_datagrams.clone();
     for step in [
-        both(old, other),
-        both(other, old),
-        maplethread_fault_injection::model::keys(other),
+        key_pair(old_key, new_key),
+        key_pair(new_key, old_key),
+        maplethread_fault_injection::model::keys(new_key),
     ] {
-        for place in model.places() {
-            model.set_keys(place, step.clone());
+        for node in model.nodes() {
+            model.set_keys(node, step.clone());
             model.run(2 * S);
         }
     }
     assert_eq!(model.statistics().false_alarms, 0);
     settle_time(&mut model, S);
-    // What was sealed with the old key, garbage of all lengths, and a cut or longer datagram.
+    // Datagrams sealed with the old key, and invalid ones of various lengths up to oversize ones.
     let version = model.local_member(0).view(0).version;
     for (to, bytes) in recorded.iter().take(200) {
         model.inject(*to, bytes.clone());
     }
     for length in [0, 1, 16, 17, 18, 40, 600, 1200, 1201, 9000] {
-        let bytes = model.garbage(length);
+        let bytes = model.invalid_datagram(length);
         model.inject(0, bytes);
     }
     model.run(S);
@@ -57,32 +57,35 @@
     settle_time(&mut model, 10 * S);
     model.run(5 * S);
     model.is_recording = false;
-    let last = model
-        .recorded
+    let recorded_datagram = model
+        .recorded_datagrams
         .iter()
         .rev()
         .find(|(to, bytes)| *to == 1 && bytes.len() > 60);
-    let sound = last.expect("something came").1.clone();
-    let taken = |model: &Model| model.local_member(1).view(0).counters.unauthenticated;
-    let before = taken(&model);
-    for at in 1..sound.len() {
-        let mut forged = sound.clone();
+    let valid = recorded_datagram
+        .expect("a datagram for node 1 was recorded")
+        .1
+        .clone();
+    let unauthenticated = |model: &Model| model.local_member(1).view(0).counters.unauthenticated;
+    let before = unauthenticated(&model);
+    for at in 1..valid.len() {
+        let mut forged = valid.clone();
         forged[at] ^= 1 << (at % 8);
         model.inject(1, forged);
-        model.inject(1, sound[..at].to_vec());
+        model.inject(1, valid[..at].to_vec());
     }
     model.run(MS);
-    let lengths = sound.len() as u64;
-    // Those cut to less than a tag are no datagrams at all.
+    let length = valid.len() as u64;
+    // Datagrams truncated to less than an authentication tag are not counted as unauthenticated.
     assert!(
-        taken(&model) - before >= 2 * (lengths - 1) - 17,
-        "{} of {lengths}",
-        taken(&model) - before
+        unauthenticated(&model) - before >= 2 * (length - 1) - 17,
+        "{} of {length}",
+        unauthenticated(&model) - before
     );
     assert!(
-        model.is_settled(&model.places()),
+        model.is_settled(&model.nodes()),
         "{}",
-        model.describe_differences(&model.places())
+        model.describe_differences(&model.nodes())
     );
 }
 
@@ -92,8 +95,8 @@
     model.timing.max_members = 8;
     model.start_all(14);
     model.run(30 * S);
-    for place in model.places() {
-        let view = model.local_member(place).view(0);
+    for node in model.nodes() {
+        let view = model.local_member(node).view(0);
         assert!(view.members.len() <= 8, "{}", view.members.len());
     }
     assert!(model.local_member(0).view(0).counters.over_capacity > 0);
@@ -106,13 +109,13 @@
     model.start_all(10);
     settle_time(&mut model, 20 * S);
     let mut facts = maplethread_fault_injection::model::facts(1);
-    facts.version = "v".repeat(32).try_into().expect("it fits");
-    facts.zone = "z".repeat(32).try_into().expect("it fits");
+    facts.version = "v".repeat(32).try_into().expect("32 bytes fit");
+    facts.zone = "z".repeat(32).try_into().expect("32 bytes fit");
     (facts.is_draining, facts.replica_index, facts.load_percent) = (true, Some(u32::MAX), 255);
     model.set_facts(4, facts.clone());
     settle_time(&mut model, 20 * S);
-    for place in model.places().into_iter().filter(|&p| p != 4) {
-        let view = model.local_member(place).view(0);
+    for node in model.nodes().into_iter().filter(|&p| p != 4) {
+        let view = model.local_member(node).view(0);
         let seen = view
             .members
             .iter()
@@ -135,7 +138,7 @@
         model.run(2 * S);
     }
     model.run(60 * S);
-    let held = model.local_member(0).entry_count();
-    assert!(held <= 4 * 4 + 64, "{held}");
+    let entries = model.local_member(0).entry_count();
+    assert!(entries <= 4 * 4 + 64, "{entries}");
     settle_time(&mut model, S);
 }
--- a/crates/fault-injection/tests/model/faults.rs
+++ b/crates/fault-injection/tests/model/faults.rs
@@ -1,4 +1,4 @@
-//! Crashes, partitions, loss, pauses and one-way cuts: who is called down, and how soon all agree.
+//! Crashes, partitions, loss, pauses and one-way cuts: which members are declared down, and how soon all views agree.
 
 use maplethread_fault_injection::model::{MS, Model, S};
 use maplethread_membership::{MemberState, Notice};
@@ -10,8 +10,8 @@
     for count in [1, 2, 3, 16, 50] {
         let mut model = Model::new(count as u64);
         model.start_all(count);
-        let took = settle_time(&mut model, 10 * S);
-        assert!(took <= 6 * S, "{count}: {took}");
+        let settle_us = settle_time(&mut model, 10 * S);
+        assert!(settle_us <= 6 * S, "{count}: {settle_us}");
         assert_eq!(model.statistics().false_alarms, 0);
     }
 }
@@ -40,7 +40,7 @@
         settle_time(&mut model, 30 * S);
         model.kill(5);
         let mut waited = 0;
-        while model.places().iter().any(|&p| {
+        while model.nodes().iter().any(|&p| {
             model
                 .local_member(p)
                 .state_of("p-5")
@@ -51,7 +51,7 @@
             assert!(
                 waited < 25 * S,
                 "loss {loss}: {}",
-                model.describe_differences(&model.places())
+                model.describe_differences(&model.nodes())
             );
         }
     }
@@ -63,16 +63,16 @@
     model.start_all(16);
     settle_time(&mut model, 10 * S);
     (8..16).for_each(|p| model.kill(p));
-    let took = settle_time(&mut model, 40 * S);
-    assert!(took < 30 * S, "{took}");
+    let settle_us = settle_time(&mut model, 40 * S);
+    assert!(settle_us < 30 * S, "{settle_us}");
     assert_eq!(model.statistics().false_alarms, 0);
 }
 
 #[test]
 fn partitions_settle_separately_and_merge_even_after_forgetting() {
-    for (seed, forget) in [(1, 600), (2, 20)] {
+    for (seed, forget_after_s) in [(1, 600), (2, 20)] {
         let mut model = Model::new(seed);
-        model.timing.forget_after = std::time::Duration::from_secs(forget);
+        model.timing.forget_after = std::time::Duration::from_secs(forget_after_s);
         model.start_all(16);
         settle_time(&mut model, 10 * S);
         model.counts_false_alarms = false;
@@ -88,8 +88,11 @@
         }
         model.run(30 * S);
         model.network.heal();
-        let took = settle_time(&mut model, 60 * S);
-        assert!(took < 40 * S, "forgotten after {forget} s: {took}");
+        let settle_us = settle_time(&mut model, 60 * S);
+        assert!(
+            settle_us < 40 * S,
+            "forgotten after {forget_after_s} s: {settle_us}"
+        );
     }
 }
 
@@ -118,20 +121,20 @@
     assert!((4..12).all(|p| model.local_member(p).state_of("p-1") == Some(MemberState::Down)));
     let before = model.statistics().false_alarms;
     model.run(2 * S);
-    let took = settle_time(&mut model, 30 * S);
-    assert!(took < 15 * S, "{took}");
+    let settle_us = settle_time(&mut model, 30 * S);
+    assert!(settle_us < 15 * S, "{settle_us}");
     assert_eq!(
         model.statistics().false_alarms,
         before,
-        "they woke and called running members down"
+        "resumed members declared running members down"
     );
-    let stood = model
+    let pause_notices = model
         .statistics()
         .notices
         .iter()
         .filter(|(_, n)| matches!(n, Notice::ProcessPaused { .. }))
         .count();
-    assert!(stood >= 4, "{:?}", model.statistics().notices);
+    assert!(pause_notices >= 4, "{:?}", model.statistics().notices);
 }
 
 #[test]
@@ -166,7 +169,11 @@
         model.network.cut(n, (n + 1) % 12);
     }
     model.run(60 * S);
-    assert_eq!(model.statistics().false_alarms, 0, "others reach them");
+    assert_eq!(
+        model.statistics().false_alarms,
+        0,
+        "other members reach them"
+    );
     model.network.heal();
     for n in 3..12 {
         model.network.cut(n, 0);
@@ -189,12 +196,12 @@
     settle_time(&mut model, 10 * S);
     model.counts_false_alarms = false;
     (0..7).for_each(|to| model.network.cut(7, to));
-    let rest: Vec<usize> = (0..7).collect();
+    let others: Vec<usize> = (0..7).collect();
     model.run(40 * S);
     assert!(
-        model.is_settled(&rest),
+        model.is_settled(&others),
         "{}",
-        model.describe_differences(&rest)
+        model.describe_differences(&others)
     );
     model.network.heal();
     settle_time(&mut model, 40 * S);
@@ -225,11 +232,11 @@
     model.run(S);
     model.kill(0);
     settle_time(&mut model, 30 * S);
-    // All seeds are gone for long, and the seed's name comes back at another address.
+    // The only seed has been gone for a while, and its name comes back at another address.
     model.start(0, 90);
     assert!(
-        model.run_until_settled(&model.places(), 5 * S).is_none(),
-        "nobody is a seed there"
+        model.run_until_settled(&model.nodes(), 5 * S).is_none(),
+        "it has no running seed and cannot join"
     );
     model.kill(90);
     model.seeds = vec![7];
--- a/crates/fault-injection/tests/model/generations.rs
+++ b/crates/fault-injection/tests/model/generations.rs
@@ -1,4 +1,5 @@
-//! Lives of one name: restarts, clocks that are wrong, namesakes, departures and datagrams of lives that are over.
+//! Generations of one member name: restarts, wrong clocks, name conflicts, departures and datagrams of ended
+//! generations.
 
 use maplethread_fault_injection::model::{MS, Model, S};
 use maplethread_membership::{MemberState, Notice};
@@ -17,7 +18,7 @@
     model.kill(4);
     model.start(4, 20);
     assert!(settle_time(&mut model, 10 * S) <= 5 * S);
-    // Its old address is another member's now.
+    // Its previous address now belongs to another member.
     model.start(9, 4);
     assert!(settle_time(&mut model, 10 * S) <= 5 * S);
     assert_eq!(model.statistics().false_alarms, 0);
@@ -31,7 +32,8 @@
     model.kill(3);
     model.start_with(3, 3, -3_600_000, 1.0);
     settle_time(&mut model, 20 * S);
-    // At another address it can't know whether the later life still runs, and waits until that is shown.
+    // At another address it cannot determine whether the later generation still runs, and waits until that is declared
+    // down.
     model.kill(5);
     model.start_with(5, 30, -3_600_000, 1.0);
     settle_time(&mut model, 40 * S);
@@ -45,10 +47,10 @@
     let mut model = Model::new(9);
     model.start_all(8);
     settle_time(&mut model, 10 * S);
-    // A second one of p-3, elsewhere.
+    // A second member named p-3, at another address.
     model.start(3, 40);
     model.run(10 * S);
-    let told = |model: &Model, what: fn(&Notice) -> bool| {
+    let notice_count = |model: &Model, what: fn(&Notice) -> bool| {
         model
             .statistics()
             .notices
@@ -57,20 +59,20 @@
             .count()
     };
     assert_eq!(
-        told(&model, |n| matches!(n, Notice::Displaced { .. })),
+        notice_count(&model, |n| matches!(n, Notice::Displaced { .. })),
         1,
         "{:?}",
         model.statistics().notices
     );
     assert_eq!(
-        told(&model, |n| matches!(n, Notice::Claimed { .. })),
+        notice_count(&model, |n| matches!(n, Notice::Claimed { .. })),
         1,
         "{:?}",
         model.statistics().notices
     );
     let views = |model: &Model| -> Vec<u64> {
         model
-            .places()
+            .nodes()
             .iter()
             .filter(|&&p| p != 3)
             .map(|&p| model.local_member(p).view(0).version)
@@ -78,12 +80,12 @@
     };
     let before = views(&model);
     model.run(60 * S);
-    assert_eq!(views(&model), before, "views go on changing");
-    let others: Vec<usize> = model.places().into_iter().filter(|&p| p != 3).collect();
+    assert_eq!(views(&model), before, "views keep changing");
+    let others: Vec<usize> = model.nodes().into_iter().filter(|&p| p != 3).collect();
     assert!(
         model.is_settled(&others),
         "{}",
-        model.describe_differences(&model.places())
+        model.describe_differences(&model.nodes())
     );
     assert!(model.view(40).claimed_by.is_some() && model.view(3).displaced_by.is_some());
     model.kill(3);
@@ -91,16 +93,16 @@
     assert_eq!(
         model.view(40).claimed_by,
         None,
-        "the one that claimed it is gone"
+        "the member that claimed the name is gone"
     );
     model.start_with(3, 3, -600_000, 1.0);
     model.run(5 * S);
     assert!(model.view(40).claimed_by.is_some() && model.view(3).displaced_by.is_some());
-    // The later one ends: the earlier one has its name back.
+    // The later generation ends, and the earlier one gets its name back.
     model.counts_false_alarms = false;
     model.kill(40);
     settle_time(&mut model, 40 * S);
-    assert_eq!(told(&model, |n| matches!(n, Notice::Reinstated)), 1);
+    assert_eq!(notice_count(&model, |n| matches!(n, Notice::Reinstated)), 1);
 }
 
 #[test]
@@ -113,19 +115,22 @@
     assert!(settle_time(&mut model, 10 * S) <= 5 * S);
     assert!(
         model
-            .places()
+            .nodes()
             .iter()
             .all(|&p| model.local_member(p).state_of("p-4") == Some(MemberState::Left))
     );
     for _ in 0..90 {
         model.run(S);
-        let back = model.places().iter().any(|&p| {
+        let is_known_again = model.nodes().iter().any(|&p| {
             model
                 .local_member(p)
                 .state_of("p-4")
                 .is_some_and(MemberState::is_live)
         });
-        assert!(!back, "datagrams a minute late brought it back");
+        assert!(
+            !is_known_again,
+            "a datagram that was a minute late revived the member"
+        );
     }
 }
 
@@ -139,7 +144,7 @@
         .network
         .partition(&[(0..4).collect(), (4..8).collect()]);
     model.run(20 * S);
-    // Both halves renew as they meet; a tenth of what they say then comes much later.
+    // Members of both halves renew as the partition heals; a tenth of the datagrams then arrives 15 s late.
     model.network.heal();
     (
         model.network.default_link.late_probability,
@@ -159,11 +164,7 @@
     let before = renewed(&model);
     assert!((4..=24).contains(&before), "{before}");
     model.run(30 * S);
-    assert_eq!(
-        renewed(&model),
-        before,
-        "late datagrams had members renewed"
-    );
+    assert_eq!(renewed(&model), before, "late datagrams caused renewals");
 }
 
 #[test]
@@ -174,31 +175,31 @@
     model.start_all(8);
     settle_time(&mut model, 10 * S);
     model.run(5 * S);
-    let recorded = std::mem::take(&mut model.recorded);
+    let recorded = std::mem::take(&mut model.recorded_datagrams);
     model.is_recording = false;
     model.kill(5);
     settle_time(&mut model, 30 * S);
     model.run(30 * S);
     assert!(
         model
-            .places()
+            .nodes()
             .iter()
             .all(|&p| model.local_member(p).state_of("p-5").is_none()),
-        "forgotten"
+        "the member is removed from memory"
     );
     for (to, bytes) in recorded.iter().filter(|(to, _)| *to != 5) {
         model.inject(*to, bytes.clone());
     }
     for _ in 0..20 {
         model.run(500 * MS);
-        let back = model
-            .places()
+        let is_known_again = model
+            .nodes()
             .iter()
             .any(|&p| model.local_member(p).state_of("p-5").is_some());
         assert!(
-            !back,
-            "a recorded datagram brought it back: {}",
-            model.describe_differences(&model.places())
+            !is_known_again,
+            "a replayed datagram revived the member: {}",
+            model.describe_differences(&model.nodes())
         );
     }
     assert_eq!(model.statistics().false_alarms, 0);
--- a/crates/fault-injection/tests/model/main.rs
+++ b/crates/fault-injection/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! The fleet's hard cases in the model.
+//! Membership in the model under faults, restarts and invalid input.
 
 mod bounds;
 mod faults;
@@ -6,14 +6,14 @@
 
 use maplethread_fault_injection::model::Model;
 
-/// How long the fleet takes until all running members hold one view.
+/// Runs the model until all running members have the same view. Returns how long it took, µs.
 fn settle_time(model: &mut Model, within: u64) -> u64 {
-    let places = model.places();
-    let took = model.run_until_settled(&places, within);
-    took.unwrap_or_else(|| {
+    let nodes = model.nodes();
+    let settle_us = model.run_until_settled(&nodes, within);
+    settle_us.unwrap_or_else(|| {
         panic!(
             "not settled within {within} us:\n{}",
-            model.describe_differences(&places)
+            model.describe_differences(&nodes)
         )
     })
 }
--- a/crates/fault-injection/tests/random_schedules.rs
+++ b/crates/fault-injection/tests/random_schedules.rs
@@ -1,28 +1,30 @@
-//! Drawn schedules of faults in the model: once faults stop, all live members hold one view, and nobody who is gone is in
-//! it. `cargo run --release -p maplethread-fault-injection --example drawn -- 0 1000` plays more.
+//! Random schedules of faults in the model: after the faults all live members have the same view, without departed
+//! members.
+//! `cargo run --release -p maplethread-fault-injection --example random_schedules -- 0 1000` runs more of them.
 
 use maplethread_fault_injection::random_schedule::run_random_schedule;
 
 fn assert_all_settle(seeds: impl Iterator<Item = u64>) {
     for seed in seeds {
-        let played = run_random_schedule(seed);
+        let result = run_random_schedule(seed);
         assert!(
-            played.failure.is_none(),
+            result.failure.is_none(),
             "{}",
-            played.failure.unwrap_or_default()
+            result.failure.unwrap_or_default()
         );
-        // Four tables of all members there ever were, and the addresses of the gone.
+        // Up to four table entries for each member that ever existed, and the addresses of departed ones.
         assert!(
-            played.max_entries < 200,
-            "seed {seed} holds {}",
-            played.max_entries
+            result.max_entries < 200,
+            "seed {seed}: {} table entries",
+            result.max_entries
         );
     }
 }
 
 #[test]
 fn regression_seeds_settle() {
-    // A suspicion of which the suspect itself never heard stood for ever; facts of a life with a later clock outlived it.
+    // With these seeds a suspicion that never reached the suspect itself stayed forever, and facts of a generation with
+    // a later clock outlived it.
     assert_all_settle([55, 313, 12_437].into_iter());
 }
 
