--- a/crates/checker/src/checker.rs
+++ b/crates/checker/src/checker.rs
@@ -4,7 +4,9 @@
 
 use crate::history::{HistoryEntry, Observation};
 use crate::parameters::RuleParameters;
-use crate::state::{Attempt, AttemptId, Checker, ConnectionKey, Incarnation, Name, PlacerAndHost};
+use crate::state::{
+    Attempt, AttemptId, Checker, ConnectionKey, Name, PlacerAndHost, PlacerProcess,
+};
 use crate::verdict::Verdict;
 
 /// Checks a history against the five rules. Its entries must be sorted by time.
@@ -19,13 +21,13 @@
         );
         checker.report_due_spread_violations(read_through);
         checker.report_due_concurrent_attempts(read_through);
-        checker.release_lost_connections(entry.at_us);
+        checker.stop_counting_lost_connections(entry.at_us);
         checker.apply(&entry.observation);
     }
     let end = history.last().map_or(0, |entry| entry.at_us);
     checker.report_due_spread_violations(u64::MAX);
     checker.report_due_concurrent_attempts(u64::MAX);
-    checker.finish_requests(end);
+    checker.check_unanswered_requests(end);
     checker.verdict.replica_index_waits_us = checker.replica_indexes.finish(end);
     checker.verdict
 }
@@ -34,7 +36,7 @@
     fn apply(&mut self, observation: &Observation) {
         match observation {
             Observation::HostStarted { host, started_ms } => self.start_host(host, *started_ms),
-            Observation::HostStopped { host } => self.release_host(host),
+            Observation::HostStopped { host } => self.stop_counting_host(host),
             Observation::PlacerConnected { .. }
             | Observation::ConnectionLost { .. }
             | Observation::FrameFromPlacer { .. }
@@ -56,11 +58,11 @@
             Observation::PlacerStarted { placer } => {
                 self.observe_replica_indexes(observation);
                 // The new process has not received what was sent to the previous one.
-                let closed = &mut self.closed_hosts;
-                closed
+                let drained_hosts = &mut self.drained_hosts;
+                drained_hosts
                     .missing_from_catalogue
                     .retain(|key, _| key.placer != *placer);
-                closed.highest_catalogue_index.remove(placer);
+                drained_hosts.highest_catalogue_index.remove(placer);
             }
             Observation::ReplicaIndexLocked { .. }
             | Observation::ReplicaIndexReleased { .. }
@@ -140,18 +142,18 @@
         self.warm_up.announced.retain(|key| key.host != *host);
         self.warm_up.offers.remove(host);
         // The tasks and the announcements of the previous process ended with it.
-        self.release_host(host);
-        self.closed_hosts
+        self.stop_counting_host(host);
+        self.drained_hosts
             .draining
             .retain(|key, _| key.host != *host);
     }
 
-    fn connect(&mut self, connection: &ConnectionKey, placer: &Name, incarnation: u64) {
-        let incarnation = Incarnation {
+    fn connect(&mut self, connection: &ConnectionKey, placer: &Name, generation: u64) {
+        let process = PlacerProcess {
             placer: placer.clone(),
-            number: incarnation,
+            generation,
         };
-        self.connections.insert(connection.clone(), incarnation);
+        self.connections.insert(connection.clone(), process);
         self.expect_reports(connection, placer);
         self.warm_up.announced.insert(PlacerAndHost {
             placer: placer.clone(),
@@ -169,13 +171,13 @@
     }
 
     fn apply_offer(&mut self, connection: &ConnectionKey, offer: &Offer) {
-        let Some(incarnation) = self.connections.get(connection).cloned() else {
+        let Some(process) = self.connections.get(connection).cloned() else {
             return;
         };
-        let (host, placer) = (&connection.host, &incarnation.placer);
+        let (host, placer) = (&connection.host, &process.placer);
         self.verdict.offers += 1;
         let request: Name = offer.request_id.as_str().into();
-        self.check_offer_repetition(&request, &incarnation, host, offer);
+        self.check_offer_repetition(&request, &process, host, offer);
         self.check_drained_host(placer, host);
         self.check_warm_up_budget(placer, host);
         let attempt = Attempt {
@@ -193,19 +195,19 @@
             .entry(host.clone())
             .or_default()
             .insert(offer.attempt_id);
-        self.record_placement(offer.attempt_id, &incarnation, &offer.service);
-        self.check_spread_limit(&incarnation, host, &offer.service, &offer.class);
+        self.record_placement(offer.attempt_id, &process, &offer.service);
+        self.check_spread_limit(&process, host, &offer.service, &offer.class);
     }
 
     /// Handles a placer's stop or cancellation of an attempt. A cancelled attempt no longer counts in the spread, even
     /// if it was accepted; a stopped one that was accepted counts until its host reports its end.
     fn apply_stop(&mut self, id: AttemptId, is_cancelled: bool) {
         let sent_at = self.sent_to_host();
-        self.spreads.released_by_host.remove(&id);
+        self.spreads.ended_by_host_report.remove(&id);
         if let Some(attempt) = self.attempts.get_mut(&id) {
             attempt.end(sent_at);
             if is_cancelled || !attempt.is_accepted {
-                self.release_at(id, sent_at);
+                self.stop_counting_at(id, sent_at);
             }
         }
     }
@@ -218,14 +220,14 @@
                     attempt.end(now);
                     attempt.never_ran = true;
                 }
-                self.release_by_host(*id);
+                self.stop_counting_by_host_report(*id);
             }
             Frame::Ended(id, reason, ran, _) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
                     attempt.end(now);
                     attempt.never_ran |= !ran && *reason != Reason::Error && !attempt.is_accepted;
                 }
-                self.release_by_host(*id);
+                self.stop_counting_by_host_report(*id);
             }
             Frame::Accepted(id, _) => {
                 if let Some(attempt) = self.attempts.get_mut(id) {
--- a/crates/checker/src/rule_1_final_answer.rs
+++ b/crates/checker/src/rule_1_final_answer.rs
@@ -88,7 +88,7 @@
     }
 
     /// Checks the requests that have no answer at the end of the history.
-    pub(crate) fn finish_requests(&mut self, end: u64) {
+    pub(crate) fn check_unanswered_requests(&mut self, end: u64) {
         let slack = self.parameters.timing_slack_us;
         for (request, state) in std::mem::take(&mut self.requests) {
             if state.answer_entry.is_some() {
--- a/crates/checker/src/rule_2_repetition.rs
+++ b/crates/checker/src/rule_2_repetition.rs
@@ -5,7 +5,7 @@
 use crate::history::Observer;
 use crate::parameters::{Deduplication, DeduplicationScope};
 use crate::state::{
-    AttemptId, Checker, Incarnation, Name, PendingAttemptCheck, RequestAttempts, RequestKey,
+    AttemptId, Checker, Name, PendingAttemptCheck, PlacerProcess, RequestAttempts, RequestKey,
 };
 
 impl Checker<'_> {
@@ -14,9 +14,9 @@
     pub(crate) fn check_rejection(&mut self, request: &Name) {
         let first_key = RequestKey {
             request: request.clone(),
-            incarnation: Incarnation {
+            process: PlacerProcess {
                 placer: "".into(),
-                number: 0,
+                generation: 0,
             },
         };
         let all = self
@@ -53,13 +53,13 @@
     pub(crate) fn check_offer_repetition(
         &mut self,
         request: &Name,
-        incarnation: &Incarnation,
+        process: &PlacerProcess,
         host: &Name,
         offer: &Offer,
     ) {
         let key = RequestKey {
             request: request.clone(),
-            incarnation: incarnation.clone(),
+            process: process.clone(),
         };
         let request_entry = self.requests.get(request).map(|state| state.evidence);
         let request_attempts =
--- a/crates/checker/src/rule_3_drain.rs
+++ b/crates/checker/src/rule_3_drain.rs
@@ -19,9 +19,9 @@
             placer: placer.clone(),
             host: host.clone(),
         };
-        let closed = &self.closed_hosts;
+        let drained_hosts = &self.drained_hosts;
         let slack = self.parameters.timing_slack_us;
-        let inventory = closed
+        let inventory = drained_hosts
             .missing_from_inventory
             .get(host)
             .map(|notification| Notification {
@@ -33,9 +33,9 @@
                 ..*notification
             });
         let sources = [
-            closed.draining.get(&key).copied(),
+            drained_hosts.draining.get(&key).copied(),
             inventory,
-            closed.missing_from_catalogue.get(&key).copied(),
+            drained_hosts.missing_from_catalogue.get(&key).copied(),
         ];
         let grace = self.parameters.drain_grace_us;
         let overdue = sources
@@ -53,15 +53,15 @@
 
     /// Records that a host has announced on a connection that it drains.
     pub(crate) fn record_drain(&mut self, connection: &ConnectionKey) {
-        let Some(incarnation) = self.connections.get(connection) else {
+        let Some(process) = self.connections.get(connection) else {
             return;
         };
         let key = PlacerAndHost {
-            placer: incarnation.placer.clone(),
+            placer: process.placer.clone(),
             host: connection.host.clone(),
         };
-        let notification = self.notification_for(&incarnation.placer);
-        self.closed_hosts
+        let notification = self.notification_for(&process.placer);
+        self.drained_hosts
             .draining
             .entry(key)
             .or_insert(notification);
@@ -74,7 +74,7 @@
             entry: self.entry_index,
         };
         let listed: BTreeSet<&Name> = ready.iter().map(|(host, _)| host).collect();
-        let missing = &mut self.closed_hosts.missing_from_inventory;
+        let missing = &mut self.drained_hosts.missing_from_inventory;
         for host in self.locations.keys() {
             if listed.contains(host) {
                 missing.remove(host);
@@ -101,7 +101,7 @@
         body: &[u8],
     ) {
         let highest = self
-            .closed_hosts
+            .drained_hosts
             .highest_catalogue_index
             .entry(placer.clone())
             .or_default();
@@ -142,7 +142,7 @@
                 placer: placer.clone(),
                 host: host.clone(),
             };
-            let missing = &mut self.closed_hosts.missing_from_catalogue;
+            let missing = &mut self.drained_hosts.missing_from_catalogue;
             if ready.contains(&**host) {
                 missing.remove(&key);
             } else {
--- a/crates/checker/src/rule_5_spread.rs
+++ b/crates/checker/src/rule_5_spread.rs
@@ -3,8 +3,8 @@
 
 use crate::parameters::TopologyLevel;
 use crate::state::{
-    AttemptId, Checker, ConnectionKey, Incarnation, LostConnection, Name, PendingSpreadCheck,
-    Placement,
+    AttemptId, Checker, ConnectionKey, LostConnection, Name, PendingSpreadCheck, Placement,
+    PlacerProcess,
 };
 
 impl Checker<'_> {
@@ -13,7 +13,7 @@
     /// [`Checker::report_due_spread_violations`].
     pub(crate) fn check_spread_limit(
         &mut self,
-        incarnation: &Incarnation,
+        process: &PlacerProcess,
         host: &Name,
         service: &str,
         class: &str,
@@ -24,23 +24,23 @@
         if !self.locations.contains_key(host) {
             return;
         }
-        let services = self.spreads.attempts_by_service.get(incarnation);
+        let services = self.spreads.attempts_by_service.get(process);
         let attempts: Vec<AttemptId> = services
             .and_then(|services| services.get(service))
             .into_iter()
             .flatten()
             .copied()
             .filter(|id| {
-                self.is_in_same_place(*id, host, limit.level) && self.must_have_been_read(*id)
+                self.is_in_same_domain(*id, host, limit.level) && self.must_have_been_read(*id)
             })
             .collect();
         let count = attempts.len();
         if count as u32 > limit.max_tasks {
             let description = format!(
                 "{} has {count} tasks of {service} in the same spread domain as {host}, the limit is {}",
-                incarnation.placer, limit.max_tasks
+                process.placer, limit.max_tasks
             );
-            self.spreads.pending.push_back(PendingSpreadCheck {
+            self.spreads.pending_checks.push_back(PendingSpreadCheck {
                 due: self.now + self.parameters.timing_slack_us,
                 description,
                 max_tasks: limit.max_tasks,
@@ -50,7 +50,7 @@
     }
 
     /// Whether an attempt was sent to the same host, cell or zone as `host`.
-    fn is_in_same_place(&self, id: AttemptId, host: &Name, level: TopologyLevel) -> bool {
+    fn is_in_same_domain(&self, id: AttemptId, host: &Name, level: TopologyLevel) -> bool {
         let attempt_host = self.attempts.get(&id).map(|attempt| &attempt.host);
         let Some(attempt_location) = attempt_host.and_then(|host| self.locations.get(host)) else {
             return false;
@@ -79,13 +79,13 @@
     pub(crate) fn record_placement(
         &mut self,
         id: AttemptId,
-        incarnation: &Incarnation,
+        process: &PlacerProcess,
         service: &str,
     ) {
         let spreads = &mut self.spreads;
         spreads
             .attempts_by_service
-            .entry(incarnation.clone())
+            .entry(process.clone())
             .or_default()
             .entry(service.to_owned())
             .or_default()
@@ -93,49 +93,49 @@
         spreads.placements.insert(
             id,
             Placement {
-                incarnation: incarnation.clone(),
+                process: process.clone(),
                 service: service.to_owned(),
             },
         );
         // A placer to which a host reports the task again counts it again.
-        spreads.released_at.remove(&id);
-        spreads.released_by_host.remove(&id);
+        spreads.stopped_counting_at.remove(&id);
+        spreads.ended_by_host_report.remove(&id);
     }
 
     /// Stops counting an attempt.
-    pub(crate) fn release_now(&mut self, id: AttemptId) {
-        self.release_at(id, self.now);
+    pub(crate) fn stop_counting(&mut self, id: AttemptId) {
+        self.stop_counting_at(id, self.now);
     }
 
     /// Stops counting an attempt as of the time `at`.
-    pub(crate) fn release_at(&mut self, id: AttemptId, at: u64) {
+    pub(crate) fn stop_counting_at(&mut self, id: AttemptId, at: u64) {
         let spreads = &mut self.spreads;
         if let Some(placement) = spreads.placements.remove(&id)
-            && let Some(services) = spreads.attempts_by_service.get_mut(&placement.incarnation)
+            && let Some(services) = spreads.attempts_by_service.get_mut(&placement.process)
             && let Some(attempts) = services.get_mut(&placement.service)
         {
             attempts.remove(&id);
-            spreads.released_at.insert(id, at);
+            spreads.stopped_counting_at.insert(id, at);
         }
     }
 
     /// Stops counting an attempt because its host has reported its end. The report is recorded before the placer can
     /// read it, so an offer that the placer sent earlier cannot rely on it.
-    pub(crate) fn release_by_host(&mut self, id: AttemptId) {
+    pub(crate) fn stop_counting_by_host_report(&mut self, id: AttemptId) {
         if self.spreads.placements.contains_key(&id) {
-            self.spreads.released_by_host.insert(id);
+            self.spreads.ended_by_host_report.insert(id);
         }
-        self.release_now(id);
+        self.stop_counting(id);
     }
 
     /// Stops counting everything that was running on a host or in flight to it.
-    pub(crate) fn release_host(&mut self, host: &Name) {
+    pub(crate) fn stop_counting_host(&mut self, host: &Name) {
         for id in self.attempts_last_offered_to(host) {
             if let Some(attempt) = self.attempts.get_mut(&id) {
                 attempt.end(self.now);
             }
-            self.spreads.released_by_host.remove(&id);
-            self.release_now(id);
+            self.spreads.ended_by_host_report.remove(&id);
+            self.stop_counting(id);
         }
     }
 
@@ -144,7 +144,7 @@
     pub(crate) fn expect_reports(&mut self, connection: &ConnectionKey, placer: &Name) {
         let is_own = |id: &AttemptId| {
             let placement = self.spreads.placements.get(id);
-            placement.is_some_and(|placement| placement.incarnation.placer == *placer)
+            placement.is_some_and(|placement| placement.process.placer == *placer)
         };
         let own = self
             .attempts_last_offered_to(&connection.host)
@@ -166,24 +166,24 @@
         if let Some(expected) = self.spreads.not_yet_reported.get_mut(connection) {
             expected.remove(&id);
         }
-        let Some(incarnation) = self.connections.get(connection).cloned() else {
+        let Some(process) = self.connections.get(connection).cloned() else {
             return;
         };
         // The placer process already counts its own attempts; those of an earlier process count as its own from now on.
         let Some(placement) = self.spreads.placements.get(&id) else {
             return;
         };
-        let is_own = placement.incarnation == incarnation;
+        let is_own = placement.process == process;
         let has_ended = self.attempts.get(&id).is_some_and(|attempt| {
             attempt.ended_at.is_some() && attempt.connection == connection.connection
         });
         if !is_own && !has_ended {
-            self.release_now(id);
-            self.record_placement(id, &incarnation, service);
+            self.stop_counting(id);
+            self.record_placement(id, &process, service);
             // `u64::MAX` if the placer never becomes available again.
             let read_by = self
                 .availability
-                .reached_placer_at(&incarnation.placer, self.now)
+                .reached_placer_at(&process.placer, self.now)
                 .saturating_add(self.parameters.timing_slack_us);
             self.spreads.reattached_at.insert(id, read_by);
         }
@@ -193,7 +193,7 @@
     pub(crate) fn finish_reports(&mut self, connection: &ConnectionKey) {
         let missing = self.spreads.not_yet_reported.remove(connection);
         for id in missing.into_iter().flatten() {
-            self.release_now(id);
+            self.stop_counting(id);
         }
     }
 
@@ -209,17 +209,17 @@
             };
             if attempt.connection == connection.connection {
                 attempt.end(lost_at);
-                self.spreads.released_by_host.remove(&id);
+                self.spreads.ended_by_host_report.remove(&id);
                 if !attempt.is_accepted {
                     unaccepted.push(id);
                 }
             }
         }
         for id in unaccepted {
-            self.release_at(id, lost_at);
+            self.stop_counting_at(id, lost_at);
         }
         self.spreads.not_yet_reported.remove(connection);
-        if let Some(incarnation) = self.connections.remove(connection) {
+        if let Some(process) = self.connections.remove(connection) {
             let loss_delay_us = if self.spreads.gone_hosts.contains(&connection.host) {
                 0
             } else {
@@ -228,7 +228,7 @@
             self.spreads.lost_connections.push_back(LostConnection {
                 due: self.now + loss_delay_us,
                 key: connection.clone(),
-                placer: incarnation.placer,
+                placer: process.placer,
             });
             self.sort_lost_connections();
         }
@@ -256,7 +256,7 @@
     /// Stops counting the tasks of hosts that have been disconnected for [`RuleParameters::lost_after_us`].
     ///
     /// [`RuleParameters::lost_after_us`]: crate::RuleParameters::lost_after_us
-    pub(crate) fn release_lost_connections(&mut self, now: u64) {
+    pub(crate) fn stop_counting_lost_connections(&mut self, now: u64) {
         while let Some(lost) = self
             .spreads
             .lost_connections
@@ -266,7 +266,7 @@
             let is_connected_again = self
                 .connections
                 .iter()
-                .any(|(other, incarnation)| other.host == key.host && incarnation.placer == placer);
+                .any(|(other, process)| other.host == key.host && process.placer == placer);
             if is_connected_again {
                 continue;
             }
@@ -276,10 +276,9 @@
                     .get(&id)
                     .is_some_and(|attempt| attempt.connection <= key.connection);
                 let placement = self.spreads.placements.get(&id);
-                if was_offered_before_loss
-                    && placement.is_some_and(|p| p.incarnation.placer == placer)
+                if was_offered_before_loss && placement.is_some_and(|p| p.process.placer == placer)
                 {
-                    self.release_now(id);
+                    self.stop_counting(id);
                 }
             }
         }
@@ -291,13 +290,13 @@
     pub(crate) fn report_due_spread_violations(&mut self, read_through: u64) {
         while let Some(check) = self
             .spreads
-            .pending
+            .pending_checks
             .pop_front_if(|check| check.due < read_through)
         {
             let still_counts = |id: &&AttemptId| {
-                let released_at = self.spreads.released_at.get(id);
-                self.spreads.released_by_host.contains(id)
-                    || released_at.is_none_or(|&at| at > check.due)
+                let stopped_counting_at = self.spreads.stopped_counting_at.get(id);
+                self.spreads.ended_by_host_report.contains(id)
+                    || stopped_counting_at.is_none_or(|&at| at > check.due)
             };
             if check.attempts.iter().filter(still_counts).count() as u32 > check.max_tasks {
                 let evidence = check
--- a/crates/checker/src/state.rs
+++ b/crates/checker/src/state.rs
@@ -20,9 +20,10 @@
 
 /// One process of a placer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Incarnation {
+pub(crate) struct PlacerProcess {
     pub(crate) placer: Name,
-    pub(crate) number: u64,
+    /// Start time of the process, as in [`Observation::PlacerConnected`](crate::Observation::PlacerConnected).
+    pub(crate) generation: u64,
 }
 
 /// A connection, identified by the number that its host assigned.
@@ -67,7 +68,7 @@
 pub(crate) struct RequestKey {
     // The first field, so that all attempts of a request form one range of keys.
     pub(crate) request: Name,
-    pub(crate) incarnation: Incarnation,
+    pub(crate) process: PlacerProcess,
 }
 
 /// The attempts that one process of a placer made for a request, see [`RequestKey`].
@@ -103,7 +104,7 @@
 
 /// Rule 3: the hosts that accept no new tasks, by the source of that information.
 #[derive(Default)]
-pub(crate) struct ClosedHosts {
+pub(crate) struct DrainedHosts {
     /// Announced by the host itself.
     pub(crate) draining: BTreeMap<PlacerAndHost, Notification>,
     pub(crate) missing_from_inventory: BTreeMap<Name, Notification>,
@@ -137,7 +138,7 @@
 
 /// The placer process and the service for which an attempt counts in a spread.
 pub(crate) struct Placement {
-    pub(crate) incarnation: Incarnation,
+    pub(crate) process: PlacerProcess,
     pub(crate) service: String,
 }
 
@@ -160,17 +161,17 @@
 #[derive(Default)]
 pub(crate) struct Spreads {
     /// Counted attempts by placer process and service.
-    pub(crate) attempts_by_service: BTreeMap<Incarnation, BTreeMap<String, BTreeSet<AttemptId>>>,
+    pub(crate) attempts_by_service: BTreeMap<PlacerProcess, BTreeMap<String, BTreeSet<AttemptId>>>,
     pub(crate) placements: BTreeMap<AttemptId, Placement>,
     /// When each attempt stopped counting, µs.
-    pub(crate) released_at: BTreeMap<AttemptId, u64>,
+    pub(crate) stopped_counting_at: BTreeMap<AttemptId, u64>,
     /// Attempts that stopped counting only because their host reported their end.
-    pub(crate) released_by_host: BTreeSet<AttemptId>,
+    pub(crate) ended_by_host_report: BTreeSet<AttemptId>,
     /// Attempts that a host has reported to a later process of their placer, with the time by which that process must
     /// have read the report, µs.
     pub(crate) reattached_at: BTreeMap<AttemptId, u64>,
     /// Spreads above their limit, to be checked again once everything sent before them has been read.
-    pub(crate) pending: VecDeque<PendingSpreadCheck>,
+    pub(crate) pending_checks: VecDeque<PendingSpreadCheck>,
     /// Attempts that a placer counts at a host but that the host has not reported since the placer connected.
     pub(crate) not_yet_reported: BTreeMap<ConnectionKey, BTreeSet<AttemptId>>,
     /// Hosts that the inventory lists as gone.
@@ -206,8 +207,8 @@
     pub(crate) attempts_by_host: BTreeMap<Name, BTreeSet<AttemptId>>,
     pub(crate) attempts_by_request: BTreeMap<RequestKey, RequestAttempts>,
     pub(crate) pending_attempts: VecDeque<PendingAttemptCheck>,
-    pub(crate) connections: BTreeMap<ConnectionKey, Incarnation>,
-    pub(crate) closed_hosts: ClosedHosts,
+    pub(crate) connections: BTreeMap<ConnectionKey, PlacerProcess>,
+    pub(crate) drained_hosts: DrainedHosts,
     pub(crate) warm_up: WarmUp,
     pub(crate) spreads: Spreads,
 }
@@ -234,7 +235,7 @@
             attempts_by_request: BTreeMap::new(),
             pending_attempts: VecDeque::new(),
             connections: BTreeMap::new(),
-            closed_hosts: ClosedHosts::default(),
+            drained_hosts: DrainedHosts::default(),
             warm_up: WarmUp::default(),
             spreads: Spreads::default(),
         }
--- a/crates/checker/tests/rule_5_spread.rs
+++ b/crates/checker/tests/rule_5_spread.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn counts_tasks_of_earlier_incarnation_once_reported() {
+fn counts_tasks_of_earlier_process_once_reported() {
     assert_eq!(violations_of_third_task_after_restart(S), 1);
     assert_eq!(
         violations_of_third_task_after_restart(0),
--- a/crates/fault-injection/src/model.rs
+++ b/crates/fault-injection/src/model.rs
@@ -143,7 +143,7 @@
         };
         assert!(
             self.processes.insert(node, process).is_none(),
-            "a process already runs at the node"
+            "a process already runs at node {node}"
         );
         self.process_outputs(node);
     }
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -116,7 +116,8 @@
         faults: schedule.placer_faults(),
         events: event_sender,
     };
-    let mut scenario = Scenario::standard().with_duration(schedule.faults_s + schedule.settle_s);
+    let mut scenario =
+        Scenario::standard().with_duration(schedule.fault_phase_s + schedule.settle_s);
     scenario.placers = schedule.placers as u32;
     scenario = scenario.with_host_count(schedule.hosts);
     // Only the faults of this run's schedule are injected, not those of the standard scenario.
@@ -136,7 +137,7 @@
         interrupted: run_options.interrupted.clone(),
     };
     let steps = schedule.network_steps();
-    let end_s = schedule.faults_s + schedule.settle_s;
+    let end_s = schedule.fault_phase_s + schedule.settle_s;
     let clock = Clock::start();
     let run_started_at = clock.now();
     std::thread::scope(|scope| {
@@ -150,7 +151,7 @@
             .join()
             .map_err(|_| io::Error::other("the observer thread panicked"))?;
         let report = report?;
-        let faults_ended_at = started_at + (schedule.faults_s * 1e6) as u64;
+        let faults_ended_at = started_at + (schedule.fault_phase_s * 1e6) as u64;
         let faults: Vec<(u64, u64)> = schedule
             .fault
             .iter()
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -19,13 +19,15 @@
     /// Number of emulated hosts on which they place tasks.
     #[serde(default = "default_hosts")]
     pub hosts: usize,
-    /// Time after which no fault is active any more, s.
-    pub faults_s: f64,
+    /// Length of the first phase of the run, in which all faults begin and end, s.
+    #[serde(rename = "faults_s")]
+    pub fault_phase_s: f64,
     /// Time after the faults within which all placers must have the same view, s.
     #[serde(default = "default_settle_s")]
     pub settle_s: f64,
     /// Factor by which the members' intervals and timeouts are shorter than in production.
-    #[serde(default = "default_speedup", rename = "faster")]
+    #[serde(default = "default_speedup")]
+    #[serde(rename = "faster")]
     pub speedup: u32,
     /// Time after which members that are gone are removed from memory, s.
     #[serde(default = "default_forget_after_s")]
@@ -172,7 +174,7 @@
         );
         let is_valid_time = |s: f64| s.is_finite() && (0.0..=3600.0).contains(&s);
         check(
-            is_valid_time(schedule.faults_s),
+            is_valid_time(schedule.fault_phase_s),
             "faults_s".into(),
             "must be 0 to 3600",
         );
@@ -188,7 +190,7 @@
                 format!("fault[{n}].at_s"),
                 "times must be 0 to 3600 s",
             );
-            let ends_in_time = fault.at_s + fault.duration_s <= schedule.faults_s;
+            let ends_in_time = fault.at_s + fault.duration_s <= schedule.fault_phase_s;
             check(
                 ends_in_time,
                 format!("fault[{n}].for_s"),
--- a/crates/fault-injection/src/schedule/random.rs
+++ b/crates/fault-injection/src/schedule/random.rs
@@ -10,7 +10,7 @@
 
 impl Schedule {
     /// A random schedule from a seed. Which kinds of faults occur at all is random too.
-    pub fn random(seed: u64, placers: usize, faults_s: f64) -> Schedule {
+    pub fn random(seed: u64, placers: usize, fault_phase_s: f64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00f1_ee70);
         let mut draw = move |below: u64| (rng.next_u64() % below.max(1)) as usize;
         let enabled_kinds = draw(1 << 9);
@@ -19,8 +19,8 @@
         let mut unaffected: Vec<usize> = (0..placers).collect();
         let mut has_rolling_restart = false;
         for _ in 0..3 + draw(6) {
-            let at_s = 1.0 + draw(((faults_s - 4.0).max(1.0) * 10.0) as u64) as f64 / 10.0;
-            let duration_s = (1.0 + draw(80) as f64 / 10.0).min(faults_s - at_s - 0.5);
+            let at_s = 1.0 + draw(((fault_phase_s - 4.0).max(1.0) * 10.0) as u64) as f64 / 10.0;
+            let duration_s = (1.0 + draw(80) as f64 / 10.0).min(fault_phase_s - at_s - 0.5);
             let (from, to) = (draw(placers as u64), draw(placers as u64));
             let kind = match draw(10) {
                 9 if from != to => FaultKind::Link {
@@ -82,7 +82,7 @@
         Schedule {
             placers,
             hosts: default_hosts(),
-            faults_s,
+            fault_phase_s,
             settle_s: default_settle_s(),
             speedup: default_speedup(),
             forget_after_s: default_forget_after_s(),
