--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,7 +1,7 @@
-//! Hides who and what a trace is about: names, keys, ids and free text become keyed hashes, alike within a file.
+//! Anonymises traces: names, keys, ids and free text are replaced by keyed hashes, which are consistent within a file.
 //!
-//! Nothing is copied by default. Each record is made anew, field by field, so that a field that is added to the format
-//! does not compile here until somebody has decided on it.
+//! No record is copied as a whole. Each is rebuilt field by field from an exhaustive pattern, so that a field added to
+//! the format fails to compile here until its treatment is decided.
 
 mod identifiers;
 
@@ -15,7 +15,7 @@
 use crate::header::{Header, Source};
 use crate::record::{Outcome, Record, TimedRecord, Turn};
 
-/// Reasons of refusals that say nothing of whom they concern.
+/// Reasons for rejections that identify nobody and are kept; all others become `other`.
 const KNOWN_REJECTION_REASONS: [&str; 20] = [
     "cold",
     "connection_lost",
@@ -38,30 +38,32 @@
     "done",
     "moved",
 ];
-/// Reasons of gaps.
+/// Reasons for gaps that are kept; all others become `other`.
 const KNOWN_GAP_REASONS: [&str; 3] = [
     "the writer could not keep up",
     "the file could not be written",
     "the file was removed",
 ];
 
-/// Hides names with one key.
+/// Replaces names by hashes with one key.
 pub struct Anonymiser {
     key: [u8; 32],
     /// Added to each time, µs, wrapping.
     time_shift: u64,
-    /// Asked cores and memory are rounded to multiples of this; as they are with 0.
+    /// Requested cores and memory are rounded up to multiples of this; 0 disables rounding.
     resource_step: f64,
 }
 
 impl Anonymiser {
-    /// With a key that must not be used for another file; times shifted by so much, asks rounded up to this grain.
-    pub fn new(key: [u8; 32], time_shift: u64, grain: f64) -> Anonymiser {
+    /// Creates an anonymiser that adds `time_shift` (µs, wrapping) to all times and rounds requested resources up to
+    /// multiples of `resource_step`; a step that is not positive and finite disables rounding. The key must not be used
+    /// for another file, since the hashes of both could then be matched.
+    pub fn new(key: [u8; 32], time_shift: u64, resource_step: f64) -> Anonymiser {
         Anonymiser {
             key,
             time_shift,
-            resource_step: if grain.is_finite() && grain > 0.0 {
-                grain
+            resource_step: if resource_step.is_finite() && resource_step > 0.0 {
+                resource_step
             } else {
                 0.0
             },
@@ -69,11 +71,11 @@
     }
 
     fn hash_number(&self, kind: &str, bytes: &[u8]) -> u64 {
-        let mut hash = blake3::Hasher::new_keyed(&self.key);
-        hash.update(kind.as_bytes()).update(&[0]).update(bytes);
-        let mut first = [0; 8];
-        first.copy_from_slice(&hash.finalize().as_bytes()[..8]);
-        u64::from_le_bytes(first)
+        let mut hasher = blake3::Hasher::new_keyed(&self.key);
+        hasher.update(kind.as_bytes()).update(&[0]).update(bytes);
+        let mut prefix = [0; 8];
+        prefix.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
+        u64::from_le_bytes(prefix)
     }
 
     fn hash_name(&self, kind: &str, name: &str) -> String {
@@ -84,18 +86,19 @@
         at.wrapping_add(self.time_shift)
     }
 
-    fn round_resources(&self, asks: Resources) -> Resources {
-        let up = |x: f64| {
+    fn round_resources(&self, requested: Resources) -> Resources {
+        let round_up = |x: f64| {
             if self.resource_step > 0.0 {
                 (x / self.resource_step).ceil() * self.resource_step
             } else {
                 x
             }
         };
-        Resources::new(up(asks.cores), up(asks.memory))
+        Resources::new(round_up(requested.cores), round_up(requested.memory))
     }
 
-    /// The header; a trace whose names are hidden can't be replayed, since hosts are ranked by their names' hashes.
+    /// Anonymises a header. The settings are removed: an anonymised trace can't be replayed, since the policy ranks hosts
+    /// by the hashes of their names.
     pub fn anonymise_header(&self, header: &Header) -> Header {
         let Header {
             writer,
@@ -109,14 +112,22 @@
             changed: _,
             sources,
         } = header;
-        let plain = |c: char| c.is_ascii_digit() || c == '.';
-        let known = writer
+        let is_version_char = |c: char| c.is_ascii_digit() || c == '.';
+        let is_known = writer
             .strip_prefix("maplethread ")
-            .is_some_and(|v| v.len() < 20 && v.chars().all(plain));
-        let hex = module.len() == 64 && module.bytes().all(|b| b.is_ascii_hexdigit());
+            .is_some_and(|v| v.len() < 20 && v.chars().all(is_version_char));
+        let is_hash = module.len() == 64 && module.bytes().all(|b| b.is_ascii_hexdigit());
         Header {
-            writer: if known { writer.clone() } else { String::new() },
-            module: if hex { module.clone() } else { String::new() },
+            writer: if is_known {
+                writer.clone()
+            } else {
+                String::new()
+            },
+            module: if is_hash {
+                module.clone()
+            } else {
+                String::new()
+            },
             placer: self.hash_name("placer", placer),
             started_ms: self.shift_time(started_ms.wrapping_mul(1000)) / 1000,
             seed: 0,
@@ -147,9 +158,9 @@
         }
     }
 
-    /// A record.
-    pub fn anonymise_record(&self, stamped: &TimedRecord) -> TimedRecord {
-        let TimedRecord { at, record } = stamped;
+    /// Anonymises a record.
+    pub fn anonymise_record(&self, timed_record: &TimedRecord) -> TimedRecord {
+        let TimedRecord { at, record } = timed_record;
         let record = match record {
             Record::Turn(Turn {
                 now,
@@ -174,7 +185,7 @@
                 kind: self.hash_name("kind", kind),
             },
             Record::Service { service, name } => Record::Service {
-                service: self.service(*service),
+                service: self.anonymise_service_number(*service),
                 name: self.hash_name("service", name),
             },
             Record::RequestReceived {
@@ -182,63 +193,63 @@
                 service,
                 actor,
                 class,
-                request_id: request,
-                idempotency_key: key,
-                received_at: read,
+                request_id,
+                idempotency_key,
+                received_at,
             } => Record::RequestReceived {
                 task: *task,
-                service: self.service(*service),
+                service: self.anonymise_service_number(*service),
                 actor: self.hash_name("actor", actor),
                 class: *class,
-                request_id: self.hash_name("request", request),
-                idempotency_key: key.as_ref().map(|k| self.hash_name("key", k)),
-                received_at: self.shift_time(*read),
+                request_id: self.hash_name("request", request_id),
+                idempotency_key: idempotency_key.as_ref().map(|k| self.hash_name("key", k)),
+                received_at: self.shift_time(*received_at),
             },
             Record::Answered {
                 task,
                 outcome,
                 attempts,
-                elapsed: after,
+                elapsed,
             } => Record::Answered {
                 task: *task,
                 outcome: match outcome {
                     Outcome::Placed { host } => Outcome::Placed { host: *host },
                     Outcome::Rejected {
                         reason,
-                        retry_after_ms: come_back_ms,
+                        retry_after_ms,
                     } => {
-                        let known = KNOWN_REJECTION_REASONS.contains(&reason.as_str());
-                        let reason = if known {
+                        let is_known = KNOWN_REJECTION_REASONS.contains(&reason.as_str());
+                        let reason = if is_known {
                             reason.clone()
                         } else {
                             "other".to_owned()
                         };
                         Outcome::Rejected {
                             reason,
-                            retry_after_ms: *come_back_ms,
+                            retry_after_ms: *retry_after_ms,
                         }
                     }
                     Outcome::Failed => Outcome::Failed,
                     Outcome::ClientDisconnected => Outcome::ClientDisconnected,
                 },
                 attempts: *attempts,
-                elapsed: *after,
+                elapsed: *elapsed,
             },
             Record::Gap {
                 turns,
                 records,
-                reason: why,
+                reason,
             } => {
-                let known = KNOWN_GAP_REASONS.contains(&why.as_str());
-                let why = if known {
-                    why.clone()
+                let is_known = KNOWN_GAP_REASONS.contains(&reason.as_str());
+                let reason = if is_known {
+                    reason.clone()
                 } else {
                     "other".to_owned()
                 };
                 Record::Gap {
                     turns: *turns,
                     records: *records,
-                    reason: why,
+                    reason,
                 }
             }
             Record::Stopped => Record::Stopped,
@@ -250,52 +261,52 @@
         }
     }
 
-    /// A service's number is a hash of its name that anybody can make.
-    fn service(&self, number: u64) -> u64 {
+    /// Replaces a service's number, which is a hash of its name without a key and can be computed by anybody.
+    fn anonymise_service_number(&self, number: u64) -> u64 {
         self.hash_number("number", &number.to_le_bytes())
     }
 
-    fn task(&self, task: &Task) -> Task {
+    fn anonymise_task(&self, task: &Task) -> Task {
         let Task {
             id,
             service,
             class,
-            requested: asks,
-            expected_duration: life,
-            deadline: give_up_at,
-            is_resubmission: again,
+            requested,
+            expected_duration,
+            deadline,
+            is_resubmission,
         } = *task;
         Task {
             id,
-            service: ServiceId(self.service(service.0)),
+            service: ServiceId(self.anonymise_service_number(service.0)),
             class,
-            requested: self.round_resources(asks),
-            expected_duration: life,
-            deadline: self.shift_time(give_up_at),
-            is_resubmission: again,
+            requested: self.round_resources(requested),
+            expected_duration,
+            deadline: self.shift_time(deadline),
+            is_resubmission,
         }
     }
 
-    fn anonymise_machine(&self, listing: &MachineEntry) -> MachineEntry {
+    fn anonymise_machine(&self, entry: &MachineEntry) -> MachineEntry {
         let MachineEntry {
             machine,
-            stable_hash: label,
+            stable_hash,
             zone,
             cell,
             kind,
             state,
-            started_at: started,
-            unallocated: unasked,
-        } = *listing;
+            started_at,
+            unallocated,
+        } = *entry;
         MachineEntry {
             machine,
-            stable_hash: self.hash_number("label", &label.to_le_bytes()),
+            stable_hash: self.hash_number("label", &stable_hash.to_le_bytes()),
             zone,
             cell,
             kind,
             state,
-            started_at: started.map(|at| self.shift_time(at)),
-            unallocated: unasked,
+            started_at: started_at.map(|at| self.shift_time(at)),
+            unallocated,
         }
     }
 
@@ -307,36 +318,36 @@
             },
             Event::ReplicaIndexChanged(number) => Event::ReplicaIndexChanged(*number),
             Event::ConnectionChanged {
-                machine: MachineId(n),
-                is_connected: on,
+                machine: MachineId(machine),
+                is_connected,
             } => Event::ConnectionChanged {
-                machine: MachineId(*n),
-                is_connected: *on,
+                machine: MachineId(*machine),
+                is_connected: *is_connected,
             },
             Event::DiscoveryUnavailable => Event::DiscoveryUnavailable,
-            Event::PlacementRequested(task) => Event::PlacementRequested(self.task(task)),
+            Event::PlacementRequested(task) => Event::PlacementRequested(self.anonymise_task(task)),
             Event::TaskAdopted {
                 task,
-                machine: MachineId(n),
+                machine: MachineId(machine),
             } => Event::TaskAdopted {
-                task: self.task(task),
-                machine: MachineId(*n),
+                task: self.anonymise_task(task),
+                machine: MachineId(*machine),
             },
             Event::AttemptAccepted {
                 attempt: AttemptId { task, number },
-                elapsed: took,
+                elapsed,
             } => Event::AttemptAccepted {
                 attempt: AttemptId {
                     task: *task,
                     number: *number,
                 },
-                elapsed: *took,
+                elapsed: *elapsed,
             },
             Event::TaskReported {
                 attempt: AttemptId { task, number },
-                report: note,
+                report,
             } => {
-                let note = match note {
+                let report = match report {
                     TaskReport::Started => TaskReport::Started,
                     TaskReport::CoresUsed(x) => TaskReport::CoresUsed(*x),
                     TaskReport::MemoryUsed(x) => TaskReport::MemoryUsed(*x),
@@ -348,23 +359,23 @@
                         task: *task,
                         number: *number,
                     },
-                    report: note,
+                    report,
                 }
             }
             Event::AttemptFinished {
                 attempt: AttemptId { task, number },
                 result:
                     AttemptResult {
-                        outcome: ending,
-                        reason: why,
-                        closes_task: closed,
+                        outcome,
+                        reason,
+                        closes_task,
                         load,
                     },
             } => {
-                let end = AttemptResult {
-                    outcome: *ending,
-                    reason: *why,
-                    closes_task: *closed,
+                let result = AttemptResult {
+                    outcome: *outcome,
+                    reason: *reason,
+                    closes_task: *closes_task,
                     load: *load,
                 };
                 Event::AttemptFinished {
@@ -372,18 +383,18 @@
                         task: *task,
                         number: *number,
                     },
-                    result: end,
+                    result,
                 }
             }
             Event::ClientDisconnected(TaskId(task)) => Event::ClientDisconnected(TaskId(*task)),
             Event::TimerFired { label } => Event::TimerFired { label: *label },
             Event::Probed {
                 machine,
-                answered: ok,
+                answered,
                 load,
             } => Event::Probed {
                 machine: *machine,
-                answered: *ok,
+                answered: *answered,
                 load: *load,
             },
             Event::PeerMessage { from, bytes: _ } => Event::PeerMessage {
@@ -398,11 +409,11 @@
             Action::Offer {
                 task: TaskId(task),
                 machine: MachineId(machine),
-                timeout: wait,
+                timeout,
             } => Action::Offer {
                 task: TaskId(*task),
                 machine: MachineId(*machine),
-                timeout: *wait,
+                timeout: *timeout,
             },
             Action::Cancel(AttemptId { task, number }) => Action::Cancel(AttemptId {
                 task: *task,
@@ -410,31 +421,31 @@
             }),
             Action::Reject {
                 task: TaskId(task),
-                retry_after: advice,
+                retry_after,
             } => Action::Reject {
                 task: TaskId(*task),
-                retry_after: *advice,
+                retry_after: *retry_after,
             },
             Action::Fail(TaskId(task)) => Action::Fail(TaskId(*task)),
             Action::Blocked {
                 task: TaskId(task),
-                reason: lack,
+                reason,
             } => Action::Blocked {
                 task: TaskId(*task),
-                reason: *lack,
+                reason: *reason,
             },
             Action::Migrate(TaskId(task)) => Action::Migrate(TaskId(*task)),
             Action::SetTimer { after, label } => Action::SetTimer {
                 after: *after,
                 label: *label,
             },
-            Action::Probe(MachineId(n)) => Action::Probe(MachineId(*n)),
-            Action::CloseIdle(MachineId(n)) => Action::CloseIdle(MachineId(*n)),
+            Action::Probe(MachineId(machine)) => Action::Probe(MachineId(*machine)),
+            Action::CloseIdle(MachineId(machine)) => Action::CloseIdle(MachineId(*machine)),
             Action::SendToPeer { to, bytes: _ } => Action::SendToPeer {
                 to: *to,
                 bytes: Vec::new(),
             },
-            Action::WatchEndpoints { enabled: on } => Action::WatchEndpoints { enabled: *on },
+            Action::WatchEndpoints { enabled } => Action::WatchEndpoints { enabled: *enabled },
             Action::FetchEndpoints => Action::FetchEndpoints,
             Action::Log(_) => Action::Log(String::new()),
         }
--- a/crates/trace/src/anonymise/identifiers.rs
+++ b/crates/trace/src/anonymise/identifiers.rs
@@ -1,4 +1,4 @@
-//! The search of an anonymised copy for anything that it should not hold.
+//! Searches an anonymised copy for identifiers of the original.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,15 @@
 use crate::header::Header;
 use crate::record::{Outcome, Record, TimedRecord};
 
-/// What must not be found in an anonymised file: names, ids and free text, and numbers that anybody can make of names.
+/// The identifiers of a trace, which must not appear in its anonymised copy: names, ids, free text, and numbers that can
+/// be computed from names without a key.
 #[derive(Clone, Debug, Default)]
 pub struct Identifiers {
     texts: BTreeSet<String>,
     numbers: BTreeSet<u64>,
 }
 
-/// Words that the anonymiser itself writes, and that are allowed to stand.
+/// Whether the anonymiser writes this text itself.
 fn is_allowed(text: &str) -> bool {
     text.is_empty()
         || KNOWN_REJECTION_REASONS.contains(&text)
@@ -24,17 +25,17 @@
 }
 
 impl Identifiers {
-    /// Takes in what a header names.
+    /// Adds the names in a header.
     pub fn add_header(&mut self, header: &Header) {
         self.add(&header.placer);
         header.sources.iter().for_each(|s| self.add(&s.placer));
         header.classes.iter().for_each(|c| self.add(c));
     }
 
-    /// Takes in what a record names.
-    pub fn add_record(&mut self, stamped: &TimedRecord) {
-        visit_texts(&stamped.record, &mut |text| self.add(text));
-        visit_numbers(&stamped.record, &mut |n| {
+    /// Adds the identifiers in a record.
+    pub fn add_record(&mut self, timed_record: &TimedRecord) {
+        visit_texts(&timed_record.record, &mut |text| self.add(text));
+        visit_numbers(&timed_record.record, &mut |n| {
             self.numbers.insert(n);
         });
     }
@@ -45,25 +46,25 @@
         }
     }
 
-    /// How many there are.
+    /// The number of identifiers.
     pub fn len(&self) -> usize {
         self.texts.len() + self.numbers.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no identifiers.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The first of them that stands as a text or a number of its own in a record.
-    pub fn find_in(&self, stamped: &TimedRecord) -> Option<String> {
+    /// Returns an identifier that a record contains as a whole text or number; none if there is none.
+    pub fn find_in(&self, timed_record: &TimedRecord) -> Option<String> {
         let mut found = None;
-        visit_texts(&stamped.record, &mut |text| {
+        visit_texts(&timed_record.record, &mut |text| {
             if self.texts.contains(text) {
                 found = Some(text.to_owned());
             }
         });
-        visit_numbers(&stamped.record, &mut |n| {
+        visit_numbers(&timed_record.record, &mut |n| {
             if self.numbers.contains(&n) {
                 found = Some(n.to_string());
             }
@@ -71,26 +72,26 @@
         found
     }
 
-    /// Those long enough to be looked for anywhere among octets, where chance does not find them: six octets, or
-    /// twelve of hexadecimal digits, as hashes are written.
+    /// The texts that are long enough to be searched for in raw bytes without matches by chance: at least 6 bytes, or 12
+    /// if all are hexadecimal digits, as in hashes.
     pub fn searchable_texts(&self) -> impl Iterator<Item = &str> {
         self.texts.iter().map(String::as_str).filter(|text| {
-            let hex = text.bytes().all(|b| b.is_ascii_hexdigit());
-            // The hashes' own prefixes stand in each of them.
-            let prefix = ["placer~", "service~", "request~"]
+            let is_hex = text.bytes().all(|b| b.is_ascii_hexdigit());
+            // A text that is part of a prefix that the anonymiser writes would be found in the hashes.
+            let is_in_hash_prefix = ["placer~", "service~", "request~"]
                 .iter()
-                .any(|p| p.contains(text));
-            text.len() >= if hex { 12 } else { 6 } && !prefix
+                .any(|prefix| prefix.contains(text));
+            text.len() >= if is_hex { 12 } else { 6 } && !is_in_hash_prefix
         })
     }
 }
 
-fn visit_texts(record: &Record, see: &mut dyn FnMut(&str)) {
+fn visit_texts(record: &Record, visit: &mut dyn FnMut(&str)) {
     match record {
         Record::Turn(turn) => {
             for action in &turn.actions {
                 if let Action::Log(line) = action {
-                    see(line);
+                    visit(line);
                 }
             }
         }
@@ -100,43 +101,47 @@
             cell,
             kind,
             ..
-        } => [name, zone, cell, kind].into_iter().for_each(|t| see(t)),
-        Record::Service { name, .. } => see(name),
+        } => [name, zone, cell, kind]
+            .into_iter()
+            .for_each(|text| visit(text)),
+        Record::Service { name, .. } => visit(name),
         Record::RequestReceived {
             actor,
-            request_id: request,
-            idempotency_key: key,
+            request_id,
+            idempotency_key,
             ..
         } => {
-            see(actor);
-            see(request);
-            key.iter().for_each(|k| see(k));
+            visit(actor);
+            visit(request_id);
+            idempotency_key.iter().for_each(|key| visit(key));
         }
         Record::Answered {
             outcome: Outcome::Rejected { reason, .. },
             ..
-        } => see(reason),
-        Record::Gap { reason: why, .. } => see(why),
+        } => visit(reason),
+        Record::Gap { reason, .. } => visit(reason),
         Record::Answered { .. } | Record::Stopped | Record::Source(_) => {}
     }
 }
 
-fn visit_numbers(record: &Record, see: &mut dyn FnMut(u64)) {
+fn visit_numbers(record: &Record, visit: &mut dyn FnMut(u64)) {
     match record {
         Record::Turn(turn) => {
             for event in &turn.events {
                 match event {
                     Event::EndpointsUpdated { machines, .. } => {
-                        machines.iter().for_each(|m| see(m.stable_hash))
+                        machines.iter().for_each(|m| visit(m.stable_hash))
                     }
                     Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => {
-                        see(task.service.0)
+                        visit(task.service.0)
                     }
                     _ => {}
                 }
             }
         }
-        Record::Service { service, .. } | Record::RequestReceived { service, .. } => see(*service),
+        Record::Service { service, .. } | Record::RequestReceived { service, .. } => {
+            visit(*service)
+        }
         _ => {}
     }
 }
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -1,34 +1,35 @@
-//! Blocks of records. Each stands alone: its own length, counts, times, names and checksum.
+//! Blocks of records. Each is self-contained, with its own lengths, counts, times, names and checksum.
 //!
-//! On disk: `MTB1`, packed length, raw length, records (u32 each), first and last time (u64 each), all little-endian,
-//! then 16 octets of BLAKE3 over those and the payload, then the payload: zstd over a varint (the first record's time
-//! since the earliest) and the records, each a varint length, a zigzag varint of the time since the record before, and
-//! the record in postcard's encoding.
+//! On disk: the header, which is `MTB1`, the compressed length, the uncompressed length, the number of records (u32
+//! each), the earliest and the latest time (u64 each), all little-endian, and 16 bytes of BLAKE3 over those and the
+//! payload; then the payload, which is zstd over a varint (the first record's time since the earliest) and the records.
+//! Each record is a varint of its length, a zigzag varint of the time since the previous record, and its postcard
+//! encoding.
 
 use serde::{Deserialize, Serialize};
 
 use crate::TraceError;
 use crate::record::{Record, TimedRecord};
 
-/// How each block begins.
+/// The first bytes of each block.
 pub const BLOCK_MAGIC: &[u8; 4] = b"MTB1";
-/// Octets before the payload.
-pub const HEAD_BYTES: usize = 48;
-/// The most that a block may hold, unpacked.
+/// The length of a block's header, which precedes the payload.
+pub const BLOCK_HEADER_BYTES: usize = 48;
+/// The maximum uncompressed size of a block.
 pub const MAX_UNPACKED_BYTES: usize = 32 << 20;
 
-/// What a block's head tells.
+/// The contents of a block's header, except for magic and checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlockInfo {
-    /// Octets of the payload.
+    /// The length of the compressed payload.
     pub packed_bytes: u32,
-    /// Octets of its records.
+    /// The length of the uncompressed payload.
     pub unpacked_bytes: u32,
-    /// Records.
+    /// The number of records.
     pub record_count: u32,
     /// The earliest time, µs.
     pub first_us: u64,
-    /// The latest.
+    /// The latest time, µs.
     pub last_us: u64,
 }
 
@@ -44,47 +45,58 @@
         bytes
     }
 
-    /// Reads a head; with the checksum that follows it.
-    pub fn parse(head: &[u8; HEAD_BYTES]) -> Result<(BlockInfo, [u8; 16]), &'static str> {
-        if &head[..4] != BLOCK_MAGIC {
-            return Err("no block begins here");
+    /// Parses a header; returns its contents and the checksum.
+    ///
+    /// # Errors
+    ///
+    /// The magic is missing, or a length is out of range.
+    pub fn parse(
+        block_header: &[u8; BLOCK_HEADER_BYTES],
+    ) -> Result<(BlockInfo, [u8; 16]), &'static str> {
+        if &block_header[..4] != BLOCK_MAGIC {
+            return Err("block magic MTB1 missing");
         }
-        let four =
-            |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let eight = |at: usize| u64::from(four(at)) | u64::from(four(at + 4)) << 32;
+        let read_u32 = |at: usize| {
+            u32::from_le_bytes([
+                block_header[at],
+                block_header[at + 1],
+                block_header[at + 2],
+                block_header[at + 3],
+            ])
+        };
+        let read_u64 = |at: usize| u64::from(read_u32(at)) | u64::from(read_u32(at + 4)) << 32;
         let info = BlockInfo {
-            packed_bytes: four(4),
-            unpacked_bytes: four(8),
-            record_count: four(12),
-            first_us: eight(16),
-            last_us: eight(24),
+            packed_bytes: read_u32(4),
+            unpacked_bytes: read_u32(8),
+            record_count: read_u32(12),
+            first_us: read_u64(16),
+            last_us: read_u64(24),
         };
         if info.unpacked_bytes as usize > MAX_UNPACKED_BYTES
             || info.packed_bytes as usize > MAX_UNPACKED_BYTES + (MAX_UNPACKED_BYTES >> 7) + 1024
         {
-            return Err("a block's length is out of range");
+            return Err("block length in the header out of range");
         }
-        let mut check = [0; 16];
-        check.copy_from_slice(&head[32..]);
-        Ok((info, check))
+        let mut checksum = [0; 16];
+        checksum.copy_from_slice(&block_header[32..]);
+        Ok((info, checksum))
     }
 
-    /// The checksum over the head and the payload.
+    /// The checksum over the header and the payload.
     pub fn checksum(&self, payload: &[u8]) -> [u8; 16] {
-        let mut hash = blake3::Hasher::new();
-        hash.update(&self.to_bytes()).update(payload);
-        let mut check = [0; 16];
-        check.copy_from_slice(&hash.finalize().as_bytes()[..16]);
-        check
+        let mut hasher = blake3::Hasher::new();
+        hasher.update(&self.to_bytes()).update(payload);
+        let mut checksum = [0; 16];
+        checksum.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
+        checksum
     }
 }
 
-/// Records on their way into a block.
+/// Encodes records into a block.
 #[derive(Debug, Default)]
 pub struct Packer {
     unpacked: Vec<u8>,
     record_count: u32,
-    /// The time of its first record.
     first_record_us: u64,
     earliest_us: u64,
     latest_us: u64,
@@ -92,54 +104,65 @@
 }
 
 impl Packer {
-    /// Whether nothing is in it.
+    /// Whether no record was added since the last block.
     pub fn is_empty(&self) -> bool {
         self.record_count == 0
     }
 
-    /// Octets of its records.
+    /// The length of the encoded records.
     pub fn len(&self) -> usize {
         self.unpacked.len()
     }
 
     /// Adds a record.
-    pub fn add(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
-        let record = postcard::to_stdvec(&stamped.record).map_err(std::io::Error::other)?;
+    ///
+    /// # Errors
+    ///
+    /// The record can't be encoded, or the block would exceed [`MAX_UNPACKED_BYTES`].
+    pub fn add(&mut self, timed_record: &TimedRecord) -> Result<(), TraceError> {
+        let record = postcard::to_stdvec(&timed_record.record).map_err(std::io::Error::other)?;
         if self.unpacked.len() + record.len() + 32 > MAX_UNPACKED_BYTES {
             return Err(TraceError::RecordTooLarge(record.len()));
         }
         if self.record_count == 0 {
-            (self.first_record_us, self.previous_us) = (stamped.at, stamped.at);
-            (self.earliest_us, self.latest_us) = (stamped.at, stamped.at);
+            (self.first_record_us, self.previous_us) = (timed_record.at, timed_record.at);
+            (self.earliest_us, self.latest_us) = (timed_record.at, timed_record.at);
         }
-        let since = stamped.at.wrapping_sub(self.previous_us) as i64;
+        let since_previous = timed_record.at.wrapping_sub(self.previous_us) as i64;
         write_varint(&mut self.unpacked, record.len() as u64);
-        write_varint(&mut self.unpacked, ((since << 1) ^ (since >> 63)) as u64);
+        write_varint(
+            &mut self.unpacked,
+            ((since_previous << 1) ^ (since_previous >> 63)) as u64,
+        );
         self.unpacked.extend_from_slice(&record);
-        self.previous_us = stamped.at;
+        self.previous_us = timed_record.at;
         (self.earliest_us, self.latest_us) = (
-            self.earliest_us.min(stamped.at),
-            self.latest_us.max(stamped.at),
+            self.earliest_us.min(timed_record.at),
+            self.latest_us.max(timed_record.at),
         );
         self.record_count += 1;
         Ok(())
     }
 
-    /// The block, and what its head tells; what follows begins a new one.
+    /// Returns the block with its header's contents, and starts a new block.
+    ///
+    /// # Errors
+    ///
+    /// Compression failed.
     pub fn pack(&mut self, level: i32) -> Result<(BlockInfo, Vec<u8>), TraceError> {
-        // The first record's time stands against the earliest, which may be another's.
-        let mut raw = Vec::with_capacity(self.unpacked.len() + 16);
-        write_varint(&mut raw, self.first_record_us - self.earliest_us);
-        raw.extend_from_slice(&self.unpacked);
-        let payload = zstd::bulk::compress(&raw, level)?;
+        // Records need not be in the order of time, so the first one may be later than the earliest.
+        let mut uncompressed = Vec::with_capacity(self.unpacked.len() + 16);
+        write_varint(&mut uncompressed, self.first_record_us - self.earliest_us);
+        uncompressed.extend_from_slice(&self.unpacked);
+        let payload = zstd::bulk::compress(&uncompressed, level)?;
         let info = BlockInfo {
             packed_bytes: payload.len() as u32,
-            unpacked_bytes: raw.len() as u32,
+            unpacked_bytes: uncompressed.len() as u32,
             record_count: self.record_count,
             first_us: self.earliest_us,
             last_us: self.latest_us,
         };
-        let mut block = Vec::with_capacity(HEAD_BYTES + payload.len());
+        let mut block = Vec::with_capacity(BLOCK_HEADER_BYTES + payload.len());
         block.extend_from_slice(&info.to_bytes());
         block.extend_from_slice(&info.checksum(&payload));
         block.extend_from_slice(&payload);
@@ -148,47 +171,58 @@
     }
 }
 
-/// The octets of a payload, unpacked.
+/// Decompresses a payload.
+///
+/// # Errors
+///
+/// The payload is not valid zstd, or its uncompressed length is not the header's.
 pub fn unpack_bytes(info: &BlockInfo, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
-    let raw = zstd::bulk::decompress(payload, info.unpacked_bytes as usize)
-        .map_err(|_| "a block can't be unpacked")?;
-    if raw.len() == info.unpacked_bytes as usize {
-        Ok(raw)
+    let uncompressed = zstd::bulk::decompress(payload, info.unpacked_bytes as usize)
+        .map_err(|_| "block payload can't be decompressed")?;
+    if uncompressed.len() == info.unpacked_bytes as usize {
+        Ok(uncompressed)
     } else {
-        Err("a block is shorter than its head tells")
+        Err("block payload shorter than stated in the block header")
     }
 }
 
-/// Records out of a payload; kinds that are not known are counted, not given.
+/// Decodes the records of a payload; returns them with the number of records that could not be decoded, as those of
+/// unknown kinds.
+///
+/// # Errors
+///
+/// The payload can't be decompressed, or its lengths don't match each other and the header.
 pub fn unpack_records(
     info: &BlockInfo,
     payload: &[u8],
 ) -> Result<(Vec<TimedRecord>, u32), &'static str> {
-    let raw = unpack_bytes(info, payload)?;
+    let uncompressed = unpack_bytes(info, payload)?;
     let mut at = 0;
-    let mut time = info
-        .first_us
-        .wrapping_add(read_varint(&raw, &mut at).ok_or("a block is cut off")?);
+    let mut time = info.first_us.wrapping_add(
+        read_varint(&uncompressed, &mut at).ok_or("block payload ends within a record")?,
+    );
     let (mut records, mut unknown) = (
-        Vec::with_capacity((info.record_count as usize).min(raw.len())),
+        Vec::with_capacity((info.record_count as usize).min(uncompressed.len())),
         0,
     );
     for _ in 0..info.record_count {
-        let length = read_varint(&raw, &mut at).ok_or("a block is cut off")?;
-        let since = read_varint(&raw, &mut at).ok_or("a block is cut off")?;
-        time = time.wrapping_add(unzigzag(since) as u64);
+        let length =
+            read_varint(&uncompressed, &mut at).ok_or("block payload ends within a record")?;
+        let since_previous =
+            read_varint(&uncompressed, &mut at).ok_or("block payload ends within a record")?;
+        time = time.wrapping_add(unzigzag(since_previous) as u64);
         let end = at
             .checked_add(length as usize)
-            .filter(|&end| end <= raw.len());
-        let end = end.ok_or("a record is longer than its block")?;
-        match postcard::take_from_bytes::<Record>(&raw[at..end]) {
+            .filter(|&end| end <= uncompressed.len());
+        let end = end.ok_or("record length exceeds the block")?;
+        match postcard::take_from_bytes::<Record>(&uncompressed[at..end]) {
             Ok((record, [])) => records.push(TimedRecord { at: time, record }),
             _ => unknown += 1,
         }
         at = end;
     }
-    if at != raw.len() {
-        return Err("a block holds more than its head tells");
+    if at != uncompressed.len() {
+        return Err("block payload longer than the records stated in the block header");
     }
     Ok((records, unknown))
 }
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -1,4 +1,4 @@
-//! Which records of a trace belong to a part of it.
+//! Selects the records of an excerpt of a trace.
 
 use std::collections::BTreeSet;
 
@@ -7,25 +7,25 @@
 use crate::record::{Record, TimedRecord, Turn};
 use crate::writer::IndexEntry;
 
-/// What is wanted; all of what is set must hold.
+/// The criteria of an excerpt; all that are set must match.
 #[derive(Clone, Debug, Default)]
 pub struct Filter {
-    /// From this time on, µs.
+    /// Not before this time, µs.
     pub from: Option<u64>,
     /// Before this time, µs.
     pub until: Option<u64>,
-    /// Of this service.
+    /// Tasks of this service.
     pub service: Option<u64>,
-    /// Of this host.
+    /// This host and tasks that were offered to it or adopted on it.
     pub machine: Option<u32>,
-    /// Of the ask with this client's id.
+    /// The request with this id, as given by the client.
     pub request: Option<String>,
-    /// Of asks with this outcome, by its name in the API.
+    /// Requests with this outcome, by its name in the API.
     pub outcome: Option<String>,
 }
 
 impl Filter {
-    /// Whether single asks are chosen, so that turns keep only what concerns them.
+    /// Whether tasks are selected, so that turns are reduced to the events and actions that concern them.
     pub fn selects_tasks(&self) -> bool {
         self.service.is_some()
             || self.machine.is_some()
@@ -33,9 +33,9 @@
             || self.outcome.is_some()
     }
 
-    /// Whether a block may hold something of it.
+    /// Whether a block may contain matching records.
     pub fn may_match_block(&self, entry: &IndexEntry) -> bool {
-        // An ask and its answer may lie in different blocks, so an outcome rules out none.
+        // A request and its answer may be in different blocks, so an outcome excludes no block.
         self.from.is_none_or(|from| entry.last_us >= from)
             && self.until.is_none_or(|until| entry.first_us < until)
             && self.service.is_none_or(|s| {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The asks that are wanted, found in a first pass.
+/// The tasks that match a filter, found in a first pass over the trace.
 #[derive(Clone, Debug, Default)]
 pub struct SelectedTasks {
     by_service: BTreeSet<u64>,
@@ -61,44 +61,44 @@
 }
 
 impl SelectedTasks {
-    /// First pass: takes in a record.
-    pub fn scan(&mut self, wanted: &Filter, stamped: &TimedRecord) {
-        if !wanted.contains_time(stamped.at) {
+    /// First pass: processes a record.
+    pub fn scan(&mut self, filter: &Filter, timed_record: &TimedRecord) {
+        if !filter.contains_time(timed_record.at) {
             return;
         }
-        match &stamped.record {
+        match &timed_record.record {
             Record::RequestReceived {
                 task,
                 service,
                 request_id: request,
                 ..
             } => {
-                if wanted.service == Some(*service) {
+                if filter.service == Some(*service) {
                     self.by_service.insert(*task);
                 }
-                if wanted.request.as_deref() == Some(request) {
+                if filter.request.as_deref() == Some(request) {
                     self.by_request.insert(*task);
                 }
             }
             Record::Answered { task, outcome, .. }
-                if wanted.outcome.as_deref() == Some(outcome.api_name()) =>
+                if filter.outcome.as_deref() == Some(outcome.api_name()) =>
             {
                 self.by_outcome.insert(*task);
             }
             Record::Turn(turn) => {
                 for event in &turn.events {
                     if let Event::TaskAdopted { task, machine } = event {
-                        if wanted.machine == Some(machine.0) {
+                        if filter.machine == Some(machine.0) {
                             self.by_machine.insert(task.id.0);
                         }
-                        if wanted.service == Some(task.service.0) {
+                        if filter.service == Some(task.service.0) {
                             self.by_service.insert(task.id.0);
                         }
                     }
                 }
                 for action in &turn.actions {
                     if let Action::Offer { task, machine, .. } = action
-                        && wanted.machine == Some(machine.0)
+                        && filter.machine == Some(machine.0)
                     {
                         self.by_machine.insert(task.0);
                     }
@@ -108,32 +108,36 @@
         }
     }
 
-    fn contains(&self, wanted: &Filter, task: u64) -> bool {
-        (wanted.service.is_none() || self.by_service.contains(&task))
-            && (wanted.machine.is_none() || self.by_machine.contains(&task))
-            && (wanted.request.is_none() || self.by_request.contains(&task))
-            && (wanted.outcome.is_none() || self.by_outcome.contains(&task))
+    fn contains(&self, filter: &Filter, task: u64) -> bool {
+        (filter.service.is_none() || self.by_service.contains(&task))
+            && (filter.machine.is_none() || self.by_machine.contains(&task))
+            && (filter.request.is_none() || self.by_request.contains(&task))
+            && (filter.outcome.is_none() || self.by_outcome.contains(&task))
     }
 
-    /// Second pass: the record as it belongs to the part, if it does.
-    pub fn filter_record(&self, wanted: &Filter, stamped: &TimedRecord) -> Option<TimedRecord> {
-        if !wanted.contains_time(stamped.at) {
+    /// Second pass: the record, reduced to what matches; none if nothing does.
+    pub fn filter_record(
+        &self,
+        filter: &Filter,
+        timed_record: &TimedRecord,
+    ) -> Option<TimedRecord> {
+        if !filter.contains_time(timed_record.at) {
             return None;
         }
-        if !wanted.selects_tasks() {
-            return Some(stamped.clone());
+        if !filter.selects_tasks() {
+            return Some(timed_record.clone());
         }
-        let record = match &stamped.record {
+        let record = match &timed_record.record {
             Record::Turn(turn) => {
                 let events: Vec<Event> = turn
                     .events
                     .iter()
-                    .filter_map(|e| self.filter_event(wanted, e))
+                    .filter_map(|e| self.filter_event(filter, e))
                     .collect();
                 let actions: Vec<Action> = turn
                     .actions
                     .iter()
-                    .filter(|a| self.matches_action(wanted, a))
+                    .filter(|a| self.matches_action(filter, a))
                     .cloned()
                     .collect();
                 if events.is_empty() && actions.is_empty() {
@@ -146,27 +150,27 @@
                 })
             }
             Record::RequestReceived { task, .. } | Record::Answered { task, .. } => {
-                return self.contains(wanted, *task).then(|| stamped.clone());
+                return self.contains(filter, *task).then(|| timed_record.clone());
             }
-            // Names come again with what names them; gaps concern all.
+            // The writer adds names where they are referred to; gaps concern all tasks.
             Record::Host { .. }
             | Record::Service { .. }
             | Record::Gap { .. }
             | Record::Stopped
-            | Record::Source(_) => stamped.record.clone(),
+            | Record::Source(_) => timed_record.record.clone(),
         };
         Some(TimedRecord {
-            at: stamped.at,
+            at: timed_record.at,
             record,
         })
     }
 
-    fn filter_event(&self, wanted: &Filter, event: &Event) -> Option<Event> {
+    fn filter_event(&self, filter: &Filter, event: &Event) -> Option<Event> {
         let task = match event {
             Event::EndpointsUpdated { scope, machines } => {
                 let machines: Vec<_> = machines
                     .iter()
-                    .filter(|m| wanted.machine == Some(m.machine.0))
+                    .filter(|m| filter.machine == Some(m.machine.0))
                     .copied()
                     .collect();
                 return (!machines.is_empty()).then_some(Event::EndpointsUpdated {
@@ -175,7 +179,7 @@
                 });
             }
             Event::ConnectionChanged { machine, .. } | Event::Probed { machine, .. } => {
-                return (wanted.machine == Some(machine.0)).then(|| event.clone());
+                return (filter.machine == Some(machine.0)).then(|| event.clone());
             }
             Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => task.id.0,
             Event::AttemptAccepted { attempt: id, .. }
@@ -187,19 +191,19 @@
             }
             Event::TimerFired { .. } | Event::PeerMessage { .. } => return None,
         };
-        self.contains(wanted, task).then(|| event.clone())
+        self.contains(filter, task).then(|| event.clone())
     }
 
-    fn matches_action(&self, wanted: &Filter, action: &Action) -> bool {
+    fn matches_action(&self, filter: &Filter, action: &Action) -> bool {
         match action {
             Action::Offer { task, .. }
             | Action::Reject { task, .. }
             | Action::Fail(task)
             | Action::Blocked { task, .. }
-            | Action::Migrate(task) => self.contains(wanted, task.0),
-            Action::Cancel(id) => self.contains(wanted, id.task.0),
+            | Action::Migrate(task) => self.contains(filter, task.0),
+            Action::Cancel(id) => self.contains(filter, id.task.0),
             Action::Probe(machine) | Action::CloseIdle(machine) => {
-                wanted.machine == Some(machine.0)
+                filter.machine == Some(machine.0)
             }
             Action::SetTimer { .. }
             | Action::SendToPeer { .. }
--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -1,4 +1,6 @@
-//! What can be wrong with a trace.
+//! Errors of reading and writing traces.
+
+use crate::block::MAX_UNPACKED_BYTES;
 
 /// Why a trace can't be read or written.
 #[derive(Debug, thiserror::Error)]
@@ -6,21 +8,21 @@
     /// Reading or writing failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// It does not begin as a trace does.
-    #[error("this is no trace file: {0}")]
+    /// The file does not begin with a valid trace header.
+    #[error("not a trace file: {0}")]
     NotATrace(&'static str),
-    /// It is of a version that this program can't read.
+    /// The format has a major version that this program can't read; the fields are the major and the minor version.
     #[error("format version {0}.{1}, this program reads {MAJOR}.x", MAJOR = crate::header::MAJOR)]
     UnsupportedVersion(u16, u16),
-    /// A block is damaged.
-    #[error("octet {at}: {why}")]
+    /// A block is damaged, or the file ends within it.
+    #[error("damaged at byte {at}: {why}")]
     Damaged {
-        /// Where it begins.
+        /// The offset in the file.
         at: u64,
-        /// What is wrong.
+        /// The check that failed.
         why: &'static str,
     },
-    /// A record is larger than a block may be.
-    #[error("a record of {0} octets is too large")]
+    /// An encoded record, of this many bytes, does not fit into a block.
+    #[error("record of {0} bytes exceeds the block size limit of {MAX} bytes", MAX = MAX_UNPACKED_BYTES)]
     RecordTooLarge(usize),
 }
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -1,4 +1,4 @@
-//! The beginning of a file: versions, and all that a replay needs besides the turns.
+//! The file header: the format version, and everything besides the turns that a replay needs.
 
 use std::io::{Read, Write};
 
@@ -7,38 +7,38 @@
 
 use crate::TraceError;
 
-/// A reader refuses files of another major version.
+/// The major format version. A reader rejects files of another one.
 pub const MAJOR: u16 = 1;
-/// Files of a newer minor version hold kinds of records that this one passes over.
+/// The minor format version. Files of a newer one may hold kinds of records that this program skips.
 pub const MINOR: u16 = 1;
 const FILE_MAGIC: &[u8; 8] = b"MAPLETRC";
-/// The longest header.
+/// The maximum length of a header's JSON.
 const MAX_HEADER_BYTES: u32 = 16 << 20;
 const CHECKSUM_BYTES: usize = 16;
 
-/// The header: JSON, so that other programs read it without this one.
+/// The header, stored as JSON so that other programs can read it too.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Name and version of the program that wrote it.
+    /// The name and version of the program that wrote the file.
     pub writer: String,
-    /// The hash of the module's text.
+    /// The hash of the policy's source text.
     pub module: String,
     /// The placer's name.
     pub placer: String,
-    /// When its process started, Unix time in ms: tells its runs apart.
+    /// The time at which the process started, Unix time in ms; identifies the run.
     pub started_ms: u64,
-    /// The module's seed.
+    /// The policy's seed.
     pub seed: u64,
-    /// The module's settings; none if something else decided.
+    /// The policy's settings; none if something else decided, or the trace is cut, merged or anonymised.
     pub settings: Option<Settings>,
-    /// The names of classes, in their order.
+    /// The names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Which file of the run this is, from 0. Only from the first on can the module be fed anew.
+    /// The index of the file in its run, from 0. A replay has to start with file 0.
     pub part: u32,
-    /// What was done to the file since it was written: `cut`, `repair`.
+    /// The operations applied to the file since it was written, such as `cut` or `repair`.
     #[serde(default)]
     pub changed: Vec<String>,
-    /// The runs of placers that a merged trace is of; none in any other. Since 1.1.
+    /// In a merged trace, the runs that it was merged from; otherwise empty. Since format version 1.1.
     #[serde(default)]
     pub sources: Vec<Source>,
 }
@@ -48,19 +48,20 @@
 pub struct Source {
     /// The placer's name.
     pub placer: String,
-    /// When its process started, Unix time in ms.
+    /// The time at which its process started, Unix time in ms.
     pub started_ms: u64,
-    /// The hash of the module's text.
+    /// The hash of the policy's source text.
     pub module: String,
-    /// Which files of the run are in it.
+    /// The indices of the run's files that were merged.
     pub parts: Vec<u32>,
-    /// What was added to its times.
+    /// The clock offset that was added to its times, µs.
     pub offset_us: i64,
-    /// How far nine in ten of its sights then still lie from those of others; none if no other shared one.
+    /// The residual clock error, µs: the 90th percentile over the observations shared with other sources; none if
+    /// there were none.
     pub error_us: Option<u64>,
 }
 
-/// The files that hold the decisions, with their text: those of `policy` in `deploy/balancer.toml`, in that order.
+/// The policy's source files with their text: those of `policy` in `deploy/balancer.toml`, in that order.
 pub const POLICY_SOURCES: [(&str, &str); 17] = [
     (
         "src/policy/mod.rs",
@@ -132,8 +133,7 @@
     ),
 ];
 
-/// The hash of the text of the decision modules that this program decides with, one file after the other in the order of
-/// [`POLICY_SOURCES`].
+/// The hash of the policy's source text in this program: the files of [`POLICY_SOURCES`], concatenated in that order.
 pub fn module_hash() -> String {
     let mut hasher = blake3::Hasher::new();
     for (_, text) in POLICY_SOURCES {
@@ -143,7 +143,11 @@
 }
 
 impl Header {
-    /// Writes magic, version, length, JSON and checksum.
+    /// Writes magic, version, length, JSON and checksum; returns the number of bytes written.
+    ///
+    /// # Errors
+    ///
+    /// Writing failed.
     pub fn write(&self, out: &mut impl Write) -> Result<u64, TraceError> {
         let json = serde_json::to_vec(self).map_err(std::io::Error::other)?;
         let mut bytes = Vec::with_capacity(json.len() + 32);
@@ -152,43 +156,49 @@
         bytes.extend_from_slice(&MINOR.to_le_bytes());
         bytes.extend_from_slice(&(json.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&json);
-        let check = blake3::hash(&bytes);
-        bytes.extend_from_slice(&check.as_bytes()[..CHECKSUM_BYTES]);
+        let checksum = blake3::hash(&bytes);
+        bytes.extend_from_slice(&checksum.as_bytes()[..CHECKSUM_BYTES]);
         out.write_all(&bytes)?;
         Ok(bytes.len() as u64)
     }
 
-    /// Reads it; returns how many octets it took, and the minor version.
-    pub fn read(from: &mut impl Read) -> Result<(Header, u64, u16), TraceError> {
+    /// Reads a header; returns it with its length in bytes and the minor version.
+    ///
+    /// # Errors
+    ///
+    /// Reading failed, the file does not begin with a valid header, or it has another major version.
+    pub fn read(input: &mut impl Read) -> Result<(Header, u64, u16), TraceError> {
         let mut start = [0; 16];
-        from.read_exact(&mut start)
-            .map_err(|_| TraceError::NotATrace("it is too short"))?;
+        input.read_exact(&mut start).map_err(|_| {
+            TraceError::NotATrace("shorter than the 16 bytes before the header's JSON")
+        })?;
         if &start[..8] != FILE_MAGIC {
-            return Err(TraceError::NotATrace("it does not begin with MAPLETRC"));
+            return Err(TraceError::NotATrace("magic MAPLETRC missing"));
         }
-        let two = |at: usize| u16::from_le_bytes([start[at], start[at + 1]]);
-        let (major, minor) = (two(8), two(10));
+        let read_u16 = |at: usize| u16::from_le_bytes([start[at], start[at + 1]]);
+        let (major, minor) = (read_u16(8), read_u16(10));
         if major != MAJOR {
             return Err(TraceError::UnsupportedVersion(major, minor));
         }
         let length = u32::from_le_bytes([start[12], start[13], start[14], start[15]]);
         if length > MAX_HEADER_BYTES {
-            return Err(TraceError::NotATrace("its header is too long"));
+            return Err(TraceError::NotATrace("header length out of range"));
         }
         let mut rest = Vec::new();
-        from.take(u64::from(length) + CHECKSUM_BYTES as u64)
+        input
+            .take(u64::from(length) + CHECKSUM_BYTES as u64)
             .read_to_end(&mut rest)?;
         if rest.len() != length as usize + CHECKSUM_BYTES {
-            return Err(TraceError::NotATrace("its header is cut off"));
+            return Err(TraceError::NotATrace("header truncated"));
         }
-        let (json, check) = rest.split_at(length as usize);
+        let (json, checksum) = rest.split_at(length as usize);
         let mut hash = blake3::Hasher::new();
         hash.update(&start).update(json);
-        if &hash.finalize().as_bytes()[..CHECKSUM_BYTES] != check {
-            return Err(TraceError::NotATrace("its header is damaged"));
+        if &hash.finalize().as_bytes()[..CHECKSUM_BYTES] != checksum {
+            return Err(TraceError::NotATrace("header checksum mismatch"));
         }
         let header = serde_json::from_slice(json)
-            .map_err(|_| TraceError::NotATrace("its header is not understood"))?;
+            .map_err(|_| TraceError::NotATrace("header JSON invalid"))?;
         Ok((header, 16 + rest.len() as u64, minor))
     }
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,14 +1,16 @@
-//! Trace files: what one placer saw and decided, so that a day can be read, summed up and replayed to the bit.
+//! Trace files: the inputs and decisions of one placer, which can be read, summarised and replayed with identical
+//! results.
 //!
-//! A file is a header, blocks of records that stand alone, and an index. [`record`] is what is kept, [`block`] how
-//! records are packed and checked, [`writer`] and [`reader`] go through files, [`replay`] feeds a trace to a fresh
-//! module, [`summary`] answers what on-call asks, [`losses`] what kept tasks from running, [`cut`] copies a part,
-//! and [`anonymise`] hides whom it is about. The format is in `docs/trace-format.md`.
-//! Nothing here reads a clock or starts a thread; files are given as `Read`, `Write` and `Seek`.
+//! A file consists of a header, self-contained blocks of records, and an index. [`record`] defines the records,
+//! [`block`] encodes and checks blocks, [`writer`] and [`reader`] write and read files, [`merge`] combines traces,
+//! [`replay`] feeds a trace to a new policy, [`summary`] aggregates it for operators, [`losses`] reports what kept tasks
+//! from running, [`cut`] selects the records of an excerpt, and [`anonymise`] replaces names. The format is specified
+//! in `docs/trace-format.md`.
+//!
+//! This crate neither reads a clock nor starts a thread; files are passed in as `Read`, `Write` and `Seek`.
 #![allow(
-    clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not yet worked through; listed in docs/ROADMAP.md"
+    reason = "one match over all kinds of records, events or actions is easier to check than its parts"
 )]
 
 pub mod anonymise;
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,9 +1,9 @@
-//! One trace of several: of the parts of a run, of several placers whose clocks differ, and of merged ones again.
+//! Merges traces: the parts of a run, runs of several placers with different clocks, and traces that are already merged.
 //!
-//! A *source* is one run of one placer. Each source's own order is kept exactly; records of different sources are
-//! ordered by their times, corrected by an offset for each source that is estimated from what several witnessed: the
-//! first sight of the same start of the same host. All of it depends on the set of sources only, so that neither the
-//! order of the inputs nor earlier merges of some of them make a difference.
+//! A *source* is one run of one placer. The order of records within a source is kept; records of different sources are
+//! ordered by their times, corrected by a clock offset for each source. Offsets are estimated from events that several
+//! sources observed: each source's first report of the same start of the same host. The result depends only on the set
+//! of sources, not on the order of the inputs or on earlier merges of some of them.
 
 mod clock_offsets;
 mod renumber;
@@ -25,44 +25,50 @@
 /// Why traces can't be merged.
 #[derive(Debug, thiserror::Error)]
 pub enum MergeError {
-    /// An input can't be read, or the output not be written.
+    /// An input can't be read, or the output can't be written.
     #[error("{0}")]
     Trace(#[from] TraceError),
-    /// Inputs overlap in a way that does not tell which records are the same.
-    #[error("{0} is in two inputs, each with parts that the other lacks and some that both have")]
+    /// Inputs overlap partly, so that common records can't be identified; the text names the placer and its start.
+    #[error("inputs overlap partly for {0}: each has parts that the other lacks")]
     OverlappingInputs(String),
-    /// More sources or tasks than numbers.
-    #[error("a source's numbers are too large to be merged")]
+    /// A task number or the number of sources exceeds what a merged task number can hold.
+    #[error("task number or number of sources too large for a merged trace")]
     IdOutOfRange,
-    /// A file whose names were hidden can't be told to be of the same hosts as another.
-    #[error("anonymised traces can't be merged; merge first")]
+    /// An input is anonymised, so its hosts can't be matched with those of other inputs.
+    #[error("anonymised traces can't be merged; merge before anonymising")]
     Anonymised,
 }
 
-/// A plan of a merge: which pieces make up which source, what things are called, and how clocks differ.
+/// The plan of a merge: the slices of inputs that make up each source, the numbers and names, and the clock offsets.
 pub struct MergePlan {
     slices_by_source: Vec<Vec<SourceSlice>>,
     header: Header,
-    /// For each input, its classes' and hosts' numbers in the merged trace.
+    /// For each input, the merged trace's number of each of its classes.
     classes: Vec<Vec<u32>>,
+    /// For each input, the merged trace's number by its own number of a host.
     hosts: Vec<BTreeMap<u32, u32>>,
     names: Vec<Record>,
-    /// Inputs that are merged traces themselves.
+    /// For each input, whether it is a merged trace itself.
     is_merged: Vec<bool>,
 }
 
 impl MergePlan {
-    /// Reads all inputs once.
+    /// Reads all inputs once and plans the merge.
+    ///
+    /// # Errors
+    ///
+    /// An input can't be read or is anonymised, or inputs overlap partly.
     pub fn new<R: Read + Seek>(inputs: &mut [Reader<R>]) -> Result<MergePlan, MergeError> {
-        let pieces = group_by_source(inputs)?;
-        let mut named: Vec<InputHosts> = inputs.iter().map(|_| InputHosts::default()).collect();
+        let slices = group_by_source(inputs)?;
+        let mut input_hosts: Vec<InputHosts> =
+            inputs.iter().map(|_| InputHosts::default()).collect();
         let mut services: BTreeMap<u64, String> = BTreeMap::new();
-        // First sight of each host's start, by source; and when each source begins, for what was there before it was
-        // seen by it late.
-        let mut begins: BTreeMap<usize, u64> = BTreeMap::new();
-        let mut seen: BTreeMap<(String, u64), BTreeMap<usize, u64>> = BTreeMap::new();
+        // The first observation of each host's start, by source, and the time at which each source begins. A start
+        // before that is ignored below, as the source could only observe it late.
+        let mut source_starts: BTreeMap<usize, u64> = BTreeMap::new();
+        let mut observed_starts: BTreeMap<(String, u64), BTreeMap<usize, u64>> = BTreeMap::new();
         for (n, input) in inputs.iter_mut().enumerate() {
-            let of: BTreeMap<u32, usize> = pieces
+            let source_numbers: BTreeMap<u32, usize> = slices
                 .iter()
                 .enumerate()
                 .flat_map(|(s, all)| {
@@ -75,7 +81,7 @@
                 .iter()
                 .map(|s| s.offset_us)
                 .collect();
-            let mut now = 0;
+            let mut current_source = 0;
             input.rewind();
             while let Some(part) = input.next_part()? {
                 let Part::Block { records, .. } = part else {
@@ -83,7 +89,7 @@
                 };
                 for TimedRecord { at, record } in records {
                     match record {
-                        Record::Source(source) => now = source,
+                        Record::Source(source) => current_source = source,
                         Record::Host {
                             machine,
                             name,
@@ -91,16 +97,25 @@
                             cell,
                             kind,
                         } => {
-                            named[n].hosts.insert(machine, [name, zone, cell, kind]);
+                            input_hosts[n]
+                                .hosts
+                                .insert(machine, [name, zone, cell, kind]);
                         }
                         Record::Service { service, name } => drop(services.insert(service, name)),
                         Record::Turn(turn) => {
-                            let offset = offsets.get(now as usize).copied().unwrap_or(0);
-                            let at = at.wrapping_sub(offset as u64);
-                            if let Some(&source) = of.get(&now) {
-                                let begin = begins.entry(source).or_insert(at);
-                                *begin = at.min(*begin);
-                                record_observed_starts(&turn, at, source, &named[n], &mut seen);
+                            let offset_us =
+                                offsets.get(current_source as usize).copied().unwrap_or(0);
+                            let at = at.wrapping_sub(offset_us as u64);
+                            if let Some(&source) = source_numbers.get(&current_source) {
+                                let source_start = source_starts.entry(source).or_insert(at);
+                                *source_start = at.min(*source_start);
+                                record_observed_starts(
+                                    &turn,
+                                    at,
+                                    source,
+                                    &input_hosts[n],
+                                    &mut observed_starts,
+                                );
                             }
                         }
                         _ => {}
@@ -108,25 +123,25 @@
                 }
             }
         }
-        for ((_, started), times) in &mut seen {
-            times.retain(|source, _| begins[source] <= *started);
+        for ((_, started_at), times) in &mut observed_starts {
+            times.retain(|source, _| source_starts[source] <= *started_at);
         }
-        let offsets = estimate_offsets(&seen, pieces.len());
+        let offsets = estimate_offsets(&observed_starts, slices.len());
         let mut all_hosts: BTreeMap<&String, [&String; 3]> = BTreeMap::new();
-        for [name, zone, cell, kind] in named.iter().flat_map(|n| n.hosts.values()) {
+        for [name, zone, cell, kind] in input_hosts.iter().flat_map(|n| n.hosts.values()) {
             all_hosts.insert(name, [zone, cell, kind]);
         }
-        let numbers: BTreeMap<&String, u32> = all_hosts
+        let host_numbers: BTreeMap<&String, u32> = all_hosts
             .keys()
             .enumerate()
             .map(|(n, name)| (*name, n as u32))
             .collect();
-        let hosts = named
+        let hosts = input_hosts
             .iter()
             .map(|n| {
                 n.hosts
                     .iter()
-                    .map(|(&own, host)| (own, numbers[&host[0]]))
+                    .map(|(&input_number, host)| (input_number, host_numbers[&host[0]]))
                     .collect()
             })
             .collect();
@@ -134,15 +149,16 @@
             .iter()
             .flat_map(|i| i.header.classes.iter().cloned())
             .collect();
-        let place = |name: &String| all_classes.iter().position(|c| c == name).unwrap_or(0) as u32;
+        let class_number =
+            |name: &String| all_classes.iter().position(|c| c == name).unwrap_or(0) as u32;
         let classes = inputs
             .iter()
-            .map(|i| i.header.classes.iter().map(place).collect())
+            .map(|i| i.header.classes.iter().map(class_number).collect())
             .collect();
         let mut names: Vec<Record> = all_hosts
             .iter()
             .map(|(name, [zone, cell, kind])| Record::Host {
-                machine: numbers[name],
+                machine: host_numbers[name],
                 name: (*name).clone(),
                 zone: (*zone).clone(),
                 cell: (*cell).clone(),
@@ -154,7 +170,7 @@
                 .into_iter()
                 .map(|(service, name)| Record::Service { service, name }),
         );
-        let of_all = pieces
+        let merged_sources = slices
             .iter()
             .zip(&offsets)
             .map(|(all, &(offset_us, error_us))| {
@@ -174,7 +190,7 @@
             writer: concat!("maplethread ", env!("CARGO_PKG_VERSION")).to_owned(),
             module: String::new(),
             placer: "merged".to_owned(),
-            started_ms: pieces
+            started_ms: slices
                 .iter()
                 .map(|p| p[0].source.started_ms)
                 .min()
@@ -184,28 +200,32 @@
             classes: all_classes.iter().cloned().collect(),
             part: 0,
             changed: vec!["merge".to_owned()],
-            sources: of_all.collect(),
+            sources: merged_sources.collect(),
         };
-        let merged = inputs
+        let is_merged = inputs
             .iter()
             .map(|i| !i.header.sources.is_empty())
             .collect();
         Ok(MergePlan {
-            slices_by_source: pieces,
+            slices_by_source: slices,
             header,
             classes,
             hosts,
             names,
-            is_merged: merged,
+            is_merged,
         })
     }
 
-    /// The merged trace's header, with each source's offset and what is left of the differences.
+    /// The merged trace's header, with the clock offset and residual error of each source.
     pub fn header(&self) -> &Header {
         &self.header
     }
 
-    /// Reads the inputs again, each source for itself, and writes the merged trace. `open` opens an input anew.
+    /// Reads the inputs again, once for each source, and writes the merged trace. `open` opens an input by its index.
+    ///
+    /// # Errors
+    ///
+    /// An input can't be opened or read, a number is out of range, or writing failed.
     pub fn write<R: Read + Seek, W: std::io::Write>(
         &self,
         mut open: impl FnMut(usize) -> Result<Reader<R>, TraceError>,
@@ -218,18 +238,18 @@
             });
         }
         let mut streams = Vec::new();
-        for (n, pieces) in self.slices_by_source.iter().enumerate() {
+        for (n, slices) in self.slices_by_source.iter().enumerate() {
             let mut inputs = Vec::new();
-            for piece in pieces {
-                inputs.push((open(piece.input)?, piece.clone()));
+            for slice in slices {
+                inputs.push((open(slice.input)?, slice.clone()));
             }
             inputs.reverse();
-            let offset = self.header.sources[n].offset_us;
+            let offset_us = self.header.sources[n].offset_us;
             let mut stream = SourceStream {
                 remaining: inputs,
                 records: Vec::new().into_iter(),
                 current_source: 0,
-                offset_us: offset,
+                offset_us,
                 sort_key: 0,
                 next: None,
             };
@@ -238,24 +258,26 @@
         }
         let mut source = None;
         loop {
-            // Few sources: the least is found by looking at each.
-            let least = streams
+            // There are few sources, so a linear search for the earliest record is enough.
+            let first = streams
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.next.is_some())
                 .min_by_key(|(_, s)| s.sort_key);
-            let Some((n, _)) = least else { return Ok(()) };
-            let Some(stamped) = streams[n].next.take() else {
+            let Some((n, _)) = first else {
+                return Ok(());
+            };
+            let Some(timed_record) = streams[n].next.take() else {
                 return Ok(());
             };
             if source != Some(n) {
                 writer.push(&TimedRecord {
-                    at: stamped.at,
+                    at: timed_record.at,
                     record: Record::Source(n as u32),
                 })?;
                 source = Some(n);
             }
-            writer.push(&stamped)?;
+            writer.push(&timed_record)?;
             streams[n].advance(self, n)?;
         }
     }
--- a/crates/trace/src/merge/clock_offsets.rs
+++ b/crates/trace/src/merge/clock_offsets.rs
@@ -1,4 +1,4 @@
-//! How far the clocks of sources differ, by when each first saw the same start of the same host.
+//! Estimates the clock offsets of sources from the times at which each first observed the same start of the same host.
 
 use std::collections::BTreeMap;
 
@@ -6,67 +6,74 @@
 
 use crate::record::Turn;
 
-/// Starts of hosts that are compared.
+/// The maximum number of host starts that are compared.
 const MAX_OBSERVED_STARTS: usize = 1 << 17;
-/// What an input names, by its own numbers.
+
+/// The hosts of an input, by its own numbers: name, zone, cell and kind.
 #[derive(Default)]
 pub(super) struct InputHosts {
     pub(super) hosts: BTreeMap<u32, [String; 4]>,
 }
 
-/// Takes in the starts that a turn tells of: for each, when a source first saw it.
+/// Records the host starts in a turn's events: for each, the time at which the source first observed it.
 pub(super) fn record_observed_starts(
     turn: &Turn,
     at: u64,
     source: usize,
-    named: &InputHosts,
-    seen: &mut BTreeMap<(String, u64), BTreeMap<usize, u64>>,
+    input_hosts: &InputHosts,
+    observed_starts: &mut BTreeMap<(String, u64), BTreeMap<usize, u64>>,
 ) {
     for event in &turn.events {
         let Event::EndpointsUpdated { machines, .. } = event else {
             continue;
         };
-        for listing in machines {
-            let (Some(started), Some(host)) =
-                (listing.started_at, named.hosts.get(&listing.machine.0))
+        for entry in machines {
+            let (Some(started_at), Some(host)) =
+                (entry.started_at, input_hosts.hosts.get(&entry.machine.0))
             else {
                 continue;
             };
-            if seen.len() < MAX_OBSERVED_STARTS {
-                let times = seen.entry((host[0].clone(), started)).or_default();
-                let first = times.entry(source).or_insert(at);
-                *first = at.min(*first);
+            if observed_starts.len() < MAX_OBSERVED_STARTS {
+                let times = observed_starts
+                    .entry((host[0].clone(), started_at))
+                    .or_default();
+                let first_observed = times.entry(source).or_insert(at);
+                *first_observed = at.min(*first_observed);
             }
         }
     }
 }
 
-/// For each source: what to add to its times, and how far what it witnessed then still lies from what others did at
-/// the median of nine in ten; none if nobody shared a sight with it.
+/// Returns for each source the offset to add to its times, and the 90th percentile of the residual differences between
+/// its observations and the median of all sources; none if it shares no observation with another source.
 pub(super) fn estimate_offsets(
-    seen: &BTreeMap<(String, u64), BTreeMap<usize, u64>>,
-    sources: usize,
+    observed_starts: &BTreeMap<(String, u64), BTreeMap<usize, u64>>,
+    source_count: usize,
 ) -> Vec<(i64, Option<u64>)> {
     let median = |mut all: Vec<i64>| -> Option<i64> {
         all.sort_unstable();
         all.get(all.len() / 2).copied()
     };
-    let mut apart: Vec<Vec<i64>> = vec![Vec::new(); sources];
-    for times in seen.values().filter(|times| times.len() > 1) {
-        let base = times.values().min().copied().unwrap_or(0);
-        let middle = median(times.values().map(|&t| (t - base) as i64).collect()).unwrap_or(0);
+    let mut differences: Vec<Vec<i64>> = vec![Vec::new(); source_count];
+    for times in observed_starts.values().filter(|times| times.len() > 1) {
+        let earliest = times.values().min().copied().unwrap_or(0);
+        let median_time =
+            median(times.values().map(|&t| (t - earliest) as i64).collect()).unwrap_or(0);
         for (&source, &at) in times {
-            apart[source].push(middle - (at - base) as i64);
+            differences[source].push(median_time - (at - earliest) as i64);
         }
     }
-    apart
+    differences
         .into_iter()
         .map(|all| match median(all.clone()) {
             None => (0, None),
             Some(offset) => {
-                let mut left: Vec<u64> = all.iter().map(|d| d.abs_diff(offset)).collect();
-                left.sort_unstable();
-                (offset, left.get(left.len() * 9 / 10).copied())
+                let mut residuals: Vec<u64> = all
+                    .iter()
+                    .map(|difference| difference.abs_diff(offset))
+                    .collect();
+                residuals.sort_unstable();
+                (offset, residuals.get(residuals.len() * 9 / 10).copied())
             }
         })
         .collect()
--- a/crates/trace/src/merge/renumber.rs
+++ b/crates/trace/src/merge/renumber.rs
@@ -1,15 +1,15 @@
-//! Records by the numbers of the merged trace.
+//! Converts records to the numbers of the merged trace.
 
 use maplethread::{Action, AttemptId, Event, MachineEntry, MachineId, Task, TaskId};
 
 use super::{MergeError, MergePlan};
 use crate::record::{Outcome, Record, Turn};
 
-/// The bits of a merged task's number that are its number in its source.
+/// The low bits of a merged task number, which hold its number in its source; the bits above hold the source.
 const TASK_BITS: u32 = 40;
 
 impl MergePlan {
-    /// A record by the merged trace's numbers.
+    /// Converts a record of a source, read from an input, to the merged trace's numbers.
     pub(super) fn renumber(
         &self,
         input: usize,
@@ -17,15 +17,15 @@
         record: Record,
     ) -> Result<Record, MergeError> {
         let task = |id: u64| -> Result<u64, MergeError> {
-            let own = if self.is_merged[input] {
+            let source_task = if self.is_merged[input] {
                 id & ((1 << TASK_BITS) - 1)
             } else {
                 id
             };
-            if own >> TASK_BITS != 0 || source >= 1 << (63 - TASK_BITS) {
+            if source_task >> TASK_BITS != 0 || source >= 1 << (63 - TASK_BITS) {
                 return Err(MergeError::IdOutOfRange);
             }
-            Ok((source as u64) << TASK_BITS | own)
+            Ok((source as u64) << TASK_BITS | source_task)
         };
         let host = |n: u32| self.hosts[input].get(&n).copied().unwrap_or(u32::MAX);
         let class = |n: usize| {
@@ -33,7 +33,7 @@
                 .get(n)
                 .map_or(usize::MAX, |&c| c as usize)
         };
-        let whole = |t: Task| -> Result<Task, MergeError> {
+        let renumber_task = |t: Task| -> Result<Task, MergeError> {
             Ok(Task {
                 id: TaskId(task(t.id.0)?),
                 class: class(t.class),
@@ -55,61 +55,63 @@
                 let event = |event: Event| -> Result<Event, MergeError> {
                     Ok(match event {
                         Event::EndpointsUpdated { scope, machines } => {
-                            let one = |m: MachineEntry| MachineEntry {
+                            let renumber_machine = |m: MachineEntry| MachineEntry {
                                 machine: MachineId(host(m.machine.0)),
                                 ..m
                             };
                             Event::EndpointsUpdated {
                                 scope,
-                                machines: machines.into_iter().map(one).collect(),
+                                machines: machines.into_iter().map(renumber_machine).collect(),
                             }
                         }
                         Event::ConnectionChanged {
                             machine: m,
-                            is_connected: on,
+                            is_connected,
                         } => Event::ConnectionChanged {
                             machine: MachineId(host(m.0)),
-                            is_connected: on,
+                            is_connected,
                         },
-                        Event::PlacementRequested(t) => Event::PlacementRequested(whole(t)?),
+                        Event::PlacementRequested(t) => {
+                            Event::PlacementRequested(renumber_task(t)?)
+                        }
                         Event::TaskAdopted {
                             task: t,
                             machine: m,
                         } => Event::TaskAdopted {
-                            task: whole(t)?,
+                            task: renumber_task(t)?,
                             machine: MachineId(host(m.0)),
                         },
                         Event::AttemptAccepted {
                             attempt: id,
-                            elapsed: took,
+                            elapsed,
                         } => Event::AttemptAccepted {
                             attempt: attempt(id)?,
-                            elapsed: took,
+                            elapsed,
                         },
                         Event::TaskReported {
                             attempt: id,
-                            report: note,
+                            report,
                         } => Event::TaskReported {
                             attempt: attempt(id)?,
-                            report: note,
+                            report,
                         },
                         Event::AttemptFinished {
                             attempt: id,
-                            result: end,
+                            result,
                         } => Event::AttemptFinished {
                             attempt: attempt(id)?,
-                            result: end,
+                            result,
                         },
                         Event::ClientDisconnected(id) => {
                             Event::ClientDisconnected(TaskId(task(id.0)?))
                         }
                         Event::Probed {
                             machine,
-                            answered: ok,
+                            answered,
                             load,
                         } => Event::Probed {
                             machine: MachineId(host(machine.0)),
-                            answered: ok,
+                            answered,
                             load,
                         },
                         Event::ReplicaIndexChanged(_)
@@ -123,27 +125,24 @@
                         Action::Offer {
                             task: id,
                             machine: m,
-                            timeout: wait,
+                            timeout,
                         } => Action::Offer {
                             task: TaskId(task(id.0)?),
                             machine: MachineId(host(m.0)),
-                            timeout: wait,
+                            timeout,
                         },
                         Action::Cancel(id) => Action::Cancel(attempt(id)?),
                         Action::Reject {
                             task: id,
-                            retry_after: advice,
+                            retry_after,
                         } => Action::Reject {
                             task: TaskId(task(id.0)?),
-                            retry_after: advice,
+                            retry_after,
                         },
                         Action::Fail(id) => Action::Fail(TaskId(task(id.0)?)),
-                        Action::Blocked {
-                            task: id,
-                            reason: lack,
-                        } => Action::Blocked {
+                        Action::Blocked { task: id, reason } => Action::Blocked {
                             task: TaskId(task(id.0)?),
-                            reason: lack,
+                            reason,
                         },
                         Action::Migrate(id) => Action::Migrate(TaskId(task(id.0)?)),
                         Action::Probe(m) => Action::Probe(MachineId(host(m.0))),
@@ -166,9 +165,9 @@
                 service,
                 actor,
                 class: c,
-                request_id: request,
-                idempotency_key: key,
-                received_at: read,
+                request_id,
+                idempotency_key,
+                received_at,
             } => {
                 let c = class(c as usize) as u32;
                 Record::RequestReceived {
@@ -176,29 +175,29 @@
                     service,
                     actor,
                     class: c,
-                    request_id: request,
-                    idempotency_key: key,
-                    received_at: read,
+                    request_id,
+                    idempotency_key,
+                    received_at,
                 }
             }
             Record::Answered {
                 task: id,
                 outcome,
                 attempts,
-                elapsed: after,
+                elapsed,
             } => {
                 let outcome = match outcome {
                     Outcome::Placed { host: n } => Outcome::Placed { host: host(n) },
-                    other => other,
+                    unchanged => unchanged,
                 };
                 Record::Answered {
                     task: task(id)?,
                     outcome,
                     attempts,
-                    elapsed: after,
+                    elapsed,
                 }
             }
-            other => other,
+            unchanged => unchanged,
         })
     }
 }
--- a/crates/trace/src/merge/sources.rs
+++ b/crates/trace/src/merge/sources.rs
@@ -1,4 +1,4 @@
-//! The sources of the inputs, and which input each is read from.
+//! Determines the sources of the inputs and the inputs that each source is read from.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Seek};
@@ -7,16 +7,16 @@
 use crate::header::{Header, Source};
 use crate::reader::Reader;
 
-/// A source as one input has it.
+/// The part of a source that one input contains.
 #[derive(Clone, Debug)]
 pub(super) struct SourceSlice {
     pub(super) input: usize,
-    /// Its place among the input's sources.
+    /// The index among the input's sources.
     pub(super) source_index: u32,
     pub(super) source: Source,
 }
 
-/// The sources of a file: itself, if it was never merged.
+/// The sources of a file; a file that is not merged is its only source.
 pub(super) fn sources_of(header: &Header) -> Vec<Source> {
     if header.sources.is_empty() {
         return vec![Source {
@@ -31,27 +31,27 @@
     header.sources.clone()
 }
 
-/// Which pieces make up each source, in the order of sources; what another input holds as a whole is left out.
+/// Returns the slices that make up each source, in the order of sources; a slice that another one contains is left out.
 pub(super) fn group_by_source<R: Read + Seek>(
     inputs: &[Reader<R>],
 ) -> Result<Vec<Vec<SourceSlice>>, MergeError> {
-    let mut all: BTreeMap<(String, u64), Vec<SourceSlice>> = BTreeMap::new();
+    let mut slices_by_run: BTreeMap<(String, u64), Vec<SourceSlice>> = BTreeMap::new();
     for (input, reader) in inputs.iter().enumerate() {
         if reader.header.changed.iter().any(|c| c == "anonymise") {
             return Err(MergeError::Anonymised);
         }
         for (index, source) in sources_of(&reader.header).into_iter().enumerate() {
             let run = (source.placer.clone(), source.started_ms);
-            all.entry(run).or_default().push(SourceSlice {
+            slices_by_run.entry(run).or_default().push(SourceSlice {
                 input,
                 source_index: index as u32,
                 source,
             });
         }
     }
-    let mut chosen = Vec::new();
-    for ((placer, started_ms), mut pieces) in all {
-        pieces.sort_by(|a, b| {
+    let mut kept_by_source = Vec::new();
+    for ((placer, started_ms), mut slices) in slices_by_run {
+        slices.sort_by(|a, b| {
             b.source
                 .parts
                 .len()
@@ -59,26 +59,32 @@
                 .then(a.input.cmp(&b.input))
         });
         let mut kept: Vec<SourceSlice> = Vec::new();
-        for piece in pieces {
-            let has = |p: &SourceSlice, part: &u32| p.source.parts.contains(part);
-            if kept
-                .iter()
-                .any(|k| piece.source.parts.iter().all(|part| has(k, part)))
-            {
+        for slice in slices {
+            let has_part = |slice: &SourceSlice, part: &u32| slice.source.parts.contains(part);
+            if kept.iter().any(|kept_slice| {
+                slice
+                    .source
+                    .parts
+                    .iter()
+                    .all(|part| has_part(kept_slice, part))
+            }) {
                 continue;
             }
-            if kept
-                .iter()
-                .any(|k| piece.source.parts.iter().any(|part| has(k, part)))
-            {
+            if kept.iter().any(|kept_slice| {
+                slice
+                    .source
+                    .parts
+                    .iter()
+                    .any(|part| has_part(kept_slice, part))
+            }) {
                 return Err(MergeError::OverlappingInputs(format!(
-                    "{placer}, started at {started_ms}"
+                    "placer {placer}, started at {started_ms} ms"
                 )));
             }
-            kept.push(piece);
+            kept.push(slice);
         }
-        kept.sort_by_key(|p| p.source.parts.iter().min().copied());
-        chosen.push(kept);
+        kept.sort_by_key(|slice| slice.source.parts.iter().min().copied());
+        kept_by_source.push(kept);
     }
-    Ok(chosen)
+    Ok(kept_by_source)
 }
--- a/crates/trace/src/merge/stream.rs
+++ b/crates/trace/src/merge/stream.rs
@@ -1,4 +1,4 @@
-//! The records of one source, read from its inputs one after the other.
+//! Streams the records of one source from its inputs, one after the other.
 
 use std::io::{Read, Seek};
 
@@ -7,37 +7,39 @@
 use crate::reader::{Part, Reader};
 use crate::record::{Record, TimedRecord};
 
-/// One source's records in its own order.
+/// The records of one source in their order.
 pub(super) struct SourceStream<R> {
-    /// What is left of its pieces, the next one last.
+    /// The slices that are left to read, in reverse order.
     pub(super) remaining: Vec<(Reader<R>, SourceSlice)>,
     pub(super) records: std::vec::IntoIter<TimedRecord>,
-    /// The source that the piece's records are of just now.
+    /// The index, among the sources of the slice's input, that the current records belong to.
     pub(super) current_source: u32,
     pub(super) offset_us: i64,
-    /// Where the next record stands among those of other sources: never before the one before it.
+    /// The time by which the next record is ordered among other sources: the latest corrected time so far, so that a
+    /// clock that steps back does not reorder the source.
     pub(super) sort_key: u64,
     pub(super) next: Option<TimedRecord>,
 }
 
 impl<R: Read + Seek> SourceStream<R> {
-    /// Reads up to the next record of the source.
-    pub(super) fn advance(&mut self, merge: &MergePlan, source: usize) -> Result<(), MergeError> {
+    /// Reads the next record of the source into `next`.
+    pub(super) fn advance(&mut self, plan: &MergePlan, source: usize) -> Result<(), MergeError> {
         loop {
-            let Some((reader, piece)) = self.remaining.last_mut() else {
+            let Some((reader, slice)) = self.remaining.last_mut() else {
                 return Ok(());
             };
             let Some(TimedRecord { at, record }) = self.records.next() else {
                 match reader.next_part()? {
                     Some(Part::Block { records, .. }) => self.records = records.into_iter(),
                     Some(Part::Damaged {
-                        byte_count: octets, ..
+                        byte_count: damaged_bytes,
+                        ..
                     }) => {
-                        let why = format!("{octets} damaged octets");
+                        let reason = format!("{damaged_bytes} damaged octets");
                         let record = Record::Gap {
                             turns: 1,
                             records: 1,
-                            reason: why,
+                            reason,
                         };
                         self.records = vec![TimedRecord {
                             at: self.sort_key,
@@ -55,13 +57,13 @@
             match record {
                 Record::Source(n) => self.current_source = n,
                 Record::Host { .. } | Record::Service { .. } => {}
-                record if self.current_source == piece.source_index => {
-                    // The times of a merged input are corrected already.
+                record if self.current_source == slice.source_index => {
+                    // The times of a merged input are already corrected, so its own offset is removed first.
                     let at = at
-                        .wrapping_sub(piece.source.offset_us as u64)
+                        .wrapping_sub(slice.source.offset_us as u64)
                         .wrapping_add(self.offset_us as u64);
                     self.sort_key = self.sort_key.max(at);
-                    let record = merge.renumber(piece.input, source, record)?;
+                    let record = plan.renumber(slice.input, source, record)?;
                     self.next = Some(TimedRecord { at, record });
                     return Ok(());
                 }
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -1,9 +1,12 @@
-//! Reads a file block by block, in memory that does not grow with it. What is damaged or cut off costs itself only.
+//! Reads a trace file block by block, with memory independent of the file's size. Damaged or truncated blocks are
+//! skipped without affecting others.
 
 use std::io::{Read, Seek, SeekFrom};
 
 use crate::TraceError;
-use crate::block::{self, BLOCK_MAGIC, BlockInfo, HEAD_BYTES, MAX_UNPACKED_BYTES, unpack_records};
+use crate::block::{
+    self, BLOCK_HEADER_BYTES, BLOCK_MAGIC, BlockInfo, MAX_UNPACKED_BYTES, unpack_records,
+};
 use crate::header::{Header, MINOR};
 use crate::record::TimedRecord;
 use crate::writer::{END_MAGIC, INDEX_MAGIC, IndexEntry};
@@ -11,44 +14,48 @@
 /// A part of a file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Part {
-    /// A sound block.
+    /// A valid block.
     Block {
-        /// Where it begins.
+        /// The block's offset in the file.
         offset: u64,
-        /// What its head tells.
+        /// The contents of its header.
         info: BlockInfo,
-        /// Its records.
+        /// Its records, without those of unknown kinds.
         records: Vec<TimedRecord>,
-        /// Records of kinds that this program does not know.
+        /// The number of records that could not be decoded, as those of kinds unknown to this program.
         unknown_records: u32,
     },
-    /// Octets that are no sound block.
+    /// Bytes that are not a valid block.
     Damaged {
-        /// Where they begin.
+        /// Their offset in the file.
         offset: u64,
-        /// How many there are, up to the next sound block or the end.
+        /// Their number, up to the next valid block or the end.
         byte_count: u64,
-        /// What is wrong with the first of them.
+        /// The check that failed at the first of them.
         reason: &'static str,
     },
 }
 
-/// A file being read.
+/// Reads a trace file.
 pub struct Reader<R> {
     input: R,
-    /// What it begins with.
+    /// The file's header.
     pub header: Header,
     minor_version: u16,
-    /// Where blocks begin.
+    /// The offset of the first block.
     first_block: u64,
     position: u64,
     file_bytes: u64,
-    /// Octets read so far, for those who want to know how much a cut read.
+    /// The number of bytes read so far, which shows how much of the file a cut had to read.
     bytes_read: u64,
 }
 
 impl<R: Read + Seek> Reader<R> {
-    /// Opens a file.
+    /// Opens a file and reads its header.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or does not begin with a valid header of this major version.
     pub fn open(mut from: R) -> Result<Reader<R>, TraceError> {
         from.seek(SeekFrom::Start(0))?;
         let (header, start, minor) = Header::read(&mut from)?;
@@ -64,37 +71,43 @@
         })
     }
 
-    /// Whether a newer program wrote it, whose kinds of records may be passed over.
+    /// Whether the file has a newer minor version, so that records of unknown kinds may be skipped.
     pub fn is_newer_minor_version(&self) -> bool {
         self.minor_version > MINOR
     }
 
-    /// Octets of the file, and those read so far.
+    /// The size of the file, and the number of bytes read so far.
     pub fn progress(&self) -> (u64, u64) {
         (self.file_bytes, self.bytes_read)
     }
 
-    /// The index, if the file was finished and it is sound.
+    /// Reads the index; none if the file was not finished or the index is damaged.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read.
     pub fn read_index(&mut self) -> Result<Option<Vec<IndexEntry>>, TraceError> {
         let Some(at) = self.find_index()? else {
             return Ok(None);
         };
         let head = self.read_at(at, 28)?;
-        let four =
+        let read_u32 =
             |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-        let (packed, raw) = (u64::from(four(4)), four(8) as usize);
-        if at + 28 + packed + 16 != self.file_bytes || raw > 4 * MAX_UNPACKED_BYTES {
+        let (compressed_bytes, uncompressed_bytes) = (u64::from(read_u32(4)), read_u32(8) as usize);
+        if at + 28 + compressed_bytes + 16 != self.file_bytes
+            || uncompressed_bytes > 4 * MAX_UNPACKED_BYTES
+        {
             return Ok(None);
         }
-        let bytes = self.read_at(at + 28, packed as usize)?;
+        let bytes = self.read_at(at + 28, compressed_bytes as usize)?;
         if blake3::hash(&bytes).as_bytes()[..16] != head[12..28] {
             return Ok(None);
         }
-        let entries = zstd::bulk::decompress(&bytes, raw).ok();
-        Ok(entries.and_then(|e| postcard::from_bytes(&e).ok()))
+        let uncompressed = zstd::bulk::decompress(&bytes, uncompressed_bytes).ok();
+        Ok(uncompressed.and_then(|e| postcard::from_bytes(&e).ok()))
     }
 
-    /// Where the index begins, by the end of the file.
+    /// The offset of the index as stated at the end of the file; none if no index is there.
     fn find_index(&mut self) -> Result<Option<u64>, TraceError> {
         if self.file_bytes < self.first_block + 44 {
             return Ok(None);
@@ -113,23 +126,27 @@
         Ok(Some(at))
     }
 
-    fn read_at(&mut self, at: u64, octets: usize) -> Result<Vec<u8>, TraceError> {
+    fn read_at(&mut self, at: u64, byte_count: usize) -> Result<Vec<u8>, TraceError> {
         self.input.seek(SeekFrom::Start(at))?;
         let mut bytes = Vec::new();
         (&mut self.input)
-            .take(octets as u64)
+            .take(byte_count as u64)
             .read_to_end(&mut bytes)?;
         self.bytes_read += bytes.len() as u64;
-        if bytes.len() != octets {
+        if bytes.len() != byte_count {
             return Err(TraceError::Damaged {
                 at,
-                why: "the file ends here",
+                why: "file ends before the expected data",
             });
         }
         Ok(bytes)
     }
 
-    /// The block that begins at this octet.
+    /// Reads the block at this offset; never returns [`Part::Damaged`].
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
         let (info, payload) = self.read_payload(at)?;
         let (records, unknown) =
@@ -142,7 +159,11 @@
         })
     }
 
-    /// The octets of the block that begins at this octet, unpacked.
+    /// Reads the block at this offset; returns its uncompressed payload.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block_bytes(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
         let (info, payload) = self.read_payload(at)?;
         block::unpack_bytes(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
@@ -150,28 +171,32 @@
 
     fn read_payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         let damaged = |why| TraceError::Damaged { at, why };
-        if at + HEAD_BYTES as u64 > self.file_bytes {
-            return Err(damaged("the file ends in a block's head"));
+        if at + BLOCK_HEADER_BYTES as u64 > self.file_bytes {
+            return Err(damaged("file ends within a block header"));
         }
-        let mut head = [0; HEAD_BYTES];
-        head.copy_from_slice(&self.read_at(at, HEAD_BYTES)?);
-        let (info, check) = BlockInfo::parse(&head).map_err(damaged)?;
-        if at + HEAD_BYTES as u64 + u64::from(info.packed_bytes) > self.file_bytes {
-            return Err(damaged("the file ends in a block"));
+        let mut block_header = [0; BLOCK_HEADER_BYTES];
+        block_header.copy_from_slice(&self.read_at(at, BLOCK_HEADER_BYTES)?);
+        let (info, checksum) = BlockInfo::parse(&block_header).map_err(damaged)?;
+        if at + BLOCK_HEADER_BYTES as u64 + u64::from(info.packed_bytes) > self.file_bytes {
+            return Err(damaged("file ends within a block"));
         }
-        let payload = self.read_at(at + HEAD_BYTES as u64, info.packed_bytes as usize)?;
-        if info.checksum(&payload) != check {
-            return Err(damaged("a block's checksum does not fit"));
+        let payload = self.read_at(at + BLOCK_HEADER_BYTES as u64, info.packed_bytes as usize)?;
+        if info.checksum(&payload) != checksum {
+            return Err(damaged("block checksum mismatch"));
         }
         Ok((info, payload))
     }
 
-    /// Begins again with the first block.
+    /// Moves back to the first block.
     pub fn rewind(&mut self) {
         self.position = self.first_block;
     }
 
-    /// The next part; none at the end.
+    /// Reads the next part; none at the end.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read; damage is returned as [`Part::Damaged`].
     pub fn next_part(&mut self) -> Result<Option<Part>, TraceError> {
         let (from, mut why) = (self.position, None);
         let end = self.find_index().ok().flatten().unwrap_or(self.file_bytes);
@@ -186,7 +211,7 @@
                         }));
                     }
                     if let Part::Block { info, .. } = &part {
-                        self.position += HEAD_BYTES as u64 + u64::from(info.packed_bytes);
+                        self.position += BLOCK_HEADER_BYTES as u64 + u64::from(info.packed_bytes);
                     }
                     return Ok(Some(part));
                 }
@@ -204,16 +229,16 @@
         }))
     }
 
-    /// Where a block may begin, from this octet on; else the end.
+    /// The offset of the next block magic at or after `from`, or `end`.
     fn find_magic(&mut self, from: u64, end: u64) -> Result<u64, TraceError> {
-        const ROUND: u64 = 64 << 10;
+        const CHUNK_BYTES: u64 = 64 << 10;
         let mut at = from;
         while at + 4 <= end {
-            let part = self.read_at(at, ROUND.min(end - at) as usize)?;
+            let part = self.read_at(at, CHUNK_BYTES.min(end - at) as usize)?;
             if let Some(found) = part.windows(4).position(|w| w == BLOCK_MAGIC) {
                 return Ok(at + found as u64);
             }
-            // The magic may lie over the edge.
+            // Overlaps by three bytes, as the magic may span two chunks.
             at += (part.len() as u64).saturating_sub(3).max(1);
         }
         Ok(end)
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,47 +1,48 @@
-//! What a trace keeps.
+//! The records of a trace.
 
 use std::collections::BTreeSet;
 
 use maplethread::{Action, Event, Micros};
 use serde::{Deserialize, Serialize};
 
-/// One turn of the module: all that it was given, and all that it wanted done.
+/// One turn of the policy: its input events and the actions that it returned.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Turn {
-    /// The module's time, µs on the placer's clock. Equal to the record's, unless the clock was read again.
+    /// The time passed to the policy, µs on the placer's clock. Equal to the record's time, unless the clock was read
+    /// again in between.
     pub now: Micros,
-    /// What it was given.
+    /// The input events.
     pub events: Vec<Event>,
-    /// What it wanted done.
+    /// The actions that the policy returned.
     pub actions: Vec<Action>,
 }
 
-/// A final answer, as the client has it.
+/// The final answer that the client received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Placed on this host.
+    /// The task was placed.
     Placed {
-        /// The host's number.
+        /// The number of the host that accepted it.
         host: u32,
     },
-    /// Refused.
+    /// The request was rejected.
     #[serde(rename = "Refused")]
     Rejected {
-        /// Why.
+        /// The reason that was sent to the client.
         reason: String,
-        /// When to come back, ms.
+        /// The delay after which the client may retry, ms.
         #[serde(rename = "come_back_ms")]
         retry_after_ms: u64,
     },
-    /// Failed.
+    /// The request failed.
     Failed,
-    /// The client hung up before it had one.
+    /// The client disconnected before it was answered.
     #[serde(rename = "HungUp")]
     ClientDisconnected,
 }
 
 impl Outcome {
-    /// Its name in the API.
+    /// The outcome's name in the API.
     pub fn api_name(&self) -> &'static str {
         match self {
             Outcome::Placed { .. } => "placed",
@@ -52,14 +53,14 @@
     }
 }
 
-/// A record. New kinds are added at the end only; a reader passes over those it does not know.
+/// A record. New kinds are only appended, since records are stored by their position here; a reader skips unknown kinds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A turn of the module.
+    /// A turn of the policy.
     Turn(Turn),
-    /// A host's number, name and place. Said again in each block that names the number.
+    /// A host's number, name and location. Repeated in each block that refers to the number.
     Host {
-        /// The number.
+        /// The host's number.
         machine: u32,
         /// The name.
         name: String,
@@ -70,72 +71,73 @@
         /// Its kind.
         kind: String,
     },
-    /// A service's number and name. Said again in each block that names the number.
+    /// A service's number and name. Repeated in each block that refers to the number.
     Service {
-        /// The number.
+        /// The service's number.
         service: u64,
         /// The name.
         name: String,
     },
-    /// An ask was taken.
+    /// A request for a placement was received.
     #[serde(rename = "Asked")]
     RequestReceived {
-        /// The module's number of it.
+        /// The policy's number of the task.
         task: u64,
         /// The service's number.
         service: u64,
-        /// The actor.
+        /// The actor that the task is for.
         actor: String,
-        /// The class's place in the settings.
+        /// The index of the class in the settings.
         class: u32,
-        /// The client's id of the request.
+        /// The request's id, as given by the client.
         #[serde(rename = "request")]
         request_id: String,
-        /// The client's key, if it gave one.
+        /// The idempotency key, if the client gave one.
         #[serde(rename = "key")]
         idempotency_key: Option<String>,
-        /// When it was read, µs; its budget counts from there.
+        /// The time at which it was received, µs; its budget starts then.
         #[serde(rename = "read")]
         received_at: Micros,
     },
-    /// An ask has its answer.
+    /// A request was answered.
     Answered {
-        /// The module's number of it.
+        /// The policy's number of the task.
         task: u64,
         /// The answer.
         outcome: Outcome,
-        /// Attempts made.
+        /// The number of attempts made.
         attempts: u32,
-        /// From when it was read to its answer, µs.
+        /// The time from receiving the request to its answer, µs.
         #[serde(rename = "after")]
         elapsed: Micros,
     },
-    /// Records were lost here: the writer could not keep up, or could not write.
+    /// Records were lost at this point: the writer could not keep up or could not write.
     Gap {
-        /// Turns among them.
+        /// The number of turns among them.
         turns: u64,
-        /// Records in all.
+        /// The number of records lost in all.
         records: u64,
-        /// Why.
+        /// The reason.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The placer was told to stop.
+    /// The placer began to shut down.
     Stopped,
-    /// In a merged trace: what follows is of this one of the header's sources. Said again in each block. Since 1.1.
+    /// In a merged trace: the records that follow come from the header's source with this index. Repeated in each
+    /// block. Since format version 1.1.
     Source(u32),
 }
 
 /// A record with its time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TimedRecord {
-    /// When, µs on the placer's clock (Unix time that never steps back).
+    /// The time, µs on the placer's clock (Unix time, made monotonic).
     pub at: Micros,
-    /// What.
+    /// The record.
     pub record: Record,
 }
 
-/// Hosts, services and tasks that a record names.
+/// The numbers of the hosts, services and tasks that a record refers to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReferencedIds {
     /// Hosts.
@@ -147,29 +149,29 @@
 }
 
 impl Record {
-    /// What it names.
+    /// The numbers that the record refers to.
     pub fn referenced_ids(&self) -> ReferencedIds {
-        let mut names = ReferencedIds::default();
+        let mut ids = ReferencedIds::default();
         match self {
             Record::Turn(turn) => {
-                turn.events.iter().for_each(|e| names.add_event(e));
-                turn.actions.iter().for_each(|a| names.add_action(a));
+                turn.events.iter().for_each(|e| ids.add_event(e));
+                turn.actions.iter().for_each(|a| ids.add_action(a));
             }
-            Record::Host { machine, .. } => drop(names.machines.insert(*machine)),
-            Record::Service { service, .. } => drop(names.services.insert(*service)),
+            Record::Host { machine, .. } => drop(ids.machines.insert(*machine)),
+            Record::Service { service, .. } => drop(ids.services.insert(*service)),
             Record::RequestReceived { task, service, .. } => {
-                names.tasks.insert(*task);
-                names.services.insert(*service);
+                ids.tasks.insert(*task);
+                ids.services.insert(*service);
             }
             Record::Answered { task, outcome, .. } => {
-                names.tasks.insert(*task);
+                ids.tasks.insert(*task);
                 if let Outcome::Placed { host } = outcome {
-                    names.machines.insert(*host);
+                    ids.machines.insert(*host);
                 }
             }
             Record::Gap { .. } | Record::Stopped | Record::Source(_) => {}
         }
-        names
+        ids
     }
 }
 
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -1,13 +1,13 @@
-//! The names that reports give to outcomes, reasons and actions. They are part of the printed and JSON reports that scripts
-//! and operators read, so they are stated here and do not follow the names of the variants in the code.
+//! The names of outcomes, reasons and actions in reports. Scripts and operators read these printed and JSON reports, so
+//! the names are stated here and don't follow the names of the variants in the code.
 
 use std::fmt;
 
 use maplethread::{Action, AttemptOutcome, AttemptResult, BlockReason, FailureReason};
 
-/// The name in reports of how an attempt ended.
-pub(crate) fn attempt_outcome(ending: AttemptOutcome) -> &'static str {
-    match ending {
+/// The name of an attempt's outcome.
+pub(crate) fn attempt_outcome(outcome: AttemptOutcome) -> &'static str {
+    match outcome {
         AttemptOutcome::Completed => "Done",
         AttemptOutcome::Error => "Error",
         AttemptOutcome::Rejected => "Refused",
@@ -19,9 +19,9 @@
     }
 }
 
-/// The name in reports of why an attempt ended.
-pub(crate) fn failure_reason(why: FailureReason) -> &'static str {
-    match why {
+/// The name of the reason for an attempt's failure.
+pub(crate) fn failure_reason(reason: FailureReason) -> &'static str {
+    match reason {
         FailureReason::Cores => "Cores",
         FailureReason::Memory => "Memory",
         FailureReason::QueueFull => "Line",
@@ -32,7 +32,7 @@
     }
 }
 
-/// The name in reports of what a blocked task waits for.
+/// The name of the condition that a blocked task waits for.
 pub(crate) fn block_reason(reason: BlockReason) -> &'static str {
     match reason {
         BlockReason::NoKindFits => "Size",
@@ -45,7 +45,7 @@
     }
 }
 
-/// How an attempt ended, with the reason in brackets if one is known: `Refused (Cores)`.
+/// The name of an attempt's outcome, followed by the reason in parentheses if one is known: `Refused (Cores)`.
 pub(crate) fn attempt_result(result: &AttemptResult) -> String {
     let outcome = attempt_outcome(result.outcome);
     match result.reason {
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes a file: blocks as they fill, and an index at the end.
+//! Writes a trace file: each block once it is full, and an index at the end.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::Write;
@@ -11,51 +11,53 @@
 use crate::record::{Record, ReferencedIds, TimedRecord};
 use crate::{Outcome, TraceError};
 
-/// A block is closed once its records have so many octets.
+/// A block is closed once its encoded records reach this size.
 const BLOCK_BYTES: usize = 256 << 10;
-/// Tasks whose service is remembered for the index; with more, blocks count as naming every service.
+/// Limits the memory for names of services and for the services of tasks, which the index needs. At the limit they are
+/// dropped, and blocks with tasks of unknown service are indexed as referring to any service.
 const MAX_REMEMBERED_TASKS: usize = 1 << 20;
-/// How each index begins, and how a file with an index ends.
+/// The first bytes of the index.
 pub(crate) const INDEX_MAGIC: &[u8; 4] = b"MTIX";
+/// The last bytes of a file with an index.
 pub(crate) const END_MAGIC: &[u8; 8] = b"MTRCEND1";
 
-/// What the index tells of a block.
+/// The index entry of a block.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IndexEntry {
-    /// Where it begins.
+    /// The block's offset in the file.
     pub offset: u64,
-    /// Its octets, head and payload.
+    /// The length of its header and payload.
     pub byte_count: u64,
-    /// Records in it.
+    /// The number of its records.
     pub record_count: u32,
     /// Its earliest time, µs.
     pub first_us: u64,
-    /// Its latest.
+    /// Its latest time, µs.
     pub last_us: u64,
-    /// The hosts that it names.
+    /// The hosts that it refers to, in ascending order.
     pub machines: Vec<u32>,
-    /// The services that it names, or whose tasks it names.
+    /// The services that it refers to directly or by their tasks, in ascending order.
     pub services: Vec<u64>,
-    /// Some of its tasks could not be told the service of: it may be any.
+    /// Whether the service of some of its tasks is unknown, so that it may refer to any service.
     pub may_name_any_service: bool,
-    /// Answers in it: placed, refused, failed, hung up.
+    /// The number of answers by outcome: placed, rejected, failed, client disconnected.
     pub outcomes: [u32; 4],
 }
 
-/// What was written.
+/// The amounts that were written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Records, names said again included.
+    /// The number of records, including repeated names.
     pub records: u64,
-    /// Turns among them.
+    /// The number of turns among them.
     pub turns: u64,
-    /// Octets, unpacked.
+    /// The size before compression.
     pub unpacked_bytes: u64,
-    /// Octets on disk.
+    /// The size of the file.
     pub bytes_written: u64,
 }
 
-/// A file being written.
+/// Writes a trace file.
 pub struct Writer<W> {
     out: W,
     position: u64,
@@ -65,25 +67,29 @@
     host_names: BTreeMap<u32, Record>,
     service_names: BTreeMap<u64, Record>,
     task_services: HashMap<u64, u64>,
-    /// What the present block has said and named.
+    /// The numbers that the current block refers to, and whose names it therefore contains.
     ids_in_block: ReferencedIds,
     services_in_block: BTreeSet<u64>,
     may_name_any_service: bool,
     outcomes: [u32; 4],
-    /// Of which source a merged trace's records are just now.
+    /// In a merged trace, the source of the current records.
     current_source: Option<u32>,
     totals: Totals,
-    /// As of the last block that was written.
+    /// The totals as of the last written block.
     flushed_totals: Totals,
 }
 
 impl<W: Write> Writer<W> {
-    /// Begins a file.
+    /// Starts a file by writing its header.
+    ///
+    /// # Errors
+    ///
+    /// Writing failed.
     pub fn new(mut out: W, header: &Header) -> Result<Writer<W>, TraceError> {
-        let at = header.write(&mut out)?;
+        let header_bytes = header.write(&mut out)?;
         Ok(Writer {
             out,
-            position: at,
+            position: header_bytes,
             compression_level: 3,
             packer: Packer::default(),
             index: Vec::new(),
@@ -96,21 +102,21 @@
             outcomes: [0; 4],
             current_source: None,
             totals: Totals {
-                bytes_written: at,
+                bytes_written: header_bytes,
                 ..Totals::default()
             },
             flushed_totals: Totals::default(),
         })
     }
 
-    /// Takes in a name without writing it: it is said once something names its number.
+    /// Records the name of a host or service; it is written to each block that refers to its number.
     pub fn register_name(&mut self, name: &TimedRecord) {
         match &name.record {
             Record::Host { machine, .. } => {
                 drop(self.host_names.insert(*machine, name.record.clone()))
             }
             Record::Service { service, .. } => {
-                // Names of services are as many as services: those of blocks long past are forgotten.
+                // The number of services is not bounded, so their names are dropped at the limit.
                 if self.service_names.len() >= MAX_REMEMBERED_TASKS {
                     self.service_names.clear();
                 }
@@ -120,7 +126,7 @@
         }
     }
 
-    /// Turns and records of the present block, which are not yet written.
+    /// The numbers of turns and of records in the current block, which is not written yet.
     pub fn unflushed(&self) -> (u64, u64) {
         (
             self.totals.turns - self.flushed_totals.turns,
@@ -128,15 +134,19 @@
         )
     }
 
-    /// What was written so far; what waits in the present block is not in the octets on disk.
+    /// The totals so far; `bytes_written` and `unpacked_bytes` do not include the current block.
     pub fn totals(&self) -> Totals {
         self.totals
     }
 
-    /// Adds a record.
-    pub fn push(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
-        match &stamped.record {
-            Record::Host { .. } | Record::Service { .. } => self.register_name(stamped),
+    /// Adds a record, and writes the block if it is full.
+    ///
+    /// # Errors
+    ///
+    /// The record is too large or can't be encoded, or writing failed.
+    pub fn push(&mut self, timed_record: &TimedRecord) -> Result<(), TraceError> {
+        match &timed_record.record {
+            Record::Host { .. } | Record::Service { .. } => self.register_name(timed_record),
             Record::RequestReceived { task, service, .. } => {
                 if self.task_services.len() >= MAX_REMEMBERED_TASKS {
                     self.task_services.clear();
@@ -148,36 +158,36 @@
             _ => {}
         }
         if let Some(source) = self.current_source.filter(|_| self.packer.is_empty())
-            && !matches!(stamped.record, Record::Source(_))
+            && !matches!(timed_record.record, Record::Source(_))
         {
             self.append(&TimedRecord {
-                at: stamped.at,
+                at: timed_record.at,
                 record: Record::Source(source),
             })?;
         }
-        let names = stamped.record.referenced_ids();
-        for &machine in &names.machines {
+        let ids = timed_record.record.referenced_ids();
+        for &machine in &ids.machines {
             if self.ids_in_block.machines.insert(machine)
-                && !matches!(stamped.record, Record::Host { .. })
+                && !matches!(timed_record.record, Record::Host { .. })
                 && let Some(record) = self.host_names.get(&machine)
             {
                 let record = record.clone();
                 self.append(&TimedRecord {
-                    at: stamped.at,
+                    at: timed_record.at,
                     record,
                 })?;
             }
         }
-        for &service in &names.services {
-            self.write_service_name(service, stamped)?;
+        for &service in &ids.services {
+            self.write_service_name(service, timed_record)?;
         }
-        for task in &names.tasks {
+        for task in &ids.tasks {
             match self.task_services.get(task) {
-                Some(&service) => self.write_service_name(service, stamped)?,
+                Some(&service) => self.write_service_name(service, timed_record)?,
                 None => self.may_name_any_service = true,
             }
         }
-        if let Record::Turn(turn) = &stamped.record {
+        if let Record::Turn(turn) = &timed_record.record {
             self.totals.turns += 1;
             for event in &turn.events {
                 match event {
@@ -194,7 +204,7 @@
                 }
             }
         }
-        self.append(stamped)?;
+        self.append(timed_record)?;
         if self.packer.len() >= BLOCK_BYTES {
             self.flush()
         } else {
@@ -205,28 +215,32 @@
     fn write_service_name(
         &mut self,
         service: u64,
-        stamped: &TimedRecord,
+        timed_record: &TimedRecord,
     ) -> Result<(), TraceError> {
         self.services_in_block.insert(service);
         if self.ids_in_block.services.insert(service)
-            && !matches!(stamped.record, Record::Service { .. })
+            && !matches!(timed_record.record, Record::Service { .. })
             && let Some(record) = self.service_names.get(&service)
         {
             let record = record.clone();
             self.append(&TimedRecord {
-                at: stamped.at,
+                at: timed_record.at,
                 record,
             })?;
         }
         Ok(())
     }
 
-    fn append(&mut self, stamped: &TimedRecord) -> Result<(), TraceError> {
+    fn append(&mut self, timed_record: &TimedRecord) -> Result<(), TraceError> {
         self.totals.records += 1;
-        self.packer.add(stamped)
+        self.packer.add(timed_record)
     }
 
-    /// Closes the present block and writes it.
+    /// Closes the current block and writes it, unless it is empty.
+    ///
+    /// # Errors
+    ///
+    /// Compressing or writing failed.
     pub fn flush(&mut self) -> Result<(), TraceError> {
         if self.packer.is_empty() {
             return Ok(());
@@ -255,24 +269,28 @@
         Ok(())
     }
 
-    fn count_block(&mut self, info: &BlockInfo, octets: usize) {
-        self.position += octets as u64;
+    fn count_block(&mut self, info: &BlockInfo, block_bytes: usize) {
+        self.position += block_bytes as u64;
         self.totals.bytes_written = self.position;
         self.totals.unpacked_bytes += u64::from(info.unpacked_bytes);
         self.flushed_totals = self.totals;
     }
 
-    /// Writes what waits and the index; returns what was written to.
+    /// Writes the current block and the index; returns the totals.
+    ///
+    /// # Errors
+    ///
+    /// Compressing or writing failed.
     pub fn finish(&mut self) -> Result<Totals, TraceError> {
         self.flush()?;
         let entries = postcard::to_stdvec(&self.index).map_err(std::io::Error::other)?;
-        let packed = zstd::bulk::compress(&entries, self.compression_level)?;
-        let mut bytes = Vec::with_capacity(packed.len() + 48);
+        let compressed = zstd::bulk::compress(&entries, self.compression_level)?;
+        let mut bytes = Vec::with_capacity(compressed.len() + 48);
         bytes.extend_from_slice(INDEX_MAGIC);
-        bytes.extend_from_slice(&(packed.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(&(compressed.len() as u32).to_le_bytes());
         bytes.extend_from_slice(&(entries.len() as u32).to_le_bytes());
-        bytes.extend_from_slice(&blake3::hash(&packed).as_bytes()[..16]);
-        bytes.extend_from_slice(&packed);
+        bytes.extend_from_slice(&blake3::hash(&compressed).as_bytes()[..16]);
+        bytes.extend_from_slice(&compressed);
         bytes.extend_from_slice(&self.position.to_le_bytes());
         bytes.extend_from_slice(END_MAGIC);
         self.out.write_all(&bytes)?;
@@ -282,13 +300,13 @@
         Ok(self.totals)
     }
 
-    /// What it writes to.
+    /// The underlying output.
     pub fn get_ref(&self) -> &W {
         &self.out
     }
 }
 
-/// An outcome's place in the index's counts.
+/// The position of an outcome in [`IndexEntry::outcomes`].
 pub(crate) fn outcome_index(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Placed { .. } => 0,
