--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -97,8 +97,8 @@
         Resources::new(round_up(requested.cores), round_up(requested.memory))
     }
 
-    /// Anonymises a header. The settings are removed: an anonymised trace can't be replayed, since the policy ranks hosts
-    /// by the hashes of their names.
+    /// Anonymises a header. The settings are removed: an anonymised trace can't be replayed, since the policy ranks
+    /// hosts by the hashes of their names.
     pub fn anonymise_header(&self, header: &Header) -> Header {
         let Header {
             writer,
--- a/crates/trace/src/anonymise/identifiers.rs
+++ b/crates/trace/src/anonymise/identifiers.rs
@@ -8,8 +8,8 @@
 use crate::header::Header;
 use crate::record::{Outcome, Record, TimedRecord};
 
-/// The identifiers of a trace, which must not appear in its anonymised copy: names, ids, free text, and numbers that can
-/// be computed from names without a key.
+/// The identifiers of a trace, which must not appear in its anonymised copy: names, ids, free text, and numbers that
+/// can be computed from names without a key.
 #[derive(Clone, Debug, Default)]
 pub struct Identifiers {
     texts: BTreeSet<String>,
@@ -72,8 +72,8 @@
         found
     }
 
-    /// The texts that are long enough to be searched for in raw bytes without matches by chance: at least 6 bytes, or 12
-    /// if all are hexadecimal digits, as in hashes.
+    /// The texts that are long enough to be searched for in raw bytes without matches by chance: at least 6 bytes, or
+    /// 12 if all are hexadecimal digits, as in hashes.
     pub fn searchable_texts(&self) -> impl Iterator<Item = &str> {
         self.texts.iter().map(String::as_str).filter(|text| {
             let is_hex = text.bytes().all(|b| b.is_ascii_hexdigit());
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -3,9 +3,9 @@
 //!
 //! A file consists of a header, self-contained blocks of records, and an index. [`record`] defines the records,
 //! [`block`] encodes and checks blocks, [`writer`] and [`reader`] write and read files, [`merge`] combines traces,
-//! [`replay`] feeds a trace to a new policy, [`summary`] aggregates it for operators, [`losses`] reports what kept tasks
-//! from running, [`cut`] selects the records of an excerpt, and [`anonymise`] replaces names. The format is specified
-//! in `docs/trace-format.md`.
+//! [`replay`] feeds a trace to a new policy, [`summary`] aggregates it for operators, [`losses`] reports what kept
+//! tasks from running, [`cut`] selects the records of an excerpt, and [`anonymise`] replaces names. The format is
+//! specified in `docs/trace-format.md`.
 //!
 //! This crate neither reads a clock nor starts a thread; files are passed in as `Read`, `Write` and `Seek`.
 #![allow(
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -1,9 +1,11 @@
-//! What kept tasks from running while they were wanted: by class, by how the gap began, and by what took the time.
+//! Reports the time during which required actors were not running: by class, by the cause of the outage, and by phase.
 //!
-//! An actor is wanted from the reading of its first ask on, for the life that this ask tells. While it is wanted and
-//! no copy of it is known to run there is a *gap*. A gap begins with the first ask or with the loss of the last copy,
-//! and its time goes to phases: held for want of something, offered without an answer, accepted and starting, or with
-//! its owner, who has not asked again. What no placer was told, as a start whose note was lost, is not known here.
+//! An actor is required from the receipt of its first request on, for the duration that this request states. While it
+//! is required and no copy of it is reported as running, there is an *outage* (`gap` in the reports). An outage
+//! begins with the first request or with the loss of the last copy, and its time is attributed to phases: blocked,
+//! offered without an answer, accepted and starting, or with its owner, which has not sent another request. Events
+//! that no placer received, such as a start whose report was lost, are not in the trace and so not taken into
+//! account.
 
 mod report;
 
@@ -17,17 +19,17 @@
 use crate::record::{Outcome, Record, TimedRecord, Turn};
 use crate::report_names;
 
-/// Actors that are followed at a time; when as many are wanted, new ones are counted as not followed.
+/// The maximum number of actors that are tracked; if that many are required, further ones are counted as not followed.
 const MAX_ACTORS: usize = 1 << 18;
-/// Times beyond it count as this long, µs.
+/// Longer times to the first start are recorded as this long.
 const MAX_RECORDED_US: u64 = 3_600_000_000;
 
-/// A time without a running copy, on its way.
+/// A time without a running copy that has not ended.
 struct Outage {
     cause: String,
     phase: String,
     phase_started: Micros,
-    /// The host that the phase is spent at, if at one.
+    /// The host that the phase is attributed to, if there is one.
     host: Option<u32>,
     phase_times: Vec<(String, Option<u32>, Micros)>,
 }
@@ -35,7 +37,7 @@
 struct Actor {
     class: usize,
     requested_at: Micros,
-    /// Until when it is wanted; known once the module was given its first ask.
+    /// The end of the time during which it is required; known once the policy has received its first request.
     required_until: Option<Micros>,
     has_started: bool,
     running_copies: u32,
@@ -43,20 +45,26 @@
 }
 
 impl Actor {
-    /// Ends the phase that a gap is in, and begins the next.
+    /// Ends the current phase of the outage, if there is one, and begins the next.
     fn begin_phase(&mut self, now: Micros, phase: impl Into<String>, host: Option<u32>) {
-        let until = self.required_until.unwrap_or(now);
-        let Some(gap) = &mut self.outage else { return };
-        let spent = now.min(until).saturating_sub(gap.phase_started.min(until));
-        let ended = std::mem::replace(&mut gap.phase, phase.into());
-        if spent > 0 {
-            gap.phase_times.push((ended, gap.host, spent));
+        let required_until = self.required_until.unwrap_or(now);
+        let Some(outage) = &mut self.outage else {
+            return;
+        };
+        let duration = now
+            .min(required_until)
+            .saturating_sub(outage.phase_started.min(required_until));
+        let ended_phase = std::mem::replace(&mut outage.phase, phase.into());
+        if duration > 0 {
+            outage
+                .phase_times
+                .push((ended_phase, outage.host, duration));
         }
-        (gap.phase_started, gap.host) = (now, host);
+        (outage.phase_started, outage.host) = (now, host);
     }
 }
 
-/// Times of one class.
+/// The losses of one class.
 struct ClassLosses {
     name: String,
     actors: u64,
@@ -66,13 +74,13 @@
     first_start_times: Histogram<u64>,
 }
 
-/// Losses on their way. Records are to come in the order of a merged trace, or of one run of a placer.
+/// Collects losses. Records have to be fed in the order of a merged trace or of one run of a placer.
 pub struct LossCollector {
     classes: Vec<ClassLosses>,
     actors: HashMap<String, Actor>,
-    /// Which actor a task is for, and attempts made.
+    /// By task, its actor and the number of attempts made.
     tasks: HashMap<u64, (String, u32)>,
-    /// Hosts of attempts that have not ended, and whether they run.
+    /// By task and number of an attempt that has not finished, its host and whether it is running.
     attempts: HashMap<(u64, u32), (u32, bool)>,
     host_names: BTreeMap<u32, String>,
     host_phase_times: BTreeMap<u32, BTreeMap<String, Micros>>,
@@ -81,7 +89,7 @@
 }
 
 impl LossCollector {
-    /// Losses of these classes.
+    /// Starts collecting the losses of these classes, in the order of the header.
     pub fn new(classes: &[String]) -> LossCollector {
         let class = |name: &String| ClassLosses {
             name: name.clone(),
@@ -104,10 +112,10 @@
         }
     }
 
-    /// Takes in a record.
-    pub fn feed(&mut self, stamped: &TimedRecord) {
-        self.now = self.now.max(stamped.at);
-        match &stamped.record {
+    /// Processes a record.
+    pub fn feed(&mut self, timed_record: &TimedRecord) {
+        self.now = self.now.max(timed_record.at);
+        match &timed_record.record {
             Record::Host { machine, name, .. } => {
                 drop(self.host_names.insert(*machine, name.clone()))
             }
@@ -115,20 +123,27 @@
                 task,
                 actor,
                 class,
-                received_at: read,
+                received_at,
                 ..
             } => {
-                self.handle_request(stamped.at, *task, actor, *class as usize, *read);
+                self.handle_request(timed_record.at, *task, actor, *class as usize, *received_at);
             }
             Record::Answered { task, outcome, .. } => {
-                self.handle_answer(stamped.at, *task, outcome)
+                self.handle_answer(timed_record.at, *task, outcome)
             }
-            Record::Turn(turn) => self.handle_turn(stamped.at, turn),
+            Record::Turn(turn) => self.handle_turn(timed_record.at, turn),
             _ => {}
         }
     }
 
-    fn handle_request(&mut self, now: Micros, task: u64, name: &str, class: usize, read: Micros) {
+    fn handle_request(
+        &mut self,
+        now: Micros,
+        task: u64,
+        name: &str,
+        class: usize,
+        received_at: Micros,
+    ) {
         if class >= self.classes.len() {
             return;
         }
@@ -142,20 +157,20 @@
                 self.untracked_actors += 1;
                 return;
             }
-            let gap = Outage {
+            let outage = Outage {
                 cause: "first start".into(),
                 phase: "asked".into(),
-                phase_started: read,
+                phase_started: received_at,
                 host: None,
                 phase_times: Vec::new(),
             };
             let actor = Actor {
                 class,
-                requested_at: read,
+                requested_at: received_at,
                 required_until: None,
                 has_started: false,
                 running_copies: 0,
-                outage: Some(gap),
+                outage: Some(outage),
             };
             self.actors.insert(name.to_owned(), actor);
             self.classes[class].actors += 1;
@@ -163,16 +178,19 @@
         self.tasks.insert(task, (name.to_owned(), 0));
     }
 
-    /// Lets go of actors that are not wanted any more.
+    /// Counts and removes the actors that are no longer required.
     fn forget_finished_actors(&mut self) {
         let now = self.now;
-        let over: Vec<String> = self
+        let finished: Vec<String> = self
             .actors
             .iter()
-            .filter(|(_, a)| a.required_until.is_some_and(|until| until < now))
+            .filter(|(_, a)| {
+                a.required_until
+                    .is_some_and(|required_until| required_until < now)
+            })
             .map(|(name, _)| name.clone())
             .collect();
-        for name in over {
+        for name in finished {
             if let Some(actor) = self.actors.remove(&name) {
                 self.finish_actor(actor);
             }
@@ -184,31 +202,31 @@
             .retain(|(task, _), _| tasks.contains_key(task));
     }
 
-    /// An actor's last gap ends with its time, or with the trace.
+    /// Counts an actor; its last outage ends with the time for which it is required, or with the trace.
     fn finish_actor(&mut self, mut actor: Actor) {
         let now = self.now;
         actor.begin_phase(now, "", None);
         let class = &mut self.classes[actor.class];
         class.never_started += u64::from(!actor.has_started);
-        let until = actor.required_until.unwrap_or(now).min(now);
-        class.required_time += until.saturating_sub(actor.requested_at);
-        if let Some(gap) = actor.outage {
-            self.count_outage(actor.class, gap);
+        let required_until = actor.required_until.unwrap_or(now).min(now);
+        class.required_time += required_until.saturating_sub(actor.requested_at);
+        if let Some(outage) = actor.outage {
+            self.count_outage(actor.class, outage);
         }
     }
 
-    fn count_outage(&mut self, class: usize, gap: Outage) {
-        let (gaps, phases) = self.classes[class].outages.entry(gap.cause).or_default();
-        *gaps += 1;
-        for (phase, host, spent) in gap.phase_times {
-            *phases.entry(phase.clone()).or_default() += spent;
+    fn count_outage(&mut self, class: usize, outage: Outage) {
+        let (outage_count, phases) = self.classes[class].outages.entry(outage.cause).or_default();
+        *outage_count += 1;
+        for (phase, host, duration) in outage.phase_times {
+            *phases.entry(phase.clone()).or_default() += duration;
             if let Some(host) = host {
                 *self
                     .host_phase_times
                     .entry(host)
                     .or_default()
                     .entry(phase)
-                    .or_default() += spent;
+                    .or_default() += duration;
             }
         }
     }
@@ -235,11 +253,11 @@
             match event {
                 Event::PlacementRequested(task) => {
                     if let Some(actor) = self.actor(task.id.0) {
-                        // Without a life it is wanted until it is done.
-                        let until = task
+                        // Without an expected duration it is required until it completes.
+                        let required_until = task
                             .expected_duration
                             .map_or(Micros::MAX, |life| actor.requested_at.saturating_add(life));
-                        actor.required_until.get_or_insert(until);
+                        actor.required_until.get_or_insert(required_until);
                     }
                 }
                 Event::AttemptAccepted { attempt: id, .. } => {
@@ -254,29 +272,30 @@
                 } => self.handle_started(now, id),
                 Event::AttemptFinished {
                     attempt: id,
-                    result: end,
-                } => self.handle_finished(now, id, *end),
+                    result,
+                } => self.handle_finished(now, id, *result),
                 _ => {}
             }
         }
         for action in &turn.actions {
             match action {
                 Action::Offer { task, machine, .. } => {
-                    let Some((_, made)) = self.tasks.get_mut(&task.0) else {
+                    let Some((_, attempts_made)) = self.tasks.get_mut(&task.0) else {
                         continue;
                     };
-                    let number = *made;
-                    *made += 1;
-                    self.attempts.insert((task.0, number), (machine.0, false));
+                    let attempt_number = *attempts_made;
+                    *attempts_made += 1;
+                    self.attempts
+                        .insert((task.0, attempt_number), (machine.0, false));
                     if let Some(actor) = self.actor(task.0) {
                         actor.begin_phase(now, "offered", Some(machine.0));
                     }
                 }
-                Action::Blocked { task, reason: lack } => {
+                Action::Blocked { task, reason } => {
                     if let Some(actor) = self.actor(task.0) {
                         actor.begin_phase(
                             now,
-                            format!("held for {}", report_names::block_reason(*lack)),
+                            format!("held for {}", report_names::block_reason(*reason)),
                             None,
                         );
                     }
@@ -288,7 +307,7 @@
 
     fn handle_started(&mut self, now: Micros, id: &AttemptId) {
         match self.attempts.get_mut(&attempt_key(id)) {
-            Some((_, runs)) if !*runs => *runs = true,
+            Some((_, is_running)) if !*is_running => *is_running = true,
             _ => return,
         }
         let Some(actor) = self.actor(id.task.0) else {
@@ -296,54 +315,54 @@
         };
         actor.running_copies += 1;
         actor.begin_phase(now, "", None);
-        let (class, first, after) = (
+        let (class, is_first_start, elapsed) = (
             actor.class,
             !actor.has_started,
             now.saturating_sub(actor.requested_at),
         );
         actor.has_started = true;
-        let gap = actor.outage.take();
-        if first {
+        let outage = actor.outage.take();
+        if is_first_start {
             self.classes[class]
                 .first_start_times
-                .saturating_record(after.max(1));
+                .saturating_record(elapsed.max(1));
         }
-        if let Some(gap) = gap {
-            self.count_outage(class, gap);
+        if let Some(outage) = outage {
+            self.count_outage(class, outage);
         }
     }
 
-    fn handle_finished(&mut self, now: Micros, id: &AttemptId, end: AttemptResult) {
-        let Some((host, ran)) = self.attempts.remove(&attempt_key(id)) else {
+    fn handle_finished(&mut self, now: Micros, id: &AttemptId, result: AttemptResult) {
+        let Some((host, was_running)) = self.attempts.remove(&attempt_key(id)) else {
             return;
         };
-        let why = report_names::attempt_result(&end);
+        let result_name = report_names::attempt_result(&result);
         let Some(actor) = self.actor(id.task.0) else {
             return;
         };
-        if ran {
+        if was_running {
             actor.running_copies = actor.running_copies.saturating_sub(1);
-            if end.outcome == AttemptOutcome::Completed {
+            if result.outcome == AttemptOutcome::Completed {
                 actor.required_until = Some(actor.required_until.unwrap_or(now).min(now));
             } else if actor.running_copies == 0 && actor.outage.is_none() {
                 let phase = "with its owner, told of the loss".to_owned();
                 actor.outage = Some(Outage {
-                    cause: why,
+                    cause: result_name,
                     phase,
                     phase_started: now,
                     host: None,
                     phase_times: Vec::new(),
                 });
             }
-        } else if let Some(gap) = &mut actor.outage {
-            // What was waited for in vain is told apart from what came.
-            gap.phase = format!("{}, in vain: {why}", gap.phase);
-            gap.host = Some(host);
+        } else if let Some(outage) = &mut actor.outage {
+            // Time spent on an attempt that failed is reported apart from that of a successful one.
+            outage.phase = format!("{}, in vain: {result_name}", outage.phase);
+            outage.host = Some(host);
             actor.begin_phase(now, "between attempts", None);
         }
     }
 
-    /// The end of the trace: all counts.
+    /// Ends the collection with the end of the trace.
     pub fn finish(mut self) -> LossReport {
         for (_, actor) in std::mem::take(&mut self.actors) {
             self.finish_actor(actor);
--- a/crates/trace/src/losses/report.rs
+++ b/crates/trace/src/losses/report.rs
@@ -1,4 +1,4 @@
-//! Losses as JSON, and as text.
+//! Formats losses as JSON and as text.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use super::{ClassLosses, LossCollector};
 
-/// Losses, counted.
+/// The losses of a trace.
 pub struct LossReport(pub(super) LossCollector);
 
-/// Names with their times, the longest first.
+/// Sorts keys by descending time.
 fn sorted_by_time<K: Clone + Ord>(times: impl Iterator<Item = (K, Micros)>) -> Vec<(K, Micros)> {
     let mut all: Vec<(K, Micros)> = times.collect();
     all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| a.0.cmp(&b.0)));
@@ -41,7 +41,7 @@
             .collect()
     }
 
-    /// All as one object; times in seconds.
+    /// The losses as a JSON object; times are in seconds unless the name states another unit.
     pub fn to_json(&self) -> Value {
         let in_seconds = |phases: &BTreeMap<String, Micros>| -> BTreeMap<String, f64> {
             phases
@@ -49,20 +49,22 @@
                 .map(|(phase, &time)| (phase.clone(), to_seconds(time)))
                 .collect()
         };
-        let class = |c: &ClassLosses| {
-            let q = |q: f64| c.first_start_times.value_at_quantile(q) as f64 / 1000.0;
-            let gaps: BTreeMap<&String, Value> = c
+        let class = |losses: &ClassLosses| {
+            let quantile_ms = |quantile: f64| {
+                losses.first_start_times.value_at_quantile(quantile) as f64 / 1000.0
+            };
+            let outages: BTreeMap<&String, Value> = losses
                 .outages
                 .iter()
-                .map(|(began, (n, phases))| {
-                    (began, json!({"count": n, "seconds": in_seconds(phases)}))
+                .map(|(cause, (n, phases))| {
+                    (cause, json!({"count": n, "seconds": in_seconds(phases)}))
                 })
                 .collect();
             let value = json!({
-                "actors": c.actors, "never_started": c.never_started, "wanted_s": to_seconds(c.required_time), "gaps": gaps,
-                "first_start_ms": {"p50": q(0.5), "p90": q(0.9), "p99": q(0.99), "max": q(1.0)},
+                "actors": losses.actors, "never_started": losses.never_started, "wanted_s": to_seconds(losses.required_time), "gaps": outages,
+                "first_start_ms": {"p50": quantile_ms(0.5), "p90": quantile_ms(0.9), "p99": quantile_ms(0.99), "max": quantile_ms(1.0)},
             });
-            (c.name.clone(), value)
+            (losses.name.clone(), value)
         };
         let hosts: BTreeMap<String, Value> = self
             .hosts_by_lost_time()
@@ -75,51 +77,56 @@
         })
     }
 
-    /// All for a person.
+    /// The losses as text for operators.
     pub fn to_text(&self) -> String {
         use std::fmt::Write;
         let mut out = String::new();
-        for c in self.0.classes.iter().filter(|c| c.actors > 0) {
-            let lost: Micros = c
+        for losses in self.0.classes.iter().filter(|losses| losses.actors > 0) {
+            let outage_time: Micros = losses
                 .outages
                 .values()
                 .flat_map(|(_, phases)| phases.values())
                 .sum();
-            let share = |time: Micros| 100.0 * time as f64 / c.required_time.max(1) as f64;
-            let q = |q: f64| c.first_start_times.value_at_quantile(q) as f64 / 1000.0;
+            let percentage =
+                |time: Micros| 100.0 * time as f64 / losses.required_time.max(1) as f64;
+            let quantile_ms = |quantile: f64| {
+                losses.first_start_times.value_at_quantile(quantile) as f64 / 1000.0
+            };
             let _ = writeln!(
                 out,
                 "{}: {} actors wanted for {:.0} s, not running {:.1}% of it; {} never started; first start p50 {:.0} ms, \
                  p90 {:.0} ms, p99 {:.0} ms",
-                c.name,
-                c.actors,
-                to_seconds(c.required_time),
-                share(lost),
-                c.never_started,
-                q(0.5),
-                q(0.9),
-                q(0.99)
+                losses.name,
+                losses.actors,
+                to_seconds(losses.required_time),
+                percentage(outage_time),
+                losses.never_started,
+                quantile_ms(0.5),
+                quantile_ms(0.9),
+                quantile_ms(0.99)
             );
-            let whole = |(began, (_, phases)): (&String, &(u64, BTreeMap<String, Micros>))| {
-                (began.clone(), phases.values().sum())
+            let total_time = |(cause, (_, phases)): (&String, &(u64, BTreeMap<String, Micros>))| {
+                (cause.clone(), phases.values().sum())
             };
-            for (began, time) in sorted_by_time(c.outages.iter().map(whole)) {
-                let (n, phases) = &c.outages[&began];
-                let _ = writeln!(out, "  {:.2}% in {n} gaps after {began}:", share(time));
-                for (phase, time) in sorted_by_time(phases.iter().map(|(p, &t)| (p, t)))
-                    .into_iter()
-                    .take(5)
+            for (cause, time) in sorted_by_time(losses.outages.iter().map(total_time)) {
+                let (n, phases) = &losses.outages[&cause];
+                let _ = writeln!(out, "  {:.2}% in {n} gaps after {cause}:", percentage(time));
+                for (phase, time) in
+                    sorted_by_time(phases.iter().map(|(phase, &time)| (phase, time)))
+                        .into_iter()
+                        .take(5)
                 {
-                    let _ = writeln!(out, "    {:.2}% {phase}", share(time));
+                    let _ = writeln!(out, "    {:.2}% {phase}", percentage(time));
                 }
             }
         }
         for (name, phases) in self.hosts_by_lost_time().into_iter().take(5) {
-            let phases: Vec<String> = sorted_by_time(phases.iter().map(|(p, &t)| (p, t)))
-                .into_iter()
-                .take(3)
-                .map(|(phase, time)| format!("{phase} {:.1} s", to_seconds(time)))
-                .collect();
+            let phases: Vec<String> =
+                sorted_by_time(phases.iter().map(|(phase, &time)| (phase, time)))
+                    .into_iter()
+                    .take(3)
+                    .map(|(phase, time)| format!("{phase} {:.1} s", to_seconds(time)))
+                    .collect();
             let _ = writeln!(out, "{name}: {}", phases.join(", "));
         }
         if self.0.untracked_actors > 0 {
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -1,4 +1,5 @@
-//! Merges traces: the parts of a run, runs of several placers with different clocks, and traces that are already merged.
+//! Merges traces: the parts of a run, runs of several placers with different clocks, and traces that are already
+//! merged.
 //!
 //! A *source* is one run of one placer. The order of records within a source is kept; records of different sources are
 //! ordered by their times, corrected by a clock offset for each source. Offsets are estimated from events that several
@@ -259,12 +260,12 @@
         let mut source = None;
         loop {
             // There are few sources, so a linear search for the earliest record is enough.
-            let first = streams
+            let next = streams
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.next.is_some())
                 .min_by_key(|(_, s)| s.sort_key);
-            let Some((n, _)) = first else {
+            let Some((n, _)) = next else {
                 return Ok(());
             };
             let Some(timed_record) = streams[n].next.take() else {
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -53,7 +53,8 @@
     }
 }
 
-/// A record. New kinds are only appended, since records are stored by their position here; a reader skips unknown kinds.
+/// A record. New kinds are only appended, since records are stored by their position here; a reader skips unknown
+/// kinds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// A turn of the policy.
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,4 +1,5 @@
-//! What on-call asks of a trace: how asks ended, why, how long it took, and where it went wrong.
+//! Summarises a trace for operators: outcomes of requests and their reasons, placement times, and problems by host and
+//! second.
 
 mod report;
 
@@ -11,19 +12,20 @@
 use crate::record::{Outcome, Record, TimedRecord, Turn};
 use crate::report_names;
 
-/// Asks that are open at a time; beyond it the oldest count as without an answer.
+/// The maximum number of open requests, and of open offers, that are tracked; at the limit all of them are dropped.
 const MAX_OPEN_REQUESTS: usize = 1 << 18;
-/// Seconds of which counts are kept, a day and a half; what comes later counts in the last.
+/// The number of seconds with counts of their own, a day and a half; later ones are counted in the last.
 const MAX_SECONDS: usize = 1 << 17;
 
-/// Times beyond it count as this long, µs.
+/// Longer placement times are recorded as this long.
 const MAX_RECORDED_US: u64 = 3_600_000_000;
-/// Refusals of a host are counted for steps of so many seconds...
+/// The length of the steps for which rejections by a host are counted.
 const REJECTION_STEP_S: u64 = 10;
-/// ...and of so many steps, hosts and reasons in all; those that come later count in their host's last step.
+/// The maximum number of steps over all hosts and reasons; at the limit, further rejections are counted in the last
+/// step of their host and reason.
 const MAX_REJECTION_STEPS: usize = 1 << 18;
 
-/// Counts of one class.
+/// The counts of one class.
 #[derive(Clone, Debug, Default)]
 struct ClassCounts {
     requests: u64,
@@ -32,7 +34,7 @@
     attempts: u64,
 }
 
-/// Counts of one host.
+/// The counts of one host.
 #[derive(Clone, Debug, Default)]
 struct HostCounts {
     offers: u64,
@@ -40,15 +42,16 @@
     attempts_by_outcome: BTreeMap<String, u64>,
     drains: u64,
     offers_after_drain: u64,
-    latest_offer_after_drain: u64,
-    /// Refusals by reason and by steps since the first record.
+    latest_offer_after_drain_us: u64,
+    /// The number of rejections by reason and by the start of the step, in s since the first record.
     rejections: BTreeMap<String, BTreeMap<u64, u64>>,
-    /// Offers while it was cold, and the most of one placer's in a budget window.
+    /// The number of offers while the host was cold.
     warm_up_offers: u64,
+    /// The maximum number of these from one placer within a budget window.
     max_warm_up_offers: u64,
 }
 
-/// What one run of a placer was last told of one host.
+/// The state of a host as last reported to one run of a placer.
 #[derive(Clone, Copy, Debug, Default)]
 struct KnownHostState {
     is_ready: bool,
@@ -56,10 +59,10 @@
     started_at: Option<u64>,
 }
 
-/// Counts of one second.
+/// The counts of one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SecondCounts {
-    /// Asks taken.
+    /// Requests received.
     pub requests: u32,
     /// Answered `placed`.
     pub placed: u32,
@@ -69,19 +72,19 @@
     pub failed: u32,
     /// Offers sent.
     pub offers: u32,
-    /// Hosts that began to drain, or went.
+    /// Hosts that were no longer reported as ready.
     pub drains: u32,
 }
 
-/// A summary on its way.
+/// Collects the summary of a trace.
 pub struct Summary {
     classes: Vec<(String, ClassCounts)>,
     hosts: BTreeMap<u32, HostCounts>,
-    /// By source and host: each run is told for itself.
+    /// The host states by source and host, since each run receives its own reports.
     known_hosts: BTreeMap<(u32, u32), KnownHostState>,
-    /// Times of offers to cold hosts within the last budget window, by source and host.
+    /// The times of offers to cold hosts within the last budget window, by source and host.
     warm_up_windows: BTreeMap<(u32, u32), VecDeque<u64>>,
-    /// The rules and the number of placers that the file's settings tell; a merged trace has none.
+    /// The rules and the number of placers from the header's settings; a merged trace has none.
     rules: Option<(Rules, u32)>,
     rejection_steps: usize,
     current_source: u32,
@@ -102,7 +105,7 @@
 }
 
 impl Summary {
-    /// A summary of a file with this header.
+    /// Starts the summary of a trace with this header.
     pub fn new(header: &Header) -> Summary {
         let names = header
             .classes
@@ -135,12 +138,12 @@
         }
     }
 
-    /// Octets that could not be read.
-    pub fn add_damaged_bytes(&mut self, octets: u64) {
-        self.damaged_bytes += octets;
+    /// Adds to the number of bytes that could not be read.
+    pub fn add_damaged_bytes(&mut self, byte_count: u64) {
+        self.damaged_bytes += byte_count;
     }
 
-    /// Records of kinds that are not known.
+    /// Adds to the number of records of unknown kinds.
     pub fn add_unknown_records(&mut self, records: u32) {
         self.unknown_records += u64::from(records);
     }
@@ -154,12 +157,12 @@
         &mut self.seconds[n]
     }
 
-    /// Takes in a record.
-    pub fn feed(&mut self, stamped: &TimedRecord) {
+    /// Processes a record.
+    pub fn feed(&mut self, timed_record: &TimedRecord) {
         self.records += 1;
-        self.end = self.end.max(stamped.at);
-        self.begin.get_or_insert(stamped.at);
-        match &stamped.record {
+        self.end = self.end.max(timed_record.at);
+        self.begin.get_or_insert(timed_record.at);
+        match &timed_record.record {
             Record::Host { machine, name, .. } => {
                 drop(self.host_names.insert(*machine, name.clone()))
             }
@@ -171,17 +174,17 @@
                 if let Some((_, class)) = self.classes.get_mut(*class as usize) {
                     class.requests += 1;
                 }
-                self.second_at(stamped.at).requests += 1;
+                self.second_at(timed_record.at).requests += 1;
             }
             Record::Answered {
                 task,
                 outcome,
                 attempts,
-                elapsed: after,
+                elapsed,
             } => {
-                self.handle_answer(stamped.at, *task, outcome, *attempts, *after);
+                self.handle_answer(timed_record.at, *task, outcome, *attempts, *elapsed);
             }
-            Record::Turn(turn) => self.handle_turn(stamped.at, turn),
+            Record::Turn(turn) => self.handle_turn(timed_record.at, turn),
             Record::Gap { turns, records, .. } => {
                 self.lost_in_gaps = (self.lost_in_gaps.0 + turns, self.lost_in_gaps.1 + records);
             }
@@ -190,7 +193,14 @@
         }
     }
 
-    fn handle_answer(&mut self, at: u64, task: u64, outcome: &Outcome, attempts: u32, after: u64) {
+    fn handle_answer(
+        &mut self,
+        at: u64,
+        task: u64,
+        outcome: &Outcome,
+        attempts: u32,
+        elapsed: u64,
+    ) {
         let class = self.open_requests.remove(&task);
         if let Some((_, class)) = class.and_then(|c| self.classes.get_mut(c)) {
             *class.outcomes.entry(outcome.api_name()).or_default() += 1;
@@ -207,31 +217,31 @@
             Outcome::ClientDisconnected => {}
         }
         if matches!(outcome, Outcome::Placed { .. }) {
-            self.place_times.saturating_record(after.max(1));
+            self.place_times.saturating_record(elapsed.max(1));
         }
     }
 
     fn handle_turn(&mut self, at: u64, turn: &Turn) {
         self.turns += 1;
-        let mut drained = 0;
+        let mut drain_count = 0;
         for event in &turn.events {
             match event {
                 Event::EndpointsUpdated { machines, .. } => {
-                    for listing in machines {
-                        let host = self.hosts.entry(listing.machine.0).or_default();
-                        let told = self
+                    for entry in machines {
+                        let host = self.hosts.entry(entry.machine.0).or_default();
+                        let known_state = self
                             .known_hosts
-                            .entry((self.current_source, listing.machine.0))
+                            .entry((self.current_source, entry.machine.0))
                             .or_default();
-                        let ready = listing.state == MachineState::Ready;
-                        drained += u32::from(!ready && told.is_ready);
-                        if ready {
-                            told.draining_since = None;
-                        } else if told.is_ready {
-                            (told.draining_since, host.drains) = (Some(at), host.drains + 1);
+                        let is_ready = entry.state == MachineState::Ready;
+                        drain_count += u32::from(!is_ready && known_state.is_ready);
+                        if is_ready {
+                            known_state.draining_since = None;
+                        } else if known_state.is_ready {
+                            (known_state.draining_since, host.drains) = (Some(at), host.drains + 1);
                         }
-                        told.is_ready = ready;
-                        told.started_at = listing.started_at;
+                        known_state.is_ready = is_ready;
+                        known_state.started_at = entry.started_at;
                     }
                 }
                 Event::AttemptAccepted { attempt: id, .. } => {
@@ -241,28 +251,28 @@
                 }
                 Event::AttemptFinished {
                     attempt: id,
-                    result: end,
+                    result,
                 } => {
                     if let Some(host) = self.open_offers.remove(&(id.task.0, id.number)) {
-                        let why = report_names::attempt_result(end);
+                        let result_name = report_names::attempt_result(result);
                         *self
                             .hosts
                             .entry(host)
                             .or_default()
                             .attempts_by_outcome
-                            .entry(why)
+                            .entry(result_name)
                             .or_default() += 1;
-                        self.record_rejection(at, host, *end);
+                        self.record_rejection(at, host, *result);
                     }
-                    if end.closes_task {
+                    if result.closes_task {
                         self.attempt_counts.remove(&id.task.0);
                     }
                 }
                 _ => {}
             }
         }
-        if drained > 0 {
-            self.second_at(at).drains += drained;
+        if drain_count > 0 {
+            self.second_at(at).drains += drain_count;
         }
         for action in &turn.actions {
             match action {
@@ -276,17 +286,17 @@
                     *number += 1;
                     let host = self.hosts.entry(machine.0).or_default();
                     host.offers += 1;
-                    let told = self.known_hosts.get(&(self.current_source, machine.0));
-                    if let Some(since) = told.and_then(|t| t.draining_since) {
+                    let known_state = self.known_hosts.get(&(self.current_source, machine.0));
+                    if let Some(since) = known_state.and_then(|state| state.draining_since) {
                         host.offers_after_drain += 1;
-                        host.latest_offer_after_drain =
-                            host.latest_offer_after_drain.max(at - since);
+                        host.latest_offer_after_drain_us =
+                            host.latest_offer_after_drain_us.max(at - since);
                     }
                     self.record_warm_up_offer(at, machine.0);
                     self.second_at(at).offers += 1;
                 }
-                Action::Blocked { reason: lack, .. } => {
-                    let name = report_names::block_reason(*lack).to_owned();
+                Action::Blocked { reason, .. } => {
+                    let name = report_names::block_reason(*reason).to_owned();
                     *self.blocked.entry(name).or_default() += 1;
                 }
                 _ => {}
@@ -294,11 +304,11 @@
         }
     }
 
-    fn record_rejection(&mut self, at: u64, host: u32, end: AttemptResult) {
-        if end.outcome != AttemptOutcome::Rejected {
+    fn record_rejection(&mut self, at: u64, host: u32, result: AttemptResult) {
+        if result.outcome != AttemptOutcome::Rejected {
             return;
         }
-        let reason = end
+        let reason = result
             .reason
             .map_or("not told", report_names::failure_reason)
             .to_owned();
@@ -319,11 +329,15 @@
         *steps.entry(step).or_default() += 1;
     }
 
-    /// An offer, counted against the cold budget if its placer was told of a start not long ago.
+    /// Counts an offer against the warm-up budget if the host is within its warm-up duration, by the start reported to
+    /// this source.
     fn record_warm_up_offer(&mut self, at: u64, host: u32) {
         let Some((rules, _)) = self.rules else { return };
         let key = (self.current_source, host);
-        let started = self.known_hosts.get(&key).and_then(|told| told.started_at);
+        let started = self
+            .known_hosts
+            .get(&key)
+            .and_then(|known_state| known_state.started_at);
         if started.is_none_or(|started| started + rules.warm_up_duration <= at) {
             self.warm_up_windows.remove(&key);
             return;
@@ -331,14 +345,16 @@
         let window = self.warm_up_windows.entry(key).or_default();
         window.retain(|&sent| sent + rules.overload_window >= at);
         window.push_back(at);
-        let most = window.len() as u64;
+        let offers_in_window = window.len() as u64;
         let host = self.hosts.entry(host).or_default();
-        (host.warm_up_offers, host.max_warm_up_offers) =
-            (host.warm_up_offers + 1, host.max_warm_up_offers.max(most));
+        (host.warm_up_offers, host.max_warm_up_offers) = (
+            host.warm_up_offers + 1,
+            host.max_warm_up_offers.max(offers_in_window),
+        );
     }
 
-    /// The ten seconds in which the smallest share of answers was `placed`, among those with at least one for each
-    /// second: where they begin (s), and the share.
+    /// The ten consecutive seconds with the smallest share of `placed` answers, among those with at least ten answers:
+    /// their start in s, and the share.
     fn worst_ten_seconds(&self) -> Option<(usize, f64)> {
         let windows = self
             .seconds
@@ -355,7 +371,7 @@
         windows.filter_map(share).min_by(|a, b| a.1.total_cmp(&b.1))
     }
 
-    /// Counts of each second since the first record.
+    /// The counts of each second since the first record.
     pub fn seconds(&self) -> &[SecondCounts] {
         &self.seconds
     }
--- a/crates/trace/src/summary/report.rs
+++ b/crates/trace/src/summary/report.rs
@@ -1,4 +1,4 @@
-//! A summary as JSON, and as text.
+//! Formats a summary as JSON and as text.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,18 @@
 use super::Summary;
 
 impl Summary {
-    /// The summary as one object. Times are in the units their names tell.
+    /// The summary as a JSON object. The names of times end in their units.
     pub fn to_json(&self) -> Value {
-        let q = |q: f64| self.place_times.value_at_quantile(q) as f64 / 1000.0;
+        let quantile_ms =
+            |quantile: f64| self.place_times.value_at_quantile(quantile) as f64 / 1000.0;
         let classes: BTreeMap<&str, Value> = self
             .classes
             .iter()
-            .map(|(name, c)| {
-                let answered: u64 = c.outcomes.values().sum();
-                let each = c.attempts as f64 / answered.max(1) as f64;
+            .map(|(name, counts)| {
+                let answered: u64 = counts.outcomes.values().sum();
+                let attempts_per_answer = counts.attempts as f64 / answered.max(1) as f64;
                 let value = json!({
-                    "asked": c.requests, "outcomes": c.outcomes, "refused_for": c.rejection_reasons, "attempts_each": each,
+                    "asked": counts.requests, "outcomes": counts.outcomes, "refused_for": counts.rejection_reasons, "attempts_each": attempts_per_answer,
                 });
                 (name.as_str(), value)
             })
@@ -26,12 +27,12 @@
         let hosts: BTreeMap<String, Value> = self
             .hosts
             .iter()
-            .map(|(n, h)| {
+            .map(|(n, host)| {
                 let name = self.host_names.get(n).cloned().unwrap_or_else(|| format!("#{n}"));
                 let value = json!({
-                    "offers": h.offers, "seated": h.accepted, "ended": h.attempts_by_outcome, "drains": h.drains,
-                    "offers_after_drain": h.offers_after_drain, "latest_after_drain_ms": h.latest_offer_after_drain / 1000,
-                    "refused_from_s": h.rejections, "cold_offers": h.warm_up_offers, "cold_most_in_window": h.max_warm_up_offers,
+                    "offers": host.offers, "seated": host.accepted, "ended": host.attempts_by_outcome, "drains": host.drains,
+                    "offers_after_drain": host.offers_after_drain, "latest_after_drain_ms": host.latest_offer_after_drain_us / 1000,
+                    "refused_from_s": host.rejections, "cold_offers": host.warm_up_offers, "cold_most_in_window": host.max_warm_up_offers,
                 });
                 (name, value)
             })
@@ -39,17 +40,22 @@
         let seconds: Vec<Value> = self
             .seconds
             .iter()
-            .map(|s| {
+            .map(|second| {
                 json!([
-                    s.requests, s.placed, s.rejected, s.failed, s.offers, s.drains
+                    second.requests,
+                    second.placed,
+                    second.rejected,
+                    second.failed,
+                    second.offers,
+                    second.drains
                 ])
             })
             .collect();
-        let upper_ms = |bar: &IterationValue<u64>| bar.value_iterated_to() as f64 / 1000.0;
-        let bars: Vec<Value> = self
+        let upper_ms = |bin: &IterationValue<u64>| bin.value_iterated_to() as f64 / 1000.0;
+        let bins: Vec<Value> = self
             .place_times
             .iter_log(1000, 2.0)
-            .map(|bar| json!([upper_ms(&bar), bar.count_since_last_iteration()]))
+            .map(|bin| json!([upper_ms(&bin), bin.count_since_last_iteration()]))
             .collect();
         let cold_budget = self.rules.map(|(rules, placers)| {
             json!({
@@ -62,15 +68,15 @@
             "records": self.records, "turns": self.turns,
             "lost": {"turns": self.lost_in_gaps.0, "records": self.lost_in_gaps.1, "octets": self.damaged_bytes, "unknown": self.unknown_records},
             "classes": classes, "hosts": hosts, "held_for": self.blocked, "unanswered": self.open_requests.len(),
-            "ask_to_placed_ms": {"p50": q(0.5), "p99": q(0.99), "max": q(1.0)},
-            "ask_to_placed_histogram": {"columns": ["up_to_ms", "asks"], "rows": bars},
+            "ask_to_placed_ms": {"p50": quantile_ms(0.5), "p99": quantile_ms(0.99), "max": quantile_ms(1.0)},
+            "ask_to_placed_histogram": {"columns": ["up_to_ms", "asks"], "rows": bins},
             "cold_budget": cold_budget,
             "worst_10_s": self.worst_ten_seconds().map(|(at, share)| json!({"from_s": at, "placed_share": share})),
             "by_second": {"columns": ["asked", "placed", "refused", "failed", "offers", "drains"], "rows": seconds},
         })
     }
 
-    /// The summary for a person.
+    /// The summary as text for operators.
     pub fn to_text(&self) -> String {
         use std::fmt::Write;
         let mut out = String::new();
@@ -85,25 +91,25 @@
             self.damaged_bytes
         );
         for (name, class) in &self.classes {
-            let list = |counts: Vec<(String, u64)>| {
+            let format_counts = |counts: Vec<(String, u64)>| {
                 counts
                     .iter()
-                    .map(|(k, n)| format!("{k} {n}"))
+                    .map(|(name, n)| format!("{name} {n}"))
                     .collect::<Vec<_>>()
                     .join(", ")
             };
-            let outcomes = list(
+            let outcomes = format_counts(
                 class
                     .outcomes
                     .iter()
-                    .map(|(k, n)| ((*k).to_owned(), *n))
+                    .map(|(name, n)| ((*name).to_owned(), *n))
                     .collect(),
             );
-            let reasons = list(
+            let reasons = format_counts(
                 class
                     .rejection_reasons
                     .iter()
-                    .map(|(k, n)| (k.clone(), *n))
+                    .map(|(name, n)| (name.clone(), *n))
                     .collect(),
             );
             let _ = write!(out, "{name}: asked {}; {outcomes}", class.requests);
@@ -113,11 +119,11 @@
                 writeln!(out, "; refused for {reasons}")
             };
         }
-        let ms = &json["ask_to_placed_ms"];
+        let placement_times = &json["ask_to_placed_ms"];
         let _ = writeln!(
             out,
             "ask to placed: p50 {} ms, p99 {} ms, max {} ms",
-            ms["p50"], ms["p99"], ms["max"]
+            placement_times["p50"], placement_times["p99"], placement_times["max"]
         );
         if let Some((at, share)) = self.worst_ten_seconds() {
             let _ = writeln!(
@@ -126,13 +132,17 @@
                 share * 100.0
             );
         }
-        let mut worst: Vec<(&u32, u64)> = self
+        let mut worst_hosts: Vec<(&u32, u64)> = self
             .hosts
             .iter()
-            .map(|(n, h)| (n, h.offers.saturating_sub(h.accepted)))
+            .map(|(n, host)| (n, host.offers.saturating_sub(host.accepted)))
             .collect();
-        worst.sort_by_key(|&(n, lost)| (std::cmp::Reverse(lost), *n));
-        for (n, lost) in worst.into_iter().take(5).filter(|&(_, lost)| lost > 0) {
+        worst_hosts.sort_by_key(|&(n, not_accepted)| (std::cmp::Reverse(not_accepted), *n));
+        for (n, not_accepted) in worst_hosts
+            .into_iter()
+            .take(5)
+            .filter(|&(_, not_accepted)| not_accepted > 0)
+        {
             let host = &self.hosts[n];
             let name = self
                 .host_names
@@ -142,42 +152,46 @@
             let ended: Vec<String> = host
                 .attempts_by_outcome
                 .iter()
-                .map(|(why, n)| format!("{why} {n}"))
+                .map(|(outcome, n)| format!("{outcome} {n}"))
                 .collect();
             let _ = writeln!(
                 out,
-                "{name}: {} offers, {lost} not seated; ended: {}",
+                "{name}: {} offers, {not_accepted} not seated; ended: {}",
                 host.offers,
                 ended.join(", ")
             );
         }
         if let Some((rules, placers)) = self.rules {
-            let cold: u64 = self.hosts.values().map(|h| h.warm_up_offers).sum();
-            let most = self
+            let warm_up_offers: u64 = self.hosts.values().map(|host| host.warm_up_offers).sum();
+            let max_in_window = self
                 .hosts
                 .values()
-                .map(|h| h.max_warm_up_offers)
+                .map(|host| host.max_warm_up_offers)
                 .max()
                 .unwrap_or(0);
             let _ = writeln!(
                 out,
-                "cold hosts: {cold} offers, at most {most} to one in {:.1} s, of {} for all {placers} placers",
+                "cold hosts: {warm_up_offers} offers, at most {max_in_window} to one in {:.1} s, of {} for all {placers} placers",
                 rules.overload_window as f64 / 1e6,
                 rules.warm_up_offers
             );
         }
-        let drains: u64 = self.hosts.values().map(|h| h.drains).sum();
-        let after: u64 = self.hosts.values().map(|h| h.offers_after_drain).sum();
-        let latest = self
+        let drains: u64 = self.hosts.values().map(|host| host.drains).sum();
+        let offers_after_drain: u64 = self
             .hosts
             .values()
-            .map(|h| h.latest_offer_after_drain)
+            .map(|host| host.offers_after_drain)
+            .sum();
+        let latest_after_drain = self
+            .hosts
+            .values()
+            .map(|host| host.latest_offer_after_drain_us)
             .max()
             .unwrap_or(0);
         let _ = writeln!(
             out,
-            "drains {drains}; offers after one {after}, the latest {} ms after",
-            latest / 1000
+            "drains {drains}; offers after one {offers_after_drain}, the latest {} ms after",
+            latest_after_drain / 1000
         );
         out
     }
