--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -1,6 +1,9 @@
-//! Writes a trace of so many records over so many hours and services, for trying the tools on:
+//! Writes a large trace with the given number of records, to try the tools on:
 //! `cargo run --release -p maplethread-trace --example large -- FILE 10000000`.
-#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
+#![allow(
+    clippy::too_many_lines,
+    reason = "all records of a request are built in one place"
+)]
 
 use std::fs::File;
 use std::io::BufWriter;
@@ -9,15 +12,17 @@
 use maplethread_trace::{Header, Outcome, Record, TimedRecord, Turn, Writer};
 
 const SERVICES: u64 = 20_000;
-/// Asks of a service come in bursts of so many.
-const BURST: u64 = 50;
+/// The number of consecutive requests for the same service.
+const BURST_REQUESTS: u64 = 50;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let mut args = std::env::args().skip(1);
-    let file = args.next().ok_or("a file to write is needed")?;
+    let file = args
+        .next()
+        .ok_or("the path of the file to write is missing")?;
     let records: u64 = args
         .next()
-        .ok_or("a number of records is needed")?
+        .ok_or("the number of records is missing")?
         .parse()?;
     let header = Header {
         writer: "example".into(),
@@ -51,20 +56,23 @@
         };
         writer.register_name(&TimedRecord { at, record });
     }
-    for ask in 0..records / 4 {
+    for task_id in 0..records / 4 {
         at += 2500;
-        let (service, machine) = (ask / BURST * 7919 % SERVICES, (ask * 31 % 200) as u32);
-        let asked = Record::RequestReceived {
-            task: ask,
+        let (service, machine) = (
+            task_id / BURST_REQUESTS * 7919 % SERVICES,
+            (task_id * 31 % 200) as u32,
+        );
+        let request = Record::RequestReceived {
+            task: task_id,
             service,
-            actor: format!("actor-{ask}"),
+            actor: format!("actor-{task_id}"),
             class: 0,
-            request_id: format!("request-{ask}"),
+            request_id: format!("request-{task_id}"),
             idempotency_key: None,
             received_at: at,
         };
         let task = Task {
-            id: TaskId(ask),
+            id: TaskId(task_id),
             service: ServiceId(service),
             class: 0,
             requested: Resources::new(0.5, 1.0),
@@ -73,41 +81,44 @@
             is_resubmission: false,
         };
         let offer = Action::Offer {
-            task: TaskId(ask),
+            task: TaskId(task_id),
             machine: MachineId(machine),
             timeout: 600_000,
         };
-        let first = Turn {
+        let request_turn = Turn {
             now: at,
             events: vec![Event::PlacementRequested(task)],
             actions: vec![offer],
         };
-        let id = AttemptId {
-            task: TaskId(ask),
+        let attempt = AttemptId {
+            task: TaskId(task_id),
             number: 0,
         };
-        let second = Turn {
+        let acceptance_turn = Turn {
             now: at + 900,
             events: vec![Event::AttemptAccepted {
-                attempt: id,
+                attempt,
                 elapsed: Some(900),
             }],
             actions: Vec::new(),
         };
         let answered = Record::Answered {
-            task: ask,
+            task: task_id,
             outcome: Outcome::Placed { host: machine },
             attempts: 1,
             elapsed: 950,
         };
-        writer.push(&TimedRecord { at, record: asked })?;
         writer.push(&TimedRecord {
             at,
-            record: Record::Turn(first),
+            record: request,
+        })?;
+        writer.push(&TimedRecord {
+            at,
+            record: Record::Turn(request_turn),
         })?;
         writer.push(&TimedRecord {
             at: at + 900,
-            record: Record::Turn(second),
+            record: Record::Turn(acceptance_turn),
         })?;
         writer.push(&TimedRecord {
             at: at + 950,
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -1,6 +1,9 @@
-//! Files of a module's run: what was written is read back, what is damaged or cut off costs itself only, and a replay
-//! comes to the same decisions.
-#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
+//! Trace files of a policy's run: records are read back as written, damaged or truncated blocks don't affect others, a
+//! replay decides the same, and cuts, summaries and anonymised copies contain what they should.
+#![allow(
+    clippy::too_many_lines,
+    reason = "the cases of one run are tested in one function"
+)]
 
 use std::io::Cursor;
 
@@ -13,7 +16,7 @@
 };
 use proptest::prelude::*;
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures");
 
 fn settings() -> Settings {
@@ -23,7 +26,7 @@
         zone: 0,
         classes: vec![Class {
             retry_safety: RetrySafety::Idempotent,
-            latency_objective: S,
+            latency_objective: SECOND_US,
             priority_weight: 1.0,
             start_bonus_s: 10.0,
             priority: 0,
@@ -42,14 +45,14 @@
             can_cancel: true,
             can_probe: true,
             can_message_peers: false,
-            max_retry_after: Some(60 * S),
+            max_retry_after: Some(60 * SECOND_US),
         },
         rules: Rules {
-            max_poll_interval: 10 * S,
+            max_poll_interval: 10 * SECOND_US,
             initial_capacity_share: 0.2,
-            warm_up_duration: 5 * S,
+            warm_up_duration: 5 * SECOND_US,
             overload_multiple: 3.0,
-            overload_window: 2 * S,
+            overload_window: 2 * SECOND_US,
             warm_up_offers: 20.0,
         },
         costs: Costs::default(),
@@ -71,12 +74,12 @@
     }
 }
 
-/// A run of a real module: asks by turns for each of some services, every hundredth attempt refused.
-fn recorded_run(asks: u64, services: u64) -> Vec<TimedRecord> {
-    let mut module = Placer::new(settings(), 7).expect("settings");
-    let mut now = 1_700_000_000 * S;
+/// Records a run of a real policy: one request a turn, for each service in turn; every hundredth attempt is rejected.
+fn recorded_run(request_count: u64, services: u64) -> Vec<TimedRecord> {
+    let mut policy = Placer::new(settings(), 7).expect("valid settings");
+    let mut now = 1_700_000_000 * SECOND_US;
     let mut records = Vec::new();
-    let listing = |n: u32| MachineEntry {
+    let entry = |n: u32| MachineEntry {
         machine: MachineId(n),
         stable_hash: u64::from(n) * 77,
         zone: 0,
@@ -108,21 +111,21 @@
     }
     let mut events = vec![Event::EndpointsUpdated {
         scope: UpdateScope::Full,
-        machines: (0..4).map(listing).collect(),
+        machines: (0..4).map(entry).collect(),
     }];
     let mut next = 0;
-    for turn in 0..asks * 3 {
-        if next < asks {
+    for turn in 0..request_count * 3 {
+        if next < request_count {
             let task = Task {
                 id: TaskId(next),
                 service: ServiceId(next % services),
                 class: 0,
                 requested: Resources::new(0.01, 0.02),
                 expected_duration: None,
-                deadline: now + 3 * S,
+                deadline: now + 3 * SECOND_US,
                 is_resubmission: false,
             };
-            let asked = Record::RequestReceived {
+            let request = Record::RequestReceived {
                 task: next,
                 service: next % services,
                 actor: format!("a{next}"),
@@ -133,27 +136,27 @@
             };
             records.push(TimedRecord {
                 at: now,
-                record: asked,
+                record: request,
             });
             events.push(Event::PlacementRequested(task));
             next += 1;
         }
         let mut actions = Vec::new();
-        module.turn(now, &events, &mut actions);
-        let turn_is = Turn {
+        policy.turn(now, &events, &mut actions);
+        let recorded_turn = Turn {
             now,
             events: std::mem::take(&mut events),
             actions: actions.clone(),
         };
         records.push(TimedRecord {
             at: now,
-            record: Record::Turn(turn_is),
+            record: Record::Turn(recorded_turn),
         });
         for action in actions {
             if let Action::Offer { task, machine, .. } = action {
                 let id = AttemptId { task, number: 0 };
                 if task.0 % 100 == 3 {
-                    let end = AttemptResult {
+                    let result = AttemptResult {
                         outcome: AttemptOutcome::Rejected,
                         reason: Some(FailureReason::Cores),
                         closes_task: false,
@@ -161,7 +164,7 @@
                     };
                     events.push(Event::AttemptFinished {
                         attempt: id,
-                        result: end,
+                        result,
                     });
                     events.push(Event::ClientDisconnected(task));
                     let outcome = Outcome::Rejected {
@@ -209,22 +212,20 @@
     bytes
 }
 
-/// All records of a file, and the octets that were damaged.
+/// Returns all records of a file, and the number of damaged bytes.
 fn read(bytes: &[u8]) -> Result<(Vec<TimedRecord>, u64), TraceError> {
     let mut reader = Reader::open(Cursor::new(bytes))?;
-    let (mut all, mut lost) = (Vec::new(), 0);
+    let (mut all, mut damaged_bytes) = (Vec::new(), 0);
     while let Some(part) = reader.next_part()? {
         match part {
             Part::Block { records, .. } => all.extend(records),
-            Part::Damaged {
-                byte_count: octets, ..
-            } => lost += octets,
+            Part::Damaged { byte_count, .. } => damaged_bytes += byte_count,
         }
     }
-    Ok((all, lost))
+    Ok((all, damaged_bytes))
 }
 
-/// Without the names that are said again.
+/// The records without those of names, which the writer repeats.
 fn without_names(records: &[TimedRecord]) -> Vec<&TimedRecord> {
     records
         .iter()
@@ -236,9 +237,12 @@
 fn written_trace_is_read_back_and_replays_without_a_difference() {
     let records = recorded_run(300, 5);
     let bytes = write_trace(&records);
-    let (got, lost) = read(&bytes).expect("a file");
-    assert_eq!((without_names(&got), lost), (without_names(&records), 0));
-    let mut replay = Replay::new(&header()).expect("a module");
+    let (got, damaged_bytes) = read(&bytes).expect("a file");
+    assert_eq!(
+        (without_names(&got), damaged_bytes),
+        (without_names(&records), 0)
+    );
+    let mut replay = Replay::new(&header()).expect("valid trace settings");
     got.iter().for_each(|r| replay.feed(r));
     let found = &replay.result;
     assert!(
@@ -246,31 +250,32 @@
         "{found:?}"
     );
     assert!(found.moved_offer_share().abs() < 1e-9, "{found:?}");
-    // With another seed, or one event less, it is not the same run.
+    // Another seed leads to other decisions.
     let mut replay = Replay::new(&Header {
         seed: 8,
         ..header()
     })
-    .expect("a module");
+    .expect("valid trace settings");
     got.iter().for_each(|r| replay.feed(r));
     assert!(replay.result.differing_turns > 0);
     let first = replay.result.first_difference.expect("a difference");
     assert!(first.recorded != first.replayed && first.time_us >= records[0].at);
-    // What if: machines too small for any of it.
-    let small = Settings {
+    // With other settings, in which machines are too small for any task, all requests are rejected.
+    let small_machines = Settings {
         kinds: vec![Resources::new(0.001, 0.001)],
         ..settings()
     };
-    let mut replay = Replay::with_settings(&header(), Some(small)).expect("a module");
+    let mut replay =
+        Replay::with_settings(&header(), Some(small_machines)).expect("valid trace settings");
     got.iter().for_each(|r| replay.feed(r));
-    let refused = replay
+    let rejected = replay
         .result
         .actions_by_kind
         .get("refuse")
         .copied()
         .unwrap_or_default();
     assert!(
-        replay.result.differing_turns > 0 && refused == [0, 300],
+        replay.result.differing_turns > 0 && rejected == [0, 300],
         "{:?}",
         replay.result.actions_by_kind
     );
@@ -284,9 +289,9 @@
     assert_eq!(
         replay.result.moved_offer_share(),
         1.0,
-        "all of them would go nowhere"
+        "every recorded offer is gone"
     );
-    // A gap ends what can be compared.
+    // Turns after a gap are not compared.
     let gap = TimedRecord {
         at: 1,
         record: Record::Gap {
@@ -295,7 +300,7 @@
             reason: "slow disk".into(),
         },
     };
-    let mut replay = Replay::new(&header()).expect("a module");
+    let mut replay = Replay::new(&header()).expect("valid trace settings");
     replay.feed(&gap);
     got.iter().for_each(|r| replay.feed(r));
     assert_eq!(
@@ -308,48 +313,51 @@
 fn truncated_file_opens_up_to_its_last_whole_block() {
     let records = recorded_run(60, 3);
     let bytes = write_trace(&records);
-    let whole = read(&bytes).expect("a file").0;
+    let all_records = read(&bytes).expect("a file").0;
     let mut seen = 0;
     for length in 0..bytes.len() {
         match read(&bytes[..length]) {
             Ok((got, _)) => {
-                assert!(whole.starts_with(&got), "cut at {length}");
-                assert!(got.len() >= seen, "a longer piece holds no less");
+                assert!(all_records.starts_with(&got), "cut at {length}");
+                assert!(
+                    got.len() >= seen,
+                    "a longer prefix of the file has fewer records"
+                );
                 seen = got.len();
             }
             Err(TraceError::NotATrace(_)) => assert_eq!(seen, 0),
             Err(e) => panic!("cut at {length}: {e}"),
         }
     }
-    assert_eq!(seen, whole.len());
+    assert_eq!(seen, all_records.len());
 }
 
 #[test]
 fn flipped_bit_loses_only_its_block() {
     let records = recorded_run(40, 3);
     let bytes = write_trace(&records);
-    let whole = read(&bytes).expect("a file").0;
+    let all_records = read(&bytes).expect("a file").0;
     let header = {
         let mut out = Vec::new();
         header().write(&mut out).expect("a header")
     } as usize;
     for at in 0..bytes.len() {
-        let mut bad = bytes.clone();
-        bad[at] ^= 1 << (at % 8);
-        match read(&bad) {
+        let mut damaged = bytes.clone();
+        damaged[at] ^= 1 << (at % 8);
+        match read(&damaged) {
             Ok((got, _)) => {
-                assert!(at >= header, "a damaged header at {at} was taken");
-                // Never a wrong record, and never more lost than a block of two hundred and its names.
-                let mut rest = whole.iter();
+                assert!(at >= header, "a header damaged at {at} was accepted");
+                // No wrong record is read, and at most one block is lost: 200 records and its names.
+                let mut rest = all_records.iter();
                 assert!(
                     got.iter().all(|r| rest.any(|w| w == r)),
                     "a wrong record at {at}"
                 );
                 assert!(
-                    got.len() + 220 >= whole.len(),
+                    got.len() + 220 >= all_records.len(),
                     "{} of {} left at {at}",
                     got.len(),
-                    whole.len()
+                    all_records.len()
                 );
             }
             Err(TraceError::NotATrace(_) | TraceError::UnsupportedVersion(..)) => {
@@ -364,13 +372,15 @@
 fn rejects_newer_major_version_and_counts_unknown_records_of_newer_minor_version() {
     let mut bytes = write_trace(&recorded_run(1, 1));
     bytes[8] = 2;
-    let error = Reader::open(Cursor::new(&bytes)).err().expect("too new");
+    let error = Reader::open(Cursor::new(&bytes))
+        .err()
+        .expect("an unsupported version");
     assert_eq!(
         error.to_string(),
         "format version 2.1, this program reads 1.x"
     );
     assert!(Reader::open(Cursor::new(b"GIF89a".as_slice())).is_err());
-    // A newer minor version, with a kind of record that nobody here knows: it is passed over and counted.
+    // A newer minor version with an unknown kind of record, which is skipped and counted.
     let mut bytes = Vec::new();
     header().write(&mut bytes).expect("a header");
     bytes[10] = 9;
@@ -378,14 +388,14 @@
     let hash = blake3::hash(&bytes[..check]);
     bytes[check..].copy_from_slice(&hash.as_bytes()[..16]);
     let stopped = postcard::to_stdvec(&Record::Stopped).expect("a record");
-    let mut raw = vec![0];
+    let mut uncompressed = vec![0];
     for record in [&stopped[..], &[99, 1, 2, 3], &stopped] {
-        raw.extend([record.len() as u8, 0]);
-        raw.extend_from_slice(record);
+        uncompressed.extend([record.len() as u8, 0]);
+        uncompressed.extend_from_slice(record);
     }
-    let payload = zstd::bulk::compress(&raw, 3).expect("zstd");
+    let payload = zstd::bulk::compress(&uncompressed, 3).expect("zstd");
     let mut head = b"MTB1".to_vec();
-    [payload.len() as u32, raw.len() as u32, 3]
+    [payload.len() as u32, uncompressed.len() as u32, 3]
         .iter()
         .for_each(|n| head.extend(n.to_le_bytes()));
     [5u64, 5].iter().for_each(|n| head.extend(n.to_le_bytes()));
@@ -393,7 +403,7 @@
     bytes.extend([&head[..], &check.as_bytes()[..16], &payload].concat());
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file of a newer minor version");
     assert!(reader.is_newer_minor_version());
-    match reader.next_part().expect("no fault") {
+    match reader.next_part().expect("readable") {
         Some(Part::Block {
             records,
             unknown_records: unknown,
@@ -409,9 +419,9 @@
     for entry in std::fs::read_dir(FIXTURES).expect("a folder") {
         let path = entry.expect("an entry").path();
         let bytes = std::fs::read(&path).expect("a file");
-        let (got, lost) = read(&bytes).expect("a trace");
+        let (got, damaged_bytes) = read(&bytes).expect("a trace");
         assert_eq!(
-            (without_names(&got).len(), lost),
+            (without_names(&got).len(), damaged_bytes),
             (without_names(&recorded_run(20, 2)).len(), 0),
             "{}",
             path.display()
@@ -419,7 +429,7 @@
         let index = Reader::open(Cursor::new(&bytes))
             .expect("a trace")
             .read_index()
-            .expect("no fault");
+            .expect("readable");
         assert!(index.is_some(), "{}", path.display());
         versions += 1;
     }
@@ -431,14 +441,14 @@
     let records = recorded_run(2000, 400);
     let bytes = write_trace(&records);
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file");
-    let index = reader.read_index().expect("no fault").expect("an index");
-    let wanted = Filter {
+    let index = reader.read_index().expect("readable").expect("an index");
+    let filter = Filter {
         service: Some(17),
         ..Filter::default()
     };
     let at: Vec<u64> = index
         .iter()
-        .filter(|e| wanted.may_match_block(e))
+        .filter(|e| filter.may_match_block(e))
         .map(|e| e.offset)
         .collect();
     assert!(
@@ -453,28 +463,28 @@
             found.extend(records);
         }
     }
-    let mut chosen = SelectedTasks::default();
-    found.iter().for_each(|r| chosen.scan(&wanted, r));
+    let mut selected = SelectedTasks::default();
+    found.iter().for_each(|r| selected.scan(&filter, r));
     let kept: Vec<TimedRecord> = found
         .iter()
-        .filter_map(|r| chosen.filter_record(&wanted, r))
+        .filter_map(|r| selected.filter_record(&filter, r))
         .collect();
-    let asked = kept
+    let request_count = kept
         .iter()
         .filter(|r| matches!(r.record, Record::RequestReceived { service: 17, .. }))
         .count();
     let others = kept
         .iter()
         .filter(|r| matches!(r.record, Record::RequestReceived { service, .. } if service != 17));
-    assert_eq!((asked, others.count()), (5, 0));
-    // The same from the whole file, without the index.
+    assert_eq!((request_count, others.count()), (5, 0));
+    // Reading the whole file without the index gives the same records.
     let mut all = SelectedTasks::default();
-    records.iter().for_each(|r| all.scan(&wanted, r));
-    let slow: Vec<TimedRecord> = records
+    records.iter().for_each(|r| all.scan(&filter, r));
+    let kept_without_index: Vec<TimedRecord> = records
         .iter()
-        .filter_map(|r| all.filter_record(&wanted, r))
+        .filter_map(|r| all.filter_record(&filter, r))
         .collect();
-    assert_eq!(without_names(&kept), without_names(&slow));
+    assert_eq!(without_names(&kept), without_names(&kept_without_index));
 }
 
 #[test]
@@ -503,7 +513,7 @@
 
 #[test]
 fn summary_shows_rejections_over_time_warm_up_offers_and_placement_times() {
-    let begin = 1_700_000_000 * S;
+    let begin = 1_700_000_000 * SECOND_US;
     let mut summary = Summary::new(&header());
     let mut turn = |at: u64, events: Vec<Event>, actions: Vec<Action>| {
         let turn = Record::Turn(Turn {
@@ -516,7 +526,7 @@
             record: turn,
         });
     };
-    let listing = MachineEntry {
+    let entry = MachineEntry {
         machine: MachineId(1),
         stable_hash: 1,
         zone: 0,
@@ -530,29 +540,36 @@
         0,
         vec![Event::EndpointsUpdated {
             scope: UpdateScope::Full,
-            machines: vec![listing],
+            machines: vec![entry],
         }],
         vec![],
     );
-    // Cold for 5 s; windows of 2 s: two offers in one, then one more, then one when it is warm.
-    for (task, at) in [(1, S), (2, 2 * S), (3, 4 * S), (4, 12 * S), (5, 25 * S)] {
+    // The host is cold for 5 s: three offers in that time, at most two of them within a window of 2 s; two offers
+    // later.
+    for (task, at) in [
+        (1, SECOND_US),
+        (2, 2 * SECOND_US),
+        (3, 4 * SECOND_US),
+        (4, 12 * SECOND_US),
+        (5, 25 * SECOND_US),
+    ] {
         turn(
             at,
             vec![],
             vec![Action::Offer {
                 task: TaskId(task),
                 machine: MachineId(1),
-                timeout: S,
+                timeout: SECOND_US,
             }],
         );
-        let why = if task == 5 {
+        let reason = if task == 5 {
             FailureReason::QueueFull
         } else {
             FailureReason::Cores
         };
-        let end = AttemptResult {
+        let result = AttemptResult {
             outcome: AttemptOutcome::Rejected,
-            reason: Some(why),
+            reason: Some(reason),
             closes_task: false,
             load: None,
         };
@@ -563,7 +580,7 @@
                     task: TaskId(task),
                     number: 0,
                 },
-                result: end,
+                result,
             }],
             vec![],
         );
@@ -576,7 +593,7 @@
             elapsed: after,
         };
         summary.feed(&TimedRecord {
-            at: begin + 26 * S,
+            at: begin + 26 * SECOND_US,
             record: answered,
         });
     }
@@ -595,8 +612,8 @@
     let rows = json["ask_to_placed_histogram"]["rows"]
         .as_array()
         .expect("rows");
-    let asks: Vec<u64> = rows.iter().filter_map(|row| row[1].as_u64()).collect();
-    assert_eq!(asks, [1, 0, 1], "up to 1, 2 and 4 ms: {rows:?}");
+    let requests_by_bin: Vec<u64> = rows.iter().filter_map(|row| row[1].as_u64()).collect();
+    assert_eq!(requests_by_bin, [1, 0, 1], "up to 1, 2 and 4 ms: {rows:?}");
     assert!(
         summary
             .to_text()
@@ -616,7 +633,7 @@
         (
             any::<u64>(),
             any::<u32>(),
-            any::<f64>().prop_filter("equal to itself", |x| !x.is_nan())
+            any::<f64>().prop_filter("not NaN", |x| !x.is_nan())
         )
             .prop_map(|(task, number, x)| Event::TaskReported {
                 attempt: AttemptId {
@@ -687,44 +704,44 @@
 
 proptest! {
     #[test]
-    fn any_records_come_back(all in prop::collection::vec((any::<u64>(), arbitrary_record()), 0..40)) {
+    fn arbitrary_records_are_read_back_unchanged(all in prop::collection::vec((any::<u64>(), arbitrary_record()), 0..40)) {
         let all: Vec<TimedRecord> = all.into_iter().map(|(at, record)| TimedRecord { at, record }).collect();
-        let (got, lost) = read(&write_trace(&all)).expect("a file");
-        prop_assert_eq!(lost, 0);
+        let (got, damaged_bytes) = read(&write_trace(&all)).expect("a file");
+        prop_assert_eq!(damaged_bytes, 0);
         prop_assert_eq!(without_names(&got), without_names(&all));
     }
 
     #[test]
-    fn any_octets_after_a_header_are_survived(octets in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_after_a_valid_header_yield_no_records(trailing in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut bytes = Vec::new();
         header().write(&mut bytes).expect("a header");
-        bytes.extend_from_slice(&octets);
-        let (got, _) = read(&bytes).expect("the header is sound");
+        bytes.extend_from_slice(&trailing);
+        let (got, _) = read(&bytes).expect("a valid header");
         prop_assert!(got.is_empty());
     }
 }
 
-/// Writes the fixture; run by hand once for each version of the format.
+/// Writes a fixture file; run by hand once for each format version.
 #[test]
-#[ignore = "writes the fixture of a new version"]
+#[ignore = "writes the fixture file of a new format version"]
 fn writes_fixture_of_current_format_version() {
     use maplethread_trace::header::{MAJOR, MINOR};
     let path = format!("{FIXTURES}/v{MAJOR}.{MINOR}.mtrace");
-    let mut file = std::fs::File::create_new(path).expect("a version without a fixture");
+    let mut file = std::fs::File::create_new(path).expect("no fixture of this format version yet");
     std::io::Write::write_all(&mut file, &write_trace(&recorded_run(20, 2))).expect("a file");
 }
 
 #[test]
 fn anonymised_names_are_equal_within_a_file_and_differ_between_files() {
     use maplethread_trace::anonymise::{Anonymiser, Identifiers};
-    let long = "n".repeat(5000);
+    let long_name = "n".repeat(5000);
     let names = [
         "",
         "a",
         "ledger",
         "ledger-1",
         "edge",
-        &long,
+        &long_name,
         "../../etc",
         "\u{0}\u{7f}",
         "Überweisung",
@@ -741,7 +758,7 @@
                 name: (*name).to_owned(),
             },
         });
-        let asked = Record::RequestReceived {
+        let request = Record::RequestReceived {
             task: 1000 + n,
             service: 1000 + n,
             actor: (*name).to_owned(),
@@ -750,24 +767,27 @@
             idempotency_key: Some((*name).to_owned()),
             received_at: at,
         };
-        records.push(TimedRecord { at, record: asked });
-        let why = (*name).to_owned();
+        records.push(TimedRecord {
+            at,
+            record: request,
+        });
+        let reason = (*name).to_owned();
         records.push(TimedRecord {
             at,
             record: Record::Gap {
                 turns: 0,
                 records: 1,
-                reason: why,
+                reason,
             },
         });
-        let told = Event::PeerMessage {
+        let message = Event::PeerMessage {
             from: 1,
             bytes: name.as_bytes().to_vec(),
         };
         let log = Action::Log((*name).to_owned());
         let turn = Turn {
             now: at,
-            events: vec![told],
+            events: vec![message],
             actions: vec![log],
         };
         records.push(TimedRecord {
@@ -779,33 +799,37 @@
     identifiers.add_header(&header());
     records.iter().for_each(|r| identifiers.add_record(r));
     let copies = [[1; 32], [2; 32]].map(|key| {
-        let hide = Anonymiser::new(key, 7 * S, 0.5);
-        let head = hide.anonymise_header(&header());
-        assert!(head.settings.is_none() && head.seed == 0 && !head.placer.contains("p0"));
+        let anonymiser = Anonymiser::new(key, 7 * SECOND_US, 0.5);
+        let anonymised_header = anonymiser.anonymise_header(&header());
+        assert!(
+            anonymised_header.settings.is_none()
+                && anonymised_header.seed == 0
+                && !anonymised_header.placer.contains("p0")
+        );
         records
             .iter()
-            .map(|r| hide.anonymise_record(r))
+            .map(|r| anonymiser.anonymise_record(r))
             .collect::<Vec<_>>()
     });
     for copy in &copies {
         for (old, new) in records.iter().zip(copy) {
             assert_eq!(identifiers.find_in(new), None, "{new:?}");
-            assert_eq!(new.at, old.at + 7 * S);
+            assert_eq!(new.at, old.at + 7 * SECOND_US);
         }
-        let octets = {
+        let payloads = {
             let bytes = write_trace(copy);
             let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
-            let index = reader.read_index().expect("no fault").expect("an index");
+            let index = reader.read_index().expect("readable").expect("an index");
             index
                 .iter()
                 .flat_map(|e| reader.read_block_bytes(e.offset).expect("a block"))
                 .collect::<Vec<u8>>()
         };
         for text in identifiers.searchable_texts() {
-            let found = octets.windows(text.len()).any(|w| w == text.as_bytes());
-            assert!(!found, "{text} stands in the copy");
+            let found = payloads.windows(text.len()).any(|w| w == text.as_bytes());
+            assert!(!found, "identifier {text} found in the copy");
         }
-        // The same name is the same hash wherever it stands, and other names are others.
+        // Equal names have equal hashes everywhere, and different names have different ones.
         let services: std::collections::BTreeSet<u64> = copy
             .iter()
             .filter_map(|r| {
@@ -817,10 +841,10 @@
             })
             .collect();
         assert_eq!(services.len(), 3 + names.len());
-        let mut sums = [Summary::new(&header()), Summary::new(&header())];
-        records.iter().for_each(|r| sums[0].feed(r));
-        copy.iter().for_each(|r| sums[1].feed(r));
-        let [old, new] = sums.map(|s| s.to_json());
+        let mut summaries = [Summary::new(&header()), Summary::new(&header())];
+        records.iter().for_each(|r| summaries[0].feed(r));
+        copy.iter().for_each(|r| summaries[1].feed(r));
+        let [old, new] = summaries.map(|s| s.to_json());
         assert_eq!(
             (&old["classes"], &old["held_for"]),
             (&new["classes"], &new["held_for"])
@@ -828,8 +852,8 @@
     }
     assert!(
         copies[0].iter().zip(&copies[1]).any(|(a, b)| a != b),
-        "each file has a key of its own"
+        "copies with different keys are equal"
     );
-    // The search finds what was not hidden.
+    // The search finds the identifiers in the original.
     assert!(records.iter().any(|r| identifiers.find_in(r).is_some()));
 }
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -1,4 +1,4 @@
-//! A writer that is killed at whatever octet of a write: what stands in its file is a true beginning of what it wrote.
+//! A writer process killed at an arbitrary byte of a write leaves a file with a prefix of the records that it wrote.
 #![cfg(unix)]
 
 use std::fs::File;
@@ -10,15 +10,17 @@
 
 const OUTPUT_VARIABLE: &str = "MAPLETHREAD_TRACE_KILLED";
 
-/// The n-th record: all of them differ, and pack badly, so that writes are long.
+/// The n-th record. All records differ and compress badly, so that writes are long.
 fn nth_record(n: u64) -> TimedRecord {
-    let noise = |k: u64| {
+    let pseudorandom = |k: u64| {
         (n * 7 + k)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
             .rotate_left(17)
             .wrapping_mul(0xd6e8_feb8_6659_fd93)
     };
-    let actor: String = (0..4).map(|k| format!("{:016x}", noise(k))).collect();
+    let actor: String = (0..4)
+        .map(|k| format!("{:016x}", pseudorandom(k)))
+        .collect();
     let record = Record::RequestReceived {
         task: n,
         service: 3,
@@ -34,7 +36,7 @@
     }
 }
 
-/// Not a test of its own: what the killed process runs. Without the variable it does nothing.
+/// Not a test: the code that the killed process runs. Without the environment variable it does nothing.
 #[test]
 fn writes_until_it_is_killed() {
     let Ok(out) = std::env::var(OUTPUT_VARIABLE) else {
@@ -75,33 +77,31 @@
     }
 }
 
-/// Records of asks in a file, in order, and the octets that are no whole block.
+/// Returns the request records of a file in order, and the number of bytes that are not a valid block.
 fn read(file: &Path) -> (Vec<TimedRecord>, u64) {
     let mut reader =
         Reader::open(BufReader::new(File::open(file).expect("a file"))).expect("a trace");
-    let (mut asks, mut lost) = (Vec::new(), 0);
-    while let Some(part) = reader.next_part().expect("readable") {
+    let (mut requests, mut damaged_bytes) = (Vec::new(), 0);
+    while let Some(part) = reader.next_part().expect("a readable file") {
         match part {
             Part::Block { records, .. } => {
-                asks.extend(
+                requests.extend(
                     records
                         .into_iter()
                         .filter(|r| matches!(r.record, Record::RequestReceived { .. })),
                 );
             }
-            Part::Damaged {
-                byte_count: octets, ..
-            } => lost += octets,
+            Part::Damaged { byte_count, .. } => damaged_bytes += byte_count,
         }
     }
-    (asks, lost)
+    (requests, damaged_bytes)
 }
 
 #[test]
 fn file_of_killed_writer_is_a_prefix_of_what_it_wrote() {
     let folder = tempfile::tempdir().expect("a folder");
     let program = std::env::current_exe().expect("this program");
-    let mut cut_within_a_block = 0;
+    let mut truncated_blocks = 0;
     for round in 0..12u64 {
         let file = folder.path().join(format!("{round}.mtrace"));
         let child = Command::new(&program)
@@ -111,26 +111,26 @@
             .stderr(Stdio::null())
             .spawn()
             .expect("a process");
-        let mut killed = KillOnDrop(child);
-        // Killed once the file is so long, which it passes within a write as well as between two.
-        let enough = 4_000 + round * 61_803;
-        while std::fs::metadata(&file).map_or(0, |m| m.len()) < enough {
+        let mut writer_process = KillOnDrop(child);
+        // The file reaches this length either within a write or between two.
+        let min_file_bytes = 4_000 + round * 61_803;
+        while std::fs::metadata(&file).map_or(0, |m| m.len()) < min_file_bytes {
             assert!(
-                killed.0.try_wait().expect("a child").is_none(),
-                "it writes on until it is killed"
+                writer_process.0.try_wait().expect("a child").is_none(),
+                "the writer ended before it was killed"
             );
             std::thread::yield_now();
         }
-        drop(killed);
-        let (asks, lost) = read(&file);
-        for (n, ask) in asks.iter().enumerate() {
-            assert_eq!(*ask, nth_record(n as u64), "round {round}");
+        drop(writer_process);
+        let (requests, damaged_bytes) = read(&file);
+        for (n, request) in requests.iter().enumerate() {
+            assert_eq!(*request, nth_record(n as u64), "round {round}");
         }
-        cut_within_a_block += u32::from(lost > 0);
+        truncated_blocks += u32::from(damaged_bytes > 0);
         assert!(
-            !asks.is_empty() || enough < 300_000,
-            "round {round}: nothing of {enough} octets"
+            !requests.is_empty() || min_file_bytes < 300_000,
+            "round {round}: no records in {min_file_bytes} bytes"
         );
     }
-    println!("{cut_within_a_block} of 12 files ended within a block");
+    println!("{truncated_blocks} of 12 files ended within a block");
 }
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -1,70 +1,73 @@
-//! What kept tasks from running: each time without a running copy goes to what began it and to what took it.
+//! Losses: each time without a running copy is attributed to the cause of the outage and to its phases.
 
 use maplethread::*;
 use maplethread_trace::losses::LossCollector;
 use maplethread_trace::{Outcome, Record, TimedRecord, Turn};
 use serde_json::{Value, json};
 
-const MS: u64 = 1000;
+const MILLISECOND_US: u64 = 1000;
 
-/// A trace told line by line, in ms.
+/// Builds a trace record by record, with times in ms.
 #[derive(Default)]
 struct TraceBuilder(Vec<TimedRecord>);
 
 impl TraceBuilder {
-    fn record(&mut self, at: u64, record: Record) {
+    fn record(&mut self, at_ms: u64, record: Record) {
         self.0.push(TimedRecord {
-            at: at * MS,
+            at: at_ms * MILLISECOND_US,
             record,
         });
     }
 
-    fn turn(&mut self, at: u64, events: Vec<Event>, actions: Vec<Action>) {
+    fn turn(&mut self, at_ms: u64, events: Vec<Event>, actions: Vec<Action>) {
         self.record(
-            at,
+            at_ms,
             Record::Turn(Turn {
-                now: at * MS,
+                now: at_ms * MILLISECOND_US,
                 events,
                 actions,
             }),
         );
     }
 
-    /// An ask whose module answers with these actions at once.
-    fn request(&mut self, at: u64, task: u64, actor: &str, life: u64, actions: Vec<Action>) {
+    /// A request to which the policy responds with these actions in the same turn.
+    fn request(
+        &mut self,
+        at_ms: u64,
+        task: u64,
+        actor: &str,
+        duration_ms: u64,
+        actions: Vec<Action>,
+    ) {
         let (actor, request) = (actor.to_owned(), format!("{actor}.{task}"));
-        let asked = Record::RequestReceived {
+        let request = Record::RequestReceived {
             task,
             service: 1,
             actor,
             class: 0,
             request_id: request,
             idempotency_key: None,
-            received_at: at * MS,
+            received_at: at_ms * MILLISECOND_US,
         };
-        self.record(at, asked);
-        let asked = Task {
+        self.record(at_ms, request);
+        let request = Task {
             id: TaskId(task),
             service: ServiceId(1),
             class: 0,
             requested: Resources::new(1.0, 1.0),
-            expected_duration: Some(life * MS),
-            deadline: (at + 3000) * MS,
+            expected_duration: Some(duration_ms * MILLISECOND_US),
+            deadline: (at_ms + 3000) * MILLISECOND_US,
             is_resubmission: false,
         };
-        self.turn(at, vec![Event::PlacementRequested(asked)], actions);
+        self.turn(at_ms, vec![Event::PlacementRequested(request)], actions);
     }
 
     fn report(&self) -> Value {
         let mut losses = LossCollector::new(&["web".to_owned()]);
         self.0.iter().for_each(|r| losses.feed(r));
-        let counted = losses.finish();
-        assert!(
-            counted.to_text().starts_with("web:"),
-            "{}",
-            counted.to_text()
-        );
-        counted.to_json()
+        let report = losses.finish();
+        assert!(report.to_text().starts_with("web:"), "{}", report.to_text());
+        report.to_json()
     }
 }
 
@@ -72,7 +75,7 @@
     Action::Offer {
         task: TaskId(task),
         machine: MachineId(host),
-        timeout: 100 * MS,
+        timeout: 100 * MILLISECOND_US,
     }
 }
 
@@ -93,27 +96,27 @@
 fn attempt_finished(
     task: u64,
     number: u32,
-    ending: AttemptOutcome,
-    why: Option<FailureReason>,
+    outcome: AttemptOutcome,
+    reason: Option<FailureReason>,
 ) -> Event {
     Event::AttemptFinished {
         attempt: attempt(task, number),
         result: AttemptResult {
-            outcome: ending,
-            reason: why,
+            outcome,
+            reason,
             closes_task: false,
             load: None,
         },
     }
 }
 
-fn outages_after(counted: &Value, began: &str) -> Value {
-    counted["classes"]["web"]["gaps"][began].clone()
+fn outages_after(report: &Value, cause: &str) -> Value {
+    report["classes"]["web"]["gaps"][cause].clone()
 }
 
 #[test]
 fn outage_time_is_split_by_phase_and_host() {
-    let mut tale = TraceBuilder::default();
+    let mut trace = TraceBuilder::default();
     let host = |machine| Record::Host {
         machine,
         name: format!("host-{machine}"),
@@ -121,9 +124,9 @@
         cell: "a".into(),
         kind: "k".into(),
     };
-    tale.record(0, host(3));
-    // Held for 200 ms, refused by one host after 50, accepted by another after 10, started after 300 more.
-    tale.request(
+    trace.record(0, host(3));
+    // Blocked for 200 ms, rejected by one host after 50 ms, accepted by another after 10 ms, started after 300 ms more.
+    trace.request(
         0,
         1,
         "a",
@@ -133,8 +136,8 @@
             reason: BlockReason::NoCapacity,
         }],
     );
-    tale.turn(200, vec![], vec![offer(1, 2)]);
-    tale.turn(
+    trace.turn(200, vec![], vec![offer(1, 2)]);
+    trace.turn(
         250,
         vec![attempt_finished(
             1,
@@ -144,7 +147,7 @@
         )],
         vec![offer(1, 3)],
     );
-    tale.turn(
+    trace.turn(
         260,
         vec![Event::AttemptAccepted {
             attempt: attempt(1, 1),
@@ -152,40 +155,41 @@
         }],
         vec![],
     );
-    tale.record(
+    trace.record(
         260,
         Record::Answered {
             task: 1,
             outcome: Outcome::Placed { host: 3 },
             attempts: 2,
-            elapsed: 260 * MS,
+            elapsed: 260 * MILLISECOND_US,
         },
     );
-    tale.turn(560, vec![task_started(1, 1)], vec![]);
-    // Lost at 2 s; its owner comes after 700 ms, is refused, and comes again 300 ms before the end of its time.
-    tale.turn(
+    trace.turn(560, vec![task_started(1, 1)], vec![]);
+    // Lost at 2 s; its owner requests it again after 700 ms, is rejected, and requests it once more 300 ms before the
+    // end of the required time.
+    trace.turn(
         2000,
         vec![attempt_finished(1, 1, AttemptOutcome::Disconnected, None)],
         vec![],
     );
-    tale.request(2700, 2, "a", 7_300, vec![]);
-    let refused = Outcome::Rejected {
+    trace.request(2700, 2, "a", 7_300, vec![]);
+    let rejected = Outcome::Rejected {
         reason: "cores".into(),
         retry_after_ms: 1000,
     };
-    tale.record(
+    trace.record(
         2800,
         Record::Answered {
             task: 2,
-            outcome: refused,
+            outcome: rejected,
             attempts: 0,
-            elapsed: 100 * MS,
+            elapsed: 100 * MILLISECOND_US,
         },
     );
-    tale.request(9700, 3, "a", 300, vec![offer(3, 3)]);
-    tale.turn(20_000, vec![], vec![]);
-    let counted = tale.report();
-    let first = outages_after(&counted, "first start");
+    trace.request(9700, 3, "a", 300, vec![offer(3, 3)]);
+    trace.turn(20_000, vec![], vec![]);
+    let report = trace.report();
+    let first = outages_after(&report, "first start");
     assert_eq!(first["count"], 1);
     assert_eq!(
         first["seconds"],
@@ -194,7 +198,7 @@
             "accepted, starting": 0.3,
         })
     );
-    let lost = outages_after(&counted, "Reset");
+    let lost = outages_after(&report, "Reset");
     assert_eq!(
         lost["seconds"],
         json!({
@@ -202,27 +206,27 @@
             "offered": 0.3,
         })
     );
-    assert_eq!(counted["classes"]["web"]["wanted_s"], 10.0);
-    assert_eq!(counted["classes"]["web"]["never_started"], 0);
-    assert_eq!(counted["hosts"]["host-3"]["accepted, starting"], 0.3);
+    assert_eq!(report["classes"]["web"]["wanted_s"], 10.0);
+    assert_eq!(report["classes"]["web"]["never_started"], 0);
+    assert_eq!(report["hosts"]["host-3"]["accepted, starting"], 0.3);
     assert_eq!(
-        counted["hosts"]["#2"]["offered, in vain: Refused (Cores)"],
+        report["hosts"]["#2"]["offered, in vain: Refused (Cores)"],
         0.05
     );
 }
 
 #[test]
 fn loss_of_one_copy_is_no_outage_while_another_runs() {
-    let mut tale = TraceBuilder::default();
-    tale.request(0, 1, "a", 5000, vec![offer(1, 1)]);
-    tale.request(100, 2, "a", 4900, vec![offer(2, 2)]);
-    tale.turn(200, vec![task_started(1, 0), task_started(2, 0)], vec![]);
-    tale.turn(
+    let mut trace = TraceBuilder::default();
+    trace.request(0, 1, "a", 5000, vec![offer(1, 1)]);
+    trace.request(100, 2, "a", 4900, vec![offer(2, 2)]);
+    trace.turn(200, vec![task_started(1, 0), task_started(2, 0)], vec![]);
+    trace.turn(
         1000,
         vec![attempt_finished(1, 0, AttemptOutcome::TimedOut, None)],
         vec![],
     );
-    tale.turn(
+    trace.turn(
         2000,
         vec![attempt_finished(
             2,
@@ -232,31 +236,31 @@
         )],
         vec![],
     );
-    tale.turn(4000, vec![], vec![]);
-    let counted = tale.report();
-    assert_eq!(outages_after(&counted, "TimedOut"), Value::Null);
-    let lost = outages_after(&counted, "Reset (PushedOut)");
+    trace.turn(4000, vec![], vec![]);
+    let report = trace.report();
+    assert_eq!(outages_after(&report, "TimedOut"), Value::Null);
+    let lost = outages_after(&report, "Reset (PushedOut)");
     assert_eq!(
         lost["seconds"],
         json!({"with its owner, told of the loss": 2.0})
     );
     assert_eq!(
-        counted["classes"]["web"]["wanted_s"], 4.0,
-        "the trace ends before its time does"
+        report["classes"]["web"]["wanted_s"], 4.0,
+        "required until the end of the trace"
     );
 }
 
 #[test]
 fn completed_actor_is_not_required_any_more_and_unstarted_actor_is_counted() {
-    let mut tale = TraceBuilder::default();
-    tale.request(0, 1, "a", 5000, vec![offer(1, 1)]);
-    tale.turn(100, vec![task_started(1, 0)], vec![]);
-    tale.turn(
+    let mut trace = TraceBuilder::default();
+    trace.request(0, 1, "a", 5000, vec![offer(1, 1)]);
+    trace.turn(100, vec![task_started(1, 0)], vec![]);
+    trace.turn(
         1000,
         vec![attempt_finished(1, 0, AttemptOutcome::Completed, None)],
         vec![],
     );
-    tale.request(
+    trace.request(
         1000,
         2,
         "b",
@@ -266,14 +270,14 @@
             reason: BlockReason::WarmUpBudget,
         }],
     );
-    tale.turn(9000, vec![], vec![]);
-    let counted = tale.report();
-    assert_eq!(counted["classes"]["web"]["never_started"], 1);
-    assert_eq!(counted["classes"]["web"]["wanted_s"], 2.0);
-    let gaps = outages_after(&counted, "first start");
-    assert_eq!(gaps["count"], 2);
+    trace.turn(9000, vec![], vec![]);
+    let report = trace.report();
+    assert_eq!(report["classes"]["web"]["never_started"], 1);
+    assert_eq!(report["classes"]["web"]["wanted_s"], 2.0);
+    let outages = outages_after(&report, "first start");
+    assert_eq!(outages["count"], 2);
     assert_eq!(
-        gaps["seconds"],
+        outages["seconds"],
         json!({"offered": 0.1, "held for Cold": 1.0})
     );
 }
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -1,4 +1,4 @@
-//! Merging: clocks that differ, parts, inputs twice, and merges of merges.
+//! Merging traces: differing clocks, parts of a run, repeated inputs, and merges of merged traces.
 
 use std::io::Cursor;
 
@@ -7,18 +7,18 @@
 use maplethread_trace::summary::Summary;
 use maplethread_trace::{Header, Outcome, Part, Reader, Record, TimedRecord, Turn, Writer};
 
-const S: u64 = 1_000_000;
-const START: u64 = 1_700_000_000 * S;
+const SECOND_US: u64 = 1_000_000;
+const START_US: u64 = 1_700_000_000 * SECOND_US;
 
 fn header(placer: &str, part: u32) -> Header {
     Header {
         writer: "test".into(),
         module: "m".into(),
         placer: placer.into(),
-        started_ms: START / 1000,
+        started_ms: START_US / 1000,
         seed: 7,
         settings: None,
-        // Each placer has its classes in another order.
+        // Placers number their classes differently.
         classes: if placer == "p1" {
             vec!["web".into(), "batch".into()]
         } else {
@@ -30,16 +30,16 @@
     }
 }
 
-/// A part of the file of a placer whose clock is ahead by `skew`, and that hears of things `lag` late. Hosts have other
-/// numbers at each placer.
-fn trace_file(placer: &str, part: u32, skew: i64, lag: u64) -> Vec<u8> {
+/// A part of the trace of a placer whose clock is ahead by `skew_us`, and that receives events `lag_us` late. Each
+/// placer numbers the hosts differently.
+fn trace_file(placer: &str, part: u32, skew_us: i64, lag_us: u64) -> Vec<u8> {
     let mut bytes = Vec::new();
     let mut writer = Writer::new(&mut bytes, &header(placer, part)).expect("a header");
-    let hash = placer.bytes().map(u64::from).sum::<u64>();
-    let number = |host: u64| ((host + hash) % 10) as u32;
+    let placer_shift = placer.bytes().map(u64::from).sum::<u64>();
+    let host_number = |host: u64| ((host + placer_shift) % 10) as u32;
     for host in 0..10 {
         let record = Record::Host {
-            machine: number(host),
+            machine: host_number(host),
             name: format!("host-{host}"),
             zone: "a".into(),
             cell: "c".into(),
@@ -54,17 +54,17 @@
             name: "ledger".into(),
         },
     });
-    let begin = START + u64::from(part) * 100 * S;
+    let begin = START_US + u64::from(part) * 100 * SECOND_US;
     for n in 0..50u64 {
-        let at = (begin + n * S + lag).wrapping_add(skew as u64);
-        let listing = MachineEntry {
-            machine: MachineId(number(n % 10)),
+        let at = (begin + n * SECOND_US + lag_us).wrapping_add(skew_us as u64);
+        let entry = MachineEntry {
+            machine: MachineId(host_number(n % 10)),
             stable_hash: n % 10,
             zone: 0,
             cell: 0,
             kind: 0,
             state: MachineState::Ready,
-            started_at: Some(begin + n * S),
+            started_at: Some(begin + n * SECOND_US),
             unallocated: None,
         };
         let task = Task {
@@ -73,10 +73,10 @@
             class: if placer == "p1" { 0 } else { 1 },
             requested: Resources::new(1.0, 1.0),
             expected_duration: None,
-            deadline: at + S,
+            deadline: at + SECOND_US,
             is_resubmission: false,
         };
-        let asked = Record::RequestReceived {
+        let request = Record::RequestReceived {
             task: task.id.0,
             service: 5,
             actor: format!("{placer}-{n}"),
@@ -90,18 +90,18 @@
             events: vec![
                 Event::EndpointsUpdated {
                     scope: UpdateScope::Delta,
-                    machines: vec![listing],
+                    machines: vec![entry],
                 },
                 Event::PlacementRequested(task),
             ],
             actions: vec![Action::Offer {
                 task: task.id,
-                machine: MachineId(number(n % 10)),
-                timeout: S,
+                machine: MachineId(host_number(n % 10)),
+                timeout: SECOND_US,
             }],
         };
         let outcome = Outcome::Placed {
-            host: number(n % 10),
+            host: host_number(n % 10),
         };
         let answered = Record::Answered {
             task: task.id.0,
@@ -109,10 +109,10 @@
             attempts: 1,
             elapsed: 500,
         };
-        for (later, record) in [(0, asked), (1, Record::Turn(turn)), (500, answered)] {
+        for (delay_us, record) in [(0, request), (1, Record::Turn(turn)), (500, answered)] {
             writer
                 .push(&TimedRecord {
-                    at: at + later,
+                    at: at + delay_us,
                     record,
                 })
                 .expect("a record");
@@ -141,7 +141,7 @@
 fn records(bytes: &[u8]) -> Vec<TimedRecord> {
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
     let mut all = Vec::new();
-    while let Some(part) = reader.next_part().expect("no fault") {
+    while let Some(part) = reader.next_part().expect("readable") {
         let Part::Block { records, .. } = part else {
             panic!("{part:?}")
         };
@@ -164,8 +164,8 @@
 fn differing_clocks_are_aligned_and_residual_error_is_reported() {
     let (a, b, c) = (
         trace_file("p1", 0, 0, 3000),
-        trace_file("p2", 0, 7 * S as i64, 9000),
-        trace_file("p3", 0, -3 * S as i64, 5000),
+        trace_file("p2", 0, 7 * SECOND_US as i64, 9000),
+        trace_file("p3", 0, -3 * SECOND_US as i64, 5000),
     );
     let merged = merge(&[&a, &b, &c]).expect("a merge");
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
@@ -174,21 +174,21 @@
         .iter()
         .map(|s| (&*s.placer, s.offset_us))
         .collect();
-    // The middle of the three lags is 5 ms; what a lag does is told from a clock by nothing.
+    // The median of the three lags is 5 ms; a lag can't be distinguished from a clock offset.
     let [("p1", one), ("p2", two), ("p3", three)] = sources[..] else {
         panic!("{sources:?}")
     };
-    assert_eq!(two - one, -7 * S as i64 - 6000);
-    assert_eq!(three - one, 3 * S as i64 - 2000);
+    assert_eq!(two - one, -7 * SECOND_US as i64 - 6000);
+    assert_eq!(three - one, 3 * SECOND_US as i64 - 2000);
     assert!(
         header.sources.iter().all(|s| s.error_us == Some(0)),
         "{:?}",
         header.sources
     );
-    // Sorted by corrected time, each source in its own order, every record there.
+    // Records are sorted by corrected time, each source keeps its order, and none is missing.
     let all = records(&merged);
     let mut source = 0;
-    let mut asked: Vec<Vec<String>> = vec![Vec::new(); 3];
+    let mut request_ids: Vec<Vec<String>> = vec![Vec::new(); 3];
     let mut last = 0;
     for r in &all {
         match &r.record {
@@ -198,36 +198,34 @@
                 assert!(r.at >= last);
                 last = r.at;
                 if let Record::RequestReceived {
-                    request_id: request,
-                    class,
-                    ..
+                    request_id, class, ..
                 } = record
                 {
                     assert_eq!(header.classes[*class as usize], "web");
-                    asked[source].push(request.clone());
+                    request_ids[source].push(request_id.clone());
                 }
             }
         }
     }
     for (n, placer) in ["p1", "p2", "p3"].into_iter().enumerate() {
-        let own: Vec<String> = (0..50).map(|i| format!("{placer}-0-{i}")).collect();
-        assert_eq!(asked[n], own);
+        let expected: Vec<String> = (0..50).map(|i| format!("{placer}-0-{i}")).collect();
+        assert_eq!(request_ids[n], expected);
     }
-    let sum = summary(&[&merged]);
+    let merged_summary = summary(&[&merged]);
     assert_eq!(
         (
-            &sum["classes"]["web"]["asked"],
-            &sum["classes"]["batch"]["asked"]
+            &merged_summary["classes"]["web"]["asked"],
+            &merged_summary["classes"]["batch"]["asked"]
         ),
         (&150.into(), &0.into())
     );
-    // Fifteen offers went to each host, whatever number it has where.
+    // Each host received fifteen offers, though each placer numbers it differently.
     for host in 0..10 {
         assert_eq!(
-            sum["hosts"][format!("host-{host}")]["offers"],
+            merged_summary["hosts"][format!("host-{host}")]["offers"],
             15,
             "{}",
-            sum["hosts"]
+            merged_summary["hosts"]
         );
     }
 }
@@ -241,24 +239,24 @@
         trace_file("p3", 0, -50_000, 5000),
     ];
     let [a, b, c, d] = files.each_ref().map(Vec::as_slice);
-    let whole = merge(&[a, b, c, d]).expect("a merge");
+    let merged_all = merge(&[a, b, c, d]).expect("a merge");
     assert!(
-        merge(&[d, b, c, a]).expect("a merge") == whole,
-        "the order makes a difference"
+        merge(&[d, b, c, a]).expect("a merge") == merged_all,
+        "the result depends on the order of inputs"
     );
     let left = merge(&[a, c]).expect("a merge");
     let right = merge(&[d, b]).expect("a merge");
     assert!(
-        merge(&[&left, &right]).expect("a merge") == whole,
-        "the grouping makes a difference"
+        merge(&[&left, &right]).expect("a merge") == merged_all,
+        "the result depends on the grouping of inputs"
     );
-    assert!(merge(&[&merge(&[&left, b]).expect("a merge"), d]).expect("a merge") == whole);
-    // The same input twice, or as a part of another, counts once.
-    assert!(merge(&[a, a, b, &left, c, d]).expect("a merge") == whole);
-    assert!(merge(&[&whole]).expect("a merge") == whole);
-    // Parts of one run in a row come to the same counts as the parts.
-    let run = merge(&[b, a]).expect("a merge");
-    let (of_parts, of_run) = (summary(&[a, b]), summary(&[&run]));
+    assert!(merge(&[&merge(&[&left, b]).expect("a merge"), d]).expect("a merge") == merged_all);
+    // An input given twice, or contained in another one, is merged once.
+    assert!(merge(&[a, a, b, &left, c, d]).expect("a merge") == merged_all);
+    assert!(merge(&[&merged_all]).expect("a merge") == merged_all);
+    // The merged parts of a run have the same counts as the parts one after the other.
+    let merged_run = merge(&[b, a]).expect("a merge");
+    let (summary_of_parts, summary_of_run) = (summary(&[a, b]), summary(&[&merged_run]));
     for key in [
         "classes",
         "hosts",
@@ -267,13 +265,13 @@
         "by_second",
         "unanswered",
     ] {
-        assert_eq!(of_parts[key], of_run[key], "{key}");
+        assert_eq!(summary_of_parts[key], summary_of_run[key], "{key}");
     }
-    // What overlaps without one holding the other can't be told apart.
-    let third = trace_file("p1", 2, 0, 3000);
+    // Inputs that overlap without one containing the other are rejected.
+    let third_part = trace_file("p1", 2, 0, 3000);
     let (one, other) = (
         merge(&[a, b]).expect("a merge"),
-        merge(&[b, &third]).expect("a merge"),
+        merge(&[b, &third_part]).expect("a merge"),
     );
     assert!(matches!(
         merge(&[&one, &other]),
@@ -293,7 +291,7 @@
         };
         writer
             .push(&TimedRecord {
-                at: START + at * S,
+                at: START_US + at * SECOND_US,
                 record,
             })
             .expect("a record");
@@ -313,8 +311,5 @@
         .collect();
     assert_eq!(gaps, [0, 1, 2, 3, 4]);
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
-    assert_eq!(
-        header.sources[1].error_us, None,
-        "nobody shared a sight with it"
-    );
+    assert_eq!(header.sources[1].error_us, None, "no shared observations");
 }
--- a/crates/trace/tests/policy_sources.rs
+++ b/crates/trace/tests/policy_sources.rs
@@ -1,4 +1,4 @@
-//! The hash in a trace's header covers exactly the files that the deploy file names as the decisions.
+//! The policy hash in a trace's header covers exactly the files that `deploy/balancer.toml` lists as the policy.
 
 use maplethread_trace::POLICY_SOURCES;
 
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn every_file_of_the_decisions_is_hashed() {
+fn every_policy_source_file_is_hashed() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../src/policy");
     let mut files: Vec<String> = std::fs::read_dir(folder)
-        .expect("the folder of the decisions")
+        .expect("the policy's folder")
         .map(|entry| entry.expect("an entry").file_name())
         .filter_map(|name| name.into_string().ok())
         .filter(|name| name.ends_with(".rs"))
--- a/crates/trace/tests/printed_actions.rs
+++ b/crates/trace/tests/printed_actions.rs
@@ -1,4 +1,4 @@
-//! Reports print actions under the names that scripts and operators know, whatever the code calls them.
+//! Reports print actions under fixed names that scripts and operators read, independent of the names in the code.
 
 use maplethread::{Action, AttemptId, BlockReason, MachineId, TaskId};
 use maplethread_trace::ActionList;
