--- a/crates/capacity/src/budget_block.rs
+++ b/crates/capacity/src/budget_block.rs
@@ -1,4 +1,4 @@
-//! The generated blocks of the size and of the budgets there.
+//! The generated blocks of the design size and of the budgets at that size.
 
 use crate::markdown::Table;
 use crate::number::{format_figure, format_multiple};
@@ -9,38 +9,38 @@
 use crate::sweep::find_sample;
 use crate::sweep_block::NOT_MEASURED;
 
-/// The highest figure measured at the size, and the sweep that it is from.
+/// The highest value measured at the design size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MeasuredAtSize<'a> {
-    /// The figure.
+    /// The value.
     pub value: f64,
-    /// The sweep.
+    /// The name of the sweep that it was measured in.
     pub sweep: &'a str,
 }
 
-/// The highest figure of a phase at the size that the design is made for, over all sweeps, points and placers.
+/// The highest value of a quantity in a phase at the design size, over all sweeps, points and placers.
 pub fn measured_at_size(
     results: &[SweepResult],
     phase: Phase,
     quantity: Quantity,
 ) -> Option<MeasuredAtSize<'_>> {
-    let of_sweep = |result: &SweepResult| {
-        let at_size = result
+    let highest_in_sweep = |result: &SweepResult| {
+        let points_at_size = result
             .points
             .iter()
             .filter(|point| DESIGN_SIZE.matches(&point.settings, phase));
-        let samples = at_size.filter_map(|point| find_sample(point, phase));
+        let samples = points_at_size.filter_map(|point| find_sample(point, phase));
         samples
             .filter_map(|sample| quantity.measured(sample, Aggregation::Highest))
             .reduce(f64::max)
     };
-    let of_sweeps = results.iter().filter_map(|result| {
+    let highest_by_sweep = results.iter().filter_map(|result| {
         Some(MeasuredAtSize {
-            value: of_sweep(result)?,
+            value: highest_in_sweep(result)?,
             sweep: &result.sweep,
         })
     });
-    of_sweeps.reduce(|highest, next| {
+    highest_by_sweep.reduce(|highest, next| {
         if next.value > highest.value {
             next
         } else {
@@ -49,7 +49,7 @@
     })
 }
 
-/// The block of the size.
+/// The block of the design size.
 pub fn size_block() -> String {
     let mut table = Table::new(&["", "the size"]);
     table.row(&["workers", &format_figure(f64::from(DESIGN_SIZE.workers))]);
@@ -93,8 +93,10 @@
     let mut sweeps: Vec<&str> = Vec::new();
     for budget in Budget::ALL {
         let measured = measured_at_size(results, phase, budget.quantity());
-        row.push(measured.map_or(NOT_MEASURED.to_owned(), |m| budget_cell(budget, m.value)));
-        sweeps.extend(measured.map(|m| m.sweep));
+        row.push(measured.map_or(NOT_MEASURED.to_owned(), |highest| {
+            budget_cell(budget, highest.value)
+        }));
+        sweeps.extend(measured.map(|highest| highest.sweep));
     }
     sweeps.sort_unstable();
     sweeps.dedup();
@@ -102,7 +104,7 @@
     row
 }
 
-/// A measured figure with its headroom, bold where the budget is exceeded.
+/// A measured value with its headroom, bold if the budget is exceeded.
 pub fn budget_cell(budget: Budget, measured: f64) -> String {
     match budget.headroom(measured) {
         None => format_figure(measured),
--- a/crates/capacity/src/dimension.rs
+++ b/crates/capacity/src/dimension.rs
@@ -1,15 +1,15 @@
-//! The names of dimensions, and up to which size a law is fitted.
+//! The names of dimensions, and the size up to which laws are fitted.
 
 use crate::result::Dimension;
 
-/// Workers up to which laws are fitted; larger fleets are foretold.
+/// The number of workers up to which laws are fitted; costs of larger fleets are predicted.
 pub const MAX_FITTED_WORKERS: f64 = 800.0;
 
-/// The fewest sizes that leave a line an error to be estimated from.
+/// The minimum number of sizes to fit: a line through fewer leaves no residual to estimate its error from.
 const MIN_FITTED_SIZES: usize = 3;
 
 impl Dimension {
-    /// What the sizes count, for readers.
+    /// The name on the page.
     pub fn title(self) -> &'static str {
         match self {
             Self::Workers => "workers",
@@ -22,8 +22,9 @@
         }
     }
 
-    /// The size up to which laws are fitted, of sizes in rising order without repeats: 800 workers, otherwise and in
-    /// smaller fleets half of the largest. Where that leaves fewer than three sizes, all but the largest are fitted.
+    /// The size up to which laws are fitted, given the distinct sizes in ascending order: [`MAX_FITTED_WORKERS`] if the
+    /// largest fleet exceeds it, half of the largest size otherwise. If fewer than three sizes are within that limit, it
+    /// is the second largest size.
     pub fn fit_limit(self, sizes: &[f64]) -> Option<f64> {
         let (&largest, smaller) = sizes.split_last()?;
         let limit = match self {
--- a/crates/capacity/src/figure.rs
+++ b/crates/capacity/src/figure.rs
@@ -1,4 +1,4 @@
-//! Keys of figures inside sentences; the documentation of the crate has their forms.
+//! Keys of figures within the page's text; the crate's documentation lists their forms.
 
 use thiserror::Error;
 
@@ -11,87 +11,91 @@
 pub enum FigureKey {
     /// A figure of a sweep.
     Sweep {
-        /// The sweep.
+        /// The name of the sweep.
         sweep: String,
         /// The phase.
         phase: Phase,
         /// The quantity.
         quantity: Quantity,
-        /// What of it.
+        /// The aspect of the quantity.
         aspect: SweepAspect,
     },
-    /// A figure at the size that the design is made for.
+    /// A figure at the design size.
     Budget {
         /// The phase.
         phase: Phase,
         /// The budget.
         budget: Budget,
-        /// The headroom, and not the measured figure.
+        /// Whether the figure is the headroom instead of the measured value.
         headroom: bool,
     },
 }
 
-/// What of a quantity in a sweep.
+/// The aspect of a quantity in a sweep that a figure shows.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SweepAspect {
-    /// Measured at a size.
+    /// The measured value at a size.
     Measured(f64),
-    /// Foretold of a size.
+    /// The predicted value at a held-out size.
     Predicted(f64),
-    /// The error of what was foretold of a size.
+    /// The relative prediction error at a held-out size.
     Error(f64),
-    /// A coefficient of the law, by its name.
+    /// The coefficient of the law with a name.
     Coefficient(String),
 }
 
-/// What is wrong with a key.
+/// Why a key is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// Not one of the forms of a key.
+    /// The key has none of the valid forms.
     #[error(
-        "a key reads SWEEP/SIZE/PHASE/QUANTITY[/foretold|/error], SWEEP/law/PHASE/QUANTITY/COEFFICIENT or budget/PHASE/QUANTITY[/headroom]"
+        "invalid form; expected SWEEP/SIZE/PHASE/QUANTITY[/foretold|/error], SWEEP/law/PHASE/QUANTITY/COEFFICIENT or budget/PHASE/QUANTITY[/headroom]"
     )]
     Form,
-    /// No such phase.
-    #[error("no phase `{0}`")]
+    /// The phase is unknown.
+    #[error("unknown phase `{0}`")]
     Phase(String),
-    /// No such quantity.
-    #[error("no quantity `{0}`")]
+    /// The quantity is unknown.
+    #[error("unknown quantity `{0}`")]
     Quantity(String),
-    /// A quantity without a budget.
-    #[error("no budget for `{0}`")]
+    /// The quantity has no budget.
+    #[error("no budget for quantity `{0}`")]
     Budget(String),
-    /// Not a size.
-    #[error("`{0}` is no size")]
+    /// The size is not a finite number of at least 0.
+    #[error("invalid size `{0}`; expected a number of at least 0")]
     Size(String),
 }
 
 impl FigureKey {
-    /// Reads a key.
+    /// Parses a key.
+    ///
+    /// # Errors
+    ///
+    /// The key has an invalid form, or a part of it is unknown or invalid.
     pub fn parse(key: &str) -> Result<Self, KeyError> {
-        let parts: Vec<&str> = key.split('/').collect();
-        match parts.as_slice() {
-            ["budget", phase, quantity] => budget_key(phase, quantity, false),
-            ["budget", phase, quantity, "headroom"] => budget_key(phase, quantity, true),
-            [sweep, "law", phase, quantity, name] => sweep_key(
+        let segments: Vec<&str> = key.split('/').collect();
+        match segments.as_slice() {
+            ["budget", phase, quantity] => parse_budget_key(phase, quantity, false),
+            ["budget", phase, quantity, "headroom"] => parse_budget_key(phase, quantity, true),
+            [sweep, "law", phase, quantity, coefficient] => parse_sweep_key(
                 sweep,
                 phase,
                 quantity,
-                SweepAspect::Coefficient((*name).to_owned()),
+                SweepAspect::Coefficient((*coefficient).to_owned()),
             ),
-            [sweep, size, phase, quantity] => sweep_key(
+            [sweep, size, phase, quantity] => parse_sweep_key(
                 sweep,
                 phase,
                 quantity,
                 SweepAspect::Measured(parse_size(size)?),
             ),
-            [sweep, size, phase, quantity, "foretold"] => sweep_key(
+            [sweep, size, phase, quantity, "foretold"] => parse_sweep_key(
                 sweep,
                 phase,
                 quantity,
                 SweepAspect::Predicted(parse_size(size)?),
             ),
-            [sweep, size, phase, quantity, "error"] => sweep_key(
+            [sweep, size, phase, quantity, "error"] => parse_sweep_key(
                 sweep,
                 phase,
                 quantity,
@@ -102,7 +106,7 @@
     }
 }
 
-fn budget_key(phase: &str, quantity: &str, headroom: bool) -> Result<FigureKey, KeyError> {
+fn parse_budget_key(phase: &str, quantity: &str, headroom: bool) -> Result<FigureKey, KeyError> {
     let phase = parse_phase(phase)?;
     let budget = Budget::of_quantity(parse_quantity(quantity)?);
     let budget = budget.ok_or_else(|| KeyError::Budget(quantity.to_owned()))?;
@@ -113,7 +117,7 @@
     })
 }
 
-fn sweep_key(
+fn parse_sweep_key(
     sweep: &str,
     phase: &str,
     quantity: &str,
--- a/crates/capacity/src/law.rs
+++ b/crates/capacity/src/law.rs
@@ -1,20 +1,20 @@
-//! Laws of a cost over a size, as linear models of their coefficients.
+//! Laws for a cost as a function of a size, as models that are linear in their coefficients.
 
-/// How a cost grows with the size n.
+/// A law for the cost at size n.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Law {
-    /// a + b·n
+    /// a + b·n.
     Linear,
-    /// a, whatever the size
+    /// a, independent of the size.
     Constant,
-    /// a + b·n + c·n·ln n
+    /// a + b·n + c·n·ln n.
     LinearLogarithmic,
-    /// a·n^b, fitted to logarithms
+    /// a·n^b, fitted to logarithms.
     Power,
 }
 
 impl Law {
-    /// Every law, the line first.
+    /// All laws; the line is first, as it is preferred.
     pub const ALL: [Self; 4] = [
         Self::Linear,
         Self::Constant,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The names of the coefficients, in their order.
+    /// The names of the coefficients in their order.
     pub fn coefficient_names(self) -> &'static [&'static str] {
         match self {
             Self::Linear => &["a", "b"],
@@ -42,8 +42,8 @@
         }
     }
 
-    /// The fewest different sizes to fit the law to. Two make a line or a constant; a law that bends needs one more than it has
-    /// coefficients, or it would pass through any points.
+    /// The minimum number of distinct sizes to fit the law to: two for a line or a constant. A curved law needs one
+    /// more than its number of coefficients, as it would fit any fewer points exactly.
     pub fn min_sizes(self) -> usize {
         match self {
             Self::Linear | Self::Constant => 2,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What each coefficient is multiplied by at a size; nothing where the law is not defined.
+    /// The factors of the coefficients at a size; none if the law is undefined there.
     pub(crate) fn terms(self, size: f64) -> Option<Vec<f64>> {
         match self {
             Self::Linear => Some(vec![1.0, size]),
@@ -63,7 +63,8 @@
         }
     }
 
-    /// The scale that a law is fitted on: logarithms for the power law, which has none of a cost of 0.
+    /// Converts a cost to the scale that the law is fitted on, which is logarithmic for the power law; none if the
+    /// cost has no logarithm.
     pub(crate) fn to_fitted_scale(self, value: f64) -> Option<f64> {
         match self {
             Self::Linear | Self::Constant | Self::LinearLogarithmic => Some(value),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Back from [`Law::to_fitted_scale`].
+    /// Inverts [`Law::to_fitted_scale`].
     pub(crate) fn to_measured_scale(self, value: f64) -> f64 {
         match self {
             Self::Linear | Self::Constant | Self::LinearLogarithmic => value,
--- a/crates/capacity/src/markdown.rs
+++ b/crates/capacity/src/markdown.rs
@@ -1,30 +1,30 @@
-//! Tables as Markdown text.
+//! Builds Markdown text.
 
-/// A table that grows row by row; the first column stands left, the others right.
+/// A table that is built row by row. The first column is aligned left, the others right.
 #[derive(Clone, Debug)]
 pub struct Table {
-    columns: usize,
+    column_count: usize,
     text: String,
 }
 
 impl Table {
-    /// A table with a header and no rows.
+    /// Starts a table with its header.
     pub fn new<S: AsRef<str>>(header: &[S]) -> Self {
         let mut table = Self {
-            columns: header.len(),
+            column_count: header.len(),
             text: String::new(),
         };
         table.row(header);
-        let rule: Vec<&str> = (0..header.len())
+        let alignment_row: Vec<&str> = (0..header.len())
             .map(|column| if column == 0 { "---" } else { "---:" })
             .collect();
-        table.row(&rule);
+        table.row(&alignment_row);
         table
     }
 
-    /// Adds a row; cells that are missing stay empty.
+    /// Adds a row; missing cells are empty.
     pub fn row<S: AsRef<str>>(&mut self, cells: &[S]) {
-        for column in 0..self.columns {
+        for column in 0..self.column_count {
             let cell = cells.get(column).map_or("", |cell| cell.as_ref());
             self.text += "| ";
             self.text += cell;
@@ -33,14 +33,14 @@
         self.text += "|\n";
     }
 
-    /// The table, each row on a line.
+    /// The text of the table, with a line for each row.
     pub fn into_text(self) -> String {
         self.text
     }
 }
 
-/// Text that a reader of the page unfolds.
-pub fn folded(title: &str, text: &str) -> String {
+/// A section that is collapsed until a reader opens it.
+pub fn collapsible(title: &str, text: &str) -> String {
     format!(
         "<details>\n<summary>{title}</summary>\n\n{}\n\n</details>\n",
         text.trim_end()
--- a/crates/capacity/src/number.rs
+++ b/crates/capacity/src/number.rs
@@ -1,13 +1,13 @@
-//! Figures as text, always with the same digits.
+//! Formats numbers for the page, with a fixed number of significant digits.
 
-/// Digits that count.
 const SIGNIFICANT_DIGITS: i32 = 4;
-/// The most digits behind the point.
+/// The maximum number of digits after the decimal point.
 const MAX_DECIMALS: i32 = 9;
-/// Digits between separators.
+/// The number of digits between thousands separators.
 const DIGITS_PER_GROUP: usize = 3;
 
-/// A figure with four digits that count, or all digits before the point, and a comma between thousands.
+/// Formats a number with four significant digits, or with all digits before the decimal point if there are more, and
+/// commas between thousands.
 pub fn format_figure(value: f64) -> String {
     if !value.is_finite() {
         return "∞".to_owned();
@@ -18,28 +18,28 @@
     let magnitude = value.abs().log10().floor() as i32;
     let decimals = (SIGNIFICANT_DIGITS - 1 - magnitude).clamp(0, MAX_DECIMALS) as usize;
     let text = format!("{:.decimals$}", value.abs());
-    let (whole, part) = text.split_once('.').unwrap_or((&text, ""));
-    let part = part.trim_end_matches('0');
-    let mut written = group_digits(whole);
-    if !part.is_empty() {
-        written = format!("{written}.{part}");
+    let (integer_digits, fraction) = text.split_once('.').unwrap_or((&text, ""));
+    let fraction = fraction.trim_end_matches('0');
+    let mut formatted = group_digits(integer_digits);
+    if !fraction.is_empty() {
+        formatted = format!("{formatted}.{fraction}");
     }
-    if value < 0.0 && written != "0" {
-        format!("−{written}")
+    if value < 0.0 && formatted != "0" {
+        format!("−{formatted}")
     } else {
-        written
+        formatted
     }
 }
 
-/// A part of a whole as percent with one digit behind the point and its sign.
-pub fn format_percent(part: f64) -> String {
-    if !part.is_finite() {
+/// Formats a ratio as a signed percentage with one decimal.
+pub fn format_percent(ratio: f64) -> String {
+    if !ratio.is_finite() {
         return "∞".to_owned();
     }
-    let text = format!("{:.1}", part.abs() * 100.0);
+    let text = format!("{:.1}", ratio.abs() * 100.0);
     let sign = if text == "0.0" {
         ""
-    } else if part < 0.0 {
+    } else if ratio < 0.0 {
         "−"
     } else {
         "+"
@@ -47,7 +47,7 @@
     format!("{sign}{text}%")
 }
 
-/// How often something goes into something else.
+/// Formats a factor, such as `1.79×`.
 pub fn format_multiple(factor: f64) -> String {
     if factor >= 100.0 {
         format!("{}×", group_digits(&format!("{factor:.0}")))
@@ -56,17 +56,17 @@
     }
 }
 
-fn group_digits(whole: &str) -> String {
-    let first = whole.len() % DIGITS_PER_GROUP;
-    let (head, tail) = whole.split_at(first);
+fn group_digits(integer_digits: &str) -> String {
+    let first_group_len = integer_digits.len() % DIGITS_PER_GROUP;
+    let (first_group, remaining) = integer_digits.split_at(first_group_len);
     let mut groups: Vec<&str> = Vec::new();
-    if !head.is_empty() {
-        groups.push(head);
+    if !first_group.is_empty() {
+        groups.push(first_group);
     }
     groups.extend(
-        (0..tail.len())
+        (0..remaining.len())
             .step_by(DIGITS_PER_GROUP)
-            .map(|at| &tail[at..at + DIGITS_PER_GROUP]),
+            .map(|at| &remaining[at..at + DIGITS_PER_GROUP]),
     );
     groups.join(",")
 }
--- a/crates/capacity/src/other_points.rs
+++ b/crates/capacity/src/other_points.rs
@@ -1,7 +1,7 @@
-//! The generated table of points with all workers of the size, but with other tasks, starts or placers.
+//! The generated table of points with the workers of the design size, but with other tasks, starts or placers.
 
 use crate::budget_block::budget_cell;
-use crate::markdown::{Table, folded};
+use crate::markdown::{Table, collapsible};
 use crate::number::format_figure;
 use crate::quantity::Aggregation;
 use crate::result::{Dimension, Phase, PhaseSample, PointSettings, SweepResult};
@@ -9,7 +9,7 @@
 use crate::sweep::find_sample;
 use crate::sweep_block::NOT_MEASURED;
 
-/// The table, folded; nothing without such points.
+/// The table as a collapsible section; empty without such points.
 pub fn other_points(results: &[SweepResult]) -> String {
     let rows: Vec<Vec<String>> = Phase::all()
         .flat_map(|phase| phase_rows(results, phase))
@@ -27,7 +27,7 @@
     }
     let workers = format_figure(f64::from(DESIGN_SIZE.workers));
     let title = format!("Measured with {workers} workers, but not at the whole size");
-    format!("\n{}", folded(&title, &table.into_text()))
+    format!("\n{}", collapsible(&title, &table.into_text()))
 }
 
 fn phase_rows(results: &[SweepResult], phase: Phase) -> Vec<Vec<String>> {
@@ -36,7 +36,7 @@
         for point in result
             .points
             .iter()
-            .filter(|point| is_other(&point.settings, phase))
+            .filter(|point| has_design_workers_only(&point.settings, phase))
         {
             let sample = find_sample(point, phase);
             rows.extend(sample.map(|sample| row(&result.sweep, &point.settings, sample)));
@@ -45,7 +45,7 @@
     rows
 }
 
-fn is_other(settings: &PointSettings, phase: Phase) -> bool {
+fn has_design_workers_only(settings: &PointSettings, phase: Phase) -> bool {
     settings.workers == DESIGN_SIZE.workers && !DESIGN_SIZE.matches(settings, phase)
 }
 
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -1,4 +1,4 @@
-//! A Markdown page with generated parts: blocks between markers on their own lines, and figures inside sentences.
+//! Markdown pages with generated parts: blocks between markers on their own lines, and figures within the text.
 
 use std::collections::BTreeSet;
 
@@ -6,26 +6,30 @@
 
 use crate::figure::KeyError;
 
-const BEGIN: &str = "<!-- begin generated:";
-const END: &str = "<!-- end generated:";
-const FIGURE: &str = "<!-- figure:";
+const BLOCK_BEGIN: &str = "<!-- begin generated:";
+const BLOCK_END: &str = "<!-- end generated:";
+const FIGURE_BEGIN: &str = "<!-- figure:";
 const FIGURE_END: &str = "<!-- /figure -->";
-const CLOSE: &str = "-->";
+const MARKER_CLOSE: &str = "-->";
 
-/// What a generated part of the page has to say.
-pub trait Contents {
-    /// The names of the blocks that the page has to have.
+/// Supplies the contents of a page's generated parts.
+pub trait PageContents {
+    /// The names of the blocks that the page must contain.
     fn required_blocks(&self) -> Vec<String>;
     /// The text of a block.
     fn block(&self, name: &str) -> String;
-    /// The text of a figure, or what is wrong with its key.
+    /// The text of a figure.
+    ///
+    /// # Errors
+    ///
+    /// The key is invalid.
     fn figure(&self, key: &str) -> Result<String, KeyError>;
 }
 
-/// Why a page cannot be generated.
+/// Why a page can't be generated.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PageError {
-    /// A block that has to be there is not.
+    /// A required block is missing.
     #[error(
         "no block `{name}`: add the lines `<!-- begin generated: {name} -->` and `<!-- end generated: {name} -->`"
     )]
@@ -33,56 +37,56 @@
         /// The name of the block.
         name: String,
     },
-    /// A block that is there twice.
-    #[error("line {line}: block `{name}` is there twice")]
+    /// A block occurs twice.
+    #[error("line {line}: block `{name}` occurs a second time")]
     RepeatedBlock {
-        /// The line of the second one.
+        /// The line of its second occurrence.
         line: usize,
         /// The name of the block.
         name: String,
     },
-    /// A block without its end.
+    /// A block has no end marker.
     #[error("line {line}: block `{name}` has no end marker")]
-    UnendedBlock {
-        /// The line of its beginning.
+    UnclosedBlock {
+        /// The line of its begin marker.
         line: usize,
         /// The name of the block.
         name: String,
     },
-    /// The end of a block that did not begin.
-    #[error("line {line}: an end marker without its beginning")]
-    UnbegunBlock {
-        /// The line of the end.
+    /// An end marker has no begin marker.
+    #[error("line {line}: end marker without a begin marker")]
+    UnopenedBlock {
+        /// The line of the end marker.
         line: usize,
     },
-    /// A figure without its end on the same line.
-    #[error("line {line}: a figure without `{FIGURE_END}` on its line")]
-    UnendedFigure {
+    /// A figure does not end on its line.
+    #[error("line {line}: no `{FIGURE_END}` on the line of a figure")]
+    UnclosedFigure {
         /// The line.
         line: usize,
     },
-    /// A figure that there is none of.
+    /// A figure has an invalid key.
     #[error("line {line}: figure `{key}`: {problem}")]
     Figure {
         /// The line.
         line: usize,
         /// The key.
         key: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         problem: KeyError,
     },
 }
 
 /// A generated part of a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PartName {
+pub enum PagePart {
     /// A block.
     Block(String),
     /// A figure, by its key.
     Figure(String),
 }
 
-impl std::fmt::Display for PartName {
+impl std::fmt::Display for PagePart {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::Block(name) => write!(f, "block `{name}`"),
@@ -91,17 +95,21 @@
     }
 }
 
-/// A page with its generated parts anew.
+/// A page with regenerated parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Regenerated {
     /// The text of the page.
     pub text: String,
-    /// The parts that differ from what the page said.
-    pub changed: Vec<PartName>,
+    /// The parts whose text changed.
+    pub changed: Vec<PagePart>,
 }
 
-/// Generates the parts of a page anew and leaves the rest as it is.
-pub fn regenerate(page: &str, contents: &dyn Contents) -> Result<Regenerated, PageError> {
+/// Regenerates the generated parts of a page and keeps the rest.
+///
+/// # Errors
+///
+/// A marker has no counterpart, a block is missing or occurs twice, or the key of a figure is invalid.
+pub fn regenerate(page: &str, contents: &dyn PageContents) -> Result<Regenerated, PageError> {
     let mut writer = Writer {
         contents,
         text: String::new(),
@@ -109,14 +117,14 @@
         blocks: BTreeSet::new(),
     };
     let mut lines = page.split_inclusive('\n').zip(1..);
-    while let Some((line, number)) = lines.next() {
-        if let Some(name) = marker(line, BEGIN) {
-            let body = block_body(&mut lines, name, number)?;
-            writer.block(name, number, &body)?;
-        } else if marker(line, END).is_some() {
-            return Err(PageError::UnbegunBlock { line: number });
+    while let Some((line, line_number)) = lines.next() {
+        if let Some(name) = marker(line, BLOCK_BEGIN) {
+            let body = block_body(&mut lines, name, line_number)?;
+            writer.block(name, line_number, &body)?;
+        } else if marker(line, BLOCK_END).is_some() {
+            return Err(PageError::UnopenedBlock { line: line_number });
         } else {
-            writer.line(line, number)?;
+            writer.line(line, line_number)?;
         }
     }
     let missing = contents
@@ -132,47 +140,50 @@
     }
 }
 
-/// The name in a marker that has a line of its own.
+/// The name in a line that consists of a marker; none for other lines.
 fn marker<'a>(line: &'a str, opening: &str) -> Option<&'a str> {
     Some(
         line.trim()
             .strip_prefix(opening)?
-            .strip_suffix(CLOSE)?
+            .strip_suffix(MARKER_CLOSE)?
             .trim(),
     )
 }
 
-/// The lines of a block up to its end marker.
+/// Consumes the lines of a block including its end marker; returns those before the marker.
 fn block_body<'a>(
     lines: &mut impl Iterator<Item = (&'a str, usize)>,
     name: &str,
-    begun: usize,
+    begin_line: usize,
 ) -> Result<String, PageError> {
     let mut body = String::new();
     for (line, _) in lines {
-        if marker(line, END) == Some(name) {
+        if marker(line, BLOCK_END) == Some(name) {
             return Ok(body);
         }
-        if marker(line, BEGIN).or(marker(line, END)).is_some() {
+        if marker(line, BLOCK_BEGIN)
+            .or(marker(line, BLOCK_END))
+            .is_some()
+        {
             break;
         }
         body += line;
     }
-    Err(PageError::UnendedBlock {
-        line: begun,
+    Err(PageError::UnclosedBlock {
+        line: begin_line,
         name: name.to_owned(),
     })
 }
 
 struct Writer<'a> {
-    contents: &'a dyn Contents,
+    contents: &'a dyn PageContents,
     text: String,
-    changed: Vec<PartName>,
+    changed: Vec<PagePart>,
     blocks: BTreeSet<String>,
 }
 
 impl Writer<'_> {
-    fn block(&mut self, name: &str, line: usize, before: &str) -> Result<(), PageError> {
+    fn block(&mut self, name: &str, line: usize, previous: &str) -> Result<(), PageError> {
         if !self.blocks.insert(name.to_owned()) {
             return Err(PageError::RepeatedBlock {
                 line,
@@ -180,38 +191,40 @@
             });
         }
         let body = format!("\n{}\n\n", self.contents.block(name).trim());
-        if body != before {
-            self.changed.push(PartName::Block(name.to_owned()));
+        if body != previous {
+            self.changed.push(PagePart::Block(name.to_owned()));
         }
-        self.text += &format!("{BEGIN} {name} {CLOSE}\n{body}{END} {name} {CLOSE}\n");
+        self.text += &format!(
+            "{BLOCK_BEGIN} {name} {MARKER_CLOSE}\n{body}{BLOCK_END} {name} {MARKER_CLOSE}\n"
+        );
         Ok(())
     }
 
-    fn line(&mut self, line: &str, number: usize) -> Result<(), PageError> {
+    fn line(&mut self, line: &str, line_number: usize) -> Result<(), PageError> {
         let mut rest = line;
-        while let Some((before, figure)) = rest.split_once(FIGURE) {
-            let unended = PageError::UnendedFigure { line: number };
-            let (key, value_on) = figure.split_once(CLOSE).ok_or(unended.clone())?;
-            let (value, after) = value_on.split_once(FIGURE_END).ok_or(unended)?;
-            self.text += before;
-            self.figure(key.trim(), value, number)?;
-            rest = after;
+        while let Some((text_before, figure)) = rest.split_once(FIGURE_BEGIN) {
+            let unclosed = PageError::UnclosedFigure { line: line_number };
+            let (key, value_and_rest) = figure.split_once(MARKER_CLOSE).ok_or(unclosed.clone())?;
+            let (value, after_figure) = value_and_rest.split_once(FIGURE_END).ok_or(unclosed)?;
+            self.text += text_before;
+            self.figure(key.trim(), value, line_number)?;
+            rest = after_figure;
         }
         self.text += rest;
         Ok(())
     }
 
-    fn figure(&mut self, key: &str, before: &str, line: usize) -> Result<(), PageError> {
-        let problem = |problem| PageError::Figure {
+    fn figure(&mut self, key: &str, previous: &str, line: usize) -> Result<(), PageError> {
+        let figure_error = |problem| PageError::Figure {
             line,
             key: key.to_owned(),
             problem,
         };
-        let value = self.contents.figure(key).map_err(problem)?;
-        if value != before {
-            self.changed.push(PartName::Figure(key.to_owned()));
+        let value = self.contents.figure(key).map_err(figure_error)?;
+        if value != previous {
+            self.changed.push(PagePart::Figure(key.to_owned()));
         }
-        self.text += &format!("{FIGURE} {key} {CLOSE}{value}{FIGURE_END}");
+        self.text += &format!("{FIGURE_BEGIN} {key} {MARKER_CLOSE}{value}{FIGURE_END}");
         Ok(())
     }
 }
--- a/crates/capacity/src/parse.rs
+++ b/crates/capacity/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading results from text: what is wrong is told with file and place.
+//! Parses results from text; errors name the file and the position.
 
 use std::collections::BTreeSet;
 
@@ -7,81 +7,87 @@
 
 use crate::result::{Phase, Point, RESULT_FORMAT, SweepResult};
 
-/// The shortest phase, s.
+/// The minimum length of a phase.
 const MIN_SECONDS: f64 = 0.001;
 
-/// No rate, length or processor time is larger.
-const MAX_MEASURE: f64 = 1e9;
+/// The maximum of rates, lengths and processor times.
+const MAX_VALUE: f64 = 1e9;
 
-/// Why a text is no result.
+/// Why a text is not a valid result.
 #[derive(Debug, Error)]
 pub enum ResultError {
-    /// Not JSON, or not of the format.
+    /// The text is not valid JSON, or does not have the structure of a result.
     #[error("{file}: line {}, column {}: {source}", source.line(), source.column())]
     Json {
         /// The file.
         file: String,
-        /// What the parser found, with its place.
+        /// The parser's error, with its position.
         source: serde_json::Error,
     },
-    /// Written in a format that this program does not know.
-    #[error("{file}: format {found} is unknown; this program reads format {RESULT_FORMAT}")]
+    /// The result has an unsupported format version.
+    #[error(
+        "{file}: unsupported format version {found}; this program reads version {RESULT_FORMAT}"
+    )]
     Format {
         /// The file.
         file: String,
-        /// The version that the file names.
+        /// The version in the file.
         found: u32,
     },
-    /// The sweep has another name than its file.
-    #[error("{file}: holds the sweep `{sweep}`; its file has to be named {sweep}.json")]
+    /// The name of the sweep differs from the name of the file.
+    #[error("{file}: contains the sweep `{sweep}`; the file must be named {sweep}.json")]
     Name {
         /// The file.
         file: String,
-        /// The name in the file.
+        /// The name of the sweep in the file.
         sweep: String,
     },
-    /// A value that cannot be.
+    /// A point contains an invalid value.
     #[error("{file}: points[{point}]: {problem}")]
     Point {
         /// The file.
         file: String,
-        /// The position of the point, from 0.
+        /// The index of the point, from 0.
         point: usize,
-        /// What is wrong with it.
+        /// Why the point is invalid.
         problem: PointProblem,
     },
 }
 
-/// What is wrong with a point.
+/// Why a point is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PointProblem {
-    /// A phase without a length.
-    #[error("phase {}: seconds has to be a number from {MIN_SECONDS} to {MAX_MEASURE}", .0.key())]
+    /// The length of a phase is out of range.
+    #[error("phase {}: seconds must be a number from {MIN_SECONDS} to {MAX_VALUE}", .0.key())]
     Seconds(Phase),
-    /// Processor time that cannot be.
-    #[error("phase {}: cpu_cores has to be a number from 0 to {MAX_MEASURE}", .0.key())]
+    /// A processor time is out of range.
+    #[error("phase {}: cpu_cores must be a number from 0 to {MAX_VALUE}", .0.key())]
     Cpu(Phase),
-    /// A phase that is there twice.
-    #[error("phase {} is there twice", .0.key())]
+    /// A phase occurs twice.
+    #[error("phase {} occurs twice", .0.key())]
     RepeatedPhase(Phase),
-    /// A size that cannot be.
-    #[error("settings: rates have to be numbers from 0 to {MAX_MEASURE}")]
+    /// A rate in the settings is out of range.
+    #[error("settings: rates must be numbers from 0 to {MAX_VALUE}")]
     Rate,
 }
 
-/// Only the version, so that another format is told as such and not as an unknown key.
+/// The version only. It is parsed first, so that another version is reported as such and not as an unknown key.
 #[derive(Deserialize)]
-struct Versioned {
+struct FormatVersion {
     format: u32,
 }
 
-/// Reads the result of a sweep. `file` names the text in errors; its stem has to be the name of the sweep.
+/// Parses the result of a sweep. `file` names the text in errors; its stem must be the name of the sweep.
+///
+/// # Errors
+///
+/// The text is not a valid result, has an unsupported format version, or belongs to a file of another name.
 pub fn parse_result(file: &str, text: &str) -> Result<SweepResult, ResultError> {
     let json_error = |source| ResultError::Json {
         file: file.to_owned(),
         source,
     };
-    let Versioned { format } = serde_json::from_str(text).map_err(json_error)?;
+    let FormatVersion { format } = serde_json::from_str(text).map_err(json_error)?;
     if format != RESULT_FORMAT {
         return Err(ResultError::Format {
             file: file.to_owned(),
@@ -90,8 +96,8 @@
     }
     let result: SweepResult = serde_json::from_str(text).map_err(json_error)?;
     check_name(file, &result)?;
-    for (point, checked) in result.points.iter().enumerate() {
-        check_point(checked).map_err(|problem| ResultError::Point {
+    for (point, point_value) in result.points.iter().enumerate() {
+        check_point(point_value).map_err(|problem| ResultError::Point {
             file: file.to_owned(),
             point,
             problem,
@@ -118,21 +124,21 @@
         settings.list_changes_per_second,
         settings.config_changes_per_hour,
     ];
-    if !rates.into_iter().all(is_measure) {
+    if !rates.into_iter().all(is_valid_value) {
         return Err(PointProblem::Rate);
     }
-    let mut seen = BTreeSet::new();
+    let mut seen_phases = BTreeSet::new();
     for sample in &point.phases {
-        if !seen.insert(sample.phase) {
+        if !seen_phases.insert(sample.phase) {
             return Err(PointProblem::RepeatedPhase(sample.phase));
         }
-        if !is_measure(sample.seconds) || sample.seconds < MIN_SECONDS {
+        if !is_valid_value(sample.seconds) || sample.seconds < MIN_SECONDS {
             return Err(PointProblem::Seconds(sample.phase));
         }
         if !sample
             .placers
             .iter()
-            .all(|placer| is_measure(placer.cpu_cores))
+            .all(|placer| is_valid_value(placer.cpu_cores))
         {
             return Err(PointProblem::Cpu(sample.phase));
         }
@@ -140,6 +146,6 @@
     Ok(())
 }
 
-fn is_measure(value: f64) -> bool {
-    (0.0..=MAX_MEASURE).contains(&value)
+fn is_valid_value(value: f64) -> bool {
+    (0.0..=MAX_VALUE).contains(&value)
 }
--- a/crates/capacity/src/phase.rs
+++ b/crates/capacity/src/phase.rs
@@ -1,9 +1,9 @@
-//! The names of phases and faults: as keys of figures and as words of the page.
+//! The names of phases and faults, in keys of figures and on the page.
 
 use crate::result::{Fault, Phase};
 
 impl Fault {
-    /// Every fault, in the order of the page.
+    /// All faults, in the order of the page.
     pub const ALL: [Self; 8] = [
         Self::WorkerDies,
         Self::RackDies,
@@ -15,7 +15,7 @@
         Self::PlacerRestarts,
     ];
 
-    /// The name in keys of figures, the same as in results.
+    /// The name in keys of figures, which equals the name in results.
     pub fn key(self) -> &'static str {
         match self {
             Self::WorkerDies => "worker_dies",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// What happens, for readers.
+    /// The description on the page.
     pub fn title(self) -> &'static str {
         match self {
             Self::WorkerDies => "a worker dies",
@@ -45,7 +45,7 @@
 }
 
 impl Phase {
-    /// Every phase, in the order of the page.
+    /// All phases, in the order of the page.
     pub fn all() -> impl Iterator<Item = Self> {
         [Self::Rest, Self::Peak]
             .into_iter()
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The phase of a key.
+    /// The phase with a key.
     pub fn from_key(key: &str) -> Option<Self> {
         Self::all().find(|phase| phase.key() == key)
     }
 
-    /// The phase for readers.
+    /// The name on the page.
     pub fn title(self) -> String {
         match self {
             Self::Rest => "at rest".to_owned(),
--- a/crates/capacity/src/plot.rs
+++ b/crates/capacity/src/plot.rs
@@ -1,16 +1,16 @@
-//! The plot of a sweep as SVG text: what a placer costs over the size, at rest and at the peak, with the laws found.
+//! The plot of a sweep as SVG text: the costs of a placer by size, at rest and at the peak, with the selected laws.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use thiserror::Error;
 
 use crate::fit::Observation;
+use crate::law_selection::LawSelection;
 use crate::number::format_figure;
 use crate::quantity::{Quantity, TrafficClass};
 use crate::result::{Phase, SweepResult};
-use crate::study::Study;
 
-/// A plot could not be drawn.
+/// The plot of a sweep could not be drawn.
 #[derive(Debug, Error)]
 #[error("plot of {sweep}: {problem}")]
 pub struct PlotError {
@@ -20,14 +20,14 @@
 
 type DrawError = Box<dyn std::error::Error>;
 
-const SIZE: (u32, u32) = (1200, 800);
-/// Pieces that the curve of a law is drawn in.
-const CURVE_STEPS: u32 = 12;
-/// Room above the highest value.
-const HEADROOM: f64 = 1.1;
-const POINT_RADIUS: i32 = 4;
+const SIZE_PIXELS: (u32, u32) = (1200, 800);
+/// The number of line segments that the curve of a law is drawn with.
+const CURVE_SEGMENTS: u32 = 12;
+/// The height of the axis as a factor of the highest value.
+const AXIS_HEIGHT_FACTOR: f64 = 1.1;
+const POINT_RADIUS_PIXELS: i32 = 4;
 
-/// What is drawn, one panel each.
+/// The quantity of each panel.
 const PANELS: [Quantity; 4] = [
     Quantity::Cpu,
     Quantity::ProportionalMemory,
@@ -35,13 +35,17 @@
     Quantity::WireBytes(TrafficClass::All),
 ];
 
-/// Colours that stay apart for people who see few of them (Okabe and Ito).
+/// The phases and their colours, which are from the palette of Okabe and Ito for colour-blind readers.
 const SERIES: [(Phase, RGBColor); 2] = [
     (Phase::Rest, RGBColor(0, 114, 178)),
     (Phase::Peak, RGBColor(213, 94, 0)),
 ];
 
-/// Draws a sweep. Sizes that laws were fitted to are full, those that they foretold are hollow.
+/// Draws a sweep. Points that laws were fitted to are filled, held-out points are hollow.
+///
+/// # Errors
+///
+/// Drawing failed.
 pub fn sweep_plot(result: &SweepResult) -> Result<String, PlotError> {
     let mut svg = String::new();
     draw(&mut svg, result).map_err(|error| PlotError {
@@ -52,7 +56,7 @@
 }
 
 fn draw(svg: &mut String, result: &SweepResult) -> Result<(), DrawError> {
-    let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
+    let area = SVGBackend::with_string(svg, SIZE_PIXELS).into_drawing_area();
     area.fill(&WHITE)?;
     for (panel, quantity) in area.split_evenly((2, 2)).iter().zip(PANELS) {
         draw_panel(panel, result, quantity)?;
@@ -66,11 +70,13 @@
     result: &SweepResult,
     quantity: Quantity,
 ) -> Result<(), DrawError> {
-    let observed = SERIES.map(|(phase, _)| result.observations(phase, quantity));
-    let all = || observed.iter().flatten();
-    let largest = all().map(|o| o.size).fold(1.0, f64::max);
-    let highest = all()
-        .map(|o| o.value)
+    let observations_by_series = SERIES.map(|(phase, _)| result.observations(phase, quantity));
+    let all_observations = || observations_by_series.iter().flatten();
+    let max_size = all_observations()
+        .map(|observation| observation.size)
+        .fold(1.0, f64::max);
+    let max_value = all_observations()
+        .map(|observation| observation.value)
         .reduce(f64::max)
         .filter(|&value| value > 0.0)
         .unwrap_or(1.0);
@@ -79,7 +85,7 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(80)
-        .build_cartesian_2d(0.0..largest * 1.05, 0.0..highest * HEADROOM)?;
+        .build_cartesian_2d(0.0..max_size * 1.05, 0.0..max_value * AXIS_HEIGHT_FACTOR)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -87,26 +93,36 @@
         .x_label_formatter(&|size| format_figure(*size))
         .y_label_formatter(&|value| format_figure(*value))
         .draw()?;
-    for ((phase, colour), observations) in SERIES.into_iter().zip(&observed) {
-        let study = Study::of_dimension(result.dimension, observations);
-        let limit = study.as_ref().map_or(f64::INFINITY, Study::limit);
-        let (fitted, held_out): (Vec<Observation>, Vec<Observation>) =
-            observations.iter().partition(|o| o.size <= limit);
-        let curve = study
-            .map(|study| curve(&study, observations, highest * HEADROOM))
+    for ((phase, colour), observations) in SERIES.into_iter().zip(&observations_by_series) {
+        let selection = LawSelection::of_dimension(result.dimension, observations);
+        let limit = selection
+            .as_ref()
+            .map_or(f64::INFINITY, LawSelection::limit);
+        let (fitted, held_out): (Vec<Observation>, Vec<Observation>) = observations
+            .iter()
+            .partition(|observation| observation.size <= limit);
+        let curve = selection
+            .map(|selection| curve(&selection, observations, max_value * AXIS_HEIGHT_FACTOR))
             .unwrap_or_default();
         chart
             .draw_series(LineSeries::new(curve, colour.stroke_width(2)))?
             .label(phase.title())
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 20, y)], colour.stroke_width(2)));
-        chart.draw_series(
-            fitted
-                .iter()
-                .map(|o| Circle::new((o.size, o.value), POINT_RADIUS, colour.filled())),
-        )?;
-        let hollow =
-            |o: &Observation| Circle::new((o.size, o.value), POINT_RADIUS, colour.stroke_width(2));
-        chart.draw_series(held_out.iter().map(hollow))?;
+        chart.draw_series(fitted.iter().map(|observation| {
+            Circle::new(
+                (observation.size, observation.value),
+                POINT_RADIUS_PIXELS,
+                colour.filled(),
+            )
+        }))?;
+        let hollow_point = |observation: &Observation| {
+            Circle::new(
+                (observation.size, observation.value),
+                POINT_RADIUS_PIXELS,
+                colour.stroke_width(2),
+            )
+        };
+        chart.draw_series(held_out.iter().map(hollow_point))?;
     }
     chart
         .configure_series_labels()
@@ -116,19 +132,25 @@
     Ok(())
 }
 
-/// The law over the measured sizes, as far as the panel shows it.
-fn curve(study: &Study, observations: &[Observation], highest: f64) -> Vec<(f64, f64)> {
-    let fit = &study.chosen().fit;
-    let sizes = || observations.iter().map(|o| o.size);
-    let (first, last) = (
+/// The points of the selected law over the measured sizes, without those outside the panel.
+fn curve(
+    selection: &LawSelection,
+    observations: &[Observation],
+    max_value: f64,
+) -> Vec<(f64, f64)> {
+    let fit = &selection.selected().fit;
+    let sizes = || observations.iter().map(|observation| observation.size);
+    let (min_size, max_size) = (
         sizes().fold(f64::INFINITY, f64::min),
         sizes().fold(0.0, f64::max),
     );
-    let at = |step: u32| first + (last - first) * f64::from(step) / f64::from(CURVE_STEPS);
-    let points = (0..=CURVE_STEPS)
-        .map(at)
+    let size_at = |segment: u32| {
+        min_size + (max_size - min_size) * f64::from(segment) / f64::from(CURVE_SEGMENTS)
+    };
+    let points = (0..=CURVE_SEGMENTS)
+        .map(size_at)
         .map(|size| (size, fit.value(size)));
     points
-        .filter(|(_, value)| (0.0..=highest).contains(value))
+        .filter(|(_, value)| (0.0..=max_value).contains(value))
         .collect()
 }
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -1,4 +1,4 @@
-//! What is fitted and budgeted: quantities of one placer process in one phase.
+//! The quantities of one placer process in one phase, which laws are fitted to and budgets limit.
 
 use crate::result::{MessageCount, MessagePurpose, PhaseSample, ProcessSample};
 
@@ -11,21 +11,21 @@
     ResidentMemory,
     /// Proportional memory, KiB.
     ProportionalMemory,
-    /// Open descriptors.
+    /// Open file descriptors.
     Descriptors,
     /// Connections to hosts.
     HostConnections,
-    /// Time from an ask to its answer, ms, of all placers together.
+    /// Time from a request to its answer, ms, over all placers.
     Answer(AnswerTime),
-    /// Messages a second, both directions.
+    /// Messages per second, both directions.
     Messages(TrafficClass),
-    /// Bytes of messages a second, both directions.
+    /// Message bytes per second, both directions.
     PayloadBytes(TrafficClass),
-    /// Bytes a second on a wire, both directions.
+    /// Bytes per second on the wire, both directions.
     WireBytes(TrafficClass),
 }
 
-/// Which time from an ask to its answer.
+/// A statistic of the time from a request to its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum AnswerTime {
     /// The median.
@@ -37,7 +37,7 @@
 }
 
 impl AnswerTime {
-    /// Every choice, in the order of results.
+    /// All statistics, in the order of results.
     pub const ALL: [Self; 3] = [Self::Median, Self::Percentile99, Self::Longest];
 
     fn key(self) -> &'static str {
@@ -59,23 +59,23 @@
 
 const US_PER_MS: f64 = 1000.0;
 
-/// Which messages count.
+/// A selection of messages by their purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrafficClass {
-    /// Those that are surely control.
+    /// Messages for control only.
     Control,
-    /// Those that are surely placing.
+    /// Messages for placing only.
     Placing,
-    /// Those that can be read as either.
+    /// Messages that serve both purposes.
     Either,
-    /// Control in its widest reading: control and either.
+    /// Control in the wider sense: control and either.
     WideControl,
-    /// All.
+    /// All messages.
     All,
 }
 
 impl TrafficClass {
-    /// Every choice, in the order of the page.
+    /// All selections, in the order of the page.
     pub const ALL: [Self; 5] = [
         Self::Control,
         Self::Placing,
@@ -84,13 +84,13 @@
         Self::All,
     ];
 
-    /// Whether messages of this share count.
-    pub fn includes(self, share: MessagePurpose) -> bool {
+    /// Whether messages of this purpose are included.
+    pub fn includes(self, purpose: MessagePurpose) -> bool {
         match self {
-            Self::Control => share == MessagePurpose::Control,
-            Self::Placing => share == MessagePurpose::Placing,
-            Self::Either => share == MessagePurpose::Either,
-            Self::WideControl => share != MessagePurpose::Placing,
+            Self::Control => purpose == MessagePurpose::Control,
+            Self::Placing => purpose == MessagePurpose::Placing,
+            Self::Either => purpose == MessagePurpose::Either,
+            Self::WideControl => purpose != MessagePurpose::Placing,
             Self::All => true,
         }
     }
@@ -106,40 +106,40 @@
         }
     }
 
-    /// The name for readers.
+    /// The name on the page.
     pub fn title(self) -> &'static str {
         match self {
             Self::WideControl => "control or either",
-            other => other.key(),
+            class => class.key(),
         }
     }
 }
 
-/// How a figure of several placer processes is made.
+/// How the values of several placer processes are combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Aggregation {
-    /// The mean of the processes, for laws.
+    /// The mean of the processes, used for laws.
     Mean,
-    /// The highest process, for budgets. Messages are counted for all placers together, so theirs stays the mean.
+    /// The highest process, used for budgets. Messages are counted over all placers, so theirs is the mean even here.
     Highest,
 }
 
 impl Quantity {
-    /// Every quantity, in the order of the page.
+    /// All quantities, in the order of the page.
     pub fn all() -> impl Iterator<Item = Self> {
-        let process = [
+        let process_quantities = [
             Self::Cpu,
             Self::ResidentMemory,
             Self::ProportionalMemory,
             Self::Descriptors,
             Self::HostConnections,
         ];
-        let counts = [Self::Messages, Self::PayloadBytes, Self::WireBytes];
+        let traffic_quantities = [Self::Messages, Self::PayloadBytes, Self::WireBytes];
         let answers = AnswerTime::ALL.map(Self::Answer);
-        process.into_iter().chain(answers).chain(
-            counts
+        process_quantities.into_iter().chain(answers).chain(
+            traffic_quantities
                 .into_iter()
-                .flat_map(|count| TrafficClass::ALL.map(count)),
+                .flat_map(|quantity| TrafficClass::ALL.map(quantity)),
         )
     }
 
@@ -158,12 +158,12 @@
         }
     }
 
-    /// The quantity of a key.
+    /// The quantity with a key.
     pub fn from_key(key: &str) -> Option<Self> {
         Self::all().find(|quantity| quantity.key() == key)
     }
 
-    /// The name and unit for readers.
+    /// The name and unit on the page.
     pub fn title(self) -> String {
         match self {
             Self::Cpu => "CPU, % of a core".to_owned(),
@@ -178,17 +178,22 @@
         }
     }
 
-    /// The quantity of one placer in a phase; nothing where no placer ran, the phase had no length, or nothing was asked.
-    pub fn measured(self, sample: &PhaseSample, across: Aggregation) -> Option<f64> {
+    /// The value for one placer in a phase; none if no placer ran, the phase had no length, or (for answers) there
+    /// were no requests.
+    pub fn measured(self, sample: &PhaseSample, aggregation: Aggregation) -> Option<f64> {
         match self {
-            Self::Cpu => aggregate_processes(sample, across, |p| p.cpu_cores * 100.0),
-            Self::ResidentMemory => aggregate_processes(sample, across, |p| p.resident_kib as f64),
+            Self::Cpu => aggregate_processes(sample, aggregation, |p| p.cpu_cores * 100.0),
+            Self::ResidentMemory => {
+                aggregate_processes(sample, aggregation, |p| p.resident_kib as f64)
+            }
             Self::ProportionalMemory => {
-                aggregate_processes(sample, across, |p| p.proportional_kib as f64)
+                aggregate_processes(sample, aggregation, |p| p.proportional_kib as f64)
+            }
+            Self::Descriptors => {
+                aggregate_processes(sample, aggregation, |p| f64::from(p.descriptors))
             }
-            Self::Descriptors => aggregate_processes(sample, across, |p| f64::from(p.descriptors)),
             Self::HostConnections => {
-                aggregate_processes(sample, across, |p| f64::from(p.host_connections))
+                aggregate_processes(sample, aggregation, |p| f64::from(p.host_connections))
             }
             Self::Answer(time) => sample
                 .answer_us
@@ -206,11 +211,11 @@
 
 fn aggregate_processes(
     sample: &PhaseSample,
-    across: Aggregation,
-    of: fn(&ProcessSample) -> f64,
+    aggregation: Aggregation,
+    value: fn(&ProcessSample) -> f64,
 ) -> Option<f64> {
-    let values = sample.placers.iter().map(of);
-    match across {
+    let values = sample.placers.iter().map(value);
+    match aggregation {
         Aggregation::Mean => {
             (!sample.placers.is_empty()).then(|| values.sum::<f64>() / sample.placers.len() as f64)
         }
@@ -221,13 +226,13 @@
 fn messages_per_placer_second(
     sample: &PhaseSample,
     traffic: TrafficClass,
-    of: fn(&MessageCount) -> u64,
+    value: fn(&MessageCount) -> u64,
 ) -> Option<f64> {
     let placer_seconds = sample.placers.len() as f64 * sample.seconds;
-    let counted = sample
+    let included = sample
         .messages
         .iter()
         .filter(|m| traffic.includes(m.kind.purpose()));
-    let total: f64 = counted.map(|m| of(m) as f64).sum();
+    let total: f64 = included.map(|m| value(m) as f64).sum();
     (placer_seconds > 0.0).then(|| total / placer_seconds)
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,21 +1,21 @@
-//! What is derived from all results: the blocks and figures of the page, and the plots.
+//! The report on all results: the blocks and figures of the page, and the plots.
 
 use crate::budget_block::{budget_block, measured_at_size, size_block};
 use crate::figure::{FigureKey, KeyError, SweepAspect};
+use crate::law_selection::LawEvaluation;
 use crate::number::{format_figure, format_multiple, format_percent};
-use crate::page::Contents;
+use crate::page::PageContents;
 use crate::plot::{PlotError, sweep_plot};
 use crate::quantity::Quantity;
 use crate::result::{Phase, SweepResult};
-use crate::study::Trial;
 use crate::sweep_block::{NOT_MEASURED, sweep_block};
 
-/// The block of the size that the design is made for.
+/// The name of the block of the design size.
 pub const SIZE_BLOCK: &str = "size";
-/// The block of the budgets at that size.
+/// The name of the block of the budgets at that size.
 pub const BUDGET_BLOCK: &str = "budgets";
 
-/// A plot as a file beside the results.
+/// A plot, to be written to a file next to the results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Plot {
     /// The name of the file.
@@ -24,7 +24,7 @@
     pub svg: String,
 }
 
-/// All results, and what is said of them.
+/// The report on the results of all sweeps.
 #[derive(Clone, Debug)]
 pub struct Report {
     results: Vec<SweepResult>,
@@ -32,7 +32,7 @@
 }
 
 impl Report {
-    /// A report of results, whose page finds the plots in `plot_folder`.
+    /// Creates a report. `plot_folder` is the path of the plots' folder, relative to the page.
     pub fn new(mut results: Vec<SweepResult>, plot_folder: &str) -> Self {
         results.sort_by(|a, b| a.sweep.cmp(&b.sweep));
         Self {
@@ -41,7 +41,11 @@
         }
     }
 
-    /// The plot of each sweep.
+    /// Draws the plot of each sweep.
+    ///
+    /// # Errors
+    ///
+    /// A plot could not be drawn.
     pub fn plots(&self) -> Result<Vec<Plot>, PlotError> {
         let plot = |result: &SweepResult| {
             Ok(Plot {
@@ -67,8 +71,8 @@
         if let SweepAspect::Measured(size) = aspect {
             return result.measured(phase, quantity, *size).map(format_figure);
         }
-        let study = result.study(phase, quantity)?;
-        trial_figure(study.chosen(), aspect)
+        let selection = result.select_law(phase, quantity)?;
+        evaluation_figure(selection.selected(), aspect)
     }
 
     fn key_figure(&self, key: &FigureKey) -> Option<String> {
@@ -95,10 +99,10 @@
     }
 }
 
-impl Contents for Report {
+impl PageContents for Report {
     fn required_blocks(&self) -> Vec<String> {
-        let fixed = [SIZE_BLOCK, BUDGET_BLOCK].map(str::to_owned);
-        fixed
+        let fixed_blocks = [SIZE_BLOCK, BUDGET_BLOCK].map(str::to_owned);
+        fixed_blocks
             .into_iter()
             .chain(self.results.iter().map(|result| result.sweep.clone()))
             .collect()
@@ -126,29 +130,33 @@
     }
 }
 
-fn trial_figure(trial: &Trial, aspect: &SweepAspect) -> Option<String> {
+fn evaluation_figure(evaluation: &LawEvaluation, aspect: &SweepAspect) -> Option<String> {
     let held_out = |size: f64| {
-        trial
+        evaluation
             .held_out
             .iter()
             .find(|held_out| held_out.measured.size == size)
     };
     match aspect {
         SweepAspect::Measured(_) => None,
-        SweepAspect::Predicted(size) => held_out(*size).map(|h| format_figure(h.predicted.value)),
-        SweepAspect::Error(size) => held_out(*size).map(|h| format_percent(h.relative_error())),
+        SweepAspect::Predicted(size) => {
+            held_out(*size).map(|held_out| format_figure(held_out.predicted.value))
+        }
+        SweepAspect::Error(size) => {
+            held_out(*size).map(|held_out| format_percent(held_out.relative_error()))
+        }
         SweepAspect::Coefficient(name) => {
-            let position = trial
+            let position = evaluation
                 .fit
                 .law()
                 .coefficient_names()
                 .iter()
-                .position(|n| n == name)?;
-            trial
+                .position(|coefficient_name| coefficient_name == name)?;
+            evaluation
                 .fit
                 .coefficients()
                 .get(position)
-                .map(|c| format_figure(c.value))
+                .map(|coefficient| format_figure(coefficient.value))
         }
     }
 }
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -1,25 +1,25 @@
-//! The result of one sweep, as it is kept in `docs/capacity/*.json`.
+//! The result of a sweep, as stored in `docs/capacity/*.json`.
 
 use serde::{Deserialize, Serialize};
 
-/// Version of the result format.
+/// The version of the result format.
 pub const RESULT_FORMAT: u32 = 1;
 
-/// One sweep: a dimension that varies while the others stand still.
+/// The result of a sweep, which varies one dimension and keeps the others fixed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SweepResult {
-    /// Version of this format, [`RESULT_FORMAT`].
+    /// The format version, [`RESULT_FORMAT`].
     pub format: u32,
-    /// Name of the sweep: the stem of its file under `config/scale`.
+    /// The name of the sweep, which is the stem of its file in `config/scale`.
     pub sweep: String,
-    /// What varies.
+    /// The dimension that varies.
     pub dimension: Dimension,
-    /// The command that repeats the sweep.
+    /// The command to repeat the sweep.
     pub command: String,
-    /// Commit of the program that was measured, as `git describe --always --dirty` names it.
+    /// The commit of the measured program, as named by `git describe --always --dirty`.
     pub commit: String,
-    /// Where it was measured.
+    /// The machine that the sweep ran on.
     pub machine: Machine,
     /// The measured points, in the order of the sweep.
     pub points: Vec<Point>,
@@ -29,19 +29,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Dimension {
-    /// Hosts that a placer is connected to.
+    /// The number of hosts that each placer is connected to.
     Workers,
-    /// Placers that a host is connected to.
+    /// The number of placers that each host is connected to.
     Placers,
-    /// Tasks that run over the whole fleet.
+    /// The number of running tasks in the whole fleet.
     Tasks,
-    /// Task starts a second over the whole fleet.
+    /// Task starts per second in the whole fleet.
     StartsPerSecond,
-    /// Changes of the host list a second.
+    /// Changes of the host list per second.
     ListChangesPerSecond,
-    /// Changes of the configuration an hour.
+    /// Changes of the configuration per hour.
     ConfigChangesPerHour,
-    /// Members of the placers' view of each other.
+    /// The number of members of the placers' membership protocol.
     Members,
 }
 
@@ -49,25 +49,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Machine {
-    /// Model of the processor.
+    /// The model of the processor.
     pub processor: String,
-    /// Processors that the operating system shows.
+    /// The number of logical processors.
     pub cores: u32,
-    /// Memory.
+    /// The size of the memory, MiB.
     pub memory_mib: u64,
-    /// Release of the kernel.
+    /// The release of the kernel.
     pub kernel: String,
 }
 
-/// One measured size.
+/// The measurements at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// Seed of all that was drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// The size, the swept dimension included.
+    /// The size, including the swept dimension.
     pub settings: PointSettings,
-    /// What was measured, phase by phase.
+    /// The sample of each measured phase.
     pub phases: Vec<PhaseSample>,
 }
 
@@ -75,21 +75,21 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PointSettings {
-    /// Hosts.
+    /// The number of hosts.
     pub workers: u32,
-    /// Real placer processes.
+    /// The number of real placer processes.
     pub placers: u32,
-    /// Hollow placers beside them: the host's side of the protocol without processes.
+    /// The number of additional hollow placers: connections of a placer to the hosts without a placer process.
     pub hollow_placers: u32,
-    /// Tasks that run over the whole fleet before the phases begin.
+    /// The number of tasks that are running in the whole fleet before the first phase.
     pub tasks: u32,
-    /// Task starts a second over the whole fleet at the peak.
+    /// Task starts per second in the whole fleet at the peak.
     pub starts_per_second: f64,
-    /// Changes of the host list a second at the peak.
+    /// Changes of the host list per second at the peak.
     pub list_changes_per_second: f64,
-    /// Changes of the configuration an hour at the peak.
+    /// Changes of the configuration per hour at the peak.
     pub config_changes_per_hour: f64,
-    /// Members of the placers' view of each other; 0 without a view.
+    /// The number of members of the placers' membership protocol; 0 if it is disabled.
     pub members: u32,
 }
 
@@ -112,15 +112,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Nothing but what runs already.
+    /// No starts and no changes; only the tasks that are already running.
     Rest,
     /// Starts, list changes and configuration changes at the rates of the point.
     Peak,
-    /// The worst second around a fault, measured from its beginning until the fleet has settled.
+    /// The second with the highest load after a fault, from its beginning until the fleet has settled.
     WorstSecond(Fault),
 }
 
-/// A fault at size.
+/// A fault that is injected into the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -130,122 +130,139 @@
     RackDies,
     /// A quarter of the workers die at once.
     ZoneDies,
-    /// They return together, cold.
+    /// That quarter returns at once, as cold hosts.
     ZoneReturns,
-    /// Half of the workers cannot be reached for a minute.
+    /// Half of the workers are unreachable for a minute.
     RegionCut,
-    /// They can be reached again.
+    /// That half is reachable again.
     RegionHeals,
-    /// Workers are restarted one after the other, a day's restarts compressed.
+    /// Workers are restarted one after the other: the restarts of a day, at a higher rate.
     WorkerRestarts,
     /// All placers are restarted in steps.
     PlacerRestarts,
 }
 
-/// What was measured in one phase.
+/// The measurements of a phase.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PhaseSample {
     /// The phase.
     pub phase: Phase,
-    /// How long it was measured; 1 for a worst second.
+    /// The length of the measurement in s; 1 for a worst second.
     pub seconds: f64,
-    /// Each real placer process.
+    /// The measurements of each real placer process.
     pub placers: Vec<ProcessSample>,
-    /// Messages of the whole phase between all real placers and all hosts, by kind and direction.
+    /// The messages between all real placers and all hosts during the phase, by kind and direction.
     pub messages: Vec<MessageCount>,
-    /// Packets of the phase that the loopback interface counted; absent where other programs used it.
+    /// The packets that the loopback interface counted during the phase; absent if other programs used it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub loopback_packets: Option<u64>,
-    /// Time from an ask to its answer, median, 99th percentile and longest, µs; absent without asks.
+    /// The time from a request to its answer, µs: median, 99th percentile and maximum; absent without requests.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub answer_us: Option<[u64; 3]>,
 }
 
-/// One process, measured from outside.
+/// The measurements of one process, taken from outside it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProcessSample {
-    /// Processor time of the phase over its length: 1 is a whole core.
+    /// The processor time during the phase divided by the phase's length; 1 is a whole core.
     pub cpu_cores: f64,
-    /// Resident memory at the end of the phase.
+    /// The resident memory at the end of the phase, KiB.
     pub resident_kib: u64,
-    /// Proportional memory at the end of the phase.
+    /// The proportional memory at the end of the phase, KiB.
     pub proportional_kib: u64,
-    /// Open descriptors at the end of the phase.
+    /// The number of open file descriptors at the end of the phase.
     pub descriptors: u32,
-    /// Connections to hosts at the end of the phase.
+    /// The number of connections to hosts at the end of the phase.
     pub host_connections: u32,
 }
 
-/// Messages of one kind in one direction.
+/// The messages of one kind in one direction.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MessageCount {
     /// The kind.
     pub kind: MessageKind,
-    /// Who sent them.
+    /// The direction.
     pub direction: Direction,
-    /// How many.
+    /// The number of messages.
     pub count: u64,
-    /// Their own bytes.
+    /// The size of the messages in bytes.
     pub payload_bytes: u64,
-    /// Their bytes on a wire: payload, a TCP/IP header for each segment that carried them, and the acknowledgements.
+    /// Their size on the wire in bytes: payload, a TCP/IP header for each segment that carried them, and the
+    /// acknowledgements.
     pub wire_bytes: u64,
 }
 
-/// Who sent a message.
+/// The direction of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Direction {
-    /// A placer sent it.
+    /// From a placer.
     FromPlacer,
-    /// A host, or another peer of the placer, sent it.
+    /// To a placer, from a host or another peer.
     ToPlacer,
 }
 
 /// A kind of message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-#[allow(missing_docs)]
 pub enum MessageKind {
+    /// The first message of either side on a connection.
     Hello,
+    /// A host reports a task that it holds when a placer connects.
     Held,
+    /// The end of a host's list of held tasks.
     HeldEnd,
+    /// A heartbeat.
     Ping,
+    /// The answer to a heartbeat.
     Pong,
+    /// A placer requests a host's unallocated resources.
     Probe,
+    /// A host reports its unallocated resources, in answer to a probe.
     Report,
+    /// A host is draining.
     Drain,
+    /// A host reports a measurement of a task.
     Note,
+    /// Either side closes the connection, with the reason.
     Bye,
+    /// A placer offers a task.
     Offer,
+    /// A host accepted a task.
     Accepted,
+    /// A host rejected a task.
     Refused,
+    /// A task has started.
     Started,
+    /// A task has ended.
     Ended,
+    /// A placer cancels an attempt.
     Cancel,
+    /// A placer requests that an accepted task be stopped.
     Stop,
-    /// Setting up and closing a connection.
+    /// Opening and closing a connection.
     Connection,
-    /// A datagram of the placers' view of each other.
+    /// A datagram of the placers' membership protocol.
     FleetDatagram,
 }
 
-/// What a message is sent for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MessagePurpose {
-    /// Knowing who is there and in what state.
+    /// Discovery and health of hosts and placers.
     Control,
-    /// Placing, running and ending tasks.
+    /// Placing, running and ending of tasks.
     Placing,
-    /// Both readings are possible.
+    /// Serves both purposes.
     Either,
 }
 
 impl MessageKind {
-    /// What messages of this kind are sent for.
+    /// The purpose of messages of this kind.
     pub fn purpose(self) -> MessagePurpose {
         match self {
             Self::Hello | Self::HeldEnd | Self::Ping | Self::Pong | Self::Drain | Self::Bye => {
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -1,4 +1,4 @@
-//! The size that the design is made for, and what a placer may cost there.
+//! The size that the system is designed for, and the budgets of a placer at that size.
 
 use crate::quantity::{Quantity, TrafficClass};
 use crate::result::{Phase, PointSettings};
@@ -6,17 +6,17 @@
 /// A size of the whole installation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstallationSize {
-    /// Workers.
+    /// The number of workers.
     pub workers: u32,
-    /// Tasks that run.
+    /// The number of running tasks.
     pub tasks: u32,
-    /// Task starts a second.
+    /// Task starts per second.
     pub starts_per_second: f64,
-    /// Control machines, each with one placer.
+    /// The number of control machines, each with one placer.
     pub control_machines: u32,
 }
 
-/// The size that the design is made for.
+/// The size that the system is designed for.
 pub const DESIGN_SIZE: InstallationSize = InstallationSize {
     workers: 1_300,
     tasks: 24_000,
@@ -24,51 +24,52 @@
     control_machines: 6,
 };
 
-/// Processor time that a placer may take at the size, percent of a core.
+/// The maximum processor time of a placer at the design size, percent of a core.
 pub const MAX_CPU_PERCENT: f64 = 2.5;
 
-/// Memory that a placer may take at the size: 32 MB, of 10^6 bytes each.
+/// The maximum memory of a placer at the design size: 32 MB of 10^6 bytes.
 pub const MAX_MEMORY_BYTES: f64 = 32e6;
 
-/// Control traffic that a placer may cause at the size, both directions: 12 KB/s, of 1,000 bytes each.
+/// The maximum control traffic of a placer at the design size, both directions: 12 KB/s of 1,000 bytes.
 pub const MAX_CONTROL_BYTES_PER_SECOND: f64 = 12e3;
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
 impl InstallationSize {
-    /// Whether a phase of a point was measured at this size: real and hollow placers count alike, and nothing starts at
-    /// rest.
+    /// Whether a phase of a point was measured at this size. Real and hollow placers count equally, and the rate of
+    /// starts is ignored at rest, as no tasks start there.
     pub fn matches(&self, settings: &PointSettings, phase: Phase) -> bool {
-        let starts_as_often = settings.starts_per_second == self.starts_per_second;
+        let has_equal_start_rate = settings.starts_per_second == self.starts_per_second;
         settings.workers == self.workers
             && settings.tasks == self.tasks
-            && (starts_as_often || phase == Phase::Rest)
+            && (has_equal_start_rate || phase == Phase::Rest)
             && settings.placers.saturating_add(settings.hollow_placers) == self.control_machines
     }
 }
 
-/// One reading of a budget. Memory is read as resident and as proportional; control traffic as payload and on a wire,
-/// with and without the messages that can be read as placing too.
+/// A budget with the quantity that it is compared with. The memory budget is compared with resident and with
+/// proportional memory; the control traffic budget with payload and wire bytes, each with and without the messages that
+/// serve placing too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
     /// Processor time.
     Cpu,
-    /// Memory, shared pages counted in full.
+    /// Memory, with shared pages counted in full.
     ResidentMemory,
-    /// Memory, shared pages counted by their part.
+    /// Memory, with shared pages divided by the number of processes that share them.
     ProportionalMemory,
-    /// Control traffic, bytes of the messages.
+    /// Control traffic, message bytes.
     ControlPayload,
-    /// Control traffic in its widest reading, bytes of the messages.
+    /// Control traffic in the wider sense, message bytes.
     WideControlPayload,
-    /// Control traffic, bytes on a wire.
+    /// Control traffic, bytes on the wire.
     ControlWire,
-    /// Control traffic in its widest reading, bytes on a wire.
+    /// Control traffic in the wider sense, bytes on the wire.
     WideControlWire,
 }
 
 impl Budget {
-    /// Every reading, in the order of the page.
+    /// All budgets, in the order of the page.
     pub const ALL: [Self; 7] = [
         Self::Cpu,
         Self::ResidentMemory,
@@ -79,7 +80,7 @@
         Self::WideControlWire,
     ];
 
-    /// What is held against the budget.
+    /// The quantity that is compared with the budget.
     pub fn quantity(self) -> Quantity {
         match self {
             Self::Cpu => Quantity::Cpu,
@@ -109,7 +110,7 @@
             .find(|budget| budget.quantity() == quantity)
     }
 
-    /// How often the measured figure goes into the budget: below 1 it is exceeded. Nothing for a figure of 0.
+    /// The budget divided by the measured value, which is below 1 if the budget is exceeded; none if the value is 0.
     pub fn headroom(self, measured: f64) -> Option<f64> {
         (measured > 0.0).then(|| self.limit() / measured)
     }
--- a/crates/capacity/src/sweep.rs
+++ b/crates/capacity/src/sweep.rs
@@ -1,26 +1,26 @@
-//! A sweep as it is looked up: sizes, measured quantities and the laws of them.
+//! Queries on a sweep's result: its sizes, measured quantities and laws.
 
 use crate::fit::{Observation, distinct_sizes};
+use crate::law_selection::LawSelection;
 use crate::quantity::{Aggregation, Quantity};
 use crate::result::{Phase, PhaseSample, Point, SweepResult};
-use crate::study::Study;
 
-/// A measured phase with the size of its point.
+/// The sample of a phase with the size of its point.
 #[derive(Clone, Copy, Debug)]
 pub struct SizedSample<'a> {
-    /// The size in the dimension of the sweep.
+    /// The size in the sweep's dimension.
     pub size: f64,
-    /// What was measured.
+    /// The sample.
     pub sample: &'a PhaseSample,
 }
 
 impl SweepResult {
-    /// The size of a point in the dimension of the sweep.
+    /// The size of a point in the sweep's dimension.
     pub fn size_of(&self, point: &Point) -> f64 {
         point.settings.value(self.dimension)
     }
 
-    /// The phases that were measured at any size, in the order of the page.
+    /// The phases that were measured at some size, in the order of the page.
     pub fn measured_phases(&self) -> Vec<Phase> {
         Phase::all()
             .filter(|&phase| !self.samples(phase).is_empty())
@@ -29,32 +29,33 @@
 
     /// The samples of a phase, in the order of the sweep.
     pub fn samples(&self, phase: Phase) -> Vec<SizedSample<'_>> {
-        let sized = |point| {
+        let to_sized_sample = |point| {
             let sample = find_sample(point, phase)?;
             Some(SizedSample {
                 size: self.size_of(point),
                 sample,
             })
         };
-        self.points.iter().filter_map(sized).collect()
+        self.points.iter().filter_map(to_sized_sample).collect()
     }
 
-    /// A quantity of a phase at each size, the mean of the placers.
+    /// The values of a quantity in a phase at each size, as the mean of the placers.
     pub fn observations(&self, phase: Phase, quantity: Quantity) -> Vec<Observation> {
-        let observed = |sized: SizedSample<'_>| {
-            let value = quantity.measured(sized.sample, Aggregation::Mean)?;
+        let to_observation = |sized_sample: SizedSample<'_>| {
+            let value = quantity.measured(sized_sample.sample, Aggregation::Mean)?;
             Some(Observation {
-                size: sized.size,
+                size: sized_sample.size,
                 value,
             })
         };
         self.samples(phase)
             .into_iter()
-            .filter_map(observed)
+            .filter_map(to_observation)
             .collect()
     }
 
-    /// A quantity of a phase at a size, the mean of its points and of the placers.
+    /// The value of a quantity in a phase at a size, as the mean of its points and the placers; none if it was not
+    /// measured.
     pub fn measured(&self, phase: Phase, quantity: Quantity, size: f64) -> Option<f64> {
         let mut values: Vec<f64> = Vec::new();
         for observation in self.observations(phase, quantity) {
@@ -65,22 +66,22 @@
         (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
     }
 
-    /// The laws of a quantity in a phase; nothing with too few sizes.
-    pub fn study(&self, phase: Phase, quantity: Quantity) -> Option<Study> {
-        Study::of_dimension(self.dimension, &self.observations(phase, quantity))
+    /// Selects a law for a quantity in a phase; none with too few sizes.
+    pub fn select_law(&self, phase: Phase, quantity: Quantity) -> Option<LawSelection> {
+        LawSelection::of_dimension(self.dimension, &self.observations(phase, quantity))
     }
 
-    /// The sizes of the sweep, rising and without repeats.
+    /// The distinct sizes of the sweep in ascending order.
     pub fn sizes(&self) -> Vec<f64> {
-        let sized = |point| Observation {
+        let to_observation = |point| Observation {
             size: self.size_of(point),
             value: 0.0,
         };
-        distinct_sizes(&self.points.iter().map(sized).collect::<Vec<_>>())
+        distinct_sizes(&self.points.iter().map(to_observation).collect::<Vec<_>>())
     }
 }
 
-/// What was measured of a phase at a point.
+/// The sample of a phase at a point.
 pub fn find_sample(point: &Point, phase: Phase) -> Option<&PhaseSample> {
     point.phases.iter().find(|sample| sample.phase == phase)
 }
--- a/crates/capacity/src/sweep_block.rs
+++ b/crates/capacity/src/sweep_block.rs
@@ -1,20 +1,20 @@
-//! The generated block of a sweep: where it was measured, its points, its laws and what they foretold.
+//! The generated block of a sweep: the machine, the points, and the laws with their predictions.
 
 use crate::fit::Interval;
-use crate::markdown::{Table, folded};
+use crate::law_selection::{FitVerdict, HeldOut, LawEvaluation, LawSelection, MAX_RELATIVE_ERROR};
+use crate::markdown::{Table, collapsible};
 use crate::number::{format_figure, format_percent};
 use crate::quantity::{Aggregation, AnswerTime, Quantity, TrafficClass};
 use crate::result::{Phase, PhaseSample, SweepResult};
-use crate::study::{FitVerdict, HeldOut, MAX_RELATIVE_ERROR, Study, Trial};
 use crate::sweep::find_sample;
 
-/// What stands where nothing was measured.
+/// The text of cells that were not measured.
 pub const NOT_MEASURED: &str = "not measured";
 
-/// What stands where there is nothing to measure, such as answers where nothing is asked.
+/// The text of cells without a value, such as answer times without requests.
 const ABSENT: &str = "–";
 
-/// Traffic columns of the tables of points.
+/// The columns of the traffic table.
 const SHOWN_TRAFFIC: [TrafficClass; 4] = [
     TrafficClass::Control,
     TrafficClass::Placing,
@@ -22,7 +22,7 @@
     TrafficClass::All,
 ];
 
-/// The block of a sweep. `plot` is where the page finds its plot.
+/// The block of a sweep. `plot` is the path of its plot, relative to the page.
 pub fn sweep_block(result: &SweepResult, plot: &str) -> String {
     let mut text = provenance(result);
     text += &format!(
@@ -34,7 +34,7 @@
     text += &process_table(result);
     text += &format!(
         "\n{}",
-        folded(
+        collapsible(
             "Traffic of one placer a second, both directions",
             &traffic_table(result)
         )
@@ -57,7 +57,7 @@
     )
 }
 
-/// One row a phase and point: phases in the order of the page, points in that of the sweep.
+/// Calls `row` with the first cells and the sample of each phase and point, in the order of the page and of the sweep.
 fn for_each_row(result: &SweepResult, mut row: impl FnMut(Vec<String>, Option<&PhaseSample>)) {
     for phase in result.measured_phases() {
         for point in &result.points {
@@ -85,7 +85,8 @@
     let mut table = Table::new(&header);
     for_each_row(result, |mut cells, sample| {
         cells.extend(columns.map(|quantity| measured_cell(quantity, sample)));
-        let packets = sample.and_then(|s| Some(s.loopback_packets? as f64 / s.seconds));
+        let packets =
+            sample.and_then(|sample| Some(sample.loopback_packets? as f64 / sample.seconds));
         cells.push(packets.map_or(ABSENT.to_owned(), format_figure));
         table.row(&cells);
     });
@@ -99,14 +100,14 @@
 }
 
 fn traffic_table(result: &SweepResult) -> String {
-    let counts = [
+    let traffic_quantities = [
         Quantity::Messages,
         Quantity::PayloadBytes,
         Quantity::WireBytes,
     ];
-    let columns: Vec<Quantity> = counts
+    let columns: Vec<Quantity> = traffic_quantities
         .into_iter()
-        .flat_map(|count| SHOWN_TRAFFIC.map(count))
+        .flat_map(|quantity| SHOWN_TRAFFIC.map(quantity))
         .collect();
     let mut table = Table::new(&header(result, &columns));
     for_each_row(result, |mut cells, sample| {
@@ -158,14 +159,14 @@
             format_figure(limit),
             result.dimension.title()
         );
-        text += &format!("\n{}", folded(&title, &fit_table(result, phase)));
+        text += &format!("\n{}", collapsible(&title, &fit_table(result, phase)));
     }
     text
 }
 
-/// The size up to which the laws of a phase are fitted; the same for all quantities of a placer that ran.
+/// The size up to which the laws of a phase are fitted, which is the same for all quantities of a placer process.
 fn phase_limit(result: &SweepResult, phase: Phase) -> Option<f64> {
-    Some(result.study(phase, Quantity::Cpu)?.limit())
+    Some(result.select_law(phase, Quantity::Cpu)?.limit())
 }
 
 fn fit_table(result: &SweepResult, phase: Phase) -> String {
@@ -187,10 +188,13 @@
         if observations.is_empty() {
             continue;
         }
-        if observations.iter().all(|o| o.value == 0.0) {
+        if observations
+            .iter()
+            .all(|observation| observation.value == 0.0)
+        {
             always_zero.push(quantity.title());
-        } else if let Some(study) = result.study(phase, quantity) {
-            fit_rows(&mut table, quantity, &study);
+        } else if let Some(selection) = result.select_law(phase, quantity) {
+            fit_rows(&mut table, quantity, &selection);
         }
     }
     let mut text = table.into_text();
@@ -200,29 +204,29 @@
     text
 }
 
-/// A row for each size held out; what belongs to the law stands in the first.
-fn fit_rows(table: &mut Table, quantity: Quantity, study: &Study) {
-    let trial = study.chosen();
+/// Adds a row for each held-out size; the first one also shows the law and its verdict.
+fn fit_rows(table: &mut Table, quantity: Quantity, selection: &LawSelection) {
+    let evaluation = selection.selected();
     let mut cells = vec![
         quantity.title(),
-        law_cell(study),
-        format_figure(trial.fit.residual_root_mean_square()),
+        law_cell(selection),
+        format_figure(evaluation.fit.residual_root_mean_square()),
     ];
-    if trial.held_out.is_empty() {
+    if evaluation.held_out.is_empty() {
         cells.extend([ABSENT; 5].map(str::to_owned));
-        cells.push(verdict_cell(trial));
+        cells.push(verdict_cell(evaluation));
         table.row(&cells);
     }
-    for (position, held_out) in trial.held_out.iter().enumerate() {
-        let first = position == 0;
-        let mut row = if first {
+    for (index, held_out) in evaluation.held_out.iter().enumerate() {
+        let is_first = index == 0;
+        let mut row = if is_first {
             cells.clone()
         } else {
             vec![String::new(); cells.len()]
         };
         row.extend(held_out_cells(held_out));
-        row.push(if first {
-            verdict_cell(trial)
+        row.push(if is_first {
+            verdict_cell(evaluation)
         } else {
             String::new()
         });
@@ -230,14 +234,14 @@
     }
 }
 
-fn law_cell(study: &Study) -> String {
-    let fit = &study.chosen().fit;
+fn law_cell(selection: &LawSelection) -> String {
+    let fit = &selection.selected().fit;
     let names = fit.law().coefficient_names();
-    let coefficient = |(name, c): (&&str, crate::fit::Coefficient)| {
+    let coefficient = |(name, estimate): (&&str, crate::fit::Coefficient)| {
         format!(
             "{name} = {}{}",
-            format_figure(c.value),
-            interval_text(c.interval)
+            format_figure(estimate.value),
+            interval_text(estimate.interval)
         )
     };
     let coefficients: Vec<String> = names
@@ -246,7 +250,7 @@
         .map(coefficient)
         .collect();
     let mut text = format!("{}: {}", fit.law().formula(), coefficients.join(", "));
-    if let Some(error) = missed_line_error(study) {
+    if let Some(error) = rejected_line_error(selection) {
         text += &format!(
             "; a line misses by {}",
             format_percent(error).trim_start_matches('+')
@@ -255,15 +259,15 @@
     text
 }
 
-/// The largest error of the line, where another law was found.
-fn missed_line_error(study: &Study) -> Option<f64> {
-    let line = study.line()?;
-    let other_law = study.chosen().fit.law() != line.fit.law();
-    other_law.then(|| line.worst_error()).flatten()
+/// The largest error of the line, if another law was selected.
+fn rejected_line_error(selection: &LawSelection) -> Option<f64> {
+    let line = selection.line()?;
+    let is_other_law = selection.selected().fit.law() != line.fit.law();
+    is_other_law.then(|| line.worst_error()).flatten()
 }
 
 fn held_out_cells(held_out: &HeldOut) -> Vec<String> {
-    let inside = match held_out.is_in_interval() {
+    let in_interval = match held_out.is_in_interval() {
         Some(true) => "yes",
         Some(false) => "no",
         None => ABSENT,
@@ -277,18 +281,22 @@
         ),
         format_figure(held_out.measured.value),
         format_percent(held_out.relative_error()),
-        inside.to_owned(),
+        in_interval.to_owned(),
     ]
 }
 
 fn interval_text(interval: Option<Interval>) -> String {
-    interval.map_or(String::new(), |i| {
-        format!(" ({} to {})", format_figure(i.low), format_figure(i.high))
+    interval.map_or(String::new(), |interval| {
+        format!(
+            " ({} to {})",
+            format_figure(interval.low),
+            format_figure(interval.high)
+        )
     })
 }
 
-fn verdict_cell(trial: &Trial) -> String {
-    match trial.verdict() {
+fn verdict_cell(evaluation: &LawEvaluation) -> String {
+    match evaluation.verdict() {
         FitVerdict::Predicted => "foretold".to_owned(),
         FitVerdict::Missed => format!("missed by more than {:.0}%", MAX_RELATIVE_ERROR * 100.0),
         FitVerdict::NotTested => "not tested".to_owned(),
--- a/crates/capacity/tests/pages.rs
+++ b/crates/capacity/tests/pages.rs
@@ -1,9 +1,9 @@
-//! The page with its blocks and figures, and the plots.
+//! The generated page with its blocks and figures, and the plots.
 
 mod support;
 
 use maplethread_capacity::{
-    Dimension, Fault, PageError, PartName, Phase, ProcessSample, Report, regenerate,
+    Dimension, Fault, PageError, PagePart, Phase, ProcessSample, Report, regenerate,
 };
 use support::{SIZES, sweep};
 
@@ -25,10 +25,10 @@
 fn block<'a>(page: &'a str, name: &str) -> &'a str {
     let (_, after) = page
         .split_once(&format!("begin generated: {name} -->"))
-        .expect("a beginning");
+        .expect("a begin marker");
     after
         .split_once(&format!("<!-- end generated: {name}"))
-        .expect("an end")
+        .expect("an end marker")
         .0
 }
 
@@ -49,36 +49,39 @@
     ));
     assert!(page.text.starts_with("# Capacity\n") && page.text.ends_with("\nThe end."));
     assert!(!page.text.contains("\nold\n"));
-    let parts: Vec<String> = page.changed.iter().map(PartName::to_string).collect();
+    let parts: Vec<String> = page.changed.iter().map(PagePart::to_string).collect();
     let figure = "figure `workers/1300/rest/host_connections`";
     assert_eq!(
         parts,
         ["block `size`", figure, "block `workers`", "block `budgets`"]
     );
-    let again = regenerate(&page.text, &report(&[Phase::Rest])).expect("a page");
-    assert_eq!((again.text, again.changed), (page.text, Vec::new()));
+    let second_run = regenerate(&page.text, &report(&[Phase::Rest])).expect("a page");
+    assert_eq!(
+        (second_run.text, second_run.changed),
+        (page.text, Vec::new())
+    );
 }
 
 #[test]
-fn names_the_changed_parts() {
+fn lists_only_the_changed_parts() {
     let page = regenerate(PAGE, &report(&[Phase::Rest]))
         .expect("a page")
         .text;
     let edited = page.replace("connections -->1,300", "connections -->9");
-    let found = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
+    let regenerated = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
     assert_eq!(
-        found.changed,
-        [PartName::Figure(
+        regenerated.changed,
+        [PagePart::Figure(
             "workers/1300/rest/host_connections".to_owned()
         )]
     );
     let edited = page.replace("| workers | 1,300 |", "| workers | 1,200 |");
-    let found = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
-    assert_eq!(found.changed, [PartName::Block("size".to_owned())]);
+    let regenerated = regenerate(&edited, &report(&[Phase::Rest])).expect("a page");
+    assert_eq!(regenerated.changed, [PagePart::Block("size".to_owned())]);
 }
 
 #[test]
-fn reports_a_line_with_its_predictions() {
+fn block_of_a_sweep_shows_the_line_and_its_predictions() {
     let page = regenerate(PAGE, &report(&[Phase::Rest]))
         .expect("a page")
         .text;
@@ -113,7 +116,7 @@
     assert_eq!(rest[1], "1.4 (1.79×)");
     assert_eq!(
         rest[4], "**52,000 (0.23×)**",
-        "control payload: 1,300 pings and pongs of 20 bytes a second"
+        "control payload: 1,300 pings and pongs of 20 bytes per second"
     );
     assert_eq!(rest[8], "workers");
     assert_eq!(
@@ -156,7 +159,7 @@
     assert_eq!(
         other.matches("| at the peak").count(),
         1,
-        "fewer workers are not listed"
+        "points with fewer workers are listed"
     );
 }
 
@@ -173,7 +176,7 @@
         .expect("a page")
         .text;
     let cells = row(block(&page, "workers"), "| resident memory, KiB | a·n^b");
-    // The line through these squares is 242,000 + 892.68 (n - 420): 2,188,049 at 2,600, of 6,760,000.
+    // The line fitted to these squares is 242,000 + 892.68 (n - 420), which is 2,188,049 at 2,600 instead of 6,760,000.
     assert!(
         cells[1].contains("b = 2 (2 to 2); a line misses by 67.6%"),
         "{cells:?}"
@@ -197,10 +200,14 @@
 
 #[test]
 fn reports_too_few_sizes_to_fit_for_a_single_size() {
-    let one = Report::new(vec![sweep(&[1_300], &[Phase::Peak])], "capacity");
-    let page = regenerate(PAGE, &one).expect("a page").text;
+    let single_size = Report::new(vec![sweep(&[1_300], &[Phase::Peak])], "capacity");
+    let page = regenerate(PAGE, &single_size).expect("a page").text;
     assert!(block(&page, "workers").contains("Laws, at the peak: too few sizes to fit."));
-    assert!(one.plots().expect("plots")[0].svg.starts_with("<svg"));
+    assert!(
+        single_size.plots().expect("plots")[0]
+            .svg
+            .starts_with("<svg")
+    );
 }
 
 #[test]
@@ -242,7 +249,8 @@
 
 #[test]
 fn rejects_invalid_markers_with_their_line() {
-    let error = |page: &str| regenerate(page, &report(&[Phase::Rest])).expect_err("a wrong page");
+    let error =
+        |page: &str| regenerate(page, &report(&[Phase::Rest])).expect_err("an invalid page");
     let name = "workers".to_owned();
     assert_eq!(
         error("# Capacity\n"),
@@ -250,35 +258,38 @@
             name: "size".to_owned()
         }
     );
-    let renamed = PAGE.replace("generated: workers", "generated: workmen");
+    let renamed = PAGE.replace("generated: workers", "generated: other");
     assert_eq!(
         error(&renamed),
         PageError::MissingBlock { name: name.clone() }
     );
-    let unended = PAGE.replace("<!-- end generated: workers -->\n", "");
+    let unclosed = PAGE.replace("<!-- end generated: workers -->\n", "");
     assert_eq!(
-        error(&unended),
-        PageError::UnendedBlock {
+        error(&unclosed),
+        PageError::UnclosedBlock {
             line: 6,
             name: name.clone()
         }
     );
-    let unbegun = PAGE.replace("<!-- begin generated: workers -->\n", "");
-    assert_eq!(error(&unbegun), PageError::UnbegunBlock { line: 7 });
-    let twice =
+    let unopened = PAGE.replace("<!-- begin generated: workers -->\n", "");
+    assert_eq!(error(&unopened), PageError::UnopenedBlock { line: 7 });
+    let repeated =
         format!("{PAGE}\n<!-- begin generated: workers -->\n<!-- end generated: workers -->");
-    assert_eq!(error(&twice), PageError::RepeatedBlock { line: 12, name });
+    assert_eq!(
+        error(&repeated),
+        PageError::RepeatedBlock { line: 12, name }
+    );
     assert_eq!(
         error(&PAGE.replace("<!-- /figure -->", "")),
-        PageError::UnendedFigure { line: 5 }
+        PageError::UnclosedFigure { line: 5 }
     );
-    let unknown = PAGE.replace("host_connections", "warmth");
-    let expected = "line 5: figure `workers/1300/rest/warmth`: no quantity `warmth`";
-    assert_eq!(error(&unknown).to_string(), expected);
+    let unknown_quantity = PAGE.replace("host_connections", "unknown");
+    let expected = "line 5: figure `workers/1300/rest/unknown`: unknown quantity `unknown`";
+    assert_eq!(error(&unknown_quantity).to_string(), expected);
 }
 
 #[test]
-fn renders_largest_values_and_missing_values() {
+fn extreme_and_missing_values_render_without_an_error() {
     let mut largest = sweep(&[1, 2, 3, 4, 1_000_000_000], &[Phase::Rest, Phase::Peak]);
     largest.dimension = Dimension::Placers;
     for point in &mut largest.points {
@@ -295,9 +306,9 @@
             sample.messages[0].wire_bytes = u64::MAX;
         }
     }
-    let mut none = sweep(&[0, 0], &[Phase::Rest]);
-    none.points[0].phases[0].placers.clear();
-    for result in [largest, none, sweep(&[], &[])] {
+    let mut without_placers = sweep(&[0, 0], &[Phase::Rest]);
+    without_placers.points[0].phases[0].placers.clear();
+    for result in [largest, without_placers, sweep(&[], &[])] {
         let report = Report::new(vec![result], "capacity");
         assert!(regenerate(PAGE, &report).is_ok());
         assert!(report.plots().is_ok());
@@ -316,7 +327,7 @@
     assert_eq!(
         svg.matches("<circle").count(),
         4 * 2 * SIZES.len(),
-        "a point a size, phase and panel"
+        "one point for each size, phase and panel"
     );
     assert_eq!(
         plots,
--- a/crates/capacity/tests/quantities.rs
+++ b/crates/capacity/tests/quantities.rs
@@ -1,4 +1,4 @@
-//! Quantities of a placer, budgets and keys.
+//! The quantities of a placer, budgets, and keys of figures.
 
 mod support;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn messages_are_per_placer_and_second() {
+fn message_quantities_are_per_placer_and_second() {
     assert_eq!(mean(Quantity::Messages(TrafficClass::Control)), 200.0);
     assert_eq!(mean(Quantity::Messages(TrafficClass::Placing)), 1.0);
     assert_eq!(mean(Quantity::Messages(TrafficClass::Either)), 3.0);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn answers_are_in_ms() {
+fn answer_times_are_in_ms() {
     assert_eq!(mean(Quantity::Answer(AnswerTime::Median)), 0.8);
     assert_eq!(mean(Quantity::Answer(AnswerTime::Percentile99)), 2.5);
     assert_eq!(mean(Quantity::Answer(AnswerTime::Longest)), 12.345);
@@ -63,22 +63,26 @@
         assert_eq!(Phase::from_key(phase.key()), Some(phase));
     }
     for fault in Fault::ALL {
-        let in_results = serde_json::to_value(fault).expect("JSON");
-        assert_eq!(in_results, fault.key(), "keys are named as in results");
+        let name_in_results = serde_json::to_value(fault).expect("JSON");
+        assert_eq!(
+            name_in_results,
+            fault.key(),
+            "key differs from the name in results"
+        );
     }
 }
 
 #[test]
 fn rejects_invalid_keys() {
-    let error = |key| FigureKey::parse(key).expect_err("no key");
+    let error = |key| FigureKey::parse(key).expect_err("an invalid key");
     assert_eq!(error("workers"), KeyError::Form);
     assert_eq!(
-        error("workers/1300/noon/cpu"),
-        KeyError::Phase("noon".to_owned())
+        error("workers/1300/unknown/cpu"),
+        KeyError::Phase("unknown".to_owned())
     );
     assert_eq!(
-        error("workers/1300/rest/heat"),
-        KeyError::Quantity("heat".to_owned())
+        error("workers/1300/rest/unknown"),
+        KeyError::Quantity("unknown".to_owned())
     );
     assert_eq!(
         error("workers/many/rest/cpu"),
@@ -95,11 +99,11 @@
 }
 
 #[test]
-fn design_size_matches_the_design() {
+fn design_size_matches_points_with_all_of_its_settings() {
     let at_size = point(1_300, &[]).settings;
     assert!(
         DESIGN_SIZE.matches(&at_size, Phase::Peak),
-        "two real and four hollow placers"
+        "two real and four hollow placers make up six"
     );
     let mut other = at_size;
     other.tasks -= 1;
@@ -109,7 +113,7 @@
     assert!(!DESIGN_SIZE.matches(&other, Phase::Peak));
     assert!(
         DESIGN_SIZE.matches(&other, Phase::Rest),
-        "nothing starts at rest"
+        "the start rate is ignored at rest"
     );
     other = at_size;
     other.hollow_placers -= PLACERS;
@@ -130,9 +134,9 @@
     tasks.sweep = "tasks".to_owned();
     tasks.points[0].phases[0].placers[1].resident_kib = 99_999;
     let results = [sweep(&[800, 1_300], &[Phase::Rest]), tasks];
-    let found =
+    let highest =
         measured_at_size(&results, Phase::Rest, Quantity::ResidentMemory).expect("measured");
-    assert_eq!((found.value, found.sweep), (99_999.0, "tasks"));
+    assert_eq!((highest.value, highest.sweep), (99_999.0, "tasks"));
     assert_eq!(
         measured_at_size(&results, Phase::Peak, Quantity::ResidentMemory),
         None
@@ -155,7 +159,7 @@
     assert_eq!(
         Dimension::Placers.fit_limit(&[1.0, 6.0, 12.0]),
         Some(6.0),
-        "all but the largest"
+        "the second largest size"
     );
     assert_eq!(Dimension::Placers.fit_limit(&[1.0]), None);
     assert_eq!(Dimension::Placers.fit_limit(&[]), None);
--- a/crates/capacity/tests/results.rs
+++ b/crates/capacity/tests/results.rs
@@ -1,4 +1,4 @@
-//! Reading results: what is wrong is told with file and place.
+//! Parsing results: errors name the file and the position.
 
 mod support;
 
@@ -20,9 +20,9 @@
 }
 
 #[test]
-fn parses_what_was_serialized() {
-    let read = parse_result(FILE, &serialized_result(|_| {})).expect("a result");
-    assert_eq!(read, sweep(&[100, 200], &[Phase::Rest]));
+fn serialized_result_is_parsed_back() {
+    let parsed = parse_result(FILE, &serialized_result(|_| {})).expect("a result");
+    assert_eq!(parsed, sweep(&[100, 200], &[Phase::Rest]));
 }
 
 #[test]
@@ -36,28 +36,28 @@
 
 #[test]
 fn rejects_unknown_key_with_file_and_line() {
-    let text = serialized_result(|json| json["points"][1]["weather"] = "fine".into());
+    let text = serialized_result(|json| json["points"][1]["unknown"] = "value".into());
     let line = 1 + text
         .lines()
-        .position(|line| line.contains("weather"))
+        .position(|line| line.contains("unknown"))
         .expect("the key");
     let error = error_of(&text);
     assert!(
         error.starts_with(&format!("{FILE}: line {line}, column ")),
         "{error}"
     );
-    assert!(error.contains("unknown field `weather`"), "{error}");
+    assert!(error.contains("unknown field `unknown`"), "{error}");
 }
 
 #[test]
-fn rejects_unknown_format_before_unknown_keys() {
+fn reports_unsupported_format_version_before_unknown_keys() {
     let text = serialized_result(|json| {
         json["format"] = 2.into();
         json["new_key"] = 1.into();
     });
     assert_eq!(
         error_of(&text),
-        format!("{FILE}: format 2 is unknown; this program reads format 1")
+        format!("{FILE}: unsupported format version 2; this program reads version 1")
     );
 }
 
@@ -66,30 +66,34 @@
     let text = serialized_result(|json| json["sweep"] = "tasks".into());
     assert_eq!(
         error_of(&text),
-        format!("{FILE}: holds the sweep `tasks`; its file has to be named tasks.json")
+        format!("{FILE}: contains the sweep `tasks`; the file must be named tasks.json")
     );
 }
 
 #[test]
-fn rejects_impossible_values_with_their_point() {
-    let no_length = serialized_result(|json| json["points"][1]["phases"][0]["seconds"] = 0.into());
-    let problem = "phase rest: seconds has to be a number from 0.001 to 1000000000";
+fn rejects_out_of_range_values_and_names_their_point() {
+    let zero_length =
+        serialized_result(|json| json["points"][1]["phases"][0]["seconds"] = 0.into());
+    let problem = "phase rest: seconds must be a number from 0.001 to 1000000000";
     assert_eq!(
-        error_of(&no_length),
+        error_of(&zero_length),
         format!("{FILE}: points[1]: {problem}")
     );
-    let negative = serialized_result(|json| {
+    let negative_cpu = serialized_result(|json| {
         json["points"][0]["phases"][0]["placers"][1]["cpu_cores"] = (-1).into()
     });
-    let problem = "phase rest: cpu_cores has to be a number from 0 to 1000000000";
-    assert_eq!(error_of(&negative), format!("{FILE}: points[0]: {problem}"));
-    let rate =
+    let problem = "phase rest: cpu_cores must be a number from 0 to 1000000000";
+    assert_eq!(
+        error_of(&negative_cpu),
+        format!("{FILE}: points[0]: {problem}")
+    );
+    let negative_rate =
         serialized_result(|json| json["points"][0]["settings"]["starts_per_second"] = (-1).into());
     assert_eq!(
-        error_of(&rate),
-        format!("{FILE}: points[0]: settings: rates have to be numbers from 0 to 1000000000")
+        error_of(&negative_rate),
+        format!("{FILE}: points[0]: settings: rates must be numbers from 0 to 1000000000")
     );
-    let twice = serialized_result(|json| {
+    let repeated_phase = serialized_result(|json| {
         let phase = json["points"][0]["phases"][0].clone();
         json["points"][0]["phases"]
             .as_array_mut()
@@ -97,7 +101,7 @@
             .push(phase);
     });
     assert_eq!(
-        error_of(&twice),
-        format!("{FILE}: points[0]: phase rest is there twice")
+        error_of(&repeated_phase),
+        format!("{FILE}: points[0]: phase rest occurs twice")
     );
 }
--- a/crates/capacity/tests/support/mod.rs
+++ b/crates/capacity/tests/support/mod.rs
@@ -1,27 +1,27 @@
-//! Made-up results of sweeps.
-#![allow(dead_code)] // Each test file uses a part.
+//! Synthetic results of sweeps.
+#![allow(dead_code)] // Each test file uses some of these items.
 
 use maplethread_capacity::{
     Dimension, Direction, Machine, MessageCount, MessageKind, Observation, Phase, PhaseSample,
     Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
 };
 
-/// Real placers of each made-up point.
+/// The number of real placers of each point.
 pub const PLACERS: u32 = 2;
 
-/// Sizes of the made-up sweep of workers.
+/// The sizes of the sweep of workers.
 pub const SIZES: [u32; 7] = [100, 200, 400, 600, 800, 1_300, 2_600];
 
-/// Costs at sizes by a law.
+/// Observations with costs computed from sizes.
 pub fn observations(sizes: &[u32], cost: impl Fn(f64) -> f64) -> Vec<Observation> {
-    let observe = |&size: &u32| Observation {
+    let to_observation = |&size: &u32| Observation {
         size: f64::from(size),
         value: cost(f64::from(size)),
     };
-    sizes.iter().map(observe).collect()
+    sizes.iter().map(to_observation).collect()
 }
 
-/// A process that costs in proportion to the workers.
+/// A process whose costs are linear in the number of workers.
 fn process(workers: u32) -> ProcessSample {
     ProcessSample {
         cpu_cores: 0.001 + 0.00001 * f64::from(workers),
@@ -42,16 +42,16 @@
     }
 }
 
-/// What a phase of 10 s came to: a ping and a pong for each worker and placer a second, an offer a second.
+/// A phase of 10 s with, per second and placer, a ping and a pong for each worker, one offer and three reports.
 pub fn sample(phase: Phase, workers: u32) -> PhaseSample {
-    let per_phase = u64::from(workers * PLACERS) * 10;
+    let pings_per_phase = u64::from(workers * PLACERS) * 10;
     PhaseSample {
         phase,
         seconds: 10.0,
         placers: vec![process(workers); PLACERS as usize],
         messages: vec![
-            count(MessageKind::Ping, Direction::FromPlacer, per_phase),
-            count(MessageKind::Pong, Direction::ToPlacer, per_phase),
+            count(MessageKind::Ping, Direction::FromPlacer, pings_per_phase),
+            count(MessageKind::Pong, Direction::ToPlacer, pings_per_phase),
             count(
                 MessageKind::Offer,
                 Direction::FromPlacer,
@@ -68,7 +68,7 @@
     }
 }
 
-/// A point at the size that the design is made for but for its workers.
+/// A point at the design size, except for the number of workers.
 pub fn point(workers: u32, phases: &[Phase]) -> Point {
     Point {
         seed: 1,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A sweep of workers.
+/// A sweep over the number of workers.
 pub fn sweep(sizes: &[u32], phases: &[Phase]) -> SweepResult {
     SweepResult {
         format: RESULT_FORMAT,
@@ -93,7 +93,7 @@
         command: "maplethread scale run config/scale/workers.toml".to_owned(),
         commit: "0000000".to_owned(),
         machine: Machine {
-            processor: "made up".to_owned(),
+            processor: "synthetic".to_owned(),
             cores: 2,
             memory_mib: 4_096,
             kernel: "6.1".to_owned(),
--- a/crates/trace/src/block.rs
+++ b/crates/trace/src/block.rs
@@ -94,7 +94,7 @@
 
 /// Encodes records into a block.
 #[derive(Debug, Default)]
-pub struct Packer {
+pub struct BlockEncoder {
     unpacked: Vec<u8>,
     record_count: u32,
     first_record_us: u64,
@@ -103,7 +103,7 @@
     previous_us: u64,
 }
 
-impl Packer {
+impl BlockEncoder {
     /// Whether no record was added since the last block.
     pub fn is_empty(&self) -> bool {
         self.record_count == 0
@@ -149,7 +149,7 @@
     /// # Errors
     ///
     /// Compression failed.
-    pub fn pack(&mut self, level: i32) -> Result<(BlockInfo, Vec<u8>), TraceError> {
+    pub fn finish_block(&mut self, level: i32) -> Result<(BlockInfo, Vec<u8>), TraceError> {
         // Records need not be in the order of time, so the first one may be later than the earliest.
         let mut uncompressed = Vec::with_capacity(self.unpacked.len() + 16);
         write_varint(&mut uncompressed, self.first_record_us - self.earliest_us);
@@ -166,7 +166,7 @@
         block.extend_from_slice(&info.to_bytes());
         block.extend_from_slice(&info.checksum(&payload));
         block.extend_from_slice(&payload);
-        *self = Packer::default();
+        *self = BlockEncoder::default();
         Ok((info, block))
     }
 }
@@ -176,7 +176,7 @@
 /// # Errors
 ///
 /// The payload is not valid zstd, or its uncompressed length is not the header's.
-pub fn unpack_bytes(info: &BlockInfo, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
+pub fn decompress_payload(info: &BlockInfo, payload: &[u8]) -> Result<Vec<u8>, &'static str> {
     let uncompressed = zstd::bulk::decompress(payload, info.unpacked_bytes as usize)
         .map_err(|_| "block payload can't be decompressed")?;
     if uncompressed.len() == info.unpacked_bytes as usize {
@@ -192,16 +192,16 @@
 /// # Errors
 ///
 /// The payload can't be decompressed, or its lengths don't match each other and the header.
-pub fn unpack_records(
+pub fn decode_records(
     info: &BlockInfo,
     payload: &[u8],
 ) -> Result<(Vec<TimedRecord>, u32), &'static str> {
-    let uncompressed = unpack_bytes(info, payload)?;
+    let uncompressed = decompress_payload(info, payload)?;
     let mut at = 0;
     let mut time = info.first_us.wrapping_add(
         read_varint(&uncompressed, &mut at).ok_or("block payload ends within a record")?,
     );
-    let (mut records, mut unknown) = (
+    let (mut records, mut unknown_records) = (
         Vec::with_capacity((info.record_count as usize).min(uncompressed.len())),
         0,
     );
@@ -217,14 +217,14 @@
         let end = end.ok_or("record length exceeds the block")?;
         match postcard::take_from_bytes::<Record>(&uncompressed[at..end]) {
             Ok((record, [])) => records.push(TimedRecord { at: time, record }),
-            _ => unknown += 1,
+            _ => unknown_records += 1,
         }
         at = end;
     }
     if at != uncompressed.len() {
         return Err("block payload longer than the records stated in the block header");
     }
-    Ok((records, unknown))
+    Ok((records, unknown_records))
 }
 
 fn unzigzag(n: u64) -> i64 {
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -5,7 +5,7 @@
 
 use crate::TraceError;
 use crate::block::{
-    self, BLOCK_HEADER_BYTES, BLOCK_MAGIC, BlockInfo, MAX_UNPACKED_BYTES, unpack_records,
+    self, BLOCK_HEADER_BYTES, BLOCK_MAGIC, BlockInfo, MAX_UNPACKED_BYTES, decode_records,
 };
 use crate::header::{Header, MINOR};
 use crate::record::TimedRecord;
@@ -149,13 +149,13 @@
     /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
         let (info, payload) = self.read_payload(at)?;
-        let (records, unknown) =
-            unpack_records(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
+        let (records, unknown_records) =
+            decode_records(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
         Ok(Part::Block {
             offset: at,
             info,
             records,
-            unknown_records: unknown,
+            unknown_records,
         })
     }
 
@@ -166,7 +166,7 @@
     /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block_bytes(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
         let (info, payload) = self.read_payload(at)?;
-        block::unpack_bytes(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
+        block::decompress_payload(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
     }
 
     fn read_payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -6,7 +6,7 @@
 use maplethread::Event;
 use serde::{Deserialize, Serialize};
 
-use crate::block::{BlockInfo, Packer};
+use crate::block::{BlockEncoder, BlockInfo};
 use crate::header::Header;
 use crate::record::{Record, ReferencedIds, TimedRecord};
 use crate::{Outcome, TraceError};
@@ -62,7 +62,7 @@
     out: W,
     position: u64,
     compression_level: i32,
-    packer: Packer,
+    encoder: BlockEncoder,
     index: Vec<IndexEntry>,
     host_names: BTreeMap<u32, Record>,
     service_names: BTreeMap<u64, Record>,
@@ -91,7 +91,7 @@
             out,
             position: header_bytes,
             compression_level: 3,
-            packer: Packer::default(),
+            encoder: BlockEncoder::default(),
             index: Vec::new(),
             host_names: BTreeMap::new(),
             service_names: BTreeMap::new(),
@@ -157,7 +157,7 @@
             Record::Source(source) => self.current_source = Some(*source),
             _ => {}
         }
-        if let Some(source) = self.current_source.filter(|_| self.packer.is_empty())
+        if let Some(source) = self.current_source.filter(|_| self.encoder.is_empty())
             && !matches!(timed_record.record, Record::Source(_))
         {
             self.append(&TimedRecord {
@@ -205,7 +205,7 @@
             }
         }
         self.append(timed_record)?;
-        if self.packer.len() >= BLOCK_BYTES {
+        if self.encoder.len() >= BLOCK_BYTES {
             self.flush()
         } else {
             Ok(())
@@ -233,7 +233,7 @@
 
     fn append(&mut self, timed_record: &TimedRecord) -> Result<(), TraceError> {
         self.totals.records += 1;
-        self.packer.add(timed_record)
+        self.encoder.add(timed_record)
     }
 
     /// Closes the current block and writes it, unless it is empty.
@@ -242,10 +242,10 @@
     ///
     /// Compressing or writing failed.
     pub fn flush(&mut self) -> Result<(), TraceError> {
-        if self.packer.is_empty() {
+        if self.encoder.is_empty() {
             return Ok(());
         }
-        let (info, block) = self.packer.pack(self.compression_level)?;
+        let (info, block) = self.encoder.finish_block(self.compression_level)?;
         let entry = IndexEntry {
             offset: self.position,
             byte_count: block.len() as u64,
