--- a/crates/trace/src/error.rs
+++ b/crates/trace/src/error.rs
@@ -15,12 +15,12 @@
     #[error("format version {0}.{1}, this program reads {MAJOR}.x", MAJOR = crate::header::MAJOR)]
     UnsupportedVersion(u16, u16),
     /// A block is damaged, or the file ends within it.
-    #[error("damaged at byte {at}: {why}")]
+    #[error("damaged at byte {offset}: {reason}")]
     Damaged {
         /// The offset in the file.
-        at: u64,
+        offset: u64,
         /// The check that failed.
-        why: &'static str,
+        reason: &'static str,
     },
     /// An encoded record, of this many bytes, does not fit into a block.
     #[error("record of {0} bytes exceeds the block size limit of {MAX} bytes", MAX = MAX_UNPACKED_BYTES)]
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -33,4 +33,4 @@
 pub use reader::{Part, Reader};
 pub use record::{Outcome, Record, TimedRecord, Turn};
 pub use report_names::ActionList;
-pub use writer::{Totals, Writer};
+pub use writer::{Writer, WriterTotals};
--- a/crates/trace/src/losses.rs
+++ b/crates/trace/src/losses.rs
@@ -4,8 +4,7 @@
 //! is required and no copy of it is reported as running, there is an *outage* (`gap` in the reports). An outage
 //! begins with the first request or with the loss of the last copy, and its time is attributed to phases: blocked,
 //! offered without an answer, accepted and starting, or with its owner, which has not sent another request. Events
-//! that no placer received, such as a start whose report was lost, are not in the trace and so not taken into
-//! account.
+//! that no placer received are not in the trace and so not counted, such as a start whose report was lost.
 
 mod report;
 
@@ -31,6 +30,7 @@
     phase_started: Micros,
     /// The host that the phase is attributed to, if there is one.
     host: Option<u32>,
+    /// The ended phases, with the host and the duration of each.
     phase_times: Vec<(String, Option<u32>, Micros)>,
 }
 
@@ -70,6 +70,7 @@
     actors: u64,
     never_started: u64,
     required_time: Micros,
+    /// By cause, the number of outages and their time by phase.
     outages: BTreeMap<String, (u64, BTreeMap<String, Micros>)>,
     first_start_times: Histogram<u64>,
 }
@@ -83,8 +84,10 @@
     /// By task and number of an attempt that has not finished, its host and whether it is running.
     attempts: HashMap<(u64, u32), (u32, bool)>,
     host_names: BTreeMap<u32, String>,
+    /// By host, the time of outages by phase.
     host_phase_times: BTreeMap<u32, BTreeMap<String, Micros>>,
     untracked_actors: u64,
+    /// The latest time of a record.
     now: Micros,
 }
 
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -72,15 +72,16 @@
             let source_numbers: BTreeMap<u32, usize> = slices
                 .iter()
                 .enumerate()
-                .flat_map(|(s, all)| {
-                    all.iter()
-                        .filter(|p| p.input == n)
-                        .map(move |p| (p.source_index, s))
+                .flat_map(|(source, slices)| {
+                    slices
+                        .iter()
+                        .filter(|slice| slice.input == n)
+                        .map(move |slice| (slice.source_index, source))
                 })
                 .collect();
             let offsets: Vec<i64> = sources_of(&input.header)
                 .iter()
-                .map(|s| s.offset_us)
+                .map(|source| source.offset_us)
                 .collect();
             let mut current_source = 0;
             input.rewind();
@@ -129,7 +130,7 @@
         }
         let offsets = estimate_offsets(&observed_starts, slices.len());
         let mut all_hosts: BTreeMap<&String, [&String; 3]> = BTreeMap::new();
-        for [name, zone, cell, kind] in input_hosts.iter().flat_map(|n| n.hosts.values()) {
+        for [name, zone, cell, kind] in input_hosts.iter().flat_map(|input| input.hosts.values()) {
             all_hosts.insert(name, [zone, cell, kind]);
         }
         let host_numbers: BTreeMap<&String, u32> = all_hosts
@@ -139,8 +140,9 @@
             .collect();
         let hosts = input_hosts
             .iter()
-            .map(|n| {
-                n.hosts
+            .map(|input| {
+                input
+                    .hosts
                     .iter()
                     .map(|(&input_number, host)| (input_number, host_numbers[&host[0]]))
                     .collect()
@@ -148,13 +150,13 @@
             .collect();
         let all_classes: BTreeSet<String> = inputs
             .iter()
-            .flat_map(|i| i.header.classes.iter().cloned())
+            .flat_map(|input| input.header.classes.iter().cloned())
             .collect();
         let class_number =
             |name: &String| all_classes.iter().position(|c| c == name).unwrap_or(0) as u32;
         let classes = inputs
             .iter()
-            .map(|i| i.header.classes.iter().map(class_number).collect())
+            .map(|input| input.header.classes.iter().map(class_number).collect())
             .collect();
         let mut names: Vec<Record> = all_hosts
             .iter()
@@ -174,17 +176,17 @@
         let merged_sources = slices
             .iter()
             .zip(&offsets)
-            .map(|(all, &(offset_us, error_us))| {
-                let mut parts: Vec<u32> = all
+            .map(|(slices, &(offset_us, error_us))| {
+                let mut parts: Vec<u32> = slices
                     .iter()
-                    .flat_map(|p| p.source.parts.iter().copied())
+                    .flat_map(|slice| slice.source.parts.iter().copied())
                     .collect();
                 parts.sort_unstable();
                 Source {
                     parts,
                     offset_us,
                     error_us,
-                    ..all[0].source.clone()
+                    ..slices[0].source.clone()
                 }
             });
         let header = Header {
@@ -193,7 +195,7 @@
             placer: "merged".to_owned(),
             started_ms: slices
                 .iter()
-                .map(|p| p[0].source.started_ms)
+                .map(|slices| slices[0].source.started_ms)
                 .min()
                 .unwrap_or(0),
             seed: 0,
@@ -205,7 +207,7 @@
         };
         let is_merged = inputs
             .iter()
-            .map(|i| !i.header.sources.is_empty())
+            .map(|input| !input.header.sources.is_empty())
             .collect();
         Ok(MergePlan {
             slices_by_source: slices,
@@ -263,8 +265,8 @@
             let next = streams
                 .iter()
                 .enumerate()
-                .filter(|(_, s)| s.next.is_some())
-                .min_by_key(|(_, s)| s.sort_key);
+                .filter(|(_, stream)| stream.next.is_some())
+                .min_by_key(|(_, stream)| stream.sort_key);
             let Some((n, _)) = next else {
                 return Ok(());
             };
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -135,8 +135,8 @@
         self.bytes_read += bytes.len() as u64;
         if bytes.len() != byte_count {
             return Err(TraceError::Damaged {
-                at,
-                why: "file ends before the expected data",
+                offset: at,
+                reason: "file ends before the expected data",
             });
         }
         Ok(bytes)
@@ -149,8 +149,8 @@
     /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
         let (info, payload) = self.read_payload(at)?;
-        let (records, unknown_records) =
-            decode_records(&info, &payload).map_err(|why| TraceError::Damaged { at, why })?;
+        let (records, unknown_records) = decode_records(&info, &payload)
+            .map_err(|reason| TraceError::Damaged { offset: at, reason })?;
         Ok(Part::Block {
             offset: at,
             info,
@@ -166,11 +166,12 @@
     /// The file can't be read, or there is no valid block at this offset.
     pub fn read_block_bytes(&mut self, at: u64) -> Result<Vec<u8>, TraceError> {
         let (info, payload) = self.read_payload(at)?;
-        block::decompress_payload(&info, &payload).map_err(|why| TraceError::Damaged { at, why })
+        block::decompress_payload(&info, &payload)
+            .map_err(|reason| TraceError::Damaged { offset: at, reason })
     }
 
     fn read_payload(&mut self, at: u64) -> Result<(BlockInfo, Vec<u8>), TraceError> {
-        let damaged = |why| TraceError::Damaged { at, why };
+        let damaged = |reason| TraceError::Damaged { offset: at, reason };
         if at + BLOCK_HEADER_BYTES as u64 > self.file_bytes {
             return Err(damaged("file ends within a block header"));
         }
@@ -198,16 +199,16 @@
     ///
     /// The file can't be read; damage is returned as [`Part::Damaged`].
     pub fn next_part(&mut self) -> Result<Option<Part>, TraceError> {
-        let (from, mut why) = (self.position, None);
+        let (start, mut reason) = (self.position, None);
         let end = self.find_index().ok().flatten().unwrap_or(self.file_bytes);
         while self.position < end {
             match self.read_block(self.position) {
                 Ok(part) => {
-                    if let Some(why) = why {
+                    if let Some(reason) = reason {
                         return Ok(Some(Part::Damaged {
-                            offset: from,
-                            byte_count: self.position - from,
-                            reason: why,
+                            offset: start,
+                            byte_count: self.position - start,
+                            reason,
                         }));
                     }
                     if let Part::Block { info, .. } = &part {
@@ -215,17 +216,19 @@
                     }
                     return Ok(Some(part));
                 }
-                Err(TraceError::Damaged { why: wrong, .. }) => {
-                    why.get_or_insert(wrong);
+                Err(TraceError::Damaged {
+                    reason: failure, ..
+                }) => {
+                    reason.get_or_insert(failure);
                     self.position = self.find_magic(self.position + 1, end)?;
                 }
                 Err(e) => return Err(e),
             }
         }
-        Ok(why.map(|why| Part::Damaged {
-            offset: from,
-            byte_count: end - from,
-            reason: why,
+        Ok(reason.map(|reason| Part::Damaged {
+            offset: start,
+            byte_count: end - start,
+            reason,
         }))
     }
 
@@ -234,12 +237,12 @@
         const CHUNK_BYTES: u64 = 64 << 10;
         let mut at = from;
         while at + 4 <= end {
-            let part = self.read_at(at, CHUNK_BYTES.min(end - at) as usize)?;
-            if let Some(found) = part.windows(4).position(|w| w == BLOCK_MAGIC) {
+            let chunk = self.read_at(at, CHUNK_BYTES.min(end - at) as usize)?;
+            if let Some(found) = chunk.windows(4).position(|w| w == BLOCK_MAGIC) {
                 return Ok(at + found as u64);
             }
             // Overlaps by three bytes, as the magic may span two chunks.
-            at += (part.len() as u64).saturating_sub(3).max(1);
+            at += (chunk.len() as u64).saturating_sub(3).max(1);
         }
         Ok(end)
     }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -1,5 +1,5 @@
-//! Summarises a trace for operators: outcomes of requests and their reasons, placement times, and problems by host and
-//! second.
+//! Summarises a trace for operators: the outcomes of requests and their reasons, placement times, and counts by host
+//! and by second.
 
 mod report;
 
@@ -89,16 +89,20 @@
     rejection_steps: usize,
     current_source: u32,
     host_names: BTreeMap<u32, String>,
+    /// The class of each unanswered request, by task.
     open_requests: HashMap<u64, usize>,
+    /// The host of each open offer, by task and attempt number.
     open_offers: HashMap<(u64, u32), u32>,
+    /// The number of attempts by task.
     attempt_counts: HashMap<u64, u32>,
     seconds: Vec<SecondCounts>,
     begin: Option<u64>,
     end: u64,
-    place_times: Histogram<u64>,
+    placement_times: Histogram<u64>,
     blocked: BTreeMap<String, u64>,
     turns: u64,
     records: u64,
+    /// The numbers of turns and of records lost in gaps.
     lost_in_gaps: (u64, u64),
     damaged_bytes: u64,
     unknown_records: u64,
@@ -127,7 +131,7 @@
             seconds: Vec::new(),
             begin: None,
             end: 0,
-            place_times: Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
+            placement_times: Histogram::new_with_bounds(1, MAX_RECORDED_US, 3)
                 .expect("bounds in range"),
             blocked: BTreeMap::new(),
             turns: 0,
@@ -217,7 +221,7 @@
             Outcome::ClientDisconnected => {}
         }
         if matches!(outcome, Outcome::Placed { .. }) {
-            self.place_times.saturating_record(elapsed.max(1));
+            self.placement_times.saturating_record(elapsed.max(1));
         }
     }
 
--- a/crates/trace/src/summary/report.rs
+++ b/crates/trace/src/summary/report.rs
@@ -11,7 +11,7 @@
     /// The summary as a JSON object. The names of times end in their units.
     pub fn to_json(&self) -> Value {
         let quantile_ms =
-            |quantile: f64| self.place_times.value_at_quantile(quantile) as f64 / 1000.0;
+            |quantile: f64| self.placement_times.value_at_quantile(quantile) as f64 / 1000.0;
         let classes: BTreeMap<&str, Value> = self
             .classes
             .iter()
--- a/crates/trace/src/writer.rs
+++ b/crates/trace/src/writer.rs
@@ -46,7 +46,7 @@
 
 /// The amounts that were written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Totals {
+pub struct WriterTotals {
     /// The number of records, including repeated names.
     pub records: u64,
     /// The number of turns among them.
@@ -74,9 +74,9 @@
     outcomes: [u32; 4],
     /// In a merged trace, the source of the current records.
     current_source: Option<u32>,
-    totals: Totals,
+    totals: WriterTotals,
     /// The totals as of the last written block.
-    flushed_totals: Totals,
+    flushed_totals: WriterTotals,
 }
 
 impl<W: Write> Writer<W> {
@@ -101,11 +101,11 @@
             may_name_any_service: false,
             outcomes: [0; 4],
             current_source: None,
-            totals: Totals {
+            totals: WriterTotals {
                 bytes_written: header_bytes,
-                ..Totals::default()
+                ..WriterTotals::default()
             },
-            flushed_totals: Totals::default(),
+            flushed_totals: WriterTotals::default(),
         })
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// The totals so far; `bytes_written` and `unpacked_bytes` do not include the current block.
-    pub fn totals(&self) -> Totals {
+    pub fn totals(&self) -> WriterTotals {
         self.totals
     }
 
@@ -281,7 +281,7 @@
     /// # Errors
     ///
     /// Compressing or writing failed.
-    pub fn finish(&mut self) -> Result<Totals, TraceError> {
+    pub fn finish(&mut self) -> Result<WriterTotals, TraceError> {
         self.flush()?;
         let entries = postcard::to_stdvec(&self.index).map_err(std::io::Error::other)?;
         let compressed = zstd::bulk::compress(&entries, self.compression_level)?;
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -237,26 +237,26 @@
 fn written_trace_is_read_back_and_replays_without_a_difference() {
     let records = recorded_run(300, 5);
     let bytes = write_trace(&records);
-    let (got, damaged_bytes) = read(&bytes).expect("a file");
+    let (read_records, damaged_bytes) = read(&bytes).expect("a file");
     assert_eq!(
-        (without_names(&got), damaged_bytes),
+        (without_names(&read_records), damaged_bytes),
         (without_names(&records), 0)
     );
     let mut replay = Replay::new(&header()).expect("valid trace settings");
-    got.iter().for_each(|r| replay.feed(r));
-    let found = &replay.result;
+    read_records.iter().for_each(|r| replay.feed(r));
+    let result = &replay.result;
     assert!(
-        found.turns == 900 && found.compared_actions > 300 && found.differing_turns == 0,
-        "{found:?}"
+        result.turns == 900 && result.compared_actions > 300 && result.differing_turns == 0,
+        "{result:?}"
     );
-    assert!(found.moved_offer_share().abs() < 1e-9, "{found:?}");
+    assert!(result.moved_offer_share().abs() < 1e-9, "{result:?}");
     // Another seed leads to other decisions.
     let mut replay = Replay::new(&Header {
         seed: 8,
         ..header()
     })
     .expect("valid trace settings");
-    got.iter().for_each(|r| replay.feed(r));
+    read_records.iter().for_each(|r| replay.feed(r));
     assert!(replay.result.differing_turns > 0);
     let first = replay.result.first_difference.expect("a difference");
     assert!(first.recorded != first.replayed && first.time_us >= records[0].at);
@@ -267,7 +267,7 @@
     };
     let mut replay =
         Replay::with_settings(&header(), Some(small_machines)).expect("valid trace settings");
-    got.iter().for_each(|r| replay.feed(r));
+    read_records.iter().for_each(|r| replay.feed(r));
     let rejected = replay
         .result
         .actions_by_kind
@@ -302,7 +302,7 @@
     };
     let mut replay = Replay::new(&header()).expect("valid trace settings");
     replay.feed(&gap);
-    got.iter().for_each(|r| replay.feed(r));
+    read_records.iter().for_each(|r| replay.feed(r));
     assert_eq!(
         (replay.result.turns, replay.result.turns_after_gap),
         (0, 900)
@@ -314,22 +314,22 @@
     let records = recorded_run(60, 3);
     let bytes = write_trace(&records);
     let all_records = read(&bytes).expect("a file").0;
-    let mut seen = 0;
+    let mut previous_count = 0;
     for length in 0..bytes.len() {
         match read(&bytes[..length]) {
-            Ok((got, _)) => {
-                assert!(all_records.starts_with(&got), "cut at {length}");
+            Ok((read_records, _)) => {
+                assert!(all_records.starts_with(&read_records), "cut at {length}");
                 assert!(
-                    got.len() >= seen,
+                    read_records.len() >= previous_count,
                     "a longer prefix of the file has fewer records"
                 );
-                seen = got.len();
+                previous_count = read_records.len();
             }
-            Err(TraceError::NotATrace(_)) => assert_eq!(seen, 0),
+            Err(TraceError::NotATrace(_)) => assert_eq!(previous_count, 0),
             Err(e) => panic!("cut at {length}: {e}"),
         }
     }
-    assert_eq!(seen, all_records.len());
+    assert_eq!(previous_count, all_records.len());
 }
 
 #[test]
@@ -337,7 +337,7 @@
     let records = recorded_run(40, 3);
     let bytes = write_trace(&records);
     let all_records = read(&bytes).expect("a file").0;
-    let header = {
+    let header_bytes = {
         let mut out = Vec::new();
         header().write(&mut out).expect("a header")
     } as usize;
@@ -345,23 +345,23 @@
         let mut damaged = bytes.clone();
         damaged[at] ^= 1 << (at % 8);
         match read(&damaged) {
-            Ok((got, _)) => {
-                assert!(at >= header, "a header damaged at {at} was accepted");
+            Ok((read_records, _)) => {
+                assert!(at >= header_bytes, "a header damaged at {at} was accepted");
                 // No wrong record is read, and at most one block is lost: 200 records and its names.
                 let mut rest = all_records.iter();
                 assert!(
-                    got.iter().all(|r| rest.any(|w| w == r)),
+                    read_records.iter().all(|r| rest.any(|w| w == r)),
                     "a wrong record at {at}"
                 );
                 assert!(
-                    got.len() + 220 >= all_records.len(),
+                    read_records.len() + 220 >= all_records.len(),
                     "{} of {} left at {at}",
-                    got.len(),
+                    read_records.len(),
                     all_records.len()
                 );
             }
             Err(TraceError::NotATrace(_) | TraceError::UnsupportedVersion(..)) => {
-                assert!(at < header, "{at}")
+                assert!(at < header_bytes, "{at}")
             }
             Err(e) => panic!("flipped at {at}: {e}"),
         }
@@ -384,9 +384,9 @@
     let mut bytes = Vec::new();
     header().write(&mut bytes).expect("a header");
     bytes[10] = 9;
-    let check = bytes.len() - 16;
-    let hash = blake3::hash(&bytes[..check]);
-    bytes[check..].copy_from_slice(&hash.as_bytes()[..16]);
+    let checksum_at = bytes.len() - 16;
+    let hash = blake3::hash(&bytes[..checksum_at]);
+    bytes[checksum_at..].copy_from_slice(&hash.as_bytes()[..16]);
     let stopped = postcard::to_stdvec(&Record::Stopped).expect("a record");
     let mut uncompressed = vec![0];
     for record in [&stopped[..], &[99, 1, 2, 3], &stopped] {
@@ -394,13 +394,15 @@
         uncompressed.extend_from_slice(record);
     }
     let payload = zstd::bulk::compress(&uncompressed, 3).expect("zstd");
-    let mut head = b"MTB1".to_vec();
+    let mut block_header = b"MTB1".to_vec();
     [payload.len() as u32, uncompressed.len() as u32, 3]
         .iter()
-        .for_each(|n| head.extend(n.to_le_bytes()));
-    [5u64, 5].iter().for_each(|n| head.extend(n.to_le_bytes()));
-    let check = blake3::hash(&[&head[..], &payload].concat());
-    bytes.extend([&head[..], &check.as_bytes()[..16], &payload].concat());
+        .for_each(|n| block_header.extend(n.to_le_bytes()));
+    [5u64, 5]
+        .iter()
+        .for_each(|n| block_header.extend(n.to_le_bytes()));
+    let checksum = blake3::hash(&[&block_header[..], &payload].concat());
+    bytes.extend([&block_header[..], &checksum.as_bytes()[..16], &payload].concat());
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file of a newer minor version");
     assert!(reader.is_newer_minor_version());
     match reader.next_part().expect("readable") {
@@ -419,9 +421,9 @@
     for entry in std::fs::read_dir(FIXTURES).expect("a folder") {
         let path = entry.expect("an entry").path();
         let bytes = std::fs::read(&path).expect("a file");
-        let (got, damaged_bytes) = read(&bytes).expect("a trace");
+        let (read_records, damaged_bytes) = read(&bytes).expect("a trace");
         assert_eq!(
-            (without_names(&got).len(), damaged_bytes),
+            (without_names(&read_records).len(), damaged_bytes),
             (without_names(&recorded_run(20, 2)).len(), 0),
             "{}",
             path.display()
@@ -446,20 +448,20 @@
         service: Some(17),
         ..Filter::default()
     };
-    let at: Vec<u64> = index
+    let offsets: Vec<u64> = index
         .iter()
         .filter(|e| filter.may_match_block(e))
         .map(|e| e.offset)
         .collect();
     assert!(
-        at.len() * 4 < index.len(),
+        offsets.len() * 4 < index.len(),
         "{} of {} blocks",
-        at.len(),
+        offsets.len(),
         index.len()
     );
     let mut found = Vec::new();
-    for &at in &at {
-        if let Part::Block { records, .. } = reader.read_block(at).expect("a block") {
+    for &offset in &offsets {
+        if let Part::Block { records, .. } = reader.read_block(offset).expect("a block") {
             found.extend(records);
         }
     }
@@ -706,9 +708,9 @@
     #[test]
     fn arbitrary_records_are_read_back_unchanged(all in prop::collection::vec((any::<u64>(), arbitrary_record()), 0..40)) {
         let all: Vec<TimedRecord> = all.into_iter().map(|(at, record)| TimedRecord { at, record }).collect();
-        let (got, damaged_bytes) = read(&write_trace(&all)).expect("a file");
+        let (read_records, damaged_bytes) = read(&write_trace(&all)).expect("a file");
         prop_assert_eq!(damaged_bytes, 0);
-        prop_assert_eq!(without_names(&got), without_names(&all));
+        prop_assert_eq!(without_names(&read_records), without_names(&all));
     }
 
     #[test]
@@ -716,8 +718,8 @@
         let mut bytes = Vec::new();
         header().write(&mut bytes).expect("a header");
         bytes.extend_from_slice(&trailing);
-        let (got, _) = read(&bytes).expect("a valid header");
-        prop_assert!(got.is_empty());
+        let (read_records, _) = read(&bytes).expect("a valid header");
+        prop_assert!(read_records.is_empty());
     }
 }
 
