--- a/crates/capacity/src/dimension.rs
+++ b/crates/capacity/src/dimension.rs
@@ -22,9 +22,9 @@
         }
     }
 
-    /// The size up to which laws are fitted, given the distinct sizes in ascending order: [`MAX_FITTED_WORKERS`] if the
-    /// largest fleet exceeds it, half of the largest size otherwise. If fewer than three sizes are within that limit, it
-    /// is the second largest size.
+    /// The size up to which laws are fitted, given the distinct sizes in ascending order: [`MAX_FITTED_WORKERS`] if
+    /// the largest fleet exceeds it, half of the largest size otherwise. If fewer than three sizes are within that
+    /// limit, it is the second largest size.
     pub fn fit_limit(self, sizes: &[f64]) -> Option<f64> {
         let (&largest, smaller) = sizes.split_last()?;
         let limit = match self {
--- a/crates/capacity/src/quantity.rs
+++ b/crates/capacity/src/quantity.rs
@@ -62,11 +62,11 @@
 /// A selection of messages by their purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrafficClass {
-    /// Messages for control only.
+    /// Messages whose purpose is control.
     Control,
-    /// Messages for placing only.
+    /// Messages whose purpose is placing.
     Placing,
-    /// Messages that serve both purposes.
+    /// Messages that can count as control or as placing.
     Either,
     /// Control in the wider sense: control and either.
     WideControl,
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -257,7 +257,7 @@
     Control,
     /// Placing, running and ending of tasks.
     Placing,
-    /// Serves both purposes.
+    /// Can count as control or as placing.
     Either,
 }
 
--- a/crates/capacity/src/size.rs
+++ b/crates/capacity/src/size.rs
@@ -49,7 +49,7 @@
 
 /// A budget with the quantity that it is compared with. The memory budget is compared with resident and with
 /// proportional memory; the control traffic budget with payload and wire bytes, each with and without the messages that
-/// serve placing too.
+/// can count as placing too.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Budget {
     /// Processor time.
--- a/crates/trace/src/summary/report.rs
+++ b/crates/trace/src/summary/report.rs
@@ -53,7 +53,7 @@
             .collect();
         let upper_ms = |bin: &IterationValue<u64>| bin.value_iterated_to() as f64 / 1000.0;
         let bins: Vec<Value> = self
-            .place_times
+            .placement_times
             .iter_log(1000, 2.0)
             .map(|bin| json!([upper_ms(&bin), bin.count_since_last_iteration()]))
             .collect();
