--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -267,9 +267,7 @@
                 .enumerate()
                 .filter(|(_, stream)| stream.next.is_some())
                 .min_by_key(|(_, stream)| stream.sort_key);
-            let Some((n, _)) = next else {
-                return Ok(());
-            };
+            let Some((n, _)) = next else { return Ok(()) };
             let Some(timed_record) = streams[n].next.take() else {
                 return Ok(());
             };
