--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Owners as an open loop: asks at a fixed rate over pipelined connections. Times run from when an ask was due to be
-//! sent, not from when it was, so that a placer that falls behind can't hide it (coordinated omission).
+//! Open-loop clients: requests at a fixed rate over pipelined connections. Latencies are measured from the time when a
+//! request was due, not when it was sent, so that the delays of a slow placer are counted (no coordinated omission).
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,43 +11,43 @@
 use maplethread_reactor::{Poller, TcpConnection};
 use maplethread_wire::http::{self, Limits, MessageReader, ReadResult, Role};
 
-/// Answers that are out this long after the last ask was due are not waited for, µs.
-const GIVE_UP_AFTER_US: u64 = 30_000_000;
+/// How long after the last request was due clients wait for answers, µs.
+const ANSWER_TIMEOUT_US: u64 = 30_000_000;
 
-/// What is asked, and how often.
+/// The load of requests to send.
 #[derive(Clone, Debug)]
 pub struct RequestLoad {
-    /// Asks a second.
+    /// Requests a second.
     pub requests_per_s: f64,
-    /// For so long, s.
+    /// Duration of the load, s.
     pub seconds: f64,
-    /// Times of asks that were due before this are kept apart from those after it, s.
+    /// Latencies of requests due before this time are kept apart from those due after it, s.
     pub split_s: f64,
-    /// Client connections, at least one for each placer.
+    /// Number of client connections; at least one for each placer is used.
     pub connections: usize,
-    /// Tasks are told to live so long, ms; nothing is told where missing.
+    /// Expected duration of tasks given in requests, ms; left out if `None`.
     pub task_duration_ms: Option<u64>,
-    /// Actors are named after this, so that several loads don't ask for the same ones.
+    /// Prefix of the actors' names, so that several loads use different actors.
     pub name: String,
 }
 
-/// What came of a load.
+/// The answers to a load.
 #[derive(Clone, Debug)]
 pub struct AnswerTimes {
-    /// Asks.
+    /// Number of requests.
     pub requests: u64,
-    /// Those placed.
+    /// Number of requests that were answered `placed`.
     pub placed: u64,
-    /// From when an ask was due to its answer, µs: of those due before the split, and after it.
+    /// Times from when a request was due to its answer, µs: of requests due before the split, and after it.
     pub times: [Histogram<u64>; 2],
-    /// How long it took until all was answered, s.
+    /// Time until all requests were answered, s.
     pub took_s: f64,
 }
 
 struct Connection {
     conn: TcpConnection,
     reader: MessageReader,
-    /// When the asks without an answer were due.
+    /// Due times of the requests that have no answer yet.
     waiting: VecDeque<u64>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Clients {
-    /// Connects to all of these placers in turn.
+    /// Opens the connections, distributed over these placers in turn.
     ///
     /// # Errors
     ///
@@ -95,24 +95,24 @@
         })
     }
 
-    /// Asks until all is asked and answered.
+    /// Sends all requests and reads their answers.
     ///
     /// # Errors
     ///
-    /// A connection fails, or a placer breaks the protocol.
+    /// A connection fails, or a placer violates the protocol.
     pub fn run(mut self) -> io::Result<AnswerTimes> {
         let start = self.clock.now();
         let total = (self.load.requests_per_s * self.load.seconds).round() as u64;
-        let give_up = start + (self.load.seconds * 1e6) as u64 + GIVE_UP_AFTER_US;
+        let deadline = start + (self.load.seconds * 1e6) as u64 + ANSWER_TIMEOUT_US;
         let mut ready = Vec::new();
         let mut answered = 0;
         while answered < total {
             let now = self.clock.now();
-            if now > give_up {
+            if now > deadline {
                 break;
             }
             self.send_due_requests(start, now, total)?;
-            let wait = match self.answers.requests < total {
+            let wait_us = match self.answers.requests < total {
                 true => self
                     .due_at(start, self.answers.requests)
                     .saturating_sub(now),
@@ -120,7 +120,7 @@
             };
             ready.clear();
             self.poller
-                .wait(Some(Duration::from_micros(wait)), &mut ready)?;
+                .wait(Some(Duration::from_micros(wait_us)), &mut ready)?;
             for readiness in &ready {
                 answered += self.read(readiness.token as usize, start)?;
             }
@@ -134,43 +134,47 @@
     }
 
     fn send_due_requests(&mut self, start: u64, now: u64, total: u64) -> io::Result<()> {
-        let mut touched = vec![false; self.connections.len()];
+        let mut has_new_requests = vec![false; self.connections.len()];
         while self.answers.requests < total && self.due_at(start, self.answers.requests) <= now {
             let n = self.answers.requests;
             let due = self.due_at(start, n);
-            let at = n as usize % self.connections.len();
+            let index = n as usize % self.connections.len();
             let body = self.body(n);
-            let connection = &mut self.connections[at];
+            let connection = &mut self.connections[index];
             let out = connection.conn.write_buffer();
             let request = format!("{}-{n}", self.load.name);
             let headers = [("Host", "placer"), ("X-Request-Id", request.as_str())];
             http::write_request(out, "POST", "/v1/actors", &headers, body.as_bytes());
             connection.waiting.push_back(due);
-            touched[at] = true;
+            has_new_requests[index] = true;
             self.answers.requests += 1;
         }
-        for (at, _) in touched.iter().enumerate().filter(|(_, t)| **t) {
-            self.connections[at].conn.flush(&self.poller)?;
+        for (index, _) in has_new_requests
+            .iter()
+            .enumerate()
+            .filter(|(_, has_new)| **has_new)
+        {
+            self.connections[index].conn.flush(&self.poller)?;
         }
         Ok(())
     }
 
     fn body(&self, n: u64) -> String {
-        let life = self
+        let duration_field = self
             .load
             .task_duration_ms
             .map_or(String::new(), |ms| format!(",\"life_ms\":{ms}"));
         format!(
-            "{{\"service\":\"service-{}\",\"actor\":\"{}-{n}\",\"class\":\"web-api\",\"cores\":0.5,\"memory_gib\":1,\"budget_ms\":10000{life}}}",
+            "{{\"service\":\"service-{}\",\"actor\":\"{}-{n}\",\"class\":\"web-api\",\"cores\":0.5,\"memory_gib\":1,\"budget_ms\":10000{duration_field}}}",
             n % 500,
             self.load.name
         )
     }
 
-    /// Reads the answers on a connection; returns how many.
-    fn read(&mut self, at: usize, start: u64) -> io::Result<u64> {
+    /// Reads the answers on a connection and returns their number.
+    fn read(&mut self, index: usize, start: u64) -> io::Result<u64> {
         let split = start + (self.load.split_s * 1e6) as u64;
-        let connection = &mut self.connections[at];
+        let connection = &mut self.connections[index];
         connection.conn.flush(&self.poller)?;
         connection.conn.read_available(256 << 10, 512 << 10);
         let mut answered = 0;
@@ -184,8 +188,8 @@
                 return Ok(answered);
             };
             if let Some(due) = connection.waiting.pop_front() {
-                let took = self.clock.now().saturating_sub(due).max(1);
-                self.answers.times[usize::from(due >= split)].saturating_record(took);
+                let latency_us = self.clock.now().saturating_sub(due).max(1);
+                self.answers.times[usize::from(due >= split)].saturating_record(latency_us);
                 answered += 1;
             }
             if message.body.windows(8).any(|w| w == b"\"placed\"") {
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -1,5 +1,5 @@
-//! What owners want first: drawn from the seed ahead of the day, and the same whoever decides. What comes again, and
-//! when, depends on the answers; each owner draws that from a generator of its own.
+//! The arrivals of owners, drawn from the seed before the run and the same for every decider. Repeated requests depend on
+//! the answers; each owner draws their times from its own generator.
 
 use std::sync::Arc;
 
@@ -10,29 +10,29 @@
 #[cfg(test)]
 mod tests;
 
-/// An owner, as it comes to the cluster.
+/// The arrival of an owner, with the task that it wants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When, µs after the day's start.
+    /// Time of the arrival, µs after the start of the run.
     pub at_us: u64,
-    /// Its class, by number.
+    /// The class of its task, by number.
     pub class: usize,
-    /// Its service.
+    /// The service of its task.
     pub service: Arc<str>,
-    /// Its actor; no other has this name.
+    /// The actor of its task, unique in the run.
     pub actor: Arc<str>,
-    /// Cores and memory (GiB) that it asks for.
+    /// Requested cores and memory (GiB).
     pub resources: [f64; 2],
-    /// How long it wants to run from its arrival on, µs.
+    /// How long the task is wanted from the arrival on, µs.
     pub wanted_for_us: u64,
-    /// Its zone, by number.
+    /// The zone of the owner, by number.
     pub zone: usize,
-    /// Seed of what it draws later.
+    /// Seed of the owner's own generator.
     pub seed: u64,
 }
 
 impl Arrival {
-    /// What is to be served, for a day that starts at `start`.
+    /// The demand of this arrival, for a run that starts at `start`.
     pub fn demand(&self, scenario: &Scenario, start: u64) -> TaskDemand {
         let c = &scenario.classes[self.class];
         let mean = |i: usize| c.shapes.iter().map(|s| s[i]).sum::<f64>() / c.shapes.len() as f64;
@@ -53,47 +53,49 @@
     }
 }
 
-/// All arrivals of a day, in order.
+/// All arrivals of a run, in order of time.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
-    let mut dice = SeededRng::new(seed, 9);
-    let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
-    let end = scenario.seconds * 1e6;
-    let (mut all, mut at) = (Vec::new(), 0.0);
+    let mut rng = SeededRng::new(seed, 9);
+    let total_share: f64 = scenario.classes.iter().map(|c| c.share).sum();
+    let end_us = scenario.seconds * 1e6;
+    let (mut arrivals, mut at_us) = (Vec::new(), 0.0);
     loop {
-        let rate =
-            scenario.load_at(at / 1e6) * overload_factor(scenario, at / 1e6) * scenario.cores()
-                / scenario.core_seconds();
-        at += dice.exp(1e6 / rate.max(0.01));
-        if at >= end {
-            return all;
+        let rate = scenario.load_at(at_us / 1e6)
+            * overload_factor(scenario, at_us / 1e6)
+            * scenario.cores()
+            / scenario.core_seconds();
+        at_us += rng.exp(1e6 / rate.max(0.01));
+        if at_us >= end_us {
+            return arrivals;
         }
-        let mut left = dice.fraction() * total;
+        let mut remaining_share = rng.fraction() * total_share;
         let class = scenario.classes.iter().position(|c| {
-            left -= c.share;
-            left < 0.0
+            remaining_share -= c.share;
+            remaining_share < 0.0
         });
         let class = class.unwrap_or(0);
         let c = &scenario.classes[class];
-        all.push(Arrival {
-            at_us: at as u64,
+        arrivals.push(Arrival {
+            at_us: at_us as u64,
             class,
-            service: format!("{}-{:02}", c.rules.name, dice.index_below(c.service_count)).into(),
-            actor: format!("{}-{}", c.rules.name, all.len()).into(),
-            resources: c.shapes[dice.index_below(c.shapes.len())],
-            wanted_for_us: ((0.3 + 0.7 * dice.exp(1.0)).min(4.0) * c.mean_duration_s * 1e6) as u64,
-            zone: dice.index_below(scenario.fleet.zones.len()),
-            seed: dice.seed(),
+            service: format!("{}-{:02}", c.rules.name, rng.index_below(c.service_count)).into(),
+            actor: format!("{}-{}", c.rules.name, arrivals.len()).into(),
+            resources: c.shapes[rng.index_below(c.shapes.len())],
+            wanted_for_us: ((0.3 + 0.7 * rng.exp(1.0)).min(4.0) * c.mean_duration_s * 1e6) as u64,
+            zone: rng.index_below(scenario.fleet.zones.len()),
+            seed: rng.seed(),
         });
     }
 }
 
-/// How many times as much is wanted at a time, by the faults.
+/// The factor by which overload faults raise the demand at a time.
 fn overload_factor(scenario: &Scenario, s: f64) -> f64 {
-    let on = scenario
+    let overloads = scenario
         .faults
         .iter()
-        .filter(|t| t.kind == FaultKind::Overload);
-    on.filter(|t| (t.at_s..t.at_s + t.duration_s).contains(&s))
-        .map(|t| t.intensity)
+        .filter(|fault| fault.kind == FaultKind::Overload);
+    overloads
+        .filter(|fault| (fault.at_s..fault.at_s + fault.duration_s).contains(&s))
+        .map(|fault| fault.intensity)
         .fold(1.0, f64::max)
 }
--- a/crates/emulator/src/fault_plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -1,4 +1,4 @@
-//! Turns the faults of a scenario into single actions on hosts, placers, inventory, catalogue and owners, each with its
+//! Expands the faults of a scenario into single actions on hosts, placers, inventory, catalogue and owners, each with its
 //! time.
 
 use maplethread_config::HostState;
@@ -12,25 +12,25 @@
 #[cfg(test)]
 mod tests;
 
-/// How long a host that was silent stays away before it starts anew, µs.
+/// Time that a host stays down after its crash before it restarts, µs; for silent hosts and rolling deploys.
 const RESTART_DELAY_US: u64 = 300_000;
-/// The least length of one pause of a placer that stalls again and again, s.
+/// Minimum length of one pause of a placer that is paused repeatedly, s.
 const MIN_STALL_S: f64 = 0.05;
-/// The least period of a health flap, s.
+/// Minimum period of health flaps, s.
 const MIN_FLAP_S: f64 = 0.05;
-/// The least period of the flaps of a host that fails for real, s.
+/// Minimum period of health flaps of a host that really fails, s.
 const MIN_FAILING_FLAP_S: f64 = 0.2;
-/// The share of an answer of the catalogue that is left out where it is cut.
-const CUT_SHARE: f64 = 0.7;
+/// Share of the catalogue's answers that are truncated under a `CatalogueCut` fault.
+const TRUNCATED_ANSWER_SHARE: f64 = 0.7;
 
-/// What the inventory holds.
+/// The contents of the inventory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InventoryContent {
-    /// What the hosts are.
+    /// The listed states of the hosts.
     Valid,
-    /// Nothing.
+    /// An empty file.
     Empty,
-    /// Text that is no inventory.
+    /// Text that cannot be parsed as an inventory.
     Invalid,
 }
 
@@ -49,11 +49,11 @@
     ProgramsLost,
 }
 
-/// An action on a part of the run.
+/// An action that injects a fault or ends one.
 #[derive(Clone, Debug)]
 pub(crate) enum FaultAction {
     Host(HostCommand),
-    /// The inventory lists a host so, once it has noticed.
+    /// The inventory lists a host in this state after its delay.
     ListHost {
         host: usize,
         state: HostState,
@@ -65,7 +65,7 @@
     },
     Placer(PlacerFault),
     ReplaceInventory(InventoryContent),
-    /// The health of a host that is listed as up changes.
+    /// The health of a host changes, if the host is up and listed accordingly.
     SetHealth {
         host: usize,
         is_healthy: bool,
@@ -76,7 +76,7 @@
     },
     /// This share of the requests is abandoned by an early disconnect.
     SetDisconnectShare(f64),
-    /// The inventory notices changes this many times as late.
+    /// The inventory lists changes later by this factor.
     SetInventoryDelay {
         factor: f64,
     },
@@ -90,7 +90,7 @@
     pub(crate) action: FaultAction,
 }
 
-/// The actions of all faults of a scenario, in no order; the hosts and placers that they affect are drawn.
+/// The actions of all faults of a scenario, unordered. The hosts and placers that they affect are drawn at random.
 pub(crate) fn plan(scenario: &Scenario, rng: &mut SeededRng) -> Vec<ScheduledAction> {
     let mut plan = Plan {
         scenario,
@@ -162,7 +162,7 @@
             FaultKind::InventoryLate
             | FaultKind::InventoryEmpty
             | FaultKind::InventoryGarbage
-            | FaultKind::HangUps => self.set_for_a_while(fault, window),
+            | FaultKind::HangUps => self.set_during_window(fault, window),
             FaultKind::CatalogueLate
             | FaultKind::CatalogueStorm
             | FaultKind::CatalogueCut
@@ -172,7 +172,7 @@
                 let for_us = window.length();
                 self.add(window.from, FaultAction::LoseCatalogueLeader { for_us });
             }
-            // It is in the arrivals, which are drawn ahead.
+            // Already part of the arrivals, which are drawn before the run.
             FaultKind::Overload => {}
         }
     }
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Draws the hosts that a fault affects.
+    /// Draws the hosts that a fault affects; all hosts of its zone if it has a zone and no share.
     fn affected_hosts(&mut self, fault: &ScheduledFault) -> Vec<usize> {
         let mut hosts: Vec<usize> = (0..self.scenario.fleet.hosts).collect();
         if let Some(zone) = &fault.zone {
@@ -225,7 +225,7 @@
         self.draw_share(placers, fault.affected_share)
     }
 
-    /// Draws a share of these, at least one.
+    /// Draws a share of the items, at least one.
     fn draw_share(&mut self, mut all: Vec<usize>, share: f64) -> Vec<usize> {
         self.rng.shuffle(&mut all);
         let count = (all.len() as f64 * share).round().max(1.0) as usize;
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Faults of these hosts for the whole window.
+    /// Sets a fault of these hosts for the whole window.
     fn set_host_faults(&mut self, fault: &ScheduledFault, window: Window, hosts: Vec<usize>) {
         let Some(host_fault) = self.host_fault(fault) else {
             return;
@@ -357,8 +357,8 @@
         }
     }
 
-    /// One flap of a host that fails for real: its fault begins a tenth of the period before its health shows it, and ends
-    /// a quarter of the period after its health is back. Which fault it is depends on its position among the hosts.
+    /// One flap of a host that really fails: the fault begins a tenth of the period before the health shows it, and ends a
+    /// quarter of the period after the health is back. The position among the affected hosts selects the fault.
     fn add_failing_flap(&mut self, position: usize, host: usize, from: u64, period: u64) {
         let (unhealthy, healthy) = (from + period / 10, from + period / 2);
         let fault_window = Window {
@@ -416,7 +416,7 @@
     fn stall_placers(&mut self, fault: &ScheduledFault, window: Window) {
         let pause = (fault.intensity.max(MIN_STALL_S) * 1e6) as u64;
         for placer in self.affected_placers(fault) {
-            // Apart from one another; as long again and a second lie between two pauses.
+            // A random offset per placer, so that placers pause at different times; pauses are their own length plus 1 s apart.
             let mut from = window.from + self.rng.index_below(pause as usize) as u64;
             while from < window.until {
                 let until = (from + pause).min(window.until);
@@ -427,8 +427,8 @@
         }
     }
 
-    /// What is set at the beginning of the window and set back at its end.
-    fn set_for_a_while(&mut self, fault: &ScheduledFault, window: Window) {
+    /// Faults that are set at the beginning of the window and reset at its end.
+    fn set_during_window(&mut self, fault: &ScheduledFault, window: Window) {
         let (begin, end) = match fault.kind {
             FaultKind::InventoryLate => (
                 FaultAction::SetInventoryDelay {
@@ -458,7 +458,7 @@
         match fault.kind {
             FaultKind::CatalogueLate => faults.delay_us = (fault.intensity * 1e6) as u64,
             FaultKind::CatalogueStorm => faults.error_status = Some((fault.intensity as u16, 1.0)),
-            FaultKind::CatalogueCut => faults.truncated_share = CUT_SHARE,
+            FaultKind::CatalogueCut => faults.truncated_share = TRUNCATED_ANSWER_SHARE,
             FaultKind::CataloguePartial => faults.partial_share = fault.intensity,
             _ => faults.index_offset = fault.intensity as u64,
         }
--- a/crates/emulator/src/fault_plan/tests.rs
+++ b/crates/emulator/src/fault_plan/tests.rs
@@ -1,4 +1,4 @@
-//! What a seed means stays the same: the faults that are drawn from it, and the hosts and placers that they affect.
+//! A seed keeps its meaning across versions: the faults drawn from it, and the hosts and placers that they affect.
 
 use super::plan;
 use crate::scenario::Scenario;
@@ -47,9 +47,9 @@
             .map(|action| format!("{} ", action.at_us))
             .collect();
         let name = &scenario.name;
-        assert_eq!(actions.len(), count, "{name}: actions");
-        assert_eq!(hash(&times), times_hash, "{name}: their times");
-        assert_eq!(rng.seed(), next_seed, "{name}: as many draws");
+        assert_eq!(actions.len(), count, "{name}: number of actions");
+        assert_eq!(hash(&times), times_hash, "{name}: times of the actions");
+        assert_eq!(rng.seed(), next_seed, "{name}: number of random draws");
     }
 }
 
@@ -64,7 +64,7 @@
         (Scenario::random(199), 0xf182_62f6_8442_2fe0),
     ];
     for (scenario, expected) in cases {
-        let text = toml::to_string(&scenario).expect("a scenario is TOML");
+        let text = toml::to_string(&scenario).expect("a scenario serializes to TOML");
         assert_eq!(hash(&text), expected, "{}", scenario.name);
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,23 +1,22 @@
-//! An emulated world for placers to run in, on loopback: emulated hosts that behave as the users describe theirs
-//! (simulated work, real sockets), emulated owners that request placements, wait, disconnect and come again, and fault
-//! scenarios, after which the history of the traffic is checked.
+//! An emulated environment for placers, on loopback: emulated hosts (simulated work, real sockets), emulated owners that
+//! request placements, wait, disconnect and retry, and fault scenarios, after which the recorded history of the traffic
+//! is checked.
 //!
-//! Also here: a load test, and a decider that chooses hosts at random, which the decisions are compared with and which can
-//! be made to violate each rule on purpose.
+//! Also here: a load test, and a decider that chooses hosts at random. It is the baseline for the policy, and it can be
+//! made to violate each rule on purpose (a mutant).
 //!
-//! | modules | what they are |
+//! | modules | contents |
 //! |---|---|
-//! | `scenario`, `random_scenario`, `recorded_scenario` | what is to happen: from a file, from a seed, from recorded traces |
-//! | `scenario_run`, `run_options`, `report` | a run of a scenario, and what it came to |
-//! | `fault_plan`, `demand` | the actions and arrivals of a scenario, with their times |
-//! | `host`, `host_pool`, `owners`, `placer_processes` | the parties: emulated hosts and owners, real placers |
-//! | `run_context`, `service_accounting`, `read_times`, `seeded_rng` | what the parties share |
-//! | `clients`, `hollow_placers`, `load_test`, `traffic`, `usage` | load, and what it costs |
-//! | `random_choice`, `mutant` | the decider to compare with, and its deliberate violations |
+//! | `scenario`, `random_scenario`, `recorded_scenario` | scenarios: from a file, from a seed, from recorded traces |
+//! | `scenario_run`, `run_options`, `report` | a run of a scenario, and its results |
+//! | `fault_plan`, `demand` | the fault actions and the arrivals of a scenario, with their times |
+//! | `host`, `host_pool`, `owners`, `placer_processes` | the participants: emulated hosts and owners, real placers |
+//! | `run_context`, `service_accounting`, `read_times`, `seeded_rng` | state and utilities that the participants share |
+//! | `clients`, `hollow_placers`, `load_test`, `traffic`, `usage` | load generation, and its cost |
+//! | `random_choice`, `mutant` | the baseline decider, and its deliberate rule violations |
 #![allow(
-    clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not yet worked through; listed in docs/ROADMAP.md"
+    reason = "event handlers and protocol loops that handle every case in one function"
 )]
 
 mod catalogue_registration;
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -1,4 +1,4 @@
-//! A load generator for one placer: an open loop of asks at a fixed rate, against hosts that accept all at once.
+//! A load test of one placer: open-loop requests at a fixed rate, with hosts that accept every offer at once.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader};
@@ -27,60 +27,60 @@
 use crate::settings::{api, consul, hosts, plain_class};
 use crate::usage::process_usage;
 
-/// What load to make.
+/// Options of a load test.
 #[derive(Clone, Debug)]
 pub struct LoadOptions {
-    /// The program whose `placer` subcommand is run.
+    /// The executable whose `placer` subcommand starts the placer.
     pub program: PathBuf,
-    /// Asks a second.
+    /// Requests a second.
     pub requests_per_s: f64,
-    /// For so long, s.
+    /// Duration of the load, s.
     pub seconds: f64,
-    /// Hosts.
+    /// Number of hosts.
     pub host_count: usize,
-    /// Client connections.
+    /// Number of client connections.
     pub connection_count: usize,
-    /// Tasks end after so long, ms; 0 for never.
+    /// Duration of a task, ms; 0 for tasks that do not end.
     pub task_duration_ms: u64,
     /// Seed of the placer.
     pub seed: u64,
-    /// The hosts come from a catalogue, and in the second half of the run the health of a third of them changes so
-    /// often a second.
+    /// If set, the hosts are read from an emulated catalogue, and in the second half of the run the health of a third of
+    /// them changes this many times a second in total.
     pub health_changes_per_s: Option<f64>,
     /// The placer writes trace files into this folder.
     pub trace_folder: Option<PathBuf>,
 }
 
-/// What a run measured.
+/// The result of a load test.
 #[derive(Clone, Debug)]
 pub struct LoadResult {
-    /// Asks a second that were wanted, and that got their answer.
+    /// Target rate, requests a second.
     pub rate: f64,
-    /// See `rate`.
+    /// Answers a second.
     pub answered_rate: f64,
-    /// Asks.
+    /// Number of requests.
     pub requests: u64,
-    /// Those placed.
+    /// Number of requests that were answered `placed`.
     pub placed: u64,
-    /// From when an ask was due to its answer: p50, p99, p99.9 and the longest, µs.
+    /// Time from when a request was due to its answer: p50, p99, p99.9 and maximum, µs.
     pub answer_us: [u64; 4],
     /// The same for the first half of the run and for the second.
     pub halves_us: [[u64; 4]; 2],
     /// Decisions: p50 and p99, µs, as the placer measured them.
     pub decide_us: [u64; 2],
-    /// Memory of the placer before and after, KiB.
+    /// Resident memory of the placer before and after the load, KiB.
     pub rss_kib: [u64; 2],
-    /// Actors held at the end.
+    /// Number of actors at the end.
     pub actors: u64,
-    /// What the placer's loop spent its time on: reading, turns, deciding within them, and writing, µs in all and in
-    /// the longest turn.
+    /// Time that the placer's event loop spent on reading, on turns, on deciding within them and on writing, µs, in total
+    /// and in the longest turn.
     pub loop_time: Value,
-    /// Share of one core that the placer used while idle and under load.
+    /// Share of one core that the placer used when idle and under load.
     pub cpu: [f64; 2],
 }
 
 impl LoadResult {
-    /// As an object.
+    /// The result as a JSON object.
     pub fn json(&self) -> Value {
         json!({
             "rate": self.rate, "answered_rate": self.answered_rate, "asks": self.requests, "placed": self.placed,
@@ -94,14 +94,14 @@
         })
     }
 
-    /// For a person.
+    /// The result as text.
     pub fn text(&self) -> String {
         let spent = |part: &str| {
-            let of = |key: &str| self.loop_time[part][key].as_u64().unwrap_or(0);
+            let value = |key: &str| self.loop_time[part][key].as_u64().unwrap_or(0);
             format!(
                 "{:.1} us ({:.1} ms)",
-                of("all") as f64 / self.requests.max(1) as f64,
-                of("longest") as f64 / 1000.0
+                value("all") as f64 / self.requests.max(1) as f64,
+                value("longest") as f64 / 1000.0
             )
         };
         let spent = format!(
@@ -142,15 +142,15 @@
     }
 }
 
-/// Hosts that accept all at once, in a thread of their own.
+/// Hosts that accept and start every offer at once, in a thread of their own.
 struct MinimalHosts {
     addresses: Vec<SocketAddr>,
-    end: Arc<AtomicBool>,
+    should_end: Arc<AtomicBool>,
     thread: Option<JoinHandle<io::Result<()>>>,
 }
 
 impl MinimalHosts {
-    fn start(count: usize, life_us: u64) -> io::Result<MinimalHosts> {
+    fn start(count: usize, task_duration_us: u64) -> io::Result<MinimalHosts> {
         let poller = Poller::new()?;
         let mut listeners = Vec::new();
         let mut addresses = Vec::new();
@@ -161,15 +161,16 @@
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
-        let end = Arc::new(AtomicBool::new(false));
-        let ended = end.clone();
-        let run = move || run_minimal_hosts(&poller, &listeners, life_us, &ended);
+        let should_end = Arc::new(AtomicBool::new(false));
+        let thread_should_end = should_end.clone();
+        let run =
+            move || run_minimal_hosts(&poller, &listeners, task_duration_us, &thread_should_end);
         let thread = std::thread::Builder::new()
             .name("null-hosts".into())
             .spawn(run)?;
         Ok(MinimalHosts {
             addresses,
-            end,
+            should_end,
             thread: Some(thread),
         })
     }
@@ -177,7 +178,7 @@
 
 impl Drop for MinimalHosts {
     fn drop(&mut self) {
-        self.end.store(true, Ordering::Relaxed);
+        self.should_end.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -187,35 +188,35 @@
 fn run_minimal_hosts(
     poller: &Poller,
     listeners: &[TcpListener],
-    life_us: u64,
-    ended: &AtomicBool,
+    task_duration_us: u64,
+    should_end: &AtomicBool,
 ) -> io::Result<()> {
     let clock = Clock::start();
-    let mut conns: HashMap<u64, (TcpConnection, usize)> = HashMap::new();
-    let mut next = listeners.len() as u64;
+    let mut connections: HashMap<u64, (TcpConnection, usize)> = HashMap::new();
+    let mut last_token = listeners.len() as u64;
     let mut ready: Vec<Readiness> = Vec::new();
-    let mut over: Timers<(u64, u64)> = Timers::default();
-    while !ended.load(Ordering::Relaxed) {
+    let mut task_ends: Timers<(u64, u64)> = Timers::default();
+    while !should_end.load(Ordering::Relaxed) {
         ready.clear();
-        let wait = over
+        let wait_us = task_ends
             .next_due_at()
             .map_or(50_000, |at| at.saturating_sub(clock.now()).min(50_000));
-        poller.wait(Some(Duration::from_micros(wait)), &mut ready)?;
+        poller.wait(Some(Duration::from_micros(wait_us)), &mut ready)?;
         for r in &ready {
             if let Some(listener) = listeners.get(r.token as usize) {
                 while let Ok((stream, _)) = listener.accept() {
-                    next += 1;
-                    conns.insert(
-                        next,
+                    last_token += 1;
+                    connections.insert(
+                        last_token,
                         (
-                            TcpConnection::from_accepted(stream, next, poller)?,
+                            TcpConnection::from_accepted(stream, last_token, poller)?,
                             r.token as usize,
                         ),
                     );
                 }
                 continue;
             }
-            let Some((conn, host)) = conns.get_mut(&r.token) else {
+            let Some((conn, host)) = connections.get_mut(&r.token) else {
                 continue;
             };
             let outcome = conn.read_available(256 << 10, 512 << 10);
@@ -238,8 +239,11 @@
                     Frame::Offer(offer) => {
                         answers.push(Frame::Accepted(offer.attempt_id, 0));
                         answers.push(Frame::Started(offer.attempt_id, 0));
-                        if life_us > 0 {
-                            over.schedule(clock.now() + life_us, (r.token, offer.attempt_id));
+                        if task_duration_us > 0 {
+                            task_ends.schedule(
+                                clock.now() + task_duration_us,
+                                (r.token, offer.attempt_id),
+                            );
                         }
                     }
                     Frame::Cancel(attempt) | Frame::Stop(attempt) => {
@@ -254,11 +258,11 @@
             }
             let broken = conn.flush(poller).is_err();
             if broken || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
-                conns.remove(&r.token);
+                connections.remove(&r.token);
             }
         }
-        while let Some((token, attempt)) = over.pop_due(clock.now()) {
-            if let Some((conn, _)) = conns.get_mut(&token) {
+        while let Some((token, attempt)) = task_ends.pop_due(clock.now()) {
+            if let Some((conn, _)) = connections.get_mut(&token) {
                 frame::encode(
                     &Frame::Ended(attempt, frame::Reason::Completed, true, None),
                     conn.write_buffer(),
@@ -286,7 +290,7 @@
 /// Files, sockets or processes of the run fail, or the placer does not start.
 pub fn run(options: &LoadOptions) -> io::Result<LoadResult> {
     let folder = tempfile::tempdir()?;
-    let hosts_up = MinimalHosts::start(options.host_count, options.task_duration_ms * 1000)?;
+    let minimal_hosts = MinimalHosts::start(options.host_count, options.task_duration_ms * 1000)?;
     let entry = |(number, address): (usize, &SocketAddr)| HostEntry {
         name: format!("host-{number}"),
         address: *address,
@@ -299,7 +303,12 @@
         unallocated_memory_gib: None,
     };
     let inventory = Inventory {
-        hosts: hosts_up.addresses.iter().enumerate().map(entry).collect(),
+        hosts: minimal_hosts
+            .addresses
+            .iter()
+            .enumerate()
+            .map(entry)
+            .collect(),
     };
     std::fs::write(
         folder.path().join("hosts.toml"),
@@ -332,7 +341,7 @@
         },
         consul: servers
             .as_ref()
-            .map(|s| consul(s.addresses.clone(), DampingMode::Off, None)),
+            .map(|servers| consul(servers.addresses.clone(), DampingMode::Off, None)),
         placement: PlacementSettings {
             admit_cores: 1.0,
             admit_memory: 1.0,
@@ -377,11 +386,13 @@
         .rsplit(' ')
         .next()
         .and_then(|a| a.parse().ok())
-        .ok_or_else(|| io::Error::other("the placer did not start"))?;
+        .ok_or_else(|| {
+            io::Error::other("placer exited or closed its output without printing its address")
+        })?;
     std::thread::sleep(Duration::from_millis(300));
-    let idle_from = process_usage(pid)?;
+    let idle_start = process_usage(pid)?;
     std::thread::sleep(Duration::from_secs(1));
-    let idle_to = process_usage(pid)?;
+    let idle_end = process_usage(pid)?;
     let load = RequestLoad {
         requests_per_s: options.requests_per_s,
         seconds: options.seconds,
@@ -391,35 +402,36 @@
         name: "actor".to_owned(),
     };
     let clients = Clients::connect(load, &[address])?;
-    let storm = servers
-        .as_ref()
-        .zip(options.health_changes_per_s)
-        .map(|(servers, rate)| {
-            let (at, hosts) = (servers.addresses[0], inventory.hosts.clone());
-            let (half, rate) = (options.seconds / 2.0, rate.max(0.1));
-            std::thread::spawn(move || {
-                std::thread::sleep(Duration::from_secs_f64(half));
-                for n in 0..(half * rate) as usize {
-                    let mut host = hosts[n * 7 % (hosts.len() / 3).max(1)].clone();
-                    host.state = if n % 2 == 0 {
-                        HostState::Draining
-                    } else {
-                        HostState::Ready
-                    };
-                    let _ = register_host(at, &host);
-                    std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
-                }
-            })
-        });
+    let health_changes =
+        servers
+            .as_ref()
+            .zip(options.health_changes_per_s)
+            .map(|(servers, rate)| {
+                let (server, hosts) = (servers.addresses[0], inventory.hosts.clone());
+                let (half_s, rate) = (options.seconds / 2.0, rate.max(0.1));
+                std::thread::spawn(move || {
+                    std::thread::sleep(Duration::from_secs_f64(half_s));
+                    for n in 0..(half_s * rate) as usize {
+                        let mut host = hosts[n * 7 % (hosts.len() / 3).max(1)].clone();
+                        host.state = if n % 2 == 0 {
+                            HostState::Draining
+                        } else {
+                            HostState::Ready
+                        };
+                        let _ = register_host(server, &host);
+                        std::thread::sleep(Duration::from_secs_f64(1.0 / rate));
+                    }
+                })
+            });
     let answers = clients.run()?;
-    if let Some(storm) = storm {
-        let _ = storm.join();
+    if let Some(thread) = health_changes {
+        let _ = thread.join();
     }
-    let loaded = process_usage(pid)?;
-    let took = answers.took_s;
+    let load_end = process_usage(pid)?;
+    let took_s = answers.took_s;
     std::thread::sleep(Duration::from_millis(600));
     let (_, status) = maplethread_placer::get_json(address, "/v1/status?full")?;
-    let decide = |q: &str| status["gauges"]["decide_us"][q].as_u64().unwrap_or(0);
+    let decision_us = |q: &str| status["gauges"]["decide_us"][q].as_u64().unwrap_or(0);
     let quantiles = |h: &Histogram<u64>| {
         [
             h.value_at_quantile(0.5),
@@ -433,18 +445,18 @@
     all.add(&halves[1]).map_err(io::Error::other)?;
     Ok(LoadResult {
         rate: options.requests_per_s,
-        answered_rate: all.len() as f64 / took,
+        answered_rate: all.len() as f64 / took_s,
         requests: answers.requests,
         placed: answers.placed,
         answer_us: quantiles(&all),
         halves_us: [quantiles(&halves[0]), quantiles(&halves[1])],
-        decide_us: [decide("p50"), decide("p99")],
-        rss_kib: [idle_to.resident_kib, process_usage(pid)?.resident_kib],
+        decide_us: [decision_us("p50"), decision_us("p99")],
+        rss_kib: [idle_end.resident_kib, process_usage(pid)?.resident_kib],
         actors: status["actors"].as_u64().unwrap_or(0),
         loop_time: status["gauges"]["spent_us"].clone(),
         cpu: [
-            idle_to.cpu_s - idle_from.cpu_s,
-            (loaded.cpu_s - idle_to.cpu_s) / took,
+            idle_end.cpu_s - idle_start.cpu_s,
+            (load_end.cpu_s - idle_end.cpu_s) / took_s,
         ],
     })
 }
--- a/crates/emulator/src/mutant.rs
+++ b/crates/emulator/src/mutant.rs
@@ -1,5 +1,5 @@
-//! What became of a placer that breaks a rule on purpose. Such a day shows that the judge can catch a broken rule, so it
-//! must not pass for a good one where the rule was not caught: the rogue had no occasion, or the judge missed it.
+//! The result of a mutant: a placer that violates a rule on purpose. Such a run shows that the checker detects violations
+//! of the rule, so it must not pass if none was detected: the mutant had no opportunity, or the checker missed it.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Seek, SeekFrom};
@@ -9,29 +9,29 @@
 
 use crate::random_choice::RULE_VIOLATION_LOG;
 
-/// The rogue that breaks rule 1 around pauses only.
+/// The mutant that violates rule 1 around pauses only.
 const PAUSE_MUTANT: u8 = 6;
 
-/// A placer that breaks a rule on purpose, at the end of its day.
+/// The result of a mutant at the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MutantResult {
-    /// Its number, as told with `--rogue`.
+    /// Its number, as given with `--rogue`.
     pub number: u8,
-    /// Its moves that its own guard forbids. The rule itself may allow some of them, such as an offer within the grace of
-    /// a drain.
+    /// Number of its actions that the decider's own guard forbids. The rule may allow some of them, such as an offer within
+    /// the grace period of a drain.
     pub violations_made: u64,
-    /// How often the judge found that rule broken.
+    /// Number of violations of that rule that the checker found.
     pub violations_found: u64,
 }
 
-/// Whether the judge caught a rogue.
+/// Whether the checker detected a mutant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MutantOutcome {
-    /// The judge found the rule broken.
+    /// The checker found the rule violated.
     Detected,
-    /// There was nothing to catch: the rogue made no move against the rule.
+    /// There was nothing to detect: the mutant made no action that its guard forbids.
     NoOpportunity,
-    /// The rogue moved against the rule, and the judge found the rule kept.
+    /// The mutant made actions that its guard forbids, and the checker found no violation of the rule.
     Missed,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Whether the judge caught it.
+    /// Whether the checker detected the mutant.
     pub fn outcome(&self) -> MutantOutcome {
         match (self.violations_found, self.violations_made) {
             (0, 0) => MutantOutcome::NoOpportunity,
@@ -58,46 +58,46 @@
         }
     }
 
-    /// The outcome in a line.
+    /// The outcome as a line of text.
     pub fn text(&self) -> String {
         let MutantResult {
             number,
-            violations_made: moves,
-            violations_found: caught,
+            violations_made: made,
+            violations_found: found,
         } = self;
         let rule = violated_rule(*number);
         match self.outcome() {
             MutantOutcome::Detected => {
                 format!(
-                    "rogue {number} moved against rule {rule} {moves} times; the judge found it broken {caught} times"
+                    "mutant {number} acted against rule {rule} {made} times; the checker found {found} violations"
                 )
             }
             MutantOutcome::NoOpportunity => {
                 format!(
-                    "rogue {number} had no occasion to break rule {rule}: this day tells nothing of the judge"
+                    "mutant {number} had no opportunity to violate rule {rule}: this run does not test the checker"
                 )
             }
             MutantOutcome::Missed => {
                 format!(
-                    "rogue {number} moved against rule {rule} {moves} times, and the judge found the rule kept"
+                    "mutant {number} acted against rule {rule} {made} times, and the checker found no violation"
                 )
             }
         }
     }
 }
 
-/// The rule that a rogue breaks.
-fn violated_rule(rogue: u8) -> u8 {
-    if rogue == PAUSE_MUTANT { 1 } else { rogue }
+/// The rule that a mutant violates.
+fn violated_rule(mutant: u8) -> u8 {
+    if mutant == PAUSE_MUTANT { 1 } else { mutant }
 }
 
-/// The moves against its rule that a placer told its log from this offset on.
+/// The number of violations that a placer has logged from this offset of its log on.
 pub(crate) fn count_violations_in_log(log: &Path, from: u64) -> io::Result<u64> {
     let mut file = File::open(log)?;
     file.seek(SeekFrom::Start(from))?;
-    let mut moves = 0;
+    let mut violations = 0;
     for line in BufReader::new(file).split(b'\n') {
-        moves += u64::from(String::from_utf8_lossy(&line?).contains(RULE_VIOLATION_LOG));
+        violations += u64::from(String::from_utf8_lossy(&line?).contains(RULE_VIOLATION_LOG));
     }
-    Ok(moves)
+    Ok(violations)
 }
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -1,7 +1,7 @@
-//! A decider that draws hosts at random: the baseline that the module is compared with, behind the same seam. It
-//! keeps the five rules by guards of its own, and each of them can be taken away, so that the judge can be shown a
-//! placer that breaks it. Each move that a guard would have forbidden is told to the log, so that a day can tell a rogue
-//! that had no occasion from one that the judge missed. It is a baseline only.
+//! A decider that chooses hosts at random: the baseline for the policy, behind the same interface, and not meant for
+//! production. It keeps the five rules by guards of its own. Each guard can be disabled (a mutant), to test that the
+//! checker detects the violations. Each action that a disabled guard would have prevented is logged, so that a mutant
+//! without an opportunity can be told from one that the checker missed.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -14,28 +14,29 @@
 
 use crate::seeded_rng::SeededRng;
 
-/// Final answers are given this long before the deadline.
+/// Final answers are given this long before the deadline, µs.
 const ANSWER_MARGIN_US: Micros = 15_000;
-/// What waits for a host is looked at this often.
+/// Blocked tasks are retried this often, µs.
 const BLOCKED_RETRY_US: Micros = 100_000;
+/// The label of the timer for blocked tasks; deadline timers are labelled with the task's id plus 1.
 const TICK_LABEL: u64 = 0;
-/// A rogue that keeps quiet around pauses takes this for one.
+/// Mutant 6 takes a longer time than this between two turns for a pause, µs.
 const PAUSE_THRESHOLD_US: Micros = 300_000;
-/// The `rogue` that breaks no rule.
+/// The number of the decider that violates no rule.
 const NO_MUTATION: u8 = 0;
-/// Log line of a rogue for each of its moves that its own guard forbids.
-pub(crate) const RULE_VIOLATION_LOG: &str = "a move against the rule, on purpose";
+/// Log line of a mutant for each of its actions that the disabled guard would have prevented.
+pub(crate) const RULE_VIOLATION_LOG: &str = "deliberate violation of a placement rule";
 
 struct PendingTask {
     task: Task,
     attempts: u32,
     in_flight: bool,
     possibly_started: Option<(Micros, MachineId)>,
-    /// Machines that refused it; at most as many as attempts.
+    /// Machines that rejected it; at most as many as attempts.
     rejected_by: Vec<MachineId>,
 }
 
-/// Random choice among the hosts that the rules allow.
+/// A decider that chooses at random among the machines that the rules allow.
 pub struct RandomChoice {
     settings: Settings,
     rng: SeededRng,
@@ -56,7 +57,7 @@
 }
 
 impl RandomChoice {
-    /// Keeps all rules but the one named by `rogue` (1 to 5; 6 for rule 1 around pauses only; 0 for none).
+    /// A decider that keeps all rules except the one given by `mutant` (1 to 5; 6 for rule 1 around pauses only; 0 for none).
     pub fn new(settings: Settings, seed: u64, mutant: u8) -> RandomChoice {
         RandomChoice {
             settings,
@@ -88,9 +89,9 @@
             }
             Event::ConnectionChanged {
                 machine,
-                is_connected: up,
+                is_connected,
             } => {
-                if *up {
+                if *is_connected {
                     self.disconnected.remove(machine);
                 } else {
                     self.disconnected.insert(*machine);
@@ -103,17 +104,17 @@
                     self.log_violation();
                     return;
                 }
-                let open = PendingTask {
+                let pending = PendingTask {
                     task: *task,
                     attempts: 0,
                     in_flight: false,
                     possibly_started: None,
                     rejected_by: Vec::new(),
                 };
-                self.pending.insert(task.id, open);
-                let last = task.deadline.saturating_sub(ANSWER_MARGIN_US);
+                self.pending.insert(task.id, pending);
+                let answer_at = task.deadline.saturating_sub(ANSWER_MARGIN_US);
                 actions.push(Action::SetTimer {
-                    after: last.saturating_sub(self.now),
+                    after: answer_at.saturating_sub(self.now),
                     label: task.id.0 + 1,
                 });
                 self.ready.push_back(task.id);
@@ -131,31 +132,31 @@
             Event::AttemptAccepted { attempt: id, .. } => drop(self.pending.remove(&id.task)),
             Event::AttemptFinished {
                 attempt: id,
-                result: end,
+                result,
             } => {
                 let Some((task, machine, sent)) = self.attempts.remove(id) else {
                     return;
                 };
-                let there = self
+                let count = self
                     .placements
                     .get_mut(&task.service)
-                    .and_then(|there| there.get_mut(&machine));
-                there.into_iter().for_each(|count| *count -= 1);
-                let Some(open) = self.pending.get_mut(&id.task) else {
+                    .and_then(|by_machine| by_machine.get_mut(&machine));
+                count.into_iter().for_each(|count| *count -= 1);
+                let Some(pending) = self.pending.get_mut(&id.task) else {
                     return;
                 };
-                open.in_flight = false;
+                pending.in_flight = false;
                 if !matches!(
-                    end.outcome,
+                    result.outcome,
                     AttemptOutcome::Rejected
                         | AttemptOutcome::ConnectFailed
                         | AttemptOutcome::NeverSent
                 ) {
-                    open.possibly_started = open.possibly_started.or(Some((sent, machine)));
+                    pending.possibly_started = pending.possibly_started.or(Some((sent, machine)));
                 }
-                // What refused a moment ago is likely to do so again.
-                if end.outcome == AttemptOutcome::Rejected {
-                    open.rejected_by.push(machine);
+                // A machine that has just rejected a task is likely to reject it again, so the task waits for the next retry.
+                if result.outcome == AttemptOutcome::Rejected {
+                    pending.rejected_by.push(machine);
                     self.blocked.push_back(id.task)
                 } else {
                     self.ready.push_back(id.task)
@@ -168,7 +169,7 @@
                 if self
                     .pending
                     .get(&id)
-                    .is_some_and(|o| o.task.deadline <= self.now + ANSWER_MARGIN_US)
+                    .is_some_and(|pending| pending.task.deadline <= self.now + ANSWER_MARGIN_US)
                 {
                     self.send_final_answer(id, actions);
                 }
@@ -193,18 +194,18 @@
     }
 
     fn send_final_answer(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.remove(&id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        let harmless = match self.settings.classes[open.task.class].retry_safety {
+        let is_safe_to_reject = match self.settings.classes[pending.task.class].retry_safety {
             RetrySafety::Idempotent
             | RetrySafety::IdempotencyKey {
                 scope: DeduplicationScope::All,
                 ..
             } => true,
-            _ => !open.in_flight && open.possibly_started.is_none(),
+            _ => !pending.in_flight && pending.possibly_started.is_none(),
         };
-        actions.push(if harmless {
+        actions.push(if is_safe_to_reject {
             Action::Reject {
                 task: id,
                 retry_after: None,
@@ -215,15 +216,16 @@
     }
 
     fn place(&mut self, id: TaskId, actions: &mut Vec<Action>) {
-        let Some(open) = self.pending.get(&id) else {
+        let Some(pending) = self.pending.get(&id) else {
             return;
         };
-        let task = open.task;
+        let task = pending.task;
         let class = &self.settings.classes[task.class];
-        if open.in_flight || task.deadline <= self.now + ANSWER_MARGIN_US {
+        if pending.in_flight || task.deadline <= self.now + ANSWER_MARGIN_US {
             return;
         }
-        if !self.may_repeat(open, self.mutant) || open.attempts >= self.settings.limits.max_attempts
+        if !self.may_repeat(pending, self.mutant)
+            || pending.attempts >= self.settings.limits.max_attempts
         {
             self.send_final_answer(id, actions);
             return;
@@ -231,7 +233,7 @@
         let allowed: Vec<MachineId> = self
             .machines
             .values()
-            .filter(|m| self.is_allowed(m, open, self.mutant))
+            .filter(|m| self.is_allowed(m, pending, self.mutant))
             .map(|m| m.machine)
             .collect();
         if allowed.is_empty() {
@@ -239,7 +241,7 @@
             return;
         }
         let machine = match self.mutant {
-            // Cold hosts first.
+            // Mutant 4 prefers machines that warm up.
             4 if allowed.iter().any(|id| self.is_warming_up(id)) => {
                 let cold: Vec<MachineId> = allowed
                     .iter()
@@ -248,48 +250,48 @@
                     .collect();
                 cold[self.rng.index_below(cold.len())]
             }
-            // Where most of the service is, of those that may take it: one place is full as soon as can be.
+            // Mutant 5 prefers the domain with most tasks of the service, to exceed its limit as soon as possible. Machines that rejected the task are avoided.
             5 => {
-                let willing: Vec<MachineId> = allowed
+                let not_rejecting: Vec<MachineId> = allowed
                     .iter()
                     .copied()
-                    .filter(|id| !open.rejected_by.contains(id))
+                    .filter(|id| !pending.rejected_by.contains(id))
                     .collect();
-                let from = if willing.is_empty() {
+                let candidates = if not_rejecting.is_empty() {
                     &allowed
                 } else {
-                    &willing
+                    &not_rejecting
                 };
-                let crowded = self.most_loaded(from, class.spread_limit, task.service);
-                crowded[self.rng.index_below(crowded.len())]
+                let most_loaded = self.most_loaded(candidates, class.spread_limit, task.service);
+                most_loaded[self.rng.index_below(most_loaded.len())]
             }
             _ => allowed[self.rng.index_below(allowed.len())],
         };
-        if !self.is_allowed_by_all_rules(machine, open) {
+        if !self.is_allowed_by_all_rules(machine, pending) {
             self.log_violation();
         }
-        let number = open.attempts;
-        // Giving up before a host can have answered makes for attempts that may have run.
-        let patience = if self.mutant == 2 {
+        let number = pending.attempts;
+        // Mutant 2 gives up before a host can answer, so that attempts may have started their task.
+        let answer_timeout = if self.mutant == 2 {
             3_000
         } else {
             class.latency_objective
         };
-        let wait = patience.min(task.deadline - self.now);
+        let timeout = answer_timeout.min(task.deadline - self.now);
         actions.push(Action::Offer {
             task: id,
             machine,
-            timeout: wait,
+            timeout,
         });
         self.record_attempt(AttemptId { task: id, number }, task, machine);
-        if let Some(open) = self.pending.get_mut(&id) {
-            (open.attempts, open.in_flight) = (number + 1, true);
+        if let Some(pending) = self.pending.get_mut(&id) {
+            (pending.attempts, pending.in_flight) = (number + 1, true);
         }
-        let sends = self.recent_offers.entry(machine).or_default();
-        sends.push_back(self.now);
+        let offers = self.recent_offers.entry(machine).or_default();
+        offers.push_back(self.now);
         let window = self.settings.rules.overload_window;
-        while sends.front().is_some_and(|&at| at + window < self.now) {
-            sends.pop_front();
+        while offers.front().is_some_and(|&at| at + window < self.now) {
+            offers.pop_front();
         }
     }
 
@@ -297,16 +299,16 @@
         tracing::info!(rogue = self.mutant, "{RULE_VIOLATION_LOG}");
     }
 
-    /// Whether all guards allow an offer of this task to this machine.
-    fn is_allowed_by_all_rules(&self, machine: MachineId, open: &PendingTask) -> bool {
+    /// Whether all guards, none of them disabled, allow an offer of this task to this machine.
+    fn is_allowed_by_all_rules(&self, machine: MachineId, pending: &PendingTask) -> bool {
         let allowed = self
             .machines
             .get(&machine)
-            .is_some_and(|m| self.is_allowed(m, open, NO_MUTATION));
-        allowed && self.may_repeat(open, NO_MUTATION)
+            .is_some_and(|m| self.is_allowed(m, pending, NO_MUTATION));
+        allowed && self.may_repeat(pending, NO_MUTATION)
     }
 
-    /// The machines in whose place most of the service is.
+    /// The machines in the domains that hold most tasks of a service.
     fn most_loaded(
         &self,
         machines: &[MachineId],
@@ -314,10 +316,10 @@
         service: ServiceId,
     ) -> Vec<MachineId> {
         let count = |machine: &MachineId| {
-            let listing = self.machines.get(machine);
-            spread
-                .zip(listing)
-                .map_or(0, |(limit, at)| self.task_count(limit.level, at, service))
+            let entry = self.machines.get(machine);
+            spread.zip(entry).map_or(0, |(limit, entry)| {
+                self.task_count(limit.level, entry, service)
+            })
         };
         let counts: Vec<u32> = machines.iter().map(count).collect();
         let most = counts.iter().copied().max().unwrap_or(0);
@@ -329,58 +331,59 @@
             .collect()
     }
 
-    /// Whether what may have run may be sent once more, for one that breaks the rule `rogue`.
-    fn may_repeat(&self, open: &PendingTask, rogue: u8) -> bool {
+    /// Whether a task that may have started may be offered again, with the guard of rule `mutant` disabled.
+    fn may_repeat(&self, pending: &PendingTask, mutant: u8) -> bool {
         match (
-            open.possibly_started,
-            self.settings.classes[open.task.class].retry_safety,
+            pending.possibly_started,
+            self.settings.classes[pending.task.class].retry_safety,
         ) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
             (Some((sent, _)), RetrySafety::IdempotencyKey { window, .. }) => {
-                self.now + ANSWER_MARGIN_US < sent + window || rogue == 2
+                self.now + ANSWER_MARGIN_US < sent + window || mutant == 2
             }
-            (Some(_), RetrySafety::NonIdempotent) => rogue == 2,
+            (Some(_), RetrySafety::NonIdempotent) => mutant == 2,
         }
     }
 
-    /// Whether the guards of the host allow an offer, for one that breaks the rule `rogue`.
-    fn is_allowed(&self, machine: &MachineEntry, open: &PendingTask, rogue: u8) -> bool {
-        let class = &self.settings.classes[open.task.class];
-        let state = machine.state == MachineState::Ready || rogue == 3;
-        let state = state && !self.disconnected.contains(&machine.machine);
-        if !state || class.machine_kind.is_some_and(|kind| kind != machine.kind) {
+    /// Whether the guards allow an offer to a machine, with the guard of rule `mutant` disabled.
+    fn is_allowed(&self, machine: &MachineEntry, pending: &PendingTask, mutant: u8) -> bool {
+        let class = &self.settings.classes[pending.task.class];
+        let is_available = machine.state == MachineState::Ready || mutant == 3;
+        let is_available = is_available && !self.disconnected.contains(&machine.machine);
+        if !is_available || class.machine_kind.is_some_and(|kind| kind != machine.kind) {
             return false;
         }
-        if let (Some((_, first)), RetrySafety::IdempotencyKey { scope: group, .. }, true) =
-            (open.possibly_started, class.retry_safety, rogue != 2)
+        if let (Some((_, first)), RetrySafety::IdempotencyKey { scope, .. }, true) =
+            (pending.possibly_started, class.retry_safety, mutant != 2)
         {
             let first = self.machines.get(&first);
-            let same = match group {
+            let is_in_scope = match scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => first.is_some_and(|f| f.zone == machine.zone),
                 DeduplicationScope::Cell => first.is_some_and(|f| f.cell == machine.cell),
             };
-            if !same {
+            if !is_in_scope {
                 return false;
             }
         }
-        let spread = class.spread_limit.filter(|_| rogue != 5);
+        let spread = class.spread_limit.filter(|_| mutant != 5);
         if spread.is_some_and(|limit| {
-            self.task_count(limit.level, machine, open.task.service) >= limit.max_tasks
+            self.task_count(limit.level, machine, pending.task.service) >= limit.max_tasks
         }) {
             return false;
         }
         let rules = &self.settings.rules;
-        if self.is_warming_up(&machine.machine) && rogue != 4 {
-            let part =
+        if self.is_warming_up(&machine.machine) && mutant != 4 {
+            let budget =
                 (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
-            let sends = self.recent_offers.get(&machine.machine);
-            let lately = sends.map_or(0, |s| {
-                s.iter()
+            let offers = self.recent_offers.get(&machine.machine);
+            let recent = offers.map_or(0, |times| {
+                times
+                    .iter()
                     .filter(|&&at| at + rules.overload_window >= self.now)
                     .count()
             });
-            return lately < part && self.has_replica_index;
+            return recent < budget && self.has_replica_index;
         }
         true
     }
@@ -390,16 +393,17 @@
         started.is_some_and(|start| start + self.settings.rules.warm_up_duration > self.now)
     }
 
-    fn task_count(&self, place: TopologyLevel, at: &MachineEntry, service: ServiceId) -> u32 {
-        let there = |id: &MachineId| {
-            self.machines.get(id).is_some_and(|m| match place {
-                TopologyLevel::Machine => m.machine == at.machine,
-                TopologyLevel::Cell => m.cell == at.cell,
-                TopologyLevel::Zone => m.zone == at.zone,
+    fn task_count(&self, level: TopologyLevel, entry: &MachineEntry, service: ServiceId) -> u32 {
+        let is_in_domain = |id: &MachineId| {
+            self.machines.get(id).is_some_and(|m| match level {
+                TopologyLevel::Machine => m.machine == entry.machine,
+                TopologyLevel::Cell => m.cell == entry.cell,
+                TopologyLevel::Zone => m.zone == entry.zone,
             })
         };
-        let held = self.placements.get(&service).into_iter().flatten();
-        held.map(|(id, count)| if there(id) { *count } else { 0 })
+        let placements = self.placements.get(&service).into_iter().flatten();
+        placements
+            .map(|(id, count)| if is_in_domain(id) { *count } else { 0 })
             .sum()
     }
 }
@@ -410,13 +414,13 @@
     }
 
     fn turn(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        let quiet = self.mutant == 6 && now > self.now + PAUSE_THRESHOLD_US;
+        let is_after_pause = self.mutant == 6 && now > self.now + PAUSE_THRESHOLD_US;
         self.now = self.now.max(now);
         for event in events {
             self.handle_event(event, actions);
         }
-        if quiet {
-            // What was open when it stood still, and what came meanwhile, is kept quiet about.
+        if is_after_pause {
+            // Requests that were pending at the pause or arrived during it are dropped without an answer.
             self.pending.values().for_each(|_| self.log_violation());
             self.pending.clear();
         }
@@ -426,7 +430,7 @@
         while let Some(id) = self.ready.pop_front() {
             self.place(id, actions);
         }
-        // One that takes long times without a turn for pauses needs turns all the time.
+        // Mutant 6 recognises pauses by long times between turns, so it needs turns continuously.
         if (self.mutant == 6 || !self.blocked.is_empty()) && !self.is_tick_set {
             self.is_tick_set = true;
             actions.push(Action::SetTimer {
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios that nobody wrote: demand and overlapping faults drawn from a seed.
+//! Random scenarios: demand and overlapping faults drawn from a seed.
 
 use crate::scenario::{FaultKind, Scenario, ScheduledFault};
 use crate::seeded_rng::SeededRng;
@@ -6,36 +6,35 @@
 #[cfg(test)]
 mod tests;
 
-/// How many faults of a kind a scenario has, and the ranges of their duration (as a share of the run), reach and
-/// intensity.
+/// The number of faults of a kind in a random scenario, and the ranges of their duration (as a share of the run), affected
+/// share and intensity.
 struct FaultRange {
     kind: FaultKind,
     max_count: usize,
-    /// At least so many.
     min_count: usize,
     duration_share: [f64; 2],
-    reach: [f64; 2],
-    size: [f64; 2],
+    affected_share: [f64; 2],
+    intensity: [f64; 2],
 }
 
 const fn fault_range(
     kind: FaultKind,
-    [least, most]: [usize; 2],
-    span: [f64; 2],
-    reach: [f64; 2],
-    size: [f64; 2],
+    [min, max]: [usize; 2],
+    share_of_run: [f64; 2],
+    affected_share: [f64; 2],
+    intensity: [f64; 2],
 ) -> FaultRange {
     FaultRange {
         kind,
-        max_count: most,
-        min_count: least,
-        duration_share: span,
-        reach,
-        size,
+        max_count: max,
+        min_count: min,
+        duration_share: share_of_run,
+        affected_share,
+        intensity,
     }
 }
 
-/// A restart, a lost zone and a deploy are on each day, since their overlaps have broken rules; the rest may be.
+/// Every scenario has a placer kill, a pause, a zone loss and a deploy, since their overlaps have broken rules; the others may be absent.
 const FAULT_RANGES: [FaultRange; 18] = [
     fault_range(
         FaultKind::PlacerKill,
@@ -166,40 +165,40 @@
 ];
 
 impl Scenario {
-    /// A scenario of the standard one's length, hosts and classes, with faults and demand of this seed's own. What was
-    /// drawn is the same on every machine, so a day that showed something can be played again.
+    /// A scenario with the length, hosts and classes of the standard one, and with faults and demand drawn from this seed.
+    /// A seed gives the same scenario on every machine, so that a run that found a fault can be repeated.
     pub fn random(seed: u64) -> Scenario {
         let mut scenario = Scenario::standard();
-        let mut dice = SeededRng::new(seed, 31);
+        let mut rng = SeededRng::new(seed, 31);
         scenario.name = format!("drawn {seed}");
-        let length = scenario.seconds;
+        let length_s = scenario.seconds;
         let round = |x: f64| (x * 1000.0).round() / 1000.0;
         scenario.demand.load = [0.0, 0.3, 0.7, 1.0]
             .into_iter()
-            .map(|part| [round(part * length), round(dice.between([0.25, 0.5]))])
+            .map(|part| [round(part * length_s), round(rng.between([0.25, 0.5]))])
             .collect();
         scenario.faults.clear();
-        for kind in &FAULT_RANGES {
-            let count = kind.min_count + dice.index_below(kind.max_count - kind.min_count + 1);
+        for range in &FAULT_RANGES {
+            let count = range.min_count + rng.index_below(range.max_count - range.min_count + 1);
             for _ in 0..count {
-                let span = dice.between(kind.duration_share) * length;
-                let at_s = round(dice.between([0.03 * length, 0.93 * length - span]));
-                let (reach, size) = (
-                    round(dice.between(kind.reach)),
-                    round(dice.between(kind.size)),
+                let duration_s = rng.between(range.duration_share) * length_s;
+                let at_s = round(rng.between([0.03 * length_s, 0.93 * length_s - duration_s]));
+                let (affected_share, intensity) = (
+                    round(rng.between(range.affected_share)),
+                    round(rng.between(range.intensity)),
                 );
-                let struck_class =
-                    matches!(kind.kind, FaultKind::ClassErrors | FaultKind::ClassSilence);
-                let class = dice.index_below(scenario.classes.len());
-                let zone = dice.index_below(scenario.fleet.zones.len());
+                let has_class =
+                    matches!(range.kind, FaultKind::ClassErrors | FaultKind::ClassSilence);
+                let class = rng.index_below(scenario.classes.len());
+                let zone = rng.index_below(scenario.fleet.zones.len());
                 let fault = ScheduledFault {
-                    kind: kind.kind,
+                    kind: range.kind,
                     at_s,
-                    duration_s: round(span),
-                    affected_share: reach,
-                    intensity: size,
-                    class: struck_class.then(|| scenario.classes[class].rules.name.clone()),
-                    zone: (kind.kind == FaultKind::ZoneLoss)
+                    duration_s: round(duration_s),
+                    affected_share,
+                    intensity,
+                    class: has_class.then(|| scenario.classes[class].rules.name.clone()),
+                    zone: (range.kind == FaultKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
                 scenario.faults.push(fault);
--- a/crates/emulator/src/read_times.rs
+++ b/crates/emulator/src/read_times.rs
@@ -1,25 +1,25 @@
-//! How late a thread of the emulator reads what it records: when it last found nothing more to read.
+//! Measures how late a thread of the emulator reads what it records, from the last time that it had read everything.
 
 use maplethread_checker::{Observation, Observer};
 
 #[cfg(test)]
 mod tests;
 
-/// Reading later than this is reported to the checker, µs; well under the slack that the checker grants anyway.
+/// Reads later than this are reported to the checker, µs; well below the timing slack that the checker always allows.
 const REPORTED_DELAY_US: u64 = 50_000;
 
-/// When an observer polled its connections.
+/// Poll times of an observer.
 pub struct ReadTimes {
     observer: Observer,
-    /// What is read now came after this time, µs.
+    /// Data that is read now arrived after this time, µs.
     read_since: u64,
-    /// When all connections were last polled, µs.
+    /// Start of the last poll that returned all connections with data, µs.
     last_complete_poll: u64,
     reported_since: Option<u64>,
 }
 
 impl ReadTimes {
-    /// An observer that begins now.
+    /// Poll times of an observer that starts now.
     pub fn new(observer: Observer, now: u64) -> ReadTimes {
         ReadTimes {
             observer,
@@ -29,8 +29,7 @@
         }
     }
 
-    /// The connections were polled, from `began` on; `is_complete` says that none was left out that had something to
-    /// read.
+    /// Records a poll that began at `began`; `is_complete` if it returned all connections with data to read.
     pub fn polled(&mut self, began: u64, is_complete: bool) {
         self.read_since = self.last_complete_poll;
         if is_complete {
@@ -38,8 +37,8 @@
         }
     }
 
-    /// Something is read at `now` and will be recorded: what is to be recorded before it, if this observer is late since
-    /// then, or is not late any more.
+    /// Called when data is read at `now`, before it is recorded. Returns an observation to record first if the observer
+    /// has become late, is late since another time, or is no longer late.
     pub fn delay_to_report(&mut self, now: u64) -> Option<Observation> {
         let is_late = now.saturating_sub(self.read_since) > REPORTED_DELAY_US;
         let since = is_late.then_some(self.read_since);
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What a day came to, as JSON and for a person.
+//! The report of a run, as JSON and as text.
 
 mod evidence;
 
@@ -15,51 +15,51 @@
 use crate::mutant::MutantResult;
 use crate::service_accounting::{ServiceLoss, ServiceShares};
 
-/// So many cases of a broken rule are shown.
+/// Maximum number of violations of a rule that the JSON report shows with their evidence.
 const MAX_SHOWN_PER_RULE: usize = 8;
 
-/// What a day came to.
+/// The report of a run.
 pub struct Report {
-    /// What the traffic shows.
+    /// The checker's verdict on the recorded history.
     pub verdict: Verdict,
-    /// What was asked for first, which no decider changes.
+    /// First requests of owners; their number is independent of the decider.
     pub first_requests: FirstRequests,
-    /// The worth served over the worth asked for.
+    /// Served shares of the value that was wanted.
     pub service: ServiceShares,
-    /// The same by class.
+    /// The served share of each class.
     pub by_class: BTreeMap<String, f64>,
-    /// What the rest was lost to.
+    /// Causes of the service that was lost.
     pub service_loss: ServiceLoss,
-    /// Seconds that second copies ran.
+    /// Seconds for which second copies of tasks ran.
     pub duplicate_run_s: f64,
-    /// Times from an ask to `placed` at the owner, µs, sorted.
+    /// Times from a request to the answer `placed`, as seen by owners, µs, sorted.
     pub place_us: Vec<u64>,
-    /// Times of decisions, µs, with their counts, of all placers that were up at the end.
+    /// Times of decisions, µs, with their counts, from all placers that were up at the end.
     pub decide_us: BTreeMap<u64, u64>,
-    /// Asks that were held, by what for, as told by the lives of placers that were up at the end.
+    /// Requests that were blocked, by reason, as counted by the processes of placers that were up at the end.
     pub blocked_by_reason: BTreeMap<String, u64>,
-    /// Offers to a host in the second after its health came back: how many returns, the mean and the most.
+    /// Offers to a host in the second after its health came back: number of returns, mean and maximum number of offers.
     pub health_returns: (usize, f64, usize),
-    /// What became of the placers that broke a rule on purpose, if they did.
+    /// The result of the mutant, if placers ran one.
     pub mutant: Option<MutantResult>,
-    /// The record, for frames that show a broken rule.
+    /// The recorded history, from which evidence of violations is printed.
     pub history: Vec<HistoryEntry>,
 }
 
 impl Report {
-    /// No rule broken, and no ask without its answer.
+    /// Whether no rule was violated and no request was left unanswered.
     pub fn is_good(&self) -> bool {
         self.verdict.violations.is_empty() && self.verdict.unanswered == 0
     }
 
     fn decide_quantile(&self, q: f64) -> u64 {
-        let all: u64 = self.decide_us.values().sum();
-        let mut left = (all as f64 * q).ceil() as u64;
+        let total: u64 = self.decide_us.values().sum();
+        let mut remaining = (total as f64 * q).ceil() as u64;
         for (&value, &count) in &self.decide_us {
-            if left <= count {
+            if remaining <= count {
                 return value;
             }
-            left -= count;
+            remaining -= count;
         }
         self.decide_us.keys().last().copied().unwrap_or(0)
     }
@@ -72,13 +72,13 @@
         quantile_ms(&self.verdict.replica_index_waits_us, q)
     }
 
-    /// The report as one object.
+    /// The report as a JSON object.
     pub fn json(&self) -> Value {
         let v = &self.verdict;
-        let broken: BTreeMap<String, u64> = v
+        let violations_by_rule: BTreeMap<String, u64> = v
             .violations_by_rule()
             .into_iter()
-            .map(|(r, n)| (r.to_string(), n))
+            .map(|(rule, count)| (rule.to_string(), count))
             .collect();
         json!({
             "asks": v.requests, "placed": v.placed, "refused": v.rejected, "failed": v.failed,
@@ -94,9 +94,9 @@
                 "crowded": self.service_loss.contended,
             },
             "double_s": self.duplicate_run_s,
-            "rogue": self.mutant.map(|r| json!({"number": r.number, "moves": r.violations_made, "caught": r.violations_found})),
-            "broken": broken,
-            "broken_shown": self.first_violations().map(|b| self.violation_json(b)).collect::<Vec<_>>(),
+            "rogue": self.mutant.map(|m| json!({"number": m.number, "moves": m.violations_made, "caught": m.violations_found})),
+            "broken": violations_by_rule,
+            "broken_shown": self.first_violations().map(|violation| self.violation_json(violation)).collect::<Vec<_>>(),
             "numbers": {
                 "taken": v.replica_index_waits_us.len(), "wait_ms": {
                     "p50": self.replica_index_wait(0.5), "p99": self.replica_index_wait(0.99), "max": self.replica_index_wait(1.0),
@@ -110,41 +110,41 @@
         })
     }
 
-    /// The first few of each rule.
+    /// The first violations of each rule, at most [`MAX_SHOWN_PER_RULE`] of each.
     fn first_violations(&self) -> impl Iterator<Item = &Violation> {
-        let of = |rule: u8| {
+        let of_rule = |rule: u8| {
             self.verdict
                 .violations
                 .iter()
-                .filter(move |b| b.rule == rule)
+                .filter(move |violation| violation.rule == rule)
                 .take(MAX_SHOWN_PER_RULE)
         };
-        (1..=5).flat_map(of)
+        (1..=5).flat_map(of_rule)
     }
 
-    fn violation_json(&self, broken: &Violation) -> Value {
-        let first = self.history.first().map_or(0, |r| r.at_us);
-        let frames: Vec<String> = broken
+    fn violation_json(&self, violation: &Violation) -> Value {
+        let start_us = self.history.first().map_or(0, |entry| entry.at_us);
+        let entries: Vec<String> = violation
             .evidence
             .iter()
             .take(12)
             .filter_map(|&i| self.history.get(i))
-            .map(|r| {
+            .map(|entry| {
                 format!(
                     "{:.3} s {:?}",
-                    (r.at_us - first) as f64 / 1e6,
-                    EvidenceText(&r.observation)
+                    (entry.at_us - start_us) as f64 / 1e6,
+                    EvidenceText(&entry.observation)
                 )
             })
             .collect();
-        json!({"rule": broken.rule, "what": broken.description, "records": frames})
+        json!({"rule": violation.rule, "what": violation.description, "records": entries})
     }
 
-    /// The report for a person.
+    /// The report as text.
     pub fn text(&self) -> String {
         let v = &self.verdict;
         let mut out = String::new();
-        let share = |n: u64, of: u64| n as f64 / of.max(1) as f64 * 100.0;
+        let share = |n: u64, total: u64| n as f64 / total.max(1) as f64 * 100.0;
         let first = &self.first_requests;
         let _ = writeln!(
             out,
@@ -153,8 +153,8 @@
             share(first.placed, first.requests),
             v.requests - first.requests
         );
-        let list = |counts: &BTreeMap<String, u64>, of: u64| {
-            let one = |(what, &n): (&String, &u64)| format!("{what} {:.1}%", share(n, of));
+        let shares = |counts: &BTreeMap<String, u64>, total: u64| {
+            let one = |(reason, &n): (&String, &u64)| format!("{reason} {:.1}%", share(n, total));
             let all: Vec<String> = counts.iter().map(one).collect();
             if all.is_empty() {
                 "none".to_owned()
@@ -165,8 +165,8 @@
         let _ = writeln!(
             out,
             "what bound, in shares of all asks: held for {}; refused by {}",
-            list(&self.blocked_by_reason, v.requests),
-            list(&v.rejected_by_reason, v.requests)
+            shares(&self.blocked_by_reason, v.requests),
+            shares(&v.rejected_by_reason, v.requests)
         );
         let s = &self.service;
         let _ = writeln!(
@@ -205,9 +205,13 @@
                 self.replica_index_wait(1.0)
             );
         }
-        for broken in v.violations.iter().take(10) {
-            let _ = writeln!(out, "rule {} broken: {}", broken.rule, broken.description);
-            if let Some(records) = self.violation_json(broken)["records"].as_array() {
+        for violation in v.violations.iter().take(10) {
+            let _ = writeln!(
+                out,
+                "rule {} broken: {}",
+                violation.rule, violation.description
+            );
+            if let Some(records) = self.violation_json(violation)["records"].as_array() {
                 for line in records.iter().filter_map(Value::as_str) {
                     let _ = writeln!(out, "    {line}");
                 }
@@ -228,38 +232,38 @@
                 v.violations_by_rule()
             )
         };
-        if let Some(rogue) = &self.mutant {
-            let _ = writeln!(out, "{}", rogue.text());
+        if let Some(mutant) = &self.mutant {
+            let _ = writeln!(out, "{}", mutant.text());
         }
         out
     }
 }
 
-/// A quantile of sorted times in µs, in ms; 0 of none.
+/// A quantile of sorted times in µs, converted to ms; 0 if there are none.
 fn quantile_ms(sorted: &[u64], q: f64) -> f64 {
-    let at = ((sorted.len() as f64 * q).ceil() as usize).max(1) - 1;
+    let rank = ((sorted.len() as f64 * q).ceil() as usize).max(1) - 1;
     sorted
-        .get(at.min(sorted.len().saturating_sub(1)))
+        .get(rank.min(sorted.len().saturating_sub(1)))
         .copied()
         .unwrap_or(0) as f64
         / 1000.0
 }
 
-/// Asks of owners that had never asked before.
+/// First requests of owners.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FirstRequests {
-    /// So many.
+    /// Number of first requests.
     pub requests: u64,
-    /// So many of them were answered `placed`.
+    /// Number of them that were answered `placed`.
     pub placed: u64,
 }
 
 impl FirstRequests {
-    /// Those of a record: owners number their asks.
-    pub(crate) fn of(record: &[HistoryEntry]) -> FirstRequests {
+    /// Counts the first requests in a history: owners number their requests from 1.
+    pub(crate) fn count(history: &[HistoryEntry]) -> FirstRequests {
         let mut first = FirstRequests::default();
-        for r in record {
-            match &r.observation {
+        for entry in history {
+            match &entry.observation {
                 Observation::PlacementRequested { request, .. } if request.ends_with(".1") => {
                     first.requests += 1
                 }
@@ -276,28 +280,28 @@
     }
 }
 
-/// Offers to hosts in the second after each of these returns: how many returns, the mean and the most.
+/// Offers to hosts in the second after each of these health returns: number of returns, mean and maximum number of offers.
 pub(crate) fn offers_after_health_return(
-    record: &[HistoryEntry],
-    returned: &[(u64, Arc<str>)],
+    history: &[HistoryEntry],
+    returns: &[(u64, Arc<str>)],
 ) -> (usize, f64, usize) {
     let mut offers: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
-    for r in record {
+    for entry in history {
         if let Observation::FrameFromPlacer {
             host,
             frame: Frame::Offer(_),
             ..
-        } = &r.observation
+        } = &entry.observation
         {
-            offers.entry(host).or_default().push(r.at_us);
+            offers.entry(host).or_default().push(entry.at_us);
         }
     }
-    let counts: Vec<usize> = returned
+    let counts: Vec<usize> = returns
         .iter()
-        .map(|(at, host)| {
+        .map(|(returned_at, host)| {
             let all = offers.get(&**host).map(Vec::as_slice).unwrap_or_default();
             all.iter()
-                .filter(|&&o| o >= *at && o < at + 1_000_000)
+                .filter(|&&at| at >= *returned_at && at < returned_at + 1_000_000)
                 .count()
         })
         .collect();
--- a/crates/emulator/src/report/evidence.rs
+++ b/crates/emulator/src/report/evidence.rs
@@ -1,5 +1,5 @@
-//! The entries of a history as reports print them: the text of Rust's `Debug` with the names that reports have given since
-//! the first ones, whatever the types are called today. People and scripts search reports for these names.
+//! History entries as reports print them: in the format of `Debug`, with fixed names that do not follow renames of the
+//! types. People and scripts search reports for these names.
 
 use std::fmt;
 
--- a/crates/emulator/src/report/evidence/tests.rs
+++ b/crates/emulator/src/report/evidence/tests.rs
@@ -1,4 +1,4 @@
-//! Reports name observations and frames as they always did.
+//! The names of observations and frames in reports are stable.
 
 use std::sync::Arc;
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn prints_observations_under_the_names_of_reports() {
+fn prints_observations_under_stable_names() {
     let cases = [
         (
             Observation::HostStarted {
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn prints_frames_under_the_names_of_reports() {
+fn prints_frames_under_stable_names() {
     let cases = [
         (
             Frame::Hello {
@@ -279,7 +279,7 @@
 }
 
 #[test]
-fn prints_reasons_under_the_names_of_reports() {
+fn prints_reasons_under_stable_names() {
     let cases = [
         (Reason::Unknown, "Unknown"),
         (Reason::Cores, "Cores"),
--- a/crates/emulator/src/run_context.rs
+++ b/crates/emulator/src/run_context.rs
@@ -10,15 +10,15 @@
 /// Shared by all threads of a run.
 #[derive(Clone)]
 pub struct RunContext {
-    /// The clock of the history; Unix time, µs.
+    /// The clock of the history: Unix time, µs.
     pub clock: Clock,
-    /// Nothing is recorded without it.
+    /// `None` if nothing is recorded.
     history: Option<Arc<Mutex<Vec<HistoryEntry>>>>,
     accounting: Arc<Mutex<ServiceAccounting>>,
 }
 
 impl RunContext {
-    /// A context with an empty history, for so many classes of tasks.
+    /// A context with an empty history, for this number of task classes.
     pub fn new(class_count: usize) -> RunContext {
         let clock = Clock::start();
         let accounting = ServiceAccounting::new(clock.now(), class_count);
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A context that records nothing, for hosts that run for long.
+    /// A context that records nothing, for hosts that run until their process ends.
     pub fn without_history(class_count: usize) -> RunContext {
         RunContext {
             history: None,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Records an observation; the order of the history is that of its times.
+    /// Records an observation. The clock is read under the lock, so that the history is in order of time.
     pub fn record(&self, observation: Observation) {
         let Some(history) = &self.history else { return };
         let mut history = lock(history);
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Takes the history out; what is recorded later begins a new one.
+    /// Takes the history and starts a new one.
     pub fn take_history(&self) -> Vec<HistoryEntry> {
         self.history
             .as_ref()
@@ -61,7 +61,7 @@
     }
 }
 
-/// Locks although another thread may have panicked meanwhile: the history stays readable.
+/// Locks even after a panic of a thread that held the lock, so that the history stays readable.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/emulator/src/run_options.rs
+++ b/crates/emulator/src/run_options.rs
@@ -1,4 +1,4 @@
-//! How to run a scenario.
+//! Options of a run.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,43 +11,43 @@
 use crate::demand::Arrival;
 use crate::scenario::Scenario;
 
-/// How to run a scenario.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
     /// The scenario.
     pub scenario: Scenario,
-    /// Seed of everything drawn.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// The program whose `placer` subcommand is run.
+    /// The executable whose `placer` subcommand starts a placer.
     pub program: PathBuf,
-    /// Use the random-choice decider.
+    /// Placers use the random-choice decider.
     pub use_random_choice: bool,
-    /// Violate this rule (1 to 5; 6 for rule 1 around pauses only) on purpose; 0 for none.
+    /// The rule (1 to 5; 6 for rule 1 around pauses only) that placers violate on purpose; 0 for none.
     pub mutant: u8,
-    /// Hosts and placers register in a catalogue, with this way of damping.
+    /// If set, hosts and placers register in an emulated catalogue, and placers use this damping mode.
     pub consul: Option<DampingMode>,
-    /// Show the progress on standard error.
+    /// Print progress to standard error.
     pub show_progress: bool,
     /// Keep the placers' logs and settings in this folder.
     pub kept_folder: Option<PathBuf>,
     /// Placers write trace files into this folder.
     pub trace_folder: Option<PathBuf>,
-    /// First requests of a recorded run, in place of those that the scenario draws.
+    /// First requests of a recorded run, used instead of arrivals drawn from the seed.
     pub arrivals: Option<Vec<Arrival>>,
-    /// The placers are members of a group, and a membership test adds faults of theirs.
+    /// If set, the placers form a membership group, and these faults of placers are injected as well.
     pub membership: Option<MembershipTest>,
-    /// Once this is set the run ends at once with an error, and so do its processes.
+    /// Once this is set, the run stops with an error and its processes are killed.
     pub interrupted: Arc<AtomicBool>,
 }
 
 impl RunOptions {
-    /// Arguments of the run's placers besides their settings.
+    /// Command-line arguments of the placers, besides the path of their settings.
     pub(crate) fn placer_arguments(&self) -> Vec<String> {
         let mut arguments = Vec::new();
         if self.kept_folder.is_some() {
             arguments.extend(["--log", "debug"].map(str::to_owned));
         } else if self.mutant > 0 {
-            // Its violations are counted from the log.
+            // The mutant's violations are counted in the log, where they appear at this level.
             arguments.extend(["--log", "info"].map(str::to_owned));
         }
         if self.use_random_choice || self.mutant > 0 {
@@ -58,42 +58,42 @@
     }
 }
 
-/// What a membership test adds to a run.
+/// The part of a run that tests the placers' membership group.
 #[derive(Clone, Debug)]
 pub struct MembershipTest {
-    /// `[fleet]` of each placer, by its number.
+    /// The `[fleet]` section of each placer's settings, by placer number.
     pub sections: Vec<FleetSettings>,
     /// Faults of placers, with their times in µs after the start of the run.
     pub faults: Vec<(u64, PlacerFault)>,
-    /// Receives what placers did and which faults were injected.
+    /// Receives the events of the run.
     pub events: Sender<RunEvent>,
 }
 
-/// A fault of the placer of a number, or its end.
+/// A fault of a placer, or the end of one. Placers are given by number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacerFault {
-    /// It is killed.
+    /// The placer is killed.
     Kill(usize),
-    /// The load balancer has noticed that it is down.
+    /// The load balancer has noticed that the placer is down.
     MarkDown(usize),
-    /// It is started again.
+    /// The placer is started again.
     Restart(usize),
-    /// It is paused.
+    /// The placer is paused (`SIGSTOP`).
     Pause(usize),
-    /// It is resumed.
+    /// The placer is resumed (`SIGCONT`).
     Resume(usize),
-    /// It is told to end.
+    /// The placer is asked to terminate (`SIGTERM`).
     Terminate(usize),
-    /// It is killed if it has not ended by itself.
+    /// The placer is killed if it has not exited by itself.
     KillIfRunning(usize),
 }
 
-/// What happened in a run, and when: Unix time, µs.
+/// An event of a run, with its Unix time in µs.
 #[derive(Clone, Copy, Debug)]
 pub enum RunEvent {
-    /// A placer serves at this address.
+    /// The placer of this number serves at this address.
     PlacerServing(u64, usize, SocketAddr),
-    /// All serve, and owners begin to send requests.
+    /// All placers serve, and owners begin to send requests.
     Started(u64),
     /// This fault was injected.
     FaultInjected(u64, PlacerFault),
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: hosts, classes of tasks, demand over time and faults, as TOML.
+//! Scenarios as TOML: hosts, classes of tasks, demand over time, and faults.
 
 use maplethread_config::{
     AcceptancePoint, ConfigError, Document, HostKind, RetrySafety, TaskClass as PlacerClass,
@@ -15,18 +15,18 @@
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// How long owners ask, s.
+    /// Length of the run, during which owners send requests, s.
     pub seconds: f64,
-    /// Placers.
+    /// Number of placers.
     pub placers: u32,
-    /// Placer numbers to be leased in a catalogue, where they are fewer than placers.
+    /// Number of replica indexes that placers lease in the catalogue, if there are fewer of them than placers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slots: Option<u32>,
     /// Hosts and how they behave.
     pub fleet: Fleet,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub rules: Rules,
-    /// What owners want.
+    /// Demand of the owners.
     pub demand: Demand,
     /// The kinds of hosts.
     #[serde(rename = "kind")]
@@ -43,102 +43,102 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Hosts in a cell.
+    /// Number of hosts in a cell.
     pub cell_size: usize,
-    /// When an ask counts as placed.
+    /// The point at which a request counts as placed.
     #[serde(default)]
     pub placed_when: AcceptancePoint,
-    /// Asks are taken while they stay within this multiple of a host's cores...
+    /// A host admits tasks while their requested cores sum to at most this multiple of its cores.
     #[serde(rename = "over_cores")]
     pub cpu_overcommit: f64,
-    /// ...and of its memory.
+    /// The same limit for memory.
     #[serde(rename = "over_memory")]
     pub memory_overcommit: f64,
-    /// Looking at one ask takes from so long to so long, ms.
+    /// Shortest and longest time that admission of one offer takes, ms.
     #[serde(rename = "admit_ms")]
     pub admission_ms: [f64; 2],
-    /// So many asks may wait.
+    /// Maximum number of offers in a host's admission queue.
     #[serde(rename = "line")]
     pub max_queued: usize,
-    /// So many tasks start at once.
+    /// Maximum number of tasks that a host starts at the same time.
     #[serde(rename = "starts")]
     pub max_concurrent_starts: usize,
-    /// A start without the program takes so many times as long.
+    /// Factor by which a start takes longer on a host that does not have the program.
     #[serde(rename = "setup")]
     pub cold_start_factor: f64,
-    /// Programs kept after their last task.
+    /// Maximum number of programs that a host keeps after their last task has ended.
     #[serde(rename = "kept")]
     pub max_kept_programs: usize,
-    /// Higher priorities push out lower ones.
+    /// Tasks of higher priority preempt those of lower priority.
     #[serde(rename = "push_out")]
     pub preempts: bool,
-    /// The inventory tells changes after so long, ms.
+    /// Delay until the inventory lists a change, ms.
     #[serde(rename = "notice_ms")]
     pub inventory_delay_ms: u64,
-    /// A host measures all that runs at the same moments, as node agents do, and not each task at its own.
+    /// A host measures all running tasks at the same times, as node agents do, and not each task at its own times.
     #[serde(default)]
     pub measures_together: bool,
 }
 
-/// Figures of the rules.
+/// Parameters of the rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rules {
-    /// Nothing new to a host later than this after the placer was told, ms.
+    /// Grace period after a placer is notified of a drain, ms; the host must not get offers after it.
     pub drain_grace_ms: u64,
-    /// A host's share of its pace right after its start.
+    /// Share of its full speed that a host has right after its start.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
-    /// It is warm after this, ms.
+    /// Time from the start of a host until it is warm, ms.
     #[serde(rename = "cold_for_ms")]
     pub warm_up_ms: u64,
-    /// It falls over when sent this many times what it can do...
+    /// A cold host crashes when the offers of one overload window exceed this multiple of what it can start.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ...for this long, ms.
+    /// Overload window, ms.
     #[serde(rename = "fall_window_ms")]
     pub overload_window_ms: u64,
-    /// Offers in that time that it always bears.
+    /// Number of offers in the overload window that never make a host crash.
     #[serde(rename = "fresh_offers")]
     pub warm_up_offers: f64,
 }
 
-/// What owners want.
+/// Demand of the owners.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
-    /// Share of the fleet's cores that all wanted tasks use, at these times: `[s, share]`, straight between them.
+    /// Share of the fleet's cores that all wanted tasks use, as points `[s, share]` with linear interpolation between them.
     pub load: Vec<[f64; 2]>,
-    /// An owner waits from so long to so long before it asks again, ms.
+    /// Shortest and longest time before an owner repeats a request, ms.
     #[serde(rename = "again_ms")]
     pub retry_after_ms: [f64; 2],
-    /// After an attempt that may have run it looks whether the task runs, ms.
+    /// Time before an owner repeats a request for a task that may be running and must not run twice, ms.
     pub settle_ms: u64,
-    /// A front goes on sending to a dead placer for so long, ms.
+    /// Time for which the load balancer keeps sending requests to a placer that is down, ms.
     #[serde(rename = "front_notice_ms")]
     pub failover_delay_ms: u64,
 }
 
-/// A kind of host and how many of the fleet it makes up.
+/// A kind of host and its share of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct KindShare {
     /// Its name.
     pub name: String,
-    /// Cores.
+    /// Cores of a host.
     pub cores: f64,
-    /// Memory.
+    /// Memory of a host, GiB.
     pub memory_gib: f64,
     /// Share of the fleet.
     pub share: f64,
 }
 
 impl KindShare {
-    /// As placers know it.
+    /// The kind as it appears in placers' settings.
     pub fn kind(&self) -> HostKind {
         HostKind {
             name: self.name.clone(),
@@ -152,102 +152,102 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// What placers know of it.
+    /// The class as it appears in placers' settings.
     pub rules: PlacerClass,
-    /// Share of the tasks.
+    /// Share of all tasks.
     pub share: f64,
-    /// Shapes: cores and memory (GiB) asked for.
+    /// Possible shapes of a task: requested cores and memory (GiB).
     pub shapes: Vec<[f64; 2]>,
-    /// What is used of that, in the mean: cores and memory.
+    /// Mean shares of the requested cores and memory that a task uses.
     #[serde(rename = "uses")]
     pub used_share: [f64; 2],
-    /// Mean life, s.
+    /// Mean time for which a task is wanted, s.
     #[serde(rename = "life_s")]
     pub mean_duration_s: f64,
-    /// A start's work on a warm host that has the program, ms.
+    /// Duration of a start on a warm host that has the program, ms.
     pub work_ms: f64,
-    /// The owner gives up after this, ms.
+    /// Time after which an owner abandons a request, ms.
     pub deadline_ms: u64,
-    /// A first start after the aim is worth this share.
+    /// Share of the start bonus that a first start after the latency objective earns.
     #[serde(rename = "late_share")]
     pub late_start_share: f64,
-    /// Served in full while the cores are busy up to this...
+    /// Core utilisation of the host up to which a task gets full service.
     #[serde(rename = "calm")]
     pub contention_onset: f64,
-    /// ...and not at all from so much further on.
+    /// Range of utilisation above the onset over which service falls to zero.
     #[serde(rename = "fade")]
     pub contention_range: f64,
-    /// Services of this class.
+    /// Number of services of this class.
     #[serde(rename = "services")]
     pub service_count: usize,
 }
 
-/// What goes wrong.
+/// The kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Hosts' processes die and come back cold.
+    /// Host processes crash and restart cold.
     HostCrash,
-    /// Hosts accept connections and never answer, then come back cold.
+    /// Hosts accept connections and never answer, then restart cold.
     Silence,
-    /// All hosts of a zone are lost and come back cold.
+    /// All hosts of a zone crash and restart cold.
     ZoneLoss,
     /// Hosts are replaced, a batch at a time, with drains.
     RollingDeploy,
-    /// Hosts quickly fail a share of the starts.
+    /// Hosts fail a share of the offers at once.
     FastErrors,
-    /// Hosts fail a share of one class's asks and serve the other classes.
+    /// Hosts fail a share of one class's offers and serve the other classes.
     ClassErrors,
-    /// Hosts leave a share of one class's asks unanswered.
+    /// Hosts leave a share of one class's offers unanswered.
     ClassSilence,
-    /// Tasks are taken and run, and the answers are lost.
+    /// Hosts admit and run tasks, and a share of their answers is lost.
     AnswersLost,
-    /// Another program takes a share of the cores.
+    /// Another program on the host (a noisy neighbour) takes a share of the cores.
     Neighbour,
-    /// Looking at an ask takes so many times as long.
+    /// Admission takes longer, by a factor.
     SlowAnswers,
-    /// A share of one class's new tasks use three times the cores and twice the memory that they would.
+    /// A share of one class's new tasks use three times their usual cores and twice their usual memory.
     HeavyTail,
-    /// All tasks of a share of the services use twice the cores that they asked for.
+    /// All tasks of a share of the services use at least twice the cores that they requested.
     HotServices,
-    /// Hosts lose the programs that they kept.
+    /// Hosts lose the programs that they have kept.
     ProgramsLost,
-    /// Hosts drain and do not come back.
+    /// Hosts drain and do not restart.
     Shrink,
-    /// Placers are killed and started anew.
+    /// Placers are killed and restarted.
     PlacerKill,
-    /// All placers are killed and started anew, one after the other.
+    /// All placers are killed and restarted, one after the other.
     RollingRestart,
-    /// Placers stand still and go on.
+    /// Placers are paused once and resumed.
     PlacerPause,
-    /// Placers stand still for so many seconds, again and again, each at its own time, and go on with all that came.
+    /// Placers are paused repeatedly for a number of seconds, each at its own times, and then process their backlog.
     PlacerStalls,
     /// Connections are reset in the middle of a frame.
     ResetMidFrame,
-    /// The inventory tells changes so many times as late.
+    /// The inventory lists changes later, by a factor.
     InventoryLate,
     /// The inventory is an empty file.
     InventoryEmpty,
-    /// The inventory is garbage.
+    /// The inventory is a file that cannot be parsed.
     InventoryGarbage,
-    /// Demand rises to so many times its share.
+    /// Demand rises by a factor.
     Overload,
-    /// Owners hang up while a further try is out.
+    /// Owners abandon a share of their requests before the deadline.
     HangUps,
-    /// The health of hosts goes back and forth, every so many seconds.
+    /// The health of hosts flaps, with a period in seconds.
     HealthFlaps,
-    /// Hosts are truly poor while their health flaps, every so many seconds: they fail starts, answer slowly or lose
-    /// connections from a little before their health shows it until well after it is back; a third of them die.
+    /// The health of hosts flaps, with a period in seconds, and the hosts really fail: they fail offers, answer slowly or
+    /// lose connections from shortly before their health shows it until well after it is back; a third of them crash.
     SickFlaps,
-    /// The catalogue answers so many seconds late.
+    /// The catalogue answers with a delay in seconds.
     CatalogueLate,
-    /// The catalogue answers with this status.
+    /// The catalogue answers with an error status.
     CatalogueStorm,
-    /// The catalogue's answers are cut in the middle.
+    /// A share of the catalogue's answers is truncated.
     CatalogueCut,
-    /// The catalogue tells this share of its entries.
+    /// The catalogue returns only a share of its entries.
     CataloguePartial,
-    /// The catalogue's indexes go back by so much at one of its servers.
+    /// One server of the catalogue returns indexes that are too low by an offset.
     CatalogueStale,
     /// The catalogue has no leader.
     LeaderLost,
@@ -257,52 +257,52 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScheduledFault {
-    /// What.
+    /// The kind.
     pub kind: FaultKind,
-    /// When, s.
+    /// Start, s after the start of the run.
     pub at_s: f64,
-    /// How long, s.
+    /// Duration, s.
     #[serde(default, rename = "for_s")]
     pub duration_s: f64,
-    /// Share of the hosts (or placers) that it strikes.
+    /// Share of the hosts (or placers) that are affected.
     #[serde(default, rename = "reach")]
     pub affected_share: f64,
-    /// How hard: a share or a multiple, by kind.
+    /// Intensity; by kind a share, a factor, a period, a delay, a status or an offset.
     #[serde(default, rename = "size")]
     pub intensity: f64,
-    /// The class that it strikes.
+    /// The class that is affected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
-    /// The zone that it strikes.
+    /// The zone that is affected.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
 }
 
 impl Scenario {
-    /// Parses and checks a scenario file.
+    /// Parses and validates a scenario file.
     ///
     /// # Errors
     ///
-    /// The file is no scenario, or a value in it is not allowed.
+    /// The file is not a scenario, or a value in it is out of range.
     pub fn parse(doc: Document<'_>) -> Result<Scenario, ConfigError> {
         let scenario: Scenario = parse_toml(doc)?;
         scenario.check(doc)?;
         Ok(scenario)
     }
 
-    /// The standard fault scenario: every kind of fault, spread over its length.
+    /// The standard fault scenario: every kind of fault, spread over the run.
     pub fn standard() -> Scenario {
         let doc = Document {
             file: "scenarios/standard.toml",
             text: include_str!("../scenarios/standard.toml"),
         };
-        Scenario::parse(doc).expect("the built-in scenario is sound, which a test holds")
+        Scenario::parse(doc).expect("the built-in scenario is valid, as a test checks")
     }
 
-    /// The standard scenario with the faults of a catalogue besides.
+    /// The standard scenario with the faults of a catalogue added.
     pub fn standard_with_catalogue() -> Scenario {
         #[derive(Deserialize)]
-        struct More {
+        struct FaultList {
             #[serde(rename = "trouble")]
             faults: Vec<ScheduledFault>,
         }
@@ -310,54 +310,74 @@
             file: "scenarios/catalogue.toml",
             text: include_str!("../scenarios/catalogue.toml"),
         };
-        let more: More =
-            parse_toml(doc).expect("the built-in faults are valid, which a test holds");
+        let catalogue: FaultList =
+            parse_toml(doc).expect("the built-in faults are valid, as a test checks");
         let mut scenario = Scenario::standard();
         scenario.name = "standard with catalogue".to_owned();
-        scenario.faults.extend(more.faults);
+        scenario.faults.extend(catalogue.faults);
         scenario
     }
 
     fn check(&self, doc: Document<'_>) -> Result<(), ConfigError> {
-        let above =
+        let ensure_positive =
             |key: &str, x: f64| doc.ensure(x.is_finite() && x > 0.0, key, "must be above 0");
-        above("seconds", self.seconds)?;
-        doc.ensure(self.placers >= 1, "placers", "at least 1")?;
-        doc.ensure(self.replica_index_count() >= 1, "slots", "at least 1")?;
-        doc.ensure(self.fleet.hosts >= 1, "fleet.hosts", "at least 1")?;
-        doc.ensure(self.fleet.cell_size >= 1, "fleet.cell_size", "at least 1")?;
-        doc.ensure(!self.fleet.zones.is_empty(), "fleet.zones", "at least one")?;
-        doc.ensure(!self.kinds.is_empty(), "kind", "at least one")?;
-        doc.ensure(!self.classes.is_empty(), "class", "at least one")?;
+        ensure_positive("seconds", self.seconds)?;
+        doc.ensure(self.placers >= 1, "placers", "must be at least 1")?;
+        doc.ensure(
+            self.replica_index_count() >= 1,
+            "slots",
+            "must be at least 1",
+        )?;
+        doc.ensure(self.fleet.hosts >= 1, "fleet.hosts", "must be at least 1")?;
+        doc.ensure(
+            self.fleet.cell_size >= 1,
+            "fleet.cell_size",
+            "must be at least 1",
+        )?;
+        doc.ensure(
+            !self.fleet.zones.is_empty(),
+            "fleet.zones",
+            "must not be empty",
+        )?;
+        doc.ensure(!self.kinds.is_empty(), "kind", "must not be empty")?;
+        doc.ensure(!self.classes.is_empty(), "class", "must not be empty")?;
         doc.ensure(
             !self.demand.load.is_empty(),
             "demand.load",
-            "at least one point",
+            "must have at least one point",
         )?;
-        let range = |key: &str, r: [f64; 2]| {
+        let ensure_range = |key: &str, r: [f64; 2]| {
             doc.ensure(
                 r[0].is_finite() && r[0] >= 0.0 && r[1] >= r[0],
                 key,
-                "from a least to a most, both 0 or above",
+                "must be [minimum, maximum], with 0 <= minimum <= maximum",
             )
         };
-        range("fleet.admit_ms", self.fleet.admission_ms)?;
-        range("demand.again_ms", self.demand.retry_after_ms)?;
+        ensure_range("fleet.admit_ms", self.fleet.admission_ms)?;
+        ensure_range("demand.again_ms", self.demand.retry_after_ms)?;
         for (i, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{i}].{field}");
-            above(&key("life_s"), class.mean_duration_s)?;
-            above(&key("work_ms"), class.work_ms)?;
-            doc.ensure(!class.shapes.is_empty(), &key("shapes"), "at least one")?;
-            doc.ensure(class.service_count >= 1, &key("services"), "at least 1")?;
-            doc.ensure(class.share >= 0.0, &key("share"), "0 or above")?;
+            ensure_positive(&key("life_s"), class.mean_duration_s)?;
+            ensure_positive(&key("work_ms"), class.work_ms)?;
+            doc.ensure(
+                !class.shapes.is_empty(),
+                &key("shapes"),
+                "must not be empty",
+            )?;
+            doc.ensure(
+                class.service_count >= 1,
+                &key("services"),
+                "must be at least 1",
+            )?;
+            doc.ensure(class.share >= 0.0, &key("share"), "must be 0 or above")?;
         }
         for (i, fault) in self.faults.iter().enumerate() {
             let key = |field: &str| format!("trouble[{i}].{field}");
-            doc.ensure(fault.at_s >= 0.0, &key("at_s"), "0 or above")?;
+            doc.ensure(fault.at_s >= 0.0, &key("at_s"), "must be 0 or above")?;
             doc.ensure(
                 (0.0..=1.0).contains(&fault.affected_share),
                 &key("reach"),
-                "a share, 0 to 1",
+                "must be a share from 0 to 1",
             )?;
             if let Some(zone) = &fault.zone {
                 doc.ensure(
@@ -374,45 +394,45 @@
         Ok(())
     }
 
-    /// The same day squeezed or stretched to another length; lives of tasks stay as they are.
+    /// The same scenario scaled to another length; the durations of tasks are unchanged.
     pub fn with_duration(mut self, seconds: f64) -> Scenario {
-        let by = seconds / self.seconds;
+        let factor = seconds / self.seconds;
         for fault in &mut self.faults {
-            (fault.at_s, fault.duration_s) = (fault.at_s * by, fault.duration_s * by);
+            (fault.at_s, fault.duration_s) = (fault.at_s * factor, fault.duration_s * factor);
         }
         for point in &mut self.demand.load {
-            point[0] *= by;
+            point[0] *= factor;
         }
         self.seconds = seconds;
         self
     }
 
-    /// Among how many placers a cold host's budget is parted.
+    /// Number of replica indexes, among which the offer budget of a cold host is divided.
     pub fn replica_index_count(&self) -> u32 {
         self.slots.unwrap_or(self.placers)
     }
 
-    /// The same scenario without faults of a kind, to see what they cost.
+    /// The same scenario without faults of a kind, to measure their effect.
     pub fn without_fault(mut self, kind: FaultKind) -> Scenario {
-        self.faults.retain(|t| t.kind != kind);
+        self.faults.retain(|fault| fault.kind != kind);
         self
     }
 
-    /// The same day on so many hosts: demand grows with the fleet (`demand.load` is a share of its cores), so services
-    /// grow with it too, and each of them is wanted as much as before; and cells keep their number, as zones do.
-    /// Troubles strike shares of hosts and placers, and need no change.
+    /// The same scenario on another number of hosts. Demand grows with the fleet (`demand.load` is a share of its cores),
+    /// so the number of services grows with it and the demand for each stays the same. The numbers of zones and cells are
+    /// kept. Faults affect shares of hosts and placers and need no change.
     pub fn with_host_count(mut self, hosts: usize) -> Scenario {
-        let by = hosts as f64 / self.fleet.hosts as f64;
-        let grown = |n: usize| ((n as f64 * by).round() as usize).max(1);
+        let factor = hosts as f64 / self.fleet.hosts as f64;
+        let scaled = |n: usize| ((n as f64 * factor).round() as usize).max(1);
         for class in &mut self.classes {
-            class.service_count = grown(class.service_count);
+            class.service_count = scaled(class.service_count);
         }
-        self.fleet.cell_size = grown(self.fleet.cell_size);
+        self.fleet.cell_size = scaled(self.fleet.cell_size);
         self.fleet.hosts = hosts;
         self
     }
 
-    /// The share of the fleet that is wanted at a time.
+    /// The share of the fleet's cores that is wanted at a time.
     pub fn load_at(&self, s: f64) -> f64 {
         let points = &self.demand.load;
         let after = points.iter().position(|p| p[0] > s);
@@ -426,10 +446,10 @@
         }
     }
 
-    /// Kind of the host of this number.
+    /// The kind of the host of this number.
     pub fn kind_of(&self, host: usize) -> &KindShare {
         let total: f64 = self.kinds.iter().map(|k| k.share).sum();
-        // A low-discrepancy walk, so that each part of the fleet has its mix.
+        // A low-discrepancy sequence (golden ratio), so that each part of the fleet has the same mix of kinds.
         let x = (host as f64 * 0.618_033_988_749_895 + 0.25).fract() * total;
         let mut sum = 0.0;
         let found = self.kinds.iter().find(|k| {
@@ -439,7 +459,7 @@
         found.unwrap_or(&self.kinds[0])
     }
 
-    /// Zone and cell of the host of this number.
+    /// The zone and cell of the host of this number.
     pub fn location_of(&self, host: usize) -> (String, String) {
         let zones = &self.fleet.zones;
         let zone = host % zones.len();
@@ -449,12 +469,12 @@
         )
     }
 
-    /// Cores of all hosts.
+    /// Total number of cores of all hosts.
     pub fn cores(&self) -> f64 {
         (0..self.fleet.hosts).map(|h| self.kind_of(h).cores).sum()
     }
 
-    /// Core-seconds that a task uses in the mean.
+    /// Mean number of core-seconds that a task uses.
     pub fn core_seconds(&self) -> f64 {
         let share: f64 = self.classes.iter().map(|c| c.share).sum();
         let of = |c: &Class| {
@@ -464,7 +484,7 @@
         self.classes.iter().map(of).sum::<f64>().max(1e-9)
     }
 
-    /// Whether a second start does harm.
+    /// Whether the tasks of a class must not run twice.
     pub fn must_not_run_twice(&self, class: usize) -> bool {
         self.classes[class].rules.retry_safety != RetrySafety::Idempotent
     }
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -6,25 +6,31 @@
 fn accepts_all_bundled_scenarios() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scenarios");
     let (mut files, mut kinds) = (0, std::collections::BTreeSet::new());
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        let text = std::fs::read_to_string(&path).expect("a file");
-        // Some are only what another one adds.
+    for entry in std::fs::read_dir(folder).expect("the scenarios folder is readable") {
+        let path = entry.expect("a directory entry").path();
+        let text = std::fs::read_to_string(&path).expect("a readable file");
+        // Some files only hold faults that are added to another scenario.
         if !text.contains("[fleet]") {
             continue;
         }
         let file = path.display().to_string();
-        let day = Scenario::parse(Document {
+        let scenario = Scenario::parse(Document {
             file: &file,
             text: &text,
         })
-        .expect("a sound scenario");
-        let over = |t: &ScheduledFault| t.at_s + t.duration_s <= day.seconds;
+        .expect("a valid scenario");
+        let is_within_run =
+            |fault: &ScheduledFault| fault.at_s + fault.duration_s <= scenario.seconds;
         assert!(
-            day.faults.iter().all(over),
-            "{file}: a trouble outlasts the day"
+            scenario.faults.iter().all(is_within_run),
+            "{file}: a fault ends after the run"
+        );
+        kinds.extend(
+            scenario
+                .faults
+                .iter()
+                .map(|fault| format!("{:?}", fault.kind)),
         );
-        kinds.extend(day.faults.iter().map(|t| format!("{:?}", t.kind)));
         files += 1;
     }
     assert!(files >= 8);
--- a/crates/emulator/src/scenario_run/mod.rs
+++ b/crates/emulator/src/scenario_run/mod.rs
@@ -243,7 +243,7 @@
         let history = self.context.take_history();
         let verdict = check(&history, &settings::rule_parameters(&self.scenario));
         Ok(Report {
-            first_requests: FirstRequests::of(&history),
+            first_requests: FirstRequests::count(&history),
             service,
             by_class,
             service_loss,
--- a/crates/emulator/src/service_accounting.rs
+++ b/crates/emulator/src/service_accounting.rs
@@ -1,4 +1,4 @@
-//! The accounting of service: the value of what owners wanted and of what they got, by second and by class.
+//! Accounting of service: the value of the service that owners wanted and that they received, by second and by class.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,22 +8,22 @@
 
 const SECOND_US: u64 = 1_000_000;
 
-/// A task that an owner wants, and what it is worth.
+/// A task that an owner wants, and its value.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskDemand {
     /// Its class, by index.
     pub class: usize,
     /// The value of one second of full service.
     pub value_per_s: f64,
-    /// From when it is wanted, µs.
+    /// Start of the time in which it is wanted, µs.
     pub from_us: u64,
-    /// Until when it is wanted, µs.
+    /// End of the time in which it is wanted, µs.
     pub until_us: u64,
-    /// A first start by this time earns the whole bonus, µs.
+    /// A first start up to this time earns the full bonus, µs.
     pub objective_us: u64,
     /// The bonus of a first start.
     pub start_bonus: f64,
-    /// A first start by this time earns the late bonus, and a later one none, µs.
+    /// A first start up to this time earns the late bonus, and a later one no bonus, µs.
     pub deadline_us: u64,
     /// The bonus of a late first start.
     pub late_start_bonus: f64,
@@ -43,10 +43,10 @@
 
 #[derive(Default)]
 struct ServedState {
-    /// Copies that run now.
+    /// Copies that are running.
     running_copies: u32,
     has_started: bool,
-    /// Served up to this time, so that two copies count once, µs.
+    /// Time up to which service is counted, µs, so that the service of two copies counts once.
     served_until: u64,
 }
 
@@ -72,7 +72,7 @@
         sum
     }
 
-    /// The served part; 1 where nothing was wanted.
+    /// The served share; 1 if nothing was wanted.
     fn served_share(self) -> f64 {
         if self.wanted > 0.0 {
             self.served / self.wanted
@@ -87,9 +87,9 @@
     start: u64,
     tasks: HashMap<Arc<str>, Task>,
     by_second: Vec<Value>,
-    /// The same of each class.
+    /// The same for each class.
     by_second_of_class: Vec<Vec<Value>>,
-    /// Seconds that second copies ran, which earn nothing.
+    /// Seconds for which second copies ran; they earn nothing.
     pub duplicate_run_s: f64,
     /// Value lost to first starts that came late or never.
     late_start_loss: f64,
@@ -97,18 +97,18 @@
     contention_loss: f64,
 }
 
-/// What the value that was not served was lost to, as shares of the value that was wanted.
+/// Causes of lost service, as shares of the value that was wanted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceLoss {
     /// First starts later than their objective, or none at all.
     pub late_start: f64,
-    /// Tasks that did not run while they were wanted.
+    /// Time in which wanted tasks did not run.
     pub not_running: f64,
-    /// Tasks that ran on contended hosts.
+    /// Contention on the hosts of running tasks.
     pub contended: f64,
 }
 
-/// Service, as shares of the value that was wanted.
+/// Service received, as shares of the value that was wanted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ServiceShares {
     /// Over the whole run.
@@ -132,7 +132,7 @@
         }
     }
 
-    /// An owner wants a task.
+    /// Adds a task that an owner wants.
     pub fn add_demand(&mut self, actor: &Arc<str>, demand: TaskDemand) {
         self.late_start_loss += demand.start_bonus;
         self.add_wanted(demand.class, demand.from_us, demand.start_bonus);
@@ -147,7 +147,7 @@
         self.tasks.insert(actor.clone(), Task { demand, served });
     }
 
-    /// A copy of a task has started to run.
+    /// Records that a copy of a task has started to run.
     pub fn record_start(&mut self, actor: &str, now: u64) {
         let Some(Task { demand, served }) = self.tasks.get_mut(actor) else {
             return;
@@ -161,14 +161,14 @@
         self.add_served(demand.class, demand.from_us, bonus);
     }
 
-    /// A copy of a task does not run any more.
+    /// Records that a copy of a task has stopped running.
     pub fn record_end(&mut self, actor: &str) {
         if let Some(task) = self.tasks.get_mut(actor) {
             task.served.running_copies = task.served.running_copies.saturating_sub(1);
         }
     }
 
-    /// A copy of a task got this share of full service from one time to another, µs.
+    /// Records that a copy of a task received this share of full service from one time to another, µs.
     pub fn record_service(&mut self, actor: &str, from: u64, to: u64, share: f64) {
         let Some(Task { demand, served }) = self.tasks.get_mut(actor) else {
             return;
@@ -187,15 +187,14 @@
         self.add_served(demand.class, at, demand.value_per_s * share * span_s);
     }
 
-    /// Whether some copy of a task runs.
+    /// Whether any copy of a task is running.
     pub fn is_running(&self, actor: &str) -> bool {
         self.tasks
             .get(actor)
             .is_some_and(|task| task.served.running_copies > 0)
     }
 
-    /// The share of the value wanted up to a time that each class was served, in the order of the classes; 1 where none
-    /// was wanted.
+    /// For each class, in order, the served share of the value that was wanted up to a time; 1 if nothing was wanted.
     pub fn service_by_class(&self, until: u64) -> Vec<f64> {
         let seconds = self.seconds_until(until);
         self.by_second_of_class
@@ -204,7 +203,7 @@
             .collect()
     }
 
-    /// What the value that was not served up to a time was lost to.
+    /// The causes of service lost up to a time.
     pub fn loss(&self, until: u64) -> ServiceLoss {
         let seconds = self.seconds_until(until);
         let all = Value::sum(self.by_second.iter().take(seconds));
@@ -218,7 +217,7 @@
         }
     }
 
-    /// The service up to a time.
+    /// The service received up to a time.
     pub fn service_shares(&self, until: u64) -> ServiceShares {
         let seconds = self.seconds_until(until);
         let share = |from: usize, to: usize| {
@@ -247,7 +246,7 @@
         }
     }
 
-    /// The second of a time, over all and of a class.
+    /// The second that contains a time, in the overall values and in those of a class.
     fn seconds_at(&mut self, class: usize, at: u64) -> [&mut Value; 2] {
         let second = (at.saturating_sub(self.start) / SECOND_US) as usize;
         [&mut self.by_second, &mut self.by_second_of_class[class]].map(|seconds| {
--- a/crates/emulator/src/service_accounting/tests.rs
+++ b/crates/emulator/src/service_accounting/tests.rs
@@ -1,4 +1,4 @@
-//! What the ledger tells of a day whose tasks outlast it.
+//! Service accounting of tasks that are wanted beyond the end of the run.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 
 #[test]
 fn ignores_demand_after_end_of_run() {
-    let mut ledger = ServiceAccounting::new(0, 2);
-    // Both live for 120 s of a day of 20; one runs from the beginning, the other from the middle on.
+    let mut accounting = ServiceAccounting::new(0, 2);
+    // Both tasks are wanted for 120 s, in a run of 20 s; one runs from the beginning, the other from the middle.
     for (class, name, runs_from) in [(0, "a", 0), (1, "b", 10 * S)] {
         let actor: Arc<str> = name.into();
         let wanted = TaskDemand {
@@ -22,18 +22,18 @@
             deadline_us: 2 * S,
             late_start_bonus: 0.0,
         };
-        ledger.add_demand(&actor, wanted);
-        ledger.record_start(&actor, runs_from);
+        accounting.add_demand(&actor, wanted);
+        accounting.record_start(&actor, runs_from);
         for from in (runs_from..20 * S).step_by(S as usize / 2) {
-            ledger.record_service(&actor, from, from + S / 2, 1.0);
+            accounting.record_service(&actor, from, from + S / 2, 1.0);
         }
     }
-    let shares = ledger.service_by_class(20 * S);
+    let shares = accounting.service_by_class(20 * S);
     assert!(
         shares[0] > 0.97 && (0.47..=0.5).contains(&shares[1]),
         "{shares:?}"
     );
-    let service = ledger.service_shares(20 * S);
+    let service = accounting.service_shares(20 * S);
     assert_eq!(service.worst_class, shares[1]);
     assert!((0.72..=0.75).contains(&service.overall), "{service:?}");
 }
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a scenario means for the other parts: settings of placers, the inventory, and the checker's parameters.
+//! Derived from a scenario: settings of placers, the inventory, and the checker's parameters.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -16,7 +16,7 @@
 use crate::owners::ANSWER_SLACK_US;
 use crate::scenario::Scenario;
 
-/// A placer that was paused and resumed this long before a deadline still owes the answer, µs.
+/// A placer that resumes from a pause at least this long before a deadline must still answer, µs.
 const RESUME_GRACE_US: u64 = 500_000;
 
 /// The name of the host of this number.
@@ -29,7 +29,7 @@
     format!("placer-{number}")
 }
 
-/// Trace files of a day: all of it is kept.
+/// Trace settings that keep the whole trace of a run.
 pub(crate) fn trace(folder: std::path::PathBuf) -> TraceSettings {
     TraceSettings {
         folder,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Settings of the placer of this number on a day. `servers` are those of its catalogue, if it reads one.
+/// Settings of the placer of this number. `servers` are those of its catalogue, if it reads one.
 pub fn placer(
     s: &Scenario,
     number: usize,
@@ -51,7 +51,7 @@
     PlacerConfig {
         identity: Identity {
             name: placer_name(number),
-            // Where numbers are leased this one counts for nothing.
+            // Ignored where replica indexes are leased in the catalogue.
             replica_index: number as u32 % s.replica_index_count(),
             replica_count: s.replica_index_count(),
             zone: zones[number % zones.len()].clone(),
@@ -147,7 +147,7 @@
     }
 }
 
-/// The inventory, of hosts at these addresses and as listed.
+/// The inventory of hosts with these addresses and this listed state and start time.
 pub fn inventory(
     scenario: &Scenario,
     addresses: &[SocketAddr],
@@ -173,7 +173,7 @@
     }
 }
 
-/// A class of tasks that may be started twice, is wanted alike everywhere and has no limits.
+/// A class of idempotent tasks that may run on any kind of host, without a spread limit.
 pub fn plain_class() -> TaskClass {
     TaskClass {
         name: "web-api".to_owned(),
@@ -226,7 +226,7 @@
     }
 }
 
-/// Settings of a placer that reads its hosts from these servers.
+/// Catalogue settings of a placer that reads its hosts from these servers.
 pub(crate) fn consul(
     servers: Vec<SocketAddr>,
     damping: DampingMode,
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -1,16 +1,16 @@
-//! Counts the messages between placers and hosts, by kind and direction, and models their bytes on a wire.
+//! Counts the messages between placers and hosts, by kind and direction, and models their bytes on the wire.
 //!
-//! Model of a wire:
-//! - Frames that one read or one write carries share a segment; its header of [`HEADER_BYTES`] bytes (IPv4, TCP with the
-//!   timestamp option) is split among them.
+//! Model of the wire:
+//! - The frames of one read or one write share a segment; its header of [`HEADER_BYTES`] bytes (IPv4, TCP with the
+//!   timestamp option) is divided among them.
 //! - A segment that is answered with data on the same connection within 40 ms is acknowledged by that data.
-//!   Otherwise a lone acknowledgement of [`HEADER_BYTES`] bytes goes back, one for all segments of a direction within that
-//!   time. It is counted for the last message of the segment, and once the next segment of the connection is seen or
-//!   the connection ends.
+//!   Otherwise a separate acknowledgement of [`HEADER_BYTES`] bytes is sent, one for all segments of a direction within
+//!   that time. It is attributed to the last message of the segment, and counted when the next segment of the connection
+//!   is seen or the connection ends.
 //! - Setting up a connection takes SYN, SYN-ACK and ACK, and closing it two FINs, of which the second acknowledges the
 //!   first, and an ACK.
-//! - Links are loss-free: nothing is sent twice, and segments longer than the MTU count once. Attempts to connect to a
-//!   host that is down are not seen and not counted.
+//! - There is no packet loss and no retransmission, and segments longer than the MTU count once. Attempts to connect to a
+//!   host that is down are not observed and not counted.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -22,10 +22,10 @@
 pub const HEADER_BYTES: u64 = 52;
 /// Bytes of a segment that opens a connection, with its options.
 const SYN_BYTES: u64 = 60;
-/// Data this soon after a segment acknowledges it, µs: the delayed acknowledgement of Linux.
+/// Data sent within this time after a segment acknowledges it, µs: the delayed acknowledgement of Linux.
 const DELAYED_ACK_US: u64 = 40_000;
 
-/// A frame as it is counted.
+/// The kind and size of a frame, for counting.
 #[derive(Clone, Copy, Debug)]
 pub struct CountedFrame {
     /// Its kind.
@@ -57,7 +57,7 @@
     }
 }
 
-/// The messages since the counter was made; shared by its clones.
+/// Counts messages; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct TrafficCounter {
     counts: Arc<Mutex<Traffic>>,
@@ -76,15 +76,15 @@
     wire_bytes: u64,
 }
 
-/// A segment that nothing has acknowledged yet.
+/// A segment that is not acknowledged yet.
 #[derive(Clone, Copy, Debug)]
 struct Unacknowledged {
     at: u64,
-    last: MessageKind,
+    last_kind: MessageKind,
     direction: Direction,
 }
 
-/// What the counter remembers of one connection.
+/// The state that the counter keeps for a connection.
 #[derive(Debug, Default)]
 pub struct ConnectionTraffic {
     unacknowledged: Option<Unacknowledged>,
@@ -92,14 +92,14 @@
 }
 
 impl TrafficCounter {
-    /// All that was counted so far.
+    /// The counts so far.
     pub fn snapshot(&self) -> Traffic {
         self.counts().clone()
     }
 
-    /// A connection was set up; only the first call for a link counts.
-    pub fn opened(&self, link: &mut ConnectionTraffic) {
-        if std::mem::replace(&mut link.opened, true) {
+    /// Counts the set-up of a connection; only the first call for a connection counts.
+    pub fn opened(&self, connection: &mut ConnectionTraffic) {
+        if std::mem::replace(&mut connection.opened, true) {
             return;
         }
         let mut counts = self.counts();
@@ -119,12 +119,12 @@
         );
     }
 
-    /// A connection ended: in order, or by a reset.
-    pub fn closed(&self, link: &mut ConnectionTraffic, reset: bool) {
-        self.opened(link);
+    /// Counts the end of a connection, in order or by a reset.
+    pub fn closed(&self, connection: &mut ConnectionTraffic, reset: bool) {
+        self.opened(connection);
         let mut counts = self.counts();
-        if let Some(segment) = link.unacknowledged.take() {
-            counts.lone_acknowledgement(segment);
+        if let Some(segment) = connection.unacknowledged.take() {
+            counts.add_separate_acknowledgement(segment);
         }
         let from_placer = if reset { 0 } else { 2 * HEADER_BYTES };
         counts.add(
@@ -143,31 +143,37 @@
         );
     }
 
-    /// A segment with these frames was read or written at a time, µs.
+    /// Counts a segment with these frames, read or written at a time in µs.
     pub fn segment(
         &self,
-        link: &mut ConnectionTraffic,
+        connection: &mut ConnectionTraffic,
         now: u64,
         direction: Direction,
         frames: &[CountedFrame],
     ) {
         let Some(last) = frames.last() else { return };
-        self.opened(link);
+        self.opened(connection);
         let mut counts = self.counts();
-        if let Some(earlier) = link.unacknowledged.take()
+        if let Some(earlier) = connection.unacknowledged.take()
             && now > earlier.at + DELAYED_ACK_US
         {
-            counts.lone_acknowledgement(earlier);
+            counts.add_separate_acknowledgement(earlier);
         }
-        let share = HEADER_BYTES / frames.len() as u64;
-        let rest = HEADER_BYTES % frames.len() as u64;
+        let header_share = HEADER_BYTES / frames.len() as u64;
+        let header_remainder = HEADER_BYTES % frames.len() as u64;
         for frame in frames {
-            counts.add(frame.kind, direction, 1, frame.bytes, frame.bytes + share);
+            counts.add(
+                frame.kind,
+                direction,
+                1,
+                frame.bytes,
+                frame.bytes + header_share,
+            );
         }
-        counts.add(last.kind, direction, 0, 0, rest);
-        link.unacknowledged = Some(Unacknowledged {
+        counts.add(last.kind, direction, 0, 0, header_remainder);
+        connection.unacknowledged = Some(Unacknowledged {
             at: now,
-            last: last.kind,
+            last_kind: last.kind,
             direction,
         });
     }
@@ -192,12 +198,12 @@
         sums.wire_bytes += wire;
     }
 
-    /// The acknowledgement is a packet against the segment's direction, and counted with the message that caused it.
-    fn lone_acknowledgement(&mut self, segment: Unacknowledged) {
-        self.add(segment.last, segment.direction, 0, 0, HEADER_BYTES);
+    /// Counts an acknowledgement that carries no data. It travels against the segment's direction, but is counted with the message that caused it.
+    fn add_separate_acknowledgement(&mut self, segment: Unacknowledged) {
+        self.add(segment.last_kind, segment.direction, 0, 0, HEADER_BYTES);
     }
 
-    /// What came since an earlier snapshot, without what did not come at all.
+    /// The messages counted since an earlier snapshot, without kinds that did not occur.
     pub fn since(&self, earlier: &Traffic) -> Vec<MessageCount> {
         let counts = self.by_kind.iter().map(|(&(kind, direction), sums)| {
             let before = earlier
@@ -216,7 +222,7 @@
         counts.filter(|c| c.count > 0 || c.wire_bytes > 0).collect()
     }
 
-    /// Messages of a kind so far, both directions.
+    /// Number of messages of a kind so far, in both directions.
     pub fn count(&self, kind: MessageKind) -> u64 {
         self.by_kind
             .iter()
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -1,11 +1,11 @@
-//! What a process uses, as the operating system counts it in `/proc`.
+//! Resource usage of a process, read from `/proc`.
 
 use std::io;
 
-/// Clock ticks a second in `/proc`, on every Linux that matters here.
+/// Clock ticks a second in `/proc`; 100 on all common Linux platforms (`USER_HZ`).
 const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// What a process uses.
+/// Processor time and memory of a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
     /// Processor time so far, user and system, s.
@@ -14,20 +14,20 @@
     pub resident_kib: u64,
 }
 
-/// Memory and descriptors of a process, which take longer to count than [`process_usage`].
+/// Proportional memory and descriptors of a process, which take longer to read than [`process_usage`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessHoldings {
-    /// Proportional memory, KiB: pages that processes share are parted among them.
+    /// Proportional memory, KiB: shared pages are divided among the processes that share them.
     pub proportional_kib: u64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: u32,
 }
 
-/// Processor time of a process so far and its memory.
+/// Processor time of a process so far and its resident memory.
 ///
 /// # Errors
 ///
-/// The process is gone, or `/proc` cannot be read.
+/// The process has ended, or `/proc` cannot be read.
 pub fn process_usage(pid: u32) -> io::Result<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
@@ -36,10 +36,10 @@
         .unwrap_or("")
         .split_whitespace()
         .collect();
-    let ticks = |i: usize| {
+    let ticks = |index: usize| {
         fields
-            .get(i)
-            .and_then(|f| f.parse::<f64>().ok())
+            .get(index)
+            .and_then(|field| field.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
     let status = std::fs::read_to_string(format!("/proc/{pid}/status"))?;
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// The process is gone, or `/proc` cannot be read.
+/// The process has ended, or `/proc` cannot be read.
 pub fn process_holdings(pid: u32) -> io::Result<ProcessHoldings> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
--- a/crates/emulator/tests/mutant.rs
+++ b/crates/emulator/tests/mutant.rs
@@ -1,5 +1,5 @@
-//! Mutants of the random decider make their own opportunities: mutant 5 needs no luck to break a spread limit, and mutant
-//! 6 only a pause.
+//! Mutants of the random decider violate their rule reliably: mutant 5 exceeds a spread limit for every seed, and mutant 6
+//! leaves requests unanswered after every pause.
 
 use std::collections::BTreeMap;
 
@@ -13,9 +13,9 @@
 use maplethread_engine::Decide;
 
 const CONFIG: &str = include_str!("../../../config/placer.toml");
-/// The class that is spread over zones.
+/// The class with a spread limit over zones, by index.
 const WEB_API: usize = 0;
-/// So many of a service may be in one zone.
+/// Maximum number of tasks of a service in one zone.
 const ZONE_LIMIT: u32 = 4;
 const ZONES: u32 = 3;
 const MACHINES: u32 = 15;
@@ -25,7 +25,7 @@
         file: "placer.toml",
         text: CONFIG,
     })
-    .expect("sound")
+    .expect("valid settings")
     .policy_settings()
 }
 
@@ -59,10 +59,10 @@
     })
 }
 
-/// Asks one more than a zone may have of one service, while connections to hosts come and go between any two asks, and
-/// tells the most offers that one zone was sent.
-fn max_offers_in_a_zone(rogue: u8, seed: u64) -> u32 {
-    let mut placer = RandomChoice::new(settings(), seed, rogue);
+/// Requests one task of a service more than a zone may hold, with a connection lost before each request, and returns the
+/// highest number of offers to one zone.
+fn max_offers_in_a_zone(mutant: u8, seed: u64) -> u32 {
+    let mut placer = RandomChoice::new(settings(), seed, mutant);
     let mut actions = Vec::new();
     let machines = (0..MACHINES).map(machine_entry).collect();
     placer.turn(
@@ -116,7 +116,7 @@
         }],
         &mut actions,
     );
-    // It is woken all the time, so that only a pause lies between two of its turns that are far apart.
+    // Mutant 6 schedules turns continuously, so that a long time between two turns can only be a pause.
     assert!(
         actions
             .iter()
@@ -131,18 +131,18 @@
     placer.turn(100_000, &[placement_requested(1)], &mut actions);
     assert!(offers(&actions, 1));
     placer.turn(1_000_000, &[placement_requested(2)], &mut actions);
-    assert!(!offers(&actions, 2), "asked while it stood still");
+    assert!(!offers(&actions, 2), "requested during the pause");
     placer.turn(1_100_000, &[placement_requested(3)], &mut actions);
     assert!(offers(&actions, 3));
 }
 
 #[test]
-fn tells_missed_violation_from_no_opportunity() {
-    let outcome = |moves, caught| {
+fn distinguishes_missed_violation_from_no_opportunity() {
+    let outcome = |made, found| {
         MutantResult {
             number: 5,
-            violations_made: moves,
-            violations_found: caught,
+            violations_made: made,
+            violations_found: found,
         }
         .outcome()
     };
