--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -1,5 +1,5 @@
-//! Hollow placers: what a host sees of a placer that places nothing, many in one thread. Each connects to every host,
-//! greets and pings, so that one host can be shown as many placers as a large fleet has, without their processes.
+//! Hollow placers: the connections of placers that place nothing, many in one thread. Each connects to every host, sends
+//! its hello and pings, so that a host has as many placer connections as in a large fleet, without the placer processes.
 
 use std::collections::HashMap;
 use std::io;
@@ -14,13 +14,13 @@
 use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 
-/// Their names begin with this, so that traffic of real placers can be told from theirs.
+/// Prefix of their names, by which their traffic is told from that of real placers.
 const PREFIX: &str = "hollow-placer-";
-/// A connection that could not be made or was lost is tried again after this, µs.
+/// Delay before a connection that failed or was lost is retried, µs.
 const RECONNECT_INTERVAL_US: u64 = 1_000_000;
-/// The thread looks at least this often whether it is to end.
+/// The thread checks at least this often whether it should end, µs.
 const POLL_INTERVAL_US: u64 = 100_000;
-/// Connections of this many are begun at once; the others follow, so that backlogs of hosts suffice.
+/// Maximum number of connections started per poll interval, so that the hosts' listen backlogs do not overflow.
 const MAX_CONNECTS_PER_TURN: usize = 256;
 
 /// Whether a placer of this name is hollow.
@@ -28,7 +28,7 @@
     name.starts_with(PREFIX)
 }
 
-/// The thread of the hollow placers; they end when it is dropped.
+/// The thread of the hollow placers, which ends when this is dropped.
 pub struct HollowPlacers {
     should_end: Arc<AtomicBool>,
     connected: Arc<AtomicUsize>,
@@ -36,7 +36,7 @@
 }
 
 impl HollowPlacers {
-    /// Starts so many, each connected to all of these hosts and pinging each of them this often, µs.
+    /// Starts this number of hollow placers, each of which connects to all of these hosts and pings each at this interval, µs.
     ///
     /// # Errors
     ///
@@ -44,34 +44,34 @@
     pub fn start(
         placers: usize,
         hosts: &[SocketAddr],
-        ping_every: u64,
+        ping_interval_us: u64,
     ) -> io::Result<HollowPlacers> {
-        let (end, connected) = (
+        let (should_end, connected) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
-        let mut run = HollowThread {
+        let mut thread_state = HollowThread {
             poller: Poller::new()?,
             clock: Clock::start(),
             hosts: hosts.to_vec(),
-            ping_every: ping_every.max(1),
-            conns: HashMap::new(),
+            ping_interval_us: ping_interval_us.max(1),
+            connections: HashMap::new(),
             timers: Timers::default(),
             connected: connected.clone(),
         };
-        run.plan_connections(placers);
-        let ended = end.clone();
+        thread_state.schedule_connections(placers);
+        let thread_should_end = should_end.clone();
         let thread = std::thread::Builder::new()
             .name("hollow-placers".into())
-            .spawn(move || run.run(&ended))?;
+            .spawn(move || thread_state.run(&thread_should_end))?;
         Ok(HollowPlacers {
-            should_end: end,
+            should_end,
             connected,
             thread: Some(thread),
         })
     }
 
-    /// Connections on which the host has said all that it holds.
+    /// Number of connections on which the host has listed all tasks that it holds.
     pub fn connected(&self) -> usize {
         self.connected.load(Ordering::Relaxed)
     }
@@ -86,7 +86,7 @@
     }
 }
 
-/// One placer's connection to one host; its number in the run is the connection's token.
+/// A placer and a host that it connects to; their number is the connection's token.
 #[derive(Clone, Copy, Debug)]
 struct PlacerHostPair {
     placer: usize,
@@ -103,129 +103,135 @@
     poller: Poller,
     clock: Clock,
     hosts: Vec<SocketAddr>,
-    ping_every: u64,
-    conns: HashMap<u64, HollowConnection>,
+    ping_interval_us: u64,
+    connections: HashMap<u64, HollowConnection>,
     timers: Timers<Timer>,
     connected: Arc<AtomicUsize>,
 }
 
 struct HollowConnection {
     conn: TcpConnection,
-    link: PlacerHostPair,
+    pair: PlacerHostPair,
     has_listed_tasks: bool,
 }
 
 impl HollowThread {
-    fn token(&self, link: PlacerHostPair) -> u64 {
-        (link.placer * self.hosts.len() + link.host) as u64
+    fn token(&self, pair: PlacerHostPair) -> u64 {
+        (pair.placer * self.hosts.len() + pair.host) as u64
     }
 
-    /// Connections spread over one period of pings at least, so that pings are spread too.
-    fn plan_connections(&mut self, placers: usize) {
+    /// Schedules the connections over at least one ping interval, so that the pings are spread too.
+    fn schedule_connections(&mut self, placers: usize) {
         let now = self.clock.now();
-        let links = (placers * self.hosts.len()).max(1) as u64;
-        let at_least = links / MAX_CONNECTS_PER_TURN as u64 * POLL_INTERVAL_US;
-        let span = self.ping_every.max(at_least);
+        let pair_count = (placers * self.hosts.len()).max(1) as u64;
+        let min_span_us = pair_count / MAX_CONNECTS_PER_TURN as u64 * POLL_INTERVAL_US;
+        let span_us = self.ping_interval_us.max(min_span_us);
         for placer in 0..placers {
             for host in 0..self.hosts.len() {
-                let link = PlacerHostPair { placer, host };
-                let at = now + self.token(link) * span / links;
-                self.timers.schedule(at, Timer::Connect(link));
+                let pair = PlacerHostPair { placer, host };
+                let at = now + self.token(pair) * span_us / pair_count;
+                self.timers.schedule(at, Timer::Connect(pair));
             }
         }
     }
 
-    fn run(&mut self, ended: &AtomicBool) -> io::Result<()> {
+    fn run(&mut self, should_end: &AtomicBool) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
-        while !ended.load(Ordering::Relaxed) {
+        while !should_end.load(Ordering::Relaxed) {
             let now = self.clock.now();
-            let wait = self.timers.next_due_at().map_or(POLL_INTERVAL_US, |at| {
+            let wait_us = self.timers.next_due_at().map_or(POLL_INTERVAL_US, |at| {
                 at.saturating_sub(now).min(POLL_INTERVAL_US)
             });
             ready.clear();
             self.poller
-                .wait(Some(Duration::from_micros(wait)), &mut ready)?;
-            ready.iter().for_each(|readiness| self.ready(readiness));
+                .wait(Some(Duration::from_micros(wait_us)), &mut ready)?;
+            ready
+                .iter()
+                .for_each(|readiness| self.handle_ready(readiness));
             let now = self.clock.now();
             while let Some(due) = self.timers.pop_due(now) {
                 match due {
-                    Timer::Connect(link) => self.connect(link),
-                    Timer::Ping(link) => self.ping(link),
+                    Timer::Connect(pair) => self.connect(pair),
+                    Timer::Ping(pair) => self.ping(pair),
                 }
             }
         }
         Ok(())
     }
 
-    fn connect(&mut self, link: PlacerHostPair) {
-        let token = self.token(link);
-        match TcpConnection::connect(self.hosts[link.host], token, &self.poller) {
+    fn connect(&mut self, pair: PlacerHostPair) {
+        let token = self.token(pair);
+        match TcpConnection::connect(self.hosts[pair.host], token, &self.poller) {
             Ok(conn) => {
-                self.conns.insert(
+                self.connections.insert(
                     token,
                     HollowConnection {
                         conn,
-                        link,
+                        pair,
                         has_listed_tasks: false,
                     },
                 );
             }
             Err(_) => self.timers.schedule(
                 self.clock.now() + RECONNECT_INTERVAL_US,
-                Timer::Connect(link),
+                Timer::Connect(pair),
             ),
         }
     }
 
-    fn ping(&mut self, link: PlacerHostPair) {
-        let token = self.token(link);
-        if self.conns.get(&token).is_some_and(|c| c.has_listed_tasks) {
+    fn ping(&mut self, pair: PlacerHostPair) {
+        let token = self.token(pair);
+        if self
+            .connections
+            .get(&token)
+            .is_some_and(|c| c.has_listed_tasks)
+        {
             self.send(token, &Frame::Ping(token as u32));
             self.timers
-                .schedule(self.clock.now() + self.ping_every, Timer::Ping(link));
+                .schedule(self.clock.now() + self.ping_interval_us, Timer::Ping(pair));
         }
     }
 
     fn send(&mut self, token: u64, frame: &Frame) {
-        let Some(hollow) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        frame::encode(frame, hollow.conn.write_buffer());
-        if hollow.conn.flush(&self.poller).is_err() {
+        frame::encode(frame, connection.conn.write_buffer());
+        if connection.conn.flush(&self.poller).is_err() {
             self.close_connection(token);
         }
     }
 
     fn close_connection(&mut self, token: u64) {
-        let Some(hollow) = self.conns.remove(&token) else {
+        let Some(connection) = self.connections.remove(&token) else {
             return;
         };
-        if hollow.has_listed_tasks {
+        if connection.has_listed_tasks {
             self.connected.fetch_sub(1, Ordering::Relaxed);
         }
         self.timers.schedule(
             self.clock.now() + RECONNECT_INTERVAL_US,
-            Timer::Connect(hollow.link),
+            Timer::Connect(connection.pair),
         );
     }
 
-    fn ready(&mut self, readiness: &Readiness) {
+    fn handle_ready(&mut self, readiness: &Readiness) {
         let token = readiness.token;
-        let Some(hollow) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        if hollow.conn.is_connecting() {
-            if hollow.conn.finish_connect().is_err() {
+        if connection.conn.is_connecting() {
+            if connection.conn.finish_connect().is_err() {
                 self.close_connection(token);
                 return;
             }
-            let hello = hello(hollow.link);
+            let hello = hello(connection.pair);
             self.send(token, &hello);
         }
-        let Some(hollow) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        if readiness.is_writable && hollow.conn.flush(&self.poller).is_err() {
+        if readiness.is_writable && connection.conn.flush(&self.poller).is_err() {
             self.close_connection(token);
             return;
         }
@@ -235,46 +241,46 @@
     }
 
     fn read(&mut self, token: u64) {
-        let Some(hollow) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        let outcome = hollow.conn.read_available(64 << 10, 128 << 10);
-        let mut broken = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed);
+        let outcome = connection.conn.read_available(64 << 10, 128 << 10);
+        let mut has_failed = matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed);
         loop {
-            match frame::decode(hollow.conn.unread()) {
+            match frame::decode(connection.conn.unread()) {
                 Ok((frame, used)) => {
-                    hollow.conn.consume(used);
+                    connection.conn.consume(used);
                     match frame {
                         None => break,
-                        Some(Frame::HeldEnd) if !hollow.has_listed_tasks => {
-                            hollow.has_listed_tasks = true;
+                        Some(Frame::HeldEnd) if !connection.has_listed_tasks => {
+                            connection.has_listed_tasks = true;
                             self.connected.fetch_add(1, Ordering::Relaxed);
-                            let first = self.clock.now() + self.ping_every;
-                            self.timers.schedule(first, Timer::Ping(hollow.link));
+                            let first = self.clock.now() + self.ping_interval_us;
+                            self.timers.schedule(first, Timer::Ping(connection.pair));
                         }
                         Some(Frame::Ping(nonce)) => {
-                            frame::encode(&Frame::Pong(nonce), hollow.conn.write_buffer())
+                            frame::encode(&Frame::Pong(nonce), connection.conn.write_buffer())
                         }
                         Some(_) => {}
                     }
                 }
                 Err(_) => {
-                    broken = true;
+                    has_failed = true;
                     break;
                 }
             }
         }
-        if broken || hollow.conn.flush(&self.poller).is_err() {
+        if has_failed || connection.conn.flush(&self.poller).is_err() {
             self.close_connection(token);
         }
     }
 }
 
-fn hello(link: PlacerHostPair) -> Frame {
+fn hello(pair: PlacerHostPair) -> Frame {
     Frame::Hello {
         major: frame::MAJOR,
         minor: frame::MINOR,
-        name: format!("{PREFIX}{}", link.placer),
+        name: format!("{PREFIX}{}", pair.placer),
         started_ms: 1,
         max_offers: 0,
     }
--- a/crates/emulator/src/placer_processes.rs
+++ b/crates/emulator/src/placer_processes.rs
@@ -1,4 +1,4 @@
-//! Placers as processes of their own: started, signalled, stopped.
+//! Placer processes: started, signalled, stopped.
 
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,20 +9,20 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 
-/// One placer.
+/// A placer and its process.
 pub struct PlacerProcess {
     pub(crate) config: PathBuf,
     pub(crate) log: PathBuf,
-    /// How long the log was before the day.
+    /// Length of the log before the run, bytes.
     pub(crate) log_offset: u64,
     /// Its process while it runs.
     pub child: Option<Child>,
     pub(crate) is_paused: bool,
-    /// Times that it was started.
+    /// Number of times that it was started.
     pub start_count: u64,
 }
 
-/// All placers of a day; those that still run when it is dropped are killed.
+/// All placers of a run. Processes that still run when this is dropped are killed.
 pub struct Placers {
     /// Each placer, by number.
     pub all: Vec<PlacerProcess>,
@@ -30,11 +30,11 @@
     start_receiver: mpsc::Receiver<StartReport>,
 }
 
-/// A placer, its start, and where it then listened, if it did.
+/// A placer, the number of its start, and its address if it began to serve.
 type StartReport = (usize, u64, Option<SocketAddr>);
 
 impl Placers {
-    /// No placers yet.
+    /// An empty set of placers.
     #[allow(clippy::new_without_default)]
     pub fn new() -> Placers {
         let (start_sender, start_receiver) = mpsc::channel();
@@ -45,20 +45,20 @@
         }
     }
 
-    /// Adds a placer that does not run yet.
+    /// Adds a placer without starting it.
     pub fn add(&mut self, config: PathBuf, log: PathBuf) {
-        let log_from = std::fs::metadata(&log).map_or(0, |file| file.len());
+        let log_offset = std::fs::metadata(&log).map_or(0, |file| file.len());
         self.all.push(PlacerProcess {
             config,
             log,
-            log_offset: log_from,
+            log_offset,
             child: None,
             is_paused: false,
             start_count: 0,
         });
     }
 
-    /// Starts a placer: the `placer` command of this program, with these arguments besides its settings.
+    /// Starts a placer: the `placer` subcommand of this executable, with these arguments besides its settings.
     ///
     /// # Errors
     ///
@@ -82,18 +82,18 @@
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()?;
-        let out = child.stdout.take();
+        let stdout = child.stdout.take();
         placer.child = Some(child);
         placer.start_count += 1;
-        let (start, told) = (placer.start_count, self.start_sender.clone());
-        // It serves only once it has read a sound inventory, which may be long in coming.
+        let (start, sender) = (placer.start_count, self.start_sender.clone());
+        // A placer serves only once it has read a valid inventory, which may take long.
         std::thread::Builder::new()
-            .name(format!("starts placer-{number}"))
+            .name(format!("start-placer-{number}"))
             .spawn(move || {
                 let mut line = String::new();
-                let read = out.map(|out| BufReader::new(out).read_line(&mut line));
+                let read = stdout.map(|stdout| BufReader::new(stdout).read_line(&mut line));
                 let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
-                let _ = told.send((
+                let _ = sender.send((
                     number,
                     start,
                     address.filter(|_| matches!(read, Some(Ok(_)))),
@@ -102,12 +102,11 @@
         Ok(())
     }
 
-    /// The next placer that has begun to serve, and where; waits up to `within` for it. One that ended before it served,
-    /// and was not killed, is an error.
+    /// Waits up to `within` for the next placer that begins to serve, and returns its number and address.
     ///
     /// # Errors
     ///
-    /// A placer ended before it served, and was not killed.
+    /// A placer exited before it served, and was not killed by the run.
     pub fn next_serving(&mut self, within: Duration) -> io::Result<Option<(usize, SocketAddr)>> {
         while let Ok((number, start, address)) = self.start_receiver.recv_timeout(within) {
             let placer = &self.all[number];
@@ -117,7 +116,7 @@
                 None => {
                     let log = std::fs::read_to_string(&placer.log).unwrap_or_default();
                     return Err(io::Error::other(format!(
-                        "placer {number} did not start: {log}"
+                        "placer {number} exited before it served; its log: {log}"
                     )));
                 }
             }
@@ -125,7 +124,7 @@
         Ok(None)
     }
 
-    /// Sends a signal to a placer that runs.
+    /// Sends a signal to a placer, if it runs.
     ///
     /// # Errors
     ///
@@ -139,14 +138,14 @@
         Ok(())
     }
 
-    /// Each placer's log of this day: the file, and where in it the day begins.
+    /// The log of each placer: the file, and the offset at which this run begins.
     pub(crate) fn logs(&self) -> impl Iterator<Item = (&Path, u64)> {
         self.all
             .iter()
             .map(|placer| (placer.log.as_path(), placer.log_offset))
     }
 
-    /// Tells all to stop, and ends those that do not.
+    /// Terminates all placers, and kills those that have not exited after 2 s.
     pub fn stop(&mut self) {
         for number in 0..self.all.len() {
             let _ = self.signal(number, Signal::TERM);
--- a/crates/emulator/src/recorded_scenario/tests.rs
+++ b/crates/emulator/src/recorded_scenario/tests.rs
@@ -1,4 +1,4 @@
-//! What traces of placers become as a scenario.
+//! Conversion of placers' traces into scenarios.
 
 use std::io::Cursor;
 
@@ -12,13 +12,18 @@
 const S: u64 = 1_000_000;
 const START: u64 = 1_700_000_000 * S;
 
-/// A run of a placer that began so many seconds after the start, with asks at these seconds and hosts that start.
-fn run(placer: &str, began: u64, asks: &[(u64, &str, bool)], starts: &[(u64, u32)]) -> Vec<u8> {
+/// The trace of a placer process that started this many seconds after [`START`], with requests and host starts at these seconds.
+fn trace(
+    placer: &str,
+    started_s: u64,
+    requests: &[(u64, &str, bool)],
+    starts: &[(u64, u32)],
+) -> Vec<u8> {
     let header = Header {
         writer: "test".into(),
         module: String::new(),
         placer: placer.into(),
-        started_ms: (START + began * S) / 1000,
+        started_ms: (START + started_s * S) / 1000,
         seed: 1,
         settings: None,
         classes: vec!["statements".into(), "web-api".into()],
@@ -27,7 +32,7 @@
         sources: Vec::new(),
     };
     let mut bytes = Vec::new();
-    let mut writer = Writer::new(&mut bytes, &header).expect("a header");
+    let mut writer = Writer::new(&mut bytes, &header).expect("header written");
     for n in 0..12u32 {
         let zone = ["hall-a", "hall-b", "hall-c"][n as usize % 3].to_owned();
         let record = Record::Host {
@@ -39,10 +44,10 @@
         };
         writer
             .push(&TimedRecord {
-                at: START + began * S,
+                at: START + started_s * S,
                 record,
             })
-            .expect("a record");
+            .expect("record written");
     }
     writer.register_name(&TimedRecord {
         at: 0,
@@ -51,9 +56,9 @@
             name: "web-api-03".into(),
         },
     });
-    for (n, &(at, actor, again)) in asks.iter().enumerate() {
+    for (n, &(at, actor, is_resubmission)) in requests.iter().enumerate() {
         let (at, task) = (START + at * S, n as u64);
-        let asked = Record::RequestReceived {
+        let received = Record::RequestReceived {
             task,
             service: 3,
             actor: actor.into(),
@@ -69,7 +74,7 @@
             requested: Resources::new(0.5, 2.0),
             expected_duration: Some(7 * S),
             deadline: at + S,
-            is_resubmission: again,
+            is_resubmission,
         };
         let turn = Turn {
             now: at,
@@ -77,18 +82,21 @@
             actions: Vec::new(),
         };
         writer
-            .push(&TimedRecord { at, record: asked })
-            .expect("a record");
+            .push(&TimedRecord {
+                at,
+                record: received,
+            })
+            .expect("record written");
         writer
             .push(&TimedRecord {
                 at,
                 record: Record::Turn(turn),
             })
-            .expect("a record");
+            .expect("record written");
     }
     for &(at, host) in starts {
         let at = START + at * S;
-        let listing = MachineEntry {
+        let entry = MachineEntry {
             machine: MachineId(host),
             stable_hash: 0,
             zone: 0,
@@ -98,13 +106,13 @@
             started_at: Some(at),
             unallocated: None,
         };
-        let listed = Event::EndpointsUpdated {
+        let update = Event::EndpointsUpdated {
             scope: UpdateScope::Delta,
-            machines: vec![listing],
+            machines: vec![entry],
         };
         let turn = Turn {
             now: at,
-            events: vec![listed],
+            events: vec![update],
             actions: Vec::new(),
         };
         writer
@@ -112,62 +120,76 @@
                 at,
                 record: Record::Turn(turn),
             })
-            .expect("a record");
+            .expect("record written");
     }
-    writer.finish().expect("an index");
+    writer.finish().expect("index written");
     bytes
 }
 
 fn read_all(files: &[&[u8]], speed: f64) -> Result<RecordedScenario, String> {
     let mut traces: Vec<_> = files
         .iter()
-        .map(|f| Reader::open(Cursor::new(*f)).expect("a file"))
+        .map(|f| Reader::open(Cursor::new(*f)).expect("a valid trace"))
         .collect();
     read(&mut traces, &Scenario::standard(), speed, 5)
 }
 
 #[test]
 fn converts_trace_to_requests_and_faults() {
-    // A zone of four comes back together, and a host alone; placer p0 has two runs.
+    // The four hosts of a zone restart together, and another host alone; placer p0 has two processes.
     let zone: Vec<(u64, u32)> = (0..4).map(|n| (10, n * 3 + 1)).chain([(20, 0)]).collect();
-    let first = run(
+    let first = trace(
         "p0",
         0,
         &[(1, "a", false), (2, "b", false), (3, "a", true)],
         &zone,
     );
-    let second = run("p0", 22, &[(30, "c", false)], &[]);
-    let other = run("p1", 0, &[(4, "b", false), (8, "d", false)], &zone);
-    let day = read_all(&[&first, &second, &other], 1.0).expect("a day");
-    let asks: Vec<(&str, u64)> = day
+    let second = trace("p0", 22, &[(30, "c", false)], &[]);
+    let other = trace("p1", 0, &[(4, "b", false), (8, "d", false)], &zone);
+    let recorded = read_all(&[&first, &second, &other], 1.0).expect("a recorded scenario");
+    let requests: Vec<(&str, u64)> = recorded
         .arrivals
         .iter()
         .map(|a| (&*a.actor, a.at_us / S))
         .collect();
     assert_eq!(
-        asks,
+        requests,
         [("a", 0), ("b", 1), ("d", 7), ("c", 29)],
-        "first asks only, each owner once"
+        "only first requests, and each owner once"
     );
-    let one = &day.arrivals[0];
+    let first_arrival = &recorded.arrivals[0];
     assert_eq!(
-        (&*one.service, one.resources, one.wanted_for_us),
+        (
+            &*first_arrival.service,
+            first_arrival.resources,
+            first_arrival.wanted_for_us
+        ),
         ("web-api-03", [0.5, 2.0], 7 * S)
     );
-    assert_eq!(day.scenario.classes[one.class].rules.name, "web-api");
-    let s = &day.scenario;
-    assert_eq!((s.fleet.hosts, s.placers, s.seconds), (12, 2, 29.0));
-    let troubles: Vec<(FaultKind, f64)> = s.faults.iter().map(|t| (t.kind, t.at_s)).collect();
+    assert_eq!(
+        recorded.scenario.classes[first_arrival.class].rules.name,
+        "web-api"
+    );
+    let scenario = &recorded.scenario;
+    assert_eq!(
+        (scenario.fleet.hosts, scenario.placers, scenario.seconds),
+        (12, 2, 29.0)
+    );
+    let faults: Vec<(FaultKind, f64)> = scenario
+        .faults
+        .iter()
+        .map(|fault| (fault.kind, fault.at_s))
+        .collect();
     let expected = [
         (FaultKind::ZoneLoss, 9.0 - ASSUMED_DOWNTIME_S),
         (FaultKind::HostCrash, 19.0 - ASSUMED_DOWNTIME_S),
         (FaultKind::PlacerKill, 19.0),
     ];
-    assert_eq!(troubles, expected);
-    assert_eq!(s.faults[0].zone.as_deref(), Some("hall-b"));
-    assert_eq!(day.summary["classes"]["web-api"]["asked"], 6);
-    // Twice as fast: the same asks in half the time.
-    let fast = read_all(&[&first, &second, &other], 2.0).expect("a day");
+    assert_eq!(faults, expected);
+    assert_eq!(scenario.faults[0].zone.as_deref(), Some("hall-b"));
+    assert_eq!(recorded.summary["classes"]["web-api"]["asked"], 6);
+    // At twice the speed: the same requests in half the time.
+    let fast = read_all(&[&first, &second, &other], 2.0).expect("a recorded scenario");
     assert_eq!(
         fast.arrivals.iter().map(|a| a.at_us).collect::<Vec<_>>(),
         [0, S / 2, 7 * S / 2, 29 * S / 2]
@@ -175,17 +197,20 @@
 }
 
 #[test]
-fn names_what_cannot_be_replayed() {
+fn reports_traces_that_cannot_be_replayed() {
     assert_eq!(
-        read_all(&[&run("p0", 0, &[], &[])], 1.0).err().as_deref(),
-        Some("no first ask is recorded")
+        read_all(&[&trace("p0", 0, &[], &[])], 1.0).err().as_deref(),
+        Some("no first request in the traces")
     );
-    let file = run("p0", 0, &[(1, "a", false)], &[]);
+    let file = trace("p0", 0, &[(1, "a", false)], &[]);
     let mut base = Scenario::standard();
     base.classes.retain(|c| c.rules.name != "web-api");
-    let mut traces = [Reader::open(Cursor::new(&file)).expect("a file")];
+    let mut traces = [Reader::open(Cursor::new(&file)).expect("a valid trace")];
     let error = read(&mut traces, &base, 1.0, 5)
         .err()
-        .expect("no such class");
-    assert!(error.contains("class \"web-api\" was recorded"), "{error}");
+        .expect("an error for the unknown class");
+    assert!(
+        error.contains("recorded class \"web-api\" is not in the scenario"),
+        "{error}"
+    );
 }
