--- a/crates/emulator/src/catalogue_registration.rs
+++ b/crates/emulator/src/catalogue_registration.rs
@@ -55,7 +55,8 @@
         let (found, used) = reader.read(&bytes).map_err(io::Error::other)?;
         bytes.drain(..used);
         if let ReadResult::Message(message) = found {
-            // Without a leader the catalogue rejects writes. The run continues, and the next change registers all differences.
+            // Without a leader the catalogue rejects writes. The run continues, and the next change registers all
+            // differences.
             return if message.head.status() == 200 {
                 Ok(())
             } else {
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -1,5 +1,5 @@
-//! The arrivals of owners, drawn from the seed before the run and the same for every decider. Repeated requests depend on
-//! the answers; each owner draws their times from its own generator.
+//! The arrivals of owners, drawn from the seed before the run and the same for every decider. Repeated requests depend
+//! on the answers; each owner draws their times from its own generator.
 
 use std::sync::Arc;
 
--- a/crates/emulator/src/fault_plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -1,5 +1,5 @@
-//! Expands the faults of a scenario into single actions on hosts, placers, inventory, catalogue and owners, each with its
-//! time.
+//! Expands the faults of a scenario into single actions on hosts, placers, inventory, catalogue and owners, each with
+//! its time.
 
 use maplethread_config::HostState;
 use maplethread_consul_emulator::Faults as CatalogueFaults;
@@ -357,8 +357,8 @@
         }
     }
 
-    /// One flap of a host that really fails: the fault begins a tenth of the period before the health shows it, and ends a
-    /// quarter of the period after the health is back. The position among the affected hosts selects the fault.
+    /// One flap of a host that really fails: the fault begins a tenth of the period before the health shows it, and
+    /// ends a quarter of the period after the health is back. The position among the affected hosts selects the fault.
     fn add_failing_flap(&mut self, position: usize, host: usize, from: u64, period: u64) {
         let (unhealthy, healthy) = (from + period / 10, from + period / 2);
         let fault_window = Window {
@@ -416,7 +416,8 @@
     fn stall_placers(&mut self, fault: &ScheduledFault, window: Window) {
         let pause = (fault.intensity.max(MIN_STALL_S) * 1e6) as u64;
         for placer in self.affected_placers(fault) {
-            // A random offset per placer, so that placers pause at different times; pauses are their own length plus 1 s apart.
+            // A random offset per placer, so that placers pause at different times; pauses are their own length plus 1
+            // s apart.
             let mut from = window.from + self.rng.index_below(pause as usize) as u64;
             while from < window.until {
                 let until = (from + pause).min(window.until);
--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -1,5 +1,6 @@
-//! Hollow placers: the connections of placers that place nothing, many in one thread. Each connects to every host, sends
-//! its hello and pings, so that a host has as many placer connections as in a large fleet, without the placer processes.
+//! Hollow placers: the connections of placers that place nothing, many in one thread. Each connects to every host,
+//! sends its hello and pings, so that a host has as many placer connections as in a large fleet, without the placer
+//! processes.
 
 use std::collections::HashMap;
 use std::io;
@@ -36,7 +37,8 @@
 }
 
 impl HollowPlacers {
-    /// Starts this number of hollow placers, each of which connects to all of these hosts and pings each at this interval, µs.
+    /// Starts this number of hollow placers, each of which connects to all of these hosts and pings each at this
+    /// interval, µs.
     ///
     /// # Errors
     ///
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -1,5 +1,5 @@
 //! One emulated host, without I/O: admission by the crate that real agents use, and simulated work. Cores, memory and
-//! service are simulated, as the users' pages describe their hosts; frames and their times are real.
+//! service are simulated, as specified for real hosts; frames and their times are real.
 
 mod faults;
 mod service;
@@ -18,47 +18,47 @@
 use crate::seeded_rng::SeededRng;
 use service::MEASURE_INTERVAL_US;
 
-/// How long ago a host has started that is up when a run begins, µs.
+/// Age of hosts at the beginning of a run, µs, so that they are warm.
 const INITIAL_AGE_US: u64 = 3_600_000_000;
-/// The stream of random numbers of a host's new process.
+/// The random stream of a restarted host process.
 const RESTART_STREAM: u64 = 5;
 
-/// What a host has to do later.
+/// Timers of a host.
 #[derive(Clone, Copy, Debug)]
 pub enum Timer {
     /// Decide on the next queued task.
     AdmitNext,
-    /// The start of a task is done.
+    /// The start of a task has finished.
     StartFinished(u64),
-    /// A task has run for as long as it was to.
+    /// A task has run for its expected duration.
     TaskFinished(u64),
 }
 
-/// What a host wants done.
+/// Actions that a host requests of its caller.
 pub enum HostAction {
     /// Send a frame to this placer, if it is connected.
     Send(Arc<str>, Frame),
-    /// Call back after so long, µs.
+    /// Set a timer to expire after this time, µs.
     SetTimer(u64, Timer),
-    /// It has crashed under overload and stays down.
+    /// The host crashes under overload and stays down.
     Crash,
 }
 
-/// A task that a host has in its queue or holds.
+/// A task that is queued or held by a host.
 struct HostedTask {
     offer: Offer,
     placer: Arc<str>,
     received_at: u64,
-    /// What it uses once it runs.
+    /// Cores that it uses once it runs.
     cores: f64,
-    /// What it uses once it has grown, GiB.
+    /// Memory that it uses once it has grown to its full size, GiB.
     memory_gib: f64,
     running_since: Option<u64>,
-    /// When its use was last reported to its placer.
+    /// When its usage was last reported to its placer.
     reported_at: u64,
 }
 
-/// The kind of a host and where it stands.
+/// The size, speed and location of a host.
 #[derive(Clone, Debug)]
 pub struct HostSpec {
     /// Its name.
@@ -71,13 +71,13 @@
     pub cores: f64,
     /// Its memory, GiB.
     pub memory_gib: f64,
-    /// How fast its cores are; 1 for the usual speed.
+    /// Relative speed of its cores; 1 is the normal speed.
     pub speed: f64,
 }
 
-/// The process of a host.
+/// An emulated host process.
 pub struct EmulatedHost {
-    /// Its kind and location.
+    /// Its size, speed and location.
     pub spec: HostSpec,
     /// When it started, Unix time in µs.
     pub started_us: u64,
@@ -86,20 +86,20 @@
     context: RunContext,
     admission: Admission,
     tasks: BTreeMap<u64, HostedTask>,
-    /// Tasks on which it has not decided, by attempt.
+    /// Tasks whose admission is pending, by attempt.
     queued: BTreeMap<u64, HostedTask>,
     is_admitting: bool,
     rng: SeededRng,
-    /// When offers came while it warms up.
+    /// Times of recent offers while it warms up.
     recent_offers: Vec<u64>,
-    /// When each placer was last told of contention.
+    /// When contention was last reported to each placer.
     contention_reported_at: BTreeMap<Arc<str>, u64>,
-    /// When it last measured all that runs, where it measures together.
+    /// When all running tasks were last measured, if they are measured together.
     last_measured: u64,
 }
 
 impl EmulatedHost {
-    /// A host that has just started where `is_cold`, or else long ago.
+    /// A host that has just started if `is_cold`, and otherwise one that started long ago.
     pub fn new(
         spec: HostSpec,
         scenario: Arc<Scenario>,
@@ -120,7 +120,7 @@
         };
         let now = context.clock.now();
         let started = if is_cold { now } else { now - INITIAL_AGE_US };
-        // Hosts don't measure in step with each other.
+        // A random offset, so that hosts do not measure at the same times as each other.
         let measured_ago = if fleet.measures_together {
             rng.between([0.0, MEASURE_INTERVAL_US as f64]) as u64
         } else {
@@ -128,7 +128,7 @@
         };
         EmulatedHost {
             spec,
-            // Full milliseconds, as frames and the inventory give it.
+            // Whole milliseconds, the resolution of frames and of the inventory.
             started_us: started / 1000 * 1000,
             faults: HostFaults::default(),
             admission: Admission::new(policy),
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A new process in its place, which has to warm up.
+    /// Replaces the process by a new one, which has to warm up.
     pub fn restart(&mut self) {
         self.stop();
         let rng = SeededRng::new(self.rng.seed(), RESTART_STREAM);
@@ -157,7 +157,7 @@
         );
     }
 
-    /// The process ends, and all that ran is lost.
+    /// Ends the process; all its tasks are lost.
     pub fn stop(&mut self) {
         for task in self.tasks.values().filter(|t| t.running_since.is_some()) {
             self.context
@@ -168,7 +168,7 @@
         self.queued.clear();
     }
 
-    /// Sets its faults from now on.
+    /// Replaces the present faults.
     pub fn set_faults(&mut self, faults: HostFaults) {
         if faults.has_lost_programs && !self.faults.has_lost_programs {
             self.admission.forget_warm_programs();
@@ -176,36 +176,36 @@
         self.faults = faults;
     }
 
-    /// Whether it reads and never answers.
+    /// Whether the host reads and never answers.
     pub fn is_silent(&self) -> bool {
         self.faults.is_silent
     }
 
-    /// Releases the idempotency keys of its tasks.
+    /// Releases the idempotency keys of the host's tasks.
     pub fn release_keys(&mut self, keys: &mut DeduplicationTable) {
         for attempt in self.tasks.keys() {
             self.admission.remove(*attempt, keys);
         }
     }
 
-    /// Whether it takes nothing new.
+    /// Whether the host is draining and rejects new offers.
     pub fn is_draining(&self) -> bool {
         self.admission.is_draining()
     }
 
-    /// Takes nothing new from now on.
+    /// Starts a drain: new offers are rejected from now on.
     pub fn drain(&mut self) {
         self.admission.drain();
     }
 
-    /// The frames that report what it holds of a placer.
+    /// The `Held` frames for a placer: the tasks of that placer that the host holds.
     pub fn held_frames(&self, placer: &str) -> Vec<Frame> {
         let own = self.tasks.values().filter(|t| *t.placer == *placer);
         own.map(|t| Frame::Held(t.offer.clone(), t.running_since.is_some()))
             .collect()
     }
 
-    /// Whether it holds tasks, so that an interval of service matters.
+    /// Whether the host holds tasks, so that service has to be simulated.
     pub fn has_tasks(&self) -> bool {
         !self.tasks.is_empty()
     }
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Handles a timer that it set.
+    /// Handles a timer that has expired.
     pub fn handle_timer(
         &mut self,
         now: u64,
@@ -259,7 +259,8 @@
         }
     }
 
-    /// Sends the answer to an attempt, which may be lost on the way; other frames are not.
+    /// Sends an answer to an attempt, which is lost if the host is silent or by the lost-answers fault; other frames
+    /// are not subject to that fault.
     fn send_answer(&mut self, placer: &Arc<str>, frame: Frame, out: &mut Vec<HostAction>) {
         if !self.is_silent() && !self.rng.random_bool(self.faults.lost_answer_share) {
             out.push(HostAction::Send(placer.clone(), frame));
@@ -271,7 +272,7 @@
         self.scenario.classes.iter().find(|c| c.rules.name == name)
     }
 
-    /// Its speed, less while it warms up.
+    /// The present speed, which is lower while the host warms up.
     fn speed_factor(&self, now: u64) -> f64 {
         let rules = &self.scenario.rules;
         let age_ms = (now - self.started_us.min(now)) as f64 / 1000.0;
--- a/crates/emulator/src/host/service.rs
+++ b/crates/emulator/src/host/service.rs
@@ -1,5 +1,5 @@
-//! The simulated service of an emulated host: what its running tasks get, what is measured and reported, and eviction when
-//! memory runs out.
+//! The simulated service of an emulated host: the service of its running tasks, measurements and reports, and eviction
+//! when memory runs out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,38 +9,38 @@
 
 use super::{EmulatedHost, HostAction, HostedTask};
 
-/// What runs is measured, and reported to its placers, this often, µs.
+/// Interval at which the usage of running tasks is measured and reported to their placers, µs.
 pub(super) const MEASURE_INTERVAL_US: u64 = 2_000_000;
-/// Placers are told of contention at most this often, µs.
+/// Minimum interval between reports of contention to a placer, µs.
 const CONTENTION_INTERVAL_US: u64 = 1_000_000;
-/// Over this share of its memory all tasks of a host slow down; evictions bring it back to this.
+/// Share of a host's memory in use above which all its tasks slow down; evictions reduce memory to this share.
 const MEMORY_PRESSURE: f64 = 0.92;
-/// Over this share of its memory placers are told.
+/// Share of a host's memory in use above which the share is reported to placers.
 const REPORTED_MEMORY_SHARE: f64 = 0.85;
-/// The share of full service that a host without any free memory loses.
+/// Share of full service that the tasks of a host without free memory lose.
 const MAX_MEMORY_SLOWDOWN: f64 = 0.7;
-/// A task that gets a smaller share of full service is reported to its placer.
+/// A task that receives a smaller share of full service than this is reported to its placer.
 const REPORTED_SERVICE_SHARE: f64 = 0.95;
-/// A task's memory grows to its full size over this time, µs.
+/// Time over which a task's memory grows to its full size, µs.
 const MEMORY_GROWTH_US: f64 = 4_000_000.0;
-/// The share of its full memory that a task has when it starts.
+/// Share of its full memory that a task uses when it starts.
 const INITIAL_MEMORY_SHARE: f64 = 0.3;
-/// What a task of a lower priority counts in the load of those above it.
+/// Weight of a task of lower priority in the load that tasks of higher priority see.
 const LOWER_PRIORITY_WEIGHT: f64 = 0.4;
-/// Cores that a start takes.
+/// Cores that a start uses.
 const START_CORES: f64 = 0.5;
-/// What a task of a hot service uses at least, as a multiple of the requested cores.
+/// Minimum usage of a task of a hot service, as a multiple of the requested cores.
 const HOT_SERVICE_CORES: f64 = 2.0;
 
 /// The load of a host in an interval.
 struct HostLoad {
-    /// Cores that all running tasks want, by their priority.
+    /// Priority and cores wanted of each running task.
     running: Vec<(u32, f64)>,
-    /// Cores that starts take.
+    /// Cores that starts use.
     starting: f64,
-    /// Cores that the host can give.
+    /// Cores that are available to tasks.
     available: f64,
-    /// What memory pressure leaves of full service.
+    /// Share of full service that is left under memory pressure.
     memory_slowdown: f64,
 }
 
@@ -58,15 +58,15 @@
     }
 }
 
-/// Which task of a placer got least.
+/// The task of a placer that received the least service.
 struct WorstServed {
     attempt: u64,
     share: f64,
 }
 
 impl EmulatedHost {
-    /// Serves what runs from one time to another, µs, tells placers what their tasks use and get, and evicts when memory
-    /// runs out.
+    /// Simulates the service of running tasks from one time to another, µs; reports usage and contention to placers;
+    /// evicts tasks when memory runs out.
     pub fn serve_interval(
         &mut self,
         from: u64,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Evicts tasks until what remains fits.
+    /// Evicts tasks until the remaining ones fit into memory.
     fn evict(&mut self, now: u64, keys: &mut DeduplicationTable, out: &mut Vec<HostAction>) {
         let used = |attempt: u64| {
             self.tasks
@@ -170,7 +170,8 @@
         }
     }
 
-    /// Which tasks are due to be measured: each at its own times, or all that ran at the last common one.
+    /// A predicate for the tasks that are due to be measured: each at its own times, or, if tasks are measured
+    /// together, those that ran at the last common measurement.
     fn advance_measurements(&mut self, now: u64) -> impl Fn(&HostedTask) -> bool + use<> {
         let measures_together = self.scenario.fleet.measures_together;
         let last_measured = self.last_measured;
@@ -190,15 +191,15 @@
         }
     }
 
-    /// Tells each placer of its worst-served task, and of a host that has little memory left.
+    /// Reports to each placer its worst-served task, and that the host is short of memory.
     fn contention_reports(
         &mut self,
         now: u64,
         memory_share: f64,
         mut worst: BTreeMap<Arc<str>, WorstServed>,
     ) -> Vec<HostAction> {
-        let has_little_memory = memory_share > REPORTED_MEMORY_SHARE;
-        if has_little_memory {
+        let is_short_of_memory = memory_share > REPORTED_MEMORY_SHARE;
+        if is_short_of_memory {
             for (&attempt, task) in &self.tasks {
                 if task.running_since.is_some() && !worst.contains_key(&task.placer) {
                     worst.insert(
@@ -225,7 +226,7 @@
                 let note = Frame::Note(attempt, NoteKind::ServedShare, share);
                 service.push(HostAction::Send(placer.clone(), note));
             }
-            if has_little_memory {
+            if is_short_of_memory {
                 let note = Frame::Note(attempt, NoteKind::HostMemoryShare, memory_share);
                 memory.push(HostAction::Send(placer, note));
             }
@@ -236,7 +237,7 @@
 }
 
 impl HostedTask {
-    /// The memory that it uses, which grows once it runs, GiB.
+    /// Memory that the task uses at present, GiB; it grows once the task runs.
     fn used_memory_gib(&self, now: u64) -> f64 {
         let share = self.running_since.map_or(INITIAL_MEMORY_SHARE, |since| {
             ((now - since.min(now)) as f64 / MEMORY_GROWTH_US).clamp(INITIAL_MEMORY_SHARE, 1.0)
@@ -244,7 +245,8 @@
         self.memory_gib * share
     }
 
-    /// The cores that it uses while such a share of the services is hot; all hosts agree on which ones are.
+    /// Cores that the task uses while this share of the services is hot. The hot services are chosen by a hash, so that
+    /// they are the same on all hosts.
     fn used_cores(&self, hot_service_share: f64) -> f64 {
         let hash = self.offer.service.bytes().fold(11, |hash: u32, byte| {
             hash.wrapping_mul(16_777_619) ^ u32::from(byte)
@@ -257,7 +259,7 @@
         }
     }
 
-    /// The frames that report to its placer what it uses.
+    /// The frames that report the task's usage to its placer.
     fn usage_reports(&self, attempt: u64, now: u64, hot_service_share: f64) -> [HostAction; 2] {
         let cores = self.used_cores(hot_service_share);
         [
--- a/crates/emulator/src/host/tasks.rs
+++ b/crates/emulator/src/host/tasks.rs
@@ -1,4 +1,4 @@
-//! The life of a task on an emulated host: offered, queued, admitted or rejected, started, ended.
+//! The life cycle of a task on an emulated host: offered, queued, admitted or rejected, started, ended.
 
 use std::sync::Arc;
 
@@ -8,19 +8,19 @@
 
 use super::{EmulatedHost, FaultyAnswer, HostAction, HostedTask, Timer};
 
-/// What a task uses of what it requested varies by so much: cores and memory.
+/// Ranges of the random factors on a task's mean usage of cores and memory.
 const CORES_VARIATION: [f64; 2] = [0.6, 1.4];
 const MEMORY_VARIATION: [f64; 2] = [0.8, 1.2];
-/// A start takes so much of its mean time.
+/// Range of the random factor on the mean duration of a start.
 const START_VARIATION: [f64; 2] = [0.7, 1.3];
-/// What a heavy task uses, as multiples of the usual.
+/// Cores and memory of a task under the heavy-tail fault, as multiples of its usual usage.
 const HEAVY_CORES: f64 = 3.0;
 const HEAVY_MEMORY: f64 = 2.0;
-/// The work of a start of a class that the scenario does not have, ms.
+/// Duration of a start of a class that is not in the scenario, ms.
 const DEFAULT_START_WORK_MS: f64 = 50.0;
-/// See [`DEFAULT_START_WORK_MS`], for the capacity of a host that warms up.
+/// The same in the capacity of a warming host, for a scenario without classes, ms.
 const DEFAULT_WARM_UP_WORK_MS: f64 = 100.0;
-/// However slow a host is, its starts take no longer than at this speed.
+/// Minimum speed that is used for the duration of starts.
 const MIN_START_SPEED: f64 = 0.02;
 
 impl EmulatedHost {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether a fault strikes an offer, which is then answered or left unanswered as the fault has it.
+    /// Whether a fault affects an offer; if so, the offer is answered or left unanswered according to the fault.
     fn fails_at_once(
         &mut self,
         placer: &Arc<str>,
@@ -80,7 +80,7 @@
         true
     }
 
-    /// The hosts that know each other's idempotency keys of a class, as a number.
+    /// The group of hosts that share idempotency keys of a class, as a hash.
     fn deduplication_group(&self, class: &str) -> u64 {
         let group = match self.class(class).and_then(|c| c.rules.deduplication_scope) {
             Some(DeduplicationScope::Zone) => self.spec.zone.clone(),
@@ -90,7 +90,7 @@
         polynomial_hash(&group)
     }
 
-    /// Draws what a task will use.
+    /// Creates a task and draws its usage.
     fn new_task(&mut self, now: u64, placer: &Arc<str>, offer: Offer) -> HostedTask {
         let used_share = self.class(&offer.class).map_or([1.0; 2], |c| c.used_share);
         let variation = self.rng.between(CORES_VARIATION);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether a host that warms up is sent too much, which makes it crash.
+    /// Whether a warming host has received too many offers in the overload window, which makes it crash.
     fn is_overloaded(&mut self, now: u64) -> bool {
         let rules = &self.scenario.rules;
         if now >= self.started_us + rules.warm_up_ms * 1000 {
@@ -134,7 +134,7 @@
             > rules.warm_up_offers.max(rules.overload_multiple * capacity)
     }
 
-    /// Sees to it that the next queued task is decided on after a while.
+    /// Schedules the admission decision on the next queued task.
     fn schedule_admission(&mut self, out: &mut Vec<HostAction>) {
         if !self.is_admitting && self.admission.queue_length() > 0 {
             self.is_admitting = true;
@@ -205,7 +205,7 @@
         self.start_next(now, out);
     }
 
-    /// Starts admitted tasks, as many at once as it may.
+    /// Starts admitted tasks, up to the limit on concurrent starts.
     pub(super) fn start_next(&mut self, now: u64, out: &mut Vec<HostAction>) {
         while let Some(start) = self.admission.next_start() {
             let attempt = start.attempt_id;
@@ -218,15 +218,15 @@
                 self.scenario.fleet.cold_start_factor
             };
             let speed = self.speed_factor(now).max(MIN_START_SPEED);
-            let took_ms = work_ms * factor * self.rng.between(START_VARIATION) / speed;
+            let duration_ms = work_ms * factor * self.rng.between(START_VARIATION) / speed;
             out.push(HostAction::SetTimer(
-                (took_ms * 1000.0) as u64,
+                (duration_ms * 1000.0) as u64,
                 Timer::StartFinished(attempt),
             ));
         }
     }
 
-    /// Ends a task that it holds, and reports that to its placer.
+    /// Ends a task that the host holds, and reports that to its placer.
     pub(super) fn end_task(
         &mut self,
         now: u64,
@@ -255,14 +255,14 @@
                 .service_accounting()
                 .record_end(&task.offer.actor);
         }
-        // This is not an answer that gets lost on its way: the next hello reports it at the latest.
+        // Ends are not subject to the lost-answers fault: the next hello of the host reports them at the latest.
         if !self.is_silent() {
             let ended = self.admission.end_frame(attempt, reason, ran);
             out.push(HostAction::Send(task.placer.clone(), ended));
         }
     }
 
-    /// Removes a task without a report; returns whether it ever ran.
+    /// Removes a task without reporting it; returns whether it may have started.
     pub(super) fn remove_task(&mut self, attempt: u64, keys: &mut DeduplicationTable) -> bool {
         let stage = self.admission.remove(attempt, keys);
         self.queued.remove(&attempt);
@@ -277,7 +277,7 @@
     }
 }
 
-/// A hash that is the same on every machine and in every version.
+/// A hash that is stable across machines and versions.
 fn polynomial_hash(text: &str) -> u64 {
     text.bytes().fold(11, |hash, byte| {
         hash.wrapping_mul(131).wrapping_add(u64::from(byte))
--- a/crates/emulator/src/host_pool/command.rs
+++ b/crates/emulator/src/host_pool/command.rs
@@ -1,22 +1,22 @@
-//! What a run does to its hosts.
+//! Commands of a run to its hosts.
 
 use crate::host::HostFaults;
 
-/// An action on a host, given by number.
+/// A command to a host, given by number.
 #[derive(Clone, Debug)]
 pub enum HostCommand {
-    /// The process dies: connections are reset, the port is closed.
+    /// The process crashes: connections are reset and the port is closed.
     Crash(usize),
-    /// A new process starts, cold.
+    /// A new, cold process starts, if the host is down.
     Start(usize),
-    /// It takes nothing new and tells its placers.
+    /// The host drains: it rejects new offers and notifies its placers.
     Drain(usize),
-    /// Its faults from now on.
+    /// Replaces the present faults of the host.
     SetFaults(usize, HostFaults),
-    /// Its connections are reset in the middle of a frame.
+    /// The host's connections are reset in the middle of a frame.
     ResetMidFrame(usize),
-    /// Whether packets reach it, and its own reach others; it lives on meanwhile.
+    /// Sets whether packets are exchanged with the host; the host keeps running while it is unreachable.
     SetReachable(usize, bool),
-    /// The thread ends.
+    /// The hosts' thread ends.
     End,
 }
--- a/crates/emulator/src/host_pool/connections.rs
+++ b/crates/emulator/src/host_pool/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of placers to the hosts.
+//! The connections from placers to the hosts.
 
 use std::sync::Arc;
 
@@ -9,9 +9,9 @@
 use super::thread::{HostThread, PlacerConnection};
 use crate::traffic::{ConnectionTraffic, CountedFrame, message_kind};
 
-/// Bytes that are read from a connection at a time, and that may lie unread in it.
+/// Maximum number of bytes read from a connection at a time.
 const READ_BYTES: usize = 256 << 10;
-/// See [`READ_BYTES`].
+/// Maximum number of unread bytes buffered for a connection.
 const MAX_UNREAD_BYTES: usize = 512 << 10;
 
 impl HostThread {
@@ -42,55 +42,55 @@
     }
 
     pub(super) fn close_connection(&mut self, token: u64, reset: bool) {
-        let Some(mut link) = self.connections.remove(&token) else {
+        let Some(mut connection) = self.connections.remove(&token) else {
             return;
         };
         self.pending_writes.remove(&token);
-        if let Some(counter) = self.counter.as_ref().filter(|_| link.is_counted()) {
-            counter.closed(&mut link.traffic, reset);
+        if let Some(counter) = self.counter.as_ref().filter(|_| connection.is_counted()) {
+            counter.closed(&mut connection.traffic, reset);
         }
-        if let Some(late) = self.read_times.delay_to_report(self.context.clock.now()) {
-            self.context.record(late);
+        if let Some(delay) = self.read_times.delay_to_report(self.context.clock.now()) {
+            self.context.record(delay);
         }
-        if let Some(placer) = link.placer {
-            let host = self.slots[link.host_index].host.spec.name.clone();
+        if let Some(placer) = connection.placer {
+            let host = self.slots[connection.host_index].host.spec.name.clone();
             self.context.record(Observation::ConnectionLost {
                 host,
                 connection: token,
             });
-            let key = (link.host_index, placer);
+            let key = (connection.host_index, placer);
             if self.connection_of_placer.get(&key) == Some(&token) {
                 self.connection_of_placer.remove(&key);
             }
         }
         if reset {
-            link.conn.reset();
+            connection.conn.reset();
         }
     }
 
-    pub(super) fn handle_ready(&mut self, token: u64, r: &Readiness) {
-        let Some(link) = self.connections.get_mut(&token) else {
+    pub(super) fn handle_ready(&mut self, token: u64, readiness: &Readiness) {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        if !self.slots[link.host_index].is_reachable {
-            if r.is_closed {
+        if !self.slots[connection.host_index].is_reachable {
+            if readiness.is_closed {
                 self.close_connection(token, false);
             }
             return;
         }
-        if r.is_writable && link.conn.flush(&self.poller).is_err() {
+        if readiness.is_writable && connection.conn.flush(&self.poller).is_err() {
             self.close_connection(token, false);
             return;
         }
-        if !r.is_readable {
+        if !readiness.is_readable {
             return;
         }
-        let outcome = link.conn.read_available(READ_BYTES, MAX_UNREAD_BYTES);
+        let outcome = connection.conn.read_available(READ_BYTES, MAX_UNREAD_BYTES);
         let mut segment = Vec::new();
-        while let Some(link) = self.connections.get_mut(&token) {
-            match frame::decode(link.conn.unread()) {
+        while let Some(connection) = self.connections.get_mut(&token) {
+            match frame::decode(connection.conn.unread()) {
                 Ok((frame, used)) => {
-                    link.conn.consume(used);
+                    connection.conn.consume(used);
                     let Some(frame) = frame else { break };
                     segment.push(CountedFrame {
                         kind: message_kind(&frame),
@@ -112,17 +112,17 @@
 
     pub(super) fn handle_frame(&mut self, token: u64, frame: Frame) {
         let now = self.context.clock.now();
-        let Some(link) = self.connections.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        let number = link.host_index;
+        let number = connection.host_index;
         let host = self.slots[number].host.spec.name.clone();
         if let Frame::Hello {
             name, started_ms, ..
         } = &frame
         {
             let placer: Arc<str> = name.as_str().into();
-            link.placer = Some(placer.clone());
+            connection.placer = Some(placer.clone());
             self.context.record(Observation::PlacerConnected {
                 host: host.clone(),
                 connection: token,
@@ -131,31 +131,31 @@
             });
             self.connection_of_placer
                 .insert((number, placer.clone()), token);
-            let slot = &self.slots[number].host;
-            if slot.is_silent() {
+            let emulated_host = &self.slots[number].host;
+            if emulated_host.is_silent() {
                 return;
             }
             let hello = Frame::Hello {
                 major: frame::MAJOR,
                 minor: frame::MINOR,
                 name: host.to_string(),
-                started_ms: slot.started_us / 1000,
+                started_ms: emulated_host.started_us / 1000,
                 max_offers: 0,
             };
             let mut frames = vec![hello];
-            frames.extend(slot.held_frames(&placer));
+            frames.extend(emulated_host.held_frames(&placer));
             frames.push(Frame::HeldEnd);
-            if slot.is_draining() {
+            if emulated_host.is_draining() {
                 frames.push(Frame::Drain);
             }
             frames.into_iter().for_each(|frame| self.send(token, frame));
             return;
         }
-        let Some(placer) = link.placer.clone() else {
+        let Some(placer) = connection.placer.clone() else {
             return;
         };
-        if let Some(late) = self.read_times.delay_to_report(now) {
-            self.context.record(late);
+        if let Some(delay) = self.read_times.delay_to_report(now) {
+            self.context.record(delay);
         }
         self.context.record(Observation::FrameFromPlacer {
             host,
--- a/crates/emulator/src/host_pool/mod.rs
+++ b/crates/emulator/src/host_pool/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated hosts on sockets: many in one thread, each on a port of its own, all that they send and receive recorded.
+//! Emulated hosts on sockets: many in one thread, each on its own address; all frames sent and received are recorded.
 
 mod command;
 mod connections;
@@ -24,28 +24,28 @@
 use crate::traffic::TrafficCounter;
 use thread::{HostSlot, HostThread, Shared};
 
-/// The stream of random numbers that hosts draw from.
+/// The random stream of the hosts.
 const HOSTS_STREAM: u64 = 3;
-/// How much the cores of hosts differ in speed.
+/// Range of the relative speed of hosts' cores.
 const SPEED_RANGE: [f64; 2] = [0.85, 1.15];
 
-/// The thread of the hosts, which ends when this is dropped.
+/// Handle of the hosts' thread, which ends when this is dropped.
 pub struct HostPool {
     commands: Arc<Mutex<VecDeque<HostCommand>>>,
     waker: OwnedFd,
     thread: Option<JoinHandle<io::Result<()>>>,
-    /// Where each host listens.
+    /// The address that each host listens on.
     pub addresses: Vec<SocketAddr>,
     /// When each host last started, Unix time in ms; 0 while it is down.
     pub started_ms: Arc<Mutex<Vec<u64>>>,
 }
 
 impl HostPool {
-    /// Starts all hosts of a scenario, on loopback addresses of their own or at these.
+    /// Starts all hosts of a scenario at the given addresses, or at loopback addresses of their own.
     ///
     /// # Errors
     ///
-    /// An address cannot be listened on, or the poller or the thread cannot be created.
+    /// Listening on an address fails, or the poller or the thread cannot be created.
     pub fn start(
         scenario: &Arc<Scenario>,
         context: &RunContext,
@@ -55,7 +55,7 @@
         HostPool::start_with_counter(scenario, context, seed, addresses, None)
     }
 
-    /// The same, with all that real placers and these hosts send each other counted.
+    /// The same, and counts the traffic between real placers and these hosts.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
             started_ms: Arc::new(Mutex::new(vec![0; slots.len()])),
         };
         let thread_waker = rustix::io::dup(&waker)?;
-        let mut hosts = HostThread::new(
+        let mut host_thread = HostThread::new(
             poller,
             thread_waker,
             slots,
@@ -95,7 +95,7 @@
         )?;
         let thread = std::thread::Builder::new()
             .name("hosts".into())
-            .spawn(move || hosts.run())?;
+            .spawn(move || host_thread.run())?;
         Ok(HostPool {
             commands: shared.commands,
             waker,
@@ -105,22 +105,22 @@
         })
     }
 
-    /// Has something done to a host.
+    /// Queues a command for the hosts' thread.
     pub fn command(&self, command: HostCommand) {
         let mut commands = lock(&self.commands);
         commands.push_back(command);
         let _ = rustix::io::write(&self.waker, &1u64.to_ne_bytes());
     }
 
-    /// Waits for the thread to end, which it does only when something fails.
+    /// Waits for the thread to end, which happens only on an error.
     ///
     /// # Errors
     ///
-    /// What made the thread end.
+    /// The error that ended the thread, or its panic.
     pub fn join(mut self) -> io::Result<()> {
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
-            _ => Err(io::Error::other("the hosts' thread panicked")),
+            _ => Err(io::Error::other("hosts thread panicked")),
         }
     }
 }
@@ -147,7 +147,8 @@
     }
 }
 
-/// An address of its own for each host, so that its port stays free while it is down; different ones for each process.
+/// A loopback IP address of its own for each host, so that its port stays free while it is down. The network depends on
+/// the process id, so that concurrent runs do not collide.
 fn own_address(number: usize) -> SocketAddr {
     let network = 1 + std::process::id() % 200;
     let ip = [
--- a/crates/emulator/src/host_pool/sending.rs
+++ b/crates/emulator/src/host_pool/sending.rs
@@ -1,4 +1,4 @@
-//! What the hosts write, what is counted of their traffic, and hosts that cannot be reached.
+//! Writes of the hosts, the counting of their traffic, and unreachable hosts.
 
 use maplethread_capacity::Direction;
 use maplethread_checker::Observation;
@@ -7,18 +7,23 @@
 use super::thread::HostThread;
 use crate::traffic::{CountedFrame, message_kind};
 
-/// Bytes that may wait to be written to one placer.
+/// Maximum number of bytes buffered for one placer.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
 impl HostThread {
-    /// The connections of an unreachable host stay as they are, unread and unwritten, until their placers give them up.
-    pub(super) fn set_reachable(&mut self, number: usize, reachable: bool) {
-        self.slots[number].is_reachable = reachable;
+    /// Sets whether a host is reachable. Connections of an unreachable host stay open, but are neither read nor
+    /// written.
+    pub(super) fn set_reachable(&mut self, number: usize, is_reachable: bool) {
+        self.slots[number].is_reachable = is_reachable;
         for token in self.connections_of(number) {
-            let Some(link) = self.connections.get_mut(&token) else {
+            let Some(connection) = self.connections.get_mut(&token) else {
                 continue;
             };
-            if link.conn.set_reading(reachable, &self.poller).is_err() {
+            if connection
+                .conn
+                .set_reading(is_reachable, &self.poller)
+                .is_err()
+            {
                 self.close_connection(token, true);
             }
             self.pending_writes.insert(token);
@@ -27,24 +32,28 @@
 
     pub(super) fn count_received(&mut self, token: u64, segment: &[CountedFrame]) {
         let now = self.context.clock.now();
-        let Some(link) = self.connections.get_mut(&token).filter(|l| l.is_counted()) else {
+        let Some(connection) = self
+            .connections
+            .get_mut(&token)
+            .filter(|connection| connection.is_counted())
+        else {
             return;
         };
         if let Some(counter) = &self.counter {
-            counter.segment(&mut link.traffic, now, Direction::FromPlacer, segment);
+            counter.segment(&mut connection.traffic, now, Direction::FromPlacer, segment);
         }
     }
 
-    /// Adds a frame to what its connection is to write once all that is at hand is done.
+    /// Appends a frame to the write buffer of a connection; it is written when the current event has been handled.
     pub(super) fn send(&mut self, token: u64, frame: Frame) {
-        let Some(link) = self.connections.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        let host = self.slots[link.host_index].host.spec.name.clone();
-        let before = link.conn.write_buffer().len();
-        frame::encode(&frame, link.conn.write_buffer());
-        let bytes = (link.conn.write_buffer().len() - before) as u64;
-        link.unwritten.push(CountedFrame {
+        let host = self.slots[connection.host_index].host.spec.name.clone();
+        let before = connection.conn.write_buffer().len();
+        frame::encode(&frame, connection.conn.write_buffer());
+        let bytes = (connection.conn.write_buffer().len() - before) as u64;
+        connection.unwritten.push(CountedFrame {
             kind: message_kind(&frame),
             bytes,
         });
@@ -64,20 +73,20 @@
 
     pub(super) fn flush(&mut self, token: u64) {
         let now = self.context.clock.now();
-        let Some(link) = self.connections.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        let mut broken = false;
-        if self.slots[link.host_index].is_reachable {
-            // Counted first: whoever has read it finds it counted.
-            let segment = std::mem::take(&mut link.unwritten);
-            if let Some(counter) = self.counter.as_ref().filter(|_| link.is_counted()) {
-                counter.segment(&mut link.traffic, now, Direction::ToPlacer, &segment);
+        let mut has_failed = false;
+        if self.slots[connection.host_index].is_reachable {
+            // Counted before the write, so that a frame that a placer has received is always counted.
+            let segment = std::mem::take(&mut connection.unwritten);
+            if let Some(counter) = self.counter.as_ref().filter(|_| connection.is_counted()) {
+                counter.segment(&mut connection.traffic, now, Direction::ToPlacer, &segment);
             }
-            broken = link.conn.flush(&self.poller).is_err();
+            has_failed = connection.conn.flush(&self.poller).is_err();
         }
-        // A placer that stands still reads nothing; what waits for it is bounded.
-        if broken || link.conn.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
+        // A paused placer does not read; the limit bounds the memory used for it.
+        if has_failed || connection.conn.unwritten_bytes() > MAX_UNWRITTEN_BYTES {
             self.close_connection(token, true);
         }
     }
--- a/crates/emulator/src/host_pool/thread.rs
+++ b/crates/emulator/src/host_pool/thread.rs
@@ -1,4 +1,4 @@
-//! The thread of the hosts: its loop, their timers and what is done to them.
+//! The hosts' thread: its event loop, the hosts' timers, and commands.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::io;
@@ -20,23 +20,23 @@
 use crate::run_context::{RunContext, lock};
 use crate::traffic::{ConnectionTraffic, CountedFrame, TrafficCounter};
 
-/// Tokens of the poller: the waker, the listeners from here on, and the connections from here on.
+/// Tokens of the poller: the waker, the first listener, and the first connection.
 const WAKER_TOKEN: u64 = 0;
 const FIRST_LISTENER_TOKEN: u64 = 1 << 32;
 const FIRST_CONNECTION_TOKEN: u64 = 1 << 33;
-/// Simulated service is accounted this often, µs.
+/// Interval at which service is simulated, µs.
 const TICK_INTERVAL_US: u64 = 100_000;
-/// The beginning of a frame that never ends.
-const PART_OF_A_FRAME: [u8; 5] = [9, 0, 0, 0, 7];
+/// The beginning of a frame that is never completed.
+const INCOMPLETE_FRAME: [u8; 5] = [9, 0, 0, 0, 7];
 
-/// A timer of a process of a host.
+/// A timer of a host process.
 pub(super) struct HostTimer {
     host_index: usize,
     process_number: u64,
     timer: Timer,
 }
 
-/// What the pool and its thread share.
+/// State shared by the pool and its thread.
 #[derive(Clone)]
 pub(super) struct Shared {
     pub(super) commands: Arc<Mutex<VecDeque<HostCommand>>>,
@@ -48,7 +48,7 @@
     pub(super) host: EmulatedHost,
     pub(super) address: SocketAddr,
     pub(super) listener: Option<TcpListener>,
-    /// Counts processes, so that timers of an old one are known as such.
+    /// The number of the present process, by which timers of an earlier process are recognised and ignored.
     pub(super) process_number: u64,
     pub(super) is_down: bool,
     pub(super) is_reachable: bool,
@@ -59,13 +59,13 @@
     pub(super) conn: TcpConnection,
     pub(super) host_index: usize,
     pub(super) placer: Option<Arc<str>>,
-    /// Frames that wait to be written.
+    /// Frames in the write buffer that are not counted yet.
     pub(super) unwritten: Vec<CountedFrame>,
     pub(super) traffic: ConnectionTraffic,
 }
 
 impl PlacerConnection {
-    /// Whether its traffic counts: that of hollow placers does not.
+    /// Whether its traffic is counted; that of hollow placers is not.
     pub(super) fn is_counted(&self) -> bool {
         self.placer
             .as_deref()
@@ -87,9 +87,9 @@
     pub(super) shared: Shared,
     pub(super) waker: OwnedFd,
     pub(super) is_ended: bool,
-    /// Nothing is counted without it.
+    /// `None` if traffic is not counted.
     pub(super) counter: Option<TrafficCounter>,
-    /// Connections with something new to write.
+    /// Connections with new data in the write buffer.
     pub(super) pending_writes: BTreeSet<u64>,
 }
 
@@ -143,17 +143,17 @@
 
     pub(super) fn run(&mut self) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
-        let mut ticked = self.context.clock.now();
+        let mut last_tick = self.context.clock.now();
         while !self.is_ended {
             let now = self.context.clock.now();
-            let next = self
+            let next_due = self
                 .timers
                 .next_due_at()
                 .unwrap_or(u64::MAX)
-                .min(ticked + TICK_INTERVAL_US);
+                .min(last_tick + TICK_INTERVAL_US);
             ready.clear();
             self.poller.wait(
-                Some(Duration::from_micros(next.saturating_sub(now))),
+                Some(Duration::from_micros(next_due.saturating_sub(now))),
                 &mut ready,
             )?;
             self.read_times
@@ -180,18 +180,21 @@
                     self.flush_pending();
                 }
             }
-            if ticked + TICK_INTERVAL_US <= now {
+            if last_tick + TICK_INTERVAL_US <= now {
                 for slot in 0..self.slots.len() {
                     if !self.slots[slot].is_down && self.slots[slot].host.has_tasks() {
                         let mut out = Vec::new();
-                        self.slots[slot]
-                            .host
-                            .serve_interval(ticked, now, &mut self.keys, &mut out);
+                        self.slots[slot].host.serve_interval(
+                            last_tick,
+                            now,
+                            &mut self.keys,
+                            &mut out,
+                        );
                         self.apply_actions(slot, out);
                     }
                 }
                 self.flush_pending();
-                ticked = now;
+                last_tick = now;
             }
         }
         Ok(())
@@ -212,13 +215,13 @@
                 Some(HostCommand::Start(_)) => {}
                 Some(HostCommand::Drain(slot)) => {
                     self.slots[slot].host.drain();
-                    let links: Vec<u64> = self
+                    let tokens: Vec<u64> = self
                         .connection_of_placer
                         .iter()
-                        .filter(|((s, _), _)| *s == slot)
-                        .map(|(_, &t)| t)
+                        .filter(|((host, _), _)| *host == slot)
+                        .map(|(_, &token)| token)
                         .collect();
-                    links
+                    tokens
                         .into_iter()
                         .for_each(|token| self.send(token, Frame::Drain));
                 }
@@ -248,7 +251,7 @@
             self.flush(token);
             if let Some(connection) = self.connections.get_mut(&token) {
                 let buffer = connection.conn.write_buffer();
-                buffer.extend_from_slice(&PART_OF_A_FRAME);
+                buffer.extend_from_slice(&INCOMPLETE_FRAME);
                 let _ = connection.conn.flush(&self.poller);
             }
             self.close_connection(token, true);
@@ -295,8 +298,8 @@
     }
 
     pub(super) fn apply_actions(&mut self, number: usize, out: Vec<HostAction>) {
-        for what in out {
-            match what {
+        for action in out {
+            match action {
                 HostAction::Send(placer, frame) => {
                     if let Some(&token) = self.connection_of_placer.get(&(number, placer)) {
                         self.send(token, frame);
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
-//! An emulated environment for placers, on loopback: emulated hosts (simulated work, real sockets), emulated owners that
-//! request placements, wait, disconnect and retry, and fault scenarios, after which the recorded history of the traffic
-//! is checked.
+//! An emulated environment for placers, on loopback: emulated hosts (simulated work, real sockets), emulated owners
+//! that request placements, wait, disconnect and retry, and fault scenarios, after which the recorded history of the
+//! traffic is checked.
 //!
 //! Also here: a load test, and a decider that chooses hosts at random. It is the baseline for the policy, and it can be
 //! made to violate each rule on purpose (a mutant).
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -44,8 +44,8 @@
     pub task_duration_ms: u64,
     /// Seed of the placer.
     pub seed: u64,
-    /// If set, the hosts are read from an emulated catalogue, and in the second half of the run the health of a third of
-    /// them changes this many times a second in total.
+    /// If set, the hosts are read from an emulated catalogue, and in the second half of the run the health of a third
+    /// of them changes this many times a second in total.
     pub health_changes_per_s: Option<f64>,
     /// The placer writes trace files into this folder.
     pub trace_folder: Option<PathBuf>,
@@ -72,8 +72,8 @@
     pub rss_kib: [u64; 2],
     /// Number of actors at the end.
     pub actors: u64,
-    /// Time that the placer's event loop spent on reading, on turns, on deciding within them and on writing, µs, in total
-    /// and in the longest turn.
+    /// Time that the placer's event loop spent on reading, on turns, on deciding within them and on writing, µs, in
+    /// total and in the longest turn.
     pub loop_time: Value,
     /// Share of one core that the placer used when idle and under load.
     pub cpu: [f64; 2],
--- a/crates/emulator/src/mutant.rs
+++ b/crates/emulator/src/mutant.rs
@@ -1,5 +1,6 @@
-//! The result of a mutant: a placer that violates a rule on purpose. Such a run shows that the checker detects violations
-//! of the rule, so it must not pass if none was detected: the mutant had no opportunity, or the checker missed it.
+//! The result of a mutant: a placer that violates a rule on purpose. Such a run shows that the checker detects
+//! violations of the rule, so it must not pass if none was detected: the mutant had no opportunity, or the checker
+//! missed it.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader, Seek, SeekFrom};
@@ -17,8 +18,8 @@
 pub struct MutantResult {
     /// Its number, as given with `--rogue`.
     pub number: u8,
-    /// Number of its actions that the decider's own guard forbids. The rule may allow some of them, such as an offer within
-    /// the grace period of a drain.
+    /// Number of its actions that the decider's own guard forbids. The rule may allow some of them, such as an offer
+    /// within the grace period of a drain.
     pub violations_made: u64,
     /// Number of violations of that rule that the checker found.
     pub violations_found: u64,
--- a/crates/emulator/src/owners/behaviour.rs
+++ b/crates/emulator/src/owners/behaviour.rs
@@ -1,19 +1,19 @@
-//! What a run tells its owners, and what it sees of them.
+//! State that a run shares with its owners: their settings and their progress.
 
 use std::net::SocketAddr;
 
-/// A placer as the load balancer in front of it has it.
+/// The load balancer's entry for a placer.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBalancerEntry {
-    /// Its name.
+    /// Name of the placer.
     pub name: String,
-    /// Its zone.
+    /// Zone of the placer.
     pub zone: String,
-    /// Where it listens; the last address while it is down.
+    /// The address that the placer listens on; its last address while it is down.
     pub address: Option<SocketAddr>,
-    /// Counts its processes.
+    /// Number of the placer's process, counted from 1.
     pub incarnation: u64,
-    /// The load balancer has noticed that it is down.
+    /// Whether the load balancer has noticed that the placer is down.
     pub is_down: bool,
 }
 
@@ -22,14 +22,14 @@
 pub struct OwnerBehaviour {
     /// The placers.
     pub placers: Vec<LoadBalancerEntry>,
-    /// This share of the requests is abandoned by a disconnect before the deadline.
+    /// Share of the requests that owners abandon before the deadline.
     pub disconnect_share: f64,
-    /// No new tasks, and no request is repeated.
+    /// Set at the end of the run: no new owners arrive, and no request is repeated.
     pub is_closing: bool,
-    /// All requests are over.
+    /// Whether all requests are finished after `is_closing` was set.
     pub is_closed: bool,
-    /// Requests sent so far.
+    /// Number of requests sent so far.
     pub request_count: u64,
-    /// Requests answered `placed` so far.
+    /// Number of requests answered `placed` so far.
     pub placed_count: u64,
 }
--- a/crates/emulator/src/owners/connections.rs
+++ b/crates/emulator/src/owners/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of owners to placers.
+//! The connections from owners to placers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,13 +9,13 @@
 
 use super::thread::{ConnectionUse, OwnerConnection, OwnerState, OwnerThread, PlacerIncarnation};
 
-/// Bytes that are read from a connection at a time, and that may lie unread in it.
+/// Maximum number of bytes read from a connection at a time.
 const READ_BYTES: usize = 256 << 10;
-/// See [`READ_BYTES`].
+/// Maximum number of unread bytes buffered for a connection.
 const MAX_UNREAD_BYTES: usize = 512 << 10;
 
 impl OwnerThread {
-    /// A connection without a request. Where there are as many as may be, none: the owner tries again later.
+    /// An idle or a new connection. Fails at the maximum number of connections; the owner then retries later.
     pub(super) fn idle_or_new_connection(
         &mut self,
         process: PlacerIncarnation,
@@ -26,7 +26,7 @@
         }
         if self.connections.len() >= self.max_connections {
             return Err(io::Error::other(
-                "as many connections as this process has descriptors for",
+                "maximum number of connections reached for the descriptor limit of this process",
             ));
         }
         let reader = MessageReader::new(Role::Responses, Limits::default());
@@ -89,16 +89,17 @@
             return;
         }
         let outcome = connection.conn.read_available(READ_BYTES, MAX_UNREAD_BYTES);
-        let is_useless = match &connection.purpose {
+        let is_finished = match &connection.purpose {
             ConnectionUse::Requests { .. } => self.read_answers(token),
             ConnectionUse::Events { .. } => self.read_events(token),
         };
-        if is_useless || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
+        if is_finished || matches!(outcome, ReadOutcome::Closed | ReadOutcome::Failed) {
             self.handle_connection_failure(token);
         }
     }
 
-    /// Reads what has come for an owner: an answer that lies unread, since this thread is late, has been given.
+    /// Reads the connection of an owner before its deadline is handled: an answer that arrived in time, but is unread
+    /// because this thread is late, counts as given.
     pub(super) fn read_pending_answer(&mut self, owner: usize) {
         let OwnerState::AwaitingAnswer(token) = self.owners[owner].state else {
             return;
@@ -111,7 +112,7 @@
         });
     }
 
-    /// A connection has failed: what was requested on it has an unknown outcome.
+    /// Handles a failed connection: a request that waits on it has an unknown outcome.
     pub(super) fn handle_connection_failure(&mut self, token: u64) {
         let now = self.context.clock.now();
         let Some(connection) = self.connections.remove(&token) else {
--- a/crates/emulator/src/owners/events.rs
+++ b/crates/emulator/src/owners/events.rs
@@ -1,17 +1,17 @@
-//! The life-cycle events of placers, which tell owners of tasks that end, move or are lost.
+//! The life-cycle events of placers, from which owners learn that tasks have ended, moved or been lost.
 
 use maplethread_wire::http::{self, Decoder, Limits, Role, Step};
 use serde_json::Value;
 
 use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerIncarnation, Timer};
 
-/// Placers whose events are not watched are looked for this often, µs.
+/// Interval at which event streams are opened to placers that have none, µs.
 const WATCH_INTERVAL_US: u64 = 200_000;
-/// An owner whose task was lost, moved or stopped comes again after so long, ms.
+/// Shortest and longest time before an owner whose task was lost, moved or stopped repeats its request, ms.
 const LOST_TASK_RETRY_MS: [f64; 2] = [50.0, 300.0];
 
 impl OwnerThread {
-    /// Watches the life-cycle events of each placer whose events are not watched yet.
+    /// Opens an event stream to each placer that is up and has none.
     pub(super) fn watch_all_events(&mut self, now: u64) {
         self.timers
             .schedule(now + WATCH_INTERVAL_US, Timer::WatchEvents);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Reads events; returns whether the connection is of no more use.
+    /// Reads events; returns whether the connection has to be closed.
     pub(super) fn read_events(&mut self, token: u64) -> bool {
         let mut lines: Vec<Value> = Vec::new();
         let Some(connection) = self.connections.get_mut(&token) else {
@@ -77,8 +77,8 @@
                     connection.conn.consume(used);
                     line.extend_from_slice(&data);
                     while let Some(end) = line.iter().position(|&b| b == b'\n') {
-                        let one: Vec<u8> = line.drain(..=end).collect();
-                        lines.extend(serde_json::from_slice::<Value>(&one).ok());
+                        let bytes: Vec<u8> = line.drain(..=end).collect();
+                        lines.extend(serde_json::from_slice::<Value>(&bytes).ok());
                     }
                 }
                 Ok((Step::MessageEnd, _)) | Err(_) => return true,
@@ -99,16 +99,16 @@
         if !matches!(self.owners[owner].state, OwnerState::Placed(..)) {
             return;
         }
-        let again = self.scenario.demand.retry_after_ms;
+        let retry_after_ms = self.scenario.demand.retry_after_ms;
         match text("event") {
             "ended" if text("reason").is_empty() => self.owners[owner].state = OwnerState::Finished,
             "ended" | "evicted" => {
                 self.owners[owner].failure_count += 1;
-                self.schedule_retry(now, owner, again);
+                self.schedule_retry(now, owner, retry_after_ms);
             }
             "lost" if self.scenario.must_not_run_twice(self.owners[owner].class) => {
-                let settle = self.scenario.demand.settle_ms as f64;
-                self.schedule_retry(now, owner, [settle, settle * 1.1]);
+                let settle_ms = self.scenario.demand.settle_ms as f64;
+                self.schedule_retry(now, owner, [settle_ms, settle_ms * 1.1]);
             }
             "lost" | "moved" | "stopped" => self.schedule_retry(now, owner, LOST_TASK_RETRY_MS),
             _ => {}
--- a/crates/emulator/src/owners/mod.rs
+++ b/crates/emulator/src/owners/mod.rs
@@ -1,5 +1,6 @@
-//! Emulated owners: each wants one task for a while, requests its placement, waits, disconnects at its deadline, and comes
-//! again after rejections, failures and losses. One thread, real connections, every request and answer recorded.
+//! Emulated owners: each wants one task for some time, requests its placement, waits, disconnects at its deadline, and
+//! repeats the request after rejections, failures and losses. They run in one thread with real connections; every
+//! request and answer is recorded.
 
 mod behaviour;
 mod connections;
@@ -18,18 +19,18 @@
 use crate::scenario::Scenario;
 use thread::OwnerThread;
 
-/// An owner waits this much longer than its deadline before it holds that no answer came, µs: what the reading and
-/// recording may be late by.
+/// Time after the deadline that an owner waits before it abandons a request, µs, to allow for delays in reading and
+/// recording the answer.
 pub const ANSWER_SLACK_US: u64 = 150_000;
 
-/// The thread of the owners.
+/// Handle of the owners' thread.
 pub struct Owners {
     behaviour: Arc<Mutex<OwnerBehaviour>>,
     thread: Option<JoinHandle<io::Result<Vec<u64>>>>,
 }
 
 impl Owners {
-    /// Starts the thread.
+    /// Starts the owners' thread.
     ///
     /// # Errors
     ///
@@ -44,22 +45,22 @@
             placers,
             ..OwnerBehaviour::default()
         }));
-        let mut owners = OwnerThread::new(scenario, context, arrivals, behaviour.clone())?;
+        let mut owner_thread = OwnerThread::new(scenario, context, arrivals, behaviour.clone())?;
         let thread = std::thread::Builder::new()
             .name("owners".into())
-            .spawn(move || owners.run())?;
+            .spawn(move || owner_thread.run())?;
         Ok(Owners {
             behaviour,
             thread: Some(thread),
         })
     }
 
-    /// Their behaviour, to be read and changed.
+    /// The shared state of the owners, to be read and changed.
     pub fn behaviour(&self) -> MutexGuard<'_, OwnerBehaviour> {
         lock(&self.behaviour)
     }
 
-    /// Ends the thread; returns the times from requests to `placed`, µs.
+    /// Ends the thread and returns the times from requests to `placed`, µs.
     ///
     /// # Errors
     ///
@@ -68,7 +69,7 @@
         self.behaviour().is_closing = true;
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
-            _ => Err(io::Error::other("the owners' thread panicked")),
+            _ => Err(io::Error::other("owners thread panicked")),
         }
     }
 }
--- a/crates/emulator/src/owners/requests.rs
+++ b/crates/emulator/src/owners/requests.rs
@@ -9,23 +9,23 @@
 use super::ANSWER_SLACK_US;
 use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerIncarnation, Timer};
 
-/// An owner that wants its task for less than this does not request it any more, µs.
+/// An owner whose task is wanted for less than this does not request it again, µs.
 const MIN_REMAINING_US: u64 = 300_000;
-/// Where no placer can be reached an owner tries again after so long, ms.
+/// Shortest and longest time before an owner that could not connect to a placer tries again, ms.
 const NO_PLACER_RETRY_MS: [f64; 2] = [100.0, 300.0];
-/// When in its time for an answer an owner abandons a request early.
+/// Range of the time at which an owner abandons a request early, as a share of its deadline.
 const EARLY_DISCONNECT_SHARE: [f64; 2] = [0.02, 0.9];
-/// An abandoned connection is left open for so long, to see whether something still comes, µs.
+/// Time for which some abandoned connections are left open, to record answers after the deadline, µs.
 const LINGER_US: u64 = 300_000;
-/// An owner looks this often whether its task still runs, µs.
+/// Interval at which an owner checks whether its task still runs, µs.
 const CHECK_INTERVAL_US: u64 = 2_000_000;
 
-/// An answer as it came from a placer.
+/// An answer from a placer.
 struct Answer {
     outcome: Outcome,
-    /// The request that it names, if it does.
+    /// The request that the answer names, if any.
     request: Option<Arc<str>>,
-    /// When the placer advises to come again, ms; 0 without advice.
+    /// The time to wait before a retry that the placer advises, ms; 0 without advice.
     retry_after_ms: f64,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl OwnerThread {
-    /// Sends an owner's next request, if it still wants its task.
+    /// Sends an owner's next request, if its task is still wanted.
     pub(super) fn send_request(&mut self, now: u64, owner: usize) {
         let is_closing = self.behaviour().is_closing;
         let state = &self.owners[owner];
@@ -121,7 +121,7 @@
         self.behaviour().request_count += 1;
     }
 
-    /// Sets the deadline of a request that was just sent; the owner may abandon it before.
+    /// Schedules the deadline of a request that was just sent, and possibly an early disconnect.
     fn schedule_deadlines(&mut self, now: u64, owner: usize) {
         let state = &self.owners[owner];
         let request_count = state.request_count;
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Abandons a request: by closing the connection at once, by a cancellation, or a while later, to see that nothing
-    /// comes after the deadline.
+    /// Abandons a request. The connection is closed at once, or left open for a while: to cancel the request if the
+    /// disconnect is early, and otherwise to record any answer after the deadline.
     pub(super) fn disconnect(&mut self, now: u64, owner: usize, is_early: bool) {
         let OwnerState::AwaitingAnswer(token) = self.owners[owner].state else {
             return;
@@ -196,7 +196,8 @@
         }
     }
 
-    /// A request ended and its task may run: an owner whose task must not run twice waits until that is settled.
+    /// Handles a request whose outcome is unknown, so that its task may run: an owner whose task must not run twice
+    /// waits longer before it retries.
     pub(super) fn handle_unknown_outcome(&mut self, now: u64, owner: usize) {
         let state = &mut self.owners[owner];
         state.failure_count += 1;
@@ -210,7 +211,8 @@
         self.schedule_retry(now, owner, after_ms);
     }
 
-    /// An owner whose placer is not the process any more that placed its task comes again if the task runs nowhere.
+    /// Checks on a placed task: if the placer process that placed it is gone and the task runs nowhere, the owner
+    /// repeats its request.
     pub(super) fn check_placement(&mut self, now: u64, owner: usize) {
         let OwnerState::Placed(process) = self.owners[owner].state else {
             return;
@@ -233,7 +235,7 @@
             .schedule(now + CHECK_INTERVAL_US, Timer::CheckPlacement(owner));
     }
 
-    /// Reads answers; returns whether the connection is of no more use.
+    /// Reads answers; returns whether the connection has to be closed.
     pub(super) fn read_answers(&mut self, token: u64) -> bool {
         loop {
             let Some(connection) = self.connections.get_mut(&token) else {
@@ -283,7 +285,7 @@
         let now = self.context.clock.now();
         let request = match answer.request {
             Some(request) => request,
-            // A problem sent to an owner that has gone on since is no answer to its present request.
+            // An answer without a request id on an abandoned connection does not belong to the owner's present request.
             None if is_abandoned => return,
             None => self.owners[owner].request.clone(),
         };
--- a/crates/emulator/src/owners/thread.rs
+++ b/crates/emulator/src/owners/thread.rs
@@ -1,4 +1,4 @@
-//! The thread of the owners: what each wants and does, and when.
+//! The owners' thread: its event loop, the state of each owner, and timers.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -18,9 +18,9 @@
 use crate::scenario::Scenario;
 use crate::seeded_rng::SeededRng;
 
-/// Owners have at least so many connections at a time, however few descriptors are left.
+/// Lower bound of the maximum number of connections, however few descriptors are left.
 const MIN_CONNECTIONS: usize = 64;
-/// The stream of random numbers of an owner.
+/// The random stream of an owner.
 const OWNER_STREAM: u64 = 10;
 /// The thread polls at least this often, µs.
 const POLL_INTERVAL_US: u64 = 50_000;
@@ -41,13 +41,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OwnerState {
-    /// A timer leads to the next request.
+    /// No request is in flight; a timer triggers the next one.
     BetweenRequests,
-    /// It waits for an answer on this connection.
+    /// The owner waits for an answer on this connection.
     AwaitingAnswer(u64),
-    /// Its task runs, placed by this process of a placer.
+    /// The task was placed by this process of a placer.
     Placed(PlacerIncarnation),
-    /// It wants nothing any more.
+    /// The owner sends no more requests.
     Finished,
 }
 
@@ -64,13 +64,13 @@
     pub(super) failure_count: u32,
     pub(super) request: Arc<str>,
     pub(super) requested_at: u64,
-    /// What it draws by itself.
+    /// The owner's own generator.
     pub(super) rng: SeededRng,
 }
 
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Timer {
-    /// The next new owner comes.
+    /// The next owner arrives.
     Arrival,
     /// An owner sends its next request.
     Request(usize),
@@ -78,11 +78,11 @@
     Deadline(usize, u32),
     /// An owner abandons this request before its deadline.
     EarlyDisconnect(usize, u32),
-    /// An owner looks whether its task still runs.
+    /// An owner checks whether its task still runs.
     CheckPlacement(usize),
-    /// The events of each placer are watched.
+    /// Event streams are opened to placers that have none.
     WatchEvents,
-    /// A connection that was left open is closed.
+    /// An abandoned connection that was left open is closed.
     CloseConnection(u64),
 }
 
@@ -108,20 +108,20 @@
     pub(super) scenario: Arc<Scenario>,
     pub(super) context: RunContext,
     pub(super) max_connections: usize,
-    /// The owners to come.
+    /// The owners that have not arrived yet.
     pub(super) arrivals: std::vec::IntoIter<Arrival>,
     pub(super) behaviour: Arc<Mutex<OwnerBehaviour>>,
     pub(super) start: u64,
     pub(super) owners: Vec<Owner>,
     pub(super) by_actor: HashMap<Arc<str>, usize>,
     pub(super) connections: HashMap<u64, OwnerConnection>,
-    /// Connections without a request.
+    /// Idle connections, by placer process.
     pub(super) idle: BTreeMap<PlacerIncarnation, Vec<u64>>,
     pub(super) event_connections: BTreeMap<usize, u64>,
     pub(super) last_token: u64,
     pub(super) timers: Timers<Timer>,
     pub(super) read_times: ReadTimes,
-    /// Requests without an answer.
+    /// Number of requests without an answer.
     pub(super) unanswered: usize,
     pub(super) place_us: Vec<u64>,
 }
@@ -178,7 +178,8 @@
             }
             let due_by = self.context.clock.now();
             while let Some(due) = self.timers.pop_due(due_by) {
-                // Deadlines count from when their requests leave, and a thread that is late takes long for what is due.
+                // The clock is read for each timer: deadlines count from when a request is sent, and handling overdue
+                // timers may take long.
                 self.handle_timer(self.context.clock.now(), due);
             }
             if self.behaviour().is_closing && self.unanswered == 0 {
@@ -192,14 +193,14 @@
         match due {
             Timer::Arrival => self.start_next_owner(now),
             Timer::Request(owner) => self.send_request(now, owner),
-            Timer::Deadline(owner, ask) => {
-                if self.owners[owner].request_count == ask {
+            Timer::Deadline(owner, request_number) => {
+                if self.owners[owner].request_count == request_number {
                     self.read_pending_answer(owner);
                     self.disconnect(now, owner, false);
                 }
             }
-            Timer::EarlyDisconnect(owner, ask) => {
-                if self.owners[owner].request_count == ask {
+            Timer::EarlyDisconnect(owner, request_number) => {
+                if self.owners[owner].request_count == request_number {
                     self.disconnect(now, owner, true);
                 }
             }
@@ -220,10 +221,10 @@
         if self.behaviour().is_closing {
             return;
         }
-        let wanted = arrival.demand(&self.scenario, self.start);
+        let demand = arrival.demand(&self.scenario, self.start);
         self.context
             .service_accounting()
-            .add_demand(&arrival.actor, wanted);
+            .add_demand(&arrival.actor, demand);
         let number = self.owners.len();
         self.by_actor.insert(arrival.actor.clone(), number);
         self.owners.push(Owner {
@@ -231,7 +232,7 @@
             actor: arrival.actor,
             class: arrival.class,
             resources: arrival.resources,
-            wanted_until: wanted.until_us,
+            wanted_until: demand.until_us,
             zone: self.scenario.fleet.zones[arrival.zone].clone(),
             state: OwnerState::BetweenRequests,
             request_count: 0,
@@ -243,7 +244,8 @@
         self.send_request(now, number);
     }
 
-    /// The placer that the load balancer sends a request to: one that is up, if possible in the owner's zone.
+    /// The placer that the load balancer sends an owner's request to: a random one that is up, if possible in the
+    /// owner's zone.
     pub(super) fn choose_placer(&mut self, owner: usize) -> Option<Target> {
         let behaviour = lock(&self.behaviour);
         let owner = &mut self.owners[owner];
@@ -256,8 +258,8 @@
         let in_zone = up.iter().filter(|(_, placer)| placer.zone == owner.zone);
         let in_zone: Vec<_> = in_zone.copied().collect();
         let candidates = if in_zone.is_empty() { up } else { in_zone };
-        let drawn = owner.rng.index_below(candidates.len().max(1));
-        let &(placer, entry) = candidates.get(drawn)?;
+        let index = owner.rng.index_below(candidates.len().max(1));
+        let &(placer, entry) = candidates.get(index)?;
         Some(Target {
             process: PlacerIncarnation {
                 placer,
@@ -267,14 +269,14 @@
         })
     }
 
-    /// An owner comes again after a while, drawn from this range; later the more often it failed.
+    /// Schedules an owner's next request after a time drawn from this range, which grows with the number of failures.
     pub(super) fn schedule_retry(&mut self, now: u64, owner: usize, after_ms: [f64; 2]) {
-        let o = &mut self.owners[owner];
-        o.state = OwnerState::BetweenRequests;
-        let factor = 1.0 + 0.5 * f64::from(o.failure_count.min(6).saturating_sub(2));
-        let wait = o.rng.between(after_ms) * factor * 1000.0;
+        let state = &mut self.owners[owner];
+        state.state = OwnerState::BetweenRequests;
+        let factor = 1.0 + 0.5 * f64::from(state.failure_count.min(6).saturating_sub(2));
+        let wait_us = state.rng.between(after_ms) * factor * 1000.0;
         self.timers
-            .schedule(now + wait as u64, Timer::Request(owner));
+            .schedule(now + wait_us as u64, Timer::Request(owner));
     }
 
     pub(super) fn behaviour(&self) -> MutexGuard<'_, OwnerBehaviour> {
@@ -282,14 +284,15 @@
     }
 }
 
-/// So many connections leave the hosts of this process the descriptors that they need, and an eighth of all for the rest.
+/// The maximum number of connections. It leaves the hosts of this process the descriptors that they need, and an eighth
+/// of the limit for everything else.
 fn max_connections(scenario: &Scenario) -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     let limit = limit.map_or(usize::MAX, |limit| {
         usize::try_from(limit).unwrap_or(usize::MAX)
     });
-    let hosts = scenario.fleet.hosts * (1 + scenario.placers as usize);
+    let host_descriptors = scenario.fleet.hosts * (1 + scenario.placers as usize);
     (limit - limit / 8)
-        .saturating_sub(hosts)
+        .saturating_sub(host_descriptors)
         .max(MIN_CONNECTIONS)
 }
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -57,7 +57,8 @@
 }
 
 impl RandomChoice {
-    /// A decider that keeps all rules except the one given by `mutant` (1 to 5; 6 for rule 1 around pauses only; 0 for none).
+    /// A decider that keeps all rules except the one given by `mutant` (1 to 5; 6 for rule 1 around pauses only; 0 for
+    /// none).
     pub fn new(settings: Settings, seed: u64, mutant: u8) -> RandomChoice {
         RandomChoice {
             settings,
@@ -154,7 +155,8 @@
                 ) {
                     pending.possibly_started = pending.possibly_started.or(Some((sent, machine)));
                 }
-                // A machine that has just rejected a task is likely to reject it again, so the task waits for the next retry.
+                // A machine that has just rejected a task is likely to reject it again, so the task waits for the next
+                // retry.
                 if result.outcome == AttemptOutcome::Rejected {
                     pending.rejected_by.push(machine);
                     self.blocked.push_back(id.task)
@@ -250,7 +252,8 @@
                     .collect();
                 cold[self.rng.index_below(cold.len())]
             }
-            // Mutant 5 prefers the domain with most tasks of the service, to exceed its limit as soon as possible. Machines that rejected the task are avoided.
+            // Mutant 5 prefers the domain with most tasks of the service, to exceed its limit as soon as possible.
+            // Machines that rejected the task are avoided.
             5 => {
                 let not_rejecting: Vec<MachineId> = allowed
                     .iter()
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -6,8 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// The number of faults of a kind in a random scenario, and the ranges of their duration (as a share of the run), affected
-/// share and intensity.
+/// The number of faults of a kind in a random scenario, and the ranges of their duration (as a share of the run),
+/// affected share and intensity.
 struct FaultRange {
     kind: FaultKind,
     max_count: usize,
@@ -34,7 +34,8 @@
     }
 }
 
-/// Every scenario has a placer kill, a pause, a zone loss and a deploy, since their overlaps have broken rules; the others may be absent.
+/// Every scenario has a placer kill, a pause, a zone loss and a deploy, since their overlaps have broken rules; the
+/// others may be absent.
 const FAULT_RANGES: [FaultRange; 18] = [
     fault_range(
         FaultKind::PlacerKill,
@@ -165,8 +166,8 @@
 ];
 
 impl Scenario {
-    /// A scenario with the length, hosts and classes of the standard one, and with faults and demand drawn from this seed.
-    /// A seed gives the same scenario on every machine, so that a run that found a fault can be repeated.
+    /// A scenario with the length, hosts and classes of the standard one, and with faults and demand drawn from this
+    /// seed. A seed gives the same scenario on every machine, so that a run that found a fault can be repeated.
     pub fn random(seed: u64) -> Scenario {
         let mut scenario = Scenario::standard();
         let mut rng = SeededRng::new(seed, 31);
--- a/crates/emulator/src/recorded_scenario.rs
+++ b/crates/emulator/src/recorded_scenario.rs
@@ -24,7 +24,8 @@
 pub const ASSUMED_DOWNTIME_S: f64 = 1.5;
 /// Host starts within this time of the first one belong to one fault, µs.
 const FAULT_WINDOW_US: u64 = 1_000_000;
-/// Restarts in one window count as the loss of a zone if they are at least this share of its hosts, and at least [`MIN_ZONE_STARTS`].
+/// Restarts in one window count as the loss of a zone if they are at least this share of its hosts, and at least
+/// [`MIN_ZONE_STARTS`].
 const MIN_ZONE_SHARE: f64 = 0.8;
 /// See [`MIN_ZONE_SHARE`].
 const MIN_ZONE_STARTS: usize = 3;
@@ -69,7 +70,8 @@
 ///
 /// # Errors
 ///
-/// A trace cannot be read, no trace is given, no first request is recorded, or a trace names an unknown class or source.
+/// A trace cannot be read, no trace is given, no first request is recorded, or a trace names an unknown class or
+/// source.
 pub fn read<R: Read + Seek>(
     traces: &mut [Reader<R>],
     base: &Scenario,
--- a/crates/emulator/src/recorded_scenario/tests.rs
+++ b/crates/emulator/src/recorded_scenario/tests.rs
@@ -12,7 +12,8 @@
 const S: u64 = 1_000_000;
 const START: u64 = 1_700_000_000 * S;
 
-/// The trace of a placer process that started this many seconds after [`START`], with requests and host starts at these seconds.
+/// The trace of a placer process that started this many seconds after [`START`], with requests and host starts at these
+/// seconds.
 fn trace(
     placer: &str,
     started_s: u64,
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -280,7 +280,8 @@
     }
 }
 
-/// Offers to hosts in the second after each of these health returns: number of returns, mean and maximum number of offers.
+/// Offers to hosts in the second after each of these health returns: number of returns, mean and maximum number of
+/// offers.
 pub(crate) fn offers_after_health_return(
     history: &[HistoryEntry],
     returns: &[(u64, Arc<str>)],
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -111,7 +111,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Demand {
-    /// Share of the fleet's cores that all wanted tasks use, as points `[s, share]` with linear interpolation between them.
+    /// Share of the fleet's cores that all wanted tasks use, as points `[s, share]` with linear interpolation between
+    /// them.
     pub load: Vec<[f64; 2]>,
     /// Shortest and longest time before an owner repeats a request, ms.
     #[serde(rename = "again_ms")]
@@ -236,8 +237,9 @@
     HangUps,
     /// The health of hosts flaps, with a period in seconds.
     HealthFlaps,
-    /// The health of hosts flaps, with a period in seconds, and the hosts really fail: they fail offers, answer slowly or
-    /// lose connections from shortly before their health shows it until well after it is back; a third of them crash.
+    /// The health of hosts flaps, with a period in seconds, and the hosts really fail: they fail offers, answer slowly
+    /// or lose connections from shortly before their health shows it until well after it is back; a third of them
+    /// crash.
     SickFlaps,
     /// The catalogue answers with a delay in seconds.
     CatalogueLate,
@@ -418,9 +420,9 @@
         self
     }
 
-    /// The same scenario on another number of hosts. Demand grows with the fleet (`demand.load` is a share of its cores),
-    /// so the number of services grows with it and the demand for each stays the same. The numbers of zones and cells are
-    /// kept. Faults affect shares of hosts and placers and need no change.
+    /// The same scenario on another number of hosts. Demand grows with the fleet (`demand.load` is a share of its
+    /// cores), so the number of services grows with it and the demand for each stays the same. The numbers of zones and
+    /// cells are kept. Faults affect shares of hosts and placers and need no change.
     pub fn with_host_count(mut self, hosts: usize) -> Scenario {
         let factor = hosts as f64 / self.fleet.hosts as f64;
         let scaled = |n: usize| ((n as f64 * factor).round() as usize).max(1);
--- a/crates/emulator/src/scenario_run/catalogue.rs
+++ b/crates/emulator/src/scenario_run/catalogue.rs
@@ -1,4 +1,4 @@
-//! The emulated catalogue of a run, whose answers and locks go into the history.
+//! The emulated catalogue of a run, whose answers and locks are recorded in the history.
 
 use std::io;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::run_context::RunContext;
 
-/// Servers of the catalogue.
+/// Number of servers of the catalogue.
 const SERVER_COUNT: usize = 3;
 
-/// Starts a catalogue that records what it answers to placers, and who locks which replica index.
+/// Starts a catalogue that records its answers to placers, and which placer locks which replica index.
 pub(super) fn start_catalogue(context: &RunContext, seed: u64) -> io::Result<Servers> {
     let recorder = context.clone();
     let record_answer = move |client: &str, index: u64, consistent: bool, body: &[u8]| {
@@ -43,12 +43,12 @@
     })
 }
 
-/// The placer that names itself `maplethread (placer-3)`.
+/// The name of a placer in its User-Agent, such as `maplethread (placer-3)`.
 fn placer_of(client: &str) -> Arc<str> {
     client.split(['(', ')']).nth(1).unwrap_or("").into()
 }
 
-/// The replica index that a key of the catalogue locks: its last part.
+/// The replica index of a lock key: the last part of the key's path.
 fn replica_index_of(key: &str) -> Arc<str> {
     key.rsplit('/').next().unwrap_or("").into()
 }
--- a/crates/emulator/src/scenario_run/faults.rs
+++ b/crates/emulator/src/scenario_run/faults.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of the fault plan.
+//! Executes the actions of the fault plan.
 
 use std::io;
 
@@ -14,12 +14,12 @@
 use crate::run_options::{PlacerFault, RunEvent};
 use crate::settings::placer_name;
 
-/// The server of the catalogue whose indexes go back; other faults of the catalogue strike all servers.
+/// The catalogue server that returns lower indexes; all other catalogue faults affect every server.
 const STALE_SERVER: usize = 1;
 
 impl ScenarioRun<'_> {
     pub(super) fn apply_action(&mut self, action: FaultAction, owners: &Owners) -> io::Result<()> {
-        tracing::debug!(?action, "fault");
+        tracing::debug!(?action, "applying fault action");
         match action {
             FaultAction::Host(command) => self.command_host(command),
             FaultAction::ListHost { host, state } => self.list_host(host, state),
@@ -52,8 +52,8 @@
             FaultAction::ReplaceInventory(content) => self.replace_inventory(content)?,
             FaultAction::SetDisconnectShare(share) => owners.behaviour().disconnect_share = share,
             FaultAction::SetInventoryDelay { factor } => {
-                let usual_us = self.scenario.fleet.inventory_delay_ms as f64 * 1000.0;
-                self.listed.delay_us = (usual_us * factor) as u64;
+                let normal_delay_us = self.scenario.fleet.inventory_delay_ms as f64 * 1000.0;
+                self.listed.delay_us = (normal_delay_us * factor) as u64;
             }
         }
         Ok(())
@@ -113,7 +113,8 @@
             PlacerFault::Terminate(number) => {
                 let placer = &self.placers.all[number];
                 if placer.child.is_some() && !placer.is_paused {
-                    // What it does not answer while it ends is excused; the load balancer is told at once.
+                    // Recorded as stopped at once, so that requests which it does not answer while it exits do not
+                    // count as violations. The load balancer marks it down at the same time.
                     self.record_placer_stopped(number);
                     owners.behaviour().placers[number].is_down = true;
                     self.placers.signal(number, Signal::TERM)?;
@@ -139,7 +140,7 @@
     }
 }
 
-/// Sets a fault of a host, or ends it.
+/// Sets or clears a fault of a host.
 fn set_host_fault(faults: &mut HostFaults, fault: HostFault, is_active: bool) {
     let if_active = |value: f64| if is_active { value } else { 0.0 };
     let class_fault = |class, share, answer| {
@@ -169,7 +170,7 @@
     }
 }
 
-/// The faults of the catalogue that stand for the contents of an inventory file.
+/// The catalogue faults that correspond to the contents of an inventory file.
 fn as_catalogue_faults(content: InventoryContent) -> CatalogueFaults {
     let mut faults = CatalogueFaults::default();
     match content {
--- a/crates/emulator/src/scenario_run/inventory.rs
+++ b/crates/emulator/src/scenario_run/inventory.rs
@@ -1,4 +1,4 @@
-//! The inventory of a run, as a file or in the catalogue: what it lists, and when it notices changes.
+//! The inventory of a run, as a file or in the catalogue: the listed hosts, and delayed changes.
 
 use std::io;
 use std::path::Path;
@@ -12,33 +12,33 @@
 use crate::fault_plan::InventoryContent;
 use crate::settings::{host_name, inventory};
 
-/// A file that is no inventory.
+/// A file that cannot be parsed as an inventory.
 const INVALID_INVENTORY: &str = "[[host]]\nname = \"host-00\"\nadress = \"?\u{0}\" [[";
 
-/// A host with its start where that is known, Unix time in ms.
+/// A host and its start time, if known, Unix time in ms.
 type ReadyHost = (Arc<str>, Option<u64>);
 
-/// A change of a host that the inventory will list.
+/// A change of a host that the inventory does not list yet.
 pub(super) struct PendingListing {
     due: u64,
     host: usize,
     state: HostState,
 }
 
-/// What the inventory lists, and what it is yet to list.
+/// The listed state of the hosts, and changes that are not listed yet.
 pub(super) struct ListedHosts {
-    /// The state and the start of each host.
+    /// The state and the start time of each host.
     pub(super) entries: Vec<(HostState, Option<u64>)>,
     pub(super) pending: Vec<PendingListing>,
-    /// How late it notices changes, µs.
+    /// Delay until a change is listed, µs.
     pub(super) delay_us: u64,
-    /// Whether the file is no inventory now.
+    /// Whether the inventory file is empty or invalid at present.
     is_unreadable: bool,
     /// The hosts that the last valid inventory file listed as ready.
     ready: Vec<ReadyHost>,
-    /// The hosts as the catalogue has them.
+    /// The hosts as they are registered in the catalogue.
     registered: Inventory,
-    /// Whether the catalogue lacks something.
+    /// Whether some changes are not registered in the catalogue yet.
     has_unregistered: bool,
 }
 
@@ -61,18 +61,18 @@
 }
 
 impl ScenarioRun<'_> {
-    /// The inventory lists a host so, once it has noticed.
+    /// Lists a host in a state after the inventory's delay.
     pub(super) fn list_host(&mut self, host: usize, state: HostState) {
         let due = self.context.clock.now() + self.listed.delay_us;
         let listing = PendingListing { due, host, state };
         self.listed.pending.push(listing);
     }
 
-    /// Lists what the inventory has noticed by now.
+    /// Lists the changes that are due.
     pub(super) fn publish_due_listings(&mut self, now: u64) -> io::Result<()> {
         let is_due = |listing: &PendingListing| listing.due <= now;
-        let has_news = self.listed.has_unregistered || self.listed.pending.iter().any(is_due);
-        if self.listed.is_unreadable || !has_news {
+        let has_changes = self.listed.has_unregistered || self.listed.pending.iter().any(is_due);
+        if self.listed.is_unreadable || !has_changes {
             return Ok(());
         }
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.listed.pending)
@@ -87,7 +87,7 @@
         self.write_inventory()
     }
 
-    /// The health of a host changes. Only one that is listed as up flaps; what other faults did to it stays.
+    /// Changes the health of a host, if the host is up and listed accordingly; the effects of other faults are kept.
     pub(super) fn set_health(&mut self, host: usize, is_healthy: bool) -> io::Result<()> {
         let (from, to) = if is_healthy {
             (HostState::Draining, HostState::Ready)
@@ -109,7 +109,7 @@
         self.write_inventory()
     }
 
-    /// Replaces the inventory file; in the catalogue, an empty or an invalid file is an empty or a cut answer.
+    /// Replaces the contents of the inventory file. Runs with a catalogue use catalogue faults instead.
     pub(super) fn replace_inventory(&mut self, content: InventoryContent) -> io::Result<()> {
         let text = match content {
             InventoryContent::Valid => {
@@ -135,20 +135,20 @@
         }
     }
 
-    /// Registers what the catalogue does not have. Without a leader it takes nothing; that is tried again with the next
-    /// change.
+    /// Registers the changes that the catalogue does not have. A catalogue without a leader rejects them; they are
+    /// retried on the next call.
     fn register_hosts(&mut self, inventory: &Inventory) {
         let Some(servers) = &self.servers else { return };
         let mut registered = Vec::new();
         for host in &inventory.hosts {
             let hosts = &self.listed.registered.hosts;
-            let known = hosts.iter().find(|known| known.name == host.name);
-            match known {
-                Some(known) if known == host => registered.push(host.clone()),
+            let current = hosts.iter().find(|current| current.name == host.name);
+            match current {
+                Some(current) if current == host => registered.push(host.clone()),
                 _ if register_host(servers.addresses[0], host).is_ok() => {
                     registered.push(host.clone());
                 }
-                _ => registered.extend(known.cloned()),
+                _ => registered.extend(current.cloned()),
             }
         }
         self.listed.has_unregistered = registered != inventory.hosts;
@@ -164,13 +164,14 @@
             .map(|h| h.name.as_str().into())
             .collect();
         let text = toml::to_string(inventory).map_err(io::Error::other)?;
-        // A placer may act on good news before the history has it, so that is recorded first; bad news counts from when
-        // the file was surely in place.
+        // A placer may use a newly ready host before the new file is recorded, so ready hosts are recorded before the
+        // file is replaced. Removals count only once the file is in place, so hosts that are no longer ready are kept
+        // in the first entry.
         let is_listed = |host: &Arc<str>| ready.iter().any(|(listed, _)| listed == host);
-        let before = std::mem::take(&mut self.listed.ready);
-        let no_more_ready = before.into_iter().filter(|(host, _)| !is_listed(host));
+        let previous = std::mem::take(&mut self.listed.ready);
+        let no_longer_ready = previous.into_iter().filter(|(host, _)| !is_listed(host));
         self.context.record(Observation::InventoryReplaced {
-            ready: ready.iter().cloned().chain(no_more_ready).collect(),
+            ready: ready.iter().cloned().chain(no_longer_ready).collect(),
             gone: gone.clone(),
         });
         replace_file(&self.inventory_file(), &text)?;
@@ -187,11 +188,11 @@
     }
 }
 
-/// Replaces a file atomically, as operators are told to do with inventories.
+/// Replaces a file atomically, as the documentation requires of operators for inventories.
 ///
 /// # Errors
 ///
-/// The new file cannot be written, or not be moved into place.
+/// The new file cannot be written, or cannot be renamed to the final path.
 pub fn replace_file(path: &Path, text: &str) -> io::Result<()> {
     let mut new = path.as_os_str().to_owned();
     new.push(".new");
--- a/crates/emulator/src/scenario_run/mod.rs
+++ b/crates/emulator/src/scenario_run/mod.rs
@@ -1,5 +1,5 @@
-//! A run of a scenario: emulated hosts and owners in this process, placers as processes of their own, faults at their
-//! times, and the check of the history at the end.
+//! A run of a scenario: emulated hosts and owners in this process, placers as separate processes, faults at their
+//! scheduled times, and the check of the history at the end.
 
 mod catalogue;
 mod faults;
@@ -37,13 +37,13 @@
 
 /// The stream of random numbers that the fault plan draws from.
 const FAULT_STREAM: u64 = 1;
-/// The run looks for what is due this often.
+/// Interval at which the run checks for actions that are due.
 const TURN_INTERVAL: Duration = Duration::from_millis(5);
-/// The placers of the first start have this many tries of [`START_TRY`] to serve.
-const START_TRIES: usize = 300;
-/// See [`START_TRIES`].
-const START_TRY: Duration = Duration::from_millis(100);
-/// Requests that are in flight at the end of the run have this long to be answered, µs.
+/// Number of waits of [`START_WAIT`] for each placer to serve at the beginning of the run.
+const MAX_START_WAITS: usize = 300;
+/// See [`MAX_START_WAITS`].
+const START_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time after the end of the run for requests in flight to be answered, µs.
 const CLOSING_LIMIT_US: u64 = 30_000_000;
 
 struct ScenarioRun<'a> {
@@ -54,14 +54,14 @@
     host_pool: HostPool,
     folder: PathBuf,
     placers: Placers,
-    /// What is yet to be done.
+    /// Actions of the fault plan that are not applied yet.
     actions: Vec<ScheduledAction>,
     listed: ListedHosts,
-    /// The faults of each host.
+    /// The present faults of each host.
     host_faults: Vec<HostFaults>,
-    /// When the health of hosts came back after a flap.
+    /// Times at which the health of hosts came back after a flap.
     health_returns: Vec<(u64, Arc<str>)>,
-    /// Hosts that were told to drain.
+    /// Hosts that were drained and have not restarted.
     draining_hosts: BTreeSet<usize>,
     /// The catalogue, in runs that have one.
     servers: Option<Servers>,
@@ -134,7 +134,7 @@
         self.report(owners, end)
     }
 
-    /// Starts all placers, and waits until they serve.
+    /// Starts all placers and waits until they serve.
     fn start_placers(&mut self) -> io::Result<Vec<LoadBalancerEntry>> {
         let mut targets = Vec::new();
         let zones = self.scenario.fleet.zones.clone();
@@ -165,7 +165,7 @@
         Ok(targets)
     }
 
-    /// Plays the scenario until all requests are over; returns the time until which service counts.
+    /// Runs the scenario until all requests are finished; returns the time up to which service counts.
     fn play(&mut self, owners: &Owners) -> io::Result<u64> {
         let start = self.context.clock.now();
         let end = start + (self.scenario.seconds * 1e6) as u64;
@@ -206,7 +206,7 @@
         Ok(end)
     }
 
-    /// Lets the load balancer know of placers that were started again and serve.
+    /// Updates the load balancer with restarted placers that have begun to serve.
     fn register_started_placers(&mut self, owners: &Owners) -> io::Result<()> {
         while let Some((number, address)) = self.placers.next_serving(Duration::ZERO)? {
             self.record_placer_started(number);
@@ -223,7 +223,7 @@
         Ok(())
     }
 
-    /// Ends the run and checks its history; service counts until `end`.
+    /// Ends the run and checks its history; service counts up to `end`.
     fn report(&mut self, owners: Owners, end: u64) -> io::Result<Report> {
         let (service, service_loss, duplicate_run_s, by_class) = {
             let accounting = self.context.service_accounting();
@@ -258,7 +258,7 @@
         })
     }
 
-    /// What became of placers that violate a rule on purpose, once they have ended.
+    /// The result of the mutant, if placers ran one; called after the placers have exited.
     fn mutant_result(&self, verdict: &Verdict) -> io::Result<Option<MutantResult>> {
         if self.options.mutant == 0 {
             return Ok(None);
@@ -271,12 +271,12 @@
         Ok(Some(result))
     }
 
-    /// An error once the run is interrupted; its processes end with it.
+    /// Returns an error once the run is interrupted, which ends the run and its processes.
     fn check_interrupted(&self) -> io::Result<()> {
         if self.options.interrupted.load(Ordering::Relaxed) {
             return Err(io::Error::new(
                 io::ErrorKind::Interrupted,
-                "interrupted; all processes are ended",
+                "run interrupted; its processes were stopped",
             ));
         }
         Ok(())
@@ -288,15 +288,17 @@
             .spawn(number, &self.options.program, &arguments)
     }
 
-    /// The next placer of the first start that serves.
+    /// Waits for the next placer to serve at the beginning of the run.
     fn wait_for_placer(&mut self) -> io::Result<(usize, SocketAddr)> {
-        for _ in 0..START_TRIES {
+        for _ in 0..MAX_START_WAITS {
             self.check_interrupted()?;
-            if let Some(serving) = self.placers.next_serving(START_TRY)? {
+            if let Some(serving) = self.placers.next_serving(START_WAIT)? {
                 return Ok(serving);
             }
         }
-        Err(io::Error::other("a placer did not start in 30 s"))
+        Err(io::Error::other(
+            "no further placer began to serve within 30 s",
+        ))
     }
 
     fn record_placer_started(&self, number: usize) {
@@ -305,7 +307,7 @@
         });
     }
 
-    /// Tells a membership test what happened.
+    /// Sends an event to the membership test, if there is one.
     fn notify(&self, event: RunEvent) {
         if let Some(membership) = &self.options.membership {
             let _ = membership.events.send(event);
@@ -343,12 +345,12 @@
     let _ = io::stderr().flush();
 }
 
-/// What all placers that are up report of themselves.
+/// Statistics from the status of all placers that are up.
 #[derive(Default)]
 struct PlacerStatuses {
     /// Times of decisions, µs, with their counts.
     decide_us: BTreeMap<u64, u64>,
-    /// Requests that were blocked, by the reason.
+    /// Number of blocked requests, by reason.
     blocked_by_reason: BTreeMap<String, u64>,
 }
 
@@ -384,11 +386,11 @@
     }
 }
 
-/// Runs the emulated hosts of a scenario at these addresses until the process ends, and writes their inventory.
+/// Runs the emulated hosts of a scenario at these addresses, and writes their inventory. Returns only on failure.
 ///
 /// # Errors
 ///
-/// An address cannot be listened on, the inventory cannot be written, or the hosts' thread fails.
+/// Listening on an address fails, the inventory cannot be written, or the hosts' thread fails.
 pub fn run_hosts(
     scenario: &Arc<Scenario>,
     addresses: &[SocketAddr],
@@ -405,7 +407,7 @@
     let text = toml::to_string(&inventory).map_err(io::Error::other)?;
     replace_file(inventory_file, &text)?;
     println!(
-        "{} stand-in hosts listening; inventory in {}",
+        "{} emulated hosts listening; inventory in {}",
         listed.len(),
         inventory_file.display()
     );
--- a/crates/emulator/src/seeded_rng.rs
+++ b/crates/emulator/src/seeded_rng.rs
@@ -1,5 +1,5 @@
-//! Seeded random numbers: the same sequence for a seed on every machine, so that a run can be repeated. The order of the
-//! draws is part of the meaning of a seed.
+//! Seeded random numbers: the same sequence for a seed on every machine, so that a run can be repeated. The order of
+//! the draws is part of the meaning of a seed.
 
 use rand_pcg::Pcg64Mcg;
 use rand_pcg::rand_core::{Rng, SeedableRng};
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -5,7 +5,8 @@
 //!   timestamp option) is divided among them.
 //! - A segment that is answered with data on the same connection within 40 ms is acknowledged by that data.
 //!   Otherwise a separate acknowledgement of [`HEADER_BYTES`] bytes is sent, one for all segments of a direction within
-//!   that time. It is attributed to the last message of the segment, and counted when the next segment of the connection
+//!   that time. It is attributed to the last message of the segment, and counted when the next segment of the
+//! connection
 //!   is seen or the connection ends.
 //! - Setting up a connection takes SYN, SYN-ACK and ACK, and closing it two FINs, of which the second acknowledges the
 //!   first, and an ACK.
@@ -198,7 +199,8 @@
         sums.wire_bytes += wire;
     }
 
-    /// Counts an acknowledgement that carries no data. It travels against the segment's direction, but is counted with the message that caused it.
+    /// Counts an acknowledgement that carries no data. It travels against the segment's direction, but is counted with
+    /// the message that caused it.
     fn add_separate_acknowledgement(&mut self, segment: Unacknowledged) {
         self.add(segment.last_kind, segment.direction, 0, 0, HEADER_BYTES);
     }
--- a/crates/emulator/tests/mutant.rs
+++ b/crates/emulator/tests/mutant.rs
@@ -1,5 +1,5 @@
-//! Mutants of the random decider violate their rule reliably: mutant 5 exceeds a spread limit for every seed, and mutant 6
-//! leaves requests unanswered after every pause.
+//! Mutants of the random decider violate their rule reliably: mutant 5 exceeds a spread limit for every seed, and
+//! mutant 6 leaves requests unanswered after every pause.
 
 use std::collections::BTreeMap;
 
@@ -59,8 +59,8 @@
     })
 }
 
-/// Requests one task of a service more than a zone may hold, with a connection lost before each request, and returns the
-/// highest number of offers to one zone.
+/// Requests one task of a service more than a zone may hold, with a connection lost before each request, and returns
+/// the highest number of offers to one zone.
 fn max_offers_in_a_zone(mutant: u8, seed: u64) -> u32 {
     let mut placer = RandomChoice::new(settings(), seed, mutant);
     let mut actions = Vec::new();
