--- a/crates/consul-emulator/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -1,5 +1,5 @@
-//! Measures readers of the stand-in: time from a change to the reader's news, cost of taking in whole answers, and
-//! what many readers cost the servers. `cargo run --release -p maplethread-consul-emulator --example measure`.
+//! Measures readers of the emulator: time from a change to the reader's update, cost of processing complete responses,
+//! and the load of many readers on the servers. `cargo run --release -p maplethread-consul-emulator --example measure`.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -23,8 +23,8 @@
 }
 
 impl HttpClient {
-    fn new(at: SocketAddr) -> Result<HttpClient> {
-        let stream = TcpStream::connect(at)?;
+    fn new(server: SocketAddr) -> Result<HttpClient> {
+        let stream = TcpStream::connect(server)?;
         stream.set_nodelay(true)?;
         let limits = Limits {
             max_body_bytes: 64 << 20,
@@ -38,18 +38,24 @@
     }
 
     fn call(&mut self, method: &str, target: &str, body: &str) -> Result<Vec<u8>> {
-        let mut out = Vec::new();
-        http::write_request(&mut out, method, target, &[("Host", "c")], body.as_bytes());
-        self.stream.write_all(&out)?;
+        let mut request = Vec::new();
+        http::write_request(
+            &mut request,
+            method,
+            target,
+            &[("Host", "c")],
+            body.as_bytes(),
+        );
+        self.stream.write_all(&request)?;
         loop {
             let (found, used) = self.reader.read(&self.buffer)?;
             self.buffer.drain(..used);
             if let ReadResult::Message(message) = found {
                 return Ok(message.body);
             }
-            let mut part = [0; 65536];
-            let n = self.stream.read(&mut part)?;
-            self.buffer.extend_from_slice(&part[..n]);
+            let mut chunk = [0; 65536];
+            let n = self.stream.read(&mut chunk)?;
+            self.buffer.extend_from_slice(&chunk[..n]);
         }
     }
 }
@@ -106,17 +112,18 @@
         })
     }
 
-    /// Runs for a while, or until the first reader's news names this host.
-    fn run(&mut self, span: Duration, wanted: Option<&str>) -> Result<bool> {
-        let until = Instant::now() + span;
+    /// Runs for this time, or until an update of the first reader contains this host; returns whether it did.
+    fn run(&mut self, duration: Duration, awaited_host: Option<&str>) -> Result<bool> {
+        let until = Instant::now() + duration;
         let mut ready: Vec<Readiness> = Vec::new();
         while Instant::now() < until {
             let now = self.clock.now();
             for (n, reader) in self.all.iter_mut().enumerate() {
                 if reader.next_timeout(now).is_some_and(|at| at <= now) || n == 0 {
                     for update in reader.tick(now, &self.poller, &mut self.tokens) {
-                        if let (0, Update::Hosts(hosts), Some(wanted)) = (n, update, wanted)
-                            && hosts.iter().any(|h| h.name == wanted)
+                        if let (0, Update::Hosts(hosts), Some(host_name)) =
+                            (n, update, awaited_host)
+                            && hosts.iter().any(|h| h.name == host_name)
                         {
                             return Ok(true);
                         }
@@ -137,8 +144,8 @@
     }
 }
 
-/// An answer with this body, as it comes off a connection.
-fn answer(body: &[u8], index: u64) -> Result<Message> {
+/// A response with this body, parsed as from a connection.
+fn response(body: &[u8], index: u64) -> Result<Message> {
     let head = format!(
         "HTTP/1.1 200 OK\r\nX-Consul-Index: {index}\r\nContent-Length: {}\r\n\r\n",
         body.len()
@@ -154,8 +161,8 @@
     }
 }
 
-/// How long a source takes to read and tell lists, as a whole and at most in one turn.
-fn turns(config: &PlacerConfig, body: &[u8]) -> Result<()> {
+/// Measures how long a source takes to process lists, in total and in the longest turn.
+fn measure_turns(config: &PlacerConfig, body: &[u8]) -> Result<()> {
     let Some(consul) = &config.consul else {
         return Ok(());
     };
@@ -171,24 +178,25 @@
         ("unchanged", &all_critical),
     ];
     let mut now = 0;
-    for (index, (what, list)) in lists.iter().enumerate() {
+    for (index, (label, list)) in lists.iter().enumerate() {
         now += 300_000_000;
         source.tick(now);
         for Output::Call { call, request, .. } in source.take_outputs() {
             if request.starts_with(b"GET /v1/health") {
-                source.handle_response(now, call, answer(list.as_bytes(), index as u64 + 5)?);
+                source.handle_response(now, call, response(list.as_bytes(), index as u64 + 5)?);
             } else {
-                source.handle_failure(now, call, "not asked here");
+                source.handle_failure(now, call, "not answered in this measurement");
             }
         }
-        let (mut whole, mut longest, mut turns, mut told) = (Duration::ZERO, Duration::ZERO, 0, 0);
+        let (mut total, mut longest, mut turns, mut host_count) =
+            (Duration::ZERO, Duration::ZERO, 0, 0);
         while source.has_pending_work() {
-            let from = Instant::now();
+            let start = Instant::now();
             source.tick(now);
             let updates = source.take_updates();
-            let took = from.elapsed();
-            (whole, longest, turns) = (whole + took, longest.max(took), turns + 1);
-            told += updates
+            let elapsed = start.elapsed();
+            (total, longest, turns) = (total + elapsed, longest.max(elapsed), turns + 1);
+            host_count += updates
                 .iter()
                 .map(|u| {
                     if let Update::Hosts(hosts) = u {
@@ -200,16 +208,16 @@
                 .sum::<usize>();
         }
         println!(
-            "  {what}: {whole:?} in {turns} turns, the longest {longest:?}; {told} hosts told"
+            "  {label}: {total:?} in {turns} turns, the longest {longest:?}; {host_count} hosts in updates"
         );
     }
     Ok(())
 }
 
-/// How long readers at rest are counted, s: each reads one or two whole lists in that time.
-const SPAN: u64 = 120;
+/// Time over which idle readers are measured, s; each reads one or two complete lists in that time.
+const IDLE_S: u64 = 120;
 
-/// What this process has used of the cores, readers and servers together, in ticks of 10 ms.
+/// Processor time of this process, readers and servers together, in ticks of 10 ms.
 fn cpu_ticks() -> Result<u64> {
     let stat = std::fs::read_to_string("/proc/self/stat")?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split(' ').collect();
@@ -217,9 +225,11 @@
 }
 
 fn main() -> Result<()> {
-    // With `rest` only the cost of readers at rest is measured.
-    let all = std::env::args().nth(1).is_none_or(|what| what != "rest");
-    for hosts in [130, 5000].into_iter().filter(|_| all) {
+    // With the argument `rest`, only the load of idle readers is measured.
+    let measures_all = std::env::args()
+        .nth(1)
+        .is_none_or(|argument| argument != "rest");
+    for hosts in [130, 5000].into_iter().filter(|_| measures_all) {
         let servers = Servers::start(EmulatorSettings::new(3))?;
         let mut http = HttpClient::new(servers.addresses[0])?;
         for n in 0..hosts {
@@ -232,41 +242,41 @@
             kinds: vec!["std".into()],
             max_entries: 10_000,
         };
-        let from = Instant::now();
+        let start = Instant::now();
         let rounds = 20;
         for _ in 0..rounds {
             assert_eq!(read_host_list(&body, &known)?.entries.len(), hosts);
         }
-        let parse = from.elapsed() / rounds;
+        let parse_time = start.elapsed() / rounds;
         println!(
-            "{hosts} hosts: an answer of {} KiB is read in {parse:?}",
+            "{hosts} hosts: a response of {} KiB is parsed in {parse_time:?}",
             body.len() / 1024
         );
-        turns(&config(&servers, false)?, &body)?;
+        measure_turns(&config(&servers, false)?, &body)?;
         for watch in [false, true] {
             let mut readers = Readers::new(&config(&servers, watch)?, 1)?;
             readers.run(Duration::from_millis(1500), None)?;
             let mut times = Vec::new();
             for n in 0..100 {
-                // Off the step of the reads.
+                // Out of phase with the periodic reads.
                 readers.run(Duration::from_millis(40 + n % 17), None)?;
                 let host = (n as usize / 2 * 37) % hosts;
-                let from = Instant::now();
+                let start = Instant::now();
                 register(
                     &mut http,
                     host,
                     if n % 2 == 0 { "critical" } else { "passing" },
                 )?;
                 if readers.run(Duration::from_secs(5), Some(&format!("host-{host}")))? {
-                    times.push(from.elapsed());
+                    times.push(start.elapsed());
                 }
             }
             times.sort();
-            let at = |q: f64| times[((times.len() as f64 * q) as usize).min(times.len() - 1)];
+            let quantile = |q: f64| times[((times.len() as f64 * q) as usize).min(times.len() - 1)];
             println!(
-                "{hosts} hosts, watch {watch}: from a change to its news p50 {:?}, p99 {:?} ({} changes)",
-                at(0.5),
-                at(0.99),
+                "{hosts} hosts, watch {watch}: from a change to its update p50 {:?}, p99 {:?} ({} changes)",
+                quantile(0.5),
+                quantile(0.99),
                 times.len()
             );
         }
@@ -281,14 +291,14 @@
         readers.run(Duration::from_secs(8), None)?;
         let before = servers.counts();
         let cpu = cpu_ticks()?;
-        readers.run(Duration::from_secs(SPAN), None)?;
+        readers.run(Duration::from_secs(IDLE_S), None)?;
         let cpu = cpu_ticks()? - cpu;
         let after = servers.counts();
         println!(
-            "400 readers of 130 hosts at rest, watch {watch}: {:.0} queries a second, {:.1} MiB a minute, {:.0}% of a core",
-            (after.0 - before.0) as f64 / SPAN as f64,
-            (after.1 - before.1) as f64 / SPAN as f64 * 60.0 / 1048576.0,
-            cpu as f64 / SPAN as f64,
+            "400 idle readers of 130 hosts, watch {watch}: {:.0} queries a second, {:.1} MiB a minute, {:.0}% of a core",
+            (after.0 - before.0) as f64 / IDLE_S as f64,
+            (after.1 - before.1) as f64 / IDLE_S as f64 * 60.0 / 1048576.0,
+            cpu as f64 / IDLE_S as f64,
         );
     }
     Ok(())
--- a/crates/consul-emulator/src/api.rs
+++ b/crates/consul-emulator/src/api.rs
@@ -1,4 +1,4 @@
-//! The endpoints: a request in, and either an answer, a query to be parked, or a command for the leader.
+//! The endpoints: parses a request into an immediate response, a read that may block, or a write for the leader.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
@@ -7,54 +7,66 @@
 
 use crate::state::{Check, Command, LockChange, Service, Session, State, uuid};
 
-/// What a request asks for.
+/// A parsed request.
 #[derive(Debug)]
 pub enum Request {
-    /// A read, which may block.
+    /// A read, which may be a blocking query.
     Read(ReadRequest),
     /// A write.
     Write(WriteRequest),
-    /// An answer that needs no state.
+    /// A response that does not depend on the state: status and body.
     Response(u16, Value),
 }
 
 /// A read.
 #[derive(Clone, Debug)]
 pub struct ReadRequest {
+    /// The resource to read.
     pub resource: Resource,
-    /// Blocks until the index is above this...
+    /// If above 0, the query blocks until the index of the resource is above this.
     pub index: u64,
-    /// ...or this is over, µs.
+    /// Maximum time that the query blocks, µs.
     pub wait_us: u64,
+    /// `?consistent`: read from the leader, without the faults of lists.
     pub consistent: bool,
+    /// `?stale`: read from the server that received the request.
     pub stale: bool,
+    /// Conditions of `?filter`, all of which an entry must meet: selector and value.
     pub filter: Vec<(String, String)>,
 }
 
-/// What is read.
+/// A resource that can be read.
 #[derive(Clone, Debug)]
 pub enum Resource {
+    /// `/v1/health/service/:name`, with `?passing`.
     HealthService(String, bool),
+    /// `/v1/health/node/:node`.
     HealthNode(String),
+    /// `/v1/health/state/:state`.
     HealthState(String),
+    /// `/v1/catalog/nodes`.
     CatalogNodes,
+    /// `/v1/catalog/service/:name`.
     CatalogService(String),
+    /// `/v1/agent/members`.
     Members,
+    /// `/v1/kv/:key`, with its query parameters.
     Key {
         key: String,
         recurse: bool,
         raw: bool,
         keys: bool,
     },
+    /// `/v1/session/info/:id`.
     SessionInfo(String),
 }
 
 /// A write.
 #[derive(Debug)]
 pub enum WriteRequest {
-    /// Commands; the answer is the JSON.
+    /// Commands, and the body of the response.
     Commands(Vec<Command>, Value),
-    /// A put of a key that depends on its lock or index.
+    /// A put of a key, which is applied only if its lock and its modify index (`cas`) allow it.
     Put {
         key: String,
         value: String,
@@ -62,16 +74,20 @@
         lock: LockChange,
         cas: Option<u64>,
     },
+    /// Renews a session.
     RenewSession(String),
-    /// A TTL check's word: node, check, status, output.
+    /// An update of a TTL check: check, status, output.
     UpdateCheck(String, String, String),
-    /// Deregisters a service of the agent, or puts it aside.
+    /// Deregisters a service of the agent, or sets its maintenance mode (on or off, with the reason).
     UpdateService {
         id: String,
         maintenance: Option<(bool, String)>,
     },
+    /// Sets the maintenance mode of the agent's node, with the reason.
     NodeMaintenance(bool, String),
+    /// Creates a session.
     CreateSession(Session),
+    /// Destroys a session.
     DestroySession(String),
 }
 
@@ -95,7 +111,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-/// A span such as `10s`, `1m30s`, `1.5h` or `500ms`, in µs; a bare number is seconds.
+/// Parses a duration such as `10s`, `1m30s`, `1.5h` or `500ms` into µs; a bare number is in seconds.
 pub fn parse_duration_us(text: &str) -> Option<u64> {
     if text.is_empty() {
         return None;
@@ -124,7 +140,8 @@
     (sum < 1e18).then_some(sum as u64)
 }
 
-/// A field of an object, whatever the case of its key: documented servers decode bodies so. The exact key wins.
+/// A field of an object, ignoring the case of its key, as the documented API decodes bodies. An exact match takes
+/// precedence.
 fn field_ignoring_case<'a>(object: &'a Value, key: &str) -> &'a Value {
     let Some(fields) = object.as_object() else {
         return &Value::Null;
@@ -138,7 +155,7 @@
     fields.get(key).or_else(folded).unwrap_or(&Value::Null)
 }
 
-/// A text field; empty where it is missing. A value of another type can't be decoded.
+/// A text field; empty if it is missing. A value of another type is an error.
 fn text_field(object: &Value, key: &str) -> Result<String, UndecodableField> {
     match field_ignoring_case(object, key) {
         Value::Null => Ok(String::new()),
@@ -147,7 +164,7 @@
     }
 }
 
-/// A span: a text with units, or a number of nanoseconds.
+/// A duration in µs, given as a text with units or as a number of nanoseconds.
 fn duration_field_us(object: &Value, key: &str) -> Result<Option<u64>, UndecodableField> {
     match field_ignoring_case(object, key) {
         Value::Null => Ok(None),
@@ -163,7 +180,7 @@
     }
 }
 
-/// The first of two keys that stands there: older and newer names of one field.
+/// The field of the first of two keys that is present, for fields with an older and a newer name.
 fn first_present_field<'a>(object: &'a Value, first: &str, second: &str) -> &'a Value {
     match field_ignoring_case(object, first) {
         Value::Null => field_ignoring_case(object, second),
@@ -171,7 +188,7 @@
     }
 }
 
-/// A field that can't be decoded.
+/// A field that cannot be decoded, by its key.
 struct UndecodableField(String);
 
 impl From<UndecodableField> for Request {
@@ -180,7 +197,8 @@
     }
 }
 
-/// Reads a request. `node` is the name of the agent that was asked.
+/// Parses a request. `node` is the name of the agent that received it; `id` is unique, and new session ids are derived
+/// from it.
 pub fn parse_request(message: &Message, node: &str, id: u64) -> Request {
     let target = message.head.target();
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -196,18 +214,18 @@
             .find(|(k, _)| k == name)
             .map(|(_, v)| v.as_str())
     };
-    let bad = |why: &str| Request::Response(400, json!(why));
+    let bad_request = |reason: &str| Request::Response(400, json!(reason));
     let path: String = path.trim_start_matches("/v1/").to_owned();
     let parts: Vec<String> = path.split('/').map(percent_decode).collect();
     let parts: Vec<&str> = parts.iter().map(String::as_str).collect();
     let body = || serde_json::from_slice::<Value>(&message.body).unwrap_or(Value::Null);
-    let get = message.head.method() == "GET";
-    let read = |what: Resource| {
+    let is_get = message.head.method() == "GET";
+    let read = |resource: Resource| {
         let mut filter = Vec::new();
         if let Some(text) = param("filter") {
             for part in text.split(" and ") {
                 let Some((selector, value)) = part.split_once("==") else {
-                    return bad("Failed to create boolean expression evaluator");
+                    return bad_request("Failed to create boolean expression evaluator");
                 };
                 filter.push((
                     selector.trim().to_owned(),
@@ -216,17 +234,17 @@
             }
         }
         let Ok(index) = param("index").unwrap_or("0").parse() else {
-            return bad("Invalid index");
+            return bad_request("Invalid index");
         };
         let Some(wait) = parse_duration_us(param("wait").unwrap_or("5m")) else {
-            return bad("Invalid wait time");
+            return bad_request("Invalid wait time");
         };
         let (consistent, stale) = (param("consistent").is_some(), param("stale").is_some());
         if consistent && stale {
-            return bad("Cannot specify ?stale with ?consistent, conflicting semantics.");
+            return bad_request("Cannot specify ?stale with ?consistent, conflicting semantics.");
         }
         Request::Read(ReadRequest {
-            resource: what,
+            resource,
             index,
             wait_us: wait.min(600_000_000),
             consistent,
@@ -234,7 +252,7 @@
             filter,
         })
     };
-    match (parts.as_slice(), get) {
+    match (parts.as_slice(), is_get) {
         (["health", "service", name], true) => read(Resource::HealthService(
             (*name).to_owned(),
             param("passing").is_some(),
@@ -277,7 +295,7 @@
                 param("cas"),
             );
             let cas = match cas.map(str::parse) {
-                Some(Err(_)) => return bad("Invalid cas"),
+                Some(Err(_)) => return bad_request("Invalid cas"),
                 Some(Ok(cas)) => Some(cas),
                 None => None,
             };
@@ -295,7 +313,7 @@
         (["catalog", "deregister"], false) => {
             let body = body();
             let Some(node) = field_ignoring_case(&body, "Node").as_str() else {
-                return bad("Must provide node");
+                return bad_request("Must provide node");
             };
             let service = field_ignoring_case(&body, "ServiceID")
                 .as_str()
@@ -318,24 +336,24 @@
         }
         (["agent", "service", "maintenance", id], false) => match param("enable") {
             Some(on @ ("true" | "false")) => {
-                let why = param("reason")
+                let reason = param("reason")
                     .unwrap_or("Maintenance mode is enabled for this service")
                     .to_owned();
                 Request::Write(WriteRequest::UpdateService {
                     id: (*id).to_owned(),
-                    maintenance: Some((on == "true", why)),
+                    maintenance: Some((on == "true", reason)),
                 })
             }
-            _ => bad("Missing value for enable"),
+            _ => bad_request("Missing value for enable"),
         },
         (["agent", "maintenance"], false) => match param("enable") {
             Some(on @ ("true" | "false")) => {
-                let why = param("reason")
+                let reason = param("reason")
                     .unwrap_or("Maintenance mode is enabled for this node")
                     .to_owned();
-                Request::Write(WriteRequest::NodeMaintenance(on == "true", why))
+                Request::Write(WriteRequest::NodeMaintenance(on == "true", reason))
             }
-            _ => bad("Missing value for enable"),
+            _ => bad_request("Missing value for enable"),
         },
         (["agent", "check", "register"], false) => {
             parse_check_registration(&body(), node).unwrap_or_else(Request::from)
@@ -347,8 +365,8 @@
             };
             Request::Write(WriteRequest::Commands(vec![command], Value::Null))
         }
-        (["agent", "check", word @ ("pass" | "warn" | "fail"), id], false) => {
-            let status = match *word {
+        (["agent", "check", action @ ("pass" | "warn" | "fail"), id], false) => {
+            let status = match *action {
                 "pass" => "passing",
                 "warn" => "warning",
                 _ => "critical",
@@ -363,7 +381,7 @@
             let body = body();
             let status = field_ignoring_case(&body, "Status").as_str().unwrap_or("");
             if !matches!(status, "passing" | "warning" | "critical") {
-                return bad("Invalid check status");
+                return bad_request("Invalid check status");
             }
             let output = field_ignoring_case(&body, "Output")
                 .as_str()
@@ -412,7 +430,7 @@
 
 fn parse_session(body: &Value, node: &str, id: u64) -> Result<Request, UndecodableField> {
     let ttl = duration_field_us(body, "TTL")?.unwrap_or(0);
-    // Of the documented range of TTLs, 10 s to 24 h, only the upper bound is kept: tests are short.
+    // Only the upper bound of the documented range (10 s to 24 h) is enforced, since tests use shorter TTLs.
     if ttl > 86_400_000_000 {
         return Ok(Request::Response(400, json!("Invalid Session TTL")));
     }
@@ -431,14 +449,14 @@
     })))
 }
 
-/// A service of a body; none without a name, which stands under one of these keys.
+/// Parses a service, whose name is under the key `name`; `None` if there is no name.
 fn parse_service(body: &Value, name: &str) -> Result<Option<Service>, UndecodableField> {
     let name = text_field(body, name)?;
     if name.is_empty() {
         return Ok(None);
     }
     let id = text_field(body, "ID")?;
-    let or = |value: &Value, default: Value| {
+    let value_or = |value: &Value, default: Value| {
         if value.is_null() {
             default
         } else {
@@ -462,13 +480,13 @@
         name,
         address: text_field(body, "Address")?,
         port,
-        tags: or(field_ignoring_case(body, "Tags"), json!([])),
-        meta: or(field_ignoring_case(body, "Meta"), json!({})),
+        tags: value_or(field_ignoring_case(body, "Tags"), json!([])),
+        meta: value_or(field_ignoring_case(body, "Meta"), json!({})),
         override_tags,
     }))
 }
 
-/// `Check` and all of `Checks`.
+/// The checks of a body: the object `Check` and those in the array `Checks`.
 fn check_objects(body: &Value) -> impl Iterator<Item = &Value> {
     let listed = field_ignoring_case(body, "Checks")
         .as_array()
@@ -479,7 +497,8 @@
         .filter(|c| c.is_object())
 }
 
-/// An agent's check: one with a TTL is kept by its word; others are taken and stay as their `Status` says.
+/// Parses a check of an agent. The status of a check with a TTL is updated by requests; other checks are never run and
+/// keep their initial `Status`.
 fn parse_agent_check(
     body: &Value,
     id: String,
@@ -620,7 +639,7 @@
 }
 
 impl ReadRequest {
-    /// The index that this read blocks on.
+    /// The index that a blocking query of this resource waits on.
     pub fn blocking_index(&self, state: &State) -> u64 {
         match &self.resource {
             Resource::HealthService(name, _) | Resource::CatalogService(name) => {
@@ -633,7 +652,7 @@
         }
     }
 
-    /// Status and body, as the state has it.
+    /// The status and body of the response, from a state.
     pub fn answer(&self, state: &State, dc: &str) -> (u16, Vec<u8>) {
         let entries = match &self.resource {
             Resource::HealthService(name, passing) => state.health_service(name, dc, *passing),
@@ -664,7 +683,7 @@
                 }
             }
         };
-        let fits = |entry: &Value| {
+        let matches_filter = |entry: &Value| {
             self.filter.iter().all(|(selector, value)| {
                 let at = selector.split('.').try_fold(entry, |at, part| at.get(part));
                 at.is_some_and(|at| {
@@ -673,7 +692,7 @@
                 })
             })
         };
-        let entries: Vec<Value> = entries.into_iter().filter(fits).collect();
+        let entries: Vec<Value> = entries.into_iter().filter(matches_filter).collect();
         (200, serde_json::to_vec(&entries).unwrap_or_default())
     }
 }
--- a/crates/consul-emulator/src/lib.rs
+++ b/crates/consul-emulator/src/lib.rs
@@ -1,23 +1,16 @@
-//! A stand-in for a few Consul servers in one process: a leader and followers that lag, indexes, blocking queries,
-//! checks with TTL, sessions with TTL and lock delay, keys that sessions lock, ACL tokens, and faults on demand. It is
-//! written from the published HTTP API documentation and covers what `docs/consul.md` lists; it is no Consul, stores
-//! nothing and trusts everybody on loopback. `state` is what the servers agree on, `api` the endpoints.
+//! An emulator of a small Consul cluster in one process: a leader and lagging followers, indexes, blocking queries,
+//! checks with TTL, sessions with TTL and lock delay, keys that sessions lock, ACL tokens, and injected faults. It is
+//! written from the published HTTP API documentation and covers the endpoints that `docs/consul.md` lists. It does not
+//! persist anything, and every client on loopback has access unless tokens are configured. `state` is the replicated
+//! state, `api` the endpoints, and `server` the servers on sockets. Types and fields are named as in the documentation
+//! of the API.
 #![allow(
-    clippy::missing_errors_doc,
     clippy::too_many_lines,
-    reason = "not yet worked through; listed in docs/ROADMAP.md"
+    reason = "parsers and request handlers that handle every endpoint or command in one function"
 )]
 
-#[allow(
-    missing_docs,
-    reason = "an internal vocabulary, named as in the documentation that it follows"
-)]
 mod api;
 mod server;
-#[allow(
-    missing_docs,
-    reason = "an internal vocabulary, named as in the documentation that it follows"
-)]
 mod state;
 
 pub use server::{AnswerObserver, EmulatorSettings, Faults, LockEvent, LockObserver, Servers};
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -1,4 +1,4 @@
-//! The servers on sockets: one thread, a log of commands, and for each server a state that may lag behind it.
+//! The servers on sockets: one thread with a log of commands, and for each server a state that may lag behind the log.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -20,69 +20,71 @@
 use crate::api::{ReadRequest, Request, Resource, WriteRequest, parse_request};
 use crate::state::{Check, Command, LockChange, State};
 
-const WAKER: u64 = 0;
-const LISTENERS: u64 = 1 << 32;
-const CONNECTIONS: u64 = 1 << 33;
+/// Tokens of the poller: the waker, the first listener, and the first connection.
+const WAKER_TOKEN: u64 = 0;
+const FIRST_LISTENER_TOKEN: u64 = 1 << 32;
+const FIRST_CONNECTION_TOKEN: u64 = 1 << 33;
 
-/// What goes wrong with a server just now.
+/// Faults injected into a server. Shares are from 0 to 1.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Writes suffer them too; without it only reads do.
+    /// Whether writes are affected as well as reads.
     pub affects_writes: bool,
-    /// Answers come so much later, µs.
+    /// Delay of responses, µs.
     pub delay_us: u64,
-    /// This share of requests gets this status.
+    /// An error status, and the share of requests that get it.
     pub error_status: Option<(u16, f64)>,
-    /// This share of answers is cut in the middle of the body.
+    /// The share of responses that are truncated in the middle of the body.
     pub truncated_share: f64,
-    /// Lists are empty.
+    /// Whether lists are empty, except in consistent reads.
     pub empty_lists: bool,
-    /// Only this share of each list is told, if above 0.
+    /// If above 0, only this share of each list is returned, except in consistent reads.
     pub partial_share: f64,
-    /// Lists are of another datacentre.
+    /// Whether entries name another datacentre.
     pub other_datacentre: bool,
-    /// Indexes are told so much lower.
+    /// The amount by which returned indexes are too low.
     pub index_offset: u64,
-    /// No further command is taken in.
+    /// Whether the server, as a follower, stops applying commands.
     pub is_frozen: bool,
 }
 
-/// Told of an answer: who asked, its index, whether it was read consistently, its body.
+/// Called for an observed response, with the client's User-Agent, the index, whether the read was consistent, and the
+/// body.
 pub type AnswerObserver = Arc<dyn Fn(&str, u64, bool, &[u8]) + Send + Sync>;
 
-/// What becomes of a key's lock.
+/// A change of a key's lock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LockEvent<'a> {
-    /// A session of this name has locked the key.
+    /// The key (first) was locked by a session of this name (second).
     Locked(&'a str, &'a str),
-    /// The key is free, and can be locked again after so long, µs.
+    /// The key was released, and can be locked again after this time, µs.
     Released(&'a str, u64),
 }
 
-/// Told of locks as the leader takes them in.
+/// Called for each change of a lock when the leader applies it.
 pub type LockObserver = Arc<dyn Fn(LockEvent<'_>) + Send + Sync>;
 
-/// How to run the servers.
+/// Settings of the emulated servers.
 #[derive(Clone)]
 pub struct EmulatorSettings {
-    /// Where they listen; port 0 for free ones.
+    /// The address that each server listens on; port 0 for a free port.
     pub listen: Vec<SocketAddr>,
-    /// The datacentre.
+    /// The name of the datacentre.
     pub datacentre: String,
-    /// How far followers lag, µs.
+    /// Time that followers lag behind the leader, µs.
     pub lag_us: u64,
-    /// Tokens that may read, and whether they may write; without any, everybody may.
+    /// ACL tokens that may read, and whether they may write; if there are none, no token is required.
     pub tokens: Vec<(String, bool)>,
-    /// Seed of all that is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// Told of each whole answer to a read of a service's health as it is written: User-Agent, index, whether it was read consistently, body.
+    /// Observes each complete response to an unfiltered read of a service's health when it is written.
     pub answer_observer: Option<AnswerObserver>,
-    /// Told of what becomes of keys' locks.
+    /// Observes the changes of keys' locks.
     pub lock_observer: Option<LockObserver>,
 }
 
 impl EmulatorSettings {
-    /// So many servers on free ports.
+    /// Settings of this number of servers, at least 1, on free ports.
     pub fn new(servers: usize) -> EmulatorSettings {
         let listen = vec![SocketAddr::from(([127, 0, 0, 1], 0)); servers.max(1)];
         EmulatorSettings {
@@ -99,15 +101,15 @@
 
 enum ControlMessage {
     SetFaults(Option<usize>, Faults),
-    /// No leader for so long, µs; then the next server leads.
+    /// There is no leader for this time, µs; then the next server becomes the leader.
     LoseLeader(u64),
     Command(Command),
     Shutdown,
 }
 
-/// The running servers.
+/// The running servers, which stop when this is dropped.
 pub struct Servers {
-    /// Where they listen.
+    /// The address that each server listens on.
     pub addresses: Vec<SocketAddr>,
     controls: Arc<Mutex<VecDeque<ControlMessage>>>,
     waker: OwnedFd,
@@ -120,16 +122,20 @@
 }
 
 impl Servers {
-    /// Starts them.
+    /// Starts the servers.
+    ///
+    /// # Errors
+    ///
+    /// Listening on an address fails, or the poller or the thread cannot be created.
     pub fn start(settings: EmulatorSettings) -> io::Result<Servers> {
         let poller = Poller::new()?;
         let waker = Poller::waker()?;
-        poller.register(&waker, WAKER, false)?;
+        poller.register(&waker, WAKER_TOKEN, false)?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
         for (n, at) in settings.listen.iter().enumerate() {
             let listener = TcpListener::bind(at)?;
             listener.set_nonblocking(true)?;
-            poller.register(&listener, LISTENERS + n as u64, false)?;
+            poller.register(&listener, FIRST_LISTENER_TOKEN + n as u64, false)?;
             addresses.push(listener.local_addr()?);
             listeners.push(listener);
         }
@@ -140,39 +146,39 @@
             applied: 0,
             faults: Faults::default(),
         };
-        let mut run = ServerLoop {
+        let mut server_loop = ServerLoop {
             poller,
             listeners,
             clock: Clock::start(),
             servers: settings.listen.iter().map(server).collect(),
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             settings,
-            conns: HashMap::new(),
-            next: CONNECTIONS,
+            connections: HashMap::new(),
+            last_token: FIRST_CONNECTION_TOKEN,
             log: VecDeque::new(),
             log_start: 0,
             leader: Some(0),
             next_leader: 0,
-            leader_back: 0,
-            parked: Vec::new(),
+            leader_returns_at: 0,
+            blocked: Vec::new(),
             delayed: Timers::default(),
             renewed: HashMap::new(),
             requests: 0,
             controls: controls.clone(),
             waker: rustix::io::dup(&waker)?,
             counts: counts.clone(),
-            ended: false,
+            should_end: false,
         };
         for (n, address) in addresses.iter().enumerate() {
             let (name, ip) = (node_name(n), address.ip().to_string());
-            run.commit(Command::Register {
+            server_loop.commit(Command::Register {
                 node: name.clone(),
                 address: ip.clone(),
                 meta: json!({}),
                 service: None,
                 checks: Vec::new(),
             });
-            run.commit(Command::SetMember {
+            server_loop.commit(Command::SetMember {
                 name,
                 address: ip,
                 status: 1,
@@ -180,7 +186,7 @@
         }
         let thread = std::thread::Builder::new()
             .name("consul-stand-in".into())
-            .spawn(move || run.run())?;
+            .spawn(move || server_loop.run())?;
         Ok(Servers {
             addresses,
             controls,
@@ -195,17 +201,17 @@
         let _ = rustix::io::write(&self.waker, &1u64.to_ne_bytes());
     }
 
-    /// Sets the faults of one server, or of all.
+    /// Replaces the faults of one server, or of all servers.
     pub fn set_faults(&self, server: Option<usize>, faults: Faults) {
         self.control(ControlMessage::SetFaults(server, faults));
     }
 
-    /// No leader for so long, µs; then the next server leads.
-    pub fn lose_leader(&self, span: u64) {
-        self.control(ControlMessage::LoseLeader(span));
+    /// Removes the leader for this time, µs; then the next server becomes the leader.
+    pub fn lose_leader(&self, for_us: u64) {
+        self.control(ControlMessage::LoseLeader(for_us));
     }
 
-    /// An agent's status in the gossip pool: 1 alive, 2 leaving, 3 left, 4 failed.
+    /// Sets an agent's status in the gossip pool: 1 alive, 2 leaving, 3 left, 4 failed.
     pub fn set_member_status(&self, name: &str, status: i64) {
         let command = Command::SetMember {
             name: name.to_owned(),
@@ -215,7 +221,7 @@
         self.control(ControlMessage::Command(command));
     }
 
-    /// Requests served and bytes sent so far.
+    /// The number of requests received and of bytes sent so far.
     pub fn counts(&self) -> (u64, u64) {
         (
             self.counts[0].load(Ordering::Relaxed),
@@ -223,11 +229,15 @@
         )
     }
 
-    /// Waits for the thread to end, which it does only when something fails.
+    /// Waits for the thread to end, which happens only on an error.
+    ///
+    /// # Errors
+    ///
+    /// The error that should_end the thread, or its panic.
     pub fn join(mut self) -> io::Result<()> {
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
-            _ => Err(io::Error::other("the servers' thread panicked")),
+            _ => Err(io::Error::other("servers thread panicked")),
         }
     }
 }
@@ -247,7 +257,7 @@
 
 struct Replica {
     state: State,
-    /// Commands taken in.
+    /// Number of commands of the log that are applied to the state.
     applied: u64,
     faults: Faults,
 }
@@ -259,14 +269,14 @@
     closing: bool,
 }
 
-/// Who read it, its index, whether it was read consistently, and the body.
+/// The arguments of the answer observer: User-Agent, index, whether the read was consistent, and the body.
 type ObservedRead = (String, u64, bool, Vec<u8>);
 
 struct Response {
     token: u64,
     bytes: Vec<u8>,
-    cut: bool,
-    watched: Option<ObservedRead>,
+    is_truncated: bool,
+    observed: Option<ObservedRead>,
 }
 
 struct BlockedQuery {
@@ -274,7 +284,7 @@
     server: usize,
     read: ReadRequest,
     until: u64,
-    who: String,
+    user_agent: String,
 }
 
 struct ServerLoop {
@@ -284,28 +294,28 @@
     settings: EmulatorSettings,
     servers: Vec<Replica>,
     rng: Pcg64Mcg,
-    conns: HashMap<u64, ClientConnection>,
-    next: u64,
+    connections: HashMap<u64, ClientConnection>,
+    last_token: u64,
     log: VecDeque<(u64, Command)>,
     log_start: u64,
     leader: Option<usize>,
     next_leader: usize,
-    leader_back: u64,
-    parked: Vec<BlockedQuery>,
+    leader_returns_at: u64,
+    blocked: Vec<BlockedQuery>,
     delayed: Timers<Response>,
-    /// When sessions and TTL checks were last renewed.
+    /// When sessions and TTL checks were last renewed, µs.
     renewed: HashMap<String, u64>,
     requests: u64,
     controls: Arc<Mutex<VecDeque<ControlMessage>>>,
     waker: OwnedFd,
     counts: Arc<[AtomicU64; 2]>,
-    ended: bool,
+    should_end: bool,
 }
 
 impl ServerLoop {
     fn run(&mut self) -> io::Result<()> {
         let mut ready: Vec<Readiness> = Vec::new();
-        while !self.ended {
+        while !self.should_end {
             let now = self.clock.now();
             let next = self
                 .delayed
@@ -319,9 +329,9 @@
             )?;
             for r in &ready {
                 match r.token {
-                    WAKER => self.handle_control(),
-                    token if token >= CONNECTIONS => self.handle_connection(token, r),
-                    token => self.accept((token - LISTENERS) as usize),
+                    WAKER_TOKEN => self.handle_control(),
+                    token if token >= FIRST_CONNECTION_TOKEN => self.handle_connection(token, r),
+                    token => self.accept((token - FIRST_LISTENER_TOKEN) as usize),
                 }
             }
             self.tick();
@@ -341,14 +351,14 @@
                         }
                     }
                 }
-                ControlMessage::LoseLeader(span) => {
-                    self.leader_back = self.clock.now() + span;
+                ControlMessage::LoseLeader(for_us) => {
+                    self.leader_returns_at = self.clock.now() + for_us;
                     let next = self.leader.map_or(0, |l| (l + 1) % self.servers.len());
                     self.leader = None;
                     self.next_leader = next;
                 }
                 ControlMessage::Command(command) => self.commit(command),
-                ControlMessage::Shutdown => self.ended = true,
+                ControlMessage::Shutdown => self.should_end = true,
             }
         }
     }
@@ -357,7 +367,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The leader takes a command in at once, followers after their lag.
+    /// Appends a command to the log. The leader applies it at once, followers after their lag.
     fn commit(&mut self, command: Command) {
         let now = self.clock.now();
         let leader = self.leader.unwrap_or(0);
@@ -382,9 +392,9 @@
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        if self.leader.is_none() && now >= self.leader_back {
+        if self.leader.is_none() && now >= self.leader_returns_at {
             let next = self.next_leader;
-            // The new leader has the whole log, and its followers' sessions get a full TTL.
+            // The new leader applies the whole log, and all sessions and TTL checks get a full TTL from now on.
             self.leader = Some(next);
             self.catch_up(next, u64::MAX);
             self.renewed.values_mut().for_each(|at| *at = now);
@@ -394,8 +404,8 @@
                 self.catch_up(server, now.saturating_sub(self.settings.lag_us));
             }
         }
-        let all = self.servers.iter().map(|s| s.applied).min().unwrap_or(0);
-        while self.log_start < all {
+        let applied_by_all = self.servers.iter().map(|s| s.applied).min().unwrap_or(0);
+        while self.log_start < applied_by_all {
             self.log.pop_front();
             self.log_start += 1;
         }
@@ -403,22 +413,27 @@
         while let Some(answer) = self.delayed.pop_due(now) {
             self.write(answer);
         }
-        let mut still = Vec::new();
-        for parked in std::mem::take(&mut self.parked) {
-            let state = self.replica_for(parked.server, &parked.read);
-            let moved = state.is_none_or(|s| {
-                parked.read.blocking_index(&self.servers[s].state) > parked.read.index
+        let mut still_blocked = Vec::new();
+        for blocked in std::mem::take(&mut self.blocked) {
+            let state = self.replica_for(blocked.server, &blocked.read);
+            let has_changed = state.is_none_or(|s| {
+                blocked.read.blocking_index(&self.servers[s].state) > blocked.read.index
             });
-            if moved || parked.until <= now {
-                self.answer_read(parked.token, parked.server, &parked.read, &parked.who);
+            if has_changed || blocked.until <= now {
+                self.answer_read(
+                    blocked.token,
+                    blocked.server,
+                    &blocked.read,
+                    &blocked.user_agent,
+                );
             } else {
-                still.push(parked);
+                still_blocked.push(blocked);
             }
         }
-        self.parked.extend(still);
+        self.blocked.extend(still_blocked);
     }
 
-    /// Checks and sessions whose TTL is over.
+    /// Marks checks critical and ends sessions whose TTL has expired.
     fn expire(&mut self, now: u64) {
         let Some(leader) = self.leader else { return };
         let state = &self.servers[leader].state;
@@ -457,8 +472,8 @@
         while let Some(listener) = self.listeners.get(server)
             && let Ok((stream, _)) = listener.accept()
         {
-            self.next += 1;
-            if let Ok(conn) = TcpConnection::from_accepted(stream, self.next, &self.poller) {
+            self.last_token += 1;
+            if let Ok(conn) = TcpConnection::from_accepted(stream, self.last_token, &self.poller) {
                 let reader = MessageReader::new(
                     Role::Requests,
                     Limits {
@@ -466,8 +481,8 @@
                         ..Limits::default()
                     },
                 );
-                self.conns.insert(
-                    self.next,
+                self.connections.insert(
+                    self.last_token,
                     ClientConnection {
                         conn,
                         server,
@@ -480,16 +495,16 @@
     }
 
     fn drop_connection(&mut self, token: u64) {
-        self.conns.remove(&token);
-        self.parked.retain(|p| p.token != token);
+        self.connections.remove(&token);
+        self.blocked.retain(|p| p.token != token);
     }
 
     fn handle_connection(&mut self, token: u64, r: &Readiness) {
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        if link.conn.flush(&self.poller).is_err()
-            || (link.closing && link.conn.unwritten_bytes() == 0)
+        if connection.conn.flush(&self.poller).is_err()
+            || (connection.closing && connection.conn.unwritten_bytes() == 0)
         {
             self.drop_connection(token);
             return;
@@ -497,23 +512,24 @@
         if !r.is_readable {
             return;
         }
-        let outcome = link.conn.read_available(256 << 10, 2 << 20);
-        while let Some(link) = self.conns.get_mut(&token) {
-            match link.reader.read(link.conn.unread()) {
+        let outcome = connection.conn.read_available(256 << 10, 2 << 20);
+        while let Some(connection) = self.connections.get_mut(&token) {
+            match connection.reader.read(connection.conn.unread()) {
                 Ok((ReadResult::Message(message), used)) => {
-                    link.conn.consume(used);
-                    let server = link.server;
+                    connection.conn.consume(used);
+                    let server = connection.server;
                     self.handle_request(token, server, &message);
                 }
                 Ok((ReadResult::ExpectsContinue, used)) => {
-                    link.conn.consume(used);
-                    link.conn
+                    connection.conn.consume(used);
+                    connection
+                        .conn
                         .write_buffer()
                         .extend_from_slice(b"HTTP/1.1 100 Continue\r\n\r\n");
-                    let _ = link.conn.flush(&self.poller);
+                    let _ = connection.conn.flush(&self.poller);
                 }
                 Ok((ReadResult::NeedMore, used)) => {
-                    link.conn.consume(used);
+                    connection.conn.consume(used);
                     break;
                 }
                 Err(_) => {
@@ -530,11 +546,11 @@
     fn handle_request(&mut self, token: u64, server: usize, message: &Message) {
         self.requests += 1;
         self.counts[0].fetch_add(1, Ordering::Relaxed);
-        let what = parse_request(message, &node_name(server), self.requests);
-        let suffers =
-            self.servers[server].faults.affects_writes || matches!(what, Request::Read(_));
+        let request = parse_request(message, &node_name(server), self.requests);
+        let is_affected =
+            self.servers[server].faults.affects_writes || matches!(request, Request::Read(_));
         if let Some((status, share)) = self.servers[server].faults.error_status
-            && suffers
+            && is_affected
             && self.uniform() < share
         {
             let text = if status == 429 {
@@ -546,28 +562,28 @@
             return;
         }
         if !self.settings.tokens.is_empty() {
-            let given = message.head.field("x-consul-token").unwrap_or("");
-            let may = self
+            let token_given = message.head.field("x-consul-token").unwrap_or("");
+            let may_write = self
                 .settings
                 .tokens
                 .iter()
-                .find(|(t, _)| t == given)
+                .find(|(t, _)| t == token_given)
                 .map(|(_, write)| *write);
-            let fine = match &what {
-                Request::Write(_) => may == Some(true),
-                _ => may.is_some(),
+            let is_allowed = match &request {
+                Request::Write(_) => may_write == Some(true),
+                _ => may_write.is_some(),
             };
-            if !fine {
-                let why: &[u8] = if may.is_some() {
+            if !is_allowed {
+                let reason: &[u8] = if may_write.is_some() {
                     b"Permission denied"
                 } else {
                     b"ACL not found"
                 };
-                self.answer(token, server, 403, why, None);
+                self.answer(token, server, 403, reason, None);
                 return;
             }
         }
-        match what {
+        match request {
             Request::Response(status, body) => {
                 let text = body
                     .as_str()
@@ -580,24 +596,25 @@
                 self.answer(token, server, status, text.as_bytes(), None);
             }
             Request::Read(read) => {
-                let who = message.head.field("user-agent").unwrap_or("").to_owned();
+                let user_agent = message.head.field("user-agent").unwrap_or("").to_owned();
                 let state = self.replica_for(server, &read);
-                let blocks = read.index > 0
+                let is_unchanged = read.index > 0
                     && state
                         .is_some_and(|s| read.blocking_index(&self.servers[s].state) <= read.index);
-                if blocks {
-                    // Up to a sixteenth of the wait is added, so that not all come back at once.
+                if is_unchanged {
+                    // As documented, up to a sixteenth of the wait is added, so that the queries of many clients do not
+                    // end together.
                     let jitter = (self.uniform() * (read.wait_us / 16) as f64) as u64;
                     let until = self.clock.now() + read.wait_us + jitter;
-                    self.parked.push(BlockedQuery {
+                    self.blocked.push(BlockedQuery {
                         token,
                         server,
                         read,
                         until,
-                        who,
+                        user_agent,
                     });
                 } else {
-                    self.answer_read(token, server, &read, &who);
+                    self.answer_read(token, server, &read, &user_agent);
                 }
             }
             Request::Write(write) => {
@@ -611,7 +628,7 @@
         }
     }
 
-    /// The server whose state answers a read; none without a leader where one is needed.
+    /// The server whose state is read; `None` if the read needs a leader and there is none.
     fn replica_for(&self, server: usize, read: &ReadRequest) -> Option<usize> {
         if read.stale || matches!(read.resource, Resource::Members) {
             Some(server)
@@ -620,13 +637,13 @@
         }
     }
 
-    fn answer_read(&mut self, token: u64, server: usize, read: &ReadRequest, who: &str) {
+    fn answer_read(&mut self, token: u64, server: usize, read: &ReadRequest, user_agent: &str) {
         let Some(from) = self.replica_for(server, read) else {
             self.answer(token, server, 500, b"No cluster leader", None);
             return;
         };
         let faults = self.servers[server].faults.clone();
-        let dc = if faults.other_datacentre {
+        let datacentre = if faults.other_datacentre {
             "elsewhere"
         } else {
             &self.settings.datacentre
@@ -635,22 +652,23 @@
         let index = read
             .blocking_index(state)
             .saturating_sub(faults.index_offset);
-        let (status, mut body) = read.answer(state, dc);
+        let (status, mut body) = read.answer(state, datacentre);
         if faults.empty_lists && !read.consistent {
             body = b"[]".to_vec();
         }
         if faults.partial_share > 0.0
             && !read.consistent
-            && let Ok(Value::Array(mut all)) = serde_json::from_slice(&body)
+            && let Ok(Value::Array(mut entries)) = serde_json::from_slice(&body)
         {
-            all.truncate((all.len() as f64 * faults.partial_share) as usize);
-            body = Value::Array(all).to_string().into_bytes();
+            entries.truncate((entries.len() as f64 * faults.partial_share) as usize);
+            body = Value::Array(entries).to_string().into_bytes();
         }
-        let watched = matches!(read.resource, Resource::HealthService(..))
+        let observed = matches!(read.resource, Resource::HealthService(..))
             && read.filter.is_empty()
             && self.settings.answer_observer.is_some();
-        let watched = watched.then(|| (who.to_owned(), index, read.consistent, body.clone()));
-        self.respond_observed(token, server, status, &body, Some(index), watched);
+        let observed =
+            observed.then(|| (user_agent.to_owned(), index, read.consistent, body.clone()));
+        self.respond_observed(token, server, status, &body, Some(index), observed);
     }
 
     fn answer(&mut self, token: u64, server: usize, status: u16, body: &[u8], index: Option<u64>) {
@@ -664,57 +682,57 @@
         status: u16,
         body: &[u8],
         index: Option<u64>,
-        watched: Option<ObservedRead>,
+        observed: Option<ObservedRead>,
     ) {
-        let known = if self.leader.is_some() {
+        let has_leader = if self.leader.is_some() {
             "true"
         } else {
             "false"
         };
-        let contact = if Some(server) == self.leader {
+        let last_contact_ms = if Some(server) == self.leader {
             0
         } else {
             self.settings.lag_us / 1000
         };
-        let (index, contact) = (index.map(|i| i.to_string()), contact.to_string());
+        let (index, last_contact_ms) = (index.map(|i| i.to_string()), last_contact_ms.to_string());
         let mut fields = vec![
-            ("X-Consul-KnownLeader", known),
-            ("X-Consul-LastContact", contact.as_str()),
+            ("X-Consul-KnownLeader", has_leader),
+            ("X-Consul-LastContact", last_contact_ms.as_str()),
         ];
         fields.extend(index.as_deref().map(|i| ("X-Consul-Index", i)));
         let mut bytes = Vec::new();
-        let kind = if status == 200 {
+        let content_type = if status == 200 {
             "application/json"
         } else {
             "text/plain; charset=utf-8"
         };
         if body.len() > 16 << 10 {
-            http::write_chunked_head(&mut bytes, status, kind, &fields);
+            http::write_chunked_head(&mut bytes, status, content_type, &fields);
             body.chunks(8 << 10)
                 .for_each(|part| http::write_chunk(&mut bytes, part));
             http::write_chunk(&mut bytes, b"");
         } else {
-            http::write_response(&mut bytes, status, kind, &fields, body);
+            http::write_response(&mut bytes, status, content_type, &fields, body);
         }
         let faults = &self.servers[server].faults;
-        let suffers = faults.affects_writes || index.is_some();
-        let (late, cut) = if suffers {
+        let is_affected = faults.affects_writes || index.is_some();
+        let (delay_us, truncated_share) = if is_affected {
             (faults.delay_us, faults.truncated_share)
         } else {
             (0, 0.0)
         };
-        let cut = self.uniform() < cut;
-        if cut {
+        let is_truncated = self.uniform() < truncated_share;
+        if is_truncated {
             bytes.truncate(bytes.len() - body.len() / 2 - 1);
         }
         let answer = Response {
             token,
             bytes,
-            cut,
-            watched,
+            is_truncated,
+            observed,
         };
-        if late > 0 {
-            self.delayed.schedule(self.clock.now() + late, answer);
+        if delay_us > 0 {
+            self.delayed.schedule(self.clock.now() + delay_us, answer);
         } else {
             self.write(answer);
         }
@@ -723,18 +741,23 @@
     fn write(&mut self, answer: Response) {
         let token = answer.token;
         self.counts[1].fetch_add(answer.bytes.len() as u64, Ordering::Relaxed);
-        let Some(link) = self.conns.get_mut(&token) else {
+        let Some(connection) = self.connections.get_mut(&token) else {
             return;
         };
-        link.conn.write_buffer().extend_from_slice(&answer.bytes);
-        link.closing |= answer.cut;
-        if let (Some((who, index, consistent, body)), Some(watch), false) =
-            (&answer.watched, &self.settings.answer_observer, answer.cut)
-        {
-            watch(who, *index, *consistent, body);
-        }
-        let broken = link.conn.flush(&self.poller).is_err();
-        if broken || (link.closing && link.conn.unwritten_bytes() == 0) {
+        connection
+            .conn
+            .write_buffer()
+            .extend_from_slice(&answer.bytes);
+        connection.closing |= answer.is_truncated;
+        if let (Some((user_agent, index, consistent, body)), Some(observe), false) = (
+            &answer.observed,
+            &self.settings.answer_observer,
+            answer.is_truncated,
+        ) {
+            observe(user_agent, *index, *consistent, body);
+        }
+        let has_failed = connection.conn.flush(&self.poller).is_err();
+        if has_failed || (connection.closing && connection.conn.unwritten_bytes() == 0) {
             self.drop_connection(token);
         }
     }
@@ -772,22 +795,22 @@
                 cas,
             } => {
                 let state = self.leader_state();
-                let session_gone = match &lock {
+                let is_session_unknown = match &lock {
                     LockChange::Acquire(s) | LockChange::Release(s) => {
                         !state.sessions.contains_key(s)
                     }
                     LockChange::Unchanged => false,
                 };
-                if session_gone {
+                if is_session_unknown {
                     return (500, b"invalid session".to_vec());
                 }
-                let fine = cas.is_none_or(|cas| state.modify_index(&key) == cas)
+                let is_allowed = cas.is_none_or(|cas| state.modify_index(&key) == cas)
                     && match &lock {
                         LockChange::Unchanged => true,
                         LockChange::Acquire(session) => state.can_lock(&key, session, now),
                         LockChange::Release(session) => state.holds_lock(&key, session),
                     };
-                if fine {
+                if is_allowed {
                     self.commit(Command::PutKey {
                         key,
                         value,
@@ -795,7 +818,7 @@
                         lock,
                     });
                 }
-                json(json!(fine))
+                json(json!(is_allowed))
             }
             WriteRequest::CreateSession(session) => {
                 let id = session.id.clone();
@@ -846,7 +869,7 @@
                             service: Some(id),
                         });
                     }
-                    Some((true, why)) => self.enter_maintenance(node, check, id, name, why),
+                    Some((true, reason)) => self.enter_maintenance(node, check, id, name, reason),
                     Some((false, _)) => self.commit(Command::DeregisterCheck {
                         node: node.to_owned(),
                         check,
@@ -854,10 +877,10 @@
                 }
                 (200, Vec::new())
             }
-            WriteRequest::NodeMaintenance(on, why) => {
+            WriteRequest::NodeMaintenance(on, reason) => {
                 let check = "_node_maintenance".to_owned();
                 if on {
-                    self.enter_maintenance(node, check, String::new(), String::new(), why);
+                    self.enter_maintenance(node, check, String::new(), String::new(), reason);
                 } else {
                     self.commit(Command::DeregisterCheck {
                         node: node.to_owned(),
@@ -875,14 +898,14 @@
         id: String,
         service_id: String,
         service_name: String,
-        why: String,
+        reason: String,
     ) {
         let (name, status) = ("Maintenance Mode".to_owned(), "critical".to_owned());
         let check = Check {
             id,
             name,
             status,
-            output: why,
+            output: reason,
             service_id,
             service_name,
             ttl: None,
--- a/crates/consul-emulator/src/state.rs
+++ b/crates/consul-emulator/src/state.rs
@@ -1,4 +1,5 @@
-//! What the servers agree on, changed by commands only, so that a follower is the leader some commands ago.
+//! The replicated state of the servers. It is changed only by commands, so that a follower's state is the leader's
+//! state after an earlier command.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +7,10 @@
 
 use crate::server::LockEvent;
 
-/// A change.
+/// A command that changes the state.
 #[derive(Clone, Debug)]
 pub enum Command {
-    /// A node with its address and metadata, and perhaps a service and checks on it.
+    /// Registers a node with its address and metadata, and optionally a service and checks on it.
     Register {
         node: String,
         address: String,
@@ -17,34 +18,34 @@
         service: Option<Service>,
         checks: Vec<Check>,
     },
-    /// A service of a node is gone, or the node with all of them.
+    /// Deregisters a service of a node, or the node with all its services.
     Deregister {
         node: String,
         service: Option<String>,
     },
-    /// A check's status.
+    /// Sets the status of a check.
     SetCheckStatus {
         node: String,
         check: String,
         status: String,
         output: String,
     },
-    /// A check is gone.
+    /// Deregisters a check.
     DeregisterCheck { node: String, check: String },
-    /// A session begins.
+    /// Creates a session.
     CreateSession(Session),
-    /// A session ends, and lets go of its locks.
+    /// Ends a session at this time, µs, and releases its locks.
     EndSession { session: String, at: u64 },
-    /// A key's value; with what becomes of its lock.
+    /// Sets the value (base64) of a key, and changes its lock.
     PutKey {
         key: String,
         value: String,
         flags: u64,
         lock: LockChange,
     },
-    /// A key is gone, or all under a prefix.
+    /// Deletes a key, or all keys with a prefix.
     DeleteKeys { key: String, recurse: bool },
-    /// An agent's status in the gossip pool.
+    /// Sets an agent's status in the gossip pool.
     SetMember {
         name: String,
         address: String,
@@ -52,50 +53,69 @@
     },
 }
 
-/// What a put does with a key's lock.
+/// The change of a key's lock by a put.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LockChange {
-    /// Nothing.
+    /// The lock is not changed.
     Unchanged,
-    /// The session takes it.
+    /// The session acquires the lock.
     Acquire(String),
-    /// The session lets go of it.
+    /// The session releases the lock.
     Release(String),
 }
 
-/// A service instance.
+/// A service instance, as registered.
 #[derive(Clone, Debug)]
 pub struct Service {
+    /// Its id, unique on its node.
     pub id: String,
+    /// The name of the service.
     pub name: String,
+    /// Its address; empty for the address of its node.
     pub address: String,
+    /// Its port.
     pub port: i64,
+    /// Its tags, an array.
     pub tags: Value,
+    /// Its metadata, an object.
     pub meta: Value,
+    /// `EnableTagOverride`.
     pub override_tags: bool,
 }
 
-/// A check.
+/// A check of a node or of a service instance.
 #[derive(Clone, Debug)]
 pub struct Check {
+    /// Its id, unique on its node.
     pub id: String,
+    /// Its name.
     pub name: String,
+    /// `passing`, `warning` or `critical`.
     pub status: String,
+    /// The text of its last update.
     pub output: String,
+    /// The id of its service instance; empty for a check of the node.
     pub service_id: String,
+    /// The name of its service; empty for a check of the node.
     pub service_name: String,
-    /// Critical unless it is renewed within this, µs.
+    /// The check becomes critical if it is not renewed within this time, µs.
     pub ttl: Option<u64>,
 }
 
-/// A session.
+/// A session, which holds locks on keys.
 #[derive(Clone, Debug)]
 pub struct Session {
+    /// Its id, a UUID.
     pub id: String,
+    /// Its name.
     pub name: String,
+    /// The node that it belongs to.
     pub node: String,
+    /// The session ends if it is not renewed within this time, µs; 0 for no limit.
     pub ttl: u64,
+    /// After the session ends, its keys cannot be locked for this time, µs.
     pub lock_delay: u64,
+    /// `release` or `delete`: what happens to its keys when it ends.
     pub behavior: String,
 }
 
@@ -131,17 +151,18 @@
     modified: u64,
 }
 
-/// The state after some commands.
+/// The state after a number of commands.
 #[derive(Clone, Debug, Default)]
 pub struct State {
-    /// The index of the last command.
+    /// The index of the last applied command.
     pub index: u64,
     nodes: BTreeMap<String, Node>,
     instances: BTreeMap<(String, String), ServiceInstance>,
     checks_by_id: BTreeMap<(String, String), RegisteredCheck>,
+    /// Sessions by id, with their create indexes.
     pub sessions: BTreeMap<String, (Session, u64)>,
     keys: BTreeMap<String, KeyEntry>,
-    /// Until when nobody may lock a key, µs.
+    /// For each key, the time until which it cannot be locked, µs.
     lock_delays: BTreeMap<String, u64>,
     members: BTreeMap<String, (String, i64)>,
     service_index: BTreeMap<String, u64>,
@@ -164,12 +185,12 @@
                 service,
                 checks,
             } => {
-                let known = self
+                let current = self
                     .nodes
                     .get(node)
                     .map(|n| (n.address == *address && n.meta == *meta, n.created));
-                if known.is_none_or(|(same, _)| !same) {
-                    let created = known.map_or(index, |(_, created)| created);
+                if current.is_none_or(|(is_unchanged, _)| !is_unchanged) {
+                    let created = current.map_or(index, |(_, created)| created);
                     let entry = Node {
                         address: address.clone(),
                         meta: meta.clone(),
@@ -211,8 +232,8 @@
                 node,
                 service: Some(id),
             } => {
-                if let Some(gone) = self.instances.remove(&(node.clone(), id.clone())) {
-                    self.touch_service(&gone.service.name);
+                if let Some(removed) = self.instances.remove(&(node.clone(), id.clone())) {
+                    self.touch_service(&removed.service.name);
                 }
                 self.checks_by_id
                     .retain(|(n, _), p| n != node || p.check.service_id != *id);
@@ -234,21 +255,22 @@
                 status,
                 output,
             } => {
-                let mut service = None;
-                if let Some(probe) = self.checks_by_id.get_mut(&(node.clone(), check.clone()))
-                    && (probe.check.status != *status || probe.check.output != *output)
+                let mut changed_service = None;
+                if let Some(registered) = self.checks_by_id.get_mut(&(node.clone(), check.clone()))
+                    && (registered.check.status != *status || registered.check.output != *output)
                 {
-                    (probe.check.status, probe.check.output) = (status.clone(), output.clone());
-                    probe.modified = index;
-                    service = Some(probe.check.service_name.clone());
+                    (registered.check.status, registered.check.output) =
+                        (status.clone(), output.clone());
+                    registered.modified = index;
+                    changed_service = Some(registered.check.service_name.clone());
                 }
-                if let Some(service) = service {
+                if let Some(service) = changed_service {
                     self.touch_check(node, &service);
                 }
             }
             Command::DeregisterCheck { node, check } => {
-                if let Some(gone) = self.checks_by_id.remove(&(node.clone(), check.clone())) {
-                    self.touch_check(node, &gone.check.service_name);
+                if let Some(removed) = self.checks_by_id.remove(&(node.clone(), check.clone())) {
+                    self.touch_check(node, &removed.check.service_name);
                 }
             }
             Command::CreateSession(session) => {
@@ -257,23 +279,25 @@
                 self.sessions_index = index;
             }
             Command::EndSession { session, at } => {
-                let Some((gone, _)) = self.sessions.remove(session) else {
+                let Some((ended, _)) = self.sessions.remove(session) else {
                     return;
                 };
                 self.sessions_index = index;
-                let mut dropped = Vec::new();
+                let mut deleted_keys = Vec::new();
                 for (name, key) in &mut self.keys {
                     if key.session.as_deref() == Some(session) {
                         key.session = None;
                         key.modified = index;
                         self.keys_index = index;
-                        self.lock_delays.insert(name.clone(), at + gone.lock_delay);
-                        if gone.behavior == "delete" {
-                            dropped.push(name.clone());
+                        self.lock_delays.insert(name.clone(), at + ended.lock_delay);
+                        if ended.behavior == "delete" {
+                            deleted_keys.push(name.clone());
                         }
                     }
                 }
-                dropped.iter().for_each(|name| drop(self.keys.remove(name)));
+                deleted_keys
+                    .iter()
+                    .for_each(|name| drop(self.keys.remove(name)));
             }
             Command::PutKey {
                 key,
@@ -321,8 +345,8 @@
         }
     }
 
-    /// Tells what a command that is about to be applied does to locks.
-    pub fn notify_lock_events(&self, command: &Command, tell: &dyn Fn(LockEvent<'_>)) {
+    /// Reports the lock changes of a command that is about to be applied.
+    pub fn notify_lock_events(&self, command: &Command, observe: &dyn Fn(LockEvent<'_>)) {
         match command {
             Command::PutKey {
                 key,
@@ -330,18 +354,18 @@
                 ..
             } if !self.holds_lock(key, session) => {
                 if let Some((session, _)) = self.sessions.get(session) {
-                    tell(LockEvent::Locked(key, &session.name));
+                    observe(LockEvent::Locked(key, &session.name));
                 }
             }
             Command::PutKey {
                 key,
                 lock: LockChange::Release(_),
                 ..
-            } => tell(LockEvent::Released(key, 0)),
+            } => observe(LockEvent::Released(key, 0)),
             Command::EndSession { session, .. } => {
                 let delay = self.sessions.get(session).map_or(0, |(s, _)| s.lock_delay);
                 for key in self.keys.keys().filter(|key| self.holds_lock(key, session)) {
-                    tell(LockEvent::Released(key, delay));
+                    observe(LockEvent::Released(key, delay));
                 }
             }
             _ => {}
@@ -362,7 +386,7 @@
         names.iter().for_each(|name| self.touch_service(name));
     }
 
-    /// A check of a service, or of a node with all its services, has changed.
+    /// Updates the indexes after a change of a check of a service, or of a node with all its services.
     fn touch_check(&mut self, node: &str, service: &str) {
         self.checks_index = self.index;
         if service.is_empty() {
@@ -372,7 +396,7 @@
         }
     }
 
-    /// Whether a session may lock a key now.
+    /// Whether a session may lock a key at this time.
     pub fn can_lock(&self, key: &str, session: &str, now: u64) -> bool {
         let delayed = self.lock_delays.get(key).is_some_and(|&until| until > now);
         let holder = self.keys.get(key).and_then(|k| k.session.as_deref());
@@ -380,19 +404,19 @@
             && (holder == Some(session) || (holder.is_none() && !delayed))
     }
 
-    /// Whether a session holds a key.
+    /// Whether a session holds the lock of a key.
     pub fn holds_lock(&self, key: &str, session: &str) -> bool {
         self.keys
             .get(key)
             .is_some_and(|k| k.session.as_deref() == Some(session))
     }
 
-    /// A key's modify index; 0 if there is none.
+    /// The modify index of a key; 0 if the key does not exist.
     pub fn modify_index(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.modified)
     }
 
-    /// Checks with a TTL.
+    /// Checks with a TTL: node and check id, TTL in µs, and status.
     pub fn ttl_checks(&self) -> impl Iterator<Item = (&(String, String), u64, &str)> {
         self.checks_by_id
             .iter()
@@ -405,14 +429,14 @@
             .contains_key(&(node.to_owned(), check.to_owned()))
     }
 
-    /// A service's name.
+    /// The name of the service of a service instance.
     pub fn service_name(&self, node: &str, id: &str) -> Option<&str> {
         self.instances
             .get(&(node.to_owned(), id.to_owned()))
             .map(|i| i.service.name.as_str())
     }
 
-    /// The index that a query of a service blocks on.
+    /// The index that a blocking query of a service waits on.
     pub fn service_index(&self, service: &str) -> u64 {
         self.service_index
             .get(service)
@@ -425,12 +449,12 @@
         self.nodes_index.max(1)
     }
 
-    /// The index of checks.
+    /// The index of the list of checks.
     pub fn checks_index(&self) -> u64 {
         self.checks_index.max(1)
     }
 
-    /// The index of keys.
+    /// The index of the list of keys.
     pub fn keys_index(&self) -> u64 {
         self.keys_index.max(1)
     }
@@ -446,19 +470,19 @@
         })
     }
 
-    fn check_json(node: &str, probe: &RegisteredCheck) -> Value {
-        let c = &probe.check;
+    fn check_json(node: &str, registered: &RegisteredCheck) -> Value {
+        let c = &registered.check;
         json!({
             "Node": node, "CheckID": c.id, "Name": c.name, "Status": c.status, "Notes": "", "Output": c.output,
             "ServiceID": c.service_id, "ServiceName": c.service_name, "ServiceTags": [],
             "Type": if c.ttl.is_some() { "ttl" } else { "" }, "Definition": {},
-            "CreateIndex": probe.created, "ModifyIndex": probe.modified,
+            "CreateIndex": registered.created, "ModifyIndex": registered.modified,
         })
     }
 
     /// Entries of `/v1/health/service/:name`.
     pub fn health_service(&self, service: &str, dc: &str, passing: bool) -> Vec<Value> {
-        let of = |(node, id): &(String, String), instance: &ServiceInstance| {
+        let entry_of = |(node, id): &(String, String), instance: &ServiceInstance| {
             let s = &instance.service;
             let checks = self.checks_by_id.range((node.clone(), String::new())..);
             let checks = checks.take_while(|((n, _), _)| n == node);
@@ -476,19 +500,19 @@
                 },
                 "Checks": checks,
             });
-            let fine = checks.iter().all(|c| c["Status"] == "passing");
-            (fine || !passing).then_some(entry)
+            let is_passing = checks.iter().all(|c| c["Status"] == "passing");
+            (is_passing || !passing).then_some(entry)
         };
         self.instances
             .iter()
             .filter(|(_, i)| i.service.name == service)
-            .filter_map(|(key, i)| of(key, i))
+            .filter_map(|(key, instance)| entry_of(key, instance))
             .collect()
     }
 
     /// Entries of `/v1/catalog/service/:name`.
     pub fn catalog_service(&self, service: &str, dc: &str) -> Vec<Value> {
-        let of = |(node, _): &(String, String), i: &ServiceInstance| {
+        let entry_of = |(node, _): &(String, String), i: &ServiceInstance| {
             let s = &i.service;
             let n = self.node_json(node, dc);
             json!({
@@ -502,7 +526,7 @@
         self.instances
             .iter()
             .filter(|(_, i)| i.service.name == service)
-            .map(|(k, i)| of(k, i))
+            .map(|(key, instance)| entry_of(key, instance))
             .collect()
     }
 
@@ -516,29 +540,29 @@
 
     /// Entries of `/v1/health/node/:node`, or of `/v1/health/state/:state`.
     pub fn checks(&self, node: Option<&str>, state: Option<&str>) -> Vec<Value> {
-        let wanted = |(n, _): &(String, String), p: &RegisteredCheck| {
+        let is_selected = |(n, _): &(String, String), p: &RegisteredCheck| {
             node.is_none_or(|node| node == n)
                 && state.is_none_or(|s| s == "any" || s == p.check.status)
         };
         self.checks_by_id
             .iter()
-            .filter(|(k, p)| wanted(k, p))
+            .filter(|(key, check)| is_selected(key, check))
             .map(|(k, p)| Self::check_json(&k.0, p))
             .collect()
     }
 
     /// Entries of `/v1/agent/members`.
     pub fn members(&self) -> Vec<Value> {
-        let of = |(name, (address, status)): (&String, &(String, i64))| {
+        let entry_of = |(name, (address, status)): (&String, &(String, i64))| {
             json!({
                 "Name": name, "Addr": address, "Port": 8301, "Tags": {"role": "node"}, "Status": status,
                 "ProtocolMin": 1, "ProtocolMax": 5, "ProtocolCur": 2, "DelegateMin": 2, "DelegateMax": 5, "DelegateCur": 4,
             })
         };
-        self.members.iter().map(of).collect()
+        self.members.iter().map(entry_of).collect()
     }
 
-    /// A session as `/v1/session/info` shows it.
+    /// A session, as returned by `/v1/session/info`.
     pub fn session(&self, id: &str) -> Option<Value> {
         let (s, created) = self.sessions.get(id)?;
         Some(json!({
@@ -548,16 +572,16 @@
         }))
     }
 
-    /// Entries of `/v1/kv/:key`.
+    /// Entries of `/v1/kv/:key`, for a key or for all keys with that prefix.
     pub fn keys(&self, key: &str, recurse: bool) -> Vec<Value> {
-        let wanted = |name: &str| {
+        let is_selected = |name: &str| {
             if recurse {
                 name.starts_with(key)
             } else {
                 name == key
             }
         };
-        let of = |(name, k): (&String, &KeyEntry)| {
+        let entry_of = |(name, k): (&String, &KeyEntry)| {
             let mut entry = Map::new();
             entry.insert("LockIndex".into(), json!(k.locks));
             entry.insert("Key".into(), json!(name));
@@ -572,13 +596,13 @@
         };
         self.keys
             .iter()
-            .filter(|(name, _)| wanted(name))
-            .map(of)
+            .filter(|(name, _)| is_selected(name))
+            .map(entry_of)
             .collect()
     }
 }
 
-/// A name as a UUID, alike each time.
+/// A UUID derived from a name; the same name gives the same UUID.
 pub fn uuid(name: &str) -> String {
     let mut h = (0xcbf2_9ce4_8422_2325_u64, 0x9e37_79b9_7f4a_7c15_u64);
     for b in name.bytes() {
--- a/crates/consul-emulator/tests/bodies.rs
+++ b/crates/consul-emulator/tests/bodies.rs
@@ -1,6 +1,9 @@
-//! Bodies as clients send them: keys in any case, spans as texts and numbers, one check or several, and answers whose
-//! fields are the documented ones.
-#![allow(clippy::too_many_lines, reason = "some cases are told in one piece")]
+//! Request bodies as clients send them (keys in any case, durations as texts and numbers, one check or several), and
+//! the documented fields of responses.
+#![allow(
+    clippy::too_many_lines,
+    reason = "some tests check a sequence of requests that depend on each other"
+)]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,7 +14,7 @@
 use serde_json::{Value, json};
 
 fn http_call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
-    let mut stream = TcpStream::connect(at).expect("the stand-in listens");
+    let mut stream = TcpStream::connect(at).expect("the emulator listens");
     let body = if body.is_null() {
         String::new()
     } else {
@@ -22,35 +25,37 @@
         "{method} {target} HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
     )
-    .expect("sent");
+    .expect("request sent");
     stream
         .set_read_timeout(Some(Duration::from_secs(20)))
-        .expect("a timeout");
+        .expect("read timeout set");
     let mut reader = MessageReader::new(Role::Responses, Limits::default());
-    let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
+    let (mut bytes, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        let (found, used) = reader.read(&bytes).expect("HTTP");
+        let (found, used) = reader.read(&bytes).expect("a valid HTTP response");
         bytes.drain(..used);
         if let ReadResult::Message(message) = found {
             let text = String::from_utf8_lossy(&message.body).into_owned();
             let body = serde_json::from_str(&text).unwrap_or(Value::String(text));
             return (message.head.status(), body);
         }
-        let n = stream.read(&mut part).expect("an answer in time");
-        assert_ne!(n, 0, "the connection ended before the answer");
-        bytes.extend_from_slice(&part[..n]);
+        let n = stream
+            .read(&mut chunk)
+            .expect("a response within the timeout");
+        assert_ne!(n, 0, "the connection was closed before the response");
+        bytes.extend_from_slice(&chunk[..n]);
     }
 }
 
-/// The same body with all keys in lower case, but those of maps that users fill.
+/// The same body with all keys in lower case, except those of maps whose keys users choose.
 fn with_lower_case_keys(value: &Value) -> Value {
     match value {
         Value::Object(fields) => {
             let one = |(key, value): (&String, &Value)| {
-                let user = key == "Meta" || key == "NodeMeta";
+                let has_user_keys = key == "Meta" || key == "NodeMeta";
                 (
                     key.to_lowercase(),
-                    if user {
+                    if has_user_keys {
                         value.clone()
                     } else {
                         with_lower_case_keys(value)
@@ -78,26 +83,29 @@
         "Check": {"TTL": "10s", "Status": "passing"},
         "Checks": [{"CheckID": "disk", "Name": "disk", "TTL": "500ms"}, {"Name": "third", "TTL": "1m30s"}],
     });
-    let mut read = Vec::new();
+    let mut lists = Vec::new();
     for body in [service.clone(), with_lower_case_keys(&service)] {
-        let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
+        let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
         let at = servers.addresses[0];
         let (status, answer) = http_call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 200, "{answer}");
         let (_, mut list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
-        for check in list[0]["Checks"].as_array_mut().expect("checks") {
+        for check in list[0]["Checks"]
+            .as_array_mut()
+            .expect("an array of checks")
+        {
             check["Output"] = json!("");
         }
-        read.push(list);
+        lists.push(list);
     }
-    assert_eq!(read[0], read[1]);
-    let entry = &read[0][0];
+    assert_eq!(lists[0], lists[1]);
+    let entry = &lists[0][0];
     assert_eq!(entry["Service"]["ID"], "web-1");
     assert_eq!(entry["Service"]["EnableTagOverride"], true);
     assert_eq!(
         entry["Service"]["Meta"],
         json!({"Zone": "A"}),
-        "keys of users' maps keep their case"
+        "user-chosen keys keep their case"
     );
     let ids: Vec<&str> = entry["Checks"]
         .as_array()
@@ -110,7 +118,7 @@
 
 #[test]
 fn accepts_lower_case_keys_and_every_duration_format() {
-    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
     let at = servers.addresses[0];
     let node = json!({
         "node": "n1", "address": "127.0.0.2", "nodemeta": {"Rack": "1"},
@@ -125,7 +133,7 @@
         &Value::Null,
     );
     assert_eq!(list[0]["Checks"][0]["ServiceName"], "hosts", "{list}");
-    for (ttl, fine) in [
+    for (ttl, is_valid) in [
         (json!("10s"), true),
         (json!("1m30s"), true),
         (json!("1.5h"), true),
@@ -137,9 +145,9 @@
     ] {
         let body = json!({"name": "s", "ttl": ttl, "lockdelay": "1s", "behavior": "delete"});
         let (status, answer) = http_call(at, "PUT", "/v1/session/create", &body);
-        assert_eq!(status == 200, fine, "{ttl}: {status} {answer}");
-        if fine {
-            let id = answer["ID"].as_str().expect("an id").to_owned();
+        assert_eq!(status == 200, is_valid, "{ttl}: {status} {answer}");
+        if is_valid {
+            let id = answer["ID"].as_str().expect("a session id").to_owned();
             let (_, info) = http_call(
                 at,
                 "GET",
@@ -170,13 +178,16 @@
         .into_iter()
         .flatten()
         .find(|c| c["CheckID"] == "own")
-        .expect("it passes");
+        .expect("the check is passing");
     assert_eq!(
         (own["Output"].as_str(), own["Type"].as_str()),
         (Some("well"), Some("ttl"))
     );
-    let gone = json!({"node": "n1", "serviceid": "h1"});
-    assert_eq!(http_call(at, "PUT", "/v1/catalog/deregister", &gone).0, 200);
+    let deregistration = json!({"node": "n1", "serviceid": "h1"});
+    assert_eq!(
+        http_call(at, "PUT", "/v1/catalog/deregister", &deregistration).0,
+        200
+    );
     let (_, list) = http_call(
         at,
         "GET",
@@ -188,7 +199,7 @@
 
 #[test]
 fn names_the_field_that_cannot_be_decoded() {
-    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
     let at = servers.addresses[0];
     for (body, key) in [
         (json!({"Name": "web", "Port": "80"}), "Port"),
@@ -200,37 +211,40 @@
         ),
         (json!({"Name": "web", "Check": {"TTL": "soon"}}), "TTL"),
     ] {
-        let (status, why) = http_call(at, "PUT", "/v1/agent/service/register", &body);
+        let (status, error) = http_call(at, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 400, "{body}");
         assert!(
-            why.as_str().is_some_and(|w| w.contains(key)),
-            "{body}: {why}"
+            error.as_str().is_some_and(|text| text.contains(key)),
+            "{body}: {error}"
         );
     }
     let (_, list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
-    assert_eq!(list, json!([]), "nothing of it was taken");
+    assert_eq!(list, json!([]), "rejected bodies are not applied");
 }
 
 #[test]
 fn answers_have_the_documented_fields() {
-    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
     let at = servers.addresses[0];
     let service = json!({"Name": "web", "Port": 80, "Check": {"TTL": "10s", "Status": "passing"}});
     assert_eq!(
         http_call(at, "PUT", "/v1/agent/service/register", &service).0,
         200
     );
-    let has = |value: &Value, wanted: &[&str]| {
+    let assert_has_fields = |value: &Value, expected: &[&str]| {
         let found = field_names(value);
-        let missing: Vec<&&str> = wanted
+        let missing: Vec<&&str> = expected
             .iter()
-            .filter(|w| !found.iter().any(|f| f == *w))
+            .filter(|name| !found.iter().any(|f| f == *name))
             .collect();
-        assert!(missing.is_empty(), "{missing:?} missing in {found:?}");
+        assert!(
+            missing.is_empty(),
+            "fields {missing:?} are missing in {found:?}"
+        );
     };
     let (_, health) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
-    has(&health[0], &["Node", "Service", "Checks"]);
-    has(
+    assert_has_fields(&health[0], &["Node", "Service", "Checks"]);
+    assert_has_fields(
         &health[0]["Node"],
         &[
             "ID",
@@ -241,7 +255,7 @@
             "Meta",
         ],
     );
-    let wanted = [
+    let expected = [
         "ID",
         "Service",
         "Tags",
@@ -252,12 +266,12 @@
         "Weights",
         "Proxy",
     ];
-    has(&health[0]["Service"], &wanted);
-    has(
+    assert_has_fields(&health[0]["Service"], &expected);
+    assert_has_fields(
         &health[0]["Service"],
         &["EnableTagOverride", "Connect", "CreateIndex", "ModifyIndex"],
     );
-    let wanted = [
+    let expected = [
         "Node",
         "CheckID",
         "Name",
@@ -268,14 +282,14 @@
         "ServiceName",
         "ServiceTags",
     ];
-    has(&health[0]["Checks"][0], &wanted);
+    assert_has_fields(&health[0]["Checks"][0], &expected);
     let (_, catalog) = http_call(
         at,
         "GET",
         "/v1/catalog/service/web?consistent",
         &Value::Null,
     );
-    let wanted = [
+    let expected = [
         "ID",
         "Node",
         "Address",
@@ -285,17 +299,17 @@
         "ServiceID",
         "ServiceName",
     ];
-    has(&catalog[0], &wanted);
-    let wanted = [
+    assert_has_fields(&catalog[0], &expected);
+    let expected = [
         "ServiceAddress",
         "ServicePort",
         "ServiceTags",
         "ServiceMeta",
         "ServiceEnableTagOverride",
     ];
-    has(&catalog[0], &wanted);
+    assert_has_fields(&catalog[0], &expected);
     let (_, nodes) = http_call(at, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
-    has(
+    assert_has_fields(
         &nodes[0],
         &[
             "ID",
@@ -307,7 +321,7 @@
         ],
     );
     let (_, members) = http_call(at, "GET", "/v1/agent/members", &Value::Null);
-    has(
+    assert_has_fields(
         &members[0],
         &[
             "Name",
--- a/crates/consul-emulator/tests/client_library.rs
+++ b/crates/consul-emulator/tests/client_library.rs
@@ -1,5 +1,5 @@
-//! A public Consul client library works against the stand-in: it registers, reads health with a blocking query, takes
-//! a lock and reads it back.
+//! A public Consul client library works with the emulator: it registers, reads health with a blocking query, acquires a
+//! lock and reads it back.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -45,7 +45,7 @@
     consul
         .register_entity(&payload("n1"))
         .await
-        .expect("registered");
+        .expect("registration succeeds");
     let request = || GetServiceNodesRequest {
         service: "maplethread-host",
         near: None,
@@ -55,7 +55,7 @@
     let first = consul
         .get_service_nodes(request(), None)
         .await
-        .expect("read");
+        .expect("read succeeds");
     assert_eq!(first.response.len(), 1);
     assert_eq!(
         (
@@ -65,46 +65,46 @@
         ("n1", 7000)
     );
     assert!(first.index > 0);
-    // A blocking query comes back when the service has changed, and not before.
+    // A blocking query returns when the service has changed, and not earlier.
     let options = QueryOptions {
         index: Some(first.index),
         wait: Some(Duration::from_secs(20)),
         timeout: Some(Duration::from_secs(30)),
         ..QueryOptions::default()
     };
-    let from = Instant::now();
+    let start = Instant::now();
     let register = async {
         tokio::time::sleep(Duration::from_millis(200)).await;
         consul
             .register_entity(&payload("n2"))
             .await
-            .expect("registered");
+            .expect("registration succeeds");
     };
     let (second, ()) = tokio::join!(consul.get_service_nodes(request(), Some(options)), register);
-    let second = second.expect("read");
+    let second = second.expect("read succeeds");
     assert!(
-        from.elapsed() >= Duration::from_millis(190) && from.elapsed() < Duration::from_secs(15)
+        start.elapsed() >= Duration::from_millis(190) && start.elapsed() < Duration::from_secs(15)
     );
     assert_eq!(second.response.len(), 2);
     assert!(second.index > first.index);
-    // A lock, read back; nobody else gets it meanwhile.
+    // A lock is acquired and read back; a second client cannot acquire it.
     let lock = LockRequest {
         key: "maplethread/slots/0",
         ..LockRequest::default()
     };
-    let held = consul.get_lock(lock, b"me").await.expect("locked");
+    let lock_guard = consul.get_lock(lock, b"me").await.expect("lock acquired");
     assert!(consul.get_lock(lock, b"another").await.is_err());
     let key = ReadKeyRequest {
         key: "maplethread/slots/0",
         ..ReadKeyRequest::default()
     };
-    let read = consul.read_key(key.clone()).await.expect("read");
+    let read = consul.read_key(key.clone()).await.expect("read succeeds");
     assert_eq!(read.response[0].value.as_deref(), Some("me"));
     assert_eq!(
         read.response[0].session.as_deref(),
-        Some(held.session_id.as_str())
+        Some(lock_guard.session_id.as_str())
     );
-    drop(held);
+    drop(lock_guard);
 }
 
 #[test]
@@ -112,19 +112,19 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
-    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
+        .expect("runtime created");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers started");
     runtime.block_on(exercise_client(
         format!("http://{}", servers.addresses[0]),
         None,
     ));
-    // With tokens: only those that may.
+    // With tokens configured, only the token with write permission can register.
     let tokens = vec![("writer".to_owned(), true), ("reader".to_owned(), false)];
     let servers = Servers::start(EmulatorSettings {
         tokens,
         ..EmulatorSettings::new(1)
     })
-    .expect("servers");
+    .expect("servers started");
     let address = format!("http://{}", servers.addresses[0]);
     runtime.block_on(exercise_client(address.clone(), Some("writer".to_owned())));
     for token in [None, Some("reader".to_owned())] {
--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -15,7 +15,7 @@
 use maplethread_reactor::{Poller, ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::frame::{self, Frame};
 
-/// Prefix of their names, by which their traffic is told from that of real placers.
+/// Prefix of their names, by which their traffic is distinguished from that of real placers.
 const PREFIX: &str = "hollow-placer-";
 /// Delay before a connection that failed or was lost is retried, µs.
 const RECONNECT_INTERVAL_US: u64 = 1_000_000;
--- a/crates/emulator/src/host_pool/thread.rs
+++ b/crates/emulator/src/host_pool/thread.rs
@@ -168,29 +168,32 @@
             }
             let now = self.context.clock.now();
             while let Some(due) = self.timers.pop_due(now) {
-                let slot = due.host_index;
-                if self.slots[slot].process_number == due.process_number
-                    && !self.slots[slot].is_down
+                let host_index = due.host_index;
+                if self.slots[host_index].process_number == due.process_number
+                    && !self.slots[host_index].is_down
                 {
                     let mut out = Vec::new();
-                    self.slots[slot]
-                        .host
-                        .handle_timer(now, due.timer, &mut self.keys, &mut out);
-                    self.apply_actions(slot, out);
+                    self.slots[host_index].host.handle_timer(
+                        now,
+                        due.timer,
+                        &mut self.keys,
+                        &mut out,
+                    );
+                    self.apply_actions(host_index, out);
                     self.flush_pending();
                 }
             }
             if last_tick + TICK_INTERVAL_US <= now {
-                for slot in 0..self.slots.len() {
-                    if !self.slots[slot].is_down && self.slots[slot].host.has_tasks() {
+                for host_index in 0..self.slots.len() {
+                    if !self.slots[host_index].is_down && self.slots[host_index].host.has_tasks() {
                         let mut out = Vec::new();
-                        self.slots[slot].host.serve_interval(
+                        self.slots[host_index].host.serve_interval(
                             last_tick,
                             now,
                             &mut self.keys,
                             &mut out,
                         );
-                        self.apply_actions(slot, out);
+                        self.apply_actions(host_index, out);
                     }
                 }
                 self.flush_pending();
@@ -207,31 +210,31 @@
             match command {
                 None => return Ok(()),
                 Some(HostCommand::End) => self.is_ended = true,
-                Some(HostCommand::Crash(slot)) => self.stop_host(slot),
-                Some(HostCommand::Start(slot)) if self.slots[slot].is_down => {
-                    self.slots[slot].host.restart();
-                    self.start_host(slot)?;
+                Some(HostCommand::Crash(host_index)) => self.stop_host(host_index),
+                Some(HostCommand::Start(host_index)) if self.slots[host_index].is_down => {
+                    self.slots[host_index].host.restart();
+                    self.start_host(host_index)?;
                 }
                 Some(HostCommand::Start(_)) => {}
-                Some(HostCommand::Drain(slot)) => {
-                    self.slots[slot].host.drain();
+                Some(HostCommand::Drain(host_index)) => {
+                    self.slots[host_index].host.drain();
                     let tokens: Vec<u64> = self
                         .connection_of_placer
                         .iter()
-                        .filter(|((host, _), _)| *host == slot)
+                        .filter(|((host, _), _)| *host == host_index)
                         .map(|(_, &token)| token)
                         .collect();
                     tokens
                         .into_iter()
                         .for_each(|token| self.send(token, Frame::Drain));
                 }
-                Some(HostCommand::SetFaults(slot, faults)) => {
-                    self.slots[slot].host.set_faults(faults)
+                Some(HostCommand::SetFaults(host_index, faults)) => {
+                    self.slots[host_index].host.set_faults(faults)
                 }
-                Some(HostCommand::SetReachable(slot, reachable)) => {
-                    self.set_reachable(slot, reachable)
+                Some(HostCommand::SetReachable(host_index, reachable)) => {
+                    self.set_reachable(host_index, reachable)
                 }
-                Some(HostCommand::ResetMidFrame(slot)) => self.reset_mid_frame(slot),
+                Some(HostCommand::ResetMidFrame(host_index)) => self.reset_mid_frame(host_index),
             }
         }
     }
--- a/crates/emulator/src/scenario_run/mod.rs
+++ b/crates/emulator/src/scenario_run/mod.rs
@@ -341,7 +341,7 @@
         let behaviour = owners.behaviour();
         (behaviour.request_count, behaviour.placed_count)
     };
-    eprint!("\r{second:3} s: {requests} asks, {placed} placed ");
+    eprint!("\r{second:3} s: {requests} requests, {placed} placed ");
     let _ = io::stderr().flush();
 }
 
