--- a/crates/emulator/src/fault_plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -20,7 +20,7 @@
 const MIN_FLAP_S: f64 = 0.05;
 /// Minimum period of health flaps of a host that really fails, s.
 const MIN_FAILING_FLAP_S: f64 = 0.2;
-/// Share of the catalogue's answers that are truncated under a `CatalogueCut` fault.
+/// Share of the catalogue's answers that are truncated under a `CatalogueTruncated` fault.
 const TRUNCATED_ANSWER_SHARE: f64 = 0.7;
 
 /// The contents of the inventory.
@@ -42,7 +42,7 @@
     ClassErrors { class: String, share: f64 },
     ClassSilence { class: String, share: f64 },
     AnswersLost { share: f64 },
-    Neighbour { core_share: f64 },
+    NoisyNeighbour { core_share: f64 },
     SlowAdmission { factor: f64 },
     HeavyTail { class: String, share: f64 },
     HotServices { share: f64 },
@@ -137,14 +137,14 @@
             FaultKind::HostCrash | FaultKind::ZoneLoss => self.crash_hosts(fault, window),
             FaultKind::Silence => self.silence_hosts(fault, window),
             FaultKind::RollingDeploy => self.deploy_hosts(fault, window),
-            FaultKind::Shrink => self.remove_hosts(fault, window),
+            FaultKind::FleetShrink => self.remove_hosts(fault, window),
             FaultKind::ResetMidFrame => self.reset_connections(fault, window),
             FaultKind::FastErrors
             | FaultKind::ClassErrors
             | FaultKind::ClassSilence
             | FaultKind::AnswersLost
-            | FaultKind::Neighbour
-            | FaultKind::SlowAnswers
+            | FaultKind::NoisyNeighbour
+            | FaultKind::SlowAdmission
             | FaultKind::ProgramsLost => {
                 let hosts = self.affected_hosts(fault);
                 self.set_host_faults(fault, window, hosts);
@@ -154,21 +154,21 @@
                 self.set_host_faults(fault, window, hosts);
             }
             FaultKind::HealthFlaps => self.flap_health(fault, window),
-            FaultKind::SickFlaps => self.flap_failing_hosts(fault, window),
+            FaultKind::FailingHostFlaps => self.flap_failing_hosts(fault, window),
             FaultKind::PlacerKill => self.kill_placers(fault, window),
             FaultKind::RollingRestart => self.restart_placers(window),
             FaultKind::PlacerPause => self.pause_placers(fault, window),
             FaultKind::PlacerStalls => self.stall_placers(fault, window),
-            FaultKind::InventoryLate
+            FaultKind::InventoryDelay
             | FaultKind::InventoryEmpty
-            | FaultKind::InventoryGarbage
-            | FaultKind::HangUps => self.set_during_window(fault, window),
-            FaultKind::CatalogueLate
-            | FaultKind::CatalogueStorm
-            | FaultKind::CatalogueCut
+            | FaultKind::InventoryInvalid
+            | FaultKind::EarlyDisconnects => self.set_during_window(fault, window),
+            FaultKind::CatalogueDelay
+            | FaultKind::CatalogueErrors
+            | FaultKind::CatalogueTruncated
             | FaultKind::CataloguePartial
             | FaultKind::CatalogueStale => self.set_catalogue_faults(fault, window),
-            FaultKind::LeaderLost => {
+            FaultKind::CatalogueLeaderLost => {
                 let for_us = window.length();
                 self.add(window.from, FaultAction::LoseCatalogueLeader { for_us });
             }
@@ -318,8 +318,8 @@
                 share,
             },
             FaultKind::AnswersLost => HostFault::AnswersLost { share },
-            FaultKind::Neighbour => HostFault::Neighbour { core_share: share },
-            FaultKind::SlowAnswers => HostFault::SlowAdmission {
+            FaultKind::NoisyNeighbour => HostFault::NoisyNeighbour { core_share: share },
+            FaultKind::SlowAdmission => HostFault::SlowAdmission {
                 factor: fault.intensity,
             },
             FaultKind::HeavyTail => HostFault::HeavyTail {
@@ -416,8 +416,8 @@
     fn stall_placers(&mut self, fault: &ScheduledFault, window: Window) {
         let pause = (fault.intensity.max(MIN_STALL_S) * 1e6) as u64;
         for placer in self.affected_placers(fault) {
-            // A random offset per placer, so that placers pause at different times; pauses are their own length plus 1
-            // s apart.
+            // A random offset per placer, so that placers pause at different times. The time between two pauses is the
+            // length of a pause plus 1 s.
             let mut from = window.from + self.rng.index_below(pause as usize) as u64;
             while from < window.until {
                 let until = (from + pause).min(window.until);
@@ -431,7 +431,7 @@
     /// Faults that are set at the beginning of the window and reset at its end.
     fn set_during_window(&mut self, fault: &ScheduledFault, window: Window) {
         let (begin, end) = match fault.kind {
-            FaultKind::InventoryLate => (
+            FaultKind::InventoryDelay => (
                 FaultAction::SetInventoryDelay {
                     factor: fault.intensity.max(1.0),
                 },
@@ -441,7 +441,7 @@
                 FaultAction::ReplaceInventory(InventoryContent::Empty),
                 FaultAction::ReplaceInventory(InventoryContent::Valid),
             ),
-            FaultKind::InventoryGarbage => (
+            FaultKind::InventoryInvalid => (
                 FaultAction::ReplaceInventory(InventoryContent::Invalid),
                 FaultAction::ReplaceInventory(InventoryContent::Valid),
             ),
@@ -457,9 +457,9 @@
     fn set_catalogue_faults(&mut self, fault: &ScheduledFault, window: Window) {
         let mut faults = CatalogueFaults::default();
         match fault.kind {
-            FaultKind::CatalogueLate => faults.delay_us = (fault.intensity * 1e6) as u64,
-            FaultKind::CatalogueStorm => faults.error_status = Some((fault.intensity as u16, 1.0)),
-            FaultKind::CatalogueCut => faults.truncated_share = TRUNCATED_ANSWER_SHARE,
+            FaultKind::CatalogueDelay => faults.delay_us = (fault.intensity * 1e6) as u64,
+            FaultKind::CatalogueErrors => faults.error_status = Some((fault.intensity as u16, 1.0)),
+            FaultKind::CatalogueTruncated => faults.truncated_share = TRUNCATED_ANSWER_SHARE,
             FaultKind::CataloguePartial => faults.partial_share = fault.intensity,
             _ => faults.index_offset = fault.intensity as u64,
         }
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -73,7 +73,7 @@
         [0.2, 0.9],
     ),
     fault_range(
-        FaultKind::InventoryGarbage,
+        FaultKind::InventoryInvalid,
         [0, 1],
         [0.03, 0.1],
         [0.0, 0.0],
@@ -87,7 +87,7 @@
         [0.0, 0.0],
     ),
     fault_range(
-        FaultKind::InventoryLate,
+        FaultKind::InventoryDelay,
         [0, 1],
         [0.1, 0.3],
         [0.0, 0.0],
@@ -136,14 +136,14 @@
         [0.4, 0.9],
     ),
     fault_range(
-        FaultKind::Neighbour,
+        FaultKind::NoisyNeighbour,
         [0, 1],
         [0.1, 0.3],
         [0.1, 0.4],
         [0.3, 0.7],
     ),
     fault_range(
-        FaultKind::SlowAnswers,
+        FaultKind::SlowAdmission,
         [0, 1],
         [0.05, 0.15],
         [0.1, 0.4],
@@ -157,7 +157,7 @@
         [1.3, 2.2],
     ),
     fault_range(
-        FaultKind::HangUps,
+        FaultKind::EarlyDisconnects,
         [0, 1],
         [0.05, 0.15],
         [0.0, 0.0],
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -204,9 +204,11 @@
     /// Hosts admit and run tasks, and a share of their answers is lost.
     AnswersLost,
     /// Another program on the host (a noisy neighbour) takes a share of the cores.
-    Neighbour,
+    #[serde(rename = "neighbour")]
+    NoisyNeighbour,
     /// Admission takes longer, by a factor.
-    SlowAnswers,
+    #[serde(rename = "slow_answers")]
+    SlowAdmission,
     /// A share of one class's new tasks use three times their usual cores and twice their usual memory.
     HeavyTail,
     /// All tasks of a share of the services use at least twice the cores that they requested.
@@ -214,7 +216,8 @@
     /// Hosts lose the programs that they have kept.
     ProgramsLost,
     /// Hosts drain and do not restart.
-    Shrink,
+    #[serde(rename = "shrink")]
+    FleetShrink,
     /// Placers are killed and restarted.
     PlacerKill,
     /// All placers are killed and restarted, one after the other.
@@ -226,33 +229,41 @@
     /// Connections are reset in the middle of a frame.
     ResetMidFrame,
     /// The inventory lists changes later, by a factor.
-    InventoryLate,
+    #[serde(rename = "inventory_late")]
+    InventoryDelay,
     /// The inventory is an empty file.
     InventoryEmpty,
     /// The inventory is a file that cannot be parsed.
-    InventoryGarbage,
+    #[serde(rename = "inventory_garbage")]
+    InventoryInvalid,
     /// Demand rises by a factor.
     Overload,
     /// Owners abandon a share of their requests before the deadline.
-    HangUps,
+    #[serde(rename = "hang_ups")]
+    EarlyDisconnects,
     /// The health of hosts flaps, with a period in seconds.
     HealthFlaps,
     /// The health of hosts flaps, with a period in seconds, and the hosts really fail: they fail offers, answer slowly
     /// or lose connections from shortly before their health shows it until well after it is back; a third of them
     /// crash.
-    SickFlaps,
+    #[serde(rename = "sick_flaps")]
+    FailingHostFlaps,
     /// The catalogue answers with a delay in seconds.
-    CatalogueLate,
+    #[serde(rename = "catalogue_late")]
+    CatalogueDelay,
     /// The catalogue answers with an error status.
-    CatalogueStorm,
+    #[serde(rename = "catalogue_storm")]
+    CatalogueErrors,
     /// A share of the catalogue's answers is truncated.
-    CatalogueCut,
+    #[serde(rename = "catalogue_cut")]
+    CatalogueTruncated,
     /// The catalogue returns only a share of its entries.
     CataloguePartial,
     /// One server of the catalogue returns indexes that are too low by an offset.
     CatalogueStale,
     /// The catalogue has no leader.
-    LeaderLost,
+    #[serde(rename = "leader_lost")]
+    CatalogueLeaderLost,
 }
 
 /// A fault with its time.
--- a/crates/emulator/src/scenario_run/faults.rs
+++ b/crates/emulator/src/scenario_run/faults.rs
@@ -160,7 +160,9 @@
             faults.class_fault = class_fault(class, share, FaultyAnswer::Silence);
         }
         HostFault::AnswersLost { share } => faults.lost_answer_share = if_active(share),
-        HostFault::Neighbour { core_share } => faults.neighbour_core_share = if_active(core_share),
+        HostFault::NoisyNeighbour { core_share } => {
+            faults.neighbour_core_share = if_active(core_share)
+        }
         HostFault::SlowAdmission { factor } => faults.admission_slowdown = if_active(factor),
         HostFault::HeavyTail { class, share } => {
             faults.heavy_tail = is_active.then_some((class, share));
--- a/crates/emulator/src/traffic.rs
+++ b/crates/emulator/src/traffic.rs
@@ -6,12 +6,11 @@
 //! - A segment that is answered with data on the same connection within 40 ms is acknowledged by that data.
 //!   Otherwise a separate acknowledgement of [`HEADER_BYTES`] bytes is sent, one for all segments of a direction within
 //!   that time. It is attributed to the last message of the segment, and counted when the next segment of the
-//! connection
-//!   is seen or the connection ends.
+//!   connection is seen or the connection ends.
 //! - Setting up a connection takes SYN, SYN-ACK and ACK, and closing it two FINs, of which the second acknowledges the
 //!   first, and an ACK.
-//! - There is no packet loss and no retransmission, and segments longer than the MTU count once. Attempts to connect to a
-//!   host that is down are not observed and not counted.
+//! - There is no packet loss and no retransmission, and segments longer than the MTU count once. Attempts to connect to
+//!   a host that is down are not observed and not counted.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
