--- a/crates/consul-emulator/examples/measure.rs
+++ b/crates/consul-emulator/examples/measure.rs
@@ -289,11 +289,11 @@
         }
         let mut readers = Readers::new(&config(&servers, watch)?, 400)?;
         readers.run(Duration::from_secs(8), None)?;
-        let before = servers.counts();
+        let before = servers.traffic_counts();
         let cpu = cpu_ticks()?;
         readers.run(Duration::from_secs(IDLE_S), None)?;
         let cpu = cpu_ticks()? - cpu;
-        let after = servers.counts();
+        let after = servers.traffic_counts();
         println!(
             "400 idle readers of 130 hosts, watch {watch}: {:.0} queries a second, {:.1} MiB a minute, {:.0}% of a core",
             (after.0 - before.0) as f64 / IDLE_S as f64,
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -222,7 +222,7 @@
     }
 
     /// The number of requests received and of bytes sent so far.
-    pub fn counts(&self) -> (u64, u64) {
+    pub fn traffic_counts(&self) -> (u64, u64) {
         (
             self.counts[0].load(Ordering::Relaxed),
             self.counts[1].load(Ordering::Relaxed),
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -41,7 +41,7 @@
     /// Times from when a request was due to its answer, µs: of requests due before the split, and after it.
     pub times: [Histogram<u64>; 2],
     /// Time until all requests were answered, s.
-    pub took_s: f64,
+    pub elapsed_s: f64,
 }
 
 struct Connection {
@@ -84,7 +84,7 @@
             requests: 0,
             placed: 0,
             times: [times.clone(), times],
-            took_s: 0.0,
+            elapsed_s: 0.0,
         };
         Ok(Clients {
             load,
@@ -125,7 +125,7 @@
                 answered += self.read(readiness.token as usize, start)?;
             }
         }
-        self.answers.took_s = (self.clock.now() - start) as f64 / 1e6;
+        self.answers.elapsed_s = (self.clock.now() - start) as f64 / 1e6;
         Ok(self.answers)
     }
 
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -62,8 +62,8 @@
     loop {
         let rate = scenario.load_at(at_us / 1e6)
             * overload_factor(scenario, at_us / 1e6)
-            * scenario.cores()
-            / scenario.core_seconds();
+            * scenario.total_cores()
+            / scenario.mean_core_seconds();
         at_us += rng.exp(1e6 / rate.max(0.01));
         if at_us >= end_us {
             return arrivals;
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -65,16 +65,16 @@
     /// Time from when a request was due to its answer: p50, p99, p99.9 and maximum, µs.
     pub answer_us: [u64; 4],
     /// The same for the first half of the run and for the second.
-    pub halves_us: [[u64; 4]; 2],
+    pub answer_us_by_half: [[u64; 4]; 2],
     /// Decisions: p50 and p99, µs, as the placer measured them.
-    pub decide_us: [u64; 2],
+    pub decision_times_us: [u64; 2],
     /// Resident memory of the placer before and after the load, KiB.
     pub rss_kib: [u64; 2],
     /// Number of actors at the end.
     pub actors: u64,
     /// Time that the placer's event loop spent on reading, on turns, on deciding within them and on writing, µs, in
     /// total and in the longest turn.
-    pub loop_time: Value,
+    pub event_loop_time: Value,
     /// Share of one core that the placer used when idle and under load.
     pub cpu: [f64; 2],
 }
@@ -85,11 +85,11 @@
         json!({
             "rate": self.rate, "answered_rate": self.answered_rate, "asks": self.requests, "placed": self.placed,
             "place_us": {"p50": self.answer_us[0], "p99": self.answer_us[1], "p99.9": self.answer_us[2], "max": self.answer_us[3]},
-            "halves_us": self.halves_us,
-            "decide_us": {"p50": self.decide_us[0], "p99": self.decide_us[1]},
+            "halves_us": self.answer_us_by_half,
+            "decide_us": {"p50": self.decision_times_us[0], "p99": self.decision_times_us[1]},
             "rss_kib": {"before": self.rss_kib[0], "after": self.rss_kib[1]},
             "actors": self.actors,
-            "spent_us": self.loop_time,
+            "spent_us": self.event_loop_time,
             "cpu": {"idle": self.cpu[0], "load": self.cpu[1]},
         })
     }
@@ -97,7 +97,7 @@
     /// The result as text.
     pub fn text(&self) -> String {
         let spent = |part: &str| {
-            let value = |key: &str| self.loop_time[part][key].as_u64().unwrap_or(0);
+            let value = |key: &str| self.event_loop_time[part][key].as_u64().unwrap_or(0);
             format!(
                 "{:.1} us ({:.1} ms)",
                 value("all") as f64 / self.requests.max(1) as f64,
@@ -126,8 +126,8 @@
             self.answer_us[1],
             self.answer_us[2],
             self.answer_us[3],
-            self.decide_us[0],
-            self.decide_us[1],
+            self.decision_times_us[0],
+            self.decision_times_us[1],
             self.rss_kib[0] as f64 / 1024.0,
             self.rss_kib[1] as f64 / 1024.0,
             self.actors,
@@ -136,7 +136,7 @@
         );
         let halves = format!(
             "due to answer, p50, p99, p99.9 and max: first half {:?} us, second half {:?} us\n",
-            self.halves_us[0], self.halves_us[1]
+            self.answer_us_by_half[0], self.answer_us_by_half[1]
         );
         text + &halves + &spent
     }
@@ -428,7 +428,7 @@
         let _ = thread.join();
     }
     let load_end = process_usage(pid)?;
-    let took_s = answers.took_s;
+    let elapsed_s = answers.elapsed_s;
     std::thread::sleep(Duration::from_millis(600));
     let (_, status) = maplethread_placer::get_json(address, "/v1/status?full")?;
     let decision_us = |q: &str| status["gauges"]["decide_us"][q].as_u64().unwrap_or(0);
@@ -445,18 +445,18 @@
     all.add(&halves[1]).map_err(io::Error::other)?;
     Ok(LoadResult {
         rate: options.requests_per_s,
-        answered_rate: all.len() as f64 / took_s,
+        answered_rate: all.len() as f64 / elapsed_s,
         requests: answers.requests,
         placed: answers.placed,
         answer_us: quantiles(&all),
-        halves_us: [quantiles(&halves[0]), quantiles(&halves[1])],
-        decide_us: [decision_us("p50"), decision_us("p99")],
+        answer_us_by_half: [quantiles(&halves[0]), quantiles(&halves[1])],
+        decision_times_us: [decision_us("p50"), decision_us("p99")],
         rss_kib: [idle_end.resident_kib, process_usage(pid)?.resident_kib],
         actors: status["actors"].as_u64().unwrap_or(0),
-        loop_time: status["gauges"]["spent_us"].clone(),
+        event_loop_time: status["gauges"]["spent_us"].clone(),
         cpu: [
             idle_end.cpu_s - idle_start.cpu_s,
-            (load_end.cpu_s - idle_end.cpu_s) / took_s,
+            (load_end.cpu_s - idle_end.cpu_s) / elapsed_s,
         ],
     })
 }
--- a/crates/emulator/src/owners/behaviour.rs
+++ b/crates/emulator/src/owners/behaviour.rs
@@ -12,7 +12,7 @@
     /// The address that the placer listens on; its last address while it is down.
     pub address: Option<SocketAddr>,
     /// Number of the placer's process, counted from 1.
-    pub incarnation: u64,
+    pub generation: u64,
     /// Whether the load balancer has noticed that the placer is down.
     pub is_down: bool,
 }
--- a/crates/emulator/src/owners/connections.rs
+++ b/crates/emulator/src/owners/connections.rs
@@ -7,7 +7,7 @@
 use maplethread_reactor::{ReadOutcome, Readiness, TcpConnection};
 use maplethread_wire::http::{Limits, MessageReader, Role};
 
-use super::thread::{ConnectionUse, OwnerConnection, OwnerState, OwnerThread, PlacerIncarnation};
+use super::thread::{ConnectionUse, OwnerConnection, OwnerState, OwnerThread, PlacerGeneration};
 
 /// Maximum number of bytes read from a connection at a time.
 const READ_BYTES: usize = 256 << 10;
@@ -18,7 +18,7 @@
     /// An idle or a new connection. Fails at the maximum number of connections; the owner then retries later.
     pub(super) fn idle_or_new_connection(
         &mut self,
-        process: PlacerIncarnation,
+        process: PlacerGeneration,
         address: SocketAddr,
     ) -> io::Result<u64> {
         if let Some(token) = self.idle.get_mut(&process).and_then(Vec::pop) {
@@ -40,7 +40,7 @@
 
     pub(super) fn connect(
         &mut self,
-        process: PlacerIncarnation,
+        process: PlacerGeneration,
         address: SocketAddr,
         purpose: ConnectionUse,
     ) -> io::Result<u64> {
--- a/crates/emulator/src/owners/events.rs
+++ b/crates/emulator/src/owners/events.rs
@@ -3,7 +3,7 @@
 use maplethread_wire::http::{self, Decoder, Limits, Role, Step};
 use serde_json::Value;
 
-use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerIncarnation, Timer};
+use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerGeneration, Timer};
 
 /// Interval at which event streams are opened to placers that have none, µs.
 const WATCH_INTERVAL_US: u64 = 200_000;
@@ -23,9 +23,9 @@
             if self.event_connections.contains_key(&number) {
                 continue;
             }
-            let process = PlacerIncarnation {
+            let process = PlacerGeneration {
                 placer: number,
-                incarnation: placer.incarnation,
+                generation: placer.generation,
             };
             let purpose = ConnectionUse::Events {
                 decoder: Decoder::new(
--- a/crates/emulator/src/owners/requests.rs
+++ b/crates/emulator/src/owners/requests.rs
@@ -7,7 +7,7 @@
 use serde_json::{Value, json};
 
 use super::ANSWER_SLACK_US;
-use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerIncarnation, Timer};
+use super::thread::{ConnectionUse, OwnerState, OwnerThread, PlacerGeneration, Timer};
 
 /// An owner whose task is wanted for less than this does not request it again, µs.
 const MIN_REMAINING_US: u64 = 300_000;
@@ -223,7 +223,7 @@
         }
         let is_same_process = {
             let placer = &self.behaviour().placers[process.placer];
-            placer.incarnation == process.incarnation && !placer.is_down
+            placer.generation == process.generation && !placer.is_down
         };
         let actor = &self.owners[owner].actor;
         if !is_same_process && !self.context.service_accounting().is_running(actor) {
@@ -278,7 +278,7 @@
     fn handle_answer(
         &mut self,
         owner: usize,
-        process: PlacerIncarnation,
+        process: PlacerGeneration,
         is_abandoned: bool,
         answer: Answer,
     ) {
@@ -303,7 +303,8 @@
         let retry_after_ms = self.scenario.demand.retry_after_ms;
         match answer.outcome {
             Outcome::Placed(_) => {
-                self.place_us.push(now - self.owners[owner].requested_at);
+                self.placement_times_us
+                    .push(now - self.owners[owner].requested_at);
                 self.behaviour().placed_count += 1;
                 let state = &mut self.owners[owner];
                 (state.state, state.failure_count) = (OwnerState::Placed(process), 0);
--- a/crates/emulator/src/owners/thread.rs
+++ b/crates/emulator/src/owners/thread.rs
@@ -27,15 +27,15 @@
 
 /// A process of a placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct PlacerIncarnation {
+pub(super) struct PlacerGeneration {
     /// The placer, by number.
     pub(super) placer: usize,
-    pub(super) incarnation: u64,
+    pub(super) generation: u64,
 }
 
 /// A placer that the load balancer sends a request to.
 pub(super) struct Target {
-    pub(super) process: PlacerIncarnation,
+    pub(super) process: PlacerGeneration,
     pub(super) address: SocketAddr,
 }
 
@@ -46,7 +46,7 @@
     /// The owner waits for an answer on this connection.
     AwaitingAnswer(u64),
     /// The task was placed by this process of a placer.
-    Placed(PlacerIncarnation),
+    Placed(PlacerGeneration),
     /// The owner sends no more requests.
     Finished,
 }
@@ -99,7 +99,7 @@
 
 pub(super) struct OwnerConnection {
     pub(super) conn: TcpConnection,
-    pub(super) process: PlacerIncarnation,
+    pub(super) process: PlacerGeneration,
     pub(super) purpose: ConnectionUse,
 }
 
@@ -116,14 +116,14 @@
     pub(super) by_actor: HashMap<Arc<str>, usize>,
     pub(super) connections: HashMap<u64, OwnerConnection>,
     /// Idle connections, by placer process.
-    pub(super) idle: BTreeMap<PlacerIncarnation, Vec<u64>>,
+    pub(super) idle: BTreeMap<PlacerGeneration, Vec<u64>>,
     pub(super) event_connections: BTreeMap<usize, u64>,
     pub(super) last_token: u64,
     pub(super) timers: Timers<Timer>,
     pub(super) read_times: ReadTimes,
     /// Number of requests without an answer.
     pub(super) unanswered: usize,
-    pub(super) place_us: Vec<u64>,
+    pub(super) placement_times_us: Vec<u64>,
 }
 
 impl OwnerThread {
@@ -156,7 +156,7 @@
             timers,
             read_times: ReadTimes::new(Observer::Clients, start),
             unanswered: 0,
-            place_us: Vec::new(),
+            placement_times_us: Vec::new(),
         })
     }
 
@@ -184,7 +184,7 @@
             }
             if self.behaviour().is_closing && self.unanswered == 0 {
                 self.behaviour().is_closed = true;
-                return Ok(std::mem::take(&mut self.place_us));
+                return Ok(std::mem::take(&mut self.placement_times_us));
             }
         }
     }
@@ -261,9 +261,9 @@
         let index = owner.rng.index_below(candidates.len().max(1));
         let &(placer, entry) = candidates.get(index)?;
         Some(Target {
-            process: PlacerIncarnation {
+            process: PlacerGeneration {
                 placer,
-                incarnation: entry.incarnation,
+                generation: entry.generation,
             },
             address: entry.address?,
         })
--- a/crates/emulator/src/random_scenario/tests.rs
+++ b/crates/emulator/src/random_scenario/tests.rs
@@ -48,7 +48,7 @@
 #[test]
 fn scaled_scenario_keeps_demand_per_service() {
     let standard = Scenario::standard();
-    let per_service = |s: &Scenario| s.cores() / s.classes[0].service_count as f64;
+    let per_service = |s: &Scenario| s.total_cores() / s.classes[0].service_count as f64;
     let cells = |s: &Scenario| {
         let all: std::collections::BTreeSet<_> =
             (0..s.fleet.hosts).map(|h| s.location_of(h)).collect();
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -33,9 +33,9 @@
     /// Seconds for which second copies of tasks ran.
     pub duplicate_run_s: f64,
     /// Times from a request to the answer `placed`, as seen by owners, µs, sorted.
-    pub place_us: Vec<u64>,
+    pub placement_times_us: Vec<u64>,
     /// Times of decisions, µs, with their counts, from all placers that were up at the end.
-    pub decide_us: BTreeMap<u64, u64>,
+    pub decision_times_us: BTreeMap<u64, u64>,
     /// Requests that were blocked, by reason, as counted by the processes of placers that were up at the end.
     pub blocked_by_reason: BTreeMap<String, u64>,
     /// Offers to a host in the second after its health came back: number of returns, mean and maximum number of offers.
@@ -52,23 +52,23 @@
         self.verdict.violations.is_empty() && self.verdict.unanswered == 0
     }
 
-    fn decide_quantile(&self, q: f64) -> u64 {
-        let total: u64 = self.decide_us.values().sum();
+    fn decision_quantile_us(&self, q: f64) -> u64 {
+        let total: u64 = self.decision_times_us.values().sum();
         let mut remaining = (total as f64 * q).ceil() as u64;
-        for (&value, &count) in &self.decide_us {
+        for (&value, &count) in &self.decision_times_us {
             if remaining <= count {
                 return value;
             }
             remaining -= count;
         }
-        self.decide_us.keys().last().copied().unwrap_or(0)
+        self.decision_times_us.keys().last().copied().unwrap_or(0)
     }
 
-    fn place_quantile(&self, q: f64) -> f64 {
-        quantile_ms(&self.place_us, q)
+    fn placement_quantile_ms(&self, q: f64) -> f64 {
+        quantile_ms(&self.placement_times_us, q)
     }
 
-    fn replica_index_wait(&self, q: f64) -> f64 {
+    fn replica_index_wait_ms(&self, q: f64) -> f64 {
         quantile_ms(&self.verdict.replica_index_waits_us, q)
     }
 
@@ -99,14 +99,14 @@
             "broken_shown": self.first_violations().map(|violation| self.violation_json(violation)).collect::<Vec<_>>(),
             "numbers": {
                 "taken": v.replica_index_waits_us.len(), "wait_ms": {
-                    "p50": self.replica_index_wait(0.5), "p99": self.replica_index_wait(0.99), "max": self.replica_index_wait(1.0),
+                    "p50": self.replica_index_wait_ms(0.5), "p99": self.replica_index_wait_ms(0.99), "max": self.replica_index_wait_ms(1.0),
                 },
             },
             "returns": {"count": self.health_returns.0, "offers_mean": self.health_returns.1, "offers_most": self.health_returns.2},
             "place_ms": {
-                "p50": self.place_quantile(0.5), "p99": self.place_quantile(0.99), "max": self.place_quantile(1.0),
+                "p50": self.placement_quantile_ms(0.5), "p99": self.placement_quantile_ms(0.99), "max": self.placement_quantile_ms(1.0),
             },
-            "decide_us": { "p50": self.decide_quantile(0.5), "p99": self.decide_quantile(0.99) },
+            "decide_us": { "p50": self.decision_quantile_us(0.5), "p99": self.decision_quantile_us(0.99) },
         })
     }
 
@@ -188,11 +188,11 @@
         let _ = writeln!(
             out,
             "ask to placed: p50 {:.1} ms, p99 {:.1} ms, max {:.1} ms; decisions: p50 {} us, p99 {} us; {} offers",
-            self.place_quantile(0.5),
-            self.place_quantile(0.99),
-            self.place_quantile(1.0),
-            self.decide_quantile(0.5),
-            self.decide_quantile(0.99),
+            self.placement_quantile_ms(0.5),
+            self.placement_quantile_ms(0.99),
+            self.placement_quantile_ms(1.0),
+            self.decision_quantile_us(0.5),
+            self.decision_quantile_us(0.99),
             v.offers
         );
         if !v.replica_index_waits_us.is_empty() {
@@ -200,9 +200,9 @@
                 out,
                 "{} numbers fell free; until one was taken: p50 {:.0} ms, p99 {:.0} ms, max {:.0} ms",
                 v.replica_index_waits_us.len(),
-                self.replica_index_wait(0.5),
-                self.replica_index_wait(0.99),
-                self.replica_index_wait(1.0)
+                self.replica_index_wait_ms(0.5),
+                self.replica_index_wait_ms(0.99),
+                self.replica_index_wait_ms(1.0)
             );
         }
         for violation in v.violations.iter().take(10) {
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -483,12 +483,12 @@
     }
 
     /// Total number of cores of all hosts.
-    pub fn cores(&self) -> f64 {
+    pub fn total_cores(&self) -> f64 {
         (0..self.fleet.hosts).map(|h| self.kind_of(h).cores).sum()
     }
 
     /// Mean number of core-seconds that a task uses.
-    pub fn core_seconds(&self) -> f64 {
+    pub fn mean_core_seconds(&self) -> f64 {
         let share: f64 = self.classes.iter().map(|c| c.share).sum();
         let of = |c: &Class| {
             let cores = c.shapes.iter().map(|s| s[0]).sum::<f64>() / c.shapes.len() as f64;
--- a/crates/emulator/src/scenario_run/mod.rs
+++ b/crates/emulator/src/scenario_run/mod.rs
@@ -148,7 +148,7 @@
                 name,
                 zone: zones[number % zones.len()].clone(),
                 address: None,
-                incarnation: 1,
+                generation: 1,
                 is_down: false,
             });
         }
@@ -218,7 +218,7 @@
             let mut behaviour = owners.behaviour();
             let target = &mut behaviour.placers[number];
             (target.address, target.is_down) = (Some(address), false);
-            target.incarnation += 1;
+            target.generation += 1;
         }
         Ok(())
     }
@@ -237,8 +237,8 @@
             )
         };
         let statuses = PlacerStatuses::collect(&owners);
-        let mut place_us = owners.end()?;
-        place_us.sort_unstable();
+        let mut placement_times_us = owners.end()?;
+        placement_times_us.sort_unstable();
         self.placers.stop();
         let history = self.context.take_history();
         let verdict = check(&history, &settings::rule_parameters(&self.scenario));
@@ -248,8 +248,8 @@
             by_class,
             service_loss,
             duplicate_run_s,
-            place_us,
-            decide_us: statuses.decide_us,
+            placement_times_us,
+            decision_times_us: statuses.decision_times_us,
             blocked_by_reason: statuses.blocked_by_reason,
             health_returns: offers_after_health_return(&history, &self.health_returns),
             mutant: self.mutant_result(&verdict)?,
@@ -349,7 +349,7 @@
 #[derive(Default)]
 struct PlacerStatuses {
     /// Times of decisions, µs, with their counts.
-    decide_us: BTreeMap<u64, u64>,
+    decision_times_us: BTreeMap<u64, u64>,
     /// Number of blocked requests, by reason.
     blocked_by_reason: BTreeMap<String, u64>,
 }
@@ -375,7 +375,7 @@
         let counts = status["gauges"]["decide_us"]["counts"].as_array();
         for pair in counts.into_iter().flatten() {
             if let (Some(value), Some(count)) = (pair[0].as_u64(), pair[1].as_u64()) {
-                *self.decide_us.entry(value).or_default() += count;
+                *self.decision_times_us.entry(value).or_default() += count;
             }
         }
         let blocked = status["counters"]["held_for"].as_object();
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -16,7 +16,7 @@
 
 /// Proportional memory and descriptors of a process, which take longer to read than [`process_usage`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct ProcessHoldings {
+pub struct ProcessResources {
     /// Proportional memory, KiB: shared pages are divided among the processes that share them.
     pub proportional_kib: u64,
     /// Number of open descriptors.
@@ -54,10 +54,10 @@
 /// # Errors
 ///
 /// The process has ended, or `/proc` cannot be read.
-pub fn process_holdings(pid: u32) -> io::Result<ProcessHoldings> {
+pub fn process_holdings(pid: u32) -> io::Result<ProcessResources> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
-    Ok(ProcessHoldings {
+    Ok(ProcessResources {
         proportional_kib: kib(&rollup, "Pss:"),
         descriptors,
     })
