--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -233,7 +233,7 @@
     ///
     /// # Errors
     ///
-    /// The error that should_end the thread, or its panic.
+    /// The error that ended the thread, or its panic.
     pub fn join(mut self) -> io::Result<()> {
         match self.thread.take().map(JoinHandle::join) {
             Some(Ok(result)) => result,
--- a/crates/emulator/src/host/service.rs
+++ b/crates/emulator/src/host/service.rs
@@ -25,7 +25,7 @@
 const MEMORY_GROWTH_US: f64 = 4_000_000.0;
 /// Share of its full memory that a task uses when it starts.
 const INITIAL_MEMORY_SHARE: f64 = 0.3;
-/// Weight of a task of lower priority in the load that tasks of higher priority see.
+/// Weight of a task of lower priority in the load that applies to tasks of higher priority.
 const LOWER_PRIORITY_WEIGHT: f64 = 0.4;
 /// Cores that a start uses.
 const START_CORES: f64 = 0.5;
@@ -45,7 +45,7 @@
 }
 
 impl HostLoad {
-    /// Cores wanted over cores available, as tasks of a priority see it.
+    /// Ratio of wanted to available cores that applies to tasks of a priority.
     fn utilization(&self, priority: u32) -> f64 {
         let running = self.running.iter().map(|&(other, cores)| {
             if other >= priority {
--- a/crates/emulator/src/host_pool/sending.rs
+++ b/crates/emulator/src/host_pool/sending.rs
@@ -11,8 +11,8 @@
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 
 impl HostThread {
-    /// Sets whether a host is reachable. Connections of an unreachable host stay open, but are neither read nor
-    /// written.
+    /// Sets whether a host is reachable. Connections of an unreachable host stay open, neither read nor written, until
+    /// their placers close them.
     pub(super) fn set_reachable(&mut self, number: usize, is_reachable: bool) {
         self.slots[number].is_reachable = is_reachable;
         for token in self.connections_of(number) {
--- a/crates/emulator/src/owners/events.rs
+++ b/crates/emulator/src/owners/events.rs
@@ -1,4 +1,4 @@
-//! The life-cycle events of placers, from which owners learn that tasks have ended, moved or been lost.
+//! The life-cycle events of placers, which report to owners that tasks have ended, moved or been lost.
 
 use maplethread_wire::http::{self, Decoder, Limits, Role, Step};
 use serde_json::Value;
--- a/crates/emulator/src/read_times.rs
+++ b/crates/emulator/src/read_times.rs
@@ -38,7 +38,7 @@
     }
 
     /// Called when data is read at `now`, before it is recorded. Returns an observation to record first if the observer
-    /// has become late, is late since another time, or is no longer late.
+    /// has become late, if the time since which it is late has changed, or if it is no longer late.
     pub fn delay_to_report(&mut self, now: u64) -> Option<Observation> {
         let is_late = now.saturating_sub(self.read_since) > REPORTED_DELAY_US;
         let since = is_late.then_some(self.read_since);
