--- a/crates/consul-emulator/src/api.rs
+++ b/crates/consul-emulator/src/api.rs
@@ -527,11 +527,11 @@
     };
     let mut checks = Vec::new();
     for (n, check) in check_objects(body).enumerate() {
-        let own = format!("service:{}", service.id);
+        let default_id = format!("service:{}", service.id);
         let id = match text_field(check, "CheckID")? {
             id if !id.is_empty() => id,
-            _ if n == 0 => own,
-            _ => format!("{own}:{}", n + 1),
+            _ if n == 0 => default_id,
+            _ => format!("{default_id}:{}", n + 1),
         };
         let name = text_field(check, "Name")?;
         let name = if name.is_empty() {
@@ -685,10 +685,12 @@
         };
         let matches_filter = |entry: &Value| {
             self.filter.iter().all(|(selector, value)| {
-                let at = selector.split('.').try_fold(entry, |at, part| at.get(part));
-                at.is_some_and(|at| {
-                    at.as_str() == Some(value)
-                        || at.as_i64().map(|n| n.to_string()).as_ref() == Some(value)
+                let selected = selector
+                    .split('.')
+                    .try_fold(entry, |value, key| value.get(key));
+                selected.is_some_and(|field| {
+                    field.as_str() == Some(value)
+                        || field.as_i64().map(|n| n.to_string()).as_ref() == Some(value)
                 })
             })
         };
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -346,7 +346,7 @@
             match control {
                 ControlMessage::SetFaults(server, faults) => {
                     for (n, s) in self.servers.iter_mut().enumerate() {
-                        if server.is_none_or(|one| one == n) {
+                        if server.is_none_or(|selected| selected == n) {
                             s.faults = faults.clone();
                         }
                     }
@@ -439,12 +439,12 @@
         let state = &self.servers[leader].state;
         let mut commands = Vec::new();
         for ((node, check), ttl, status) in state.ttl_checks() {
-            let at = self
+            let renewed_at = self
                 .renewed
                 .get(&format!("{node}/{check}"))
                 .copied()
                 .unwrap_or(0);
-            if at + ttl <= now && status != "critical" {
+            if renewed_at + ttl <= now && status != "critical" {
                 let (node, check, output) = (node.clone(), check.clone(), "TTL expired".to_owned());
                 commands.push(Command::SetCheckStatus {
                     node,
@@ -455,8 +455,8 @@
             }
         }
         for (session, _) in state.sessions.values() {
-            let at = self.renewed.get(&session.id).copied().unwrap_or(now);
-            if session.ttl > 0 && at + session.ttl <= now {
+            let renewed_at = self.renewed.get(&session.id).copied().unwrap_or(now);
+            if session.ttl > 0 && renewed_at + session.ttl <= now {
                 commands.push(Command::EndSession {
                     session: session.id.clone(),
                     at: now,
--- a/crates/consul-emulator/tests/bodies.rs
+++ b/crates/consul-emulator/tests/bodies.rs
@@ -13,8 +13,8 @@
 use maplethread_wire::http::{Limits, MessageReader, ReadResult, Role};
 use serde_json::{Value, json};
 
-fn http_call(at: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
-    let mut stream = TcpStream::connect(at).expect("the emulator listens");
+fn http_call(server: SocketAddr, method: &str, target: &str, body: &Value) -> (u16, Value) {
+    let mut stream = TcpStream::connect(server).expect("the emulator listens");
     let body = if body.is_null() {
         String::new()
     } else {
@@ -51,7 +51,7 @@
 fn with_lower_case_keys(value: &Value) -> Value {
     match value {
         Value::Object(fields) => {
-            let one = |(key, value): (&String, &Value)| {
+            let convert_field = |(key, value): (&String, &Value)| {
                 let has_user_keys = key == "Meta" || key == "NodeMeta";
                 (
                     key.to_lowercase(),
@@ -62,7 +62,7 @@
                     },
                 )
             };
-            Value::Object(fields.iter().map(one).collect())
+            Value::Object(fields.iter().map(convert_field).collect())
         }
         Value::Array(items) => items.iter().map(with_lower_case_keys).collect(),
         other => other.clone(),
@@ -86,10 +86,15 @@
     let mut lists = Vec::new();
     for body in [service.clone(), with_lower_case_keys(&service)] {
         let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
-        let at = servers.addresses[0];
-        let (status, answer) = http_call(at, "PUT", "/v1/agent/service/register", &body);
+        let server = servers.addresses[0];
+        let (status, answer) = http_call(server, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 200, "{answer}");
-        let (_, mut list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+        let (_, mut list) = http_call(
+            server,
+            "GET",
+            "/v1/health/service/web?consistent",
+            &Value::Null,
+        );
         for check in list[0]["Checks"]
             .as_array_mut()
             .expect("an array of checks")
@@ -119,15 +124,18 @@
 #[test]
 fn accepts_lower_case_keys_and_every_duration_format() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
-    let at = servers.addresses[0];
+    let server = servers.addresses[0];
     let node = json!({
         "node": "n1", "address": "127.0.0.2", "nodemeta": {"Rack": "1"},
         "service": {"id": "h1", "service": "hosts", "port": 9},
         "check": {"checkid": "c1", "name": "c", "status": "passing", "serviceid": "h1"},
     });
-    assert_eq!(http_call(at, "PUT", "/v1/catalog/register", &node).0, 200);
+    assert_eq!(
+        http_call(server, "PUT", "/v1/catalog/register", &node).0,
+        200
+    );
     let (_, list) = http_call(
-        at,
+        server,
         "GET",
         "/v1/health/service/hosts?consistent",
         &Value::Null,
@@ -144,12 +152,12 @@
         (json!([1]), false),
     ] {
         let body = json!({"name": "s", "ttl": ttl, "lockdelay": "1s", "behavior": "delete"});
-        let (status, answer) = http_call(at, "PUT", "/v1/session/create", &body);
+        let (status, answer) = http_call(server, "PUT", "/v1/session/create", &body);
         assert_eq!(status == 200, is_valid, "{ttl}: {status} {answer}");
         if is_valid {
             let id = answer["ID"].as_str().expect("a session id").to_owned();
             let (_, info) = http_call(
-                at,
+                server,
                 "GET",
                 &format!("/v1/session/info/{id}?consistent"),
                 &Value::Null,
@@ -159,37 +167,37 @@
     }
     let check = json!({"name": "own", "checkid": "own", "ttl": "30s", "status": "warning"});
     assert_eq!(
-        http_call(at, "PUT", "/v1/agent/check/register", &check).0,
+        http_call(server, "PUT", "/v1/agent/check/register", &check).0,
         200
     );
     let update = json!({"status": "passing", "output": "well"});
     assert_eq!(
-        http_call(at, "PUT", "/v1/agent/check/update/own", &update).0,
+        http_call(server, "PUT", "/v1/agent/check/update/own", &update).0,
         200
     );
     let (_, passing) = http_call(
-        at,
+        server,
         "GET",
         "/v1/health/state/passing?consistent",
         &Value::Null,
     );
-    let own = passing
+    let check = passing
         .as_array()
         .into_iter()
         .flatten()
         .find(|c| c["CheckID"] == "own")
         .expect("the check is passing");
     assert_eq!(
-        (own["Output"].as_str(), own["Type"].as_str()),
+        (check["Output"].as_str(), check["Type"].as_str()),
         (Some("well"), Some("ttl"))
     );
     let deregistration = json!({"node": "n1", "serviceid": "h1"});
     assert_eq!(
-        http_call(at, "PUT", "/v1/catalog/deregister", &deregistration).0,
+        http_call(server, "PUT", "/v1/catalog/deregister", &deregistration).0,
         200
     );
     let (_, list) = http_call(
-        at,
+        server,
         "GET",
         "/v1/health/service/hosts?consistent",
         &Value::Null,
@@ -200,7 +208,7 @@
 #[test]
 fn names_the_field_that_cannot_be_decoded() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
-    let at = servers.addresses[0];
+    let server = servers.addresses[0];
     for (body, key) in [
         (json!({"Name": "web", "Port": "80"}), "Port"),
         (json!({"Name": "web", "Port": 1.5}), "Port"),
@@ -211,24 +219,29 @@
         ),
         (json!({"Name": "web", "Check": {"TTL": "soon"}}), "TTL"),
     ] {
-        let (status, error) = http_call(at, "PUT", "/v1/agent/service/register", &body);
+        let (status, error) = http_call(server, "PUT", "/v1/agent/service/register", &body);
         assert_eq!(status, 400, "{body}");
         assert!(
             error.as_str().is_some_and(|text| text.contains(key)),
             "{body}: {error}"
         );
     }
-    let (_, list) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+    let (_, list) = http_call(
+        server,
+        "GET",
+        "/v1/health/service/web?consistent",
+        &Value::Null,
+    );
     assert_eq!(list, json!([]), "rejected bodies are not applied");
 }
 
 #[test]
 fn answers_have_the_documented_fields() {
     let servers = Servers::start(EmulatorSettings::new(1)).expect("servers started");
-    let at = servers.addresses[0];
+    let server = servers.addresses[0];
     let service = json!({"Name": "web", "Port": 80, "Check": {"TTL": "10s", "Status": "passing"}});
     assert_eq!(
-        http_call(at, "PUT", "/v1/agent/service/register", &service).0,
+        http_call(server, "PUT", "/v1/agent/service/register", &service).0,
         200
     );
     let assert_has_fields = |value: &Value, expected: &[&str]| {
@@ -242,7 +255,12 @@
             "fields {missing:?} are missing in {found:?}"
         );
     };
-    let (_, health) = http_call(at, "GET", "/v1/health/service/web?consistent", &Value::Null);
+    let (_, health) = http_call(
+        server,
+        "GET",
+        "/v1/health/service/web?consistent",
+        &Value::Null,
+    );
     assert_has_fields(&health[0], &["Node", "Service", "Checks"]);
     assert_has_fields(
         &health[0]["Node"],
@@ -284,7 +302,7 @@
     ];
     assert_has_fields(&health[0]["Checks"][0], &expected);
     let (_, catalog) = http_call(
-        at,
+        server,
         "GET",
         "/v1/catalog/service/web?consistent",
         &Value::Null,
@@ -308,7 +326,7 @@
         "ServiceEnableTagOverride",
     ];
     assert_has_fields(&catalog[0], &expected);
-    let (_, nodes) = http_call(at, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
+    let (_, nodes) = http_call(server, "GET", "/v1/catalog/nodes?consistent", &Value::Null);
     assert_has_fields(
         &nodes[0],
         &[
@@ -320,7 +338,7 @@
             "Meta",
         ],
     );
-    let (_, members) = http_call(at, "GET", "/v1/agent/members", &Value::Null);
+    let (_, members) = http_call(server, "GET", "/v1/agent/members", &Value::Null);
     assert_has_fields(
         &members[0],
         &[
--- a/crates/emulator/src/hollow_placers.rs
+++ b/crates/emulator/src/hollow_placers.rs
@@ -16,7 +16,7 @@
 use maplethread_wire::frame::{self, Frame};
 
 /// Prefix of their names, by which their traffic is distinguished from that of real placers.
-const PREFIX: &str = "hollow-placer-";
+const NAME_PREFIX: &str = "hollow-placer-";
 /// Delay before a connection that failed or was lost is retried, µs.
 const RECONNECT_INTERVAL_US: u64 = 1_000_000;
 /// The thread checks at least this often whether it should end, µs.
@@ -26,7 +26,7 @@
 
 /// Whether a placer of this name is hollow.
 pub fn is_hollow(name: &str) -> bool {
-    name.starts_with(PREFIX)
+    name.starts_with(NAME_PREFIX)
 }
 
 /// The thread of the hollow placers, which ends when this is dropped.
@@ -282,7 +282,7 @@
     Frame::Hello {
         major: frame::MAJOR,
         minor: frame::MINOR,
-        name: format!("{PREFIX}{}", pair.placer),
+        name: format!("{NAME_PREFIX}{}", pair.placer),
         started_ms: 1,
         max_offers: 0,
     }
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -200,8 +200,9 @@
 
     /// The `Held` frames for a placer: the tasks of that placer that the host holds.
     pub fn held_frames(&self, placer: &str) -> Vec<Frame> {
-        let own = self.tasks.values().filter(|t| *t.placer == *placer);
-        own.map(|t| Frame::Held(t.offer.clone(), t.running_since.is_some()))
+        let tasks = self.tasks.values().filter(|t| *t.placer == *placer);
+        tasks
+            .map(|t| Frame::Held(t.offer.clone(), t.running_since.is_some()))
             .collect()
     }
 
--- a/crates/emulator/src/host/service.rs
+++ b/crates/emulator/src/host/service.rs
@@ -14,7 +14,7 @@
 /// Minimum interval between reports of contention to a placer, µs.
 const CONTENTION_INTERVAL_US: u64 = 1_000_000;
 /// Share of a host's memory in use above which all its tasks slow down; evictions reduce memory to this share.
-const MEMORY_PRESSURE: f64 = 0.92;
+const MEMORY_PRESSURE_SHARE: f64 = 0.92;
 /// Share of a host's memory in use above which the share is reported to placers.
 const REPORTED_MEMORY_SHARE: f64 = 0.85;
 /// Share of full service that the tasks of a host without free memory lose.
@@ -30,7 +30,7 @@
 /// Cores that a start uses.
 const START_CORES: f64 = 0.5;
 /// Minimum usage of a task of a hot service, as a multiple of the requested cores.
-const HOT_SERVICE_CORES: f64 = 2.0;
+const HOT_SERVICE_CORES_FACTOR: f64 = 2.0;
 
 /// The load of a host in an interval.
 struct HostLoad {
@@ -132,7 +132,7 @@
                 .get(&attempt)
                 .map_or(0.0, |task| task.used_memory_gib(now))
         };
-        let limit = self.spec.memory_gib * MEMORY_PRESSURE;
+        let limit = self.spec.memory_gib * MEMORY_PRESSURE_SHARE;
         for attempt in self.admission.select_evictions(limit, used) {
             self.end_task(now, attempt, Reason::Evicted, keys, out);
         }
@@ -141,8 +141,8 @@
     fn host_load(&self, memory_share: f64) -> HostLoad {
         let available =
             self.spec.cores * (1.0 - self.faults.neighbour_core_share) * self.spec.speed;
-        let excess = (memory_share - MEMORY_PRESSURE) / (1.0 - MEMORY_PRESSURE);
-        let memory_slowdown = if memory_share > MEMORY_PRESSURE {
+        let excess = (memory_share - MEMORY_PRESSURE_SHARE) / (1.0 - MEMORY_PRESSURE_SHARE);
+        let memory_slowdown = if memory_share > MEMORY_PRESSURE_SHARE {
             1.0 - MAX_MEMORY_SLOWDOWN * excess.min(1.0)
         } else {
             1.0
@@ -253,7 +253,7 @@
         });
         if f64::from(hash % 1000) < hot_service_share * 1000.0 {
             self.cores
-                .max(HOT_SERVICE_CORES * self.offer.requested.cores)
+                .max(HOT_SERVICE_CORES_FACTOR * self.offer.requested.cores)
         } else {
             self.cores
         }
--- a/crates/emulator/src/host/tasks.rs
+++ b/crates/emulator/src/host/tasks.rs
@@ -14,8 +14,8 @@
 /// Range of the random factor on the mean duration of a start.
 const START_VARIATION: [f64; 2] = [0.7, 1.3];
 /// Cores and memory of a task under the heavy-tail fault, as multiples of its usual usage.
-const HEAVY_CORES: f64 = 3.0;
-const HEAVY_MEMORY: f64 = 2.0;
+const HEAVY_CORES_FACTOR: f64 = 3.0;
+const HEAVY_MEMORY_FACTOR: f64 = 2.0;
 /// Duration of a start of a class that is not in the scenario, ms.
 const DEFAULT_START_WORK_MS: f64 = 50.0;
 /// The same in the capacity of a warming host, for a scenario without classes, ms.
@@ -99,7 +99,7 @@
             _ => false,
         };
         let (heavy_cores, heavy_memory) = if is_heavy {
-            (HEAVY_CORES, HEAVY_MEMORY)
+            (HEAVY_CORES_FACTOR, HEAVY_MEMORY_FACTOR)
         } else {
             (1.0, 1.0)
         };
--- a/crates/emulator/src/random_scenario/tests.rs
+++ b/crates/emulator/src/random_scenario/tests.rs
@@ -50,9 +50,9 @@
     let standard = Scenario::standard();
     let per_service = |s: &Scenario| s.total_cores() / s.classes[0].service_count as f64;
     let cells = |s: &Scenario| {
-        let all: std::collections::BTreeSet<_> =
+        let locations: std::collections::BTreeSet<_> =
             (0..s.fleet.hosts).map(|h| s.location_of(h)).collect();
-        all.len() as f64
+        locations.len() as f64
     };
     for hosts in [15, 60, 130, 400] {
         let scaled = Scenario::standard().with_host_count(hosts);
--- a/crates/emulator/src/recorded_scenario/tests.rs
+++ b/crates/emulator/src/recorded_scenario/tests.rs
@@ -9,10 +9,10 @@
 
 use super::*;
 
-const S: u64 = 1_000_000;
-const START: u64 = 1_700_000_000 * S;
+const SECOND_US: u64 = 1_000_000;
+const START_US: u64 = 1_700_000_000 * SECOND_US;
 
-/// The trace of a placer process that started this many seconds after [`START`], with requests and host starts at these
+/// The trace of a placer process that started this many seconds after [`START_US`], with requests and host starts at these
 /// seconds.
 fn trace(
     placer: &str,
@@ -24,7 +24,7 @@
         writer: "test".into(),
         module: String::new(),
         placer: placer.into(),
-        started_ms: (START + started_s * S) / 1000,
+        started_ms: (START_US + started_s * SECOND_US) / 1000,
         seed: 1,
         settings: None,
         classes: vec!["statements".into(), "web-api".into()],
@@ -45,7 +45,7 @@
         };
         writer
             .push(&TimedRecord {
-                at: START + started_s * S,
+                at: START_US + started_s * SECOND_US,
                 record,
             })
             .expect("record written");
@@ -58,7 +58,7 @@
         },
     });
     for (n, &(at, actor, is_resubmission)) in requests.iter().enumerate() {
-        let (at, task) = (START + at * S, n as u64);
+        let (at, task) = (START_US + at * SECOND_US, n as u64);
         let received = Record::RequestReceived {
             task,
             service: 3,
@@ -73,8 +73,8 @@
             service: ServiceId(3),
             class: 1,
             requested: Resources::new(0.5, 2.0),
-            expected_duration: Some(7 * S),
-            deadline: at + S,
+            expected_duration: Some(7 * SECOND_US),
+            deadline: at + SECOND_US,
             is_resubmission,
         };
         let turn = Turn {
@@ -96,7 +96,7 @@
             .expect("record written");
     }
     for &(at, host) in starts {
-        let at = START + at * S;
+        let at = START_US + at * SECOND_US;
         let entry = MachineEntry {
             machine: MachineId(host),
             stable_hash: 0,
@@ -151,7 +151,7 @@
     let requests: Vec<(&str, u64)> = recorded
         .arrivals
         .iter()
-        .map(|a| (&*a.actor, a.at_us / S))
+        .map(|a| (&*a.actor, a.at_us / SECOND_US))
         .collect();
     assert_eq!(
         requests,
@@ -165,7 +165,7 @@
             first_arrival.resources,
             first_arrival.wanted_for_us
         ),
-        ("web-api-03", [0.5, 2.0], 7 * S)
+        ("web-api-03", [0.5, 2.0], 7 * SECOND_US)
     );
     assert_eq!(
         recorded.scenario.classes[first_arrival.class].rules.name,
@@ -193,7 +193,7 @@
     let fast = read_all(&[&first, &second, &other], 2.0).expect("a recorded scenario");
     assert_eq!(
         fast.arrivals.iter().map(|a| a.at_us).collect::<Vec<_>>(),
-        [0, S / 2, 7 * S / 2, 29 * S / 2]
+        [0, SECOND_US / 2, 7 * SECOND_US / 2, 29 * SECOND_US / 2]
     );
 }
 
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -154,12 +154,13 @@
             v.requests - first.requests
         );
         let shares = |counts: &BTreeMap<String, u64>, total: u64| {
-            let one = |(reason, &n): (&String, &u64)| format!("{reason} {:.1}%", share(n, total));
-            let all: Vec<String> = counts.iter().map(one).collect();
-            if all.is_empty() {
+            let format_share =
+                |(reason, &n): (&String, &u64)| format!("{reason} {:.1}%", share(n, total));
+            let parts: Vec<String> = counts.iter().map(format_share).collect();
+            if parts.is_empty() {
                 "none".to_owned()
             } else {
-                all.join(", ")
+                parts.join(", ")
             }
         };
         let _ = writeln!(
@@ -300,8 +301,9 @@
     let counts: Vec<usize> = returns
         .iter()
         .map(|(returned_at, host)| {
-            let all = offers.get(&**host).map(Vec::as_slice).unwrap_or_default();
-            all.iter()
+            let offer_times = offers.get(&**host).map(Vec::as_slice).unwrap_or_default();
+            offer_times
+                .iter()
                 .filter(|&&at| at >= *returned_at && at < returned_at + 1_000_000)
                 .count()
         })
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -490,11 +490,15 @@
     /// Mean number of core-seconds that a task uses.
     pub fn mean_core_seconds(&self) -> f64 {
         let share: f64 = self.classes.iter().map(|c| c.share).sum();
-        let of = |c: &Class| {
+        let class_core_seconds = |c: &Class| {
             let cores = c.shapes.iter().map(|s| s[0]).sum::<f64>() / c.shapes.len() as f64;
             c.share / share * cores * c.used_share[0] * c.mean_duration_s
         };
-        self.classes.iter().map(of).sum::<f64>().max(1e-9)
+        self.classes
+            .iter()
+            .map(class_core_seconds)
+            .sum::<f64>()
+            .max(1e-9)
     }
 
     /// Whether the tasks of a class must not run twice.
--- a/crates/emulator/src/service_accounting.rs
+++ b/crates/emulator/src/service_accounting.rs
@@ -173,14 +173,14 @@
         let Some(Task { demand, served }) = self.tasks.get_mut(actor) else {
             return;
         };
-        let whole = to.saturating_sub(from);
+        let duration_us = to.saturating_sub(from);
         let from = from.max(served.served_until).max(demand.from_us);
         let to_wanted = to.min(demand.until_us);
         served.served_until = served.served_until.max(to);
         let span_s = to_wanted.saturating_sub(from) as f64 / 1e6;
         let (demand, copies) = (*demand, served.running_copies);
         if copies > 1 && span_s == 0.0 {
-            self.duplicate_run_s += whole as f64 / 1e6;
+            self.duplicate_run_s += duration_us as f64 / 1e6;
         }
         self.contention_loss += demand.value_per_s * (1.0 - share) * span_s;
         let at = to_wanted.max(demand.from_us);
@@ -206,14 +206,14 @@
     /// The causes of service lost up to a time.
     pub fn loss(&self, until: u64) -> ServiceLoss {
         let seconds = self.seconds_until(until);
-        let all = Value::sum(self.by_second.iter().take(seconds));
-        let part = |value: f64| value / all.wanted.max(f64::MIN_POSITIVE);
-        let unserved = all.wanted - all.served;
+        let total = Value::sum(self.by_second.iter().take(seconds));
+        let share = |value: f64| value / total.wanted.max(f64::MIN_POSITIVE);
+        let unserved = total.wanted - total.served;
         let not_running = (unserved - self.late_start_loss - self.contention_loss).max(0.0);
         ServiceLoss {
-            late_start: part(self.late_start_loss),
-            not_running: part(not_running),
-            contended: part(self.contention_loss),
+            late_start: share(self.late_start_loss),
+            not_running: share(not_running),
+            contended: share(self.contention_loss),
         }
     }
 
