--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -1,4 +1,4 @@
-//! `maplethread agent`: the node agent, and a look into its store.
+//! `maplethread agent`: runs the node agent, and prints its store.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -22,13 +22,13 @@
 
 #[derive(Subcommand)]
 enum AgentCommand {
-    /// Show what the store of an agent that does not run holds, and whether it is sound, as JSON lines
+    /// Print the store of a stopped agent as JSON lines; fails if the store is damaged
     State {
         /// The settings file
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Say what is wrong with a settings file
+    /// Check a settings file and report the first error
     Check {
         /// The settings file
         #[arg(long, value_name = "FILE")]
@@ -56,7 +56,7 @@
     let (config, _) = AgentConfig::load(config).in_library()?;
     let path = config.store_path();
     if !path.exists() {
-        return Err(CommandError::file(&path, "there is no store"));
+        return Err(CommandError::file(&path, "store does not exist"));
     }
     let StoredState { facts, tasks } = Store::open(&path)
         .and_then(|store| store.load())
@@ -65,8 +65,8 @@
         "{}",
         json!({"agent": config.name, "boot": facts.boot_id, "drains": facts.is_draining, "tasks": tasks.len()})
     );
-    for (attempt, kept) in tasks {
-        let fate = match kept.state {
+    for (attempt, task) in tasks {
+        let state = match task.state {
             TaskState::Accepted => json!("accepted"),
             TaskState::Starting => json!("starting"),
             TaskState::Running(identity) => {
@@ -79,12 +79,12 @@
                 json!({"ended": {"reason": reason.as_str(), "ran": possibly_started}})
             }
         };
-        let offer = &kept.offer;
+        let offer = &task.offer;
         println!(
             "{}",
             json!({
-                "attempt": format!("{attempt:016x}"), "placer": &*kept.placer, "service": offer.service,
-                "actor": offer.actor, "class": offer.class, "fate": fate,
+                "attempt": format!("{attempt:016x}"), "placer": &*task.placer, "service": offer.service,
+                "actor": offer.actor, "class": offer.class, "fate": state,
             })
         );
     }
--- a/crates/cli/src/consul_emulator.rs
+++ b/crates/cli/src/consul_emulator.rs
@@ -11,7 +11,7 @@
 ///
 /// # Errors
 ///
-/// The servers could not be started, or failed.
+/// Returns an error if a server could not be started, or failed.
 pub fn run(port: u16, servers: u16, lag_ms: u64) -> Result<ExitCode, CommandError> {
     let at = |n: u16| {
         let port = if port == 0 { 0 } else { port.saturating_add(n) };
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,77 +1,77 @@
-//! Why a command failed. The text is what the program prints after its name.
+//! Errors of the commands. The program prints the error's text after its own name.
 
 use std::error::Error;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The error of a library, of whichever type.
+/// The error of a library, of any type.
 pub type Source = Box<dyn Error + Send + Sync>;
 
-/// Why a command failed.
+/// The error of a command.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// An option that is out of range, is missing, or does not go with another.
+    /// An option is out of range, missing, or in conflict with another one.
     #[error("{0}")]
     InvalidOption(String),
-    /// A file could not be read, written or understood.
+    /// A file could not be read, written or parsed.
     #[error("{}: {source}", file.display())]
     File {
-        /// The file, or the folder.
+        /// The path of the file or folder.
         file: PathBuf,
-        /// What is wrong.
+        /// The cause.
         source: Source,
     },
     /// A step of a command failed.
     #[error("{step}: {source}")]
     Step {
-        /// The step.
+        /// What the command was doing.
         step: String,
-        /// What is wrong.
+        /// The cause.
         source: Source,
     },
     /// Standard output could not be written.
     #[error(transparent)]
     Output(io::Error),
-    /// A library failed, with a text that says all.
+    /// A library failed, with an error text that needs no context.
     #[error("{0}")]
     Library(Source),
-    /// The command ran, and what it checked is not as it should be.
+    /// The command ran, and its check failed.
     #[error("{0}")]
     CheckFailed(String),
 }
 
 impl CommandError {
-    /// An invalid option, with its text.
+    /// Makes an [`CommandError::InvalidOption`] of this text.
     pub fn invalid_option(text: impl Into<String>) -> CommandError {
         CommandError::InvalidOption(text.into())
     }
 
-    /// A problem of a file.
-    pub fn file(file: &Path, problem: impl Into<Source>) -> CommandError {
+    /// Makes a [`CommandError::File`] of this file and cause.
+    pub fn file(file: &Path, cause: impl Into<Source>) -> CommandError {
         CommandError::File {
             file: file.to_owned(),
-            source: problem.into(),
+            source: cause.into(),
         }
     }
 }
 
-/// Says where an error of a library arose.
+/// Adds to a library's error where it arose.
 pub trait ErrorContext<T> {
-    /// At this file or folder.
+    /// The error is about this file or folder.
     ///
     /// # Errors
     ///
     /// The error, as [`CommandError::File`].
     fn in_file(self, file: &Path) -> Result<T, CommandError>;
 
-    /// In this step.
+    /// The error arose in this step.
     ///
     /// # Errors
     ///
     /// The error, as [`CommandError::Step`].
     fn in_step(self, step: impl Into<String>) -> Result<T, CommandError>;
 
-    /// Nowhere that its text does not name.
+    /// The error's text needs no context.
     ///
     /// # Errors
     ///
--- a/crates/cli/src/fault_run.rs
+++ b/crates/cli/src/fault_run.rs
@@ -1,4 +1,5 @@
-//! `maplethread fault-run`: emulated hosts and owners, real placers, faults, and a verdict on the five rules.
+//! `maplethread fault-run`: injects faults into a fleet of real placers, emulated hosts and owners, and checks the five
+//! rules.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -18,47 +19,47 @@
 /// Arguments of `fault-run`.
 #[derive(Args)]
 pub struct FaultRunArgs {
-    /// A scenario file; the standard scenario without one
+    /// A scenario file; by default the standard scenario
     #[arg(long, value_name = "FILE")]
     scenario: Option<PathBuf>,
     /// Draw demand and faults from the seed
     #[arg(long, conflicts_with = "scenario")]
     drawn: bool,
-    /// Leave faults of this kind out, such as `rolling_restart`
+    /// Leave out faults of this kind, such as `rolling_restart`
     #[arg(long, value_name = "KIND")]
     without: Vec<String>,
-    /// Replay the demand and the faults that these trace files record, and report beside what was recorded; --scenario
-    /// gives the hosts' and the classes' behaviour
+    /// Replay the demand and the faults of these trace files, and compare the report with the recording; --scenario sets
+    /// the behaviour of hosts and classes
     #[arg(long, value_name = "FILE", num_args = 1.., conflicts_with_all = ["drawn", "seconds", "hosts", "placers"])]
     from_trace: Vec<PathBuf>,
-    /// With --from-trace: so many times as fast
+    /// With --from-trace: speed-up factor
     #[arg(long, default_value_t = 1.0, value_name = "X", requires = "from_trace")]
     speed: f64,
-    /// Write the scenario that is run to this file
+    /// Write the scenario to this file
     #[arg(long, value_name = "FILE")]
     write_scenario: Option<PathBuf>,
-    /// Length of the run; the times of faults are scaled with it
+    /// Length of the run, s; the times of faults are scaled with it
     #[arg(long, value_name = "N")]
     seconds: Option<f64>,
-    /// Seed of all that is drawn
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Placers
+    /// Number of placers
     #[arg(long, value_name = "N")]
     placers: Option<u32>,
-    /// Emulated hosts; services and cells grow with them
+    /// Number of emulated hosts; services and cells scale with it
     #[arg(long, value_name = "N")]
     hosts: Option<usize>,
-    /// Let the random-choice baseline decide
+    /// Use the random-choice baseline instead of the policy
     #[arg(long)]
     random: bool,
-    /// Let a placer decide that breaks rule N on purpose (6: rule 1, around pauses only), to see that the checker catches it
+    /// Use a mutant that breaks rule N on purpose (6: rule 1, around pauses only), to test that the checker detects it
     #[arg(long, default_value_t = 0, value_name = "N", value_parser = clap::value_parser!(u8).range(0..=6))]
     rogue: u8,
-    /// Hosts and placers register in a Consul emulator, whose faults are injected besides
+    /// Register hosts and placers in a Consul emulator, and inject its faults as well
     #[arg(long)]
     consul: bool,
-    /// With --consul: how good news after repeated changes is held back
+    /// With --consul: how recoveries of flapping hosts are suppressed
     #[arg(long, value_enum, default_value_t = DampingArg::Off, requires = "consul")]
     damping: DampingArg,
     /// Print one JSON object
@@ -67,7 +68,7 @@
     /// Keep the placers' settings and debug logs in this folder
     #[arg(long, value_name = "FOLDER")]
     keep: Option<PathBuf>,
-    /// Let the placers write trace files into this folder
+    /// Write the placers' trace files to this folder
     #[arg(long, value_name = "FOLDER")]
     trace: Option<PathBuf>,
 }
@@ -79,11 +80,11 @@
     Hold,
 }
 
-/// Runs a fault scenario, and reports it.
+/// Runs a fault scenario and prints its report.
 ///
 /// # Errors
 ///
-/// What is wrong with an option or a file, or what kept the scenario from running.
+/// Returns an error if an option or a file is not valid, or if the scenario could not be run.
 pub fn run(args: &FaultRunArgs) -> Result<ExitCode, CommandError> {
     let mut scenario = match &args.scenario {
         None if args.drawn => Scenario::random(args.seed),
@@ -109,8 +110,8 @@
         scenario = recorded.scenario.clone();
     }
     for kind in &args.without {
-        let known = serde_json::from_value(kind.as_str().into());
-        scenario = scenario.without_fault(known.in_step(format!("--without {kind}"))?);
+        let fault_kind = serde_json::from_value(kind.as_str().into());
+        scenario = scenario.without_fault(fault_kind.in_step(format!("--without {kind}"))?);
     }
     if let Some(file) = &args.write_scenario {
         let text = toml::to_string(&scenario).in_library()?;
@@ -118,13 +119,13 @@
     }
     if scenario.slots.is_some_and(|slots| slots < scenario.placers) && !args.consul {
         return Err(CommandError::invalid_option(
-            "fewer slots than placers: numbers have to be leased, with --consul",
+            "the scenario has fewer slots than placers: placers then lease their numbers, which needs --consul",
         ));
     }
     let options = scenario_run::RunOptions {
         scenario,
         seed: args.seed,
-        program: std::env::current_exe().in_step("own program")?,
+        program: std::env::current_exe().in_step("path of this program")?,
         use_random_choice: args.random,
         mutant: args.rogue,
         consul: args.consul.then_some(match args.damping {
@@ -158,12 +159,12 @@
     Ok(exit_code(&report))
 }
 
-/// The exit status of a run with a mutant that had no occasion to break its rule.
-const EXIT_NO_OCCASION: u8 = 3;
-/// The exit status of a run with a mutant that broke its rule, which the checker missed.
+/// The exit status of a run with a mutant that had no opportunity to break its rule.
+const EXIT_NO_OPPORTUNITY: u8 = 3;
+/// The exit status of a run with a mutant that broke its rule undetected.
 const EXIT_MISSED: u8 = 4;
 
-/// A run with a mutant never succeeds: the checker caught it, or the run does not show that it can.
+/// A run with a mutant never succeeds: either the checker detected the broken rule, or the run does not show that it can.
 fn exit_code(report: &Report) -> ExitCode {
     let Some(mutant) = report.mutant else {
         return if report.is_good() {
@@ -174,13 +175,13 @@
     };
     match mutant.outcome() {
         MutantOutcome::Detected => ExitCode::FAILURE,
-        MutantOutcome::NoOpportunity => exit_not_caught(&mutant.text(), EXIT_NO_OCCASION),
-        MutantOutcome::Missed => exit_not_caught(&mutant.text(), EXIT_MISSED),
+        MutantOutcome::NoOpportunity => exit_not_detected(&mutant.text(), EXIT_NO_OPPORTUNITY),
+        MutantOutcome::Missed => exit_not_detected(&mutant.text(), EXIT_MISSED),
     }
 }
 
-fn exit_not_caught(why: &str, status: u8) -> ExitCode {
-    eprintln!("maplethread: {why}");
+fn exit_not_detected(message: &str, status: u8) -> ExitCode {
+    eprintln!("maplethread: {message}");
     ExitCode::from(status)
 }
 
@@ -199,9 +200,9 @@
     recorded_scenario::read(&mut traces, base, args.speed, args.seed).in_step("--from-trace")
 }
 
-/// Answers in the recording and in the run.
-fn compare_with_recording(recorded: &serde_json::Value, played: &serde_json::Value) -> String {
-    let of_classes = |outcome: &str| -> u64 {
+/// Compares the answers of the recording with those of the run, as text.
+fn compare_with_recording(recorded: &serde_json::Value, replayed: &serde_json::Value) -> String {
+    let over_all_classes = |outcome: &str| -> u64 {
         let classes = recorded["classes"].as_object().into_iter().flatten();
         classes
             .filter_map(|(_, c)| c["outcomes"][outcome].as_u64())
@@ -211,17 +212,17 @@
     for outcome in ["placed", "refused", "failed"] {
         text += &format!(
             "  {outcome}: {}, {}\n",
-            of_classes(outcome),
-            played[outcome]
+            over_all_classes(outcome),
+            replayed[outcome]
         );
     }
-    let (then, now) = (&recorded["ask_to_placed_ms"], &played["place_ms"]);
+    let (recorded_ms, replayed_ms) = (&recorded["ask_to_placed_ms"], &replayed["place_ms"]);
     text += &format!(
         "  ask to placed, p50 and p99 in ms (at the placer, at the owner): {} {}, {:.1} {:.1}\n",
-        then["p50"],
-        then["p99"],
-        now["p50"].as_f64().unwrap_or(0.0),
-        now["p99"].as_f64().unwrap_or(0.0)
+        recorded_ms["p50"],
+        recorded_ms["p99"],
+        replayed_ms["p50"].as_f64().unwrap_or(0.0),
+        replayed_ms["p99"].as_f64().unwrap_or(0.0)
     );
     text
 }
@@ -230,7 +231,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the file.
+/// Returns an error if the file can't be read or is not valid.
 pub fn read_scenario(file: &Path) -> Result<Scenario, CommandError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).in_file(file)?;
@@ -241,11 +242,11 @@
     .in_library()
 }
 
-/// The folder of traces, for placers that run elsewhere.
+/// The absolute path of the trace folder, for placers with another working folder.
 ///
 /// # Errors
 ///
-/// The working folder is not known.
+/// Returns an error if the working folder can't be determined.
 pub fn absolute_folder(folder: &Option<PathBuf>) -> Result<Option<PathBuf>, CommandError> {
     folder
         .as_ref()
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -11,14 +11,14 @@
 
 use crate::error::{CommandError, ErrorContext};
 
-/// A placer that is followed is asked this often.
+/// How often `watch` polls the placer.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// One that does not answer for so many asks on end is given up.
+/// `watch` fails after this number of failed polls in a row.
 const MAX_FAILED_POLLS: u32 = 50;
 
 #[derive(Subcommand)]
 pub enum FleetCommand {
-    /// Print the fleet as a placer sees it: a line for each member, and what the view comes to
+    /// Print the fleet as a placer sees it: a line for each member, and a summary
     Members {
         /// The placer's API
         #[arg(long, default_value = "127.0.0.1:7400", value_name = "ADDRESS")]
@@ -27,13 +27,13 @@
         #[arg(long)]
         json: bool,
     },
-    /// Print each change of a placer's view as one JSON line, until interrupted or the placer is gone
+    /// Print each change of a placer's view as a JSON line, until interrupted or the placer stops answering
     Watch {
         /// The placer's API
         #[arg(long, default_value = "127.0.0.1:7400", value_name = "ADDRESS")]
         api: SocketAddr,
     },
-    /// Print a new key for a fleet's key file
+    /// Generate a key for a fleet's key file
     Key,
 }
 
@@ -43,7 +43,7 @@
         FleetCommand::Watch { api } => watch(*api),
         FleetCommand::Key => {
             let mut key = [0; 32];
-            getrandom::fill(&mut key).in_step("random numbers")?;
+            getrandom::fill(&mut key).in_step("random key")?;
             println!(
                 "{}",
                 key.iter().map(|b| format!("{b:02x}")).collect::<String>()
@@ -58,7 +58,7 @@
     if status == 200 {
         Ok(body)
     } else {
-        let detail = body["detail"].as_str().unwrap_or("?");
+        let detail = body["detail"].as_str().unwrap_or("no detail");
         Err(format!("{detail} ({status})")).in_step(api.to_string())
     }
 }
@@ -114,7 +114,7 @@
         view["settled_ms"].as_f64().unwrap_or(0.0) / 1000.0,
         view["health"]
     );
-    for (key, what) in [
+    for (key, message) in [
         (
             "displaced_by",
             "takes no part: its name is held by the process at",
@@ -122,7 +122,7 @@
         ("claimed_by", "its name is claimed by a process at"),
     ] {
         if let Some(address) = view[key].as_str() {
-            println!("{what} {address}");
+            println!("{message} {address}");
         }
     }
     Ok(ExitCode::SUCCESS)
@@ -130,19 +130,19 @@
 
 fn watch(api: SocketAddr) -> Result<ExitCode, CommandError> {
     let mut after = 0;
-    let mut silent = 0;
+    let mut failed_polls = 0;
     let mut out = std::io::stdout().lock();
     loop {
         match get(api, &format!("/v1/fleet?after={after}")) {
-            Ok(news) => {
-                silent = 0;
-                if news["lost"] == true && after > 0 {
+            Ok(response) => {
+                failed_polls = 0;
+                if response["lost"] == true && after > 0 {
                     let _ = writeln!(
                         out,
                         "{{\"lost\":\"changes after {after} are not kept any more\"}}"
                     );
                 }
-                for change in news["changes"].as_array().into_iter().flatten() {
+                for change in response["changes"].as_array().into_iter().flatten() {
                     after = change["number"].as_u64().unwrap_or(after);
                     if writeln!(out, "{change}").is_err() {
                         return Ok(ExitCode::SUCCESS);
@@ -151,8 +151,8 @@
                 let _ = out.flush();
             }
             Err(error) => {
-                silent += 1;
-                if after == 0 && silent == 1 || silent >= MAX_FAILED_POLLS {
+                failed_polls += 1;
+                if after == 0 && failed_polls == 1 || failed_polls >= MAX_FAILED_POLLS {
                     return Err(error);
                 }
             }
--- a/crates/cli/src/hosts.rs
+++ b/crates/cli/src/hosts.rs
@@ -1,4 +1,4 @@
-//! `maplethread host`: emulated hosts for trying a placer by hand.
+//! `maplethread host`: emulated hosts for manual tests of a placer.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -12,23 +12,23 @@
 use crate::error::{CommandError, ErrorContext};
 use crate::fault_run::read_scenario;
 
-/// A file that says which emulated hosts to run.
+/// The settings file of `maplethread host`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct HostsConfig {
-    /// Where the inventory that placers read is written.
+    /// The file to which the placers' inventory is written.
     pub inventory: std::path::PathBuf,
-    /// Seed of all that is drawn.
+    /// Seed of the random numbers.
     #[serde(default)]
     pub seed: u64,
-    /// The first port of the hosts, which listen on 127.0.0.1; 0 for free ones.
+    /// Port of the first host on 127.0.0.1, followed by those of the others; 0 selects free ports.
     #[serde(default)]
     pub first_port: u16,
-    /// Fleet, kinds, classes and rules, as in a scenario; `demand` and `trouble` (the faults) play no part.
+    /// A scenario file, of which fleet, kinds, classes and rules apply; `demand` and `trouble` (the faults) are ignored.
     pub scenario: std::path::PathBuf,
 }
 
-/// Reads the file.
+/// Reads the settings file; paths in it are relative to its folder.
 fn load(path: &Path) -> Result<HostsConfig, CommandError> {
     let file = path.display().to_string();
     let text = std::fs::read_to_string(path).in_file(path)?;
@@ -44,7 +44,7 @@
     Ok(config)
 }
 
-/// Addresses of so many hosts.
+/// Listen addresses of `count` hosts.
 fn listen_addresses(config: &HostsConfig, count: usize) -> Vec<SocketAddr> {
     let port = |n: usize| {
         if config.first_port == 0 {
@@ -62,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with a file, or what kept the hosts from running.
+/// Returns an error if a file is not valid or the hosts could not be run.
 pub fn run(file: &Path) -> Result<ExitCode, CommandError> {
     let config = load(file)?;
     let scenario = Arc::new(read_scenario(&config.scenario)?);
--- a/crates/cli/src/interrupt.rs
+++ b/crates/cli/src/interrupt.rs
@@ -7,15 +7,15 @@
 
 use crate::error::{CommandError, ErrorContext};
 
-/// A flag that SIGINT and SIGTERM set, so that what was started is ended, whoever sent the signal.
+/// Returns a flag that SIGINT and SIGTERM set, so that a run stops the processes that it started.
 ///
 /// # Errors
 ///
-/// A signal's handler could not be set.
+/// Returns an error if a signal handler could not be registered.
 pub fn interrupt_flag() -> Result<Arc<AtomicBool>, CommandError> {
     let flag = Arc::default();
     for signal in [SIGINT, SIGTERM] {
-        // A second one ends the program at once.
+        // A second signal ends the program at once.
         signal_hook::flag::register_conditional_shutdown(signal, 2, Arc::clone(&flag))
             .and_then(|_| signal_hook::flag::register(signal, Arc::clone(&flag)))
             .in_step("signals")?;
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -12,31 +12,31 @@
 /// Arguments of `load`.
 #[derive(Args)]
 pub struct LoadArgs {
-    /// Requests a second
+    /// Requests per second
     #[arg(long, default_value_t = 370.0, value_name = "N")]
     rate: f64,
-    /// Seconds
+    /// Duration, s
     #[arg(long, default_value_t = 10.0, value_name = "N")]
     seconds: f64,
-    /// Emulated hosts
+    /// Number of emulated hosts
     #[arg(long, default_value_t = 130, value_name = "N")]
     hosts: usize,
-    /// Client connections, each with requests pipelined
+    /// Number of client connections, each with pipelined requests
     #[arg(long, default_value_t = 64, value_name = "N")]
     connections: usize,
-    /// Tasks end after so many ms; 0 for never
+    /// Tasks end after this time, ms; 0 for never
     #[arg(long, default_value_t = 5000, value_name = "MS")]
     life_ms: u64,
-    /// Take the hosts from a catalogue, whose entries change N times a second in the second half of the run
+    /// Read the hosts from a catalogue whose entries change N times per second in the second half of the run
     #[arg(long, value_name = "N")]
     storm: Option<f64>,
-    /// Look for the highest rate that is sustained (p99 of due-to-answer under 50 ms), starting from --rate
+    /// Search for the highest sustained rate (p99 from due time to answer below 50 ms), starting from --rate
     #[arg(long)]
     max: bool,
-    /// Let the placer write trace files into this folder
+    /// Write the placer's trace files to this folder
     #[arg(long, value_name = "FOLDER")]
     trace: Option<PathBuf>,
-    /// Print one JSON object a run
+    /// Print one JSON object per run
     #[arg(long)]
     json: bool,
 }
@@ -45,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with an option, or what kept the load from running.
+/// Returns an error if an option is out of range or the load could not be run.
 pub fn run(args: &LoadArgs) -> Result<ExitCode, CommandError> {
     if !(args.rate > 0.0 && args.seconds > 0.0 && args.hosts > 0) {
         return Err(CommandError::invalid_option(
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The maplethread program: a placer, a node agent, the tools for their files, and runs on loopback that check placers by
+//! The maplethread program: a placer, a node agent, tools for their files, and test runs on loopback that check placers by
 //! their traffic.
 
 mod agent;
@@ -26,7 +26,7 @@
 #[derive(Parser)]
 #[command(name = "maplethread", version, about, max_term_width = 100)]
 struct Cli {
-    /// The least important log lines to show: error, warn, info, debug, or a filter such as `info,maplethread=debug`
+    /// Minimum level of log lines: error, warn, info or debug, or a filter such as `info,maplethread=debug`
     #[arg(
         long,
         global = true,
@@ -35,7 +35,7 @@
         value_name = "LEVEL"
     )]
     log: String,
-    /// How log lines read
+    /// Format of log lines
     #[arg(long, global = true, value_enum, default_value_t = LogFormat::Text)]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -50,20 +50,20 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a placer: serve the actor-placement API and place what is asked for on the hosts of the inventory
+    /// Run a placer: serve the actor-placement API and place the requested actors on the hosts of the inventory
     Placer(placer::PlacerArgs),
-    /// Run a placer in service on the operators' platform, as RELAY_CONFIG tells
+    /// Run a placer on the operators' platform, with the configuration file that RELAY_CONFIG names
     Platform {
         /// The configuration file
         #[arg(long, env = "RELAY_CONFIG")]
         config: PathBuf,
     },
-    /// Check a placer's settings file and say what is wrong, with line and key
+    /// Check a placer's settings file and report the first error with its line and key
     CheckConfig {
         /// The settings file
         file: PathBuf,
     },
-    /// Run emulated hosts, to try a placer by hand; they write the inventory that it reads
+    /// Run emulated hosts for manual tests of a placer, and write the inventory that the placer reads
     Host {
         /// The settings file
         #[arg(long)]
@@ -75,33 +75,33 @@
     /// Run an emulator of Consul servers: the endpoints that placers need, on loopback, without storage
     #[command(alias = "consul-stand-in")]
     ConsulEmulator {
-        /// Servers, on ports from this one on; 0 for free ones
+        /// Port of the first server, followed by those of the others; 0 selects free ports
         #[arg(long, default_value_t = 8500)]
         port: u16,
-        /// How many
+        /// Number of servers
         #[arg(long, default_value_t = 3)]
         servers: u16,
-        /// How far followers lag, ms
+        /// Replication lag of the followers, ms
         #[arg(long, default_value_t = 20)]
         lag_ms: u64,
     },
-    /// Put one placer under an open-loop load of asks, against emulated hosts that accept all at once
+    /// Load one placer with open-loop requests, against emulated hosts that accept every offer at once
     Load(load::LoadArgs),
-    /// Run a node agent: real processes for what placers offer, with a durable store
+    /// Run a node agent: start processes for the offers of placers, and keep its tasks in a durable store
     Agent(agent::AgentArgs),
-    /// Be a small task for agents to run: use so much, for so long, and log one's life
+    /// Run a synthetic task for agents: use the given cores and memory for the given time, and log start and end
     Worker(worker::WorkerArgs),
-    /// See the fleet as a placer sees it, or make a key for one
+    /// Show the fleet as a placer sees it, or generate a fleet key
     #[command(subcommand)]
     Fleet(fleet::FleetCommand),
-    /// Inject faults between real placers: a faulty network, kills, pauses, restarts; a verdict on the membership and the
-    /// five rules
+    /// Inject faults between real placers (network faults, kills, pauses, restarts), and check the membership and the five
+    /// rules
     #[command(alias = "fleet-drill")]
     MembershipTest(membership_test::MembershipTestArgs),
-    /// Read, cut, sum up and replay the trace files of placers
+    /// Inspect, cut, summarise and replay the trace files of placers
     #[command(subcommand)]
     Trace(trace::TraceCommand),
-    /// Measure what the placer program costs by the size of its fleet
+    /// Measure the resource use of the placer program by the size of its fleet
     #[command(subcommand)]
     Scale(scale::ScaleCommand),
 }
@@ -144,7 +144,7 @@
     result.unwrap_or_else(|error| fail(&error.to_string()))
 }
 
-fn fail(why: &str) -> ExitCode {
-    eprintln!("maplethread: {why}");
+fn fail(message: &str) -> ExitCode {
+    eprintln!("maplethread: {message}");
     ExitCode::from(2)
 }
--- a/crates/cli/src/membership_test.rs
+++ b/crates/cli/src/membership_test.rs
@@ -1,4 +1,4 @@
-//! `maplethread membership-test`: faults between real placers.
+//! `maplethread membership-test`: injects faults between real placers, and checks their membership and the five rules.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,16 +13,16 @@
 
 #[derive(Args)]
 pub struct MembershipTestArgs {
-    /// A schedule of faults; drawn from the seed without one
+    /// A schedule of faults; by default one is drawn from the seed
     #[arg(long, value_name = "FILE")]
     schedule: Option<PathBuf>,
-    /// Seed of all that is drawn
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Run so many tests, of this seed and those after it
+    /// Number of tests, with the seeds from --seed on
     #[arg(long, default_value_t = 1, value_name = "N")]
     drills: u64,
-    /// Placers, where the schedule is drawn
+    /// Number of placers in a drawn schedule
     #[arg(
         long,
         default_value_t = 8,
@@ -30,7 +30,7 @@
         conflicts_with = "schedule"
     )]
     placers: usize,
-    /// Seconds in which faults come, where the schedule is drawn
+    /// Length of a drawn schedule's faults, s
     #[arg(
         long,
         default_value_t = 20.0,
@@ -38,13 +38,13 @@
         conflicts_with = "schedule"
     )]
     seconds: f64,
-    /// Write the schedule that is run to this file
+    /// Write the schedule to this file
     #[arg(long, value_name = "FILE")]
     write_schedule: Option<PathBuf>,
-    /// Run without membership, to compare placing with it and without; the verdict on membership says nothing then
+    /// Run without membership, to compare the placing; membership is not checked then
     #[arg(long)]
     without_view: bool,
-    /// Print one JSON object a test
+    /// Print one JSON object per test
     #[arg(long)]
     json: bool,
     /// Keep the placers' settings and debug logs in this folder
@@ -58,7 +58,7 @@
             "--placers: 1 to 64; --seconds: 5 to 3600",
         ));
     }
-    let mut good = true;
+    let mut passed_all = true;
     let interrupted = interrupt_flag()?;
     for seed in args.seed..args.seed.saturating_add(args.drills.max(1)) {
         let schedule = match &args.schedule {
@@ -77,17 +77,17 @@
             let text = toml::to_string(&schedule).in_library()?;
             std::fs::write(file, text).in_file(file)?;
         }
-        let drill = FaultInjectionRun {
+        let test = FaultInjectionRun {
             schedule,
             seed,
-            program: std::env::current_exe().in_step("own program")?,
+            program: std::env::current_exe().in_step("path of this program")?,
             keep_files_in: args.keep.clone(),
             shows_progress: !args.json,
             without_view: args.without_view,
             interrupted: interrupted.clone(),
         };
-        let outcome = run::run(&drill).in_step(format!("membership test {seed}"))?;
-        good &= if args.without_view {
+        let outcome = run::run(&test).in_step(format!("membership test {seed}"))?;
+        passed_all &= if args.without_view {
             outcome.service.is_good()
         } else {
             outcome.passed()
@@ -98,7 +98,7 @@
             println!("{json}");
             continue;
         }
-        let kinds: Vec<String> = drill
+        let kinds: Vec<String> = test
             .schedule
             .fault
             .iter()
@@ -106,7 +106,7 @@
             .collect();
         println!(
             "drill {seed}: {} placers, {} faults\n  {}",
-            drill.schedule.placers,
+            test.schedule.placers,
             kinds.len(),
             kinds.join("\n  ")
         );
@@ -129,7 +129,7 @@
         );
         print!("{}", outcome.service.text());
     }
-    Ok(if good {
+    Ok(if passed_all {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/cli/src/placer.rs
+++ b/crates/cli/src/placer.rs
@@ -16,7 +16,7 @@
     /// The settings file
     #[arg(long)]
     config: PathBuf,
-    /// What decides; `random` is the baseline of fault runs
+    /// The decision maker; `random` is the baseline of fault runs
     #[arg(long, value_enum, default_value_t = Decider::Module, hide = true)]
     decider: Decider,
     /// Break this rule on purpose (baseline only)
@@ -34,21 +34,21 @@
 ///
 /// # Errors
 ///
-/// What stopped the placer.
+/// Returns the error that stopped the placer.
 pub fn run(args: &PlacerArgs) -> Result<ExitCode, CommandError> {
     let options = maplethread_placer::Options {
         config_path: args.config.clone(),
     };
-    let (which, rogue) = (args.decider, args.rogue);
-    let decider = |config: &PlacerConfig,
-                   seed: u64|
+    let (decider, rogue) = (args.decider, args.rogue);
+    let new_decider = |config: &PlacerConfig,
+                       seed: u64|
      -> Result<Box<dyn Decide>, maplethread::SettingsError> {
-        Ok(match which {
+        Ok(match decider {
             Decider::Module => Box::new(maplethread::Placer::new(config.policy_settings(), seed)?),
             Decider::Random => Box::new(RandomChoice::new(config.policy_settings(), seed, rogue)),
         })
     };
-    maplethread_placer::run(&options, decider).in_library()?;
+    maplethread_placer::run(&options, new_decider).in_library()?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the file.
+/// Returns an error if the file can't be read or is not valid.
 pub fn check_config(file: &Path) -> Result<ExitCode, CommandError> {
     let config = maplethread_placer::load_config(file).in_library()?;
     println!(
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,4 +1,4 @@
-//! `maplethread scale`: what the placer program costs by the size of its fleet.
+//! `maplethread scale`: measures the resource use of the placer program by the size of its fleet.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -11,28 +11,27 @@
 use crate::interrupt::interrupt_flag;
 use crate::scale_report::{self, ReportArgs};
 
-/// What can be done with sweeps.
+/// Commands on sweeps.
 #[derive(Subcommand)]
 pub enum ScaleCommand {
-    /// Measure a sweep: real placers under hollow workers, one size after the other
+    /// Measure a sweep: real placers with hollow workers, at one fleet size after the other
     Run(RunArgs),
-    /// Derive laws, budgets and plots from the results of sweeps, and write them into the page
+    /// Derive growth laws, budgets and plots from the results of sweeps, and write them into the page
     Report(ReportArgs),
 }
 
 /// Arguments of `scale run`.
 #[derive(Args)]
 pub struct RunArgs {
-    /// The sweep file, as in config/scale
+    /// The sweep file; config/scale has examples
     file: PathBuf,
-    /// The folder of the results
+    /// The folder for the results
     #[arg(long, default_value = "docs/capacity", value_name = "DIR")]
     output: PathBuf,
-    /// Nothing else uses the loopback interface: count its packets too
+    /// Also count the packets of the loopback interface, which nothing else may use meanwhile
     #[arg(long)]
     alone: bool,
-    /// Measure the placers of another build, to compare the two: a program that takes `placer --config FILE` as this one
-    /// does
+    /// Measure the placers of another build, for comparison: a program that accepts `placer --config FILE` like this one
     #[arg(long, value_name = "PROGRAM")]
     placer: Option<PathBuf>,
 }
@@ -41,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with a file, or what kept a sweep from running.
+/// Returns an error if a file is not valid or a sweep could not be run.
 pub fn command(command: &ScaleCommand) -> Result<ExitCode, CommandError> {
     match command {
         ScaleCommand::Run(args) => measure(args),
@@ -59,7 +58,7 @@
     .in_library()?;
     let name = stem(&args.file)?;
     let alone = if args.alone { " --alone" } else { "" };
-    let own_program = || std::env::current_exe().in_step("own program");
+    let own_program = || std::env::current_exe().in_step("path of this program");
     let (program, placer) = match &args.placer {
         Some(placer) => (placer.clone(), format!(" --placer {}", stem(placer)?)),
         None => (own_program()?, String::new()),
@@ -86,5 +85,5 @@
 fn stem(file: &Path) -> Result<String, CommandError> {
     let stem = file.file_stem().and_then(|stem| stem.to_str());
     stem.map(str::to_owned)
-        .ok_or_else(|| CommandError::file(file, "not a file name"))
+        .ok_or_else(|| CommandError::file(file, "path has no file name in UTF-8"))
 }
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -1,4 +1,4 @@
-//! `maplethread scale report`: reads the results of sweeps, and writes or checks the page and the plots.
+//! `maplethread scale report`: writes or checks the capacity page and its plots, from the results of sweeps.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -13,13 +13,13 @@
 /// Arguments of `scale report`.
 #[derive(Args)]
 pub struct ReportArgs {
-    /// The folder of the results, where the plots are too
+    /// The folder of the results and the plots
     #[arg(long, default_value = "docs/capacity", value_name = "DIR")]
     results: PathBuf,
-    /// The page that has the generated parts
+    /// The page with the generated sections
     #[arg(long, default_value = "docs/CAPACITY.md", value_name = "FILE")]
     page: PathBuf,
-    /// Write nothing, and fail where the page or a plot is not what the results say
+    /// Write nothing, and fail if the page or a plot differs from the results
     #[arg(long)]
     check: bool,
 }
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with a file, or what differs in a check.
+/// Returns an error if a file is not valid, or if a check found differences.
 pub fn run(args: &ReportArgs) -> Result<ExitCode, CommandError> {
     let report = Report::new(read_results(&args.results)?, &plot_folder(args));
     let plots = report.plots().in_library()?;
@@ -45,16 +45,16 @@
     format!("{}: {problem}", file.display())
 }
 
-/// Where the page finds the plots.
+/// The path of the plots relative to the page.
 fn plot_folder(args: &ReportArgs) -> String {
-    let beside = args
+    let relative = args
         .page
         .parent()
         .and_then(|folder| args.results.strip_prefix(folder).ok());
-    beside.unwrap_or(&args.results).display().to_string()
+    relative.unwrap_or(&args.results).display().to_string()
 }
 
-/// The results in a folder; none where it is not there.
+/// Reads the results in a folder; none if the folder does not exist.
 fn read_results(folder: &Path) -> Result<Vec<SweepResult>, CommandError> {
     let entries = match fs::read_dir(folder) {
         Ok(entries) => entries,
@@ -107,7 +107,10 @@
         .map(|part| difference(&args.page, format!("{part} differs")))
         .collect();
     if differing.is_empty() && before != page.text {
-        differing.push(difference(&args.page, "a marker is written in another way"));
+        differing.push(difference(
+            &args.page,
+            "a marker of a generated section differs",
+        ));
     }
     for plot in plots {
         let file = args.results.join(&plot.file_name);
@@ -120,7 +123,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     Err(CommandError::CheckFailed(format!(
-        "{}\nnot what the results say; `maplethread scale report` writes it anew",
+        "{}\nthe page or its plots differ from the results; `maplethread scale report` regenerates them",
         differing.join("\n")
     )))
 }
@@ -128,7 +131,7 @@
 fn plot_problem(file: &Path, plot: &Plot) -> Result<Option<&'static str>, CommandError> {
     match fs::read_to_string(file) {
         Ok(svg) => Ok((svg != plot.svg).then_some("differs")),
-        Err(error) if error.kind() == ErrorKind::NotFound => Ok(Some("is not there")),
+        Err(error) if error.kind() == ErrorKind::NotFound => Ok(Some("does not exist")),
         Err(error) => Err(CommandError::file(file, error)),
     }
 }
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! The tools for trace files. All go through a file block by block, in memory that does not grow with it.
+//! The commands on trace files. Each reads a file block by block, so that its memory does not grow with the file.
 
 mod anonymise;
 mod copy;
@@ -19,10 +19,10 @@
 
 use crate::error::CommandError;
 
-/// What can be done with trace files.
+/// Commands on trace files.
 #[derive(Subcommand)]
 pub enum TraceCommand {
-    /// Tell what a file is: placer, run, module, times, blocks, and whether it was finished
+    /// Print a file's placer, run, module, times and blocks, and whether it was finished
     Info {
         /// The trace file
         file: PathBuf,
@@ -33,9 +33,9 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Copy a part to a new file: by time, service, host, request or outcome
+    /// Copy a selection to a new file: by time, service, host, request or outcome
     Cut(cut::CutArgs),
-    /// Sum up: outcomes by class and reason, times, hosts, drains, the worst ten seconds
+    /// Print a summary: outcomes by class and reason, times, hosts, drains, the worst ten seconds
     Summary {
         /// The trace files of a run, in order
         #[arg(required = true)]
@@ -43,11 +43,11 @@
         /// Print one JSON object
         #[arg(long)]
         json: bool,
-        /// Also draw what happened second by second, as SVG
+        /// Also draw the events per second, as SVG
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
     },
-    /// Tell what kept tasks from running while they were wanted: by class, cause, what took the time, and hosts
+    /// Print the time that wanted tasks did not run: by class, cause, phase and host
     Losses {
         /// The merged trace, or the files of one run, in order
         #[arg(required = true)]
@@ -56,45 +56,45 @@
         #[arg(long)]
         json: bool,
     },
-    /// Read every block, and tell what is damaged; exit code 1 if anything is
+    /// Read every block and print what is damaged; exit code 1 if anything is
     Verify {
         /// The trace file
         file: PathBuf,
     },
-    /// Copy all sound blocks to a new file with an index; a gap stands where something was damaged
+    /// Copy all sound blocks to a new file with an index; gap records take the place of damaged blocks
     Repair {
         /// The damaged file
         file: PathBuf,
-        /// The new file, which must not be there yet
+        /// The new file, which must not exist yet
         out: PathBuf,
     },
-    /// Feed the trace to a fresh module and compare every action; exit code 1 at a difference
+    /// Replay the trace through the policy module and compare every action; exit code 1 on a difference
     Replay {
-        /// The trace files of one run, in order, from its first part on
+        /// The trace files of one run, in order, from the first part on
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Go on though the module's text is not the one that decided, and tell what it would do instead
+        /// Replay although the module differs from the one that made the trace, and print how its actions differ
         #[arg(long)]
         build_differs: bool,
-        /// What if: with the settings of this placer's file in place of the recorded ones
+        /// Replay with the settings of this placer settings file instead of the recorded ones
         #[arg(long, value_name = "FILE")]
         settings: Option<PathBuf>,
     },
-    /// Make one trace of several: parts of a run, runs, placers whose clocks differ, merged ones
+    /// Merge traces into one: parts of a run, several runs, placers with different clocks, merged traces
     Merge {
-        /// The new file, which must not be there yet
+        /// The new file, which must not exist yet
         out: PathBuf,
         /// The trace files
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Copy with all names, ids, keys and free text replaced by keyed hashes, and look for any of them in the copy
+    /// Copy with all names, ids, keys and free text replaced by keyed hashes, and check that none is left in the copy
     Anonymise(anonymise::AnonymiseArgs),
-    /// Compare two traces record by record; exit code 1 at a difference
+    /// Compare two traces record by record; exit code 1 on a difference
     Diff {
-        /// One
+        /// The first trace file
         a: PathBuf,
-        /// The other
+        /// The second trace file
         b: PathBuf,
     },
 }
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with a file or an option.
+/// Returns an error if a file or an option is not valid.
 pub fn run(command: &TraceCommand) -> Result<ExitCode, CommandError> {
     match command {
         TraceCommand::Info { file } => inspect::info(file),
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -1,4 +1,4 @@
-//! `trace anonymise`: the copy, and the search of it for anything that should not be in it.
+//! `trace anonymise`: writes the copy, and searches it for identifiers of the original.
 
 use std::io::BufWriter;
 use std::path::{Path, PathBuf};
@@ -12,19 +12,19 @@
 use super::files::{create_new, for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
 
-/// Identifiers of which the copy is searched in one pass; with more, it is searched again.
+/// The copy is searched for this number of identifiers at a time, which bounds the memory of the search.
 const MAX_IDENTIFIERS_PER_PASS: usize = 1 << 18;
 
 #[derive(Args)]
 pub struct AnonymiseArgs {
     /// The trace file
     file: PathBuf,
-    /// The new file, which must not be there yet
+    /// The new file, which must not exist yet
     out: PathBuf,
-    /// Also write the key to this file, which must not be there yet; otherwise nobody has it afterwards
+    /// Also write the key to this file, which must not exist yet; otherwise the key is lost
     #[arg(long, value_name = "FILE")]
     keep_key: Option<PathBuf>,
-    /// Shift all times by so many seconds
+    /// Shift all times by this, s
     #[arg(
         long,
         default_value_t = 0.0,
@@ -32,37 +32,38 @@
         value_name = "S"
     )]
     shift_s: f64,
-    /// Round asked cores and memory up to multiples of this
+    /// Round requested cores and memory up to multiples of this
     #[arg(long, default_value_t = 0.0, value_name = "X")]
     round: f64,
 }
 
 pub fn anonymise(args: &AnonymiseArgs) -> Result<ExitCode, CommandError> {
     let mut key = [0; 32];
-    getrandom::fill(&mut key).in_step("no random key")?;
+    getrandom::fill(&mut key).in_step("random key")?;
     if let Some(file) = &args.keep_key {
         let hex: String = key.iter().map(|b| format!("{b:02x}")).collect();
         use std::io::Write;
         writeln!(create_new(file)?, "{hex}").in_file(file)?;
     }
     let shift = (args.shift_s * 1e6) as i64 as u64;
-    let hide = Anonymiser::new(key, shift, args.round);
+    let anonymiser = Anonymiser::new(key, shift, args.round);
     let mut trace = open(&args.file)?;
     let out = BufWriter::new(create_new(&args.out)?);
-    let mut writer = Writer::new(out, &hide.anonymise_header(&trace.header)).in_file(&args.out)?;
+    let mut writer =
+        Writer::new(out, &anonymiser.anonymise_header(&trace.header)).in_file(&args.out)?;
     for_each_part(&args.file, &mut trace, |part| match part {
-        Part::Block { records, .. } => records
-            .iter()
-            .try_for_each(|r| writer.push(&hide.anonymise_record(r)).in_file(&args.out)),
-        Part::Damaged {
-            byte_count: octets, ..
-        } => {
+        Part::Block { records, .. } => records.iter().try_for_each(|r| {
+            writer
+                .push(&anonymiser.anonymise_record(r))
+                .in_file(&args.out)
+        }),
+        Part::Damaged { byte_count, .. } => {
             let record = Record::Gap {
                 turns: 1,
                 records: 1,
                 reason: "other".to_owned(),
             };
-            eprintln!("{octets} damaged octets left out");
+            eprintln!("{byte_count} damaged bytes left out");
             writer
                 .push(&TimedRecord { at: 0, record })
                 .in_file(&args.out)
@@ -70,9 +71,9 @@
     })?;
     let totals = writer.finish().in_file(&args.out)?;
     drop(writer);
-    let (looked, found) = find_leaks(&args.file, &args.out)?;
+    let (searched, found) = find_leaks(&args.file, &args.out)?;
     println!(
-        "{} records copied; looked for {looked} identifiers of the original: {} found",
+        "{} records copied; looked for {searched} identifiers of the original: {} found",
         totals.records,
         found.len()
     );
@@ -84,14 +85,14 @@
     }
     std::fs::remove_file(&args.out).in_file(&args.out)?;
     Err(CommandError::CheckFailed(
-        "the copy was removed: it held what it should hide".to_owned(),
+        "the copy was removed: it contained identifiers of the original".to_owned(),
     ))
 }
 
-/// Looks in the copy for what the original names: as values of their own, and anywhere in the unpacked octets. Returns
-/// how many identifiers were looked for, and those found.
+/// Searches the copy for the original's identifiers, both as values and anywhere in the unpacked bytes. Returns the number
+/// of identifiers searched for, and those found.
 fn find_leaks(original: &Path, copy: &Path) -> Result<(usize, Vec<String>), CommandError> {
-    let (mut looked, mut found) = (0, Vec::new());
+    let (mut searched, mut found) = (0, Vec::new());
     let mut identifiers = Identifiers::default();
     identifiers.add_header(&open(original)?.header);
     let mut trace = open(original)?;
@@ -100,28 +101,28 @@
             records.iter().for_each(|r| identifiers.add_record(r));
             if identifiers.len() >= MAX_IDENTIFIERS_PER_PASS {
                 let all = std::mem::take(&mut identifiers);
-                looked += all.len();
+                searched += all.len();
                 found.extend(find_in_copy(&all, copy)?);
             }
         }
         Ok(())
     })?;
-    looked += identifiers.len();
+    searched += identifiers.len();
     found.extend(find_in_copy(&identifiers, copy)?);
-    Ok((looked, found))
+    Ok((searched, found))
 }
 
 fn find_in_copy(identifiers: &Identifiers, copy: &Path) -> Result<Vec<String>, CommandError> {
-    let long: Vec<&str> = identifiers.searchable_texts().collect();
-    let any = AhoCorasick::new(&long).in_library()?;
+    let texts: Vec<&str> = identifiers.searchable_texts().collect();
+    let matcher = AhoCorasick::new(&texts).in_library()?;
     let mut trace = open(copy)?;
-    // Its values; its keys are the format's own.
+    // Only the header's values: its keys are part of the format.
     let header = [&[trace.header.placer.clone()], &trace.header.classes[..]]
         .concat()
         .join("\n");
-    let mut found: Vec<String> = any
+    let mut found: Vec<String> = matcher
         .find_iter(&header)
-        .map(|m| long[m.pattern().as_usize()].to_owned())
+        .map(|m| texts[m.pattern().as_usize()].to_owned())
         .collect();
     let mut blocks = Vec::new();
     for_each_part(copy, &mut trace, |part| {
@@ -137,10 +138,11 @@
         Ok(())
     })?;
     for at in blocks {
-        let octets = trace.read_block_bytes(at).in_file(copy)?;
+        let bytes = trace.read_block_bytes(at).in_file(copy)?;
         found.extend(
-            any.find_iter(&octets)
-                .map(|m| long[m.pattern().as_usize()].to_owned()),
+            matcher
+                .find_iter(&bytes)
+                .map(|m| texts[m.pattern().as_usize()].to_owned()),
         );
     }
     found.sort();
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -1,4 +1,4 @@
-//! `trace merge` and `trace repair`: whole traces, written anew.
+//! `trace merge` and `trace repair`: rewrite whole traces.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
@@ -11,11 +11,11 @@
 use super::files::{create_new, for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
 
-/// Makes one trace of several.
+/// Merges several traces into one.
 ///
 /// # Errors
 ///
-/// A file can't be read or written, or the files can't be merged.
+/// Returns an error if a file can't be read or written, or if the files can't be merged.
 pub fn merge(out: &Path, files: &[PathBuf]) -> Result<ExitCode, CommandError> {
     let mut inputs = files
         .iter()
@@ -24,8 +24,8 @@
     let plan = MergePlan::new(&mut inputs).in_library()?;
     drop(inputs);
     let mut writer = Writer::new(BufWriter::new(create_new(out)?), plan.header()).in_file(out)?;
-    let again = |n: usize| Reader::open(BufReader::new(File::open(&files[n])?));
-    plan.write(again, &mut writer).in_library()?;
+    let reopen = |n: usize| Reader::open(BufReader::new(File::open(&files[n])?));
+    plan.write(reopen, &mut writer).in_library()?;
     let totals = writer.finish().in_file(out)?;
     println!(
         "{} records of {} runs",
@@ -49,35 +49,36 @@
 ///
 /// # Errors
 ///
-/// A file can't be read or written.
+/// Returns an error if a file can't be read or written.
 pub fn repair(file: &Path, out: &Path) -> Result<ExitCode, CommandError> {
     let mut trace = open(file)?;
     let mut header = trace.header.clone();
     header.changed.push("repair".to_owned());
     let mut writer = Writer::new(BufWriter::new(create_new(out)?), &header).in_file(out)?;
-    let (mut lost, mut last) = (0, 0);
+    let (mut lost_bytes, mut last_us) = (0, 0);
     for_each_part(file, &mut trace, |part| {
         match part {
             Part::Block { records, .. } => {
                 for record in records {
-                    last = record.at;
+                    last_us = record.at;
                     writer.push(&record).in_file(out)?;
                 }
             }
             Part::Damaged {
-                byte_count: octets,
-                reason: why,
-                ..
+                byte_count, reason, ..
             } => {
-                lost += octets;
-                // How many turns were in it is not known; one at least, or a replay would go on over it.
+                lost_bytes += byte_count;
+                // The number of lost turns is unknown. Without any, a replay would continue across the gap.
                 let record = Record::Gap {
                     turns: 1,
                     records: 1,
-                    reason: format!("{octets} octets: {why}"),
+                    reason: format!("{byte_count} octets: {reason}"),
                 };
                 writer
-                    .push(&TimedRecord { at: last, record })
+                    .push(&TimedRecord {
+                        at: last_us,
+                        record,
+                    })
                     .in_file(out)?;
             }
         }
@@ -85,7 +86,7 @@
     })?;
     let totals = writer.finish().in_file(out)?;
     println!(
-        "{} records copied; {lost} octets were no sound blocks",
+        "{} records copied; {lost_bytes} octets were no sound blocks",
         totals.records
     );
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/trace/cut.rs
+++ b/crates/cli/src/trace/cut.rs
@@ -1,4 +1,4 @@
-//! `trace cut`: a part of a trace as a file of its own.
+//! `trace cut`: copies a selection of a trace to a new file.
 
 use std::io::BufWriter;
 use std::path::{Path, PathBuf};
@@ -16,39 +16,39 @@
 pub struct CutArgs {
     /// The trace file
     file: PathBuf,
-    /// The new file, which must not be there yet
+    /// The new file, which must not exist yet
     out: PathBuf,
-    /// Seconds after the first record from which on
+    /// Start of the selection, s after the first record
     #[arg(long, value_name = "S")]
     from_s: Option<f64>,
-    /// Seconds after the first record up to which
+    /// End of the selection, s after the first record
     #[arg(long, value_name = "S")]
     until_s: Option<f64>,
-    /// Only asks of this service
+    /// Only requests of this service
     #[arg(long)]
     service: Option<String>,
-    /// Only asks that were offered to this host, and what was told of it
+    /// Only requests that were offered to this host, and events of the host
     #[arg(long)]
     host: Option<String>,
-    /// Only the ask with this id
+    /// Only the request with this id
     #[arg(long)]
     request: Option<String>,
-    /// Only asks that ended so
+    /// Only requests with this outcome
     #[arg(long, value_parser = ["placed", "refused", "failed", "hung_up"])]
     outcome: Option<String>,
 }
 
-/// What the names of the arguments stand for in a file.
+/// The arguments of a cut, as ids and times of the file.
 struct Selection {
-    /// The number of the service, if one is selected.
+    /// The id of the service, if one is selected.
     service: Option<u64>,
-    /// The number of the host, if one is selected.
+    /// The id of the host, if one is selected.
     machine: Option<u32>,
     /// The time of the first block, in microseconds.
     first_us: u64,
 }
 
-/// Looks for the service and the host in the names that blocks hold.
+/// Looks up the ids of the service and the host in the name records of the blocks.
 fn find_ids(file: &Path, trace: &mut TraceFile, args: &CutArgs) -> Result<Selection, CommandError> {
     let (mut service, mut machine, mut first) = (None, None, None);
     while let Some(part) = trace.next_part().in_file(file)? {
@@ -80,7 +80,7 @@
         {
             return Err(CommandError::file(
                 file,
-                format!("no {what} {name:?} in it"),
+                format!("the trace has no {what} named {name:?}"),
             ));
         }
     }
@@ -91,11 +91,11 @@
     })
 }
 
-/// Copies a part of a trace.
+/// Copies a selection of a trace.
 ///
 /// # Errors
 ///
-/// A file can't be read or written, or the service or host is not in it.
+/// Returns an error if a file can't be read or written, or if the trace does not have the service or host.
 pub fn cut(args: &CutArgs) -> Result<ExitCode, CommandError> {
     let file = args.file.as_path();
     let mut trace = open(file)?;
@@ -105,7 +105,7 @@
         first_us,
     } = find_ids(file, &mut trace, args)?;
     let time = |s: Option<f64>| s.map(|s| first_us + (s.max(0.0) * 1e6) as u64);
-    let wanted = Filter {
+    let filter = Filter {
         from: time(args.from_s),
         until: time(args.until_s),
         service,
@@ -113,15 +113,15 @@
         request: args.request.clone(),
         outcome: args.outcome.clone(),
     };
-    // With an index only blocks that may hold something of it are read; a service's number says which.
+    // The index tells by time and service id which blocks may hold selected records; only those are read.
     let index = trace.read_index().in_file(file)?;
     let blocks: Option<Vec<u64>> = index.map(|all| {
         all.iter()
-            .filter(|e| wanted.may_match_block(e))
+            .filter(|e| filter.may_match_block(e))
             .map(|e| e.offset)
             .collect()
     });
-    let mut go = |visit: &mut dyn FnMut(&TimedRecord) -> Result<(), CommandError>| -> Result<(), CommandError> {
+    let mut for_each_record = |visit: &mut dyn FnMut(&TimedRecord) -> Result<(), CommandError>| -> Result<(), CommandError> {
         match &blocks {
             Some(blocks) => {
                 for &at in blocks {
@@ -142,25 +142,25 @@
             }
         }
     };
-    let mut chosen = SelectedTasks::default();
-    if wanted.selects_tasks() {
-        go(&mut |r| {
-            chosen.scan(&wanted, r);
+    let mut selected = SelectedTasks::default();
+    if filter.selects_tasks() {
+        for_each_record(&mut |r| {
+            selected.scan(&filter, r);
             Ok(())
         })?;
     }
     let mut header = open(file)?.header;
     header.changed.push("cut".to_owned());
-    // What is left of the turns is not what the module was given.
+    // The cut leaves out input of the module, so the copy can't be replayed.
     header.settings = None;
     let out = BufWriter::new(create_new(&args.out)?);
     let mut writer = Writer::new(out, &header).in_file(&args.out)?;
-    go(&mut |r| match chosen.filter_record(&wanted, r) {
-        Some(kept) if matches!(kept.record, Record::Host { .. } | Record::Service { .. }) => {
-            writer.register_name(&kept);
+    for_each_record(&mut |r| match selected.filter_record(&filter, r) {
+        Some(record) if matches!(record.record, Record::Host { .. } | Record::Service { .. }) => {
+            writer.register_name(&record);
             Ok(())
         }
-        Some(kept) => writer.push(&kept).in_file(&args.out),
+        Some(record) => writer.push(&record).in_file(&args.out),
         None => Ok(()),
     })?;
     let totals = writer.finish().in_file(&args.out)?;
--- a/crates/cli/src/trace/diff.rs
+++ b/crates/cli/src/trace/diff.rs
@@ -1,4 +1,4 @@
-//! `trace diff`: two traces, record by record.
+//! `trace diff`: compares two traces record by record.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 use super::files::{TraceFile, open};
 use crate::error::{CommandError, ErrorContext};
 
-/// The records of a file one by one.
+/// Iterates over the records of a file, name records excepted.
 struct Records {
     file: PathBuf,
     trace: TraceFile,
@@ -19,10 +19,10 @@
 impl Records {
     fn next(&mut self) -> Result<Option<TimedRecord>, CommandError> {
         loop {
-            // Names are said wherever a block begins, which is no difference.
-            let named =
+            // Each block repeats the names that it uses, so name records depend on where blocks begin.
+            let is_name =
                 |r: &TimedRecord| matches!(r.record, Record::Host { .. } | Record::Service { .. });
-            if let Some(record) = self.block.find(|r| !named(r)) {
+            if let Some(record) = self.block.find(|r| !is_name(r)) {
                 return Ok(Some(record));
             }
             match self.trace.next_part().in_file(&self.file)? {
@@ -38,7 +38,7 @@
 ///
 /// # Errors
 ///
-/// A file can't be read.
+/// Returns an error if a file can't be read.
 pub fn diff(a: &Path, b: &Path) -> Result<ExitCode, CommandError> {
     let records = |file: &Path| -> Result<Records, CommandError> {
         Ok(Records {
@@ -48,19 +48,23 @@
         })
     };
     let (mut a, mut b) = (records(a)?, records(b)?);
-    let mut same = 0u64;
+    let mut equal_records = 0u64;
     loop {
         match (a.next()?, b.next()?) {
             (None, None) => {
-                println!("{same} records, all the same");
+                println!("{equal_records} records, all the same");
                 return Ok(ExitCode::SUCCESS);
             }
-            (x, y) if x == y => same += 1,
+            (x, y) if x == y => equal_records += 1,
             (x, y) => {
                 let shown = |r: Option<TimedRecord>| {
                     r.map_or_else(|| "the end".to_owned(), |r| json!(r).to_string())
                 };
-                println!("record {same} differs\n  {}\n  {}", shown(x), shown(y));
+                println!(
+                    "record {equal_records} differs\n  {}\n  {}",
+                    shown(x),
+                    shown(y)
+                );
                 return Ok(ExitCode::from(1));
             }
         }
--- a/crates/cli/src/trace/inspect.rs
+++ b/crates/cli/src/trace/inspect.rs
@@ -1,4 +1,4 @@
-//! `trace info`, `trace cat` and `trace verify`: what a file holds.
+//! `trace info`, `trace cat` and `trace verify`: print the contents of trace files.
 
 use std::io::{self, BufWriter, Write};
 use std::path::{Path, PathBuf};
@@ -10,11 +10,11 @@
 use super::files::{for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
 
-/// Prints what a file is.
+/// Prints the header and the size of a file, as JSON.
 ///
 /// # Errors
 ///
-/// The file can't be read.
+/// Returns an error if the file can't be read.
 pub fn info(file: &Path) -> Result<ExitCode, CommandError> {
     let mut trace = open(file)?;
     let index = trace.read_index().in_file(file)?;
@@ -50,7 +50,8 @@
 ///
 /// # Errors
 ///
-/// A file can't be read, or standard output not be written; that its reader has gone is no error.
+/// Returns an error if a file can't be read or standard output can't be written, except that a closed pipe ends the
+/// output without one.
 pub fn cat(files: &[PathBuf]) -> Result<ExitCode, CommandError> {
     let mut out = BufWriter::new(io::stdout().lock());
     for file in files {
@@ -62,14 +63,14 @@
                     out.write_all(b"\n")
                 }),
                 Part::Damaged {
-                    offset: at,
-                    byte_count: octets,
-                    reason: why,
+                    offset: position,
+                    byte_count: length,
+                    reason: cause,
                 } => {
                     writeln!(
                         out,
                         "{}",
-                        json!({"damaged": {"at": at, "octets": octets, "why": why}})
+                        json!({"damaged": {"at": position, "octets": length, "why": cause}})
                     )
                 }
             };
@@ -84,11 +85,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Reads every block, and prints what is damaged.
+/// Reads every block, and prints the damaged ones.
 ///
 /// # Errors
 ///
-/// The file can't be read.
+/// Returns an error if the file can't be read.
 pub fn verify(file: &Path) -> Result<ExitCode, CommandError> {
     let mut trace = open(file)?;
     let finished = trace.read_index().in_file(file)?.is_some();
@@ -96,23 +97,27 @@
     for_each_part(file, &mut trace, |part| {
         match part {
             Part::Block {
-                records: all,
-                unknown_records: passed,
+                records: block_records,
+                unknown_records,
                 ..
             } => {
-                (blocks, records, unknown) = (blocks + 1, records + all.len(), unknown + passed);
-                gaps += all
+                (blocks, records, unknown) = (
+                    blocks + 1,
+                    records + block_records.len(),
+                    unknown + unknown_records,
+                );
+                gaps += block_records
                     .iter()
                     .filter(|r| matches!(r.record, Record::Gap { .. }))
                     .count();
             }
             Part::Damaged {
-                offset: at,
-                byte_count: octets,
-                reason: why,
+                offset: position,
+                byte_count: length,
+                reason: cause,
             } => {
                 damaged += 1;
-                println!("octet {at}: {octets} octets are no sound block: {why}");
+                println!("octet {position}: {length} octets are no sound block: {cause}");
             }
         }
         Ok(())
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -1,4 +1,5 @@
-//! `trace replay`: the recorded turns through a fresh module, and what came out otherwise.
+//! `trace replay`: feeds the recorded turns to a new instance of the policy module, and compares its actions with the
+//! recorded ones.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -17,15 +18,15 @@
 ) -> Result<ExitCode, CommandError> {
     let first = files
         .first()
-        .ok_or_else(|| CommandError::invalid_option("no file is given"))?;
+        .ok_or_else(|| CommandError::invalid_option("no trace file given"))?;
     let header = open(first)?.header;
     if header.module != module_hash() {
-        let text = "another module decided here: its text has another hash than this program's";
+        let warning = "the trace was made with another version of the policy module: the hashes of the source differ";
         if !build_differs {
-            let problem = format!("{text}; --build-differs compares all the same");
+            let problem = format!("{warning}; --build-differs replays it nevertheless");
             return Err(CommandError::file(first, problem));
         }
-        eprintln!("{}: {text}", first.display());
+        eprintln!("{}: {warning}", first.display());
     }
     let what_if = match settings {
         None => None,
@@ -43,7 +44,7 @@
     }
     let mut replay = Replay::with_settings(&header, what_if).in_file(first)?;
     let mut names: BTreeMap<u32, String> = BTreeMap::new();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let (mut from, mut until) = (u64::MAX, 0);
     for (n, file) in files.iter().enumerate() {
         let mut trace = open(file)?;
@@ -53,7 +54,10 @@
             trace.header.part as usize,
         );
         if run != (&header.placer, header.started_ms, n) {
-            let problem = format!("part {} of another run, or not the next part", run.2);
+            let problem = format!(
+                "got part {} of placer {}, started at {} ms; expected part {n} of the first file's run",
+                run.2, run.0, run.1
+            );
             return Err(CommandError::file(file, problem));
         }
         for_each_part(file, &mut trace, |part| {
@@ -72,25 +76,25 @@
             Ok(())
         })?;
     }
-    let found = &replay.result;
+    let result = &replay.result;
     let (span, took) = (
         until.saturating_sub(from) as f64 / 1e6,
-        begun.elapsed().as_secs_f64(),
+        started.elapsed().as_secs_f64(),
     );
     println!(
         "{} turns, {} actions compared, {} turns differ, {} turns after a gap not compared; {span:.1} s in {took:.2} s",
-        found.turns, found.compared_actions, found.differing_turns, found.turns_after_gap
+        result.turns, result.compared_actions, result.differing_turns, result.turns_after_gap
     );
     if build_differs || settings.is_some() {
         println!("on the recorded events: recorded, replayed");
-        for (kind, [recorded, replayed]) in &found.actions_by_kind {
+        for (kind, [recorded, replayed]) in &result.actions_by_kind {
             println!("  {kind}: {recorded}, {replayed}");
         }
         println!(
             "{:.1}% of the offers would go to other hosts; the largest changes:",
-            100.0 * found.moved_offer_share()
+            100.0 * result.moved_offer_share()
         );
-        let mut hosts: Vec<(u32, [u64; 2])> = found
+        let mut hosts: Vec<(u32, [u64; 2])> = result
             .offers_by_host
             .iter()
             .map(|(&n, &counts)| (n, counts))
@@ -101,7 +105,7 @@
             println!("  offers to {name}: {recorded}, {replayed}");
         }
     }
-    if let Some(first) = &found.first_difference {
+    if let Some(first) = &result.first_difference {
         println!(
             "first difference: turn {} at {} us",
             first.turn_index, first.time_us
@@ -109,7 +113,7 @@
         println!("  recorded: {}", ActionList(&first.recorded));
         println!("  replayed: {}", ActionList(&first.replayed));
     }
-    Ok(if found.differing_turns == 0 {
+    Ok(if result.differing_turns == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
--- a/crates/cli/src/trace/reports.rs
+++ b/crates/cli/src/trace/reports.rs
@@ -1,4 +1,4 @@
-//! `trace summary` and `trace losses`: reports about a run.
+//! `trace summary` and `trace losses`: reports on a run.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 ///
-/// A file can't be read, or the drawing not be written.
+/// Returns an error if a file can't be read, or the SVG can't be written.
 pub fn summary(
     files: &[PathBuf],
     as_json: bool,
@@ -29,21 +29,19 @@
             match part {
                 Part::Block {
                     records,
-                    unknown_records: unknown,
+                    unknown_records,
                     ..
                 } => {
                     records.iter().for_each(|r| summary.feed(r));
-                    summary.add_unknown_records(unknown);
+                    summary.add_unknown_records(unknown_records);
                 }
-                Part::Damaged {
-                    byte_count: octets, ..
-                } => summary.add_damaged_bytes(octets),
+                Part::Damaged { byte_count, .. } => summary.add_damaged_bytes(byte_count),
             }
             Ok(())
         })?;
     }
     let Some(summary) = summary else {
-        return Err(CommandError::invalid_option("no file is given"));
+        return Err(CommandError::invalid_option("no trace file given"));
     };
     if let Some(svg) = svg {
         timeline::draw(svg, summary.seconds())?;
@@ -56,11 +54,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Prints what kept tasks from running.
+/// Prints the time that wanted tasks did not run, by cause.
 ///
 /// # Errors
 ///
-/// A file can't be read, or is of another run.
+/// Returns an error if a file can't be read, or is of another run than the first.
 pub fn losses(files: &[PathBuf], as_json: bool) -> Result<ExitCode, CommandError> {
     let mut losses: Option<(LossCollector, (String, u64))> = None;
     for file in files {
@@ -69,7 +67,7 @@
         let (losses, first) =
             losses.get_or_insert_with(|| (LossCollector::new(&trace.header.classes), run.clone()));
         if *first != run {
-            let problem = "another run than the first file's; merge them first";
+            let problem = "file of another run than the first file's; merge the files first";
             return Err(CommandError::file(file, problem));
         }
         for_each_part(file, &mut trace, |part| {
@@ -82,11 +80,11 @@
     let Some((losses, _)) = losses else {
         return Ok(ExitCode::SUCCESS);
     };
-    let counted = losses.finish();
+    let report = losses.finish();
     if as_json {
-        println!("{:#}", counted.to_json());
+        println!("{:#}", report.to_json());
     } else {
-        print!("{}", counted.to_text());
+        print!("{}", report.to_text());
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -1,4 +1,4 @@
-//! A trace second by second, as SVG: answers above, offers and drains below, on one axis of time.
+//! Draws a trace second by second as SVG: answers in the upper panel, offers and drains in the lower one, on one time axis.
 
 use std::path::Path;
 
@@ -7,11 +7,11 @@
 
 use crate::error::{CommandError, ErrorContext, Source};
 
-const SIZE: (u32, u32) = (1200, 640);
-/// Points of a line; longer traces are drawn in steps of several seconds, each with its mean.
+const SIZE_PX: (u32, u32) = (1200, 640);
+/// Maximum number of points of a line; each point of a longer trace is the mean over several seconds.
 const MAX_POINTS: usize = 1200;
 
-/// Colours that stay apart for people who see few of them (Okabe and Ito).
+/// Colours that remain distinguishable with colour blindness (Okabe and Ito).
 const REQUESTS_COLOR: RGBColor = RGBColor(120, 120, 120);
 const PLACED_COLOR: RGBColor = RGBColor(0, 158, 115);
 const REJECTED_COLOR: RGBColor = RGBColor(230, 159, 0);
@@ -26,18 +26,18 @@
 }
 
 fn try_draw(file: &Path, seconds: &[SecondCounts]) -> Result<(), Source> {
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
-    let (above, below) = area.split_vertically(SIZE.1 as i32 * 3 / 5);
+    let (upper, lower) = area.split_vertically(SIZE_PX.1 as i32 * 3 / 5);
     let answers: [Series; 4] = [
         ("asked", REQUESTS_COLOR, |s| s.requests),
         ("placed", PLACED_COLOR, |s| s.placed),
         ("refused", REJECTED_COLOR, |s| s.rejected),
         ("failed", FAILED_COLOR, |s| s.failed),
     ];
-    draw_panel(&above, "asks and answers a second", seconds, &answers)?;
+    draw_panel(&upper, "asks and answers a second", seconds, &answers)?;
     draw_panel(
-        &below,
+        &lower,
         "offers a second, and hosts that began to drain",
         seconds,
         &[
@@ -63,7 +63,7 @@
         };
         seconds.chunks(step).enumerate().map(mean).collect()
     };
-    let most = lines
+    let max_value = lines
         .iter()
         .flat_map(|l| points(l.2))
         .map(|p| p.1)
@@ -73,7 +73,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..seconds.len().max(1) as f64, 0.0..most * 1.05)?;
+        .build_cartesian_2d(0.0..seconds.len().max(1) as f64, 0.0..max_value * 1.05)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
--- a/crates/cli/src/trace/timeline/tests.rs
+++ b/crates/cli/src/trace/timeline/tests.rs
@@ -1,4 +1,4 @@
-//! Drawings of seconds.
+//! Tests of the SVG timeline.
 
 use super::*;
 
@@ -13,18 +13,18 @@
             rejected: 1,
             ..SecondCounts::default()
         };
-        draw(&file, &vec![one; seconds]).expect("a drawing");
-        let text = std::fs::read_to_string(&file).expect("a file");
+        draw(&file, &vec![one; seconds]).expect("the timeline can be drawn");
+        let text = std::fs::read_to_string(&file).expect("the drawn file can be read");
         assert!(
             text.starts_with("<svg") && text.contains("refused") && text.len() < 1 << 20,
             "{seconds}"
         );
-        // A line has a point for each second, up to the most.
+        // A line has one point for each second, up to `MAX_POINTS`.
         assert_eq!(
             text.matches(',').count() > 6 * 1000,
             seconds > 1000,
             "{seconds}"
         );
     }
-    std::fs::remove_file(&file).expect("the file");
+    std::fs::remove_file(&file).expect("the drawn file can be removed");
 }
--- a/crates/cli/src/worker.rs
+++ b/crates/cli/src/worker.rs
@@ -1,5 +1,5 @@
-//! `maplethread worker`: a small real task. It uses the given cores and memory, ends as its options say, and writes its
-//! start and end to a log that nobody else writes, so that what really ran can be counted.
+//! `maplethread worker`: a synthetic task. It uses the given cores and memory, exits as its options say, and appends its
+//! start and end to a log that only workers write, so that the tasks that actually ran can be counted.
 
 use std::fs::OpenOptions;
 use std::io::Write;
@@ -17,27 +17,27 @@
     /// Cores to keep busy
     #[arg(long, default_value_t = 0.0, value_name = "X")]
     cores: f64,
-    /// Memory to hold, MiB
+    /// Memory to allocate, MiB
     #[arg(long, default_value_t = 0, value_name = "N")]
     memory_mib: usize,
-    /// Ends well after so many ms; 0 for never
+    /// Exit after this time, ms; 0 for never
     #[arg(long, default_value_t = 0, value_name = "MS")]
     life_ms: u64,
-    /// Ends with this code
+    /// Exit code
     #[arg(long, default_value_t = 0)]
     exit_code: u8,
-    /// Takes no notice of SIGTERM
+    /// Ignore SIGTERM
     #[arg(long)]
     ignore_term: bool,
-    /// Whose work it is, for the log
+    /// Name of the task, for the log
     #[arg(long, default_value = "")]
     task: String,
-    /// Appends its life to this file
+    /// Append the start and the end to this file
     #[arg(long, value_name = "FILE")]
     life_log: Option<PathBuf>,
 }
 
-/// One line, in one write, so that lines of several workers do not mix.
+/// Appends one line in a single write, so that lines of several workers do not interleave.
 fn append_to_log(args: &WorkerArgs, event: &str) -> Result<(), CommandError> {
     let Some(file) = &args.life_log else {
         return Ok(());
@@ -63,20 +63,20 @@
         signal_hook::flag::register(signal_hook::consts::SIGTERM, ignored).in_library()?;
     }
     append_to_log(args, "start")?;
-    // Touched, so that it is resident.
-    let mut held = vec![0u8; args.memory_mib << 20];
-    held.iter_mut().step_by(4096).for_each(|octet| *octet = 1);
-    let from = Instant::now();
-    let life = (args.life_ms > 0).then(|| Duration::from_millis(args.life_ms));
-    let over = move || life.is_some_and(|life| from.elapsed() >= life);
-    let mut left = args.cores;
+    // Writes to every page, so that the memory is resident.
+    let mut memory = vec![0u8; args.memory_mib << 20];
+    memory.iter_mut().step_by(4096).for_each(|byte| *byte = 1);
+    let started = Instant::now();
+    let lifetime = (args.life_ms > 0).then(|| Duration::from_millis(args.life_ms));
+    let has_expired = move || lifetime.is_some_and(|lifetime| started.elapsed() >= lifetime);
+    let mut remaining_cores = args.cores;
     let mut threads = Vec::new();
-    while left > 0.0 {
-        let share = left.min(1.0);
-        left -= share;
+    while remaining_cores > 0.0 {
+        let share = remaining_cores.min(1.0);
+        remaining_cores -= share;
         threads.push(std::thread::spawn(move || {
             let slice = Duration::from_millis(20);
-            while !over() {
+            while !has_expired() {
                 let busy = Instant::now();
                 while busy.elapsed() < slice.mul_f64(share) {
                     std::hint::spin_loop();
@@ -85,8 +85,8 @@
             }
         }));
     }
-    match life {
-        Some(life) => std::thread::sleep(life),
+    match lifetime {
+        Some(lifetime) => std::thread::sleep(lifetime),
         None => loop {
             std::thread::sleep(Duration::from_secs(3600));
         },
@@ -94,7 +94,7 @@
     for thread in threads {
         let _ = thread.join();
     }
-    std::hint::black_box(&held);
+    std::hint::black_box(&memory);
     append_to_log(args, "end")?;
     Ok(ExitCode::from(args.exit_code))
 }
--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -77,7 +77,7 @@
         before.contains("CAPACITY.md: block `workers` differs"),
         "{before}"
     );
-    assert!(before.contains("workers.svg: is not there"), "{before}");
+    assert!(before.contains("workers.svg: does not exist"), "{before}");
     assert_eq!(
         fs::read_to_string(&folder.page).expect("a page"),
         PAGE_WITH_MARKERS,
