--- a/crates/cli/src/agent.rs
+++ b/crates/cli/src/agent.rs
@@ -41,7 +41,7 @@
         (Some(AgentCommand::State { config }), _) => print_state(config),
         (Some(AgentCommand::Check { config }), _) => {
             let (_, programs) = AgentConfig::load(config).in_library()?;
-            println!("{}: sound; {} programs", config.display(), programs.len());
+            println!("{}: valid; {} programs", config.display(), programs.len());
             Ok(ExitCode::SUCCESS)
         }
         (None, Some(config)) => {
--- a/crates/cli/src/fault_run.rs
+++ b/crates/cli/src/fault_run.rs
@@ -54,8 +54,8 @@
     #[arg(long)]
     random: bool,
     /// Use a mutant that breaks rule N on purpose (6: rule 1, around pauses only), to test that the checker detects it
-    #[arg(long, default_value_t = 0, value_name = "N", value_parser = clap::value_parser!(u8).range(0..=6))]
-    rogue: u8,
+    #[arg(long = "rogue", default_value_t = 0, value_name = "N", value_parser = clap::value_parser!(u8).range(0..=6))]
+    mutant: u8,
     /// Register hosts and placers in a Consul emulator, and inject its faults as well
     #[arg(long)]
     consul: bool,
@@ -127,7 +127,7 @@
         seed: args.seed,
         program: std::env::current_exe().in_step("path of this program")?,
         use_random_choice: args.random,
-        mutant: args.rogue,
+        mutant: args.mutant,
         consul: args.consul.then_some(match args.damping {
             DampingArg::Penalty => DampingMode::Penalty,
             DampingArg::Off => DampingMode::Off,
@@ -208,7 +208,8 @@
             .filter_map(|(_, c)| c["outcomes"][outcome].as_u64())
             .sum()
     };
-    let mut text = String::from("what asks came to, returns among them: recorded, played\n");
+    let mut text =
+        String::from("outcomes of requests, including repeated ones: recorded, replayed\n");
     for outcome in ["placed", "refused", "failed"] {
         text += &format!(
             "  {outcome}: {}, {}\n",
@@ -218,7 +219,7 @@
     }
     let (recorded_ms, replayed_ms) = (&recorded["ask_to_placed_ms"], &replayed["place_ms"]);
     text += &format!(
-        "  ask to placed, p50 and p99 in ms (at the placer, at the owner): {} {}, {:.1} {:.1}\n",
+        "  request to placement, p50 and p99 in ms (at the placer, at the owner): {} {}, {:.1} {:.1}\n",
         recorded_ms["p50"],
         recorded_ms["p99"],
         replayed_ms["p50"].as_f64().unwrap_or(0.0),
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -119,7 +119,7 @@
             "displaced_by",
             "takes no part: its name is held by the process at",
         ),
-        ("claimed_by", "its name is claimed by a process at"),
+        ("claimed_by", "name claimed by another process at"),
     ] {
         if let Some(address) = view[key].as_str() {
             println!("{message} {address}");
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -91,7 +91,7 @@
                 high = middle
             }
         }
-        println!("highest rate sustained: {low:.0} asks a second");
+        println!("highest sustained rate: {low:.0} requests per second");
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/cli/src/membership_test.rs
+++ b/crates/cli/src/membership_test.rs
@@ -20,8 +20,8 @@
     #[arg(long, default_value_t = 1)]
     seed: u64,
     /// Number of tests, with the seeds from --seed on
-    #[arg(long, default_value_t = 1, value_name = "N")]
-    drills: u64,
+    #[arg(long = "drills", default_value_t = 1, value_name = "N")]
+    tests: u64,
     /// Number of placers in a drawn schedule
     #[arg(
         long,
@@ -60,7 +60,7 @@
     }
     let mut passed_all = true;
     let interrupted = interrupt_flag()?;
-    for seed in args.seed..args.seed.saturating_add(args.drills.max(1)) {
+    for seed in args.seed..args.seed.saturating_add(args.tests.max(1)) {
         let schedule = match &args.schedule {
             None => Schedule::random(seed, args.placers, args.seconds),
             Some(file) => {
@@ -113,18 +113,21 @@
         let fleet = &outcome.membership;
         match fleet.settled_s {
             Some(s) => println!(
-                "one view {s:.1} s after the last fault, of {} members",
+                "membership converged {s:.1} s after the last fault, with {} members",
                 fleet.members
             ),
-            None => println!("NO ONE VIEW:\n  {}", fleet.violations.join("\n  ")),
+            None => println!(
+                "MEMBERSHIP DID NOT CONVERGE:\n  {}",
+                fleet.violations.join("\n  ")
+            ),
         }
         let worst = fleet.removal_times_s.iter().copied().fold(0.0, f64::max);
         println!(
-            "{} placers gone, the slowest seen by all after {worst:.1} s",
+            "{} placers left or failed, the slowest recorded by all others after {worst:.1} s",
             fleet.removal_times_s.len()
         );
         println!(
-            "called down while it ran: {} times without a fault of the network, {} times under one",
+            "false alarms: {} without a network fault, {} during one",
             fleet.false_alarms, fleet.false_alarms_under_faults
         );
         print!("{}", outcome.service.text());
--- a/crates/cli/src/placer.rs
+++ b/crates/cli/src/placer.rs
@@ -19,9 +19,9 @@
     /// The decision maker; `random` is the baseline of fault runs
     #[arg(long, value_enum, default_value_t = Decider::Module, hide = true)]
     decider: Decider,
-    /// Break this rule on purpose (baseline only)
-    #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u8).range(0..=6), hide = true)]
-    rogue: u8,
+    /// The mutant that breaks this rule on purpose (baseline only)
+    #[arg(long = "rogue", default_value_t = 0, value_parser = clap::value_parser!(u8).range(0..=6), hide = true)]
+    mutant: u8,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
@@ -39,13 +39,13 @@
     let options = maplethread_placer::Options {
         config_path: args.config.clone(),
     };
-    let (decider, rogue) = (args.decider, args.rogue);
+    let (decider, mutant) = (args.decider, args.mutant);
     let new_decider = |config: &PlacerConfig,
                        seed: u64|
      -> Result<Box<dyn Decide>, maplethread::SettingsError> {
         Ok(match decider {
             Decider::Module => Box::new(maplethread::Placer::new(config.policy_settings(), seed)?),
-            Decider::Random => Box::new(RandomChoice::new(config.policy_settings(), seed, rogue)),
+            Decider::Random => Box::new(RandomChoice::new(config.policy_settings(), seed, mutant)),
         })
     };
     maplethread_placer::run(&options, new_decider).in_library()?;
@@ -60,7 +60,7 @@
 pub fn check_config(file: &Path) -> Result<ExitCode, CommandError> {
     let config = maplethread_placer::load_config(file).in_library()?;
     println!(
-        "{}: sound; placer {} of {}, {} classes, {} kinds of hosts",
+        "{}: valid; placer {} of {}, {} classes, {} kinds of hosts",
         file.display(),
         config.identity.name,
         config.identity.replica_count,
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -119,7 +119,7 @@
         }
     }
     if differing.is_empty() {
-        println!("{}: as the results say", args.page.display());
+        println!("{}: matches the results", args.page.display());
         return Ok(ExitCode::SUCCESS);
     }
     Err(CommandError::CheckFailed(format!(
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -86,7 +86,7 @@
     })?;
     let totals = writer.finish().in_file(out)?;
     println!(
-        "{} records copied; {lost_bytes} octets were no sound blocks",
+        "{} records copied; {lost_bytes} octets of damaged blocks left out",
         totals.records
     );
     Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/trace/diff.rs
+++ b/crates/cli/src/trace/diff.rs
@@ -52,7 +52,7 @@
     loop {
         match (a.next()?, b.next()?) {
             (None, None) => {
-                println!("{equal_records} records, all the same");
+                println!("{equal_records} records, no difference");
                 return Ok(ExitCode::SUCCESS);
             }
             (x, y) if x == y => equal_records += 1,
--- a/crates/cli/src/trace/inspect.rs
+++ b/crates/cli/src/trace/inspect.rs
@@ -117,7 +117,7 @@
                 reason: cause,
             } => {
                 damaged += 1;
-                println!("octet {position}: {length} octets are no sound block: {cause}");
+                println!("octet {position}: {length} octets are not a valid block: {cause}");
             }
         }
         Ok(())
@@ -126,7 +126,7 @@
         "{blocks} blocks, {records} records, {unknown} of unknown kinds, {gaps} gaps, {damaged} damaged places"
     );
     if !finished {
-        println!("it has no sound index: it was cut off, or its placer still writes it");
+        println!("no valid index: the file is truncated, or its placer still writes it");
     }
     Ok(if damaged == 0 {
         ExitCode::SUCCESS
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -54,10 +54,7 @@
             trace.header.part as usize,
         );
         if run != (&header.placer, header.started_ms, n) {
-            let problem = format!(
-                "got part {} of placer {}, started at {} ms; expected part {n} of the first file's run",
-                run.2, run.0, run.1
-            );
+            let problem = format!("got part {}, expected part {n} of the same run", run.2);
             return Err(CommandError::file(file, problem));
         }
         for_each_part(file, &mut trace, |part| {
--- a/crates/cli/src/trace/timeline.rs
+++ b/crates/cli/src/trace/timeline.rs
@@ -30,15 +30,15 @@
     area.fill(&WHITE)?;
     let (upper, lower) = area.split_vertically(SIZE_PX.1 as i32 * 3 / 5);
     let answers: [Series; 4] = [
-        ("asked", REQUESTS_COLOR, |s| s.requests),
+        ("requests", REQUESTS_COLOR, |s| s.requests),
         ("placed", PLACED_COLOR, |s| s.placed),
         ("refused", REJECTED_COLOR, |s| s.rejected),
         ("failed", FAILED_COLOR, |s| s.failed),
     ];
-    draw_panel(&upper, "asks and answers a second", seconds, &answers)?;
+    draw_panel(&upper, "requests and answers per second", seconds, &answers)?;
     draw_panel(
         &lower,
-        "offers a second, and hosts that began to drain",
+        "offers per second, and hosts that began to drain",
         seconds,
         &[
             ("offers", OFFERS_COLOR, |s| s.offers),
--- a/crates/cli/tests/agent.rs
+++ b/crates/cli/tests/agent.rs
@@ -1,5 +1,5 @@
-//! The node agent as a process with real workers, driven by frames as a placer sends them. What really ran is counted
-//! from the workers' own log.
+//! The node agent as a process with real workers, driven by a placer's frames. The tests count the tasks that actually
+//! ran in the workers' own log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -24,14 +24,14 @@
             .arg(config)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("an agent");
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+            .expect("agent process starts");
+        let mut lines = BufReader::new(child.stderr.take().expect("piped standard error")).lines();
         let address = loop {
             let line = lines
                 .next()
-                .expect("it says where it listens")
-                .expect("a line");
-            let line: serde_json::Value = serde_json::from_str(&line).expect("JSON");
+                .expect("log line with the listen address")
+                .expect("line can be read");
+            let line: serde_json::Value = serde_json::from_str(&line).expect("valid JSON");
             if let Some(address) = line["fields"]["address"]
                 .as_str()
                 .or(line["address"].as_str())
@@ -58,18 +58,18 @@
 /// A placer's side of a connection.
 struct PlacerConnection {
     stream: TcpStream,
-    unread: Vec<u8>,
+    buffer: Vec<u8>,
 }
 
 impl PlacerConnection {
     fn greet(agent: &Agent) -> PlacerConnection {
-        let stream = TcpStream::connect(&agent.address).expect("a connection");
+        let stream = TcpStream::connect(&agent.address).expect("connection is accepted");
         stream
             .set_read_timeout(Some(Duration::from_secs(20)))
-            .expect("a time-out");
+            .expect("read timeout can be set");
         let mut placer = PlacerConnection {
             stream,
-            unread: Vec::new(),
+            buffer: Vec::new(),
         };
         placer.send(&Frame::Hello {
             major: frame::MAJOR,
@@ -84,23 +84,23 @@
     fn send(&mut self, frame: &Frame) {
         let mut bytes = Vec::new();
         frame::encode(frame, &mut bytes);
-        self.stream.write_all(&bytes).expect("written");
+        self.stream.write_all(&bytes).expect("frame can be sent");
     }
 
-    /// The next frame; none if the agent is gone.
+    /// Receives the next frame; `None` if the connection has ended.
     fn receive(&mut self) -> Option<Frame> {
         loop {
-            let (frame, used) = frame::decode(&self.unread).expect("frames");
-            self.unread.drain(..used);
+            let (frame, used) = frame::decode(&self.buffer).expect("valid frames");
+            self.buffer.drain(..used);
             if frame.is_some() {
                 return frame;
             }
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return None,
-                Ok(n) => self.unread.extend_from_slice(&bytes[..n]),
+                Ok(n) => self.buffer.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no frame received: {e}"),
+                Err(e) => panic!("reading a frame failed: {e}"),
             }
         }
     }
@@ -108,7 +108,7 @@
     fn receive_until(&mut self, wanted: impl Fn(&Frame) -> bool) -> Vec<Frame> {
         let mut all = Vec::new();
         loop {
-            let frame = self.receive().expect("the agent runs");
+            let frame = self.receive().expect("connection is open");
             let found = wanted(&frame);
             all.push(frame);
             if found {
@@ -118,7 +118,7 @@
     }
 }
 
-fn offer(attempt: u64, class: &str, copies: DuplicatePolicy) -> Frame {
+fn offer(attempt: u64, class: &str, duplicate_policy: DuplicatePolicy) -> Frame {
     Frame::Offer(Offer {
         attempt_id: attempt,
         prior_attempts: 0,
@@ -131,7 +131,7 @@
             memory_gib: 0.125,
         },
         priority: 0,
-        duplicate_policy: copies,
+        duplicate_policy,
         expected_duration_ms: 0,
         answer_timeout_ms: 1000,
     })
@@ -145,7 +145,7 @@
 }
 
 fn agent_folder(name: &str) -> AgentFolder {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let (config, log) = (
         folder.path().join("agent.toml"),
         folder.path().join("workers.jsonl"),
@@ -178,7 +178,7 @@
 "#,
         log = log.display()
     );
-    std::fs::write(&config, text).expect("a file");
+    std::fs::write(&config, text).expect("file can be written");
     AgentFolder {
         config,
         log,
@@ -188,18 +188,19 @@
 }
 
 impl AgentFolder {
-    /// How often each task's worker said that it started.
+    /// The number of starts of each attempt, from the workers' log.
     fn starts_by_attempt(&self) -> BTreeMap<u64, u32> {
         let mut starts = BTreeMap::new();
         for line in std::fs::read_to_string(&self.log)
             .unwrap_or_default()
             .lines()
         {
-            let line: serde_json::Value = serde_json::from_str(line).expect("a line of a worker");
+            let line: serde_json::Value =
+                serde_json::from_str(line).expect("line of a worker is valid JSON");
             if line["event"] == "start" {
-                let task = line["task"].as_str().expect("a task");
+                let task = line["task"].as_str().expect("task id");
                 *starts
-                    .entry(u64::from_str_radix(task, 16).expect("a number"))
+                    .entry(u64::from_str_radix(task, 16).expect("hexadecimal id"))
                     .or_default() += 1;
             }
         }
@@ -221,7 +222,7 @@
     }
 }
 
-/// The attempts that are named as held.
+/// The attempts that the agent reports as held.
 fn held_attempts(frames: &[Frame]) -> impl Iterator<Item = u64> {
     frames.iter().filter_map(|f| match f {
         Frame::Held(offer, _) => Some(offer.attempt_id),
@@ -242,21 +243,24 @@
 }
 
 #[test]
-fn starts_measures_and_stops_a_real_process() {
-    let home = agent_folder("plain");
-    let agent = Agent::start(&home.config);
+fn starts_measures_and_stops_a_process() {
+    let folder = agent_folder("plain");
+    let agent = Agent::start(&folder.config);
     let mut placer = PlacerConnection::greet(&agent);
     placer.receive_until(|f| matches!(f, Frame::HeldEnd));
     placer.send(&offer(1, "work", DuplicatePolicy::Idempotent));
     let frames = placer
         .receive_until(|f| matches!(f, Frame::Note(1, frame::NoteKind::Memory, x) if *x > 0.0));
-    let at = |wanted: fn(&Frame) -> bool| {
+    let position_of = |wanted: fn(&Frame) -> bool| {
         frames
             .iter()
             .position(wanted)
             .expect("the frame was received")
     };
-    assert!(at(|f| matches!(f, Frame::Accepted(1, _))) < at(|f| matches!(f, Frame::Started(1, _))));
+    assert!(
+        position_of(|f| matches!(f, Frame::Accepted(1, _)))
+            < position_of(|f| matches!(f, Frame::Started(1, _)))
+    );
     placer.send(&Frame::Stop(1));
     let frames = placer.receive_until(is_end_of(1));
     assert!(
@@ -288,9 +292,9 @@
         Some(Frame::Ended(4, Reason::Error, false, _))
     ));
     placer.send(&offer(5, "unknown", DuplicatePolicy::Idempotent));
-    let refused = placer.receive_until(|f| matches!(f, Frame::Refused(5, ..)));
+    let rejection = placer.receive_until(|f| matches!(f, Frame::Refused(5, ..)));
     assert!(matches!(
-        refused.last(),
+        rejection.last(),
         Some(Frame::Refused(5, Reason::Ineligible, _))
     ));
     // A second task with a held key is rejected, and so is what exceeds the cores.
@@ -306,37 +310,37 @@
     for attempt in 10..26 {
         placer.send(&offer(attempt, "work", DuplicatePolicy::Idempotent));
     }
-    let refused = placer.receive_until(|f| matches!(f, Frame::Refused(25, ..)));
+    let rejection = placer.receive_until(|f| matches!(f, Frame::Refused(25, ..)));
     assert!(
-        matches!(refused.last(), Some(Frame::Refused(25, Reason::Cores, Some(load))) if load.cores < 0.25)
+        matches!(rejection.last(), Some(Frame::Refused(25, Reason::Cores, Some(load))) if load.cores < 0.25)
     );
 }
 
 #[test]
-fn loses_and_doubles_no_task_when_killed_at_any_instant() {
-    let home = agent_folder("killed");
+fn killed_agent_neither_loses_nor_repeats_accepted_tasks() {
+    let folder = agent_folder("killed");
     let mut accepted: BTreeSet<u64> = BTreeSet::new();
     let mut finished: BTreeSet<u64> = BTreeSet::new();
     for round in 0..8u64 {
-        let mut agent = Agent::start(&home.config);
+        let mut agent = Agent::start(&folder.config);
         let mut placer = PlacerConnection::greet(&agent);
-        // What it accepted before any kill, it lists as held, or reports the end of.
+        // The agent reports every task that it accepted before a kill as held or as ended.
         let greeting = placer.receive_until(|f| matches!(f, Frame::HeldEnd));
-        let mut known: BTreeSet<u64> = held_attempts(&greeting).collect();
+        let mut held: BTreeSet<u64> = held_attempts(&greeting).collect();
         finished.extend(finished_attempts(&greeting));
-        let missing = |known: &BTreeSet<u64>, finished: &BTreeSet<u64>| {
+        let missing = |held: &BTreeSet<u64>, finished: &BTreeSet<u64>| {
             accepted
                 .iter()
-                .any(|a| !known.contains(a) && !finished.contains(a))
+                .any(|a| !held.contains(a) && !finished.contains(a))
         };
-        while missing(&known, &finished) {
+        while missing(&held, &finished) {
             if let Some(Frame::Ended(attempt, ..)) = placer.receive() {
                 finished.insert(attempt);
-                known.remove(&attempt);
+                held.remove(&attempt);
             }
         }
-        // Half of the running tasks are stopped and new ones offered; the agent is killed after some frames of that.
-        for (n, &attempt) in known.iter().enumerate() {
+        // Stops half of the running tasks, offers new ones, and kills the agent after some of its frames.
+        for (n, &attempt) in held.iter().enumerate() {
             if n % 2 == 0 {
                 placer.send(&Frame::Stop(attempt));
             }
@@ -350,11 +354,11 @@
             ));
         }
         let frames = [1, 2, 4, 7, 9, 12, 3, 5][round as usize];
-        let mut seen = 0;
-        while seen < frames
+        let mut received_frames = 0;
+        while received_frames < frames
             && let Some(frame) = placer.receive()
         {
-            seen += u32::from(!matches!(frame, Frame::Note(..)));
+            received_frames += u32::from(!matches!(frame, Frame::Note(..)));
             match frame {
                 Frame::Accepted(attempt, _) => drop(accepted.insert(attempt)),
                 Frame::Ended(attempt, ..) => drop(finished.insert(attempt)),
@@ -362,7 +366,7 @@
             }
         }
         agent.kill();
-        // Frames that were in flight when it was killed.
+        // Frames that were in flight when the agent was killed.
         while let Some(frame) = placer.receive() {
             match frame {
                 Frame::Accepted(attempt, _) => drop(accepted.insert(attempt)),
@@ -371,8 +375,8 @@
             }
         }
     }
-    // At the end all held tasks are stopped, and then no process is left.
-    let agent = Agent::start(&home.config);
+    // At the end all held tasks are stopped, and no process may be left.
+    let agent = Agent::start(&folder.config);
     let mut placer = PlacerConnection::greet(&agent);
     let greeting = placer.receive_until(|f| matches!(f, Frame::HeldEnd));
     let mut held: BTreeSet<u64> = held_attempts(&greeting).collect();
@@ -385,17 +389,17 @@
             finished.insert(attempt);
         }
     }
-    let starts = home.starts_by_attempt();
+    let starts = folder.starts_by_attempt();
     assert!(
         starts.values().all(|&n| n == 1),
         "a task was started twice: {starts:?}"
     );
     assert!(
         accepted.len() >= 8 && starts.len() >= 8,
-        "it accepted {accepted:?}, and started {starts:?}"
+        "expected at least 8 accepted and started tasks, got {accepted:?} and {starts:?}"
     );
     assert!(
-        maplethread_agent::process::find_marked(&home.name).is_empty(),
-        "a process is left"
+        maplethread_agent::process::find_marked(&folder.name).is_empty(),
+        "a worker process is left"
     );
 }
--- a/crates/cli/tests/api_events.rs
+++ b/crates/cli/tests/api_events.rs
@@ -1,4 +1,4 @@
-//! The stream of events of the API.
+//! The event stream of the API.
 
 mod support;
 
@@ -7,52 +7,59 @@
 use support::*;
 
 #[test]
-fn event_stream_resumes_and_reports_to_a_slow_follower_what_it_lost() {
+fn event_stream_resumes_and_reports_events_that_are_no_longer_kept() {
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = PlacerProcess::with_files(&[&host], "events_kept = 8");
     let ready = placer.start();
-    let mut link = host.accept_and_greet(&[]);
+    let mut connection = host.accept_and_greet(&[]);
     ready(&mut placer);
-    let life = placer.status()["life"].clone();
+    let process_id = placer.status()["life"].clone();
     let mut follower = EventFollower::new(&placer, "/v1/events");
-    let hello = follower.next().expect("a hello");
+    let hello = follower.next().expect("hello event");
     assert_eq!(
         (
             hello["event"].as_str(),
             &hello["life"],
             hello["next"].as_u64()
         ),
-        (Some("hello"), &life, Some(1))
+        (Some("hello"), &process_id, Some(1))
     );
     let mut place = |actor: &str| {
         let mut client = placer.client();
         client.send_placement(&placement_request("web-api", "s", actor, 4000), actor);
-        let offer = link.receive_offer();
-        link.send(&Frame::Accepted(offer.attempt_id, 1));
+        let offer = connection.receive_offer();
+        connection.send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.receive_json().1["outcome"], "placed");
-        link.send(&Frame::Started(offer.attempt_id, 1));
-        link.send(&Frame::Ended(offer.attempt_id, Reason::Evicted, true, None));
+        connection.send(&Frame::Started(offer.attempt_id, 1));
+        connection.send(&Frame::Ended(offer.attempt_id, Reason::Evicted, true, None));
     };
     place("a1");
-    let told: Vec<Value> = (0..3).map(|_| follower.next().expect("an event")).collect();
-    let kinds: Vec<&str> = told.iter().filter_map(|e| e["event"].as_str()).collect();
+    let events: Vec<Value> = (0..3)
+        .map(|_| follower.next().expect("event is received"))
+        .collect();
+    let kinds: Vec<&str> = events.iter().filter_map(|e| e["event"].as_str()).collect();
     assert_eq!(kinds, ["placed", "started", "evicted"]);
     assert_eq!(
-        (&told[2]["reason"], &told[2]["seq"], &told[2]["request"]),
+        (
+            &events[2]["reason"],
+            &events[2]["seq"],
+            &events[2]["request"]
+        ),
         (&json!("memory"), &json!(3), &json!("a1"))
     );
     drop(follower);
     place("a2");
-    // Resumed after the second event: nothing is left out, nothing comes twice.
-    let mut follower = EventFollower::new(&placer, &format!("/v1/events?after=2&life={life}"));
-    assert_eq!(follower.next().expect("a hello")["next"], 3);
+    // Resumed after the second event: no event is missing or repeated.
+    let mut follower =
+        EventFollower::new(&placer, &format!("/v1/events?after=2&life={process_id}"));
+    assert_eq!(follower.next().expect("hello event")["next"], 3);
     let seqs: Vec<u64> = (0..4)
         .filter_map(|_| follower.next()?["seq"].as_u64())
         .collect();
     assert_eq!(seqs, [3, 4, 5, 6]);
-    // Only eight are kept: after six more the first ones are gone.
+    // Only eight events are kept: after six more, the first ones are lost.
     (0..2).for_each(|n| place(&format!("b{n}")));
-    placer.wait_for_status("told", |s| s["events"]["next"] == 13);
+    placer.wait_for_status("twelve events", |s| s["events"]["next"] == 13);
     let (status, problem) = placer.client().call("GET", "/v1/events?after=2", "");
     assert_eq!(
         (status, problem["type"].as_str()),
@@ -60,7 +67,7 @@
     );
 }
 
-/// A connection that follows events.
+/// A client of the event stream.
 struct EventFollower {
     client: Client,
     decoder: maplethread_wire::http::Decoder,
@@ -96,7 +103,7 @@
                 let line: Vec<u8> = self.lines.drain(..=end).collect();
                 return serde_json::from_slice(&line).ok();
             }
-            let (step, used) = self.decoder.step(&self.buffer).expect("sound");
+            let (step, used) = self.decoder.step(&self.buffer).expect("valid HTTP");
             self.buffer.drain(..used);
             match step {
                 Step::Head(head) => assert_eq!(head.status(), 200),
@@ -104,7 +111,11 @@
                 Step::MessageEnd => return None,
                 Step::NeedMore => {
                     let mut bytes = [0; 4096];
-                    let n = self.client.stream.read(&mut bytes).expect("events");
+                    let n = self
+                        .client
+                        .stream
+                        .read(&mut bytes)
+                        .expect("event stream can be read");
                     self.buffer.extend_from_slice(&bytes[..n]);
                     if n == 0 {
                         return None;
--- a/crates/cli/tests/check_config.rs
+++ b/crates/cli/tests/check_config.rs
@@ -8,18 +8,18 @@
             .arg("check-config")
             .arg(file)
             .output()
-            .expect("runs");
+            .expect("process runs");
         (
             out.status.code(),
             String::from_utf8_lossy(&out.stderr).into_owned(),
         )
     };
-    let sound = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/placer.toml");
-    assert_eq!(run(&sound).0, Some(0), "{}", run(&sound).1);
-    let text = std::fs::read_to_string(&sound).expect("a file");
-    let folder = tempfile::tempdir().expect("a folder");
+    let valid = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../config/placer.toml");
+    assert_eq!(run(&valid).0, Some(0), "{}", run(&valid).1);
+    let text = std::fs::read_to_string(&valid).expect("file can be read");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("p.toml");
-    for (from, to, complaint) in [
+    for (from, to, expected) in [
         (
             "max_attempts = 3",
             "max_atempts = 3",
@@ -64,12 +64,12 @@
         ("cold_from = 0.2", "cold_from = \"x\"", ": "),
     ] {
         assert!(text.contains(from), "{from}");
-        std::fs::write(&file, text.replacen(from, to, 1)).expect("a file");
-        let (code, told) = run(&file);
+        std::fs::write(&file, text.replacen(from, to, 1)).expect("file can be written");
+        let (code, errors) = run(&file);
         assert_eq!(code, Some(2), "{to}");
         assert!(
-            told.contains(complaint) && told.contains("p.toml:"),
-            "{to}: {told}"
+            errors.contains(expected) && errors.contains("p.toml:"),
+            "{to}: {errors}"
         );
     }
     assert!(
--- a/crates/cli/tests/command_names.rs
+++ b/crates/cli/tests/command_names.rs
@@ -1,9 +1,9 @@
-//! Commands that were given new names go on working under their old ones.
+//! Renamed commands still work under their old names.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Output, Stdio};
 
-/// The new and the old name of each, with arguments that it turns down and what it says then.
+/// The new and the old name of each renamed command, with invalid arguments and the error text for them.
 const RENAMED: [(&str, &str, [&str; 2], &str); 3] = [
     (
         "fault-run",
@@ -30,11 +30,11 @@
     Command::new(env!("CARGO_BIN_EXE_maplethread"))
         .args(arguments)
         .output()
-        .expect("the program runs")
+        .expect("process runs")
 }
 
-fn text(octets: &[u8]) -> String {
-    String::from_utf8(octets.to_vec()).expect("UTF-8")
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8(bytes.to_vec()).expect("valid UTF-8")
 }
 
 #[test]
@@ -65,16 +65,16 @@
 
 #[test]
 fn old_and_new_names_reject_options_out_of_range_alike() {
-    for (new, old, arguments, complaint) in RENAMED {
+    for (new, old, arguments, expected) in RENAMED {
         for name in [new, old] {
             let output = maplethread(&[&[name], &arguments[..]].concat());
             assert_eq!(output.status.code(), Some(2), "{name}");
-            assert_eq!(text(&output.stderr), complaint, "{name}");
+            assert_eq!(text(&output.stderr), expected, "{name}");
         }
     }
 }
 
-/// A process that ends with the test.
+/// A process that is killed when it is dropped.
 struct KillOnDrop(Child);
 
 impl Drop for KillOnDrop {
@@ -91,13 +91,13 @@
             .args([name, "--port", "0", "--servers", "1"])
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program starts");
+            .expect("process starts");
         let mut process = KillOnDrop(child);
-        let output = process.0.stdout.take().expect("piped");
+        let output = process.0.stdout.take().expect("piped standard output");
         let mut line = String::new();
         BufReader::new(output)
             .read_line(&mut line)
-            .expect("a line, or the end of its output");
+            .expect("standard output can be read");
         assert!(
             line.starts_with("stand-in for Consul listening on 127.0.0.1:"),
             "{name}: {line}"
--- a/crates/cli/tests/consul.rs
+++ b/crates/cli/tests/consul.rs
@@ -1,4 +1,4 @@
-//! A real placer with hosts and its own number from Consul's stand-in.
+//! A real placer that reads its hosts and leases its slot from a Consul emulator.
 
 mod support;
 
@@ -13,20 +13,20 @@
 use serde_json::{Value, json};
 use support::*;
 
-/// One request to a server; its status and body.
+/// Sends one request to a server; returns the status and the body of the response.
 fn http_call(address: SocketAddr, method: &str, path: &str, body: &str) -> (u16, String) {
-    let mut stream = TcpStream::connect(address).expect("the server listens");
+    let mut stream = TcpStream::connect(address).expect("server accepts connections");
     let length = body.len();
     write!(
         stream,
         "{method} {path} HTTP/1.1\r\nHost: c\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
     )
-    .expect("the server reads");
+    .expect("request can be sent");
     stream
         .set_read_timeout(Some(Duration::from_millis(500)))
-        .expect("a timeout");
+        .expect("read timeout can be set");
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
-    // The server keeps connections; a whole answer has its length.
+    // The server may keep the connection open; Content-Length tells when the response is complete.
     while let Ok(n) = stream.read(&mut part) {
         if n == 0 {
             break;
@@ -94,11 +94,11 @@
     );
 }
 
-/// A placer that reads its hosts from these servers, with further settings of `[consul]`.
+/// Writes the files of a placer that reads its hosts from these servers, with further `[consul]` settings.
 fn placer_with_catalogue(servers: &Servers, name: &str, placers: u32, more: &str) -> PlacerProcess {
     let placer = PlacerProcess::with_files(&[], "");
     let path = placer.folder().join("placer.toml");
-    let text = std::fs::read_to_string(&path).expect("a file");
+    let text = std::fs::read_to_string(&path).expect("file can be read");
     let list: Vec<String> = servers
         .addresses
         .iter()
@@ -115,7 +115,7 @@
                 list.join(", ")
             ),
         );
-    std::fs::write(&path, text).expect("a file");
+    std::fs::write(&path, text).expect("file can be written");
     placer
 }
 
@@ -123,21 +123,24 @@
     placer.client().call("GET", "/v1/status?full=1", "").1["gauges"]["catalogue"].clone()
 }
 
-fn wait_for_gauge(placer: &PlacerProcess, what: &str, shown: impl Fn(&Value) -> bool) -> Value {
-    let until = Instant::now() + PATIENCE;
+fn wait_for_gauge(placer: &PlacerProcess, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         let gauges = catalogue_gauges(placer);
-        if shown(&gauges) {
+        if condition(&gauges) {
             return gauges;
         }
-        assert!(Instant::now() < until, "never came about: {what}; {gauges}");
+        assert!(
+            Instant::now() < until,
+            "condition not met within {TEST_TIMEOUT:?}: {what}; {gauges}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
 fn hosts_follow_the_catalogue() {
-    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers start");
     let (h1, h2) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -145,11 +148,11 @@
     register_host(&servers, &h1, "passing");
     register_host(&servers, &h2, "passing");
     let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
-    let ready = placer.start();
+    let wait_until_serving = placer.start();
     let (mut l1, mut l2) = (h1.accept_and_greet(&[]), h2.accept_and_greet(&[]));
-    ready(&mut placer);
+    wait_until_serving(&mut placer);
     assert_eq!(placer.status()["hosts_connected"], 2);
-    // Critical: nothing new there, while its tasks run on.
+    // A critical host gets no new offers, while its tasks continue.
     register_host(&servers, &h1, "critical");
     wait_for_gauge(&placer, "the drain", |g| g["index"].as_u64() > Some(5));
     let mut client = placer.client();
@@ -163,11 +166,11 @@
         assert_eq!(client.receive_json().1["host"], "h2");
     }
     assert!(l1.receive_all_within(Duration::from_millis(100)).is_empty());
-    // Passing again: it takes part again; the other one is gone altogether.
+    // A passing host gets offers again; the other host is deregistered.
     register_host(&servers, &h1, "passing");
     deregister_host(&servers, &h2);
     drop(l2);
-    placer.wait_for_status("h2 is forgotten", |s| s["hosts"] == 1);
+    placer.wait_for_status("h2 is removed", |s| s["hosts"] == 1);
     client.send_placement(&placement_request("web-api", "s", "b", 4000), "b");
     let offer = l1.receive_offer();
     l1.send(&Frame::Accepted(offer.attempt_id, 1));
@@ -176,20 +179,21 @@
 
 #[test]
 fn applies_drain_of_a_late_answer_as_soon_as_it_is_read() {
-    // What the placer is told, and when: the moment at which the server wrote the answer.
-    let told: Arc<Mutex<Vec<(Instant, bool)>>> = Arc::default();
-    let seen = told.clone();
+    // When the server wrote each answer, and whether it has the critical check.
+    let answers: Arc<Mutex<Vec<(Instant, bool)>>> = Arc::default();
+    let recorded = answers.clone();
     let watch = move |_: &str, _: u64, _: bool, body: &[u8]| {
         let drains = String::from_utf8_lossy(body).contains("\"critical\"");
-        seen.lock()
-            .expect("no panic")
+        recorded
+            .lock()
+            .expect("lock is not poisoned")
             .push((Instant::now(), drains));
     };
     let settings = EmulatorSettings {
         answer_observer: Some(Arc::new(watch)),
         ..EmulatorSettings::new(1)
     };
-    let servers = Servers::start(settings).expect("servers");
+    let servers = Servers::start(settings).expect("servers start");
     let (h1, h2) = (
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
@@ -197,27 +201,27 @@
     register_host(&servers, &h1, "passing");
     register_host(&servers, &h2, "passing");
     let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
-    let ready = placer.start();
+    let wait_until_serving = placer.start();
     let (mut l1, mut l2) = (h1.accept_and_greet(&[]), h2.accept_and_greet(&[]));
-    ready(&mut placer);
-    // The watch of the list and the list itself are both as late.
-    let late = Duration::from_secs(5);
+    wait_until_serving(&mut placer);
+    // The blocking query and the read of the list are both delayed.
+    let delay = Duration::from_secs(5);
     servers.set_faults(
         None,
         Faults {
-            delay_us: late.as_micros() as u64,
+            delay_us: delay.as_micros() as u64,
             ..Faults::default()
         },
     );
     register_host(&servers, &h1, "critical");
-    // Asks go on all the while; the last offer to the draining host is noted.
+    // Requests continue meanwhile; the time of the last offer to the draining host is recorded.
     let mut client = placer.client();
-    let until = Instant::now() + 2 * late + Duration::from_secs(3);
-    let (mut last_there, mut n) = (None, 0);
-    // Tasks end at once, so that room never runs out.
-    let over = |link: &mut PlacerConnection, attempt: u64| {
-        link.send(&Frame::Accepted(attempt, 1));
-        link.send(&Frame::Ended(
+    let until = Instant::now() + 2 * delay + Duration::from_secs(3);
+    let (mut last_offer, mut n) = (None, 0);
+    // Tasks end at once, so that the hosts always have free resources.
+    let accept_and_end = |connection: &mut PlacerConnection, attempt: u64| {
+        connection.send(&Frame::Accepted(attempt, 1));
+        connection.send(&Frame::Ended(
             attempt,
             maplethread_wire::frame::Reason::Completed,
             true,
@@ -232,40 +236,40 @@
         );
         loop {
             if let Some(Frame::Offer(offer)) = l1.receive_within(Duration::from_millis(2)) {
-                last_there = Some(Instant::now());
-                over(&mut l1, offer.attempt_id);
+                last_offer = Some(Instant::now());
+                accept_and_end(&mut l1, offer.attempt_id);
                 break;
             }
             if let Some(Frame::Offer(offer)) = l2.receive_within(Duration::from_millis(2)) {
-                over(&mut l2, offer.attempt_id);
+                accept_and_end(&mut l2, offer.attempt_id);
                 break;
             }
         }
         assert_eq!(client.receive_json().1["outcome"], "placed");
     }
-    let written = told
+    let written = answers
         .lock()
-        .expect("no panic")
+        .expect("lock is not poisoned")
         .iter()
         .find(|t| t.1)
-        .expect("it was told")
+        .expect("answer with the drain")
         .0;
-    let last = last_there.expect("it got work before");
+    let last = last_offer.expect("offer to the draining host");
     let margin = (written + Duration::from_secs(2)).saturating_duration_since(last);
     assert!(
         last < written + Duration::from_secs(2),
-        "offered 2 s after it was told"
+        "offered more than 2 s after the answer with the drain was written"
     );
-    println!("margin to the grace: {margin:?}");
+    println!("margin to the end of the grace period: {margin:?}");
     assert!(
         margin > Duration::from_millis(1500),
-        "it acted late: {margin:?}"
+        "drain applied late, {margin:?} before the end of the grace period"
     );
 }
 
 #[test]
 fn keeps_hosts_when_lists_lag_are_empty_partial_or_foreign() {
-    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers start");
     let hosts: Vec<ScriptedHost> = (0..6)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "1"))
         .collect();
@@ -273,9 +277,9 @@
         .iter()
         .for_each(|h| register_host(&servers, h, "passing"));
     let mut placer = placer_with_catalogue(&servers, "p0", 1, "reads = \"stale\"");
-    let ready = placer.start();
-    let mut links: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
-    ready(&mut placer);
+    let wait_until_serving = placer.start();
+    let mut peers: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
+    wait_until_serving(&mut placer);
     for faults in [
         Faults {
             empty_lists: true,
@@ -318,18 +322,18 @@
                 .sum::<u64>()
         };
         servers.set_faults(None, faults.clone());
-        // Something changes, so that the faulty answers come.
+        // A change of the list ends blocking queries, so that faulty answers arrive.
         register_host(&servers, &hosts[0], "warning");
         wait_for_gauge(&placer, "some answers", |g| count(g) >= count(&before) + 3);
         assert_eq!(placer.status()["hosts"], 6, "{faults:?}");
         let mut client = placer.client();
         client.send_placement(&placement_request("web-api", "s", "a", 2000), "x");
-        let until = Instant::now() + PATIENCE;
+        let until = Instant::now() + TEST_TIMEOUT;
         'placed: while Instant::now() < until {
-            for link in &mut links {
-                if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(2)) {
-                    link.send(&Frame::Accepted(offer.attempt_id, 1));
-                    link.send(&Frame::Ended(
+            for peer in &mut peers {
+                if let Some(Frame::Offer(offer)) = peer.receive_within(Duration::from_millis(2)) {
+                    peer.send(&Frame::Accepted(offer.attempt_id, 1));
+                    peer.send(&Frame::Ended(
                         offer.attempt_id,
                         maplethread_wire::frame::Reason::Completed,
                         true,
@@ -342,12 +346,12 @@
         assert_eq!(client.receive_json().1["outcome"], "placed", "{faults:?}");
         servers.set_faults(None, Faults::default());
         register_host(&servers, &hosts[0], "passing");
-        wait_for_gauge(&placer, "sound answers", |g| {
+        wait_for_gauge(&placer, "valid answers", |g| {
             g["age_ms"].as_u64() < Some(300)
         });
-        placer.wait_for_status("settled", |s| s["actors"] == 0);
+        placer.wait_for_status("no actors", |s| s["actors"] == 0);
     }
-    // A follower that lags does not bring back a host that is known to be gone.
+    // A lagging follower does not restore a host that has been removed.
     let index = catalogue_gauges(&placer)["index"].as_u64();
     deregister_host(&servers, &hosts[5]);
     placer.wait_for_status("h5 drains", |_| catalogue_gauges(&placer)["hosts"] == 5);
@@ -362,7 +366,7 @@
     register_host(&servers, &hosts[0], "warning");
     wait_for_gauge(&placer, "rejections", |g| g["rejected"].as_u64() > Some(2));
     assert_eq!(catalogue_gauges(&placer)["hosts"], 5);
-    // A loss that nobody denies counts, though nobody confirms it either: the rules win.
+    // A removal that no other answer contradicts is applied, although none confirms it.
     servers.set_faults(None, Faults::default());
     for host in &hosts[1..] {
         deregister_host(&servers, host);
@@ -372,7 +376,7 @@
 
 #[test]
 fn no_two_running_placers_share_a_slot_and_a_paused_one_gives_it_up() {
-    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers start");
     let host = ScriptedHost::new("h1", "a", "1");
     register_host(&servers, &host, "passing");
     let more = "[consul.membership]\nttl_ms = 1500\nlock_delay_ms = 1000\n";
@@ -380,12 +384,12 @@
         .map(|n| placer_with_catalogue(&servers, &format!("p{n}"), 2, more))
         .collect();
     for placer in &mut placers {
-        let ready = placer.start();
-        let link = host.accept_and_greet(&[]);
-        ready(placer);
+        let wait_until_serving = placer.start();
+        let connection = host.accept_and_greet(&[]);
+        wait_until_serving(placer);
         std::thread::spawn(move || {
-            let mut link = link;
-            while link.receive_within(Duration::from_secs(30)).is_some() {}
+            let mut connection = connection;
+            while connection.receive_within(Duration::from_secs(30)).is_some() {}
         });
     }
     let slots = |placers: &[PlacerProcess]| -> Vec<Option<u64>> {
@@ -394,7 +398,7 @@
             .map(|p| catalogue_gauges(p)["slot"].as_u64())
             .collect()
     };
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let held = loop {
         let held = slots(&placers);
         if held.iter().flatten().count() == 2 {
@@ -403,16 +407,20 @@
         assert!(Instant::now() < until, "{held:?}");
         std::thread::sleep(Duration::from_millis(20));
     };
-    let (one, late) = (
-        held.iter().position(Option::is_some).expect("one"),
-        held.iter().position(Option::is_none).expect("late"),
+    let (paused, waiting) = (
+        held.iter()
+            .position(Option::is_some)
+            .expect("placer with a slot"),
+        held.iter()
+            .position(Option::is_none)
+            .expect("placer without a slot"),
     );
     assert_ne!(
-        held[(late + 1) % 3],
-        held[(late + 2) % 3],
-        "two placers hold one number"
+        held[(waiting + 1) % 3],
+        held[(waiting + 2) % 3],
+        "two placers hold the same slot"
     );
-    // The placers are found where they registered, and their checks pass.
+    // The placers are registered in the catalogue with passing checks.
     let (_, list) = http_call(
         servers.addresses[1],
         "GET",
@@ -421,39 +429,42 @@
     );
     assert_eq!(
         serde_json::from_str::<Value>(&list)
-            .expect("JSON")
+            .expect("valid JSON")
             .as_array()
             .map(Vec::len),
         Some(3),
         "{list}"
     );
-    // One is stopped beyond its session: the late one takes its number after the lock delay...
-    placers[one].signal(Signal::STOP);
-    wait_for_gauge(&placers[late], "the number of the stopped one", |g| {
-        g["slot"] == json!(held[one])
+    // One is paused for longer than its session: the waiting one takes its slot after the lock delay...
+    placers[paused].signal(Signal::STOP);
+    wait_for_gauge(&placers[waiting], "the slot of the paused placer", |g| {
+        g["slot"] == json!(held[paused])
     });
-    // ...and when the first goes on it knows at once that it has none. It never shows the number again.
-    placers[one].signal(Signal::CONT);
-    let log = placers[one].log_text();
+    // ...and when the first continues, it gives up the slot at once and does not show it again.
+    placers[paused].signal(Signal::CONT);
+    let log = placers[paused].log_text();
     let before = log.matches("placer slot changed").count();
-    wait_for_gauge(&placers[one], "it has no number", |g| g["slot"].is_null());
-    let log = placers[one].log_text();
+    wait_for_gauge(&placers[paused], "no slot", |g| g["slot"].is_null());
+    let log = placers[paused].log_text();
     assert!(log.matches("placer slot changed slot=None").count() > before.saturating_sub(2));
-    assert_eq!(catalogue_gauges(&placers[late])["slot"], json!(held[one]));
-    // A placer that leaves for good makes room.
-    placers[late].kill();
-    wait_for_gauge(&placers[one], "the number is free again", |g| {
+    assert_eq!(
+        catalogue_gauges(&placers[waiting])["slot"],
+        json!(held[paused])
+    );
+    // A killed placer's slot is released.
+    placers[waiting].kill();
+    wait_for_gauge(&placers[paused], "the released slot", |g| {
         !g["slot"].is_null()
     });
 }
 
 #[test]
 fn blocked_tasks_start_within_warm_up_budgets_when_critical_hosts_return() {
-    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(3)).expect("servers start");
     let now = || {
         std::time::SystemTime::now()
             .duration_since(std::time::UNIX_EPOCH)
-            .expect("a clock")
+            .expect("clock is after the epoch")
             .as_millis() as u64
     };
     let mut hosts: Vec<ScriptedHost> = (0..4)
@@ -463,16 +474,17 @@
         .iter()
         .for_each(|h| register_host(&servers, h, "passing"));
     let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
-    let ready = placer.start();
-    let mut links: Vec<PlacerConnection> = hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
-    ready(&mut placer);
+    let wait_until_serving = placer.start();
+    let mut connections: Vec<PlacerConnection> =
+        hosts.iter().map(|h| h.accept_and_greet(&[])).collect();
+    wait_until_serving(&mut placer);
     hosts
         .iter()
         .for_each(|h| register_host(&servers, h, "critical"));
-    placer.wait_for_status("all drain", |_| {
+    placer.wait_for_status("all hosts drain", |_| {
         catalogue_gauges(&placer)["index"].as_u64() >= Some(12)
     });
-    // Sixty asks while nobody takes any: all are held.
+    // Sixty requests while no host accepts offers: all stay open.
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
     for n in 0..60 {
         clients[n % 4].send_placement(
@@ -480,30 +492,32 @@
             &format!("{n}"),
         );
     }
-    placer.wait_for_status("all are held", |s| s["open_asks"] == 60);
+    placer.wait_for_status("all requests are open", |s| s["open_asks"] == 60);
     assert!(
-        links
+        connections
             .iter_mut()
             .all(|l| l.receive_all_within(Duration::from_millis(30)).is_empty())
     );
-    // Two of them come back as they were, two as new processes, cold.
+    // Two hosts return unchanged, two as new processes, which are cold.
     for n in [2, 3] {
         hosts[n].started_ms = now();
-        let link = links.remove(2);
-        drop(link.into_stream());
+        let connection = connections.remove(2);
+        drop(connection.into_stream());
     }
     let started = hosts[2].started_ms;
-    links.extend(hosts[2..].iter().map(|h| h.accept_and_greet(&[])));
+    connections.extend(hosts[2..].iter().map(|h| h.accept_and_greet(&[])));
     hosts
         .iter()
         .for_each(|h| register_host(&servers, h, "passing"));
     let mut offers: Vec<Vec<u64>> = vec![Vec::new(); 4];
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     while offers.iter().map(Vec::len).sum::<usize>() < 60 && Instant::now() < until {
-        for (n, link) in links.iter_mut().enumerate() {
-            while let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(1)) {
+        for (n, connection) in connections.iter_mut().enumerate() {
+            while let Some(Frame::Offer(offer)) =
+                connection.receive_within(Duration::from_millis(1))
+            {
                 offers[n].push(now());
-                link.send(&Frame::Accepted(offer.attempt_id, 1));
+                connection.send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
     }
@@ -512,7 +526,7 @@
             assert_eq!(client.receive_json().1["outcome"], "placed");
         }
     }
-    // A cold host bears ten offers a second; this placer is alone, so at most nine of them are its own.
+    // The budget of a cold host is ten offers a second, of which at most nine are for this one placer.
     for times in &offers[2..] {
         for (i, &at) in times
             .iter()
@@ -528,17 +542,17 @@
 
 #[test]
 fn finds_the_valid_host_among_five_thousand_invalid_entries() {
-    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers");
+    let servers = Servers::start(EmulatorSettings::new(1)).expect("servers start");
     let host = ScriptedHost::new("h1", "a", "1");
     register_host(&servers, &host, "passing");
-    let mut stream = TcpStream::connect(servers.addresses[0]).expect("the server listens");
+    let mut stream = TcpStream::connect(servers.addresses[0]).expect("server accepts connections");
     let answers = std::thread::spawn({
-        let mut stream = stream.try_clone().expect("a socket");
+        let mut stream = stream.try_clone().expect("stream can be cloned");
         move || {
-            let (mut seen, mut part) = (0, [0; 65536]);
-            while seen < 5000 {
-                let n = stream.read(&mut part).expect("answers");
-                seen += String::from_utf8_lossy(&part[..n])
+            let (mut registered, mut part) = (0, [0; 65536]);
+            while registered < 5000 {
+                let n = stream.read(&mut part).expect("answers can be read");
+                registered += String::from_utf8_lossy(&part[..n])
                     .matches("HTTP/1.1 200")
                     .count();
                 assert!(n > 0, "the server closed");
@@ -548,7 +562,7 @@
     let long = "x".repeat(1 << 10);
     let huge = "y".repeat(900 << 10);
     for n in 0..5000 {
-        // One in five is sound but for its kind; the rest is bad in one of many ways.
+        // One in five entries is invalid only by its kind; the others are invalid in several ways.
         let meta = match n % 5 {
             0 => json!({"zone": "a", "cell": "c", "kind": "unheard-of", "started_ms": "1"}),
             1 => json!({"zone": "a", "cell": long, "kind": "std"}),
@@ -576,23 +590,23 @@
             "PUT /v1/catalog/register HTTP/1.1\r\nHost: c\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         )
-        .expect("the server reads");
+        .expect("request can be sent");
     }
-    answers.join().expect("all registered");
+    answers.join().expect("registration thread ends");
     let mut placer = placer_with_catalogue(&servers, "p0", 1, "");
-    let ready = placer.start();
-    let mut link = host.accept_and_greet(&[]);
-    ready(&mut placer);
-    wait_for_gauge(&placer, "the one sound host", |g| g["hosts"] == 1);
+    let wait_until_serving = placer.start();
+    let mut connection = host.accept_and_greet(&[]);
+    wait_until_serving(&mut placer);
+    wait_for_gauge(&placer, "the one valid host", |g| g["hosts"] == 1);
     let mut client = placer.client();
     client.send_placement(&placement_request("web-api", "s", "a", 4000), "x");
-    let offer = link.receive_offer();
-    link.send(&Frame::Accepted(offer.attempt_id, 1));
+    let offer = connection.receive_offer();
+    connection.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.receive_json().1["host"], "h1");
     let log = placer.log_text();
     assert!(
         log.contains("catalogue entries that can't be used count=100"),
-        "the count that is kept"
+        "expected a logged count of 100"
     );
     assert!(
         !log.contains('\u{1}'),
--- a/crates/cli/tests/heartbeats.rs
+++ b/crates/cli/tests/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of a real placer process: idle hosts within the rate, and a dead one cut off after an offer.
+//! Heartbeats of a real placer process: the rate of pings to idle hosts, and the disconnection of hosts that do not
+//! answer.
 
 mod support;
 
@@ -12,55 +13,55 @@
 
 const HOSTS: usize = 12;
 const MAX_IDLE_PINGS_PER_S: f64 = 5.0;
-/// Longer than a host may be silent by default.
+/// Longer than the default time that a host may be silent.
 const PAUSE: Duration = Duration::from_secs(4);
 const PLACEMENT_REQUEST: &str =
     r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}"#;
 
-/// Hosts that are there for one test.
+/// The hosts of a test.
 fn scripted_hosts() -> Vec<ScriptedHost> {
     (0..HOSTS)
         .map(|n| ScriptedHost::new(&format!("h{n}"), "a", "c"))
         .collect()
 }
 
-/// A placer that pings its idle hosts at a low rate; nothing runs yet.
+/// Writes the files of a placer that pings its idle hosts at a low rate, without starting it.
 fn placer_with_idle_ping_rate(hosts: &[ScriptedHost]) -> PlacerProcess {
     let placer = PlacerProcess::with_files(&hosts.iter().collect::<Vec<_>>(), "");
     let file = placer.folder().join("placer.toml");
-    let config = std::fs::read_to_string(&file).expect("the settings");
+    let config = std::fs::read_to_string(&file).expect("file can be read");
     let rate =
         format!("[hosts]\nping_every_ms = 200\nmax_idle_pings_per_s = {MAX_IDLE_PINGS_PER_S:.0}\n");
-    std::fs::write(&file, config.replace("[hosts]\n", &rate)).expect("a file");
+    std::fs::write(&file, config.replace("[hosts]\n", &rate)).expect("file can be written");
     placer
 }
 
 /// Answers pings until the connection ends.
-fn answer_pings(mut link: PlacerConnection) -> JoinHandle<()> {
-    spawn(move || while link.receive_within(PATIENCE).is_some() {})
+fn answer_pings(mut connection: PlacerConnection) -> JoinHandle<()> {
+    spawn(move || while connection.receive_within(TEST_TIMEOUT).is_some() {})
 }
 
 /// Answers pings and accepts offers until the connection ends.
-fn accept_offers(mut link: PlacerConnection) -> JoinHandle<()> {
+fn accept_offers(mut connection: PlacerConnection) -> JoinHandle<()> {
     spawn(move || {
-        while let Some(frame) = link.receive_within(PATIENCE) {
+        while let Some(frame) = connection.receive_within(TEST_TIMEOUT) {
             if let Frame::Offer(offer) = frame {
-                link.send(&Frame::Accepted(offer.attempt_id, 1));
+                connection.send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
     })
 }
 
-/// Heartbeats that a placer has sent.
+/// The number of heartbeats that a placer has sent.
 fn heartbeats(status: &Value) -> u64 {
     status["counters"]["heartbeats"].as_u64().unwrap_or(0)
 }
 
-/// Answers pings up to an offer, and nothing from then on: the offer, and what came after it.
-fn stop_answering_at_offer(mut link: PlacerConnection) -> JoinHandle<(Offer, Vec<Frame>)> {
+/// Answers pings up to an offer, and nothing after it. Returns the offer, and the frames after it.
+fn stop_answering_at_offer(mut connection: PlacerConnection) -> JoinHandle<(Offer, Vec<Frame>)> {
     spawn(move || {
-        let offer = link.receive_offer();
-        let unanswered = std::iter::from_fn(|| link.receive_without_answering()).collect();
+        let offer = connection.receive_offer();
+        let unanswered = std::iter::from_fn(|| connection.receive_without_answering()).collect();
         (offer, unanswered)
     })
 }
@@ -69,54 +70,59 @@
 fn pings_every_idle_host_within_the_total_rate() {
     let hosts = scripted_hosts();
     let mut placer = placer_with_idle_ping_rate(&hosts);
-    let from = Instant::now();
-    let serving = placer.start();
-    let links: Vec<_> = hosts
+    let started = Instant::now();
+    let wait_until_serving = placer.start();
+    let connections: Vec<_> = hosts
         .iter()
         .map(|host| answer_pings(host.accept_and_greet(&[])))
         .collect();
-    serving(&mut placer);
-    // Two rounds: none was left out, or it would have been cut off.
+    wait_until_serving(&mut placer);
+    // After two rounds, a host without a ping would have been disconnected.
     let rounds = 2 * HOSTS as u64;
     let status = placer.wait_for_status("two rounds of pings", |s| {
         s["counters"]["heartbeats"]
             .as_u64()
             .is_some_and(|n| n >= rounds)
     });
-    let sent = status["counters"]["heartbeats"].as_u64().expect("a count") as f64;
-    // The two that a late turn may bring closer.
-    let most = MAX_IDLE_PINGS_PER_S * from.elapsed().as_secs_f64() + 2.0;
-    assert!(sent <= most, "{sent} pings where {most} are allowed");
+    let sent = status["counters"]["heartbeats"]
+        .as_u64()
+        .expect("heartbeat count") as f64;
+    // A delayed turn of the event loop may move two pings closer together.
+    let max_sent = MAX_IDLE_PINGS_PER_S * started.elapsed().as_secs_f64() + 2.0;
+    assert!(
+        sent <= max_sent,
+        "{sent} pings sent, at most {max_sent} allowed"
+    );
     assert_eq!(status["hosts_connected"], HOSTS);
     placer.kill();
-    links
+    connections
         .into_iter()
-        .for_each(|link| link.join().expect("its host"));
+        .for_each(|connection| connection.join().expect("host thread ends"));
 }
 
 #[test]
 fn disconnects_a_silent_host_after_an_offer() {
     let hosts = scripted_hosts();
     let mut placer = placer_with_idle_ping_rate(&hosts);
-    // The others take nothing, so that it gets the offer.
+    // The other hosts are draining, so that the first one gets the offer.
     let states = hosts
         .iter()
         .enumerate()
         .map(|(n, host)| (host, if n == 0 { "ready" } else { "draining" }));
     placer.write_inventory(&states.collect::<Vec<_>>());
-    let serving = placer.start();
-    let mut links: Vec<PlacerConnection> = hosts
+    let wait_until_serving = placer.start();
+    let mut connections: Vec<PlacerConnection> = hosts
         .iter()
         .map(|host| host.accept_and_greet(&[]))
         .collect();
-    let dead = stop_answering_at_offer(links.remove(0));
-    let others: Vec<_> = links.into_iter().map(answer_pings).collect();
-    serving(&mut placer);
-    let asked =
+    let silent_host = stop_answering_at_offer(connections.remove(0));
+    let others: Vec<_> = connections.into_iter().map(answer_pings).collect();
+    wait_until_serving(&mut placer);
+    let request =
         r#"{"service":"s","actor":"a","class":"web-api","cores":1,"memory_gib":1,"budget_ms":300}"#;
-    let (status, answer) = placer.client().call("POST", "/v1/actors", asked);
+    let (status, answer) = placer.client().call("POST", "/v1/actors", request);
     assert_eq!(status, 200, "{answer}");
-    let (offer, unanswered) = dead.join().expect("its host");
+    let (offer, unanswered) = silent_host.join().expect("host thread ends");
     assert!(
         unanswered.iter().any(|f| matches!(f, Frame::Ping(_))),
         "{unanswered:?}"
@@ -130,13 +136,13 @@
     placer.kill();
     others
         .into_iter()
-        .for_each(|link| link.join().expect("its host"));
+        .for_each(|connection| connection.join().expect("host thread ends"));
 }
 
-/// Pauses a placer for so long, which is longer than a host may be silent.
-fn pause(placer: &PlacerProcess, span: Duration) {
+/// Pauses a placer's process.
+fn pause(placer: &PlacerProcess, duration: Duration) {
     placer.signal(Signal::STOP);
-    std::thread::sleep(span);
+    std::thread::sleep(duration);
     placer.signal(Signal::CONT);
 }
 
@@ -144,13 +150,13 @@
 fn paused_placer_disconnects_no_host_idle_or_in_use() {
     let hosts = scripted_hosts();
     let mut placer = placer_with_idle_ping_rate(&hosts);
-    let serving = placer.start();
-    let links: Vec<_> = hosts
+    let wait_until_serving = placer.start();
+    let connections: Vec<_> = hosts
         .iter()
         .map(|host| accept_offers(host.accept_and_greet(&[])))
         .collect();
-    serving(&mut placer);
-    // A task on one of them, so that it is in use; the others are idle.
+    wait_until_serving(&mut placer);
+    // One host is in use by a task; the others are idle.
     let (status, answer) = placer
         .client()
         .call("POST", "/v1/actors", PLACEMENT_REQUEST);
@@ -173,36 +179,36 @@
     let log = placer.log_text();
     assert!(!log.contains("connection dropped"), "{log}");
     placer.kill();
-    links
+    connections
         .into_iter()
-        .for_each(|link| link.join().expect("its host"));
+        .for_each(|connection| connection.join().expect("host thread ends"));
 }
 
 #[test]
 fn disconnects_a_host_only_at_the_placer_it_does_not_answer() {
     let host = ScriptedHost::new("h0", "a", "c");
     let hosts = [host];
-    let (mut reached, mut cut_off) = (
+    let (mut answered_placer, mut unanswered_placer) = (
         placer_with_idle_ping_rate(&hosts),
         placer_with_idle_ping_rate(&hosts),
     );
-    // The connections come in the order in which the placers start.
-    let serving = reached.start();
+    // The placers connect in the order of their start.
+    let wait_until_serving = answered_placer.start();
     let answering = answer_pings(hosts[0].accept_and_greet(&[]));
-    serving(&mut reached);
-    let serving = cut_off.start();
+    wait_until_serving(&mut answered_placer);
+    let wait_until_serving = unanswered_placer.start();
     let mut silent = hosts[0].accept_and_greet(&[]);
-    serving(&mut cut_off);
-    // Nothing that one of them sends is answered, until it has given the host up.
+    wait_until_serving(&mut unanswered_placer);
+    // The host does not answer the second placer until that disconnects.
     while silent.receive_without_answering().is_some() {}
-    let log = cut_off.log_text();
+    let log = unanswered_placer.log_text();
     assert!(log.contains("silent; connection dropped"), "{log}");
-    assert_eq!(reached.status()["hosts_connected"], 1);
-    let sent = heartbeats(&reached.status());
-    reached.wait_for_status("pings to the host that is there", |s| heartbeats(s) > sent);
-    let log = reached.log_text();
+    assert_eq!(answered_placer.status()["hosts_connected"], 1);
+    let sent = heartbeats(&answered_placer.status());
+    answered_placer.wait_for_status("pings to the answering host", |s| heartbeats(s) > sent);
+    let log = answered_placer.log_text();
     assert!(!log.contains("connection dropped"), "{log}");
-    reached.kill();
-    cut_off.kill();
-    answering.join().expect("its host");
+    answered_placer.kill();
+    unanswered_placer.kill();
+    answering.join().expect("host thread ends");
 }
--- a/crates/cli/tests/placer_faults.rs
+++ b/crates/cli/tests/placer_faults.rs
@@ -1,4 +1,4 @@
-//! A placer that is killed, paused, or crowded by slow clients.
+//! A placer that is killed, paused, or under load from slow clients.
 
 mod support;
 
@@ -10,13 +10,13 @@
 use rustix::process::Signal;
 use support::*;
 
-/// Long enough for what is on its way to arrive.
+/// Long enough for frames in flight to arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
 
 #[test]
 fn restarted_placer_recovers_tasks_and_counts_them() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (mut placer, mut links) = start_placer_with(&[&host]);
+    let (mut placer, mut connections) = start_placer_with(&[&host]);
     let mut held = Vec::new();
     for (class, service, actor) in [
         ("spread", "web", "w1"),
@@ -25,28 +25,28 @@
     ] {
         let mut client = placer.client();
         client.send_placement(&placement_request(class, service, actor, 4000), actor);
-        let offer = links[0].receive_offer();
-        links[0].send(&Frame::Accepted(offer.attempt_id, 1));
-        links[0].send(&Frame::Started(offer.attempt_id, 2));
+        let offer = connections[0].receive_offer();
+        connections[0].send(&Frame::Accepted(offer.attempt_id, 1));
+        connections[0].send(&Frame::Started(offer.attempt_id, 2));
         assert_eq!(client.receive_json().1["outcome"], "placed");
         held.push(Frame::Held(offer, true));
     }
-    let life = links[0].placer_started_ms;
+    let first_start_ms = connections[0].placer_started_ms;
     placer.kill();
-    drop(links);
-    let ready = placer.start();
-    let mut link = host.accept_and_greet(&held);
-    ready(&mut placer);
-    assert_ne!(link.placer_started_ms, life);
+    drop(connections);
+    let wait_until_serving = placer.start();
+    let mut connection = host.accept_and_greet(&held);
+    wait_until_serving(&mut placer);
+    assert_ne!(connection.placer_started_ms, first_start_ms);
     assert_eq!(placer.status()["counters"]["adopted"], 3);
-    // The spread limit of two counts those that it finds: a third is not offered.
+    // The spread limit of two counts recovered tasks: a third one is not offered.
     let (_, body) = placer.client().call(
         "POST",
         "/v1/actors",
         &placement_request("spread", "web", "w3", 500),
     );
     assert_eq!(body["outcome"], "refused", "{body}");
-    // The keyed actor runs: asked again, it is where it was, and no second attempt goes out.
+    // The keyed actor is running: a repeated request gets its host, without a second attempt.
     let (_, body) = placer.client().call(
         "POST",
         "/v1/actors",
@@ -56,16 +56,16 @@
         (body["outcome"].as_str(), body["host"].as_str()),
         (Some("placed"), Some("h1"))
     );
-    let frames = link.receive_all_within(SETTLE_TIME);
+    let frames = connection.receive_all_within(SETTLE_TIME);
     assert!(
         !frames.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{frames:?}"
     );
-    // Once one of them has ended there is room for another.
+    // After one of them has ended, another one fits the limit.
     let Frame::Held(first, _) = &held[0] else {
-        unreachable!("made above")
+        unreachable!("only Held frames are pushed")
     };
-    link.send(&Frame::Ended(
+    connection.send(&Frame::Ended(
         first.attempt_id,
         Reason::Completed,
         true,
@@ -73,8 +73,8 @@
     ));
     let mut client = placer.client();
     client.send_placement(&placement_request("spread", "web", "w3", 4000), "w3");
-    let offer = link.receive_offer();
-    link.send(&Frame::Accepted(offer.attempt_id, 1));
+    let offer = connection.receive_offer();
+    connection.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.receive_json().1["outcome"], "placed");
 }
 
@@ -84,7 +84,7 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     ];
-    let (placer, mut links) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
+    let (placer, mut connections) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
     let mut clients = BTreeMap::new();
     let mut offers = Vec::new();
     for n in 0..10 {
@@ -93,7 +93,7 @@
             &placement_request("statements", &format!("s{n}"), "a", 10_000),
             &format!("{n}"),
         );
-        let (host, offer) = wait_for_offer(&mut links);
+        let (host, offer) = wait_for_offer(&mut connections);
         offers.push((host, offer));
         clients.insert(n, client);
         if n == 9 {
@@ -101,35 +101,35 @@
         }
     }
     for (host, offer) in &offers {
-        links[*host].send(&Frame::Accepted(offer.attempt_id, 1));
+        connections[*host].send(&Frame::Accepted(offer.attempt_id, 1));
     }
     std::thread::sleep(Duration::from_secs(2));
     placer.signal(Signal::CONT);
     let mut placed = 0;
     for client in clients.values_mut() {
         let (_, body) = client.receive_json();
-        // The first ones may have timed out before the pause began.
+        // The first requests may have timed out before the pause.
         placed += u32::from(body["outcome"] == "placed");
     }
     assert!(
         placed >= 8,
-        "only {placed} of the 10 answers that lay ready were given"
+        "expected at least 8 of 10 requests placed, got {placed}"
     );
-    // Nobody was cut off or is passed over: both hosts are still connected, and both get work.
+    // No host was disconnected or is avoided: both are still connected, and both get offers.
     assert_eq!(placer.status()["hosts_connected"], 2);
-    let mut seen = [0; 2];
+    let mut offers_by_host = [0; 2];
     for n in 0..40 {
         let mut client = placer.client();
         client.send_placement(
             &placement_request("web-api", &format!("after{n}"), "a", 4000),
             &format!("after{n}"),
         );
-        let (host, offer) = wait_for_offer(&mut links);
-        seen[host] += 1;
-        links[host].send(&Frame::Accepted(offer.attempt_id, 1));
+        let (host, offer) = wait_for_offer(&mut connections);
+        offers_by_host[host] += 1;
+        connections[host].send(&Frame::Accepted(offer.attempt_id, 1));
         assert_eq!(client.receive_json().1["outcome"], "placed");
     }
-    assert!(seen.iter().all(|&n| n > 0), "{seen:?}");
+    assert!(offers_by_host.iter().all(|&n| n > 0), "{offers_by_host:?}");
 }
 
 #[test]
@@ -139,26 +139,29 @@
         &[&host],
         "max_unread_bytes = 65536\nrequest_within_ms = 60000",
     );
-    let ready = placer.start();
-    let mut link = host.accept_and_greet(&[]);
-    ready(&mut placer);
+    let wait_until_serving = placer.start();
+    let mut connection = host.accept_and_greet(&[]);
+    wait_until_serving(&mut placer);
     let before = placer.rss_kib();
-    // The host answers from the start: on a busy machine, the clients below take longer to come than it may be silent.
+    // The host answers from the start: on a busy machine, connecting the clients below takes longer than a host may be
+    // silent.
     let answerer = std::thread::spawn(move || {
         let mut answered = 0;
         while answered < 200 {
-            let offer = link.receive_offer();
-            link.send(&Frame::Accepted(offer.attempt_id, 1));
+            let offer = connection.receive_offer();
+            connection.send(&Frame::Accepted(offer.attempt_id, 1));
             answered += 1;
         }
-        link
+        connection
     });
-    // Half of them send a byte now and then; the others ask for a lot and never read.
+    // Half of the clients send single bytes; the others send many requests and never read the responses.
     let mut slow: Vec<_> = (0..500).map(|_| placer.client().stream).collect();
     let text = b"POST /v1/actors HTTP/1.1\r\nHost: x\r\nContent-Length: 9999\r\n\r\n{";
     for (n, stream) in slow.iter_mut().enumerate() {
         if n % 2 == 1 {
-            stream.set_nonblocking(true).expect("a socket");
+            stream
+                .set_nonblocking(true)
+                .expect("socket option can be set");
             let many = b"GET /v1/status HTTP/1.1\r\nHost: x\r\n\r\n".repeat(2000);
             let _ = stream.write(&many);
         }
@@ -175,12 +178,12 @@
         );
         assert_eq!(body["outcome"], "placed");
     }
-    answerer.join().expect("the host");
+    answerer.join().expect("host thread ends");
     let after = placer.rss_kib();
-    // 500 connections with their buffers full: 128 KiB in and 64 KiB out at most, and a good deal less in fact.
+    // The bound allows 500 connections with full buffers, of at most 128 KiB for input and 64 KiB for output.
     assert!(
         after < before + 500 * 192,
-        "memory went from {before} to {after} KiB"
+        "resident memory grew from {before} to {after} KiB"
     );
     assert!(
         placer.status()["clients"]
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,5 +1,5 @@
-//! The placer in service, as a process: stand-ins for owners, hosts and the command channel on loopback. What crossed
-//! the sockets is judged.
+//! The platform placer as a process, with emulated owners, hosts and command channels on loopback. The tests check the
+//! messages on the sockets.
 
 mod platform_support;
 
@@ -10,14 +10,14 @@
 
 use platform_support::{
     EmulatedCommandChannel, EmulatedHost, OwnerClient, PROGRAM, PlacerProcess, SinglePlacer, TEXT,
-    config, listed, parameter, send_from_host, setup,
+    config, host_update, parameter, send_from_host, setup,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
 #[test]
-fn a_task_is_placed_and_released_and_the_channel_is_followed_over_a_new_configuration() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_task_is_placed_and_released_and_polling_continues_at_a_new_channel() {
+    let folder = tempfile::tempdir().expect("temporary folder");
     let (host, first, second) = (
         EmulatedHost::start(),
         EmulatedCommandChannel::start(),
@@ -26,7 +26,7 @@
     let file = config(
         folder.path(),
         first.address,
-        &listed(3, "s-1", host.address, "active"),
+        &host_update(3, "s-1", host.address, "active"),
     );
     let mut placer = PlacerProcess::start(&file);
     let (_held, line) = first.poll();
@@ -60,23 +60,23 @@
         (Some("close"), Some(16))
     );
 
-    // A new configuration names another channel: it is asked from the last event on.
+    // A new configuration names another channel, which is polled from the last event on.
     config(
         folder.path(),
         second.address,
-        &listed(3, "s-1", host.address, "active"),
+        &host_update(3, "s-1", host.address, "active"),
     );
     placer.signal(Signal::HUP);
     let (poll, line) = second.poll();
     assert!(line.starts_with("GET /cmd/next?resume=3&block="), "{line}");
-    // A file that can't be read changes nothing.
-    std::fs::write(&file, "{").expect("a file");
+    // An unreadable configuration file changes nothing.
+    std::fs::write(&file, "{").expect("file can be written");
     placer.signal(Signal::HUP);
-    second.tell(poll, &listed(4, "s-1", host.address, "leaving"));
+    second.respond(poll, &host_update(4, "s-1", host.address, "leaving"));
     let (_poll, line) = second.poll();
     assert!(line.starts_with("GET /cmd/next?resume=4&block="), "{line}");
 
-    // The host drains now: the ask is not offered there, and answered before its deadline.
+    // The host is draining: the request is not offered to it, and is answered before its deadline.
     owner.send(&setup("9b1f03aa5c7e2d42", 300));
     let answer = owner.receive();
     assert_eq!(
@@ -86,8 +86,8 @@
     placer.signal(Signal::TERM);
     assert!(placer.wait().success());
     assert!(
-        host.heard.try_iter().all(|(_, message)| message[0] != 1),
-        "a set-up to a host that drains"
+        host.messages.try_iter().all(|(_, message)| message[0] != 1),
+        "the draining host received a set-up"
     );
 }
 
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn the_placer_in_service_is_one_process_that_opens_ipv4_sockets_alone_and_is_linked_dynamically() {
+fn the_platform_placer_is_one_dynamically_linked_process_with_ipv4_sockets_only() {
     let SinglePlacer {
         _folder,
         _commands,
@@ -137,63 +137,70 @@
         send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
         assert_eq!(owner.receive()["msg"].as_str(), Some("ready"));
     }
-    let of = PathBuf::from(format!("/proc/{}", placer.child.id()));
-    // A library of the operators' may be loaded into it: that takes the C library's dynamic loader.
-    let maps = std::fs::read_to_string(of.join("maps")).expect("what it is made of");
+    let proc_folder = PathBuf::from(format!("/proc/{}", placer.child.id()));
+    // Operators may preload a library of their own, which needs the dynamic loader of the C library.
+    let maps =
+        std::fs::read_to_string(proc_folder.join("maps")).expect("memory map of the process");
     assert!(
         maps.contains("libc.so") && maps.contains("ld-linux"),
         "{maps}"
     );
-    let children = std::fs::read_dir(of.join("task"))
-        .expect("its threads")
+    let children = std::fs::read_dir(proc_folder.join("task"))
+        .expect("thread list can be read")
         .map(|thread| {
-            let file = thread.expect("a thread").path().join("children");
+            let file = thread.expect("directory entry").path().join("children");
             std::fs::read_to_string(file).unwrap_or_default()
         });
     assert_eq!(
         children.collect::<String>().trim(),
         "",
-        "it started another program"
+        "the placer has child processes"
     );
-    let ours: Vec<String> = ["tcp", "udp"].into_iter().flat_map(sockets).collect();
+    let ipv4_sockets: Vec<String> = ["tcp", "udp"].into_iter().flat_map(sockets).collect();
     let other: Vec<String> = ["tcp6", "udp6", "unix"]
         .into_iter()
         .flat_map(sockets)
         .collect();
     let mut found = 0;
-    for entry in std::fs::read_dir(of.join("fd")).expect("its descriptors") {
-        let entry = entry.expect("a descriptor").path();
-        let Ok(what) = std::fs::read_link(&entry) else {
+    for entry in std::fs::read_dir(proc_folder.join("fd")).expect("descriptor list can be read") {
+        let entry = entry.expect("directory entry").path();
+        let Ok(target) = std::fs::read_link(&entry) else {
             continue;
         };
-        let what = what.to_string_lossy().into_owned();
-        // What it was given at its start is its parent's matter.
+        let target = target.to_string_lossy().into_owned();
+        // Standard input, output and error are inherited from the parent.
         if matches!(
             entry.file_name().and_then(|n| n.to_str()),
             Some("0" | "1" | "2")
         ) {
             continue;
         }
-        if let Some(inode) = what
+        if let Some(inode) = target
             .strip_prefix("socket:[")
             .and_then(|w| w.strip_suffix(']'))
         {
             assert!(
                 !other.iter().any(|o| o == inode),
-                "{what} is no IPv4 socket"
+                "{target} is not an IPv4 socket"
             );
-            found += usize::from(ours.iter().any(|o| o == inode));
+            found += usize::from(ipv4_sockets.iter().any(|o| o == inode));
         } else {
-            let known = [
+            let allowed = [
                 "anon_inode:[eventpoll]",
                 "anon_inode:[eventfd]",
                 "pipe:[",
                 "/dev/null",
             ];
-            assert!(known.iter().any(|k| what.starts_with(k)), "it holds {what}");
+            assert!(
+                allowed.iter().any(|k| target.starts_with(k)),
+                "unexpected open descriptor: {target}"
+            );
         }
     }
-    assert!(found >= 4, "listener, owner, host and channel: {found}");
+    assert!(
+        found >= 4,
+        "expected at least 4 sockets (listener, owner, host, channel), found {found}"
+    );
 }
 
 #[test]
@@ -205,61 +212,62 @@
         placer,
         mut owner,
     } = SinglePlacer::start();
-    // Nothing waits for its answer meanwhile: how long the rest takes is the machine's matter.
+    // Answered before the malformed input below, so that no deadline depends on how long that takes.
     owner.send(&setup("9b1f03aa5c7e2d41", 60_000));
-    let (mut stream, standing) = host.next(1);
-    send_from_host(&mut stream, 9, &standing, 63, TEXT.as_bytes());
+    let (mut stream, placed) = host.next(1);
+    send_from_host(&mut stream, 9, &placed, 63, TEXT.as_bytes());
     assert_eq!(owner.receive()["msg"].as_str(), Some("ready"));
 
     let mut unreadable = OwnerClient::connect(&placer);
     unreadable
         .stream
         .write_all(b"\x16\x03\x01 this is no JSON\n")
-        .expect("it is read");
+        .expect("data can be sent");
     assert!(unreadable.is_closed());
     let mut endless = OwnerClient::connect(&placer);
     let sent = (0..1000).try_for_each(|_| endless.stream.write_all(&[b'x'; 64 << 10]));
     assert!(sent.is_err() || endless.is_closed());
-    let mut odd = OwnerClient::connect(&placer);
-    odd.send(&json!({"msg": "open", "sid": "9b1f03aa5c7e2d50", "attrs": {"class": "nosuch"}, "text": "x"}));
-    assert_eq!(odd.receive()["msg"].as_str(), Some("close"));
-    odd.send(&setup("9b1f03aa5c7e2d41", 60_000));
-    assert_eq!(odd.receive()["msg"].as_str(), Some("close"));
-    // More connections than it may hold descriptors for, which say nothing; a usual one still gets through.
-    let silent: Vec<TcpStream> = (0..400)
-        .map(|_| TcpStream::connect(placer.address).expect("a connection"))
+    let mut invalid = OwnerClient::connect(&placer);
+    invalid.send(&json!({"msg": "open", "sid": "9b1f03aa5c7e2d50", "attrs": {"class": "nosuch"}, "text": "x"}));
+    assert_eq!(invalid.receive()["msg"].as_str(), Some("close"));
+    invalid.send(&setup("9b1f03aa5c7e2d41", 60_000));
+    assert_eq!(invalid.receive()["msg"].as_str(), Some("close"));
+    // More idle connections than the placer may have descriptors; an active one is still served.
+    let idle: Vec<TcpStream> = (0..400)
+        .map(|_| TcpStream::connect(placer.address).expect("connection is accepted"))
         .collect();
-    let mut usual = OwnerClient::connect(&placer);
-    usual.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
-    assert_eq!(usual.receive()["msg"].as_str(), Some("probed"));
-    drop(silent);
+    let mut active = OwnerClient::connect(&placer);
+    active.send(&json!({"msg": "probe", "sid": "00000000000000aa", "attrs": {}, "code": 0}));
+    assert_eq!(active.receive()["msg"].as_str(), Some("probed"));
+    drop(idle);
 
-    usual.send(&setup("9b1f03aa5c7e2d42", 60_000));
+    active.send(&setup("9b1f03aa5c7e2d42", 60_000));
     let (mut stream, message) = host.next(1);
     send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
-    assert_eq!(usual.receive()["msg"].as_str(), Some("ready"));
-    // What stood all the while is released on its owner's connection.
-    send_from_host(&mut stream, 12, &standing, 61, &[16]);
+    assert_eq!(active.receive()["msg"].as_str(), Some("ready"));
+    // The task that was placed before the malformed input is released on its owner's connection.
+    send_from_host(&mut stream, 12, &placed, 61, &[16]);
     let release = owner.receive();
-    let told = (release["msg"].as_str(), release["sid"].as_str());
-    assert_eq!(told, (Some("close"), Some("9b1f03aa5c7e2d41")));
+    let received = (release["msg"].as_str(), release["sid"].as_str());
+    assert_eq!(received, (Some("close"), Some("9b1f03aa5c7e2d41")));
 }
 
 #[test]
 fn invalid_configuration_is_reported_before_anything_is_served() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let commands = EmulatedCommandChannel::start();
-    let good = config(
+    let valid = config(
         folder.path(),
         commands.address,
         &json!({"cursor": 0, "cmds": []}),
     );
-    let good: Value =
-        serde_json::from_str(&std::fs::read_to_string(good).expect("text")).expect("JSON");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let valid: Value =
+        serde_json::from_str(&std::fs::read_to_string(valid).expect("file can be read"))
+            .expect("valid JSON");
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("free port");
     let change = |path: &str, value: Value| {
-        let mut config = good.clone();
-        *config.pointer_mut(path).expect("it is there") = value;
+        let mut config = valid.clone();
+        *config.pointer_mut(path).expect("key in the configuration") = value;
         config.to_string()
     };
     let cases = [
@@ -274,34 +282,37 @@
             "connectTimeoutMs",
         ),
         (
-            change("/listen", json!(taken.local_addr().expect("its address"))),
+            change(
+                "/listen",
+                json!(occupied.local_addr().expect("local address")),
+            ),
             "127.0.0.1",
         ),
     ];
-    for (text, named) in cases {
+    for (text, expected) in cases {
         let path = folder.path().join("wrong.json");
-        std::fs::write(&path, text).expect("a file");
+        std::fs::write(&path, text).expect("file can be written");
         let out = Command::new(PROGRAM)
             .arg("platform")
             .env("RELAY_CONFIG", &path)
             .output()
-            .expect("it ends");
+            .expect("process ends");
         let log = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(
-            !out.status.success() && log.lines().count() == 1 && log.contains(named),
-            "{named}: {log}"
+            !out.status.success() && log.lines().count() == 1 && log.contains(expected),
+            "{expected}: {log}"
         );
     }
     let out = Command::new(PROGRAM)
         .arg("platform")
         .env_remove("RELAY_CONFIG")
         .output()
-        .expect("it ends");
+        .expect("process ends");
     assert!(!out.status.success());
     let out = Command::new(PROGRAM)
         .arg("platform")
         .env("RELAY_CONFIG", "/nowhere")
         .output()
-        .expect("it ends");
+        .expect("process ends");
     assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("/nowhere"));
 }
--- a/crates/cli/tests/platform_fleet.rs
+++ b/crates/cli/tests/platform_fleet.rs
@@ -1,4 +1,4 @@
-//! Several placers in service as processes, and one at the limit of its descriptors.
+//! Several platform placers as processes, and one at the limit of its descriptors.
 
 mod platform_support;
 
@@ -7,21 +7,22 @@
 
 use platform_support::{
     EmulatedCommandChannel, EmulatedHost, OwnerClient, PlacerProcess, accept_all, answers,
-    config_with_long_objective, descriptor_count, listed, set_descriptor_limit, setup_of_service,
+    config_with_long_objective, descriptor_count, host_update, set_descriptor_limit,
+    setup_of_service,
 };
 use rustix::process::Signal;
 use serde_json::json;
 
 #[test]
-fn every_request_is_answered_when_a_tenth_stops_while_all_reload() {
+fn every_request_is_answered_when_some_placers_stop_while_all_reload() {
     let (host, first, second) = (
         EmulatedHost::start(),
         EmulatedCommandChannel::start(),
         EmulatedCommandChannel::start(),
     );
-    let known = listed(3, "s-1", host.address, "active");
+    let initial_list = host_update(3, "s-1", host.address, "active");
     let folders: Vec<_> = (0..4)
-        .map(|_| tempfile::tempdir().expect("a folder"))
+        .map(|_| tempfile::tempdir().expect("temporary folder"))
         .collect();
     let mut placers: Vec<PlacerProcess> = folders
         .iter()
@@ -29,7 +30,7 @@
             PlacerProcess::start(&config_with_long_objective(
                 f.path(),
                 first.address,
-                &known,
+                &initial_list,
                 256,
             ))
         })
@@ -40,15 +41,15 @@
     for (n, owner) in owners.iter_mut().enumerate() {
         (0..20).for_each(|i| owner.send(&setup_of_service((n as u64 + 1) * 1000 + i, i)));
     }
-    // The new configuration and the word to end come while those are out, in either order.
+    // The reload and the stop signals arrive while those requests are open, in either order.
     for (placer, folder) in placers.iter().zip(&folders) {
-        config_with_long_objective(folder.path(), second.address, &known, 256);
+        config_with_long_objective(folder.path(), second.address, &initial_list, 256);
         placer.signal(Signal::HUP);
     }
     placers[0].signal(Signal::TERM);
     placers[1].signal(Signal::TERM);
     placers[1].signal(Signal::HUP);
-    // Requests go on coming to those that are about to end.
+    // The stopping placers receive further requests.
     for (n, owner) in owners.iter_mut().enumerate() {
         (0..10).for_each(|i| owner.send(&setup_of_service((n as u64 + 1) * 1000 + 100 + i, i)));
     }
@@ -58,15 +59,15 @@
     }
     assert!(
         placers[0].wait().success() && placers[1].wait().success(),
-        "told to end, they end by themselves"
+        "placers exit after SIGTERM"
     );
-    // Those that stay follow the new channel, and so do the successors.
+    // The remaining placers poll the new channel, and so do the successors.
     let mut successors: Vec<PlacerProcess> = (0..2)
         .map(|n| {
             PlacerProcess::start(&config_with_long_objective(
                 folders[n].path(),
                 second.address,
-                &known,
+                &initial_list,
                 256,
             ))
         })
@@ -78,8 +79,8 @@
             .all(|(_, line)| line.starts_with("GET /cmd/next?resume=3&block=")),
         "{polls:?}"
     );
-    let alive = placers[2..].iter().chain(&successors);
-    for (n, mut owner) in alive.map(OwnerClient::connect).enumerate() {
+    let running = placers[2..].iter().chain(&successors);
+    for (n, mut owner) in running.map(OwnerClient::connect).enumerate() {
         owner.send(&setup_of_service(90_000 + n as u64, 7));
         assert_eq!(answers(&mut owner, 1).0.len(), 1);
     }
@@ -95,26 +96,27 @@
 #[test]
 fn at_the_limit_of_its_descriptors_every_request_is_answered_and_the_placer_serves_on() {
     const HOSTS: u64 = 400;
-    const LIMIT: u64 = 784;
+    const MAX_DESCRIPTORS: u64 = 784;
     let (host, commands) = (EmulatedHost::start(), EmulatedCommandChannel::start());
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let entry = |n: u64| {
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n / 8,
             "status": "active", "weight": 1, "since_ms": 0})
     };
     let nodes = json!({"index": 1, "snapshot": true, "endpoints": (0..HOSTS).map(entry).collect::<Vec<_>>()});
-    let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
+    let initial_list = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
     let mut placer = PlacerProcess::start(&config_with_long_objective(
         folder.path(),
         commands.address,
-        &known,
-        LIMIT,
+        &initial_list,
+        MAX_DESCRIPTORS,
     ));
-    set_descriptor_limit(&placer, LIMIT);
+    set_descriptor_limit(&placer, MAX_DESCRIPTORS);
     accept_all(host, Duration::ZERO);
-    // More clients than it may hold say nothing, and one asks on until nearly each host has a connection.
-    let silent: Vec<TcpStream> = (0..500)
-        .map(|_| TcpStream::connect(placer.address).expect("a connection"))
+    // More idle clients than the placer has descriptors, and one that sends requests until nearly every host has a
+    // connection.
+    let idle: Vec<TcpStream> = (0..500)
+        .map(|_| TcpStream::connect(placer.address).expect("connection is accepted"))
         .collect();
     let mut owner = OwnerClient::connect(&placer);
     let mut placed = 0;
@@ -122,11 +124,14 @@
         (0..50).for_each(|i| owner.send(&setup_of_service(1 + round * 50 + i, round * 50 + i)));
         placed += answers(&mut owner, 50).0.len();
     }
-    let held = descriptor_count(&placer);
-    assert!(held as u64 <= LIMIT && held > 400, "{held} descriptors");
+    let open_descriptors = descriptor_count(&placer);
+    assert!(
+        open_descriptors as u64 <= MAX_DESCRIPTORS && open_descriptors > 400,
+        "{open_descriptors} descriptors"
+    );
     assert!(placed >= 1_000, "{placed} of 1200 placed");
-    drop(silent);
-    // What stood in the way is gone: all is served.
+    drop(idle);
+    // After the idle clients have closed, every request is served.
     let mut later = OwnerClient::connect(&placer);
     (0..20).for_each(|i| later.send(&setup_of_service(10_000 + i, i)));
     assert_eq!(
--- a/crates/cli/tests/platform_many.rs
+++ b/crates/cli/tests/platform_many_placers.rs
@@ -1,5 +1,5 @@
-//! Twenty and thirty processes in service on one fleet: what their sum sends to hosts that have just come up, and how they
-//! come back when all are killed at once.
+//! Twenty and thirty platform placers on one fleet: the total number of offers that they send to cold hosts, and their
+//! restart after all are killed at once.
 
 mod platform_support;
 
@@ -9,43 +9,44 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use platform_support::{
-    EmulatedCommandChannel, EmulatedHost, LONG, OwnerClient, PlacerProcess, accept_all, answers,
-    changed, config_with_long_objective, listed, probe, setup_of_service, unused_address,
+    EmulatedCommandChannel, EmulatedHost, OwnerClient, PlacerProcess, TEST_TIMEOUT, accept_all,
+    answers, config_with_long_objective, host_update, probe, setup_of_service, unused_address,
+    write_config_with,
 };
 use rustix::process::Signal;
 use serde_json::{Value, json};
 
-/// Offers that a cold host bears in a window.
-const BORNE: usize = 60;
+/// The offer budget of a cold host in a window, over all placers.
+const MAX_OFFERS_PER_WINDOW: usize = 60;
 const WINDOW: Duration = Duration::from_secs(1);
-/// Set-ups that each process is asked for.
+/// Requests that each placer receives.
 const REQUESTS_PER_PLACER: usize = 12;
 const COLD_HOSTS: usize = 2;
 
-/// Configurations of so many placers that share the cold hosts.
+/// Writes configurations of placers that share the cold hosts.
 fn configs_sharing_cold_hosts(
     folder: &std::path::Path,
     channel: SocketAddr,
-    known: &Value,
+    initial_list: &Value,
     placers: usize,
 ) -> Vec<PathBuf> {
-    let one = |ordinal: usize| {
+    let write_one = |ordinal: usize| {
         let folder = folder.join(ordinal.to_string());
-        std::fs::create_dir(&folder).expect("a folder");
-        changed(&folder, channel, known, |config| {
+        std::fs::create_dir(&folder).expect("folder can be created");
+        write_config_with(&folder, channel, initial_list, |config| {
             let settings = &mut config["settings"];
             (settings["ordinal"], settings["peersTotal"]) = (json!(ordinal), json!(placers));
-            settings["domain"]["freshOffers"] = json!(BORNE);
+            settings["domain"]["freshOffers"] = json!(MAX_OFFERS_PER_WINDOW);
             settings["domain"]["spreadMost"] = json!([1000]);
             settings["invariants"]["tipAfterMs"] = json!(WINDOW.as_millis() as f64);
             settings["invariants"]["coldMs"] = json!(120_000.0);
             settings["classes"][0]["aimMs"] = json!(60_000.0);
         })
     };
-    (0..placers).map(one).collect()
+    (0..placers).map(write_one).collect()
 }
 
-/// Starts all at once.
+/// Starts all placers at the same time.
 fn start_all(files: Vec<PathBuf>) -> Vec<PlacerProcess> {
     let starting: Vec<_> = files
         .into_iter()
@@ -53,30 +54,31 @@
         .collect();
     starting
         .into_iter()
-        .map(|thread| thread.join().expect("it starts"))
+        .map(|thread| thread.join().expect("placer starts"))
         .collect()
 }
 
-/// The most set-ups that reached a host in one window.
-fn max_arrivals_per_window(reached: &Receiver<(u64, Instant)>) -> usize {
-    let times: Vec<Instant> = reached.try_iter().map(|(_, at)| at).collect();
-    let from = |start: &Instant| {
+/// The maximum number of set-ups that a host received in one window.
+fn max_arrivals_per_window(arrivals: &Receiver<(u64, Instant)>) -> usize {
+    let times: Vec<Instant> = arrivals.try_iter().map(|(_, at)| at).collect();
+    let count_in_window = |start: &Instant| {
         times
             .iter()
             .filter(|t| *t >= start && **t - *start <= WINDOW)
             .count()
     };
-    times.iter().map(from).max().unwrap_or(0)
+    times.iter().map(count_in_window).max().unwrap_or(0)
 }
 
-/// Many placers are asked at once for more than the cold hosts bear; all of it is served in the end, by each of them.
+/// Sends more requests to many placers at once than the budget of the cold hosts allows: together the placers keep the
+/// budget, and each of them serves all its requests in the end.
 fn share_cold_hosts(placers: usize) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let commands = EmulatedCommandChannel::start();
     let hosts: Vec<EmulatedHost> = (0..COLD_HOSTS).map(|_| EmulatedHost::start()).collect();
     let started = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("a time")
+        .expect("clock is after the epoch")
         .as_millis() as u64;
     let entry = |(n, host): (usize, &EmulatedHost)| {
         json!({"name": format!("s-{n}"), "address": host.address, "zone": "east", "type": "std", "group": n,
@@ -84,14 +86,14 @@
     };
     let endpoints: Vec<Value> = hosts.iter().enumerate().map(entry).collect();
     let nodes = json!({"index": 1, "snapshot": true, "endpoints": endpoints});
-    let known = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
+    let initial_list = json!({"cursor": 1, "cmds": [{"cursor": 1, "nodes": nodes}]});
     let processes = start_all(configs_sharing_cold_hosts(
         folder.path(),
         commands.address,
-        &known,
+        &initial_list,
         placers,
     ));
-    let reached: Vec<_> = hosts
+    let arrivals: Vec<_> = hosts
         .into_iter()
         .map(|host| accept_all(host, Duration::ZERO))
         .collect();
@@ -108,34 +110,34 @@
         assert_eq!(
             answers(owner, REQUESTS_PER_PLACER).1,
             0,
-            "a process serves nobody, or not all"
+            "a placer did not place all its requests"
         );
     }
-    // What chance may add to the budget of a window.
-    let chance = 2.0 * (BORNE as f64).sqrt() + 2.0;
-    for host in &reached {
-        let most = max_arrivals_per_window(host);
+    // The margin for random variation of a window's total: twice the square root of the budget, plus two.
+    let margin = 2.0 * (MAX_OFFERS_PER_WINDOW as f64).sqrt() + 2.0;
+    for host in &arrivals {
+        let max_in_window = max_arrivals_per_window(host);
         assert!(
-            most as f64 <= BORNE as f64 + chance,
-            "{most} in one window, of {BORNE}"
+            max_in_window as f64 <= MAX_OFFERS_PER_WINDOW as f64 + margin,
+            "{max_in_window} set-ups in one window, the budget is {MAX_OFFERS_PER_WINDOW}"
         );
     }
 }
 
 #[test]
-fn twenty_processes_keep_the_budget_of_cold_hosts_together_and_serve_all() {
+fn twenty_placers_together_keep_the_budget_of_cold_hosts_and_serve_all() {
     share_cold_hosts(20);
 }
 
 #[test]
-fn thirty_processes_keep_the_budget_of_cold_hosts_together_and_serve_all() {
+fn thirty_placers_together_keep_the_budget_of_cold_hosts_and_serve_all() {
     share_cold_hosts(30);
 }
 
-/// In so long a restarted process has to be ready.
+/// A restarted placer must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// Whether a process that is started now is ready in time and serves what it is asked for.
+/// Starts a placer, and checks that it serves a request. Returns whether it was ready within `READY_WITHIN`.
 fn restart(file: PathBuf, sid: u64) -> (PlacerProcess, bool) {
     let start = Instant::now();
     let placer = PlacerProcess::start(&file);
@@ -147,34 +149,38 @@
     assert_eq!(
         answers(&mut owner, 1).0.len(),
         1,
-        "a process that serves nobody"
+        "the restarted placer did not place the request"
     );
     (placer, ready)
 }
 
 #[test]
-fn twenty_processes_killed_at_once_are_ready_again_at_their_addresses_and_serve() {
+fn twenty_placers_killed_at_once_restart_at_their_addresses_and_serve() {
     const PLACERS: usize = 20;
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     // Discovery is down.
     let (host, channel) = (EmulatedHost::start(), unused_address());
-    let known = listed(1, "s-1", host.address, "active");
-    let listening = |n: usize, address: SocketAddr| {
+    let initial_list = host_update(1, "s-1", host.address, "active");
+    let write_config = |n: usize, address: SocketAddr| {
         let folder = folder.path().join(n.to_string());
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let file = config_with_long_objective(&folder, channel, &known, 256);
-        let text = std::fs::read_to_string(&file).expect("text");
-        let mut config: Value = serde_json::from_str(&text).expect("JSON");
+        std::fs::create_dir_all(&folder).expect("folder can be created");
+        let file = config_with_long_objective(&folder, channel, &initial_list, 256);
+        let text = std::fs::read_to_string(&file).expect("file can be read");
+        let mut config: Value = serde_json::from_str(&text).expect("valid JSON");
         config["listen"] = json!(address);
         config["settings"]["domain"]["spreadMost"] = json!([1000]);
-        std::fs::write(&file, config.to_string()).expect("a file");
+        std::fs::write(&file, config.to_string()).expect("file can be written");
         file
     };
-    // Addresses that nobody connects from, so that the successors find them free.
-    let own = |n: usize| SocketAddr::from(([127, 0, 78, n as u8 + 1], 0));
-    let mut placers = start_all((0..PLACERS).map(|n| listening(n, own(n))).collect());
+    // No client connects from these addresses, so the successors can bind them.
+    let listen_address = |n: usize| SocketAddr::from(([127, 0, 78, n as u8 + 1], 0));
+    let mut placers = start_all(
+        (0..PLACERS)
+            .map(|n| write_config(n, listen_address(n)))
+            .collect(),
+    );
     let _reached = accept_all(host, Duration::ZERO);
-    // Clients of which some wait for answers and some are idle, and that stay connected to the last.
+    // Clients that stay connected to the end; half of them have open requests, the others are idle.
     let mut owners: Vec<OwnerClient> = placers
         .iter()
         .chain(&placers)
@@ -192,13 +198,13 @@
     let files: Vec<PathBuf> = placers
         .iter()
         .enumerate()
-        .map(|(n, p)| listening(n, p.address))
+        .map(|(n, p)| write_config(n, p.address))
         .collect();
     let restarts = files.into_iter().enumerate();
     let restarts: Vec<_> = restarts
         .map(|(n, file)| std::thread::spawn(move || restart(file, 1000 + n as u64)))
         .collect();
-    // One that does not start, or does not serve, fails its thread.
+    // The thread of a placer that does not start, or does not serve, panics.
     let served: Vec<(PlacerProcess, bool)> = restarts
         .into_iter()
         .filter_map(|thread| thread.join().ok())
@@ -207,7 +213,7 @@
     assert_eq!(
         served.len(),
         PLACERS,
-        "all come back and serve, in {LONG:?} at most"
+        "placers that restarted and served within {TEST_TIMEOUT:?}"
     );
     assert!(
         ready * 10 >= PLACERS * 9,
--- a/crates/cli/tests/platform_crossings.rs
+++ b/crates/cli/tests/platform_race_conditions.rs
@@ -1,5 +1,5 @@
-//! Bytes that cross a close, a shutdown or an end of the process, each in the bad order every time: peers are scripted
-//! and hold back what they read and write.
+//! Bytes in flight when a connection is closed or shut down, or when the process ends. Scripted peers delay their reads
+//! and writes, so that each race condition occurs in every run.
 
 mod platform_support;
 
@@ -7,25 +7,27 @@
 use std::net::{SocketAddr, TcpStream};
 
 use platform_support::{
-    LONG, OwnerClient, PlacerProcess, SinglePlacer, TEXT, descriptor_count, probe, running,
-    send_from_host, setup, wait_until,
+    OwnerClient, PlacerProcess, SinglePlacer, TEST_TIMEOUT, TEXT, descriptor_count, probe,
+    running_task, send_from_host, setup, wait_until,
 };
 use rustix::net::{AddressFamily, SocketType, sockopt};
 use rustix::process::Signal;
 use serde_json::Value;
 
-/// A connection whose receive buffer is so small that answers wait at the sender.
+/// A connection with a receive buffer so small that answers queue at the sender.
 fn connect_with_small_buffers(to: SocketAddr) -> TcpStream {
-    let socket =
-        rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    sockopt::set_socket_recv_buffer_size(&socket, 4096).expect("a small buffer");
-    rustix::net::connect(&socket, &to).expect("a connection");
+    let socket = rustix::net::socket(AddressFamily::INET, SocketType::STREAM, None)
+        .expect("socket can be created");
+    sockopt::set_socket_recv_buffer_size(&socket, 4096).expect("buffer size can be set");
+    rustix::net::connect(&socket, &to).expect("connection is accepted");
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+    stream
+        .set_read_timeout(Some(TEST_TIMEOUT))
+        .expect("read timeout can be set");
     stream
 }
 
-/// So many tests, each of which has an answer of about its size.
+/// `count` probe messages, each of which has an answer of about its own size.
 fn probe_lines(from: u64, count: u64) -> Vec<u8> {
     let line =
         |n: u64| format!("{{\"msg\":\"probe\",\"sid\":\"{n:016x}\",\"attrs\":{{}},\"code\":0}}\n");
@@ -35,19 +37,19 @@
         .into_bytes()
 }
 
-/// All lines up to the end of the connection, which has to be an orderly one.
+/// All lines up to the end of the connection. A reset adds the line "reset".
 fn read_lines_to_end(stream: &mut TcpStream) -> Vec<Value> {
     let mut bytes = Vec::new();
-    let mut end = stream.read_to_end(&mut bytes);
-    if end
+    let mut result = stream.read_to_end(&mut bytes);
+    if result
         .as_ref()
         .is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset)
     {
-        end = Ok(0);
+        result = Ok(0);
         bytes.extend_from_slice(b"\"reset\"\n");
     }
-    end.expect("an end in time");
-    let line = |l: &[u8]| serde_json::from_slice(l).expect("a whole line");
+    result.expect("stream can be read to its end");
+    let line = |l: &[u8]| serde_json::from_slice(l).expect("complete JSON line");
     bytes
         .split(|&b| b == b'\n')
         .filter(|l| !l.is_empty())
@@ -55,13 +57,13 @@
         .collect()
 }
 
-/// What waits in the placer's socket of this connection: to be acknowledged, to be read.
+/// The queue lengths of the placer's socket of this connection, in bytes: unacknowledged data, and unread data.
 fn socket_queues(placer: &PlacerProcess, peer: &TcpStream) -> Option<(u64, u64)> {
-    let (ours, theirs) = (
+    let (placer_port, peer_port) = (
         placer.address.port(),
-        peer.local_addr().expect("its address").port(),
+        peer.local_addr().expect("local address").port(),
     );
-    let list = std::fs::read_to_string("/proc/net/tcp").expect("the list of sockets");
+    let list = std::fs::read_to_string("/proc/net/tcp").expect("socket list can be read");
     list.lines().skip(1).find_map(|line| {
         let words: Vec<&str> = line.split_whitespace().collect();
         let port = |w: &str| {
@@ -71,13 +73,14 @@
         };
         let (tx, rx) = words[4].split_once(':')?;
         let number = |w: &str| u64::from_str_radix(w, 16).ok();
-        (port(words[1])? == ours && port(words[2])? == theirs).then_some((number(tx)?, number(rx)?))
+        (port(words[1])? == placer_port && port(words[2])? == peer_port)
+            .then_some((number(tx)?, number(rx)?))
     })
 }
 
-/// Sends as much as is taken, in a thread of its own.
+/// Writes in a thread of its own, as fast as the placer reads.
 fn write_in_background(stream: &TcpStream, bytes: Vec<u8>) {
-    let mut stream = stream.try_clone().expect("a handle");
+    let mut stream = stream.try_clone().expect("stream can be cloned");
     std::thread::spawn(move || drop(stream.write_all(&bytes)));
 }
 
@@ -85,17 +88,19 @@
 fn answers_reach_an_owner_whose_connection_is_closed_while_its_bytes_lie_unread() {
     let served = SinglePlacer::start();
     let mut owner = connect_with_small_buffers(served.placer.address);
-    // The answers don't fit into the owner's buffer; then comes what closes the connection, and more than is read of it.
+    // The answers don't fit into the owner's buffer. An invalid message follows, which closes the connection, and more bytes
+    // than the placer reads.
     let mut bytes = probe_lines(1, 500);
     bytes.extend_from_slice(b"this is no message\n");
     bytes.resize(bytes.len() + (2 << 20), b'x');
     write_in_background(&owner, bytes);
-    wait_until("all tests are answered or the connection is over", || {
-        socket_queues(&served.placer, &owner).is_none_or(|(answers, _)| answers > 20_000)
-    });
-    let heard = read_lines_to_end(&mut owner);
-    assert_eq!(heard.len(), 500, "the last: {:?}", heard.last());
-    assert!(heard.iter().all(|line| line["msg"] == "probed"));
+    wait_until(
+        "all probes are answered or the connection is closed",
+        || socket_queues(&served.placer, &owner).is_none_or(|(answers, _)| answers > 20_000),
+    );
+    let received = read_lines_to_end(&mut owner);
+    assert_eq!(received.len(), 500, "the last: {:?}", received.last());
+    assert!(received.iter().all(|line| line["msg"] == "probed"));
 }
 
 #[test]
@@ -108,19 +113,22 @@
     first
         .stream
         .write_all(&probe_lines(1, 1))
-        .expect("it is read");
-    wait_until("all are accepted", || {
+        .expect("data can be sent");
+    wait_until("the connection is accepted and read", || {
         socket_queues(&served.placer, &first.stream).is_some_and(|(_, unread)| unread == 0)
     });
     let before = descriptor_count(&served.placer);
     let mut owner = connect_with_small_buffers(served.placer.address);
     let mut bytes = probe_lines(1, 500);
     bytes.extend_from_slice(b"this is no message\n");
-    owner.write_all(&bytes).expect("it is read");
-    wait_until("its descriptor is in use, and free again", || {
-        socket_queues(&served.placer, &owner).is_none_or(|(_, unread)| unread == 0)
-            && descriptor_count(&served.placer) <= before
-    });
+    owner.write_all(&bytes).expect("data can be sent");
+    wait_until(
+        "the connection is read and its descriptor is released",
+        || {
+            socket_queues(&served.placer, &owner).is_none_or(|(_, unread)| unread == 0)
+                && descriptor_count(&served.placer) <= before
+        },
+    );
 }
 
 #[test]
@@ -133,27 +141,29 @@
         owner: mut other,
     } = SinglePlacer::start();
     let mut owner = connect_with_small_buffers(placer.address);
-    owner.write_all(&probe_lines(1, 500)).expect("it is read");
-    wait_until("all tests are answered", || {
+    owner
+        .write_all(&probe_lines(1, 500))
+        .expect("data can be sent");
+    wait_until("all probes are answered", || {
         socket_queues(&placer, &owner)
             .is_some_and(|(answers, unread)| answers > 20_000 && unread == 0)
     });
     placer.signal(Signal::TERM);
-    // It has heard that by the time it answers what is said later.
+    // An answer to a later message shows that the placer has handled the signal.
     other.send(&probe(0xaa));
     assert_eq!(other.receive()["msg"].as_str(), Some("probed"));
     drop(other);
-    // It stands still until its time is over, and then finds more than it reads before it ends.
+    // The process is paused beyond its shutdown deadline, and then has more unread bytes than it reads before it exits.
     placer.signal(Signal::STOP);
     let idle = "{\"msg\":\"closed\",\"sid\":\"00000000000000aa\",\"attrs\":{}}\n".repeat(60_000);
     write_in_background(&owner, idle.into_bytes());
-    wait_until("it lies there", || {
+    wait_until("unread bytes are queued", || {
         socket_queues(&placer, &owner).is_some_and(|(_, unread)| unread > 30_000)
     });
     std::thread::sleep(std::time::Duration::from_millis(1000));
     placer.signal(Signal::CONT);
-    let heard = read_lines_to_end(&mut owner);
-    assert_eq!(heard.len(), 500, "the last: {:?}", heard.last());
+    let received = read_lines_to_end(&mut owner);
+    assert_eq!(received.len(), 500, "the last: {:?}", received.last());
     assert!(placer.wait().success());
 }
 
@@ -161,37 +171,37 @@
 fn slow_reader_gets_all_answers_and_is_throttled_meanwhile() {
     let served = SinglePlacer::start();
     let owner = connect_with_small_buffers(served.placer.address);
-    const TESTS: u64 = 150_000;
-    write_in_background(&owner, probe_lines(1, TESTS));
-    // Nothing moves any more: its answers fill what there is for them, and it is not read on.
+    const PROBES: u64 = 150_000;
+    write_in_background(&owner, probe_lines(1, PROBES));
+    // Wait until nothing changes: the answers fill the buffers, and the placer stops reading requests.
     let mut last = (0, 0);
-    let mut still = 0;
-    wait_until("it is held up", || {
+    let mut unchanged = 0;
+    wait_until("the queues stop changing", || {
         std::thread::sleep(std::time::Duration::from_millis(20));
         let Some(now) = socket_queues(&served.placer, &owner) else {
             return true;
         };
-        still = if now == last && now.1 > 0 {
-            still + 1
+        unchanged = if now == last && now.1 > 0 {
+            unchanged + 1
         } else {
             0
         };
         last = now;
-        still >= 10
+        unchanged >= 10
     });
-    // Others are served all the while.
+    // Other owners are still served.
     let mut other = OwnerClient::connect(&served.placer);
     other.send(&setup("9b1f03aa5c7e2d41", 60_000));
     let (mut stream, message) = served.host.next(1);
     send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
     assert_eq!(other.receive()["msg"].as_str(), Some("ready"));
     let mut reader = OwnerClient {
-        reader: std::io::BufReader::new(owner.try_clone().expect("a handle")),
+        reader: std::io::BufReader::new(owner.try_clone().expect("stream can be cloned")),
         stream: owner,
     };
-    for n in 1..=TESTS {
-        let heard = reader.receive();
-        assert_eq!(heard["sid"].as_str(), Some(format!("{n:016x}").as_str()));
+    for n in 1..=PROBES {
+        let received = reader.receive();
+        assert_eq!(received["sid"].as_str(), Some(format!("{n:016x}").as_str()));
     }
 }
 
@@ -204,8 +214,8 @@
         placer: _placer,
         mut owner,
     } = SinglePlacer::start();
-    // One task opens the connection on which the host tells of another one, which is handed over later.
-    owner.send(&running("00000000000000a1", "s-1"));
+    // One task opens the connection on which the host reports the end of another task, which is handed over later.
+    owner.send(&running_task("00000000000000a1", "s-1"));
     owner.send(&setup("00000000000000a2", 60_000));
     let (mut stream, message) = host.next(1);
     let mut other = message.clone();
@@ -215,12 +225,12 @@
     assert_eq!(
         owner.receive()["msg"].as_str(),
         Some("ready"),
-        "the end before it was read"
+        "the end of the other task has been read before"
     );
-    owner.send(&running("00000000000000a3", "s-1"));
-    let told = owner.receive();
+    owner.send(&running_task("00000000000000a3", "s-1"));
+    let received = owner.receive();
     assert_eq!(
-        (told["sid"].as_str(), told["code"].as_u64()),
+        (received["sid"].as_str(), received["code"].as_u64()),
         (Some("00000000000000a3"), Some(16))
     );
 }
@@ -236,15 +246,15 @@
     } = SinglePlacer::start();
     owner.send(&setup("00000000000000a1", 60_000));
     let (mut stream, message) = host.next(1);
-    // The only host errs, so the next attempt goes there too; only then comes the copy.
+    // The only host reports an error, so the next attempt goes to it too. Then the error is repeated.
     send_from_host(&mut stream, 12, &message, 61, &[47]);
     let (mut second, again) = host.next(1);
     assert_eq!(message[1..9], again[1..9]);
     send_from_host(&mut stream, 12, &message, 61, &[47]);
-    // Whatever was made of the copy is done before what this task's set-up tells.
+    // The placer has handled the repeated error by the time that it sends the set-up of this request.
     owner.send(&setup("00000000000000a2", 60_000));
     let (mut third, other) = host.next(1);
-    assert_eq!(other[8], 0xa2, "a third attempt while the second is out");
+    assert_eq!(other[8], 0xa2, "third attempt while the second is open");
     send_from_host(&mut third, 9, &other, 63, TEXT.as_bytes());
     send_from_host(&mut second, 9, &again, 63, TEXT.as_bytes());
     let mut placed: Vec<_> = (0..2).map(|_| owner.receive()["sid"].to_string()).collect();
--- a/crates/cli/tests/platform_support/mod.rs
+++ b/crates/cli/tests/platform_support/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated owners, hosts and command channel of the operators' platform, around real placers on loopback.
+//! Emulated owners, hosts and command channels of the operators' platform, for tests with real placers on loopback.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeSet;
@@ -13,10 +13,10 @@
 use serde_json::{Value, json};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_maplethread");
-/// Longer than anything here may take, also on slow machines; nothing waits for it when all goes well.
-pub const LONG: Duration = Duration::from_secs(30);
+/// The limit for one wait of a test, long enough for slow machines; a passing test does not reach it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A placer's process, with its log.
+/// A placer's process and its listen address, which is read from its log.
 pub struct PlacerProcess {
     pub child: Child,
     pub address: SocketAddr,
@@ -29,16 +29,16 @@
             .env("RELAY_CONFIG", config)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("a placer");
-        let mut lines = BufReader::new(child.stderr.take().expect("its log")).lines();
+            .expect("placer process starts");
+        let mut lines = BufReader::new(child.stderr.take().expect("piped standard error")).lines();
         let address = loop {
             let line = lines
                 .next()
-                .expect("it says where it listens")
-                .expect("a line");
-            let line: Value = serde_json::from_str(&line).expect("JSON");
+                .expect("log line with the listen address")
+                .expect("line can be read");
+            let line: Value = serde_json::from_str(&line).expect("valid JSON");
             if let Some(address) = line["fields"]["listen"].as_str() {
-                break address.parse().expect("an address");
+                break address.parse().expect("socket address");
             }
         };
         std::thread::spawn(move || lines.for_each(drop));
@@ -46,17 +46,20 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        let pid = Pid::from_raw(self.child.id() as i32).expect("its number");
-        kill_process(pid, signal).expect("a signal");
+        let pid = Pid::from_raw(self.child.id() as i32).expect("process id");
+        kill_process(pid, signal).expect("signal can be sent");
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        let by = Instant::now() + LONG;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait().expect("its end") {
+            if let Some(status) = self.child.try_wait().expect("exit status") {
                 return status;
             }
-            assert!(Instant::now() < by, "it does not end");
+            assert!(
+                Instant::now() < deadline,
+                "the placer did not exit within {TEST_TIMEOUT:?}"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -69,30 +72,33 @@
     }
 }
 
-/// Emulated hosts at one address: probes are answered, and all messages go to the test, which decides the answers.
+/// Emulated hosts at one address. They answer probes, and pass every message to the test, which sends all other answers.
 pub struct EmulatedHost {
     pub address: SocketAddr,
-    pub heard: Receiver<(TcpStream, Vec<u8>)>,
+    pub messages: Receiver<(TcpStream, Vec<u8>)>,
 }
 
 impl EmulatedHost {
     pub fn start() -> EmulatedHost {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let (tell, heard) = channel();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+        let address = listener.local_addr().expect("local address");
+        let (sender, messages) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, tell) = (stream.expect("a connection"), tell.clone());
-                std::thread::spawn(move || read_messages(stream, &tell));
+                let (stream, sender) = (stream.expect("connection is accepted"), sender.clone());
+                std::thread::spawn(move || read_messages(stream, &sender));
             }
         });
-        EmulatedHost { address, heard }
+        EmulatedHost { address, messages }
     }
 
-    /// The next message of this type: its connection and its bytes after the length.
+    /// Receives the next message of this type: its connection, and its bytes after the length.
     pub fn next(&self, kind: u8) -> (TcpStream, Vec<u8>) {
         loop {
-            let (stream, message) = self.heard.recv_timeout(LONG).expect("a message for a host");
+            let (stream, message) = self
+                .messages
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("host receives a message");
             if message[0] == kind {
                 return (stream, message);
             }
@@ -100,7 +106,7 @@
     }
 }
 
-pub fn read_messages(mut stream: TcpStream, tell: &Sender<(TcpStream, Vec<u8>)>) {
+pub fn read_messages(mut stream: TcpStream, sender: &Sender<(TcpStream, Vec<u8>)>) {
     let mut length = [0; 2];
     while stream.read_exact(&mut length).is_ok() {
         let mut message = vec![0; usize::from(u16::from_be_bytes(length))];
@@ -110,8 +116,8 @@
         if message[0] == 52 {
             send_from_host(&mut stream, 53, &message, 61, &[1]);
         }
-        if tell
-            .send((stream.try_clone().expect("a handle"), message))
+        if sender
+            .send((stream.try_clone().expect("stream can be cloned"), message))
             .is_err()
         {
             return;
@@ -119,7 +125,7 @@
     }
 }
 
-/// A message to a placer about the task of `about`, with one parameter.
+/// Sends a message with one parameter to a placer, for the task of the received message `about`.
 pub fn send_from_host(stream: &mut TcpStream, kind: u8, about: &[u8], code: u8, value: &[u8]) {
     let mut bytes = ((12 + value.len()) as u16).to_be_bytes().to_vec();
     bytes.push(kind);
@@ -127,10 +133,10 @@
     bytes.push(code);
     bytes.extend_from_slice(&(value.len() as u16).to_be_bytes());
     bytes.extend_from_slice(value);
-    stream.write_all(&bytes).expect("it is read");
+    stream.write_all(&bytes).expect("data can be sent");
 }
 
-/// A parameter of a message.
+/// Returns the value of a message's parameter, if it has it.
 pub fn parameter(message: &[u8], code: u8) -> Option<&[u8]> {
     let mut rest = &message[9..];
     while let [c, high, low, more @ ..] = rest {
@@ -143,7 +149,7 @@
     None
 }
 
-/// An emulated command channel: each poll's request line goes to the test, which gives the answer's body.
+/// An emulated command channel. It passes the request line of each poll to the test, which sends the response's body.
 pub struct EmulatedCommandChannel {
     pub address: SocketAddr,
     pub polls: Receiver<(TcpStream, String)>,
@@ -151,24 +157,25 @@
 
 impl EmulatedCommandChannel {
     pub fn start() -> EmulatedCommandChannel {
-        EmulatedCommandChannel::at(([127, 0, 0, 1], 0).into())
+        EmulatedCommandChannel::listen_at(([127, 0, 0, 1], 0).into())
     }
 
-    pub fn at(address: SocketAddr) -> EmulatedCommandChannel {
-        let listener = TcpListener::bind(address).expect("a port");
-        let address = listener.local_addr().expect("its address");
-        let (tell, polls) = channel();
+    pub fn listen_at(address: SocketAddr) -> EmulatedCommandChannel {
+        let listener = TcpListener::bind(address).expect("free port");
+        let address = listener.local_addr().expect("local address");
+        let (sender, polls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, tell) = (stream.expect("a connection"), tell.clone());
+                let (stream, sender) = (stream.expect("connection is accepted"), sender.clone());
                 std::thread::spawn(move || {
-                    let reader = BufReader::new(stream.try_clone().expect("a handle"));
+                    let reader = BufReader::new(stream.try_clone().expect("stream can be cloned"));
                     for line in reader
                         .lines()
                         .map_while(Result::ok)
                         .filter(|l| l.starts_with("GET "))
                     {
-                        let _ = tell.send((stream.try_clone().expect("a handle"), line));
+                        let _ =
+                            sender.send((stream.try_clone().expect("stream can be cloned"), line));
                     }
                 });
             }
@@ -177,16 +184,20 @@
     }
 
     pub fn poll(&self) -> (TcpStream, String) {
-        self.polls.recv_timeout(LONG).expect("a poll")
+        self.polls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("poll is received")
     }
 
-    pub fn tell(&self, mut stream: TcpStream, events: &Value) {
+    pub fn respond(&self, mut stream: TcpStream, events: &Value) {
         let body = events.to_string();
         let answer = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        stream.write_all(answer.as_bytes()).expect("it is read");
+        stream
+            .write_all(answer.as_bytes())
+            .expect("data can be sent");
     }
 }
 
@@ -198,25 +209,28 @@
 
 impl OwnerClient {
     pub fn connect(placer: &PlacerProcess) -> OwnerClient {
-        let stream = TcpStream::connect(placer.address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        let reader = BufReader::new(stream.try_clone().expect("a handle"));
+        let stream = TcpStream::connect(placer.address).expect("connection is accepted");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("read timeout can be set");
+        let reader = BufReader::new(stream.try_clone().expect("stream can be cloned"));
         OwnerClient { stream, reader }
     }
 
     pub fn send(&mut self, message: &Value) {
         self.stream
             .write_all(format!("{message}\n").as_bytes())
-            .expect("it is read");
+            .expect("data can be sent");
     }
 
     pub fn receive(&mut self) -> Value {
         let mut line = String::new();
-        self.reader.read_line(&mut line).expect("a line");
-        serde_json::from_str(&line).unwrap_or_else(|_| panic!("no answer but {line:?}"))
+        self.reader.read_line(&mut line).expect("line can be read");
+        serde_json::from_str(&line)
+            .unwrap_or_else(|_| panic!("expected a JSON answer, got {line:?}"))
     }
 
-    /// Whether the placer closes the connection without another word.
+    /// Whether the placer closes the connection without sending anything more.
     pub fn is_closed(&mut self) -> bool {
         let mut rest = Vec::new();
         matches!(self.reader.read_to_end(&mut rest), Ok(0)) || rest.is_empty()
@@ -225,18 +239,18 @@
 
 pub const TEXT: &str = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9 \u{e9}\"\\\u{7}";
 
-pub fn setup(sid: &str, left: u64) -> Value {
-    json!({"msg": "open", "sid": sid, "attrs": {"class": "web", "left": left.to_string(), "key": "7f3a9c21e0b4d655",
+pub fn setup(sid: &str, left_ms: u64) -> Value {
+    json!({"msg": "open", "sid": sid, "attrs": {"class": "web", "left": left_ms.to_string(), "key": "7f3a9c21e0b4d655",
         "extras": "cores:1;memory:2;service:00000000b4d65521"}, "text": TEXT})
 }
 
-pub fn listed(cursor: u64, name: &str, address: SocketAddr, status: &str) -> Value {
+pub fn host_update(cursor: u64, name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"cursor": cursor, "cmds": [{"cursor": cursor, "nodes": {"index": cursor, "snapshot": false, "endpoints": [
         {"name": name, "address": address, "zone": "east", "type": "std", "group": 0, "status": status,
          "weight": 1, "since_ms": 0}]}}]})
 }
 
-pub fn config(folder: &Path, channel: SocketAddr, known: &Value) -> PathBuf {
+pub fn config(folder: &Path, channel: SocketAddr, initial_list: &Value) -> PathBuf {
     let class = json!({"aimMs": 600.0, "effect": "pure", "name": "web", "windowMs": 5000.0, "group": "all",
         "worth": 3.0});
     let settings = json!({
@@ -252,13 +266,13 @@
         "shapes": ["std"], "zone": 0, "zones": ["east", "west"]
     });
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "settings": settings,
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "channel": channel, "known": known});
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256}, "channel": channel, "known": initial_list});
     let path = folder.join("config.json");
-    std::fs::write(&path, config.to_string()).expect("a file");
+    std::fs::write(&path, config.to_string()).expect("file can be written");
     path
 }
 
-/// A placer that knows one host, and an owner of it.
+/// A placer with one host, and an owner that is connected to it.
 pub struct SinglePlacer {
     pub _folder: tempfile::TempDir,
     pub _commands: EmulatedCommandChannel,
@@ -269,10 +283,10 @@
 
 impl SinglePlacer {
     pub fn start() -> SinglePlacer {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("temporary folder");
         let (host, commands) = (EmulatedHost::start(), EmulatedCommandChannel::start());
-        let known = listed(1, "s-1", host.address, "active");
-        let placer = PlacerProcess::start(&config(folder.path(), commands.address, &known));
+        let initial_list = host_update(1, "s-1", host.address, "active");
+        let placer = PlacerProcess::start(&config(folder.path(), commands.address, &initial_list));
         let owner = OwnerClient::connect(&placer);
         SinglePlacer {
             _folder: folder,
@@ -285,24 +299,24 @@
 }
 
 impl OwnerClient {
-    /// Nothing more lies there.
+    /// Checks that no message is buffered.
     pub fn assert_nothing_received(&self) {
         assert!(self.reader.buffer().is_empty());
     }
 }
 
-/// A configuration with changes.
-pub fn changed(
+/// Writes a configuration with changes, and returns its path.
+pub fn write_config_with(
     folder: &Path,
     channel: SocketAddr,
-    known: &Value,
+    initial_list: &Value,
     change: impl FnOnce(&mut Value),
 ) -> PathBuf {
-    let file = config(folder, channel, known);
-    let text = std::fs::read_to_string(&file).expect("text");
-    let mut value: Value = serde_json::from_str(&text).expect("JSON");
+    let file = config(folder, channel, initial_list);
+    let text = std::fs::read_to_string(&file).expect("file can be read");
+    let mut value: Value = serde_json::from_str(&text).expect("valid JSON");
     change(&mut value);
-    std::fs::write(&file, value.to_string()).expect("a file");
+    std::fs::write(&file, value.to_string()).expect("file can be written");
     file
 }
 
@@ -310,7 +324,7 @@
     json!({"msg": "probe", "sid": format!("{sid:016x}"), "attrs": {}, "code": 0})
 }
 
-/// Sets how many descriptors a placer may hold.
+/// Sets the maximum number of descriptors of a placer's process.
 pub fn set_descriptor_limit(placer: &PlacerProcess, descriptors: u64) {
     let limit = Rlimit {
         current: Some(descriptors),
@@ -321,79 +335,80 @@
         Resource::Nofile,
         limit,
     )
-    .expect("a limit");
+    .expect("limit can be set");
 }
 
-/// Descriptors that a placer holds.
+/// The number of open descriptors of a placer's process.
 pub fn descriptor_count(placer: &PlacerProcess) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", placer.child.id()))
-        .expect("its descriptors")
+        .expect("descriptor list can be read")
         .count()
 }
 
-/// Waits until something holds that happens soon.
+/// Waits until a condition holds; panics with its description after `TEST_TIMEOUT`.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let by = Instant::now() + LONG;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < by, "{what}");
+        assert!(Instant::now() < deadline, "{what}");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Accepts every set-up that reaches the host until the test is over, after a pause each; tells whose they were, and when
-/// they came.
+/// Accepts every set-up that the host receives until the test ends, each after a pause. Returns a receiver of the ids and
+/// arrival times of the set-ups.
 pub fn accept_all(host: EmulatedHost, pause: Duration) -> Receiver<(u64, Instant)> {
-    let (tell, reached) = channel();
+    let (sender, arrivals) = channel();
     std::thread::spawn(move || {
-        for (mut stream, message) in host.heard.iter().filter(|(_, m)| m[0] == 1) {
-            let _ = tell.send((setup_id(&message), Instant::now()));
+        for (mut stream, message) in host.messages.iter().filter(|(_, m)| m[0] == 1) {
+            let _ = sender.send((setup_id(&message), Instant::now()));
             std::thread::sleep(pause);
             send_from_host(&mut stream, 9, &message, 63, TEXT.as_bytes());
         }
     });
-    reached
+    arrivals
 }
 
-/// The id of the task that a message to a host is about.
+/// The task id of a message to a host.
 pub fn setup_id(message: &[u8]) -> u64 {
-    u64::from_be_bytes(message[1..9].try_into().expect("an id"))
+    u64::from_be_bytes(message[1..9].try_into().expect("task id"))
 }
 
-/// A task that runs on this host already, as its owner hands it over.
-pub fn running(sid: &str, host: &str) -> Value {
-    let mut at = setup(sid, 0);
-    at["attrs"]
+/// The message by which an owner hands over a task that is already running on this host.
+pub fn running_task(sid: &str, host: &str) -> Value {
+    let mut message = setup(sid, 0);
+    message["attrs"]
         .as_object_mut()
-        .expect("an object")
+        .expect("JSON object")
         .remove("left");
-    at["attrs"]["extras"] = json!(format!(
+    message["attrs"]["extras"] = json!(format!(
         "cores:1;memory:2;service:00000000b4d65521;at:{host}"
     ));
-    at
+    message
 }
 
-/// An address at which nobody listens.
+/// An address without a listener.
 pub fn unused_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
-        .expect("a port")
+        .expect("free port")
         .local_addr()
-        .expect("its address")
+        .expect("local address")
 }
 
-/// A configuration with so many descriptors, whose aim lets an answer take seconds, as on a slow and busy machine.
+/// Writes a configuration with this maximum number of descriptors, and a latency objective of 20 s, which allows for answers
+/// that a slow or busy machine delays by seconds.
 pub fn config_with_long_objective(
     folder: &Path,
     channel: SocketAddr,
-    known: &Value,
+    initial_list: &Value,
     sockets: u64,
 ) -> PathBuf {
-    changed(folder, channel, known, |config| {
+    write_config_with(folder, channel, initial_list, |config| {
         config["settings"]["classes"][0]["aimMs"] = json!(20_000.0);
         config["limits"]["sockets"] = json!(sockets);
     })
 }
 
-/// A set-up of a service of its own.
+/// A set-up of a task of this service.
 pub fn setup_of_service(sid: u64, service: u64) -> Value {
     let mut set_up = setup(&format!("{sid:016x}"), 20_000);
     set_up["attrs"]["key"] = json!(format!("{sid:016x}"));
@@ -401,14 +416,14 @@
     set_up
 }
 
-/// The ids of the next answers that place a task, and how many answers did not.
+/// Receives `count` answers: the ids of the placed tasks, and the number of other answers.
 pub fn answers(owner: &mut OwnerClient, count: usize) -> (BTreeSet<String>, usize) {
     let (mut placed, mut other) = (BTreeSet::new(), 0);
     for _ in 0..count {
         let answer = owner.receive();
-        let sid = answer["sid"].as_str().expect("an id").to_owned();
+        let sid = answer["sid"].as_str().expect("task id").to_owned();
         if answer["msg"] == "ready" {
-            assert!(placed.insert(sid), "a second answer: {answer}");
+            assert!(placed.insert(sid), "second answer for one task: {answer}");
         } else {
             other += 1;
         }
--- a/crates/cli/tests/hard_cases.rs
+++ b/crates/cli/tests/race_conditions.rs
@@ -1,4 +1,4 @@
-//! Races between hosts and clients, end to end: a real placer process, scripted hosts and clients.
+//! Race conditions between hosts and clients, with a real placer process and scripted hosts and clients.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use rustix::process::Signal;
 use support::*;
 
-/// Long enough for what is on its way to arrive.
+/// Long enough for frames in flight to arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
 
 #[test]
@@ -20,95 +20,102 @@
         ScriptedHost::new("b1", "b", "1"),
         ScriptedHost::new("b2", "b", "2"),
     ];
-    let (placer, mut links) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
+    let (placer, mut connections) = start_placer_with(&hosts.iter().collect::<Vec<_>>());
     for round in 0..4 {
         let mut client = placer.client();
         client.send_placement(
             &placement_request("ledger-batch", "interest", &format!("run-{round}"), 2000),
             &format!("r{round}"),
         );
-        let (first, offer) = wait_for_offer(&mut links);
+        let (first, offer) = wait_for_offer(&mut connections);
         assert_eq!(offer.prior_attempts, 0);
-        let silent = round % 2 == 0;
-        if !silent {
-            // A refusal proves that it never ran: any host may be next.
-            links[first].send(&Frame::Refused(offer.attempt_id, Reason::Cores, None));
+        let is_silent = round % 2 == 0;
+        if !is_silent {
+            // A rejected offer has not started: any host may get the next one.
+            connections[first].send(&Frame::Refused(offer.attempt_id, Reason::Cores, None));
         }
-        // Otherwise the first host stays silent: its copy may run. Everybody else lets a copy stand.
+        // Otherwise the first host does not answer, so its attempt may have started. The other hosts reject the offer, which
+        // proves nothing about the first attempt.
         loop {
-            let mut came = None;
+            let mut received = None;
             let until = Instant::now() + Duration::from_secs(3);
-            while came.is_none() && Instant::now() < until && client.stream.peek_ready().is_none() {
-                for (i, link) in links.iter_mut().enumerate() {
-                    if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(5))
+            while received.is_none()
+                && Instant::now() < until
+                && client.stream.peek_ready().is_none()
+            {
+                for (i, connection) in connections.iter_mut().enumerate() {
+                    if let Some(Frame::Offer(offer)) =
+                        connection.receive_within(Duration::from_millis(5))
                     {
-                        came = Some((i, offer));
+                        received = Some((i, offer));
                     }
                 }
             }
-            let Some((next, offer)) = came else { break };
-            if silent {
+            let Some((next, offer)) = received else { break };
+            if is_silent {
                 assert_eq!(
                     hosts[next].zone, hosts[first].zone,
-                    "left the group though it may have run"
+                    "offered outside the group although an attempt may have started"
                 );
-                links[next].send(&Frame::Refused(offer.attempt_id, Reason::Ineligible, None));
+                connections[next].send(&Frame::Refused(offer.attempt_id, Reason::Ineligible, None));
             } else {
-                links[next].send(&Frame::Accepted(offer.attempt_id, 1));
+                connections[next].send(&Frame::Accepted(offer.attempt_id, 1));
             }
         }
         let (status, body) = client.receive_json();
         assert_eq!(status, 200);
-        let outcome = if silent { "failed" } else { "placed" };
+        let outcome = if is_silent { "failed" } else { "placed" };
         assert_eq!(body["outcome"], outcome, "{body}");
     }
 }
 
-/// Whether an answer lies ready, without reading it.
+/// Returns the next byte if one can be read, without consuming it.
 trait PeekReady {
     fn peek_ready(&self) -> Option<u8>;
 }
 
 impl PeekReady for std::net::TcpStream {
     fn peek_ready(&self) -> Option<u8> {
-        self.set_nonblocking(true).expect("a socket");
+        self.set_nonblocking(true)
+            .expect("socket option can be set");
         let mut byte = [0];
-        let ready = self
+        let next_byte = self
             .peek(&mut byte)
             .ok()
             .filter(|&n| n > 0)
             .map(|_| byte[0]);
-        self.set_nonblocking(false).expect("a socket");
-        ready
+        self.set_nonblocking(false)
+            .expect("socket option can be set");
+        next_byte
     }
 }
 
 #[test]
 fn client_disconnect_during_third_attempt_leaves_no_state() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = start_placer_with(&[&host]);
-    let link = &mut links[0];
+    let (placer, mut connections) = start_placer_with(&[&host]);
+    let connection = &mut connections[0];
     let mut client = placer.client();
     client.send_placement(
         &placement_request("statements", "nightly", "s1", 10_000),
         "third",
     );
     for number in 0..2 {
-        let offer = link.receive_offer();
+        let offer = connection.receive_offer();
         assert_eq!(offer.prior_attempts, number);
-        link.send(&Frame::Refused(offer.attempt_id, Reason::QueueFull, None));
+        connection.send(&Frame::Refused(offer.attempt_id, Reason::QueueFull, None));
     }
-    let third = link.receive_offer();
+    let third = connection.receive_offer();
     assert_eq!(third.prior_attempts, 2);
     drop(client);
-    // The hang-up reaches the host as a call-off, though it has accepted meanwhile.
-    link.send(&Frame::Accepted(third.attempt_id, 1));
-    let next = link.receive();
+    // The client's disconnect reaches the host as a cancellation, although the host has accepted meanwhile.
+    connection.send(&Frame::Accepted(third.attempt_id, 1));
+    let next = connection.receive();
     assert!(
         matches!(next, Frame::Cancel(w) | Frame::Stop(w) if w == third.attempt_id),
         "{next:?}"
     );
-    // Until the host has said that it is gone, the actor is not taken anew: it must not run twice.
+    // Until the host reports the end, requests for the actor are rejected, since it must not run twice.
     let (status, problem) = placer.client().call(
         "POST",
         "/v1/actors",
@@ -118,8 +125,8 @@
         (status, problem["type"].as_str()),
         (409, Some("urn:maplethread:problem:unsettled"))
     );
-    link.send(&Frame::Ended(third.attempt_id, Reason::Stopped, true, None));
-    placer.wait_for_status("nothing is left", |s| {
+    connection.send(&Frame::Ended(third.attempt_id, Reason::Stopped, true, None));
+    placer.wait_for_status("no state is left", |s| {
         s["attempts"] == 0 && s["actors"] == 0 && s["open_asks"] == 0
     });
     let (status, _) = placer.client().call("GET", "/v1/actors/nightly/s1", "");
@@ -127,44 +134,44 @@
     let status = placer.status();
     assert_eq!(status["counters"]["hung_up"], 1);
     assert_eq!(status["counters"]["placed"], 0);
-    // Now it may come again.
+    // After the end, the actor can be placed again.
     let mut client = placer.client();
     client.send_placement(
         &placement_request("statements", "nightly", "s1", 4000),
         "again",
     );
-    let offer = link.receive_offer();
-    link.send(&Frame::Accepted(offer.attempt_id, 1));
+    let offer = connection.receive_offer();
+    connection.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.receive_json().1["outcome"], "placed");
 }
 
 #[test]
 fn acceptance_crossing_client_disconnect_has_one_result() {
     let host = ScriptedHost::new("h1", "a", "1");
-    let (placer, mut links) = start_placer_with(&[&host]);
-    let link = &mut links[0];
+    let (placer, mut connections) = start_placer_with(&[&host]);
+    let connection = &mut connections[0];
     for round in 0..20 {
         let actor = format!("x{round}");
         let mut client = placer.client();
         client.send_placement(&placement_request("web-api", "cross", &actor, 3000), &actor);
-        let offer = link.receive_offer();
+        let offer = connection.receive_offer();
         if round % 2 == 0 {
             drop(client);
-            link.send(&Frame::Accepted(offer.attempt_id, 1));
+            connection.send(&Frame::Accepted(offer.attempt_id, 1));
         } else {
-            link.send(&Frame::Accepted(offer.attempt_id, 1));
+            connection.send(&Frame::Accepted(offer.attempt_id, 1));
             drop(client);
         }
-        // Either it was placed and stays so, its answer lost on the way, or it was called off.
-        let called_off = matches!(link.receive_within(SETTLE_TIME), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
-        if called_off {
-            link.send(&Frame::Ended(
+        // Either the actor stays placed and only its answer is lost, or the attempt is cancelled.
+        let is_cancelled = matches!(connection.receive_within(SETTLE_TIME), Some(Frame::Cancel(w) | Frame::Stop(w)) if w == offer.attempt_id);
+        if is_cancelled {
+            connection.send(&Frame::Ended(
                 offer.attempt_id,
                 Reason::Stopped,
                 false,
                 None,
             ));
-            placer.wait_for_status("called off", |s| s["attempts"] == 0);
+            placer.wait_for_status("the attempt is cancelled", |s| s["attempts"] == 0);
             assert_eq!(
                 placer
                     .client()
@@ -182,7 +189,7 @@
                 (200, Some("placed")),
                 "{body}"
             );
-            // Asked again, it gets the same placing, without another offer.
+            // A repeated request gets the same placement, without another offer.
             let (_, body) = placer.client().call(
                 "POST",
                 "/v1/actors",
@@ -192,13 +199,13 @@
                 (body["outcome"].as_str(), body["host"].as_str()),
                 (Some("placed"), Some("h1"))
             );
-            link.send(&Frame::Ended(
+            connection.send(&Frame::Ended(
                 offer.attempt_id,
                 Reason::Completed,
                 true,
                 None,
             ));
-            placer.wait_for_status("ended", |s| s["attempts"] == 0);
+            placer.wait_for_status("the attempt has ended", |s| s["attempts"] == 0);
         }
     }
 }
@@ -207,44 +214,46 @@
 fn host_disconnect_inside_an_offer_ends_as_retry_safety_allows() {
     let host = ScriptedHost::new("h1", "a", "1");
     let mut placer = PlacerProcess::with_files(&[&host], "");
-    let ready = placer.start();
-    let link = host.accept_and_greet(&[]);
-    ready(&mut placer);
-    // A safe one is simply tried again once the host is back.
+    let wait_until_serving = placer.start();
+    let connection = host.accept_and_greet(&[]);
+    wait_until_serving(&mut placer);
+    // A request of a safe class is retried after the host reconnects.
     let mut client = placer.client();
     client.send_placement(&placement_request("web-api", "s", "safe", 8000), "safe");
-    disconnect_inside_frame(link);
-    let mut link = host.accept_and_greet(&[]);
-    let offer = link.receive_offer();
-    link.send(&Frame::Accepted(offer.attempt_id, 1));
+    disconnect_inside_frame(connection);
+    let mut connection = host.accept_and_greet(&[]);
+    let offer = connection.receive_offer();
+    connection.send(&Frame::Accepted(offer.attempt_id, 1));
     assert_eq!(client.receive_json().1["outcome"], "placed");
-    // One that must not run twice may have run, as far as the placer can know: it fails, and is not sent again.
+    // A task that must not run twice may have started, as far as the placer can tell: its request fails without a retry.
     let mut client = placer.client();
     client.send_placement(
         &placement_request("statements", "s", "unsafe", 8000),
         "unsafe",
     );
-    disconnect_inside_frame(link);
+    disconnect_inside_frame(connection);
     let (_, body) = client.receive_json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempts"].as_u64()),
         (Some("failed"), Some(1)),
         "{body}"
     );
-    let mut link = host.accept_and_greet(&[]);
-    let rest = link.receive_all_within(SETTLE_TIME);
+    let mut connection = host.accept_and_greet(&[]);
+    let rest = connection.receive_all_within(SETTLE_TIME);
     assert!(
         !rest.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{rest:?}"
     );
 }
 
-/// Reads the first bytes of an offer, and resets the connection.
-fn disconnect_inside_frame(link: PlacerConnection) {
-    let mut stream = link.into_stream();
+/// Reads the first bytes of an offer, then resets the connection.
+fn disconnect_inside_frame(connection: PlacerConnection) {
+    let mut stream = connection.into_stream();
     let mut bytes = [0; 10];
-    stream.read_exact(&mut bytes).expect("the offer begins");
-    assert_eq!(bytes[4], 2, "an offer");
+    stream
+        .read_exact(&mut bytes)
+        .expect("start of the offer can be read");
+    assert_eq!(bytes[4], 2, "expected an offer");
     let _ = rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO));
 }
 
@@ -254,37 +263,37 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    let (placer, mut links) = start_placer_with(&[&slow, &other]);
+    let (placer, mut connections) = start_placer_with(&[&slow, &other]);
     let mut client = placer.client();
     client.send_placement(&placement_request("web-api", "s", "late", 5000), "late");
-    let (first, offer) = wait_for_offer(&mut links);
-    // No answer: after a while it is called off and offered anew.
-    let (second, again) = wait_for_cancel_and_next_offer(&mut links, offer.attempt_id);
+    let (first, offer) = wait_for_offer(&mut connections);
+    // Without an answer, the offer is cancelled and made to the next host.
+    let (second, again) = wait_for_cancel_and_next_offer(&mut connections, offer.attempt_id);
     assert_eq!(again.prior_attempts, 1);
-    // Now both accept; only the second counts.
-    links[first].send(&Frame::Accepted(offer.attempt_id, 1));
-    links[second].send(&Frame::Accepted(again.attempt_id, 1));
+    // Both hosts accept; only the second acceptance counts.
+    connections[first].send(&Frame::Accepted(offer.attempt_id, 1));
+    connections[second].send(&Frame::Accepted(again.attempt_id, 1));
     let (_, body) = client.receive_json();
     assert_eq!(
         (body["outcome"].as_str(), body["attempt"].as_u64()),
         (Some("placed"), Some(1))
     );
-    let mut told = links[first].receive_all_within(SETTLE_TIME);
-    told.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt_id));
-    assert_eq!(told.len(), 1, "the late acceptance is called off");
+    let mut stops = connections[first].receive_all_within(SETTLE_TIME);
+    stops.retain(|f| matches!(f, Frame::Stop(w) if *w == offer.attempt_id));
+    assert_eq!(stops.len(), 1, "the late acceptance is stopped once");
     assert_eq!(placer.status()["actors"], 1);
 }
 
 fn wait_for_cancel_and_next_offer(
-    links: &mut [PlacerConnection],
+    connections: &mut [PlacerConnection],
     first: u64,
 ) -> (usize, maplethread_wire::frame::Offer) {
     let mut cancelled = false;
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TEST_TIMEOUT;
     let mut again = None;
     while Instant::now() < until {
-        for (i, link) in links.iter_mut().enumerate() {
-            match link.receive_within(Duration::from_millis(5)) {
+        for (i, connection) in connections.iter_mut().enumerate() {
+            match connection.receive_within(Duration::from_millis(5)) {
                 Some(Frame::Offer(offer)) => again = Some((i, offer)),
                 Some(Frame::Cancel(wire)) => cancelled |= wire == first,
                 _ => {}
@@ -294,7 +303,7 @@
             return again;
         }
     }
-    panic!("no call-off and no second offer");
+    panic!("no cancellation with a second offer within {TEST_TIMEOUT:?}");
 }
 
 #[test]
@@ -303,9 +312,9 @@
         ScriptedHost::new("h1", "a", "1"),
         ScriptedHost::new("h2", "a", "1"),
     );
-    let (placer, mut links) = start_placer_with(&[&draining, &other]);
+    let (placer, mut connections) = start_placer_with(&[&draining, &other]);
     let mut clients: Vec<Client> = (0..4).map(|_| placer.client()).collect();
-    // All of them are known to the placer, so that nothing but asks is new.
+    // The connections are accepted first, so that only requests are new after the pause.
     clients
         .iter_mut()
         .for_each(|c| assert_eq!(c.call("GET", "/v1/status", "").0, 200));
@@ -318,12 +327,12 @@
             );
         }
     }
-    links[0].send(&Frame::Drain);
+    connections[0].send(&Frame::Drain);
     placer.signal(Signal::CONT);
     let mut placed = 0;
     while placed < 100 {
-        let offer = links[1].receive_offer();
-        links[1].send(&Frame::Accepted(offer.attempt_id, 1));
+        let offer = connections[1].receive_offer();
+        connections[1].send(&Frame::Accepted(offer.attempt_id, 1));
         placed += 1;
     }
     for client in &mut clients {
@@ -335,12 +344,12 @@
             );
         }
     }
-    let drained = links[0].receive_all_within(SETTLE_TIME);
+    let drained = connections[0].receive_all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
     );
-    // The inventory's word is heeded alike.
+    // A drain in the inventory applies in the same way.
     placer.signal(Signal::STOP);
     for k in 0..50 {
         clients[0].send_placement(
@@ -354,7 +363,7 @@
         let (_, body) = clients[0].receive_json();
         assert_eq!(body["outcome"], "refused", "{body}");
     }
-    let drained = links[1].receive_all_within(SETTLE_TIME);
+    let drained = connections[1].receive_all_within(SETTLE_TIME);
     assert!(
         !drained.iter().any(|f| matches!(f, Frame::Offer(_))),
         "{drained:?}"
--- a/crates/cli/tests/recorded_traces.rs
+++ b/crates/cli/tests/recorded_traces.rs
@@ -1,8 +1,8 @@
-//! Traces that an earlier build recorded on a drawn day stay readable: every recorded turn replays to the same actions,
-//! and every report about them reads as that build printed it.
+//! Traces of an earlier build, recorded in a random scenario, stay readable: every recorded turn replays to the same
+//! actions, and every report on them equals the one that the earlier build printed.
 //!
-//! `fixtures/recorded` holds three files of two placers, one of which was started again, and what
-//! `maplethread trace` printed for each of them at text a11b515. Nothing in it is made anew when the code changes.
+//! `fixtures/recorded` has three files of two placers, one of which was restarted, and the output of `maplethread trace` for
+//! each of them at commit a11b515. The fixtures are not regenerated when the code changes.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -20,24 +20,24 @@
         .join(format!("{name}.{ending}"))
 }
 
-/// Runs `maplethread trace` with these arguments on a recorded file; its standard output.
+/// Runs `maplethread trace` with these arguments on a recorded file, and returns its standard output.
 fn trace(arguments: &[&str], name: &str) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_maplethread"))
         .arg("trace")
         .args(arguments)
         .arg(fixture(name, "mtrace"))
         .output()
-        .expect("the program runs");
+        .expect("process runs");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(
         output.status.success(),
         "trace {arguments:?} {name}: {errors}"
     );
-    String::from_utf8(output.stdout).expect("UTF-8")
+    String::from_utf8(output.stdout).expect("valid UTF-8")
 }
 
 fn expected(name: &str, ending: &str) -> String {
-    std::fs::read_to_string(fixture(name, ending)).expect("a fixture")
+    std::fs::read_to_string(fixture(name, ending)).expect("fixture can be read")
 }
 
 #[test]
@@ -77,9 +77,9 @@
 fn records_of_recorded_traces_print_as_the_same_json_lines() {
     for (name, ..) in RECORDED {
         let printed = trace(&["cat"], name);
-        let packed = std::fs::read(fixture(name, "cat.zst")).expect("a fixture");
-        let wanted = zstd::decode_all(&packed[..]).expect("a Zstandard frame");
-        let wanted = String::from_utf8(wanted).expect("UTF-8");
+        let packed = std::fs::read(fixture(name, "cat.zst")).expect("fixture can be read");
+        let wanted = zstd::decode_all(&packed[..]).expect("valid Zstandard frame");
+        let wanted = String::from_utf8(wanted).expect("valid UTF-8");
         let lines = printed.lines().zip(wanted.lines());
         for (number, (printed, wanted)) in lines.enumerate() {
             assert_eq!(printed, wanted, "{name}, line {}", number + 1);
@@ -92,12 +92,12 @@
 fn headers_of_recorded_traces_are_read_as_before() {
     for (name, ..) in RECORDED {
         let mut printed: serde_json::Value =
-            serde_json::from_str(&trace(&["info"], name)).expect("JSON");
+            serde_json::from_str(&trace(&["info"], name)).expect("valid JSON");
         let mut wanted: serde_json::Value =
-            serde_json::from_str(&expected(name, "info.json")).expect("JSON");
-        // The text of the decision module has changed since: the hash in the header is another one.
+            serde_json::from_str(&expected(name, "info.json")).expect("valid JSON");
+        // The source of the policy module has changed since the recording, and so has its hash.
         for info in [&mut printed, &mut wanted] {
-            let key = info.as_object_mut().expect("an object");
+            let key = info.as_object_mut().expect("JSON object");
             assert!(key.remove("module_is_this_one").is_some());
         }
         assert_eq!(printed, wanted, "{name}");
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Laws of the placer's traffic at small sizes, counted and never timed, with real placer processes under hollow workers;
-//! and the sweep tool as an operator runs it.
+//! The message counts of real placer processes with hollow workers at small sizes, which do not depend on timing; and the
+//! sweep command.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -12,8 +12,8 @@
 use maplethread_scale::{ClientPlan, Fleet, FleetSize, InterruptFlag, SweepFile};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_maplethread");
-/// A life after which tasks end by themselves within a test.
-const SHORT_LIFE_MS: u64 = 50;
+/// A duration after which tasks end within a test.
+const SHORT_TASK_MS: u64 = 50;
 
 fn fleet(workers: usize, placers: usize, hollow_placers: usize) -> Fleet {
     let size = FleetSize {
@@ -23,10 +23,10 @@
         has_membership: false,
         seed: 7,
     };
-    Fleet::start(size, Path::new(PROGRAM), &InterruptFlag::default()).expect("a fleet")
+    Fleet::start(size, Path::new(PROGRAM), &InterruptFlag::default()).expect("fleet starts")
 }
 
-/// Asks for so many tasks, waits until each is placed and has ended, and returns the traffic in between.
+/// Requests tasks, waits until each is placed and has ended, and returns the traffic in between.
 fn start_and_end(fleet: &mut Fleet, tasks: u32) -> Vec<MessageCount> {
     let before = fleet.counter().snapshot();
     let rate = 200.0;
@@ -35,18 +35,18 @@
         requests_per_second: rate,
         seconds,
         split_s: 0.0,
-        task_duration_ms: Some(SHORT_LIFE_MS),
+        task_duration_ms: Some(SHORT_TASK_MS),
     };
     let answers = fleet
         .clients(plan)
-        .expect("clients")
+        .expect("clients connect")
         .run()
-        .expect("answers");
+        .expect("answers can be read");
     assert_eq!(
         (answers.requests, answers.placed),
         (u64::from(tasks), u64::from(tasks))
     );
-    fleet.wait_actors_at_most(0).expect("all end");
+    fleet.wait_actors_at_most(0).expect("all tasks end");
     fleet.counter().snapshot().since(&before)
 }
 
@@ -67,12 +67,12 @@
     })
 }
 
-/// Kinds of heartbeats, whose number depends on the time that passes.
+/// Whether this is a heartbeat, whose number depends on the elapsed time.
 fn is_heartbeat(kind: MessageKind) -> bool {
     matches!(kind, MessageKind::Ping | MessageKind::Pong)
 }
 
-/// All that was sent but heartbeats.
+/// The messages except heartbeats.
 fn without_heartbeats(messages: &[MessageCount]) -> Vec<MessageCount> {
     messages
         .iter()
@@ -103,7 +103,7 @@
     }
     assert_eq!(
         payload[0], payload[1],
-        "the bytes of a start do not depend on the workers"
+        "the bytes of a start depend on the number of workers"
     );
 }
 
@@ -128,7 +128,7 @@
             single_count(&traffic, MessageKind::HeldEnd, Direction::ToPlacer).count,
             connections
         );
-        let known = |kind| {
+        let is_expected = |kind| {
             matches!(
                 kind,
                 MessageKind::Hello | MessageKind::HeldEnd | MessageKind::Connection
@@ -136,7 +136,7 @@
         };
         let others: Vec<_> = without_heartbeats(&traffic)
             .into_iter()
-            .filter(|m| !known(m.kind))
+            .filter(|m| !is_expected(m.kind))
             .collect();
         assert_eq!(others, [], "{workers} workers, {placers} placers");
     }
@@ -146,26 +146,26 @@
 fn heartbeats_grow_at_most_linearly_with_hosts_and_are_answered() {
     for workers in [4, 16] {
         let fleet = fleet(workers, 1, 0);
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let pings = |traffic: &Traffic| traffic.count(MessageKind::Ping);
         let before = fleet.counter().snapshot();
-        // Waits for events: a heartbeat of every host on the average.
-        let enough = pings(&before) + workers as u64;
-        while pings(&fleet.counter().snapshot()) < enough {
+        // Waits for one ping per host on average.
+        let wanted_pings = pings(&before) + workers as u64;
+        while pings(&fleet.counter().snapshot()) < wanted_pings {
             assert!(
-                begun.elapsed() < std::time::Duration::from_secs(120),
-                "heartbeats are sent"
+                started.elapsed() < std::time::Duration::from_secs(120),
+                "too few heartbeats within 120 s"
             );
             std::thread::sleep(std::time::Duration::from_millis(20));
         }
         let messages = fleet.counter().snapshot().since(&before);
-        let seconds = begun.elapsed().as_secs_f64();
+        let seconds = started.elapsed().as_secs_f64();
         let sent = single_count(&messages, MessageKind::Ping, Direction::FromPlacer);
         let answered = single_count(&messages, MessageKind::Pong, Direction::ToPlacer);
-        // One a second at most for each host, and one that was due before.
-        let most = workers as f64 * (seconds + 1.0);
+        // At most one per second and host, and one that was due before.
+        let max_pings = workers as f64 * (seconds + 1.0);
         assert!(
-            sent.count as f64 <= most,
+            sent.count as f64 <= max_pings,
             "{} pings to {workers} hosts in {seconds:.1} s",
             sent.count
         );
@@ -177,7 +177,7 @@
         assert_eq!(
             without_heartbeats(&messages),
             [],
-            "nothing else is sent at rest"
+            "messages other than heartbeats at rest"
         );
     }
 }
@@ -186,7 +186,7 @@
 fn hollow_placers_are_connected_to_every_host_and_not_counted() {
     let fleet = fleet(3, 1, 5);
     let traffic = fleet.counter().snapshot().since(&Traffic::default());
-    // The fleet waits until the hollow placers are connected too; what is counted is the real placer's alone.
+    // The fleet waits until the hollow placers are connected too, but counts the real placer's messages only.
     assert_eq!(
         single_count(&traffic, MessageKind::Hello, Direction::FromPlacer).count,
         3
@@ -195,18 +195,19 @@
 
 #[test]
 fn counts_membership_datagrams_among_the_messages_of_a_sweep() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("view.toml");
     let text = "dimension = \"members\"\nvalues = [2]\n[base]\nworkers = 2\nplacers = 1\n\
                 [phases]\nsettle_s = 0\nrest_s = 3\n";
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("file can be written");
     let (code, errors) = run_scale(
         &["scale", "run", &file.display().to_string()],
         folder.path(),
     );
     assert_eq!(code, Some(0), "{errors}");
-    let text = std::fs::read_to_string(folder.path().join("view.json")).expect("results");
-    let result: SweepResult = serde_json::from_str(&text).expect("the format of results");
+    let text =
+        std::fs::read_to_string(folder.path().join("view.json")).expect("results can be read");
+    let result: SweepResult = serde_json::from_str(&text).expect("valid results");
     let rest = &result.points[0].phases[0];
     assert_eq!((rest.phase, rest.placers.len()), (Phase::Rest, 2));
     let datagrams = single_count(
@@ -227,7 +228,7 @@
         .arg("--output")
         .arg(output)
         .output()
-        .expect("it runs");
+        .expect("process runs");
     (
         out.status.code(),
         String::from_utf8_lossy(&out.stderr).into_owned(),
@@ -240,15 +241,16 @@
 
 #[test]
 fn small_sweep_measures_every_phase_of_every_size() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = sweeps_folder().join("small.toml");
     let (code, errors) = run_scale(
         &["scale", "run", &file.display().to_string()],
         folder.path(),
     );
     assert_eq!(code, Some(0), "{errors}");
-    let text = std::fs::read_to_string(folder.path().join("small.json")).expect("results");
-    let result: SweepResult = serde_json::from_str(&text).expect("the format of results");
+    let text =
+        std::fs::read_to_string(folder.path().join("small.json")).expect("results can be read");
+    let result: SweepResult = serde_json::from_str(&text).expect("valid results");
     assert_eq!(
         (result.format, result.dimension),
         (RESULT_FORMAT, Dimension::Workers)
@@ -273,13 +275,13 @@
             let placer = sample.placers[0];
             assert!(placer.resident_kib > 0 && placer.proportional_kib > 0);
             assert!(placer.descriptors > placer.host_connections);
-            let wire = sample
+            let covers_payload = sample
                 .messages
                 .iter()
                 .all(|m| m.wire_bytes >= m.payload_bytes);
             assert!(
-                wire,
-                "a wire carries more than the payload: {:?}",
+                covers_payload,
+                "wire bytes below payload bytes: {:?}",
                 sample.messages
             );
         }
@@ -293,7 +295,7 @@
 
 #[test]
 fn rejects_sweep_that_does_not_fit_or_cannot_be_measured() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let base = "[base]\nworkers = 100\nplacers = 20\n";
     let cases = [
         (
@@ -306,11 +308,11 @@
         ),
         (
             "dimension = \"members\"\nvalues = [300]\n",
-            "values[0]: 300 is given",
+            "values[0]: got 300, expected 1 to 64",
         ),
         (
             "dimension = \"workers\"\nvalues = [0]\n",
-            "values[0]: 0 is given",
+            "values[0]: got 0, expected 1 to 8192",
         ),
         (
             "dimension = \"workers\"\nvalues = [4]\nfaults = [\"zone_returns\"]\n",
@@ -321,9 +323,9 @@
             "did you mean `values`",
         ),
     ];
-    for (number, (head, complaint)) in cases.into_iter().enumerate() {
+    for (number, (head, expected)) in cases.into_iter().enumerate() {
         let file = folder.path().join(format!("sweep-{number}.toml"));
-        std::fs::write(&file, format!("{head}{base}")).expect("a file");
+        std::fs::write(&file, format!("{head}{base}")).expect("file can be written");
         let limited = format!(
             "ulimit -n 1000 && exec '{PROGRAM}' scale run '{}'",
             file.display()
@@ -331,25 +333,25 @@
         let out = Command::new("sh")
             .args(["-c", &limited])
             .output()
-            .expect("it runs");
+            .expect("process runs");
         let errors = String::from_utf8_lossy(&out.stderr);
         assert_eq!(out.status.code(), Some(2), "{errors}");
-        assert!(errors.contains(complaint), "{errors}");
+        assert!(errors.contains(expected), "{errors}");
     }
 }
 
 #[test]
 fn accepts_every_sweep_file_of_the_project() {
     let mut files = 0;
-    for entry in std::fs::read_dir(sweeps_folder()).expect("a folder") {
-        let path = entry.expect("an entry").path();
-        let text = std::fs::read_to_string(&path).expect("a file");
+    for entry in std::fs::read_dir(sweeps_folder()).expect("folder can be read") {
+        let path = entry.expect("directory entry").path();
+        let text = std::fs::read_to_string(&path).expect("file can be read");
         let file = path.display().to_string();
         SweepFile::parse(Document {
             file: &file,
             text: &text,
         })
-        .expect("a sound sweep");
+        .expect("valid sweep file");
         files += 1;
     }
     assert!(files >= 8);
--- a/crates/cli/tests/scale_report.rs
+++ b/crates/cli/tests/scale_report.rs
@@ -1,4 +1,4 @@
-//! `maplethread scale report`: the committed page and plots are what the committed results say.
+//! `maplethread scale report`: the committed page and plots match the committed results.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -28,31 +28,31 @@
     if check {
         command.arg("--check");
     }
-    command.output().expect("the program")
+    command.output().expect("process runs")
 }
 
 fn error_text(output: &Output) -> String {
-    assert!(!output.status.success(), "it passed");
+    assert!(!output.status.success(), "expected the command to fail");
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
 struct ReportFolder {
-    _kept: tempfile::TempDir,
+    _folder: tempfile::TempDir,
     page: PathBuf,
     results: PathBuf,
 }
 
 fn report_folder(result: &str) -> ReportFolder {
-    let kept = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let (page, results) = (
-        kept.path().join("CAPACITY.md"),
-        kept.path().join("capacity"),
+        folder.path().join("CAPACITY.md"),
+        folder.path().join("capacity"),
     );
-    fs::create_dir(&results).expect("a folder");
-    fs::write(&page, PAGE_WITH_MARKERS).expect("a page");
-    fs::write(results.join("workers.json"), result).expect("a result");
+    fs::create_dir(&results).expect("folder can be created");
+    fs::write(&page, PAGE_WITH_MARKERS).expect("file can be written");
+    fs::write(results.join("workers.json"), result).expect("file can be written");
     ReportFolder {
-        _kept: kept,
+        _folder: folder,
         page,
         results,
     }
@@ -79,7 +79,7 @@
     );
     assert!(before.contains("workers.svg: does not exist"), "{before}");
     assert_eq!(
-        fs::read_to_string(&folder.page).expect("a page"),
+        fs::read_to_string(&folder.page).expect("file can be read"),
         PAGE_WITH_MARKERS,
         "a check writes nothing"
     );
@@ -94,13 +94,13 @@
             .status
             .success()
     );
-    let page = fs::read_to_string(&folder.page).expect("a page");
+    let page = fs::read_to_string(&folder.page).expect("file can be read");
     assert!(
         page.contains("](capacity/workers.svg)"),
-        "the page finds the plot beside it"
+        "the page links the plot by its relative path"
     );
 
-    fs::write(&folder.page, page.replace("24,000", "25,000")).expect("a page");
+    fs::write(&folder.page, page.replace("24,000", "25,000")).expect("file can be written");
     let changed = error_text(&run_report(&folder.page, &folder.results, true));
     assert!(
         changed.contains("CAPACITY.md: block `size` differs") && !changed.contains("workers"),
@@ -111,10 +111,10 @@
 #[test]
 fn rejects_unreadable_result_with_file_and_line() {
     let folder = report_folder(&RESULT.replace("\"cores\": 2", "\"cores\": two"));
-    let why = error_text(&run_report(&folder.page, &folder.results, false));
-    assert!(why.contains("workers.json: line 7, column "), "{why}");
+    let error = error_text(&run_report(&folder.page, &folder.results, false));
+    assert!(error.contains("workers.json: line 7, column "), "{error}");
     assert_eq!(
-        fs::read_to_string(&folder.page).expect("a page"),
+        fs::read_to_string(&folder.page).expect("file can be read"),
         PAGE_WITH_MARKERS
     );
 }
@@ -122,10 +122,10 @@
 #[test]
 fn rejects_page_without_markers() {
     let folder = report_folder(RESULT);
-    fs::write(&folder.page, "# Capacity\n").expect("a page");
-    let why = error_text(&run_report(&folder.page, &folder.results, false));
+    fs::write(&folder.page, "# Capacity\n").expect("file can be written");
+    let error = error_text(&run_report(&folder.page, &folder.results, false));
     assert!(
-        why.contains("CAPACITY.md: no block `size`: add the lines"),
-        "{why}"
+        error.contains("CAPACITY.md: no block `size`: add the lines"),
+        "{error}"
     );
 }
--- a/crates/cli/tests/support/client.rs
+++ b/crates/cli/tests/support/client.rs
@@ -6,9 +6,9 @@
 use maplethread_wire::http::{self, Limits, Message, MessageReader, ReadResult, Role};
 use serde_json::Value;
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
-/// A client's connection.
+/// A client connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: MessageReader,
@@ -17,9 +17,11 @@
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
-        let stream = TcpStream::connect(address).expect("the placer listens");
-        stream.set_nodelay(true).expect("a socket");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        let stream = TcpStream::connect(address).expect("placer accepts connections");
+        stream.set_nodelay(true).expect("socket option can be set");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("read timeout can be set");
         Client {
             stream,
             reader: MessageReader::new(Role::Responses, Limits::default()),
@@ -33,7 +35,7 @@
         let mut all = vec![("Host", "placer")];
         all.extend_from_slice(fields);
         http::write_request(&mut out, method, target, &all, body.as_bytes());
-        self.stream.write_all(&out).expect("the placer reads");
+        self.stream.write_all(&out).expect("request can be sent");
     }
 
     /// Requests a placement without waiting for its answer.
@@ -41,10 +43,10 @@
         self.send("POST", "/v1/actors", &[("X-Request-Id", request_id)], body);
     }
 
-    /// The next response; nothing if the connection ended.
+    /// Receives the next response; `None` if the connection has ended.
     pub fn receive(&mut self) -> Option<Message> {
         loop {
-            match self.reader.read(&self.buffer).expect("sound HTTP") {
+            match self.reader.read(&self.buffer).expect("valid HTTP") {
                 (ReadResult::Message(message), used) => {
                     self.buffer.drain(..used);
                     return Some(message);
@@ -56,14 +58,14 @@
                 Ok(0) => return None,
                 Ok(n) => self.buffer.extend_from_slice(&bytes[..n]),
                 Err(e) if e.kind() == ErrorKind::ConnectionReset => return None,
-                Err(e) => panic!("no response: {e}"),
+                Err(e) => panic!("reading a response failed: {e}"),
             }
         }
     }
 
-    /// The status and the body of the next response.
+    /// Receives the status and the body of the next response.
     pub fn receive_json(&mut self) -> (u16, Value) {
-        let message = self.receive().expect("a response");
+        let message = self.receive().expect("response is received");
         let body = serde_json::from_slice(&message.body).unwrap_or(Value::Null);
         (message.head.status(), body)
     }
--- a/crates/cli/tests/support/documented_api.rs
+++ b/crates/cli/tests/support/documented_api.rs
@@ -5,15 +5,15 @@
 use super::PlacerProcess;
 
 fn openapi_document() -> Value {
-    serde_json::from_str(include_str!("../../../../docs/openapi.json")).expect("JSON")
+    serde_json::from_str(include_str!("../../../../docs/openapi.json")).expect("valid JSON")
 }
 
-/// What of a body does not fit a schema.
+/// Returns the first mismatch of a body with a schema.
 fn schema_mismatch(doc: &Value, schema: &Value, body: &Value, at: &str) -> Option<String> {
     if let Some(reference) = schema["$ref"].as_str() {
         let target = doc
             .pointer(reference.trim_start_matches('#'))
-            .expect("a schema");
+            .expect("schema is defined");
         return schema_mismatch(doc, target, body, at);
     }
     let fits = |kind: &str| match kind {
@@ -24,20 +24,20 @@
         "number" => body.is_number(),
         "boolean" => body.is_boolean(),
         "null" => body.is_null(),
-        other => panic!("schema type {other}"),
+        other => panic!("unsupported schema type {other}"),
     };
-    let fine = match &schema["type"] {
+    let type_matches = match &schema["type"] {
         Value::String(kind) => fits(kind),
         Value::Array(kinds) => kinds.iter().filter_map(Value::as_str).any(fits),
         _ => true,
     };
-    if !fine {
-        return Some(format!("{at}: {body} is no {}", schema["type"]));
+    if !type_matches {
+        return Some(format!("{at}: got {body}, expected {}", schema["type"]));
     }
     if let Some(allowed) = schema["enum"].as_array()
         && !allowed.contains(body)
     {
-        return Some(format!("{at}: {body} is not listed"));
+        return Some(format!("{at}: got {body}, expected one of {allowed:?}"));
     }
     for field in schema["required"]
         .as_array()
@@ -46,16 +46,16 @@
         .filter_map(Value::as_str)
     {
         if body.get(field).is_none() {
-            return Some(format!("{at}: no {field}"));
+            return Some(format!("{at}: required field {field} is missing"));
         }
     }
     if let (Some(properties), Some(fields)) = (schema["properties"].as_object(), body.as_object()) {
         for (name, value) in fields {
             let Some(schema) = properties.get(name) else {
-                return Some(format!("{at}: {name} is not described"));
+                return Some(format!("{at}: field {name} is not documented"));
             };
-            if let Some(wrong) = schema_mismatch(doc, schema, value, &format!("{at}.{name}")) {
-                return Some(wrong);
+            if let Some(mismatch) = schema_mismatch(doc, schema, value, &format!("{at}.{name}")) {
+                return Some(mismatch);
             }
         }
     }
@@ -65,7 +65,7 @@
         .next()
 }
 
-/// A placer's API, whose answers are held to the description.
+/// A placer's API, with a check of each response against the OpenAPI document.
 pub struct DocumentedApi<'a> {
     pub document: Value,
     pub placer: &'a PlacerProcess,
@@ -79,19 +79,19 @@
         }
     }
 
-    /// Calls, and holds the answer to the description; `path` as it stands there.
+    /// Sends a request, and checks the response against the document's entry for `path`.
     pub fn call(&self, path: &str, method: &str, target: &str, body: &str) -> (u16, Value) {
         let (status, answer) = self.placer.client().call(method, target, body);
         let responses = &self.document["paths"][path][method.to_lowercase()]["responses"];
         let response = &responses[status.to_string()];
         assert!(
             response.is_object(),
-            "{method} {target}: {status} is not described: {answer}"
+            "{method} {target}: status {status} is not documented: {answer}"
         );
         let content = response["content"]
             .as_object()
             .and_then(|c| c.values().next())
-            .expect("a body");
+            .expect("content of the response");
         assert_eq!(
             schema_mismatch(&self.document, &content["schema"], &answer, target),
             None,
@@ -108,12 +108,12 @@
         self.call("/v1/actors", "POST", "/v1/actors", body)
     }
 
-    /// Requests a placement while the host does what the test gives.
+    /// Requests a placement while `host_answers` runs.
     pub fn place_while(&self, body: &str, host_answers: impl FnOnce()) -> (u16, Value) {
         std::thread::scope(|scope| {
             let answer = scope.spawn(|| self.place(body));
             host_answers();
-            answer.join().expect("answered")
+            answer.join().expect("request thread ends")
         })
     }
 }
--- a/crates/cli/tests/support/host.rs
+++ b/crates/cli/tests/support/host.rs
@@ -1,4 +1,4 @@
-//! Hosts whose answers the test gives.
+//! Scripted hosts, whose answers the test sends.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,14 +6,14 @@
 
 use maplethread_wire::frame::{self, Frame, Offer};
 
-use super::PATIENCE;
+use super::TEST_TIMEOUT;
 
 /// One connection of the placer to a scripted host.
 pub struct PlacerConnection {
     stream: TcpStream,
     buffer: Vec<u8>,
     pub placer_name: String,
-    /// When the placer said that it started, ms: which run of it this is.
+    /// The start time that the placer sent, ms, which identifies its process.
     pub placer_started_ms: u64,
 }
 
@@ -21,10 +21,10 @@
     pub fn send(&mut self, frame: &Frame) {
         let mut bytes = Vec::new();
         frame::encode(frame, &mut bytes);
-        self.stream.write_all(&bytes).expect("the placer reads");
+        self.stream.write_all(&bytes).expect("request can be sent");
     }
 
-    /// The next frame but pings, which are answered; nothing if the connection has ended or `timeout` is over.
+    /// Receives the next frame, and answers pings meanwhile; `None` after the timeout, or if the connection has ended.
     pub fn receive_within(&mut self, timeout: Duration) -> Option<Frame> {
         let deadline = Instant::now() + timeout;
         loop {
@@ -35,14 +35,14 @@
         }
     }
 
-    /// The next frame, of whichever kind; nothing is answered.
+    /// Receives the next frame of any kind, and answers nothing.
     pub fn receive_without_answering(&mut self) -> Option<Frame> {
-        self.read_frame(Instant::now() + PATIENCE)
+        self.read_frame(Instant::now() + TEST_TIMEOUT)
     }
 
     fn read_frame(&mut self, deadline: Instant) -> Option<Frame> {
         loop {
-            let (frame, used) = frame::decode(&self.buffer).expect("sound frames");
+            let (frame, used) = frame::decode(&self.buffer).expect("valid frames");
             self.buffer.drain(..used);
             if frame.is_some() {
                 return frame;
@@ -50,7 +50,7 @@
             let left = deadline.checked_duration_since(Instant::now())?;
             self.stream
                 .set_read_timeout(Some(left.max(Duration::from_millis(1))))
-                .expect("a timeout");
+                .expect("read timeout can be set");
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return None,
@@ -61,13 +61,13 @@
         }
     }
 
-    /// The next frame but pings, which are answered.
+    /// Receives the next frame, and answers pings meanwhile.
     pub fn receive(&mut self) -> Frame {
-        self.receive_within(PATIENCE)
-            .expect("a frame from the placer")
+        self.receive_within(TEST_TIMEOUT)
+            .expect("frame is received")
     }
 
-    /// The next offer; other frames are passed over.
+    /// Receives the next offer, and skips other frames.
     pub fn receive_offer(&mut self) -> Offer {
         loop {
             if let Frame::Offer(offer) = self.receive() {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Frames that come within a while.
+    /// Receives all frames within a time, and answers pings meanwhile.
     pub fn receive_all_within(&mut self, timeout: Duration) -> Vec<Frame> {
         let deadline = Instant::now() + timeout;
         let mut frames = Vec::new();
@@ -86,17 +86,17 @@
         frames
     }
 
-    /// The bare connection.
+    /// Returns the TCP stream, of which no frame may be buffered.
     pub fn into_stream(self) -> TcpStream {
-        assert!(self.buffer.is_empty(), "frames are left unread");
+        assert!(self.buffer.is_empty(), "buffered frames are not consumed");
         self.stream
-            .set_read_timeout(Some(PATIENCE))
-            .expect("a timeout");
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("read timeout can be set");
         self.stream
     }
 }
 
-/// A host whose answers the test gives.
+/// A host whose answers the test sends.
 pub struct ScriptedHost {
     listener: TcpListener,
     pub name: String,
@@ -107,7 +107,7 @@
 
 impl ScriptedHost {
     pub fn new(name: &str, zone: &str, cell: &str) -> ScriptedHost {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
         let (name, zone, cell) = (name.to_owned(), zone.to_owned(), cell.to_owned());
         ScriptedHost {
             listener,
@@ -119,13 +119,13 @@
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.listener.local_addr().expect("bound")
+        self.listener.local_addr().expect("local address")
     }
 
-    /// Takes the placer's connection and greets, naming what the host holds.
+    /// Accepts the placer's connection and greets it, with the frames of the tasks that the host holds.
     pub fn accept_and_greet(&self, held: &[Frame]) -> PlacerConnection {
         let stream = self.accept();
-        stream.set_nodelay(true).expect("a socket");
+        stream.set_nodelay(true).expect("socket option can be set");
         let mut connection = PlacerConnection {
             stream,
             buffer: Vec::new(),
@@ -139,7 +139,7 @@
                 connection.placer_name = name;
                 connection.placer_started_ms = started_ms;
             }
-            other => panic!("a placer greets first, not {other:?}"),
+            other => panic!("expected the placer's greeting first, got {other:?}"),
         }
         connection.send(&Frame::Hello {
             major: frame::MAJOR,
@@ -153,21 +153,27 @@
         connection
     }
 
-    /// The next connection, without greeting.
+    /// Accepts the next connection, without a greeting.
     pub fn accept(&self) -> TcpStream {
-        self.listener.accept().expect("the placer connects").0
+        self.listener
+            .accept()
+            .expect("connection from the placer")
+            .0
     }
 }
 
-/// Waits until one of these hosts has an offer; returns which, and the offer.
-pub fn wait_for_offer(links: &mut [PlacerConnection]) -> (usize, Offer) {
-    let until = Instant::now() + PATIENCE;
+/// Waits until one of these hosts receives an offer; returns the index of its connection, and the offer.
+pub fn wait_for_offer(connections: &mut [PlacerConnection]) -> (usize, Offer) {
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        for (i, link) in links.iter_mut().enumerate() {
-            if let Some(Frame::Offer(offer)) = link.receive_within(Duration::from_millis(5)) {
+        for (i, connection) in connections.iter_mut().enumerate() {
+            if let Some(Frame::Offer(offer)) = connection.receive_within(Duration::from_millis(5)) {
                 return (i, offer);
             }
         }
-        assert!(Instant::now() < until, "no offer came");
+        assert!(
+            Instant::now() < until,
+            "no offer received within {TEST_TIMEOUT:?}"
+        );
     }
 }
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A real placer process between scripted hosts and scripted clients, on free loopback ports.
+//! A real placer process with scripted hosts and clients, on free loopback ports.
 #![allow(dead_code, unused_imports, reason = "each test file uses a part")]
 
 mod client;
@@ -13,10 +13,10 @@
 pub use host::{PlacerConnection, ScriptedHost, wait_for_offer};
 pub use placer::{CLASSES, PlacerProcess};
 
-/// Long enough for a slow machine; nothing waits so long when all is well.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// The limit for one wait of a test, long enough for slow machines; a passing test does not reach it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A placer with these hosts, all greeted and holding nothing, and its connections to them in the same order.
+/// Starts a placer with these hosts, which hold no tasks. Returns it with its connections to the hosts, in the same order.
 pub fn start_placer_with(hosts: &[&ScriptedHost]) -> (PlacerProcess, Vec<PlacerConnection>) {
     let mut placer = PlacerProcess::with_files(hosts, "");
     let wait_until_serving = placer.start();
