--- a/crates/cli/tests/support/placer.rs
+++ b/crates/cli/tests/support/placer.rs
@@ -9,9 +9,9 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::Value;
 
-use super::{Client, PATIENCE, ScriptedHost};
+use super::{Client, ScriptedHost, TEST_TIMEOUT};
 
-/// A placer process and its files.
+/// A placer process, with a folder for its files.
 pub struct PlacerProcess {
     folder: tempfile::TempDir,
     child: Option<Child>,
@@ -45,9 +45,9 @@
 "#;
 
 impl PlacerProcess {
-    /// Writes the files; nothing runs yet. Lines of `api` go into that table.
+    /// Writes the settings and the inventory, without starting the process. The lines in `api` are added to the `[api]` table.
     pub fn with_files(hosts: &[&ScriptedHost], api: &str) -> PlacerProcess {
-        let folder = tempfile::tempdir().expect("a folder");
+        let folder = tempfile::tempdir().expect("temporary folder");
         let config = format!(
             r#"
 [placer]
@@ -83,7 +83,7 @@
 memory_gib = 1000.0
 {CLASSES}"#
         );
-        std::fs::write(folder.path().join("placer.toml"), config).expect("a file");
+        std::fs::write(folder.path().join("placer.toml"), config).expect("file can be written");
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let placer = PlacerProcess {
             folder,
@@ -119,17 +119,17 @@
 
     pub fn write_inventory_text(&self, text: &str) {
         let new = self.folder.path().join("hosts.toml.new");
-        std::fs::write(&new, text).expect("a file");
-        std::fs::rename(&new, self.folder.path().join("hosts.toml")).expect("a folder");
+        std::fs::write(&new, text).expect("file can be written");
+        std::fs::rename(&new, self.folder.path().join("hosts.toml")).expect("file can be renamed");
     }
 
-    /// Starts the process; its address is known once all hosts are greeted.
+    /// Starts the process. The returned function waits for its address, which it prints after all hosts have greeted it.
     pub fn start(&mut self) -> impl FnOnce(&mut PlacerProcess) + use<> {
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
             .open(self.log_path())
-            .expect("a log");
+            .expect("log file can be opened");
         let mut child = Command::new(env!("CARGO_BIN_EXE_maplethread"))
             .args(["placer", "--log", "debug", "--config"])
             .arg(self.folder.path().join("placer.toml"))
@@ -137,16 +137,18 @@
             .stdout(Stdio::piped())
             .stderr(log)
             .spawn()
-            .expect("the placer starts");
-        let out = child.stdout.take().expect("piped");
+            .expect("placer starts");
+        let out = child.stdout.take().expect("piped standard output");
         self.child = Some(child);
         move |placer: &mut PlacerProcess| {
             let mut line = String::new();
-            BufReader::new(out).read_line(&mut line).expect("a line");
+            BufReader::new(out)
+                .read_line(&mut line)
+                .expect("line can be read");
             let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
             placer.address = address.unwrap_or_else(|| {
                 panic!(
-                    "no address: {}",
+                    "placer printed no address: {}",
                     std::fs::read_to_string(placer.log_path()).unwrap_or_default()
                 )
             });
@@ -154,16 +156,16 @@
     }
 
     pub fn pid(&self) -> Pid {
-        Pid::from_child(self.child.as_ref().expect("started"))
+        Pid::from_child(self.child.as_ref().expect("placer was started"))
     }
 
-    /// All that the placer has logged so far.
+    /// The placer's log so far.
     pub fn log_text(&self) -> String {
-        std::fs::read_to_string(self.log_path()).expect("a log")
+        std::fs::read_to_string(self.log_path()).expect("file can be read")
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill_process(self.pid(), signal).expect("the placer runs");
+        kill_process(self.pid(), signal).expect("signal can be sent");
     }
 
     pub fn kill(&mut self) {
@@ -173,24 +175,28 @@
         }
     }
 
-    /// Waits for the process to leave by itself.
+    /// Waits until the process exits.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        self.child.take().expect("started").wait().expect("a child")
+        self.child
+            .take()
+            .expect("placer was started")
+            .wait()
+            .expect("exit status")
     }
 
-    /// Memory in use, KiB.
+    /// Resident memory, KiB.
     pub fn rss_kib(&self) -> u64 {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", self.pid().as_raw_nonzero()))
-                .expect("runs");
+                .expect("process runs");
         let line = status
             .lines()
             .find_map(|l| l.strip_prefix("VmRSS:"))
-            .expect("a line");
+            .expect("line can be read");
         line.split_whitespace()
             .next()
             .and_then(|n| n.parse().ok())
-            .expect("a number")
+            .expect("memory in KiB")
     }
 
     pub fn client(&self) -> Client {
@@ -201,17 +207,17 @@
         self.client().call("GET", "/v1/status", "").1
     }
 
-    /// Waits until the status shows what is wanted.
-    pub fn wait_for_status(&self, what: &str, is_shown: impl Fn(&Value) -> bool) -> Value {
-        let deadline = Instant::now() + PATIENCE;
+    /// Waits until the status meets a condition, which `what` describes.
+    pub fn wait_for_status(&self, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             let status = self.status();
-            if is_shown(&status) {
+            if condition(&status) {
                 return status;
             }
             assert!(
                 Instant::now() < deadline,
-                "never came about: {what}; {status}"
+                "condition not met within {TEST_TIMEOUT:?}: {what}; {status}"
             );
             std::thread::sleep(Duration::from_millis(2));
         }
--- a/crates/scale/src/error.rs
+++ b/crates/scale/src/error.rs
@@ -1,37 +1,37 @@
-//! Why a sweep could not be run.
+//! The errors of sweeps.
 
 use std::io;
 
 use maplethread_config::ConfigError;
 
-/// Why a sweep could not be run.
+/// The error of a sweep.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// The sweep file can't be used.
+    /// The sweep file is not valid.
     #[error("{0}")]
     Config(#[from] ConfigError),
     /// The machine is too small for the sweep.
-    #[error("{what}: the sweep needs about {needed}, and {available} may be used; {remedy}")]
-    DoesNotFit {
-        /// What there is too little of.
+    #[error("{what}: the sweep needs about {needed}, available are {available}; {remedy}")]
+    InsufficientResources {
+        /// The resource that is too small, with its unit.
         what: &'static str,
-        /// How much the sweep needs.
+        /// The estimated need of the sweep.
         needed: u64,
-        /// How much there is for it.
+        /// How much of the resource a sweep may use.
         available: u64,
-        /// What can be done.
+        /// What the operator can do.
         remedy: &'static str,
     },
-    /// The fleet did not come to the state that is to be measured.
+    /// The fleet did not reach the state to be measured.
     #[error("{0}")]
     NotSettled(String),
     /// The sweep was interrupted.
     #[error("interrupted")]
     Interrupted,
-    /// A file, socket or process could not be had.
+    /// An operation on a file, socket or process failed.
     #[error("{what}: {source}")]
     Io {
-        /// What it was for.
+        /// The purpose of the operation.
         what: String,
         /// The error of the operating system.
         source: io::Error,
@@ -39,7 +39,7 @@
 }
 
 impl ScaleError {
-    /// An error of the operating system while something was done.
+    /// Returns a function that makes an [`ScaleError::Io`] for this purpose.
     pub(crate) fn io(what: impl Into<String>) -> impl FnOnce(io::Error) -> ScaleError {
         let what = what.into();
         move |source| ScaleError::Io { what, source }
--- a/crates/scale/src/faults.rs
+++ b/crates/scale/src/faults.rs
@@ -1,10 +1,10 @@
-//! Faults at size, each watched second by second from its beginning until the fleet has settled.
+//! Faults at scale, each measured second by second from its injection until the fleet has settled.
 //!
-//! Owners whose tasks were lost ask for them again at once, so that placing what was lost is part of the fault.
+//! Owners request lost tasks again at once, so the measurement of a fault includes placing these tasks.
 //!
-//! The worst second of a fault is told for each quantity by itself: the processor time of each placer is that of its
-//! own busiest second, and the messages are those of the second with the most bytes on a wire. These seconds need not
-//! be the same one. Memory, descriptors and connections are those at the end of the fault's watch.
+//! The worst second of a fault is reported separately for each quantity: the processor time of each placer is that of its
+//! own busiest second, and the messages are those of the second with the most bytes on the wire. These may be different
+//! seconds. Memory, descriptors and connections are those at the end of the measurement.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread;
@@ -19,13 +19,14 @@
 use crate::scenario::{RACK_SIZE, ZONE_COUNT};
 use crate::sweep_file::Phases;
 
-/// A step of a fault is looked after this often, and has failed after this.
+/// A step of a fault is polled at this interval, and fails after the time-out below.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const STEP_TIMEOUT: Duration = Duration::from_secs(60);
-/// Once all is connected the watch goes on for so many seconds.
-const SETTLED_SECONDS: usize = 3;
+/// The fleet counts as settled once it has been fully connected, with all tasks running, for this number of seconds in a
+/// row.
+const MIN_SETTLED_SECONDS: usize = 3;
 
-/// Strikes the fleet with a fault and measures its worst second.
+/// Injects a fault and measures its worst second.
 pub(crate) fn inject_and_measure(
     fleet: &mut Fleet,
     fault: Fault,
@@ -33,36 +34,37 @@
     phases: &Phases,
     sampler: Sampler,
 ) -> Result<PhaseSample, ScaleError> {
-    // These two end the fault before them; every other one finds the fleet whole.
+    // These two faults end the one before them; every other one starts with a restored fleet.
     if !matches!(fault, Fault::ZoneReturns | Fault::RegionHeals) {
         restore_fleet(fleet, point, phases)?;
     }
     let (owners, stop) = (fleet.owners().clone(), AtomicBool::new(false));
     let tasks = u64::from(point.tasks);
     thread::scope(|scope| {
-        // Where placers are restarted, no task is lost, and clients would lose their connections.
-        let asks_again = fault != Fault::PlacerRestarts;
+        // Placer restarts lose no tasks, but would disconnect the clients.
+        let resubmits = fault != Fault::PlacerRestarts;
         let (owners, stop) = (&owners, &stop);
-        let replacing = asks_again.then(|| scope.spawn(move || owners.resubmit_lost(tasks, stop)));
-        let mut watch = FaultObserver {
+        let resubmit_thread =
+            resubmits.then(|| scope.spawn(move || owners.resubmit_lost(tasks, stop)));
+        let mut observer = FaultObserver {
             sampler,
             tasks,
             snapshots: vec![sampler.snapshot(fleet)],
         };
-        let watched = watch.observe(fleet, fault, phases);
+        let observed = observer.observe(fleet, fault, phases);
         stop.store(true, Ordering::Relaxed);
-        let replaced = replacing.map(|thread| thread.join());
-        watched?;
-        match replaced {
-            Some(Err(_)) => return Err(ScaleError::NotSettled("the owners failed".to_owned())),
+        let resubmitted = resubmit_thread.map(|thread| thread.join());
+        observed?;
+        match resubmitted {
+            Some(Err(_)) => return Err(ScaleError::NotSettled("owners panicked".to_owned())),
             Some(Ok(result)) => result?,
             None => {}
         }
-        watch.worst_second(fleet, fault)
+        observer.worst_second(fleet, fault)
     })
 }
 
-/// Brings back what earlier faults took away.
+/// Undoes the effects of earlier faults.
 pub(crate) fn restore_fleet(
     fleet: &mut Fleet,
     point: &PointSettings,
@@ -75,7 +77,7 @@
     wait_settled(fleet, phases)
 }
 
-/// Workers that stand in one rack: cells are filled zone by zone.
+/// The workers of the first rack. Worker numbers rotate over the zones, so a rack has every `ZONE_COUNT`-th worker.
 fn rack_workers(workers: usize) -> impl Iterator<Item = usize> {
     (0..workers).step_by(ZONE_COUNT).take(RACK_SIZE)
 }
@@ -83,37 +85,37 @@
 fn restart_workers(
     fleet: &Fleet,
     phases: &Phases,
-    watch: &mut FaultObserver,
+    observer: &mut FaultObserver,
 ) -> Result<(), ScaleError> {
     let start = Instant::now();
     for n in 0..phases.worker_restarts as usize {
         let at = start + Duration::from_secs_f64(n as f64 * phases.worker_restart_every_s);
-        watch.sample_until(fleet, at)?;
+        observer.sample_until(fleet, at)?;
         fleet.restart_worker(n % fleet.size().workers);
     }
     Ok(())
 }
 
-/// One placer after the other; the next one once the last one is connected to all workers again.
+/// Restarts one placer after the other, each after the one before is connected to all workers again.
 fn restart_placers(
     fleet: &mut Fleet,
     phases: &Phases,
-    watch: &mut FaultObserver,
+    observer: &mut FaultObserver,
 ) -> Result<(), ScaleError> {
     let start = Instant::now();
     for number in 0..fleet.size().placers {
         let at = start + Duration::from_secs_f64(number as f64 * phases.placer_restart_every_s);
-        watch.sample_until(fleet, at)?;
+        observer.sample_until(fleet, at)?;
         fleet.end_placer(number)?;
-        watch.wait(fleet, |fleet| fleet.has_placer_ended(number))?;
+        observer.wait(fleet, |fleet| fleet.has_placer_ended(number))?;
         fleet.spawn_placer(number)?;
-        watch.wait(fleet, Fleet::poll_serving_placer)?;
-        watch.wait(fleet, |fleet| fleet.is_fully_connected())?;
+        observer.wait(fleet, Fleet::poll_serving_placer)?;
+        observer.wait(fleet, |fleet| fleet.is_fully_connected())?;
     }
     Ok(())
 }
 
-/// The moments of one fault, a second apart.
+/// Takes snapshots during one fault, one second apart.
 struct FaultObserver {
     sampler: Sampler,
     /// Tasks that are to run once the fleet has settled.
@@ -122,7 +124,7 @@
 }
 
 impl FaultObserver {
-    /// Strikes, and goes on until the fault is over.
+    /// Injects the fault, and takes snapshots until it is over.
     fn observe(
         &mut self,
         fleet: &mut Fleet,
@@ -142,11 +144,11 @@
         }
         match fault {
             Fault::RegionCut => self.sample_for(fleet, phases.region_cut_s, |_, _| Ok(false)),
-            _ => self.until_settled(fleet, phases),
+            _ => self.sample_until_settled(fleet, phases),
         }
     }
 
-    /// Goes on until a time, with a moment each second.
+    /// Takes a snapshot each second until a time.
     fn sample_until(&mut self, fleet: &Fleet, until: Instant) -> Result<(), ScaleError> {
         loop {
             let next = self.snapshots.last().map_or(until, Snapshot::next_second);
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Goes on until the fleet has done something.
+    /// Takes snapshots until a step is done; an error after `STEP_TIMEOUT`.
     fn wait(
         &mut self,
         fleet: &mut Fleet,
@@ -167,23 +169,24 @@
         let start = Instant::now();
         while !done(fleet)? {
             if start.elapsed() > STEP_TIMEOUT {
-                let why = format!("a step of a fault took longer than {STEP_TIMEOUT:?}");
-                return Err(ScaleError::NotSettled(why));
+                let reason = format!("a step of a fault took longer than {STEP_TIMEOUT:?}");
+                return Err(ScaleError::NotSettled(reason));
             }
             self.sample_until(fleet, Instant::now() + POLL_INTERVAL)?;
         }
         Ok(())
     }
 
-    /// Goes on for at most so many seconds, until `done` says so of the fleet and the seconds so far.
+    /// Takes a snapshot each second for at most `max_s` seconds, until `done` returns true for the fleet and the elapsed
+    /// seconds.
     fn sample_for(
         &mut self,
         fleet: &Fleet,
-        at_most: f64,
+        max_s: f64,
         mut done: impl FnMut(&Fleet, f64) -> Result<bool, ScaleError>,
     ) -> Result<(), ScaleError> {
         let start = Instant::now();
-        while start.elapsed().as_secs_f64() < at_most {
+        while start.elapsed().as_secs_f64() < max_s {
             let next = self
                 .snapshots
                 .last()
@@ -197,13 +200,13 @@
         Ok(())
     }
 
-    fn until_settled(&mut self, fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
-        let (mut quiet, tasks) = (0, self.tasks);
+    fn sample_until_settled(&mut self, fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
+        let (mut settled_seconds, tasks) = (0, self.tasks);
         self.sample_for(fleet, phases.fault_s, |fleet, seconds| {
             let statuses = fleet.statuses()?;
             let settled = fleet.is_fully_connected_in(&statuses) && statuses.actors >= tasks;
-            quiet = if settled { quiet + 1 } else { 0 };
-            Ok(quiet >= SETTLED_SECONDS && seconds >= phases.fault_at_least_s)
+            settled_seconds = if settled { settled_seconds + 1 } else { 0 };
+            Ok(settled_seconds >= MIN_SETTLED_SECONDS && seconds >= phases.fault_at_least_s)
         })
     }
 
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of one point: hollow workers in this process, and real placers as processes of their own.
+//! The fleet of one point: hollow workers in this process, and real placers as separate processes.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,16 +24,16 @@
 use crate::owners::{ClientPlan, Owners, PlacerStatuses};
 use crate::scenario::scenario;
 
-/// A fleet that has not come to its state after this has failed.
+/// The limit for each wait until the fleet has reached a state.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(120);
-/// How often the placers are asked for their state.
+/// How often the placers' status is polled.
 const POLL_INTERVAL_S: f64 = 0.2;
-/// Hollow placers ping as placers do unless told otherwise, µs.
+/// Ping interval of hollow placers, µs; the default of real placers.
 const HOLLOW_PING_INTERVAL_US: u64 = 1_000_000;
-/// The host list's file.
+/// The file name of the host list.
 const INVENTORY_FILE: &str = "hosts.toml";
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSize {
     /// Hollow workers.
@@ -42,13 +42,13 @@
     pub placers: usize,
     /// Hollow placers.
     pub hollow_placers: usize,
-    /// Whether the real placers keep a view of each other.
+    /// Whether the real placers run the membership protocol.
     pub has_membership: bool,
-    /// Seed of all that is drawn.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// A fleet that runs; its processes end when it is dropped.
+/// A running fleet; its processes end when it is dropped.
 pub struct Fleet {
     size: FleetSize,
     program: PathBuf,
@@ -65,18 +65,28 @@
 }
 
 impl Fleet {
-    /// Starts a fleet with the placers of this program, and waits until every placer is connected to every worker.
+    /// Starts a fleet with placers of this program, and waits until every placer is connected to every worker.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a file, socket or process fails, the placers do not serve and connect in time, or the sweep is
+    /// interrupted.
     pub fn start(
         size: FleetSize,
         program: &Path,
         interrupted: &InterruptFlag,
     ) -> Result<Fleet, ScaleError> {
         let scenario = Arc::new(scenario(size.workers, size.placers as u32));
-        let world = RunContext::without_history(scenario.classes.len());
+        let run_context = RunContext::without_history(scenario.classes.len());
         let counter = TrafficCounter::default();
-        let rack =
-            HostPool::start_with_counter(&scenario, &world, size.seed, None, Some(counter.clone()))
-                .map_err(ScaleError::io("hollow workers"))?;
+        let host_pool = HostPool::start_with_counter(
+            &scenario,
+            &run_context,
+            size.seed,
+            None,
+            Some(counter.clone()),
+        )
+        .map_err(ScaleError::io("hollow workers"))?;
         let folder = tempfile::tempdir().map_err(ScaleError::io("a folder for settings"))?;
         let mut fleet = Fleet {
             size,
@@ -84,7 +94,7 @@
             interrupted: interrupted.clone(),
             folder,
             scenario,
-            host_pool: rack,
+            host_pool,
             placers: Placers::new(),
             hollow_placers: None,
             owners: Owners::new(size.placers, interrupted),
@@ -100,22 +110,22 @@
         Ok(fleet)
     }
 
-    /// What the fleet's workers and real placers send each other.
+    /// The counter of the messages between the workers and the real placers.
     pub fn counter(&self) -> &TrafficCounter {
         &self.counter
     }
 
-    /// Its size.
+    /// The size of the fleet.
     pub fn size(&self) -> FleetSize {
         self.size
     }
 
-    /// The owners of its tasks.
+    /// The owners of the fleet's tasks.
     pub(crate) fn owners(&self) -> &Owners {
         &self.owners
     }
 
-    /// What the placers tell of themselves.
+    /// Reads the status of all placers.
     pub(crate) fn statuses(&self) -> Result<PlacerStatuses, ScaleError> {
         self.owners.statuses()
     }
@@ -124,7 +134,7 @@
         &self.interrupted
     }
 
-    /// Process ids of the real placers that run.
+    /// Process ids of the real placers; `None` for one that is not running.
     pub(crate) fn pids(&self) -> Vec<Option<u32>> {
         self.placers
             .all
@@ -139,7 +149,7 @@
         settings::inventory(&self.scenario, &self.host_pool.addresses, &listed)
     }
 
-    /// Where the placers read their host list.
+    /// The path of the placers' host list.
     pub(crate) fn inventory_path(&self) -> PathBuf {
         self.folder.path().join(INVENTORY_FILE)
     }
@@ -172,7 +182,7 @@
         self.wait_serving(self.size.placers)
     }
 
-    /// Starts a placer that does not run.
+    /// Starts the process of a placer that is not running.
     pub(crate) fn spawn_placer(&mut self, number: usize) -> Result<(), ScaleError> {
         let arguments = ["--log", "warn"].map(str::to_owned);
         self.placers
@@ -180,20 +190,23 @@
             .map_err(ScaleError::io("a placer process"))
     }
 
-    /// Waits until so many more placers serve.
+    /// Waits until `count` more placers serve.
     fn wait_serving(&mut self, count: usize) -> Result<(), ScaleError> {
         let until = Instant::now() + SETTLE_TIMEOUT;
         let mut serving = 0;
         while serving < count {
             self.interrupted.check()?;
-            let serves = self.placers.next_serving(Duration::from_millis(100));
-            if let Some((number, address)) = serves.map_err(ScaleError::io("a placer process"))? {
+            let serving_placer = self.placers.next_serving(Duration::from_millis(100));
+            if let Some((number, address)) =
+                serving_placer.map_err(ScaleError::io("a placer process"))?
+            {
                 self.owners.placers[number] = address;
                 serving += 1;
             }
             if Instant::now() > until {
-                let why = format!("{serving} of {count} placers serve after {SETTLE_TIMEOUT:?}");
-                return Err(ScaleError::NotSettled(why));
+                let reason =
+                    format!("only {serving} of {count} placers serve after {SETTLE_TIMEOUT:?}");
+                return Err(ScaleError::NotSettled(reason));
             }
         }
         Ok(())
@@ -211,19 +224,19 @@
         Ok(())
     }
 
-    /// Workers that placers can be connected to.
+    /// The number of workers to which placers can connect.
     pub(crate) fn reachable_workers(&self) -> usize {
         self.size.workers - self.dead_workers.len() - self.unreachable_workers.len()
     }
 
-    /// Whether each placer is connected to just the workers that are there.
+    /// Whether each placer is connected to exactly the reachable workers.
     pub(crate) fn is_fully_connected(&self) -> Result<bool, ScaleError> {
         Ok(self.is_fully_connected_in(&self.statuses()?))
     }
 
-    /// The same, by what the placers told.
+    /// Like [`Fleet::is_fully_connected`], with statuses that have been read before.
     pub(crate) fn is_fully_connected_in(&self, statuses: &PlacerStatuses) -> bool {
-        let there = self.reachable_workers();
+        let reachable = self.reachable_workers();
         let hollow = self
             .hollow_placers
             .as_ref()
@@ -231,49 +244,57 @@
         let real = statuses
             .connected_hosts
             .iter()
-            .all(|&n| n as usize == there);
-        real && hollow >= there * self.size.hollow_placers
+            .all(|&n| n as usize == reachable);
+        real && hollow >= reachable * self.size.hollow_placers
     }
 
-    /// Waits until each placer is connected to all workers that are there.
+    /// Waits until each placer is connected to exactly the reachable workers.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a placer's status can't be read, if the placers are not connected in time, or if the sweep is
+    /// interrupted.
     pub fn wait_connected(&self) -> Result<(), ScaleError> {
         let until = Instant::now() + SETTLE_TIMEOUT;
         while !self.is_fully_connected()? {
             if Instant::now() > until {
                 let connected = self.statuses()?.connected_hosts;
-                let there = self.reachable_workers();
-                let why = format!("placers are connected to {connected:?} of {there} workers");
-                return Err(ScaleError::NotSettled(why));
+                let reachable = self.reachable_workers();
+                let reason = format!(
+                    "placers are connected to {connected:?} of {reachable} workers after {SETTLE_TIMEOUT:?}"
+                );
+                return Err(ScaleError::NotSettled(reason));
             }
             self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
         Ok(())
     }
 
-    /// Waits until all placers that keep a view see each other.
+    /// Waits until each placer with membership has all others as live members.
     fn wait_membership_complete(&self) -> Result<(), ScaleError> {
         let until = Instant::now() + SETTLE_TIMEOUT;
         loop {
             let views: Result<Vec<membership::MembershipStatus>, ScaleError> = self
                 .members()
                 .iter()
-                .map(|&at| membership::fetch_membership(at))
+                .map(|&address| membership::fetch_membership(address))
                 .collect();
             if views?
                 .iter()
-                .all(|seen| seen.live_members == self.size.placers)
+                .all(|status| status.live_members == self.size.placers)
             {
                 return Ok(());
             }
             if Instant::now() > until {
-                let why = format!("placers do not see each other after {SETTLE_TIMEOUT:?}");
-                return Err(ScaleError::NotSettled(why));
+                let reason =
+                    format!("the placers' membership is incomplete after {SETTLE_TIMEOUT:?}");
+                return Err(ScaleError::NotSettled(reason));
             }
             self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
-    /// Placers that keep a view of each other.
+    /// The placers with membership.
     fn members(&self) -> &[SocketAddr] {
         if self.size.has_membership {
             &self.owners.placers
@@ -282,40 +303,49 @@
         }
     }
 
-    /// Datagrams that each placer with a view has sent; none for one that is just being restarted.
+    /// The datagrams that each placer with membership has sent; zero for a placer that is being restarted.
     pub(crate) fn sent_datagrams(&self) -> Vec<DatagramCounters> {
         self.members()
             .iter()
-            .map(|&at| {
-                membership::fetch_membership(at)
+            .map(|&address| {
+                membership::fetch_membership(address)
                     .map_or_else(|_| DatagramCounters::default(), |s| s.sent)
             })
             .collect()
     }
 
-    /// Waits until the placers hold no more than so many actors.
-    pub fn wait_actors_at_most(&self, most: u64) -> Result<(), ScaleError> {
+    /// Waits until the placers hold at most this number of actors.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a placer's status can't be read, if the placers hold more after the time-out, or if the sweep is
+    /// interrupted.
+    pub fn wait_actors_at_most(&self, max_actors: u64) -> Result<(), ScaleError> {
         let until = Instant::now() + SETTLE_TIMEOUT;
         loop {
             let actors = self.statuses()?.actors;
-            if actors <= most {
+            if actors <= max_actors {
                 return Ok(());
             }
             if Instant::now() > until {
                 return Err(ScaleError::NotSettled(format!(
-                    "{actors} actors are held, {most} were awaited"
+                    "placers hold {actors} actors after {SETTLE_TIMEOUT:?}, expected at most {max_actors}"
                 )));
             }
             self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
-    /// Clients that will ask at this rate for so long, over all placers in turn.
+    /// Connects clients that send requests by this plan, to all placers in turn.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a client can't connect.
     pub fn clients(&self, plan: ClientPlan) -> Result<Clients, ScaleError> {
         self.owners.clients(plan)
     }
 
-    /// Workers die: their connections are reset and their tasks are lost.
+    /// Stops workers: their connections are reset and their tasks are lost.
     pub(crate) fn kill_workers(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
             self.host_pool.command(HostCommand::Crash(worker));
@@ -323,20 +353,20 @@
         }
     }
 
-    /// Dead workers come back, cold.
+    /// Restarts the stopped workers, as cold hosts.
     pub(crate) fn start_dead_workers(&mut self) {
         self.dead_workers
             .drain(..)
             .for_each(|worker| self.host_pool.command(HostCommand::Start(worker)));
     }
 
-    /// A worker's process is replaced by a new one, cold.
+    /// Replaces a worker by a new process, as a cold host.
     pub(crate) fn restart_worker(&self, worker: usize) {
         self.host_pool.command(HostCommand::Crash(worker));
         self.host_pool.command(HostCommand::Start(worker));
     }
 
-    /// Nothing gets to these workers or from them any more.
+    /// Cuts off the network of these workers in both directions.
     pub(crate) fn isolate_workers(&mut self, workers: impl IntoIterator<Item = usize>) {
         for worker in workers {
             self.host_pool
@@ -345,7 +375,7 @@
         }
     }
 
-    /// All workers can be reached again.
+    /// Restores the network of all workers.
     pub(crate) fn reconnect_workers(&mut self) {
         self.unreachable_workers.drain(..).for_each(|worker| {
             self.host_pool
@@ -353,14 +383,14 @@
         });
     }
 
-    /// Tells a placer to end in order.
+    /// Sends SIGTERM to a placer.
     pub(crate) fn end_placer(&self, number: usize) -> Result<(), ScaleError> {
         self.placers
             .signal(number, Signal::TERM)
             .map_err(ScaleError::io("ending a placer"))
     }
 
-    /// Whether a placer that was told to end has ended.
+    /// Whether a placer's process has exited.
     pub(crate) fn has_placer_ended(&mut self, number: usize) -> Result<bool, ScaleError> {
         let Some(child) = &mut self.placers.all[number].child else {
             return Ok(true);
@@ -375,20 +405,20 @@
         Ok(ended)
     }
 
-    /// Whether a placer that was started has begun to serve since the last call.
+    /// Whether a started placer has begun to serve since the last call.
     pub(crate) fn poll_serving_placer(&mut self) -> Result<bool, ScaleError> {
-        let serves = self
+        let serving_placer = self
             .placers
             .next_serving(Duration::ZERO)
             .map_err(ScaleError::io("a placer process"))?;
-        if let Some((number, address)) = serves {
+        if let Some((number, address)) = serving_placer {
             self.owners.placers[number] = address;
         }
-        Ok(serves.is_some())
+        Ok(serving_placer.is_some())
     }
 }
 
-/// Replaces a host list as a whole.
+/// Replaces a host list atomically.
 pub(crate) fn write_inventory(path: &Path, inventory: &Inventory) -> Result<(), ScaleError> {
     let text = toml::to_string(inventory).map_err(std::io::Error::other);
     text.and_then(|text| replace_file(path, &text))
--- a/crates/scale/src/host_list.rs
+++ b/crates/scale/src/host_list.rs
@@ -1,4 +1,4 @@
-//! Changes of the host list: one worker after the other is listed as draining and then as ready again.
+//! Changes of the host list: one worker after the other is listed as draining, and then as ready again.
 
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
@@ -9,22 +9,22 @@
 use crate::fleet::write_inventory;
 use crate::interrupt::InterruptFlag;
 
-/// A prime, so that successive changes strike workers far from each other.
+/// The step from one changed worker to the next: a prime, so that successive changes affect workers far from each other.
 const STRIDE: usize = 7;
 
-/// A host list that changes at a rate.
+/// Changes a host list at a constant rate.
 pub(crate) struct ListChanges {
     pub(crate) path: PathBuf,
     pub(crate) inventory: Inventory,
-    /// Changes a second.
+    /// Changes per second.
     pub(crate) rate: f64,
-    /// For so long, s.
+    /// Duration of the changes, s.
     pub(crate) seconds: f64,
     pub(crate) interrupted: InterruptFlag,
 }
 
 impl ListChanges {
-    /// Makes the changes on time, and lists all workers as ready in the end.
+    /// Makes the changes on schedule, and lists all workers as ready at the end.
     pub(crate) fn run(mut self) -> Result<(), ScaleError> {
         let start = Instant::now();
         let changes = (self.rate * self.seconds) as usize;
--- a/crates/scale/src/interrupt.rs
+++ b/crates/scale/src/interrupt.rs
@@ -1,4 +1,4 @@
-//! Waiting that ends early when the sweep is interrupted.
+//! Waits that end early when the sweep is interrupted.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,15 +6,15 @@
 
 use crate::error::ScaleError;
 
-/// A pause looks this often whether it is to end.
+/// A wait checks the flag at this interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Told by a flag that the sweep is to end.
+/// A flag that ends the sweep when it is set.
 #[derive(Clone, Debug, Default)]
 pub struct InterruptFlag(pub Arc<AtomicBool>);
 
 impl InterruptFlag {
-    /// An error once the flag is set.
+    /// Returns an error if the flag is set.
     pub(crate) fn check(&self) -> Result<(), ScaleError> {
         if self.0.load(Ordering::Relaxed) {
             Err(ScaleError::Interrupted)
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Waits for so many seconds.
+    /// Waits for a time, s.
     pub(crate) fn sleep(&self, seconds: f64) -> Result<(), ScaleError> {
         self.sleep_until(Instant::now() + Duration::from_secs_f64(seconds))
     }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,10 +1,6 @@
-//! Sweeps that measure what the placer program costs by the size of its fleet: real placer processes under hollow
-//! workers, thousands of hosts in one thread that speak the host protocol on loopback, measured from outside the
-//! processes. The results are those of `maplethread-capacity`.
-#![allow(
-    clippy::missing_errors_doc,
-    reason = "not yet worked through; listed in docs/ROADMAP.md"
-)]
+//! Sweeps that measure the resource use of the placer program by the size of its fleet. Real placer processes are connected
+//! to hollow workers: thousands of emulated hosts in one thread, which speak the host protocol on loopback. The placers are
+//! measured from outside their processes. The results have the format of `maplethread-capacity`.
 
 mod error;
 mod faults;
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -4,7 +4,7 @@
 
 use maplethread_capacity::Machine;
 
-/// The machine, as `/proc` tells it.
+/// Describes the machine, from `/proc`.
 pub(crate) fn describe_machine() -> Machine {
     let cpus = read_file("/proc/cpuinfo");
     let processor = cpus
@@ -19,7 +19,7 @@
     }
 }
 
-/// A line of `/proc/meminfo`, KiB.
+/// The value of a line of `/proc/meminfo`, KiB; 0 if it can't be read.
 pub(crate) fn memory_kib(key: &str) -> u64 {
     let text = read_file("/proc/meminfo");
     let line = text.lines().find_map(|l| l.strip_prefix(key));
@@ -28,7 +28,7 @@
         .unwrap_or(0)
 }
 
-/// The commit of the working tree, as git names it.
+/// The commit of the working tree, as `git describe` prints it.
 pub(crate) fn current_commit() -> String {
     let output = Command::new("git")
         .args(["describe", "--always", "--dirty"])
@@ -41,7 +41,7 @@
     }
 }
 
-/// Packets that the loopback interface has received so far; each is sent and received once.
+/// Packets that the loopback interface has received; it receives each packet that it sends.
 pub(crate) fn loopback_packets() -> Option<u64> {
     let text = read_file("/proc/net/dev");
     let line = text
--- a/crates/scale/src/membership.rs
+++ b/crates/scale/src/membership.rs
@@ -1,4 +1,4 @@
-//! The placers' view of each other: their `[fleet]` sections, and the datagrams that each has sent by its own count.
+//! The membership of the placers: their `[fleet]` sections, and the counters of the datagrams that each has sent.
 
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
@@ -9,39 +9,39 @@
 
 use crate::error::ScaleError;
 
-/// A key for fleets on loopback only.
+/// The fleet key, for loopback only.
 const KEY: &str = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f";
 const KEY_FILE: &str = "fleet.key";
-/// Members that the others look for when they start.
+/// Maximum number of members that are listed as seeds.
 const MAX_SEEDS: usize = 3;
 /// Bytes of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// Datagrams that a placer has sent so far.
+/// The datagrams that a placer process has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct DatagramCounters {
-    /// The start of the process that counted them.
+    /// Identifies the process that counted them; a restarted placer counts from zero.
     incarnation: u64,
     count: u64,
     bytes: u64,
 }
 
-/// What a placer's view shows.
+/// The membership view of one placer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MembershipStatus {
-    /// Live members, itself included.
+    /// Number of live members, including the placer itself.
     pub(crate) live_members: usize,
     pub(crate) sent: DatagramCounters,
 }
 
-/// Sections for so many members on free ports, with a key in this folder; all else as it is by default.
+/// Makes sections for members on free ports, and writes their key file to this folder; other settings have their defaults.
 pub(crate) fn membership_sections(
     members: usize,
     folder: &Path,
 ) -> Result<Vec<FleetSection>, ScaleError> {
-    let failed = || ScaleError::io("ports of the fleet's view");
+    let failed = || ScaleError::io("key file and ports of the membership");
     std::fs::write(folder.join(KEY_FILE), KEY).map_err(failed())?;
-    // All are held until all are known, so that no port is given twice.
+    // All sockets stay open until all addresses are read, so that no port is used twice.
     let sockets: Result<Vec<UdpSocket>, io::Error> = (0..members)
         .map(|_| UdpSocket::bind("127.0.0.1:0"))
         .collect();
@@ -67,10 +67,11 @@
     addresses.iter().map(section).collect()
 }
 
-/// What the placer at this address shows of the others.
+/// Reads the membership view of the placer at this address.
 pub(crate) fn fetch_membership(address: SocketAddr) -> Result<MembershipStatus, ScaleError> {
-    let (_, view) = maplethread_placer::get_json(address, "/v1/fleet")
-        .map_err(ScaleError::io(format!("view of the placer at {address}")))?;
+    let (_, view) = maplethread_placer::get_json(address, "/v1/fleet").map_err(ScaleError::io(
+        format!("membership of the placer at {address}"),
+    ))?;
     let members = view["members"].as_array().map_or(&[][..], Vec::as_slice);
     let live = 1 + members
         .iter()
@@ -89,7 +90,7 @@
     })
 }
 
-/// Datagrams of all placers between two moments; those of a process that ended in between are not known.
+/// Datagrams of all placers between two snapshots; those of a process that ended in between are not counted.
 pub(crate) fn datagrams_since(
     now: &[DatagramCounters],
     before: &[DatagramCounters],
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -1,4 +1,4 @@
-//! The owners of tasks: what they ask of the placers, and what the placers tell them.
+//! The owners of tasks: their requests to the placers, and the placers' statuses.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,13 +10,13 @@
 use crate::error::ScaleError;
 use crate::interrupt::InterruptFlag;
 
-/// Tasks that are to run before the phases begin are asked for at this rate.
-const PRELOAD_RATE: f64 = 2_000.0;
-/// Tasks that do not run after this are not there to be had.
+/// Requests per second for the tasks that run before the phases begin.
+const PRELOAD_REQUESTS_PER_S: f64 = 2_000.0;
+/// The limit for starting these tasks.
 const PRELOAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// Owners of tasks that were lost together ask again within this time, s...
+/// Owners spread their new requests for tasks that were lost together over this time, s...
 const RESUBMIT_WITHIN_S: f64 = 1.0;
-/// ...and look this often whether theirs still run, s.
+/// ...and check for lost tasks at this interval, s.
 const POLL_INTERVAL_S: f64 = 0.5;
 /// Client connections to each placer.
 const CONNECTIONS_PER_PLACER: usize = 16;
@@ -24,47 +24,47 @@
 /// The owners of all tasks of a fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct Owners {
-    /// Where each placer serves.
+    /// The API address of each placer.
     pub(crate) placers: Vec<SocketAddr>,
     interrupted: InterruptFlag,
-    /// Loads so far, so that each asks for actors of its own.
+    /// Number of loads, so that each requests actors of its own.
     load_count: Arc<AtomicU64>,
 }
 
-/// What clients ask for.
+/// The load that clients generate.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientPlan {
-    /// Asks a second.
+    /// Requests per second.
     pub requests_per_second: f64,
-    /// For so long, s.
+    /// Duration of the load, s.
     pub seconds: f64,
-    /// Times of asks due before this are kept apart, s.
+    /// Answer times of requests that are due before this are recorded separately, s.
     pub split_s: f64,
-    /// The life of their tasks; without end where missing.
+    /// Duration of the tasks, ms; `None` for tasks that do not end.
     pub task_duration_ms: Option<u64>,
 }
 
-/// What the placers tell of themselves.
+/// The statuses of all placers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PlacerStatuses {
-    /// Hosts that each is connected to.
+    /// Number of hosts to which each placer is connected.
     pub(crate) connected_hosts: Vec<u32>,
-    /// Actors over all of them.
+    /// Number of actors of all placers.
     pub(crate) actors: u64,
 }
 
 impl Owners {
-    /// Owners of a fleet of so many placers, none of which serves yet.
+    /// Makes the owners of a fleet whose placers do not serve yet.
     pub(crate) fn new(placers: usize, interrupted: &InterruptFlag) -> Owners {
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
+        let unset_address = SocketAddr::from(([0, 0, 0, 0], 0));
         Owners {
-            placers: vec![nowhere; placers],
+            placers: vec![unset_address; placers],
             interrupted: interrupted.clone(),
             load_count: Arc::default(),
         }
     }
 
-    /// What the placers tell of themselves.
+    /// Reads the status of all placers.
     pub(crate) fn statuses(&self) -> Result<PlacerStatuses, ScaleError> {
         let mut statuses = PlacerStatuses::default();
         for &address in &self.placers {
@@ -78,7 +78,7 @@
         Ok(statuses)
     }
 
-    /// Clients that will ask at this rate for so long, over all placers in turn.
+    /// Connects clients that send requests by this plan, to all placers in turn.
     pub(crate) fn clients(&self, plan: ClientPlan) -> Result<Clients, ScaleError> {
         let load = RequestLoad {
             requests_per_s: plan.requests_per_second,
@@ -91,7 +91,7 @@
         Clients::connect(load, &self.placers).map_err(ScaleError::io("clients"))
     }
 
-    /// Asks for tasks that never end until so many run.
+    /// Requests tasks without end until this number of them are running.
     pub(crate) fn run_tasks(&self, tasks: u64) -> Result<(), ScaleError> {
         let until = Instant::now() + PRELOAD_TIMEOUT;
         loop {
@@ -100,17 +100,17 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                let why = format!(
-                    "{missing} of {tasks} tasks do not run, though asked for again and again"
+                let reason = format!(
+                    "{missing} of {tasks} tasks are not running after {PRELOAD_TIMEOUT:?} of repeated requests"
                 );
-                return Err(ScaleError::NotSettled(why));
+                return Err(ScaleError::NotSettled(reason));
             }
-            self.submit(missing, PRELOAD_RATE)?;
+            self.submit(missing, PRELOAD_REQUESTS_PER_S)?;
             self.interrupted.sleep(POLL_INTERVAL_S)?;
         }
     }
 
-    /// Asks again for tasks that were lost, whenever some were, until told to stop.
+    /// Requests lost tasks again, until `stop` is set.
     pub(crate) fn resubmit_lost(&self, tasks: u64, stop: &AtomicBool) -> Result<(), ScaleError> {
         while !stop.load(Ordering::Relaxed) {
             let missing = self.missing_tasks(tasks)?;
--- a/crates/scale/src/phases.rs
+++ b/crates/scale/src/phases.rs
@@ -13,9 +13,9 @@
 use crate::sampler::Sampler;
 use crate::sweep_file::Phases;
 
-/// The peak is measured this long after the first of its tasks should have ended, s.
+/// The peak is measured this time after the first of its tasks are due to end, s.
 const END_MARGIN_S: f64 = 1.0;
-/// Clients and list changes go on this long after the measured peak, so that its end is like its middle, s.
+/// Clients and list changes continue this time after the measured peak, s, so that the load is constant up to its end.
 const TAIL_S: f64 = 0.5;
 
 /// Measures the fleet at rest.
@@ -31,13 +31,13 @@
     sampler.phase_between(fleet, Phase::Rest, (&before, &after))
 }
 
-/// Waits until all placers are connected to all workers, and for the quiet time after that.
+/// Waits until all placers are connected to all workers, and then for the idle time `settle_s`.
 pub(crate) fn wait_settled(fleet: &Fleet, phases: &Phases) -> Result<(), ScaleError> {
     fleet.wait_connected()?;
     fleet.interrupted().sleep(phases.settle_s)
 }
 
-/// Measures the fleet at the peak; nothing where the peak is no different from rest.
+/// Measures the fleet at the peak; returns `None` for a point without starts and list changes.
 pub(crate) fn measure_peak(
     fleet: &Fleet,
     point: &PointSettings,
@@ -49,29 +49,29 @@
     }
     wait_settled(fleet, phases)?;
     let warm_up = phases.task_life_s + END_MARGIN_S;
-    let whole = warm_up + phases.peak_s + TAIL_S;
-    let clients = connect_clients(fleet, point, phases, whole)?;
-    let changes = list_changes(fleet, point, whole);
+    let total = warm_up + phases.peak_s + TAIL_S;
+    let clients = connect_clients(fleet, point, phases, total)?;
+    let changes = list_changes(fleet, point, total);
     thread::scope(|scope| {
-        let asking = clients.map(|clients| scope.spawn(move || clients.run()));
-        let changing = changes.map(|changes| scope.spawn(move || changes.run()));
+        let client_thread = clients.map(|clients| scope.spawn(move || clients.run()));
+        let change_thread = changes.map(|changes| scope.spawn(move || changes.run()));
         fleet.interrupted().sleep(warm_up)?;
         let before = sampler.snapshot(fleet);
         fleet.interrupted().sleep(phases.peak_s)?;
         let after = sampler.snapshot(fleet);
         let mut sample = sampler.phase_between(fleet, Phase::Peak, (&before, &after))?;
-        if let Some(asking) = asking {
-            let answers = asking
+        if let Some(client_thread) = client_thread {
+            let answers = client_thread
                 .join()
-                .map_err(|_| ScaleError::NotSettled("the clients failed".to_owned()))?;
+                .map_err(|_| ScaleError::NotSettled("the client thread panicked".to_owned()))?;
             sample.answer_us = Some(answer_times_us(
                 &answers.map_err(ScaleError::io("clients"))?,
             )?);
         }
-        if let Some(changing) = changing {
-            changing
-                .join()
-                .map_err(|_| ScaleError::NotSettled("the list changes failed".to_owned()))??;
+        if let Some(change_thread) = change_thread {
+            change_thread.join().map_err(|_| {
+                ScaleError::NotSettled("the thread of the list changes panicked".to_owned())
+            })??;
         }
         Ok(Some(sample))
     })
@@ -106,12 +106,12 @@
     })
 }
 
-/// Median, 99th percentile and longest time to an answer; an error if not every ask was placed.
+/// Median, 99th percentile and maximum time to an answer; an error if not every request was placed.
 fn answer_times_us(answers: &AnswerTimes) -> Result<[u64; 3], ScaleError> {
     if answers.placed < answers.requests {
-        let (placed, asked) = (answers.placed, answers.requests);
+        let (placed, requests) = (answers.placed, answers.requests);
         return Err(ScaleError::NotSettled(format!(
-            "{placed} of {asked} asks at the peak were placed"
+            "only {placed} of {requests} requests at the peak were placed"
         )));
     }
     let times: &Histogram<u64> = &answers.times[1];
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -1,4 +1,4 @@
-//! Measures from outside the placer processes: what they have used up to a moment, and what lies between two moments.
+//! Measures placer processes from outside: snapshots of their cumulative counters, and the difference of two snapshots.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,14 @@
 use crate::machine::loopback_packets;
 use crate::membership::{DatagramCounters, datagrams_since};
 
-/// Processor time of one placer process so far.
+/// The processor time that one placer process has used.
 #[derive(Clone, Copy, Debug)]
 struct ProcessorTime {
     pid: u32,
     cpu_s: f64,
 }
 
-/// What was used up to a moment.
+/// Cumulative counters of a fleet at one time.
 #[derive(Clone, Debug)]
 pub(crate) struct Snapshot {
     taken_at: Instant,
@@ -28,15 +28,15 @@
     loopback_packets: Option<u64>,
 }
 
-/// Takes moments of one fleet.
+/// Takes snapshots of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sampler {
-    /// Nothing else uses the loopback interface, so its packets can be told.
+    /// Whether nothing else uses the loopback interface, so that its packets can be counted.
     pub(crate) owns_loopback: bool,
 }
 
 impl Sampler {
-    /// What was used so far.
+    /// Takes a snapshot.
     pub(crate) fn snapshot(self, fleet: &Fleet) -> Snapshot {
         let pids = fleet.pids();
         let processors = pids.into_iter().map(|pid| processor_time(pid?)).collect();
@@ -55,7 +55,7 @@
         }
     }
 
-    /// A phase between two moments; memory, descriptors and connections are those of now.
+    /// Returns the sample of a phase between two snapshots, with the current memory, descriptors and connections.
     pub(crate) fn phase_between(
         self,
         fleet: &Fleet,
@@ -82,7 +82,7 @@
 }
 
 impl Snapshot {
-    /// When a second has passed since.
+    /// The time one second after this snapshot.
     pub(crate) fn next_second(&self) -> Instant {
         self.taken_at + Duration::from_secs(1)
     }
@@ -91,7 +91,7 @@
         (self.taken_at - earlier.taken_at).as_secs_f64()
     }
 
-    /// Cores that each placer used since an earlier moment; one that was started since counts from its start.
+    /// Cores that each placer used since an earlier snapshot; a placer started later counts from its start.
     pub(crate) fn cores_since(&self, earlier: &Snapshot) -> Vec<f64> {
         let seconds = self.seconds_since(earlier).max(1e-9);
         let pairs = self.processor_times.iter().zip(&earlier.processor_times);
@@ -103,14 +103,14 @@
         used.map(|cpu_s| (cpu_s / seconds).max(0.0)).collect()
     }
 
-    /// Messages since an earlier moment.
+    /// Messages since an earlier snapshot.
     pub(crate) fn messages_since(&self, earlier: &Snapshot) -> Vec<MessageCount> {
         let mut messages = self.traffic.since(&earlier.traffic);
         messages.extend(datagrams_since(&self.datagrams, &earlier.datagrams));
         messages
     }
 
-    /// Packets of the loopback interface since an earlier moment.
+    /// Packets of the loopback interface since an earlier snapshot.
     pub(crate) fn packets_since(&self, earlier: &Snapshot) -> Option<u64> {
         self.loopback_packets
             .zip(earlier.loopback_packets)
@@ -119,14 +119,14 @@
 }
 
 fn processor_time(pid: u32) -> Option<ProcessorTime> {
-    // A process that is just ending can't be read any more.
+    // The usage of an exiting process can't be read.
     process_usage(pid).ok().map(|usage| ProcessorTime {
         pid,
         cpu_s: usage.cpu_s,
     })
 }
 
-/// What the placer of this number holds now.
+/// Samples the current memory, descriptors and connections of a placer.
 pub(crate) fn process_sample(
     fleet: &Fleet,
     number: usize,
@@ -134,7 +134,9 @@
     host_connections: u32,
 ) -> Result<ProcessSample, ScaleError> {
     let Some(pid) = fleet.pids()[number] else {
-        return Err(ScaleError::NotSettled(format!("placer {number} has ended")));
+        return Err(ScaleError::NotSettled(format!(
+            "placer {number} is not running"
+        )));
     };
     let failed = || ScaleError::io(format!("/proc/{pid}"));
     let memory = process_usage(pid).map_err(failed())?;
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -1,16 +1,16 @@
-//! The fleet that a sweep measures, as the stand-in hosts take it: one kind of host with room to spare and one class of
-//! tasks, so that a measured size is limited by the placers and not by the hosts.
+//! The scenario of the emulated hosts in a sweep: one kind of host with ample capacity and one class of tasks, so that the
+//! placers and not the hosts limit the measured size.
 
 use maplethread_config::AcceptancePoint;
 use maplethread_emulator::scenario::{Class, Demand, Fleet, KindShare, Rules, Scenario};
 use maplethread_emulator::settings::plain_class;
 
-/// Hosts of a rack: what dies together in the smaller of the two faults of many hosts.
+/// Hosts in a rack, which fail together in the fault `rack_dies`.
 pub(crate) const RACK_SIZE: usize = 40;
-/// Zones, so that one of them is a quarter of the hosts.
+/// Number of zones; the fault `zone_dies` stops the hosts of one, a quarter of all.
 pub(crate) const ZONE_COUNT: usize = 4;
 
-/// A fleet of so many hosts and placers.
+/// The scenario of a fleet with these numbers of hosts and placers.
 pub(crate) fn scenario(workers: usize, placers: u32) -> Scenario {
     Scenario {
         name: "scale".to_owned(),
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -1,4 +1,4 @@
-//! A whole sweep: point after point, each with a fleet of its own.
+//! Runs a sweep: one point after the other, each with a new fleet.
 
 use std::path::PathBuf;
 use std::time::Instant;
@@ -18,23 +18,28 @@
 /// How to run a sweep.
 #[derive(Clone, Debug)]
 pub struct SweepOptions {
-    /// The sweep.
+    /// The sweep file.
     pub sweep: SweepFile,
-    /// Its name, the stem of its file.
+    /// The name of the sweep, which is the stem of its file name.
     pub name: String,
-    /// The command that repeats it.
+    /// The command that repeats the sweep, for the results.
     pub command: String,
     /// The program whose `placer` command is measured.
     pub program: PathBuf,
-    /// Nothing else uses the loopback interface, so its packets can be told.
+    /// Whether nothing else uses the loopback interface, so that its packets can be counted.
     pub owns_loopback: bool,
-    /// Tell how it goes, on standard error.
+    /// Whether to print the progress on standard error.
     pub shows_progress: bool,
-    /// Ends the sweep.
+    /// The flag that ends the sweep.
     pub interrupted: InterruptFlag,
 }
 
-/// Runs a sweep, after a look whether each of its points fits on the machine.
+/// Runs a sweep, after a check that the machine can hold each of its points.
+///
+/// # Errors
+///
+/// Returns an error if the machine is too small, a process or socket fails, the fleet does not reach the state to be
+/// measured, or the sweep is interrupted.
 pub fn run(options: &SweepOptions) -> Result<SweepResult, ScaleError> {
     let sweep = &options.sweep;
     let sizes: Vec<PointSettings> = sweep
--- a/crates/scale/src/sweep_file.rs
+++ b/crates/scale/src/sweep_file.rs
@@ -1,32 +1,32 @@
-//! Sweep files: what varies, over which values, while everything else stands still. TOML, parsed and checked whole.
+//! Sweep files, in TOML: the dimension that varies, its values, and the fixed sizes in all other dimensions.
 
 use maplethread_capacity::{Dimension, Fault, PointSettings};
 use maplethread_config::{ConfigError, Document, parse_toml};
 use serde::{Deserialize, Serialize};
 
-/// Hosts and tasks of one point; the hollow workers' process bounds both.
+/// Maximum number of hosts of one point, and of tasks below; the process of the hollow workers limits both.
 const MAX_WORKERS: u32 = 8_192;
 const MAX_TASKS: u32 = 200_000;
-/// Real placers, each a process.
+/// Maximum number of real placers, each of which is a process.
 const MAX_PLACERS: u32 = 64;
-/// Hollow placers.
+/// Maximum number of hollow placers.
 const MAX_HOLLOW_PLACERS: u32 = 1_000;
-/// Starts a second, over all placers.
-const MAX_STARTS: f64 = 5_000.0;
-/// Changes of the host list a second, each of which replaces the whole inventory.
-const MAX_LIST_CHANGES: f64 = 50.0;
-/// Seconds of one phase.
-const MAX_SECONDS: f64 = 3_600.0;
-/// Values of one sweep, and seeds.
+/// Maximum number of task starts per second, over all placers.
+const MAX_STARTS_PER_S: f64 = 5_000.0;
+/// Maximum number of changes of the host list per second; each of them replaces the inventory file.
+const MAX_LIST_CHANGES_PER_S: f64 = 50.0;
+/// Maximum length of one phase, s.
+const MAX_PHASE_S: f64 = 3_600.0;
+/// Maximum number of values of one sweep, and of seeds.
 const MAX_VALUES: usize = 64;
 
 /// A sweep.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SweepFile {
-    /// What varies.
+    /// The dimension that varies.
     pub dimension: Dimension,
-    /// The values that it takes, in this order.
+    /// The values of the dimension, in the order of the measurements.
     pub values: Vec<f64>,
     /// Each value is measured once with each of these seeds.
     #[serde(default = "one_seed")]
@@ -39,12 +39,12 @@
     /// Lengths of the phases.
     #[serde(default)]
     pub phases: Phases,
-    /// Faults that strike after the other phases, one after the other.
+    /// Faults that are injected after the other phases, one after the other.
     #[serde(default)]
     pub faults: Vec<Fault>,
 }
 
-/// The size in the dimensions that stand still.
+/// The size in the dimensions that do not vary.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Base {
@@ -52,16 +52,16 @@
     pub workers: u32,
     /// Real placer processes.
     pub placers: u32,
-    /// Hollow placers beside them.
+    /// Hollow placers in addition to the real ones.
     #[serde(default)]
     pub hollow_placers: u32,
     /// Tasks that run before the phases begin.
     #[serde(default)]
     pub tasks: u32,
-    /// Task starts a second at the peak, over all placers.
+    /// Task starts per second at the peak, over all placers.
     #[serde(default)]
     pub starts_per_second: f64,
-    /// Changes of the host list a second at the peak.
+    /// Changes of the host list per second at the peak.
     #[serde(default)]
     pub list_changes_per_second: f64,
 }
@@ -70,25 +70,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Phases {
-    /// Quiet time before each measured phase, s.
+    /// Idle time before each measured phase, s.
     pub settle_s: f64,
     /// The phase at rest, s.
     pub rest_s: f64,
     /// The phase at the peak, s.
     pub peak_s: f64,
-    /// Tasks that start at the peak live so long, s; the peak is measured once the first of them have ended.
+    /// Duration of the tasks that start at the peak, s; the peak is measured once the first of them have ended.
     pub task_life_s: f64,
-    /// A fault is watched at least this long, s: tasks are told as lost some seconds after their hosts...
+    /// A fault is measured for at least this time, s: placers report lost tasks some seconds after the loss of their
+    /// hosts...
     pub fault_at_least_s: f64,
     /// ...and at most this long, s.
     pub fault_s: f64,
-    /// The region stays cut for so long, s.
+    /// How long the region stays cut off, s.
     pub region_cut_s: f64,
-    /// Workers that are restarted one after the other...
+    /// Number of workers that are restarted, one after the other...
     pub worker_restarts: u32,
-    /// ...and the time between two of them, s.
+    /// ...and the time between two restarts, s.
     pub worker_restart_every_s: f64,
-    /// Time between two restarts of placers at least, s; each waits until the one before is connected again.
+    /// Minimum time between two placer restarts, s; each restart waits until the placer before is connected again.
     pub placer_restart_every_s: f64,
 }
 
@@ -117,7 +118,7 @@
     MAX_PLACERS
 }
 
-/// A number and its bounds, so that every complaint reads alike.
+/// A number with its key and its bounds, for uniform error texts.
 struct BoundedValue<'a> {
     key: &'a str,
     value: f64,
@@ -127,13 +128,17 @@
 
 impl SweepFile {
     /// Parses and checks a sweep file.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the key, if the file is not valid TOML or a value is out of range.
     pub fn parse(doc: Document<'_>) -> Result<SweepFile, ConfigError> {
         let sweep: SweepFile = parse_toml(doc)?;
         sweep.check(doc)?;
         Ok(sweep)
     }
 
-    /// The size of the point with this value of the dimension that varies.
+    /// Returns the settings of the point with this value of the dimension that varies.
     pub fn point(&self, value: f64) -> PointSettings {
         let base = self.base;
         let mut point = PointSettings {
@@ -146,20 +151,20 @@
             config_changes_per_hour: 0.0,
             members: 0,
         };
-        let whole = value as u32;
+        let count = value as u32;
         match self.dimension {
-            Dimension::Workers => point.workers = whole,
+            Dimension::Workers => point.workers = count,
             Dimension::Placers => {
-                point.placers = whole.min(self.max_real_placers);
-                point.hollow_placers = whole - point.placers;
+                point.placers = count.min(self.max_real_placers);
+                point.hollow_placers = count - point.placers;
             }
-            Dimension::Tasks => point.tasks = whole,
+            Dimension::Tasks => point.tasks = count,
             Dimension::StartsPerSecond => point.starts_per_second = value,
             Dimension::ListChangesPerSecond => point.list_changes_per_second = value,
             Dimension::ConfigChangesPerHour => point.config_changes_per_hour = value,
             Dimension::Members => {
-                point.members = whole;
-                point.placers = whole;
+                point.members = count;
+                point.placers = count;
             }
         }
         point
@@ -170,15 +175,19 @@
         doc.ensure(
             (1..=MAX_VALUES).contains(&self.values.len()),
             "values",
-            "1 to 64 of them",
+            "expected 1 to 64 values",
         )?;
         doc.ensure(
             (1..=MAX_VALUES).contains(&self.seeds.len()),
             "seeds",
-            "1 to 64 of them",
+            "expected 1 to 64 seeds",
+        )?;
+        let is_valid_count = (1..=MAX_PLACERS).contains(&self.max_real_placers);
+        doc.ensure(
+            is_valid_count,
+            "max_real_placers",
+            format!("expected 1 to {MAX_PLACERS}"),
         )?;
-        let real = (1..=MAX_PLACERS).contains(&self.max_real_placers);
-        doc.ensure(real, "max_real_placers", format!("1 to {MAX_PLACERS}"))?;
         for (index, &value) in self.values.iter().enumerate() {
             let key = format!("values[{index}]");
             self.check_value(value, &key, doc)?;
@@ -190,18 +199,18 @@
 
     fn check_dimension(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let has_reload = self.dimension != Dimension::ConfigChangesPerHour;
-        let why_not =
-            "a placer reads its settings once, when it starts: it has no reload to be measured";
-        doc.ensure(has_reload, "dimension", why_not)
+        let problem =
+            "can't be measured: a placer reads its settings only at its start and has no reload";
+        doc.ensure(has_reload, "dimension", problem)
     }
 
     fn check_value(&self, value: f64, key: &str, doc: Document<'_>) -> Result<(), ConfigError> {
-        let (least, most, whole) = match self.dimension {
+        let (lower, upper, is_integer) = match self.dimension {
             Dimension::Workers => (1.0, f64::from(MAX_WORKERS), true),
             Dimension::Placers => (1.0, f64::from(MAX_PLACERS + MAX_HOLLOW_PLACERS), true),
             Dimension::Tasks => (0.0, f64::from(MAX_TASKS), true),
-            Dimension::StartsPerSecond => (0.0, MAX_STARTS, false),
-            Dimension::ListChangesPerSecond => (0.0, MAX_LIST_CHANGES, false),
+            Dimension::StartsPerSecond => (0.0, MAX_STARTS_PER_S, false),
+            Dimension::ListChangesPerSecond => (0.0, MAX_LIST_CHANGES_PER_S, false),
             Dimension::Members => (1.0, f64::from(MAX_PLACERS), true),
             Dimension::ConfigChangesPerHour => return Ok(()),
         };
@@ -210,18 +219,18 @@
             BoundedValue {
                 key,
                 value,
-                min: least,
-                max: most,
+                min: lower,
+                max: upper,
             },
         )?;
         doc.ensure(
-            !whole || value.fract() == 0.0,
+            !is_integer || value.fract() == 0.0,
             key,
-            format!("{value} is given; a whole number is needed"),
+            format!("got {value}, expected a whole number"),
         )
     }
 
-    /// Faults that end another one come right after it.
+    /// Checks that each fault that ends another one follows directly after it.
     fn check_faults(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         for (index, fault) in self.faults.iter().enumerate() {
             let needed = match fault {
@@ -234,7 +243,7 @@
             doc.ensure(
                 before == Some(needed),
                 &key,
-                format!("{fault:?} comes right after {needed:?}"),
+                format!("{fault:?} must follow directly after {needed:?}"),
             )?;
         }
         Ok(())
@@ -271,25 +280,25 @@
                 "base.starts_per_second",
                 base.starts_per_second,
                 0.0,
-                MAX_STARTS,
+                MAX_STARTS_PER_S,
             ),
             (
                 "base.list_changes_per_second",
                 base.list_changes_per_second,
                 0.0,
-                MAX_LIST_CHANGES,
+                MAX_LIST_CHANGES_PER_S,
             ),
         ];
         bounds
             .into_iter()
-            .try_for_each(|(key, value, least, most)| {
+            .try_for_each(|(key, value, lower, upper)| {
                 check_bounds(
                     doc,
                     BoundedValue {
                         key,
                         value,
-                        min: least,
-                        max: most,
+                        min: lower,
+                        max: upper,
                     },
                 )
             })
@@ -298,18 +307,18 @@
     fn check_phases(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let phases = self.phases;
         let bounds = [
-            ("phases.settle_s", phases.settle_s, 0.0, MAX_SECONDS),
-            ("phases.rest_s", phases.rest_s, 1.0, MAX_SECONDS),
-            ("phases.peak_s", phases.peak_s, 1.0, MAX_SECONDS),
-            ("phases.task_life_s", phases.task_life_s, 0.001, MAX_SECONDS),
+            ("phases.settle_s", phases.settle_s, 0.0, MAX_PHASE_S),
+            ("phases.rest_s", phases.rest_s, 1.0, MAX_PHASE_S),
+            ("phases.peak_s", phases.peak_s, 1.0, MAX_PHASE_S),
+            ("phases.task_life_s", phases.task_life_s, 0.001, MAX_PHASE_S),
             (
                 "phases.fault_at_least_s",
                 phases.fault_at_least_s,
                 1.0,
                 phases.fault_s,
             ),
-            ("phases.fault_s", phases.fault_s, 1.0, MAX_SECONDS),
-            ("phases.region_cut_s", phases.region_cut_s, 1.0, MAX_SECONDS),
+            ("phases.fault_s", phases.fault_s, 1.0, MAX_PHASE_S),
+            ("phases.region_cut_s", phases.region_cut_s, 1.0, MAX_PHASE_S),
             (
                 "phases.worker_restarts",
                 f64::from(phases.worker_restarts),
@@ -320,25 +329,25 @@
                 "phases.worker_restart_every_s",
                 phases.worker_restart_every_s,
                 0.001,
-                MAX_SECONDS,
+                MAX_PHASE_S,
             ),
             (
                 "phases.placer_restart_every_s",
                 phases.placer_restart_every_s,
                 0.0,
-                MAX_SECONDS,
+                MAX_PHASE_S,
             ),
         ];
         bounds
             .into_iter()
-            .try_for_each(|(key, value, least, most)| {
+            .try_for_each(|(key, value, lower, upper)| {
                 check_bounds(
                     doc,
                     BoundedValue {
                         key,
                         value,
-                        min: least,
-                        max: most,
+                        min: lower,
+                        max: upper,
                     },
                 )
             })
@@ -349,9 +358,13 @@
     let BoundedValue {
         key,
         value,
-        min: least,
-        max: most,
+        min: lower,
+        max: upper,
     } = bounded;
-    let fine = value.is_finite() && (least..=most).contains(&value);
-    doc.ensure(fine, key, format!("{value} is given; {least} to {most}"))
+    let is_in_range = value.is_finite() && (lower..=upper).contains(&value);
+    doc.ensure(
+        is_in_range,
+        key,
+        format!("got {value}, expected {lower} to {upper}"),
+    )
 }
--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -1,5 +1,5 @@
-//! Any bytes: no panic, no loop, and what is decoded is encoded and decoded alike. Run with
-//! `cargo +nightly fuzz run frames`.
+//! Decodes arbitrary bytes as frames: the decoder neither panics nor loops, and each decoded frame is unchanged by encoding
+//! and decoding. Run with `cargo +nightly fuzz run frames`.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/http.rs
+++ b/fuzz/fuzz_targets/http.rs
@@ -1,11 +1,12 @@
-//! Any bytes, in pieces cut by the first byte: no panic, no loop, the same result however they are cut, and what is
-//! taken `httparse` takes too. Run with `cargo +nightly fuzz run http`.
+//! Reads arbitrary bytes as HTTP, in chunks whose size the first byte sets: the reader neither panics nor loops, the result
+//! does not depend on the chunk size, and `httparse` accepts every request head that the reader accepts. Run with
+//! `cargo +nightly fuzz run http`.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
 use maplethread_wire::http::{Decoder, Limits, Message, MessageReader, ReadResult, Role, Step};
 
-fn read(role: Role, bytes: &[u8], piece: usize) -> Option<Vec<Message>> {
+fn read(role: Role, bytes: &[u8], chunk_size: usize) -> Option<Vec<Message>> {
     let mut reader = MessageReader::new(
         role,
         Limits {
@@ -16,7 +17,7 @@
         },
     );
     let (mut messages, mut buffer) = (Vec::new(), Vec::new());
-    for part in bytes.chunks(piece) {
+    for part in bytes.chunks(chunk_size) {
         buffer.extend_from_slice(part);
         loop {
             let (found, used) = reader.read(&buffer).ok()?;
@@ -32,14 +33,14 @@
 }
 
 fuzz_target!(|data: &[u8]| {
-    let Some((&cut, bytes)) = data.split_first() else {
+    let Some((&size, bytes)) = data.split_first() else {
         return;
     };
     for role in [Role::Requests, Role::Responses] {
         let whole = read(role, bytes, bytes.len().max(1));
-        let cut = read(role, bytes, usize::from(cut) + 1);
-        assert_eq!(whole.is_some(), cut.is_some());
-        assert_eq!(whole, cut);
+        let chunked = read(role, bytes, usize::from(size) + 1);
+        assert_eq!(whole.is_some(), chunked.is_some());
+        assert_eq!(whole, chunked);
     }
     let mut decoder = Decoder::new(Role::Requests, Limits::default());
     if let Ok((Step::Head(head), _)) = decoder.step(bytes) {
@@ -52,8 +53,8 @@
         );
         assert_eq!(request.method, Some(head.method()));
         assert_eq!(request.path, Some(head.target()));
-        let own: Vec<_> = head.fields().collect();
-        let theirs: Vec<_> = request.headers.iter().map(|h| (h.name, h.value)).collect();
-        assert_eq!(own, theirs);
+        let decoded_fields: Vec<_> = head.fields().collect();
+        let expected_fields: Vec<_> = request.headers.iter().map(|h| (h.name, h.value)).collect();
+        assert_eq!(decoded_fields, expected_fields);
     }
 });
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -1,5 +1,5 @@
-//! Any bytes as an owner's line, a host's message, a channel's answer and a configuration: no panic, no loop. Run with
-//! `cargo +nightly fuzz run platform`.
+//! Decodes arbitrary bytes as an owner's line, a host's message, a command channel's response and a configuration: no
+//! decoder panics or loops. Run with `cargo +nightly fuzz run platform`.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
--- a/fuzz/fuzz_targets/trace.rs
+++ b/fuzz/fuzz_targets/trace.rs
@@ -1,5 +1,6 @@
-//! Whatever bytes follow a sound header, the reader of traces neither panics nor loops for ever, and what it takes for
-//! records can be summed up. With the first octet odd, a sound block is damaged instead.
+//! Reads arbitrary bytes after a valid trace header: the reader neither panics nor loops forever, and the records that it
+//! returns can be summarised. With an odd first byte, the input damages a valid block instead. Run with
+//! `cargo +nightly fuzz run trace`.
 
 #![no_main]
 
@@ -23,21 +24,21 @@
         sources: Vec::new(),
     };
     let mut bytes = Vec::new();
-    let mut writer = Writer::new(&mut bytes, &header).expect("a header");
-    let damage = data.first().is_some_and(|b| b % 2 == 1);
-    if damage {
+    let mut writer = Writer::new(&mut bytes, &header).expect("header can be written");
+    let damages_block = data.first().is_some_and(|b| b % 2 == 1);
+    if damages_block {
         for at in 0..9 {
             writer
                 .push(&TimedRecord {
                     at,
                     record: Record::Stopped,
                 })
-                .expect("a record");
+                .expect("record can be written");
         }
-        writer.finish().expect("an index");
+        writer.finish().expect("index can be written");
     }
     drop(writer);
-    if damage {
+    if damages_block {
         for change in data[1..].chunks_exact(3) {
             let at = usize::from(u16::from_le_bytes([change[0], change[1]])) % bytes.len();
             bytes[at] ^= change[2];
@@ -50,7 +51,7 @@
     };
     let _ = reader.read_index();
     let mut summary = Summary::new(&reader.header);
-    while let Some(part) = reader.next_part().expect("only damage") {
+    while let Some(part) = reader.next_part().expect("damage is not an error") {
         match part {
             Part::Block { records, .. } => {
                 assert!(records.len() <= 9);
