--- a/crates/engine/src/api.rs
+++ b/crates/engine/src/api.rs
@@ -7,14 +7,14 @@
 use crate::ids::ActorKey;
 use crate::problem::Problem;
 
-/// Actors in a page if the client gives no limit.
+/// Number of actors in a page if the client gives no limit.
 const DEFAULT_PAGE_SIZE: u64 = 100;
 const MAX_PAGE_SIZE: u64 = 1000;
-/// Longest name of a service, actor or request.
+/// Maximum length of the name of a service, actor or request.
 const MAX_NAME_BYTES: usize = 200;
-/// Shortest budget that is accepted.
+/// Minimum budget of a placement request.
 const MIN_BUDGET_MS: u64 = 20;
-/// Most cores, or GiB of memory, that a request may be for.
+/// Maximum number of cores, or GiB of memory, of a placement request.
 const MAX_AMOUNT: f64 = 1e6;
 
 /// The body of a placement request. The parser's error messages, which clients see, name this type and its fields.
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -114,7 +114,7 @@
         if is_first {
             // Decision times do not include the time for which a request was blocked.
             if request.awaits_first_turn {
-                self.decided_arrivals.push(request.received_at);
+                self.first_offer_arrivals.push(request.received_at);
             } else {
                 self.counters.blocked += 1;
             }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -51,7 +51,7 @@
     pub(crate) requests_this_turn: usize,
     /// Whether the caller was stalled before this turn.
     pub(crate) is_after_stall: bool,
-    /// Input that is read now may have been waiting since this time.
+    /// The earliest time at which input that is read now may have arrived.
     pub(crate) unread_since: Option<Micros>,
     /// Unanswered requests in the order of their deadlines.
     pub(crate) deadlines: BTreeSet<(Micros, TaskId)>,
@@ -85,7 +85,7 @@
     pub(crate) counters: Counters,
     pub(crate) is_stopping: bool,
     /// Arrival times of requests whose first offer was sent in their first turn, until the caller takes them.
-    pub(crate) decided_arrivals: Vec<Micros>,
+    pub(crate) first_offer_arrivals: Vec<Micros>,
     pub(crate) gauges: serde_json::Value,
     pub(crate) audit_log: AuditLog,
 }
@@ -136,7 +136,7 @@
             recent_events: RecentEvents::new(api.max_kept_events),
             counters: Counters::default(),
             is_stopping: false,
-            decided_arrivals: Vec::new(),
+            first_offer_arrivals: Vec::new(),
             gauges: serde_json::Value::Null,
             audit_log: AuditLog::default(),
             config,
@@ -190,7 +190,7 @@
     /// Takes the arrival times, in µs, of the requests whose first offer was sent since the last call. Requests that
     /// were not offered in their first turn are left out.
     pub fn take_first_offer_arrivals(&mut self) -> Vec<Micros> {
-        std::mem::take(&mut self.decided_arrivals)
+        std::mem::take(&mut self.first_offer_arrivals)
     }
 
     /// Starts to keep audit entries, for a recorder that takes them with [`Engine::take_audit_entries`] around each
@@ -223,8 +223,8 @@
     }
 
     /// Handles due timers, passes the received events to the decider, and carries out its actions. `is_after_stall`
-    /// means that the caller was stalled before this turn, so that the time without input does not count as silence of
-    /// hosts.
+    /// means that the caller was stalled before this turn, so that the time without input does not count towards the
+    /// silence time-outs of hosts.
     pub fn turn(&mut self, now: Micros, is_after_stall: bool) {
         self.now = self.now.max(now);
         self.is_after_stall = is_after_stall;
@@ -262,7 +262,7 @@
         self.now.saturating_sub(due.unwrap_or(self.now))
     }
 
-    /// Whether a task counts as placed once a host has accepted it; otherwise it does once it has started.
+    /// Whether a task counts as placed once a host has accepted it; otherwise it counts as placed once it has started.
     pub(crate) fn is_placed_on_acceptance(&self) -> bool {
         self.config.placement.acceptance_point == AcceptancePoint::Accepted
     }
--- a/crates/engine/src/followers.rs
+++ b/crates/engine/src/followers.rs
@@ -16,7 +16,7 @@
 use crate::problem::Problem;
 use crate::timer::Timer;
 
-/// Bytes of events that may be unread by a follower; further events stay in the buffer.
+/// Maximum number of sent bytes that a follower has not read; further events stay in the buffer.
 const MAX_FOLLOWER_UNREAD_BYTES: usize = 64 << 10;
 /// Interval at which followers get an empty line, which shows that the connection is alive.
 const FOLLOWER_HEARTBEAT_INTERVAL: Micros = 10_000_000;
--- a/crates/engine/src/host.rs
+++ b/crates/engine/src/host.rs
@@ -12,7 +12,7 @@
 /// The state of the connection to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
-    /// There is no connection; a timer starts the next connection attempt.
+    /// There is no connection. If the host is in the inventory, a timer is set for the next connection attempt.
     Down,
     /// The connection is being established, or the host has not sent its greeting yet.
     Greeting,
@@ -36,14 +36,14 @@
     pub entry: MachineEntry,
     /// The state in the inventory.
     pub inventory_state: HostState,
-    /// When its process started according to the inventory, Unix time in ms.
+    /// When the host's process started according to the inventory, Unix time in ms.
     pub inventory_started_ms: Option<u64>,
-    /// When its process started according to its greeting, Unix time in ms.
+    /// When the host's process started according to its greeting, Unix time in ms.
     pub reported_started_ms: Option<u64>,
     /// Whether the host has reported that it is draining.
     pub is_draining: bool,
     pub connection: ConnectionState,
-    /// Counts connections, so that timers of an earlier connection can be ignored.
+    /// Number of connections started so far, so that timers of an earlier connection can be ignored.
     pub connection_epoch: u64,
     /// The value of `connection_epoch` when the host last returned to the inventory. Timers of connections up to this
     /// one are ignored.
--- a/crates/engine/src/lifecycle.rs
+++ b/crates/engine/src/lifecycle.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-/// One event in the life cycle of an actor, as it is sent to followers.
+/// A life-cycle event of an actor, in the JSON form in which clients that follow events receive it.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct LifecycleEvent {
     /// Sequence number, one more than that of the previous event.
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -17,7 +17,7 @@
 use crate::problem::{Problem, json_response};
 use crate::sessions::duplicate_policy;
 
-/// Client requests that may wait for the answer to one placement request.
+/// Maximum number of client requests that wait for the answer to one placement request.
 const MAX_WAITERS: usize = 64;
 
 impl<D: Decide> Engine<D> {
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -76,8 +76,8 @@
             (ConnectionState::Syncing, Frame::Held(offer, is_running)) => {
                 self.handle_held_task(id, &offer, is_running);
             }
-            // Since protocol 1.1 a host reports the end of a task that ended while there was no connection, so that the
-            // task does not count as lost.
+            // Since protocol 1.1 a host also reports tasks that ended while it was disconnected. Otherwise they would be
+            // missing from its list and count as lost.
             (ConnectionState::Syncing, frame @ Frame::Ended(..)) => {
                 self.handle_attempt_frame(id, frame);
             }
@@ -199,8 +199,8 @@
     /// The key of an attempt that a host reports on, if it is recorded at that host.
     fn attempt_at(&self, host: HostId, attempt: u64) -> Option<AttemptKey> {
         let key = AttemptKey(attempt);
-        let is_there = self.attempts.get(&key).is_some_and(|a| a.host == host);
-        is_there.then_some(key)
+        let is_at_host = self.attempts.get(&key).is_some_and(|a| a.host == host);
+        is_at_host.then_some(key)
     }
 
     fn handle_ended(
@@ -218,7 +218,7 @@
             Reason::Completed => AttemptOutcome::Completed,
             Reason::Error => AttemptOutcome::Error,
             Reason::Stopped => AttemptOutcome::Cancelled,
-            // The host gave it up before it ran and before it was placed.
+            // The host dropped the task before it ran and before it was placed.
             _ if !has_run && !is_placed => AttemptOutcome::Rejected,
             _ => AttemptOutcome::Disconnected,
         };
--- a/crates/engine/src/sessions/heartbeats.rs
+++ b/crates/engine/src/sessions/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to hosts and disconnection of silent hosts, as [`maplethread_liveness`] decides.
+//! Heartbeats to hosts and disconnection of unresponsive hosts, as [`maplethread_liveness`] decides.
 
 use maplethread_liveness::{Activity, DueAction};
 use maplethread_wire::frame::Frame;
@@ -10,7 +10,8 @@
 use crate::ids::HostId;
 
 impl<D: Decide> Engine<D> {
-    /// Sends the heartbeats that are due, and drops connections to hosts that have been silent for too long.
+    /// Sends the heartbeats that are due, and drops connections to hosts from which nothing was received within
+    /// the silence time-out.
     pub(crate) fn send_due_heartbeats(&mut self) {
         for due in self.liveness.take_due(self.now, self.is_after_stall) {
             match due {
--- a/crates/engine/src/turn_latency.rs
+++ b/crates/engine/src/turn_latency.rs
@@ -9,12 +9,13 @@
 const LATE_TURN_THRESHOLD: Micros = 100_000;
 /// Late turns over at least this time are an overload, µs; over a shorter time they are a burst or a pause.
 const OVERLOAD_AFTER: Micros = 250_000;
-/// Lateness counts up to this, µs: more is a pause of the process, which does not predict the lateness of the next
-/// turn.
+/// Maximum lateness that is recorded, µs. A longer delay is a pause of the process, which does not predict the lateness
+/// of the next turn.
 const MAX_LATENESS: Micros = 250_000;
-/// Answers are due at least this long before their deadlines, µs, as any turn may take that long.
+/// Minimum time between when an answer is due and its deadline, µs: any turn may take that long.
 const MIN_ANSWER_MARGIN: Micros = 50_000;
-/// How long a late turn counts, µs: late turns further apart than this are no overload.
+/// How long the lateness of a turn sets the answer margin, µs. Late turns further apart than this are not part of the
+/// same overload.
 const LATENESS_WINDOW: Micros = 500_000;
 
 /// Under overload a request is rejected if its budget is less than this multiple of the margin by which its answer is
@@ -57,8 +58,8 @@
         }
     }
 
-    /// How long before a deadline its answer is due. Three times the recent lateness: the next turn may be as late,
-    /// writing its answers may take as long, and turns may be getting longer.
+    /// How long before a deadline its answer is due: three times the recent lateness, because the next turn may be as
+    /// late, writing its answers may take as long, and turns may be getting longer.
     pub fn answer_margin(&self) -> Micros {
         (3 * self.max_recent_lateness).max(MIN_ANSWER_MARGIN)
     }
--- a/crates/engine/tests/api_responses.rs
+++ b/crates/engine/tests/api_responses.rs
@@ -7,8 +7,8 @@
 use maplethread_wire::frame::{self, Frame, Reason};
 use support::NOW;
 
-/// The output of a build from before the engine's files were split. `API_RESPONSES_OUT` names a file to which a test
-/// run writes output that differs.
+/// The recorded output of an earlier build. If the output differs, the test writes it to the file that the environment
+/// variable `API_RESPONSES_OUT` names.
 const RECORDED: &str = include_str!("fixtures/api_responses.txt");
 const HOST: HostId = HostId(0);
 
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! Deadlines hold whatever the decider does, and however long the caller was stalled.
+//! Each request is answered before its deadline, also if the decider never answers or the caller was stalled.
 
 mod support;
 
@@ -8,12 +8,12 @@
 
 const CLIENT: ClientId = ClientId(1);
 
-/// Never answers, and may forbid the engine to answer at the deadline.
-struct SilentDecider {
+/// A decider that never answers a request. It sets whether the engine answers in its place before the deadline.
+struct UnresponsiveDecider {
     allows_deadline_answers: bool,
 }
 
-impl Decide for SilentDecider {
+impl Decide for UnresponsiveDecider {
     fn turn(&mut self, _: Micros, _: &[Event], _: &mut Vec<Action>) {}
 
     fn allows_deadline_answers(&self) -> bool {
@@ -21,11 +21,11 @@
     }
 }
 
-fn engine(allows_deadline_answers: bool) -> Engine<SilentDecider> {
+fn engine(allows_deadline_answers: bool) -> Engine<UnresponsiveDecider> {
     let config = support::config();
     let mut engine = Engine::new(
         config,
-        SilentDecider {
+        UnresponsiveDecider {
             allows_deadline_answers,
         },
         support::start_info(),
@@ -49,7 +49,7 @@
         .into_bytes()
 }
 
-fn take_client_text(engine: &mut Engine<SilentDecider>) -> String {
+fn take_client_text(engine: &mut Engine<UnresponsiveDecider>) -> String {
     let texts = engine.take_outputs().into_iter().filter_map(|o| match o {
         Output::ToClient(_, bytes) => Some(String::from_utf8_lossy(&bytes).into_owned()),
         _ => None,
@@ -58,7 +58,7 @@
 }
 
 /// Runs all timers up to `until`. Returns when the client was sent something, and what.
-fn run_until_answer(engine: &mut Engine<SilentDecider>, until: u64) -> Option<(u64, String)> {
+fn run_until_answer(engine: &mut Engine<UnresponsiveDecider>, until: u64) -> Option<(u64, String)> {
     while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
         engine.turn(at, false);
         let text = take_client_text(engine);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn request_left_open_by_decider_is_answered_before_deadline_and_counted() {
+fn request_unanswered_by_decider_is_answered_before_deadline_and_counted() {
     let mut engine = engine(true);
     engine.client_bytes(NOW, CLIENT, &request_bytes(1000));
     engine.turn(NOW, false);
@@ -93,10 +93,13 @@
         (1, 1, 0)
     );
     // A decider that forbids deadline answers leaves the request without an answer.
-    let mut silent = self::engine(false);
-    silent.client_bytes(NOW, CLIENT, &request_bytes(1000));
-    silent.turn(NOW, false);
-    assert_eq!(run_until_answer(&mut silent, NOW + 3_000_000), None);
+    let mut without_deadline_answers = self::engine(false);
+    without_deadline_answers.client_bytes(NOW, CLIENT, &request_bytes(1000));
+    without_deadline_answers.turn(NOW, false);
+    assert_eq!(
+        run_until_answer(&mut without_deadline_answers, NOW + 3_000_000),
+        None
+    );
 }
 
 #[test]
@@ -165,7 +168,7 @@
     assert_eq!(
         engine.pending_requests(),
         1,
-        "the first request still waits"
+        "the first request is still pending"
     );
     engine.client_bytes(NOW, third, &cancel("first"));
     engine.turn(NOW, false);
--- a/crates/engine/tests/heartbeats.rs
+++ b/crates/engine/tests/heartbeats.rs
@@ -11,7 +11,8 @@
 use support::NOW;
 
 const SECOND_US: u64 = 1_000_000;
-/// The default settings. The rate is 40 a second, plus two as a turn may be late.
+// The default settings of a placer. `MAX_IDLE_PINGS_PER_SECOND` is the default rate of 40, plus two because a turn may
+// be late.
 const PING_INTERVAL_US: u64 = SECOND_US;
 const SILENCE_TIMEOUT_US: u64 = 3 * SECOND_US;
 const MAX_IDLE_PINGS_PER_SECOND: usize = 42;
@@ -40,9 +41,9 @@
     engine: Engine<OfferToChosen>,
     now: u64,
     hosts: u32,
-    silent: BTreeSet<HostId>,
+    unresponsive: BTreeSet<HostId>,
     running: BTreeMap<HostId, Vec<u64>>,
-    to_greet: Vec<HostId>,
+    hosts_to_greet: Vec<HostId>,
     pings: Vec<(u64, HostId)>,
     disconnected: Vec<(u64, HostId)>,
     offered: Vec<u64>,
@@ -72,9 +73,9 @@
             engine: Engine::new(config, OfferToChosen(offer_timeout), start, NOW),
             now: NOW,
             hosts,
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             running: BTreeMap::new(),
-            to_greet: Vec::new(),
+            hosts_to_greet: Vec::new(),
             pings: Vec::new(),
             disconnected: Vec::new(),
             offered: Vec::new(),
@@ -106,7 +107,7 @@
             outputs
                 .into_iter()
                 .for_each(|output| self.apply_output(output));
-            let connected: Vec<HostId> = self.to_greet.drain(..).collect();
+            let connected: Vec<HostId> = self.hosts_to_greet.drain(..).collect();
             for id in connected {
                 self.engine.host_connected(self.now, id);
             }
@@ -115,7 +116,9 @@
 
     fn apply_output(&mut self, output: Output) {
         match output {
-            Output::Connect(id, _) if !self.silent.contains(&id) => self.to_greet.push(id),
+            Output::Connect(id, _) if !self.unresponsive.contains(&id) => {
+                self.hosts_to_greet.push(id)
+            }
             Output::ToHost(id, bytes) => {
                 let (frame, _) = frame::decode(&bytes).expect("valid frame");
                 self.deliver_to_host(id, frame.expect("one complete frame"));
@@ -131,7 +134,7 @@
             Frame::Offer(_) => self.offered.push(self.now),
             _ => {}
         }
-        if self.silent.contains(&id) {
+        if self.unresponsive.contains(&id) {
             return;
         }
         match frame {
@@ -248,7 +251,7 @@
 }
 
 #[test]
-fn host_with_task_is_pinged_every_interval_and_disconnected_after_silence() {
+fn host_with_task_is_pinged_every_interval_and_disconnected_when_unresponsive() {
     let mut fleet = SimulatedHosts::new(1300, SECOND_US);
     fleet.run_for(30 * SECOND_US);
     fleet.send_request();
@@ -257,20 +260,20 @@
     fleet.run_for(20 * SECOND_US);
     let pings = fleet.pings_to(CHOSEN, placed);
     assert!((18..=20).contains(&pings), "{pings} heartbeats in 20 s");
-    fleet.silent.insert(CHOSEN);
-    let silent_from = fleet.now;
+    fleet.unresponsive.insert(CHOSEN);
+    let unresponsive_from = fleet.now;
     fleet.run_for(SILENCE_TIMEOUT_US + PING_INTERVAL_US);
     assert_eq!(fleet.disconnected.len(), 1);
     let (at, id) = fleet.disconnected[0];
-    assert!(id == CHOSEN && at <= silent_from + SILENCE_TIMEOUT_US + PING_INTERVAL_US);
+    assert!(id == CHOSEN && at <= unresponsive_from + SILENCE_TIMEOUT_US + PING_INTERVAL_US);
 }
 
 #[test]
-fn dead_idle_host_is_disconnected_after_offer_even_if_offer_is_abandoned() {
+fn unresponsive_idle_host_is_disconnected_after_offer_even_if_offer_is_abandoned() {
     for offer_timeout in [300_000, 10 * SECOND_US] {
         let mut fleet = SimulatedHosts::new(1300, offer_timeout);
         fleet.run_for(10 * SECOND_US);
-        fleet.silent.insert(CHOSEN);
+        fleet.unresponsive.insert(CHOSEN);
         fleet.send_request();
         let offered = fleet.offered[0];
         fleet.run_for(SILENCE_TIMEOUT_US + PING_INTERVAL_US);
@@ -306,10 +309,10 @@
 }
 
 #[test]
-fn silent_idle_host_is_disconnected_after_its_turn() {
+fn unresponsive_idle_host_is_disconnected_after_its_turn() {
     let mut fleet = SimulatedHosts::new(1300, SECOND_US);
     fleet.run_for(50 * SECOND_US);
-    fleet.silent.insert(HostId(700));
+    fleet.unresponsive.insert(HostId(700));
     // The ping interval of 1 s, and a turn of 25 ms for each of the 1300 hosts.
     fleet.run_for(SECOND_US + 1300 * 25_000 + SILENCE_TIMEOUT_US);
     // The host does not answer on new connections either, so that it may be disconnected several times.
--- a/crates/engine/tests/overload.rs
+++ b/crates/engine/tests/overload.rs
@@ -122,7 +122,7 @@
     }
 
     /// Asserts that every client whose deadline has passed got a response before it.
-    fn assert_in_time(&self) {
+    fn assert_answered_in_time(&self) {
         for (client, sent_at) in &self.sent_at {
             let deadline = sent_at + BUDGET_MS * 1000;
             if deadline < self.now {
@@ -142,7 +142,7 @@
     for turn_duration in [1_000, 20_000, 45_000, 60_000, 90_000] {
         let mut placer = SlowPlacer::new();
         placer.run_until(NOW + 5_000_000, 10_000, |_| turn_duration);
-        placer.assert_in_time();
+        placer.assert_answered_in_time();
         assert!(
             placer.count(ClientOutcome::Answered) > 250,
             "turns of {turn_duration} us"
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn lasting_late_turns_make_placer_unavailable_until_they_end() {
+fn placer_rejects_requests_while_turns_stay_late_and_accepts_them_afterwards() {
     let mut placer = SlowPlacer::new();
     placer.run_until(NOW + 1_000_000, 10_000, |_| 1_000);
     assert_eq!(placer.count(ClientOutcome::Unavailable), 0);
@@ -176,7 +176,7 @@
     let rejected = placer.count(ClientOutcome::Unavailable);
     placer.run_until(NOW + 7_000_000, 10_000, |_| 1_000);
     assert_eq!(placer.count(ClientOutcome::Unavailable), rejected);
-    placer.assert_in_time();
+    placer.assert_answered_in_time();
 }
 
 #[test]
@@ -184,7 +184,7 @@
     let mut placer = SlowPlacer::new();
     placer.run_until(NOW + 2_000_000, 10_000, |_| 220_000);
     let before = placer.count(ClientOutcome::Unavailable);
-    assert!(before > 0, "turns run late");
+    assert!(before > 0, "late turns must cause rejections first");
     let accepted = placer.engine.counters().requests;
     let client = ClientId(1_000_000);
     placer.engine.client_opened(placer.now, client);
@@ -214,7 +214,7 @@
     assert!(placer.count(ClientOutcome::Answered) > 200);
 }
 
-/// Records the requests of each turn, and answers none.
+/// A decider that records the requests of each turn, and answers none.
 struct RecordingDecider(Rc<RefCell<Vec<Vec<TaskId>>>>);
 
 impl Decide for RecordingDecider {
--- a/crates/engine/tests/placements_per_turn.rs
+++ b/crates/engine/tests/placements_per_turn.rs
@@ -1,5 +1,5 @@
-//! More requests than one turn places: all other events of the turn are taken into account before any of them is
-//! placed.
+//! If there are more requests than one turn places, all other events of the turn reach the decider before any of the
+//! requests is placed.
 
 mod support;
 
@@ -88,7 +88,7 @@
     (1..=REQUESTS).for_each(|number| send_request(&mut engine, number));
     (1..=REQUESTS).for_each(|number| engine.client_closed(NOW, ClientId(number)));
     let [to_first, to_other] = count_offers(&mut engine);
-    // Requests reach the decider in the same turn as the end of their clients.
+    // The decider gets each request in the same turn as the disconnection of its client.
     assert_eq!(to_first + to_other, 0);
     assert_eq!(engine.pending_requests(), 0);
 }
--- a/crates/engine/tests/returning_hosts.rs
+++ b/crates/engine/tests/returning_hosts.rs
@@ -12,7 +12,7 @@
 use maplethread_wire::frame::{self, Frame, Offer, Reason};
 use support::NOW;
 
-/// What the decider has recorded: the machines, the number of running tasks, and the outcomes of attempts.
+/// What the events of a decider have reported: the machines, the number of running tasks, and the outcomes of attempts.
 #[derive(Default)]
 struct Observations {
     machines: BTreeSet<MachineId>,
@@ -20,7 +20,7 @@
     outcomes: Vec<AttemptOutcome>,
 }
 
-/// Records what it observes, and offers each request to the first machine.
+/// A decider that records its events, and offers each request to the first machine.
 struct RecordingDecider(Rc<RefCell<Observations>>);
 
 impl Decide for RecordingDecider {
@@ -190,7 +190,7 @@
     assert_eq!(
         observations.borrow().running,
         1,
-        "the task counts while it runs"
+        "the task counts as running until the host has stopped it"
     );
     receive_frames(
         &mut engine,
--- a/crates/engine/tests/simulated/main.rs
+++ b/crates/engine/tests/simulated/main.rs
@@ -1,6 +1,7 @@
-//! The engine with the placement policy under a simulated clock and network. Hosts accept, reject, stay silent, lose
-//! connections and restart, and clients send requests and disconnect, all derived from one seed. Every request gets one
-//! answer, no state is left over, and equal seeds give equal bytes.
+//! The engine with the placement policy under a simulated clock and network. Hosts accept and reject offers, become
+//! unresponsive, lose connections and restart, and clients send requests and disconnect, all derived from one seed. Checks
+//! that every request gets one answer, that the engine keeps no state of finished requests, and that equal seeds give
+//! equal output bytes.
 
 mod simulation;
 
@@ -38,7 +39,10 @@
             "seed {seed}"
         );
     }
-    assert!(placed > 500, "only {placed} placed");
+    assert!(
+        placed > 500,
+        "only {placed} requests were answered with a placement"
+    );
 }
 
 #[test]
--- a/crates/engine/tests/simulated/simulation.rs
+++ b/crates/engine/tests/simulated/simulation.rs
@@ -73,8 +73,8 @@
 pub struct SimulatedHost {
     connection: Option<u64>,
     inbox: Vec<u8>,
-    started: u64,
-    silent: bool,
+    started_ms: u64,
+    unresponsive: bool,
     running: BTreeMap<u64, Offer>,
 }
 
@@ -137,7 +137,7 @@
         engine.apply_inventory(START_US, &inventory);
         let hosts = (0..HOSTS)
             .map(|_| SimulatedHost {
-                started: START_US / 1000,
+                started_ms: START_US / 1000,
                 ..SimulatedHost::default()
             })
             .collect();
@@ -166,7 +166,7 @@
         self.events.schedule(self.now + after, event);
     }
 
-    /// Runs for `seconds` with requests and faults, and then for up to 20 s without.
+    /// Runs for `seconds` with new requests and faults, and then for up to 20 s without either.
     pub fn run(&mut self, seconds: u64) {
         let end = START_US + seconds * 1_000_000;
         for n in 0..seconds * 40 {
@@ -312,8 +312,8 @@
                     self.engine.client_closed(self.now, id);
                 }
             }
-            SimEvent::TaskEnds(host, attempt, started) => {
-                if self.hosts[host].started == started
+            SimEvent::TaskEnds(host, attempt, started_ms) => {
+                if self.hosts[host].started_ms == started_ms
                     && self.hosts[host].running.remove(&attempt).is_some()
                 {
                     self.send_from_host(
@@ -360,7 +360,7 @@
             Frame::Cancel(attempt) | Frame::Stop(attempt) => self.remove_attempt(*attempt),
             _ => {}
         }
-        if self.hosts[number].silent {
+        if self.hosts[number].unresponsive {
             if let Frame::Offer(offer) = &frame {
                 self.possibly_started.insert(offer.request_id.clone());
             }
@@ -369,7 +369,7 @@
         match frame {
             Frame::Hello { .. } => {
                 let (major, minor, name) = (frame::MAJOR, frame::MINOR, format!("h{number}"));
-                let started_ms = self.hosts[number].started;
+                let started_ms = self.hosts[number].started_ms;
                 self.send_from_host(
                     id,
                     Frame::Hello {
@@ -392,11 +392,11 @@
             }
             Frame::Offer(offer) => {
                 let attempt = offer.attempt_id;
-                let draw = self.below(10);
-                if draw != 1 {
+                let behaviour = self.below(10);
+                if behaviour != 1 {
                     self.possibly_started.insert(offer.request_id.clone());
                 }
-                match draw {
+                match behaviour {
                     0 => {}
                     1 => {
                         self.remove_attempt(attempt);
@@ -410,11 +410,11 @@
                         self.hosts[number].running.insert(attempt, offer);
                         self.send_from_host(id, Frame::Accepted(attempt, 1));
                         self.send_from_host(id, Frame::Started(attempt, 2));
-                        let (duration, started) =
-                            (self.below(3_000_000), self.hosts[number].started);
+                        let (duration, started_ms) =
+                            (self.below(3_000_000), self.hosts[number].started_ms);
                         self.events.schedule(
                             self.now + 1000 + duration,
-                            SimEvent::TaskEnds(number, attempt, started),
+                            SimEvent::TaskEnds(number, attempt, started_ms),
                         );
                     }
                 }
@@ -445,7 +445,7 @@
     fn send_request(&mut self, n: u64) {
         let id = ClientId(n + 1);
         let class = ["safe", "keyed", "unsafe"][self.below(3) as usize];
-        // Some actors are requested twice.
+        // Of each even and odd pair of numbers, some request the same actor.
         let actor = n - n % (1 + self.below(2));
         let budget = 300 + self.below(1500);
         let body = format!(
@@ -486,30 +486,31 @@
         let id = HostId(number as u32);
         let host = &mut self.hosts[number];
         match self.rng.next_u64() % 4 {
-            0 => host.silent = true,
+            0 => host.unresponsive = true,
             1 => {
                 // The host restarts and loses all its tasks.
-                host.silent = false;
-                host.started = self.now / 1000;
+                host.unresponsive = false;
+                host.started_ms = self.now / 1000;
                 host.running.clear();
                 if let Some(connection) = host.connection {
                     self.schedule(SimEvent::Lost(id, connection));
                 }
             }
             2 => {
-                host.silent = false;
+                host.unresponsive = false;
                 if let Some(connection) = host.connection {
                     self.schedule(SimEvent::Lost(id, connection));
                 }
             }
-            _ => host.silent = false,
+            _ => host.unresponsive = false,
         }
     }
 
-    /// Ends all faults and all running tasks, and runs for up to 30 s. No state may be left afterwards.
+    /// Ends all faults and all running tasks, and runs for up to 30 s, after which the engine must hold no request, attempt
+    /// or actor.
     pub fn run_until_settled(&mut self) {
         for number in 0..HOSTS {
-            self.hosts[number].silent = false;
+            self.hosts[number].unresponsive = false;
         }
         let end = self.now + 30_000_000;
         for number in 0..HOSTS {
@@ -519,10 +520,10 @@
                 .copied()
                 .collect::<Vec<_>>()
             {
-                let started = self.hosts[number].started;
+                let started_ms = self.hosts[number].started_ms;
                 self.events.schedule(
                     self.now + 1000,
-                    SimEvent::TaskEnds(number, attempt, started),
+                    SimEvent::TaskEnds(number, attempt, started_ms),
                 );
             }
         }
--- a/crates/engine/tests/warm_up_offers.rs
+++ b/crates/engine/tests/warm_up_offers.rs
@@ -1,5 +1,5 @@
-//! Rule 4 if the caller pauses between a decision and writing it: an offer to a cold host counts from when it is
-//! written.
+//! Rule 4 limits the offers to a cold host within a window. If the caller pauses between a decision and writing it, the
+//! offer counts from when it is written.
 
 mod support;
 
@@ -12,7 +12,7 @@
 const HOST: HostId = HostId(0);
 const SECOND_US: u64 = 1_000_000;
 
-/// Offers each task to the only host as soon as it is requested.
+/// A decider that offers each task to the only host in the turn in which it is requested.
 struct OfferAtOnce;
 
 impl Decide for OfferAtOnce {
@@ -53,7 +53,7 @@
         r#"{{"service":"s","actor":"{number}","class":"web-api","cores":1,"memory_gib":1,"budget_ms":9000}}"#
     );
     let request = support::post_actor("", &body);
-    // A sign of activity, so that the host is not disconnected for silence.
+    // Counts as activity of the host, so that the silence time-out does not disconnect it.
     let mut pong = Vec::new();
     frame::encode(&Frame::Pong(0), &mut pong);
     engine.host_bytes(now, HOST, &pong);
@@ -77,7 +77,7 @@
     let mut engine = engine(&config);
     // Decided at `NOW`, and written after a pause of 1 s.
     assert!(is_offered(&mut engine, 1, NOW, NOW + SECOND_US));
-    // For the decider the window is over; for the host it is not.
+    // The window is over from the time of the decision, but not from the time of writing.
     let past_window = NOW + window + 1;
     assert!(!is_offered(&mut engine, 2, past_window, past_window));
     assert!(!is_offered(
--- a/crates/liveness/src/host.rs
+++ b/crates/liveness/src/host.rs
@@ -19,9 +19,9 @@
     last_activity: Micros,
     /// When something other than the answer to a heartbeat was last received.
     last_traffic: Micros,
-    /// The time from which its silence counts; `None` while the host is idle and no answer is outstanding.
-    silent_since: Option<Micros>,
-    /// The next tick, while silence counts.
+    /// When the silence time-out was last started; `None` while the host is idle and no answer is outstanding.
+    timeout_started_at: Option<Micros>,
+    /// The next tick, while the silence time-out is running.
     next_tick: Option<Micros>,
     /// Number of heartbeats without an answer.
     unanswered_heartbeats: u32,
@@ -36,7 +36,7 @@
             in_use: true,
             last_activity: now,
             last_traffic: now,
-            silent_since: Some(now),
+            timeout_started_at: Some(now),
             next_tick: Some(first_tick),
             unanswered_heartbeats: 0,
             awaits_activity: false,
@@ -52,53 +52,53 @@
             .map_or(Queue::Idle(self.last_activity), Queue::Tick)
     }
 
-    /// Marks the host as in use. If its silence counted already, it still counts from the same time.
+    /// Marks the host as in use, and starts the silence time-out unless it is running already.
     pub fn mark_in_use(&mut self, now: Micros, settings: &Settings) {
         if self.in_use {
             return;
         }
         self.in_use = true;
         self.awaits_activity = true;
-        self.silent_since.get_or_insert(now);
+        self.timeout_started_at.get_or_insert(now);
         self.next_tick.get_or_insert(now + settings.ping_interval);
     }
 
     /// Marks the host as idle.
     pub fn mark_idle(&mut self) {
         self.in_use = false;
-        self.stop_monitoring_if_answered();
+        self.stop_timeout_if_answered();
     }
 
     /// Records that something was received from the host.
     pub fn record_activity(&mut self, now: Micros, activity: Activity) {
         self.last_activity = now;
         self.awaits_activity = false;
-        self.silent_since = self.silent_since.map(|_| now);
+        self.timeout_started_at = self.timeout_started_at.map(|_| now);
         match activity {
             Activity::Answer => {
                 self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_sub(1)
             }
             Activity::Traffic => self.last_traffic = now,
         }
-        self.stop_monitoring_if_answered();
+        self.stop_timeout_if_answered();
     }
 
-    /// Stops counting the silence of a host that is idle and has no answer outstanding, until its next heartbeat.
-    fn stop_monitoring_if_answered(&mut self) {
+    /// Stops the silence time-out of a host that is idle and has no answer outstanding, until its next heartbeat.
+    fn stop_timeout_if_answered(&mut self) {
         if !self.in_use && !self.awaits_activity && self.unanswered_heartbeats == 0 {
-            (self.silent_since, self.next_tick) = (None, None);
+            (self.timeout_started_at, self.next_tick) = (None, None);
         }
     }
 
-    /// Restarts the silence at `now`, as the caller was stalled before.
-    pub fn reset_silence(&mut self, now: Micros) {
+    /// Restarts a running silence time-out at `now`, because the caller was stalled and could not read the host's input.
+    pub fn restart_timeout(&mut self, now: Micros) {
         self.last_activity = now;
-        self.silent_since = self.silent_since.map(|_| now);
+        self.timeout_started_at = self.timeout_started_at.map(|_| now);
     }
 
-    /// Whether the host has been silent for the silence time-out.
-    pub fn is_silent(&self, now: Micros, settings: &Settings) -> bool {
-        self.silent_since
+    /// Whether nothing was received from the host within the silence time-out.
+    pub fn has_timed_out(&self, now: Micros, settings: &Settings) -> bool {
+        self.timeout_started_at
             .is_some_and(|since| since + settings.silence_timeout <= now)
     }
 
@@ -115,15 +115,15 @@
             .map(|tick| tick + interval * (1 + now.saturating_sub(tick) / interval));
     }
 
-    /// Records that a heartbeat is sent. The silence of an idle host counts from its first unanswered heartbeat.
+    /// Records that a heartbeat is sent. For an idle host, the first unanswered heartbeat starts the silence time-out.
     pub fn record_heartbeat(&mut self, now: Micros, settings: &Settings) {
         self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_add(1);
-        self.silent_since.get_or_insert(now);
+        self.timeout_started_at.get_or_insert(now);
         self.next_tick.get_or_insert(now + settings.ping_interval);
     }
 
-    /// Records that the last heartbeat could not be sent, so that no answer will come. The host's silence counts all
-    /// the same.
+    /// Records that the last heartbeat could not be sent, so that no answer will come. The silence time-out keeps
+    /// running, so that a host to which nothing can be sent is disconnected.
     pub fn record_unsent_heartbeat(&mut self) {
         self.unanswered_heartbeats = self.unanswered_heartbeats.saturating_sub(1);
     }
--- a/crates/liveness/src/liveness.rs
+++ b/crates/liveness/src/liveness.rs
@@ -11,7 +11,8 @@
 pub enum DueAction<K> {
     /// Send a heartbeat to the host.
     SendHeartbeat(K),
-    /// The host has been silent for too long: drop the connection. Its entry here has been removed.
+    /// Drop the connection: nothing was received from the host within [`Settings::silence_timeout`]. Its entry here has
+    /// been removed.
     Disconnect(K),
 }
 
@@ -22,7 +23,7 @@
     hosts: BTreeMap<K, Host>,
     /// Number of hosts in use.
     in_use_count: usize,
-    /// Hosts whose silence counts, by their next tick.
+    /// Hosts whose silence time-out is running, by their next tick.
     ticks: BTreeSet<(Micros, K)>,
     /// The other hosts, all of them idle, by their last activity.
     idle: BTreeSet<(Micros, K)>,
@@ -83,7 +84,7 @@
     }
 
     /// Takes the actions that are due at `now`. `stalled` means that the caller was stalled, so that the time before
-    /// `now` does not count as silence of hosts.
+    /// `now` does not count towards the silence time-outs of hosts.
     pub fn take_due(&mut self, now: Micros, stalled: bool) -> Vec<DueAction<K>> {
         let mut due = Vec::new();
         while let Some(&(tick, key)) = self.ticks.first()
@@ -135,10 +136,10 @@
         let mut due = None;
         self.update_host(key, |host, _| {
             if stalled {
-                host.reset_silence(now);
+                host.restart_timeout(now);
             }
             host.advance_tick(now, &settings);
-            if host.is_silent(now, &settings) {
+            if host.has_timed_out(now, &settings) {
                 due = Some(DueAction::Disconnect(key));
             } else if !host.had_recent_traffic(now, &settings) {
                 host.record_heartbeat(now, &settings);
--- a/crates/liveness/src/pacer.rs
+++ b/crates/liveness/src/pacer.rs
@@ -1,4 +1,4 @@
-//! The turns of idle hosts, evenly spaced in time. Missed turns are not made up for by a burst.
+//! The turns of idle hosts, evenly spaced in time. Turns that were missed during a stall are not made up for by a burst.
 
 use crate::{Micros, Settings};
 
@@ -20,8 +20,8 @@
         }
     }
 
-    /// The time between two turns among `idle` idle hosts. It follows from the rate, or is shorter if some hosts would
-    /// not get a turn within the longest interval otherwise.
+    /// The time between two turns among `idle` idle hosts. It follows from the rate, unless some hosts would then not
+    /// get a turn within the longest interval: then it is shorter.
     fn spacing(&self, idle: usize) -> Micros {
         let by_rate = SECOND_US.div_ceil(u64::from(self.settings.max_idle_pings_per_s.max(1)));
         let cycle = self
--- a/crates/liveness/tests/idle.rs
+++ b/crates/liveness/tests/idle.rs
@@ -1,10 +1,11 @@
-//! Idle hosts: the heartbeat rate over all of them is bounded, and a silent one is disconnected within a bounded time.
+//! Idle hosts: the heartbeat rate over all of them is bounded, and an unresponsive one is disconnected within a bounded
+//! time.
 
 mod support;
 
 use support::{AnswerBehaviour, MS, SECOND, SETTINGS, SimulatedHosts};
 
-/// The rate, plus one for a late turn and one because both ends of the window count.
+/// The configured rate, plus one for a late turn and one because both ends of the window count.
 const MAX_HEARTBEATS_PER_SECOND: usize = SETTINGS.max_idle_pings_per_s as usize + 2;
 
 #[test]
@@ -54,7 +55,11 @@
         .filter(|(at, _)| *at <= SETTINGS.max_idle_interval)
         .map(|(_, host)| *host)
         .collect();
-    assert_eq!(pinged.len(), 8192, "all within the longest interval");
+    assert_eq!(
+        pinged.len(),
+        8192,
+        "every host is sent a heartbeat within the longest interval"
+    );
     // The rate has to exceed its limit: 8192 hosts in 89 s.
     assert!(
         many.max_heartbeats_per_second(0) <= 95,
@@ -64,7 +69,7 @@
 }
 
 #[test]
-fn stall_with_1300_busy_hosts_sends_no_burst_to_idle_hosts() {
+fn stall_with_1300_idle_hosts_is_followed_by_no_burst_of_heartbeats() {
     for before in [SECOND / 2, 5 * SECOND, 77 * SECOND] {
         let mut fleet = SimulatedHosts::with_idle_hosts(SETTINGS, 1300);
         fleet.run_until(before);
@@ -80,15 +85,15 @@
 }
 
 #[test]
-fn silent_idle_host_is_disconnected_within_idle_interval_plus_silence_timeout() {
+fn unresponsive_idle_host_is_disconnected_within_idle_interval_plus_silence_timeout() {
     for hosts in [130, 400, 1300, 2600] {
-        for silent_from in [1, 10 * SECOND, 33 * SECOND + 7 * MS] {
+        for unresponsive_from in [1, 10 * SECOND, 33 * SECOND + 7 * MS] {
             let mut fleet = SimulatedHosts::with_idle_hosts(SETTINGS, hosts);
-            fleet.run_until(silent_from);
+            fleet.run_until(unresponsive_from);
             let host = hosts / 2;
             fleet.set_answers(host..host + 1, AnswerBehaviour::Never);
             let most = fleet.liveness.max_idle_interval() + SETTINGS.silence_timeout;
-            fleet.run_until(silent_from + most);
+            fleet.run_until(unresponsive_from + most);
             assert!(
                 fleet.disconnected_at(host).is_some(),
                 "{hosts} hosts: not disconnected within {most} us"
@@ -123,13 +128,17 @@
 }
 
 #[test]
-fn quarter_of_hosts_silent_at_once_are_disconnected_and_may_return_together() {
+fn hosts_that_become_unresponsive_at_once_are_disconnected_and_may_return_together() {
     let mut fleet = SimulatedHosts::with_idle_hosts(SETTINGS, 1300);
     fleet.run_until(50 * SECOND);
     fleet.set_answers(0..325, AnswerBehaviour::Never);
     let most = fleet.liveness.max_idle_interval() + SETTINGS.silence_timeout;
     fleet.run_until(50 * SECOND + most);
-    assert_eq!(fleet.disconnected.len(), 325, "exactly the silent hosts");
+    assert_eq!(
+        fleet.disconnected.len(),
+        325,
+        "exactly the unresponsive hosts"
+    );
     // Each unanswered heartbeat is repeated at two ticks before the host is disconnected.
     let repeats = (SETTINGS.silence_timeout / SETTINGS.ping_interval) as usize;
     assert!(fleet.max_heartbeats_per_second(0) <= MAX_HEARTBEATS_PER_SECOND * repeats);
@@ -180,7 +189,7 @@
 }
 
 #[test]
-fn silence_is_counted_when_heartbeat_could_not_be_sent() {
+fn silence_timeout_runs_when_heartbeat_could_not_be_sent() {
     let mut fleet = SimulatedHosts::new(SETTINGS);
     fleet.greet_idle(0..1);
     let turn = fleet.liveness.next_due_at().expect("a heartbeat is due");
--- a/crates/liveness/tests/in_use.rs
+++ b/crates/liveness/tests/in_use.rs
@@ -1,4 +1,4 @@
-//! Hosts in use: a silent one is disconnected no later than with heartbeats at a fixed interval, and traffic replaces
+//! Hosts in use: an unresponsive one is disconnected no later than with heartbeats at a fixed interval, and traffic replaces
 //! heartbeats.
 
 mod support;
@@ -10,44 +10,48 @@
 
 const HOST: u32 = 7;
 
-/// When a host in use is disconnected that sends traffic at these times and nothing from `silent_from` on, and the
+/// When a host in use is disconnected that sends traffic at these times and nothing from `unresponsive_from` on, and the
 /// number of heartbeats sent to it.
-fn run_adaptive(traffic: &[Micros], answer_after: Micros, silent_from: Micros) -> (Micros, usize) {
+fn run_adaptive(
+    traffic: &[Micros],
+    answer_after: Micros,
+    unresponsive_from: Micros,
+) -> (Micros, usize) {
     let mut fleet = SimulatedHosts::new(SETTINGS);
     fleet.greet(HOST);
     fleet.set_answers(HOST..HOST + 1, AnswerBehaviour::After(answer_after));
-    for &at in traffic.iter().filter(|&&at| at < silent_from) {
+    for &at in traffic.iter().filter(|&&at| at < unresponsive_from) {
         fleet.run_until(at);
         fleet.receive_traffic(HOST);
     }
-    fleet.run_until(silent_from - 1);
+    fleet.run_until(unresponsive_from - 1);
     fleet.set_answers(HOST..HOST + 1, AnswerBehaviour::Never);
-    fleet.run_until(silent_from + 20 * SECOND);
+    fleet.run_until(unresponsive_from + 20 * SECOND);
     let disconnected_at = fleet
         .disconnected_at(HOST)
-        .expect("a silent host is disconnected");
+        .expect("an unresponsive host is disconnected");
     (disconnected_at, fleet.heartbeats.len())
 }
 
 #[test]
-fn silent_host_is_disconnected_no_later_than_with_fixed_heartbeats() {
+fn unresponsive_host_is_disconnected_no_later_than_with_fixed_heartbeats() {
     let (mut saved, mut sooner_count) = (0, 0);
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut below = |n: u64| rng.next_u64() % n;
-        let silent_from = 5 * SECOND + below(10 * SECOND);
+        let unresponsive_from = 5 * SECOND + below(10 * SECOND);
         // The mean time between two frames is 50 ms to 12.8 s.
         let mean = (50 * MS) << below(9);
         let mut traffic = Vec::new();
         let mut at = 0;
-        while at < silent_from {
+        while at < unresponsive_from {
             at += 1 + below(2 * mean);
             traffic.push(at);
         }
         let answer_after = 1 + below(300 * MS);
         let mut fixed = FixedHeartbeats::greeted(0);
-        let fixed_at = fixed.disconnected_at(&traffic, answer_after, silent_from);
-        let (adaptive_at, heartbeats) = run_adaptive(&traffic, answer_after, silent_from);
+        let fixed_at = fixed.disconnected_at(&traffic, answer_after, unresponsive_from);
+        let (adaptive_at, heartbeats) = run_adaptive(&traffic, answer_after, unresponsive_from);
         assert!(
             adaptive_at <= fixed_at,
             "seed {seed}: disconnected at {adaptive_at}, at {fixed_at} with fixed heartbeats"
@@ -62,15 +66,15 @@
 
 #[test]
 fn without_traffic_heartbeats_and_disconnect_match_fixed_heartbeats() {
-    for silent_from in [
+    for unresponsive_from in [
         5 * SECOND,
         5 * SECOND + 1,
         5 * SECOND + 400 * MS,
         6 * SECOND - 1,
     ] {
         let mut fixed = FixedHeartbeats::greeted(0);
-        let fixed_at = fixed.disconnected_at(&[], 5 * MS, silent_from);
-        assert_eq!(run_adaptive(&[], 5 * MS, silent_from).0, fixed_at);
+        let fixed_at = fixed.disconnected_at(&[], 5 * MS, unresponsive_from);
+        assert_eq!(run_adaptive(&[], 5 * MS, unresponsive_from).0, fixed_at);
     }
 }
 
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn dead_idle_host_is_disconnected_after_offer_as_soon_as_busy_host() {
+fn unresponsive_idle_host_is_disconnected_after_offer_as_soon_as_host_in_use() {
     for waited in [0, 700 * MS, 5 * SECOND, 30 * SECOND] {
         let mut fleet = SimulatedHosts::with_idle_hosts(SETTINGS, 1300);
         fleet.run_until(SECOND / 2);
@@ -118,7 +122,7 @@
 }
 
 #[test]
-fn abandoned_offer_does_not_end_wait_for_sign_of_life() {
+fn silence_timeout_keeps_running_when_offers_are_abandoned() {
     let mut fleet = SimulatedHosts::with_idle_hosts(SETTINGS, 1300);
     fleet.set_answers(1299..1300, AnswerBehaviour::Never);
     fleet.run_until(2 * SECOND);
--- a/crates/liveness/tests/properties.rs
+++ b/crates/liveness/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties that hold for any sequence of events: hosts that connect, disconnect, fall silent, answer late, come into
-//! use and become idle, and stalls of the caller.
+//! Properties that hold for any sequence of events: hosts that connect, disconnect, become unresponsive, answer late,
+//! come into use and become idle, and stalls of the caller.
 
 mod support;
 
@@ -57,8 +57,8 @@
     in_use: bool,
     /// When anything was last received from the host.
     last_activity: Micros,
-    /// The same time, or that of a later stall of the caller.
-    excused_at: Micros,
+    /// The last activity or the end of the last stall of the caller, whichever is later.
+    last_activity_or_stall: Micros,
     /// When something other than an answer was last received from the host.
     last_traffic: Micros,
     /// When the first offer or heartbeat since the last activity was sent to the host.
@@ -99,7 +99,7 @@
                 let host = HostModel {
                     in_use: true,
                     last_activity: now,
-                    excused_at: now,
+                    last_activity_or_stall: now,
                     last_traffic: now,
                     unanswered_since: None,
                     is_paced: false,
@@ -156,7 +156,7 @@
         let Some(host) = self.hosts.get_mut(&key) else {
             return;
         };
-        (host.last_activity, host.excused_at) = (now, now);
+        (host.last_activity, host.last_activity_or_stall) = (now, now);
         (host.unanswered_since, host.is_paced) = (None, false);
         match activity {
             Activity::Answer => host.unanswered_heartbeats -= 1,
@@ -184,9 +184,9 @@
             }
         }
         if stalled {
-            // A stall restarts the silence of hosts whose tick was due, and need not affect other hosts.
+            // A stall restarts the time-out of hosts whose tick was due, and need not affect other hosts.
             for host in self.hosts.values_mut() {
-                host.excused_at = self.now;
+                host.last_activity_or_stall = self.now;
             }
         }
         let now = self.now;
@@ -203,7 +203,7 @@
             .hosts
             .get_mut(&key)
             .expect("heartbeats are sent only to connected hosts");
-        let was_settled = !host.in_use && host.unanswered_since.is_none();
+        let was_awaiting_turn = !host.in_use && host.unanswered_since.is_none();
         if let Some(last) = host
             .last_heartbeat
             .filter(|&last| self.stalled_at.is_none_or(|at| last > at))
@@ -221,7 +221,7 @@
         host.last_heartbeat = Some(now);
         host.unanswered_heartbeats += 1;
         host.unanswered_since.get_or_insert(now);
-        if was_settled {
+        if was_awaiting_turn {
             host.is_paced = true;
             self.paced_heartbeats.push_back(now);
             self.paced_heartbeats.retain(|&at| at + SECOND > now);
@@ -252,7 +252,7 @@
         };
         assert!(
             self.now >= since + SETTINGS.silence_timeout,
-            "disconnected after {} us of silence",
+            "disconnected after {} us without activity",
             self.now - since
         );
         assert!(
@@ -261,21 +261,27 @@
         );
     }
 
-    /// No connected host has been silent for longer than the guaranteed time.
+    /// Checks that no connected host has been inactive for longer than the guaranteed time.
     fn check_nothing_is_overdue(&self) {
         let most = SETTINGS.silence_timeout + SETTINGS.ping_interval;
-        // A host in use that becomes idle may get its turn before one that waits, each of them once.
+        // Each host in use that becomes idle may get its turn once before a host that already waits.
         let turns = SECOND.div_ceil(u64::from(SETTINGS.max_idle_pings_per_s)) * u64::from(HOSTS);
         for (key, host) in &self.hosts {
-            let silent_for = self.now - host.excused_at.max(host.unanswered_since.unwrap_or(0));
+            let inactive_for = self.now
+                - host
+                    .last_activity_or_stall
+                    .max(host.unanswered_since.unwrap_or(0));
             if host.in_use || host.unanswered_since.is_some() {
                 assert!(
-                    silent_for < most,
-                    "host {key} is silent for {silent_for} us"
+                    inactive_for < most,
+                    "host {key} is in use and inactive for {inactive_for} us"
                 );
             } else {
                 let cycle = SETTINGS.ping_interval + turns;
-                assert!(silent_for <= cycle, "host {key} waits for {silent_for} us");
+                assert!(
+                    inactive_for <= cycle,
+                    "idle host {key} got no heartbeat for {inactive_for} us"
+                );
             }
         }
     }
@@ -284,7 +290,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No host is disconnected before the silence time-out, and none stays connected beyond the guaranteed time. No
+    /// No host is disconnected before the silence time-out, and no unresponsive one stays connected beyond the time that
+    /// the settings guarantee. No
     /// heartbeat is sent within the ping interval after the previous one or after traffic. Heartbeats to idle hosts
     /// stay within the rate.
     #[test]
--- a/crates/liveness/tests/support/mod.rs
+++ b/crates/liveness/tests/support/mod.rs
@@ -192,17 +192,17 @@
     }
 
     /// When a host is disconnected that sends traffic at these times, answers heartbeats after `answer_after`, and
-    /// sends nothing from `silent_from` on.
+    /// sends nothing from `unresponsive_from` on.
     pub fn disconnected_at(
         &mut self,
         traffic: &[Micros],
         answer_after: Micros,
-        silent_from: Micros,
+        unresponsive_from: Micros,
     ) -> Micros {
         let mut traffic = traffic
             .iter()
             .copied()
-            .filter(|&at| at < silent_from)
+            .filter(|&at| at < unresponsive_from)
             .peekable();
         loop {
             let now = self.next_tick;
@@ -213,7 +213,7 @@
                 return now;
             }
             self.heartbeats += 1;
-            if now < silent_from {
+            if now < unresponsive_from {
                 self.last_activity = self.last_activity.max(now + answer_after);
             }
             self.next_tick = now + SETTINGS.ping_interval;
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -12,12 +12,12 @@
 use crate::error::Error;
 use crate::tokens::TokenAllocator;
 
-/// Bytes of a response that are read per round.
+/// Maximum number of bytes of a response that are read per round.
 const MAX_READ_BYTES_PER_ROUND: usize = 256 << 10;
-/// Bytes that are buffered per connection before they are parsed.
+/// Maximum number of bytes buffered per connection before they are parsed.
 const MAX_UNREAD_BYTES: usize = 512 << 10;
 const MAX_IDLE_CONNECTIONS: usize = 4;
-/// A call that fails immediately may cause another call; limits how often that happens within one tick.
+/// Maximum number of times that a tick executes the source's outputs. A call that fails at once may cause another call.
 const MAX_OUTPUT_ROUNDS: usize = 4;
 
 /// A call whose response is outstanding.
--- a/crates/placer/src/daemon/clients.rs
+++ b/crates/placer/src/daemon/clients.rs
@@ -15,7 +15,7 @@
     connections: HashMap<u64, TcpConnection>,
     /// Clients with bytes that the engine has not consumed yet, since they have too many requests in progress.
     backlogged: BTreeSet<u64>,
-    /// Whether the engine may consume some of those bytes now.
+    /// Whether the engine may be able to consume some of those bytes now.
     has_retriable_backlog: bool,
 }
 
@@ -24,7 +24,7 @@
         self.connections.contains_key(&token)
     }
 
-    /// Whether the engine may consume bytes that it left unconsumed before.
+    /// Whether the engine may now be able to consume bytes that it left unconsumed before.
     pub fn has_retriable_backlog(&self) -> bool {
         self.has_retriable_backlog
     }
@@ -160,7 +160,7 @@
         let flushed = connection.flush(self.event_loop.poller());
         self.engine
             .client_unread(ClientId(token), connection.unwritten_bytes());
-        // Written answers make room for further requests.
+        // The engine may have paused this client because of its unwritten output.
         self.clients.has_retriable_backlog |= self.clients.backlogged.contains(&token);
         if flushed.is_err() {
             self.disconnect_client(self.event_loop.now(), token);
--- a/crates/placer/src/daemon/lingering.rs
+++ b/crates/placer/src/daemon/lingering.rs
@@ -21,7 +21,7 @@
 pub(super) struct LingeringConnections(HashMap<u64, LingeringConnection>);
 
 impl LingeringConnections {
-    /// Whether no more connections may linger.
+    /// Whether the maximum number of lingering connections is reached.
     pub fn is_full(&self) -> bool {
         self.0.len() >= MAX_LINGERING_CONNECTIONS
     }
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -37,13 +37,15 @@
 use hosts::Hosts;
 use lingering::LingeringConnections;
 
-/// Bytes read per connection and round, so that a busy peer can't starve the others.
+/// Maximum number of bytes read per connection and round, so that a busy peer can't starve the others.
 const MAX_READ_BYTES_PER_ROUND: usize = 64 << 10;
-/// Bytes that are buffered per connection before they are parsed.
+/// Maximum number of bytes buffered per connection that the engine has not parsed yet. A client that exceeds it is not
+/// read until the engine has parsed some.
 const MAX_UNREAD_BYTES: usize = 128 << 10;
-/// Read rounds before a decision.
+/// Maximum number of read rounds before a decision.
 const MAX_READ_ROUNDS: usize = 4;
-/// Read rounds before the first decision after a stall of the process, which has to be based on all input since then.
+/// Maximum number of read rounds before the first decision after a stall of the process. That decision has to be based on
+/// all input that arrived during the stall.
 const MAX_READ_ROUNDS_AFTER_STALL: usize = 256;
 
 /// Runs a placer until it receives SIGTERM or SIGINT. `new_decider` creates the decider from the settings and a random
@@ -72,7 +74,7 @@
     daemon.serve()
 }
 
-/// The daemon's decider. Its time is measured separately from that of recording its turns.
+/// The daemon's decider. The time for decisions and the time for recording them are measured separately.
 type DaemonDecider<D> = RecordingDecider<TimedDecider<D>>;
 
 struct Daemon<D> {
@@ -84,7 +86,7 @@
     inventory_watch: Option<FileWatch>,
     consul: Option<ConsulClient>,
     membership: Option<MembershipSocket>,
-    /// This placer's index among the replicas, as last passed to the engine.
+    /// This placer's index among the replicas of the placer, as last passed to the engine.
     replica_index: Option<u32>,
     config: PlacerConfig,
     tokens: TokenAllocator,
@@ -404,7 +406,7 @@
 /// Prints the listening address on standard output.
 fn announce_address(name: &str, address: SocketAddr) {
     let mut out = std::io::stdout().lock();
-    // A closed standard output is no error: nobody reads the address then.
+    // Errors are ignored: if standard output is closed, no process waits for the address.
     let _ = writeln!(out, "maplethread placer {name} listening on {address}");
     let _ = out.flush();
 }
--- a/crates/placer/src/daemon/outputs.rs
+++ b/crates/placer/src/daemon/outputs.rs
@@ -4,7 +4,8 @@
 
 use super::Daemon;
 
-/// Executing outputs may cause further ones, for example when a connection fails; limits how often within one turn.
+/// Maximum number of times that outputs are executed per turn. Executing them may cause further ones, for example when a
+/// connection fails.
 const MAX_OUTPUT_ROUNDS: usize = 8;
 
 impl<D: Decide> Daemon<D> {
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -2,8 +2,9 @@
 //! the engine with the current time, lets the engine decide once, and writes the output. Only the engine interprets the
 //! bytes of clients and hosts.
 //!
-//! [`run`] is the whole process. The event loop is in `daemon`; everything it needs besides the engine has a module of
-//! its own: Consul ([`ConsulClient`]), the membership protocol, trace recording and measurements.
+//! [`run`] runs a placer until it is stopped by a signal. The event loop is in `daemon`. Separate modules contain what it
+//! uses besides the engine: the Consul client ([`ConsulClient`]), the membership protocol, trace recording and
+//! measurements.
 
 mod config_file;
 mod consul_client;
--- a/crates/placer/src/loop_time.rs
+++ b/crates/placer/src/loop_time.rs
@@ -1,4 +1,4 @@
-//! Time spent in each phase of the event loop, for the status response.
+//! Measures the time that the event loop spends in each of its phases, for the status response.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use maplethread_engine::Decide;
 use serde_json::{Value, json};
 
-/// Total and longest single duration of one kind of work.
+/// The total duration of a phase, and its longest duration in one round.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Phase {
     total: Duration,
@@ -50,20 +50,20 @@
     }
 }
 
-/// Time spent in each phase since startup.
+/// Time spent in each phase since startup. The phases overlap: `deciding` is a part of `turn`, and so is `updating`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LoopTime {
     /// Reading input and passing it to the engine.
     pub reading: Phase,
-    /// Applying Consul updates, counted once clients are served.
+    /// Applying Consul updates. Not counted before clients are served.
     pub updating: Phase,
-    /// Consul updates and the engine's turn.
+    /// Applying Consul updates, and the engine's turn.
     pub turn: Phase,
     /// Executing the engine's outputs and writing.
     pub writing: Phase,
-    /// The part of `turn` spent in the decider.
+    /// Deciding in the placement policy; a part of `turn`.
     pub deciding: SharedPhase,
-    /// The part of `turn` spent on passing records to the trace writer thread.
+    /// Queuing records for the trace writer thread; a part of `turn`.
     pub recording: SharedPhase,
 }
 
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -19,9 +19,10 @@
 use crate::error::Error;
 use change_log::ChangeLog;
 
-/// Datagrams read per round. Under a flood, further ones wait in the socket's receive buffer or are dropped there.
+/// Maximum number of datagrams read per round. Under a flood, further ones wait in the socket's receive buffer or are dropped there.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
-/// The announced load is rounded down to one of this many steps, so that the view can settle while the load varies.
+/// The announced load is rounded down to one of this many steps, so that small changes of the load are
+/// not sent to all members.
 const LOAD_STEPS: f64 = 4.0;
 
 /// Start time and random seed of a member.
@@ -214,7 +215,7 @@
     Ok(keys)
 }
 
-/// The error for a text of the settings that does not fit into the protocol's fields.
+/// The error for a name, zone or version that is too long for its field in the protocol.
 fn invalid_text_error(error: maplethread_membership::TextError) -> Error {
     ResourceError::of("[fleet]")(io::Error::other(error)).into()
 }
--- a/crates/placer/src/pending_writes.rs
+++ b/crates/placer/src/pending_writes.rs
@@ -1,5 +1,5 @@
-//! Connections with pending output, in the order in which they got it. Keeping the order makes the cancellation of an
-//! attempt reach its host before the next attempt reaches another host.
+//! Connections with pending output, in the order in which output was first queued for them. They are written in this
+//! order, so that the cancellation of an attempt is sent before the next attempt is offered to another host.
 
 use std::collections::HashSet;
 
--- a/crates/placer/src/stall_detection.rs
+++ b/crates/placer/src/stall_detection.rs
@@ -1,8 +1,8 @@
-//! Detects when the process itself was stalled (stopped by a signal, frozen, swapped out or without CPU time), so that
-//! the time in which it read nothing is not counted as silence of hosts and clients.
+//! Detects that the process itself was stalled (stopped by a signal, frozen, swapped out or without CPU time), so that
+//! hosts and clients are not timed out for the time in which the process read none of their input.
 //!
-//! One round of the event loop waits, reads, decides and writes. A stall shows as time that passed between two clock
-//! readings, wherever in the round it happened:
+//! One round of the event loop waits, reads, decides and writes. A stall in any of these steps is
+//! detected by comparing clock readings:
 //!
 //! - while waiting: the wait ended long after its deadline;
 //! - while reading: reading took longer than allowed;
@@ -11,9 +11,9 @@
 //! Input that arrived during a stall is still unread, so the time of a decision must not be later than the stall unless
 //! the stall is reported with the decision. All times are µs on the event loop's clock.
 
-/// Shorter pauses can't be distinguished from a busy machine, µs.
+/// Minimum duration of a pause that counts as a stall, µs. Shorter ones can't be distinguished from a busy machine.
 const MIN_STALL_US: u64 = 50_000;
-/// Reading ends after this time, so that deadlines are met even with much unread input, µs.
+/// Maximum duration of reading in one round, µs, so that deadlines are met even with much unread input.
 pub(crate) const MAX_READ_DURATION_US: u64 = 100_000;
 
 /// A wait of the event loop.
@@ -32,7 +32,7 @@
     pub at: u64,
     /// Whether the process was stalled before that.
     pub is_stalled: bool,
-    /// Input that is read now may have been waiting since then.
+    /// The earliest time at which input that is read now may have arrived.
     pub unread_since: u64,
 }
 
--- a/crates/placer/src/trace_queue.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -1,4 +1,4 @@
-//! The deciding thread's side of trace recording: turns and audit entries go into a bounded queue, which drops records
+//! The event loop's side of trace recording: turns and audit entries go into a bounded queue, which drops records
 //! when it is full instead of blocking.
 
 use std::ops::AddAssign;
@@ -70,13 +70,13 @@
     pub items: Vec<TimedItem>,
     /// Total weight of the items.
     weight: usize,
-    /// What was dropped after these items.
+    /// The loss from items that were dropped after these.
     pub lost: Loss,
     /// Whether this is the last buffer.
     pub is_stopping: bool,
 }
 
-/// The queue between the deciding thread and the writer thread.
+/// The queue between the thread of the event loop and the writer thread.
 pub(crate) struct TraceQueue {
     buffer: Mutex<TraceBuffer>,
     max_weight: usize,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Either thread holds the lock only for a few instructions.
+    /// Both threads hold the lock only for a few instructions, so that the event loop is not blocked by the writing of files.
     fn lock(&self) -> MutexGuard<'_, TraceBuffer> {
         self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -127,7 +127,7 @@
 pub(crate) struct RecordingDecider<D> {
     pub inner: D,
     pub queue: Option<Arc<TraceQueue>>,
-    /// Time that the deciding thread spends on recording.
+    /// Time that the event loop's thread spends on copying and queuing turns.
     pub phase: SharedPhase,
 }
 
--- a/crates/placer/src/trace_recorder/records.rs
+++ b/crates/placer/src/trace_recorder/records.rs
@@ -11,7 +11,8 @@
 /// The machine number of a host whose name was never recorded.
 const UNKNOWN_MACHINE: u32 = u32::MAX;
 
-/// Names that were recorded before. They are repeated so that each file can be read on its own.
+/// Names of hosts and services that were recorded in earlier files. They are repeated in each file, so that it can be
+/// read without the earlier ones.
 #[derive(Default)]
 pub(super) struct RecordedNames {
     /// Machine numbers by host name.
--- a/crates/placer/src/trace_recorder/tests.rs
+++ b/crates/placer/src/trace_recorder/tests.rs
@@ -222,18 +222,18 @@
     std::fs::write(&folder, "x").expect("the file is written");
     let mut files = TraceFiles::new(settings(&folder), header(), create_file);
     files.write(buffer_of((0..10).map(numbered_turn)));
-    std::fs::remove_file(&folder).expect("it is removed");
+    std::fs::remove_file(&folder).expect("the file is removed");
     files.retry_at = Instant::now();
     files.write(buffer_of((10..20).map(numbered_turn)));
     // The folder is removed while a file in it is being written.
-    std::fs::remove_dir_all(&folder).expect("it is removed");
+    std::fs::remove_dir_all(&folder).expect("the folder is removed");
     files.flushed_at = Instant::now() - FLUSH_INTERVAL;
     files.write(buffer_of((20..30).map(numbered_turn)));
     files.write(last_buffer_of((30..40).map(numbered_turn)));
     files.close();
     let TraceContents { turns, gaps } = read_traces(&folder);
     assert_eq!(turns, (30..40).collect::<Vec<u64>>());
-    // The removed file's own gap record is lost with it.
+    // The gap record of the first failure was in the removed file and is lost with it.
     assert_eq!(gaps, [(20, "the file was removed".to_owned())]);
 }
 
