--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -51,7 +51,7 @@
     waiting_for_start: VecDeque<u64>,
     /// Number of tasks in [`TaskStage::Starting`].
     starting_count: usize,
-    /// Programs that have stayed loaded after their last task, the one whose task ended first at the front.
+    /// Programs that have stayed loaded after their last task, in the order in which those tasks ended.
     warm_programs: VecDeque<u64>,
     is_draining: bool,
 }
@@ -159,7 +159,7 @@
         self.select_preemptions(request)
     }
 
-    /// Adds a task without a decision, such as one that an earlier process of the host had admitted.
+    /// Adds a task without deciding on it, for example one that an earlier process of the host had admitted.
     pub fn restore(
         &mut self,
         request: TaskRequest,
@@ -203,7 +203,8 @@
             .any(|task| task.request.program_id == program_id && task.stage == TaskStage::Running)
     }
 
-    /// Returns a task whose start was not carried out to the front of those waiting for a start.
+    /// Puts a task that was taken by [`Admission::next_start`] but not started back to the front of the tasks that wait to
+    /// be started.
     pub fn requeue_start(&mut self, attempt_id: u64) {
         if let Some(task) = self.starting_task(attempt_id) {
             task.stage = TaskStage::Waiting;
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -5,8 +5,8 @@
 //! processes, and the emulated hosts of the tests share it, so that both reject the same offers for the same reasons.
 //!
 //! A request passes through three steps: [`Admission::enqueue`] puts it into a bounded queue,
-//! [`Admission::decide_next`] admits or rejects the first request of the queue, and [`Admission::next_start`] hands
-//! out admitted tasks to be started, at most [`AdmissionPolicy::max_concurrent_starts`] at a time.
+//! [`Admission::decide_next`] admits or rejects the first request of the queue, and [`Admission::next_start`]
+//! returns the admitted tasks to be started, at most [`AdmissionPolicy::max_concurrent_starts`] at a time.
 //!
 //! [`protocol`] translates between these types and the frames of the host protocol.
 
--- a/crates/admission/src/policy.rs
+++ b/crates/admission/src/policy.rs
@@ -9,15 +9,15 @@
     pub cores: f64,
     /// Memory of the host, GiB.
     pub memory_gib: f64,
-    /// Tasks may request this multiple of the cores in total.
+    /// The maximum of the cores that all tasks together request, as a multiple of the host's cores.
     pub cpu_overcommit: f64,
-    /// Tasks may request this multiple of the memory in total.
+    /// The maximum of the memory that all tasks together request, as a multiple of the host's memory.
     pub memory_overcommit: f64,
-    /// The most requests that may wait for a decision.
+    /// Maximum number of requests that wait for a decision.
     pub max_queue_length: usize,
-    /// The most tasks that may be starting at the same time.
+    /// Maximum number of tasks that are being started at the same time.
     pub max_concurrent_starts: usize,
-    /// The most programs that stay loaded after their last task has ended.
+    /// Maximum number of programs that stay loaded after their last task has ended.
     pub max_warm_programs: usize,
     /// Whether a task may preempt tasks of lower priority.
     pub allows_preemption: bool,
--- a/crates/admission/src/preemption.rs
+++ b/crates/admission/src/preemption.rs
@@ -5,7 +5,7 @@
 use crate::admission::{Admission, AdmittedTask};
 use crate::request::{RejectionReason, TaskRequest};
 
-/// Sums of requests may exceed the limit by this many cores or GiB, because of rounding errors.
+/// How far a sum of requests may exceed the limit, in cores or GiB, to allow for rounding errors.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 
 /// The resource that is insufficient for a request, if tasks have requested `requested` already.
@@ -24,8 +24,8 @@
 }
 
 impl Admission {
-    /// Selects the attempts to preempt so that a request fits, and preempts no more than necessary in the order of the
-    /// candidates.
+    /// Selects the attempts to preempt so that a request fits: the first ones of the candidates, and no more than
+    /// necessary.
     ///
     /// # Errors
     /// The resource that is insufficient even if all candidates were preempted.
--- a/crates/admission/tests/admission.rs
+++ b/crates/admission/tests/admission.rs
@@ -154,7 +154,7 @@
     assert_eq!(
         host.next_start(),
         next_start(21, true),
-        "the program stayed loaded"
+        "the program is still loaded"
     );
     host.mark_running(21);
     host.remove(21, &mut keys);
@@ -166,7 +166,7 @@
     assert_eq!(
         host.next_start(),
         next_start(31, false),
-        "another program replaced it as the warm one"
+        "only the last program stays loaded"
     );
 }
 
@@ -191,7 +191,7 @@
     assert_eq!(
         host.next_start().map(|start| start.attempt_id),
         Some(2),
-        "it is started again after being requeued"
+        "a requeued task is started again"
     );
     assert_eq!(host.remove(2, &mut keys), Some(TaskStage::Starting));
     assert_eq!(host.remove(1, &mut keys), Some(TaskStage::Running));
--- a/crates/agent/src/process/signal.rs
+++ b/crates/agent/src/process/signal.rs
@@ -5,8 +5,8 @@
 use super::read_stat;
 use crate::agent::{ProcessIdentity, StopMode};
 
-/// Signals the process group of a task, unless its pid has been reused by another process. A race remains: the pid can be
-/// reused between the check and the signal.
+/// Signals the process group of a task, unless its pid has been reused by another process. A race condition
+/// remains: the pid can be reused between the check and the signal.
 pub fn signal_group(identity: ProcessIdentity, mode: StopMode) {
     let signal = match mode {
         StopMode::Graceful => Signal::TERM,
--- a/crates/agent/src/run/connections.rs
+++ b/crates/agent/src/run/connections.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of open connections; further ones are closed immediately.
 const MAX_CONNECTIONS: usize = 1024;
-/// Maximum size of the write buffer of a connection; a placer that reads too slowly and exceeds it is disconnected.
+/// Maximum size of the write buffer of a connection. A placer that reads so slowly that it is exceeded is disconnected.
 const MAX_UNWRITTEN_BYTES: usize = 4 << 20;
 /// Maximum number of bytes read from a connection for one readiness event.
 const MAX_READ_BYTES: usize = 256 << 10;
--- a/crates/agent/src/run/processes.rs
+++ b/crates/agent/src/run/processes.rs
@@ -16,7 +16,7 @@
 
 const BYTES_PER_GIB: f64 = (1u64 << 30) as f64;
 const MICROSECONDS_PER_SECOND: f64 = 1e6;
-/// Lower bound of the interval by which usage is divided.
+/// Lower bound of the interval by which usage is divided, so that the division by a very short one gives no huge usage.
 const MIN_MEASURED_SECONDS: f64 = 1e-3;
 
 /// A process whose exit is watched.
--- a/crates/agent/src/store/tests.rs
+++ b/crates/agent/src/store/tests.rs
@@ -113,7 +113,7 @@
             .expect("the table opens")
             .insert(VERSION_KEY, &9u32.to_le_bytes()[..])
             .expect("the version is written");
-        write.commit().expect("the commit works");
+        write.commit().expect("the commit succeeds");
     }
     assert!(matches!(
         Store::open(&path),
@@ -127,7 +127,7 @@
         .expect("the table opens")
         .insert(5, &[1u8, 2, 3][..])
         .expect("the row is written");
-    write.commit().expect("the commit works");
+    write.commit().expect("the commit succeeds");
     let error = store.load().expect_err("the row is damaged").to_string();
     assert!(error.contains("0000000000000005"), "{error}");
 }
--- a/crates/config/src/class.rs
+++ b/crates/config/src/class.rs
@@ -64,11 +64,12 @@
     /// The effect of starting a task a second time.
     #[serde(rename = "effect")]
     pub retry_safety: RetrySafety,
-    /// For keyed classes: which hosts recognise copies...
+    /// The hosts that recognise copies of a task. Required for keyed classes, and allowed only for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "group")]
     pub deduplication_scope: Option<DeduplicationScope>,
-    /// ...and for how long, counted from the first attempt to send.
+    /// How long these hosts recognise copies, ms, counted from the first attempt to send the task. Required for keyed
+    /// classes, and allowed only for them.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "window_ms")]
     pub deduplication_window_ms: Option<u64>,
@@ -88,11 +89,11 @@
     /// The only kind of host that runs its tasks; any kind if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub kind: Option<String>,
-    /// The topology level at which tasks of one service are limited...
+    /// The topology level over which the tasks of one service are spread. Set together with `spread_most`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "spread_over")]
     pub spread_level: Option<TopologyLevel>,
-    /// ...to this many tasks of one placer.
+    /// Maximum number of tasks of one service and one placer in a domain of that level.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "spread_most")]
     pub max_per_domain: Option<u32>,
--- a/crates/config/src/consul.rs
+++ b/crates/config/src/consul.rs
@@ -29,7 +29,7 @@
     /// A filter expression for the hosts' entries.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub filter: Option<String>,
-    /// Whether to wait for a change of the list's index alone between reads of the full list.
+    /// Whether to read only the list's index between reads of the full list, to detect changes.
     #[serde(default = "d::enabled")]
     pub watch: bool,
     /// Maximum wait of a blocking query; at most half of `rules.ask_within_ms`.
@@ -44,7 +44,7 @@
     #[serde(default = "d::max_response_bytes")]
     #[serde(rename = "max_answer_bytes")]
     pub max_response_bytes: usize,
-    /// How a host that becomes ready after repeated changes is held back.
+    /// How a host that becomes ready after repeated changes is suppressed.
     #[serde(default)]
     pub damping: DampingMode,
     /// Registration of the placers and leases of their slots; neither if missing.
@@ -65,7 +65,7 @@
     Consistent,
 }
 
-/// How a host that becomes ready after repeated changes is held back.
+/// How a host that becomes ready after repeated changes is suppressed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", expecting = "enum Damping")]
 pub enum DampingMode {
@@ -92,7 +92,7 @@
     /// TTL of the session and of the check; Consul requires at least 10 s.
     #[serde(default = "d::session_ttl_ms")]
     pub ttl_ms: u64,
-    /// How long nobody can acquire the slot of a lost session.
+    /// Consul's lock delay: how long after the end of a session its slot can't be acquired by another one.
     #[serde(default = "d::lock_delay_ms")]
     pub lock_delay_ms: u64,
 }
--- a/crates/config/src/defaults.rs
+++ b/crates/config/src/defaults.rs
@@ -125,7 +125,7 @@
 pub(crate) fn max_idle_pings_per_s() -> u32 {
     40
 }
-/// Well below the four to six minutes after which load balancers and firewalls drop idle connections.
+/// Well below four minutes: load balancers and firewalls drop idle connections after four to six minutes.
 pub(crate) fn max_idle_ping_interval_ms() -> u64 {
     90_000
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -16,10 +16,10 @@
     pub name: String,
     /// UDP address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Address that other members send to; if missing, the address that it listens on.
+    /// Address that other members send to; `listen` if missing.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub advertise: Option<SocketAddr>,
-    /// Addresses at which it looks for other members; may contain its own address.
+    /// Addresses at which the placer looks for other members; they may contain its own.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
     /// A file with the fleet's key, or with two keys while the key is changed; relative to the settings file. Reloaded
@@ -29,16 +29,16 @@
     #[serde(default = "d::probe_interval_ms")]
     #[serde(rename = "probe_every_ms")]
     pub probe_interval_ms: u64,
-    /// Time that a probed member has to answer before other members are asked to probe it.
+    /// Time within which a probed member has to answer; after it, other members are requested to probe the member.
     #[serde(default = "d::probe_timeout_ms")]
     #[serde(rename = "probe_within_ms")]
     pub probe_timeout_ms: u64,
-    /// Number of members that are asked to probe it.
+    /// Number of members that are requested to probe a member that has not answered.
     #[serde(default = "d::indirect_probes")]
     #[serde(rename = "helpers")]
     pub indirect_probes: usize,
-    /// Probe intervals that a suspected member has to refute the suspicion, multiplied by the decimal logarithm of the
-    /// fleet's size if that is above 1.
+    /// Number of probe intervals within which a suspected member can refute the suspicion. It is multiplied by the decimal
+    /// logarithm of the fleet's size if that is above 1.
     #[serde(default = "d::suspicion_multiplier")]
     #[serde(rename = "suspicion")]
     pub suspicion_multiplier: u32,
--- a/crates/config/src/inventory.rs
+++ b/crates/config/src/inventory.rs
@@ -41,11 +41,11 @@
     /// When its process last started, Unix time in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_ms: Option<u64>,
-    /// Cores that were not allocated to tasks, some time ago.
+    /// Cores that were not allocated to tasks at an earlier time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "unasked_cores")]
     pub unallocated_cores: Option<f64>,
-    /// Memory that was not allocated to tasks, some time ago.
+    /// Memory that was not allocated to tasks at an earlier time, GiB.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[serde(rename = "unasked_memory_gib")]
     pub unallocated_memory_gib: Option<f64>,
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -108,11 +108,11 @@
     #[serde(default = "d::idle_timeout_ms")]
     #[serde(rename = "idle_close_ms")]
     pub idle_timeout_ms: u64,
-    /// How long an answer is kept and repeated for its Idempotency-Key...
+    /// How long an answer is kept, ms, to be repeated for requests with the same Idempotency-Key.
     #[serde(default = "d::answer_retention_ms")]
     #[serde(rename = "answers_kept_ms")]
     pub answer_retention_ms: u64,
-    /// ...and how many answers are kept; above it, the oldest are removed.
+    /// Maximum number of answers that are kept for their Idempotency-Key; above it, the oldest are removed.
     #[serde(default = "d::max_kept_answers")]
     #[serde(rename = "answers_kept")]
     pub max_kept_answers: usize,
@@ -120,8 +120,8 @@
     #[serde(default = "d::max_kept_events")]
     #[serde(rename = "events_kept")]
     pub max_kept_events: usize,
-    /// After an attempt of a keyed or unsafe actor that may have run, the actor is not accepted again for this
-    /// long.
+    /// If an abandoned attempt of a keyed or unsafe actor may still start, new requests for the actor are rejected for this
+    /// long, ms.
     #[serde(default = "d::resubmission_hold_ms")]
     #[serde(rename = "settle_ms")]
     pub resubmission_hold_ms: u64,
@@ -145,26 +145,28 @@
     #[serde(default = "d::connect_timeout_ms")]
     #[serde(rename = "connect_within_ms")]
     pub connect_timeout_ms: u64,
-    /// The first delay before a new attempt to connect; it doubles...
+    /// The delay before the first new attempt to connect, ms. It doubles with each failure, up to `reconnect_most_ms`.
     #[serde(default = "d::min_reconnect_delay_ms")]
     #[serde(rename = "reconnect_first_ms")]
     pub min_reconnect_delay_ms: u64,
-    /// ...up to this, and each delay is drawn between half of it and the whole.
+    /// Maximum delay before a new attempt to connect, ms. Each delay is drawn at random between half of the doubled delay
+    /// and the whole.
     #[serde(default = "d::max_reconnect_delay_ms")]
     #[serde(rename = "reconnect_most_ms")]
     pub max_reconnect_delay_ms: u64,
-    /// Interval between pings of a host with attempts or tasks of this placer, unless it sends other messages...
+    /// Interval between pings of a host with attempts or tasks of this placer, ms. No ping is sent if the host has sent
+    /// another message within the interval.
     #[serde(default = "d::ping_interval_ms")]
     #[serde(rename = "ping_every_ms")]
     pub ping_interval_ms: u64,
-    /// ...and the time without a message after which the host is disconnected.
+    /// Time without a message from such a host after which it is disconnected, ms.
     #[serde(default = "d::silence_timeout_ms")]
     #[serde(rename = "silent_after_ms")]
     pub silence_timeout_ms: u64,
-    /// Pings per second to all other hosts together, so that the ping interval of each grows with their number...
+    /// Maximum number of pings per second to all other hosts together: the ping interval of each grows with their number.
     #[serde(default = "d::max_idle_pings_per_s")]
     pub max_idle_pings_per_s: u32,
-    /// ...up to this interval.
+    /// Maximum ping interval of such a host, ms. If there are too many hosts for it, the rate of pings is exceeded.
     #[serde(default = "d::max_idle_ping_interval_ms")]
     pub max_idle_ping_interval_ms: u64,
     /// Tasks of a host without a connection for this long are reported as lost.
@@ -187,13 +189,13 @@
     /// Maximum number of attempts per request.
     #[serde(default = "d::max_attempts")]
     pub max_attempts: u32,
-    /// Hosts admit tasks while the requested cores stay within this multiple of their cores.
+    /// The maximum of the cores that a host's tasks request together, as a multiple of its cores.
     #[serde(default = "d::one")]
     pub admit_cores: f64,
-    /// The same for memory.
+    /// The maximum of the memory that a host's tasks request together, as a multiple of its memory.
     #[serde(default = "d::one")]
     pub admit_memory: f64,
-    /// What the load reported with hosts' answers means.
+    /// The meaning of the load that hosts report with their answers.
     #[serde(default)]
     pub load_report: LoadReport,
     /// Whether the inventory reports unallocated resources.
@@ -228,7 +230,7 @@
     Running,
 }
 
-/// What the load reported with hosts' answers means.
+/// The meaning of the load that hosts report with their answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LoadReport {
@@ -246,23 +248,23 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct Rules")]
 pub struct RuleSettings {
-    /// A placer that has not polled discovery for this long counts as notified.
+    /// Time since its last poll of discovery after which a placer counts as notified of changes of hosts, ms.
     #[serde(default = "d::max_poll_interval_ms")]
     #[serde(rename = "ask_within_ms")]
     pub max_poll_interval_ms: u64,
-    /// The least share of its capacity that a host has right after its start.
+    /// Share of its capacity that a host has right after its start, at the least.
     #[serde(rename = "cold_from")]
     pub initial_capacity_share: f64,
     /// Time after its start until a host has warmed up.
     #[serde(rename = "cold_for_ms")]
     pub warm_up_duration_ms: u64,
-    /// A cold host is overloaded by this many times what it can handle...
+    /// Multiple of the offers that a cold host can handle by which it is overloaded, within `fall_window_ms`.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ...for this long.
+    /// Window in which offers to a cold host are counted, ms.
     #[serde(rename = "fall_window_ms")]
     pub overload_window_ms: u64,
-    /// Offers in that time, from all placers together, that a cold host can always handle.
+    /// Number of offers within that window, from all placers together, that a cold host can always handle.
     #[serde(rename = "fresh_offers")]
     pub warm_up_offers: f64,
 }
--- a/crates/config/src/trace.rs
+++ b/crates/config/src/trace.rs
@@ -12,10 +12,10 @@
 pub struct TraceSettings {
     /// The folder of the files; created if missing.
     pub folder: PathBuf,
-    /// A file is closed, and the next one opened, once it has this many MiB...
+    /// Size above which a file is closed and the next one opened, MiB.
     #[serde(default = "d::rotate_mib")]
     pub rotate_mib: u64,
-    /// ...or is this many seconds old.
+    /// Age above which a file is closed and the next one opened, s.
     #[serde(default = "d::rotate_s")]
     pub rotate_s: u64,
     /// The oldest files of this placer are removed while the total size is above this many MiB.
--- a/crates/consul/src/catalogue/host_list.rs
+++ b/crates/consul/src/catalogue/host_list.rs
@@ -10,9 +10,9 @@
 use super::{CatalogueEntry, CheckStatus, KnownNames, ListFormat, ListReader};
 use crate::json_rows::{RowError, Rows};
 
-/// Invalid entries that are kept per list.
+/// Maximum number of invalid entries that are kept per list.
 const MAX_INVALID_ENTRIES: usize = 100;
-/// Datacentres that are kept per list.
+/// Maximum number of datacentres that are kept per list.
 const MAX_DATACENTRES: usize = 16;
 
 /// Entries by host name. An entry that is unchanged since the previous list shares its allocation.
@@ -109,7 +109,7 @@
             self.entries.insert(name.clone(), entry.clone());
             return;
         };
-        // Two entries have this host's id. Nothing shows which one is right, so the host is drained.
+        // Two entries have this host's id, and it can't be determined which one is right. The host is drained.
         let reason = format!("its id is already registered on {}", other.node);
         let other = Arc::make_mut(other);
         other.status = CheckStatus::Critical;
--- a/crates/consul/src/catalogue/status.rs
+++ b/crates/consul/src/catalogue/status.rs
@@ -7,7 +7,7 @@
 pub enum CheckStatus {
     /// The check passes.
     Passing,
-    /// The host works, but needs the attention of an operator.
+    /// The host works, but an operator should look at it.
     Warning,
     /// The host does not work.
     Critical,
@@ -49,9 +49,9 @@
         }
     }
 
-    /// The state of a host on this member's node. It can only make the host's own state worse: an agent that is alive
-    /// says nothing about the host's process. The host of a failed or departed agent may still run its tasks, so it
-    /// drains until it is deregistered.
+    /// The state of a host on this member's node. The worse of this and the host's own state applies: that an agent is
+    /// alive does not show that the host's process works. If the agent has failed or left, the host may still run its
+    /// tasks, so it is drained until it is deregistered.
     pub fn host_state(self) -> HostState {
         match self {
             MemberStatus::Alive => HostState::Ready,
--- a/crates/consul/src/catalogue/tests.rs
+++ b/crates/consul/src/catalogue/tests.rs
@@ -49,7 +49,7 @@
             HostState::Draining,
         ),
         (
-            vec![("a", "unheard-of")],
+            vec![("a", "unknown-status")],
             CheckStatus::Critical,
             HostState::Draining,
         ),
@@ -110,7 +110,7 @@
             Err(e) => assert!(e.to_string().contains("recursion"), "{e}"),
         }
     }
-    // Other metadata is ignored, whatever its size.
+    // Metadata under keys that the placer does not use is ignored, even if it is longer than `MAX_TEXT_LENGTH`.
     let body = format!(
         "[{}]",
         entry("h", "").replace(r#""cell":"c""#, &format!(r#""cell":"c","note":"{long}""#))
--- a/crates/consul/src/index_watch.rs
+++ b/crates/consul/src/index_watch.rs
@@ -1,13 +1,13 @@
-//! Cheap reads while nothing changes: between reads of the full list, a blocking query whose filter matches nothing
-//! shows by its index alone whether the list has changed.
+//! Detects changes of the list without reading all of it: between reads of the full list, a blocking query is sent whose
+//! filter matches nothing. The index in its empty response shows whether the list has changed.
 //!
-//! The index is not trusted unconditionally. The full list is read periodically whatever the index says. If that shows
-//! a change without a change of the index, or if a server rejects or ignores the filter, every read is of the full list
-//! again, as without a watch.
+//! In case a server does not change the index with the list, the full list is also read periodically. If such a read
+//! shows that a change was missed, or if a server rejects or ignores the filter, every read is of the full list again,
+//! as without a watch.
 
 use crate::Micros;
 
-/// The full list is read at least this often while the index does not change. Each reader draws its own interval
+/// Maximum time between two reads of the full list while the index does not change. Each reader draws its own interval
 /// between half of this and the whole, so that readers that started together do not stay synchronised.
 pub const FULL_READ_INTERVAL: Micros = 120_000_000;
 /// How long a watch is not used after it has missed a change.
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Records that a full list was read. `is_unannounced` says that it differs from the last one under the same
-    /// index; `jitter`, from 0 to 1, sets when the next one is read whatever the index says.
-    pub fn record_full_read(&mut self, now: Micros, is_unannounced: bool, jitter: f64) {
+    /// Records that a full list was read. `is_missed_change` means that it differs from the last one although the index
+    /// is the same. `jitter`, from 0 to 1, sets when the next full list is read if the index does not change.
+    pub fn record_full_read(&mut self, now: Micros, is_missed_change: bool, jitter: f64) {
         let wait = (FULL_READ_INTERVAL as f64 * (0.5 + 0.5 * jitter)) as Micros;
         self.next_full_read = Some(now + wait);
         self.has_changed = false;
-        if is_unannounced && self.usable_from.is_some_and(|from| from <= now) {
+        if is_missed_change && self.usable_from.is_some_and(|from| from <= now) {
             tracing::warn!(
                 "catalogue list changed without a change of its index; reading full lists"
             );
@@ -87,7 +87,7 @@
     }
 }
 
-/// A filter that matches nothing of what the configured filter matches.
+/// Returns the configured filter, extended so that it matches nothing.
 pub fn match_nothing_filter(configured: Option<&str>) -> String {
     match configured {
         Some(filter) if filter.contains(" or ") => format!("({filter}) and {MATCH_NOTHING}"),
--- a/crates/consul/src/json_rows.rs
+++ b/crates/consul/src/json_rows.rs
@@ -1,18 +1,18 @@
 //! Reads a JSON array row by row, in steps of bounded cost.
 //!
-//! A list of thousands of rows therefore never blocks the deciding thread, and rows that are as in the previous list
-//! cost a comparison of bytes instead of parsing.
+//! The steps keep a list of thousands of rows from blocking the placer's event loop. Rows that are the same as in the
+//! previous list are compared byte by byte instead of parsed.
 
 use serde_json::value::RawValue;
 
 /// Cost limit of one step, in units of the cost of an unchanged row. On the machine of `docs/measurements.md` a step
 /// takes about half a millisecond.
 pub const STEP_BUDGET: usize = 2_000;
-/// Cost of parsing a row, in units of the cost of an unchanged row...
+/// Fixed part of the cost of parsing a row, in units of the cost of an unchanged row.
 const PARSE_COST: usize = 8;
-/// ...plus one unit for this many bytes.
+/// Number of bytes of a row whose parsing costs one unit more.
 const PARSED_BYTES_PER_UNIT: usize = 40;
-/// How many rows of the previous list are searched for an equal one, from the position reached there.
+/// Maximum number of rows of the previous list that are searched for an equal one, from the position reached there.
 const MAX_LOOKAHEAD_ROWS: usize = 64;
 
 /// Why a body is not a valid list.
@@ -96,7 +96,7 @@
     previous: Rows<T>,
     /// The next row of the previous list that has not been matched yet.
     cursor: usize,
-    /// Bytes of the body that have been read.
+    /// Number of bytes of the body that have been read.
     offset: usize,
     position: Position,
     max_rows: usize,
@@ -193,7 +193,8 @@
             .enumerate()
             .skip(self.cursor)
             .take(MAX_LOOKAHEAD_ROWS);
-        // An object ends with its closing brace, so equal leading bytes mean an equal object. A number has none.
+        // An object ends with its closing brace, so equal leading bytes mean an equal object. A number has no end mark: 1
+        // is a prefix of 12.
         let is_same = |old: &Row<T>| {
             rest.first() == Some(&b'{') && rest.starts_with(&self.previous.body[old.start..old.end])
         };
@@ -220,8 +221,8 @@
         };
         let length = values.byte_offset();
         let value = parse(raw.get());
-        // A row in the place of the next previous row has most likely replaced it. If it was inserted before it, the
-        // next match sets the cursor to its place.
+        // The next row of the previous list was most likely replaced by this one if both begin alike. If the row was
+        // inserted instead, the next match corrects the cursor.
         if candidates
             .clone()
             .next()
@@ -237,7 +238,8 @@
         Ok((row, PARSE_COST + length / PARSED_BYTES_PER_UNIT))
     }
 
-    /// Whether a row shares so much of its start with a previous row that it most likely describes the same thing.
+    /// Whether a row and a previous row have at least a quarter of its bytes in common at the start, so that they most
+    /// likely describe the same instance.
     fn is_replacement_of(&self, old: &Row<T>, rest: &[u8]) -> bool {
         let old = &self.previous.body[old.start..old.end];
         let common_prefix = old.iter().zip(rest).take_while(|(a, b)| a == b).count();
--- a/crates/consul/src/lease.rs
+++ b/crates/consul/src/lease.rs
@@ -1,5 +1,5 @@
 //! The lease of a placer slot: a number below a configured count, held by a session that locks a key. No two running
-//! placers ever hold the same slot, so that their warm-up budgets (rule 4) add up to what hosts can handle.
+//! placers ever hold the same slot, so that all placers together stay within the warm-up budget of each host (rule 4).
 //!
 //! The lease is timed on the placer's own clock from when its last successful renewal was *sent*. The servers can't end
 //! a session sooner than its TTL after they received that renewal, so a placer that was paused detects by its own clock
@@ -64,7 +64,7 @@
     /// Until when the session is certain to exist.
     valid_until: Micros,
     slot: Option<u32>,
-    /// Slots that others hold, by the last listing and by failed acquisitions since; none until the next listing.
+    /// Slots that others hold, according to the last listing and failed acquisitions since; none before a listing.
     occupied_slots: Option<BTreeSet<u32>>,
     /// The request in flight and when it was sent.
     in_flight: Option<(LeaseRequest, Micros)>,
@@ -213,7 +213,7 @@
             (LeaseRequest::AcquireSlot { slot, .. }, LeaseResponse::SlotAcquired(true)) => {
                 self.hold_slot(slot);
             }
-            // Another placer was faster, or the lock delay is not over.
+            // Another placer has locked the slot first, or its lock delay is not over.
             (LeaseRequest::AcquireSlot { slot, .. }, LeaseResponse::SlotAcquired(false)) => {
                 self.occupied_slots.get_or_insert_default().insert(slot);
             }
--- a/crates/consul/src/lease/tests.rs
+++ b/crates/consul/src/lease/tests.rs
@@ -60,7 +60,7 @@
     assert_eq!(
         lease.next_request(60 * SECOND),
         Some(LeaseRequest::CreateSession),
-        "it starts again with a new session"
+        "an expired session is replaced by a new one"
     );
 }
 
@@ -93,7 +93,7 @@
         "{attempts} attempts until {now}"
     );
     assert_eq!(slot, 2);
-    // It discards the session and creates a new one.
+    // Once the slot has expired, the lease discards the session and creates a new one.
     let until = now + 10 * SECOND;
     while lease.next_request(now) != Some(LeaseRequest::CreateSession) {
         lease.handle_response(now, LeaseResponse::Failed);
@@ -137,7 +137,7 @@
     assert_eq!(
         lease.next_request(relist_at),
         None,
-        "it requests no second slot"
+        "a lease with a slot requests no second one"
     );
 }
 
@@ -173,7 +173,7 @@
             session: "s".into()
         })
     );
-    // Another placer was faster: no further attempt until the slots are listed again.
+    // Another placer has locked the slot first: no further attempt until the slots are listed again.
     lease.handle_response(relist_at, LeaseResponse::SlotAcquired(false));
     assert_eq!(lease.next_request(relist_at), None);
     assert!(lease.are_all_slots_taken());
--- a/crates/consul/src/lib.rs
+++ b/crates/consul/src/lib.rs
@@ -8,7 +8,7 @@
 //! - [`lease`] holds the placer's slot by a session and a locked key.
 //! - [`request`], [`response`] and [`backoff`] are shared by all calls.
 //!
-//! Flap damping is in a separate crate. The requests follow Consul's published HTTP API documentation.
+//! Flap damping is in a separate crate. The requests follow the documentation of Consul's HTTP API.
 
 pub mod backoff;
 pub mod catalogue;
--- a/crates/consul/src/list_validator.rs
+++ b/crates/consul/src/list_validator.rs
@@ -1,7 +1,7 @@
 //! Decides which lists of the catalogue to accept.
 //!
-//! Three kinds of lists must not count as changes: a list of a server that lags, a list that lost many hosts at once
-//! because a server has just restarted, and a list of another datacentre. The first is recognised by its index, the
+//! Three kinds of lists must not be taken for changes: one from a server that lags, one that lacks many hosts because its
+//! server has just restarted, and one of another datacentre. The first is recognised by its index, the
 //! last by the datacentre that its entries name. A loss of more than half the hosts is read again in the consistent
 //! mode, which only a leader that has verified itself answers. If that answer does not arrive within
 //! [`CONFIRMATION_TIMEOUT`], the loss is accepted, since it may be real (rule 3 of the placers has precedence). Hosts
@@ -13,9 +13,10 @@
 
 /// How long a loss may wait for confirmation: well within any grace period of rule 3.
 pub const CONFIRMATION_TIMEOUT: Micros = 500_000;
-/// A list with a smaller share than this of the previously known hosts must be confirmed...
+/// A list must be confirmed if it contains less than this share of the previously known hosts, and lacks at least
+/// [`MIN_LOST_HOSTS`] of them.
 const MIN_REMAINING_SHARE: f64 = 0.5;
-/// ...if at least this many are missing.
+/// Minimum number of missing hosts for which a list must be confirmed.
 const MIN_LOST_HOSTS: usize = 3;
 
 /// How to proceed with a list.
--- a/crates/consul/src/response/tests.rs
+++ b/crates/consul/src/response/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn blocking_index_is_zero_after_it_went_back_and_else_at_least_one() {
+fn blocking_index_is_zero_if_the_index_went_back_and_otherwise_at_least_one() {
     assert_eq!(next_blocking_index(5, 9), 9);
     assert_eq!(
         next_blocking_index(9, 5),
@@ -13,6 +13,6 @@
     assert_eq!(
         next_blocking_index(0, 0),
         1,
-        "missing or zero: the query blocks all the same"
+        "the query blocks even if the index is missing or zero"
     );
 }
--- a/crates/consul/src/source.rs
+++ b/crates/consul/src/source.rs
@@ -67,12 +67,12 @@
     /// The highest index of an accepted list.
     #[serde(rename = "index")]
     pub highest_index: u64,
-    /// Hosts in the list.
+    /// Number of hosts in the list.
     #[serde(rename = "hosts")]
     pub listed_hosts: usize,
-    /// Hosts that are ready again but held back by flap damping.
+    /// Hosts that are ready again but suppressed by flap damping.
     #[serde(rename = "damped")]
-    pub damped_hosts: usize,
+    pub suppressed_hosts: usize,
     /// Invalid entries of the last list.
     pub bad_entries: usize,
     /// Lists that were accepted.
@@ -209,7 +209,7 @@
             age_ms: self.age_ms(now),
             highest_index: self.list_validator.highest_index(),
             listed_hosts: self.hosts.len(),
-            damped_hosts: self.hosts.held_count(),
+            suppressed_hosts: self.hosts.suppressed_count(),
             slot: self.slots.as_ref().and_then(Slots::current),
             slots_full: self.slots.as_ref().is_some_and(Slots::are_all_taken),
             ..self.report.clone()
@@ -256,7 +256,7 @@
             .is_some_and(|deadline| deadline <= now)
             && let Some(list) = self.unconfirmed_list.take()
         {
-            // No leader has contradicted the loss in time, so it is accepted: rule 3 has precedence.
+            // No consistent read has shown otherwise in time, so the loss is accepted: rule 3 has precedence.
             self.accept_list(now, list);
         }
         self.process_lists(now);
@@ -420,7 +420,8 @@
     }
 }
 
-/// How long a server may delay a blocking query, in the unit of `wait`: it adds up to a sixteenth.
+/// How long a server may delay the response to a blocking query, in the unit of `wait`: Consul adds a random time of up
+/// to a sixteenth.
 fn longest_blocking_wait(wait: u64) -> u64 {
     wait + wait / 16
 }
--- a/crates/consul/src/source/calls.rs
+++ b/crates/consul/src/source/calls.rs
@@ -9,7 +9,7 @@
 use crate::Micros;
 use crate::backoff::Backoff;
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum QueryKind {
     /// Read the host list.
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Adds a query that is first sent at this time, or resets it.
+    /// Adds a query that is first sent at `next_at`. Replaces the query of this kind, if there is one.
     pub(super) fn add(&mut self, kind: QueryKind, server: usize, next_at: Micros) {
         let query = RepeatedQuery {
             server,
@@ -139,7 +139,7 @@
         self.queries.entry(kind).or_default().in_flight = Some(call);
     }
 
-    /// Removes a call, and returns what it was for.
+    /// Removes a call, and returns its kind.
     pub(super) fn finish(&mut self, call: CallId) -> Option<QueryKind> {
         self.pending.remove(&call)
     }
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Schedules a failed query again after a backoff. Returns none if there is no such query.
+    /// Schedules the next try of a failed query, after a backoff. Returns none if no such query is scheduled any more.
     pub(super) fn record_failure(
         &mut self,
         kind: QueryKind,
--- a/crates/consul/src/source/failure.rs
+++ b/crates/consul/src/source/failure.rs
@@ -2,7 +2,7 @@
 
 use crate::json_rows::RowError;
 
-/// Bytes of a response's body that are kept to explain a failure.
+/// Maximum number of bytes of a response's body that are kept to explain a failure.
 const MAX_EXPLANATION_BYTES: usize = 120;
 
 /// Why a call failed.
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -18,7 +18,7 @@
 
 /// Cost of publishing one host, in the units of [`STEP_BUDGET`], including the placer's work on the update.
 const HOST_UPDATE_COST: usize = 20;
-/// Invalid entries of a list that are logged individually.
+/// Maximum number of invalid entries of a list that are logged individually.
 const MAX_LOGGED_ENTRIES: usize = 5;
 
 /// A response waiting to be read.
@@ -67,7 +67,7 @@
             || self.hosts.unpublished_count() > 0
     }
 
-    /// Reads and publishes everything that is waiting, however long it takes: for a caller that was paused and must not
+    /// Reads and publishes everything that is waiting, without a limit on the time: a caller that was paused must not
     /// decide on outdated data.
     pub fn catch_up(&mut self, now: Micros) {
         while self.has_pending_work() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Reads and publishes within the budget of one step.
+    /// Reads lists and publishes changes, up to the cost limit of one step.
     pub(super) fn process_lists(&mut self, now: Micros) {
         let mut budget = STEP_BUDGET;
         while budget > 0 && self.has_pending_work() {
@@ -127,7 +127,8 @@
                     }
                 }
             },
-            // Comparing with the accepted list and freeing that costs about as much as reading the same rows again.
+            // Comparing the list with the accepted one, and freeing the latter, costs about as much as reading unchanged
+            // rows.
             ActiveRead::HostsComplete(read, list)
                 if *budget < list.entries.len().min(STEP_BUDGET) =>
             {
@@ -215,16 +216,16 @@
         list: &HostList,
         differences: &ListDifferences,
     ) {
-        // A full list in response to a read of the index: the server ignores the filter.
+        // The server ignores the filter, as it has sent a full list in response to a read of the index.
         if std::mem::take(&mut self.is_index_only) {
             self.index_watch.disable();
         }
-        let is_unannounced = meta.index == self.blocking_index
+        let is_missed_change = meta.index == self.blocking_index
             && list.invalid_entries.is_empty()
             && !differences.is_empty();
         let jitter = (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64;
         self.index_watch
-            .record_full_read(now, is_unannounced, jitter);
+            .record_full_read(now, is_missed_change, jitter);
         self.blocking_index = next_blocking_index(self.blocking_index, meta.index);
         self.calls
             .schedule(QueryKind::Health, now + MIN_READ_INTERVAL);
@@ -252,7 +253,8 @@
             "catalogue list rejected"
         );
         if read.kind == QueryKind::Health {
-            // Reads from another server without blocking, and from a leader in case the index went back everywhere.
+            // Reads from another server without blocking, and consistently from the leader in case the index of all servers
+            // went back.
             self.calls.fail_over(read.kind);
             self.blocking_index = 0;
             self.calls.schedule(read.kind, now + 4 * MIN_READ_INTERVAL);
--- a/crates/consul/src/source/published.rs
+++ b/crates/consul/src/source/published.rs
@@ -1,4 +1,5 @@
-//! The hosts as published to the placer: the accepted list, with states degraded by the gossip pool and flap damping.
+//! The hosts as published to the placer: the accepted list. A ready host becomes draining if its node's agent is not alive
+//! or flap damping suppresses it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -9,10 +10,10 @@
 use crate::Micros;
 use crate::catalogue::{EntriesByHost, HostList, ListDifferences, MemberStatus, UnhealthyMembers};
 
-/// How long [`DampingMode::Hold`] holds back a host that is ready again.
+/// How long [`DampingMode::Hold`] suppresses a host that is ready again.
 const FIXED_HOLD_DURATION: Micros = 3_000_000;
 
-/// The accepted list, and what was published of it to the placer.
+/// The accepted list, and the hosts as last published to the placer.
 pub(super) struct PublishedHosts {
     entries: EntriesByHost,
     members: UnhealthyMembers,
@@ -45,12 +46,12 @@
         self.entries.len()
     }
 
-    /// Number of hosts that are ready again but held back by damping.
-    pub(super) fn held_count(&self) -> usize {
+    /// Number of hosts that are ready again but suppressed by damping.
+    pub(super) fn suppressed_count(&self) -> usize {
         self.damping.suppressed_count()
     }
 
-    /// When the next host that is held back is released.
+    /// When the next suppressed host is released.
     pub(super) fn next_release(&self) -> Option<Micros> {
         self.damping.next_release()
     }
@@ -80,7 +81,7 @@
         self.members = members;
     }
 
-    /// Applies, of a list that is not accepted yet, only the hosts that it names as not ready.
+    /// Applies those hosts of an unconfirmed list that are not ready in it.
     pub(super) fn apply_degradations(&mut self, list: &HostList) {
         for (name, entry) in &list.entries {
             if entry.host.state != HostState::Ready
@@ -120,7 +121,7 @@
         self.publish(now, names)
     }
 
-    /// Publishes the hosts whose hold has ended.
+    /// Publishes the hosts that are no longer suppressed.
     pub(super) fn publish_released(&mut self, now: Micros) -> Vec<HostEntry> {
         let released = self.damping.release_due(now);
         self.publish(now, released)
--- a/crates/consul/src/source/slots.rs
+++ b/crates/consul/src/source/slots.rs
@@ -172,8 +172,8 @@
 }
 
 impl ConsulSource {
-    /// Publishes the slot if it has changed. It is checked first in each tick, so that a slot that has expired by the
-    /// placer's own clock is given up before anything else happens.
+    /// Publishes the slot if it has changed. Each tick does this first, so that the placer does not use a slot that has
+    /// expired by its own clock.
     pub(super) fn refresh_slot(&mut self, now: Micros) {
         let Some(slots) = &mut self.slots else { return };
         let slot = slots.lease.slot(now);
--- a/crates/damping/src/lib.rs
+++ b/crates/damping/src/lib.rs
@@ -1,8 +1,9 @@
 //! Flap damping: a decision module, free of I/O, clock, threads and globals, with seeded randomness.
 //!
-//! A host whose reported health changes repeatedly must not cause work to move back and forth. A bad report always
-//! takes effect at once (rule 3 of the placers holds whatever this module does). A good report takes effect at once
-//! too, unless the host has flapped: then it is suppressed until a penalty has decayed. The penalty is that of RFC
+//! If the reported health of a host keeps changing, placers that followed each change would move tasks off the host and
+//! back again. A bad report always takes effect at once, so that no task is placed on an unhealthy host (rule 3 of the
+//! placers). A good report takes effect at once too, unless the host has flapped: then it is suppressed until a penalty
+//! has decayed. The penalty is that of RFC
 //! 2439: it grows by one with each change from good to bad, decays with a half-life, suppresses good reports above one
 //! limit and releases them at a lower one. A maximum penalty bounds the delay, and random jitter spreads the releases,
 //! since all placers see the same flaps and would otherwise return to a host at the same instant.
@@ -22,10 +23,11 @@
 const SUPPRESS_LIMIT: f64 = 2.2;
 /// Suppressed good reports take effect once the penalty has decayed to this.
 const REUSE_LIMIT: f64 = 1.0;
-/// The penalty grows no further, so that a host that has settled is suppressed for at most
-/// log2(`MAX_PENALTY` / `REUSE_LIMIT`) half-lives: 8 s.
+/// Maximum penalty. It bounds how long a host is suppressed after its last flap to log2(`MAX_PENALTY` / `REUSE_LIMIT`)
+/// half-lives: 8 s.
 const MAX_PENALTY: f64 = 4.0;
-/// A release is delayed further by a random time up to this, so that placers do not all return at once.
+/// Maximum of the random time by which a release is delayed further, so that placers do not all place tasks on the host
+/// again at the same time.
 const MAX_RELEASE_JITTER: Micros = 1_000_000;
 /// A bad host without a report for this long is removed; its penalty has decayed by then.
 const RETENTION: Micros = 120_000_000;
@@ -173,7 +175,7 @@
             return;
         }
         self.last_cleanup = now;
-        // After so long, a good report on a removed host is treated as the first one.
+        // The next report on a removed host counts as its first one. Its penalty has decayed by then.
         self.hosts.retain(|_, f| {
             f.suppressed_until.is_some() || f.updated_at + RETENTION > now || f.is_good
         });
--- a/crates/damping/src/tests.rs
+++ b/crates/damping/src/tests.rs
@@ -63,7 +63,8 @@
         !d.is_suppressed(&1) && d.release_due(now + 100 * SECOND_US).is_empty(),
         "a bad host is never released"
     );
-    // Repeated bad reports add no penalty: after a while the host returns as if it had been lost once.
+    // Repeated bad reports add no penalty, so that it decays while the host is bad, and the next good report takes effect
+    // at once.
     for n in 0..40 {
         d.observe(now + n * SECOND_US, &1, false);
     }
@@ -93,7 +94,7 @@
         .windows(40)
         .map(|w| w[39] - w[0])
         .min()
-        .expect("many");
+        .expect("there are 200 releases");
     assert!(
         shortest_span > SECOND_US / 20,
         "40 of 200 releases within {shortest_span} us"
--- a/crates/leadership/src/lease_renewal.rs
+++ b/crates/leadership/src/lease_renewal.rs
@@ -4,7 +4,7 @@
 
 use crate::settings::Micros;
 
-/// Maximum number of unconfirmed rounds; further ones replace the oldest.
+/// Maximum number of unconfirmed rounds; a further one replaces the oldest.
 const MAX_PENDING_ROUNDS: usize = 64;
 
 /// The renewal rounds of a leader, and the time until which its lease is valid.
--- a/crates/leadership/src/settings.rs
+++ b/crates/leadership/src/settings.rs
@@ -27,8 +27,8 @@
     }
 
     /// How long a voter does not vote after its start. A voter that follows a leader must not vote for another one while that
-    /// leader's lease may be valid; this is not recorded durably, so the voter waits for
-    /// more than an election timeout.
+    /// leader's lease may be valid; which leader it follows is not
+    /// durable, so after a restart the voter waits for more than an election timeout.
     pub(crate) fn vote_delay_after_start(&self) -> Micros {
         let longest_timeout = self.election_timeout() * (1.0 + self.max_clock_drift);
         longest_timeout as Micros + self.tick_interval
--- a/crates/leadership/src/voter.rs
+++ b/crates/leadership/src/voter.rs
@@ -32,7 +32,7 @@
     /// The voters have committed this lease.
     LeaseBegun(Lease),
     /// The voter with this id, possibly the local one, uses a store other than its registered one. Its messages are ignored.
-    ForeignStore(u64),
+    StoreMismatch(u64),
 }
 
 /// One voter of a fleet.
@@ -51,7 +51,7 @@
     /// The last term in which the voter proposed a lease.
     lease_requested_in_term: u64,
     applied_index: u64,
-    reported_foreign_stores: BTreeSet<u64>,
+    reported_store_mismatches: BTreeSet<u64>,
     outputs: Vec<Output>,
 }
 
@@ -94,7 +94,7 @@
             renewal: LeaseRenewal::default(),
             lease_requested_in_term: 0,
             applied_index,
-            reported_foreign_stores: BTreeSet::new(),
+            reported_store_mismatches: BTreeSet::new(),
             outputs,
             settings,
         };
@@ -112,8 +112,8 @@
         self.last_tick_at + self.settings.tick_interval
     }
 
-    /// Advances the Raft timer by one tick, if it is due. A pause of the process counts as one tick, however long it was,
-    /// because heartbeats of the leader may be waiting to be read.
+    /// Advances the Raft timer by one tick, if it is due. A pause of the process of any length counts as one tick, because
+    /// heartbeats of the leader may have arrived during it that are not read yet.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_timeout() {
             return;
@@ -139,9 +139,9 @@
         if received.message.to != self.settings.id {
             return;
         }
-        if let Some(voter) = self.foreign_store(&received) {
-            if self.reported_foreign_stores.insert(voter) {
-                self.outputs.push(Output::ForeignStore(voter));
+        if let Some(voter) = self.mismatched_store(&received) {
+            if self.reported_store_mismatches.insert(voter) {
+                self.outputs.push(Output::StoreMismatch(voter));
             }
             return;
         }
@@ -155,7 +155,7 @@
             ..
         } = received;
         let is_unregistered = !self.state.stores.contains_key(&from);
-        // A message that the library rejects has no effect, as if it had been lost.
+        // An error is ignored: a message that the library rejects has no effect, as if it had been lost.
         let _ = self.node.step(message);
         if is_unregistered && self.is_leader() {
             self.propose(&Command::RegisterStore { voter: from, store });
@@ -165,7 +165,7 @@
 
     /// Returns the voter that uses a store other than its registered one, if a message shows that. Such a voter may have lost
     /// the record of its votes and of the entries that it acknowledged.
-    fn foreign_store(&self, received: &ReceivedMessage) -> Option<u64> {
+    fn mismatched_store(&self, received: &ReceivedMessage) -> Option<u64> {
         let expects_another = received
             .expected_store
             .is_some_and(|expected| expected != self.store_identity);
@@ -221,7 +221,7 @@
 
     fn propose(&mut self, command: &Command) {
         if let Ok(data) = postcard::to_allocvec(command) {
-            // A rejected proposal is repeated when its cause occurs again.
+            // An error is ignored: the command is proposed again when its cause occurs again.
             let _ = self.node.propose(Vec::new(), data);
         }
     }
--- a/crates/leadership/tests/model/cluster.rs
+++ b/crates/leadership/tests/model/cluster.rs
@@ -13,9 +13,9 @@
 /// A millisecond, in µs.
 pub const MS: Micros = 1_000;
 /// A second, in µs.
-pub const S: Micros = 1_000_000;
+pub const SECOND: Micros = 1_000_000;
 /// The start time of the simulation.
-pub const START: Micros = 1_000 * S;
+pub const START: Micros = 1_000 * SECOND;
 
 enum Event {
     MessageArrives { to: u64, message: Vec<u8> },
@@ -78,8 +78,8 @@
     pub leader_by_epoch: BTreeMap<u64, u64>,
     /// The number of checks that found an acting leader.
     pub acting_checks: u64,
-    /// The number of [`Output::ForeignStore`] reports.
-    pub foreign_store_reports: usize,
+    /// The number of [`Output::StoreMismatch`] reports.
+    pub store_mismatch_reports: usize,
     /// Whether voters may crash between two outputs.
     pub crash_between_outputs: bool,
 }
@@ -114,7 +114,7 @@
             last_acting: None,
             leader_by_epoch: BTreeMap::new(),
             acting_checks: 0,
-            foreign_store_reports: 0,
+            store_mismatch_reports: 0,
             crash_between_outputs: false,
         };
         (1..=voter_count).for_each(|id| cluster.start(id));
@@ -183,7 +183,7 @@
         };
         for output in voter.take_outputs() {
             if self.crash_between_outputs && self.rng.next_u64().is_multiple_of(400) {
-                let restart_after = 10 * MS + self.random_below(2 * S);
+                let restart_after = 10 * MS + self.random_below(2 * SECOND);
                 return self.crash(id, restart_after);
             }
             match output {
@@ -211,7 +211,7 @@
                         lease.epoch
                     );
                 }
-                Output::ForeignStore(_) => self.foreign_store_reports += 1,
+                Output::StoreMismatch(_) => self.store_mismatch_reports += 1,
             }
         }
     }
--- a/crates/leadership/tests/model/random_schedules.rs
+++ b/crates/leadership/tests/model/random_schedules.rs
@@ -3,7 +3,7 @@
 
 use maplethread_simnet::Link;
 
-use crate::cluster::{Cluster, MS, S};
+use crate::cluster::{Cluster, MS, SECOND};
 
 fn run_random_schedule(seed: u64) {
     let voter_count = [3, 5][seed as usize % 2];
@@ -11,14 +11,14 @@
     cluster.crash_between_outputs = seed.is_multiple_of(3);
     for _ in 0..25 {
         inject_random_fault(&mut cluster, voter_count);
-        let duration = 100 * MS + cluster.random_below(4 * S);
+        let duration = 100 * MS + cluster.random_below(4 * SECOND);
         cluster.run(duration);
     }
     cluster.crash_between_outputs = false;
     cluster.network.heal();
     cluster.network.default_link = Link::default();
-    cluster.run(15 * S);
-    cluster.run_until_acting(40 * S);
+    cluster.run(15 * SECOND);
+    cluster.run_until_acting(40 * SECOND);
 }
 
 fn inject_random_fault(cluster: &mut Cluster, voter_count: u64) {
@@ -37,16 +37,16 @@
         }
         2 => cluster.network.default_link = random_link(cluster),
         3 | 4 => {
-            let restart_after = 10 * MS + cluster.random_below(4 * S);
+            let restart_after = 10 * MS + cluster.random_below(4 * SECOND);
             cluster.crash(id, restart_after);
         }
         5 => {
-            let duration = 200 * MS + cluster.random_below(10 * S);
+            let duration = 200 * MS + cluster.random_below(10 * SECOND);
             cluster.pause(id, duration);
         }
         6 => {
             for id in 1..=voter_count {
-                let restart_after = 10 * MS + cluster.random_below(S);
+                let restart_after = 10 * MS + cluster.random_below(SECOND);
                 cluster.crash(id, restart_after);
             }
         }
@@ -57,7 +57,7 @@
 fn random_link(cluster: &mut Cluster) -> Link {
     let loss_probability = cluster.random_below(30) as f64 / 100.0;
     let late_probability = cluster.random_below(10) as f64 / 100.0;
-    let late_delay = 500 * MS + cluster.random_below(20 * S);
+    let late_delay = 500 * MS + cluster.random_below(20 * SECOND);
     Link {
         loss_probability,
         duplicate_probability: 0.1,
--- a/crates/membership/src/former_addresses.rs
+++ b/crates/membership/src/former_addresses.rs
@@ -6,11 +6,11 @@
 
 use crate::random::random_below;
 
-/// Maximum number of addresses.
+/// Maximum number of addresses that are kept.
 const MAX_FORMER_ADDRESSES: usize = 64;
 
-/// Addresses of members that were removed from the table. They are contacted to rejoin a part of the fleet that was
-/// separated for so long that its members were removed.
+/// Addresses of members that were removed from the table. After a network partition that lasted longer than
+/// [`crate::Timing::forget_after`], contacting them lets the parts of the fleet rejoin.
 #[derive(Default)]
 pub(crate) struct FormerAddresses(Vec<SocketAddr>);
 
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -4,7 +4,7 @@
 
 /// The version of the datagram format, sent as the first byte.
 const VERSION: u8 = 1;
-/// Separates these keys from other uses of the same key file. Changing it would change all keys.
+/// Makes the derived keys differ from those of other uses of the same key file. Changing it would change all keys.
 const KEY_DERIVATION_CONTEXT: &str = "maplethread 2026-12-02 fleet datagrams v1";
 
 /// Why a datagram was rejected.
@@ -40,13 +40,13 @@
 }
 
 impl KeyRing {
-    /// Parses the text of a key file: one or two lines of 64 hex digits, of which the first is the signing key. Empty lines
-    /// and lines that begin with `#` are ignored. The name of the fleet is part of each derived key, so that two fleets with
-    /// the same key file reject each other's datagrams.
+    /// Parses the text of a key file. It contains one or two keys, each on its own line and of 64 hex digits; datagrams are
+    /// signed with the first one. Empty lines and lines that begin with `#` are ignored. The keys in use are derived from
+    /// these keys and the name of the fleet, so that two fleets with the same key file reject each other's datagrams.
     ///
     /// # Errors
     ///
-    /// Fails if a line is not a key, or if there is no key or more than two.
+    /// If a line that is neither empty nor a comment is not a key, or if there is no key or more than two.
     pub fn parse(text: &str, fleet_name: &str) -> Result<KeyRing, KeyRingError> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -80,7 +80,7 @@
     }
 
     /// Encodes and signs a datagram; `None` if it cannot be encoded or would be too long.
-    pub(crate) fn seal(&self, datagram: &Datagram) -> Option<Vec<u8>> {
+    pub(crate) fn encode_signed(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let body = postcard::to_allocvec(datagram).ok()?;
         let mut bytes = Vec::with_capacity(1 + TAG_BYTES + body.len());
         bytes.push(VERSION);
@@ -90,7 +90,7 @@
     }
 
     /// Verifies and decodes a datagram.
-    pub(crate) fn open(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
+    pub(crate) fn decode_verified(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::TooLong);
         }
--- a/crates/membership/src/local_health.rs
+++ b/crates/membership/src/local_health.rs
@@ -2,7 +2,7 @@
 
 /// The maximum score, which is the worst.
 const MAX_HEALTH_SCORE: u32 = 8;
-/// The score that a pause of the process adds: as much as two suspicions.
+/// How much a pause of the process adds to the score: as much as two suspicions by other members.
 const PAUSE_PENALTY: u32 = 2;
 
 /// The local health score: 0 is healthy, higher is worse.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -37,10 +37,11 @@
 
 /// [`MembershipChange::reported_by`] of a change found by a probe of the local member. Published in JSON.
 pub const OWN_PROBE: &str = "a test of its own";
-/// [`MembershipChange::reported_by`] of a change caused by the local member itself. Published in JSON.
+/// [`MembershipChange::reported_by`] of a change that the local member made on its own, such as the start of a new
+/// generation. Published in JSON.
 const REPORTED_BY_SELF: &str = "itself";
-/// [`MembershipChange::reported_by`] of the removal of a member that was down for [`crate::Timing::forget_after`]. Published
-/// in JSON.
+/// [`MembershipChange::reported_by`] of the removal of a member because it was down, or had left, for
+/// [`crate::Timing::forget_after`]. Published in JSON.
 const REPORTED_BY_EXPIRY: &str = "time";
 
 /// An action or event for the caller.
@@ -248,7 +249,7 @@
             sent_at: self.timers.active_time(now),
             message,
         };
-        if let Some(bytes) = self.settings.keys.seal(&datagram) {
+        if let Some(bytes) = self.settings.keys.encode_signed(&datagram) {
             self.counters.sent += 1;
             self.counters.sent_bytes += bytes.len() as u64;
             self.outputs.push(Output::Send(to, bytes));
--- a/crates/membership/src/member/pauses.rs
+++ b/crates/membership/src/member/pauses.rs
@@ -6,15 +6,15 @@
 use crate::swim::new_swim;
 use crate::view::Notice;
 
-/// The process is considered paused if a call comes this much later than the next timer was due.
+/// Minimum delay of a call, counted from when the next timer was due, for which the process is considered paused.
 const MIN_DETECTED_PAUSE: Micros = 500_000;
 /// [`crate::MembershipChange::reported_by`] of a removal after a long pause. Published in JSON.
 const REPORTED_BY_SELF_AFTER_PAUSE: &str = "itself, after it stood still";
 
 impl LocalMember {
-    /// Detects a pause of the process, and delays all timers by it: datagrams that arrived during the pause are then read
-    /// before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer the view is outdated,
-    /// so the local member starts again with an empty one.
+    /// Detects a pause of the process, and delays all timers by its duration, so that datagrams that arrived during the
+    /// pause are read before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer the
+    /// other members have removed the local one, and its view is outdated: it starts again with an empty view.
     pub(super) fn detect_pause(&mut self, now: Micros) {
         let expected = self.timers.next_due_at().unwrap_or(self.last_called_at);
         let pause = now.saturating_sub(expected.max(self.last_called_at));
--- a/crates/membership/src/name_conflict.rs
+++ b/crates/membership/src/name_conflict.rs
@@ -5,7 +5,7 @@
 use crate::identity::MemberIdentity;
 use crate::member_table::Micros;
 
-/// How long a claim is valid after its last message.
+/// How long a claim is valid after the last message that repeated it.
 const NAME_CLAIM_LIFETIME: Micros = 10_000_000;
 
 /// Another process holds the local member's name. The local member is displaced: it does not participate in the protocol
@@ -13,7 +13,7 @@
 pub(crate) struct NameConflict {
     /// The process that holds the name.
     pub(crate) holder: MemberIdentity,
-    /// When the holder was last reported, by itself or by another member.
+    /// When the last message that names the holder was received, from the holder itself or from another member.
     pub(crate) last_seen_at: Micros,
 }
 
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -31,9 +31,9 @@
 pub struct Timing {
     /// Interval between probes of random members.
     pub probe_interval: Duration,
-    /// Timeout of a direct probe, after which other members are asked to probe the member.
+    /// Timeout of a direct probe, after which other members are requested to probe the member.
     pub probe_timeout: Duration,
-    /// The number of members that are asked to probe a member that did not answer.
+    /// The number of members that are requested to probe a member that did not answer.
     pub indirect_probes: usize,
     /// The suspicion timeout in probe intervals, which is multiplied by the decimal logarithm of the fleet's size if that is
     /// greater than 1.
@@ -67,7 +67,7 @@
 }
 
 impl Timing {
-    /// Divides all intervals by `factor`, except for [`Timing::forget_after`].
+    /// Returns this timing with all intervals and timeouts divided by `factor`, except for [`Timing::forget_after`].
     pub fn sped_up_by(self, factor: u32) -> Timing {
         Timing {
             probe_interval: self.probe_interval / factor,
--- a/crates/membership/src/shared_state.rs
+++ b/crates/membership/src/shared_state.rs
@@ -78,10 +78,10 @@
                 known.version() < record.version()
                     || generation.is_some_and(|generation| generation != known.generation)
             });
-        let has_room = self.facts.contains_key(&name) || self.facts.len() < self.max_members;
+        let has_capacity = self.facts.contains_key(&name) || self.facts.len() < self.max_members;
         let is_of_ended_own_generation =
             name == self.identity.name.hash() && record.generation != self.identity.generation;
-        if !is_newer || !has_room || is_of_ended_own_generation {
+        if !is_newer || !has_capacity || is_of_ended_own_generation {
             return false;
         }
         self.facts.insert(name, record.clone());
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -17,7 +17,7 @@
 use crate::settings::Timing;
 use crate::shared_state::Shared;
 
-/// Limits the number of retransmissions of an update: larger fleets use the number for this many members.
+/// The number of transmissions of an update grows with the maximum size of the fleet, up to this size.
 const MAX_MEMBERS_FOR_TRANSMISSIONS: usize = 400;
 
 /// The SWIM library with this crate's codec and broadcast handler.
@@ -63,7 +63,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CodecError {
     #[error("not enough space is left in the datagram")]
-    NoRoom,
+    NotEnoughSpace,
     #[error(transparent)]
     Postcard(#[from] postcard::Error),
 }
@@ -71,7 +71,7 @@
 fn encode(value: &impl Serialize, mut buf: impl BufMut) -> Result<(), CodecError> {
     let bytes = postcard::to_allocvec(value)?;
     if buf.remaining_mut() < bytes.len() {
-        return Err(CodecError::NoRoom);
+        return Err(CodecError::NotEnoughSpace);
     }
     buf.put_slice(&bytes);
     Ok(())
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -215,7 +215,7 @@
     Ok(keys)
 }
 
-/// The error for a name, zone or version that is too long for its field in the protocol.
+/// The error for a name, zone or version that the protocol can't carry: empty, too long, or with control characters.
 fn invalid_text_error(error: maplethread_membership::TextError) -> Error {
     ResourceError::of("[fleet]")(io::Error::other(error)).into()
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -8,8 +8,9 @@
 pub const MAJOR: u16 = 1;
 /// The minor version; later ones add frames, and fields at the end of frames.
 pub const MINOR: u16 = 1;
-/// The longest frame, including its type but not its length.
+/// Maximum length of a frame, including its type but not its length field.
 pub const MAX_FRAME_BYTES: usize = 64 << 10;
+/// Identifies the protocol in a hello: the bytes `MPTH`.
 const MAGIC: u32 = 0x4854_504d;
 
 /// Amounts of cores and memory.
@@ -143,7 +144,7 @@
         name: String,
         /// When the sender's process started, Unix time in ms.
         started_ms: u64,
-        /// The most offers on this connection that the sender lets wait for a decision (0 from a placer).
+        /// Maximum number of offers on this connection that may wait for a decision of the host; 0 from a placer.
         max_offers: u32,
     },
     /// Placer: offers a task to the host.
@@ -160,12 +161,12 @@
     Pong(u32),
     /// Host: the task is accepted. With the time since the offer was read, ms.
     Accepted(u64, u32),
-    /// Host: the task is rejected and never ran. With the unallocated resources.
+    /// Host: the task is rejected and never ran. With the reason and the unallocated resources.
     Refused(u64, Reason, Option<ResourceAmounts>),
     /// Host: the task has started. With the time since the offer was read, ms.
     Started(u64, u32),
-    /// Host: an accepted task, or one that may have run, has ended. With whether it ran or may have run, and the unallocated
-    /// resources.
+    /// Host: an accepted task, or one that may have run, has ended. With the reason, whether it ran or may have run, and the
+    /// unallocated resources.
     Ended(u64, Reason, bool, Option<ResourceAmounts>),
     /// Host: a measurement of a task.
     Note(u64, NoteKind, f64),
@@ -383,7 +384,8 @@
 }
 
 fn put_string(out: &mut Vec<u8>, text: &str) {
-    // A longer string is truncated at a character boundary. Names are limited to much less where they are accepted.
+    // Strings longer than 8 KiB are truncated at a character boundary, so that a frame stays within `MAX_FRAME_BYTES`. The
+    // API and the settings limit names to much less.
     let mut n = text.len().min(8 << 10);
     while !text.is_char_boundary(n) {
         n -= 1;
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -16,18 +16,18 @@
 pub use reader::{Message, MessageReader, ReadResult};
 pub use write::{reason_phrase, write_chunk, write_chunked_head, write_request, write_response};
 
-use parse::{is_token, parse_chunk_size, parse_field, parse_request_line, parse_status_line};
+use parse::{is_token_byte, parse_chunk_size, parse_field, parse_request_line, parse_status_line};
 
 /// Limits on the size of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The longest start line.
+    /// Maximum length of the start line.
     pub max_line_bytes: usize,
-    /// The longest start line and fields together.
+    /// Maximum length of the start line and the fields together.
     pub max_head_bytes: usize,
-    /// The largest number of fields.
+    /// Maximum number of fields.
     pub max_fields: usize,
-    /// The longest body, without its chunked framing.
+    /// Maximum length of the body, without its chunked framing.
     pub max_body_bytes: usize,
 }
 
@@ -162,13 +162,13 @@
     role: Role,
     limits: Limits,
     state: State,
-    /// Bytes at the front that have been scanned and do not contain the end of the head or line.
+    /// Number of bytes at the front that have been scanned and do not contain the end of the head or line.
     scanned: usize,
-    /// Bytes of the body so far, and of the trailers after it.
+    /// Number of bytes read of the body so far, and of the trailers after it.
     body_bytes: usize,
     trailer_bytes: usize,
-    /// Whether the next response answers a HEAD request and so has no body, whatever its fields say.
-    is_next_bodiless: bool,
+    /// Whether the next response answers a HEAD request. It then has no body, even if it has a Content-Length field.
+    next_response_has_no_body: bool,
 }
 
 impl Decoder {
@@ -181,13 +181,13 @@
             scanned: 0,
             body_bytes: 0,
             trailer_bytes: 0,
-            is_next_bodiless: false,
+            next_response_has_no_body: false,
         }
     }
 
     /// Declares that the next response answers a HEAD request.
-    pub fn expect_bodiless_response(&mut self) {
-        self.is_next_bodiless = true;
+    pub fn expect_response_without_body(&mut self) {
+        self.next_response_has_no_body = true;
     }
 
     /// Whether a message has begun and not ended.
@@ -359,7 +359,7 @@
     fn message_head(&mut self, unread: &[u8]) -> Result<(Step, usize), HttpError> {
         // A TLS hello or other binary data on a plain-text port is rejected at once instead of after a time-out.
         let can_begin_message = |&b: &u8| match self.role {
-            Role::Requests => is_token(b) || b == b'\r' || b == b'\n',
+            Role::Requests => is_token_byte(b) || b == b'\r' || b == b'\n',
             Role::Responses => b == b'H',
         };
         if !unread.first().is_none_or(can_begin_message) {
@@ -384,7 +384,7 @@
         self.state = self.body_framing(&head)?;
         self.body_bytes = 0;
         if !informational {
-            self.is_next_bodiless = false;
+            self.next_response_has_no_body = false;
         }
         Ok((Step::Head(head), end + 4))
     }
@@ -482,7 +482,7 @@
             }
         } else {
             let status = head.status();
-            if self.is_next_bodiless
+            if self.next_response_has_no_body
                 || (100..200).contains(&status)
                 || status == 204
                 || status == 304
--- a/crates/wire/src/http/error.rs
+++ b/crates/wire/src/http/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the HTTP decoder.
 
-/// Why a message is rejected. The connection can't be used any further, as it is not known where the next message
-/// begins.
+/// Why a message is rejected. The connection can't be used any further, because the end of the rejected message, and so
+/// the start of the next one, can't be determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The start line is malformed.
--- a/crates/wire/src/http/parse.rs
+++ b/crates/wire/src/http/parse.rs
@@ -4,7 +4,8 @@
 
 use super::HttpError;
 
-pub(super) fn is_token(b: u8) -> bool {
+/// Whether a byte is allowed in a token, such as a method or the name of a field (RFC 9110, 5.6.2).
+pub(super) fn is_token_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b)
 }
 
@@ -17,6 +18,7 @@
     }
 }
 
+/// The two parts of a start line that [`super::Head`] keeps, as ranges of the message's bytes, and the minor version.
 pub(super) type StartLine = (Range<usize>, Range<usize>, u8);
 
 pub(super) fn parse_request_line(bytes: &[u8], line: Range<usize>) -> Result<StartLine, HttpError> {
@@ -28,7 +30,7 @@
         return Err(HttpError::MalformedStartLine);
     };
     let is_allowed = |b: &u8| b.is_ascii_graphic();
-    if method.is_empty() || !method.iter().all(|&b| is_token(b)) {
+    if method.is_empty() || !method.iter().all(|&b| is_token_byte(b)) {
         return Err(HttpError::MalformedStartLine);
     }
     if target.is_empty() || !target.iter().all(is_allowed) {
@@ -72,7 +74,7 @@
         .iter()
         .position(|&b| b == b':')
         .ok_or(HttpError::MalformedField)?;
-    if colon == 0 || !line[..colon].iter().all(|&b| is_token(b)) {
+    if colon == 0 || !line[..colon].iter().all(|&b| is_token_byte(b)) {
         return Err(HttpError::MalformedField);
     }
     let is_blank = |&b: &u8| b == b' ' || b == b'\t';
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -175,7 +175,7 @@
             (200, b"a")
         ]
     );
-    // Without a length the body extends to the end of the connection.
+    // The body of a response without a length ends when the connection is closed.
     let mut decoder = Decoder::new(Role::Responses, Limits::default());
     let bytes = b"HTTP/1.0 200 OK\r\n\r\nall of it";
     let (step, used) = decoder.step(bytes).expect("valid message");
@@ -215,8 +215,8 @@
     prop_oneof![20 => Just("\r\n"), 1 => Just("\n"), 1 => Just("\r"), 1 => Just("\r\n ")]
 }
 
-/// Requests that are valid or nearly so.
-fn near_request() -> impl Strategy<Value = Vec<u8>> {
+/// Requests that are valid, or malformed in one or a few places.
+fn nearly_valid_request() -> impl Strategy<Value = Vec<u8>> {
     let method = prop_oneof![8 => Just("GET".to_owned()), 4 => Just("POST".to_owned()), 2 => "[A-Z!#]{1,8}", 1 => "[ -~]{0,6}"];
     let target = prop_oneof![8 => "/[a-z0-9/?=&%._-]{0,20}", 1 => "[ -~]{0,10}"];
     let version = prop_oneof![10 => Just("HTTP/1.1"), 2 => Just("HTTP/1.0"), 1 => Just("HTTP/1.2"), 1 => Just("http/1.1")];
@@ -243,7 +243,7 @@
 
     /// A request that the decoder accepts is accepted by `httparse` with the same result.
     #[test]
-    fn agrees_with_httparse_on_near_valid_requests(bytes in near_request()) {
+    fn agrees_with_httparse_on_nearly_valid_requests(bytes in nearly_valid_request()) {
         let mut decoder = Decoder::new(Role::Requests, Limits::default());
         if let Ok((Step::Head(head), _)) = decoder.step(&bytes) {
             let fields = head.fields().map(|(n, v)| (n.to_owned(), v.to_vec())).collect();
@@ -254,7 +254,7 @@
 
     /// The decoder accepts the plain requests that `httparse` accepts: it is stricter only in the documented points.
     #[test]
-    fn reads_plain_requests(target in "/[a-z0-9/._-]{0,30}", fields in proptest::collection::vec(("X-[a-z]{1,10}", "[!-~]([ -~]{0,30}[!-~])?"), 0..10)) {
+    fn reads_valid_requests_that_httparse_reads(target in "/[a-z0-9/._-]{0,30}", fields in proptest::collection::vec(("X-[a-z]{1,10}", "[!-~]([ -~]{0,30}[!-~])?"), 0..10)) {
         let mut text = format!("GET {target} HTTP/1.1\r\nHost: a\r\n");
         fields.iter().for_each(|(n, v)| text += &format!("{n}: {v}\r\n"));
         text += "\r\n";
@@ -267,7 +267,7 @@
 
     /// The result does not depend on the pieces in which the bytes are received, for errors too.
     #[test]
-    fn result_does_not_depend_on_how_bytes_are_split(bytes in near_request(), body in "[ -~]{0,40}", pieces in proptest::collection::vec(1usize..20, 1..10)) {
+    fn result_does_not_depend_on_how_bytes_are_split(bytes in nearly_valid_request(), body in "[ -~]{0,40}", pieces in proptest::collection::vec(1usize..20, 1..10)) {
         let mut all = bytes;
         all.extend_from_slice(format!("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
         let whole = read_in_pieces(Role::Requests, Limits::default(), &all, &[all.len()]);
