--- a/benches/decide.rs
+++ b/benches/decide.rs
@@ -41,7 +41,7 @@
                 1,
             ),
         ],
-        kinds: vec![Resources::new(32.0, 64.0)],
+        machine_kinds: vec![Resources::new(32.0, 64.0)],
         acceptance_point: AcceptancePoint::Running,
         costs: Costs {
             cross_zone: 0.05,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -54,14 +54,14 @@
 pub use fit::{CONFIDENCE, Coefficient, Fit, FitError, Interval, Observation, Prediction};
 pub use law::Law;
 pub use law_selection::{FitVerdict, HeldOut, LawEvaluation, LawSelection, MAX_RELATIVE_ERROR};
-pub use page::{PageContents, PageError, PagePart, Regenerated, regenerate};
+pub use page::{PageContents, PageError, PagePart, RegeneratedPage, regenerate};
 pub use parse::{PointProblem, ResultError, parse_result};
 pub use plot::{PlotError, sweep_plot};
 pub use quantity::{Aggregation, AnswerTime, Quantity, TrafficClass};
 pub use report::{BUDGET_BLOCK, Plot, Report, SIZE_BLOCK};
 pub use result::{
-    Dimension, Direction, Fault, Machine, MessageCount, MessageKind, MessagePurpose, Phase,
-    PhaseSample, Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
+    Dimension, Direction, Fault, MachineInfo, MessageCount, MessageKind, MessagePurpose, Phase,
+    PhaseSample, PointSettings, ProcessSample, RESULT_FORMAT, SweepPoint, SweepResult,
 };
 pub use size::{
     Budget, DESIGN_SIZE, InstallationSize, MAX_CONTROL_BYTES_PER_SECOND, MAX_CPU_PERCENT,
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -97,7 +97,7 @@
 
 /// A page with regenerated parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Regenerated {
+pub struct RegeneratedPage {
     /// The text of the page.
     pub text: String,
     /// The parts whose text changed.
@@ -109,7 +109,7 @@
 /// # Errors
 ///
 /// A marker has no counterpart, a block is missing or occurs twice, or the key of a figure is invalid.
-pub fn regenerate(page: &str, contents: &dyn PageContents) -> Result<Regenerated, PageError> {
+pub fn regenerate(page: &str, contents: &dyn PageContents) -> Result<RegeneratedPage, PageError> {
     let mut writer = Writer {
         contents,
         text: String::new(),
@@ -133,7 +133,7 @@
         .find(|name| !writer.blocks.contains(name));
     match missing {
         Some(name) => Err(PageError::MissingBlock { name }),
-        None => Ok(Regenerated {
+        None => Ok(RegeneratedPage {
             text: writer.text,
             changed: writer.changed,
         }),
--- a/crates/capacity/src/parse.rs
+++ b/crates/capacity/src/parse.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::result::{Phase, Point, RESULT_FORMAT, SweepResult};
+use crate::result::{Phase, RESULT_FORMAT, SweepPoint, SweepResult};
 
 /// The minimum length of a phase.
 const MIN_SECONDS: f64 = 0.001;
@@ -117,7 +117,7 @@
     })
 }
 
-fn check_point(point: &Point) -> Result<(), PointProblem> {
+fn check_point(point: &SweepPoint) -> Result<(), PointProblem> {
     let settings = &point.settings;
     let rates = [
         settings.starts_per_second,
--- a/crates/capacity/src/result.rs
+++ b/crates/capacity/src/result.rs
@@ -20,9 +20,9 @@
     /// The commit of the measured program, as named by `git describe --always --dirty`.
     pub commit: String,
     /// The machine that the sweep ran on.
-    pub machine: Machine,
+    pub machine: MachineInfo,
     /// The measured points, in the order of the sweep.
-    pub points: Vec<Point>,
+    pub points: Vec<SweepPoint>,
 }
 
 /// A dimension that a sweep varies.
@@ -48,7 +48,7 @@
 /// The machine that a sweep ran on.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Machine {
+pub struct MachineInfo {
     /// The model of the processor.
     pub processor: String,
     /// The number of logical processors.
@@ -62,7 +62,7 @@
 /// The measurements at one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Point {
+pub struct SweepPoint {
     /// The seed of all random numbers.
     pub seed: u64,
     /// The size, including the swept dimension.
--- a/crates/capacity/src/sweep.rs
+++ b/crates/capacity/src/sweep.rs
@@ -3,7 +3,7 @@
 use crate::fit::{Observation, distinct_sizes};
 use crate::law_selection::LawSelection;
 use crate::quantity::{Aggregation, Quantity};
-use crate::result::{Phase, PhaseSample, Point, SweepResult};
+use crate::result::{Phase, PhaseSample, SweepPoint, SweepResult};
 
 /// The sample of a phase with the size of its point.
 #[derive(Clone, Copy, Debug)]
@@ -16,7 +16,7 @@
 
 impl SweepResult {
     /// The size of a point in the sweep's dimension.
-    pub fn size_of(&self, point: &Point) -> f64 {
+    pub fn size_of(&self, point: &SweepPoint) -> f64 {
         point.settings.value(self.dimension)
     }
 
@@ -82,6 +82,6 @@
 }
 
 /// The sample of a phase at a point.
-pub fn find_sample(point: &Point, phase: Phase) -> Option<&PhaseSample> {
+pub fn find_sample(point: &SweepPoint, phase: Phase) -> Option<&PhaseSample> {
     point.phases.iter().find(|sample| sample.phase == phase)
 }
--- a/crates/capacity/tests/support/mod.rs
+++ b/crates/capacity/tests/support/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)] // Each test file uses some of these items.
 
 use maplethread_capacity::{
-    Dimension, Direction, Machine, MessageCount, MessageKind, Observation, Phase, PhaseSample,
-    Point, PointSettings, ProcessSample, RESULT_FORMAT, SweepResult,
+    Dimension, Direction, MachineInfo, MessageCount, MessageKind, Observation, Phase, PhaseSample,
+    PointSettings, ProcessSample, RESULT_FORMAT, SweepPoint, SweepResult,
 };
 
 /// The number of real placers of each point.
@@ -69,8 +69,8 @@
 }
 
 /// A point at the design size, except for the number of workers.
-pub fn point(workers: u32, phases: &[Phase]) -> Point {
-    Point {
+pub fn point(workers: u32, phases: &[Phase]) -> SweepPoint {
+    SweepPoint {
         seed: 1,
         settings: PointSettings {
             workers,
@@ -92,7 +92,7 @@
         dimension: Dimension::Workers,
         command: "maplethread scale run config/scale/workers.toml".to_owned(),
         commit: "0000000".to_owned(),
-        machine: Machine {
+        machine: MachineInfo {
             processor: "synthetic".to_owned(),
             cores: 2,
             memory_mib: 4_096,
--- a/crates/checker/src/checker.rs
+++ b/crates/checker/src/checker.rs
@@ -70,7 +70,10 @@
             | Observation::PlacerStopped { .. }
             | Observation::PlacerPaused { .. }
             | Observation::PlacerResumed { .. } => self.observe_replica_indexes(observation),
-            Observation::ObserverDelayed { observer, since } => {
+            Observation::ObserverDelayed {
+                observer,
+                delayed_since_us: since,
+            } => {
                 self.observer_delay.set_delay(*observer, *since);
             }
             // `Availability` has already read these from the whole history.
@@ -88,7 +91,7 @@
                 host,
                 connection,
                 placer,
-                incarnation,
+                generation: incarnation,
             } => self.connect(&key(host, *connection), placer, *incarnation),
             Observation::ConnectionLost { host, connection } => {
                 self.record_connection_loss(&key(host, *connection));
--- a/crates/checker/src/history.rs
+++ b/crates/checker/src/history.rs
@@ -53,7 +53,7 @@
         /// The placer.
         placer: Arc<str>,
         /// Start time of the placer's process, which distinguishes the successive processes of one placer.
-        incarnation: u64,
+        generation: u64,
     },
     /// A connection to a host was lost or closed.
     ConnectionLost {
@@ -140,12 +140,12 @@
         /// The replica index.
         replica_index: Arc<str>,
         /// Lock delay: no placer can lock the index until this time has passed, µs.
-        after_us: u64,
+        lock_delay_us: u64,
     },
     /// The catalogue has lost its leader.
     CatalogueLeaderLost {
         /// How long the catalogue has no leader, µs.
-        for_us: u64,
+        duration_us: u64,
     },
     /// A placer's process has started and serves requests.
     PlacerStarted {
@@ -168,7 +168,7 @@
         observer: Observer,
         /// When the observer last had nothing left to read, µs. What it reads from now on may have arrived at any time
         /// since. `None` once it reads on time again.
-        since: Option<u64>,
+        delayed_since_us: Option<u64>,
     },
     /// A paused placer was resumed.
     PlacerResumed {
--- a/crates/checker/src/parameters.rs
+++ b/crates/checker/src/parameters.rs
@@ -69,9 +69,9 @@
     /// Rule 4: length of the sliding window in which offers to a warming host are counted, µs.
     pub overload_window_us: u64,
     /// Rule 4: budget of a warming host, as offers from all placers together in one window.
-    pub warm_up_offers: f64,
+    pub max_warm_up_offers: f64,
     /// Rule 5: how long a host can be disconnected from a placer before its tasks count as lost, µs.
-    pub lost_after_us: u64,
+    pub connection_loss_timeout_us: u64,
     /// Rule 1: a placer that was resumed from a pause at least this long before a deadline must still answer, µs.
     pub resume_grace_us: u64,
     /// Maximum delay of the recording itself, µs.
--- a/crates/checker/src/replica_indexes.rs
+++ b/crates/checker/src/replica_indexes.rs
@@ -61,9 +61,11 @@
             } => return self.lock(now, replica_index, placer),
             Observation::ReplicaIndexReleased {
                 replica_index,
-                after_us,
+                lock_delay_us: after_us,
             } => self.release(replica_index, now + after_us),
-            Observation::CatalogueLeaderLost { for_us } => self.leaderless_until = now + for_us,
+            Observation::CatalogueLeaderLost {
+                duration_us: for_us,
+            } => self.leaderless_until = now + for_us,
             Observation::PlacerStarted { placer } => {
                 self.placers.insert(placer.clone());
                 self.unavailable.remove(placer);
--- a/crates/checker/src/rule_4_warm_up.rs
+++ b/crates/checker/src/rule_4_warm_up.rs
@@ -47,7 +47,7 @@
         let Some(offers) = self.warm_up.offers.get(host) else {
             return;
         };
-        let budget = self.parameters.warm_up_offers;
+        let budget = self.parameters.max_warm_up_offers;
         let count = offers.len();
         let informed = offers.iter().filter(|offer| offer.is_informed).count();
         let own = offers
--- a/crates/checker/src/rule_5_spread.rs
+++ b/crates/checker/src/rule_5_spread.rs
@@ -223,7 +223,7 @@
             let loss_delay_us = if self.spreads.gone_hosts.contains(&connection.host) {
                 0
             } else {
-                self.parameters.lost_after_us
+                self.parameters.connection_loss_timeout_us
             };
             self.spreads.lost_connections.push_back(LostConnection {
                 due: self.now + loss_delay_us,
--- a/crates/checker/tests/observer_delay.rs
+++ b/crates/checker/tests/observer_delay.rs
@@ -20,7 +20,13 @@
 }
 
 fn observer_delayed(observer: Observer, at: u64, since: Option<u64>) -> Timed {
-    (at, Observation::ObserverDelayed { observer, since })
+    (
+        at,
+        Observation::ObserverDelayed {
+            observer,
+            delayed_since_us: since,
+        },
+    )
 }
 
 #[test]
--- a/crates/checker/tests/replica_indexes.rs
+++ b/crates/checker/tests/replica_indexes.rs
@@ -24,7 +24,7 @@
 fn index_released(replica_index: &str) -> Observation {
     Observation::ReplicaIndexReleased {
         replica_index: name(replica_index),
-        after_us: S,
+        lock_delay_us: S,
     }
 }
 
@@ -141,7 +141,10 @@
     // The wait begins when the lock delay has passed.
     assert_eq!(waits(vec![(8 * S, index_locked("0", "q"))]), [2 * S]);
     // Time without a leader, or without a running placer that needs an index, does not count.
-    let no_leader = (7 * S, Observation::CatalogueLeaderLost { for_us: 2 * S });
+    let no_leader = (
+        7 * S,
+        Observation::CatalogueLeaderLost { duration_us: 2 * S },
+    );
     assert_eq!(
         waits(vec![no_leader, (10 * S, index_locked("0", "q"))]),
         [2 * S]
--- a/crates/checker/tests/support/mod.rs
+++ b/crates/checker/tests/support/mod.rs
@@ -37,8 +37,8 @@
         drain_grace_us: 2 * S,
         warm_up_us: 6 * S,
         overload_window_us: 2 * S,
-        warm_up_offers: 16.0,
-        lost_after_us: 5 * S,
+        max_warm_up_offers: 16.0,
+        connection_loss_timeout_us: 5 * S,
         resume_grace_us: S / 2,
         timing_slack_us: 150 * MS,
     }
@@ -108,7 +108,7 @@
         host: name("h"),
         connection,
         placer: name(placer),
-        incarnation,
+        generation: incarnation,
     }
 }
 
--- a/crates/cli/src/fault_run.rs
+++ b/crates/cli/src/fault_run.rs
@@ -117,7 +117,11 @@
         let text = toml::to_string(&scenario).in_library()?;
         std::fs::write(file, text).in_file(file)?;
     }
-    if scenario.slots.is_some_and(|slots| slots < scenario.placers) && !args.consul {
+    if scenario
+        .replica_indexes
+        .is_some_and(|slots| slots < scenario.placers)
+        && !args.consul
+    {
         return Err(CommandError::invalid_option(
             "the scenario has fewer slots than placers: placers then lease their numbers, which needs --consul",
         ));
@@ -134,7 +138,7 @@
             DampingArg::Hold => DampingMode::Hold,
         }),
         show_progress: !args.json,
-        kept_folder: args.keep.clone(),
+        log_folder: args.keep.clone(),
         trace_folder: absolute_folder(&args.trace)?,
         arrivals: recorded.as_ref().map(|r| r.arrivals.clone()),
         membership: None,
@@ -167,7 +171,7 @@
 /// A run with a mutant never succeeds: either the checker detected the broken rule, or the run does not show that it can.
 fn exit_code(report: &Report) -> ExitCode {
     let Some(mutant) = report.mutant else {
-        return if report.is_good() {
+        return if report.has_passed() {
             ExitCode::SUCCESS
         } else {
             ExitCode::FAILURE
--- a/crates/cli/src/load.rs
+++ b/crates/cli/src/load.rs
@@ -58,7 +58,7 @@
         let options = LoadOptions {
             program: program.clone(),
             requests_per_s: rate,
-            seconds: args.seconds,
+            duration_s: args.seconds,
             host_count: args.hosts,
             connection_count: args.connections,
             task_duration_ms: args.life_ms,
@@ -76,7 +76,7 @@
     };
     let first = measure(args.rate)?;
     if args.max {
-        let sustained = |m: &LoadResult| m.answer_us[1] < 50_000 && m.placed == m.requests;
+        let sustained = |m: &LoadResult| m.answer_times_us[1] < 50_000 && m.placed == m.requests;
         let (mut low, mut high) = (0.0, args.rate);
         let mut last = first;
         while sustained(&last) {
--- a/crates/cli/src/membership_test.rs
+++ b/crates/cli/src/membership_test.rs
@@ -81,14 +81,14 @@
             schedule,
             seed,
             program: std::env::current_exe().in_step("path of this program")?,
-            keep_files_in: args.keep.clone(),
+            kept_folder: args.keep.clone(),
             shows_progress: !args.json,
-            without_view: args.without_view,
+            without_membership: args.without_view,
             interrupted: interrupted.clone(),
         };
         let outcome = run::run(&test).in_step(format!("membership test {seed}"))?;
         passed_all &= if args.without_view {
-            outcome.service.is_good()
+            outcome.service.has_passed()
         } else {
             outcome.passed()
         };
@@ -100,7 +100,7 @@
         }
         let kinds: Vec<String> = test
             .schedule
-            .fault
+            .faults
             .iter()
             .map(|f| format!("{:?} at {} s", f.kind, f.at_s))
             .collect();
--- a/crates/cli/src/scale_report.rs
+++ b/crates/cli/src/scale_report.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use maplethread_capacity::{Plot, Regenerated, Report, SweepResult, parse_result, regenerate};
+use maplethread_capacity::{Plot, RegeneratedPage, Report, SweepResult, parse_result, regenerate};
 
 use crate::error::{CommandError, ErrorContext};
 
@@ -80,7 +80,11 @@
     parse_result(&file.display().to_string(), &text).in_library()
 }
 
-fn write(args: &ReportArgs, page: &Regenerated, plots: &[Plot]) -> Result<ExitCode, CommandError> {
+fn write(
+    args: &ReportArgs,
+    page: &RegeneratedPage,
+    plots: &[Plot],
+) -> Result<ExitCode, CommandError> {
     for plot in plots {
         let file = args.results.join(&plot.file_name);
         fs::write(&file, &plot.svg).in_file(&file)?;
@@ -98,7 +102,7 @@
 fn check(
     args: &ReportArgs,
     before: &str,
-    page: &Regenerated,
+    page: &RegeneratedPage,
     plots: &[Plot],
 ) -> Result<ExitCode, CommandError> {
     let mut differing: Vec<String> = page
--- a/crates/cli/src/trace/anonymise.rs
+++ b/crates/cli/src/trace/anonymise.rs
@@ -7,7 +7,7 @@
 use aho_corasick::AhoCorasick;
 use clap::Args;
 use maplethread_trace::anonymise::{Anonymiser, Identifiers};
-use maplethread_trace::{Part, Record, TimedRecord, Writer};
+use maplethread_trace::{FilePart, Record, TimedRecord, Writer};
 
 use super::files::{create_new, for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
@@ -52,12 +52,12 @@
     let mut writer =
         Writer::new(out, &anonymiser.anonymise_header(&trace.header)).in_file(&args.out)?;
     for_each_part(&args.file, &mut trace, |part| match part {
-        Part::Block { records, .. } => records.iter().try_for_each(|r| {
+        FilePart::Block { records, .. } => records.iter().try_for_each(|r| {
             writer
                 .push(&anonymiser.anonymise_record(r))
                 .in_file(&args.out)
         }),
-        Part::Damaged { byte_count, .. } => {
+        FilePart::Damaged { byte_count, .. } => {
             let record = Record::Gap {
                 turns: 1,
                 records: 1,
@@ -97,7 +97,7 @@
     identifiers.add_header(&open(original)?.header);
     let mut trace = open(original)?;
     for_each_part(original, &mut trace, |part| {
-        if let Part::Block { records, .. } = part {
+        if let FilePart::Block { records, .. } = part {
             records.iter().for_each(|r| identifiers.add_record(r));
             if identifiers.len() >= MAX_IDENTIFIERS_PER_PASS {
                 let all = std::mem::take(&mut identifiers);
@@ -126,7 +126,7 @@
         .collect();
     let mut blocks = Vec::new();
     for_each_part(copy, &mut trace, |part| {
-        if let Part::Block {
+        if let FilePart::Block {
             offset: at,
             records,
             ..
--- a/crates/cli/src/trace/copy.rs
+++ b/crates/cli/src/trace/copy.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use maplethread_trace::merge::MergePlan;
-use maplethread_trace::{Part, Reader, Record, TimedRecord, Writer};
+use maplethread_trace::{FilePart, Reader, Record, TimedRecord, Writer};
 
 use super::files::{create_new, for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
@@ -33,7 +33,7 @@
         plan.header().sources.len()
     );
     for source in &plan.header().sources {
-        let error = source.error_us.map_or("unknown".to_owned(), |us| {
+        let error = source.residual_error_us.map_or("unknown".to_owned(), |us| {
             format!("{:.3} ms", us as f64 / 1000.0)
         });
         let offset = source.offset_us as f64 / 1000.0;
@@ -53,18 +53,18 @@
 pub fn repair(file: &Path, out: &Path) -> Result<ExitCode, CommandError> {
     let mut trace = open(file)?;
     let mut header = trace.header.clone();
-    header.changed.push("repair".to_owned());
+    header.operations.push("repair".to_owned());
     let mut writer = Writer::new(BufWriter::new(create_new(out)?), &header).in_file(out)?;
     let (mut lost_bytes, mut last_us) = (0, 0);
     for_each_part(file, &mut trace, |part| {
         match part {
-            Part::Block { records, .. } => {
+            FilePart::Block { records, .. } => {
                 for record in records {
                     last_us = record.at;
                     writer.push(&record).in_file(out)?;
                 }
             }
-            Part::Damaged {
+            FilePart::Damaged {
                 byte_count, reason, ..
             } => {
                 lost_bytes += byte_count;
--- a/crates/cli/src/trace/cut.rs
+++ b/crates/cli/src/trace/cut.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use maplethread_trace::cut::{Filter, SelectedTasks};
-use maplethread_trace::{Part, Record, TimedRecord, Writer};
+use maplethread_trace::{FilePart, Record, TimedRecord, Writer};
 
 use super::files::{TraceFile, create_new, for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
@@ -52,7 +52,7 @@
 fn find_ids(file: &Path, trace: &mut TraceFile, args: &CutArgs) -> Result<Selection, CommandError> {
     let (mut service, mut machine, mut first) = (None, None, None);
     while let Some(part) = trace.next_part().in_file(file)? {
-        let Part::Block { info, records, .. } = part else {
+        let FilePart::Block { info, records, .. } = part else {
             continue;
         };
         first.get_or_insert(info.first_us);
@@ -125,7 +125,7 @@
         match &blocks {
             Some(blocks) => {
                 for &at in blocks {
-                    if let Part::Block { records, .. } =
+                    if let FilePart::Block { records, .. } =
                         trace.read_block(at).in_file(file)?
                     {
                         records.iter().try_for_each(&mut *visit)?;
@@ -136,8 +136,8 @@
             None => {
                 trace.rewind();
                 for_each_part(file, &mut trace, |part| match part {
-                    Part::Block { records, .. } => records.iter().try_for_each(&mut *visit),
-                    Part::Damaged { .. } => Ok(()),
+                    FilePart::Block { records, .. } => records.iter().try_for_each(&mut *visit),
+                    FilePart::Damaged { .. } => Ok(()),
                 })
             }
         }
@@ -150,7 +150,7 @@
         })?;
     }
     let mut header = open(file)?.header;
-    header.changed.push("cut".to_owned());
+    header.operations.push("cut".to_owned());
     // The cut leaves out input of the module, so the copy can't be replayed.
     header.settings = None;
     let out = BufWriter::new(create_new(&args.out)?);
--- a/crates/cli/src/trace/diff.rs
+++ b/crates/cli/src/trace/diff.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use maplethread_trace::{Part, Record, TimedRecord};
+use maplethread_trace::{FilePart, Record, TimedRecord};
 use serde_json::json;
 
 use super::files::{TraceFile, open};
@@ -26,8 +26,8 @@
                 return Ok(Some(record));
             }
             match self.trace.next_part().in_file(&self.file)? {
-                Some(Part::Block { records, .. }) => self.block = records.into_iter(),
-                Some(Part::Damaged { .. }) => {}
+                Some(FilePart::Block { records, .. }) => self.block = records.into_iter(),
+                Some(FilePart::Damaged { .. }) => {}
                 None => return Ok(None),
             }
         }
--- a/crates/cli/src/trace/files.rs
+++ b/crates/cli/src/trace/files.rs
@@ -4,7 +4,7 @@
 use std::io::{self, BufReader, IsTerminal};
 use std::path::Path;
 
-use maplethread_trace::{Part, Reader};
+use maplethread_trace::{FilePart, Reader};
 
 use crate::error::{CommandError, ErrorContext};
 
@@ -36,7 +36,7 @@
 pub fn for_each_part(
     file: &Path,
     trace: &mut TraceFile,
-    mut visit: impl FnMut(Part) -> Result<(), CommandError>,
+    mut visit: impl FnMut(FilePart) -> Result<(), CommandError>,
 ) -> Result<(), CommandError> {
     let (length, _) = trace.progress();
     let is_shown = length > 64 << 20 && io::stderr().is_terminal();
--- a/crates/cli/src/trace/inspect.rs
+++ b/crates/cli/src/trace/inspect.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use maplethread_trace::{Part, Record, module_hash};
+use maplethread_trace::{FilePart, Record, policy_hash};
 use serde_json::json;
 
 use super::files::{for_each_part, open};
@@ -28,7 +28,7 @@
         }
     } else {
         for_each_part(file, &mut trace, |part| {
-            if let Part::Block { info, .. } = part {
+            if let FilePart::Block { info, .. } = part {
                 (blocks, records) = (blocks + 1, records + u64::from(info.record_count));
                 (first, last) = (first.min(info.first_us), last.max(info.last_us));
             }
@@ -37,8 +37,8 @@
     }
     let text = json!({
         "writer": header.writer, "placer": header.placer, "started_ms": header.started_ms, "part": header.part,
-        "module": header.module, "module_is_this_one": header.module == module_hash(),
-        "replayable": header.settings.is_some(), "changed": header.changed, "classes": header.classes,
+        "module": header.policy_hash, "module_is_this_one": header.policy_hash == policy_hash(),
+        "replayable": header.settings.is_some(), "changed": header.operations, "classes": header.classes,
         "octets": length, "finished": index.is_some(), "blocks": blocks, "records": records,
         "first_us": (records > 0).then_some(first), "last_us": (records > 0).then_some(last),
     });
@@ -58,11 +58,11 @@
         let mut trace = open(file)?;
         for_each_part(file, &mut trace, |part| {
             let result = match part {
-                Part::Block { records, .. } => records.iter().try_for_each(|r| {
+                FilePart::Block { records, .. } => records.iter().try_for_each(|r| {
                     serde_json::to_writer(&mut out, r)?;
                     out.write_all(b"\n")
                 }),
-                Part::Damaged {
+                FilePart::Damaged {
                     offset: position,
                     byte_count: length,
                     reason: cause,
@@ -96,7 +96,7 @@
     let (mut blocks, mut records, mut damaged, mut unknown, mut gaps) = (0, 0, 0, 0, 0);
     for_each_part(file, &mut trace, |part| {
         match part {
-            Part::Block {
+            FilePart::Block {
                 records: block_records,
                 unknown_records,
                 ..
@@ -111,7 +111,7 @@
                     .filter(|r| matches!(r.record, Record::Gap { .. }))
                     .count();
             }
-            Part::Damaged {
+            FilePart::Damaged {
                 offset: position,
                 byte_count: length,
                 reason: cause,
--- a/crates/cli/src/trace/replay.rs
+++ b/crates/cli/src/trace/replay.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 
 use maplethread_trace::replay::Replay;
-use maplethread_trace::{ActionList, Part, Record, module_hash};
+use maplethread_trace::{ActionList, FilePart, Record, policy_hash};
 
 use super::files::{for_each_part, open};
 use crate::error::{CommandError, ErrorContext};
@@ -20,7 +20,7 @@
         .first()
         .ok_or_else(|| CommandError::invalid_option("no trace file given"))?;
     let header = open(first)?.header;
-    if header.module != module_hash() {
+    if header.policy_hash != policy_hash() {
         let warning = "the trace was made with another version of the policy module: the hashes of the source differ";
         if !build_differs {
             let problem = format!("{warning}; --build-differs replays it nevertheless");
@@ -59,7 +59,7 @@
         }
         for_each_part(file, &mut trace, |part| {
             match part {
-                Part::Block { info, records, .. } => {
+                FilePart::Block { info, records, .. } => {
                     (from, until) = (from.min(info.first_us), until.max(info.last_us));
                     for record in &records {
                         if let Record::Host { machine, name, .. } = &record.record {
@@ -68,7 +68,7 @@
                         replay.feed(record);
                     }
                 }
-                Part::Damaged { .. } => replay.mark_gap(),
+                FilePart::Damaged { .. } => replay.mark_gap(),
             }
             Ok(())
         })?;
--- a/crates/cli/src/trace/reports.rs
+++ b/crates/cli/src/trace/reports.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use maplethread_trace::Part;
+use maplethread_trace::FilePart;
 use maplethread_trace::losses::LossCollector;
 use maplethread_trace::summary::Summary;
 
@@ -27,7 +27,7 @@
         let summary = summary.get_or_insert_with(|| Summary::new(&trace.header));
         for_each_part(file, &mut trace, |part| {
             match part {
-                Part::Block {
+                FilePart::Block {
                     records,
                     unknown_records,
                     ..
@@ -35,7 +35,7 @@
                     records.iter().for_each(|r| summary.feed(r));
                     summary.add_unknown_records(unknown_records);
                 }
-                Part::Damaged { byte_count, .. } => summary.add_damaged_bytes(byte_count),
+                FilePart::Damaged { byte_count, .. } => summary.add_damaged_bytes(byte_count),
             }
             Ok(())
         })?;
@@ -71,7 +71,7 @@
             return Err(CommandError::file(file, problem));
         }
         for_each_part(file, &mut trace, |part| {
-            if let Part::Block { records, .. } = part {
+            if let FilePart::Block { records, .. } = part {
                 records.iter().for_each(|r| losses.feed(r));
             }
             Ok(())
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -55,7 +55,7 @@
             replica_index: self.identity.replica_index,
             zone: index(&self.identity.zone),
             classes: self.classes.iter().map(class).collect(),
-            kinds: self
+            machine_kinds: self
                 .kinds
                 .iter()
                 .map(|k| mt::Resources::new(k.cores, k.memory_gib))
@@ -68,12 +68,12 @@
             cpu_overcommit: self.placement.admit_cores,
             memory_overcommit: self.placement.admit_memory,
             endpoints_report_capacity: self.placement.inventory_reports_unallocated,
-            load_report: match self.placement.load_report {
-                LoadReport::Silent => mt::LoadReport::Silent,
-                LoadReport::Unallocated => mt::LoadReport::Unallocated,
-                LoadReport::Unused => mt::LoadReport::Unused,
+            load_report_content: match self.placement.load_report {
+                LoadReport::Silent => mt::LoadReportContent::Nothing,
+                LoadReport::Unallocated => mt::LoadReportContent::UnallocatedResources,
+                LoadReport::Unused => mt::LoadReportContent::UnusedResources,
             },
-            limits: mt::Limits {
+            limits: mt::CallerLimits {
                 max_attempts: self.placement.max_attempts,
                 can_cancel: true,
                 can_probe: true,
@@ -86,7 +86,7 @@
                 warm_up_duration: self.rules.warm_up_duration_ms * MICROS_PER_MS,
                 overload_multiple: self.rules.overload_multiple,
                 overload_window: self.rules.overload_window_ms * MICROS_PER_MS,
-                warm_up_offers: self.rules.warm_up_offers,
+                warm_up_offers_per_window: self.rules.warm_up_offers,
             },
             costs: mt::Costs {
                 rejection: self.costs.rejection,
--- a/crates/consul-emulator/src/server.rs
+++ b/crates/consul-emulator/src/server.rs
@@ -129,7 +129,7 @@
     /// Listening on an address fails, or the poller or the thread cannot be created.
     pub fn start(settings: EmulatorSettings) -> io::Result<Servers> {
         let poller = Poller::new()?;
-        let waker = Poller::waker()?;
+        let waker = Poller::create_waker()?;
         poller.register(&waker, WAKER_TOKEN, false)?;
         let (mut listeners, mut addresses) = (Vec::new(), Vec::new());
         for (n, at) in settings.listen.iter().enumerate() {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -20,7 +20,7 @@
     /// Requests a second.
     pub requests_per_s: f64,
     /// Duration of the load, s.
-    pub seconds: f64,
+    pub duration_s: f64,
     /// Latencies of requests due before this time are kept apart from those due after it, s.
     pub split_s: f64,
     /// Number of client connections; at least one for each placer is used.
@@ -102,8 +102,8 @@
     /// A connection fails, or a placer violates the protocol.
     pub fn run(mut self) -> io::Result<AnswerTimes> {
         let start = self.clock.now();
-        let total = (self.load.requests_per_s * self.load.seconds).round() as u64;
-        let deadline = start + (self.load.seconds * 1e6) as u64 + ANSWER_TIMEOUT_US;
+        let total = (self.load.requests_per_s * self.load.duration_s).round() as u64;
+        let deadline = start + (self.load.duration_s * 1e6) as u64 + ANSWER_TIMEOUT_US;
         let mut ready = Vec::new();
         let mut answered = 0;
         while answered < total {
--- a/crates/emulator/src/demand.rs
+++ b/crates/emulator/src/demand.rs
@@ -37,15 +37,15 @@
         let c = &scenario.classes[self.class];
         let mean = |i: usize| c.shapes.iter().map(|s| s[i]).sum::<f64>() / c.shapes.len() as f64;
         let size = 0.5 * (self.resources[0] / mean(0) + self.resources[1] / mean(1));
-        let rate = c.rules.priority_weight * size;
-        let bonus = rate * c.rules.start_bonus_s;
+        let rate = c.placer_class.priority_weight * size;
+        let bonus = rate * c.placer_class.start_bonus_s;
         let from = start + self.at_us;
         TaskDemand {
             class: self.class,
             value_per_s: rate,
             from_us: from,
             until_us: from + self.wanted_for_us,
-            objective_us: from + c.rules.latency_objective_ms * 1000,
+            objective_us: from + c.placer_class.latency_objective_ms * 1000,
             start_bonus: bonus,
             deadline_us: from + c.deadline_ms * 1000,
             late_start_bonus: bonus * c.late_start_share,
@@ -57,7 +57,7 @@
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut rng = SeededRng::new(seed, 9);
     let total_share: f64 = scenario.classes.iter().map(|c| c.share).sum();
-    let end_us = scenario.seconds * 1e6;
+    let end_us = scenario.duration_s * 1e6;
     let (mut arrivals, mut at_us) = (Vec::new(), 0.0);
     loop {
         let rate = scenario.load_at(at_us / 1e6)
@@ -78,8 +78,13 @@
         arrivals.push(Arrival {
             at_us: at_us as u64,
             class,
-            service: format!("{}-{:02}", c.rules.name, rng.index_below(c.service_count)).into(),
-            actor: format!("{}-{}", c.rules.name, arrivals.len()).into(),
+            service: format!(
+                "{}-{:02}",
+                c.placer_class.name,
+                rng.index_below(c.service_count)
+            )
+            .into(),
+            actor: format!("{}-{}", c.placer_class.name, arrivals.len()).into(),
             resources: c.shapes[rng.index_below(c.shapes.len())],
             wanted_for_us: ((0.3 + 0.7 * rng.exp(1.0)).min(4.0) * c.mean_duration_s * 1e6) as u64,
             zone: rng.index_below(scenario.fleet.zones.len()),
--- a/crates/emulator/src/fault_plan.rs
+++ b/crates/emulator/src/fault_plan.rs
@@ -304,7 +304,7 @@
     fn host_fault(&self, fault: &ScheduledFault) -> Option<HostFault> {
         let share = fault.intensity;
         let class = || {
-            let first = || self.scenario.classes[0].rules.name.clone();
+            let first = || self.scenario.classes[0].placer_class.name.clone();
             fault.class.clone().unwrap_or_else(first)
         };
         Some(match fault.kind {
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -270,7 +270,10 @@
 
     /// The class of this name.
     fn class(&self, name: &str) -> Option<&Class> {
-        self.scenario.classes.iter().find(|c| c.rules.name == name)
+        self.scenario
+            .classes
+            .iter()
+            .find(|c| c.placer_class.name == name)
     }
 
     /// The present speed, which is lower while the host warms up.
--- a/crates/emulator/src/host/service.rs
+++ b/crates/emulator/src/host/service.rs
@@ -95,7 +95,7 @@
                 .scenario
                 .classes
                 .iter()
-                .find(|c| c.rules.name == task.offer.class);
+                .find(|c| c.placer_class.name == task.offer.class);
             let (onset, range) =
                 class.map_or((1.0, 1.0), |c| (c.contention_onset, c.contention_range));
             let contention = load.utilization(task.offer.priority) - onset;
--- a/crates/emulator/src/host/tasks.rs
+++ b/crates/emulator/src/host/tasks.rs
@@ -82,7 +82,10 @@
 
     /// The group of hosts that share idempotency keys of a class, as a hash.
     fn deduplication_group(&self, class: &str) -> u64 {
-        let group = match self.class(class).and_then(|c| c.rules.deduplication_scope) {
+        let group = match self
+            .class(class)
+            .and_then(|c| c.placer_class.deduplication_scope)
+        {
             Some(DeduplicationScope::Zone) => self.spec.zone.clone(),
             Some(DeduplicationScope::Cell) => format!("{}/{}", self.spec.zone, self.spec.cell),
             _ => String::new(),
@@ -127,7 +130,7 @@
         self.recent_offers.retain(|&at| at + window >= now);
         self.recent_offers.push(now);
         let first_class = self.scenario.classes.first();
-        let work = first_class.map_or(DEFAULT_WARM_UP_WORK_MS, |c| c.work_ms) * 1000.0;
+        let work = first_class.map_or(DEFAULT_WARM_UP_WORK_MS, |c| c.start_duration_ms) * 1000.0;
         let concurrent = self.scenario.fleet.max_concurrent_starts as f64;
         let capacity = self.speed_factor(now) * concurrent * window as f64 / work;
         self.recent_offers.len() as f64
@@ -211,7 +214,7 @@
             let attempt = start.attempt_id;
             let task = self.tasks.get(&attempt);
             let class = task.and_then(|task| self.class(&task.offer.class));
-            let work_ms = class.map_or(DEFAULT_START_WORK_MS, |c| c.work_ms);
+            let work_ms = class.map_or(DEFAULT_START_WORK_MS, |c| c.start_duration_ms);
             let factor = if start.is_program_warm {
                 1.0
             } else {
--- a/crates/emulator/src/host_pool/connections.rs
+++ b/crates/emulator/src/host_pool/connections.rs
@@ -127,7 +127,7 @@
                 host: host.clone(),
                 connection: token,
                 placer: placer.clone(),
-                incarnation: *started_ms,
+                generation: *started_ms,
             });
             self.connection_of_placer
                 .insert((number, placer.clone()), token);
--- a/crates/emulator/src/host_pool/mod.rs
+++ b/crates/emulator/src/host_pool/mod.rs
@@ -78,7 +78,7 @@
             slots.push(HostSlot::new(host, listener)?);
         }
         let poller = Poller::new()?;
-        let waker = Poller::waker()?;
+        let waker = Poller::create_waker()?;
         let addresses = slots.iter().map(|slot| slot.address).collect();
         let shared = Shared {
             commands: Arc::default(),
--- a/crates/emulator/src/load_test.rs
+++ b/crates/emulator/src/load_test.rs
@@ -24,7 +24,7 @@
 
 use crate::catalogue_registration::register_host;
 use crate::clients::{Clients, RequestLoad};
-use crate::settings::{api, consul, hosts, plain_class};
+use crate::settings::{api, consul, hosts, unconstrained_class};
 use crate::usage::process_usage;
 
 /// Options of a load test.
@@ -35,7 +35,7 @@
     /// Requests a second.
     pub requests_per_s: f64,
     /// Duration of the load, s.
-    pub seconds: f64,
+    pub duration_s: f64,
     /// Number of hosts.
     pub host_count: usize,
     /// Number of client connections.
@@ -63,7 +63,7 @@
     /// Number of requests that were answered `placed`.
     pub placed: u64,
     /// Time from when a request was due to its answer: p50, p99, p99.9 and maximum, µs.
-    pub answer_us: [u64; 4],
+    pub answer_times_us: [u64; 4],
     /// The same for the first half of the run and for the second.
     pub answer_us_by_half: [[u64; 4]; 2],
     /// Decisions: p50 and p99, µs, as the placer measured them.
@@ -84,7 +84,7 @@
     pub fn json(&self) -> Value {
         json!({
             "rate": self.rate, "answered_rate": self.answered_rate, "asks": self.requests, "placed": self.placed,
-            "place_us": {"p50": self.answer_us[0], "p99": self.answer_us[1], "p99.9": self.answer_us[2], "max": self.answer_us[3]},
+            "place_us": {"p50": self.answer_times_us[0], "p99": self.answer_times_us[1], "p99.9": self.answer_times_us[2], "max": self.answer_times_us[3]},
             "halves_us": self.answer_us_by_half,
             "decide_us": {"p50": self.decision_times_us[0], "p99": self.decision_times_us[1]},
             "rss_kib": {"before": self.rss_kib[0], "after": self.rss_kib[1]},
@@ -122,10 +122,10 @@
             self.answered_rate,
             self.requests,
             self.placed,
-            self.answer_us[0],
-            self.answer_us[1],
-            self.answer_us[2],
-            self.answer_us[3],
+            self.answer_times_us[0],
+            self.answer_times_us[1],
+            self.answer_times_us[2],
+            self.answer_times_us[3],
             self.decision_times_us[0],
             self.decision_times_us[1],
             self.rss_kib[0] as f64 / 1024.0,
@@ -362,7 +362,7 @@
             cores: 1e6,
             memory_gib: 1e6,
         }],
-        classes: vec![plain_class()],
+        classes: vec![unconstrained_class()],
     };
     let path = folder.path().join("placer.toml");
     std::fs::write(&path, config.to_toml().map_err(io::Error::other)?)?;
@@ -395,8 +395,8 @@
     let idle_end = process_usage(pid)?;
     let load = RequestLoad {
         requests_per_s: options.requests_per_s,
-        seconds: options.seconds,
-        split_s: options.seconds / 2.0,
+        duration_s: options.duration_s,
+        split_s: options.duration_s / 2.0,
         connections: options.connection_count,
         task_duration_ms: None,
         name: "actor".to_owned(),
@@ -408,7 +408,7 @@
             .zip(options.health_changes_per_s)
             .map(|(servers, rate)| {
                 let (server, hosts) = (servers.addresses[0], inventory.hosts.clone());
-                let (half_s, rate) = (options.seconds / 2.0, rate.max(0.1));
+                let (half_s, rate) = (options.duration_s / 2.0, rate.max(0.1));
                 std::thread::spawn(move || {
                     std::thread::sleep(Duration::from_secs_f64(half_s));
                     for n in 0..(half_s * rate) as usize {
@@ -448,7 +448,7 @@
         answered_rate: all.len() as f64 / elapsed_s,
         requests: answers.requests,
         placed: answers.placed,
-        answer_us: quantiles(&all),
+        answer_times_us: quantiles(&all),
         answer_us_by_half: [quantiles(&halves[0]), quantiles(&halves[1])],
         decision_times_us: [decision_us("p50"), decision_us("p99")],
         rss_kib: [idle_end.resident_kib, process_usage(pid)?.resident_kib],
--- a/crates/emulator/src/owners/events.rs
+++ b/crates/emulator/src/owners/events.rs
@@ -107,7 +107,7 @@
                 self.schedule_retry(now, owner, retry_after_ms);
             }
             "lost" if self.scenario.must_not_run_twice(self.owners[owner].class) => {
-                let settle_ms = self.scenario.demand.settle_ms as f64;
+                let settle_ms = self.scenario.demand.unknown_outcome_retry_ms as f64;
                 self.schedule_retry(now, owner, [settle_ms, settle_ms * 1.1]);
             }
             "lost" | "moved" | "stopped" => self.schedule_retry(now, owner, LOST_TASK_RETRY_MS),
--- a/crates/emulator/src/owners/requests.rs
+++ b/crates/emulator/src/owners/requests.rs
@@ -90,14 +90,14 @@
         owner.requested_at = now;
         owner.request = format!("{}.{}", owner.actor, owner.request_count).into();
         let body = json!({
-            "service": owner.service, "actor": owner.actor, "class": class.rules.name,
+            "service": owner.service, "actor": owner.actor, "class": class.placer_class.name,
             "cores": owner.resources[0], "memory_gib": owner.resources[1],
             "budget_ms": class.deadline_ms,
             "life_ms": (owner.wanted_until - now) / 1000, "again": owner.request_count > 1,
         });
         let request = owner.request.clone();
         if let Some(connection) = self.connections.get_mut(&token) {
-            connection.conn.poll_connected();
+            connection.conn.check_connected();
             http::write_request(
                 connection.conn.write_buffer(),
                 "POST",
@@ -114,7 +114,7 @@
         self.context.record(Observation::PlacementRequested {
             request,
             placer: placer_name.into(),
-            class: class.rules.name.as_str().into(),
+            class: class.placer_class.name.as_str().into(),
             budget_us: class.deadline_ms * 1000,
         });
         self.unanswered += 1;
@@ -202,7 +202,7 @@
         let state = &mut self.owners[owner];
         state.failure_count += 1;
         let demand = &self.scenario.demand;
-        let settle_ms = demand.settle_ms as f64;
+        let settle_ms = demand.unknown_outcome_retry_ms as f64;
         let after_ms = if self.scenario.must_not_run_twice(state.class) {
             [settle_ms, settle_ms * 1.2]
         } else {
--- a/crates/emulator/src/random_choice.rs
+++ b/crates/emulator/src/random_choice.rs
@@ -377,8 +377,8 @@
         }
         let rules = &self.settings.rules;
         if self.is_warming_up(&machine.machine) && mutant != 4 {
-            let budget =
-                (rules.warm_up_offers * 0.9 / f64::from(self.settings.replica_count)) as usize;
+            let budget = (rules.warm_up_offers_per_window * 0.9
+                / f64::from(self.settings.replica_count)) as usize;
             let offers = self.recent_offers.get(&machine.machine);
             let recent = offers.map_or(0, |times| {
                 times
--- a/crates/emulator/src/random_scenario.rs
+++ b/crates/emulator/src/random_scenario.rs
@@ -172,7 +172,7 @@
         let mut scenario = Scenario::standard();
         let mut rng = SeededRng::new(seed, 31);
         scenario.name = format!("drawn {seed}");
-        let length_s = scenario.seconds;
+        let length_s = scenario.duration_s;
         let round = |x: f64| (x * 1000.0).round() / 1000.0;
         scenario.demand.load = [0.0, 0.3, 0.7, 1.0]
             .into_iter()
@@ -198,7 +198,7 @@
                     duration_s: round(duration_s),
                     affected_share,
                     intensity,
-                    class: has_class.then(|| scenario.classes[class].rules.name.clone()),
+                    class: has_class.then(|| scenario.classes[class].placer_class.name.clone()),
                     zone: (range.kind == FaultKind::ZoneLoss)
                         .then(|| scenario.fleet.zones[zone].clone()),
                 };
--- a/crates/emulator/src/random_scenario/tests.rs
+++ b/crates/emulator/src/random_scenario/tests.rs
@@ -37,7 +37,7 @@
             drawn
                 .faults
                 .iter()
-                .all(|fault| end_s(fault) <= drawn.seconds),
+                .all(|fault| end_s(fault) <= drawn.duration_s),
             "a fault ends after the run"
         );
         seen.insert(text);
--- a/crates/emulator/src/read_times.rs
+++ b/crates/emulator/src/read_times.rs
@@ -48,7 +48,7 @@
         self.reported_since = since;
         Some(Observation::ObserverDelayed {
             observer: self.observer,
-            since,
+            delayed_since_us: since,
         })
     }
 }
--- a/crates/emulator/src/read_times/tests.rs
+++ b/crates/emulator/src/read_times/tests.rs
@@ -11,7 +11,7 @@
         .map(|observation| match observation {
             Observation::ObserverDelayed {
                 observer: Observer::Hosts,
-                since,
+                delayed_since_us: since,
             } => since,
             other => panic!("{other:?}"),
         })
--- a/crates/emulator/src/recorded_scenario.rs
+++ b/crates/emulator/src/recorded_scenario.rs
@@ -10,7 +10,7 @@
 
 use maplethread::Event;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Part, Reader, Record};
+use maplethread_trace::{FilePart, Reader, Record};
 use serde_json::Value;
 
 use crate::demand::Arrival;
@@ -106,7 +106,7 @@
         let mut names: BTreeMap<u32, String> = BTreeMap::new();
         let mut pending: HashMap<u64, (u64, String, u64, u32)> = HashMap::new();
         while let Some(part) = trace.next_part().map_err(|e| e.to_string())? {
-            let Part::Block { records, .. } = part else {
+            let FilePart::Block { records, .. } = part else {
                 continue;
             };
             for r in &records {
@@ -211,7 +211,7 @@
         let scaled_us = |at: u64| at.saturating_sub(start_us) as f64 / speed;
         let mut scenario = base.clone().with_host_count(self.hosts.len().max(1));
         scenario.name = "recorded".to_owned();
-        scenario.seconds = (scaled_us(end_us) / 1e6).max(1.0);
+        scenario.duration_s = (scaled_us(end_us) / 1e6).max(1.0);
         scenario.placers = self.placer_processes.len().max(1) as u32;
         scenario.faults = self.scheduled_faults(start_us, end_us, speed, scenario.placers, base);
         let zones = &scenario.fleet.zones;
@@ -227,7 +227,7 @@
             let class = scenario
                 .classes
                 .iter()
-                .position(|c| c.rules.name == request.class)
+                .position(|c| c.placer_class.name == request.class)
                 .ok_or_else(|| {
                     format!(
                         "recorded class {:?} is not in the scenario {:?}",
--- a/crates/emulator/src/recorded_scenario/tests.rs
+++ b/crates/emulator/src/recorded_scenario/tests.rs
@@ -22,14 +22,14 @@
 ) -> Vec<u8> {
     let header = Header {
         writer: "test".into(),
-        module: String::new(),
+        policy_hash: String::new(),
         placer: placer.into(),
         started_ms: (START_US + started_s * SECOND_US) / 1000,
         seed: 1,
         settings: None,
         classes: vec!["statements".into(), "web-api".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     };
     let mut bytes = Vec::new();
@@ -168,12 +168,14 @@
         ("web-api-03", [0.5, 2.0], 7 * SECOND_US)
     );
     assert_eq!(
-        recorded.scenario.classes[first_arrival.class].rules.name,
+        recorded.scenario.classes[first_arrival.class]
+            .placer_class
+            .name,
         "web-api"
     );
     let scenario = &recorded.scenario;
     assert_eq!(
-        (scenario.fleet.hosts, scenario.placers, scenario.seconds),
+        (scenario.fleet.hosts, scenario.placers, scenario.duration_s),
         (12, 2, 29.0)
     );
     let faults: Vec<(FaultKind, f64)> = scenario
@@ -205,7 +207,7 @@
     );
     let file = trace("p0", 0, &[(1, "a", false)], &[]);
     let mut base = Scenario::standard();
-    base.classes.retain(|c| c.rules.name != "web-api");
+    base.classes.retain(|c| c.placer_class.name != "web-api");
     let mut traces = [Reader::open(Cursor::new(&file)).expect("a valid trace")];
     let error = read(&mut traces, &base, 1.0, 5)
         .err()
--- a/crates/emulator/src/report.rs
+++ b/crates/emulator/src/report.rs
@@ -48,7 +48,7 @@
 
 impl Report {
     /// Whether no rule was violated and no request was left unanswered.
-    pub fn is_good(&self) -> bool {
+    pub fn has_passed(&self) -> bool {
         self.verdict.violations.is_empty() && self.verdict.unanswered == 0
     }
 
@@ -221,7 +221,7 @@
         if v.violations.len() > 10 {
             let _ = writeln!(out, "and {} more", v.violations.len() - 10);
         }
-        let _ = if self.is_good() {
+        let _ = if self.has_passed() {
             writeln!(
                 out,
                 "all five rules held, and every ask had exactly one answer"
--- a/crates/emulator/src/report/evidence.rs
+++ b/crates/emulator/src/report/evidence.rs
@@ -35,7 +35,10 @@
             Observation::PlacerStopped { placer } => fmt_placer("PlacerDown", placer, f),
             Observation::PlacerPaused { placer } => fmt_placer("PlacerPaused", placer, f),
             Observation::PlacerResumed { placer } => fmt_placer("PlacerGoesOn", placer, f),
-            Observation::ObserverDelayed { observer, since } => f
+            Observation::ObserverDelayed {
+                observer,
+                delayed_since_us: since,
+            } => f
                 .debug_struct("ReadLate")
                 .field("reader", &ObserverText(*observer))
                 .field("since", since)
@@ -62,7 +65,7 @@
             host,
             connection,
             placer,
-            incarnation,
+            generation: incarnation,
         } => f
             .debug_struct("Link")
             .field("host", host)
@@ -162,15 +165,15 @@
             .finish(),
         Observation::ReplicaIndexReleased {
             replica_index,
-            after_us,
+            lock_delay_us: after_us,
         } => f
             .debug_struct("NumberFree")
             .field("number", replica_index)
             .field("after_us", after_us)
             .finish(),
-        Observation::CatalogueLeaderLost { for_us } => {
-            f.debug_struct("NoLeader").field("for_us", for_us).finish()
-        }
+        Observation::CatalogueLeaderLost {
+            duration_us: for_us,
+        } => f.debug_struct("NoLeader").field("for_us", for_us).finish(),
         _ => Err(fmt::Error),
     }
 }
--- a/crates/emulator/src/report/evidence/tests.rs
+++ b/crates/emulator/src/report/evidence/tests.rs
@@ -65,7 +65,7 @@
                 host: name("h"),
                 connection: 2,
                 placer: name("p"),
-                incarnation: 3,
+                generation: 3,
             },
             r#"Link { host: "h", link: 2, placer: "p", life: 3 }"#,
         ),
@@ -136,12 +136,12 @@
         (
             Observation::ReplicaIndexReleased {
                 replica_index: name("0"),
-                after_us: 8,
+                lock_delay_us: 8,
             },
             r#"NumberFree { number: "0", after_us: 8 }"#,
         ),
         (
-            Observation::CatalogueLeaderLost { for_us: 9 },
+            Observation::CatalogueLeaderLost { duration_us: 9 },
             r#"NoLeader { for_us: 9 }"#,
         ),
         (
@@ -163,14 +163,14 @@
         (
             Observation::ObserverDelayed {
                 observer: Observer::Hosts,
-                since: Some(6),
+                delayed_since_us: Some(6),
             },
             r#"ReadLate { reader: Hosts, since: Some(6) }"#,
         ),
         (
             Observation::ObserverDelayed {
                 observer: Observer::Clients,
-                since: None,
+                delayed_since_us: None,
             },
             r#"ReadLate { reader: Clients, since: None }"#,
         ),
--- a/crates/emulator/src/run_options.rs
+++ b/crates/emulator/src/run_options.rs
@@ -29,7 +29,7 @@
     /// Print progress to standard error.
     pub show_progress: bool,
     /// Keep the placers' logs and settings in this folder.
-    pub kept_folder: Option<PathBuf>,
+    pub log_folder: Option<PathBuf>,
     /// Placers write trace files into this folder.
     pub trace_folder: Option<PathBuf>,
     /// First requests of a recorded run, used instead of arrivals drawn from the seed.
@@ -44,7 +44,7 @@
     /// Command-line arguments of the placers, besides the path of their settings.
     pub(crate) fn placer_arguments(&self) -> Vec<String> {
         let mut arguments = Vec::new();
-        if self.kept_folder.is_some() {
+        if self.log_folder.is_some() {
             arguments.extend(["--log", "debug"].map(str::to_owned));
         } else if self.mutant > 0 {
             // The mutant's violations are counted in the log, where they appear at this level.
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -16,12 +16,14 @@
     /// Its name.
     pub name: String,
     /// Length of the run, during which owners send requests, s.
-    pub seconds: f64,
+    #[serde(rename = "seconds")]
+    pub duration_s: f64,
     /// Number of placers.
     pub placers: u32,
     /// Number of replica indexes that placers lease in the catalogue, if there are fewer of them than placers.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub slots: Option<u32>,
+    #[serde(rename = "slots")]
+    pub replica_indexes: Option<u32>,
     /// Hosts and how they behave.
     pub fleet: Fleet,
     /// Parameters of the rules.
@@ -30,7 +32,7 @@
     pub demand: Demand,
     /// The kinds of hosts.
     #[serde(rename = "kind")]
-    pub kinds: Vec<KindShare>,
+    pub kinds: Vec<HostKindShare>,
     /// The classes of tasks.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
@@ -48,10 +50,12 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Number of hosts in a cell.
-    pub cell_size: usize,
+    #[serde(rename = "cell_size")]
+    pub hosts_per_cell: usize,
     /// The point at which a request counts as placed.
     #[serde(default)]
-    pub placed_when: AcceptancePoint,
+    #[serde(rename = "placed_when")]
+    pub acceptance_point: AcceptancePoint,
     /// A host admits tasks while their requested cores sum to at most this multiple of its cores.
     #[serde(rename = "over_cores")]
     pub cpu_overcommit: f64,
@@ -118,7 +122,8 @@
     #[serde(rename = "again_ms")]
     pub retry_after_ms: [f64; 2],
     /// Time before an owner repeats a request for a task that may be running and must not run twice, ms.
-    pub settle_ms: u64,
+    #[serde(rename = "settle_ms")]
+    pub unknown_outcome_retry_ms: u64,
     /// Time for which the load balancer keeps sending requests to a placer that is down, ms.
     #[serde(rename = "front_notice_ms")]
     pub failover_delay_ms: u64,
@@ -127,7 +132,7 @@
 /// A kind of host and its share of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct KindShare {
+pub struct HostKindShare {
     /// Its name.
     pub name: String,
     /// Cores of a host.
@@ -138,7 +143,7 @@
     pub share: f64,
 }
 
-impl KindShare {
+impl HostKindShare {
     /// The kind as it appears in placers' settings.
     pub fn kind(&self) -> HostKind {
         HostKind {
@@ -154,7 +159,8 @@
 #[serde(deny_unknown_fields)]
 pub struct Class {
     /// The class as it appears in placers' settings.
-    pub rules: PlacerClass,
+    #[serde(rename = "rules")]
+    pub placer_class: PlacerClass,
     /// Share of all tasks.
     pub share: f64,
     /// Possible shapes of a task: requested cores and memory (GiB).
@@ -166,7 +172,8 @@
     #[serde(rename = "life_s")]
     pub mean_duration_s: f64,
     /// Duration of a start on a warm host that has the program, ms.
-    pub work_ms: f64,
+    #[serde(rename = "work_ms")]
+    pub start_duration_ms: f64,
     /// Time after which an owner abandons a request, ms.
     pub deadline_ms: u64,
     /// Share of the start bonus that a first start after the latency objective earns.
@@ -334,7 +341,7 @@
     fn check(&self, doc: Document<'_>) -> Result<(), ConfigError> {
         let ensure_positive =
             |key: &str, x: f64| doc.ensure(x.is_finite() && x > 0.0, key, "must be above 0");
-        ensure_positive("seconds", self.seconds)?;
+        ensure_positive("seconds", self.duration_s)?;
         doc.ensure(self.placers >= 1, "placers", "must be at least 1")?;
         doc.ensure(
             self.replica_index_count() >= 1,
@@ -343,7 +350,7 @@
         )?;
         doc.ensure(self.fleet.hosts >= 1, "fleet.hosts", "must be at least 1")?;
         doc.ensure(
-            self.fleet.cell_size >= 1,
+            self.fleet.hosts_per_cell >= 1,
             "fleet.cell_size",
             "must be at least 1",
         )?;
@@ -371,7 +378,7 @@
         for (i, class) in self.classes.iter().enumerate() {
             let key = |field: &str| format!("class[{i}].{field}");
             ensure_positive(&key("life_s"), class.mean_duration_s)?;
-            ensure_positive(&key("work_ms"), class.work_ms)?;
+            ensure_positive(&key("work_ms"), class.start_duration_ms)?;
             doc.ensure(
                 !class.shapes.is_empty(),
                 &key("shapes"),
@@ -400,7 +407,7 @@
                 )?;
             }
             if let Some(class) = &fault.class {
-                let known = self.classes.iter().any(|c| &c.rules.name == class);
+                let known = self.classes.iter().any(|c| &c.placer_class.name == class);
                 doc.ensure(known, &key("class"), format!("unknown class `{class}`"))?;
             }
         }
@@ -409,20 +416,20 @@
 
     /// The same scenario scaled to another length; the durations of tasks are unchanged.
     pub fn with_duration(mut self, seconds: f64) -> Scenario {
-        let factor = seconds / self.seconds;
+        let factor = seconds / self.duration_s;
         for fault in &mut self.faults {
             (fault.at_s, fault.duration_s) = (fault.at_s * factor, fault.duration_s * factor);
         }
         for point in &mut self.demand.load {
             point[0] *= factor;
         }
-        self.seconds = seconds;
+        self.duration_s = seconds;
         self
     }
 
     /// Number of replica indexes, among which the offer budget of a cold host is divided.
     pub fn replica_index_count(&self) -> u32 {
-        self.slots.unwrap_or(self.placers)
+        self.replica_indexes.unwrap_or(self.placers)
     }
 
     /// The same scenario without faults of a kind, to measure their effect.
@@ -440,7 +447,7 @@
         for class in &mut self.classes {
             class.service_count = scaled(class.service_count);
         }
-        self.fleet.cell_size = scaled(self.fleet.cell_size);
+        self.fleet.hosts_per_cell = scaled(self.fleet.hosts_per_cell);
         self.fleet.hosts = hosts;
         self
     }
@@ -460,7 +467,7 @@
     }
 
     /// The kind of the host of this number.
-    pub fn kind_of(&self, host: usize) -> &KindShare {
+    pub fn kind_of(&self, host: usize) -> &HostKindShare {
         let total: f64 = self.kinds.iter().map(|k| k.share).sum();
         // A low-discrepancy sequence (golden ratio), so that each part of the fleet has the same mix of kinds.
         let x = (host as f64 * 0.618_033_988_749_895 + 0.25).fract() * total;
@@ -478,7 +485,7 @@
         let zone = host % zones.len();
         (
             zones[zone].clone(),
-            format!("rack-{}", host / zones.len() / self.fleet.cell_size),
+            format!("rack-{}", host / zones.len() / self.fleet.hosts_per_cell),
         )
     }
 
@@ -503,6 +510,6 @@
 
     /// Whether the tasks of a class must not run twice.
     pub fn must_not_run_twice(&self, class: usize) -> bool {
-        self.classes[class].rules.retry_safety != RetrySafety::Idempotent
+        self.classes[class].placer_class.retry_safety != RetrySafety::Idempotent
     }
 }
--- a/crates/emulator/src/scenario/tests.rs
+++ b/crates/emulator/src/scenario/tests.rs
@@ -20,7 +20,7 @@
         })
         .expect("a valid scenario");
         let is_within_run =
-            |fault: &ScheduledFault| fault.at_s + fault.duration_s <= scenario.seconds;
+            |fault: &ScheduledFault| fault.at_s + fault.duration_s <= scenario.duration_s;
         assert!(
             scenario.faults.iter().all(is_within_run),
             "{file}: a fault ends after the run"
--- a/crates/emulator/src/scenario_run/catalogue.rs
+++ b/crates/emulator/src/scenario_run/catalogue.rs
@@ -31,7 +31,7 @@
             },
             LockEvent::Released(key, after_us) => Observation::ReplicaIndexReleased {
                 replica_index: replica_index_of(key),
-                after_us,
+                lock_delay_us: after_us,
             },
         });
     };
--- a/crates/emulator/src/scenario_run/faults.rs
+++ b/crates/emulator/src/scenario_run/faults.rs
@@ -41,8 +41,9 @@
             FaultAction::SetCatalogueFaults(faults) => self.set_catalogue_faults(faults),
             FaultAction::LoseCatalogueLeader { for_us } => {
                 if let Some(servers) = &self.servers {
-                    self.context
-                        .record(Observation::CatalogueLeaderLost { for_us });
+                    self.context.record(Observation::CatalogueLeaderLost {
+                        duration_us: for_us,
+                    });
                     servers.lose_leader(for_us);
                 }
             }
--- a/crates/emulator/src/scenario_run/mod.rs
+++ b/crates/emulator/src/scenario_run/mod.rs
@@ -76,7 +76,7 @@
     let scenario = Arc::new(options.scenario.clone());
     let temporary = tempfile::tempdir()?;
     let folder = options
-        .kept_folder
+        .log_folder
         .clone()
         .unwrap_or_else(|| temporary.path().to_owned());
     std::fs::create_dir_all(&folder)?;
@@ -168,7 +168,7 @@
     /// Runs the scenario until all requests are finished; returns the time up to which service counts.
     fn play(&mut self, owners: &Owners) -> io::Result<u64> {
         let start = self.context.clock.now();
-        let end = start + (self.scenario.seconds * 1e6) as u64;
+        let end = start + (self.scenario.duration_s * 1e6) as u64;
         let mut closing_since = None;
         let mut shown_second = 0;
         loop {
@@ -227,7 +227,11 @@
     fn report(&mut self, owners: Owners, end: u64) -> io::Result<Report> {
         let (service, service_loss, duplicate_run_s, by_class) = {
             let accounting = self.context.service_accounting();
-            let names = self.scenario.classes.iter().map(|c| c.rules.name.clone());
+            let names = self
+                .scenario
+                .classes
+                .iter()
+                .map(|c| c.placer_class.name.clone());
             let by_class = names.zip(accounting.service_by_class(end)).collect();
             (
                 accounting.service_shares(end),
--- a/crates/emulator/src/settings.rs
+++ b/crates/emulator/src/settings.rs
@@ -73,7 +73,7 @@
             consul(servers.to_vec(), damping, Some(membership))
         }),
         placement: PlacementSettings {
-            acceptance_point: s.fleet.placed_when,
+            acceptance_point: s.fleet.acceptance_point,
             admit_cores: s.fleet.cpu_overcommit,
             admit_memory: s.fleet.memory_overcommit,
             ..PlacementSettings::default()
@@ -90,7 +90,7 @@
         fleet: None,
         trace: None,
         kinds: s.kinds.iter().map(|k| k.kind()).collect(),
-        classes: s.classes.iter().map(|c| c.rules.clone()).collect(),
+        classes: s.classes.iter().map(|c| c.placer_class.clone()).collect(),
     }
 }
 
@@ -109,15 +109,15 @@
         classes: scenario
             .classes
             .iter()
-            .map(|c| class_rule(&c.rules))
+            .map(|c| class_rule(&c.placer_class))
             .collect(),
         hosts: (0..scenario.fleet.hosts).map(location).collect(),
         placer_count: scenario.replica_index_count(),
         drain_grace_us: rules.drain_grace_ms * 1000,
         warm_up_us: rules.warm_up_ms * 1000,
         overload_window_us: rules.overload_window_ms * 1000,
-        warm_up_offers: rules.warm_up_offers,
-        lost_after_us: hosts("").loss_timeout_ms * 1000,
+        max_warm_up_offers: rules.warm_up_offers,
+        connection_loss_timeout_us: hosts("").loss_timeout_ms * 1000,
         resume_grace_us: RESUME_GRACE_US,
         timing_slack_us: ANSWER_SLACK_US,
     }
@@ -174,7 +174,7 @@
 }
 
 /// A class of idempotent tasks that may run on any kind of host, without a spread limit.
-pub fn plain_class() -> TaskClass {
+pub fn unconstrained_class() -> TaskClass {
     TaskClass {
         name: "web-api".to_owned(),
         retry_safety: config::RetrySafety::Idempotent,
--- a/crates/emulator/src/usage.rs
+++ b/crates/emulator/src/usage.rs
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// The process has ended, or `/proc` cannot be read.
-pub fn process_holdings(pid: u32) -> io::Result<ProcessResources> {
+pub fn process_resources(pid: u32) -> io::Result<ProcessResources> {
     let rollup = std::fs::read_to_string(format!("/proc/{pid}/smaps_rollup"))?;
     let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))?.count() as u32;
     Ok(ProcessResources {
--- a/crates/engine/src/decisions.rs
+++ b/crates/engine/src/decisions.rs
@@ -95,7 +95,7 @@
             // exchange messages.
             Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
-            | Action::CloseIdle(_)
+            | Action::CloseIdleConnections(_)
             | Action::SendToPeer { .. } => {}
         }
     }
--- a/crates/engine/src/event_batch.rs
+++ b/crates/engine/src/event_batch.rs
@@ -48,7 +48,7 @@
         | Event::ConnectionChanged { .. }
         | Event::DiscoveryUnavailable
         | Event::TimerFired { .. }
-        | Event::Probed { .. }
+        | Event::ProbeFinished { .. }
         | Event::PeerMessage { .. } => None,
     }
 }
--- a/crates/engine/src/sessions.rs
+++ b/crates/engine/src/sessions.rs
@@ -23,8 +23,8 @@
 /// Converts the reason that a host gave to the decider's, if it has one for it.
 pub(crate) fn failure_reason(reason: Reason) -> Option<FailureReason> {
     Some(match reason {
-        Reason::Cores => FailureReason::Cores,
-        Reason::Memory => FailureReason::Memory,
+        Reason::Cores => FailureReason::InsufficientCores,
+        Reason::Memory => FailureReason::InsufficientMemory,
         Reason::QueueFull => FailureReason::QueueFull,
         Reason::Ineligible => FailureReason::Ineligible,
         Reason::Evicted => FailureReason::Evicted,
--- a/crates/engine/src/sessions/probes.rs
+++ b/crates/engine/src/sessions/probes.rs
@@ -37,7 +37,7 @@
     }
 
     fn report_probe(&mut self, host: HostId, load: Option<Resources>) {
-        self.events.push(Event::Probed {
+        self.events.push(Event::ProbeFinished {
             machine: MachineId(host.0),
             answered: load.is_some(),
             load,
--- a/crates/fault-injection/src/run.rs
+++ b/crates/fault-injection/src/run.rs
@@ -31,11 +31,11 @@
     /// Path of the program that is run as placer.
     pub program: PathBuf,
     /// Folder in which the placers' settings and logs are kept.
-    pub keep_files_in: Option<PathBuf>,
+    pub kept_folder: Option<PathBuf>,
     /// Print the progress on standard error.
     pub shows_progress: bool,
     /// Run the placers without membership, to compare the placement service with and without it.
-    pub without_view: bool,
+    pub without_membership: bool,
     /// Once this is set, the run ends with an error and its processes are stopped.
     pub interrupted: Arc<AtomicBool>,
 }
@@ -55,7 +55,7 @@
 impl RunReport {
     /// Whether neither check found a violation.
     pub fn passed(&self) -> bool {
-        self.membership.violations.is_empty() && self.service.is_good()
+        self.membership.violations.is_empty() && self.service.has_passed()
     }
 
     /// The result as a JSON object.
@@ -108,7 +108,7 @@
     };
     let (event_sender, event_receiver) = channel();
     let sections = (0..schedule.placers)
-        .filter(|_| !run_options.without_view)
+        .filter(|_| !run_options.without_membership)
         .map(section)
         .collect();
     let membership_test = MembershipTest {
@@ -130,7 +130,7 @@
         mutant: 0,
         consul: None,
         show_progress: run_options.shows_progress,
-        kept_folder: run_options.keep_files_in.clone(),
+        log_folder: run_options.kept_folder.clone(),
         trace_folder: None,
         arrivals: None,
         membership: Some(membership_test),
@@ -153,7 +153,7 @@
         let report = report?;
         let faults_ended_at = started_at + (schedule.fault_phase_s * 1e6) as u64;
         let faults: Vec<(u64, u64)> = schedule
-            .fault
+            .faults
             .iter()
             .filter(|f| {
                 !matches!(
--- a/crates/fault-injection/src/schedule.rs
+++ b/crates/fault-injection/src/schedule.rs
@@ -34,7 +34,8 @@
     pub forget_after_s: u64,
     /// The faults.
     #[serde(default)]
-    pub fault: Vec<Fault>,
+    #[serde(rename = "fault")]
+    pub faults: Vec<Fault>,
 }
 
 fn default_forget_after_s() -> u64 {
@@ -183,7 +184,7 @@
             "settle_s".into(),
             "must be 1 to 3600",
         );
-        for (n, fault) in schedule.fault.iter().enumerate() {
+        for (n, fault) in schedule.faults.iter().enumerate() {
             let has_valid_times = is_valid_time(fault.at_s) && is_valid_time(fault.duration_s);
             check(
                 has_valid_times,
--- a/crates/fault-injection/src/schedule/random.rs
+++ b/crates/fault-injection/src/schedule/random.rs
@@ -14,7 +14,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x00f1_ee70);
         let mut draw = move |below: u64| (rng.next_u64() % below.max(1)) as usize;
         let enabled_kinds = draw(1 << 9);
-        let mut fault = Vec::new();
+        let mut faults = Vec::new();
         // A placer is killed, lost or paused at most once, so that the state of its process is always unambiguous.
         let mut unaffected: Vec<usize> = (0..placers).collect();
         let mut has_rolling_restart = false;
@@ -73,7 +73,7 @@
                 }
                 _ => continue,
             };
-            fault.push(Fault {
+            faults.push(Fault {
                 at_s,
                 duration_s,
                 kind,
@@ -86,7 +86,7 @@
             settle_s: default_settle_s(),
             speedup: default_speedup(),
             forget_after_s: default_forget_after_s(),
-            fault,
+            faults,
         }
     }
 }
--- a/crates/fault-injection/src/schedule/timeline.rs
+++ b/crates/fault-injection/src/schedule/timeline.rs
@@ -42,7 +42,7 @@
     /// the network has no faults.
     pub fn network_steps(&self) -> Vec<(u64, NetworkStep)> {
         let mut steps = Vec::new();
-        for fault in &self.fault {
+        for fault in &self.faults {
             let (at, until) = (
                 to_micros(fault.at_s),
                 to_micros(fault.at_s + fault.duration_s),
@@ -131,7 +131,7 @@
         /// Delay after which the front layer detects a killed placer.
         const DETECTION_DELAY_US: u64 = 500_000;
         let mut faults = Vec::new();
-        for fault in &self.fault {
+        for fault in &self.faults {
             let (at, until) = (
                 to_micros(fault.at_s),
                 to_micros(fault.at_s + fault.duration_s),
--- a/crates/placer/src/config_file.rs
+++ b/crates/placer/src/config_file.rs
@@ -20,7 +20,7 @@
 /// If the file can't be read or its settings are invalid.
 pub fn load_config(path: &Path) -> Result<PlacerConfig, Error> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(ResourceError::of(file.clone()))?;
+    let text = std::fs::read_to_string(path).map_err(ResourceError::for_resource(file.clone()))?;
     let document = Document {
         file: &file,
         text: &text,
--- a/crates/placer/src/consul_client.rs
+++ b/crates/placer/src/consul_client.rs
@@ -87,7 +87,7 @@
             None => None,
             Some(path) => {
                 let text = std::fs::read_to_string(path)
-                    .map_err(ResourceError::of(path.display().to_string()))?;
+                    .map_err(ResourceError::for_resource(path.display().to_string()))?;
                 Some(text.trim().to_owned())
             }
         };
@@ -272,7 +272,7 @@
         };
         let is_reusable = response.head.is_keep_alive()
             && server.connection.unread().is_empty()
-            && outcome == ReadOutcome::Drained;
+            && outcome == ReadOutcome::AllRead;
         if let Some(call) = server.in_flight.take() {
             self.source.handle_response(now, call.id, response);
         }
--- a/crates/placer/src/daemon/inventory.rs
+++ b/crates/placer/src/daemon/inventory.rs
@@ -19,10 +19,10 @@
         return Ok(None);
     };
     let resource = format!("watching {}", path.display());
-    let watch = FileWatch::new(path).map_err(ResourceError::of(resource))?;
+    let watch = FileWatch::new(path).map_err(ResourceError::for_resource(resource))?;
     poller
         .register(&watch, INVENTORY_TOKEN, false)
-        .map_err(ResourceError::of("inotify"))?;
+        .map_err(ResourceError::for_resource("inotify"))?;
     Ok(Some(watch))
 }
 
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -67,7 +67,7 @@
     let decider = new_decider(&config, seed).map_err(Error::Settings)?;
     let listener = event_loop.listen(config.api.listen, Backlog::Large)?;
     let recorder = Recorder::start(&config, seed, started_ms, decider.is_replayable())
-        .map_err(ResourceError::of("trace writer thread"))?;
+        .map_err(ResourceError::for_resource("trace writer thread"))?;
     let start = StartInfo { started_ms, seed };
     let mut daemon = Daemon::new(config, decider, start, event_loop, listener, recorder)?;
     daemon.load_inventory();
@@ -325,10 +325,10 @@
         self.is_accepting = true;
         listener
             .register(self.event_loop.poller(), LISTENER_TOKEN)
-            .map_err(ResourceError::of("listener"))?;
+            .map_err(ResourceError::for_resource("listener"))?;
         let address = listener
             .local_address()
-            .map_err(ResourceError::of("listener"))?;
+            .map_err(ResourceError::for_resource("listener"))?;
         let name = &self.config.identity.name;
         tracing::info!(placer = %name, %address, "listening");
         if let Some(consul) = &mut self.consul {
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -72,18 +72,17 @@
         let socket = bind(fleet)?;
         poller
             .register(&socket, tokens.socket, false)
-            .map_err(ResourceError::of("epoll"))?;
+            .map_err(ResourceError::for_resource("epoll"))?;
         let keys = load_keys(&fleet.key_file, &fleet.name)?;
-        let key_watch = FileWatch::new(&fleet.key_file).map_err(ResourceError::of(format!(
-            "watching {}",
-            fleet.key_file.display()
-        )))?;
+        let key_watch = FileWatch::new(&fleet.key_file).map_err(ResourceError::for_resource(
+            format!("watching {}", fleet.key_file.display()),
+        ))?;
         poller
             .register(&key_watch, tokens.keys, false)
-            .map_err(ResourceError::of("inotify"))?;
+            .map_err(ResourceError::for_resource("inotify"))?;
         let bound = socket
             .local_addr()
-            .map_err(ResourceError::of("fleet socket"))?;
+            .map_err(ResourceError::for_resource("fleet socket"))?;
         let settings = Settings {
             name: MemberName::try_from(config.identity.name.clone()).map_err(invalid_text_error)?,
             advertised_address: fleet.advertise.unwrap_or(bound),
@@ -199,25 +198,25 @@
 
 fn bind(fleet: &FleetSettings) -> Result<UdpSocket, Error> {
     let resource = format!("fleet.listen {}", fleet.listen);
-    let socket = UdpSocket::bind(fleet.listen).map_err(ResourceError::of(resource))?;
+    let socket = UdpSocket::bind(fleet.listen).map_err(ResourceError::for_resource(resource))?;
     socket
         .set_nonblocking(true)
-        .map_err(ResourceError::of("fleet socket"))?;
+        .map_err(ResourceError::for_resource("fleet socket"))?;
     Ok(socket)
 }
 
 fn load_keys(path: &Path, fleet_name: &str) -> Result<KeyRing, Error> {
     let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(ResourceError::of(file.clone()))?;
+    let text = std::fs::read_to_string(path).map_err(ResourceError::for_resource(file.clone()))?;
     let keys = KeyRing::parse(&text, fleet_name)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))
-        .map_err(ResourceError::of(file))?;
+        .map_err(ResourceError::for_resource(file))?;
     Ok(keys)
 }
 
 /// The error for a name, zone or version that the protocol can't carry: empty, too long, or with control characters.
 fn invalid_text_error(error: maplethread_membership::TextError) -> Error {
-    ResourceError::of("[fleet]")(io::Error::other(error)).into()
+    ResourceError::for_resource("[fleet]")(io::Error::other(error)).into()
 }
 
 fn facts(config: &PlacerConfig, start: StartTime) -> Result<Facts, Error> {
--- a/crates/placer/src/trace_recorder/mod.rs
+++ b/crates/placer/src/trace_recorder/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use maplethread_config::PlacerConfig;
-use maplethread_trace::{Header, module_hash};
+use maplethread_trace::{Header, policy_hash};
 
 use crate::trace_queue::TraceQueue;
 use files::{TraceFiles, TraceSink};
@@ -45,14 +45,14 @@
         };
         let header = Header {
             writer: concat!("maplethread ", env!("CARGO_PKG_VERSION")).to_owned(),
-            module: module_hash(),
+            policy_hash: policy_hash(),
             placer: config.identity.name.clone(),
             started_ms,
             seed,
             settings: is_replayable.then(|| config.policy_settings()),
             classes: config.classes.iter().map(|c| c.name.clone()).collect(),
             part: 0,
-            changed: Vec::new(),
+            operations: Vec::new(),
             sources: Vec::new(),
         };
         let queue = Arc::new(TraceQueue::new(settings.max_queued_records));
--- a/crates/placer/src/trace_recorder/tests.rs
+++ b/crates/placer/src/trace_recorder/tests.rs
@@ -9,7 +9,7 @@
 use maplethread::{Action, Event, Micros, ServiceId, TaskId};
 use maplethread_config::TraceSettings;
 use maplethread_engine::{ActorKey, AuditEntry};
-use maplethread_trace::{Header, Part, Reader, Record, Turn, module_hash};
+use maplethread_trace::{FilePart, Header, Reader, Record, Turn, policy_hash};
 
 use super::create_file;
 use super::files::{FLUSH_INTERVAL, TraceFiles, TraceSink};
@@ -28,14 +28,14 @@
 fn header() -> Header {
     Header {
         writer: "test".into(),
-        module: module_hash(),
+        policy_hash: policy_hash(),
         placer: "p/0".into(),
         started_ms: 17,
         seed: 1,
         settings: None,
         classes: vec!["web".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     }
 }
@@ -86,7 +86,7 @@
             continue;
         };
         while let Some(part) = reader.next_part().expect("the trace can be read") {
-            let Part::Block { records, .. } = part else {
+            let FilePart::Block { records, .. } = part else {
                 continue;
             };
             for r in records {
--- a/crates/platform-settings/src/settings.rs
+++ b/crates/platform-settings/src/settings.rs
@@ -1,8 +1,8 @@
 //! Decoding of the settings object that a placer receives at its start. Unused keys are ignored.
 
 use maplethread::{
-    AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport, Micros,
-    Resources, RetrySafety, Rules, Settings, SpreadLimit, TopologyLevel,
+    AcceptancePoint, CallerLimits, Class, Costs, DeduplicationScope, DiscoveryMode,
+    LoadReportContent, Micros, Resources, RetrySafety, Rules, Settings, SpreadLimit, TopologyLevel,
 };
 use serde_json::Value;
 
@@ -35,7 +35,7 @@
         classes: (0..root.array("classes")?.len())
             .map(|index| decode_class(root, index))
             .collect::<Result<_, _>>()?,
-        kinds: (0..root.array("domain.kindCores")?.len())
+        machine_kinds: (0..root.array("domain.kindCores")?.len())
             .map(|index| decode_machine_kind(root, index))
             .collect::<Result<_, _>>()?,
         discovery: root.one_of(
@@ -54,20 +54,20 @@
         cpu_overcommit: root.number("domain.admitCores")?,
         memory_overcommit: root.number("domain.admitMemory")?,
         endpoints_report_capacity: root.bool("domain.listsFree")?,
-        load_report,
+        load_report_content: load_report,
         limits: decode_limits(root)?,
         rules: decode_rules(root)?,
         costs: decode_costs(root)?,
     };
     let reporting = CapacityReporting {
         in_endpoint_lists: settings.endpoints_report_capacity,
-        in_load_reports: load_report != LoadReport::Silent,
+        in_load_reports: load_report != LoadReportContent::Nothing,
     };
     Ok((settings, reporting))
 }
 
-fn decode_limits(root: SettingsObject) -> Result<Limits, FieldError> {
-    Ok(Limits {
+fn decode_limits(root: SettingsObject) -> Result<CallerLimits, FieldError> {
+    Ok(CallerLimits {
         max_attempts: root.integer("allowed.maxAttempts")?,
         can_cancel: root.bool("allowed.mayCancel")?,
         can_probe: root.bool("allowed.probes")?,
@@ -86,7 +86,7 @@
         warm_up_duration: root.duration("invariants.coldMs")?,
         overload_multiple: root.number("invariants.fallMultiple")?,
         overload_window: root.duration("invariants.tipAfterMs")?,
-        warm_up_offers: root.number_or("domain.freshOffers", 0.0)?,
+        warm_up_offers_per_window: root.number_or("domain.freshOffers", 0.0)?,
     })
 }
 
@@ -99,19 +99,19 @@
     })
 }
 
-fn decode_load_report(root: SettingsObject) -> Result<LoadReport, FieldError> {
+fn decode_load_report(root: SettingsObject) -> Result<LoadReportContent, FieldError> {
     let fields = root.array("reporting.fields")?;
     let has_field = |name: &str| fields.iter().any(|field| field.as_str() == Some(name));
     let has_cores_and_memory = has_field("x0") && has_field("x1");
     if root.string("reporting.how")? == "silent" || !has_cores_and_memory {
-        return Ok(LoadReport::Silent);
+        return Ok(LoadReportContent::Nothing);
     }
     root.one_of(
         "domain.freeBy",
         "asked or used",
         &[
-            ("asked", LoadReport::Unallocated),
-            ("used", LoadReport::Unused),
+            ("asked", LoadReportContent::UnallocatedResources),
+            ("used", LoadReportContent::UnusedResources),
         ],
     )
 }
--- a/crates/platform/src/engine/host_messages.rs
+++ b/crates/platform/src/engine/host_messages.rs
@@ -184,8 +184,8 @@
 /// The reason that a host reports for a rejection or a release.
 fn failure_reason(code: ReportCode) -> Option<FailureReason> {
     match code {
-        ReportCode::InsufficientCores => Some(FailureReason::Cores),
-        ReportCode::InsufficientMemory => Some(FailureReason::Memory),
+        ReportCode::InsufficientCores => Some(FailureReason::InsufficientCores),
+        ReportCode::InsufficientMemory => Some(FailureReason::InsufficientMemory),
         ReportCode::QueueFull => Some(FailureReason::QueueFull),
         ReportCode::Ineligible => Some(FailureReason::Ineligible),
         ReportCode::Evicted => Some(FailureReason::Evicted),
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -266,7 +266,7 @@
             Action::WatchEndpoints { .. }
             | Action::FetchEndpoints
             | Action::Probe(_)
-            | Action::CloseIdle(_)
+            | Action::CloseIdleConnections(_)
             | Action::SendToPeer { .. } => {}
         }
     }
--- a/crates/platform/src/shell/mod.rs
+++ b/crates/platform/src/shell/mod.rs
@@ -63,10 +63,10 @@
     let mut listener = event_loop.listen(listen, Backlog::Standard)?;
     let listen = listener
         .local_address()
-        .map_err(ResourceError::of("listener"))?;
+        .map_err(ResourceError::for_resource("listener"))?;
     listener
         .register(event_loop.poller(), LISTENER_TOKEN)
-        .map_err(ResourceError::of("listener"))?;
+        .map_err(ResourceError::for_resource("listener"))?;
     let connection_limit = config
         .limits
         .max_descriptors
--- a/crates/platform/src/startup.rs
+++ b/crates/platform/src/startup.rs
@@ -3,7 +3,7 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 
-use maplethread::{LoadReport, Micros, Settings, SettingsError};
+use maplethread::{LoadReportContent, Micros, Settings, SettingsError};
 use maplethread_platform_settings::{FieldError, PlatformSettings};
 use maplethread_platform_wire::config::Config;
 use maplethread_reactor::ResourceError;
@@ -80,7 +80,7 @@
     policy_settings.rules.overload_window += platform_settings.connect_timeout + DELIVERY_ALLOWANCE;
     // In the platform protocol, hosts' messages contain no load reports and host lists no capacity, even if the settings
     // announce them.
-    policy_settings.load_report = LoadReport::Silent;
+    policy_settings.load_report_content = LoadReportContent::Nothing;
     policy_settings.endpoints_report_capacity = false;
     Ok((policy_settings, platform_settings))
 }
@@ -90,12 +90,12 @@
 pub(crate) fn load_config(path: &Path) -> Result<(Config, SocketAddr), StartError> {
     let name = || path.display().to_string();
     let length = std::fs::metadata(path)
-        .map_err(ResourceError::of(name()))?
+        .map_err(ResourceError::for_resource(name()))?
         .len();
     if length > MAX_CONFIG_BYTES {
         return Err(ConfigError::TooLong(length).in_file(path));
     }
-    let text = std::fs::read_to_string(path).map_err(ResourceError::of(name()))?;
+    let text = std::fs::read_to_string(path).map_err(ResourceError::for_resource(name()))?;
     parse_config(&text).map_err(|error| error.in_file(path))
 }
 
--- a/crates/platform/tests/many_placers.rs
+++ b/crates/platform/tests/many_placers.rs
@@ -259,7 +259,7 @@
         maplethread_platform::decode_settings(&settings).expect("valid settings");
     assert!(
         !policy_settings.endpoints_report_capacity
-            && policy_settings.load_report == maplethread::LoadReport::Silent
+            && policy_settings.load_report_content == maplethread::LoadReportContent::Nothing
     );
     // The window in which offers to a cold host are counted is extended by the time that a connect may take.
     assert!(
--- a/crates/reactor/src/connection.rs
+++ b/crates/reactor/src/connection.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     /// All available bytes were read.
-    Drained,
+    AllRead,
     /// More bytes may be available: the buffer is full or the limit of the call was reached.
     LimitReached,
     /// The peer has closed its side.
@@ -108,7 +108,7 @@
     }
 
     /// Checks whether the connection is established, without waiting for write readiness. On loopback it usually is at once.
-    pub fn poll_connected(&mut self) -> bool {
+    pub fn check_connected(&mut self) -> bool {
         if self.is_connecting && self.stream.peer_addr().is_ok() {
             // An error is left to be reported by the next readiness event.
             let _ = self.finish_connect();
@@ -155,10 +155,10 @@
             self.read_buffer.truncate(start + count);
             match result {
                 Ok(0) => return ReadOutcome::Closed,
-                Ok(count) if count < read_limit => return ReadOutcome::Drained,
+                Ok(count) if count < read_limit => return ReadOutcome::AllRead,
                 Ok(count) => remaining -= count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return ReadOutcome::Drained;
+                    return ReadOutcome::AllRead;
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => return ReadOutcome::Failed,
--- a/crates/reactor/src/error.rs
+++ b/crates/reactor/src/error.rs
@@ -14,7 +14,7 @@
 
 impl ResourceError {
     /// Returns a function for [`Result::map_err`] that adds the name of the resource to an I/O error.
-    pub fn of(resource: impl Into<String>) -> impl FnOnce(io::Error) -> ResourceError {
+    pub fn for_resource(resource: impl Into<String>) -> impl FnOnce(io::Error) -> ResourceError {
         let resource = resource.into();
         |source| ResourceError { resource, source }
     }
--- a/crates/reactor/src/event_loop.rs
+++ b/crates/reactor/src/event_loop.rs
@@ -44,11 +44,11 @@
     /// # Errors
     /// When no descriptor is left for the poller or a signal's pipe, or a signal cannot be caught.
     pub fn new(signals: &[i32], signals_token: u64) -> Result<EventLoop, ResourceError> {
-        let poller = Poller::new().map_err(ResourceError::of("epoll"))?;
-        let signals = Signals::catch(signals).map_err(ResourceError::of("signals"))?;
+        let poller = Poller::new().map_err(ResourceError::for_resource("epoll"))?;
+        let signals = Signals::catch(signals).map_err(ResourceError::for_resource("signals"))?;
         signals
             .register(&poller, signals_token)
-            .map_err(ResourceError::of("signals"))?;
+            .map_err(ResourceError::for_resource("signals"))?;
         Ok(EventLoop {
             clock: Clock::start(),
             poller,
@@ -76,7 +76,7 @@
     /// # Errors
     /// When the address is in use, not local or not permitted.
     pub fn listen(&self, address: SocketAddr, backlog: Backlog) -> Result<Listener, ResourceError> {
-        Listener::bind(address, backlog).map_err(ResourceError::of(address.to_string()))
+        Listener::bind(address, backlog).map_err(ResourceError::for_resource(address.to_string()))
     }
 
     /// Waits until a descriptor is ready or the deadline on this loop's clock has passed, and replaces the contents of `ready`
@@ -109,6 +109,6 @@
         ready.clear();
         self.poller
             .wait(timeout, ready)
-            .map_err(ResourceError::of("epoll"))
+            .map_err(ResourceError::for_resource("epoll"))
     }
 }
--- a/crates/reactor/src/poller.rs
+++ b/crates/reactor/src/poller.rs
@@ -136,7 +136,7 @@
     ///
     /// # Errors
     /// When no descriptor is left.
-    pub fn waker() -> io::Result<OwnedFd> {
+    pub fn create_waker() -> io::Result<OwnedFd> {
         Ok(eventfd(0, EventfdFlags::CLOEXEC | EventfdFlags::NONBLOCK)?)
     }
 }
--- a/crates/reactor/tests/connection.rs
+++ b/crates/reactor/tests/connection.rs
@@ -36,7 +36,7 @@
     assert_eq!(connection.unwritten_bytes(), 5);
     wait_for(&poller, TOKEN, |r| r.is_writable);
     connection.finish_connect().expect("connected");
-    assert!(!connection.is_connecting() && connection.poll_connected());
+    assert!(!connection.is_connecting() && connection.check_connected());
     connection.flush(&poller).expect("written");
     assert_eq!(
         (connection.unwritten_bytes(), connection.written_bytes()),
@@ -75,7 +75,7 @@
     assert_eq!(connection.unread().len(), 15);
     connection.consume(12);
     assert_eq!(connection.unread().len(), 3);
-    assert_eq!(connection.read_available(1000, 1000), ReadOutcome::Drained);
+    assert_eq!(connection.read_available(1000, 1000), ReadOutcome::AllRead);
     assert_eq!(connection.unread(), [1; 88]);
     connection.consume(1000);
     assert!(connection.unread().is_empty());
--- a/crates/reactor/tests/event_loop.rs
+++ b/crates/reactor/tests/event_loop.rs
@@ -99,7 +99,7 @@
 #[test]
 fn another_thread_wakes_the_poller() {
     let poller = Poller::new().expect("epoll");
-    let waker = Poller::waker().expect("a descriptor");
+    let waker = Poller::create_waker().expect("a descriptor");
     poller
         .register(waker.as_fd(), 9, false)
         .expect("registered");
--- a/crates/scale/src/machine.rs
+++ b/crates/scale/src/machine.rs
@@ -2,16 +2,16 @@
 
 use std::process::Command;
 
-use maplethread_capacity::Machine;
+use maplethread_capacity::MachineInfo;
 
 /// Describes the machine, from `/proc`.
-pub(crate) fn describe_machine() -> Machine {
+pub(crate) fn describe_machine() -> MachineInfo {
     let cpus = read_file("/proc/cpuinfo");
     let processor = cpus
         .lines()
         .find_map(|l| l.strip_prefix("model name"))
         .unwrap_or(": unknown");
-    Machine {
+    MachineInfo {
         processor: processor.trim_start_matches([' ', '\t', ':']).to_owned(),
         cores: std::thread::available_parallelism().map_or(1, |n| n.get() as u32),
         memory_mib: memory_kib("MemTotal:") / 1024,
--- a/crates/scale/src/owners.rs
+++ b/crates/scale/src/owners.rs
@@ -82,7 +82,7 @@
     pub(crate) fn clients(&self, plan: ClientPlan) -> Result<Clients, ScaleError> {
         let load = RequestLoad {
             requests_per_s: plan.requests_per_second,
-            seconds: plan.seconds,
+            duration_s: plan.seconds,
             split_s: plan.split_s,
             connections: CONNECTIONS_PER_PLACER * self.placers.len(),
             task_duration_ms: plan.task_duration_ms,
--- a/crates/scale/src/sampler.rs
+++ b/crates/scale/src/sampler.rs
@@ -4,7 +4,7 @@
 
 use maplethread_capacity::{MessageCount, Phase, PhaseSample, ProcessSample};
 use maplethread_emulator::traffic::Traffic;
-use maplethread_emulator::usage::{process_holdings, process_usage};
+use maplethread_emulator::usage::{process_resources, process_usage};
 
 use crate::error::ScaleError;
 use crate::fleet::Fleet;
@@ -140,7 +140,7 @@
     };
     let failed = || ScaleError::io(format!("/proc/{pid}"));
     let memory = process_usage(pid).map_err(failed())?;
-    let holdings = process_holdings(pid).map_err(failed())?;
+    let holdings = process_resources(pid).map_err(failed())?;
     Ok(ProcessSample {
         cpu_cores,
         resident_kib: memory.resident_kib,
--- a/crates/scale/src/scenario.rs
+++ b/crates/scale/src/scenario.rs
@@ -2,8 +2,8 @@
 //! placers and not the hosts limit the measured size.
 
 use maplethread_config::AcceptancePoint;
-use maplethread_emulator::scenario::{Class, Demand, Fleet, KindShare, Rules, Scenario};
-use maplethread_emulator::settings::plain_class;
+use maplethread_emulator::scenario::{Class, Demand, Fleet, HostKindShare, Rules, Scenario};
+use maplethread_emulator::settings::unconstrained_class;
 
 /// Hosts in a rack, which fail together in the fault `rack_dies`.
 pub(crate) const RACK_SIZE: usize = 40;
@@ -14,18 +14,18 @@
 pub(crate) fn scenario(workers: usize, placers: u32) -> Scenario {
     Scenario {
         name: "scale".to_owned(),
-        seconds: 1.0,
+        duration_s: 1.0,
         placers,
-        slots: None,
+        replica_indexes: None,
         fleet: fleet(workers),
         rules: rules(),
         demand: Demand {
             load: vec![[0.0, 0.0]],
             retry_after_ms: [1000.0, 1000.0],
-            settle_ms: 1000,
+            unknown_outcome_retry_ms: 1000,
             failover_delay_ms: 1000,
         },
-        kinds: vec![KindShare {
+        kinds: vec![HostKindShare {
             name: "std".to_owned(),
             cores: 64.0,
             memory_gib: 512.0,
@@ -40,8 +40,8 @@
     Fleet {
         hosts,
         zones: (0..ZONE_COUNT).map(|zone| format!("zone-{zone}")).collect(),
-        cell_size: RACK_SIZE,
-        placed_when: AcceptancePoint::Accepted,
+        hosts_per_cell: RACK_SIZE,
+        acceptance_point: AcceptancePoint::Accepted,
         cpu_overcommit: 1.0,
         memory_overcommit: 1.0,
         admission_ms: [1.0, 1.0],
@@ -68,12 +68,12 @@
 
 fn class() -> Class {
     Class {
-        rules: plain_class(),
+        placer_class: unconstrained_class(),
         share: 1.0,
         shapes: vec![[0.5, 1.0]],
         used_share: [0.5, 0.5],
         mean_duration_s: 5.0,
-        work_ms: 50.0,
+        start_duration_ms: 50.0,
         deadline_ms: 10_000,
         late_start_share: 0.2,
         contention_onset: 1.0,
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Instant;
 
-use maplethread_capacity::{Point, PointSettings, RESULT_FORMAT, SweepResult};
+use maplethread_capacity::{PointSettings, RESULT_FORMAT, SweepPoint, SweepResult};
 
 use crate::error::ScaleError;
 use crate::faults::{inject_and_measure, restore_fleet};
@@ -69,7 +69,7 @@
     options: &SweepOptions,
     settings: PointSettings,
     seed: u64,
-) -> Result<Point, ScaleError> {
+) -> Result<SweepPoint, ScaleError> {
     let started = Instant::now();
     let (phases, sampler) = (
         &options.sweep.phases,
@@ -101,7 +101,7 @@
             settings.value(dimension)
         );
     }
-    Ok(Point {
+    Ok(SweepPoint {
         seed,
         settings,
         phases: samples,
--- a/crates/simulator-adapter/src/wire/decode.rs
+++ b/crates/simulator-adapter/src/wire/decode.rs
@@ -139,7 +139,7 @@
         "CHECK_RESULT" => {
             let instance = instances.instance(instance_id)?;
             let machine = instance.hosts.id_or_assign(fields.str(3, "host")?);
-            Event::Probed {
+            Event::ProbeFinished {
                 machine,
                 answered: outcome(fields.u64(1, "ending")?) == Some(AttemptOutcome::Completed),
                 load: load_report(instance.capacity_reporting, fields, fields.get(4))?,
@@ -216,8 +216,8 @@
 
 fn failure_reason(code: u64) -> Option<FailureReason> {
     Some(match code {
-        1 => FailureReason::Cores,
-        2 => FailureReason::Memory,
+        1 => FailureReason::InsufficientCores,
+        2 => FailureReason::InsufficientMemory,
         3 => FailureReason::QueueFull,
         4 => FailureReason::Ineligible,
         5 => FailureReason::Evicted,
--- a/crates/simulator-adapter/src/wire/encode.rs
+++ b/crates/simulator-adapter/src/wire/encode.rs
@@ -33,7 +33,7 @@
         Action::Migrate(task) => json!(["RELOCATE", instance_id, task.0]),
         Action::SetTimer { after, label } => json!(["REMIND", instance_id, ms(*after), label]),
         Action::Probe(machine) => json!(["TEST", instance_id, name(*machine)]),
-        Action::CloseIdle(machine) => json!(["CLOSE_IDLE", instance_id, name(*machine)]),
+        Action::CloseIdleConnections(machine) => json!(["CLOSE_IDLE", instance_id, name(*machine)]),
         Action::SendToPeer {
             to: Some(to),
             bytes,
--- a/crates/simulator-adapter/src/wire/tests.rs
+++ b/crates/simulator-adapter/src/wire/tests.rs
@@ -45,7 +45,10 @@
             r#"["REMIND",3,500.0,77]"#,
         ),
         (Action::Probe(machine), r#"["TEST",3,"a:1"]"#),
-        (Action::CloseIdle(machine), r#"["CLOSE_IDLE",3,"a:1"]"#),
+        (
+            Action::CloseIdleConnections(machine),
+            r#"["CLOSE_IDLE",3,"a:1"]"#,
+        ),
         (
             Action::SendToPeer {
                 to: Some(1),
--- a/crates/trace/examples/large.rs
+++ b/crates/trace/examples/large.rs
@@ -26,14 +26,14 @@
         .parse()?;
     let header = Header {
         writer: "example".into(),
-        module: String::new(),
+        policy_hash: String::new(),
         placer: "placer-0".into(),
         started_ms: 1_700_000_000_000,
         seed: 0,
         settings: None,
         classes: vec!["web-api".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     };
     let mut writer = Writer::new(BufWriter::new(File::create_new(file)?), &header)?;
--- a/crates/trace/examples/measure.rs
+++ b/crates/trace/examples/measure.rs
@@ -7,7 +7,7 @@
 
 use maplethread_trace::replay::Replay;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Part, Reader, Record, TimedRecord, Writer};
+use maplethread_trace::{FilePart, Reader, Record, TimedRecord, Writer};
 
 type Result<T> = std::result::Result<T, Box<dyn std::error::Error>>;
 
@@ -18,7 +18,7 @@
     let mut reader = Reader::open(BufReader::new(File::open(file)?))?;
     let (started, mut records) = (Instant::now(), 0);
     while let Some(part) = reader.next_part()? {
-        if let Part::Block {
+        if let FilePart::Block {
             records: block_records,
             ..
         } = part
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -102,14 +102,14 @@
     pub fn anonymise_header(&self, header: &Header) -> Header {
         let Header {
             writer,
-            module,
+            policy_hash: module,
             placer,
             started_ms,
             seed: _,
             settings: _,
             classes,
             part,
-            changed: _,
+            operations: _,
             sources,
         } = header;
         let is_version_char = |c: char| c.is_ascii_digit() || c == '.';
@@ -123,7 +123,7 @@
             } else {
                 String::new()
             },
-            module: if is_hash {
+            policy_hash: if is_hash {
                 module.clone()
             } else {
                 String::new()
@@ -134,7 +134,7 @@
             settings: None,
             classes: classes.iter().map(|c| self.hash_name("class", c)).collect(),
             part: *part,
-            changed: vec!["anonymise".to_owned()],
+            operations: vec!["anonymise".to_owned()],
             sources: sources.iter().map(|s| self.anonymise_source(s)).collect(),
         }
     }
@@ -143,18 +143,18 @@
         let Source {
             placer,
             started_ms,
-            module: _,
+            policy_hash: _,
             parts,
             offset_us,
-            error_us,
+            residual_error_us: error_us,
         } = source;
         Source {
             placer: self.hash_name("placer", placer),
             started_ms: self.shift_time(started_ms.wrapping_mul(1000)) / 1000,
-            module: String::new(),
+            policy_hash: String::new(),
             parts: parts.clone(),
             offset_us: *offset_us,
-            error_us: *error_us,
+            residual_error_us: *error_us,
         }
     }
 
@@ -388,11 +388,11 @@
             }
             Event::ClientDisconnected(TaskId(task)) => Event::ClientDisconnected(TaskId(*task)),
             Event::TimerFired { label } => Event::TimerFired { label: *label },
-            Event::Probed {
+            Event::ProbeFinished {
                 machine,
                 answered,
                 load,
-            } => Event::Probed {
+            } => Event::ProbeFinished {
                 machine: *machine,
                 answered: *answered,
                 load: *load,
@@ -440,7 +440,9 @@
                 label: *label,
             },
             Action::Probe(MachineId(machine)) => Action::Probe(MachineId(*machine)),
-            Action::CloseIdle(MachineId(machine)) => Action::CloseIdle(MachineId(*machine)),
+            Action::CloseIdleConnections(MachineId(machine)) => {
+                Action::CloseIdleConnections(MachineId(*machine))
+            }
             Action::SendToPeer { to, bytes: _ } => Action::SendToPeer {
                 to: *to,
                 bytes: Vec::new(),
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -178,7 +178,7 @@
                     machines,
                 });
             }
-            Event::ConnectionChanged { machine, .. } | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged { machine, .. } | Event::ProbeFinished { machine, .. } => {
                 return (filter.machine == Some(machine.0)).then(|| event.clone());
             }
             Event::PlacementRequested(task) | Event::TaskAdopted { task, .. } => task.id.0,
@@ -202,7 +202,7 @@
             | Action::Blocked { task, .. }
             | Action::Migrate(task) => self.contains(filter, task.0),
             Action::Cancel(id) => self.contains(filter, id.task.0),
-            Action::Probe(machine) | Action::CloseIdle(machine) => {
+            Action::Probe(machine) | Action::CloseIdleConnections(machine) => {
                 filter.machine == Some(machine.0)
             }
             Action::SetTimer { .. }
--- a/crates/trace/src/header.rs
+++ b/crates/trace/src/header.rs
@@ -22,7 +22,8 @@
     /// The name and version of the program that wrote the file.
     pub writer: String,
     /// The hash of the policy's source text.
-    pub module: String,
+    #[serde(rename = "module")]
+    pub policy_hash: String,
     /// The placer's name.
     pub placer: String,
     /// The time at which the process started, Unix time in ms; identifies the run.
@@ -37,7 +38,8 @@
     pub part: u32,
     /// The operations applied to the file since it was written, such as `cut` or `repair`.
     #[serde(default)]
-    pub changed: Vec<String>,
+    #[serde(rename = "changed")]
+    pub operations: Vec<String>,
     /// In a merged trace, the runs that it was merged from; otherwise empty. Since format version 1.1.
     #[serde(default)]
     pub sources: Vec<Source>,
@@ -51,14 +53,16 @@
     /// The time at which its process started, Unix time in ms.
     pub started_ms: u64,
     /// The hash of the policy's source text.
-    pub module: String,
+    #[serde(rename = "module")]
+    pub policy_hash: String,
     /// The indices of the run's files that were merged.
     pub parts: Vec<u32>,
     /// The clock offset that was added to its times, µs.
     pub offset_us: i64,
     /// The residual clock error, µs: the 90th percentile over the observations shared with other sources; none if
     /// there were none.
-    pub error_us: Option<u64>,
+    #[serde(rename = "error_us")]
+    pub residual_error_us: Option<u64>,
 }
 
 /// The policy's source files with their text: those of `policy` in `deploy/balancer.toml`, in that order.
@@ -134,7 +138,7 @@
 ];
 
 /// The hash of the policy's source text in this program: the files of [`POLICY_SOURCES`], concatenated in that order.
-pub fn module_hash() -> String {
+pub fn policy_hash() -> String {
     let mut hasher = blake3::Hasher::new();
     for (_, text) in POLICY_SOURCES {
         hasher.update(text.as_bytes());
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -29,8 +29,8 @@
 
 pub use block::BlockInfo;
 pub use error::TraceError;
-pub use header::{Header, POLICY_SOURCES, Source, module_hash};
-pub use reader::{Part, Reader};
+pub use header::{Header, POLICY_SOURCES, Source, policy_hash};
+pub use reader::{FilePart, Reader};
 pub use record::{Outcome, Record, TimedRecord, Turn};
 pub use report_names::ActionList;
 pub use writer::{Writer, WriterTotals};
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -15,7 +15,7 @@
 use std::io::{Read, Seek};
 
 use crate::header::{Header, Source};
-use crate::reader::{Part, Reader};
+use crate::reader::{FilePart, Reader};
 use crate::record::{Record, TimedRecord};
 use crate::{TraceError, Writer};
 
@@ -86,7 +86,7 @@
             let mut current_source = 0;
             input.rewind();
             while let Some(part) = input.next_part()? {
-                let Part::Block { records, .. } = part else {
+                let FilePart::Block { records, .. } = part else {
                     continue;
                 };
                 for TimedRecord { at, record } in records {
@@ -185,13 +185,13 @@
                 Source {
                     parts,
                     offset_us,
-                    error_us,
+                    residual_error_us: error_us,
                     ..slices[0].source.clone()
                 }
             });
         let header = Header {
             writer: concat!("maplethread ", env!("CARGO_PKG_VERSION")).to_owned(),
-            module: String::new(),
+            policy_hash: String::new(),
             placer: "merged".to_owned(),
             started_ms: slices
                 .iter()
@@ -202,7 +202,7 @@
             settings: None,
             classes: all_classes.iter().cloned().collect(),
             part: 0,
-            changed: vec!["merge".to_owned()],
+            operations: vec!["merge".to_owned()],
             sources: merged_sources.collect(),
         };
         let is_merged = inputs
--- a/crates/trace/src/merge/renumber.rs
+++ b/crates/trace/src/merge/renumber.rs
@@ -105,11 +105,11 @@
                         Event::ClientDisconnected(id) => {
                             Event::ClientDisconnected(TaskId(task(id.0)?))
                         }
-                        Event::Probed {
+                        Event::ProbeFinished {
                             machine,
                             answered,
                             load,
-                        } => Event::Probed {
+                        } => Event::ProbeFinished {
                             machine: MachineId(host(machine.0)),
                             answered,
                             load,
@@ -146,7 +146,9 @@
                         },
                         Action::Migrate(id) => Action::Migrate(TaskId(task(id.0)?)),
                         Action::Probe(m) => Action::Probe(MachineId(host(m.0))),
-                        Action::CloseIdle(m) => Action::CloseIdle(MachineId(host(m.0))),
+                        Action::CloseIdleConnections(m) => {
+                            Action::CloseIdleConnections(MachineId(host(m.0)))
+                        }
                         Action::SetTimer { .. }
                         | Action::SendToPeer { .. }
                         | Action::WatchEndpoints { .. }
--- a/crates/trace/src/merge/sources.rs
+++ b/crates/trace/src/merge/sources.rs
@@ -22,10 +22,10 @@
         return vec![Source {
             placer: header.placer.clone(),
             started_ms: header.started_ms,
-            module: header.module.clone(),
+            policy_hash: header.policy_hash.clone(),
             parts: vec![header.part],
             offset_us: 0,
-            error_us: None,
+            residual_error_us: None,
         }];
     }
     header.sources.clone()
@@ -37,7 +37,7 @@
 ) -> Result<Vec<Vec<SourceSlice>>, MergeError> {
     let mut slices_by_run: BTreeMap<(String, u64), Vec<SourceSlice>> = BTreeMap::new();
     for (input, reader) in inputs.iter().enumerate() {
-        if reader.header.changed.iter().any(|c| c == "anonymise") {
+        if reader.header.operations.iter().any(|c| c == "anonymise") {
             return Err(MergeError::Anonymised);
         }
         for (index, source) in sources_of(&reader.header).into_iter().enumerate() {
--- a/crates/trace/src/merge/stream.rs
+++ b/crates/trace/src/merge/stream.rs
@@ -4,7 +4,7 @@
 
 use super::sources::SourceSlice;
 use super::{MergeError, MergePlan};
-use crate::reader::{Part, Reader};
+use crate::reader::{FilePart, Reader};
 use crate::record::{Record, TimedRecord};
 
 /// The records of one source in their order.
@@ -30,8 +30,8 @@
             };
             let Some(TimedRecord { at, record }) = self.records.next() else {
                 match reader.next_part()? {
-                    Some(Part::Block { records, .. }) => self.records = records.into_iter(),
-                    Some(Part::Damaged {
+                    Some(FilePart::Block { records, .. }) => self.records = records.into_iter(),
+                    Some(FilePart::Damaged {
                         byte_count: damaged_bytes,
                         ..
                     }) => {
--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -13,7 +13,7 @@
 
 /// A part of a file.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
+pub enum FilePart {
     /// A valid block.
     Block {
         /// The block's offset in the file.
@@ -147,11 +147,11 @@
     /// # Errors
     ///
     /// The file can't be read, or there is no valid block at this offset.
-    pub fn read_block(&mut self, at: u64) -> Result<Part, TraceError> {
+    pub fn read_block(&mut self, at: u64) -> Result<FilePart, TraceError> {
         let (info, payload) = self.read_payload(at)?;
         let (records, unknown_records) = decode_records(&info, &payload)
             .map_err(|reason| TraceError::Damaged { offset: at, reason })?;
-        Ok(Part::Block {
+        Ok(FilePart::Block {
             offset: at,
             info,
             records,
@@ -198,20 +198,20 @@
     /// # Errors
     ///
     /// The file can't be read; damage is returned as [`Part::Damaged`].
-    pub fn next_part(&mut self) -> Result<Option<Part>, TraceError> {
+    pub fn next_part(&mut self) -> Result<Option<FilePart>, TraceError> {
         let (start, mut reason) = (self.position, None);
         let end = self.find_index().ok().flatten().unwrap_or(self.file_bytes);
         while self.position < end {
             match self.read_block(self.position) {
                 Ok(part) => {
                     if let Some(reason) = reason {
-                        return Ok(Some(Part::Damaged {
+                        return Ok(Some(FilePart::Damaged {
                             offset: start,
                             byte_count: self.position - start,
                             reason,
                         }));
                     }
-                    if let Part::Block { info, .. } = &part {
+                    if let FilePart::Block { info, .. } = &part {
                         self.position += BLOCK_HEADER_BYTES as u64 + u64::from(info.packed_bytes);
                     }
                     return Ok(Some(part));
@@ -225,7 +225,7 @@
                 Err(e) => return Err(e),
             }
         }
-        Ok(reason.map(|reason| Part::Damaged {
+        Ok(reason.map(|reason| FilePart::Damaged {
             offset: start,
             byte_count: end - start,
             reason,
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -182,7 +182,7 @@
             Event::EndpointsUpdated { machines, .. } => {
                 self.machines.extend(machines.iter().map(|m| m.machine.0))
             }
-            Event::ConnectionChanged { machine, .. } | Event::Probed { machine, .. } => {
+            Event::ConnectionChanged { machine, .. } | Event::ProbeFinished { machine, .. } => {
                 self.machines.insert(machine.0);
             }
             Event::PlacementRequested(task) => {
@@ -220,7 +220,7 @@
             | Action::Migrate(task) => {
                 self.tasks.insert(task.0);
             }
-            Action::Probe(machine) | Action::CloseIdle(machine) => {
+            Action::Probe(machine) | Action::CloseIdleConnections(machine) => {
                 self.machines.insert(machine.0);
             }
             Action::SetTimer { .. }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -172,7 +172,7 @@
         Action::Migrate(_) => "move",
         Action::SetTimer { .. } => "wake",
         Action::Probe(_) => "probe",
-        Action::CloseIdle(_) => "close_idle",
+        Action::CloseIdleConnections(_) => "close_idle",
         Action::SendToPeer { .. } => "tell",
         Action::WatchEndpoints { .. } => "listen",
         Action::FetchEndpoints => "lookup",
--- a/crates/trace/src/report_names.rs
+++ b/crates/trace/src/report_names.rs
@@ -22,8 +22,8 @@
 /// The name of the reason for an attempt's failure.
 pub(crate) fn failure_reason(reason: FailureReason) -> &'static str {
     match reason {
-        FailureReason::Cores => "Cores",
-        FailureReason::Memory => "Memory",
+        FailureReason::InsufficientCores => "Cores",
+        FailureReason::InsufficientMemory => "Memory",
         FailureReason::QueueFull => "Line",
         FailureReason::Ineligible => "NotHere",
         FailureReason::Evicted => "Evicted",
@@ -98,7 +98,9 @@
                 f.debug_tuple("Wake").field(after).field(label).finish()
             }
             Action::Probe(machine) => f.debug_tuple("Probe").field(machine).finish(),
-            Action::CloseIdle(machine) => f.debug_tuple("CloseIdle").field(machine).finish(),
+            Action::CloseIdleConnections(machine) => {
+                f.debug_tuple("CloseIdle").field(machine).finish()
+            }
             Action::SendToPeer { to, bytes } => f
                 .debug_struct("Tell")
                 .field("to", to)
--- a/crates/trace/src/summary/report.rs
+++ b/crates/trace/src/summary/report.rs
@@ -59,7 +59,7 @@
             .collect();
         let cold_budget = self.rules.map(|(rules, placers)| {
             json!({
-                "offers_of_all_placers": rules.warm_up_offers, "window_ms": rules.overload_window / 1000,
+                "offers_of_all_placers": rules.warm_up_offers_per_window, "window_ms": rules.overload_window / 1000,
                 "cold_for_ms": rules.warm_up_duration / 1000, "placers": placers,
             })
         });
@@ -173,7 +173,7 @@
                 out,
                 "cold hosts: {warm_up_offers} offers, at most {max_in_window} to one in {:.1} s, of {} for all {placers} placers",
                 rules.overload_window as f64 / 1e6,
-                rules.warm_up_offers
+                rules.warm_up_offers_per_window
             );
         }
         let drains: u64 = self.hosts.values().map(|host| host.drains).sum();
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -12,7 +12,7 @@
 use maplethread_trace::replay::Replay;
 use maplethread_trace::summary::Summary;
 use maplethread_trace::{
-    Header, Outcome, Part, Reader, Record, TimedRecord, TraceError, Turn, Writer,
+    FilePart, Header, Outcome, Reader, Record, TimedRecord, TraceError, Turn, Writer,
 };
 use proptest::prelude::*;
 
@@ -33,14 +33,14 @@
             machine_kind: None,
             spread_limit: None,
         }],
-        kinds: vec![Resources::new(16.0, 64.0)],
+        machine_kinds: vec![Resources::new(16.0, 64.0)],
         discovery: DiscoveryMode::Watch,
         acceptance_point: AcceptancePoint::Accepted,
         cpu_overcommit: 1.0,
         memory_overcommit: 1.0,
         endpoints_report_capacity: false,
-        load_report: LoadReport::Unallocated,
-        limits: Limits {
+        load_report_content: LoadReportContent::UnallocatedResources,
+        limits: CallerLimits {
             max_attempts: 3,
             can_cancel: true,
             can_probe: true,
@@ -53,7 +53,7 @@
             warm_up_duration: 5 * SECOND_US,
             overload_multiple: 3.0,
             overload_window: 2 * SECOND_US,
-            warm_up_offers: 20.0,
+            warm_up_offers_per_window: 20.0,
         },
         costs: Costs::default(),
     }
@@ -62,14 +62,14 @@
 fn header() -> Header {
     Header {
         writer: "test".into(),
-        module: maplethread_trace::module_hash(),
+        policy_hash: maplethread_trace::policy_hash(),
         placer: "p0".into(),
         started_ms: 1_700_000_000_000,
         seed: 7,
         settings: Some(settings()),
         classes: vec!["web".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     }
 }
@@ -158,7 +158,7 @@
                 if task.0 % 100 == 3 {
                     let result = AttemptResult {
                         outcome: AttemptOutcome::Rejected,
-                        reason: Some(FailureReason::Cores),
+                        reason: Some(FailureReason::InsufficientCores),
                         closes_task: false,
                         load: None,
                     };
@@ -218,8 +218,8 @@
     let (mut all, mut damaged_bytes) = (Vec::new(), 0);
     while let Some(part) = reader.next_part()? {
         match part {
-            Part::Block { records, .. } => all.extend(records),
-            Part::Damaged { byte_count, .. } => damaged_bytes += byte_count,
+            FilePart::Block { records, .. } => all.extend(records),
+            FilePart::Damaged { byte_count, .. } => damaged_bytes += byte_count,
         }
     }
     Ok((all, damaged_bytes))
@@ -262,7 +262,7 @@
     assert!(first.recorded != first.replayed && first.time_us >= records[0].at);
     // With other settings, in which machines are too small for any task, all requests are rejected.
     let small_machines = Settings {
-        kinds: vec![Resources::new(0.001, 0.001)],
+        machine_kinds: vec![Resources::new(0.001, 0.001)],
         ..settings()
     };
     let mut replay =
@@ -406,7 +406,7 @@
     let mut reader = Reader::open(Cursor::new(&bytes)).expect("a file of a newer minor version");
     assert!(reader.is_newer_minor_version());
     match reader.next_part().expect("readable") {
-        Some(Part::Block {
+        Some(FilePart::Block {
             records,
             unknown_records: unknown,
             ..
@@ -461,7 +461,7 @@
     );
     let mut found = Vec::new();
     for &offset in &offsets {
-        if let Part::Block { records, .. } = reader.read_block(offset).expect("a block") {
+        if let FilePart::Block { records, .. } = reader.read_block(offset).expect("a block") {
             found.extend(records);
         }
     }
@@ -567,7 +567,7 @@
         let reason = if task == 5 {
             FailureReason::QueueFull
         } else {
-            FailureReason::Cores
+            FailureReason::InsufficientCores
         };
         let result = AttemptResult {
             outcome: AttemptOutcome::Rejected,
--- a/crates/trace/tests/killed.rs
+++ b/crates/trace/tests/killed.rs
@@ -6,7 +6,7 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-use maplethread_trace::{Header, Part, Reader, Record, TimedRecord, Writer, module_hash};
+use maplethread_trace::{FilePart, Header, Reader, Record, TimedRecord, Writer, policy_hash};
 
 const OUTPUT_VARIABLE: &str = "MAPLETHREAD_TRACE_KILLED";
 
@@ -44,14 +44,14 @@
     };
     let header = Header {
         writer: "test".into(),
-        module: module_hash(),
+        policy_hash: policy_hash(),
         placer: "p".into(),
         started_ms: 1,
         seed: 1,
         settings: None,
         classes: vec!["web".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     };
     let mut writer = Writer::new(File::create(out).expect("a file"), &header).expect("a header");
@@ -84,14 +84,14 @@
     let (mut requests, mut damaged_bytes) = (Vec::new(), 0);
     while let Some(part) = reader.next_part().expect("a readable file") {
         match part {
-            Part::Block { records, .. } => {
+            FilePart::Block { records, .. } => {
                 requests.extend(
                     records
                         .into_iter()
                         .filter(|r| matches!(r.record, Record::RequestReceived { .. })),
                 );
             }
-            Part::Damaged { byte_count, .. } => damaged_bytes += byte_count,
+            FilePart::Damaged { byte_count, .. } => damaged_bytes += byte_count,
         }
     }
     (requests, damaged_bytes)
--- a/crates/trace/tests/losses.rs
+++ b/crates/trace/tests/losses.rs
@@ -143,7 +143,7 @@
             1,
             0,
             AttemptOutcome::Rejected,
-            Some(FailureReason::Cores),
+            Some(FailureReason::InsufficientCores),
         )],
         vec![offer(1, 3)],
     );
--- a/crates/trace/tests/merging.rs
+++ b/crates/trace/tests/merging.rs
@@ -5,7 +5,7 @@
 use maplethread::*;
 use maplethread_trace::merge::{MergeError, MergePlan};
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Header, Outcome, Part, Reader, Record, TimedRecord, Turn, Writer};
+use maplethread_trace::{FilePart, Header, Outcome, Reader, Record, TimedRecord, Turn, Writer};
 
 const SECOND_US: u64 = 1_000_000;
 const START_US: u64 = 1_700_000_000 * SECOND_US;
@@ -13,7 +13,7 @@
 fn header(placer: &str, part: u32) -> Header {
     Header {
         writer: "test".into(),
-        module: "m".into(),
+        policy_hash: "m".into(),
         placer: placer.into(),
         started_ms: START_US / 1000,
         seed: 7,
@@ -25,7 +25,7 @@
             vec!["batch".into(), "web".into()]
         },
         part,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     }
 }
@@ -142,7 +142,7 @@
     let mut reader = Reader::open(Cursor::new(bytes)).expect("a file");
     let mut all = Vec::new();
     while let Some(part) = reader.next_part().expect("readable") {
-        let Part::Block { records, .. } = part else {
+        let FilePart::Block { records, .. } = part else {
             panic!("{part:?}")
         };
         all.extend(records);
@@ -181,7 +181,10 @@
     assert_eq!(two - one, -7 * SECOND_US as i64 - 6000);
     assert_eq!(three - one, 3 * SECOND_US as i64 - 2000);
     assert!(
-        header.sources.iter().all(|s| s.error_us == Some(0)),
+        header
+            .sources
+            .iter()
+            .all(|s| s.residual_error_us == Some(0)),
         "{:?}",
         header.sources
     );
@@ -311,5 +314,8 @@
         .collect();
     assert_eq!(gaps, [0, 1, 2, 3, 4]);
     let header = Reader::open(Cursor::new(&merged)).expect("a file").header;
-    assert_eq!(header.sources[1].error_us, None, "no shared observations");
+    assert_eq!(
+        header.sources[1].residual_error_us, None,
+        "no shared observations"
+    );
 }
--- a/crates/trace/tests/printed_actions.rs
+++ b/crates/trace/tests/printed_actions.rs
@@ -29,7 +29,7 @@
         Action::Migrate(task),
         Action::SetTimer { after: 6, label: 7 },
         Action::Probe(machine),
-        Action::CloseIdle(machine),
+        Action::CloseIdleConnections(machine),
         Action::SendToPeer {
             to: None,
             bytes: vec![8, 9],
--- a/fuzz/fuzz_targets/trace.rs
+++ b/fuzz/fuzz_targets/trace.rs
@@ -8,19 +8,19 @@
 
 use libfuzzer_sys::fuzz_target;
 use maplethread_trace::summary::Summary;
-use maplethread_trace::{Header, Part, Reader, Record, TimedRecord, Writer};
+use maplethread_trace::{FilePart, Header, Reader, Record, TimedRecord, Writer};
 
 fuzz_target!(|data: &[u8]| {
     let header = Header {
         writer: String::new(),
-        module: String::new(),
+        policy_hash: String::new(),
         placer: "p".into(),
         started_ms: 1,
         seed: 1,
         settings: None,
         classes: vec!["c".into()],
         part: 0,
-        changed: Vec::new(),
+        operations: Vec::new(),
         sources: Vec::new(),
     };
     let mut bytes = Vec::new();
@@ -53,11 +53,11 @@
     let mut summary = Summary::new(&reader.header);
     while let Some(part) = reader.next_part().expect("damage is not an error") {
         match part {
-            Part::Block { records, .. } => {
+            FilePart::Block { records, .. } => {
                 assert!(records.len() <= 9);
                 records.iter().for_each(|r| summary.feed(r));
             }
-            Part::Damaged { byte_count, .. } => assert!(byte_count > 0),
+            FilePart::Damaged { byte_count, .. } => assert!(byte_count > 0),
         }
     }
     let _ = summary.to_json();
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -59,7 +59,8 @@
     /// Request a machine's load report.
     Probe(MachineId),
     /// Close idle connections to a machine.
-    CloseIdle(MachineId),
+    #[cfg_attr(feature = "serde", serde(rename = "CloseIdle"))]
+    CloseIdleConnections(MachineId),
     /// Send a message of at most 256 bytes to one other placer or to all.
     #[cfg_attr(feature = "serde", serde(rename = "Tell"))]
     SendToPeer {
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -61,9 +61,11 @@
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum FailureReason {
     /// The machine has too few free cores.
-    Cores,
+    #[cfg_attr(feature = "serde", serde(rename = "Cores"))]
+    InsufficientCores,
     /// The machine has too little free memory.
-    Memory,
+    #[cfg_attr(feature = "serde", serde(rename = "Memory"))]
+    InsufficientMemory,
     /// The machine's queue of offers is full.
     #[cfg_attr(feature = "serde", serde(rename = "Line"))]
     QueueFull,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -98,7 +98,8 @@
         label: u64,
     },
     /// The result of a probe.
-    Probed {
+    #[cfg_attr(feature = "serde", serde(rename = "Probed"))]
+    ProbeFinished {
         /// The machine.
         machine: MachineId,
         /// Whether it answered.
--- a/src/interface/machine.rs
+++ b/src/interface/machine.rs
@@ -32,7 +32,7 @@
     pub zone: u32,
     /// Its cell; unique over all zones.
     pub cell: u32,
-    /// Its kind, an index into [`Settings::kinds`](super::Settings::kinds).
+    /// Its kind, an index into [`Settings::machine_kinds`](super::Settings::machine_kinds).
     pub kind: usize,
     /// Its state.
     pub state: MachineState,
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -19,8 +19,8 @@
 pub use machine::{MachineEntry, MachineId, MachineState, UpdateScope};
 pub use resources::Resources;
 pub use settings::{
-    AcceptancePoint, Class, Costs, DeduplicationScope, DiscoveryMode, Limits, LoadReport,
-    RetrySafety, Rules, Settings, SettingsError, SpreadLimit, TopologyLevel,
+    AcceptancePoint, CallerLimits, Class, Costs, DeduplicationScope, DiscoveryMode,
+    LoadReportContent, RetrySafety, Rules, Settings, SettingsError, SpreadLimit, TopologyLevel,
 };
 pub use task::{ServiceId, Task, TaskId};
 
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -17,7 +17,8 @@
     /// The task classes.
     pub classes: Vec<Class>,
     /// The size of each kind of machine.
-    pub kinds: Vec<Resources>,
+    #[cfg_attr(feature = "serde", serde(rename = "kinds"))]
+    pub machine_kinds: Vec<Resources>,
     /// How endpoint lists arrive.
     pub discovery: DiscoveryMode,
     /// When [`Event::AttemptAccepted`](super::Event::AttemptAccepted) arrives.
@@ -34,9 +35,9 @@
     pub endpoints_report_capacity: bool,
     /// What load reports contain.
     #[cfg_attr(feature = "serde", serde(rename = "report"))]
-    pub load_report: LoadReport,
+    pub load_report_content: LoadReportContent,
     /// Limits on attempts and on the actions that the caller supports.
-    pub limits: Limits,
+    pub limits: CallerLimits,
     /// The parameters of the rules for drains and for machines that are warming up.
     pub rules: Rules,
     /// The costs that are subtracted from the value of the service.
@@ -54,7 +55,7 @@
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
         }
-        if self.kinds.is_empty() {
+        if self.machine_kinds.is_empty() {
             return Err(SettingsError::Empty("kinds"));
         }
         let (rules, costs) = (&self.rules, &self.costs);
@@ -78,20 +79,23 @@
                 f64::MIN_POSITIVE,
             ),
             ("initial capacity share", rules.initial_capacity_share, 0.0),
-            ("warm-up offers", rules.warm_up_offers, 0.0),
+            ("warm-up offers", rules.warm_up_offers_per_window, 0.0),
             ("cost of a rejection", costs.rejection, 0.0),
             ("cost of crossing zones", costs.cross_zone, 0.0),
             ("cost of machines in use", costs.machines_in_use, 0.0),
             ("cost of a migration", costs.migration, 0.0),
         ];
-        for kind in &self.kinds {
+        for kind in &self.machine_kinds {
             bounded_values.push(("cores of a kind", kind.cores, f64::MIN_POSITIVE));
             bounded_values.push(("memory of a kind", kind.memory, f64::MIN_POSITIVE));
         }
         for class in &self.classes {
             bounded_values.push(("priority weight", class.priority_weight, 0.0));
             bounded_values.push(("start bonus", class.start_bonus_s, 0.0));
-            if let Some(kind) = class.machine_kind.filter(|&kind| kind >= self.kinds.len()) {
+            if let Some(kind) = class
+                .machine_kind
+                .filter(|&kind| kind >= self.machine_kinds.len())
+            {
                 return Err(SettingsError::UnknownMachineKind(kind));
             }
         }
@@ -122,7 +126,7 @@
     pub start_bonus_s: f64,
     /// Tasks of a higher priority preempt those of a lower one.
     pub priority: u32,
-    /// The only kind of machine that may run it, an index into [`Settings::kinds`]; none for any kind.
+    /// The only kind of machine that may run it, an index into [`Settings::machine_kinds`]; none for any kind.
     #[cfg_attr(feature = "serde", serde(rename = "kind"))]
     pub machine_kind: Option<usize>,
     /// The maximum number of tasks of one service that this placer may have in one domain.
@@ -227,20 +231,22 @@
 /// What load reports in answers and probes contain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub enum LoadReport {
+pub enum LoadReportContent {
     /// No cores and memory, so placers do not use the reports.
-    Silent,
+    #[cfg_attr(feature = "serde", serde(rename = "Silent"))]
+    Nothing,
     /// Cores and memory that no task has requested.
     #[cfg_attr(feature = "serde", serde(rename = "Unasked"))]
-    Unallocated,
+    UnallocatedResources,
     /// Cores and memory that are not in use.
-    Unused,
+    #[cfg_attr(feature = "serde", serde(rename = "Unused"))]
+    UnusedResources,
 }
 
 /// Limits on attempts, and which actions the caller supports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
-pub struct Limits {
+pub struct CallerLimits {
     /// The maximum number of attempts for one task.
     pub max_attempts: u32,
     /// The caller supports [`Action::Cancel`](super::Action::Cancel).
@@ -283,7 +289,7 @@
     /// The warm-up budget: the maximum number of offers per `overload_window`, from all placers together, that cannot
     /// overload a machine that is warming up.
     #[cfg_attr(feature = "serde", serde(rename = "fresh_offers"))]
-    pub warm_up_offers: f64,
+    pub warm_up_offers_per_window: f64,
 }
 
 /// Costs, each as a share of the total value of the service.
@@ -310,7 +316,7 @@
     Empty(&'static str),
     /// The number of this name is not finite, or is out of its range.
     OutOfRange(&'static str),
-    /// A class requires the machine kind of this index, which is not in [`Settings::kinds`].
+    /// A class requires the machine kind of this index, which is not in [`Settings::machine_kinds`].
     UnknownMachineKind(usize),
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,14 +25,14 @@
 //!             machine_kind: None,
 //!             spread_limit: None,
 //!         }],
-//!         kinds: vec![Resources::new(16.0, 64.0)],
+//!         machine_kinds: vec![Resources::new(16.0, 64.0)],
 //!         discovery: DiscoveryMode::Watch,
 //!         acceptance_point: AcceptancePoint::Running,
 //!         cpu_overcommit: 1.0,
 //!         memory_overcommit: 1.0,
 //!         endpoints_report_capacity: false,
-//!         load_report: LoadReport::Silent,
-//!         limits: Limits {
+//!         load_report_content: LoadReportContent::Nothing,
+//!         limits: CallerLimits {
 //!             max_attempts: 3,
 //!             can_cancel: true,
 //!             can_probe: false,
@@ -45,7 +45,7 @@
 //!             warm_up_duration: 15_000_000,
 //!             overload_multiple: 3.0,
 //!             overload_window: 2_000_000,
-//!             warm_up_offers: 20.0,
+//!             warm_up_offers_per_window: 20.0,
 //!         },
 //!         costs: Costs::default(),
 //!     };
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -3,8 +3,8 @@
 use super::Placer;
 use super::machine::{ENDPOINT_LAG, LOAD_REPORT_LAG, Machine};
 use crate::interface::{
-    Action, DiscoveryMode, LoadReport, MachineEntry, MachineId, MachineState, Micros, Resources,
-    UpdateScope,
+    Action, DiscoveryMode, LoadReportContent, MachineEntry, MachineId, MachineState, Micros,
+    Resources, UpdateScope,
 };
 
 /// After this time a failed discovery call is retried. It is much shorter than any `max_poll_interval`.
@@ -64,7 +64,7 @@
 
     /// Applies one entry of a list. Returns whether the machine is new.
     fn apply_entry(&mut self, entry: &MachineEntry) -> bool {
-        let Some(&size) = self.settings.kinds.get(entry.kind) else {
+        let Some(&size) = self.settings.machine_kinds.get(entry.kind) else {
             return false;
         };
         let is_new = !self.machines.contains_key(&entry.machine);
@@ -118,7 +118,8 @@
 
     /// Applies the load report of an answer or a probe, if load reports contain the unallocated resources.
     pub(super) fn record_load_report(&mut self, machine: MachineId, load: Option<Resources>) {
-        if let (LoadReport::Unallocated, Some(unallocated)) = (self.settings.load_report, load)
+        if let (LoadReportContent::UnallocatedResources, Some(unallocated)) =
+            (self.settings.load_report_content, load)
             && let Some(machine) = self.machines.get_mut(&machine)
         {
             machine.observe_unallocated(unallocated, self.now.saturating_sub(LOAD_REPORT_LAG));
--- a/src/policy/feasibility.rs
+++ b/src/policy/feasibility.rs
@@ -93,12 +93,16 @@
     /// Whether an empty machine of some kind could take the task.
     fn fits_any_kind(&self, task: &Task) -> bool {
         let required = self.settings.classes[task.class].machine_kind;
-        self.settings.kinds.iter().enumerate().any(|(kind, &size)| {
-            let share = task.requested.as_share_of(size);
-            required.is_none_or(|required| required == kind)
-                && share.cores <= self.settings.cpu_overcommit
-                && share.memory <= self.settings.memory_overcommit
-        })
+        self.settings
+            .machine_kinds
+            .iter()
+            .enumerate()
+            .any(|(kind, &size)| {
+                let share = task.requested.as_share_of(size);
+                required.is_none_or(|required| required == kind)
+                    && share.cores <= self.settings.cpu_overcommit
+                    && share.memory <= self.settings.memory_overcommit
+            })
     }
 
     /// The domains in which attempts and running tasks of the service have reached the spread limit of its class.
--- a/src/policy/load.rs
+++ b/src/policy/load.rs
@@ -4,7 +4,7 @@
 
 use super::Placer;
 use super::machine::Machine;
-use crate::interface::{LoadReport, MachineId, Resources, Task};
+use crate::interface::{LoadReportContent, MachineId, Resources, Task};
 
 /// A machine has headroom while its estimated utilization is at most this share.
 const HEADROOM_LIMIT: f64 = 0.85;
@@ -84,7 +84,7 @@
     /// only own tasks, so it is added once for each other placer.
     fn allocation_with(&self, machine: &Machine, task: &Task, mean: Resources) -> Resources {
         let is_ever_reported = self.settings.endpoints_report_capacity
-            || self.settings.load_report == LoadReport::Unallocated;
+            || self.settings.load_report_content == LoadReportContent::UnallocatedResources;
         let mean_weight = match (machine.is_reported(), is_ever_reported) {
             (true, _) => 0.0,
             (false, true) => 1.0,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -166,7 +166,7 @@
                 self.pending.remove(task);
             }
             Event::TimerFired { label } => self.handle_timer(*label, actions),
-            Event::Probed { machine, load, .. } => self.record_load_report(*machine, *load),
+            Event::ProbeFinished { machine, load, .. } => self.record_load_report(*machine, *load),
             Event::PeerMessage { .. } => {}
         }
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -171,7 +171,10 @@
     /// each consecutive rejection doubles the time, and after [`REJECTIONS_UNTIL_ALL_SIZES`] it applies to smaller tasks
     /// as well.
     fn back_off(&mut self, requested: Resources, reason: Option<FailureReason>, now: Micros) {
-        let lacks_capacity = matches!(reason, Some(FailureReason::Cores | FailureReason::Memory));
+        let lacks_capacity = matches!(
+            reason,
+            Some(FailureReason::InsufficientCores | FailureReason::InsufficientMemory)
+        );
         let base = if lacks_capacity {
             CAPACITY_BACKOFF
         } else {
--- a/src/policy/outlier/tests.rs
+++ b/src/policy/outlier/tests.rs
@@ -78,7 +78,7 @@
     let mut health = MachineHealth::new(1);
     let small = Resources::new(1.0, 1.0);
     let large = Resources::new(2.0, 1.0);
-    let reason = Some(FailureReason::Cores);
+    let reason = Some(FailureReason::InsufficientCores);
     for (rejections, seconds) in [(1, 1), (2, 2), (3, 4), (4, 8), (5, 8)] {
         finish_attempt(&mut health, AttemptOutcome::Rejected, reason, 0);
         assert!(health.is_backing_off(large, seconds * SECOND - 1));
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -89,7 +89,7 @@
 /// depends only on the machine and the time of its start, so no window exceeds the budget, whenever each placer
 /// received the list.
 fn budget_of_replica(hash: u64, rules: &Rules, replica_count: u32, index: u32) -> u64 {
-    let offers = (rules.warm_up_offers * BUDGET_SHARE) as u64;
+    let offers = (rules.warm_up_offers_per_window * BUDGET_SHARE) as u64;
     let replicas = u64::from(replica_count);
     let rotated_index = (u64::from(index) + mix_bits(hash) % replicas) % replicas;
     offers / replicas + u64::from(rotated_index < offers % replicas)
--- a/src/policy/slow_start/tests.rs
+++ b/src/policy/slow_start/tests.rs
@@ -10,7 +10,7 @@
         warm_up_duration: 10 * SECOND,
         overload_multiple: 3.0,
         overload_window: 2 * SECOND,
-        warm_up_offers,
+        warm_up_offers_per_window: warm_up_offers,
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -23,14 +23,14 @@
         replica_index: 0,
         zone: 0,
         classes: vec![class(retry_safety)],
-        kinds: vec![Resources::new(32.0, 96.0)],
+        machine_kinds: vec![Resources::new(32.0, 96.0)],
         discovery: DiscoveryMode::Watch,
         acceptance_point: AcceptancePoint::Accepted,
         cpu_overcommit: 1.5,
         memory_overcommit: 1.5,
         endpoints_report_capacity: false,
-        load_report: LoadReport::Silent,
-        limits: Limits {
+        load_report_content: LoadReportContent::Nothing,
+        limits: CallerLimits {
             max_attempts: 3,
             can_cancel: true,
             can_probe: false,
@@ -43,7 +43,7 @@
             warm_up_duration: 15 * SECOND,
             overload_multiple: 4.0,
             overload_window: 3 * SECOND,
-            warm_up_offers: 20.0,
+            warm_up_offers_per_window: 20.0,
         },
         costs: Costs::default(),
     }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -359,7 +359,7 @@
         1,
         0,
         AttemptOutcome::Rejected,
-        Some(FailureReason::Cores),
+        Some(FailureReason::InsufficientCores),
     )]);
     assert_eq!(offered_machine(&again), None, "no offer during the backoff");
     assert_eq!(
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -320,7 +320,7 @@
         finished(5, 0, AttemptOutcome::Completed, None),
         Event::ClientDisconnected(TaskId(5)),
         Event::TimerFired { label: 77 },
-        Event::Probed {
+        Event::ProbeFinished {
             machine: MachineId(99),
             answered: true,
             load: None,
@@ -377,7 +377,7 @@
         Some(SettingsError::Empty("classes"))
     );
     assert_eq!(
-        error(|s| s.kinds.clear()),
+        error(|s| s.machine_kinds.clear()),
         Some(SettingsError::Empty("kinds"))
     );
     assert_eq!(
@@ -389,7 +389,7 @@
         |s| s.rules.overload_multiple = f64::INFINITY,
         |s| s.replica_count = 0,
         |s| s.replica_index = s.replica_count,
-        |s| s.kinds[0].memory = 0.0,
+        |s| s.machine_kinds[0].memory = 0.0,
     ];
     for change in bad {
         assert!(matches!(error(change), Some(SettingsError::OutOfRange(_))));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -141,7 +141,7 @@
             1,
             number,
             AttemptOutcome::Rejected,
-            Some(FailureReason::Cores),
+            Some(FailureReason::InsufficientCores),
         )]);
         assert!(offered_machine(&actions).is_some());
     }
@@ -149,7 +149,7 @@
         1,
         2,
         AttemptOutcome::Rejected,
-        Some(FailureReason::Cores),
+        Some(FailureReason::InsufficientCores),
     )]);
     assert_eq!(
         final_answers(&actions),
@@ -609,7 +609,7 @@
                 id,
                 number,
                 AttemptOutcome::Rejected,
-                Some(FailureReason::Cores),
+                Some(FailureReason::InsufficientCores),
             )]);
             retry_afters.extend(final_answers(&actions).into_iter().filter_map(|a| {
                 if let Action::Reject {
