--- a/crates/trace/src/reader.rs
+++ b/crates/trace/src/reader.rs
@@ -142,7 +142,7 @@
         Ok(bytes)
     }
 
-    /// Reads the block at this offset; never returns [`Part::Damaged`].
+    /// Reads the block at this offset; never returns [`FilePart::Damaged`].
     ///
     /// # Errors
     ///
@@ -197,7 +197,7 @@
     ///
     /// # Errors
     ///
-    /// The file can't be read; damage is returned as [`Part::Damaged`].
+    /// The file can't be read; damage is returned as [`FilePart::Damaged`].
     pub fn next_part(&mut self) -> Result<Option<FilePart>, TraceError> {
         let (start, mut reason) = (self.position, None);
         let end = self.find_index().ok().flatten().unwrap_or(self.file_bytes);
