--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -203,8 +203,8 @@
             .any(|task| task.request.program_id == program_id && task.stage == TaskStage::Running)
     }
 
-    /// Puts a task that was taken by [`Admission::next_start`] but not started back to the front of the tasks that wait to
-    /// be started.
+    /// Puts a task that was taken by [`Admission::next_start`] but not started back to the front of the tasks that wait
+    /// to be started.
     pub fn requeue_start(&mut self, attempt_id: u64) {
         if let Some(task) = self.starting_task(attempt_id) {
             task.stage = TaskStage::Waiting;
--- a/crates/admission/src/request.rs
+++ b/crates/admission/src/request.rs
@@ -45,7 +45,7 @@
 pub enum AdmissionDecision {
     /// The task is admitted.
     Admitted {
-        /// Attempts of lower priority that were removed to make room for it, and have to be stopped.
+        /// Attempts of lower priority that were removed to free resources for it, and have to be stopped.
         preempted: Vec<u64>,
     },
     /// The task is rejected and has had no effect.
--- a/crates/agent/src/agent/offers.rs
+++ b/crates/agent/src/agent/offers.rs
@@ -12,9 +12,9 @@
 pub(super) const DEDUPLICATION_GROUP: u64 = 0;
 
 impl Agent {
-    /// Handles the Hello frame of a placer. The response is a Hello frame, the unreported results of the placer's tasks,
-    /// and the list of its unfinished tasks. A placer with minor version 0 handles results only after the list: they are
-    /// sent later by [`Agent::report_finished`], when those tasks already count as lost at the placer.
+    /// Handles the Hello frame of a placer. The response is a Hello frame, the unreported results of the placer's
+    /// tasks, and the list of its unfinished tasks. A placer with minor version 0 handles results only after the list:
+    /// they are sent later by [`Agent::report_finished`], when those tasks already count as lost at the placer.
     pub fn handle_hello(&mut self, placer: &Arc<str>, minor: u16, out: &mut Vec<Action>) {
         let send = |frame| Action::Send(placer.clone(), frame);
         out.push(send(Frame::Hello {
--- a/crates/agent/src/agent/store_failure.rs
+++ b/crates/agent/src/agent/store_failure.rs
@@ -13,8 +13,7 @@
     /// The failed commit may still have reached the disk, so a later agent process might start a task accepted in it.
     /// Such a task is reported as ended and possibly started, and is removed from the store once the store works.
     /// Starts are postponed. The other actions are kept: a later agent process that reads the older state looks up the
-    /// task's process, which is running or has exited. Offers are rejected until the
-    /// store is used again.
+    /// task's process, which is running or has exited. Offers are rejected until the store is used again.
     pub fn handle_store_failure(&mut self, failed_actions: &[Action], out: &mut Vec<Action>) {
         for action in failed_actions {
             match action {
--- a/crates/agent/src/agent/task_control.rs
+++ b/crates/agent/src/agent/task_control.rs
@@ -4,8 +4,8 @@
 
 use super::{Action, Agent, ProcessIdentity, StopMode, TaskState, Timer};
 
-/// The maximum number of unreported results. Beyond it the result with the lowest attempt id is dropped. The placer then
-/// counts the task as lost, because it is missing from the list of unfinished tasks.
+/// The maximum number of unreported results. Beyond it the result with the lowest attempt id is dropped. The placer
+/// then counts the task as lost, because it is missing from the list of unfinished tasks.
 const MAX_UNREPORTED_RESULTS: usize = 1 << 16;
 
 impl Agent {
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -37,8 +37,8 @@
     #[serde(default = "d::indirect_probes")]
     #[serde(rename = "helpers")]
     pub indirect_probes: usize,
-    /// Number of probe intervals within which a suspected member can refute the suspicion. It is multiplied by the decimal
-    /// logarithm of the fleet's size if that is above 1.
+    /// Number of probe intervals within which a suspected member can refute the suspicion. It is multiplied by the
+    /// decimal logarithm of the fleet's size if that is above 1.
     #[serde(default = "d::suspicion_multiplier")]
     #[serde(rename = "suspicion")]
     pub suspicion_multiplier: u32,
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -120,8 +120,8 @@
     #[serde(default = "d::max_kept_events")]
     #[serde(rename = "events_kept")]
     pub max_kept_events: usize,
-    /// If an abandoned attempt of a keyed or unsafe actor may still start, new requests for the actor are rejected for this
-    /// long, ms.
+    /// If an abandoned attempt of a keyed or unsafe actor may still start, new requests for the actor are rejected for
+    /// this long, ms.
     #[serde(default = "d::resubmission_hold_ms")]
     #[serde(rename = "settle_ms")]
     pub resubmission_hold_ms: u64,
@@ -149,8 +149,8 @@
     #[serde(default = "d::min_reconnect_delay_ms")]
     #[serde(rename = "reconnect_first_ms")]
     pub min_reconnect_delay_ms: u64,
-    /// Maximum delay before a new attempt to connect, ms. Each delay is drawn at random between half of the doubled delay
-    /// and the whole.
+    /// Maximum delay before a new attempt to connect, ms. Each delay is drawn at random between half of the doubled
+    /// delay and the whole.
     #[serde(default = "d::max_reconnect_delay_ms")]
     #[serde(rename = "reconnect_most_ms")]
     pub max_reconnect_delay_ms: u64,
@@ -163,7 +163,8 @@
     #[serde(default = "d::silence_timeout_ms")]
     #[serde(rename = "silent_after_ms")]
     pub silence_timeout_ms: u64,
-    /// Maximum number of pings per second to all other hosts together: the ping interval of each grows with their number.
+    /// Maximum number of pings per second to all other hosts together: the ping interval of each grows with their
+    /// number.
     #[serde(default = "d::max_idle_pings_per_s")]
     pub max_idle_pings_per_s: u32,
     /// Maximum ping interval of such a host, ms. If there are too many hosts for it, the rate of pings is exceeded.
--- a/crates/consul/src/index_watch.rs
+++ b/crates/consul/src/index_watch.rs
@@ -1,5 +1,5 @@
-//! Detects changes of the list without reading all of it: between reads of the full list, a blocking query is sent whose
-//! filter matches nothing. The index in its empty response shows whether the list has changed.
+//! Detects changes of the list without reading all of it: between reads of the full list, a blocking query is sent
+//! whose filter matches nothing. The index in its empty response shows whether the list has changed.
 //!
 //! In case a server does not change the index with the list, the full list is also read periodically. If such a read
 //! shows that a change was missed, or if a server rejects or ignores the filter, every read is of the full list again,
--- a/crates/consul/src/index_watch/tests.rs
+++ b/crates/consul/src/index_watch/tests.rs
@@ -1,4 +1,4 @@
-//! Which read comes next, and filters that match nothing.
+//! The choice of the next read, and filters that match nothing.
 
 use super::*;
 
--- a/crates/consul/src/json_rows.rs
+++ b/crates/consul/src/json_rows.rs
@@ -193,8 +193,8 @@
             .enumerate()
             .skip(self.cursor)
             .take(MAX_LOOKAHEAD_ROWS);
-        // An object ends with its closing brace, so equal leading bytes mean an equal object. A number has no end mark: 1
-        // is a prefix of 12.
+        // An object ends with its closing brace, so equal leading bytes mean an equal object. A number has no end mark:
+        // 1 is a prefix of 12.
         let is_same = |old: &Row<T>| {
             rest.first() == Some(&b'{') && rest.starts_with(&self.previous.body[old.start..old.end])
         };
--- a/crates/consul/src/list_validator.rs
+++ b/crates/consul/src/list_validator.rs
@@ -1,9 +1,9 @@
 //! Decides which lists of the catalogue to accept.
 //!
-//! Three kinds of lists must not be taken for changes: one from a server that lags, one that lacks many hosts because its
-//! server has just restarted, and one of another datacentre. The first is recognised by its index, the
-//! last by the datacentre that its entries name. A loss of more than half the hosts is read again in the consistent
-//! mode, which only a leader that has verified itself answers. If that answer does not arrive within
+//! Three kinds of lists must not be taken for changes: one from a server that lags, one that lacks many hosts because
+//! its server has just restarted, and one of another datacentre. The first is recognised by its index, the last by the
+//! datacentre that its entries name. A loss of more than half the hosts is read again in the consistent mode, which
+//! only a leader that has verified itself answers. If that answer does not arrive within
 //! [`CONFIRMATION_TIMEOUT`], the loss is accepted, since it may be real (rule 3 of the placers has precedence). Hosts
 //! that an unconfirmed list names as not ready are treated as not ready at once.
 
--- a/crates/consul/src/list_validator/tests.rs
+++ b/crates/consul/src/list_validator/tests.rs
@@ -163,7 +163,7 @@
             Assessment::Accept
         );
         assert_eq!(validator.confirmation_deadline(), None);
-        // A consistent read without a known leader confirms nothing.
+        // A consistent read from a server without a known leader does not confirm the loss.
         let mut validator = ListValidator::new(None);
         let none = ResponseMeta {
             known_leader: Some(false),
--- a/crates/consul/src/source/lists.rs
+++ b/crates/consul/src/source/lists.rs
@@ -127,8 +127,8 @@
                     }
                 }
             },
-            // Comparing the list with the accepted one, and freeing the latter, costs about as much as reading unchanged
-            // rows.
+            // Comparing the list with the accepted one, and freeing the latter, costs about as much as reading
+            // unchanged rows.
             ActiveRead::HostsComplete(read, list)
                 if *budget < list.entries.len().min(STEP_BUDGET) =>
             {
@@ -253,8 +253,8 @@
             "catalogue list rejected"
         );
         if read.kind == QueryKind::Health {
-            // Reads from another server without blocking, and consistently from the leader in case the index of all servers
-            // went back.
+            // Reads from another server without blocking, and consistently from the leader in case the index of all
+            // servers went back.
             self.calls.fail_over(read.kind);
             self.blocking_index = 0;
             self.calls.schedule(read.kind, now + 4 * MIN_READ_INTERVAL);
--- a/crates/consul/src/source/published.rs
+++ b/crates/consul/src/source/published.rs
@@ -1,5 +1,5 @@
-//! The hosts as published to the placer: the accepted list. A ready host becomes draining if its node's agent is not alive
-//! or flap damping suppresses it.
+//! The hosts as published to the placer: the accepted list. A ready host becomes draining if its node's agent is not
+//! alive or flap damping suppresses it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
--- a/crates/consul/tests/long_lists.rs
+++ b/crates/consul/tests/long_lists.rs
@@ -1,5 +1,5 @@
-//! Long lists through the whole source: they are processed over many ticks, hosts whose state got worse are
-//! published first, and no change is lost.
+//! Long lists are read and published over many ticks. Hosts whose state got worse are published first, and no change is
+//! lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -179,11 +179,12 @@
 }
 
 #[test]
-fn truncated_and_reordered_responses_lead_to_the_right_hosts() {
+fn truncated_response_is_ignored_and_reordered_one_is_applied() {
     let mut source = source_from_test_settings();
     let whole = health_body(0..HOSTS, |_| false);
     answer_health_query(&mut source, 0, &whole, 5);
-    // Not a list: nothing is published, and the next response is compared with the last valid list.
+    // The truncated body is not a list: no host is published, and the next response is compared with the last valid
+    // list.
     let ticks = answer_health_query(&mut source, 1_000_000, &whole[..whole.len() - 1], 6);
     assert!(ticks.iter().all(Vec::is_empty));
     assert_eq!(source.report(1_000_000).failed_calls, 1);
--- a/crates/damping/src/lib.rs
+++ b/crates/damping/src/lib.rs
@@ -3,10 +3,10 @@
 //! If the reported health of a host keeps changing, placers that followed each change would move tasks off the host and
 //! back again. A bad report always takes effect at once, so that no task is placed on an unhealthy host (rule 3 of the
 //! placers). A good report takes effect at once too, unless the host has flapped: then it is suppressed until a penalty
-//! has decayed. The penalty is that of RFC
-//! 2439: it grows by one with each change from good to bad, decays with a half-life, suppresses good reports above one
-//! limit and releases them at a lower one. A maximum penalty bounds the delay, and random jitter spreads the releases,
-//! since all placers see the same flaps and would otherwise return to a host at the same instant.
+//! has decayed. The penalty is that of RFC 2439: it grows by one with each change from good to bad, decays with a
+//! half-life, suppresses good reports above one limit and releases them at a lower one. A maximum penalty bounds the
+//! delay, and random jitter spreads the releases, since all placers see the same flaps and would otherwise return to a
+//! host at the same instant.
 
 use std::collections::BTreeMap;
 
--- a/crates/damping/src/tests.rs
+++ b/crates/damping/src/tests.rs
@@ -63,8 +63,8 @@
         !d.is_suppressed(&1) && d.release_due(now + 100 * SECOND_US).is_empty(),
         "a bad host is never released"
     );
-    // Repeated bad reports add no penalty, so that it decays while the host is bad, and the next good report takes effect
-    // at once.
+    // Repeated bad reports add no penalty, so that it decays while the host is bad, and the next good report takes
+    // effect at once.
     for n in 0..40 {
         d.observe(now + n * SECOND_US, &1, false);
     }
@@ -121,7 +121,7 @@
         assert!(d.observe(0, &host, true));
     }
     assert_eq!(d.hosts.len(), 2);
-    // A host beyond the limit is not damped, and its bad reports take effect all the same.
+    // A host beyond the limit is not damped: bad and good reports take effect at once.
     assert!(!d.observe(1, &4, false));
     assert!(d.observe(2, &4, true));
 }
--- a/crates/damping/tests/properties.rs
+++ b/crates/damping/tests/properties.rs
@@ -16,14 +16,14 @@
         for (host, good, after) in reports {
             now += after;
             for released in damping.release_due(now) {
-                prop_assert!(last[usize::from(released)], "released while bad");
+                prop_assert!(last[usize::from(released)], "a host whose last report was bad was released");
             }
             let counts_as_good = damping.observe(now, &host, good);
             prop_assert!(good || !counts_as_good, "a bad report did not take effect");
             last[usize::from(host)] = good;
             prop_assert!(damping.next_release().is_none_or(|until| until <= now + 9_000_001));
         }
-        // All hosts have settled and are good: within the bound all of them count as good.
+        // After a last good report of every host, all of them count as good within the bound.
         for host in 0..4 {
             damping.observe(now, &host, true);
         }
--- a/crates/engine/src/client_sessions.rs
+++ b/crates/engine/src/client_sessions.rs
@@ -11,8 +11,8 @@
 use crate::problem::Problem;
 use crate::timer::Timer;
 
-/// Number of requests that are read in one turn without a limit per client. Beyond this number one request is read per client, so that no client waits for
-/// many requests of others.
+/// Number of requests that are read in one turn without a limit per client. Beyond this number one request is read per
+/// client, so that no client waits for many requests of others.
 const MAX_REQUESTS_PER_TURN: usize = 128;
 /// No further requests of a client are read while its unread bytes exceed `api.max_unsent_bytes` divided by this.
 const UNREAD_PAUSE_DIVISOR: usize = 4;
--- a/crates/engine/src/decisions.rs
+++ b/crates/engine/src/decisions.rs
@@ -12,11 +12,12 @@
 use crate::timer::Timer;
 use crate::turn_latency::DEADLINE_ANSWER_MARGIN;
 
-/// Maximum number of rounds of decisions in one turn. An offer that can't be sent causes an event, which the next round handles.
+/// Maximum number of rounds of decisions in one turn. An offer that can't be sent causes an event, which the next round
+/// handles.
 const MAX_ROUNDS_PER_TURN: usize = 8;
-/// Maximum number of tasks that are placed in one turn. Further requests wait for the next turn, after the offers of this one have been
-/// written: an offer that is written long after its decision may fall into the same warm-up window of a host as later
-/// offers.
+/// Maximum number of tasks that are placed in one turn. Further requests wait for the next turn, after the offers of
+/// this one have been written: an offer that is written long after its decision may fall into the same warm-up window
+/// of a host as later offers.
 const MAX_PLACEMENTS_PER_TURN: usize = 64;
 
 impl<D: Decide> Engine<D> {
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -76,8 +76,8 @@
             (ConnectionState::Syncing, Frame::Held(offer, is_running)) => {
                 self.handle_held_task(id, &offer, is_running);
             }
-            // Since protocol 1.1 a host also reports tasks that ended while it was disconnected. Otherwise they would be
-            // missing from its list and count as lost.
+            // Since protocol 1.1 a host also reports tasks that ended while it was disconnected. Otherwise they would
+            // be missing from its list and count as lost.
             (ConnectionState::Syncing, frame @ Frame::Ended(..)) => {
                 self.handle_attempt_frame(id, frame);
             }
@@ -99,7 +99,7 @@
         Ok(())
     }
 
-    /// Handles the greeting of a host, which goes on to list the tasks that it holds.
+    /// Handles the greeting of a host. The host then lists the tasks that it holds.
     fn handle_greeting(
         &mut self,
         id: HostId,
--- a/crates/engine/tests/deadlines.rs
+++ b/crates/engine/tests/deadlines.rs
@@ -57,7 +57,7 @@
     texts.collect()
 }
 
-/// Runs all timers up to `until`. Returns when the client was sent something, and what.
+/// Runs turns at each time-out up to `until` or to the first response. Returns its time and text.
 fn run_until_answer(engine: &mut Engine<UnresponsiveDecider>, until: u64) -> Option<(u64, String)> {
     while let Some(at) = engine.next_timeout().filter(|&at| at <= until) {
         engine.turn(at, false);
--- a/crates/engine/tests/simulated/main.rs
+++ b/crates/engine/tests/simulated/main.rs
@@ -1,7 +1,7 @@
 //! The engine with the placement policy under a simulated clock and network. Hosts accept and reject offers, become
-//! unresponsive, lose connections and restart, and clients send requests and disconnect, all derived from one seed. Checks
-//! that every request gets one answer, that the engine keeps no state of finished requests, and that equal seeds give
-//! equal output bytes.
+//! unresponsive, lose connections and restart, and clients send requests and disconnect, all derived from one seed.
+//! Checks that every request gets one answer, that the engine keeps no state of finished requests, and that equal seeds
+//! give equal output bytes.
 
 mod simulation;
 
--- a/crates/engine/tests/simulated/simulation.rs
+++ b/crates/engine/tests/simulated/simulation.rs
@@ -506,8 +506,8 @@
         }
     }
 
-    /// Ends all faults and all running tasks, and runs for up to 30 s, after which the engine must hold no request, attempt
-    /// or actor.
+    /// Ends all faults and all running tasks, and runs for up to 30 s, after which the engine must hold no request,
+    /// attempt or actor.
     pub fn run_until_settled(&mut self) {
         for number in 0..HOSTS {
             self.hosts[number].unresponsive = false;
--- a/crates/leadership/src/settings.rs
+++ b/crates/leadership/src/settings.rs
@@ -26,9 +26,9 @@
         self.tick_interval as f64 * f64::from(self.election_ticks)
     }
 
-    /// How long a voter does not vote after its start. A voter that follows a leader must not vote for another one while that
-    /// leader's lease may be valid; which leader it follows is not
-    /// durable, so after a restart the voter waits for more than an election timeout.
+    /// How long a voter does not vote after its start. A voter that follows a leader must not vote for another one
+    /// while that leader's lease may be valid; which leader it follows is not durable, so after a restart the voter
+    /// waits for more than an election timeout.
     pub(crate) fn vote_delay_after_start(&self) -> Micros {
         let longest_timeout = self.election_timeout() * (1.0 + self.max_clock_drift);
         longest_timeout as Micros + self.tick_interval
--- a/crates/leadership/src/voter.rs
+++ b/crates/leadership/src/voter.rs
@@ -112,8 +112,8 @@
         self.last_tick_at + self.settings.tick_interval
     }
 
-    /// Advances the Raft timer by one tick, if it is due. A pause of the process of any length counts as one tick, because
-    /// heartbeats of the leader may have arrived during it that are not read yet.
+    /// Advances the Raft timer by one tick, if it is due. A pause of the process of any length counts as one tick,
+    /// because heartbeats of the leader may have arrived during it that are not read yet.
     pub fn tick(&mut self, now: Micros) {
         if now < self.next_timeout() {
             return;
--- a/crates/liveness/src/host.rs
+++ b/crates/liveness/src/host.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Restarts a running silence time-out at `now`, because the caller was stalled and could not read the host's input.
+    /// Restarts a running silence time-out at `now`, because the caller was stalled and could not read the host's
+    /// input.
     pub fn restart_timeout(&mut self, now: Micros) {
         self.last_activity = now;
         self.timeout_started_at = self.timeout_started_at.map(|_| now);
--- a/crates/liveness/src/liveness.rs
+++ b/crates/liveness/src/liveness.rs
@@ -68,12 +68,12 @@
         self.update_host(key, |host, _| host.record_activity(now, activity));
     }
 
-    /// Marks a host as in use. Changes nothing if it is in use already.
+    /// Marks a host as in use. Has no effect if it is in use already.
     pub fn mark_in_use(&mut self, now: Micros, key: K) {
         self.update_host(key, |host, settings| host.mark_in_use(now, settings));
     }
 
-    /// Marks a host as idle. Changes nothing if it is idle already.
+    /// Marks a host as idle. Has no effect if it is idle already.
     pub fn mark_idle(&mut self, key: K) {
         self.update_host(key, |host, _| host.mark_idle());
     }
--- a/crates/liveness/src/pacer.rs
+++ b/crates/liveness/src/pacer.rs
@@ -1,4 +1,5 @@
-//! The turns of idle hosts, evenly spaced in time. Turns that were missed during a stall are not made up for by a burst.
+//! The turns of idle hosts, evenly spaced in time. Turns that were missed during a stall are not made up for by a
+//! burst.
 
 use crate::{Micros, Settings};
 
--- a/crates/liveness/tests/in_use.rs
+++ b/crates/liveness/tests/in_use.rs
@@ -1,5 +1,5 @@
-//! Hosts in use: an unresponsive one is disconnected no later than with heartbeats at a fixed interval, and traffic replaces
-//! heartbeats.
+//! Hosts in use: an unresponsive one is disconnected no later than with heartbeats at a fixed interval, and traffic
+//! replaces heartbeats.
 
 mod support;
 
@@ -10,8 +10,8 @@
 
 const HOST: u32 = 7;
 
-/// When a host in use is disconnected that sends traffic at these times and nothing from `unresponsive_from` on, and the
-/// number of heartbeats sent to it.
+/// When a host in use is disconnected that sends traffic at these times and nothing from `unresponsive_from` on, and
+/// the number of heartbeats sent to it.
 fn run_adaptive(
     traffic: &[Micros],
     answer_after: Micros,
--- a/crates/liveness/tests/properties.rs
+++ b/crates/liveness/tests/properties.rs
@@ -290,10 +290,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No host is disconnected before the silence time-out, and no unresponsive one stays connected beyond the time that
-    /// the settings guarantee. No
-    /// heartbeat is sent within the ping interval after the previous one or after traffic. Heartbeats to idle hosts
-    /// stay within the rate.
+    /// No host is disconnected before the silence time-out, and no unresponsive one stays connected beyond the time
+    /// that the settings guarantee. No heartbeat is sent within the ping interval after the previous one or after
+    /// traffic. Heartbeats to idle hosts stay within the rate.
     #[test]
     fn heartbeats_and_disconnects_stay_within_their_bounds(steps in vec(any_step(), 1..250)) {
         let mut model = Model::new();
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -40,9 +40,10 @@
 }
 
 impl KeyRing {
-    /// Parses the text of a key file. It contains one or two keys, each on its own line and of 64 hex digits; datagrams are
-    /// signed with the first one. Empty lines and lines that begin with `#` are ignored. The keys in use are derived from
-    /// these keys and the name of the fleet, so that two fleets with the same key file reject each other's datagrams.
+    /// Parses the text of a key file. It contains one or two keys, each on its own line and of 64 hex digits; datagrams
+    /// are signed with the first one. Empty lines and lines that begin with `#` are ignored. The keys in use are
+    /// derived from these keys and the name of the fleet, so that two fleets with the same key file reject each other's
+    /// datagrams.
     ///
     /// # Errors
     ///
--- a/crates/membership/src/member/messages.rs
+++ b/crates/membership/src/member/messages.rs
@@ -6,9 +6,9 @@
 use crate::keys::DatagramError;
 use crate::member_table::Micros;
 
-/// How long challenges to a sender contain the same nonce. Responses with it are accepted for one more period. Both periods
-/// together are shorter than the minimum of [`crate::Timing::forget_after`]: a recorded response of an earlier generation
-/// can no longer be replayed once that generation is removed from the table.
+/// How long challenges to a sender contain the same nonce. Responses with it are accepted for one more period. Both
+/// periods together are shorter than the minimum of [`crate::Timing::forget_after`]: a recorded response of an earlier
+/// generation can no longer be replayed once that generation is removed from the table.
 const NONCE_PERIOD: Micros = 5_000_000;
 /// Maximum number of members that are notified in one call that they are considered down.
 const MAX_DOWN_NOTICES: usize = 32;
@@ -207,8 +207,8 @@
     }
 
     /// Notifies members that others consider alive, and the local member considers down in the same generation, so that
-    /// they start a new generation. The parts of a partitioned fleet thus rejoin faster than by random exchanges between
-    /// pairs of members.
+    /// they start a new generation. The parts of a partitioned fleet thus rejoin faster than by random exchanges
+    /// between pairs of members.
     pub(super) fn notify_considered_down(&mut self, now: Micros, members: Vec<MemberIdentity>) {
         for member in members.into_iter().take(MAX_DOWN_NOTICES) {
             if self.notice_limiter.try_notify(now, member.name.hash()) {
--- a/crates/membership/src/member/pauses.rs
+++ b/crates/membership/src/member/pauses.rs
@@ -13,8 +13,8 @@
 
 impl LocalMember {
     /// Detects a pause of the process, and delays all timers by its duration, so that datagrams that arrived during the
-    /// pause are read before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer the
-    /// other members have removed the local one, and its view is outdated: it starts again with an empty view.
+    /// pause are read before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer
+    /// the view is outdated, so the local member starts again with an empty one.
     pub(super) fn detect_pause(&mut self, now: Micros) {
         let expected = self.timers.next_due_at().unwrap_or(self.last_called_at);
         let pause = now.saturating_sub(expected.max(self.last_called_at));
--- a/crates/placer/src/daemon/mod.rs
+++ b/crates/placer/src/daemon/mod.rs
@@ -44,8 +44,8 @@
 const MAX_UNREAD_BYTES: usize = 128 << 10;
 /// Maximum number of read rounds before a decision.
 const MAX_READ_ROUNDS: usize = 4;
-/// Maximum number of read rounds before the first decision after a stall of the process. That decision has to be based on
-/// all input that arrived during the stall.
+/// Maximum number of read rounds before the first decision after a stall of the process. That decision has to be based
+/// on all input that arrived during the stall.
 const MAX_READ_ROUNDS_AFTER_STALL: usize = 256;
 
 /// Runs a placer until it receives SIGTERM or SIGINT. `new_decider` creates the decider from the settings and a random
@@ -224,7 +224,7 @@
     }
 
     /// Reads what is ready and what arrives meanwhile. After a stall, reads everything that arrived during it, for at
-    /// most `MAX_READ_DURATION_US`. Returns the last time at which nothing was left unread.
+    /// most `MAX_READ_DURATION_US`. Returns the last time at which no input was left unread.
     fn read_ready(
         &mut self,
         ready: &mut Vec<Readiness>,
--- a/crates/placer/src/daemon/outputs.rs
+++ b/crates/placer/src/daemon/outputs.rs
@@ -4,8 +4,8 @@
 
 use super::Daemon;
 
-/// Maximum number of times that outputs are executed per turn. Executing them may cause further ones, for example when a
-/// connection fails.
+/// Maximum number of times that outputs are executed per turn. Executing them may cause further ones, for example when
+/// a connection fails.
 const MAX_OUTPUT_ROUNDS: usize = 8;
 
 impl<D: Decide> Daemon<D> {
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -19,7 +19,8 @@
 use crate::error::Error;
 use change_log::ChangeLog;
 
-/// Maximum number of datagrams read per round. Under a flood, further ones wait in the socket's receive buffer or are dropped there.
+/// Maximum number of datagrams read per round. Under a flood, further ones wait in the socket's receive buffer or are
+/// dropped there.
 const MAX_DATAGRAMS_PER_ROUND: usize = 64;
 /// The announced load is rounded down to one of this many steps, so that small changes of the load are
 /// not sent to all members.
--- a/crates/placer/src/stall_detection.rs
+++ b/crates/placer/src/stall_detection.rs
@@ -6,7 +6,7 @@
 //!
 //! - while waiting: the wait ended long after its deadline;
 //! - while reading: reading took longer than allowed;
-//! - while deciding or writing: the next round begins long after the last time at which nothing was left unread.
+//! - while deciding or writing: the next round begins long after the last time at which no input was left unread.
 //!
 //! Input that arrived during a stall is still unread, so the time of a decision must not be later than the stall unless
 //! the stall is reported with the decision. All times are µs on the event loop's clock.
@@ -49,19 +49,19 @@
     }
 }
 
-/// Records when the event loop last had nothing left to read.
+/// Records when the event loop last had no input left to read.
 #[derive(Debug)]
 pub(crate) struct StallDetector {
     drained_at: u64,
 }
 
 impl StallDetector {
-    /// Creates a detector at a time when nothing is unread.
+    /// Creates a detector at a time when no input is unread.
     pub fn new(now: u64) -> StallDetector {
         StallDetector { drained_at: now }
     }
 
-    /// Records that nothing was left unread at this time.
+    /// Records that no input was left unread at this time.
     pub fn record_drained(&mut self, at: u64) {
         self.drained_at = at;
     }
--- a/crates/placer/src/trace_queue.rs
+++ b/crates/placer/src/trace_queue.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Both threads hold the lock only for a few instructions, so that the event loop is not blocked by the writing of files.
+    /// Both threads hold the lock only for a few instructions, so that the event loop is not blocked by the writing of
+    /// files.
     fn lock(&self) -> MutexGuard<'_, TraceBuffer> {
         self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/placer/src/trace_recorder/mod.rs
+++ b/crates/placer/src/trace_recorder/mod.rs
@@ -29,8 +29,8 @@
 }
 
 impl Recorder {
-    /// Starts recording if the settings have a `[trace]` section. `is_replayable` says whether the placement policy makes
-    /// the decisions, so that they can be replayed from the seed and the settings in the trace.
+    /// Starts recording if the settings have a `[trace]` section. `is_replayable` says whether the placement policy
+    /// makes the decisions, so that they can be replayed from the seed and the settings in the trace.
     ///
     /// # Errors
     /// If the thread can't be started.
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -165,8 +165,8 @@
     Refused(u64, Reason, Option<ResourceAmounts>),
     /// Host: the task has started. With the time since the offer was read, ms.
     Started(u64, u32),
-    /// Host: an accepted task, or one that may have run, has ended. With the reason, whether it ran or may have run, and the
-    /// unallocated resources.
+    /// Host: an accepted task, or one that may have run, has ended. With the reason, whether it ran or may have run,
+    /// and the unallocated resources.
     Ended(u64, Reason, bool, Option<ResourceAmounts>),
     /// Host: a measurement of a task.
     Note(u64, NoteKind, f64),
@@ -384,8 +384,8 @@
 }
 
 fn put_string(out: &mut Vec<u8>, text: &str) {
-    // Strings longer than 8 KiB are truncated at a character boundary, so that a frame stays within `MAX_FRAME_BYTES`. The
-    // API and the settings limit names to much less.
+    // Strings longer than 8 KiB are truncated at a character boundary, so that a frame stays within `MAX_FRAME_BYTES`.
+    // The API and the settings limit names to much less.
     let mut n = text.len().min(8 << 10);
     while !text.is_char_boundary(n) {
         n -= 1;
