--- a/crates/liveness/tests/properties.rs
+++ b/crates/liveness/tests/properties.rs
@@ -274,7 +274,7 @@
             if host.in_use || host.unanswered_since.is_some() {
                 assert!(
                     inactive_for < most,
-                    "host {key} is in use and inactive for {inactive_for} us"
+                    "host {key} in use or with an outstanding answer is inactive for {inactive_for} us"
                 );
             } else {
                 let cycle = SETTINGS.ping_interval + turns;
