--- a/crates/admission/src/admission.rs
+++ b/crates/admission/src/admission.rs
@@ -274,7 +274,7 @@
     }
 
     /// Records that the programs without a running task are not loaded any more.
-    pub fn forget_warm_programs(&mut self) {
+    pub fn clear_warm_programs(&mut self) {
         self.warm_programs.clear();
     }
 }
--- a/crates/config/src/placer.rs
+++ b/crates/config/src/placer.rs
@@ -237,7 +237,8 @@
 pub enum LoadReport {
     /// It has no usable meaning.
     #[default]
-    Silent,
+    #[serde(rename = "silent")]
+    Nothing,
     /// Cores and memory that are not allocated to tasks.
     #[serde(rename = "unasked")]
     Unallocated,
--- a/crates/config/src/policy.rs
+++ b/crates/config/src/policy.rs
@@ -69,7 +69,7 @@
             memory_overcommit: self.placement.admit_memory,
             endpoints_report_capacity: self.placement.inventory_reports_unallocated,
             load_report_content: match self.placement.load_report {
-                LoadReport::Silent => mt::LoadReportContent::Nothing,
+                LoadReport::Nothing => mt::LoadReportContent::Nothing,
                 LoadReport::Unallocated => mt::LoadReportContent::UnallocatedResources,
                 LoadReport::Unused => mt::LoadReportContent::UnusedResources,
             },
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -171,7 +171,7 @@
     /// Replaces the present faults.
     pub fn set_faults(&mut self, faults: HostFaults) {
         if faults.has_lost_programs && !self.faults.has_lost_programs {
-            self.admission.forget_warm_programs();
+            self.admission.clear_warm_programs();
         }
         self.faults = faults;
     }
--- a/crates/emulator/src/host/service.rs
+++ b/crates/emulator/src/host/service.rs
@@ -223,7 +223,7 @@
             }
             *reported_at = now;
             if share < REPORTED_SERVICE_SHARE {
-                let note = Frame::Note(attempt, NoteKind::ServedShare, share);
+                let note = Frame::Note(attempt, NoteKind::ServiceShare, share);
                 service.push(HostAction::Send(placer.clone(), note));
             }
             if is_short_of_memory {
--- a/crates/emulator/src/report/evidence.rs
+++ b/crates/emulator/src/report/evidence.rs
@@ -344,7 +344,7 @@
         f.write_str(match self.0 {
             NoteKind::Cores => "Cores",
             NoteKind::Memory => "Memory",
-            NoteKind::ServedShare => "Served",
+            NoteKind::ServiceShare => "Served",
             NoteKind::HostMemoryShare => "HostMemory",
         })
     }
--- a/crates/emulator/src/report/evidence/tests.rs
+++ b/crates/emulator/src/report/evidence/tests.rs
@@ -229,7 +229,7 @@
             r#"Ended(9, PushedOut, true, None)"#,
         ),
         (
-            Frame::Note(9, NoteKind::ServedShare, 0.25),
+            Frame::Note(9, NoteKind::ServiceShare, 0.25),
             r#"Note(9, Served, 0.25)"#,
         ),
         (
--- a/crates/engine/src/sessions/frames.rs
+++ b/crates/engine/src/sessions/frames.rs
@@ -235,7 +235,7 @@
         let report = match kind {
             NoteKind::Cores => TaskReport::CoresUsed(value),
             NoteKind::Memory => TaskReport::MemoryUsed(value),
-            NoteKind::ServedShare => TaskReport::ServiceShare(value),
+            NoteKind::ServiceShare => TaskReport::ServiceShare(value),
             NoteKind::HostMemoryShare => TaskReport::MachineMemoryShare(value),
         };
         if let Some(attempt) = self.attempts.get(&key) {
--- a/crates/fault-injection/src/random_schedule.rs
+++ b/crates/fault-injection/src/random_schedule.rs
@@ -34,7 +34,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut draw = move |below: u64| rng.next_u64() % below.max(1);
     let mut model = Model::new(seed);
-    model.timing.forget_after = std::time::Duration::from_secs([30, 600][draw(2) as usize]);
+    model.timing.removal_delay = std::time::Duration::from_secs([30, 600][draw(2) as usize]);
     let member_count = 2 + draw(15) as usize;
     model.seeds = (0..1 + draw(3) as usize).collect();
     let enabled_kinds = draw(256);
--- a/crates/fault-injection/tests/model/bounds.rs
+++ b/crates/fault-injection/tests/model/bounds.rs
@@ -128,7 +128,7 @@
 #[test]
 fn memory_does_not_grow_with_departed_members() {
     let mut model = Model::new(19);
-    model.timing.forget_after = std::time::Duration::from_secs(10);
+    model.timing.removal_delay = std::time::Duration::from_secs(10);
     model.start_all(4);
     settle_time(&mut model, 10 * S);
     for n in 0..60 {
--- a/crates/fault-injection/tests/model/faults.rs
+++ b/crates/fault-injection/tests/model/faults.rs
@@ -72,7 +72,7 @@
 fn partitions_settle_separately_and_merge_even_after_forgetting() {
     for (seed, forget_after_s) in [(1, 600), (2, 20)] {
         let mut model = Model::new(seed);
-        model.timing.forget_after = std::time::Duration::from_secs(forget_after_s);
+        model.timing.removal_delay = std::time::Duration::from_secs(forget_after_s);
         model.start_all(16);
         settle_time(&mut model, 10 * S);
         model.counts_false_alarms = false;
--- a/crates/fault-injection/tests/model/generations.rs
+++ b/crates/fault-injection/tests/model/generations.rs
@@ -170,7 +170,7 @@
 #[test]
 fn replayed_datagrams_of_earlier_generation_revive_nothing() {
     let mut model = Model::new(16);
-    model.timing.forget_after = std::time::Duration::from_secs(20);
+    model.timing.removal_delay = std::time::Duration::from_secs(20);
     model.is_recording = true;
     model.start_all(8);
     settle_time(&mut model, 10 * S);
--- a/crates/membership/src/former_addresses.rs
+++ b/crates/membership/src/former_addresses.rs
@@ -10,7 +10,7 @@
 const MAX_FORMER_ADDRESSES: usize = 64;
 
 /// Addresses of members that were removed from the table. After a network partition that lasted longer than
-/// [`crate::Timing::forget_after`], contacting them lets the parts of the fleet rejoin.
+/// [`crate::Timing::removal_delay`], contacting them lets the parts of the fleet rejoin.
 #[derive(Default)]
 pub(crate) struct FormerAddresses(Vec<SocketAddr>);
 
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -41,7 +41,7 @@
 /// generation. Published in JSON.
 const REPORTED_BY_SELF: &str = "itself";
 /// [`MembershipChange::reported_by`] of the removal of a member because it was down, or had left, for
-/// [`crate::Timing::forget_after`]. Published in JSON.
+/// [`crate::Timing::removal_delay`]. Published in JSON.
 const REPORTED_BY_EXPIRY: &str = "time";
 
 /// An action or event for the caller.
--- a/crates/membership/src/member/messages.rs
+++ b/crates/membership/src/member/messages.rs
@@ -7,7 +7,7 @@
 use crate::member_table::Micros;
 
 /// How long challenges to a sender contain the same nonce. Responses with it are accepted for one more period. Both
-/// periods together are shorter than the minimum of [`crate::Timing::forget_after`]: a recorded response of an earlier
+/// periods together are shorter than the minimum of [`crate::Timing::removal_delay`]: a recorded response of an earlier
 /// generation can no longer be replayed once that generation is removed from the table.
 const NONCE_PERIOD: Micros = 5_000_000;
 /// Maximum number of members that are notified in one call that they are considered down.
--- a/crates/membership/src/member/pauses.rs
+++ b/crates/membership/src/member/pauses.rs
@@ -13,7 +13,7 @@
 
 impl LocalMember {
     /// Detects a pause of the process, and delays all timers by its duration, so that datagrams that arrived during the
-    /// pause are read before another member is suspected. After a pause of [`crate::Timing::forget_after`] or longer
+    /// pause are read before another member is suspected. After a pause of [`crate::Timing::removal_delay`] or longer
     /// the view is outdated, so the local member starts again with an empty one.
     pub(super) fn detect_pause(&mut self, now: Micros) {
         let expected = self.timers.next_due_at().unwrap_or(self.last_called_at);
@@ -27,7 +27,7 @@
         self.outputs.push(Output::Notice(Notice::ProcessPaused {
             duration_ms: pause / 1000,
         }));
-        if pause >= as_micros(self.settings.timing.forget_after) {
+        if pause >= as_micros(self.settings.timing.removal_delay) {
             self.restart_from_empty(now);
         }
     }
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -45,7 +45,7 @@
     /// Interval between attempts to contact seeds and members that are considered down.
     pub discovery_interval: Duration,
     /// How long members that are down or have left are kept.
-    pub forget_after: Duration,
+    pub removal_delay: Duration,
     /// Maximum number of members that are kept, including those that are down or have left. Further ones are rejected.
     pub max_members: usize,
 }
@@ -60,14 +60,14 @@
             gossip_interval: Duration::from_millis(200),
             anti_entropy_interval: Duration::from_secs(2),
             discovery_interval: Duration::from_secs(5),
-            forget_after: Duration::from_secs(600),
+            removal_delay: Duration::from_secs(600),
             max_members: 4096,
         }
     }
 }
 
 impl Timing {
-    /// Returns this timing with all intervals and timeouts divided by `factor`, except for [`Timing::forget_after`].
+    /// Returns this timing with all intervals and timeouts divided by `factor`, except for [`Timing::removal_delay`].
     pub fn sped_up_by(self, factor: u32) -> Timing {
         Timing {
             probe_interval: self.probe_interval / factor,
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -40,7 +40,7 @@
         num_indirect_probes: non_zero(timing.indirect_probes),
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: timing.suspicion_timeout(1),
-        remove_down_after: Some(timing.forget_after),
+        remove_down_after: Some(timing.removal_delay),
         max_packet_size: non_zero(MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES),
         notify_down_members: true,
         periodic_announce: None,
--- a/crates/placer/src/membership.rs
+++ b/crates/placer/src/membership.rs
@@ -247,7 +247,7 @@
         gossip_interval: ms(fleet.gossip_interval_ms),
         anti_entropy_interval: ms(fleet.sync_interval_ms),
         discovery_interval: ms(fleet.discovery_interval_ms),
-        forget_after: Duration::from_secs(fleet.retention_s),
+        removal_delay: Duration::from_secs(fleet.retention_s),
         max_members: fleet.max_members,
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -126,7 +126,7 @@
     /// Memory in use by the task, GiB.
     Memory = 2,
     /// Fraction of full service that the task gets; less than 1 under contention.
-    ServedShare = 3,
+    ServiceShare = 3,
     /// The share of the host's memory in use.
     HostMemoryShare = 4,
 }
@@ -367,7 +367,7 @@
             let kind = match kind {
                 1 => NoteKind::Cores,
                 2 => NoteKind::Memory,
-                3 => NoteKind::ServedShare,
+                3 => NoteKind::ServiceShare,
                 4 => NoteKind::HostMemoryShare,
                 // A kind of note that only a newer peer sends.
                 _ => return Ok(None),
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -53,7 +53,7 @@
     let kind = prop_oneof![
         Just(NoteKind::Cores),
         Just(NoteKind::Memory),
-        Just(NoteKind::ServedShare),
+        Just(NoteKind::ServiceShare),
         Just(NoteKind::HostMemoryShare)
     ];
     prop_oneof![
@@ -183,7 +183,7 @@
     hello[5] ^= 1;
     assert_eq!(decode(&hello), Err(FrameError::NotHostProtocol));
     let mut note = Vec::new();
-    encode(&Frame::Note(1, NoteKind::ServedShare, 0.5), &mut note);
+    encode(&Frame::Note(1, NoteKind::ServiceShare, 0.5), &mut note);
     let position = note.len() - 8;
     note[position..].copy_from_slice(&f64::NAN.to_le_bytes());
     assert_eq!(decode(&note), Err(FrameError::InvalidValue(12)));
