--- a/crates/cli/tests/placer_faults.rs
+++ b/crates/cli/tests/placer_faults.rs
@@ -4,6 +4,8 @@
 
 use std::collections::BTreeMap;
 use std::io::Write;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
 use maplethread_wire::frame::{Frame, Reason};
@@ -12,6 +14,8 @@
 
 /// Long enough for frames in flight to arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
+/// How often a host thread checks whether it is to stop answering.
+const ANSWERER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[test]
 fn restarted_placer_recovers_tasks_and_counts_them() {
@@ -145,12 +149,14 @@
     let before = placer.rss_kib();
     // The host answers from the start: on a busy machine, connecting the clients below takes longer than a host may be
     // silent.
+    let all_placed = Arc::new(AtomicBool::new(false));
+    let stop_answering = all_placed.clone();
+    // It answers until all requests are placed: on a busy machine attempts time out, so there are more offers than requests.
     let answerer = std::thread::spawn(move || {
-        let mut answered = 0;
-        while answered < 200 {
-            let offer = connection.receive_offer();
-            connection.send(&Frame::Accepted(offer.attempt_id, 1));
-            answered += 1;
+        while !stop_answering.load(Ordering::Relaxed) {
+            if let Some(Frame::Offer(offer)) = connection.receive_within(ANSWERER_POLL_INTERVAL) {
+                connection.send(&Frame::Accepted(offer.attempt_id, 1));
+            }
         }
         connection
     });
@@ -178,6 +184,7 @@
         );
         assert_eq!(body["outcome"], "placed");
     }
+    all_placed.store(true, Ordering::Relaxed);
     answerer.join().expect("host thread ends");
     let after = placer.rss_kib();
     // The bound allows 500 connections with full buffers, of at most 128 KiB for input and 64 KiB for output.
